--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -10,7 +10,7 @@
 import sys
 from statistics import median
 
-from dockthread.lab.fleet.cold_scenes import COLD, PLANTS, Played, many
+from dockthread.lab.slow_start.scenarios import COLD, PLANTS, Played, many
 
 
 def line(name: str, played: list[Played]) -> str:
--- a/benchmarks/fleet_idle.py
+++ b/benchmarks/fleet_idle.py
@@ -15,10 +15,10 @@
 from tempfile import TemporaryDirectory
 
 from dockthread.lab.arrivals import Arrival
-from dockthread.lab.fleet.rehearsal import SETTINGS
-from dockthread.lab.fleet.rig import HOST, Rig
-from dockthread.lab.fleet.standin import Node
 from dockthread.lab.load import Load, Target
+from dockthread.lab.maintenance.rehearsal import SETTINGS
+from dockthread.lab.maintenance.rig import HOST, Rig
+from dockthread.lab.maintenance.stand_in import Node
 
 UP = 20.0  # s until all serve
 TICKS = os.sysconf("SC_CLK_TCK")
--- a/benchmarks/followers.py
+++ b/benchmarks/followers.py
@@ -15,9 +15,9 @@
 import time
 from dataclasses import asdict, dataclass
 
-from dockthread.fleet import wire
-from dockthread.fleet.actions import Action, Apply, Send, Stored, Times
-from dockthread.fleet.agreement import Agreement
+from dockthread.raft import messages
+from dockthread.raft.actions import Action, Apply, Send, Stored, Times
+from dockthread.raft.core import Agreement
 
 VOTERS = tuple(f"voter{i}" for i in range(5))
 SIZES = (0, 100, 400, 1600)
@@ -25,10 +25,10 @@
 KEPT = 512  # applied entries before a state takes their place, as in fleet/member.py
 
 
-def read(frame: bytes) -> wire.Message:
+def read(frame: bytes) -> messages.Message:
     """A frame's message; a state here is far too small to travel in parts."""
-    message = wire.unpack(frame[: wire.HEAD.size], frame[wire.HEAD.size :])
-    assert not isinstance(message, wire.Part)
+    message = messages.unpack(frame[: messages.HEAD.size], frame[messages.HEAD.size :])
+    assert not isinstance(message, messages.Part)
     return message
 
 
@@ -54,7 +54,7 @@
 
     def carry_out(self, actions: list[Action]) -> list[tuple[str, bytes]]:
         began = time.process_time()
-        frames = [(a.to, wire.pack(a.message)) for a in actions if isinstance(a, Send)]
+        frames = [(a.to, messages.pack(a.message)) for a in actions if isinstance(a, Send)]
         for action in actions:
             if isinstance(action, Apply) and action.index - self.core.log.base >= KEPT:
                 self.core.compact(action.index, b"")
@@ -93,7 +93,7 @@
             for to, frame in frames:
                 for action in others[to].heard(now, read(frame)):
                     if isinstance(action, Send) and action.to == VOTERS[0]:
-                        answers.append(wire.pack(action.message))
+                        answers.append(messages.pack(action.message))
             frames = [frame for answer in answers for frame in leader.hear(now, answer)]
 
     now = 0.0
--- a/benchmarks/list_size.py
+++ b/benchmarks/list_size.py
@@ -33,9 +33,9 @@
 from benchmarks import rig
 from dockthread import Gateway, api
 from dockthread.clock import ManualClock
-from dockthread.net.destination_set import DestinationSet, WatchError
-from dockthread.net.watch import WatchParser
-from dockthread.settings import Names
+from dockthread.config.platform_settings import Names
+from dockthread.net.discovery_watch import WatchParser
+from dockthread.net.endpoint_list import DestinationSet, WatchError
 
 SIZES = (200, 2_400, 8_000, 24_000)
 GATEWAYS = 400  # of the fleet: a decision draws candidates by it
--- a/benchmarks/restart_wave.py
+++ b/benchmarks/restart_wave.py
@@ -9,7 +9,7 @@
 import sys
 from statistics import median
 
-from dockthread.lab.fleet.restart_wave import Passed, Wave, waves
+from dockthread.lab.slow_start.restart_wave import Passed, Wave, waves
 
 HEAD = " size of    lists  old list  discovery      ready in 6 s   ready in 10 s   listed in 10 s   last   calls  first  paused"
 CASES = ((200, 200), (200, 140), (200, 20), (30, 30))  # of the fleet, restarted at once
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -31,14 +31,14 @@
 
 from benchmarks.rig import ANSWER, Daemon, Result, closed_loop, daemon, main, open_loop, pool, spread
 from dockthread import api
-from dockthread.distribution.kinds import route_of
-from dockthread.operator_file.reader import Kind, read
+from dockthread.config.ini_reader import Kind, read
+from dockthread.config.platform_settings import Names
+from dockthread.control_plane.resource_schemas import route_of
 from dockthread.routes.bounds import Facts
 from dockthread.routes.check import check
 from dockthread.routes.layers import Layers
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.table import Table
-from dockthread.settings import Names
 
 STATUS = "class = seat-status\nattempts = 3\nbackoff = 20ms\n"
 NAMES = Names(("seat-status", "seat-checkout"), ("klein", "mittel", "gross"), (), ())
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -14,7 +14,7 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
-from dockthread.lab.fleet.rig import Rig
+from dockthread.lab.maintenance.rig import Rig
 
 SETTINGS: dict[str, Any] = {
     "Classes": [{"Name": "status", "Aim": 1_500_000, "HardLimit": 4_000_000, "Effect": "pure", "Points": 1.0}],
--- a/dockthread/__init__.py
+++ b/dockthread/__init__.py
@@ -1,5 +1,5 @@
 """dockthread: the decisions of a gateway that meters many customers' use of one shared service."""
 
-from dockthread.module import Gateway, api
+from dockthread.policy import Gateway, api
 
 __all__ = ["Gateway", "api"]
--- a/dockthread/__main__.py
+++ b/dockthread/__main__.py
@@ -8,7 +8,7 @@
 def main() -> int:
     """The exit code of the daemon, or of the command that is named."""
     if len(sys.argv) < 2:  # the daemon does not pay for the command line
-        from dockthread.serve import serve
+        from dockthread.daemon import serve
 
         return serve()
     from dockthread.cli.main import run
--- a/dockthread/ops/retune.py
+++ b/dockthread/admin/reload.py
@@ -21,10 +21,10 @@
 from typing import TYPE_CHECKING
 
 from dockthread import api
-from dockthread.settings import Names
+from dockthread.config.platform_settings import Names
 
 if TYPE_CHECKING:
-    from dockthread.module.rules import Gateway
+    from dockthread.policy.engine import Gateway
 
 
 @dataclass(frozen=True, slots=True)
--- a/dockthread/ops/management.py
+++ b/dockthread/admin/server.py
@@ -14,8 +14,8 @@
 import httptools
 from loguru import logger
 
-from dockthread.ops import door
-from dockthread.settings import Address
+from dockthread.admin import commands
+from dockthread.config.platform_settings import Address
 
 SILENT = 5.0  # s for which a connection may stand without a whole call
 MOST = 48  # connections at once
@@ -34,7 +34,7 @@
 
     def attach(self, target: str) -> bool: ...
 
-    async def fleet(self, command: door.Command) -> door.Answer:
+    async def fleet(self, command: commands.Command) -> commands.Answer:
         """What concerns the fleet; the only call that may take its time, as others have to agree."""
         ...
 
@@ -55,18 +55,18 @@
         self.whole = True
 
 
-async def answer(host: Host, method: bytes, path: bytes, body: bytes) -> door.Answer:
-    decided = door.decide(method, path, body)
-    if isinstance(decided, door.Answer):
+async def answer(host: Host, method: bytes, path: bytes, body: bytes) -> commands.Answer:
+    decided = commands.decide(method, path, body)
+    if isinstance(decided, commands.Answer):
         return decided
-    if decided.verb in door.FLEET:
+    if decided.verb in commands.FLEET:
         return await host.fleet(decided)
-    if decided.verb is door.Verb.VARS:
-        return door.Answer(200, host.figures(), b"text/plain; version=0.0.4")
-    if decided.verb is door.Verb.READY:
-        return door.carried(decided, host.ready)
-    held = decided.verb is door.Verb.DETACH
-    return door.carried(decided, host.detach(decided.target) if held else host.attach(decided.target))
+    if decided.verb is commands.Verb.VARS:
+        return commands.Answer(200, host.figures(), b"text/plain; version=0.0.4")
+    if decided.verb is commands.Verb.READY:
+        return commands.carried(decided, host.ready)
+    held = decided.verb is commands.Verb.DETACH
+    return commands.carried(decided, host.detach(decided.target) if held else host.attach(decided.target))
 
 
 class Door:
@@ -120,10 +120,10 @@
                     parser.feed_data(memoryview(buffer)[:got])
                 method = parser.get_method()
                 said = await answer(self._host, method, call.url, bytes(call.body))
-                await loop.sock_sendall(sock, door.wording(said, method == b"HEAD"))
+                await loop.sock_sendall(sock, commands.wording(said, method == b"HEAD"))
         except httptools.HttpParserError:
             with suppress(OSError):
-                await loop.sock_sendall(sock, door.wording(door.Answer(400, b"not an HTTP call\n")))
+                await loop.sock_sendall(sock, commands.wording(commands.Answer(400, b"not an HTTP call\n")))
         except (OSError, TimeoutError):
             pass
         except Exception:
--- a/dockthread/cli/control.py
+++ b/dockthread/cli/control.py
@@ -13,10 +13,10 @@
 
 import click
 
-from dockthread.distribution import asking
-from dockthread.distribution.messages import MOST_BODY, Resource, SubscriberStatus
-from dockthread.distribution.options import read_key
-from dockthread.settings import Address
+from dockthread.config.platform_settings import Address
+from dockthread.control_plane import admin_client
+from dockthread.control_plane.messages import MOST_BODY, Resource, SubscriberStatus
+from dockthread.control_plane.options import read_key
 from dockthread.telemetry.options import host_port
 
 MOST_SHOWN = 20  # of those that lag, without --json
@@ -61,8 +61,8 @@
 
     Exit codes: 0 ended as told, 1 cannot listen, 2 a bad configuration.
     """
-    from dockthread.distribution.process import serve as run
-    from dockthread.sections import where
+    from dockthread.config.section_registry import where
+    from dockthread.control_plane.process import serve as run
 
     path = where(os.environ, file or ctx.find_root().obj)
     if path is None:
@@ -91,8 +91,8 @@
     if (body is None) != delete:
         raise click.UsageError("give either --body or --delete")
     data = None if body is None else body.read(MOST_BODY + 1)
-    change = asking.change(kind, name, data, -1 if expected is None else expected)
-    answer = asyncio.run(asking.publish(servers, change, key))
+    change = admin_client.change(kind, name, data, -1 if expected is None else expected)
+    answer = asyncio.run(admin_client.publish(servers, change, key))
     if answer.revision <= 0:
         word = "refused" if answer.revision == 0 else "not known to be accepted"
         click.echo(f"{kind} {name}: {word}: {answer.reason}", err=True)
@@ -109,8 +109,8 @@
 def show(kind: str, name: str, servers: list[Address], key: bytes, as_json: bool) -> None:
     """Show what a server holds of a kind: one resource with its body, or the names and revisions of all."""
     try:
-        found = asyncio.run(asking.look_up(servers, kind, name, key))
-    except asking.NoAnswer as error:
+        found = asyncio.run(admin_client.look_up(servers, kind, name, key))
+    except admin_client.NoAnswer as error:
         click.echo(str(error), err=True)
         sys.exit(1)
     if name and not found:
@@ -136,7 +136,7 @@
 @json_option
 def status(servers: list[Address], key: bytes, as_json: bool) -> None:
     """What is in force where, and who lags, by all servers given."""
-    whole = asyncio.run(asking.overview(servers, key))
+    whole = asyncio.run(admin_client.overview(servers, key))
     if as_json:
         click.echo(json.dumps(plain(whole)))
     else:
@@ -146,7 +146,7 @@
         sys.exit(1)
 
 
-def plain(whole: asking.Overview) -> dict[str, Any]:
+def plain(whole: admin_client.Overview) -> dict[str, Any]:
     return {
         "epoch": whole.epoch,
         "revision": whole.revision,
@@ -167,7 +167,7 @@
     }
 
 
-def subscriber(one: SubscriberStatus, whole: asking.Overview) -> dict[str, Any]:
+def subscriber(one: SubscriberStatus, whole: admin_client.Overview) -> dict[str, Any]:
     rejected = [{"kind": r.kind, "name": r.name, "revision": r.revision, "reason": r.reason} for r in one.rejected]
     return {
         "name": one.name,
@@ -182,7 +182,7 @@
     }
 
 
-def lines(whole: asking.Overview) -> list[str]:
+def lines(whole: admin_client.Overview) -> list[str]:
     out = [f"revision {whole.revision} of {whole.epoch or 'no history'}"]
     lagging = whole.lagging_servers()
     for at, s in sorted(whole.servers.items()):
@@ -203,7 +203,7 @@
     return out
 
 
-def lag(one: SubscriberStatus, whole: asking.Overview) -> list[str]:
+def lag(one: SubscriberStatus, whole: admin_client.Overview) -> list[str]:
     out = []
     if not one.connected:
         out.append(f"{one.name}: not connected, revision {one.revision} when it was last seen")
--- a/dockthread/cli/daemon.py
+++ b/dockthread/cli/daemon.py
@@ -14,6 +14,6 @@
     SIGHUP reads both files again; where one is bad, all stays as it was. Exit codes: 0 ended as told, 1 cannot
     listen, 2 a bad configuration.
     """
-    from dockthread.serve import serve as run
+    from dockthread.daemon import serve as run
 
     ctx.exit(run(file or ctx.obj))
--- a/dockthread/cli/files.py
+++ b/dockthread/cli/files.py
@@ -8,9 +8,9 @@
 import click
 import msgspec
 
-from dockthread.operator_file.reader import Read
-from dockthread.sections import KINDS, load, read_file, read_text, where
-from dockthread.settings import SettingsError, read_config, read_for_check
+from dockthread.config.ini_reader import Read
+from dockthread.config.platform_settings import SettingsError, read_config, read_for_check
+from dockthread.config.section_registry import KINDS, load, read_file, read_text, where
 
 
 @click.command()
--- a/dockthread/cli/lab.py
+++ b/dockthread/cli/lab.py
@@ -14,11 +14,11 @@
 from dockthread.cli.lab_distribution import distribution
 from dockthread.cli.lab_fleet import fleet
 from dockthread.cli.lab_scale import scale
+from dockthread.config.platform_settings import Address, SettingsError, read_for_check
 from dockthread.lab.arrivals import Mix, read_trace, shape, weights, write_trace
 from dockthread.lab.load import Target
 from dockthread.lab.outcome import OUTCOMES, Outcome
 from dockthread.lab.processes import Plan, send, send_from_processes
-from dockthread.settings import Address, SettingsError, read_for_check
 from dockthread.telemetry.options import host_port
 
 BAD_RUN, VOID = 1, 2
--- a/dockthread/cli/lab_distribution.py
+++ b/dockthread/cli/lab_distribution.py
@@ -6,8 +6,8 @@
 import click
 
 from dockthread.cli.lab_seeds import jobs_option, json_option, seeds_option, show_replay, show_seeds
-from dockthread.lab.distribution.planted_bugs import NAMES, PLANTS
-from dockthread.lab.distribution.seeds import SCENARIOS, play_seed
+from dockthread.lab.control_plane.seeded_defects import NAMES, PLANTS
+from dockthread.lab.control_plane.seeds import SCENARIOS, play_seed
 from dockthread.lab.seeds import play_many
 
 
--- a/dockthread/cli/lab_fleet.py
+++ b/dockthread/cli/lab_fleet.py
@@ -12,15 +12,15 @@
 import click
 
 from dockthread.cli.lab_seeds import BROKE, jobs_option, json_option, seeds_option, show_replay, show_seeds
-from dockthread.lab.fleet import turns_planted_bugs
-from dockthread.lab.fleet.planted_bugs import NAMES as AGREEMENT
-from dockthread.lab.fleet.scenario import ScenarioError, parse, shipped
-from dockthread.lab.fleet.seeds import SCENARIOS, play_seed
+from dockthread.lab.maintenance import seeded_defects
+from dockthread.lab.maintenance.scenario import ScenarioError, parse, shipped
+from dockthread.lab.raft.seeded_defects import NAMES as AGREEMENT
+from dockthread.lab.raft.seeds import SCENARIOS, play_seed
 from dockthread.lab.seeds import play_many
 
 VOID = 2  # exit code
 CHUNK = 25  # seeds that a process plays before it tells
-NAMES = (*AGREEMENT, *turns_planted_bugs.NAMES)
+NAMES = (*AGREEMENT, *seeded_defects.NAMES)
 
 
 @click.group("fleet")
@@ -74,7 +74,7 @@
     INI file.
 
     Exit codes: 0 all held; 1 a rule broke; 2 the scenario is wrong, or the run is void."""
-    from dockthread.lab.fleet.rehearsal import Rehearsal, Verdict, Void
+    from dockthread.lab.maintenance.rehearsal import Rehearsal, Verdict, Void
 
     known = shipped()
     try:
--- a/dockthread/cli/lab_scale.py
+++ b/dockthread/cli/lab_scale.py
@@ -16,11 +16,11 @@
 
 import click
 
+from dockthread.config.quantities import Duration, Share, Size
 from dockthread.lab.scale.channel import ProcessError
 from dockthread.lab.scale.plan import FAULTS, Plan, PlanError, parse_changes
 from dockthread.lab.scale.planted_bugs import NAMES
 from dockthread.lab.scale.usage import Gone
-from dockthread.operator_file.quantities import Duration, Share, Size
 
 EXIT = {"holds": 0, "broken": 1, "void": 2}
 VOID = 2
--- a/dockthread/cli/lab_seeds.py
+++ b/dockthread/cli/lab_seeds.py
@@ -8,7 +8,7 @@
 
 import click
 
-from dockthread.lab.fleet.checker import Broken
+from dockthread.lab.raft.checker import Broken
 from dockthread.lab.seeds import Chunk, Found, PlayedSeed
 
 BROKE = 1  # exit code: a rule broke; with a planted bug, it was found
--- a/dockthread/cli/main.py
+++ b/dockthread/cli/main.py
@@ -8,7 +8,7 @@
 
 import click
 
-from dockthread.settings import SettingsError
+from dockthread.config.platform_settings import SettingsError
 
 LAZY = {
     "serve": ("dockthread.cli.daemon", "serve"),
@@ -78,7 +78,7 @@
     """
     ctx.obj = file
     if ctx.invoked_subcommand is None:
-        from dockthread.serve import serve
+        from dockthread.daemon import serve
 
         ctx.exit(serve(file))
 
--- a/dockthread/cli/metrics.py
+++ b/dockthread/cli/metrics.py
@@ -11,7 +11,7 @@
 
 import click
 
-from dockthread.operator_file.quantities import Duration
+from dockthread.config.quantities import Duration
 from dockthread.telemetry.catalogue import METRICS
 from dockthread.telemetry.collectd import Opener
 from dockthread.telemetry.receiver.ledger import Ledger
--- a/dockthread/cli/work.py
+++ b/dockthread/cli/work.py
@@ -12,7 +12,7 @@
 
 import click
 
-from dockthread.operator_file.quantities import Duration
+from dockthread.config.quantities import Duration
 from dockthread.telemetry.options import host_port
 
 PATIENCE = 10.0  # s for an answer
@@ -122,7 +122,7 @@
 @json_option
 def plan(file: Path, most_out: int, as_json: bool) -> None:
     """Offline: in what order the machines of FILE would go, and why each waits. A line: MACHINE ZONE [URGENCY]."""
-    from dockthread.work.plan import read, rounds
+    from dockthread.maintenance.plan import read, rounds
 
     try:
         planned = rounds(read(file.read_text(), str(file)), most_out)
@@ -148,7 +148,7 @@
 @click.option("--name", required=True, help="The ingress that the folder is for.")
 def init(folder: Path, name: str) -> None:
     """Make the folder of a member that never had one. One that lost its folder needs a new name."""
-    from dockthread.fleet.store import Lost, Store
+    from dockthread.raft.storage import Lost, Store
 
     try:
         Store(folder, name, make=True).close()
--- a/dockthread/operator_file/reader.py
+++ b/dockthread/config/ini_reader.py
@@ -4,7 +4,7 @@
 as `telemetry`, or a kind and a name, such as `graphite main`. Each kind has a `msgspec.Struct`; its fields are
 the keys, their types decide how a text is read, their defaults hold where a key is left out. Nothing stops at
 the first fault: `check` is to show them all. What a section cannot see alone is checked by the place that joins
-the sections (`dockthread/sections.py`).
+the sections (`dockthread/config/section_registry.py`).
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from dockthread.operator_file.quantities import Duration, Share, Size, yes_or_no
+from dockthread.config.quantities import Duration, Share, Size, yes_or_no
 
 MOST_BYTES = 4 * 1024 * 1024  # of a file: a wrong path, such as one to a log, must not fill the memory
 
--- a/dockthread/sections.py
+++ b/dockthread/config/section_registry.py
@@ -9,13 +9,13 @@
 from pathlib import Path
 
 from dockthread import api
-from dockthread.distribution.options import ControlOptions
-from dockthread.fleet.options import FleetOptions
+from dockthread.config.ini_reader import MOST_BYTES, Kind, Problem, Read, read
+from dockthread.config.platform_settings import Names, SettingsError
+from dockthread.control_plane.options import ControlOptions
 from dockthread.logs.options import LogOptions
-from dockthread.operator_file.reader import MOST_BYTES, Kind, Problem, Read, read
+from dockthread.raft.options import FleetOptions
 from dockthread.routes.check import check
 from dockthread.routes.options import RouteOptions
-from dockthread.settings import Names, SettingsError
 from dockthread.telemetry.options import CollectdOptions, GraphiteOptions, TelemetryOptions, shared_names
 
 KINDS = {
--- a/dockthread/distribution/asking.py
+++ b/dockthread/control_plane/admin_client.py
@@ -7,7 +7,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from dockthread.distribution.messages import (
+from dockthread.config.platform_settings import Address
+from dockthread.control_plane.messages import (
     Found,
     Lookup,
     Message,
@@ -19,8 +20,7 @@
     SubscriberStatus,
     codec,
 )
-from dockthread.frames import HEAD, MalformedFrame
-from dockthread.settings import Address
+from dockthread.framing import HEAD, MalformedFrame
 
 ANSWER = 5.0  # s for one question
 PUBLISHING = 20.0  # s until a change is given up
--- a/dockthread/distribution/in_force.py
+++ b/dockthread/control_plane/applied_resources.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from dockthread.distribution.messages import MOST_REASON, MOST_REJECTIONS, Acknowledge, Rejection, Resource
+from dockthread.control_plane.messages import MOST_REASON, MOST_REJECTIONS, Acknowledge, Rejection, Resource
 
 
 @dataclass(slots=True)
--- a/dockthread/distribution/client.py
+++ b/dockthread/control_plane/client.py
@@ -22,12 +22,13 @@
 from loguru import logger
 
 from dockthread.clock import Clock
-from dockthread.distribution.cache import Cache
-from dockthread.distribution.messages import MOST_FRAME, Heartbeat, Message, Rejection, Resource, RetryLater, Update
-from dockthread.distribution.options import ControlOptions
-from dockthread.distribution.resources import ResourceTable
-from dockthread.distribution.stream import FrameStream
-from dockthread.distribution.subscriber import (
+from dockthread.config.platform_settings import Address
+from dockthread.control_plane.messages import MOST_FRAME, Heartbeat, Message, Rejection, Resource, RetryLater, Update
+from dockthread.control_plane.options import ControlOptions
+from dockthread.control_plane.resource_table import ResourceTable
+from dockthread.control_plane.snapshot_cache import Cache
+from dockthread.control_plane.stream import FrameStream
+from dockthread.control_plane.subscriber import (
     Action,
     Changed,
     Connect,
@@ -37,8 +38,7 @@
     Subscriber,
     SubscriberTimes,
 )
-from dockthread.frames import MessageCounts
-from dockthread.settings import Address
+from dockthread.framing import MessageCounts
 
 SLICE: Final = 16  # resources that an owner is handed at once
 RESTORED: Final = 1024  # at once from the cache, when nothing else has to go on yet
--- a/dockthread/distribution/encoded.py
+++ b/dockthread/control_plane/encoded.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import Final
 
-from dockthread.distribution.messages import codec
-from dockthread.distribution.resources import FrozenTable, ResourceTable
+from dockthread.control_plane.messages import codec
+from dockthread.control_plane.resource_table import FrozenTable, ResourceTable
 
 MOST_DELTAS: Final = 64  # frames kept of one state of the table
 LEAST_BEHIND: Final = 64  # changes that a cached snapshot may always lack
--- a/dockthread/distribution/fanout.py
+++ b/dockthread/control_plane/fanout.py
@@ -25,10 +25,10 @@
 from dataclasses import dataclass
 from typing import Final
 
-from dockthread.distribution.admission import SnapshotBudget
-from dockthread.distribution.encoded import FramesCache, Snapshot
-from dockthread.distribution.lag import Arrivals
-from dockthread.distribution.messages import (
+from dockthread.control_plane.admission import SnapshotBudget
+from dockthread.control_plane.encoded import FramesCache, Snapshot
+from dockthread.control_plane.lag import Arrivals
+from dockthread.control_plane.messages import (
     MOST_NAME,
     MOST_REASON,
     MOST_REJECTIONS,
@@ -42,7 +42,7 @@
     SubscriberStatus,
     codec,
 )
-from dockthread.distribution.resources import ResourceTable
+from dockthread.control_plane.resource_table import ResourceTable
 
 NEVER_SENT: Final = -1e18
 FULL_RETRY: Final = 500.0  # ms, about: no room for one more subscriber, so it had better go elsewhere
--- a/dockthread/distribution/ingress.py
+++ b/dockthread/control_plane/ingress.py
@@ -10,12 +10,12 @@
 
 from loguru import logger
 
-from dockthread.distribution.client import Client, cache_of, servers_of
-from dockthread.distribution.kinds import ADDRESS, ROUTE, BadResource, address_of, route_of
-from dockthread.distribution.messages import Rejection, Resource
-from dockthread.distribution.options import ControlOptions
+from dockthread.config.platform_settings import Address, Config
+from dockthread.control_plane.client import Client, cache_of, servers_of
+from dockthread.control_plane.messages import Rejection, Resource
+from dockthread.control_plane.options import ControlOptions
+from dockthread.control_plane.resource_schemas import ADDRESS, ROUTE, BadResource, address_of, route_of
 from dockthread.routes.layers import Layers
-from dockthread.settings import Address, Config
 
 if TYPE_CHECKING:
     from dockthread.net.ingress import Ingress
--- a/dockthread/distribution/lag.py
+++ b/dockthread/control_plane/lag.py
@@ -5,7 +5,7 @@
 from bisect import bisect_right
 from typing import Final
 
-from dockthread.distribution.resources import ResourceTable
+from dockthread.control_plane.resource_table import ResourceTable
 
 MOST_ARRIVALS: Final = 4096  # remembered: what came before counts as having come with the oldest of them
 
--- a/dockthread/distribution/listing.py
+++ b/dockthread/control_plane/listing.py
@@ -4,8 +4,8 @@
 
 import heapq
 
-from dockthread.distribution.messages import Found, Lookup, Resource
-from dockthread.distribution.resources import ResourceTable
+from dockthread.control_plane.messages import Found, Lookup, Resource
+from dockthread.control_plane.resource_table import ResourceTable
 
 MOST_LISTED = 1000  # resources of one page
 MOST_PAGE = 1 << 20  # bytes of bodies in one page; one resource at least
--- a/dockthread/distribution/messages.py
+++ b/dockthread/control_plane/messages.py
@@ -1,4 +1,4 @@
-"""What publishers, distributors and subscribers of control say to each other, in frames (dockthread/frames.py).
+"""What publishers, distributors and subscribers of control say to each other, in frames (dockthread/framing.py).
 
 A revision counts accepted changes, from 1, over all kinds. A table at revision R holds the latest of every key whose
 last change is at or before R. `epoch` names one history of revisions: another one voids whatever was received.
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from dockthread.frames import Codec
+from dockthread.framing import Codec
 
 VERSION: Final = 1
 MOST_FRAME: Final = 4 << 20  # bytes of a message
--- a/dockthread/distribution/options.py
+++ b/dockthread/control_plane/options.py
@@ -6,10 +6,10 @@
 from pathlib import Path
 from typing import Literal
 
-from dockthread.distribution.messages import MOST_NAME
-from dockthread.operator_file.quantities import Duration, Size
-from dockthread.operator_file.reader import Section
-from dockthread.settings import Address
+from dockthread.config.ini_reader import Section
+from dockthread.config.platform_settings import Address
+from dockthread.config.quantities import Duration, Size
+from dockthread.control_plane.messages import MOST_NAME
 from dockthread.telemetry.options import host_port
 
 LEAST_KEY, MOST_KEY = 16, 64  # bytes of the shared key
--- a/dockthread/distribution/process.py
+++ b/dockthread/control_plane/process.py
@@ -15,18 +15,18 @@
 from loguru import logger
 
 from dockthread.clock import Clock
-from dockthread.distribution.client import Client, cache_of, servers_of
-from dockthread.distribution.fanout import FanoutLimits
-from dockthread.distribution.messages import Rejection, Resource
-from dockthread.distribution.options import ControlOptions
-from dockthread.distribution.server import Server, ServerLimits
-from dockthread.distribution.voter import Voter
-from dockthread.fleet.options import FleetOptions
-from dockthread.fleet.store import Lost
-from dockthread.frames import MessageCounts
+from dockthread.config.platform_settings import Address, SettingsError
+from dockthread.config.section_registry import load
+from dockthread.control_plane.client import Client, cache_of, servers_of
+from dockthread.control_plane.fanout import FanoutLimits
+from dockthread.control_plane.messages import Rejection, Resource
+from dockthread.control_plane.options import ControlOptions
+from dockthread.control_plane.server import Server, ServerLimits
+from dockthread.control_plane.voter import Voter
+from dockthread.framing import MessageCounts
 from dockthread.logs.setup import set_up
-from dockthread.sections import load
-from dockthread.settings import Address, SettingsError
+from dockthread.raft.options import FleetOptions
+from dockthread.raft.storage import Lost
 
 OK, CANNOT_LISTEN, BAD_CONFIGURATION = 0, 1, 2  # exit codes
 ASKING = 32  # connections beside the subscribers', for publishers and questions
--- a/dockthread/distribution/publishing.py
+++ b/dockthread/control_plane/publish_state_machine.py
@@ -22,8 +22,8 @@
 
 import msgspec
 
-from dockthread.distribution.messages import MOST_BODY, MOST_NAME, Publish, Published, Resource
-from dockthread.distribution.resources import MOST_TOMBSTONES, ResourceTable
+from dockthread.control_plane.messages import MOST_BODY, MOST_NAME, Publish, Published, Resource
+from dockthread.control_plane.resource_table import MOST_TOMBSTONES, ResourceTable
 
 MOST_TOKENS: Final = 65_536  # outcomes remembered: about a week of changes
 MOST_TOKEN: Final = 64  # bytes of a token
@@ -64,7 +64,7 @@
 
 
 class Publishing:
-    """The owner of a log (`dockthread.fleet.member.Owner` without what concerns its members).
+    """The owner of a log (`dockthread.raft.server.Owner` without what concerns its members).
 
     `table` holds what is accepted; its identity stays the same for its life, also when a state is restored.
     `validators`: by kind; a kind that is not among them is refused. All voters need the same ones.
--- a/dockthread/distribution/kinds.py
+++ b/dockthread/control_plane/resource_schemas.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from dockthread.distribution.publishing import Validator
-from dockthread.operator_file.reader import Problem, convert
+from dockthread.config.ini_reader import Problem, convert
+from dockthread.config.platform_settings import Address
+from dockthread.control_plane.publish_state_machine import Validator
 from dockthread.routes.options import RouteOptions
-from dockthread.settings import Address
 from dockthread.telemetry.options import host_port
 
 ROUTE: Final = "route"
--- a/dockthread/distribution/resources.py
+++ b/dockthread/control_plane/resource_table.py
@@ -19,7 +19,7 @@
 from hashlib import blake2b
 from typing import Final
 
-from dockthread.distribution.messages import Resource, Update
+from dockthread.control_plane.messages import Resource, Update
 
 MOST_TOMBSTONES: Final = 8192
 DIGEST_SIZE: Final = 16  # bytes
--- a/dockthread/distribution/server.py
+++ b/dockthread/control_plane/server.py
@@ -18,9 +18,10 @@
 from loguru import logger
 
 from dockthread.clock import Clock
-from dockthread.distribution.fanout import Fanout, FanoutLimits, UnexpectedMessage
-from dockthread.distribution.listing import found
-from dockthread.distribution.messages import (
+from dockthread.config.platform_settings import Address
+from dockthread.control_plane.fanout import Fanout, FanoutLimits, UnexpectedMessage
+from dockthread.control_plane.listing import found
+from dockthread.control_plane.messages import (
     MOST_FRAME,
     Acknowledge,
     Heartbeat,
@@ -33,10 +34,9 @@
     Subscribe,
     codec,
 )
-from dockthread.distribution.resources import ResourceTable
-from dockthread.distribution.stream import FrameStream
-from dockthread.frames import MessageCounts
-from dockthread.settings import Address
+from dockthread.control_plane.resource_table import ResourceTable
+from dockthread.control_plane.stream import FrameStream
+from dockthread.framing import MessageCounts
 
 MOST_REQUEST = 256 << 10  # bytes of a message to a server: a resource's body, or 64 rejections
 MOST_PUBLISHING = 64  # changes that wait for the agreed log at once
--- a/dockthread/distribution/cache.py
+++ b/dockthread/control_plane/snapshot_cache.py
@@ -28,8 +28,8 @@
 import msgspec
 from loguru import logger
 
-from dockthread.distribution.messages import Resource
-from dockthread.distribution.resources import FrozenTable, OutOfOrder, ResourceTable
+from dockthread.control_plane.messages import Resource
+from dockthread.control_plane.resource_table import FrozenTable, OutOfOrder, ResourceTable
 
 VERSION: Final = 1
 SUM: Final = 16  # bytes
--- a/dockthread/distribution/stream.py
+++ b/dockthread/control_plane/stream.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from dockthread.distribution.messages import Message, codec
-from dockthread.frames import HEAD, MalformedFrame, MessageCounts
+from dockthread.control_plane.messages import Message, codec
+from dockthread.framing import HEAD, MalformedFrame, MessageCounts
 
 
 class FrameStream(asyncio.Protocol):
--- a/dockthread/distribution/subscriber.py
+++ b/dockthread/control_plane/subscriber.py
@@ -24,9 +24,8 @@
 from dataclasses import dataclass
 from typing import Final
 
-from dockthread.distribution.choice import Server, ServerChoice
-from dockthread.distribution.in_force import InForce
-from dockthread.distribution.messages import (
+from dockthread.control_plane.applied_resources import InForce
+from dockthread.control_plane.messages import (
     NEVER,
     NO_DIGEST,
     Acknowledge,
@@ -38,9 +37,9 @@
     Subscribe,
     Update,
 )
-from dockthread.distribution.receiving import BadUpdate, Receiver, WrongDigest
-from dockthread.distribution.resources import ResourceTable
-from dockthread.distribution.subscriber_actions import (
+from dockthread.control_plane.resource_table import ResourceTable
+from dockthread.control_plane.server_selection import Server, ServerChoice
+from dockthread.control_plane.subscriber_actions import (
     Action,
     Changed,
     Connect,
@@ -49,6 +48,7 @@
     Send,
     SubscriberTimes,
 )
+from dockthread.control_plane.update_assembler import BadUpdate, Receiver, WrongDigest
 
 MOST_DOUBLINGS: Final = 16
 
--- a/dockthread/distribution/subscriber_actions.py
+++ b/dockthread/control_plane/subscriber_actions.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from dockthread.distribution.messages import Acknowledge, Heartbeat, Resource, Subscribe
+from dockthread.control_plane.messages import Acknowledge, Heartbeat, Resource, Subscribe
 
 
 @dataclass(frozen=True, slots=True)
--- a/dockthread/distribution/receiving.py
+++ b/dockthread/control_plane/update_assembler.py
@@ -10,8 +10,8 @@
 
 from dataclasses import dataclass
 
-from dockthread.distribution.messages import MOST_BODY, MOST_NAME, Resource, Update
-from dockthread.distribution.resources import ResourceTable
+from dockthread.control_plane.messages import MOST_BODY, MOST_NAME, Resource, Update
+from dockthread.control_plane.resource_table import ResourceTable
 
 
 class BadUpdate(Exception):
--- a/dockthread/distribution/voter.py
+++ b/dockthread/control_plane/voter.py
@@ -7,15 +7,15 @@
 import msgspec
 
 from dockthread.clock import Clock
-from dockthread.distribution.fanout import FanoutLimits
-from dockthread.distribution.kinds import VALIDATORS
-from dockthread.distribution.messages import Publish, Published
-from dockthread.distribution.publishing import Publishing
-from dockthread.distribution.server import Server, ServerLimits
-from dockthread.fleet.member import Member
-from dockthread.fleet.options import FleetOptions
-from dockthread.frames import MessageCounts
-from dockthread.settings import Address
+from dockthread.config.platform_settings import Address
+from dockthread.control_plane.fanout import FanoutLimits
+from dockthread.control_plane.messages import Publish, Published
+from dockthread.control_plane.publish_state_machine import Publishing
+from dockthread.control_plane.resource_schemas import VALIDATORS
+from dockthread.control_plane.server import Server, ServerLimits
+from dockthread.framing import MessageCounts
+from dockthread.raft.options import FleetOptions
+from dockthread.raft.server import Member
 
 AGREEMENT = 3_000.0  # ms that a publisher waits for the agreed log
 NOT_AGREED = "no majority has agreed in time: ask again with the same token, and it counts once"
--- a/dockthread/serve.py
+++ b/dockthread/daemon.py
@@ -19,21 +19,21 @@
 import uvloop
 from loguru import logger
 
+from dockthread.admin.prometheus import Figures, render
 from dockthread.clock import Clock
+from dockthread.config.platform_settings import Config, SettingsError, read_config, reread_config
 from dockthread.logs.setup import set_up
-from dockthread.net.destination_set import WatchError
+from dockthread.net.endpoint_list import WatchError
 from dockthread.net.ingress import Ingress
-from dockthread.ops.figures import Figures, render
-from dockthread.settings import Config, SettingsError, read_config, reread_config
 
 if TYPE_CHECKING:
-    from dockthread.distribution.ingress import Controlled
-    from dockthread.distribution.options import ControlOptions
-    from dockthread.operator_file.reader import Read
-    from dockthread.ops import door
+    from dockthread.admin import commands
+    from dockthread.config.ini_reader import Read
+    from dockthread.control_plane.ingress import Controlled
+    from dockthread.control_plane.options import ControlOptions
+    from dockthread.maintenance.service import Work
     from dockthread.routes.layers import Layers
     from dockthread.telemetry.exporter import Exporter
-    from dockthread.work.host import Work
 
 OK, CANNOT_LISTEN, BAD_CONFIGURATION = 0, 1, 2  # exit codes
 HELD_FILE = "dockthread-held.json"  # in $TMPDIR: the backends left out by hand, for the next process
@@ -114,11 +114,13 @@
         logger.info("backend {} {} by hand", target, "detached" if held else "attached")
         return True
 
-    async def fleet(self, command: door.Command) -> door.Answer:
-        from dockthread.ops import door
+    async def fleet(self, command: commands.Command) -> commands.Answer:
+        from dockthread.admin import commands
 
         if self._work is None:
-            return door.Answer(*((503, f"{self._no_part}\n".encode()) if self._no_part else (404, b"no such call\n")))
+            if self._no_part:
+                return commands.Answer(503, f"{self._no_part}\n".encode())
+            return commands.Answer(404, b"no such call\n")
         return await self._work.answer(command)
 
     def _apply(self, read: Read) -> None:
@@ -151,7 +153,7 @@
         if options.role != "ingress":
             wrong = f"{self._file}: [control] role: is {options.role}, and this is an ingress"
             raise SettingsError(f"{wrong}; `dockthread control serve` runs it")
-        from dockthread.distribution.ingress import Controlled
+        from dockthread.control_plane.ingress import Controlled
 
         self._routes = self._routes or self._layers()
         try:
@@ -181,13 +183,13 @@
         gc.set_threshold(20_000)  # requests leave no cycles behind, so the rest need be looked at seldom
         opened = None
         if self.ingress.config.management is not None:
-            from dockthread.ops.management import Door
+            from dockthread.admin.server import Door
 
             opened = Door(self, self.ingress.config.management)
             opened.open()
         if self._fleet is not None and self._fleet.listen:
-            from dockthread.fleet.store import Lost
-            from dockthread.work.host import Work
+            from dockthread.maintenance.service import Work
+            from dockthread.raft.storage import Lost
 
             try:
                 self._work = Work(self.ingress, self._fleet, self.stop)
@@ -224,7 +226,7 @@
             try:
                 config, read = reread_config(os.environ), None
                 if self._file is not None:
-                    from dockthread.sections import load
+                    from dockthread.config.section_registry import load
 
                     read = await asyncio.to_thread(load, self._file, config.module, config.names)
                     self._apply_telemetry(read)
@@ -281,7 +283,7 @@
         file = file or os.environ.get("DOCKTHREAD_CONFIG") or None
         read = None
         if file is not None:
-            from dockthread.sections import load
+            from dockthread.config.section_registry import load
 
             read = load(file, config.module, config.names)
         log = read.one("log") if read else None
--- a/dockthread/lab/arrivals.py
+++ b/dockthread/lab/arrivals.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from dockthread.operator_file.quantities import Duration
+from dockthread.config.quantities import Duration
 
 MOST_RATE, MOST_REQUESTS = 100_000.0, 50_000_000
 
--- a/dockthread/lab/distribution/checker.py
+++ b/dockthread/lab/control_plane/checker.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from dockthread.lab.fleet.checker import Broken
+from dockthread.lab.raft.checker import Broken
 
 Key = tuple[str, str]
 
--- a/dockthread/lab/distribution/faults.py
+++ b/dockthread/lab/control_plane/faults.py
@@ -6,10 +6,10 @@
 from itertools import combinations
 from typing import TYPE_CHECKING, Final
 
-from dockthread.lab.distribution.nodes import Process
+from dockthread.lab.control_plane.nodes import Process
 
 if TYPE_CHECKING:
-    from dockthread.lab.distribution.world import World
+    from dockthread.lab.control_plane.simulation import World
 
 FAULTS: Final = (
     "delay", "break", "kill", "stall", "wave", "zone", "regions", "distributors", "voters", "slow", "spoil", "rot",
--- a/dockthread/lab/distribution/ingress.py
+++ b/dockthread/lab/control_plane/ingress.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 from typing import Final
 
-from dockthread.distribution.messages import Rejection, Resource
-from dockthread.distribution.resources import ResourceTable
-from dockthread.distribution.subscriber import Changed
-from dockthread.lab.distribution.network import Connection
-from dockthread.lab.distribution.nodes import Process, ReceivingSide
+from dockthread.control_plane.messages import Rejection, Resource
+from dockthread.control_plane.resource_table import ResourceTable
+from dockthread.control_plane.subscriber import Changed
+from dockthread.lab.control_plane.network import Connection
+from dockthread.lab.control_plane.nodes import Process, ReceivingSide
 
 SAVE_EVERY: Final = 1_500.0  # ms
 APPLY_MOST: Final = 60.0  # ms that the owner may take to put something in force
--- a/dockthread/lab/distribution/nodes.py
+++ b/dockthread/lab/control_plane/nodes.py
@@ -4,16 +4,16 @@
 
 from typing import TYPE_CHECKING, Final
 
-from dockthread.distribution import subscriber as receiving
-from dockthread.distribution.fanout import Fanout, UnexpectedMessage
-from dockthread.distribution.messages import Acknowledge, Heartbeat, Message, Subscribe, codec
-from dockthread.distribution.resources import ResourceTable
-from dockthread.distribution.subscriber import Subscriber
-from dockthread.frames import HEAD, MalformedFrame
-from dockthread.lab.distribution.network import Connection
+from dockthread.control_plane import subscriber as receiving
+from dockthread.control_plane.fanout import Fanout, UnexpectedMessage
+from dockthread.control_plane.messages import Acknowledge, Heartbeat, Message, Subscribe, codec
+from dockthread.control_plane.resource_table import ResourceTable
+from dockthread.control_plane.subscriber import Subscriber
+from dockthread.framing import HEAD, MalformedFrame
+from dockthread.lab.control_plane.network import Connection
 
 if TYPE_CHECKING:
-    from dockthread.lab.distribution.world import World
+    from dockthread.lab.control_plane.simulation import World
 
 LEAST_WAIT: Final = 1.0  # ms between two ticks of one process
 
--- a/dockthread/lab/distribution/publisher.py
+++ b/dockthread/lab/control_plane/publisher.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING, Final
 
-from dockthread.distribution.messages import Publish, Published
-from dockthread.distribution.publishing import ANY_REVISION, NOT_KNOWN
-from dockthread.lab.distribution.checker import Asked
-from dockthread.lab.distribution.ingress import BAD
+from dockthread.control_plane.messages import Publish, Published
+from dockthread.control_plane.publish_state_machine import ANY_REVISION, NOT_KNOWN
+from dockthread.lab.control_plane.checker import Asked
+from dockthread.lab.control_plane.ingress import BAD
 
 if TYPE_CHECKING:
-    from dockthread.lab.distribution.world import World
+    from dockthread.lab.control_plane.simulation import World
 
 AGAIN: Final = 300.0  # ms without an answer, give or take half
 LOST: Final = 0.1  # chance that an answer gets lost
--- a/dockthread/lab/distribution/planted_bugs.py
+++ b/dockthread/lab/control_plane/seeded_defects.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, replace
 from typing import Any, Final
 
-from dockthread.distribution.encoded import DeltaFrame, FramesCache, Snapshot
-from dockthread.distribution.fanout import Fanout
-from dockthread.distribution.messages import (
+from dockthread.control_plane.encoded import DeltaFrame, FramesCache, Snapshot
+from dockthread.control_plane.fanout import Fanout
+from dockthread.control_plane.messages import (
     NO_DIGEST,
     Publish,
     Rejection,
@@ -16,10 +16,10 @@
     Subscribe,
     Update,
 )
-from dockthread.distribution.publishing import Publishing
-from dockthread.distribution.receiving import Receiver, Taken
-from dockthread.distribution.resources import ResourceTable
-from dockthread.distribution.subscriber import Action, Subscriber
+from dockthread.control_plane.publish_state_machine import Publishing
+from dockthread.control_plane.resource_table import ResourceTable
+from dockthread.control_plane.subscriber import Action, Subscriber
+from dockthread.control_plane.update_assembler import Receiver, Taken
 
 FOREVER: Final = 1e12  # ms
 
--- a/dockthread/lab/distribution/seeds.py
+++ b/dockthread/lab/control_plane/seeds.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from dockthread.lab.distribution.world import World
+from dockthread.lab.control_plane.simulation import World
 from dockthread.lab.seeds import PlayedSeed
 
 
--- a/dockthread/lab/distribution/world.py
+++ b/dockthread/lab/control_plane/simulation.py
@@ -18,22 +18,22 @@
 from dataclasses import dataclass
 from typing import Final, TypeVar
 
-from dockthread.distribution.choice import Server
-from dockthread.distribution.fanout import Fanout, FanoutLimits
-from dockthread.distribution.messages import Rejection
-from dockthread.distribution.publishing import Publishing
-from dockthread.distribution.resources import ResourceTable
-from dockthread.distribution.subscriber import Subscriber, SubscriberTimes
-from dockthread.fleet.wire import Message as LogMessage
-from dockthread.lab.distribution.checker import Checker, Seen
-from dockthread.lab.distribution.faults import FAULTS, HOUR, SINGLE, Faults
-from dockthread.lab.distribution.ingress import Ingress
-from dockthread.lab.distribution.network import AGAIN, Clock, Network
-from dockthread.lab.distribution.nodes import Distributor, Process
-from dockthread.lab.distribution.planted_bugs import PLANTS, Plant
-from dockthread.lab.distribution.publisher import KINDS, Publisher
-from dockthread.lab.distribution.voter import Voter
-from dockthread.lab.fleet.checker import Broken
+from dockthread.control_plane.fanout import Fanout, FanoutLimits
+from dockthread.control_plane.messages import Rejection
+from dockthread.control_plane.publish_state_machine import Publishing
+from dockthread.control_plane.resource_table import ResourceTable
+from dockthread.control_plane.server_selection import Server
+from dockthread.control_plane.subscriber import Subscriber, SubscriberTimes
+from dockthread.lab.control_plane.checker import Checker, Seen
+from dockthread.lab.control_plane.faults import FAULTS, HOUR, SINGLE, Faults
+from dockthread.lab.control_plane.ingress import Ingress
+from dockthread.lab.control_plane.network import AGAIN, Clock, Network
+from dockthread.lab.control_plane.nodes import Distributor, Process
+from dockthread.lab.control_plane.publisher import KINDS, Publisher
+from dockthread.lab.control_plane.seeded_defects import PLANTS, Plant
+from dockthread.lab.control_plane.voter import Voter
+from dockthread.lab.raft.checker import Broken
+from dockthread.raft.messages import Message as LogMessage
 
 Kind = TypeVar("Kind", bound=Process)
 
--- a/dockthread/lab/distribution/voter.py
+++ b/dockthread/lab/control_plane/voter.py
@@ -7,14 +7,14 @@
 from dataclasses import replace
 from typing import Final
 
-from dockthread.distribution.messages import Publish, Published
-from dockthread.distribution.publishing import NOT_KNOWN
-from dockthread.fleet.actions import Action, Apply, Keep, KeepState, Restore, Role, Send, Stored, Times
-from dockthread.fleet.agreement import Agreement
-from dockthread.fleet.wire import COMMAND, Append
-from dockthread.fleet.wire import Message as LogMessage
-from dockthread.lab.distribution.network import Connection
-from dockthread.lab.distribution.nodes import ServingProcess, ServingSide
+from dockthread.control_plane.messages import Publish, Published
+from dockthread.control_plane.publish_state_machine import NOT_KNOWN
+from dockthread.lab.control_plane.network import Connection
+from dockthread.lab.control_plane.nodes import ServingProcess, ServingSide
+from dockthread.raft.actions import Action, Apply, Keep, KeepState, Restore, Role, Send, Stored, Times
+from dockthread.raft.core import Agreement
+from dockthread.raft.messages import COMMAND, Append
+from dockthread.raft.messages import Message as LogMessage
 
 TIMES: Final = Times(patience=600.0, beat=200.0)
 KEEP_ENTRIES: Final = 40  # applied entries before a state takes their place
--- /dev/null
+++ b/dockthread/lab/maintenance/__init__.py
@@ -0,0 +1,1 @@
+"""The maintenance laboratory: simulated and as real processes."""
--- a/dockthread/lab/fleet/turns_checker.py
+++ b/dockthread/lab/maintenance/checker.py
@@ -12,7 +12,7 @@
 
 from collections.abc import Collection, Mapping
 
-from dockthread.lab.fleet.checker import Broken
+from dockthread.lab.raft.checker import Broken
 
 
 class TurnsChecker:
--- a/dockthread/lab/fleet/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -23,12 +23,12 @@
 from typing import Any
 
 from dockthread.lab.arrivals import Arrival
-from dockthread.lab.fleet.checker import Broken
-from dockthread.lab.fleet.rig import HOST, Rig
-from dockthread.lab.fleet.scenario import Played, Step
-from dockthread.lab.fleet.standin import Node
 from dockthread.lab.load import Load, Target
+from dockthread.lab.maintenance.rig import HOST, Rig
+from dockthread.lab.maintenance.scenario import Played, Step
+from dockthread.lab.maintenance.stand_in import Node
 from dockthread.lab.outcome import OUTCOMES
+from dockthread.lab.raft.checker import Broken
 
 SETTINGS: dict[str, Any] = {
     "Classes": [{"Name": "status", "Aim": 1_500_000, "HardLimit": 4_000_000, "Effect": "pure", "Points": 1.0}],
--- a/dockthread/lab/fleet/relay.py
+++ b/dockthread/lab/maintenance/relay.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from dockthread.settings import Address
+from dockthread.config.platform_settings import Address
 
 
 class Relay:
--- a/dockthread/lab/fleet/rig.py
+++ b/dockthread/lab/maintenance/rig.py
@@ -16,10 +16,10 @@
 from pathlib import Path
 from typing import Any
 
-from dockthread.fleet.store import Store
-from dockthread.lab.fleet.relay import Relay
-from dockthread.settings import Address
-from dockthread.work.order import HELD
+from dockthread.config.platform_settings import Address
+from dockthread.lab.maintenance.relay import Relay
+from dockthread.maintenance.scheduler import HELD
+from dockthread.raft.storage import Store
 
 HOST = "127.0.0.1"
 
--- a/dockthread/lab/fleet/scenario.py
+++ b/dockthread/lab/maintenance/scenario.py
@@ -29,8 +29,8 @@
 from dataclasses import dataclass
 from importlib import resources
 
-from dockthread.operator_file.quantities import Duration
-from dockthread.operator_file.reader import Kind, Section, read
+from dockthread.config.ini_reader import Kind, Section, read
+from dockthread.config.quantities import Duration
 
 INGRESSES = (1, 3, 5, 7)
 VERBS = {  # what each word takes: machines, ingresses, a number of ms, or nothing
@@ -154,6 +154,6 @@
 
 def shipped() -> dict[str, str]:
     """The texts of the scenarios that come with the program, by name."""
-    folder = resources.files("dockthread.lab.fleet") / "scenarios"
+    folder = resources.files("dockthread.lab.maintenance") / "scenarios"
     files = sorted((f for f in folder.iterdir() if f.name.endswith(".ini")), key=lambda f: f.name)
     return {f.name.removesuffix(".ini"): f.read_text() for f in files}
--- a/dockthread/lab/fleet/turns_planted_bugs.py
+++ b/dockthread/lab/maintenance/seeded_defects.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from dockthread.work.order import Order
-from dockthread.work.part import Acts, Around, Part
-from dockthread.work.words import Request, Tick
+from dockthread.maintenance.commands import Request, Tick
+from dockthread.maintenance.participant import Acts, Around, Part
+from dockthread.maintenance.scheduler import Order
 
 
 class OutAtTheFirstWord(Order):
--- a/dockthread/lab/fleet/turns_world.py
+++ b/dockthread/lab/maintenance/simulation.py
@@ -14,15 +14,15 @@
 
 import msgspec
 
-from dockthread.fleet.actions import Role, Times
-from dockthread.fleet.wire import COMMAND, Entry
-from dockthread.lab.fleet.checker import Broken
-from dockthread.lab.fleet.turns_checker import TurnsChecker
-from dockthread.lab.fleet.turns_planted_bugs import ORDERS, PARTS
-from dockthread.lab.fleet.world import FAULTY, Member, World
-from dockthread.work.order import HELD, Order
-from dockthread.work.part import Around, Part, Seen, Terms, View
-from dockthread.work.words import INGRESS, Command, Request
+from dockthread.lab.maintenance.checker import TurnsChecker
+from dockthread.lab.maintenance.seeded_defects import ORDERS, PARTS
+from dockthread.lab.raft.checker import Broken
+from dockthread.lab.raft.simulation import FAULTY, Member, World
+from dockthread.maintenance.commands import INGRESS, Command, Request
+from dockthread.maintenance.participant import Around, Part, Seen, Terms, View
+from dockthread.maintenance.scheduler import HELD, Order
+from dockthread.raft.actions import Role, Times
+from dockthread.raft.messages import COMMAND, Entry
 
 TERMS = Terms(bears=0.0, reserve=0.2, lapse=4_000.0, dead=2_000.0)
 WARM, CALM = 800.0, 40_000.0  # of a machine that comes back; in which all that was asked for has to come to its end
--- a/dockthread/lab/fleet/standin.py
+++ b/dockthread/lab/maintenance/stand_in.py
@@ -6,7 +6,7 @@
 
 import hiredis
 
-from dockthread.settings import Address
+from dockthread.config.platform_settings import Address
 
 HOST = "127.0.0.1"
 
--- a/dockthread/lab/fleet/planted_bugs.py
+++ b/dockthread/lab/raft/seeded_defects.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterable
 
-from dockthread.fleet.actions import Action, ReadAt, Role
-from dockthread.fleet.agreement import Agreement
-from dockthread.fleet.wire import Append, Message, VoteAnswer, VoteAsk
+from dockthread.raft.actions import Action, ReadAt, Role
+from dockthread.raft.core import Agreement
+from dockthread.raft.messages import Append, Message, VoteAnswer, VoteAsk
 
 
 class VoteTwice(Agreement):
--- a/dockthread/lab/fleet/seeds.py
+++ b/dockthread/lab/raft/seeds.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from dockthread.lab.fleet.turns_world import TurnsWorld
-from dockthread.lab.fleet.world import FAULTS, World
+from dockthread.lab.maintenance.simulation import TurnsWorld
+from dockthread.lab.raft.simulation import FAULTS, World
 from dockthread.lab.seeds import PlayedSeed
 
 
--- a/dockthread/lab/fleet/world.py
+++ b/dockthread/lab/raft/simulation.py
@@ -14,7 +14,9 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from dockthread.fleet.actions import (
+from dockthread.lab.raft.checker import Broken, Checker
+from dockthread.lab.raft.seeded_defects import CORES
+from dockthread.raft.actions import (
     Action,
     Apply,
     Became,
@@ -27,11 +29,9 @@
     Stored,
     Times,
 )  # fmt: skip
-from dockthread.fleet.agreement import Agreement
-from dockthread.fleet.log import Log
-from dockthread.fleet.wire import COMMAND, VOTERS, Entry, Message, VoteAnswer
-from dockthread.lab.fleet.checker import Broken, Checker
-from dockthread.lab.fleet.planted_bugs import CORES
+from dockthread.raft.core import Agreement
+from dockthread.raft.log import Log
+from dockthread.raft.messages import COMMAND, VOTERS, Entry, Message, VoteAnswer
 
 FAULTS = (
     "cut", "one-way", "loss", "delay", "double", "crash", "crash-all", "stall", "torn", "forget", "compact", "voters",
--- a/dockthread/lab/scale/control.py
+++ b/dockthread/lab/scale/control.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from dockthread.distribution.ingress import Controlled
-from dockthread.distribution.messages import Rejection, Resource
-from dockthread.distribution.options import ControlOptions
+from dockthread.control_plane.ingress import Controlled
+from dockthread.control_plane.messages import Rejection, Resource
+from dockthread.control_plane.options import ControlOptions
 from dockthread.lab.scale.plan import REGIONS, zone_name
 from dockthread.lab.scale.witness import Observed
 
--- a/dockthread/lab/scale/distribution.py
+++ b/dockthread/lab/scale/distribution.py
@@ -7,11 +7,11 @@
 from pathlib import Path
 from typing import Final
 
-from dockthread.fleet.store import Store
-from dockthread.lab.fleet.rig import HOST, reserved
+from dockthread.config.platform_settings import Address
+from dockthread.lab.maintenance.rig import HOST, reserved
 from dockthread.lab.scale.channel import Child, Words
 from dockthread.lab.scale.plan import Plan
-from dockthread.settings import Address
+from dockthread.raft.storage import Store
 
 MOST_CONNECTIONS: Final = 10_000
 FILLING: Final = 120.0  # s, for all routes to be published
--- a/dockthread/lab/scale/hollow.py
+++ b/dockthread/lab/scale/hollow.py
@@ -11,21 +11,21 @@
 from typing import Any, Final, cast
 
 from dockthread.clock import Clock
-from dockthread.distribution.ingress import Controlled
+from dockthread.config.platform_settings import Address, Config, Names
+from dockthread.control_plane.ingress import Controlled
 from dockthread.lab.scale.control import ControlWitness, options_of
 from dockthread.lab.scale.planted_bugs import alteration, control_alteration
 from dockthread.lab.scale.witness import Row, Witness, table
-from dockthread.module import api
-from dockthread.module.rules import Gateway
-from dockthread.net.counter import Counter
-from dockthread.net.decider import Decider
-from dockthread.net.destination_set import DestinationSet
+from dockthread.net.discovery_watch import Watch
+from dockthread.net.endpoint_list import DestinationSet
 from dockthread.net.ingress import HOUSEKEEPING, Ingress
+from dockthread.net.policy_host import Decider
+from dockthread.net.quota_counter import Counter
 from dockthread.net.timers import Timers
-from dockthread.net.watch import Watch
+from dockthread.policy import api
+from dockthread.policy.engine import Gateway
 from dockthread.routes.layers import Layers
 from dockthread.routes.table import Table
-from dockthread.settings import Address, Config, Names
 
 EMPTY: Final[dict[str, Any]] = {"rev": 0, "all": True, "targets": []}
 NOWHERE: Final = Address("127.0.0.1", 0)  # it listens to no client
--- a/dockthread/lab/scale/host.py
+++ b/dockthread/lab/scale/host.py
@@ -7,6 +7,7 @@
 import json
 import time
 
+from dockthread.config.platform_settings import Address, Names, read_settings
 from dockthread.lab.scale.channel import Words, serve_commands
 from dockthread.lab.scale.control import ControlWitness
 from dockthread.lab.scale.hollow import HollowIngress, Shared
@@ -14,7 +15,6 @@
 from dockthread.lab.scale.routes import rows
 from dockthread.lab.scale.usage import Lateness, traffic
 from dockthread.lab.scale.witness import InForce, Observed, Witness, findings
-from dockthread.settings import Address, Names, read_settings
 
 HOST = "127.0.0.1"
 
--- a/dockthread/lab/scale/planted_bugs.py
+++ b/dockthread/lab/scale/planted_bugs.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Final
 
-from dockthread.distribution.messages import Resource
+from dockthread.control_plane.messages import Resource
 
 LIST_NAMES: Final = ("lost", "older", "stale-list")
 ROUTE_NAMES: Final = ("route-lost", "route-older")
--- a/dockthread/lab/scale/publisher.py
+++ b/dockthread/lab/scale/publisher.py
@@ -7,11 +7,11 @@
 import time
 from typing import Any, Final
 
-from dockthread.distribution import asking
-from dockthread.distribution.options import read_key
+from dockthread.config.platform_settings import Address
+from dockthread.control_plane import admin_client
+from dockthread.control_plane.options import read_key
 from dockthread.lab.scale.channel import Words, serve_commands
 from dockthread.lab.scale.routes import KIND, body_of, name_of
-from dockthread.settings import Address
 
 AT_ONCE: Final = 16  # changes under way while the first routes are published
 DELETES: Final = 0.05  # part of the changes that delete a route
@@ -37,9 +37,9 @@
 
     async def _put(self, number: int, body: bytes | None, version: int | None) -> None:
         sent = time.monotonic()
-        change = asking.change(KIND, name_of(number), body)
+        change = admin_client.change(KIND, name_of(number), body)
         for _ in range(TRIES):
-            answer = await asking.publish(self._voters, change, self._key)
+            answer = await admin_client.publish(self._voters, change, self._key)
             if answer.revision > 0:
                 self.accepted.append([answer.revision, sent, name_of(number), version])
                 return
--- a/dockthread/lab/scale/real.py
+++ b/dockthread/lab/scale/real.py
@@ -5,16 +5,16 @@
 import asyncio
 import os
 
-from dockthread.distribution.ingress import Controlled
+from dockthread.config.platform_settings import read_config
+from dockthread.config.section_registry import load
+from dockthread.control_plane.ingress import Controlled
+from dockthread.daemon import Daemon
 from dockthread.lab.scale.channel import Words, serve_commands
 from dockthread.lab.scale.control import ControlWitness
 from dockthread.lab.scale.routes import rows
 from dockthread.lab.scale.usage import Lateness, traffic
 from dockthread.lab.scale.witness import InForce, Row, Witness, findings, table
 from dockthread.observer import Observer
-from dockthread.sections import load
-from dockthread.serve import Daemon
-from dockthread.settings import read_config
 
 
 class ListObserver(Observer):
--- a/dockthread/lab/scale/relay.py
+++ b/dockthread/lab/scale/relay.py
@@ -9,8 +9,8 @@
 from contextlib import suppress
 from typing import Final
 
+from dockthread.config.platform_settings import Address
 from dockthread.lab.scale.channel import Words, serve_commands
-from dockthread.settings import Address
 
 HOST: Final = "127.0.0.1"
 PIECE: Final = 65536  # bytes
--- a/dockthread/lab/scale/routes.py
+++ b/dockthread/lab/scale/routes.py
@@ -5,7 +5,7 @@
 import json
 from typing import Final
 
-from dockthread.distribution.kinds import ROUTE
+from dockthread.control_plane.resource_schemas import ROUTE
 from dockthread.lab.scale.witness import Row
 from dockthread.routes.layers import Layers
 
--- a/dockthread/lab/scale/server.py
+++ b/dockthread/lab/scale/server.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 from dockthread.clock import Clock
-from dockthread.distribution.process import Distributor, limits_of
-from dockthread.distribution.voter import Voter
+from dockthread.config.section_registry import load
+from dockthread.control_plane.process import Distributor, limits_of
+from dockthread.control_plane.voter import Voter
 from dockthread.lab.scale.channel import Words, serve_commands
 from dockthread.lab.scale.usage import Lateness, traffic
-from dockthread.sections import load
 
 
 class ControlServer:
--- a/dockthread/lab/scale/witness.py
+++ b/dockthread/lab/scale/witness.py
@@ -9,9 +9,9 @@
 from collections.abc import Sequence
 from typing import Any
 
-from dockthread.module import api
-from dockthread.module.rules import Gateway
-from dockthread.net.destination_set import DestinationSet
+from dockthread.net.endpoint_list import DestinationSet
+from dockthread.policy import api
+from dockthread.policy.engine import Gateway
 
 Row = list[Any]  # of a backend: uid, endpoint, whether it may be sent to, weight; of a route: name, version
 MOST_COMPARED = 100  # entries of one message: more are a part of a long list, not changes
--- a/dockthread/lab/seeds.py
+++ b/dockthread/lab/seeds.py
@@ -7,7 +7,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass
 
-from dockthread.lab.fleet.checker import Broken
+from dockthread.lab.raft.checker import Broken
 
 
 @dataclass(frozen=True, slots=True)
--- a/dockthread/lab/fleet/restart_wave.py
+++ b/dockthread/lab/slow_start/restart_wave.py
@@ -19,8 +19,8 @@
 from heapq import heappop, heappush
 from math import inf
 
-from dockthread.module.backoff import Backoff
-from dockthread.net.watch import LEAST_PAUSE, OVERBOOKED, PATIENCE, SILENCE, SOON, WINDOW
+from dockthread.net.discovery_watch import LEAST_PAUSE, OVERBOOKED, PATIENCE, SILENCE, SOON, WINDOW
+from dockthread.policy.backoff import Backoff
 
 ROUND_TRIP = 2.0  # ms
 END = 60_000.0
--- a/dockthread/lab/fleet/cold_scenes.py
+++ b/dockthread/lab/slow_start/scenarios.py
@@ -10,11 +10,11 @@
 from math import inf
 
 from dockthread import api
-from dockthread.lab.fleet.cold_checker import Fall
-from dockthread.lab.fleet.cold_world import AFTER, ALIKE, TWO_KINDS, ColdWorld, Kind, Scene
-from dockthread.module.rules import Gateway
-from dockthread.module.state import Worker
-from dockthread.module.warmup import Ramp
+from dockthread.lab.slow_start.checker import Fall
+from dockthread.lab.slow_start.simulation import AFTER, ALIKE, TWO_KINDS, ColdWorld, Kind, Scene
+from dockthread.policy.engine import Gateway
+from dockthread.policy.slow_start import Ramp
+from dockthread.policy.state import Worker
 
 SLOW = (Kind(2, 0.85),)
 BACKENDS = {3: 12, 30: 30, 200: 100}  # by the number of ingresses
--- a/dockthread/lab/fleet/cold_world.py
+++ b/dockthread/lab/slow_start/simulation.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from dockthread import api
-from dockthread.lab.fleet.cold_checker import ColdChecker, Terms
-from dockthread.module.rules import Gateway
+from dockthread.lab.slow_start.checker import ColdChecker, Terms
+from dockthread.policy.engine import Gateway
 
 MEAN_WORK = 0.25  # s of one core of usual speed
 TRAVEL = 0.002  # s from an ingress to a backend, or back
--- a/dockthread/logs/options.py
+++ b/dockthread/logs/options.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Literal
 
-from dockthread.operator_file.reader import Section
+from dockthread.config.ini_reader import Section
 
 
 class LogOptions(Section, frozen=True, kw_only=True):
--- a/dockthread/logs/setup.py
+++ b/dockthread/logs/setup.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from dockthread.settings import SettingsError
+from dockthread.config.platform_settings import SettingsError
 
 if TYPE_CHECKING:
     from dockthread.logs.options import LogOptions
--- a/dockthread/work/sight.py
+++ b/dockthread/maintenance/observation.py
@@ -5,12 +5,12 @@
 from collections.abc import Collection
 from typing import TYPE_CHECKING
 
-from dockthread.module.attempts import PRESSED
-from dockthread.work.part import Seen, View
+from dockthread.maintenance.participant import Seen, View
+from dockthread.policy.attempts import PRESSED
 
 if TYPE_CHECKING:
-    from dockthread.module.state import Worker
     from dockthread.net.ingress import Ingress
+    from dockthread.policy.state import Worker
 
 AILING = 0.5  # decayed part of a node's outcomes that were failures
 
--- a/dockthread/work/part.py
+++ b/dockthread/maintenance/participant.py
@@ -31,8 +31,8 @@
 
 import msgspec
 
-from dockthread.work.order import HELD, TAKING, Order
-from dockthread.work.words import INGRESS, Command, Tick, Zone
+from dockthread.maintenance.commands import INGRESS, Command, Tick, Zone
+from dockthread.maintenance.scheduler import HELD, TAKING, Order
 
 TICK, SLOW_TICK = 500.0, 5_000.0  # ms between ticks: while something moves; while all that is out stays out
 SAY_AGAIN = 1_500.0  # ms after which what the order does not show yet is said once more
--- a/dockthread/work/plan.py
+++ b/dockthread/maintenance/plan.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from dockthread.work.order import Order
-from dockthread.work.words import Command, Tick, Zone
+from dockthread.maintenance.commands import Command, Tick, Zone
+from dockthread.maintenance.scheduler import Order
 
 ALONE = "staff"  # the one member of a fleet that is only thought of
 
--- a/dockthread/work/order.py
+++ b/dockthread/maintenance/scheduler.py
@@ -34,7 +34,7 @@
 
 import msgspec
 
-from dockthread.work.words import INGRESS, Command, Request, Tick
+from dockthread.maintenance.commands import INGRESS, Command, Request, Tick
 
 KEPT, SEEN = 64, 256  # requests that are over, for whoever looks; commands known again
 JUST_NOW = -1.0  # the log's time of a state that no tick has followed yet
--- a/dockthread/work/host.py
+++ b/dockthread/maintenance/service.py
@@ -11,12 +11,12 @@
 import msgspec
 from loguru import logger
 
-from dockthread.fleet.member import Member
-from dockthread.fleet.options import FleetOptions
-from dockthread.ops.door import Answer, Command, Verb
-from dockthread.work import sight, words
-from dockthread.work.order import Order
-from dockthread.work.part import Acts, Around, Part, Terms
+from dockthread.admin.commands import Answer, Command, Verb
+from dockthread.maintenance import commands, observation
+from dockthread.maintenance.participant import Acts, Around, Part, Terms
+from dockthread.maintenance.scheduler import Order
+from dockthread.raft.options import FleetOptions
+from dockthread.raft.server import Member
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -110,7 +110,7 @@
             member.leader,
             member.members,
             member.heard(),
-            sight.idle(ingress, self.part.holds),
+            observation.idle(ingress, self.part.holds),
             ingress.ready,
         )
         self._carry_out(self.part.turn(ingress.clock.now(), around))
@@ -125,7 +125,9 @@
             ingress.hold(target, False)
             logger.info("work: {} comes back", target)
         if acts.show:
-            self.member.show(msgspec.msgpack.encode(sight.view(ingress, self.part.asked_for(), self.part.latest())))
+            self.member.show(
+                msgspec.msgpack.encode(observation.view(ingress, self.part.asked_for(), self.part.latest()))
+            )
         for command in acts.say:
             self._spawn(self._say(command))
         if acts.tick is not None:
@@ -142,14 +144,14 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _say(self, command: words.Command) -> None:
+    async def _say(self, command: commands.Command) -> None:
         if not await self.member.propose(msgspec.msgpack.encode(command)):
             self.part.unsaid(command)
 
     # The management door
 
     def listed(self) -> dict[str, Any]:
-        def plain(r: words.Request) -> dict[str, Any]:
+        def plain(r: commands.Request) -> dict[str, Any]:
             told = msgspec.structs.asdict(r)
             return {**told, "reason": self.order.reason(r)}
 
@@ -178,7 +180,7 @@
         answer = {"target": told.target, "state": state, "reason": why, "at": index}
         return Answer(200, json.dumps(answer).encode() + b"\n", JSON)
 
-    def _command(self, call: Command) -> words.Command | Answer:
+    def _command(self, call: Command) -> commands.Command | Answer:
         """What is to be agreed on, or the answer that says why not."""
         target, more, ask = call.target, call.more, call.verb is Verb.WORK_ASK
         zone, ingress = self._ingress.destinations.zone_of(target), target in self.member.members
@@ -192,7 +194,7 @@
         node = zone is not None
         cold = self._ingress.config.module.safety.cold_time * 1000.0
         warm = cold if node else INGRESS_WARM * self._options.patience
-        return words.Command(
+        return commands.Command(
             DOING[call.verb],  # type: ignore[arg-type]
             target,
             zone or "",
@@ -201,7 +203,7 @@
             more["urgency"] if isinstance(more.get("urgency"), int) else 0,
             self._options.most_out,
             secrets.token_hex(8),
-            words.NODE if node else words.INGRESS,
+            commands.NODE if node else commands.INGRESS,
             length * 1000.0,
             warm,
         )
--- a/dockthread/net/watch.py
+++ b/dockthread/net/discovery_watch.py
@@ -32,10 +32,10 @@
 
 from dockthread import api
 from dockthread.clock import Clock
-from dockthread.module.backoff import Backoff
-from dockthread.net.destination_set import DestinationSet, WatchError
+from dockthread.config.platform_settings import Address
+from dockthread.net.endpoint_list import DestinationSet, WatchError
 from dockthread.observer import Observer
-from dockthread.settings import Address
+from dockthread.policy.backoff import Backoff
 
 MOST_BACKENDS, ENTRY_BYTES = 50_000, 400  # in one list: twice the longest planned; a backend takes 178 bytes of it
 MOST_OBJECT = MOST_BACKENDS * ENTRY_BYTES  # bytes of one object of a watch, entries of a list among them
--- a/dockthread/net/destination_set.py
+++ b/dockthread/net/endpoint_list.py
@@ -9,7 +9,7 @@
 
 from dockthread import api
 from dockthread.clock import Clock
-from dockthread.settings import Address, Names, SettingsError
+from dockthread.config.platform_settings import Address, Names, SettingsError
 
 STATES = {
     "active": api.WorkerState.READY,
--- a/dockthread/net/peers.py
+++ b/dockthread/net/gossip_transport.py
@@ -17,10 +17,10 @@
 
 from loguru import logger
 
-from dockthread.module.api import PeerSaid, Tell
-from dockthread.module.message import MOST_BYTES
+from dockthread.config.platform_settings import PeerAddresses
 from dockthread.observer import Traffic
-from dockthread.settings import PeerAddresses
+from dockthread.policy.api import PeerSaid, Tell
+from dockthread.policy.gossip_codec import MOST_BYTES
 
 TURN = 64  # datagrams read in one turn of the loop
 
--- a/dockthread/net/inbound.py
+++ b/dockthread/net/inbound.py
@@ -20,7 +20,7 @@
 
 from dockthread.clock import Clock
 from dockthread.net import resp
-from dockthread.net.loop_delay import LoopDelay
+from dockthread.net.event_loop_lag import LoopDelay
 from dockthread.observer import Traffic
 
 BUFFER = 8 * 1024
--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -9,24 +9,24 @@
 from loguru import logger
 
 from dockthread import api
+from dockthread.admin import reload
 from dockthread.clock import Clock
-from dockthread.module.rules import Gateway
+from dockthread.config.platform_settings import Config
 from dockthread.net import resp
-from dockthread.net.counter import Counter
-from dockthread.net.decider import Decider
-from dockthread.net.destination_set import DestinationSet
+from dockthread.net.discovery_watch import Watch
+from dockthread.net.endpoint_list import DestinationSet
+from dockthread.net.event_loop_lag import PERIOD, LoopDelay
+from dockthread.net.gossip_transport import Peers
 from dockthread.net.inbound import Inbound, Slot
 from dockthread.net.lifecycle import Lifecycle, Phase
 from dockthread.net.listener import Budget, Listener
-from dockthread.net.loop_delay import PERIOD, LoopDelay
 from dockthread.net.outbound import Outbound, OutboundCall
-from dockthread.net.peers import Peers
+from dockthread.net.policy_host import Decider
+from dockthread.net.quota_counter import Counter
 from dockthread.net.request import Request, Routes
 from dockthread.net.timers import Timers
-from dockthread.net.watch import Watch
 from dockthread.observer import FAILED, REFUSED, SERVED, Observer, Traffic
-from dockthread.ops import retune
-from dockthread.settings import Config
+from dockthread.policy.engine import Gateway
 
 HOUSEKEEPING = 250.0  # between rounds of it
 GUARDED = 2 * HOUSEKEEPING  # time left from which a request's deadline has a timer of its own
@@ -142,9 +142,9 @@
 
     def reconfigure(self, config: Config) -> None:
         """Take over what may change under load: the addresses of discovery and of the counter, the classes and
-        the attempts allowed (dockthread/ops/retune.py). A request in flight keeps the class it came with."""
-        retuned = retune.merge(self.gateway.s, self.config.names, config.module, config.names)
-        retune.retune(self.gateway, retuned.settings)
+        the attempts allowed (dockthread/admin/reload.py). A request in flight keeps the class it came with."""
+        retuned = reload.merge(self.gateway.s, self.config.names, config.module, config.names)
+        reload.retune(self.gateway, retuned.settings)
         settings = retuned.settings
         module = replace(self.config.module, classes=settings.classes, most_attempts=settings.most_attempts)
         self.config = replace(
--- a/dockthread/net/listener.py
+++ b/dockthread/net/listener.py
@@ -10,9 +10,9 @@
 
 from loguru import logger
 
+from dockthread.config.platform_settings import Address
+from dockthread.net.event_loop_lag import Backlog
 from dockthread.net.inbound import Host, Inbound
-from dockthread.net.loop_delay import Backlog
-from dockthread.settings import Address
 
 BACKLOG = 1024
 RESERVE = 24  # descriptors for all but connections: standard streams, the loop's own, listener, watch
--- a/dockthread/net/outbound.py
+++ b/dockthread/net/outbound.py
@@ -11,11 +11,11 @@
 from loguru import logger
 
 from dockthread.clock import Clock
-from dockthread.module.api import IDLE_PART as IDLE_PART
-from dockthread.module.api import NEVER_RAN, Outcome
 from dockthread.net import resp
-from dockthread.net.destination_set import Destination, DestinationSet
+from dockthread.net.endpoint_list import Destination, DestinationSet
 from dockthread.observer import Observer, Traffic
+from dockthread.policy.api import IDLE_PART as IDLE_PART
+from dockthread.policy.api import NEVER_RAN, Outcome
 
 BUFFER = 16 * 1024
 WHOLE = 200.0  # for the rest of an answer that has begun: backends write one at once
--- a/dockthread/net/counter.py
+++ b/dockthread/net/quota_counter.py
@@ -10,10 +10,10 @@
 from loguru import logger
 
 from dockthread.clock import Clock
-from dockthread.module.api import Counted, Outcome
+from dockthread.config.platform_settings import Address
 from dockthread.net import resp
 from dockthread.observer import Observer
-from dockthread.settings import Address
+from dockthread.policy.api import Counted, Outcome
 
 BUFFER = 4 * 1024
 MOST_OUT = 64  # calls without an answer; a line that long would not be answered in time
--- a/dockthread/net/resp.py
+++ b/dockthread/net/resp.py
@@ -13,7 +13,7 @@
 import hiredis
 
 from dockthread import api
-from dockthread.settings import Names
+from dockthread.config.platform_settings import Names
 
 INCOMPLETE = object()  # what a reader gives while its next message is not whole
 MOST_VALUE = 64 * 1024  # bytes of a value, by the protocol
--- a/dockthread/module/admission.py
+++ b/dockthread/policy/admission.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from dockthread.module import api
-from dockthread.module.api import NEVER_RAN, Outcome
-from dockthread.module.attempts import PRESSED, Attempts
-from dockthread.module.sketch import Sketch
-from dockthread.module.state import Call, Customer
+from dockthread.policy import api
+from dockthread.policy.api import NEVER_RAN, Outcome
+from dockthread.policy.attempts import PRESSED, Attempts
+from dockthread.policy.rate_sketch import Sketch
+from dockthread.policy.state import Call, Customer
 
 RESERVE, RESERVE_LOW = 0.15, 0.35  # of a store, for the dearest class; more for the cheapest
 TOLD_RESERVE, TOLD_LOW = 0.05, 0.2  # the same where messages tell what the others let in
--- a/dockthread/module/api.py
+++ b/dockthread/policy/api.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from math import inf
 
-from dockthread.module.route import Route as Route
+from dockthread.policy.route import Route as Route
 
 
 class Effect(Enum):
--- a/dockthread/module/attempts.py
+++ b/dockthread/policy/attempts.py
@@ -4,11 +4,11 @@
 
 import math
 
-from dockthread.module import api
-from dockthread.module.api import NEVER_RAN, Effect, Outcome
-from dockthread.module.choice import Choice
-from dockthread.module.estimates import MOST_PACE, Crowds, Reports, scarcity, smoothed
-from dockthread.module.state import Attempt, Call, Worker
+from dockthread.policy import api
+from dockthread.policy.api import NEVER_RAN, Effect, Outcome
+from dockthread.policy.latency_estimates import MOST_PACE, Crowds, Reports, scarcity, smoothed
+from dockthread.policy.load_balancer import Choice
+from dockthread.policy.state import Attempt, Call, Worker
 
 FAIL_STEP, SLOW_STEP, SMOOTH = 0.25, 0.12, 0.05  # weights of one more in smoothed figures
 LATEST = 1.5  # tight aims: the latest that one answer can tell of the moment
--- a/dockthread/module/pool.py
+++ b/dockthread/policy/backend_pool.py
@@ -19,11 +19,11 @@
 from itertools import accumulate
 from typing import TYPE_CHECKING, Protocol
 
-from dockthread.module.api import Group, WorkerEntry, WorkerState
-from dockthread.module.estimates import Rounds
+from dockthread.policy.api import Group, WorkerEntry, WorkerState
+from dockthread.policy.latency_estimates import Rounds
 
 if TYPE_CHECKING:
-    from dockthread.module.state import Worker
+    from dockthread.policy.state import Worker
 
 SLOTS_PER_CHANGE = 1024  # places for each of which one change has all sums made anew, about 20 us
 FADED = 1e-18  # a failed part below this changes no sum with 1 in double precision: it is none
--- a/dockthread/module/rules.py
+++ b/dockthread/policy/engine.py
@@ -1,4 +1,4 @@
-"""A gateway's decisions, joined: events in, actions out (dockthread/module/api.py).
+"""A gateway's decisions, joined: events in, actions out (dockthread/policy/api.py).
 
 `Admission` asks whether the customer's decayed unit rate lets a request in (rakelimit), `Attempts` when it is
 tried, tried again, copied or given up, `Choice` where. Here: events by their kind, and housekeeping."""
@@ -8,11 +8,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from dockthread.module import api
-from dockthread.module.admission import Admission
-from dockthread.module.api import ListKind, WorkerState
-from dockthread.module.attempts import DONE_OVER, TICK
-from dockthread.module.estimates import scarcity
+from dockthread.policy import api
+from dockthread.policy.admission import Admission
+from dockthread.policy.api import ListKind, WorkerState
+from dockthread.policy.attempts import DONE_OVER, TICK
+from dockthread.policy.latency_estimates import scarcity
 
 PACE_HALF = 15.0  # s in which what its answer times told counts half
 FADE_HALF = 5.0  # s in which evidence against a worker halves, so that it returns
--- a/dockthread/module/gossip.py
+++ b/dockthread/policy/gossip.py
@@ -11,9 +11,9 @@
 
 from __future__ import annotations
 
-from dockthread.module import api, message
-from dockthread.module.sketch import Sketch
-from dockthread.module.state import NEVER, Customer, Memory
+from dockthread.policy import api, gossip_codec
+from dockthread.policy.rate_sketch import Sketch
+from dockthread.policy.state import NEVER, Customer, Memory
 
 INTAKE_PART, STOCK = 0.8, 4  # part of an intake that all use; s of messages in stock
 ROUND_LEAST, ROUND_MOST = 0.02, 0.25  # s between the first news and its round of messages
@@ -98,11 +98,11 @@
             if self.stock < 1 or (not notes and self.stock < STOCK * self.intake / 2):
                 break
             keys = list(notes)
-            room = message.room(len(suspects), keys)
+            room = gossip_codec.room(len(suspects), keys)
             if len(keys) > room:  # those whose quota is nearest to its end
                 keys = sorted(keys, key=lambda key: self.customers[key].store.left(self.now))[:room]
             reports = [self.customers[key].report_of(key, self.now) for key in keys]
-            self.actions.append(api.Tell(message.pack(self.life, suspects, reports), peer))
+            self.actions.append(api.Tell(gossip_codec.pack(self.life, suspects, reports), peer))
             self.stock, self.sent_at[peer] = self.stock - 1, self.now
             for key in keys:
                 del notes[key]
@@ -112,7 +112,7 @@
             self._schedule_gossip()
 
     def _said(self, e: api.PeerSaid) -> None:
-        told = message.unpack(e.data, len(self.s.plans))
+        told = gossip_codec.unpack(e.data, len(self.s.plans))
         if told is None or not 0 <= e.peer < self.s.gateways or e.peer == self.me:
             return
         self.heard[e.peer] = self.now
@@ -134,11 +134,11 @@
         self.unsent.setdefault(peer, {})
         self._schedule_gossip()
 
-    def _told(self, peer: int, c: Customer, r: message.Report) -> None:
+    def _told(self, peer: int, c: Customer, r: gossip_codec.Report) -> None:
         life, arrived, spent = c.told.get(peer, (-1, 0, 0))
         if life != self.lives[peer]:  # it counts from nothing
             arrived = spent = 0
-        asked, used = message.grown(r.arrived, arrived), message.grown(r.spent, spent)
+        asked, used = gossip_codec.grown(r.arrived, arrived), gossip_codec.grown(r.spent, spent)
         if life < 0:  # one of us is new to it: the last request counts, and a start does not fill the store
             asked, used = min(asked, self.s.largest_units), min(used, self.s.largest_units)
             c.store.at_most(r.left + used)
--- a/dockthread/module/choice.py
+++ b/dockthread/policy/load_balancer.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from dockthread.module.api import Effect
-from dockthread.module.pool import NOBODY
-from dockthread.module.state import NEVER, Call, Worker
-from dockthread.module.warmup import Warming, cold_times
+from dockthread.policy.api import Effect
+from dockthread.policy.backend_pool import NOBODY
+from dockthread.policy.slow_start import Warming, cold_times
+from dockthread.policy.state import NEVER, Call, Worker
 
 CHOICES, HOME, TRIALS = 4, 2.0, 0.1  # candidates a gateway; draws of the own zone; root of a bad one's share
 HANDSHAKE = 8.0  # requests' times that the price of a new connection is worth
--- a/dockthread/module/sketch.py
+++ b/dockthread/policy/rate_sketch.py
@@ -5,7 +5,7 @@
 import math
 import random
 
-from dockthread.module.state import NEVER
+from dockthread.policy.state import NEVER
 
 ROWS, CELLS = 5, 1024  # five rows as in the paper; several times wider than the customers seen lately
 PRIME, MIX = (1 << 61) - 1, 0x9E3779B97F4A7C15  # of the hashes
--- a/dockthread/module/route.py
+++ b/dockthread/policy/route.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 if TYPE_CHECKING:
-    from dockthread.module.api import Outcome, WorkerEntry
+    from dockthread.policy.api import Outcome, WorkerEntry
 
 
 class Route(Protocol):
--- a/dockthread/module/routed.py
+++ b/dockthread/policy/route_constraints.py
@@ -7,10 +7,10 @@
 
 from math import inf
 
-from dockthread.module import api
-from dockthread.module.gossip import Gossip
-from dockthread.module.pool import Drawable, Sifted
-from dockthread.module.state import Attempt, Call, Worker
+from dockthread.policy import api
+from dockthread.policy.backend_pool import Drawable, Sifted
+from dockthread.policy.gossip import Gossip
+from dockthread.policy.state import Attempt, Call, Worker
 
 STRICTNESS = (api.Effect.SAFE, api.Effect.KEYED, api.Effect.UNSAFE)
 
--- a/dockthread/module/warmup.py
+++ b/dockthread/policy/slow_start.py
@@ -12,9 +12,9 @@
 
 import math
 
-from dockthread.module import api
-from dockthread.module.routed import Routed
-from dockthread.module.state import Worker
+from dockthread.policy import api
+from dockthread.policy.route_constraints import Routed
+from dockthread.policy.state import Worker
 
 BORNE_OVER = 4.0  # fall times over which what workers bore is averaged
 
--- a/dockthread/module/state.py
+++ b/dockthread/policy/state.py
@@ -9,11 +9,11 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from dockthread.module import api
-from dockthread.module.estimates import KindStats, Pace
-from dockthread.module.message import Report, whole, worker_code
-from dockthread.module.pool import Pool
-from dockthread.module.quota_store import QuotaStore
+from dockthread.policy import api
+from dockthread.policy.backend_pool import Pool
+from dockthread.policy.gossip_codec import Report, whole, worker_code
+from dockthread.policy.latency_estimates import KindStats, Pace
+from dockthread.policy.token_bucket import QuotaStore
 
 NEVER = -1e9  # a time long ago
 DOUBLE = 8  # bytes of a figure that is kept packed
--- a/dockthread/fleet/actions.py
+++ b/dockthread/raft/actions.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from dockthread.fleet.wire import COMMAND, Entry, Message
+from dockthread.raft.messages import COMMAND, Entry, Message
 
 
 class Role(Enum):
--- a/dockthread/fleet/agreement.py
+++ b/dockthread/raft/core.py
@@ -30,7 +30,7 @@
 import random
 from collections.abc import Iterable
 
-from dockthread.fleet.actions import (
+from dockthread.raft.actions import (
     Action,
     Apply,
     Became,
@@ -43,8 +43,8 @@
     Stored,
     Times,
 )  # fmt: skip
-from dockthread.fleet.log import Log
-from dockthread.fleet.wire import (
+from dockthread.raft.log import Log
+from dockthread.raft.messages import (
     COMMAND,
     NOTHING,
     VOTERS,
--- a/dockthread/fleet/log.py
+++ b/dockthread/raft/log.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterable
 
-from dockthread.fleet.actions import Stored
-from dockthread.fleet.wire import VOTERS, Entry
+from dockthread.raft.actions import Stored
+from dockthread.raft.messages import VOTERS, Entry
 
 
 class Log:
--- a/dockthread/fleet/wire.py
+++ b/dockthread/raft/messages.py
@@ -1,4 +1,4 @@
-"""What ingresses of a fleet say to each other about their log; it travels in frames (dockthread/frames.py)."""
+"""What ingresses of a fleet say to each other about their log; it travels in frames (dockthread/framing.py)."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from dockthread.frames import HEAD, Codec, MalformedFrame, UnknownMessage
+from dockthread.framing import HEAD, Codec, MalformedFrame, UnknownMessage
 
 VERSION: Final = 1
 MOST_FRAME: Final = 8 << 20  # bytes of a message: 64 entries of 64 KiB bodies, as one `Append` may hold, and room
--- a/dockthread/fleet/options.py
+++ b/dockthread/raft/options.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from dockthread.operator_file.quantities import Duration, Share
-from dockthread.operator_file.reader import Section
-from dockthread.settings import Address
+from dockthread.config.ini_reader import Section
+from dockthread.config.platform_settings import Address
+from dockthread.config.quantities import Duration, Share
 from dockthread.telemetry.options import host_port
 
 LEAST_KEY = 16  # bytes of the shared key
--- a/dockthread/fleet/member.py
+++ b/dockthread/raft/server.py
@@ -20,8 +20,10 @@
 from loguru import logger
 
 from dockthread.clock import Clock
-from dockthread.fleet import wire
-from dockthread.fleet.actions import (
+from dockthread.config.platform_settings import Address
+from dockthread.framing import MessageCounts
+from dockthread.raft import messages
+from dockthread.raft.actions import (
     Action,
     Apply,
     Became,
@@ -32,12 +34,10 @@
     Send,
     Times,
 )
-from dockthread.fleet.agreement import Agreement
-from dockthread.fleet.link import Link
-from dockthread.fleet.options import FleetOptions
-from dockthread.fleet.store import Store
-from dockthread.frames import MessageCounts
-from dockthread.settings import Address
+from dockthread.raft.core import Agreement
+from dockthread.raft.options import FleetOptions
+from dockthread.raft.storage import Store
+from dockthread.raft.transport import Link
 
 KEEP_ENTRIES = 512  # applied entries in the log before a state takes their place
 STATE_AN_ENTRY = 1 << 10  # bytes of the state before for each further entry: a large one is written more seldom
@@ -171,7 +171,7 @@
         self._token += 1
         token = self._token
         self._asked[token] = future
-        self._links[core.leader].send(wire.Ask(core.term, self.name, token, data))
+        self._links[core.leader].send(messages.Ask(core.term, self.name, token, data))
         try:
             async with asyncio.timeout(ASKING / 1000.0):
                 return await future
@@ -188,10 +188,10 @@
             self._waiting[index] = (self._agreement.term, future)
         self._do(actions)
 
-    async def _propose_for(self, ask: wire.Ask) -> None:
+    async def _propose_for(self, ask: messages.Ask) -> None:
         index = await self._try(ask.data) if self._agreement.role is Role.LEADER else 0
         if link := self._links.get(ask.sender):
-            link.send(wire.Told(self._agreement.term, self.name, ask.token, index))
+            link.send(messages.Told(self._agreement.term, self.name, ask.token, index))
 
     # What its owner asks of it
 
@@ -227,13 +227,13 @@
 
     def show(self, data: bytes) -> None:
         """To whoever leads: what this member sees. May be lost."""
-        message = wire.Show(self._agreement.term, self.name, data)
+        message = messages.Show(self._agreement.term, self.name, data)
         if self.leader == self.name:
             self._shown(message)
         elif link := self._links.get(self.leader):
             link.send(message)
 
-    def _shown(self, message: wire.Show) -> None:
+    def _shown(self, message: messages.Show) -> None:
         if self.leader == self.name:
             try:
                 self._owner.shown(message.sender, message.data)
@@ -273,33 +273,33 @@
         self._arm()
 
     async def _read(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        assembly = wire.Assembly()
+        assembly = messages.Assembly()
         try:
             while True:
-                head = await reader.readexactly(wire.HEAD.size)
-                body = await reader.readexactly(wire.length(head))
+                head = await reader.readexactly(messages.HEAD.size)
+                body = await reader.readexactly(messages.length(head))
                 self.messages.received += 1
                 try:
-                    message = wire.unpack(head, body, self._key)
-                except wire.UnknownMessage as error:
+                    message = messages.unpack(head, body, self._key)
+                except messages.UnknownMessage as error:
                     self.spoilt += 1
                     logger.debug("fleet: a message is dropped: {}", error)
                     continue
-                if isinstance(message, wire.Part):
+                if isinstance(message, messages.Part):
                     if (whole := assembly.add(message)) is not None:
                         self._hear(whole)
-                elif isinstance(message, wire.Show):
+                elif isinstance(message, messages.Show):
                     self._shown(message)
-                elif isinstance(message, wire.Ask):
+                elif isinstance(message, messages.Ask):
                     task = self._loop.create_task(self._propose_for(message))
                     self._tasks.append(task)
                     task.add_done_callback(self._tasks.remove)
-                elif isinstance(message, wire.Told):
+                elif isinstance(message, messages.Told):
                     if (asked := self._asked.pop(message.token, None)) and not asked.done():
                         asked.set_result(message.index)
                 else:
                     self._hear(message)
-        except wire.MalformedFrame as error:
+        except messages.MalformedFrame as error:
             self.spoilt += 1
             logger.debug("fleet: a frame is dropped: {}", error)
         except (OSError, EOFError, asyncio.CancelledError):
@@ -307,12 +307,16 @@
         finally:
             writer.close()
 
-    def _hear(self, message: wire.Message) -> None:
+    def _hear(self, message: messages.Message) -> None:
         now, core = self._clock.now(), self._agreement
         self._do(core.heard(now, message))
         self._arm()
         # Then it has all that was agreed on when that was sent; `commit` 0 tells nothing of it.
-        if isinstance(message, wire.Append) and core.leader == message.sender and 0 < message.commit <= self._carried:
+        if (
+            isinstance(message, messages.Append)
+            and core.leader == message.sender
+            and 0 < message.commit <= self._carried
+        ):
             self._current = now
 
     # What it decides, carried out in order
@@ -362,8 +366,8 @@
                 behind.set_result(None)
         self._behind = [(at, behind) for at, behind in self._behind if at > index and not behind.done()]
 
-    def _applied(self, index: int, entry: wire.Entry) -> None:
-        if entry.kind == wire.COMMAND:
+    def _applied(self, index: int, entry: messages.Entry) -> None:
+        if entry.kind == messages.COMMAND:
             try:
                 self._owner.apply(index, entry.data)
             except Exception:
--- a/dockthread/fleet/store.py
+++ b/dockthread/raft/storage.py
@@ -20,8 +20,8 @@
 
 import msgspec
 
-from dockthread.fleet.actions import Keep, KeepState, Stored
-from dockthread.fleet.wire import MOST_STATE, Entry
+from dockthread.raft.actions import Keep, KeepState, Stored
+from dockthread.raft.messages import MOST_STATE, Entry
 
 SUM: Final = 16
 RECORD: Final = struct.Struct(f"<I{SUM}s")
--- a/dockthread/fleet/link.py
+++ b/dockthread/raft/transport.py
@@ -16,9 +16,9 @@
 from collections import deque
 from collections.abc import Iterator
 
-from dockthread.fleet import wire
-from dockthread.frames import MessageCounts
-from dockthread.settings import Address
+from dockthread.config.platform_settings import Address
+from dockthread.framing import MessageCounts
+from dockthread.raft import messages
 
 MOST_WAITING = 256  # frames to one member
 PAUSE = 200.0  # ms before a broken connection is opened again, give or take half
@@ -38,22 +38,22 @@
         self._some = asyncio.Event()
         self.task = asyncio.get_running_loop().create_task(self._run())
 
-    def send(self, message: wire.Message) -> None:
+    def send(self, message: messages.Message) -> None:
         """Queue a message; the oldest are dropped where too many wait."""
-        if isinstance(message, wire.Install) and len(message.state) > wire.PART:
+        if isinstance(message, messages.Install) and len(message.state) > messages.PART:
             self._send_state(message)
         else:
-            self._waiting.append(wire.pack(message, self._key))
+            self._waiting.append(messages.pack(message, self._key))
         self._some.set()
 
-    def _send_state(self, m: wire.Install) -> None:
+    def _send_state(self, m: messages.Install) -> None:
         same = (m.term, m.last) == self._state and time.monotonic() - self._sent < REPEAT
         if self._parts is not None or same:
-            beat = wire.Append(m.term, m.sender, m.last, m.last_term, (), 0, m.round)
-            self._waiting.append(wire.pack(beat, self._key))
+            beat = messages.Append(m.term, m.sender, m.last, m.last_term, (), 0, m.round)
+            self._waiting.append(messages.pack(beat, self._key))
         else:
             self._state = m.term, m.last
-            self._parts = wire.cut(m, self._key)
+            self._parts = messages.cut(m, self._key)
 
     async def _run(self) -> None:
         while True:
--- a/dockthread/routes/bounds.py
+++ b/dockthread/routes/bounds.py
@@ -17,7 +17,7 @@
 
 from ddsketch import LogCollapsingLowestDenseDDSketch
 
-from dockthread.module.api import Outcome, WorkerEntry
+from dockthread.policy.api import Outcome, WorkerEntry
 from dockthread.routes.budget import Budget
 from dockthread.routes.limit import Limit, Queue
 
--- a/dockthread/routes/check.py
+++ b/dockthread/routes/check.py
@@ -9,15 +9,15 @@
 from difflib import get_close_matches
 
 from dockthread import api
-from dockthread.module.api import Effect, Group, Outcome
-from dockthread.operator_file.quantities import Duration
-from dockthread.operator_file.reader import Problem
+from dockthread.config.ini_reader import Problem
+from dockthread.config.platform_settings import Names
+from dockthread.config.quantities import Duration
+from dockthread.policy.api import Effect, Group, Outcome
 from dockthread.routes.bounds import WORDS
 from dockthread.routes.budget import PART
 from dockthread.routes.matcher import Numbers, file_places, rules_of, shadows
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.worst import Worst, amplification, worst
-from dockthread.settings import Names
 
 PROVEN = frozenset((Outcome.FULL, Outcome.UNREACHABLE))  # outcomes after which nothing can have run
 STARVED = 0.5  # of what one firm may need: a limit below it is an error, and not only a warning
--- a/dockthread/routes/explain.py
+++ b/dockthread/routes/explain.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterator, Mapping
 
 from dockthread import api
-from dockthread.operator_file.quantities import Duration
+from dockthread.config.platform_settings import Names, SettingsError
+from dockthread.config.quantities import Duration
 from dockthread.routes.bounds import Facts, Rules
 from dockthread.routes.budget import PART
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.table import Table
 from dockthread.routes.worst import amplification, worst
-from dockthread.settings import Names, SettingsError
 
 
 def facts_of(text: str, settings: api.Settings, names: Names) -> Facts:
--- a/dockthread/routes/layers.py
+++ b/dockthread/routes/layers.py
@@ -11,12 +11,12 @@
 from collections.abc import Mapping
 
 from dockthread import api
+from dockthread.config.platform_settings import Names
 from dockthread.routes.check import SHADOWED, check_one
 from dockthread.routes.matcher import Numbers, Place, file_places, published_place
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.ordered import Ordered
 from dockthread.routes.table import Table
-from dockthread.settings import Names
 
 
 class Layers:
--- a/dockthread/routes/matcher.py
+++ b/dockthread/routes/matcher.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 from typing import Any, Final
 
+from dockthread.config.platform_settings import Names
 from dockthread.routes.bounds import BACKOFF_MAX, WORDS, Facts, Rules
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.ordered import Ordered
-from dockthread.settings import Names
 
 Place = tuple[int, int, str]
 """Where a route stands among the others: its layer, its number there, its name."""
--- a/dockthread/routes/model.py
+++ b/dockthread/routes/model.py
@@ -19,12 +19,12 @@
 from dataclasses import dataclass, field, replace
 
 from dockthread import api
-from dockthread.module.api import NEVER_RAN, Outcome
-from dockthread.module.rules import Gateway
+from dockthread.config.platform_settings import Names
+from dockthread.policy.api import NEVER_RAN, Outcome
+from dockthread.policy.engine import Gateway
 from dockthread.routes.bounds import Bounds, Facts
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.table import Table
-from dockthread.settings import Names
 
 ENDINGS = (Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.RESET, Outcome.UNREACHABLE)
 NAMES = Names(("class",), ("plan",), ("hall",), ("kind",))
--- a/dockthread/routes/options.py
+++ b/dockthread/routes/options.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from dockthread.operator_file.quantities import Duration, Share
-from dockthread.operator_file.reader import Section
+from dockthread.config.ini_reader import Section
+from dockthread.config.quantities import Duration, Share
 
 FIRM = re.compile(r"[0-9a-fA-F]{1,16}")
 UNITS = re.compile(r"([0-9]{1,6})(?:\.\.([0-9]{1,6}))?")
--- a/dockthread/routes/table.py
+++ b/dockthread/routes/table.py
@@ -17,13 +17,13 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
+from dockthread.config.platform_settings import Names
 from dockthread.routes.bounds import Bounds, Facts, Rules, Spent
 from dockthread.routes.budget import FLOOR, PART, Budget
 from dockthread.routes.limit import LEAST, MOST, Limit
 from dockthread.routes.matcher import Matcher, Numbers, Place, file_places
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.ordered import Ordered
-from dockthread.settings import Names
 
 if TYPE_CHECKING:
     from dockthread.net.resp import Ask
--- a/dockthread/drill.py
+++ b/dockthread/simulator_adapter.py
@@ -8,8 +8,8 @@
 from typing import Any, BinaryIO
 
 from dockthread import api
-from dockthread.module.rules import Gateway
-from dockthread.settings import SECOND, SettingsError, read_settings
+from dockthread.config.platform_settings import SECOND, SettingsError, read_settings
+from dockthread.policy.engine import Gateway
 
 HEADER = struct.Struct("<QII")
 REPLY = struct.Struct("<II")
@@ -228,7 +228,7 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, SettingsError, struct.error) as error:
-        print(f"dockthread.drill: {error}", file=sys.stderr)
+        print(f"dockthread.simulator_adapter: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/dockthread/telemetry/exporter.py
+++ b/dockthread/telemetry/exporter.py
@@ -22,8 +22,8 @@
 from dockthread.telemetry.tally import Tally
 
 if TYPE_CHECKING:
+    from dockthread.config.ini_reader import Read
     from dockthread.net.ingress import Ingress
-    from dockthread.operator_file.reader import Read
 
 SAMPLE = 0.1  # s between looks at the loop's delay and at the counter's mute
 MEMORY_PART = 64  # of the ingress's memory, one part for a receiver's queue
--- a/dockthread/telemetry/options.py
+++ b/dockthread/telemetry/options.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, Literal
 
-from dockthread.operator_file.quantities import Duration, Size
-from dockthread.operator_file.reader import Section
-from dockthread.settings import Address, SettingsError
+from dockthread.config.ini_reader import Section
+from dockthread.config.platform_settings import Address, SettingsError
+from dockthread.config.quantities import Duration, Size
 
 LEAST_INTERVAL, MOST_INTERVAL = Duration(100), Duration(3_600_000)
 LEAST_QUEUE = Size(16 * 1024)
--- a/dockthread/telemetry/receiver/stand_in.py
+++ b/dockthread/telemetry/receiver/stand_in.py
@@ -41,7 +41,7 @@
     @classmethod
     def parse(cls, text: str) -> Span:
         """`vanish@10s+60s`. Raises ValueError."""
-        from dockthread.operator_file.quantities import Duration
+        from dockthread.config.quantities import Duration
 
         kind, at, rest = text.partition("@")
         start, plus, length = rest.partition("+")
--- a/tests/test_door.py
+++ b/tests/admin/test_door.py
@@ -8,20 +8,20 @@
 import pytest
 
 from dockthread import api
-from dockthread.ops import door
-from dockthread.ops.management import Door
-from dockthread.serve import Daemon
-from dockthread.settings import Address
+from dockthread.admin import commands
+from dockthread.admin.server import Door
+from dockthread.config.platform_settings import Address
+from dockthread.daemon import Daemon
 from tests.loopback import Backend, config, message, run, serving, target
 
 
 @pytest.mark.parametrize(
     ("method", "path", "body", "expected"),
     [
-        (b"GET", b"/_ready", b"", door.Command(door.Verb.READY)),
-        (b"GET", b"/_vars?x=1", b"", door.Command(door.Verb.VARS)),
-        (b"POST", b"/_backends/detach", b'{"target":"s-1"}', door.Command(door.Verb.DETACH, "s-1")),
-        (b"POST", b"/_backends/attach", b'{"target":"s-1"}', door.Command(door.Verb.ATTACH, "s-1")),
+        (b"GET", b"/_ready", b"", commands.Command(commands.Verb.READY)),
+        (b"GET", b"/_vars?x=1", b"", commands.Command(commands.Verb.VARS)),
+        (b"POST", b"/_backends/detach", b'{"target":"s-1"}', commands.Command(commands.Verb.DETACH, "s-1")),
+        (b"POST", b"/_backends/attach", b'{"target":"s-1"}', commands.Command(commands.Verb.ATTACH, "s-1")),
         (b"GET", b"/_nothing", b"", 404),
         (b"POST", b"/_ready", b"", 405),
         (b"GET", b"/_backends/detach", b"", 405),
@@ -33,8 +33,8 @@
     ],
 )  # fmt: skip
 def test_calls_are_read_by_one_table(method: bytes, path: bytes, body: bytes, expected: object) -> None:
-    decided = door.decide(method, path, body)
-    assert decided == expected if isinstance(expected, door.Command) else decided.status == expected  # type: ignore[union-attr]
+    decided = commands.decide(method, path, body)
+    assert decided == expected if isinstance(expected, commands.Command) else decided.status == expected  # type: ignore[union-attr]
 
 
 async def call(port: int, wire: bytes) -> tuple[int, bytes]:
--- a/tests/test_retune.py
+++ b/tests/admin/test_retune.py
@@ -8,8 +8,8 @@
 import pytest
 
 from dockthread import api
-from dockthread.ops.retune import merge
-from dockthread.settings import Names, _module
+from dockthread.admin.reload import merge
+from dockthread.config.platform_settings import Names, _module
 from tests.loopback import SETTINGS, Backend, run, serving
 
 STATUS = api.RequestClass(aim=1.5, deadline=4.0, effect=api.Effect.SAFE)
--- a/tests/test_regress.py
+++ b/tests/benchmarks/test_regress.py
@@ -75,10 +75,10 @@
     ("path", "groups"),
     [
         ("docs/ROADMAP.md", set()),
-        ("tests/test_rules.py", set()),
+        ("tests/policy/test_rules.py", set()),
         ("dockthread/lab/load.py", set()),
         ("dockthread/telemetry/links.py", {"sockets", "days", "fleet"}),
-        ("dockthread/module/admission.py", {"module", "sockets", "days", "fleet"}),
+        ("dockthread/policy/admission.py", {"module", "sockets", "days", "fleet"}),
     ],
 )
 def test_a_change_makes_due_what_plays_it(path: str, groups: set[str]) -> None:
--- a/tests/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from dockthread.sections import read_text
+from dockthread.config.section_registry import read_text
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def dockthread(*words: str, **environ: str) -> subprocess.CompletedProcess[str]:
@@ -98,7 +98,7 @@
 
 
 def test_the_daemon_loads_nothing_that_only_a_subcommand_or_telemetry_needs() -> None:
-    code = "import dockthread.__main__, dockthread.serve, sys; print(*sys.modules)"
+    code = "import dockthread.__main__, dockthread.daemon, sys; print(*sys.modules)"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True, cwd=ROOT)
     loaded = set(done.stdout.split())
     assert "dockthread.net.ingress" in loaded
--- a/tests/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -15,9 +15,9 @@
 from hypothesis import strategies as st
 
 from dockthread import api
-from dockthread.module.api import Effect, Group, ListKind, Outcome, WorkerState
-from dockthread.module.rules import Gateway
-from dockthread.settings import read_config
+from dockthread.config.platform_settings import read_config
+from dockthread.policy.api import Effect, Group, ListKind, Outcome, WorkerState
+from dockthread.policy.engine import Gateway
 
 SECONDS = 24.0
 
@@ -197,7 +197,7 @@
 
 @pytest.mark.parametrize("name", ["config.json", "formosa.json"])
 def test_one_program_reads_each_sites_form_whole(name: str) -> None:
-    path = Path(__file__).parent.parent / "example" / name
+    path = Path(__file__).parents[2] / "example" / name
     raw, config = json.loads(path.read_text()), read_config({"NODE_CONFIG": str(path)})
     module, settings = config.module, raw["settings"]
     assert config.names.classes == tuple(c["Name"] for c in settings["Classes"])
--- a/tests/control_rig.py
+++ b/tests/control_plane/control_rig.py
@@ -12,11 +12,11 @@
 from pathlib import Path
 from typing import Any
 
-from dockthread.distribution import asking
-from dockthread.distribution.messages import Published, Status, StatusRequest, SubscriberStatus
-from dockthread.fleet.store import Store
-from dockthread.lab.fleet.rig import reserved
-from dockthread.settings import Address
+from dockthread.config.platform_settings import Address
+from dockthread.control_plane import admin_client
+from dockthread.control_plane.messages import Published, Status, StatusRequest, SubscriberStatus
+from dockthread.lab.maintenance.rig import reserved
+from dockthread.raft.storage import Store
 from tests.loopback import LIST, raw_config
 
 KEY = b"a key of 16 bytes or more"
@@ -104,15 +104,15 @@
     def publish(self, kind: str, name: str, body: Any) -> Published:
         """Raises AssertionError where it is not accepted."""
         data = None if body is None else json.dumps(body).encode()
-        answer = asyncio.run(asking.publish(self.voters, asking.change(kind, name, data), KEY, MOST))
+        answer = asyncio.run(admin_client.publish(self.voters, admin_client.change(kind, name, data), KEY, MOST))
         assert answer.revision > 0, answer
         return answer
 
     def status(self, name: str) -> Status | None:
         """None where it does not answer."""
         try:
-            answer = asyncio.run(asking.ask(self.at[name], StatusRequest(), KEY, 0.5))
-        except asking.NoAnswer:
+            answer = asyncio.run(admin_client.ask(self.at[name], StatusRequest(), KEY, 0.5))
+        except admin_client.NoAnswer:
             return None
         assert isinstance(answer, Status)
         return answer
--- a/tests/test_control_options.py
+++ b/tests/control_plane/test_control_options.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from dockthread.distribution.options import ControlOptions, read_key
-from dockthread.sections import read_text
+from dockthread.config.section_registry import read_text
+from dockthread.control_plane.options import ControlOptions, read_key
 
 DISTRIBUTOR = "role = distributor\nname = d1\nlisten = 127.0.0.1:7000\nservers = 127.0.0.1:7001\n"
 VOTER = "role = voter\nname = v1\nlisten = 127.0.0.1:7000\n"
@@ -52,10 +52,10 @@
 
 def test_it_is_off_where_it_is_absent() -> None:
     assert read_text("", "my.ini").one("control") == ControlOptions(role=None)
-    code = "import sys, dockthread.serve, dockthread.sections as s; s.read_text('', 'f')\n"
-    code += "print([m for m in sys.modules if m.startswith('dockthread.distribution.')])"
+    code = "import sys, dockthread.daemon, dockthread.config.section_registry as s; s.read_text('', 'f')\n"
+    code += "print([m for m in sys.modules if m.startswith('dockthread.control_plane.')])"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True, timeout=30)
-    assert done.stdout.strip() == str(["dockthread.distribution.messages", "dockthread.distribution.options"])
+    assert done.stdout.strip() == str(["dockthread.control_plane.messages", "dockthread.control_plane.options"])
 
 
 def test_a_key_is_refused_with_its_file_and_length(tmp_path: Path) -> None:
--- a/tests/test_distribution_cores.py
+++ b/tests/control_plane/test_distribution_cores.py
@@ -8,9 +8,8 @@
 import msgspec
 import pytest
 
-from dockthread.distribution.choice import Server, ServerChoice
-from dockthread.distribution.fanout import Fanout, FanoutLimits, UnexpectedMessage
-from dockthread.distribution.messages import (
+from dockthread.control_plane.fanout import Fanout, FanoutLimits, UnexpectedMessage
+from dockthread.control_plane.messages import (
     MOST_BODY,
     Acknowledge,
     Heartbeat,
@@ -24,10 +23,11 @@
     Update,
     codec,
 )
-from dockthread.distribution.publishing import Publishing
-from dockthread.distribution.resources import OutOfOrder, ResourceTable
-from dockthread.distribution.subscriber import Changed, Connect, Disconnect, Send, Subscriber, SubscriberTimes
-from dockthread.frames import HEAD
+from dockthread.control_plane.publish_state_machine import Publishing
+from dockthread.control_plane.resource_table import OutOfOrder, ResourceTable
+from dockthread.control_plane.server_selection import Server, ServerChoice
+from dockthread.control_plane.subscriber import Changed, Connect, Disconnect, Send, Subscriber, SubscriberTimes
+from dockthread.framing import HEAD
 
 LIMITS = FanoutLimits(part=400)
 
--- a/tests/test_distribution_processes.py
+++ b/tests/control_plane/test_distribution_processes.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from dockthread.distribution.messages import Acknowledge, Publish, Update, codec
-from dockthread.distribution.server import MOST_REQUEST
-from dockthread.frames import HEAD
-from tests.control_rig import DISTRIBUTORS, INGRESSES, KEY, MOST, VOTERS, ControlRig
+from dockthread.control_plane.messages import Acknowledge, Publish, Update, codec
+from dockthread.control_plane.server import MOST_REQUEST
+from dockthread.framing import HEAD
+from tests.control_plane.control_rig import DISTRIBUTORS, INGRESSES, KEY, MOST, VOTERS, ControlRig
 
 
 def until(what: Callable[[], Any]) -> Any:
--- a/tests/test_distribution_rim.py
+++ b/tests/control_plane/test_distribution_rim.py
@@ -13,17 +13,17 @@
 from loguru import logger
 
 from dockthread.clock import Clock
-from dockthread.distribution.cache import BrokenCache, Cache, read
-from dockthread.distribution.client import Client
-from dockthread.distribution.fanout import FanoutLimits
-from dockthread.distribution.messages import Rejection, Resource, StatusRequest, Subscribe, Update, codec
-from dockthread.distribution.resources import ResourceTable
-from dockthread.distribution.server import MOST_REQUEST, Server, ServerLimits
-from dockthread.frames import HEAD
+from dockthread.config.platform_settings import Address, read_config
+from dockthread.config.section_registry import load
+from dockthread.control_plane.client import Client
+from dockthread.control_plane.fanout import FanoutLimits
+from dockthread.control_plane.messages import Rejection, Resource, StatusRequest, Subscribe, Update, codec
+from dockthread.control_plane.resource_table import ResourceTable
+from dockthread.control_plane.server import MOST_REQUEST, Server, ServerLimits
+from dockthread.control_plane.snapshot_cache import BrokenCache, Cache, read
+from dockthread.daemon import Daemon
+from dockthread.framing import HEAD
 from dockthread.routes.bounds import Facts
-from dockthread.sections import load
-from dockthread.serve import Daemon
-from dockthread.settings import Address, read_config
 from tests.loopback import LIST, SETTINGS, raw_config, run, until
 
 BODY = bytes(10_000)
--- a/tests/test_cold_ramp.py
+++ b/tests/lab/test_cold_ramp.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from dockthread.lab.fleet.cold_checker import ColdChecker, Fall, Terms
-from dockthread.lab.fleet.cold_scenes import SLOW, Played, play
-from dockthread.lab.fleet.cold_world import TWO_KINDS, Scene
-from dockthread.module.api import Safety
-from dockthread.module.warmup import Ramp
-from tests.test_rules import BASE, OPEN, RATE, Drive, entry
+from dockthread.lab.slow_start.checker import ColdChecker, Fall, Terms
+from dockthread.lab.slow_start.scenarios import SLOW, Played, play
+from dockthread.lab.slow_start.simulation import TWO_KINDS, Scene
+from dockthread.policy.api import Safety
+from dockthread.policy.slow_start import Ramp
+from tests.policy.test_rules import BASE, OPEN, RATE, Drive, entry
 
 
 @pytest.mark.parametrize("plan", [OPEN, RATE])
--- a/tests/test_distribution_simulated.py
+++ b/tests/lab/test_distribution_simulated.py
@@ -8,9 +8,9 @@
 from click.testing import CliRunner
 
 from dockthread.cli.lab import lab
-from dockthread.lab.distribution.checker import Asked, Checker
-from dockthread.lab.distribution.planted_bugs import PLANTS
-from dockthread.lab.distribution.seeds import play_seed
+from dockthread.lab.control_plane.checker import Asked, Checker
+from dockthread.lab.control_plane.seeded_defects import PLANTS
+from dockthread.lab.control_plane.seeds import play_seed
 from dockthread.lab.seeds import play_many
 
 SEEDS_OF_A_PLANT = range(0, 4)
--- a/tests/test_lab_load.py
+++ b/tests/lab/test_lab_load.py
@@ -18,7 +18,7 @@
 from dockthread.lab.outcome import Outcome
 from tests.loopback import Backend, run
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 MIX = Mix((("seat-status", 3.0), ("seat-checkout", 1.0)), (("klein", 2.0), ("gross", 1.0)), firms=50)
 DEADLINES = {"seat-status": 4.0, "seat-checkout": 12.0}
 
--- a/tests/test_lab_scale.py
+++ b/tests/lab/test_lab_scale.py
@@ -14,7 +14,7 @@
 from dockthread.lab.scale.fit import FitError, fitted
 from dockthread.lab.scale.plan import Changes, Plan, PlanError, parse_changes, plan_of
 from dockthread.lab.scale.planted_bugs import LIST_NAMES, NAMES, ROUTE_NAMES
-from tests.test_cli import dockthread
+from tests.cli.test_cli import dockthread
 
 # The machine of a test may be busy: what is measured is not judged here, only what ends up in force.
 PATIENT = ("--most-late", "30s", "--most-lag", "60s")
--- a/tests/test_rehearsal.py
+++ b/tests/lab/test_rehearsal.py
@@ -10,9 +10,9 @@
 from click.testing import CliRunner
 
 from dockthread.cli.lab import lab
-from dockthread.lab.fleet.rehearsal import Rehearsal
-from dockthread.lab.fleet.scenario import ScenarioError, Step, parse, shipped
-from dockthread.lab.fleet.standin import Node
+from dockthread.lab.maintenance.rehearsal import Rehearsal
+from dockthread.lab.maintenance.scenario import ScenarioError, Step, parse, shipped
+from dockthread.lab.maintenance.stand_in import Node
 
 SHORT = """
 [scenario]
--- a/tests/test_restart_wave.py
+++ b/tests/lab/test_restart_wave.py
@@ -10,11 +10,11 @@
 
 from dockthread import api
 from dockthread.clock import ManualClock
-from dockthread.lab.fleet.restart_wave import Passed, Restarts, Wave, waves
-from dockthread.module.backoff import Backoff
-from dockthread.net.destination_set import DestinationSet
-from dockthread.net.watch import Watch
-from dockthread.settings import Address, Names
+from dockthread.config.platform_settings import Address, Names
+from dockthread.lab.slow_start.restart_wave import Passed, Restarts, Wave, waves
+from dockthread.net.discovery_watch import Watch
+from dockthread.net.endpoint_list import DestinationSet
+from dockthread.policy.backoff import Backoff
 
 SEEDS = range(1, 21)
 TARGET = {"uid": "s-1", "endpoint": "127.0.0.1:1", "state": "active", "az": "a", "model": "m"}
--- a/tests/test_turns_simulated.py
+++ b/tests/lab/test_turns_simulated.py
@@ -5,11 +5,11 @@
 import msgspec
 import pytest
 
-from dockthread.fleet import wire
-from dockthread.lab.fleet.seeds import play_seed
-from dockthread.lab.fleet.turns_planted_bugs import NAMES
-from dockthread.work.part import Acts, Around, Part, Seen, Terms, View, together
-from dockthread.work.words import INGRESS, Command, Tick, Zone
+from dockthread.lab.maintenance.seeded_defects import NAMES
+from dockthread.lab.raft.seeds import play_seed
+from dockthread.maintenance.commands import INGRESS, Command, Tick, Zone
+from dockthread.maintenance.participant import Acts, Around, Part, Seen, Terms, View, together
+from dockthread.raft import messages
 
 MEMBERS = ("n0", "n1", "n2")
 FOUND = {
@@ -110,12 +110,12 @@
 
 def test_a_message_of_a_later_release_is_told_from_spoilt_bytes() -> None:
     later = msgspec.msgpack.encode(["z", 1, "n1"])
-    with pytest.raises(wire.UnknownMessage):
-        wire.unpack(wire.HEAD.pack(len(later), wire.VERSION, bytes(16)), later)
-    whole = wire.pack(wire.Show(1, "n1", b"x"), b"k" * 16)
-    with pytest.raises(wire.MalformedFrame) as spoilt:
-        wire.unpack(whole[: wire.HEAD.size], whole[wire.HEAD.size :], b"l" * 16)
-    assert not isinstance(spoilt.value, wire.UnknownMessage), "another key: the connection is closed"
+    with pytest.raises(messages.UnknownMessage):
+        messages.unpack(messages.HEAD.pack(len(later), messages.VERSION, bytes(16)), later)
+    whole = messages.pack(messages.Show(1, "n1", b"x"), b"k" * 16)
+    with pytest.raises(messages.MalformedFrame) as spoilt:
+        messages.unpack(whole[: messages.HEAD.size], whole[messages.HEAD.size :], b"l" * 16)
+    assert not isinstance(spoilt.value, messages.UnknownMessage), "another key: the connection is closed"
 
 
 @pytest.mark.parametrize("plant", NAMES)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -14,8 +14,8 @@
 import uvloop
 
 from dockthread.clock import Clock
+from dockthread.config.platform_settings import Config, read_config
 from dockthread.net.ingress import Ingress
-from dockthread.settings import Config, read_config
 
 SETTINGS: dict[str, Any] = {
     "MyNumber": 0,
--- a/tests/test_fleet_processes.py
+++ b/tests/maintenance/test_fleet_processes.py
@@ -11,7 +11,7 @@
 from typing import Any
 from unittest.mock import ANY
 
-from dockthread.lab.fleet.rig import Rig
+from dockthread.lab.maintenance.rig import Rig
 from tests.loopback import SETTINGS, target
 
 TARGETS = [target(f"s-{i}", 6000 + i) for i in range(4)]  # all of hall-a
--- a/tests/test_work.py
+++ b/tests/maintenance/test_work.py
@@ -13,13 +13,13 @@
 from click.testing import CliRunner
 
 from dockthread.cli.work import fleet, work
-from dockthread.fleet.actions import Keep, KeepState
-from dockthread.fleet.options import FleetOptions
-from dockthread.fleet.store import Lost, Store
-from dockthread.fleet.wire import COMMAND, Entry
-from dockthread.sections import read_text
-from dockthread.work.order import Order
-from dockthread.work.words import Command, Tick, Zone
+from dockthread.config.section_registry import read_text
+from dockthread.maintenance.commands import Command, Tick, Zone
+from dockthread.maintenance.scheduler import Order
+from dockthread.raft.actions import Keep, KeepState
+from dockthread.raft.messages import COMMAND, Entry
+from dockthread.raft.options import FleetOptions
+from dockthread.raft.storage import Lost, Store
 
 MEMBERS = ("n0", "n1", "n2")
 
--- a/tests/test_counter.py
+++ b/tests/net/test_counter.py
@@ -8,9 +8,9 @@
 import pytest
 
 from dockthread.clock import Clock
-from dockthread.module.api import Counted, Outcome
-from dockthread.net.counter import Counter
-from dockthread.settings import Address
+from dockthread.config.platform_settings import Address
+from dockthread.net.quota_counter import Counter
+from dockthread.policy.api import Counted, Outcome
 from tests.loopback import Backend, run, until
 
 
--- a/tests/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -17,10 +17,10 @@
 
 from dockthread import api
 from dockthread.clock import ManualClock
+from dockthread.config.quantities import Duration
 from dockthread.net import inbound, outbound, resp
 from dockthread.net.ingress import Ingress
 from dockthread.net.lifecycle import Phase
-from dockthread.operator_file.quantities import Duration
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.table import Table
 from tests.loopback import (
@@ -34,7 +34,7 @@
     target,
     until,
 )
-from tests.test_rules_on_sockets import a_call, collect, fails, hangs
+from tests.net.test_rules_on_sockets import a_call, collect, fails, hangs
 
 VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
--- a/tests/test_discovery_bounds.py
+++ b/tests/net/test_discovery_bounds.py
@@ -19,10 +19,10 @@
 import pytest
 
 from dockthread.clock import ManualClock
+from dockthread.config.platform_settings import Address
 from dockthread.net.ingress import Ingress
-from dockthread.settings import Address
 from tests.loopback import LIST, SETTINGS, Backend, Client, Discovery, config, message, raw_config, run, target, until
-from tests.test_program import program
+from tests.net.test_program import program
 
 BOUND, STEP = 6_000.0, 250.0  # ms
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/test_loop_delay.py
+++ b/tests/net/test_loop_delay.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from dockthread.net.loop_delay import Backlog, LoopDelay
+from dockthread.net.event_loop_lag import Backlog, LoopDelay
 from tests.loopback import KEY, Backend, command, run, serving
 
 HELD, TIME, SLACK = 0.5, 1.0, 0.25  # s: the loop is held for; the client waits; a slow machine may take
--- a/tests/test_parsers.py
+++ b/tests/net/test_parsers.py
@@ -12,10 +12,10 @@
 
 from dockthread import api
 from dockthread.clock import ManualClock
+from dockthread.config.platform_settings import Address, Names, SettingsError, read_config
 from dockthread.net import resp
-from dockthread.net.destination_set import DestinationSet, WatchError
-from dockthread.net.watch import WatchParser
-from dockthread.settings import Address, Names, SettingsError, read_config
+from dockthread.net.discovery_watch import WatchParser
+from dockthread.net.endpoint_list import DestinationSet, WatchError
 from tests.loopback import FIRST_ID, KEY, SETTINGS, config, message, raw_config, target
 
 KNOWN = message(1, full=True)
--- a/tests/test_peers.py
+++ b/tests/net/test_peers.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from dockthread.module import message
-from dockthread.module.api import PeerSaid, Tell
+from dockthread.config.platform_settings import Address, PeerAddresses, SettingsError
+from dockthread.net.gossip_transport import TURN, Peers
 from dockthread.net.ingress import Ingress
-from dockthread.net.peers import TURN, Peers
 from dockthread.observer import Traffic
-from dockthread.settings import Address, PeerAddresses, SettingsError
+from dockthread.policy import gossip_codec
+from dockthread.policy.api import PeerSaid, Tell
 from tests.loopback import SETTINGS, Backend, Client, config, run, serving, until
 
 
@@ -57,9 +57,9 @@
         here, other = peers(where, 0, told), peers(where, 1, mine)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             stranger.sendto(b"hello", (where[0].host, where[0].port))
-        other._sock.sendto(b"x" * (message.MOST_BYTES + 1), (where[0].host, where[0].port))  # type: ignore[union-attr]
+        other._sock.sendto(b"x" * (gossip_codec.MOST_BYTES + 1), (where[0].host, where[0].port))  # type: ignore[union-attr]
         await until(lambda: here._traffic.messages_odd == 2)
-        other.tell(Tell(b"x" * (message.MOST_BYTES + 1), 0))  # it would void the run
+        other.tell(Tell(b"x" * (gossip_codec.MOST_BYTES + 1), 0))  # it would void the run
         assert (told, other._traffic.messages_out) == ([], 0)
         for _ in range(TURN + 20):
             other.tell(Tell(b"m", 0))
--- a/tests/test_watch.py
+++ b/tests/net/test_watch.py
@@ -10,8 +10,8 @@
 import pytest
 
 from dockthread.clock import ManualClock
+from dockthread.config.platform_settings import Address
 from dockthread.net.ingress import Ingress
-from dockthread.settings import Address
 from tests.loopback import SETTINGS, Backend, Discovery, message, run, serving, target, until
 
 GRACE = 1_000.0  # ms that a drain may be sent to after it was told
--- a/tests/test_drill.py
+++ b/tests/policy/test_drill.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from dockthread import api, drill
+from dockthread import api, simulator_adapter
 
 CONF = {
     "MyNumber": 0,
@@ -24,8 +24,8 @@
 
 
 def frame(clock: int, records: list[bytes], tail: bytes = b"") -> bytes:
-    body = b"".join(r.ljust(drill.RECORD, b"\0") for r in records) + tail
-    return drill.HEADER.pack(clock, drill.HEADER.size + len(body), len(records)) + body
+    body = b"".join(r.ljust(simulator_adapter.RECORD, b"\0") for r in records) + tail
+    return simulator_adapter.HEADER.pack(clock, simulator_adapter.HEADER.size + len(body), len(records)) + body
 
 
 def up(conf: bytes, offset: int = 0) -> bytes:
@@ -49,21 +49,23 @@
 def replies(data: bytes) -> list[list[bytes]]:
     found = []
     while data:
-        length, count = drill.REPLY.unpack_from(data)
-        found.append([data[8 + i * drill.ACTION : 8 + (i + 1) * drill.ACTION] for i in range(count)])
+        length, count = simulator_adapter.REPLY.unpack_from(data)
+        found.append(
+            [data[8 + i * simulator_adapter.ACTION : 8 + (i + 1) * simulator_adapter.ACTION] for i in range(count)]
+        )
         data = data[length:]
     return found
 
 
 def serve(data: bytes) -> list[list[bytes]]:
     sink = io.BytesIO()
-    drill.serve(io.BytesIO(data), sink)
+    simulator_adapter.serve(io.BytesIO(data), sink)
     return replies(sink.getvalue())
 
 
 def test_empty_batch_gets_an_empty_reply() -> None:
     sink = io.BytesIO()
-    drill.serve(io.BytesIO(bytes.fromhex("5a5c8000000000001000000000000000")), sink)
+    simulator_adapter.serve(io.BytesIO(bytes.fromhex("5a5c8000000000001000000000000000")), sink)
     assert sink.getvalue() == bytes.fromhex("0800000000000000")
 
 
@@ -72,12 +74,12 @@
     sends = [a for a in actions if a[:2] == b"\1\0"]
     assert len(sends) == 1
     assert sends[0][6:16] == struct.pack("<I", 5) + WORKER
-    assert all(len(a) == drill.ACTION for a in actions)
+    assert all(len(a) == simulator_adapter.ACTION for a in actions)
 
 
 def test_outcome_of_the_wire_page_is_read() -> None:
     record = bytes.fromhex("020003000000c4913a5dc80003000144480000000a124a07431f5600" + "0152b81e3f" + "00" * 15)
-    event = drill._ended(record, b"")
+    event = simulator_adapter._ended(record, b"")
     assert isinstance(event, api.AttemptEnded)
     assert (event.request, event.outcome, event.true_units, event.finished) == (
         0x5D3A91C4,
@@ -88,17 +90,17 @@
     assert event.took == pytest.approx(0.018500)
     assert event.metered == pytest.approx(0.85)
     assert list(event.load) == pytest.approx([0.62])
-    assert drill.worker_fields(event.worker) == (WORKER[:4], 0x1F43)
+    assert simulator_adapter.worker_fields(event.worker) == (WORKER[:4], 0x1F43)
 
 
 def test_actions_of_the_wire_page_are_written() -> None:
-    worker = drill.worker_id(WORKER[:4], 0x1F43)
-    send = drill._write(3, api.Send(0x5D3A91C4, worker, 0.080000), bytearray())
+    worker = simulator_adapter.worker_id(WORKER[:4], 0x1F43)
+    send = simulator_adapter._write(3, api.Send(0x5D3A91C4, worker, 0.080000), bytearray())
     assert send == bytes.fromhex("010003000000c4913a5d0a124a07431f80380100")
-    timer = drill._write(3, api.SetTimer(8.911481, 77), bytearray())
+    timer = simulator_adapter._write(3, api.SetTimer(8.911481, 77), bytearray())
     assert timer == struct.pack("<HIQI", 5, 3, 8911481, 77)
     tail = bytearray(b"xx")
-    tell = drill._write(3, api.Tell(b"hi p"), tail)
+    tell = simulator_adapter._write(3, api.Tell(b"hi p"), tail)
     assert tell == bytes.fromhex("080003000000ffffffff0200000004000000")
     assert tail == b"xxhi p"
 
@@ -120,14 +122,18 @@
         frame(1, [up(b"[]")], b"[]"),
         start() + frame(2_000_000, [struct.pack("<HI", 99, 3)]),
         start() + frame(2_000_000, [struct.pack("<HII", 3, 4, 1)]),
-        drill.HEADER.pack(1, 20, 5),
+        simulator_adapter.HEADER.pack(1, 20, 5),
         frame(1, [up(b"x" * 50)]),
     ],
     ids=["truncated", "not-json", "not-settings", "unknown-code", "not-up", "length", "outside-tail"],
 )
 def test_bad_input_ends_with_one_line(data: bytes) -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "dockthread.drill"], input=data, capture_output=True, check=False, timeout=60
+        [sys.executable, "-m", "dockthread.simulator_adapter"],
+        input=data,
+        capture_output=True,
+        check=False,
+        timeout=60,
     )
     assert done.returncode == 1
     assert len(done.stderr.decode().splitlines()) == 1
@@ -138,7 +144,7 @@
     data = start() + b"".join(frame(1_100_000 + i * 1000, [request(10 + i)]) for i in range(60))
     outs = [
         subprocess.run(
-            [sys.executable, "-m", "dockthread.drill"],
+            [sys.executable, "-m", "dockthread.simulator_adapter"],
             input=data,
             capture_output=True,
             check=True,
--- a/tests/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -12,11 +12,11 @@
 from benchmarks import fleet_count
 from dockthread import api
 from dockthread.clock import ManualClock
-from dockthread.module.backoff import PART, Backoff
-from dockthread.module.estimates import smoothed
-from dockthread.module.rules import Gateway
-from dockthread.net.destination_set import DestinationSet
-from dockthread.settings import Names
+from dockthread.config.platform_settings import Names
+from dockthread.net.endpoint_list import DestinationSet
+from dockthread.policy.backoff import PART, Backoff
+from dockthread.policy.engine import Gateway
+from dockthread.policy.latency_estimates import smoothed
 
 SERVICE, PATIENCE, ROOM = 130.0, 2_000.0, 24  # ms a call; ms it waits at most; calls that wait
 
--- a/tests/test_list_size.py
+++ b/tests/policy/test_list_size.py
@@ -12,14 +12,14 @@
 
 from dockthread import api
 from dockthread.clock import ManualClock
-from dockthread.module.api import Group, ListKind, Outcome, WorkerState
-from dockthread.module.pool import MOST_WEIGHED, SCANNED, SLOTS_PER_CHANGE
 from dockthread.net import outbound
-from dockthread.net.destination_set import PART, DestinationSet, Target, WatchError
-from dockthread.net.watch import MOST_OBJECT, MOST_UNREAD, WatchParser
+from dockthread.net.discovery_watch import MOST_OBJECT, MOST_UNREAD, WatchParser
+from dockthread.net.endpoint_list import PART, DestinationSet, Target, WatchError
+from dockthread.policy.api import Group, ListKind, Outcome, WorkerState
+from dockthread.policy.backend_pool import MOST_WEIGHED, SCANNED, SLOTS_PER_CHANGE
 from tests.loopback import Backend, message, run, serving, target, until
-from tests.test_parsers import HEAD, chunks, destinations
-from tests.test_rules import BASE, KEYED, SAFE, Drive
+from tests.net.test_parsers import HEAD, chunks, destinations
+from tests.policy.test_rules import BASE, KEYED, SAFE, Drive
 
 MANY = 24_000
 
--- a/tests/test_pressure.py
+++ b/tests/policy/test_pressure.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from dockthread import api
-from dockthread.module.estimates import Crowds
-from dockthread.module.rules import Gateway
-from tests.test_fleet import settings
+from dockthread.policy.engine import Gateway
+from dockthread.policy.latency_estimates import Crowds
+from tests.policy.test_fleet import settings
 
 CORES, WORK = 4, 0.3
 
--- a/tests/test_quota_fleet.py
+++ b/tests/policy/test_quota_fleet.py
@@ -11,8 +11,8 @@
 import pytest
 
 from dockthread import api
-from dockthread.module.api import Outcome
-from dockthread.module.rules import Gateway
+from dockthread.policy.api import Outcome
+from dockthread.policy.engine import Gateway
 
 DAY = 25.0  # s
 SIZES = (1.0, 1.0, 1.0, 2.0, 2.0, 3.0, 4.0)  # units of a request
--- a/tests/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -13,11 +13,11 @@
 from hypothesis import strategies as st
 
 from dockthread import api
-from dockthread.module import admission, attempts, gossip, message, rules, sketch
-from dockthread.module.api import Effect, Group, ListKind, Outcome, WorkerState
-from dockthread.module.estimates import Reports
-from dockthread.module.quota_store import QuotaStore
-from dockthread.module.sketch import Sketch
+from dockthread.policy import admission, attempts, engine, gossip, gossip_codec, rate_sketch
+from dockthread.policy.api import Effect, Group, ListKind, Outcome, WorkerState
+from dockthread.policy.latency_estimates import Reports
+from dockthread.policy.rate_sketch import Sketch
+from dockthread.policy.token_bucket import QuotaStore
 
 SAFE, KEYED, UNSAFE = 0, 1, 2
 CLASSES = (
@@ -50,7 +50,7 @@
 
     def __init__(self, s: api.Settings = BASE, workers: int = 3, seed: int = 1) -> None:
         self.now, self.next = 100.0, 0
-        self.gateway = rules.Gateway(s, seed, self.now)
+        self.gateway = engine.Gateway(s, seed, self.now)
         self.timers: list[tuple[float, int]] = []
         self.sent: dict[int, list[api.Send]] = {}
         self.final: dict[int, list[str]] = {}
@@ -125,7 +125,7 @@
 def test_sketch_takes_the_least_row() -> None:
     kept = Sketch(4.0, random.Random(1))
     for row, (a, b) in enumerate(kept.salts):
-        cell = (a * 5 + b) % sketch.PRIME % sketch.CELLS
+        cell = (a * 5 + b) % rate_sketch.PRIME % rate_sketch.CELLS
         kept.rates[row][cell], kept.times[row][cell] = 3.0 + row, 10.0
     assert kept.add(5, 0.0, 10.0) == pytest.approx(3.0)
 
@@ -503,7 +503,7 @@
     request = drive.ask(UNSAFE)
     w = drive.gateway.workers[drive.sent[request][0].worker]
     drive.end(request, 0, Outcome.OK)
-    said = api.PeerSaid(1, message.pack(1, [(w.code, 0.8)], []))
+    said = api.PeerSaid(1, gossip_codec.pack(1, [(w.code, 0.8)], []))
     drive.give(said)
     assert w.failed == 0.0
     drive.run(drive.now + gossip.TRUST + 0.1)
@@ -562,8 +562,8 @@
 
 
 def report(key: int, plan: int, arrived: float, spent: float, left: float, out: int = 0, life: int = 1) -> bytes:
-    sums = message.whole(arrived), message.whole(spent)
-    return message.pack(life, [], [message.Report(key, plan, out, *sums, left)])
+    sums = gossip_codec.whole(arrived), gossip_codec.whole(spent)
+    return gossip_codec.pack(life, [], [gossip_codec.Report(key, plan, out, *sums, left)])
 
 
 def test_spending_told_is_taken_from_the_store_once() -> None:
@@ -578,8 +578,8 @@
 @pytest.mark.parametrize("bad", [math.inf, -math.inf, math.nan])
 def test_absurd_figures_change_nothing(bad: float) -> None:
     drive = Drive()
-    for form in (message.NARROW, message.WIDE):
-        head = message.HEAD.pack(message.VERSION, 1, 0, form is message.WIDE)
+    for form in (gossip_codec.NARROW, gossip_codec.WIDE):
+        head = gossip_codec.HEAD.pack(gossip_codec.VERSION, 1, 0, form is gossip_codec.WIDE)
         drive.give(api.PeerSaid(1, head + form.pack(7, RATE, 0, 9, 9, bad)))
         drive.give(api.PeerSaid(1, head + form.pack(7, 200, 0, 9, 9, 1.0)))
     drive.give(api.PeerSaid(5, report(7, RATE, 9.0, 9.0, 0.0)))
@@ -589,11 +589,11 @@
 @pytest.mark.parametrize(("widest", "most"), [((1 << 32) - 1, 21), (1 << 32, 15)])
 def test_short_customer_ids_leave_room_for_more_reports(widest: int, most: int) -> None:
     keys = [7, widest]
-    reports = [message.Report(key, RATE, 1, 2, 3, 4.0) for key in keys * 10]
-    assert message.room(0, keys) == most
-    told = message.unpack(data := message.pack(1, [], reports[:most]), 3)
-    assert told is not None and told.reports == reports[:most] and len(data) <= message.MOST_BYTES
-    assert message.unpack(data[:-1], 3) is None
+    reports = [gossip_codec.Report(key, RATE, 1, 2, 3, 4.0) for key in keys * 10]
+    assert gossip_codec.room(0, keys) == most
+    told = gossip_codec.unpack(data := gossip_codec.pack(1, [], reports[:most]), 3)
+    assert told is not None and told.reports == reports[:most] and len(data) <= gossip_codec.MOST_BYTES
+    assert gossip_codec.unpack(data[:-1], 3) is None
 
 
 @pytest.mark.parametrize("all_ill", [False, True])
@@ -627,7 +627,7 @@
     assert drive.let_in(drive.ask(SAFE, RATE, spread=99, first=77))
     assert drive.let_in(drive.ask(SAFE, RATE, spread=0))
     drive.run(drive.now + 1)
-    assert all(tell.peer == 1 and len(tell.data) <= message.MOST_BYTES for tell in drive.told)
+    assert all(tell.peer == 1 and len(tell.data) <= gossip_codec.MOST_BYTES for tell in drive.told)
 
 
 def test_full_for_one_plan_says_nothing_of_others() -> None:
@@ -667,7 +667,7 @@
 def test_suspicion_is_told() -> None:
     drive = Drive()
     w = drive.gateway.workers[1001]
-    drive.give(api.PeerSaid(1, message.pack(1, [(w.code, 0.8)], [])))
+    drive.give(api.PeerSaid(1, gossip_codec.pack(1, [(w.code, 0.8)], [])))
     assert w.failed == pytest.approx(0.8, abs=0.01)
 
 
@@ -690,8 +690,8 @@
 
 
 def test_module_size_and_lines() -> None:
-    named = tomllib.loads((Path(__file__).parent.parent / "deploy" / "balancer.toml").read_text())["policy"]
-    text = [line for file in named for line in (Path(__file__).parent.parent / file).read_text().splitlines()]
+    named = tomllib.loads((Path(__file__).parents[2] / "deploy" / "balancer.toml").read_text())["policy"]
+    text = [line for file in named for line in (Path(__file__).parents[2] / file).read_text().splitlines()]
     assert sum(bool(line.strip()) for line in text) <= 500
     assert max(map(len, text)) <= 110
 
--- a/tests/test_fleet_agreement.py
+++ b/tests/raft/test_fleet_agreement.py
@@ -9,10 +9,13 @@
 from click.testing import CliRunner
 
 from dockthread.cli.lab import lab
-from dockthread.fleet import wire
-from dockthread.fleet.actions import Apply, Keep, Role, Send, Stored, Times
-from dockthread.fleet.agreement import Agreement
-from dockthread.fleet.wire import (
+from dockthread.lab.raft.seeded_defects import NAMES
+from dockthread.lab.raft.seeds import SCENARIOS, play_seed
+from dockthread.lab.seeds import play_many
+from dockthread.raft import messages
+from dockthread.raft.actions import Apply, Keep, Role, Send, Stored, Times
+from dockthread.raft.core import Agreement
+from dockthread.raft.messages import (
     COMMAND,
     VOTERS,
     Append,
@@ -23,9 +26,6 @@
     VoteAnswer,
     VoteAsk,
 )
-from dockthread.lab.fleet.planted_bugs import NAMES
-from dockthread.lab.fleet.seeds import SCENARIOS, play_seed
-from dockthread.lab.seeds import play_many
 
 THREE = ("a", "b", "c")
 
@@ -47,20 +47,20 @@
 
 def test_a_message_travels_whole_and_what_is_spoilt_says_why() -> None:
     told = Append(3, "n1", 4, 2, (Entry(3, COMMAND, b"x"),), 4, 9)
-    frame = wire.pack(told, b"key")
-    head, body = frame[: wire.HEAD.size], frame[wire.HEAD.size :]
-    assert wire.length(head) == len(body)
-    assert wire.unpack(head, body, b"key") == told
+    frame = messages.pack(told, b"key")
+    head, body = frame[: messages.HEAD.size], frame[messages.HEAD.size :]
+    assert messages.length(head) == len(body)
+    assert messages.unpack(head, body, b"key") == told
     for key, changed in ((b"other", body), (b"key", body[:-1] + b"\x00"), (b"", body)):
         with pytest.raises(MalformedFrame, match="tag"):
-            wire.unpack(head, changed, key)
+            messages.unpack(head, changed, key)
     with pytest.raises(MalformedFrame, match="version 9"):
-        wire.length(wire.HEAD.pack(3, 9, bytes(16)))
+        messages.length(messages.HEAD.pack(3, 9, bytes(16)))
     with pytest.raises(MalformedFrame, match="the most"):
-        wire.length(wire.HEAD.pack(wire.MOST_FRAME + 1, 1, bytes(16)))
+        messages.length(messages.HEAD.pack(messages.MOST_FRAME + 1, 1, bytes(16)))
     for rubbish in (b"", b"\xc1", b"\x93\xa1a\x01\x02", b"\xff" * 40):
         with pytest.raises(MalformedFrame, match="no message"):
-            wire.unpack(wire.HEAD.pack(len(rubbish), 1, bytes(16)), rubbish)
+            messages.unpack(messages.HEAD.pack(len(rubbish), 1, bytes(16)), rubbish)
 
 
 def test_a_vote_is_kept_before_it_is_sent_and_given_once_a_term() -> None:
--- a/tests/test_fleet_state.py
+++ b/tests/raft/test_fleet_state.py
@@ -10,17 +10,17 @@
 import pytest
 
 from dockthread.clock import Clock
-from dockthread.fleet import wire
-from dockthread.fleet.link import Link
-from dockthread.fleet.member import Member
-from dockthread.fleet.options import FleetOptions
-from dockthread.fleet.store import Store
-from dockthread.frames import MessageCounts
-from dockthread.lab.fleet.rig import reserved
-from dockthread.settings import Address
+from dockthread.config.platform_settings import Address
+from dockthread.framing import MessageCounts
+from dockthread.lab.maintenance.rig import reserved
+from dockthread.raft import messages
+from dockthread.raft.options import FleetOptions
+from dockthread.raft.server import Member
+from dockthread.raft.storage import Store
+from dockthread.raft.transport import Link
 
 STATE = random.Random(1).randbytes(1000) * 45_000  # as 90,000 resources of 500 bytes
-INSTALL = wire.Install(3, "n0", 90_000, 3, ("n0", "n1"), b"", 7)
+INSTALL = messages.Install(3, "n0", 90_000, 3, ("n0", "n1"), b"", 7)
 
 
 class Owner:
@@ -45,46 +45,46 @@
     def changed(self) -> None: ...
 
 
-@pytest.mark.parametrize("size", [1, wire.PART, wire.PART + 1, 3 * wire.PART])
+@pytest.mark.parametrize("size", [1, messages.PART, messages.PART + 1, 3 * messages.PART])
 def test_parts_join_to_the_state_that_was_cut(size: int) -> None:
     whole = msgspec.structs.replace(INSTALL, state=STATE[:size])
-    assembly, joined = wire.Assembly(), []
-    for frame in wire.cut(whole, b""):
-        part = wire.unpack(frame[: wire.HEAD.size], frame[wire.HEAD.size :])
-        assert isinstance(part, wire.Part)
+    assembly, joined = messages.Assembly(), []
+    for frame in messages.cut(whole, b""):
+        part = messages.unpack(frame[: messages.HEAD.size], frame[messages.HEAD.size :])
+        assert isinstance(part, messages.Part)
         joined.append(assembly.add(part))
     assert joined == [None] * (len(joined) - 1) + [whole]
 
 
-@pytest.mark.parametrize("change", [{"number": 2}, {"size": 5}, {"size": wire.MOST_STATE + 1}, {"data": b"x"}])
+@pytest.mark.parametrize("change", [{"number": 2}, {"size": 5}, {"size": messages.MOST_STATE + 1}, {"data": b"x"}])
 def test_parts_that_do_not_follow_end_the_connection(change: dict[str, object]) -> None:
-    size, data = 2 * wire.PART, STATE[: wire.PART]
-    assembly = wire.Assembly()
-    assembly.add(wire.Part(INSTALL, 0, size, data))
-    with pytest.raises(wire.MalformedFrame, match="does not follow"):
-        assembly.add(msgspec.structs.replace(wire.Part(INSTALL, 1, size, data), **change))
+    size, data = 2 * messages.PART, STATE[: messages.PART]
+    assembly = messages.Assembly()
+    assembly.add(messages.Part(INSTALL, 0, size, data))
+    with pytest.raises(messages.MalformedFrame, match="does not follow"):
+        assembly.add(msgspec.structs.replace(messages.Part(INSTALL, 1, size, data), **change))
 
 
 def test_beats_pass_between_the_parts_and_a_state_under_way_is_not_queued_again() -> None:
     async def scenario() -> None:
-        seen: list[wire.Frame] = []
+        seen: list[messages.Frame] = []
 
         async def read(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                head = await reader.readexactly(wire.HEAD.size)
-                seen.append(wire.unpack(head, await reader.readexactly(wire.length(head))))
+                head = await reader.readexactly(messages.HEAD.size)
+                seen.append(messages.unpack(head, await reader.readexactly(messages.length(head))))
 
         server = await asyncio.start_server(read, "127.0.0.1", 0)
         link = Link(Address(*server.sockets[0].getsockname()[:2]), random.Random(1), b"", MessageCounts())
-        whole = msgspec.structs.replace(INSTALL, state=STATE[: 40 * wire.PART])
+        whole = msgspec.structs.replace(INSTALL, state=STATE[: 40 * messages.PART])
         link.send(whole)
         async with asyncio.timeout(20):
             while len(seen) < 3:
                 await asyncio.sleep(0)
             link.send(whole)
-            while sum(isinstance(one, wire.Part) for one in seen) < 40 or not isinstance(seen[-1], wire.Part):
+            while sum(isinstance(one, messages.Part) for one in seen) < 40 or not isinstance(seen[-1], messages.Part):
                 await asyncio.sleep(0)
-        beats = [at for at, one in enumerate(seen) if isinstance(one, wire.Append)]
+        beats = [at for at, one in enumerate(seen) if isinstance(one, messages.Append)]
         assert len(seen) == 41 and len(beats) == 1 and beats[0] < 40
         link.task.cancel()
         server.close()
--- a/tests/test_routes_file.py
+++ b/tests/routes/test_routes_file.py
@@ -7,11 +7,11 @@
 import pytest
 
 from dockthread import api
-from dockthread.operator_file.reader import Problem
+from dockthread.config.ini_reader import Problem
+from dockthread.config.platform_settings import Names, SettingsError
+from dockthread.config.section_registry import read_text
 from dockthread.routes.explain import explain, facts_of
 from dockthread.routes.worst import amplification
-from dockthread.sections import read_text
-from dockthread.settings import Names, SettingsError
 
 NAMES = Names(
     ("seat-status", "seat-checkout", "keyed"), ("klein", "gross"), ("hall-a", "hall-b"), ("type-a", "type-b")
--- a/tests/test_routes_on_sockets.py
+++ b/tests/routes/test_routes_on_sockets.py
@@ -15,13 +15,13 @@
 import pytest
 
 from dockthread.clock import ManualClock
+from dockthread.config.section_registry import read_text
 from dockthread.net.ingress import Ingress
 from dockthread.routes.table import Table
-from dockthread.sections import read_text
 from tests.loopback import KEY, SETTINGS, Backend, Client, Discovery, message, raw_config, run, serving, target, until
-from tests.test_program import program, ready
+from tests.net.test_program import program, ready
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 OK = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$24\r\ninflight=7,qps=2,queue=1\r\n"
 BUSY, ERROR = b"-BUSY\r\n", b"-ERR failed\r\n"
 Answer = Callable[[list[bytes]], Awaitable[bytes | None]]
--- a/tests/test_routes_parts.py
+++ b/tests/routes/test_routes_parts.py
@@ -11,10 +11,11 @@
 from hypothesis import strategies as st
 
 from dockthread import api
-from dockthread.module.api import Effect, Outcome
-from dockthread.module.routed import Routed
-from dockthread.module.rules import Gateway
-from dockthread.operator_file.quantities import Duration, Share
+from dockthread.config.platform_settings import Names
+from dockthread.config.quantities import Duration, Share
+from dockthread.policy.api import Effect, Outcome
+from dockthread.policy.engine import Gateway
+from dockthread.policy.route_constraints import Routed
 from dockthread.routes import bounds as routes_bounds
 from dockthread.routes.bounds import Bounds, Facts, Rules, stricter
 from dockthread.routes.budget import SPAN, Budget
@@ -25,7 +26,6 @@
 from dockthread.routes.model import Broken, explore
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.table import Table
-from dockthread.settings import Names
 
 NAMES = Names(("a", "b"), ("k", "g"), ("hall-a",), ("type-a",))
 
--- a/tests/test_telemetry_on_sockets.py
+++ b/tests/telemetry/test_telemetry_on_sockets.py
@@ -18,7 +18,7 @@
 import pytest
 
 from dockthread.clock import Clock, ManualClock
-from dockthread.sections import read_text
+from dockthread.config.section_registry import read_text
 from dockthread.telemetry.catalogue import Point
 from dockthread.telemetry.collectd import Opener, Wording, sealing
 from dockthread.telemetry.exporter import Exporter
@@ -26,7 +26,7 @@
 from dockthread.telemetry.receiver.stand_in import StandIn
 from tests.loopback import SETTINGS, Backend, Client, Discovery, message, raw_config, run, serving, target, until
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 PROTOCOLS = ("plaintext", "pickle", "collectd", "putval")
 PASSWORD = b"a password of the test's own"
 # A quota so small that some are refused: all three outcomes come up.
