--- /dev/null
+++ b/tests/test_byte_compatibility.py
@@ -0,0 +1,413 @@
+"""Bytes on disk and between processes stay those of commit 3e9c598, whatever the types are called.
+
+`data/bytes-3e9c598.json` holds hexadecimal by name, written by that commit. Releases run beside each other while a
+fleet is upgraded, and a start reads what the release before wrote, so an entry may be added there and none changed.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import importlib
+import json
+import pkgutil
+import random
+from collections.abc import Iterator
+from hashlib import blake2b
+from itertools import combinations
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any, Final, cast, get_args
+
+import msgspec
+import pytest
+
+import dockthread
+from dockthread.distribution import cache, messages
+from dockthread.distribution.encoded import FramesCache
+from dockthread.distribution.kinds import VALIDATORS, address_of, route_of
+from dockthread.distribution.publishing import Publishing
+from dockthread.distribution.receiving import Receiver
+from dockthread.distribution.resources import ResourceTable
+from dockthread.fleet import wire
+from dockthread.fleet.actions import Keep, KeepState, Stored
+from dockthread.fleet.log import Log
+from dockthread.fleet.store import Store
+from dockthread.frames import HEAD
+from dockthread.operator_file.quantities import Duration, Share
+from dockthread.operator_file.reader import Section
+from dockthread.routes.options import RouteOptions
+from dockthread.serve import HELD_FILE, Daemon
+from dockthread.settings import Address
+from dockthread.work.host import Work
+from dockthread.work.order import Order
+from dockthread.work.words import INGRESS, Command, Tick, Zone
+from tests import byte_cases
+from tests.byte_cases import CASES, Case
+from tests.loopback import config, message, target
+
+WRITTEN: Final[dict[str, bytes]] = {
+    name: bytes.fromhex(text)
+    for name, text in json.loads((Path(__file__).parent / "data" / "bytes-3e9c598.json").read_bytes()).items()
+}
+UNIONS: Final = (
+    (wire.Frame, byte_cases.RAFT_STREAM),
+    (messages.Message, byte_cases.DISTRIBUTION_STREAM),
+    (cache.Record, byte_cases.CACHE_RECORD),
+)
+
+
+# Single values
+
+
+@pytest.mark.parametrize("case", CASES, ids=lambda case: case.name)
+def test_a_value_is_encoded_to_the_same_bytes(case: Case) -> None:
+    assert case.codec.encode(case.value) == WRITTEN[case.name]
+
+
+@pytest.mark.parametrize("case", CASES, ids=lambda case: case.name)
+def test_bytes_are_decoded_to_the_same_value(case: Case) -> None:
+    decoded = case.codec.decode(WRITTEN[case.name])
+    assert type(decoded) is type(case.value)
+    assert decoded == case.value
+
+
+# Files and machines whose bytes take more than one value
+
+
+def raft_files(folder: Path) -> dict[str, bytes]:
+    """What a member's directory holds, by file; the lock is empty."""
+    return {path.name: path.read_bytes() for path in folder.iterdir() if path.name != "lock"}
+
+
+def written_raft_files(folder: Path) -> Iterator[tuple[str, dict[str, bytes], Stored]]:
+    """A directory after it is made, after term, vote and entries, and after a snapshot; and what is stored then."""
+    store = Store(folder, "n1", make=True)
+    entries = byte_cases.ENTRIES
+    yield "made", raft_files(folder), Stored()
+    store.keep(Keep(term=4, vote="n0", start=1, entries=entries, commit=0))
+    store.keep(Keep(term=5, vote="n2", start=3, entries=(entries[0], entries[2]), commit=2))
+    stored = Stored(term=5, vote="n2", entries=[entries[0], entries[1], entries[0], entries[2]], commit=2)
+    yield "records", raft_files(folder), stored
+    store.keep(KeepState(base=3, base_term=2, voters=("n0", "n1", "n2"), state=b"state", whole=False))
+    store.keep(Keep(term=6, vote="n1", start=5, entries=(entries[1],), commit=4))
+    stored = Stored(6, "n1", 3, 2, ("n0", "n1", "n2"), b"state", [entries[2], entries[1]], 4)
+    yield "snapshot", raft_files(folder), stored
+    store.close()
+
+
+def test_the_directory_of_the_agreed_log(tmp_path: Path) -> None:
+    for name, files, expected in written_raft_files(tmp_path / "written"):
+        known = {file: data for file, data in WRITTEN.items() if file.startswith(f"raft.files.{name}/")}
+        assert {f"raft.files.{name}/{file}": data for file, data in files.items()} == known
+        folder = tmp_path / name
+        folder.mkdir()
+        for file, data in known.items():
+            (folder / file.partition("/")[2]).write_bytes(data)
+        store = Store(folder, "n1")
+        assert (store.name, store.stored) == ("n1", expected)
+        store.close()
+
+
+def test_voters_are_read_from_their_entry() -> None:
+    entry = msgspec.msgpack.decode(WRITTEN["raft.entry.1"], type=wire.Entry)
+    assert Log(Stored(entries=[entry]), ["n9"]).voters_at(1) == ("n0", "n1", "n2")
+
+
+def snapshot_in_parts() -> list[bytes]:
+    state = bytes(range(256)) * 2_100  # two full parts and one of 13,312 bytes
+    return list(wire.cut(msgspec.structs.replace(byte_cases.SNAPSHOT, state=state), byte_cases.KEY))
+
+
+def test_a_snapshot_is_cut_at_the_same_places() -> None:
+    frames = snapshot_in_parts()
+    assert blake2b(b"".join(frames)).digest() == WRITTEN["raft.stream.parts.blake2b"]  # 540 KB themselves
+    assembly = wire.Assembly()
+    for frame in frames:
+        part = wire.unpack(frame[: HEAD.size], frame[HEAD.size :], byte_cases.KEY)
+        assert isinstance(part, wire.Part)
+        whole = assembly.add(part)
+    assert whole is not None
+    assert whole.state == bytes(range(256)) * 2_100
+
+
+def maintenance_commands() -> list[Command]:
+    """A request that is granted, called back, granted, lapses, is carried out and warms up; one that is withdrawn;
+    and an ingress that restarts."""
+    zone, sick = Zone(name="z1", ready=4, load=1.0), Zone(name="z1", ready=4, ailing=("b2",), load=1.0)
+
+    def tick(number: int, zones: tuple[Zone, ...] = (zone,), elapsed: float = 500.0) -> Command:
+        members = ("n0", "n1")
+        seen = ("b1", "b3")
+        told = Tick(
+            number=number, elapsed=elapsed, members=members, alive=members, zones=zones, seen=seen, lapse=900.0
+        )
+        return Command(do="tick", tick=told)
+
+    return [
+        Command(do="ask", target="b1", zone="z1", why="new disk", by="n0", length=700.0, warm=400.0, once="aa"),
+        Command(do="ask", target="b1", zone="z1", why="new disk", by="n0", once="aa"),
+        Command(do="ask", target="b3", zone="z1", urgency=-1),
+        tick(1),
+        tick(2, (sick,)),
+        tick(3),
+        tick(4, elapsed=300.0),
+        tick(5, (sick,), elapsed=1_000.0),
+        tick(6),
+        Command(do="held", target="b1", by="n0", epoch=9),
+        Command(do="held", target="b1", by="n1", epoch=9),
+        tick(7),
+        tick(8, elapsed=800.0),
+        Command(do="done", target="b1"),
+        Command(do="freed", target="b1", by="n1", epoch=9),
+        Command(do="freed", target="b1", by="n0", epoch=9),
+        tick(9),
+        Command(do="withdraw", target="b3"),
+        tick(10),
+        Command(do="ask", target="n1", kind=INGRESS, warm=100.0),
+        tick(11),
+        Command(do="held", target="n1", by="n1", epoch=20, life="0123456789abcdef"),
+        Command(do="back", target="n1", by="n1", epoch=20),
+        tick(12),
+    ]
+
+
+def maintenance_history() -> list[bytes]:
+    """The states after each command of `maintenance_commands`, each with its length before it."""
+    order, states = Order(), list[bytes]()
+    for index, command in enumerate(maintenance_commands(), 1):
+        order.apply(index, msgspec.msgpack.encode(command))
+        state = order.packed()
+        states.append(len(state).to_bytes(4, "little") + state)
+    return states
+
+
+def test_the_same_maintenance_commands_lead_to_the_same_states() -> None:
+    """Members of two releases apply one log, texts of reasons included: a member may restore what another packed."""
+    assert b"".join(maintenance_history()) == WRITTEN["maintenance.history"]
+
+
+def maintenance_listing() -> bytes:
+    """The management endpoint's JSON of what is asked for; its keys are names of fields."""
+    order = Order()
+    order.restore(WRITTEN["maintenance.state"])
+    listed = Work.listed(cast(Work, SimpleNamespace(order=order)))
+    return json.dumps(listed, sort_keys=True).encode()
+
+
+def test_the_management_listing_keeps_its_keys() -> None:
+    assert maintenance_listing() == WRITTEN["maintenance.listing.json"]
+
+
+def published() -> tuple[list[bytes], Publishing]:
+    """Entries of the distribution's log, and the machine after them: changes accepted, refused and repeated."""
+    machine = Publishing(VALIDATORS, random.Random(7), most_tombstones=1)
+    changes = [
+        messages.Publish(token="t1", kind="route", name="slow", body=b'{"attempts": 2}'),
+        messages.Publish(token="t2", kind="route", name="slow", body=b'{"attempts": 3}', expected=7),
+        messages.Publish(token="t3", kind="address", name="counter", body=b'{"address": "h:1"}', expected=0),
+        messages.Publish(token="t3", kind="address", name="counter", body=b'{"address": "h:2"}'),
+        messages.Publish(token="t4", kind="address", name="counter", body=None),
+        messages.Publish(token="t5", kind="route", name="none", body=None),
+        messages.Publish(token="t6", kind="route", name="", body=b"{}"),
+        messages.Publish(token="t7", kind="route", name="slow", body=None, expected=1),
+        messages.Publish(token="t8", kind="route", name="big", body=bytes(messages.MOST_BODY + 1)),
+        messages.Publish(token="t9", kind="route", name="fast", body=b'{"attempts": 1}'),
+    ]
+    proposals = [machine.proposal(change) for change in changes]
+    for index, proposal in enumerate(proposals, 1):
+        machine.apply(index, proposal)
+    return proposals, machine
+
+
+def test_the_same_changes_lead_to_the_same_publish_state() -> None:
+    proposals, machine = published()
+    assert proposals[0] == WRITTEN["distribution.log.first-proposal"]
+    assert machine.state() == WRITTEN["distribution.log.history-state"]
+    restored = Publishing(VALIDATORS, random.Random(8), most_tombstones=1)
+    restored.restore(10, WRITTEN["distribution.log.history-state"])
+    assert held(restored.table) == held(machine.table)
+    assert restored.answer("t2") == machine.answer("t2") is not None
+
+
+def held(table: ResourceTable) -> tuple[object, ...]:
+    """All that a table is compared by."""
+    return table.epoch, table.revision, table.horizon, table.digest, list(table.entries())
+
+
+def resource_table() -> ResourceTable:
+    """Three live resources and a tombstone."""
+    table = ResourceTable("e1")
+    for number in range(3):
+        table.put(messages.Resource(kind="route", name=f"r{number}", revision=10 + number, body=b"{}" * number))
+    table.put(messages.Resource(kind="route", name="gone", revision=20, body=None))
+    table.put(messages.Resource(kind="route", name="r0", revision=21, body=b'{"attempts": 2}'))
+    table.advance(25)
+    return table
+
+
+def table_frames(part: int) -> list[bytes]:
+    """Frames of a snapshot in parts of so many bytes, and of what lacks behind revision 12."""
+    frames = FramesCache(resource_table(), part, byte_cases.KEY)
+    snapshot, found = frames.snapshot(), list[bytes]()
+    while (frame := snapshot.frame(len(found))) is not None:
+        found.append(frame)
+    return [*found, frames.delta(12).frame]
+
+
+def test_a_table_is_sent_in_the_same_frames() -> None:
+    *snapshot, delta = table_frames(60)
+    assert b"".join(snapshot) == WRITTEN["distribution.frames.snapshot"]
+    assert delta == WRITTEN["distribution.frames.delta"]
+    table = ResourceTable()
+    receiver = Receiver(table)
+    for frame in snapshot:
+        update = byte_cases.DISTRIBUTION_STREAM.decode(frame)
+        receiver.take(update)
+    assert held(table) == held(resource_table())
+
+
+async def write_cache(directory: Path) -> Path:
+    """A file written anew, and a change appended to it; its name has characters that a file's may not."""
+    table = resource_table()
+    kept = (messages.Resource(kind="route", name="r0", revision=10, body=b"{}"),)
+    file = cache.Cache(directory, "in/1 a", 0.0)
+    file.save(table, (), kept)
+    change = messages.Resource(kind="address", name="counter", revision=26, body=b'{"address": "h:1"}')
+    table.put(change)
+    file.save(table, (change,), ())
+    await file.close()
+    return file.path
+
+
+def test_the_cache_of_the_distribution(tmp_path: Path) -> None:
+    path = asyncio.run(write_cache(tmp_path))
+    assert path == tmp_path / "in%2F1%20a.cache"
+    assert path.read_bytes() == WRITTEN["distribution.cache.file"]
+    path.write_bytes(WRITTEN["distribution.cache.file"])
+    found = cache.read(path, "in/1 a")
+    table = resource_table()
+    table.put(messages.Resource(kind="address", name="counter", revision=26, body=b'{"address": "h:1"}'))
+    assert found is not None
+    assert (held(found.table), found.kept) == (held(table), ())
+    first_commit = WRITTEN["distribution.cache.file.first-state"]
+    path.write_bytes(first_commit)
+    found = cache.read(path, "in/1 a")
+    assert found is not None
+    kept = (messages.Resource(kind="route", name="r0", revision=10, body=b"{}"),)
+    assert (held(found.table), found.kept) == (held(resource_table()), kept)
+
+
+def test_backends_held_by_hand(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setenv("TMPDIR", str(tmp_path))
+    assert written_held_file(tmp_path) == WRITTEN["held-backends.file"]
+    (tmp_path / "dockthread-held.json").write_bytes(WRITTEN["held-backends.file"])
+    known = message(1, target("s-0", 9), target("s-1", 10), full=True)
+
+    async def held_at_start() -> set[str]:
+        return Daemon(config(known), None, None).ingress.destinations.held
+
+    assert asyncio.run(held_at_start()) == {"s-0", "s-1"}
+
+
+def written_held_file(folder: Path) -> bytes:
+    """The file of a process at which two backends are detached; `$TMPDIR` is `folder`."""
+    known = message(1, target("s-0", 9), target("s-1", 10), full=True)
+
+    async def detach() -> bytes:
+        daemon = Daemon(config(known), None, None)
+        daemon.ingress._tell(daemon.ingress.destinations.apply(known))
+        assert daemon.detach("s-1") and daemon.detach("s-0")
+        return (folder / HELD_FILE).read_bytes()
+
+    return asyncio.run(detach())
+
+
+# Bodies of resources: written by publishers, so only read here
+
+ROUTE_BODY: Final = {
+    "class": ["cheap", "heavy"], "plan": "basic", "verb": "read", "firm": "1f, 2a", "units": "1..3", "retry": True,
+    "hall": "h1", "timeout": "2s", "attempt_timeout": "500ms", "attempts": 3, "retry_on": ["error", "turned-away"],
+    "backoff": "10ms", "backoff_max": "50ms", "copies": True, "copy_after": "p95", "copy_share": 0.05,
+    "retry_budget": 0.2, "retry_floor": 2.5, "limit": "adaptive", "limit_min": 2, "limit_max": 64, "queue": 16,
+    "queue_wait": "100ms", "nodes": "gpu",
+}  # fmt: skip
+
+
+def test_the_body_of_a_route() -> None:
+    assert set(ROUTE_BODY) == {field.encode_name for field in msgspec.structs.fields(RouteOptions)}
+    assert route_of("slow", WRITTEN["distribution.resource.route"]) == RouteOptions(
+        classes=("cheap", "heavy"), plan=("basic",), verb=("read",), firm=("1f", "2a"), units="1..3", retry=True,
+        hall=("h1",), timeout=Duration(2_000), attempt_timeout=Duration(500), attempts=3,
+        retry_on=("error", "turned-away"), backoff=Duration(10), backoff_max=Duration(50), copies=True,
+        copy_after="p95", copy_share=Share(0.05), retry_budget=Share(0.2), retry_floor=2.5, limit="adaptive",
+        limit_min=2, limit_max=64, queue=16, queue_wait=Duration(100), nodes=("gpu",),
+    )  # fmt: skip
+
+
+@pytest.mark.parametrize("name", ["counter", "discovery"])
+def test_the_body_of_an_address(name: str) -> None:
+    assert address_of(name, WRITTEN["distribution.resource.address"]) == Address("h", 1)
+    assert set(VALIDATORS) == {"address", "route"}
+
+
+# Completeness
+
+
+def structs_within(value: object) -> Iterator[msgspec.Struct]:
+    """A value's structs, itself included."""
+    if isinstance(value, msgspec.Struct):
+        yield value
+        value = msgspec.structs.astuple(value)
+    if isinstance(value, list | tuple):
+        for one in value:
+            yield from structs_within(one)
+
+
+def encoded_structs() -> list[type[msgspec.Struct]]:
+    """Every struct of the program but for sections of the operator's file, which are read and never written."""
+    for module in pkgutil.walk_packages(dockthread.__path__, "dockthread."):
+        if not module.name.startswith("dockthread.lab") and not module.name.endswith("__main__"):
+            importlib.import_module(module.name)
+
+    def below(kind: type[msgspec.Struct]) -> Iterator[type[msgspec.Struct]]:
+        for found in kind.__subclasses__():
+            yield found
+            yield from below(found)
+
+    own = [kind for kind in below(msgspec.Struct) if kind.__module__.startswith("dockthread.")]
+    return sorted((kind for kind in own if not issubclass(kind, Section)), key=lambda kind: str(kind))
+
+
+ENCODED_STRUCTS: Final = encoded_structs()
+INSTANCES: Final = [instance for case in CASES for instance in structs_within(case.value)]
+
+
+def is_default(field: msgspec.structs.FieldInfo, value: object) -> bool:
+    """Whether a field has its default; of one without a default, whether it is empty."""
+    return not value if field.required else bool(value == field.default)
+
+
+@pytest.mark.parametrize(("union", "codec"), UNIONS, ids=("raft", "distribution", "cache"))
+def test_every_member_of_a_union_has_a_case(union: Any, codec: byte_cases.ByteCodec) -> None:
+    assert {type(case.value) for case in CASES if case.codec is codec} == set(get_args(union))
+
+
+@pytest.mark.parametrize("kind", ENCODED_STRUCTS, ids=lambda kind: f"{kind.__module__}.{kind.__name__}")
+def test_every_struct_has_telling_cases(kind: type[msgspec.Struct]) -> None:
+    """One instance has no default or empty field, one has all defaults, and no two fields can be swapped unseen."""
+    instances = [instance for instance in INSTANCES if type(instance) is kind]
+    fields = msgspec.structs.fields(kind)
+    defaults = [field for field in fields if not field.required]
+    assert instances
+    assert any(not any(is_default(f, getattr(one, f.name)) for f in fields) for one in instances)
+    assert any(all(is_default(f, getattr(one, f.name)) for f in defaults) for one in instances)
+    for first, second in combinations(fields, 2):
+        assert any(repr(getattr(one, first.name)) != repr(getattr(one, second.name)) for one in instances), (
+            f"{first.name} and {second.name} are alike in all cases"
+        )
+
+
+def test_names_of_cases_and_bytes_agree() -> None:
+    names = [case.name for case in CASES]
+    assert len(names) == len(set(names))
+    assert set(names) <= set(WRITTEN)
