--- a/tests/test_byte_compatibility.py
+++ b/tests/test_byte_compatibility.py
@@ -36,7 +36,7 @@
 from dockthread.operator_file.quantities import Duration, Share
 from dockthread.operator_file.reader import Section
 from dockthread.routes.options import RouteOptions
-from dockthread.serve import HELD_FILE, Daemon
+from dockthread.serve import Daemon
 from dockthread.settings import Address
 from dockthread.work.host import Work
 from dockthread.work.order import Order
@@ -317,7 +317,7 @@
         daemon = Daemon(config(known), None, None)
         daemon.ingress._tell(daemon.ingress.destinations.apply(known))
         assert daemon.detach("s-1") and daemon.detach("s-0")
-        return (folder / HELD_FILE).read_bytes()
+        return (folder / "dockthread-held.json").read_bytes()
 
     return asyncio.run(detach())
 
@@ -407,6 +407,15 @@
         )
 
 
+@pytest.mark.parametrize("kind", ENCODED_STRUCTS, ids=lambda kind: f"{kind.__module__}.{kind.__name__}")
+def test_no_struct_shows_its_names(kind: type[msgspec.Struct]) -> None:
+    """Each struct is an array, in which a place stands for a field's name, and each tag is explicit: so classes and
+    fields may be renamed as they are. A struct with `tag=True` needs `tag="CurrentName"` before its class is renamed;
+    one that is encoded as a map needs `rename=` or `field(name=...)` before its fields are. There is neither."""
+    assert kind.__struct_config__.array_like
+    assert kind.__struct_config__.tag not in (kind.__name__, kind.__qualname__)
+
+
 def test_names_of_cases_and_bytes_agree() -> None:
     names = [case.name for case in CASES]
     assert len(names) == len(set(names))
