--- a/dockthread/maintenance/scheduler.py
+++ b/dockthread/maintenance/scheduler.py
@@ -1,9 +1,10 @@
 """The order of work, free of I/O: commands from the agreed log in, who is out now.
 
-Theory of operation. Every member applies the same commands in the same order, and so comes to the same order of work;
-nothing here looks at a clock, a file or the network. A request names a machine: a licence node, or an ingress.
-It waits until its turn can be had, is drained by each member that is not agreed dead, and is out once all of
-them have said so under the grant's epoch; on its way back it counts until it is warm again.
+Theory of operation. Every member applies the same commands in the same order, and so comes to the
+same order of work; nothing here looks at a clock, a file or the network. A request names a machine:
+a licence node, or an ingress. It waits until its turn can be had, is drained by each member that is
+not agreed dead, and is out once all of them have said so under the grant's epoch; on its way back
+it counts until it is warm again.
 
 | state | its turn can be had | all hold it | withdraw | done, back | lapse, recall | all freed it | warm |
 | --- | --- | --- | --- | --- | --- | --- | --- |
@@ -13,19 +14,21 @@
 | returning | - | - | - | - | - | warming | - |
 | warming | - | - | - | - | - | - | done or withdrawn |
 
-`granted` becomes `draining` with the first that holds it, `out` becomes `overdue` when it takes longer than
-was said: it is told and stays out, as only staff know whether it can serve. Time is the log's own: each tick
-of a leader carries the ms since the tick before, never more than it saw pass, and is numbered, so that one
-proposed twice counts once. A state's time counts from the tick after it, a silence from the tick that first
-missed the member. So what lapses by this clock lapses late, by a tick or where leaders change, and never early.
-
-A turn can be had where a majority sees the machine, nothing else of its zone is failing or pressed, the rest
-can carry the load, and fewer of its zone are away than the least `most` that any request of it names: where
-files differ, the careful one holds. An ingress goes only where no other is silent or away. Among those that
-wait the more urgent goes first, then the older. A machine's name is the key: asked twice it is one request.
-
-A command that a member hands on again, as its leader died before it answered, carries the same `once` and is carried
-out once.
+`granted` becomes `draining` with the first that holds it, `out` becomes `overdue` when it takes
+longer than was said: it is told and stays out, as only staff know whether it can serve. Time is the
+log's own: each tick of a leader carries the ms since the tick before, never more than it saw pass,
+and is numbered, so that one proposed twice counts once. A state's time counts from the tick after
+it, a silence from the tick that first missed the member. So what lapses by this clock lapses late,
+by a tick or where leaders change, and never early.
+
+A turn can be had where a majority sees the machine, nothing else of its zone is failing or pressed,
+the rest can carry the load, and fewer of its zone are away than the least `most` that any request
+of it names: where files differ, the careful one holds. An ingress goes only where no other is
+silent or away. Among those that wait the more urgent goes first, then the older. A machine's name
+is the key: asked twice it is one request.
+
+A command that a member hands on again, as its leader died before it answered, carries the same
+`once` and is carried out once.
 """
 
 from __future__ import annotations
@@ -38,7 +41,8 @@
 
 KEPT, SEEN = 64, 256  # requests that are over, for whoever looks; commands known again
 JUST_NOW = -1.0  # the log's time of a state that no tick has followed yet
-MISSED = 0.001  # ms of silence when a member is first missed: it may have been heard until just before
+# ms of silence when a member is first missed: it may have been heard until just before
+MISSED = 0.001
 TRIES = 3  # grants that may lapse before a request is given up, and told
 HELD = ("granted", "draining", "out", "overdue")  # every member keeps its requests away from these
 TAKING = ("granted", "draining")  # may still be called back
@@ -97,7 +101,13 @@
             self._end(r, "withdrawn")
         elif c.do == "withdraw" and r.kind == INGRESS and r.state in HELD[2:]:
             return  # too late: it is ending, and counts as away until it says that it is back
-        elif c.do in ("done", "withdraw") and r.state in HELD or c.do == "back" and current and r.state in HELD[2:]:
+        elif (
+            c.do in ("done", "withdraw")
+            and r.state in HELD
+            or c.do == "back"
+            and current
+            and r.state in HELD[2:]
+        ):
             r.state, r.ends, r.freed = "returning", LEAVE[c.do], ()
 
     def _end(self, r: Request, state: str) -> None:
@@ -109,10 +119,13 @@
             return
         self.ticks, self.clock, self.last = t.number, self.clock + max(0.0, t.elapsed), t
         silent = {m: self.silent.get(m, 0.0) for m in t.members}
-        self.silent = {m: 0.0 if m in t.alive else ms + t.elapsed if ms else MISSED for m, ms in silent.items()}
+        self.silent = {
+            m: 0.0 if m in t.alive else ms + t.elapsed if ms else MISSED for m, ms in silent.items()
+        }
         for r in list(self.requests.values()):
             r.looked = True
-            if r.at == JUST_NOW:  # it came to its state after the tick before, nobody knows how long after
+            # it came to its state after the tick before, nobody knows how long after
+            if r.at == JUST_NOW:
                 r.at = self.clock
             if r.state in TAKING and (why := self._called_back(r)):
                 self._wait_again(r, why)
@@ -145,7 +158,9 @@
                 r.state, r.epoch, r.at, r.why_back, r.freed = "granted", index, JUST_NOW, "", ()
 
     def _awaited(self, r: Request) -> set[str]:
-        """Whose word is waited for: of an ingress its own, of a node that of all that are not agreed dead."""
+        """Whose word is waited for: of an ingress its own, of a node that of all that are not
+        agreed dead.
+        """
         if r.kind == INGRESS:
             return {r.target}
         return {m for m, silence in self.silent.items() if silence < self.last.dead}
@@ -154,7 +169,11 @@
 
     def _hindered(self, r: Request) -> str:
         """In words; empty where its turn can be had."""
-        away = [o for o in self.requests.values() if o.zone == r.zone and o.kind == r.kind and o.state != "waiting"]
+        away = [
+            o
+            for o in self.requests.values()
+            if o.zone == r.zone and o.kind == r.kind and o.state != "waiting"
+        ]
         if len(away) >= self.most(r.zone, r.kind):
             where = "ingresses" if r.kind == INGRESS else r.zone or "no known zone"
             return f"{_listed(f'{o.target} of {where} is {_word(o)}' for o in away)}, and {len(away)} may be"
@@ -171,7 +190,9 @@
         zone = next((h for h in self.last.zones if h.name == r.zone), None)
         if zone is None:
             return f"{r.zone or 'its zone'} is not seen by a majority"
-        away = {o.target for o in self.requests.values() if o.zone == r.zone and o.state != "waiting"}
+        away = {
+            o.target for o in self.requests.values() if o.zone == r.zone and o.state != "waiting"
+        }
         if ailing := sorted(set(zone.ailing) - away - {r.target}):
             return f"{_listed(ailing)} of {r.zone} fails"
         if zone.pressed:
@@ -185,16 +206,25 @@
 
     def out(self, zone: str, kind: str = "node") -> int:
         """Away from service: from the grant until it is warm again."""
-        return sum(r.state != "waiting" and r.zone == zone and r.kind == kind for r in self.requests.values())
+        return sum(
+            r.state != "waiting" and r.zone == zone and r.kind == kind
+            for r in self.requests.values()
+        )
 
     def most(self, zone: str, kind: str = "node") -> int:
         if kind == INGRESS:
             return 1  # two might be all of a firm's set
-        return min((r.most for r in self.requests.values() if r.zone == zone and r.kind == kind), default=1)
+        return min(
+            (r.most for r in self.requests.values() if r.zone == zone and r.kind == kind), default=1
+        )
 
     def held(self) -> dict[str, int]:
         """The nodes that every member keeps its requests away from, each with its grant's epoch."""
-        return {r.target: r.epoch for r in self.requests.values() if r.state in HELD and r.kind != INGRESS}
+        return {
+            r.target: r.epoch
+            for r in self.requests.values()
+            if r.state in HELD and r.kind != INGRESS
+        }
 
     def reason(self, request: Request) -> str:
         """Why it waits, in words; of one under way, whom it waits for."""
@@ -212,14 +242,22 @@
     # As bytes
 
     def packed(self) -> bytes:
-        whole = (list(self.requests.values()), self.over, self.seen, self.clock, self.ticks, self.silent, self.last)
+        whole = (
+            list(self.requests.values()),
+            self.over,
+            self.seen,
+            self.clock,
+            self.ticks,
+            self.silent,
+            self.last,
+        )
         return msgspec.msgpack.encode(whole)
 
     def restore(self, state: bytes) -> None:
         kind = tuple[list[Request], list[Request], list[str], float, int, dict[str, float], Tick]
         state = state or Order().packed()
-        requests, self.over, self.seen, self.clock, self.ticks, self.silent, self.last = msgspec.msgpack.decode(
-            state, type=kind
+        requests, self.over, self.seen, self.clock, self.ticks, self.silent, self.last = (
+            msgspec.msgpack.decode(state, type=kind)
         )
         self.requests = {r.target: r for r in requests}
 
--- a/dockthread/maintenance/service.py
+++ b/dockthread/maintenance/service.py
@@ -1,4 +1,6 @@
-"""The order of work in an ingress: the rim round its part (work/part.py), and the door's calls. Decides nothing."""
+"""The order of work in an ingress: the rim round its part (work/part.py), and the door's calls.
+Decides nothing.
+"""
 
 from __future__ import annotations
 
@@ -25,21 +27,27 @@
 
 JSON = b"application/json"
 DOING = {Verb.WORK_ASK: "ask", Verb.WORK_DONE: "done", Verb.WORK_WITHDRAW: "withdraw"}
-SOON, QUIET = 0.05, 1.0  # s between looks while something moves, and while all that is out stays out
+# s between looks while something moves, and while all that is out stays out
+SOON, QUIET = 0.05, 1.0
 LOOKED = 2.0  # s that staff wait for a request to be looked at
 INGRESS_WARM = 2.0  # patiences until an ingress that is back counts as there
 
 
 class Work:
-    """One ingress's part. A node that is granted is held as one drained by hand is, under the rule on drains. `stop`:
-    ends the ingress gently, when its own turn has come."""
+    """One ingress's part. A node that is granted is held as one drained by hand is, under the rule
+    on drains. `stop`: ends the ingress gently, when its own turn has come.
+    """
 
     def __init__(self, ingress: Ingress, options: FleetOptions, stop: Callable[[], None]) -> None:
         self._ingress, self._options, self._stop = ingress, options, stop
-        terms = Terms(options.node_bears, *map(float, (options.reserve, options.lapse, options.dead)))
+        terms = Terms(
+            options.node_bears, *map(float, (options.reserve, options.lapse, options.dead))
+        )
         now = ingress.clock.now()
         self.part = Part(ingress.config.name, secrets.token_hex(8), terms, now)
-        self.member = Member(ingress.config.name, options, ingress.clock, secrets.randbits(32), self)
+        self.member = Member(
+            ingress.config.name, options, ingress.clock, secrets.randbits(32), self
+        )
         self._some, self._stopping = asyncio.Event(), False
         self._tasks: set[asyncio.Task[Any]] = set()
 
@@ -92,7 +100,13 @@
 
     async def _run(self) -> None:
         while True:
-            wait = SOON if self.part.moving else QUIET if self.part.order.requests or self.part.holds else None
+            wait = (
+                SOON
+                if self.part.moving
+                else QUIET
+                if self.part.order.requests or self.part.holds
+                else None
+            )
             with suppress(TimeoutError):
                 await asyncio.wait_for(self._some.wait(), wait)
             self._some.clear()
@@ -103,8 +117,9 @@
                 await asyncio.sleep(QUIET)
 
     def _turn(self) -> None:
-        """Once for all entries that come at a time: what was out and came back long before a start must not be taken
-        for a machine that has just come back cold."""
+        """Once for all entries that come at a time: what was out and came back long before a start
+        must not be taken for a machine that has just come back cold.
+        """
         ingress, member = self._ingress, self.member
         around = Around(
             member.leader,
@@ -126,7 +141,9 @@
             logger.info("work: {} comes back", target)
         if acts.show:
             self.member.show(
-                msgspec.msgpack.encode(observation.view(ingress, self.part.asked_for(), self.part.latest()))
+                msgspec.msgpack.encode(
+                    observation.view(ingress, self.part.asked_for(), self.part.latest())
+                )
             )
         for command in acts.say:
             self._spawn(self._say(command))
@@ -171,11 +188,16 @@
             return told
         index = await self.member.propose(msgspec.msgpack.encode(told))
         if not index:
-            return Answer(503, b"no majority has agreed in time: ask again, the same request is not made twice\n")
+            return Answer(
+                503,
+                b"no majority has agreed in time: ask again, the same request is not made twice\n",
+            )
         if told.do == "ask":
             await self._looked(told.target)
         request = self.order.requests.get(told.target)
-        over = next((r.state for r in reversed(self.order.over) if r.target == told.target), "unknown")
+        over = next(
+            (r.state for r in reversed(self.order.over) if r.target == told.target), "unknown"
+        )
         state, why = (request.state, self.order.reason(request)) if request else (over, "")
         answer = {"target": told.target, "state": state, "reason": why, "at": index}
         return Answer(200, json.dumps(answer).encode() + b"\n", JSON)
@@ -209,7 +231,9 @@
         )
 
     async def _looked(self, target: str) -> None:
-        """Until the fleet has looked at a request, which takes a tick; or for as long as staff would wait."""
+        """Until the fleet has looked at a request, which takes a tick; or for as long as staff
+        would wait.
+        """
         with suppress(TimeoutError):
             async with asyncio.timeout(LOOKED):
                 while (r := self.order.requests.get(target)) is not None and not r.looked:
--- a/dockthread/net/discovery_watch.py
+++ b/dockthread/net/discovery_watch.py
@@ -1,21 +1,24 @@
 """The watch on discovery that keeps the destination set current.
 
-Theory of operation. Whatever a call met, a change counts as told `BOUND` after discovery had it and could be reached,
-and a watch that has fallen silent is broken `BOUND` after its last word. So no pause and no silent call lasts longer
-than `WINDOW`, which leaves `ANSWER` for the call that brings the change, and pauses are drawn from all of it. A call
-that was never answered stays open through the pause that would follow it, and the next one goes at its end: giving it
-up early would be work for nothing, and a service that answers in turn would answer nobody once that takes longer than
-all callers wait.
+Theory of operation. Whatever a call met, a change counts as told `BOUND` after discovery had it and
+could be reached, and a watch that has fallen silent is broken `BOUND` after its last word. So no
+pause and no silent call lasts longer than `WINDOW`, which leaves `ANSWER` for the call that brings
+the change, and pauses are drawn from all of it. A call that was never answered stays open through
+the pause that would follow it, and the next one goes at its end: giving it up early would be work
+for nothing, and a service that answers in turn would answer nobody once that takes longer than all
+callers wait.
 
-Where lists are asked for, discovery is one service for all ingresses: there the pauses grow with the fleet, up to the
-window (module/backoff.py). One that takes connections and has served nothing for `OVERBOOKED` works on calls that
-were given up: as long as all come back within the window it would serve nobody, ever, so from then on the pauses grow
-with the fleet beyond it. One that cannot be reached is asked within the window: that costs nobody anything.
+Where lists are asked for, discovery is one service for all ingresses: there the pauses grow with
+the fleet, up to the window (module/backoff.py). One that takes connections and has served nothing
+for `OVERBOOKED` works on calls that were given up: as long as all come back within the window it
+would serve nobody, ever, so from then on the pauses grow with the fleet beyond it. One that cannot
+be reached is asked within the window: that costs nobody anything.
 
-Where lists are pushed, an agent on this machine answers each call at once and at no cost with what it has been sent,
-and what it has counts as told to this ingress, watch or not, from the first moment of a process. So no pause there is
-longer than half of a drain's grace: the first call goes at the start, and until it is answered, or that time is over,
-nothing is sent by the old list that lay in the configuration.
+Where lists are pushed, an agent on this machine answers each call at once and at no cost with what
+it has been sent, and what it has counts as told to this ingress, watch or not, from the first
+moment of a process. So no pause there is longer than half of a drain's grace: the first call goes
+at the start, and until it is answered, or that time is over, nothing is sent by the old list that
+lay in the configuration.
 """
 
 from __future__ import annotations
@@ -37,27 +40,35 @@
 from dockthread.observer import Observer
 from dockthread.policy.backoff import Backoff
 
-MOST_BACKENDS, ENTRY_BYTES = 50_000, 400  # in one list: twice the longest planned; a backend takes 178 bytes of it
-MOST_OBJECT = MOST_BACKENDS * ENTRY_BYTES  # bytes of one object of a watch, entries of a list among them
-MOST_UNREAD = 4 * 1024 * 1024  # bytes of one object in which no entry ended; parsed they may take ten times as much
-BOUND = 6_000.0  # after discovery had a change and could be reached, or a watch fell silent, it counts as told
-ANSWER = 1_000.0  # of it, for the call that brings the change: found due in a round of housekeeping, made, answered
+# in one list: twice the longest planned; a backend takes 178 bytes of it
+MOST_BACKENDS, ENTRY_BYTES = 50_000, 400
+# bytes of one object of a watch, entries of a list among them
+MOST_OBJECT = MOST_BACKENDS * ENTRY_BYTES
+# bytes of one object in which no entry ended; parsed they may take ten times as much
+MOST_UNREAD = 4 * 1024 * 1024
+# after discovery had a change and could be reached, or a watch fell silent, it counts as told
+BOUND = 6_000.0
+# of it, for the call that brings the change: found due in a round of housekeeping, made, answered
+ANSWER = 1_000.0
 WINDOW = BOUND - ANSWER  # for a pause, or a call without an answer
 SILENCE = 3_500.0  # a watch says something every 2 s; one silent for longer is dead
 HALF = 4_000.0  # for an object that has begun to be whole, or for one more entry of a long list
-PATIENCE = 4_500.0  # for the first word of a call, where lists are asked for: it may wait behind those of the fleet
+# for the first word of a call, where lists are asked for: it may wait behind those of the fleet
+PATIENCE = 4_500.0
 SOON = WINDOW - HALF  # for the pause after a watch that was given up, at the most
 LEAST_PAUSE = 100.0  # between calls on an agent that refuses them
-OVERBOOKED = 20_000.0  # for which a service that can be reached serves nothing: it has more callers than it can serve
+# for which a service that can be reached serves nothing: it has more callers than it can serve
+OVERBOOKED = 20_000.0
 
 
 class WatchParser:
-    """Bytes of one watch's HTTP answer in, JSON objects out, however they are laid out and cut; what is blank
-    between them is a sign of life.
+    """Bytes of one watch's HTTP answer in, JSON objects out, however they are laid out and cut;
+    what is blank between them is a sign of life.
 
-    `read` takes the entries of an object's `targets` while the object still comes in, each in the place of its
-    members: of a long list these never stand in memory together, and to read them holds the loop for no longer than
-    one piece of it."""
+    `read` takes the entries of an object's `targets` while the object still comes in, each in the
+    place of its members: of a long list these never stand in memory together, and to read them
+    holds the loop for no longer than one piece of it.
+    """
 
     def __init__(self, read: Callable[[Any], Any] | None = None) -> None:
         self._parser = httptools.HttpResponseParser(self)
@@ -66,7 +77,8 @@
             self._found, "", multiple_values=True, use_float=True, map_type=self._new_members
         )
         self._read = read
-        self._outer: dict[str, Any] | None = None  # the present object's members, as far as they have come
+        # the present object's members, as far as they have come
+        self._outer: dict[str, Any] | None = None
         self._wholes = 0  # objects found when it began
         self._entries = 0  # of its targets that are read
         self.entries_read = 0  # of all objects
@@ -82,7 +94,9 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._failure = self._failure or WatchError(f"not an HTTP answer: {error.__context__ or error}")
+            self._failure = self._failure or WatchError(
+                f"not an HTTP answer: {error.__context__ or error}"
+            )
         found = list(self._found)
         self._found.clear()
         yield from found
@@ -141,7 +155,9 @@
 
 
 class Watch:
-    """Holds a watch on discovery for as long as it runs; starts another whenever one ends or goes silent."""
+    """Holds a watch on discovery for as long as it runs; starts another whenever one ends or goes
+    silent.
+    """
 
     def __init__(
         self,
@@ -156,9 +172,17 @@
         self._hurry = settings.safety.drain_grace * 1000.0 / 2
         self._patience = SILENCE if self._pushed else PATIENCE
         longest = min(WINDOW, max(self._hurry, LEAST_PAUSE)) if self._pushed else inf
-        self._backoff = Backoff(random.Random(seed), settings.gateways, min(self._hurry, SOON), longest)
-        self._cached: api.WorkersListed | None = None  # the old list, while a newer one may come at once
-        self._address, self._destinations, self._clock, self._told = address, destinations, clock, told
+        self._backoff = Backoff(
+            random.Random(seed), settings.gateways, min(self._hurry, SOON), longest
+        )
+        # the old list, while a newer one may come at once
+        self._cached: api.WorkersListed | None = None
+        self._address, self._destinations, self._clock, self._told = (
+            address,
+            destinations,
+            clock,
+            told,
+        )
         # When the present call began; it last said something; and it left nothing half said.
         self._began = self._heard = self._whole = clock.now()
         self._attempt: asyncio.Task[None] | None = None
@@ -169,12 +193,14 @@
         self._failing_since = clock.now()  # nothing was served
         self._connected = False  # the present call, or the last one
         self._stood = False  # the present watch has said something
-        self._given_up = 0.0  # when one that has said nothing yet is, once it has been silent for long; 0 before
+        # when one that has said nothing yet is, once it has been silent for long; 0 before
+        self._given_up = 0.0
         self.observer = Observer()
 
     def begin(self, known: Any, at: Callable[..., None]) -> None:
-        """Start from the list that lay in the configuration; `at` times what comes later. Raises WatchError where
-        the list is malformed."""
+        """Start from the list that lay in the configuration; `at` times what comes later. Raises
+        WatchError where the list is malformed.
+        """
         self._at = at
         self._cached = self._destinations.apply(known, cached=True)
         if self._pushed and self._hurry:
@@ -185,7 +211,11 @@
     @property
     def informed(self) -> bool:
         """Whether there is a list to serve by."""
-        return self._cached is None and bool(self._destinations.by_worker) and not self._destinations.partial
+        return (
+            self._cached is None
+            and bool(self._destinations.by_worker)
+            and not self._destinations.partial
+        )
 
     def _use_cached(self) -> None:
         cached, self._cached = self._cached, None
@@ -221,17 +251,24 @@
                 continue
             waited, self._given_up = self._given_up > 0, 0.0
             self._failures += 1
-            self.observer.event("watch-end", why=type(failure).__name__, text=str(failure).replace(" ", "_")[:60])
+            self.observer.event(
+                "watch-end", why=type(failure).__name__, text=str(failure).replace(" ", "_")[:60]
+            )
             # One line for each loss of discovery, not one for each try.
             log = logger.warning if self._failures == 1 else logger.debug
-            log("watch on discovery ended: {!r}; list at revision {}", failure, self._destinations.revision)
+            log(
+                "watch on discovery ended: {!r}; list at revision {}",
+                failure,
+                self._destinations.revision,
+            )
             if not waited:
                 await self._pause(self._backoff.soon() if self._stood else self._again(WINDOW))
 
     def check(self) -> None:
-        """End a watch that has gone silent, or does not come to the end of an object: its machine may have
-        vanished, which TCP does not tell. A call that was never answered stays open for the pause that would follow
-        it, and the next one goes at its end."""
+        """End a watch that has gone silent, or does not come to the end of an object: its machine
+        may have vanished, which TCP does not tell. A call that was never answered stays open for
+        the pause that would follow it, and the next one goes at its end.
+        """
         now = self._clock.now()
         if self._stood:
             silent = now - self._heard > SILENCE or now - self._whole > HALF
@@ -245,7 +282,9 @@
             self._attempt.cancel()
 
     def _again(self, most: float) -> float:
-        """The pause after one more call that failed, `most` at the most where discovery may be free to serve."""
+        """The pause after one more call that failed, `most` at the most where discovery may be free
+        to serve.
+        """
         overbooked = self._connected and self._clock.now() - self._failing_since > OVERBOOKED
         return self._backoff.again(inf if overbooked else most)
 
@@ -255,7 +294,9 @@
             await loop.sock_connect(sock, (self._address.host, self._address.port))
             self._connected = True
             path = f"/discovery/hosts?watch=1&after={self._destinations.revision}"
-            head = f"GET {path} HTTP/1.1\r\nHost: {self._address}\r\nAccept: application/json\r\n\r\n"
+            head = (
+                f"GET {path} HTTP/1.1\r\nHost: {self._address}\r\nAccept: application/json\r\n\r\n"
+            )
             await loop.sock_sendall(sock, head.encode())
             parser, buffer, entries_read = WatchParser(self._destinations.read), bytearray(65536), 0
             while not parser.ended:
@@ -269,10 +310,13 @@
                     for listed in self._destinations.parts(message):
                         self._use_cached()
                         self._told(listed)
-                        await asyncio.sleep(0)  # a long list comes in parts, and requests are answered between them
+                        # a long list comes in parts, and requests are answered between them
+                        await asyncio.sleep(0)
                         self._heard = self._whole = self._clock.now()  # and they may take a while
                     size = len(message["targets"])
-                    self.observer.event("list", all=message.get("all"), size=size, rev=message["rev"])
+                    self.observer.event(
+                        "list", all=message.get("all"), size=size, rev=message["rev"]
+                    )
                     if self._failures:
                         logger.info("watch on discovery is back at {}", self._destinations.revision)
                         self._failures = 0
--- a/dockthread/net/endpoint_list.py
+++ b/dockthread/net/endpoint_list.py
@@ -38,7 +38,9 @@
 
     def entry(self, worker: int) -> api.WorkerEntry:
         """As the module is told it, under its number there."""
-        return api.WorkerEntry(worker, self.state, self.zone, self.kind, self.cell, self.weight, self.started)
+        return api.WorkerEntry(
+            worker, self.state, self.zone, self.kind, self.cell, self.weight, self.started
+        )
 
 
 class TargetList(NamedTuple):
@@ -60,7 +62,8 @@
     started: float  # milliseconds on the ingress's clock, 0 for long ago
     gone: float = inf  # since when
     revision: int = 0  # of the list that told of it last
-    told: api.WorkerEntry | None = None  # what the module was last told of it, as discovery listed it
+    # what the module was last told of it, as discovery listed it
+    told: api.WorkerEntry | None = None
 
     @property
     def endpoint(self) -> Address:
@@ -74,13 +77,15 @@
 
 
 class DestinationSet:
-    """The destinations listed, and for a while those that are gone, by the module's number for each.
+    """The destinations listed, and for a while those that are gone, by the module's number for
+    each.
 
-    A uid keeps its number: a backend that restarts, even at another endpoint, is the same worker. No number
-    is given twice.
+    A uid keeps its number: a backend that restarts, even at another endpoint, is the same worker.
+    No number is given twice.
 
-    A list older than what was told of a backend before (discovery has moved to a service that lags, or counts anew)
-    may take it out, and brings it back only as a process that started later: what was announced as leaving stays so.
+    A list older than what was told of a backend before (discovery has moved to a service that lags,
+    or counts anew) may take it out, and brings it back only as a process that started later: what
+    was announced as leaving stays so.
     """
 
     def __init__(self, names: Names, clock: Clock) -> None:
@@ -94,7 +99,8 @@
         self.revision = 0
         self.partial = False  # the first list is being taken over, and is long
         self.moved: Callable[[Destination], None] = lambda destination: None
-        self.held: set[str] = set()  # uids left out by hand: the module hears that they drain, whatever is listed
+        # uids left out by hand: the module hears that they drain, whatever is listed
+        self.held: set[str] = set()
 
     @property
     def listed(self) -> int:
@@ -108,8 +114,9 @@
         return sum(d is not None and d.state is not api.WorkerState.GONE for d in known)
 
     def hold(self, uid: str, held: bool, now: float) -> api.WorkersListed | None:
-        """Leave a uid out by hand, or let it serve again; None where no such uid is known. A uid let back has
-        been restarted meanwhile, so it is told as started now: cold."""
+        """Leave a uid out by hand, or let it serve again; None where no such uid is known. A uid
+        let back has been restarted meanwhile, so it is told as started now: cold.
+        """
         known = self._by_uid.get(uid)
         if known is None and not (uid in self.held and not held):
             return None
@@ -127,7 +134,9 @@
         return entry
 
     def zone_of(self, uid: str) -> str | None:
-        """Where a destination stands, as discovery says; empty where that is not known, None for none of this uid."""
+        """Where a destination stands, as discovery says; empty where that is not known, None for
+        none of this uid.
+        """
         known = self._by_uid.get(uid)
         if known is None or known.told is None:
             return None
@@ -150,11 +159,16 @@
         """Forget those long gone: on a long day there are ever new ones."""
         oldest = self._clock.now() - KEPT
         for destination in [d for d in self._gone.values() if d.gone < oldest]:
-            del self._gone[destination.worker], self.by_worker[destination.worker], self._by_uid[destination.uid]
+            del (
+                self._gone[destination.worker],
+                self.by_worker[destination.worker],
+                self._by_uid[destination.uid],
+            )
 
     def apply(self, message: Any, cached: bool = False) -> api.WorkersListed:
-        """Take over a list or its changes, and say it in the module's words. Nothing of a malformed message
-        is taken over."""
+        """Take over a list or its changes, and say it in the module's words. Nothing of a malformed
+        message is taken over.
+        """
         return self._apply(self._read_list(message), cached)
 
     def _apply(self, said: TargetList, cached: bool = False) -> api.WorkersListed:
@@ -166,15 +180,18 @@
         return api.WorkersListed(api.ListKind.CACHED if cached else kind, entries)
 
     def parts(self, message: Any) -> Iterator[api.WorkersListed]:
-        """The same, a long list in parts: each is taken over when it is asked for, to be told before the next, so
-        that the set and the module agree in between. Whoever a whole list leaves out is told as gone at its end.
-        One that is given up on the way leaves the revision as it was, and discovery tells all of it again."""
+        """The same, a long list in parts: each is taken over when it is asked for, to be told
+        before the next, so that the set and the module agree in between. Whoever a whole list
+        leaves out is told as gone at its end. One that is given up on the way leaves the revision
+        as it was, and discovery tells all of it again.
+        """
         said = self._read_list(message)
         if len(said.targets) <= PART:
             yield self._apply(said)
             return
         self.partial = self.partial or not self.by_worker
-        message["targets"] = [None] * len(said.targets)  # what was taken over is to make room for what comes of it
+        # what was taken over is to make room for what comes of it
+        message["targets"] = [None] * len(said.targets)
         listed: set[int] = set()
         said.targets.reverse()
         while said.targets:
@@ -188,7 +205,9 @@
 
     def _read_list(self, message: Any) -> TargetList:
         try:
-            targets = [one if isinstance(one, Target) else self.read(one) for one in message["targets"]]
+            targets = [
+                one if isinstance(one, Target) else self.read(one) for one in message["targets"]
+            ]
             return TargetList(int(message["rev"]), bool(message["all"]), targets)
         except (KeyError, TypeError, ValueError) as error:
             raise WatchError(f"not a list of destinations: {error!r}") from error
--- a/dockthread/net/event_loop_lag.py
+++ b/dockthread/net/event_loop_lag.py
@@ -1,19 +1,22 @@
-"""How late something may be read: a heartbeat of the loop, and the bound that follows from it. Decides nothing else.
-
-Theory of operation. A request's time runs from the moment its last byte reached this machine, and a program that is
-late with its reads does not see that moment: the system keeps no arrival times for TCP. But what is read in one turn
-of the loop cannot have come before the turn before last, or it would have been read then. So the loop beats, each
-`PERIOD`, and what is read now came after the beat before the last one: the last may have been rung late, in the very
-turn that reads (timers ring before sockets are looked at). When the loop was held, by a burst of commands, a reload
-or another process on the core, the bound is as old as the stall, whatever the stall was. While the beats ring in
-their time it would only be careful, by one or two beats, and is not charged: what is shorter than a beat is covered
-by the time that the ingress keeps back from every request. A connection taken from a backlog that was not emptied
-since may hold a request as old as the time when it last was: `Backlog` keeps that.
-
-Way not taken: to charge the bound always, at 20 to 40 ms; it cost 0.04 of G on the churn day of taichung-replay, seed
-940965316920 (four runs at 0.81, four without at 0.85).
-Nor: to time the work of each turn (it misses what holds the process from outside); `TCP_INFO`'s time since
-the last data (exact, but Linux's alone, and another call to the system for each request).
+"""How late something may be read: a heartbeat of the loop, and the bound that follows from it.
+Decides nothing else.
+
+Theory of operation. A request's time runs from the moment its last byte reached this machine, and a
+program that is late with its reads does not see that moment: the system keeps no arrival times for
+TCP. But what is read in one turn of the loop cannot have come before the turn before last, or it
+would have been read then. So the loop beats, each `PERIOD`, and what is read now came after the
+beat before the last one: the last may have been rung late, in the very turn that reads (timers ring
+before sockets are looked at). When the loop was held, by a burst of commands, a reload or another
+process on the core, the bound is as old as the stall, whatever the stall was. While the beats ring
+in their time it would only be careful, by one or two beats, and is not charged: what is shorter
+than a beat is covered by the time that the ingress keeps back from every request. A connection
+taken from a backlog that was not emptied since may hold a request as old as the time when it last
+was: `Backlog` keeps that.
+
+Way not taken: to charge the bound always, at 20 to 40 ms; it cost 0.04 of G on the churn day of
+taichung-replay, seed 940965316920 (four runs at 0.81, four without at 0.85). Nor: to time the work
+of each turn (it misses what holds the process from outside); `TCP_INFO`'s time since the last data
+(exact, but Linux's alone, and another call to the system for each request).
 """
 
 from __future__ import annotations
@@ -36,8 +39,9 @@
         return self.last - self.since > HELD * PERIOD
 
     def late(self, came: float, now: float) -> float:
-        """By how much what came after `came`, as far as is known, may be read late at `now`; 0 where nothing held
-        the loop since."""
+        """By how much what came after `came`, as far as is known, may be read late at `now`; 0
+        where nothing held the loop since.
+        """
         free = max(self.last - self.since, now - self.last) <= HELD * PERIOD and came >= self.since
         return 0.0 if free else max(0.0, now - came)
 
@@ -52,7 +56,8 @@
     __slots__ = ("left",)
 
     def __init__(self) -> None:
-        self.left: float | None = None  # where the last look left some: when the oldest of them can have come
+        # where the last look left some: when the oldest of them can have come
+        self.left: float | None = None
 
     def came(self, loop_delay: LoopDelay) -> float:
         """The earliest at which a connection accepted now can have come."""
--- a/dockthread/net/gossip_transport.py
+++ b/dockthread/net/gossip_transport.py
@@ -1,12 +1,14 @@
 """Messages between ingresses: single UDP datagrams, late or lost, with no answer and no connection.
 
-What a message says is the module's affair (`message.py`). Here: one socket at `peer_listen`, from which all goes out
-and at which all comes in. An ingress is known by the address in `peers` at the place of its number; what comes from
-anywhere else, or is longer than a message may be, is passed over. One turn of the loop reads a few and no more, so
-that a flood of datagrams cannot hold up requests: the rest is lost in the system's buffer, as it may be.
+What a message says is the module's affair (`message.py`). Here: one socket at `peer_listen`, from
+which all goes out and at which all comes in. An ingress is known by the address in `peers` at the
+place of its number; what comes from anywhere else, or is longer than a message may be, is passed
+over. One turn of the loop reads a few and no more, so that a flood of datagrams cannot hold up
+requests: the rest is lost in the system's buffer, as it may be.
 
-At an upgrade the process before still holds the address. Until it lets go, this one neither hears nor tells (its
-words would come from an address nobody knows), and tries again with each round of housekeeping.
+At an upgrade the process before still holds the address. Until it lets go, this one neither hears
+nor tells (its words would come from an address nobody knows), and tries again with each round of
+housekeeping.
 """
 
 from __future__ import annotations
@@ -29,12 +31,18 @@
     """`told` gets each message of another ingress."""
 
     def __init__(
-        self, addresses: PeerAddresses | None, number: int, told: Callable[[PeerSaid], None], traffic: Traffic
+        self,
+        addresses: PeerAddresses | None,
+        number: int,
+        told: Callable[[PeerSaid], None],
+        traffic: Traffic,
     ) -> None:
         self._addresses, self._told, self._traffic = addresses, told, traffic
         self._numbers = {}
         if addresses is not None:
-            self._numbers = {(a.host, a.port): n for n, a in enumerate(addresses.peers) if n != number}
+            self._numbers = {
+                (a.host, a.port): n for n, a in enumerate(addresses.peers) if n != number
+            }
         self._sock: socket.socket | None = None
         self._warned = self._closed = False
 
@@ -46,13 +54,17 @@
             self._sock = self._addresses.listen.listener(None)
         except OSError as error:
             if not self._warned:
-                logger.warning("cannot hear other ingresses at {} yet: {}", self._addresses.listen, error)
+                logger.warning(
+                    "cannot hear other ingresses at {} yet: {}", self._addresses.listen, error
+                )
             self._warned = True
             return
         asyncio.get_running_loop().add_reader(self._sock.fileno(), self._read)
 
     def tell(self, message: Tell) -> None:
-        """Send to one, or by the address for all where there is one. What cannot go now is lost, as any may be."""
+        """Send to one, or by the address for all where there is one. What cannot go now is lost, as
+        any may be.
+        """
         if self._sock is None or self._addresses is None or len(message.data) > MOST_BYTES:
             return
         peers, everyone = self._addresses.peers, self._addresses.everyone
--- a/dockthread/net/inbound.py
+++ b/dockthread/net/inbound.py
@@ -1,11 +1,12 @@
 """Inbound connections: clients' commands in, answers out in the order of the commands.
 
-Theory of operation. A connection is ended in one way, whoever ends it (`end`): the sending side is shut, so that the
-client reads all that was answered and then the end; what it still sends is read and dropped, and nothing of it is
-served, for `LINGER` and `MOST_IGNORED` bytes at the most; then the socket is closed. A close over unread bytes would
-reset the connection, and might take along an answer that the client has not read. Answers are written as they come;
-only what the system does not take at once waits for a task of its own, so the reader always reads: a client's close
-is seen at once, whatever is owed to it.
+Theory of operation. A connection is ended in one way, whoever ends it (`end`): the sending side is
+shut, so that the client reads all that was answered and then the end; what it still sends is read
+and dropped, and nothing of it is served, for `LINGER` and `MOST_IGNORED` bytes at the most; then
+the socket is closed. A close over unread bytes would reset the connection, and might take along an
+answer that the client has not read. Answers are written as they come; only what the system does not
+take at once waits for a task of its own, so the reader always reads: a client's close is seen at
+once, whatever is owed to it.
 """
 
 from __future__ import annotations
@@ -26,13 +27,17 @@
 BUFFER = 8 * 1024
 MOST_UNSENT = 1024 * 1024  # bytes of answers that a client has not read
 LINGER = 1_000.0  # for a client to read the last answer before its connection is closed
-MOST_IGNORED = 64 * 1024  # bytes read meanwhile; one that sends more is cut off, unless an answer is owed
+# bytes read meanwhile; one that sends more is cut off, unless an answer is owed
+MOST_IGNORED = 64 * 1024
 TURN = 8  # commands of one connection that are taken before the others have theirs
 MOST_WAITING = 128  # commands of one connection without an answer
 MOST_BAD = 16  # commands of one connection that cannot be served
-FLOOD = 4 * 1024 * 1024  # bytes behind the last command, read as they come: an end may stand behind them
-PAUSE, LONG_PAUSE = 0.01, 0.03  # s between reads of a client that sends on and on there; where it is a flood
-DROPS = 64  # reads in a row there: 16 MiB, more than two systems hold, so that an end behind it is seen
+# bytes behind the last command, read as they come: an end may stand behind them
+FLOOD = 4 * 1024 * 1024
+# s between reads of a client that sends on and on there; where it is a flood
+PAUSE, LONG_PAUSE = 0.01, 0.03
+# reads in a row there: 16 MiB, more than two systems hold, so that an end behind it is seen
+DROPS = 64
 AHEAD = 64 * 1024  # bytes read while commands before them wait for their turn, for the same reason
 UNREAD = 5_000.0  # for a client to read an answer
 SILENCE = 1_500.0  # for a new connection to say something
@@ -91,11 +96,14 @@
 
 
 class Inbound:
-    """One client connection. Its task reads for as long as it stands, so that a close is seen at once."""
+    """One client connection. Its task reads for as long as it stands, so that a close is seen at
+    once.
+    """
 
     def __init__(self, host: Host, sock: socket.socket, came: float, surplus: bool = False) -> None:
         self._host, self.sock = host, sock
-        self.since = came  # the earliest at which what was read last can have come; its own coming, at first
+        # the earliest at which what was read last can have come; its own coming, at first
+        self.since = came
         self._seen, self._beat = (
             came,
             host.loop_delay.last,
@@ -114,15 +122,17 @@
         self._closed = False
         self.surplus = surplus  # over the budget of descriptors: told to come again, and closed
         self.asked = 0  # whole commands it has sent
-        self.used = self.begun = host.clock.now()  # last read; the start of a command that is not whole
+        # last read; the start of a command that is not whole
+        self.used = self.begun = host.clock.now()
         self.close_by: float | None = None
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._task: asyncio.Task[None] | None = self._loop.create_task(self._run())
 
     @property
     def idle(self) -> bool:
-        """Nothing is owed to it. Half a command is no claim: else clients that never end one could hold all
-        descriptors."""
+        """Nothing is owed to it. Half a command is no claim: else clients that never end one could
+        hold all descriptors.
+        """
         return not (self._pending or self._unsent or self._writer)
 
     @property
@@ -176,7 +186,8 @@
         self._closed = True
         with suppress(OSError):  # what has come meanwhile would make a reset of it
             self.sock.recv_into(_dropped)
-        # A cancelled task keeps its traceback, that its frames, buffer and all, and those this connection:
+        # A cancelled task keeps its traceback, that its frames, buffer and all, and those this
+        # connection:
         # let go of here, they need not wait for a collection of garbage.
         for task in (self._task, self._writer):
             if task is not None:
@@ -190,9 +201,10 @@
         self._host.closed(self)
 
     def flush(self) -> None:
-        """Send every answer that has none missing before it. A connection that this finds broken closes in a turn
-        of its own: this may stand in the middle of a decision, and the close ends requests that the rest of it is
-        about."""
+        """Send every answer that has none missing before it. A connection that this finds broken
+        closes in a turn of its own: this may stand in the middle of a decision, and the close ends
+        requests that the rest of it is about.
+        """
         if not self._collect() or self._writer is not None:
             return
         data = b"".join(self._unsent)
@@ -214,7 +226,9 @@
             self.end()  # nothing is pending: this ends no request
 
     def _collect(self) -> bool:
-        """Move the answers that may be sent to those unsent; False where there is nothing to send."""
+        """Move the answers that may be sent to those unsent; False where there is nothing to
+        send.
+        """
         pending = self._pending
         while pending and (answer := pending[0].answer) is not None:
             pending.popleft()
@@ -246,7 +260,9 @@
     async def _run(self) -> None:
         buffer = bytearray(BUFFER)
         try:
-            while size := await self._loop.sock_recv_into(self.sock, _dropped if self._last else buffer):
+            while size := await self._loop.sock_recv_into(
+                self.sock, _dropped if self._last else buffer
+            ):
                 if self._last:
                     self._ignored += size
                     if not self._drop():
@@ -254,7 +270,8 @@
                     if self._ignored > MOST_IGNORED:
                         if self.idle:
                             break
-                        # An answer is owed: no close, but little work; where turns are long they are pause enough.
+                        # An answer is owed: no close, but little work; where turns are long they
+                        # are pause enough.
                         pause = PAUSE if self._ignored < FLOOD else LONG_PAUSE
                         await asyncio.sleep(0.0 if self._host.loop_delay.slow else pause)
                     continue
@@ -279,7 +296,9 @@
         self.close()
 
     def _read_ahead(self) -> bool:
-        """Between two turns: what has come, so that an end behind it is seen at once. False at an end."""
+        """Between two turns: what has come, so that an end behind it is seen at once. False at an
+        end.
+        """
         if self._ahead >= AHEAD:
             return True
         try:
@@ -313,7 +332,9 @@
         bounds, self.used = self._bounds, self._host.clock.now()
         loop_delay = self._host.loop_delay
         # It came while this waited to read, or before it did so, behind what was read before.
-        self.since = max(self._seen, loop_delay.since) if loop_delay.since >= self._beat else self._seen
+        self.since = (
+            max(self._seen, loop_delay.since) if loop_delay.since >= self._beat else self._seen
+        )
         self._seen = self.used if len(data) < BUFFER else self.since
         if bounds.between:
             self.begun = self.used
@@ -367,7 +388,9 @@
             return self._host.answered_at_once(ask, "surplus", resp.BUSY)
         if self._host.is_open(ask.wire_id):
             self._bad += 1
-            return self._host.answered_at_once(ask, "duplicate", resp.error("this id is open already"))
+            return self._host.answered_at_once(
+                ask, "duplicate", resp.error("this id is open already")
+            )
         return self._host.arrived(self, ask)
 
     def _plain(self, verb: bytes, args: list[bytes]) -> Slot:
--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -32,7 +32,8 @@
 GUARDED = 2 * HOUSEKEEPING  # time left from which a request's deadline has a timer of its own
 LINGER = 500.0  # after SIGTERM, in which the front still sends
 LAST_READS = 20.0  # for what has reached the last accepted connections to be read
-LATE_PART = 0.1  # of a request's time: where no more can be left, it is refused at once, unsent and so harmless
+# of a request's time: where no more can be left, it is refused at once, unsent and so harmless
+LATE_PART = 0.1
 WAY_BACK = 5.0  # of a request's time: its way here, the answer's back, and the lateness of an alarm
 HELD_PART = 1 / 8  # of the memory, for requests' bodies
 
@@ -44,8 +45,11 @@
         self.traffic.grow(len(config.names.classes))
         self._loop = asyncio.get_running_loop()
         module = config.module
-        self.vocabulary = resp.Vocabulary(config.names, module.classes, module.gateways, config.most_units)
-        # Without a counter there is none to call, and without addresses nobody to tell, whatever is allowed.
+        self.vocabulary = resp.Vocabulary(
+            config.names, module.classes, module.gateways, config.most_units
+        )
+        # Without a counter there is none to call, and without addresses nobody to tell, whatever is
+        # allowed.
         counts = module.may_count and config.counter is not None
         tells = module.may_tell and config.peers is not None
         module = replace(module, may_count=counts, may_tell=tells, ahead=clock.unix_offset / 1000.0)
@@ -79,8 +83,12 @@
         )
         self.destinations.moved = self.outbound.forget
         self.listener = Listener(self, self.budget, self.outbound)
-        self.watch = Watch(config.discovery, self.destinations, clock, self._tell, config.module, config.seed)
-        self.counter = Counter(config.counter, clock, self._tell, self.at, timeout=config.counter_timeout)
+        self.watch = Watch(
+            config.discovery, self.destinations, clock, self._tell, config.module, config.seed
+        )
+        self.counter = Counter(
+            config.counter, clock, self._tell, self.at, timeout=config.counter_timeout
+        )
         self.peers = Peers(config.peers if tells else None, module.number, self._tell, self.traffic)
         self.observe(self.observer)
         self.routes: Routes | None = None
@@ -90,7 +98,9 @@
             api.Fail: self._fail,
             api.Cancel: self._cancel,
             api.SetTimer: self._set_timer,
-            api.Count: lambda action: self.counter.call(action.name, action.amount, action.life * 1000.0),
+            api.Count: lambda action: self.counter.call(
+                action.name, action.amount, action.life * 1000.0
+            ),
             api.Tell: self.peers.tell,
             api.AskForList: lambda action: None,  # the watch stands anyway
         }
@@ -120,7 +130,9 @@
 
     def observe(self, observer: Observer) -> None:
         """Have another observer told from now on."""
-        self.observer = self.counter.observer = self.outbound.observer = self.watch.observer = observer
+        self.observer = self.counter.observer = self.outbound.observer = self.watch.observer = (
+            observer
+        )
         self.lifecycle.entered = observer.phase
 
     def stop(self) -> None:
@@ -132,8 +144,9 @@
         return sum(not request.finished for request in self.requests.values())
 
     def hold(self, uid: str, held: bool) -> bool:
-        """Leave a backend out by hand, under the rule on drains, or let it serve again, cold; the module hears it
-        as a change of the list. False where no such backend is known."""
+        """Leave a backend out by hand, under the rule on drains, or let it serve again, cold; the
+        module hears it as a change of the list. False where no such backend is known.
+        """
         listed = self.destinations.hold(uid, held, self.clock.now())
         if listed is None:
             return False
@@ -141,14 +154,22 @@
         return True
 
     def reconfigure(self, config: Config) -> None:
-        """Take over what may change under load: the addresses of discovery and of the counter, the classes and
-        the attempts allowed (dockthread/admin/reload.py). A request in flight keeps the class it came with."""
+        """Take over what may change under load: the addresses of discovery and of the counter, the
+        classes and the attempts allowed (dockthread/admin/reload.py). A request in flight keeps the
+        class it came with.
+        """
         retuned = reload.merge(self.gateway.s, self.config.names, config.module, config.names)
         reload.retune(self.gateway, retuned.settings)
         settings = retuned.settings
-        module = replace(self.config.module, classes=settings.classes, most_attempts=settings.most_attempts)
+        module = replace(
+            self.config.module, classes=settings.classes, most_attempts=settings.most_attempts
+        )
         self.config = replace(
-            self.config, discovery=config.discovery, counter=config.counter, module=module, names=retuned.names
+            self.config,
+            discovery=config.discovery,
+            counter=config.counter,
+            module=module,
+            names=retuned.names,
         )
         self.vocabulary = resp.Vocabulary(
             retuned.names, module.classes, module.gateways, self.config.most_units, retuned.offered
@@ -163,7 +184,9 @@
         self.address = listener.listen(self.config.name, self.config.listen, self.config.inherited)
         self.watch.begin(self.config.known, self.at)
         for name, plan in zip(self.config.names.plans, self.config.module.plans, strict=True):
-            self.observer.event("plan", name=name, rate=plan.rate, burst=plan.burst, ceiling=plan.ceiling_burst)
+            self.observer.event(
+                "plan", name=name, rate=plan.rate, burst=plan.burst, ceiling=plan.ceiling_burst
+            )
         self._housekeeping()
         self._beat()
         watching = self._loop.create_task(self.watch.run())
@@ -179,7 +202,8 @@
             listener.empty_backlog()
             listener.socket.close()
             self.lifecycle.enter(Phase.DRAINING)
-            self.peers.close()  # nothing new is let in; at an upgrade the next process takes the address
+            # nothing new is let in; at an upgrade the next process takes the address
+            self.peers.close()
             for connection in list(self.listener.inbound):
                 connection.end()
             # By then all is answered; what still stands is a client that does not read.
@@ -225,7 +249,9 @@
     # What happens, told to the module
 
     def _abandon(self, number: int) -> None:
-        """After a fault: a final answer that is true whatever has run, and no more calls for the request."""
+        """After a fault: a final answer that is true whatever has run, and no more calls for the
+        request.
+        """
         request = self.requests.get(number)
         if request is None or request.finished:
             return
@@ -237,9 +263,12 @@
     def arrived(self, connection: Inbound, ask: resp.Ask) -> Slot:
         held = self._held + ask.body_bytes
         if len(self.requests) >= self.config.most_open or held > self._most_held or self.draining:
-            reason = "draining" if self.draining else "bodies" if held > self._most_held else "crowded"
+            reason = (
+                "draining" if self.draining else "bodies" if held > self._most_held else "crowded"
+            )
             return self.answered_at_once(ask, reason, resp.busy(self._advice))
-        # The client counts from when it sent. The module answers two ticks before the end, and its timer may
+        # The client counts from when it sent. The module answers two ticks before the end, and its
+        # timer may
         # ring a tick late: without this some answers came after the client had given up.
         now = self.clock.now()
         late = self.loop_delay.late(connection.since, now)
@@ -272,17 +301,23 @@
         return request
 
     def answered_at_once(self, ask: resp.Ask, reason: str, answer: bytes) -> Slot:
-        """The answer to a request that the module never hears of: there is no room for it, or it is open."""
+        """The answer to a request that the module never hears of: there is no room for it, or it is
+        open.
+        """
         outcome = REFUSED if answer.startswith(resp.BUSY[:5]) else FAILED
         self.traffic.outcomes[outcome][ask.request_class] += 1
-        self.observer.answered(ask.request_class, ask.plan, ask.customer, outcome, reason, 0.0, ask.units, False)
+        self.observer.answered(
+            ask.request_class, ask.plan, ask.customer, outcome, reason, 0.0, ask.units, False
+        )
         return Slot(answer)
 
     def client_gone(self, slot: Slot) -> None:
         if isinstance(slot, Request) and not slot.finished:
             slot.gone = True
             ask = slot.ask
-            self.observer.gone(ask.request_class, ask.plan, ask.customer, ask.units, bool(slot.calls))
+            self.observer.gone(
+                ask.request_class, ask.plan, ask.customer, ask.units, bool(slot.calls)
+            )
             self._tell(api.ClientGone(slot.number))
             for call in slot.calls:  # what has not begun would begin for nobody
                 if not call.begun:
@@ -343,7 +378,11 @@
 
     def _send(self, action: api.Send) -> None:
         request, now = self.requests[action.request], self.clock.now()
-        due = min(request.deadline, now + action.timeout * 1000.0) if action.timeout > 0 else request.deadline
+        due = (
+            min(request.deadline, now + action.timeout * 1000.0)
+            if action.timeout > 0
+            else request.deadline
+        )
         number, begin_by = len(request.calls), action.begin_by * 1000.0
         call = OutboundCall(request.number, number, action.worker, request.ask, now, due, begin_by)
         self.traffic.calls += 1
@@ -353,7 +392,9 @@
         if self.observer.tracing:
             age = self.destinations.age(call.worker)
             uid = self.destinations.uid(call.worker)
-            self.observer.event("call", node=uid, number=call.number, kind=request.ask.request_class, age=age)
+            self.observer.event(
+                "call", node=uid, number=call.number, kind=request.ask.request_class, age=age
+            )
         if due < request.deadline - 1.0:  # at its deadline a request ends its calls itself
             self.at(due, self.outbound.give_up, call, api.Outcome.TIMEOUT)
         if request.finished:
@@ -383,7 +424,14 @@
         if self.observer.active:
             ask, took = request.ask, self.clock.now() - request.taken
             self.observer.answered(
-                ask.request_class, ask.plan, ask.customer, outcome, reason, took, ask.units, bool(request.calls)
+                ask.request_class,
+                ask.plan,
+                ask.customer,
+                outcome,
+                reason,
+                took,
+                ask.units,
+                bool(request.calls),
             )
         self._close_id(request)
         request.connection.flush()
--- a/dockthread/net/lifecycle.py
+++ b/dockthread/net/lifecycle.py
@@ -13,7 +13,8 @@
 
     STARTING = "starting"  # configured, not yet listening
     SERVING = "serving"
-    LINGERING = "lingering"  # told to stop: the front still sends, so all is taken and served as before
+    # told to stop: the front still sends, so all is taken and served as before
+    LINGERING = "lingering"
     DRAINING = "draining"  # the listener is closed; what was taken is answered
     STOPPED = "stopped"
 
--- a/dockthread/net/listener.py
+++ b/dockthread/net/listener.py
@@ -1,4 +1,6 @@
-"""The listener for clients: which connections it takes, and which one goes where descriptors run short."""
+"""The listener for clients: which connections it takes, and which one goes where descriptors run
+short.
+"""
 
 from __future__ import annotations
 
@@ -15,8 +17,10 @@
 from dockthread.net.inbound import Host, Inbound
 
 BACKLOG = 1024
-RESERVE = 24  # descriptors for all but connections: standard streams, the loop's own, listener, watch
-SURPLUS = 32  # inbound connections over their budget that are accepted only to be told to come again, at most
+# descriptors for all but connections: standard streams, the loop's own, listener, watch
+RESERVE = 24
+# inbound connections over their budget that are accepted only to be told to come again, at most
+SURPLUS = 32
 SURPLUS_PART = 1 / 16  # of the descriptors
 CLIENTS_PART = 1 / 3  # of the descriptors that clients hold for requests at most
 OTHERS_PART = 1 / 4  # of what is left then, for clients that hold a connection and ask nothing
@@ -28,7 +32,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """How an ingress's descriptors are dealt out: inbound connections, those over them, outbound ones."""
+    """How an ingress's descriptors are dealt out: inbound connections, those over them, outbound
+    ones.
+    """
 
     inbound: int
     surplus: int
@@ -63,15 +69,20 @@
         self._emptied = asyncio.Event()
 
     def listen(self, name: str, address: Address, inherited: int | None) -> Address:
-        """Where it listens: the port may have been left to the system, or all of it to the process before."""
-        if inherited is not None:  # it listens already, and the process before may still take from it
+        """Where it listens: the port may have been left to the system, or all of it to the process
+        before.
+        """
+        # it listens already, and the process before may still take from it
+        if inherited is not None:
             self.socket = socket.socket(fileno=inherited)
             self.socket.setblocking(False)
         else:
             self.socket = address.listener(BACKLOG)
         where = Address(*self.socket.getsockname()[:2])
         if inherited is not None:
-            logger.info("{} takes the inherited listener {} on {}", name, self.socket.fileno(), where)
+            logger.info(
+                "{} takes the inherited listener {} on {}", name, self.socket.fileno(), where
+            )
         else:
             logger.info("{} listens on {}", name, where)
         return where
@@ -79,8 +90,11 @@
     async def accept(self) -> None:
         """Take connections for as long as it runs."""
         while True:
-            # Past the surplus even a refusal would cost a descriptor that is not there: clients queue.
-            while len(self.inbound) >= self.budget.inbound + self.budget.surplus and not self.shed(True):
+            # Past the surplus even a refusal would cost a descriptor that is not there: clients
+            # queue.
+            while len(self.inbound) >= self.budget.inbound + self.budget.surplus and not self.shed(
+                True
+            ):
                 await asyncio.sleep(0.01)
             try:
                 sock, _ = await self._loop.sock_accept(self.socket)
@@ -112,17 +126,27 @@
         self._host.traffic.clients_opened += 1
         surplus = len(self.inbound) >= self.budget.inbound and not self.shed()
         try:
-            self.inbound.add(Inbound(self._host, sock, self._backlog.came(self._host.loop_delay), surplus))
+            self.inbound.add(
+                Inbound(self._host, sock, self._backlog.came(self._host.loop_delay), surplus)
+            )
         except OSError:  # gone before it was looked at
             sock.close()
 
     def shed(self, surplus: bool = False) -> bool:
-        """Close the inbound connection that is missed least, and is owed nothing: none that has just come, as
-        its request may be on its way or here unread. One that is ending goes first, one that asked once, if at all,
-        before one that clients use; then the one idle for longest. False where there is none."""
+        """Close the inbound connection that is missed least, and is owed nothing: none that has
+        just come, as its request may be on its way or here unread. One that is ending goes first,
+        one that asked once, if at all, before one that clients use; then the one idle for longest.
+        False where there is none.
+        """
         now = self._host.clock.now()
-        idle = [c for c in self.inbound if c.idle and now - c.used > FRESH and (surplus or not c.surplus)]
-        idle.sort(key=lambda connection: (not connection.ending, connection.asked > 1, connection.used))
+        idle = [
+            c
+            for c in self.inbound
+            if c.idle and now - c.used > FRESH and (surplus or not c.surplus)
+        ]
+        idle.sort(
+            key=lambda connection: (not connection.ending, connection.asked > 1, connection.used)
+        )
         for connection in idle:
             if connection.ending or not connection.has_input():
                 connection.end()
@@ -131,7 +155,9 @@
         return False
 
     def close_idle(self, now: float) -> None:
-        """Where they are many, those that have been idle long make room before the budget is full."""
+        """Where they are many, those that have been idle long make room before the budget is
+        full.
+        """
         if len(self.inbound) > self.budget.inbound // 2:
             for connection in list(self.inbound):
                 if connection.idle and now - connection.used > IDLE and not connection.has_input():
@@ -151,7 +177,8 @@
     async def empty(self) -> None:
         """Until the last connection has closed."""
         while self.inbound:
-            # Cleared first: it is set whenever the last connection closes, which happens on any quiet
+            # Cleared first: it is set whenever the last connection closes, which happens on any
+            # quiet
             # day, and once let the ingress stop with requests unanswered.
             self._emptied.clear()
             await self._emptied.wait()
--- a/dockthread/net/outbound.py
+++ b/dockthread/net/outbound.py
@@ -1,4 +1,6 @@
-"""Outbound calls: the connections to backends, one call at a time on each, kept by backend for reuse."""
+"""Outbound calls: the connections to backends, one call at a time on each, kept by backend for
+reuse.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +21,9 @@
 
 BUFFER = 16 * 1024
 WHOLE = 200.0  # for the rest of an answer that has begun: backends write one at once
-QUIET = 20.0  # for a second answer to show: it comes some milliseconds late, and would be taken for the next call's
+# for a second answer to show: it comes some milliseconds late, and would be taken for the next
+# call's
+QUIET = 20.0
 
 
 class OutboundCall:
@@ -29,11 +33,19 @@
                  "written")  # fmt: skip
 
     def __init__(
-        self, request: int, number: int, worker: int, ask: resp.Ask, started: float, due: float, begin_by: float = inf
+        self,
+        request: int,
+        number: int,
+        worker: int,
+        ask: resp.Ask,
+        started: float,
+        due: float,
+        begin_by: float = inf,
     ) -> None:
         self.request, self.number, self.worker, self.ask = request, number, worker, ask
         self.started, self.due = started, due
-        self.begin_by = begin_by  # the latest for its first byte, where it repeats what may have run
+        # the latest for its first byte, where it repeats what may have run
+        self.begin_by = begin_by
         self.begun = False  # its first byte may have gone out: it counts as sent on
         self.written = False  # its last byte has gone out: from here on it may run
         self.outcome: Outcome | None = None
@@ -43,14 +55,28 @@
 class Connection:
     """One connection to a backend, and the task that carries its calls one after another.
 
-    One call at a time: behind another it would wait for that one's answer, and giving it up means closing the
-    connection, which would take the other down with it.
+    One call at a time: behind another it would wait for that one's answer, and giving it up means
+    closing the connection, which would take the other down with it.
     """
 
-    __slots__ = ("born", "call", "destination", "endpoint", "idle_since", "sock", "task", "up", "wake")
+    __slots__ = (
+        "born",
+        "call",
+        "destination",
+        "endpoint",
+        "idle_since",
+        "sock",
+        "task",
+        "up",
+        "wake",
+    )
 
     def __init__(self, destination: Destination, call: OutboundCall) -> None:
-        self.destination, self.endpoint, self.born = destination, destination.endpoint, destination.started
+        self.destination, self.endpoint, self.born = (
+            destination,
+            destination.endpoint,
+            destination.started,
+        )
         self.sock = self.endpoint.new_socket()
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.call: OutboundCall | None = call
@@ -66,7 +92,9 @@
         return to.active and to.endpoint == self.endpoint and to.started == self.born
 
     def dead(self) -> bool:
-        """Whether an idle connection was closed, or says something nobody asked for: either is readable."""
+        """Whether an idle connection was closed, or says something nobody asked for: either is
+        readable.
+        """
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -105,14 +133,17 @@
         return len(self._connections)
 
     def start(self, call: OutboundCall) -> None:
-        """Put a call on the connection that was idle for the shortest time, but long enough, or on a new one."""
+        """Put a call on the connection that was idle for the shortest time, but long enough, or on
+        a new one.
+        """
         destination = self._destinations.by_worker[call.worker]
         if (connection := self._rested(call.worker)) is not None:
             connection.call, call.connection = call, connection
             if connection.wake is not None and not connection.wake.done():
                 connection.wake.set_result(None)
             return
-        # Descriptors are a hard limit of the machine: an idle connection elsewhere makes room, else the call
+        # Descriptors are a hard limit of the machine: an idle connection elsewhere makes room, else
+        # the call
         # ends unsent, which says nothing against the backend.
         if len(self._connections) >= self._most and not self.shed():
             self._end(call, Outcome.NOT_SENT)
@@ -147,8 +178,9 @@
         return None
 
     def give_up(self, call: OutboundCall, outcome: Outcome) -> None:
-        """Stop waiting for a call: its connection closes, which tells the backend. One that was not begun cannot
-        run."""
+        """Stop waiting for a call: its connection closes, which tells the backend. One that was not
+        begun cannot run.
+        """
         if call.outcome is None:
             if call.connection is not None:
                 self._drop(call.connection)
@@ -160,12 +192,15 @@
             self._drop(connection)
 
     def sweep(self) -> None:
-        """Close connections well before the backend does: a call that crosses its close ends as a reset."""
+        """Close connections well before the backend does: a call that crosses its close ends as a
+        reset.
+        """
         oldest = self._clock.now() - self._keep
         for worker, idle in list(self._idle.items()):
             while idle and idle[0].idle_since < oldest:
                 self._drop(idle.popleft())
-            if not idle:  # else each backend ever sent to is looked at for ever, and takes 600 bytes
+            # else each backend ever sent to is looked at for ever, and takes 600 bytes
+            if not idle:
                 del self._idle[worker]
 
     def shed(self) -> bool:
@@ -185,7 +220,8 @@
         self._connections.discard(connection)
         if connection.task is not None:
             connection.task.cancel()
-        connection.task = connection.wake = None  # a cancelled task holds on to the frames it ended in
+        # a cancelled task holds on to the frames it ended in
+        connection.task = connection.wake = None
         connection.sock.close()
 
     def _end(self, call: OutboundCall, outcome: Outcome) -> None:
@@ -218,8 +254,11 @@
             if not isinstance(error, OSError):
                 logger.exception("an outbound connection failed")
             if self.observer.tracing and not connection.up:
-                self.observer.event("connect", node=connection.destination.uid, end=type(error).__name__)
-            # Broken before the last byte was written: the backend cannot have begun it. After: it may have.
+                self.observer.event(
+                    "connect", node=connection.destination.uid, end=type(error).__name__
+                )
+            # Broken before the last byte was written: the backend cannot have begun it. After: it
+            # may have.
             if call is not None:
                 self._end(call, Outcome.RESET if call.written else Outcome.UNREACHABLE)
         finally:
@@ -230,7 +269,8 @@
         """One call, and the wait for the next; False where the connection is of no more use."""
         now = self._clock.now()
         left = call.due - now
-        # Just before the first byte: a drain may have been told while the connection came up, another process may
+        # Just before the first byte: a drain may have been told while the connection came up,
+        # another process may
         # stand in its place, and the time for a repeat may be over.
         if left <= 0 or now > call.begin_by or not connection.current:
             self._end(call, Outcome.NOT_SENT)
@@ -255,11 +295,13 @@
         self._tell(call, reply)
         return False
 
-    async def _answer(self, connection: Connection, call: OutboundCall, buffer: bytearray) -> tuple[resp.Reply, bool]:
+    async def _answer(
+        self, connection: Connection, call: OutboundCall, buffer: bytearray
+    ) -> tuple[resp.Reply, bool]:
         """What a backend says of a call, and whether the connection is of no more use after it.
 
-        A spoilt answer is an error, never a refusal: the request has run. What came behind a good one answers
-        nothing, and whose would the next answer on that connection be?
+        A spoilt answer is an error, never a refusal: the request has run. What came behind a good
+        one answers nothing, and whose would the next answer on that connection be?
         """
         reader, bounds = resp.reader(), resp.reply_bounds()
         begun = False
@@ -276,7 +318,10 @@
                 return resp.Reply(Outcome.ERROR), True
             if message is not resp.INCOMPLETE:
                 reply = self._replies.reply(message)
-                return reply, not reply.known or bounds.broken or not bounds.between or reader.has_data()
+                return (
+                    reply,
+                    not reply.known or bounds.broken or not bounds.between or reader.has_data(),
+                )
             if bounds.broken:
                 log = logger.bind(worker=call.worker, uid=connection.destination.uid)
                 log.debug("{} says what cannot be read", connection.endpoint)
--- a/dockthread/net/policy_host.py
+++ b/dockthread/net/policy_host.py
@@ -13,7 +13,9 @@
 
 
 class Decider:
-    """`carry_out`: by the type of an action, what does it. `abandon`: gives a request up after a fault."""
+    """`carry_out`: by the type of an action, what does it. `abandon`: gives a request up after a
+    fault.
+    """
 
     def __init__(self, gateway: Gateway, clock: Clock, abandon: Callable[[int], None]) -> None:
         self.gateway, self._clock, self._abandon = gateway, clock, abandon
@@ -22,7 +24,9 @@
         self._telling = False
 
     def tell(self, event: api.Event) -> None:
-        """Events are told one after another: one that comes of carrying out an action waits for its turn."""
+        """Events are told one after another: one that comes of carrying out an action waits for its
+        turn.
+        """
         self._events.append(event)
         if self._telling:
             return
@@ -39,7 +43,8 @@
             actions = self.gateway.handle(self._clock.now() / 1000.0, event)
         except Exception:
             logger.exception("the module failed on {!r}", event)
-            # What it had decided until then stands in its memory, and so must be done; its own next round
+            # What it had decided until then stands in its memory, and so must be done; its own next
+            # round
             # may be among it.
             actions, broken = list(self.gateway.actions), True
         for action in actions:
--- a/dockthread/net/quota_counter.py
+++ b/dockthread/net/quota_counter.py
@@ -1,4 +1,6 @@
-"""The counter: numbers that all ingresses share. Calls are written one behind another on one connection."""
+"""The counter: numbers that all ingresses share. Calls are written one behind another on one
+connection.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +19,8 @@
 
 BUFFER = 4 * 1024
 MOST_OUT = 64  # calls without an answer; a line that long would not be answered in time
-SILENCE = 100.0  # of a connection with a call out, after which it is given up; the next may be heard
+# of a connection with a call out, after which it is given up; the next may be heard
+SILENCE = 100.0
 PAUSE = 250.0  # after a connection that never came up, before the next
 
 
@@ -67,7 +70,9 @@
         self._not_before = 0.0
 
     def move(self, address: Address | None) -> None:
-        """Call the counter at another address; what is out at the old one is still answered there."""
+        """Call the counter at another address; what is out at the old one is still answered
+        there.
+        """
         if address != self._address:
             self._address, self._line, self._not_before = address, None, 0.0
 
@@ -102,7 +107,9 @@
             self._drop(line)
 
     def check(self) -> None:
-        """Give up a connection whose counter has gone silent, and one to an old address once it is done."""
+        """Give up a connection whose counter has gone silent, and one to an old address once it is
+        done.
+        """
         now = self._clock.now()
         for line in list(self._lines):
             done = not (line.out or line.unsent) and line is not self._line
@@ -121,7 +128,8 @@
             if not line.up:
                 self._drop(line)
         else:
-            self._end(call, Outcome.TIMEOUT)  # it keeps its place: the answer still comes, in its turn
+            # it keeps its place: the answer still comes, in its turn
+            self._end(call, Outcome.TIMEOUT)
             if self._silent(line, self._clock.now()):
                 self._drop(line)
 
--- a/dockthread/net/request.py
+++ b/dockthread/net/request.py
@@ -13,9 +13,21 @@
 class Request(Slot):
     """A request from its arrival until it is answered and no call of it is out."""
 
-    __slots__ = ("ask", "calls", "connection", "deadline", "gone", "guarded", "number", "out", "taken")
-
-    def __init__(self, number: int, connection: Inbound, ask: resp.Ask, deadline: float, left: float) -> None:
+    __slots__ = (
+        "ask",
+        "calls",
+        "connection",
+        "deadline",
+        "gone",
+        "guarded",
+        "number",
+        "out",
+        "taken",
+    )
+
+    def __init__(
+        self, number: int, connection: Inbound, ask: resp.Ask, deadline: float, left: float
+    ) -> None:
         super().__init__()
         self.taken = deadline - left
         self.number, self.connection, self.ask, self.deadline = number, connection, ask, deadline
--- a/dockthread/net/resp.py
+++ b/dockthread/net/resp.py
@@ -1,4 +1,5 @@
-"""RESP2 as inbound clients and backends speak it: commands read, answers written, replies understood.
+"""RESP2 as inbound clients and backends speak it: commands read, answers written, replies
+understood.
 
 Parsing is hiredis's; this module knows which messages mean what.
 """
@@ -56,13 +57,17 @@
 
 
 class Bounds:
-    """Reads the headers of what is about to be fed to a reader, and lets none through that would have it
-    allocate for a length that nobody means, or wait for an end that never comes."""
+    """Reads the headers of what is about to be fed to a reader, and lets none through that would
+    have it allocate for a length that nobody means, or wait for an end that never comes.
+    """
 
     __slots__ = ("_bare", "_errors", "_least", "_left", "_line", "_parts", "_value", "broken")
 
-    def __init__(self, parts: range, null: bool = False, errors: bool = False, bare: bool = False) -> None:
-        self._parts, self._errors, self._bare = parts, errors, bare  # bare: parts, and no array round them
+    def __init__(
+        self, parts: range, null: bool = False, errors: bool = False, bare: bool = False
+    ) -> None:
+        # bare: parts, and no array round them
+        self._parts, self._errors, self._bare = parts, errors, bare
         self._least = -1 if null else 0  # length of a part
         self._left = 0  # parts of the present array that are still to come
         self._value = -1  # bytes of the present part that are; -1 between parts
@@ -75,7 +80,9 @@
         return not (self._left or self._line or self._value >= 0)
 
     def sound(self, data: bytes) -> int:
-        """How many of these bytes may be fed; fewer than all, and nothing more ever, once it is `broken`."""
+        """How many of these bytes may be fed; fewer than all, and nothing more ever, once it is
+        `broken`.
+        """
         at, end = self._whole(data) if self.between else 0, len(data)
         while at < end:
             if self._value > 0:
@@ -93,8 +100,9 @@
         return end
 
     def _whole(self, data: bytes) -> int:
-        """Where the messages end that stand whole and sound at the start: nearly always that is all there is,
-        and costs a fifth of what going line by line does."""
+        """Where the messages end that stand whole and sound at the start: nearly always that is all
+        there is, and costs a fifth of what going line by line does.
+        """
         at = end = 0
         while array := ARRAY.match(data, at):
             if int(array[1]) not in self._parts:
@@ -112,7 +120,9 @@
         return end
 
     def _may_be(self, line: bytes, whole: bool) -> bool:
-        """Take a header, the end of a value or an error line; a part of one only if it can become one."""
+        """Take a header, the end of a value or an error line; a part of one only if it can become
+        one.
+        """
         sign = line[:1]
         if self._value == 0:
             if whole:
@@ -187,8 +197,9 @@
         return sum(map(len, self.args[4:]))
 
     def onward(self, time_left: float) -> bytes:
-        """The command for a backend. Only `d` may differ from the client's wording: in any other form a
-        backend answers -SYNTAX."""
+        """The command for a backend. Only `d` may differ from the client's wording: in any other
+        form a backend answers -SYNTAX.
+        """
         verb, customer, wire_id, _, *body = self.args
         terms = b"%b%d%b" % (self.head, max(1, int(time_left)), self.rest)
         return command(verb, customer, wire_id, terms, *body)
@@ -214,7 +225,9 @@
     ) -> None:
         """`offered`: the classes that clients may ask for, where not all that the module knows."""
         self._classes = {
-            name.encode(): number for number, name in enumerate(names.classes) if offered is None or name in offered
+            name.encode(): number
+            for number, name in enumerate(names.classes)
+            if offered is None or name in offered
         }
         self._plans = {name.encode(): number for number, name in enumerate(names.plans)}
         safe = [c.effect is api.Effect.SAFE for c in classes]
@@ -241,7 +254,10 @@
         if args[0].upper() != self._verbs[number]:
             raise BadCommand("this class goes by the other command")
         units, spread = self._whole(terms, b"units", b"1"), self._whole(terms, b"spread", b"1")
-        first, left = self._whole(terms, b"first", b"0"), float(time) if TIME.fullmatch(time) else 0.0
+        first, left = (
+            self._whole(terms, b"first", b"0"),
+            float(time) if TIME.fullmatch(time) else 0.0,
+        )
         if not (
             0 < left <= MOST_TIME
             and 1 <= units <= self._most_units
@@ -314,13 +330,17 @@
             for note in notes:
                 self._note(reply, note.encode())
             return reply
-        return Reply(api.Outcome.ERROR, known=False)  # nothing that a backend says of a request it served
+        # nothing that a backend says of a request it served
+        return Reply(api.Outcome.ERROR, known=False)
 
     def _note(self, reply: Reply, text: bytes) -> None:
-        """Figures on use, or a load report. What cannot be read, or cannot be true, is passed over: one nan
-        would stay in every smoothed figure for good."""
+        """Figures on use, or a load report. What cannot be read, or cannot be true, is passed over:
+        one nan would stay in every smoothed figure for good.
+        """
         try:
-            fields = {name: float(figure) for name, figure in (f.split(b"=", 1) for f in text.split(b","))}
+            fields = {
+                name: float(figure) for name, figure in (f.split(b"=", 1) for f in text.split(b","))
+            }
         except ValueError:
             return
         if not all(isfinite(figure) and 0 <= figure < MOST_FIGURE for figure in fields.values()):
@@ -328,7 +348,10 @@
         if b"used" in fields:
             reply.used = fields[b"used"] / 100.0
         reply.cost = fields.get(b"cost", reply.cost)
-        load = [fields.get(name, fields.get(wire)) for name, wire in zip(self._load, self._wire, strict=True)]
+        load = [
+            fields.get(name, fields.get(wire))
+            for name, wire in zip(self._load, self._wire, strict=True)
+        ]
         if load and None not in load:
             reply.load = tuple(figure for figure in load if figure is not None)
 
@@ -339,7 +362,9 @@
 
 
 def counted(message: Any) -> tuple[api.Outcome, float]:
-    """What the counter says of a call, and the total. What cannot be read was added all the same."""
+    """What the counter says of a call, and the total. What cannot be read was added all the
+    same.
+    """
     if isinstance(message, hiredis.ReplyError):
         kind = str(message).split(" ")[0]
         known = {"BUSY": api.Outcome.FULL, "ERR": api.Outcome.NOT_SENT}
--- a/dockthread/net/timers.py
+++ b/dockthread/net/timers.py
@@ -36,7 +36,8 @@
         if self._alarm is not None:
             self._alarm.cancel()
         self._armed = self._heap[0][0]
-        # Due at the end of the module's tick, as in the simulator: the timers of one tick share an alarm.
+        # Due at the end of the module's tick, as in the simulator: the timers of one tick share an
+        # alarm.
         tick, now = self._tick, self._clock.now()
         wait = max(1, ceil(ceil(max(now, self._armed) / tick) * tick - now)) / 1000.0
         self._alarm = self._loop.call_later(wait, self.run)
--- a/dockthread/observer.py
+++ b/dockthread/observer.py
@@ -1,7 +1,7 @@
 """What an ingress tells whoever counts: one narrow seam between the sockets and telemetry.
 
-The ingress calls these at each event, on its own path, so an observer only adds up. `Observer` itself does
-nothing and is what an ingress has while nobody counts.
+The ingress calls these at each event, on its own path, so an observer only adds up. `Observer`
+itself does nothing and is what an ingress has while nobody counts.
 """
 
 from __future__ import annotations
@@ -13,7 +13,9 @@
 
 
 class Traffic:
-    """Bytes and connections by side, since the start. Plain integers, always counted: cheaper than asking."""
+    """Bytes and connections by side, since the start. Plain integers, always counted: cheaper than
+    asking.
+    """
 
     __slots__ = (
         "calls",
@@ -40,7 +42,8 @@
         self.messages_odd = 0  # from nobody known, or too long
         self.spoilt = 0  # commands that could not be served
         self.tries = 0  # outbound calls whose last byte went out
-        # Final answers by outcome and by the module's number of their class; `grow` as classes are added.
+        # Final answers by outcome and by the module's number of their class; `grow` as classes are
+        # added.
         self.outcomes: dict[str, list[int]] = {outcome: [] for outcome in OUTCOMES}
 
     def grow(self, classes: int) -> None:
@@ -65,8 +68,9 @@
         units: float,
         sent_on: bool,
     ) -> None:
-        """The one final answer of a request was given to its connection. `sent_on`: a call was started for it,
-        which takes its units."""
+        """The one final answer of a request was given to its connection. `sent_on`: a call was
+        started for it, which takes its units.
+        """
 
     def gone(self, request_class: int, plan: int, firm: int, units: float, sent_on: bool) -> None:
         """A client went away before its answer."""
--- a/dockthread/policy/__init__.py
+++ b/dockthread/policy/__init__.py
@@ -1,4 +1,6 @@
-"""The decision module: every decision of one gateway, free of I/O. Events in, actions out (`api`)."""
+"""The decision module: every decision of one gateway, free of I/O. Events in, actions out
+(`api`).
+"""
 
 from dockthread.policy import api
 from dockthread.policy.engine import Gateway
--- a/dockthread/policy/admission.py
+++ b/dockthread/policy/admission.py
@@ -1,4 +1,6 @@
-"""Admission: whether a customer's decayed unit rate, the counter and the ceiling let a request in."""
+"""Admission: whether a customer's decayed unit rate, the counter and the ceiling let a request
+in.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +14,8 @@
 TOLD_RESERVE, TOLD_LOW = 0.05, 0.2  # the same where messages tell what the others let in
 CAP_USE = 0.5  # of a cap on attempts out that is used on average: chance alone fills the rest
 EPOCH, LIFE = 40.0, 60.0  # s that a customer's number on the counter counts, and lives
-CLEAR, LAG, BACK = 0.5, 0.5, 0.1  # of a burst: left, so that nobody is asked; not lifted yet; lifted twice
+# of a burst: left, so that nobody is asked; not lifted yet; lifted twice
+CLEAR, LAG, BACK = 0.5, 0.5, 0.1
 TRIES, MUTE = 3, 0.3  # failed calls that mute the counter; s for which
 METER_FRESH = 2.5  # periods of the meter that its word counts
 CHEAP, DEAR = 0.6, 2.0  # of the bound on the wait: for the cheapest, for the dearest
@@ -24,15 +27,22 @@
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
         super().__init__(settings, seed, now)
-        windows = [p.burst / p.rate if p.rate > 0 else self.tight * bool(p.most_out) for p in settings.plans]
+        windows = [
+            p.burst / p.rate if p.rate > 0 else self.tight * bool(p.most_out)
+            for p in settings.plans
+        ]
         self.sketches = [Sketch(window, self.rng) if window else None for window in windows]
         self.dearest = max(k.worth for k in settings.classes)
-        self.value = sum(k.worth for k in settings.classes) / len(settings.classes)  # of a unit, usually
+        # of a unit, usually
+        self.value = sum(k.worth for k in settings.classes) / len(settings.classes)
 
     def _arrived(self, ask: api.RequestArrived) -> None:
         call = Call(ask, self.s.classes[ask.request_class], self.now + ask.time_left)
         c, sketch = self._customer(ask.customer, ask.plan), self.sketches[ask.plan]
-        c.first, c.spread = ask.first_gateway % self.s.gateways, min(max(1, ask.spread), self.s.gateways)
+        c.first, c.spread = (
+            ask.first_gateway % self.s.gateways,
+            min(max(1, ask.spread), self.s.gateways),
+        )
         c.arrived += (units := self.s.plans[ask.plan].counted(ask.units))
         if sketch is not None:
             c.rate = sketch.add(ask.customer, units, self.now)
@@ -65,12 +75,15 @@
                 self._call(ask.customer, c)
 
     def _asks(self, c: Customer) -> bool:
-        """Whether the counter is to tell what the others let in: of a quota, where their messages do not."""
+        """Whether the counter is to tell what the others let in: of a quota, where their messages
+        do not.
+        """
         return self.s.may_count and c.store.rate > 0 and not self._hears(c)
 
     def _doubtful(self, ask: api.RequestArrived, c: Customer, sketch: Sketch) -> bool:
-        """Whether what the others let in decides: not within an even split, nor while the store holds much,
-        nor where it is too empty for this request whatever they did."""
+        """Whether what the others let in decides: not within an even split, nor while the store
+        holds much, nor where it is too empty for this request whatever they did.
+        """
         plan = self.s.plans[ask.plan]
         if self.now < self.mute or not self._asks(c):
             return False
@@ -90,25 +103,35 @@
         c.unsaid = c.due = c.lift = 0.0
 
     def _counted(self, e: api.Counted) -> None:
-        """The number is the customer's one store: units used since the epoch's start, and those that ran over
-        while it was full. What it lacks of these is added with the next units told, or by itself: a lift."""
+        """The number is the customer's one store: units used since the epoch's start, and those
+        that ran over while it was full. What it lacks of these is added with the next units told,
+        or by itself: a lift.
+        """
         c = self.customers.get(e.name >> 24)
         if c is None or c.calling is None:
             return
         (begun, units, lift), c.calling = c.calling, None
-        c, plan, sketch = self._customer(e.name >> 24, c.plan), self.s.plans[c.plan], self.sketches[c.plan]
+        c, plan, sketch = (
+            self._customer(e.name >> 24, c.plan),
+            self.s.plans[c.plan],
+            self.sketches[c.plan],
+        )
         assert sketch is not None
         if e.outcome is Outcome.OK:
             room = plan.rate * (self.now - begun) - (e.total - units - lift)
             left, due = c.store.by_the_number(room, units)
-            c.rest = sketch.decayed(c.rest, c.store.counter_told(left - c.unsaid), self.now - c.heard)
+            c.rest = sketch.decayed(
+                c.rest, c.store.counter_told(left - c.unsaid), self.now - c.heard
+            )
             c.due, c.lift, c.heard, self.failures = due * (not lift), due - lift, self.now, 0
-            c.lift *= abs(c.lift) > abs(lift) / 2  # else it is others' use, and not their lift of the same
+            # else it is others' use, and not their lift of the same
+            c.lift *= abs(c.lift) > abs(lift) / 2
         else:
             c.unsaid += units * (e.outcome in NEVER_RAN)
             spoilt = e.outcome in (Outcome.ERROR, Outcome.RESET)  # and so a sign of life: ask again
             self.failures += 1 - 0.75 * spoilt
-            if self.failures >= TRIES:  # slow or gone: ask it again later, and share as if alone meanwhile
+            # slow or gone: ask it again later, and share as if alone meanwhile
+            if self.failures >= TRIES:
                 self.mute = self.now + MUTE
             elif spoilt and c.waiting:
                 self._call(e.name >> 24, c)
@@ -116,7 +139,9 @@
         waiting, c.waiting = c.waiting, []
         for call in [self.calls[r] for r in waiting if r in self.calls]:
             self._decide(call.ask, call, c)
-        unlifted = abs(c.lift) > (BACK if lift else LAG) * plan.burst and (lift or units or c.lift < 0)
+        unlifted = abs(c.lift) > (BACK if lift else LAG) * plan.burst and (
+            lift or units or c.lift < 0
+        )
         if e.outcome is Outcome.OK and c.calling is None and (c.unsaid or unlifted):
             self._call(e.name >> 24, c)
         c.due = c.lift = 0.0  # they hold for this moment
@@ -128,7 +153,8 @@
             return self.no("quota")
         if self._capped(c):
             return self.no("cap")
-        # Answers take long: it would be late, or in the way of dearer ones. Against jams of any cause.
+        # Answers take long: it would be late, or in the way of dearer ones. Against jams of any
+        # cause.
         self.value += VALUE_STEP * ((value := rules.worth * plan.price) - self.value)
         part = min(DEAR, max(CHEAP, value / self.value))
         if self._wait() > PRESSED * min(DEAR * rules.aim, part * self.tight):
@@ -143,10 +169,14 @@
         c.spent += ask.units
         return True
 
-    def _chance(self, units: float, worth: float, c: Customer, plan: api.Plan, sketch: Sketch) -> float:
-        """The chance to pass. Phi: the quota by this gateway's part of the arrivals where the others tell of
-        theirs; else by its part of what is let in, by the counter or else by the meter; never less than an
-        even split, which is all where nobody tells. Where the others' use is known the store decides too."""
+    def _chance(
+        self, units: float, worth: float, c: Customer, plan: api.Plan, sketch: Sketch
+    ) -> float:
+        """The chance to pass. Phi: the quota by this gateway's part of the arrivals where the
+        others tell of theirs; else by its part of what is let in, by the counter or else by the
+        meter; never less than an even split, which is all where nobody tells. Where the others' use
+        is known the store decides too.
+        """
         rate, told, gap = self._rate(plan), self._hears(c), self.now - c.told_at
         if told or (not self.s.may_count and self._hears_any()):
             if not plan.rate and told:
@@ -155,7 +185,8 @@
             phi = max(rate * c.rate / (c.rate + asked), rate / c.spread)
             gone = c.spending * min(gap, self.turn)
             return self._lean(units, worth, c, min(1.0, phi / c.rate), gone, told)
-        crowd = 0 < plan.most_out < c.spread and not plan.rate  # one attempt at each is beyond the cap
+        # one attempt at each is beyond the cap
+        crowd = 0 < plan.most_out < c.spread and not plan.rate
         phi = max(rate / c.spread, 0.0 if crowd else units / sketch.window)
         if not self.s.may_count or not plan.rate:
             return min(1.0, phi / c.rate)
@@ -170,10 +201,13 @@
             return self._lean(units, worth, c, chance, c.rest * gap, False)
         return chance if c.store.level >= units else 0.0
 
-    def _lean(self, units: float, worth: float, c: Customer, chance: float, gone: float, told: bool) -> float:
-        """Above phi: the design's chance at a reserve in the customer's store, rising to 1 over it (what the
-        store holds is inside the quota), to 0 under it. Cheaper classes leave more to the others. `gone`:
-        what the others will have taken since they were heard of."""
+    def _lean(
+        self, units: float, worth: float, c: Customer, chance: float, gone: float, told: bool
+    ) -> float:
+        """Above phi: the design's chance at a reserve in the customer's store, rising to 1 over it
+        (what the store holds is inside the quota), to 0 under it. Cheaper classes leave more to the
+        others. `gone`: what the others will have taken since they were heard of.
+        """
         if not self.s.plans[c.plan].rate:
             return chance
         low = 1 - worth / self.dearest
@@ -189,7 +223,9 @@
         return c
 
     def _rate(self, plan: api.Plan) -> float:
-        """The quota, or what a cap on attempts out lets pass in the usual answer time (Little's law)."""
+        """The quota, or what a cap on attempts out lets pass in the usual answer time (Little's
+        law).
+        """
         return plan.rate or CAP_USE * plan.most_out / self._usually()
 
     def _capped(self, c: Customer) -> bool:
--- a/dockthread/policy/api.py
+++ b/dockthread/policy/api.py
@@ -58,7 +58,8 @@
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"
 
-    __hash__ = object.__hash__  # counted by outcome on every call: Enum's own, in Python, costs five times as much
+    # counted by outcome on every call: Enum's own, in Python, costs five times as much
+    __hash__ = object.__hash__
 
 
 NEVER_RAN = (Outcome.FULL, Outcome.UNREACHABLE, Outcome.NOT_SENT)
@@ -80,7 +81,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A quota of each customer of the plan, over all gateways together. 0 stands for 'no such limit'."""
+    """A quota of each customer of the plan, over all gateways together. 0 stands for 'no such
+    limit'.
+    """
 
     rate: float = 0.0
     burst: float = 0.0
@@ -93,7 +96,9 @@
     ceiling_slack: float = 0.0
 
     def counted(self, units: float) -> float:
-        """What a request of these units counts as: one attempt, where there is no quota and only a cap on them."""
+        """What a request of these units counts as: one attempt, where there is no quota and only a
+        cap on them.
+        """
         return units if self.rate else 1.0
 
 
@@ -122,7 +127,8 @@
     handshake: float = 0.0  # of each new connection to a worker
 
 
-IDLE_PART = 0.5  # of `Settings.conn_idle`, the latest at which a worker closes: when an ingress closes it itself
+# of `Settings.conn_idle`, the latest at which a worker closes: when an ingress closes it itself
+IDLE_PART = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -202,8 +208,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """`finished`: the request has its final answer. `metered`: the customer's use by all gateways over the
-    meter's last period as a share of its limit, or None. `load` follows Settings.load_names, or is empty."""
+    """`finished`: the request has its final answer. `metered`: the customer's use by all gateways
+    over the meter's last period as a share of its limit, or None. `load` follows
+    Settings.load_names, or is empty.
+    """
 
     request: int
     attempt: int
@@ -250,8 +258,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Counted:
-    """The end of a `Count`. OK: `total` is what the number is now. FULL, UNREACHABLE and NOT_SENT: nothing
-    was added. Anything else: the amount counts as added."""
+    """The end of a `Count`. OK: `total` is what the number is now. FULL, UNREACHABLE and NOT_SENT:
+    nothing was added. Anything else: the amount counts as added.
+    """
 
     name: int
     outcome: Outcome
@@ -273,9 +282,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start the request's next attempt; attempts are numbered 0, 1, 2... in the order sent. One whose first byte
-    has not gone out at `begin_by`, as its connection comes up late, is not sent: it would repeat what may have run
-    outside the window for repeats."""
+    """Start the request's next attempt; attempts are numbered 0, 1, 2... in the order sent. One
+    whose first byte has not gone out at `begin_by`, as its connection comes up late, is not sent:
+    it would repeat what may have run outside the window for repeats.
+    """
 
     request: int
     worker: int
@@ -287,7 +297,9 @@
 class Refuse:
     """Final answer: turned away, harmless to try again, best after `retry_after` (0: no advice).
 
-    `reason`: what turned it away at its arrival (`quota`, `cap`, `pressed`, `ceiling`), or empty."""
+    `reason`: what turned it away at its arrival (`quota`, `cap`, `pressed`, `ceiling`), or
+    empty.
+    """
 
     request: int
     retry_after: float = 0.0
@@ -334,8 +346,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Count:
-    """Add to a number that the counter keeps for all gateways. It starts at 0 and is forgotten when the
-    `life` of its first call is over. Each call is answered by one `Counted`."""
+    """Add to a number that the counter keeps for all gateways. It starts at 0 and is forgotten when
+    the `life` of its first call is over. Each call is answered by one `Counted`.
+    """
 
     name: int
     amount: float
--- a/dockthread/policy/attempts.py
+++ b/dockthread/policy/attempts.py
@@ -1,4 +1,6 @@
-"""Attempts: when a request is tried, tried again, copied, given up; and the wait that these foretell."""
+"""Attempts: when a request is tried, tried again, copied, given up; and the wait that these
+foretell.
+"""
 
 from __future__ import annotations
 
@@ -13,10 +15,13 @@
 FAIL_STEP, SLOW_STEP, SMOOTH = 0.25, 0.12, 0.05  # weights of one more in smoothed figures
 LATEST = 1.5  # tight aims: the latest that one answer can tell of the moment
 SUSPECTED = 0.35  # failed part of a worker that asks for copies
-FULL_FOR, FULL_MOST = 0.2, 3.0  # s for which a worker that turned an attempt away is full; doubled, at most
+# s for which a worker that turned an attempt away is full; doubled, at most
+FULL_FOR, FULL_MOST = 0.2, 3.0
 LATE_DEVIATIONS = 4.0  # an answer missing for the usual time and so many usual deviations is late
-SILENT_DEVIATIONS = 9.0  # after so many its worker is suspected: one usual answer in 2,000 takes longer
-DONE_OVER, MOST_CHANCE = 4.0, 5  # fall times over which answers are averaged; attempts out that say nothing
+# after so many its worker is suspected: one usual answer in 2,000 takes longer
+SILENT_DEVIATIONS = 9.0
+# fall times over which answers are averaged; attempts out that say nothing
+DONE_OVER, MOST_CHANCE = 4.0, 5
 HALF = 0.45  # part of its time after which a request that no worker could be given ends
 PRESSED, ADVICE = 0.25, 0.25  # of an aim: expected wait that refuses the usual; wait advised then
 TIRED = 0.5  # of an aim: answer time of late from which nothing is tried again
@@ -42,7 +47,8 @@
                 self._close(request)
 
     def _try(self, request: int, call: Call) -> bool:
-        self.held[request] = None  # if there is none: tried again at each tick and each change of the list
+        # if there is none: tried again at each tick and each change of the list
+        self.held[request] = None
         if (worker := self._choose(call)) is None:
             return False
         del self.held[request]
@@ -60,14 +66,18 @@
         return True
 
     def _late(self, request: int, number: int) -> None:
-        """At a suspected worker what may be repeated is copied, or called back; others have some time."""
+        """At a suspected worker what may be repeated is copied, or called back; others have some
+        time.
+        """
         if (call := self._awaited(request, number)) is None:
             return
         attempt = call.attempts[number]
         attempt.late = True
         self.out -= 1  # lost, it says nothing of a jam; at its worker it is out all the same
         usual, deviation = self.usual[call.ask.request_class]
-        self.timer(attempt.sent + usual + SILENT_DEVIATIONS * deviation, self._silent, request, number)
+        self.timer(
+            attempt.sent + usual + SILENT_DEVIATIONS * deviation, self._silent, request, number
+        )
         self._help(request, call, number)
 
     def _silent(self, request: int, number: int) -> None:
@@ -82,7 +92,12 @@
 
     def _help(self, request: int, call: Call, number: int) -> None:
         w = self.workers[call.attempts[number].worker]
-        if self._repeats(call) and len(call.attempts) < 2 and w.failed >= SUSPECTED and self._may_copy(call):
+        if (
+            self._repeats(call)
+            and len(call.attempts) < 2
+            and w.failed >= SUSPECTED
+            and self._may_copy(call)
+        ):
             if self.s.second_copies and not self._try(request, call):
                 del self.held[request]
             elif self.s.may_cancel and not self.s.second_copies:
@@ -101,16 +116,20 @@
         self.carry(w, -1)
         if call is not None and call.attempts[e.attempt].late:
             self.out += 1  # taken off when it was late
-        if e.load and e.load != w.report:  # every answer repeats the last report; only another one is news
+        # every answer repeats the last report; only another one is news
+        if e.load and e.load != w.report:
             w.hear(e.load, self.reports.others(e.load, w.out, self._usually()), self.now)
-        w.answered = self.now if e.outcome in (Outcome.OK, Outcome.ERROR, Outcome.FULL) else w.answered
+        w.answered = (
+            self.now if e.outcome in (Outcome.OK, Outcome.ERROR, Outcome.FULL) else w.answered
+        )
         if e.outcome is Outcome.OK:
             w.failed -= FAIL_STEP * w.failed
             w.full_for, w.spare, w.spare_at = 0.0, w.spare + 1, self.now
             self._borne()
             step = SLOW_STEP * self._tells(w)
             self.slow += step * (min(e.took, LATEST * self.tight) - self.slow)
-        elif e.outcome is Outcome.FULL:  # to this plan: the others may find room; many: a jam without answers
+        # to this plan: the others may find room; many: a jam without answers
+        elif e.outcome is Outcome.FULL:
             self.slow += FAIL_STEP * self._tells(w) * (self.tight - self.slow)
             w.full_for = max(FULL_FOR, min(2 * w.full_for, FULL_MOST))
             w.full(c.plan, self.now + w.full_for)
@@ -119,7 +138,11 @@
         if call is None:
             return
         attempt = call.attempts[e.attempt]
-        attempt.out, attempt.may_have_run, attempt.outcome = False, e.outcome not in NEVER_RAN, e.outcome
+        attempt.out, attempt.may_have_run, attempt.outcome = (
+            False,
+            e.outcome not in NEVER_RAN,
+            e.outcome,
+        )
         if call.ask.route is not None:
             call.ask.route.ended(e.attempt, e.outcome, e.took, self.now)
         if e.outcome is Outcome.OK:
@@ -134,7 +157,9 @@
         if e.finished:
             self._finish(e.request)
         elif not any(a.out for a in call.attempts):
-            pressed = self.slow > TIRED * call.rules.aim or self.now > call.deadline - 2 * self.s.tick
+            pressed = (
+                self.slow > TIRED * call.rules.aim or self.now > call.deadline - 2 * self.s.tick
+            )
             more = not pressed and len(call.attempts) < self.s.most_attempts
             pause = self._pause(call, e.outcome) if more else None
             if pause:
@@ -146,12 +171,16 @@
                 self._close(e.request)
 
     def _tells(self, w: Worker) -> float:
-        """How much a worker's answer says of what the next request meets: one that is worse than the others
-        is hardly drawn, and its late answers must not refuse what the others have room for."""
+        """How much a worker's answer says of what the next request meets: one that is worse than
+        the others is hardly drawn, and its late answers must not refuse what the others have room
+        for.
+        """
         return min(1.0, ((1 - w.failed) / max(0.05, self.pool.sound)) ** 2)
 
     def _repeats(self, call: Call) -> bool:
-        """Whether a second attempt may go while the first is out. A class may have been changed meanwhile."""
+        """Whether a second attempt may go while the first is out. A class may have been changed
+        meanwhile.
+        """
         return self._effect(call) is not Effect.UNSAFE and len(call.attempts) < self.s.most_attempts
 
     def _close(self, request: int) -> None:
@@ -165,8 +194,10 @@
         self._finish(request)
 
     def _refuse(self, request: int, rules: api.RequestClass, why: str = "") -> None:
-        """A client that waits past the aim comes back for nothing, and takes units from those in time. Advice
-        goes with every refusal: it is for whoever passes answers on to say whether clients are handed it."""
+        """A client that waits past the aim comes back for nothing, and takes units from those in
+        time. Advice goes with every refusal: it is for whoever passes answers on to say whether
+        clients are handed it.
+        """
         self.actions.append(api.Refuse(request, min(self.s.most_advice, ADVICE * rules.aim), why))
 
     def _finish(self, request: int) -> None:
@@ -182,8 +213,10 @@
         self._leave(call)
 
     def _wait(self) -> float:
-        """Expected wait by Little's law, of attempts out less what chance could put there: sees a jam come.
-        Or the answer time of late: sees work that was given up here and still waits at the workers."""
+        """Expected wait by Little's law, of attempts out less what chance could put there: sees a
+        jam come. Or the answer time of late: sees work that was given up here and still waits at
+        the workers.
+        """
         lag = self._usually()  # a start's first answers come so much later than its requests
         over = min(DONE_OVER * self.s.safety.fall_time + TICK, self.now - self.born - lag)
         few = self.out < MOST_CHANCE or not self.done or over < lag
--- a/dockthread/policy/backend_pool.py
+++ b/dockthread/policy/backend_pool.py
@@ -1,13 +1,14 @@
 """The workers that attempts are drawn from, and their summed shares. Decides nothing.
 
-Theory of operation. A worker keeps a place in the order of the list for as long as it is known, and weighs nothing
-while nothing may be sent there, so that a change of the list touches one place. A share moves by itself only while
-its worker warms up or has failures that fade: those few are kept apart and weighed anew at each round of housekeeping
-(were they most of a long list, some of them in turn); the others stay as they are. The running sums, by which
-`random.choices` draws with a binary search, are summed up again by a round that moved anything, and between rounds by
-one change in `SLOTS_PER_CHANGE` places: at once in a list of up to that many, where it costs little, and in a longer
-one so seldom that a change costs the same in it. Until then a longer list is drawn from by slightly old shares;
-readiness is always read off the worker.
+Theory of operation. A worker keeps a place in the order of the list for as long as it is known, and
+weighs nothing while nothing may be sent there, so that a change of the list touches one place. A
+share moves by itself only while its worker warms up or has failures that fade: those few are kept
+apart and weighed anew at each round of housekeeping (were they most of a long list, some of them in
+turn); the others stay as they are. The running sums, by which `random.choices` draws with a binary
+search, are summed up again by a round that moved anything, and between rounds by one change in
+`SLOTS_PER_CHANGE` places: at once in a list of up to that many, where it costs little, and in a
+longer one so seldom that a change costs the same in it. Until then a longer list is drawn from by
+slightly old shares; readiness is always read off the worker.
 """
 
 from __future__ import annotations
@@ -29,10 +30,13 @@
 FADED = 1e-18  # a failed part below this changes no sum with 1 in double precision: it is none
 FADED_OF_MANY = 1e-3  # the same in a long list, where one rests after ten halvings and not after 60
 MOST_WEIGHED = 1024  # workers weighed anew in one round: some 3 ms
-SCANNED = 1024  # workers that are looked through for a few; of more, so many drawn evenly are, a quarter of it
-MOST_DRAWN = 64  # candidates of a long list: the best of so many is as good as one in 64, and more cost 4 us each
+# workers that are looked through for a few; of more, so many drawn evenly are, a quarter of it
+SCANNED = 1024
+# candidates of a long list: the best of so many is as good as one in 64, and more cost 4 us each
+MOST_DRAWN = 64
 TRIES = 4  # draws from all for one of a part of them
-VACANT_PART = 1 / 8  # of the places: left by workers that are forgotten, from which they are closed up
+# of the places: left by workers that are forgotten, from which they are closed up
+VACANT_PART = 1 / 8
 
 
 class Drawable(Protocol):
@@ -77,8 +81,10 @@
 
 
 class Sifted:
-    """The part of a long list whose entries fit, drawn from all of it. Its length is that of the whole list, for of
-    as many drawn from the whole those that fit are as many as its part would be."""
+    """The part of a long list whose entries fit, drawn from all of it. Its length is that of the
+    whole list, for of as many drawn from the whole those that fit are as many as its part would
+    be.
+    """
 
     __slots__ = ("_fits", "_pool")
 
@@ -92,9 +98,13 @@
         return (worker for worker in self._pool if self._fits(worker.entry))
 
     def draw(self, rng: random.Random, count: int) -> list[Worker]:
-        """Those that fit among some drawn from all; none where a few rounds of drawing find none."""
+        """Those that fit among some drawn from all; none where a few rounds of drawing find
+        none.
+        """
         for _ in range(TRIES):
-            if drawn := [worker for worker in self._pool.draw(rng, count) if self._fits(worker.entry)]:
+            if drawn := [
+                worker for worker in self._pool.draw(rng, count) if self._fits(worker.entry)
+            ]:
                 return drawn
         return []
 
@@ -104,7 +114,9 @@
 
 
 def _summed(shares: array[float]) -> array[float]:
-    """The running sums. By way of lists, which takes two thirds of the time of an array by itself."""
+    """The running sums. By way of lists, which takes two thirds of the time of an array by
+    itself.
+    """
     return array("d", list(accumulate(shares.tolist())))
 
 
@@ -112,14 +124,17 @@
 
 
 class Pool:
-    """All workers listed. `share`: the chance of one to be drawn; `warmth`: 1 for one that is warm."""
+    """All workers listed. `share`: the chance of one to be drawn; `warmth`: 1 for one that is
+    warm.
+    """
 
     def __init__(self, share: Callable[[Worker], float], warmth: Callable[[Worker], float]) -> None:
         self._share, self._warmth = share, warmth
         self._slots: list[Worker] = []
         self._shares = array("d")
         self._sums = array("d")
-        self._cells: dict[tuple[int, int], dict[int, Worker]] = {}  # by zone and cell, all that are known
+        # by zone and cell, all that are known
+        self._cells: dict[tuple[int, int], dict[int, Worker]] = {}
         self._parts: Counter[tuple[int, int]] = Counter()  # ready ones by zone and kind
         self._ready = self._vacant = 0
         self._weighed = 0  # since the sums were made
@@ -130,7 +145,8 @@
         self._turn = 0  # the next of these to be weighed, where they are too many for a round
         self.sound = 1.0  # mean part of the ready ones' outcomes that were no failures
         self.warm = False  # whether a ready one is warm
-        self.visits = 0  # workers looked at one by one, ever: the work that changes and housekeeping make
+        # workers looked at one by one, ever: the work that changes and housekeeping make
+        self.visits = 0
 
     def __len__(self) -> int:
         return self._ready
@@ -163,7 +179,9 @@
             return self
         if group is Group.CELL:
             cell = self._cells.get((home.zone, home.cell), {})
-            return Subset(sorted((w for w in cell.values() if w.ready), key=lambda w: w.place), self._share)
+            return Subset(
+                sorted((w for w in cell.values() if w.ready), key=lambda w: w.place), self._share
+            )
         zone = home.zone
         return Sifted(self, lambda entry: entry.zone == zone)
 
@@ -172,7 +190,9 @@
         if self._ready <= SCANNED:
             fitting = [worker for worker in self if fits(worker.entry)]
             return Subset(fitting, self._share) if fitting else None
-        parts = (WorkerEntry(0, WorkerState.READY, *part) for part, count in self._parts.items() if count)
+        parts = (
+            WorkerEntry(0, WorkerState.READY, *part) for part, count in self._parts.items() if count
+        )
         return Sifted(self, fits) if any(map(fits, parts)) else None
 
     def add(self, worker: Worker) -> None:
@@ -181,7 +201,9 @@
         self._slots.append(worker)
         self._shares.append(0.0)
         self._sums.append(self._sums[-1] if self._sums else 0.0)
-        self._cells.setdefault((worker.entry.zone, worker.entry.cell), {})[worker.entry.worker] = worker
+        self._cells.setdefault((worker.entry.zone, worker.entry.cell), {})[worker.entry.worker] = (
+            worker
+        )
 
     def forget(self, worker: Worker) -> None:
         """One that is not ready, and will not be again."""
@@ -209,7 +231,9 @@
             del self._cells[key]
 
     def fade(self, failures: float, paces: float) -> None:
-        """A round of housekeeping: these parts are left of what is known of failures, and of answer times."""
+        """A round of housekeeping: these parts are left of what is known of failures, and of answer
+        times.
+        """
         self._due = True
         self.rounds.end(paces)
         least = FADED if len(self._slots) <= SCANNED else FADED_OF_MANY
@@ -218,7 +242,10 @@
 
     def refresh(self) -> None:
         """Weigh anew and sum up, if it is time."""
-        if not self._due and (self._weighed + 1) * SLOTS_PER_CHANGE <= len(self._slots) - self._vacant:
+        if (
+            not self._due
+            and (self._weighed + 1) * SLOTS_PER_CHANGE <= len(self._slots) - self._vacant
+        ):
             return
         self._due = False
         if self._vacant > len(self._slots) * VACANT_PART:
--- a/dockthread/policy/engine.py
+++ b/dockthread/policy/engine.py
@@ -1,7 +1,9 @@
 """A gateway's decisions, joined: events in, actions out (dockthread/policy/api.py).
 
-`Admission` asks whether the customer's decayed unit rate lets a request in (rakelimit), `Attempts` when it is
-tried, tried again, copied or given up, `Choice` where. Here: events by their kind, and housekeeping."""
+`Admission` asks whether the customer's decayed unit rate lets a request in (rakelimit), `Attempts`
+when it is tried, tried again, copied or given up, `Choice` where. Here: events by their kind, and
+housekeeping.
+"""
 
 from __future__ import annotations
 
@@ -37,7 +39,9 @@
         }
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Take one event; the actions that follow, in their order. `now`: s on the module's clock."""
+        """Take one event; the actions that follow, in their order. `now`: s on the module's
+        clock.
+        """
         self.now, self.actions = now, []
         if not self.started:
             self.started = True
@@ -54,7 +58,8 @@
     def _tick(self) -> None:
         self.timer(self.now + TICK, self._tick)
         self.done *= 1 - TICK / (DONE_OVER * self.s.safety.fall_time + TICK)
-        self.slow *= 0.5 ** (TICK / self.tight)  # it tells of the moment: a jam that is gone must not refuse
+        # it tells of the moment: a jam that is gone must not refuse
+        self.slow *= 0.5 ** (TICK / self.tight)
         self.pool.fade(0.5 ** (TICK / self.fade), 0.5 ** (TICK / PACE_HALF))
         self.tidy()
         self._beats()
--- a/dockthread/policy/gossip.py
+++ b/dockthread/policy/gossip.py
@@ -1,12 +1,15 @@
-"""What gateways tell each other: queues and batches of messages, and what was heard put into memory. Decides nothing.
-
-Theory of operation. Every gateway tells the others of a customer's set what it was asked for and let in, as sums
-since its start, and its attempts out. A customer of whom there is news is marked for each of the others. A round of
-messages, `(gateways - 1) / intake` seconds after the first mark, sends one message to each that has marks, so that a
-gateway takes in what the settings allow and the news is as fresh as that permits. What does not fit into a message,
-or into the stock of messages, waits; the customers with the emptiest stores go first. A gateway that has nothing to
-tell tells it after a beat, so that its silence means something. A mark of its life goes with every message: another
-mark means that it began anew and knows nothing, and it is told of the customers whose stores are not full.
+"""What gateways tell each other: queues and batches of messages, and what was heard put into
+memory. Decides nothing.
+
+Theory of operation. Every gateway tells the others of a customer's set what it was asked for and
+let in, as sums since its start, and its attempts out. A customer of whom there is news is marked
+for each of the others. A round of messages, `(gateways - 1) / intake` seconds after the first mark,
+sends one message to each that has marks, so that a gateway takes in what the settings allow and the
+news is as fresh as that permits. What does not fit into a message, or into the stock of messages,
+waits; the customers with the emptiest stores go first. A gateway that has nothing to tell tells it
+after a beat, so that its silence means something. A mark of its life goes with every message:
+another mark means that it began anew and knows nothing, and it is told of the customers whose
+stores are not full.
 """
 
 from __future__ import annotations
@@ -17,7 +20,8 @@
 
 INTAKE_PART, STOCK = 0.8, 4  # part of an intake that all use; s of messages in stock
 ROUND_LEAST, ROUND_MOST = 0.02, 0.25  # s between the first news and its round of messages
-BEAT, BEAT_ROUNDS, SILENT_BEATS = 0.5, 8, 3  # s, or rounds of all, between messages; beats without one: silent
+# s, or rounds of all, between messages; beats without one: silent
+BEAT, BEAT_ROUNDS, SILENT_BEATS = 0.5, 8, 3
 CLOSE = 0.25  # of a plan's window: the oldest news by which the others' use counts as known
 NOTED, MOST_TOLD = 0.4, 3  # failed part of a worker that is told; most told
 TRUST = 2.0  # s after its last answer here in which what others say of a worker counts for nothing
@@ -25,7 +29,9 @@
 
 
 class Gossip(Memory):
-    """A gateway's messages to its peers, and theirs. The parts that decide stand in the classes that follow it."""
+    """A gateway's messages to its peers, and theirs. The parts that decide stand in the classes
+    that follow it.
+    """
 
     sketches: list[Sketch | None]
 
@@ -33,7 +39,8 @@
         super().__init__(settings, seed, now)
         self.intake = INTAKE_PART * max(settings.peer_intake, 1.0)
         self.stock = STOCK * self.intake
-        self.turn = (settings.gateways - 1) / self.intake  # s in which each of the others can be told once
+        # s in which each of the others can be told once
+        self.turn = (settings.gateways - 1) / self.intake
         self.round = min(ROUND_MOST, max(ROUND_LEAST, self.turn))
         self.beat = max(BEAT, BEAT_ROUNDS * self.turn)
 
@@ -46,8 +53,9 @@
         return [p for p in ring if p != self.me]
 
     def _hears(self, c: Customer) -> bool:
-        """Whether all that the others let in is known: there are none, or each of them tells it by messages, and
-        soon enough for the plan's window."""
+        """Whether all that the others let in is known: there are none, or each of them tells it by
+        messages, and soon enough for the plan's window.
+        """
         if c.spread == 1:
             return True
         sketch = self.sketches[c.plan]
@@ -57,7 +65,9 @@
         return all(self.heard.get(p, NEVER) > since for p in self._others(c))
 
     def _hears_any(self) -> bool:
-        return self.s.may_tell and any(self.now - at <= SILENT_BEATS * self.beat for at in self.heard.values())
+        return self.s.may_tell and any(
+            self.now - at <= SILENT_BEATS * self.beat for at in self.heard.values()
+        )
 
     def _greet(self) -> None:
         """Each answers a greeting with the customers that are short."""
@@ -88,7 +98,9 @@
 
     def _send_gossip(self) -> None:
         """On average as many messages as this gateway could take in itself; news before beats."""
-        self.stock = min(STOCK * self.intake, self.stock + self.intake * (self.now - self.gossiped_at))
+        self.stock = min(
+            STOCK * self.intake, self.stock + self.intake * (self.now - self.gossiped_at)
+        )
         self.gossip_due, self.gossiped_at = False, self.now
         bad = [w for w in self.pool.failing.values() if w.failed > NOTED]
         bad.sort(key=lambda w: w.place)  # as they were listed
@@ -139,7 +151,8 @@
         if life != self.lives[peer]:  # it counts from nothing
             arrived = spent = 0
         asked, used = gossip_codec.grown(r.arrived, arrived), gossip_codec.grown(r.spent, spent)
-        if life < 0:  # one of us is new to it: the last request counts, and a start does not fill the store
+        # one of us is new to it: the last request counts, and a start does not fill the store
+        if life < 0:
             asked, used = min(asked, self.s.largest_units), min(used, self.s.largest_units)
             c.store.at_most(r.left + used)
         c.told[peer] = (self.lives[peer], r.arrived, r.spent)
--- a/dockthread/policy/gossip_codec.py
+++ b/dockthread/policy/gossip_codec.py
@@ -1,6 +1,8 @@
 """What gateways tell each other, as bytes: a head, suspected workers, reports of customers.
 
-Sums travel modulo 2**16 and units in sixteenths. Anything short, garbled or absurd reads as nothing."""
+Sums travel modulo 2**16 and units in sixteenths. Anything short, garbled or absurd reads as
+nothing.
+"""
 
 from __future__ import annotations
 
@@ -14,11 +16,14 @@
 SUM = 0xFFFF
 SANE = 60_000.0  # the largest figure that two bytes hold as a float
 HEAD, SUSPECT = struct.Struct("<BBBB"), struct.Struct("<3sB")
-NARROW, WIDE = struct.Struct("<IBBHHe"), struct.Struct("<QBBHHe")  # a report, by the width of its customer's key
+# a report, by the width of its customer's key
+NARROW, WIDE = struct.Struct("<IBBHHe"), struct.Struct("<QBBHHe")
 
 
 class Report(NamedTuple):
-    """Of a customer: own attempts out, sums of units asked and let in here since the start, units left."""
+    """Of a customer: own attempts out, sums of units asked and let in here since the start, units
+    left.
+    """
 
     customer: int
     plan: int
--- a/dockthread/policy/rate_sketch.py
+++ b/dockthread/policy/rate_sketch.py
@@ -7,7 +7,8 @@
 
 from dockthread.policy.state import NEVER
 
-ROWS, CELLS = 5, 1024  # five rows as in the paper; several times wider than the customers seen lately
+# five rows as in the paper; several times wider than the customers seen lately
+ROWS, CELLS = 5, 1024
 PRIME, MIX = (1 << 61) - 1, 0x9E3779B97F4A7C15  # of the hashes
 
 
--- a/dockthread/policy/route.py
+++ b/dockthread/policy/route.py
@@ -9,7 +9,9 @@
 
 
 class Route(Protocol):
-    """What is allowed to one request beyond the rules: it narrows, and widens nothing. Times in seconds."""
+    """What is allowed to one request beyond the rules: it narrows, and widens nothing. Times in
+    seconds.
+    """
 
     @property
     def waits(self) -> bool:
@@ -36,7 +38,9 @@
         ...
 
     def enter(self, request: int, worth: float, now: float) -> tuple[bool, int | None]:
-        """Whether it is inside the limit; if not, who is refused for it: itself, another, or nobody."""
+        """Whether it is inside the limit; if not, who is refused for it: itself, another, or
+        nobody.
+        """
         ...
 
     def admitted(self, now: float) -> None:
@@ -64,7 +68,9 @@
         ...
 
     def again(self, sent: int, outcome: Outcome, now: float) -> float | None:
-        """s to wait before the next attempt; None where there is to be none. Draws on the budget."""
+        """s to wait before the next attempt; None where there is to be none. Draws on the
+        budget.
+        """
         ...
 
     def still(self, sent: int, outcome: Outcome) -> bool:
--- a/dockthread/policy/route_constraints.py
+++ b/dockthread/policy/route_constraints.py
@@ -1,4 +1,5 @@
-"""Routes in the module: what a request's route allows is asked here, and held to. It narrows, and widens nothing.
+"""Routes in the module: what a request's route allows is asked here, and held to. It narrows, and
+widens nothing.
 
 A route comes with the request (`api.Route`), and knows no more of the module than the module of it.
 """
@@ -16,7 +17,9 @@
 
 
 class Routed(Gossip):
-    """What the parts that decide ask of a request's route. Without a route each answer is what it was before."""
+    """What the parts that decide ask of a request's route. Without a route each answer is what it
+    was before.
+    """
 
     def _fits(self, w: Worker, call: Call, cold: bool) -> bool:
         raise NotImplementedError
@@ -52,13 +55,17 @@
         return near if pool is self.pool or route is None else Sifted(near, route.fits)
 
     def _roomy(self, call: Call, pool: Drawable) -> list[Worker]:
-        """Those that have room, warm ones unless none is. Of many, those among some, unless none of these has any."""
+        """Those that have room, warm ones unless none is. Of many, those among some, unless none of
+        these has any.
+        """
         cold = not self.pool.warm
         roomy = [w for w in pool.some(self.rng) if self._fits(w, call, cold)]
         return roomy or [w for w in pool if self._fits(w, call, cold)]
 
     def _enters(self, ask: api.RequestArrived, call: Call) -> bool:
-        """Whether a request is inside its route's limit. Else it waits, or it or a cheaper one is refused."""
+        """Whether a request is inside its route's limit. Else it waits, or it or a cheaper one is
+        refused.
+        """
         route = ask.route
         if route is None or not route.waits:
             return True
@@ -77,7 +84,12 @@
     def _waited(self, request: int) -> None:
         """The stated wait in the queue is over."""
         call = self.calls.get(request)
-        if call is not None and (route := call.ask.route) and route.waits and request not in self.entering:
+        if (
+            call is not None
+            and (route := call.ask.route)
+            and route.waits
+            and request not in self.entering
+        ):
             route.gave_up_waiting(request)
             del self.calls[request]
             self._leave(call)
@@ -92,9 +104,15 @@
                     self.entering.append(request)
 
     def _sent(self, request: int, call: Call) -> tuple[float, float]:
-        """After a send: the attempt's own time-out, the latest for its first byte, and the timer of its copy."""
+        """After a send: the attempt's own time-out, the latest for its first byte, and the timer of
+        its copy.
+        """
         ran, begin_by = call.ran(), inf
-        if ran is not None and ran is not call.attempts[-1] and self._effect(call) is not api.Effect.SAFE:
+        if (
+            ran is not None
+            and ran is not call.attempts[-1]
+            and self._effect(call) is not api.Effect.SAFE
+        ):
             begin_by = self._repeat_ends(ran, call)
         left, number = max(call.deadline - self.now, 0.0), len(call.attempts) - 1
         if (route := call.ask.route) is None:
@@ -105,15 +123,24 @@
         return min(left, route.attempt_timeout or left), begin_by
 
     def _awaited(self, request: int, number: int) -> Call | None:
-        """The call whose attempt is still out with nothing of an answer begun; None where none waits for it."""
+        """The call whose attempt is still out with nothing of an answer begun; None where none
+        waits for it.
+        """
         call = self.calls.get(request)
-        return call if call and request not in self.streaming and call.attempts[number].out else None
+        return (
+            call if call and request not in self.streaming and call.attempts[number].out else None
+        )
 
     def _copy(self, request: int, number: int) -> None:
         """The route's own wait for a second copy is over."""
         if (call := self._awaited(request, number)) is None:
             return
-        if self._repeats(call) and self.s.second_copies and self._may_copy(call) and not self._try(request, call):
+        if (
+            self._repeats(call)
+            and self.s.second_copies
+            and self._may_copy(call)
+            and not self._try(request, call)
+        ):
             del self.held[request]
 
     def _repeats(self, call: Call) -> bool:
@@ -132,7 +159,9 @@
         return None if late else pause
 
     def _again(self, request: int) -> None:
-        """After a wait between attempts. A reload may have forbidden meanwhile what was allowed before."""
+        """After a wait between attempts. A reload may have forbidden meanwhile what was allowed
+        before.
+        """
         call = self.calls.get(request)
         if call is None or any(a.out for a in call.attempts):
             return
--- a/dockthread/policy/slow_start.py
+++ b/dockthread/policy/slow_start.py
@@ -1,11 +1,12 @@
 """What cold workers may be given, from what warm ones bore. Decides nothing.
 
-Theory of operation. Beside warm workers a cold one is drawn by its warmth, and so its load over what it can do is at
-most as many times a warm one's as candidates may be cold. In a pool without a warm worker nothing holds this: all
-that comes goes there, and at once what was held while there was none. What a worker can do is told nowhere; the
-answers that one bore in a second are no more than it could do then (`Ramp`). Each ingress counts its own: the sum
-over the fleet of what each allows is what the settings allow of what the fleet saw borne, whatever its size and how
-uneven the traffic. docs/design/fleet.md has the derivation.
+Theory of operation. Beside warm workers a cold one is drawn by its warmth, and so its load over
+what it can do is at most as many times a warm one's as candidates may be cold. In a pool without a
+warm worker nothing holds this: all that comes goes there, and at once what was held while there was
+none. What a worker can do is told nowhere; the answers that one bore in a second are no more than
+it could do then (`Ramp`). Each ingress counts its own: the sum over the fleet of what each allows
+is what the settings allow of what the fleet saw borne, whatever its size and how uneven the
+traffic. docs/design/fleet.md has the derivation.
 """
 
 from __future__ import annotations
@@ -20,14 +21,16 @@
 
 
 class Ramp:
-    """The tries that a pool of cold workers alone is given by one gateway: a store that fills at `multiple - 1` times
-    what the gateway saw borne by as much warmth, and holds what is left of the multiple over a fall time. So no fall
-    time sees more than `multiple` times that."""
+    """The tries that a pool of cold workers alone is given by one gateway: a store that fills at
+    `multiple - 1` times what the gateway saw borne by as much warmth, and holds what is left of the
+    multiple over a fall time. So no fall time sees more than `multiple` times that.
+    """
 
     def __init__(self, safety: api.Safety, gateways: int, now: float) -> None:
         self._gateways, self._window = gateways, safety.fall_time
         self._times = cold_times(safety)
-        self._answers = self._exposure = 0.0  # answers, and seconds of warmth in which they came; both decayed
+        # answers, and seconds of warmth in which they came; both decayed
+        self._answers = self._exposure = 0.0
         self._shares, self._at = 0.0, now
         self.left = 1.0
 
@@ -48,8 +51,9 @@
         self._shares = shares
 
     def borne(self, usual: float) -> float:
-        """Answers to this gateway a second by a worker of full share: seen, and its part of what any worker can do
-        that works on one request at a time."""
+        """Answers to this gateway a second by a worker of full share: seen, and its part of what
+        any worker can do that works on one request at a time.
+        """
         seen = self._answers / self._exposure if self._exposure else 0.0
         return max(seen, 1 / (self._gateways * usual))
 
@@ -64,7 +68,8 @@
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
         super().__init__(settings, seed, now)
-        self.usual = [(c.aim / 5, c.aim / 10) for c in settings.classes]  # answer time and its deviation
+        # answer time and its deviation
+        self.usual = [(c.aim / 5, c.aim / 10) for c in settings.classes]
         self.ramp = Ramp(settings.safety, settings.gateways, now)
 
     def _usually(self) -> float:
--- a/dockthread/policy/state.py
+++ b/dockthread/policy/state.py
@@ -17,9 +17,11 @@
 
 NEVER = -1e9  # a time long ago
 DOUBLE = 8  # bytes of a figure that is kept packed
-REPORT_HALF, MEAN_HALF = 0.4, 8.0  # s in which a report's news halves; in which what was smoothed before does
+# s in which a report's news halves; in which what was smoothed before does
+REPORT_HALF, MEAN_HALF = 0.4, 8.0
 TIDY, KEPT = 2.0, 30.0  # s between rounds of forgetting; for which a worker that is gone is kept
-NOT_FULL: dict[int, float] = {}  # of every worker that never turned a request away; never written to
+# of every worker that never turned a request away; never written to
+NOT_FULL: dict[int, float] = {}
 IDLE, MANY = 120.0, 4096  # s after which customers whom peers may name are forgotten, once so many
 
 
@@ -52,7 +54,9 @@
 
 
 class Worker:
-    """One listed worker. There may be tens of thousands: what most never have is made when it is first needed."""
+    """One listed worker. There may be tens of thousands: what most never have is made when it is
+    first needed.
+    """
 
     __slots__ = (
         "_failed", "_report", "_times", "answered", "entry", "fresh", "full_for", "full_until", "gone", "kind",
@@ -72,7 +76,8 @@
         self._failed, self.answered, self.full_for = 0.0, NEVER, 0.0
         self.full_until = NOT_FULL  # by plan
         self._times: Pace | None = None
-        self.spare, self.spare_at = 0, NEVER  # connections left idle by its answers, and when the last was
+        # connections left idle by its answers, and when the last was
+        self.spare, self.spare_at = 0, NEVER
         self.report_at = NEVER
         self.others, self.others_mean = 0.0, 0.0  # other gateways' requests, by it and smoothed
 
@@ -94,7 +99,9 @@
 
     @property
     def report(self) -> tuple[float, ...]:
-        """The last load report, known since `report_at`. It is kept packed: as floats it takes thrice as much."""
+        """The last load report, known since `report_at`. It is kept packed: as floats it takes
+        thrice as much.
+        """
         return struct.unpack(f"{len(self._report) // DOUBLE}d", self._report)
 
     def fade(self, part: float, least: float) -> None:
@@ -132,7 +139,9 @@
             self.kind.reported(self.others)
 
     def load(self, now: float) -> float:
-        """Requests there: the own ones out, and others by a report that says the less, the older it is."""
+        """Requests there: the own ones out, and others by a report that says the less, the older it
+        is.
+        """
         if self.report_at == NEVER:  # else those not met yet would draw all
             return self.out + (0.0 if self.fresh else self.kind.others)
         weight: float = 0.5 ** ((now - self.report_at) / REPORT_HALF)
@@ -165,15 +174,19 @@
         self.told: dict[int, tuple[int, int, int]] = {}  # by peer: its life, arrived, spent
         self.outs: dict[int, tuple[float, int]] = {}  # by peer: when, attempts out
         self.told_at = NEVER  # the last message of a peer that spoke of it
-        self.asked = self.spending = 0.0  # then: decayed rates of what the others were asked for, and let in
+        # then: decayed rates of what the others were asked for, and let in
+        self.asked = self.spending = 0.0
         self.own, self.own_at = 0.0, NEVER  # decayed rate of what was let in here, at the last time
         self.unsaid = 0.0  # units let in that the counter was not told
-        self.calling: tuple[float, float, float] | None = None  # the call out: its epoch's start, units, lift
-        self.due = 0.0  # what the counter's number lacks in this moment, if no call took it along yet
+        # the call out: its epoch's start, units, lift
+        self.calling: tuple[float, float, float] | None = None
+        # what the counter's number lacks in this moment, if no call took it along yet
+        self.due = 0.0
         self.lift = 0.0  # what is to be added to it for that, or taken back
         self.heard = NEVER  # when its number was last told
         self.rest = 0.0  # decayed rate of what the others let in, by the counter
-        self.used, self.used_at = 0.0, NEVER  # the meter's last word: use by all, as a part of the quota
+        # the meter's last word: use by all, as a part of the quota
+        self.used, self.used_at = 0.0, NEVER
         self.waiting: list[int] = []  # requests held for the counter's answer
 
     def spent_none(self, plan: api.Plan, now: float) -> bool:
@@ -185,7 +198,9 @@
 
     def report_of(self, key: int, now: float) -> Report:
         """Sums, not differences: what is lost is healed by the next report."""
-        return Report(key, self.plan, self.out, whole(self.arrived), whole(self.spent), self.store.left(now))
+        return Report(
+            key, self.plan, self.out, whole(self.arrived), whole(self.spent), self.store.left(now)
+        )
 
 
 class Memory:
@@ -198,8 +213,10 @@
         self.actions: list[api.Action] = []
         self.why = ""  # the last request was not let in, for whoever counts
         self.calls: dict[int, Call] = {}
-        self.streaming: set[int] = set()  # requests whose answer has begun: the client's from then on
-        self.entering: deque[int] = deque()  # requests that waited for their route's limit and are inside now
+        # requests whose answer has begun: the client's from then on
+        self.streaming: set[int] = set()
+        # requests that waited for their route's limit and are inside now
+        self.entering: deque[int] = deque()
         self.held: dict[int, None] = {}  # requests for which there is no worker now
         self.owner: dict[tuple[int, int], int] = {}  # customers of the attempts out
         self.workers: dict[int, Worker] = {}
@@ -208,9 +225,11 @@
         self.kept = settings.conn_idle * api.IDLE_PART  # for which a connection may stand idle
         self.leaving: dict[int, Worker] = {}  # those that are not listed any more
         self.pool = Pool(self._share, self._warmth)
-        self.slow, self.out, self.done = 0.0, 0, 0.0  # answer time of late; attempts out, not late; answers
+        # answer time of late; attempts out, not late; answers
+        self.slow, self.out, self.done = 0.0, 0, 0.0
         self.tidied = now
-        self.failures, self.mute = 0.0, NEVER  # failed calls to the counter in a row; until when none is made
+        # failed calls to the counter in a row; until when none is made
+        self.failures, self.mute = 0.0, NEVER
         self.customers: dict[int, Customer] = {}
         self.unsent: dict[int, dict[int, None]] = {}  # by peer: customers to tell of
         self.gossip_due, self.gossiped_at = False, now
@@ -243,7 +262,9 @@
         return [w for number, w in self.workers.items() if number not in listed]
 
     def relist(self, w: Worker, entry: api.WorkerEntry, state: api.WorkerState) -> None:
-        """What is listed of it, and whether it may be drawn from now on, and since when it is gone."""
+        """What is listed of it, and whether it may be drawn from now on, and since when it is
+        gone.
+        """
         if state is api.WorkerState.GONE:
             w.gone = min(w.gone, self.now)
             self.leaving[w.entry.worker] = w
@@ -262,8 +283,9 @@
         worker.out, self.out = worker.out + more, self.out + more
 
     def tidy(self) -> None:
-        """Forget workers that are gone, with nothing out, and customers with full stores: else a long day of
-        ever new ones fills the memory."""
+        """Forget workers that are gone, with nothing out, and customers with full stores: else a
+        long day of ever new ones fills the memory.
+        """
         if self.now - self.tidied < TIDY:
             return
         self.tidied = self.now
@@ -274,9 +296,13 @@
                 self.pool.forget(w)
         if not self.s.may_tell:
             plans = self.s.plans
-            self.customers = {k: c for k, c in self.customers.items() if not c.spent_none(plans[c.plan], self.now)}
+            self.customers = {
+                k: c for k, c in self.customers.items() if not c.spent_none(plans[c.plan], self.now)
+            }
         elif len(self.customers) > MANY:  # those long idle, with full stores, are as good as new
-            kept = {k: c for k, c in self.customers.items() if c.store.at > self.now - IDLE or c.out}
+            kept = {
+                k: c for k, c in self.customers.items() if c.store.at > self.now - IDLE or c.out
+            }
             self.customers, self.unsent = kept, {}
 
     def timer(self, at: float, then: Callable[..., None], *about: int) -> None:
--- a/dockthread/policy/token_bucket.py
+++ b/dockthread/policy/token_bucket.py
@@ -1,18 +1,20 @@
-"""A customer's store, as one gateway knows it: who took what, and from whom that was heard. Decides nothing.
+"""A customer's store, as one gateway knows it: who took what, and from whom that was heard. Decides
+nothing.
 
-Theory of operation. The quota's store is one, and no gateway sees it whole. Each keeps its own copy: full at first,
-filled by the plan's rate, less what was let in here and less what the others let in. The last is heard from two
-sides that tell of the same units. The others' messages tell sums by sender, so that what is lost is healed by the
-next one. The counter tells what is left of the store itself: its number holds the units used since an epoch's start
-and those that ran over the full store, so that the epoch's filling, less the number, is the level, whoever reads it
-and however long ago it last did; what went beyond the quota took nothing and is taken back from it. Taken off once
-for each side, a customer would pay its use twice. So all that is heard goes through this one place: a level told
-only ever lowers the copy, and `lead` is how many units it was lowered by that the messages have not told yet; what
-these tell is first set against that. A lead is never more than the burst, beyond which it says nothing of the store
-as it is now.
+Theory of operation. The quota's store is one, and no gateway sees it whole. Each keeps its own
+copy: full at first, filled by the plan's rate, less what was let in here and less what the others
+let in. The last is heard from two sides that tell of the same units. The others' messages tell sums
+by sender, so that what is lost is healed by the next one. The counter tells what is left of the
+store itself: its number holds the units used since an epoch's start and those that ran over the
+full store, so that the epoch's filling, less the number, is the level, whoever reads it and however
+long ago it last did; what went beyond the quota took nothing and is taken back from it. Taken off
+once for each side, a customer would pay its use twice. So all that is heard goes through this one
+place: a level told only ever lowers the copy, and `lead` is how many units it was lowered by that
+the messages have not told yet; what these tell is first set against that. A lead is never more than
+the burst, beyond which it says nothing of the store as it is now.
 
-What ran over the full copy before the others' messages came was never there to be taken, and is set off as well, as
-far as it can have run over since the last of them.
+What ran over the full copy before the others' messages came was never there to be taken, and is set
+off as well, as far as it can have run over since the last of them.
 """
 
 from __future__ import annotations
@@ -36,7 +38,9 @@
         self.over = min(self.burst, self.over + level - self.level)
 
     def take(self, units: float, below: bool = False) -> None:
-        """Let in here. What goes beyond the quota takes nothing, unless true units are known only afterwards."""
+        """Let in here. What goes beyond the quota takes nothing, unless true units are known only
+        afterwards.
+        """
         self.level = self.level - units if below else max(0.0, self.level - units)
 
     def messages_told(self, units: float, since: float) -> None:
@@ -46,14 +50,17 @@
         self._debit(units - known, since)
 
     def by_the_number(self, room: float, units: float) -> tuple[float, float]:
-        """What is left once these units are told, and what the counter's number lacks of what it should be: what ran
-        over, or below 0 what went beyond the quota, as that took nothing. `room`: what came in since the epoch's
-        start, less the number before these units."""
+        """What is left once these units are told, and what the counter's number lacks of what it
+        should be: what ran over, or below 0 what went beyond the quota, as that took nothing.
+        `room`: what came in since the epoch's start, less the number before these units.
+        """
         left = self.burst + min(0.0, room) - units
         return left, max(0.0, room) + min(0.0, left)
 
     def counter_told(self, level: float) -> float:
-        """What is left by the counter. Returns the units of the others by which the store known here was too high."""
+        """What is left by the counter. Returns the units of the others by which the store known
+        here was too high.
+        """
         units = max(0.0, self.level - max(0.0, level))
         self.lead = min(self.burst, self.lead + units)
         self.level -= units
--- a/dockthread/raft/__init__.py
+++ b/dockthread/raft/__init__.py
@@ -1,1 +1,3 @@
-"""The fleet's ingresses among themselves: what they agree on. Loaded only where the operator's file has `[fleet]`."""
+"""The fleet's ingresses among themselves: what they agree on. Loaded only where the operator's file
+has `[fleet]`.
+"""
--- a/dockthread/raft/actions.py
+++ b/dockthread/raft/actions.py
@@ -1,4 +1,6 @@
-"""What an agreement gives to be carried out, what it keeps on disk, and its times. Decides nothing."""
+"""What an agreement gives to be carried out, what it keeps on disk, and its times. Decides
+nothing.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +19,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Times:
-    """In ms. An election is due after `patience` to twice as much without a leader; a leader speaks each `beat`."""
+    """In ms. An election is due after `patience` to twice as much without a leader; a leader speaks
+    each `beat`.
+    """
 
     patience: float = 600.0
     beat: float = 100.0
@@ -25,8 +29,10 @@
 
 @dataclass(slots=True)
 class Stored:
-    """What outlives a process. `state`: of the owner's machine after entry `base`; `entries`: those behind it;
-    `commit`: up to where the log was known to be agreed at the last write, or further."""
+    """What outlives a process. `state`: of the owner's machine after entry `base`; `entries`: those
+    behind it; `commit`: up to where the log was known to be agreed at the last write, or
+    further.
+    """
 
     term: int = 0
     vote: str = ""
@@ -38,8 +44,9 @@
     commit: int = 0
 
     def told(self) -> tuple[list[tuple[int, bytes]], int, int, int]:
-        """The commands behind the state, each with its place; up to where the log is known to be agreed; the place of
-        the last entry, and its term."""
+        """The commands behind the state, each with its place; up to where the log is known to be
+        agreed; the place of the last entry, and its term.
+        """
         places = enumerate(self.entries, self.base + 1)
         commands = [(index, entry.data) for index, entry in places if entry.kind == COMMAND]
         term = self.entries[-1].term if self.entries else self.base_term
@@ -51,13 +58,19 @@
 
     def keep_state(self, what: KeepState) -> None:
         self.entries = [] if what.whole else self.entries[what.base - self.base :]
-        self.base, self.base_term, self.base_voters, self.state = what.base, what.base_term, what.voters, what.state
+        self.base, self.base_term, self.base_voters, self.state = (
+            what.base,
+            what.base_term,
+            what.voters,
+            what.state,
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class Keep:
-    """Term and vote, and the log from entry `start` on, which replaces whatever stood there; `commit`: up to
-    where it is known to be agreed."""
+    """Term and vote, and the log from entry `start` on, which replaces whatever stood there;
+    `commit`: up to where it is known to be agreed.
+    """
 
     term: int
     vote: str
@@ -99,7 +112,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadAt:
-    """A majority still followed after `token` was asked: the state after `index` is not older than the question."""
+    """A majority still followed after `token` was asked: the state after `index` is not older than
+    the question.
+    """
 
     token: int
     index: int
--- a/dockthread/raft/core.py
+++ b/dockthread/raft/core.py
@@ -1,10 +1,11 @@
 """A log that a majority of voters agrees on: Raft, free of I/O, with a clock that is told.
 
-Theory of operation. Time is cut into terms; in a term at most one voter leads, as each voter gives one vote a term
-and a majority is needed. The leader appends entries and sends them; an entry of its own term that a majority holds
-is committed, and all before it with it, never an entry of an older term by count alone. A voter gives its vote only
-to one whose log is at least as new as its own, so that whoever leads holds all that was committed. The term is the
-epoch with which everything granted is fenced.
+Theory of operation. Time is cut into terms; in a term at most one voter leads, as each voter gives
+one vote a term and a majority is needed. The leader appends entries and sends them; an entry of its
+own term that a majority holds is committed, and all before it with it, never an entry of an older
+term by count alone. A voter gives its vote only to one whose log is at least as new as its own, so
+that whoever leads holds all that was committed. The term is the epoch with which everything granted
+is fenced.
 
 | role | a leader is heard | silence for its patience | a majority answers | a higher term is heard |
 | --- | --- | --- | --- | --- |
@@ -13,16 +14,17 @@
 | candidate | follows | asks again, pre-vote first | leads, appends an entry of nothing | follows in it |
 | leader | cannot be, in its term | of a majority: follows | goes on | follows in it |
 
-Who was cut off raises no term while it asks, and a voter that hears a leader gives no vote (pre-vote and
-check-quorum): so one that comes back unseats nobody, and a leader that reaches no majority stops leading within its
-patience. Voters change one at a time by an entry that counts from when it is appended, and only after the leader
-committed one of its own term.
+Who was cut off raises no term while it asks, and a voter that hears a leader gives no vote
+(pre-vote and check-quorum): so one that comes back unseats nobody, and a leader that reaches no
+majority stops leading within its patience. Voters change one at a time by an entry that counts from
+when it is appended, and only after the leader committed one of its own term.
 
-What must be on disk before anything else is carried out comes as `Keep`; actions are carried out in their order,
-and a `Send` behind a `Keep` may not leave before it is kept. Who forgot its log must not come back under its old
-identity.
+What must be on disk before anything else is carried out comes as `Keep`; actions are carried out in
+their order, and a `Send` behind a `Keep` may not leave before it is kept. Who forgot its log must
+not come back under its old identity.
 
-What can't be had: nothing is committed in a minority; an entry whose proposer saw no answer may or may not be.
+What can't be had: nothing is committed in a minority; an entry whose proposer saw no answer may or
+may not be.
 """
 
 from __future__ import annotations
@@ -62,10 +64,18 @@
 
 
 class Agreement:
-    """One member. `voters` counts only where nothing is stored; a member that is no voter follows and never asks."""
+    """One member. `voters` counts only where nothing is stored; a member that is no voter follows
+    and never asks.
+    """
 
     def __init__(
-        self, me: str, voters: Iterable[str], stored: Stored, times: Times, rng: random.Random, now: float
+        self,
+        me: str,
+        voters: Iterable[str],
+        stored: Stored,
+        times: Times,
+        rng: random.Random,
+        now: float,
     ) -> None:
         self.me, self._times, self._rng, self.now = me, times, rng, now
         self.term, self.vote = stored.term, stored.vote
@@ -102,7 +112,9 @@
 
     def heard_within(self, ms: float) -> set[str]:
         """Who answered this leader so lately; empty where it does not lead."""
-        return {p for p, at in self._answered.items() if self.role is Role.LEADER and self.now - at < ms}
+        return {
+            p for p, at in self._answered.items() if self.role is Role.LEADER and self.now - at < ms
+        }
 
     # Events; each gives what is to be carried out, in order
 
@@ -120,8 +132,12 @@
                 self._ask(pre=True)
         return self._take()
 
-    def propose(self, now: float, data: bytes, kind: int = COMMAND) -> tuple[int | None, list[Action]]:
-        """The entry's index; None where this member does not lead, hands over, or must not change voters yet."""
+    def propose(
+        self, now: float, data: bytes, kind: int = COMMAND
+    ) -> tuple[int | None, list[Action]]:
+        """The entry's index; None where this member does not lead, hands over, or must not change
+        voters yet.
+        """
         self.now = now
         may = kind != VOTERS or self._may_change(tuple(data.decode().split()))
         if self.role is not Role.LEADER or now < self._handing or not may:
@@ -163,7 +179,13 @@
     def heard(self, now: float, m: Message) -> list[Action]:
         self.now = now
         if m.term > self.term and not self._ignores(m):
-            pre = isinstance(m, VoteAsk) and m.pre or isinstance(m, VoteAnswer) and m.pre and m.granted
+            pre = (
+                isinstance(m, VoteAsk)
+                and m.pre
+                or isinstance(m, VoteAnswer)
+                and m.pre
+                and m.granted
+            )
             if not pre:
                 self._follow(m.term, m.sender if isinstance(m, Append | Install) else "")
         elif m.term > self.term:
@@ -199,7 +221,11 @@
             self._send(m.sender, Appended(self.term, self.me, False, 0, m.round))
 
     def _ask(self, pre: bool, handed: bool = False) -> None:
-        self.role, self.leader, self._votes = (Role.ASKING if pre else Role.CANDIDATE), "", {self.me}
+        self.role, self.leader, self._votes = (
+            (Role.ASKING if pre else Role.CANDIDATE),
+            "",
+            {self.me},
+        )
         if not pre:
             self.term, self.vote = self.term + 1, self.me
             self._keep()
@@ -219,7 +245,9 @@
     def _asked(self, m: VoteAsk) -> None:
         if m.pre:
             granted = m.term > self.term and self._newer(m) and not self._ignores(m)
-            self._send(m.sender, VoteAnswer(m.term if granted else self.term, self.me, granted, True))
+            self._send(
+                m.sender, VoteAnswer(m.term if granted else self.term, self.me, granted, True)
+            )
             return
         granted = self.vote in ("", m.sender) and self._newer(m)
         if granted:
@@ -291,7 +319,9 @@
     def _install(self, m: Install) -> tuple[bool, int]:
         if m.last <= self.commit:
             return True, self.commit
-        whole = not (self.log.base < m.last <= self.log.last and self.log.term_at(m.last) == m.last_term)
+        whole = not (
+            self.log.base < m.last <= self.log.last and self.log.term_at(m.last) == m.last_term
+        )
         self.log.let_go(m.last, m.last_term, m.voters, m.state, whole)
         self.commit = self.applied = m.last
         self._actions.append(KeepState(m.last, m.last_term, m.voters, m.state, whole))
@@ -309,7 +339,9 @@
             self._next[peer] = max(self._next.get(peer, 1), self._match[peer] + 1)
             self._settle()
         else:
-            self._next[peer] = max(self._match.get(peer, 0), min(m.match, self._next.get(peer, 1) - 1)) + 1
+            self._next[peer] = (
+                max(self._match.get(peer, 0), min(m.match, self._next.get(peer, 1) - 1)) + 1
+            )
         behind = self._next[peer] <= self.log.last or self._told.get(peer, 0) < self.commit
         if behind and peer not in self._busy:
             self._send_entries(peer)
@@ -339,16 +371,29 @@
         self._keep(start, entries)
 
     def _keep(self, start: int = 0, entries: tuple[Entry, ...] = ()) -> None:
-        self._actions.append(Keep(self.term, self.vote, start or self.log.last + 1, entries, self.commit))
+        self._actions.append(
+            Keep(self.term, self.vote, start or self.log.last + 1, entries, self.commit)
+        )
 
     def _may_change(self, voters: tuple[str, ...]) -> bool:
-        """One voter more or less than now, a new one ready, none of it under way, and this term has committed."""
+        """One voter more or less than now, a new one ready, none of it under way, and this term has
+        committed.
+        """
         pending = any(e.kind == VOTERS for e in self.log.behind(self.commit))
         step = len(set(voters) ^ set(self.voters)) <= 1
-        near = self.commit - MOST_ENTRIES  # one that is not there, or far behind, makes a majority harder to have
+        # one that is not there, or far behind, makes a majority harder to have
+        near = self.commit - MOST_ENTRIES
         here = self.heard_within(self._times.patience)
-        ready = all(p in here and self._match.get(p, 0) >= near for p in set(voters) - set(self.voters))
-        return step and ready and bool(voters) and not pending and self.log.term_at(self.commit) == self.term
+        ready = all(
+            p in here and self._match.get(p, 0) >= near for p in set(voters) - set(self.voters)
+        )
+        return (
+            step
+            and ready
+            and bool(voters)
+            and not pending
+            and self.log.term_at(self.commit) == self.term
+        )
 
     # Sending
 
@@ -371,12 +416,17 @@
         start, self._told[peer] = self._next.setdefault(peer, self.log.last + 1), self.commit
         if start <= self.log.base:
             log = self.log
-            state = Install(self.term, self.me, log.base, log.base_term, log.base_voters, log.state, self._round)
+            state = Install(
+                self.term, self.me, log.base, log.base_term, log.base_voters, log.state, self._round
+            )
             self._send(peer, state)
         else:
             entries = self.log.behind(start - 1, MOST_ENTRIES)
             before = self.log.term_at(start - 1)
-            self._send(peer, Append(self.term, self.me, start - 1, before, entries, self.commit, self._round))
+            self._send(
+                peer,
+                Append(self.term, self.me, start - 1, before, entries, self.commit, self._round),
+            )
             if not entries:
                 return
         self._busy[peer] = self._round
--- a/dockthread/raft/log.py
+++ b/dockthread/raft/log.py
@@ -1,4 +1,6 @@
-"""The log as one member has it: a state up to entry `base`, and the entries behind. Decides nothing."""
+"""The log as one member has it: a state up to entry `base`, and the entries behind. Decides
+nothing.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +11,9 @@
 
 
 class Log:
-    """Entries are numbered from 1; `base` is the last that the state holds, 0 where there is none."""
+    """Entries are numbered from 1; `base` is the last that the state holds, 0 where there is
+    none.
+    """
 
     def __init__(self, stored: Stored, voters: Iterable[str]) -> None:
         self.base, self.base_term, self.state = stored.base, stored.base_term, stored.state
@@ -42,7 +46,11 @@
         """From `start` on these stand, whatever stood there."""
         self.entries[start - self.base - 1 :] = entries
 
-    def let_go(self, index: int, term: int, voters: tuple[str, ...], state: bytes, whole: bool) -> None:
-        """The state after `index` takes the place of what is before; `whole`: and of what is behind."""
+    def let_go(
+        self, index: int, term: int, voters: tuple[str, ...], state: bytes, whole: bool
+    ) -> None:
+        """The state after `index` takes the place of what is before; `whole`: and of what is
+        behind.
+        """
         self.entries = [] if whole else self.entries[index - self.base :]
         self.base, self.base_term, self.base_voters, self.state = index, term, voters, state
--- a/dockthread/raft/messages.py
+++ b/dockthread/raft/messages.py
@@ -1,4 +1,6 @@
-"""What ingresses of a fleet say to each other about their log; it travels in frames (dockthread/framing.py)."""
+"""What ingresses of a fleet say to each other about their log; it travels in frames
+(dockthread/framing.py).
+"""
 
 from __future__ import annotations
 
@@ -10,7 +12,8 @@
 from dockthread.framing import HEAD, Codec, MalformedFrame, UnknownMessage
 
 VERSION: Final = 1
-MOST_FRAME: Final = 8 << 20  # bytes of a message: 64 entries of 64 KiB bodies, as one `Append` may hold, and room
+# bytes of a message: 64 entries of 64 KiB bodies, as one `Append` may hold, and room
+MOST_FRAME: Final = 8 << 20
 PART: Final = 256 << 10  # bytes of a state in one frame; a larger one goes in parts
 MOST_STATE: Final = 256 << 20  # bytes of a state: some five times that of 90,000 resources
 
@@ -57,7 +60,9 @@
 
 
 class Appended(msgspec.Struct, frozen=True, array_like=True, tag="b"):
-    """`match`: where both logs are alike, or, where not `ok`, the last place at which they may be."""
+    """`match`: where both logs are alike, or, where not `ok`, the last place at which they may
+    be.
+    """
 
     term: int
     sender: str
@@ -79,7 +84,9 @@
 
 
 class Part(msgspec.Struct, frozen=True, array_like=True, tag="p"):
-    """Part `number`, from 0, of an `Install` whose state has `size` bytes: its head is that of the message itself."""
+    """Part `number`, from 0, of an `Install` whose state has `size` bytes: its head is that of the
+    message itself.
+    """
 
     head: Install
     number: int
@@ -140,13 +147,21 @@
         self._size, self._state = 0, bytearray()
 
     def add(self, part: Part) -> Install | None:
-        """The message once its last part is there. Raises `MalformedFrame` for parts that don't follow each other."""
+        """The message once its last part is there. Raises `MalformedFrame` for parts that don't
+        follow each other.
+        """
         if part.number == 0:
             self._head, self._size, self._state = part.head, part.size, bytearray()
         at = part.number * PART
         follows = self._head == part.head and self._size == part.size and len(self._state) == at
-        if not follows or len(part.data) != min(PART, part.size - at) or not part.size <= MOST_STATE:
-            raise MalformedFrame(f"part {part.number} of a state of {part.size} bytes does not follow {at}")
+        if (
+            not follows
+            or len(part.data) != min(PART, part.size - at)
+            or not part.size <= MOST_STATE
+        ):
+            raise MalformedFrame(
+                f"part {part.number} of a state of {part.size} bytes does not follow {at}"
+            )
         self._state += part.data
         if len(self._state) < self._size:
             return None
--- a/dockthread/raft/server.py
+++ b/dockthread/raft/server.py
@@ -1,11 +1,12 @@
 """One ingress among the others, on sockets: the rim round the agreement. Decides nothing.
 
-Theory of operation. Messages leave on one TCP connection to each other member (link.py), opened when there is
-something to send and again after a pause when it broke; a bounded queue of frames stands before it, and what does not
-fit is let go, as the agreement sends again whatever matters. What comes in is read from connections that others
-opened; a frame that is spoilt is counted and closes its connection. The agreement's actions are carried out one after
-another by one task, and a write to disk is made in a thread that does nothing else, so that requests go on
-meanwhile and no message leaves before what it rests on is kept.
+Theory of operation. Messages leave on one TCP connection to each other member (link.py), opened
+when there is something to send and again after a pause when it broke; a bounded queue of frames
+stands before it, and what does not fit is let go, as the agreement sends again whatever matters.
+What comes in is read from connections that others opened; a frame that is spoilt is counted and
+closes its connection. The agreement's actions are carried out one after another by one task, and a
+write to disk is made in a thread that does nothing else, so that requests go on meanwhile and no
+message leaves before what it rests on is kept.
 """
 
 from __future__ import annotations
@@ -40,9 +41,12 @@
 from dockthread.raft.transport import Link
 
 KEEP_ENTRIES = 512  # applied entries in the log before a state takes their place
-STATE_AN_ENTRY = 1 << 10  # bytes of the state before for each further entry: a large one is written more seldom
+# bytes of the state before for each further entry: a large one is written more seldom
+STATE_AN_ENTRY = 1 << 10
 RETRY = 50.0  # ms between tries while nobody leads
-ASKING = 500.0  # ms until the leader is asked again: the question or its answer may have been lost with a connection
+# ms until the leader is asked again: the question or its answer may have been lost with a
+# connection
+ASKING = 500.0
 HANDING = 300.0  # ms that a leader waits for another at the end of its life
 
 
@@ -62,7 +66,9 @@
         """Agreed and applied up to here; `term` is 0 for a state."""
 
     def shown(self, sender: str, data: bytes) -> None:
-        """What another member sees, told to this leader; raises ValueError for what means nothing."""
+        """What another member sees, told to this leader; raises ValueError for what means
+        nothing.
+        """
 
     def changed(self) -> None:
         """Another leads, or nobody."""
@@ -79,29 +85,38 @@
         seed: int,
         owner: Owner,
     ) -> None:
-        """Raises OSError, ValueError or `store.Lost` where the directory or the key cannot be used."""
+        """Raises OSError, ValueError or `store.Lost` where the directory or the key cannot be
+        used.
+        """
         self.name, self._options, self._clock = name, options, clock
         self._owner = owner
         self._addresses, self._key = options.addresses(), options.key()
         if name not in self._addresses:
-            raise ValueError(f"[fleet] members: {name}, this ingress, is not among {', '.join(self._addresses)}")
+            raise ValueError(
+                f"[fleet] members: {name}, this ingress, is not among {', '.join(self._addresses)}"
+            )
         self._rng = random.Random(seed)
         self.store = Store(Path(options.directory), name)
         if self.store.name != name:
             self.store.close()
-            raise ValueError(f"[fleet] directory: {options.directory} is of {self.store.name}, and this is {name}")
+            raise ValueError(
+                f"[fleet] directory: {options.directory} is of {self.store.name}, and this is {name}"
+            )
         self._times = Times(options.patience, options.beat)
         self.spoilt, self.messages = 0, MessageCounts()
         self.opened = False  # it takes part
         self._links: dict[str, Link] = {}
         self._actions: deque[Action] = deque()
         self._some = asyncio.Event()
-        self._waiting: dict[int, tuple[int, asyncio.Future[int]]] = {}  # by index: its term, who waits for it
-        self._asked: dict[int, asyncio.Future[int]] = {}  # by token: who waits for the leader's word
+        # by index: its term, who waits for it
+        self._waiting: dict[int, tuple[int, asyncio.Future[int]]] = {}
+        # by token: who waits for the leader's word
+        self._asked: dict[int, asyncio.Future[int]] = {}
         self._token = 0
         self._current = -1.0  # when the owner was last known to have all
         self._carried = 0  # the last index that the owner has applied
-        self._behind: list[tuple[int, asyncio.Future[None]]] = []  # who waits for the owner to come to an index
+        # who waits for the owner to come to an index
+        self._behind: list[tuple[int, asyncio.Future[None]]] = []
         self._keeper = ThreadPoolExecutor(1, thread_name_prefix="fleet-log")
         self._tasks: list[asyncio.Task[Any]] = []
         self._alarm: asyncio.TimerHandle | None = None
@@ -116,14 +131,23 @@
         if stored.base:
             self._owner.restore(stored.base, stored.state)
             self._came_to(stored.base, 0)
-        self._agreement = Agreement(self.name, self._addresses, stored, self._times, self._rng, self._clock.now())
+        self._agreement = Agreement(
+            self.name, self._addresses, stored, self._times, self._rng, self._clock.now()
+        )
         self._links = {
-            n: Link(a, self._rng, self._key, self.messages) for n, a in self._addresses.items() if n != self.name
+            n: Link(a, self._rng, self._key, self.messages)
+            for n, a in self._addresses.items()
+            if n != self.name
         }
         self.opened = True
         self._tasks = [self._loop.create_task(self._carry_out())]
         self._arm()
-        logger.info("fleet: {} takes part at {}, {} members", self.name, self._options.listen, len(self._addresses))
+        logger.info(
+            "fleet: {} takes part at {}, {} members",
+            self.name,
+            self._options.listen,
+            len(self._addresses),
+        )
 
     async def close(self) -> None:
         """Hand over where it leads, then leave."""
@@ -144,14 +168,17 @@
         self.store.close()
 
     async def propose(self, data: bytes, most: float = 3_000.0) -> int:
-        """The index at which it stands, once that is agreed and applied here; 0 where that is not known within `most`
-        ms: then it may stand or not. It is handed to whoever leads, and again where that changes or no answer comes,
-        so the owner has to know it for the same when it comes twice."""
+        """The index at which it stands, once that is agreed and applied here; 0 where that is not
+        known within `most` ms: then it may stand or not. It is handed to whoever leads, and again
+        where that changes or no answer comes, so the owner has to know it for the same when it
+        comes twice.
+        """
         try:
             async with asyncio.timeout(most / 1000.0):
                 while not (index := await self._try(data)):
                     await asyncio.sleep(RETRY / 1000.0)
-                if index > self._carried:  # the leader is ahead: what is answered here must know of it
+                # the leader is ahead: what is answered here must know of it
+                if index > self._carried:
                     behind: asyncio.Future[None] = self._loop.create_future()
                     self._behind.append((index, behind))
                     await behind
@@ -160,7 +187,9 @@
             return 0
 
     async def _try(self, data: bytes) -> int:
-        """By whoever leads now; 0 where nobody does, or somebody else does before it is known to stand."""
+        """By whoever leads now; 0 where nobody does, or somebody else does before it is known to
+        stand.
+        """
         future: asyncio.Future[int] = self._loop.create_future()
         core = self._agreement
         if core.role is Role.LEADER:
@@ -209,14 +238,21 @@
         return self._agreement.heard_within(self._options.patience) if self.opened else set()
 
     def age(self) -> float:
-        """ms since the owner was known to have all that was agreed on, give or take a beat; -1 for never. A leader
-        counts from when a majority answered, any other from when it last heard its leader."""
+        """ms since the owner was known to have all that was agreed on, give or take a beat; -1 for
+        never. A leader counts from when a majority answered, any other from when it last heard its
+        leader.
+        """
         if not self.opened:
             return -1.0
         now, core = self._clock.now(), self._agreement
         if core.role is Role.LEADER and core.log.term_at(core.commit) == core.term:
-            spans = (self._times.beat * n for n in range(1, 1 + int(self._times.patience // self._times.beat)))
-            within = next((ms for ms in spans if core.majority(core.heard_within(ms) | {self.name})), None)
+            spans = (
+                self._times.beat * n
+                for n in range(1, 1 + int(self._times.patience // self._times.beat))
+            )
+            within = next(
+                (ms for ms in spans if core.majority(core.heard_within(ms) | {self.name})), None
+            )
             if within is not None and self._carried >= core.commit:
                 self._current = max(self._current, now - within)
         return now - self._current if self._current >= 0 else -1.0
@@ -346,10 +382,17 @@
                     case Became(role, term, leader):
                         self._changed()
                         self._owner.changed()
-                        logger.info("fleet: {} in term {}, led by {}", role.value, term, leader or "nobody yet")
+                        logger.info(
+                            "fleet: {} in term {}, led by {}",
+                            role.value,
+                            term,
+                            leader or "nobody yet",
+                        )
 
     def _changed(self) -> None:
-        """Whoever waits for the word of one that led asks the next; one that leads no more cannot say what stands."""
+        """Whoever waits for the word of one that led asks the next; one that leads no more cannot
+        say what stands.
+        """
         waiting = [*self._asked.values()]
         if self._agreement.role is not Role.LEADER:
             waiting += [future for _, future in self._waiting.values()]
@@ -364,7 +407,9 @@
         for at, behind in self._behind:
             if at <= index and not behind.done():
                 behind.set_result(None)
-        self._behind = [(at, behind) for at, behind in self._behind if at > index and not behind.done()]
+        self._behind = [
+            (at, behind) for at, behind in self._behind if at > index and not behind.done()
+        ]
 
     def _applied(self, index: int, entry: messages.Entry) -> None:
         if entry.kind == messages.COMMAND:
--- a/dockthread/raft/storage.py
+++ b/dockthread/raft/storage.py
@@ -1,11 +1,13 @@
-"""What a member keeps on disk: its name, term, vote and log. Every write is on the disk before it returns.
-
-Two files in a directory of its own. `state` holds the identity and what stands up to `base`; it is written whole
-beside and renamed into place. `log` holds records behind it, each with its length and a BLAKE2 sum; a record is
-appended and synced. A record cut short at the end was never synced, so nobody was answered on it: it is let go. A
-sum that is wrong anywhere else means that the disk lost what was promised: the store says so (`Lost`) and the
-member has to come back as another. A newer `state` makes records of an older one void by its number, so that a kill
-between the two writes harms nothing.
+"""What a member keeps on disk: its name, term, vote and log. Every write is on the disk before it
+returns.
+
+Two files in a directory of its own. `state` holds the identity and what stands up to `base`; it is
+written whole beside and renamed into place. `log` holds records behind it, each with its length and
+a BLAKE2 sum; a record is appended and synced. A record cut short at the end was never synced, so
+nobody was answered on it: it is let go. A sum that is wrong anywhere else means that the disk lost
+what was promised: the store says so (`Lost`) and the member has to come back as another. A newer
+`state` makes records of an older one void by its number, so that a kill between the two writes
+harms nothing.
 """
 
 from __future__ import annotations
@@ -25,7 +27,8 @@
 
 SUM: Final = 16
 RECORD: Final = struct.Struct(f"<I{SUM}s")
-MOST_RECORD: Final = MOST_STATE + (64 << 20)  # bytes: a whole state, or all entries behind one, with room
+# bytes: a whole state, or all entries behind one, with room
+MOST_RECORD: Final = MOST_STATE + (64 << 20)
 AFTER_LOSS: Final = "give the ingress a new name and `dockthread fleet init` a new folder"
 
 
@@ -73,15 +76,21 @@
 class Store:
     """One member's directory, held by a lock while it is open.
 
-    A directory is made once, by staff (`dockthread fleet init`), and never by a start: a member that lost its disk
-    and came back under its old name would vote a second time in a term that it forgot."""
+    A directory is made once, by staff (`dockthread fleet init`), and never by a start: a member
+    that lost its disk and came back under its old name would vote a second time in a term that it
+    forgot.
+    """
 
     def __init__(self, folder: Path, name: str, make: bool = False) -> None:
-        """Raises OSError where the folder cannot be used, `Lost` where what lies there cannot be believed."""
+        """Raises OSError where the folder cannot be used, `Lost` where what lies there cannot be
+        believed.
+        """
         if make:
             folder.mkdir(parents=True, exist_ok=True)
         elif not (folder / "state").exists():
-            raise Lost(f"{folder} holds no log; `dockthread fleet init` makes one for a member that never had one")
+            raise Lost(
+                f"{folder} holds no log; `dockthread fleet init` makes one for a member that never had one"
+            )
         self._folder = folder
         self._lock = os.open(folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)
         try:
@@ -109,20 +118,31 @@
         """On the disk when it returns."""
         stored = self.stored
         if isinstance(what, Keep):
-            record = Written(self._whole.number, what.term, what.vote, what.start, what.entries, what.commit)
+            record = Written(
+                self._whole.number, what.term, what.vote, what.start, what.entries, what.commit
+            )
             self._append(record)
             stored.keep(what)
             return
         stored.keep_state(what)
         number = self._whole.number + 1
         self._whole = Whole(
-            number, self.name, stored.term, stored.vote, what.base, what.base_term, what.voters, what.state
+            number,
+            self.name,
+            stored.term,
+            stored.vote,
+            what.base,
+            what.base_term,
+            what.voters,
+            what.state,
         )
-        # First the entries behind it, under its number, which the old state takes for void; then the state itself.
+        # First the entries behind it, under its number, which the old state takes for void; then
+        # the state itself.
         record = Written(number, stored.term, stored.vote, what.base + 1, tuple(stored.entries))
         self._append(record)
         self._write_whole()
-        # Nothing in the log counts any more but that last record: a new log of it alone, or the disk would fill.
+        # Nothing in the log counts any more but that last record: a new log of it alone, or the
+        # disk would fill.
         self._beside("log", msgspec.msgpack.encode(record))
         os.close(self._log)
         self._log = os.open(self._folder / "log", os.O_WRONLY | os.O_APPEND)
@@ -156,18 +176,26 @@
             raise Lost(f"{self._folder / 'state'} is cut short; {AFTER_LOSS}")
         try:
             self._whole = msgspec.msgpack.decode(bodies[0], type=Whole)
-            records = [msgspec.msgpack.decode(body, type=Written) for body in self._records("log")[0]]
+            records = [
+                msgspec.msgpack.decode(body, type=Written) for body in self._records("log")[0]
+            ]
         except msgspec.MsgspecError as error:
-            raise Lost(f"{self._folder} holds no log of this program: {error}; {AFTER_LOSS}") from error
+            raise Lost(
+                f"{self._folder} holds no log of this program: {error}; {AFTER_LOSS}"
+            ) from error
         w = self._whole
         self.stored = Stored(w.term, w.vote, w.base, w.base_term, w.voters, w.state, [])
         for record in records:
             if record.number == w.number:
-                self.stored.keep(Keep(record.term, record.vote, record.start, record.entries, record.commit))
+                self.stored.keep(
+                    Keep(record.term, record.vote, record.start, record.entries, record.commit)
+                )
         return self.stored
 
     def _records(self, name: str) -> tuple[list[bytes], bool]:
-        """Bodies, and whether the file ends with a whole one; what is cut short at the end is cut off."""
+        """Bodies, and whether the file ends with a whole one; what is cut short at the end is cut
+        off.
+        """
         path = self._folder / name
         data = path.read_bytes() if path.exists() else b""
         bodies, at = list[bytes](), 0
--- a/dockthread/raft/transport.py
+++ b/dockthread/raft/transport.py
@@ -1,11 +1,12 @@
 """Frames to one other member: a bounded queue, and beside it a state in parts.
 
-Theory of operation. The agreement sends the whole state to a member that is too far behind, anew at each beat until
-it is answered. A state of 90,000 resources has tens of megabytes: in one frame it would hold up every sign of life
-behind it, and a queue of such frames would fill the memory. So a state is cut into parts, sent only while no other
-frame waits and one at a time; while it is under way, and for `REPEAT` after it, a beat that would send it again sends
-an empty `Append` behind the state's last entry instead. The receiver answers that one like any other, so that both
-know of each other meanwhile; it is answered with yes once the state has arrived.
+Theory of operation. The agreement sends the whole state to a member that is too far behind, anew at
+each beat until it is answered. A state of 90,000 resources has tens of megabytes: in one frame it
+would hold up every sign of life behind it, and a queue of such frames would fill the memory. So a
+state is cut into parts, sent only while no other frame waits and one at a time; while it is under
+way, and for `REPEAT` after it, a beat that would send it again sends an empty `Append` behind the
+state's last entry instead. The receiver answers that one like any other, so that both know of each
+other meanwhile; it is answered with yes once the state has arrived.
 """
 
 from __future__ import annotations
