--- a/benchmarks/followers.py
+++ b/benchmarks/followers.py
@@ -18,8 +18,8 @@
 from dataclasses import asdict, dataclass
 
 from dockthread.raft import messages
-from dockthread.raft.actions import Action, Apply, Send, Stored, Times
-from dockthread.raft.core import Agreement
+from dockthread.raft.actions import Action, ApplyEntry, PersistentState, RaftTiming, SendMessage
+from dockthread.raft.core import RaftCore
 
 VOTERS = tuple(f"voter{i}" for i in range(5))
 SIZES = (0, 100, 400, 1600)
@@ -29,8 +29,10 @@
 
 def read(frame: bytes) -> messages.Message:
     """A frame's message; a state here is far too small to travel in parts."""
-    message = messages.unpack(frame[: messages.HEAD.size], frame[messages.HEAD.size :])
-    assert not isinstance(message, messages.Part)
+    message = messages.unpack(
+        frame[: messages.FRAME_HEADER.size], frame[messages.FRAME_HEADER.size :]
+    )
+    assert not isinstance(message, messages.SnapshotChunk)
     return message
 
 
@@ -49,16 +51,21 @@
     """The leader's core with its packing and reading; only its own processor time is counted."""
 
     def __init__(self, followers: int) -> None:
-        self.core = Agreement(VOTERS[0], VOTERS, Stored(), Times(), random.Random(1), 0.0)
+        self.core = RaftCore(
+            VOTERS[0], VOTERS, PersistentState(), RaftTiming(), random.Random(1), 0.0
+        )
         self.core.learners.update(f"follower{i:04}" for i in range(followers))
         self.messages = self.bytes = 0
         self.cpu = 0.0
 
     def carry_out(self, actions: list[Action]) -> list[tuple[str, bytes]]:
         began = time.process_time()
-        frames = [(a.to, messages.pack(a.message)) for a in actions if isinstance(a, Send)]
+        frames = [(a.to, messages.pack(a.message)) for a in actions if isinstance(a, SendMessage)]
         for action in actions:
-            if isinstance(action, Apply) and action.index - self.core.log.base >= KEPT:
+            if (
+                isinstance(action, ApplyEntry)
+                and action.index - self.core.log.snapshot_index >= KEPT
+            ):
                 self.core.compact(action.index, b"")
         self.cpu += time.process_time() - began
         self.messages += len(frames)
@@ -67,7 +74,7 @@
 
     def hear(self, now: float, frame: bytes) -> list[tuple[str, bytes]]:
         began = time.process_time()
-        actions = self.core.heard(now, read(frame))
+        actions = self.core.step(now, read(frame))
         self.cpu += time.process_time() - began
         return self.carry_out(actions)
 
@@ -88,7 +95,7 @@
     leader = Leader(followers)
     names = [*VOTERS[1:], *leader.core.learners]
     others = {
-        n: Agreement(n, VOTERS, Stored(), Times(), random.Random(i), 0.0)
+        n: RaftCore(n, VOTERS, PersistentState(), RaftTiming(), random.Random(i), 0.0)
         for i, n in enumerate(names)
     }
 
@@ -96,19 +103,19 @@
         while frames:
             answers = list[bytes]()
             for to, frame in frames:
-                for action in others[to].heard(now, read(frame)):
-                    if isinstance(action, Send) and action.to == VOTERS[0]:
+                for action in others[to].step(now, read(frame)):
+                    if isinstance(action, SendMessage) and action.to == VOTERS[0]:
                         answers.append(messages.pack(action.message))
             frames = [frame for answer in answers for frame in leader.hear(now, answer)]
 
     now = 0.0
     while leader.core.role.value != "leader":
-        now = leader.core.due()
+        now = leader.core.next_deadline()
         exchange(now, leader.tick(now))
     leader.messages = leader.bytes = 0
     leader.cpu, proposed, began = 0.0, 0, now
     while now < began + seconds * 1000.0:
-        now = leader.core.due()
+        now = leader.core.next_deadline()
         exchange(now, leader.tick(now))
         while proposed < (now - began) / 1000.0 * changes:
             proposed += 1
--- a/dockthread/cli/lab_fleet.py
+++ b/dockthread/cli/lab_fleet.py
@@ -121,7 +121,7 @@
     except Void as error:
         click.echo(f"{scenario}: void: {error}", err=True)
         sys.exit(VOID)
-    broken = [{"rule": b.rule, "at": round(b.at), "detail": b.detail} for b in verdict.broken]
+    broken = [{"rule": b.rule, "at": round(b.at_ms), "detail": b.detail} for b in verdict.broken]
     if as_json:
         told = {"scenario": scenario, "ingresses": played.ingresses, "seed": seed, "broken": broken}
         click.echo(
--- a/dockthread/cli/lab_seeds.py
+++ b/dockthread/cli/lab_seeds.py
@@ -10,7 +10,7 @@
 
 import click
 
-from dockthread.lab.raft.checker import Broken
+from dockthread.lab.raft.checker import RuleViolation
 from dockthread.lab.seeds import Chunk, Found, PlayedSeed
 
 BROKE = 1  # exit code: a rule broke; with a planted bug, it was found
@@ -19,14 +19,14 @@
 json_option = click.option("--json", "as_json", is_flag=True, help="One line of JSON.")
 
 
-def worded(broken: Broken) -> dict[str, str | float]:
+def worded(broken: RuleViolation) -> dict[str, str | float]:
     """A broken rule for JSON."""
-    return {"rule": broken.rule, "at": round(broken.at, 3), "detail": broken.detail}
+    return {"rule": broken.rule, "at": round(broken.at_ms, 3), "detail": broken.detail}
 
 
-def line_of(broken: Broken) -> str:
+def line_of(broken: RuleViolation) -> str:
     """A broken rule for a person."""
-    return f"{broken.rule} at {broken.at:.0f} ms: {broken.detail}"
+    return f"{broken.rule} at {broken.at_ms:.0f} ms: {broken.detail}"
 
 
 def seeds_of(ctx: click.Context, param: click.Parameter, value: str) -> range:
--- a/dockthread/cli/work.py
+++ b/dockthread/cli/work.py
@@ -168,11 +168,11 @@
 @click.option("--name", required=True, help="The ingress that the folder is for.")
 def init(folder: Path, name: str) -> None:
     """Make the folder of a member that never had one. One that lost its folder needs a new name."""
-    from dockthread.raft.storage import Lost, Store
+    from dockthread.raft.storage import RaftStorage, RaftStorageError
 
     try:
-        Store(folder, name, make=True).close()
-    except (OSError, Lost) as error:
+        RaftStorage(folder, name, create=True).close()
+    except (OSError, RaftStorageError) as error:
         click.echo(f"{folder}: {error}", err=True)
         sys.exit(1)
     click.echo(f"{folder} is the folder of {name}")
--- a/dockthread/control_plane/admin_client.py
+++ b/dockthread/control_plane/admin_client.py
@@ -22,7 +22,7 @@
     SubscriberStatus,
     codec,
 )
-from dockthread.framing import HEAD, MalformedFrame
+from dockthread.framing import FRAME_HEADER, MalformedFrameError
 
 ANSWER = 5.0  # s for one question
 PUBLISHING = 20.0  # s until a change is given up
@@ -40,13 +40,13 @@
         async with asyncio.timeout(most):
             reader, writer = await asyncio.open_connection(server.host, server.port)
             writer.write(codec.pack(message, key))
-            head = await reader.readexactly(HEAD.size)
+            head = await reader.readexactly(FRAME_HEADER.size)
             return codec.unpack(head, await reader.readexactly(codec.length(head)), key)
     except asyncio.IncompleteReadError as error:
         raise NoAnswer("it closed the connection: another key, or no server of control") from error
     except TimeoutError as error:
         raise NoAnswer(f"no answer within {most:g} s") from error
-    except (OSError, MalformedFrame) as error:
+    except (OSError, MalformedFrameError) as error:
         raise NoAnswer(str(error)) from error
     finally:
         if writer is not None:
--- a/dockthread/control_plane/process.py
+++ b/dockthread/control_plane/process.py
@@ -26,7 +26,7 @@
 from dockthread.framing import MessageCounts
 from dockthread.logs.setup import set_up
 from dockthread.raft.options import FleetOptions
-from dockthread.raft.storage import Lost
+from dockthread.raft.storage import RaftStorageError
 
 OK, CANNOT_LISTEN, BAD_CONFIGURATION = 0, 1, 2  # exit codes
 ASKING = 32  # connections beside the subscribers', for publishers and questions
@@ -156,7 +156,7 @@
         set_up(level.upper(), log, ingress=control.name)
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(_run(control, read.one("fleet")))
-    except (SettingsError, ValueError, Lost) as error:
+    except (SettingsError, ValueError, RaftStorageError) as error:
         print(f"dockthread: {error}", file=sys.stderr)
         return BAD_CONFIGURATION
     except OSError as error:
--- a/dockthread/control_plane/stream.py
+++ b/dockthread/control_plane/stream.py
@@ -7,7 +7,7 @@
 import asyncio
 
 from dockthread.control_plane.messages import Message, codec
-from dockthread.framing import HEAD, MalformedFrame, MessageCounts
+from dockthread.framing import FRAME_HEADER, MalformedFrameError, MessageCounts
 
 
 class FrameStream(asyncio.Protocol):
@@ -108,7 +108,7 @@
         try:
             if not self._cut():
                 self.received()
-        except MalformedFrame as error:
+        except MalformedFrameError as error:
             self._buffer.clear()
             self.malformed(str(error))
             self.abort()
@@ -118,15 +118,15 @@
         so by its head.
         """
         at, buffer = 0, self._buffer
-        while len(buffer) - at >= HEAD.size:
-            head = bytes(buffer[at : at + HEAD.size])
+        while len(buffer) - at >= FRAME_HEADER.size:
+            head = bytes(buffer[at : at + FRAME_HEADER.size])
             size = codec.length(head)
             if size > self._most:
-                raise MalformedFrame(f"{size} bytes, and {self._most} are the most here")
-            if len(buffer) - at < HEAD.size + size:
+                raise MalformedFrameError(f"{size} bytes, and {self._most} are the most here")
+            if len(buffer) - at < FRAME_HEADER.size + size:
                 break
-            body = bytes(buffer[at + HEAD.size : at + HEAD.size + size])
-            at += HEAD.size + size
+            body = bytes(buffer[at + FRAME_HEADER.size : at + FRAME_HEADER.size + size])
+            at += FRAME_HEADER.size + size
             self._counts.received += 1
             self.heard(codec.unpack(head, body, self._key))
             if self.is_closing:
--- a/dockthread/control_plane/voter.py
+++ b/dockthread/control_plane/voter.py
@@ -17,7 +17,7 @@
 from dockthread.control_plane.server import Server, ServerLimits
 from dockthread.framing import MessageCounts
 from dockthread.raft.options import FleetOptions
-from dockthread.raft.server import Member
+from dockthread.raft.server import RaftServer
 
 AGREEMENT = 3_000.0  # ms that a publisher waits for the agreed log
 NOT_AGREED = "no majority has agreed in time: ask again with the same token, and it counts once"
@@ -52,7 +52,7 @@
             key,
             self,
         )
-        self.member = Member(name, fleet, clock, rng.getrandbits(32), self)
+        self.member = RaftServer(name, fleet, clock, rng.getrandbits(32), self)
         self._clock, self._serving = clock, False
 
     async def open(self, listen: Address) -> Address:
@@ -76,12 +76,12 @@
 
     def age(self) -> float:
         """ms since what is applied here was known to be all that was agreed on; -1 for never."""
-        return self.member.age()
+        return self.member.staleness_ms()
 
     @property
     def messages(self) -> MessageCounts:
         """With the other voters and with those whom it serves."""
-        return self.member.messages + self.server.messages
+        return self.member.message_counts + self.server.messages
 
     async def publish(self, change: Publish) -> Published:
         """Have the log agree on a change. The same token counts once."""
@@ -105,17 +105,17 @@
         self.publishing.restore(index, state)
         self._changed()
 
-    def state(self) -> bytes:
+    def snapshot(self) -> bytes:
         """For the log: the state after what was applied."""
         return self.publishing.state()
 
-    def came_to(self, index: int, term: int) -> None:
+    def on_applied(self, index: int, term: int) -> None:
         """From the log; nothing here depends on it."""
 
-    def shown(self, sender: str, data: bytes) -> None:
+    def on_status_report(self, sender: str, data: bytes) -> None:
         """From the log; members of control show each other nothing."""
 
-    def changed(self) -> None:
+    def on_leader_changed(self) -> None:
         """From the log; who leads is asked where it matters."""
 
     def _changed(self) -> None:
--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -202,12 +202,12 @@
             opened.open()
         if self._fleet is not None and self._fleet.listen:
             from dockthread.maintenance.service import Work
-            from dockthread.raft.storage import Lost
+            from dockthread.raft.storage import RaftStorageError
 
             try:
                 self._work = Work(self.ingress, self._fleet, self.stop)
                 await self._work.open()
-            except Lost as error:  # requests are served all the same
+            except RaftStorageError as error:  # requests are served all the same
                 self._no_part = f"no part in the fleet: {error}"
                 logger.error("{}", self._no_part)
             except ValueError as error:
--- a/dockthread/framing.py
+++ b/dockthread/framing.py
@@ -16,16 +16,16 @@
 import msgspec
 
 TAG: Final = 16  # bytes of a tag
-HEAD: Final = struct.Struct("<IB16s")
+FRAME_HEADER: Final = struct.Struct("<IB16s")
 
 MessageT = TypeVar("MessageT")
 
 
-class MalformedFrame(Exception):
+class MalformedFrameError(Exception):
     """Bytes that are no frame of this version with a right tag."""
 
 
-class UnknownMessage(MalformedFrame):
+class UnknownMessageError(MalformedFrameError):
     """A whole frame whose message means nothing here, as one of a later release may: what follows
     it can be read.
     """
@@ -59,27 +59,27 @@
         it.
         """
         body = self._encoder.encode(message)
-        return HEAD.pack(len(body), self.version, _tag(key, body)) + body
+        return FRAME_HEADER.pack(len(body), self.version, _tag(key, body)) + body
 
     def length(self, head: bytes) -> int:
         """Bytes of the message that follows a frame's head. Raises `MalformedFrame`."""
-        size, version, _ = HEAD.unpack(head)
+        size, version, _ = FRAME_HEADER.unpack(head)
         if version != self.version:
-            raise MalformedFrame(f"version {version}, and this program speaks {self.version}")
+            raise MalformedFrameError(f"version {version}, and this program speaks {self.version}")
         if size > self.most:
-            raise MalformedFrame(f"{size} bytes, and {self.most} are the most")
+            raise MalformedFrameError(f"{size} bytes, and {self.most} are the most")
         return int(size)
 
     def unpack(self, head: bytes, body: bytes, key: bytes = b"") -> MessageT:
         """The message of one frame. Raises `MalformedFrame` for a wrong tag, `UnknownMessage` for
         no message.
         """
-        if not hmac.compare_digest(HEAD.unpack(head)[2], _tag(key, body)):
-            raise MalformedFrame("the tag is wrong: another key, or changed on the way")
+        if not hmac.compare_digest(FRAME_HEADER.unpack(head)[2], _tag(key, body)):
+            raise MalformedFrameError("the tag is wrong: another key, or changed on the way")
         try:
             return self._decoder.decode(body)
         except (msgspec.MsgspecError, RecursionError, ValueError) as error:
-            raise UnknownMessage(f"no message: {error}") from error
+            raise UnknownMessageError(f"no message: {error}") from error
 
 
 def _tag(key: bytes, body: bytes) -> bytes:
--- a/dockthread/lab/control_plane/checker.py
+++ b/dockthread/lab/control_plane/checker.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from dockthread.lab.raft.checker import Broken
+from dockthread.lab.raft.checker import RuleViolation
 
 Key = tuple[str, str]
 
@@ -92,7 +92,7 @@
 
     def __init__(self, burst: float, rate: float, part: float) -> None:
         self._burst, self._rate, self._part = burst, rate / 1000.0, part
-        self.broken: list[Broken] = []
+        self.broken: list[RuleViolation] = []
         self.asked: dict[str, Asked] = {}  # by token
         self._token_of: dict[int, str] = {}  # by revision
         self._good_before: dict[Key, set[bytes | None]] = {}  # bodies of the history before
@@ -103,7 +103,7 @@
         self._accepted_at: list[float] = []  # of these revisions, anywhere
 
     def _break(self, rule: str, at: float, detail: str) -> None:
-        self.broken.append(Broken(rule, at, detail))
+        self.broken.append(RuleViolation(rule, at, detail))
 
     # Publishing
 
--- a/dockthread/lab/control_plane/nodes.py
+++ b/dockthread/lab/control_plane/nodes.py
@@ -11,7 +11,7 @@
 from dockthread.control_plane.messages import Acknowledge, Heartbeat, Message, Subscribe, codec
 from dockthread.control_plane.resource_table import ResourceTable
 from dockthread.control_plane.subscriber import Subscriber
-from dockthread.framing import HEAD, MalformedFrame
+from dockthread.framing import FRAME_HEADER, MalformedFrameError
 from dockthread.lab.control_plane.network import Connection
 
 if TYPE_CHECKING:
@@ -101,9 +101,9 @@
 
 def unpacked(data: bytes) -> Message:
     """Raises `MalformedFrame`."""
-    head, body = data[: HEAD.size], data[HEAD.size :]
+    head, body = data[: FRAME_HEADER.size], data[FRAME_HEADER.size :]
     if codec.length(head) != len(body):
-        raise MalformedFrame("another length")
+        raise MalformedFrameError("another length")
     return codec.unpack(head, body)
 
 
@@ -139,7 +139,7 @@
                 self.fanout.heard(world.clock.now, number, message)
             else:
                 raise UnexpectedMessage(type(message).__name__)
-        except (MalformedFrame, UnexpectedMessage):
+        except (MalformedFrameError, UnexpectedMessage):
             self._close(number)
         else:
             self.pump_one(connection)
@@ -214,7 +214,7 @@
         now = self._process.world.clock.now
         try:
             message = unpacked(data)
-        except MalformedFrame as error:
+        except MalformedFrameError as error:
             return self.do(self.subscriber.malformed(now, connection.number, str(error)))
         return self.do(self.subscriber.heard(now, connection.number, message))
 
--- a/dockthread/lab/control_plane/simulation.py
+++ b/dockthread/lab/control_plane/simulation.py
@@ -33,7 +33,7 @@
 from dockthread.lab.control_plane.publisher import KINDS, Publisher
 from dockthread.lab.control_plane.seeded_defects import PLANTS, Plant
 from dockthread.lab.control_plane.voter import Voter
-from dockthread.lab.raft.checker import Broken
+from dockthread.lab.raft.checker import RuleViolation
 from dockthread.raft.messages import Message as LogMessage
 
 Kind = TypeVar("Kind", bound=Process)
@@ -163,13 +163,13 @@
 
     # Its course
 
-    def play(self) -> list[Broken]:
+    def play(self) -> list[RuleViolation]:
         """The seed's course, to its end or to the first rule that broke."""
         try:
             self._run()
         except (IndexError, ValueError, KeyError, AssertionError, AttributeError) as error:
             self.checker.broken.append(
-                Broken("crash", self.clock.now, f"a core ends with {error!r}")
+                RuleViolation("crash", self.clock.now, f"a core ends with {error!r}")
             )
         return self.checker.broken
 
--- a/dockthread/lab/control_plane/voter.py
+++ b/dockthread/lab/control_plane/voter.py
@@ -15,20 +15,20 @@
 from dockthread.lab.control_plane.nodes import ServingProcess, ServingSide
 from dockthread.raft.actions import (
     Action,
-    Apply,
-    Keep,
-    KeepState,
-    Restore,
+    ApplyEntry,
+    PersistEntries,
+    PersistentState,
+    PersistSnapshot,
+    RaftTiming,
+    RestoreSnapshot,
     Role,
-    Send,
-    Stored,
-    Times,
+    SendMessage,
 )
-from dockthread.raft.core import Agreement
-from dockthread.raft.messages import COMMAND, Append
+from dockthread.raft.core import RaftCore
+from dockthread.raft.messages import AppendEntries, EntryKind
 from dockthread.raft.messages import Message as LogMessage
 
-TIMES: Final = Times(patience=600.0, beat=200.0)
+TIMES: Final = RaftTiming(election_timeout_ms=600.0, heartbeat_interval_ms=200.0)
 KEEP_ENTRIES: Final = 40  # applied entries before a state takes their place
 Reply = Callable[[Published], None]
 
@@ -38,28 +38,28 @@
 
     def begin(self) -> None:
         if self.life == 1:
-            self.disk = Stored()
+            self.disk = PersistentState()
         world = self.world
         stored = replace(self.disk, entries=list(self.disk.entries))
         rng = random.Random(world.rng.random())
-        self.core = Agreement(self.name, world.voter_names, stored, TIMES, rng, world.clock.now)
+        self.core = RaftCore(self.name, world.voter_names, stored, TIMES, rng, world.clock.now)
         self.publishing = world.make_publishing()
-        if stored.base:
-            self.publishing.restore(stored.base, stored.state)
+        if stored.snapshot_index:
+            self.publishing.restore(stored.snapshot_index, stored.snapshot)
         self.server = ServingSide(self, world.make_fanout(self, self.publishing.table))
         self._replies: dict[str, list[Reply]] = {}
         self._current_at: float | None = None
 
     def lose_disk(self) -> None:
         self.kill()
-        self.disk = Stored()
+        self.disk = PersistentState()
 
     def due(self) -> float:
-        return min(self.core.due(), self.server.fanout.due())
+        return min(self.core.next_deadline(), self.server.fanout.due())
 
     def tick(self) -> None:
         now = self.world.clock.now
-        if self.core.due() <= now:
+        if self.core.next_deadline() <= now:
             self._do(self.core.tick(now))
         self._freshen()
         if self.server.fanout.due() <= now:
@@ -83,8 +83,8 @@
         if self.stalled:
             self.world.clock.after(self.world.again, self.log_message, life, message)
             return
-        self._do(self.core.heard(self.world.clock.now, message))
-        if isinstance(message, Append) and message.commit <= self.core.applied:
+        self._do(self.core.step(self.world.clock.now, message))
+        if isinstance(message, AppendEntries) and message.commit_index <= self.core.applied_index:
             self._current_at = self.world.clock.now
         self.settle()
 
@@ -108,19 +108,19 @@
     def _do(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Keep():
-                    self.disk.keep(action)
-                case KeepState():
-                    self.disk.keep_state(action)
-                case Send(to, message):
+                case PersistEntries():
+                    self.disk.persist_entries(action)
+                case PersistSnapshot():
+                    self.disk.persist_snapshot(action)
+                case SendMessage(to, message):
                     self.world.send_log(self, to, message)
-                case Apply(index, entry):
-                    if entry.kind == COMMAND:
+                case ApplyEntry(index, entry):
+                    if entry.kind == EntryKind.COMMAND:
                         self._apply(index, entry.data)
-                case Restore(index, state):
+                case RestoreSnapshot(index, state):
                     self.publishing.restore(index, state)
-        if self.core.applied - self.core.log.base > KEEP_ENTRIES:
-            self._do(self.core.compact(self.core.applied, self.publishing.state()))
+        if self.core.applied_index - self.core.log.snapshot_index > KEEP_ENTRIES:
+            self._do(self.core.compact(self.core.applied_index, self.publishing.state()))
 
     def _apply(self, index: int, data: bytes) -> None:
         self.publishing.apply(index, data)
@@ -133,9 +133,9 @@
 
     def _freshen(self) -> None:
         now, core = self.world.clock.now, self.core
-        if core.role is Role.LEADER and core.log.term_at(core.commit) == core.term:
-            heard = core.heard_within(TIMES.patience) | {self.name}
-            if core.majority(heard):
+        if core.role is Role.LEADER and core.log.term_at(core.commit_index) == core.term:
+            heard = core.responded_within(TIMES.election_timeout_ms) | {self.name}
+            if core.has_quorum(heard):
                 self._current_at = now
         age = -1.0 if self._current_at is None else now - self._current_at
         self.server.fanout.fresh(now, age)
--- a/dockthread/lab/maintenance/checker.py
+++ b/dockthread/lab/maintenance/checker.py
@@ -14,7 +14,7 @@
 
 from collections.abc import Collection, Mapping
 
-from dockthread.lab.raft.checker import Broken
+from dockthread.lab.raft.checker import RuleViolation
 
 
 class TurnsChecker:
@@ -30,7 +30,7 @@
             dead,
             lapse,
         )
-        self.broken: list[Broken] = []
+        self.broken: list[RuleViolation] = []
         self.pulled: dict[str, Collection[str]] = {}  # by machine: who said that it holds it
         self._cold: dict[str, float] = {}  # by machine: until when
         self._asked: dict[str, int] = {}  # by staff's word: the request's place
@@ -38,7 +38,7 @@
         self._away: set[str] = set()
 
     def _break(self, rule: str, at: float, detail: str) -> None:
-        self.broken.append(Broken(rule, at, detail))
+        self.broken.append(RuleViolation(rule, at, detail))
 
     def pull(
         self, at: float, machine: str, held: Collection[str], members: Collection[str],
--- a/dockthread/lab/maintenance/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -29,7 +29,7 @@
 from dockthread.lab.maintenance.scenario import Played, Step
 from dockthread.lab.maintenance.stand_in import Node
 from dockthread.lab.outcome import OUTCOMES
-from dockthread.lab.raft.checker import Broken
+from dockthread.lab.raft.checker import RuleViolation
 
 SETTINGS: dict[str, Any] = {
     "Classes": [
@@ -57,7 +57,7 @@
 
 @dataclass
 class Verdict:
-    broken: list[Broken] = field(default_factory=list)
+    broken: list[RuleViolation] = field(default_factory=list)
     record: list[str] = field(default_factory=list)
     served: int = 0
     asked: int = 0
@@ -135,7 +135,7 @@
 
     def _break(self, rule: str, detail: str) -> None:
         self._say(f"BROKEN {rule}: {detail}")
-        self._verdict.broken.append(Broken(rule, self._now, detail))
+        self._verdict.broken.append(RuleViolation(rule, self._now, detail))
 
     # Steps
 
--- a/dockthread/lab/maintenance/rig.py
+++ b/dockthread/lab/maintenance/rig.py
@@ -21,7 +21,7 @@
 from dockthread.config.platform_settings import Address
 from dockthread.lab.maintenance.relay import Relay
 from dockthread.maintenance.scheduler import HELD
-from dockthread.raft.storage import Store
+from dockthread.raft.storage import RaftStorage
 
 HOST = "127.0.0.1"
 
@@ -91,7 +91,7 @@
         """
         home = self.folder / name
         if not (home / "log").exists():
-            Store(home / "log", name, make=True).close()
+            RaftStorage(home / "log", name, create=True).close()
         (home / "tmp").mkdir(parents=True, exist_ok=True)
         at = {
             other: f"{HOST}:{self.links[name, other].port}" for other in self.names if other != name
--- a/dockthread/lab/maintenance/simulation.py
+++ b/dockthread/lab/maintenance/simulation.py
@@ -17,13 +17,15 @@
 
 from dockthread.lab.maintenance.checker import TurnsChecker
 from dockthread.lab.maintenance.seeded_defects import ORDERS, PARTS
-from dockthread.lab.raft.checker import Broken
-from dockthread.lab.raft.simulation import FAULTY, Member, World
+from dockthread.lab.raft.checker import RuleViolation
+from dockthread.lab.raft.cluster import SimulatedMember
+from dockthread.lab.raft.faults import FAULT_PHASE_MS
+from dockthread.lab.raft.simulation import RaftSimulation
 from dockthread.maintenance.commands import INGRESS, Command, Request
 from dockthread.maintenance.participant import Around, Part, Seen, Terms, View
 from dockthread.maintenance.scheduler import HELD, Order
-from dockthread.raft.actions import Role, Times
-from dockthread.raft.messages import COMMAND, Entry
+from dockthread.raft.actions import RaftTiming, Role
+from dockthread.raft.messages import Entry, EntryKind
 
 TERMS = Terms(bears=0.0, reserve=0.2, lapse=4_000.0, dead=2_000.0)
 # of a machine that comes back; in which all that was asked for has to come to its end
@@ -59,7 +61,7 @@
     regrets: bool = False  # takes it back as soon as it stands
 
 
-class TurnsWorld(World):
+class TurnsWorld(RaftSimulation):
     def __init__(
         self, seed: int, size: int, plant: str = "", faults: tuple[str, ...] | None = None
     ) -> None:
@@ -67,7 +69,9 @@
         drawn = tuple(f for f in FAULTS if self.rng.random() < 0.4)
         self.faults = drawn if faults is None else faults
         self.turns = TurnsChecker(ZONES, 1, WARM, TERMS.dead - SLACK, TERMS.lapse - SLACK)
-        self.checker.once, self.turns.broken = False, self.checker.broken
+        self.checker.commands_are_unique = False
+        self.turns.broken = self.checker.violations
+        self.fault_injector.handlers.update({"fail": self._fail, "press": self._press})
         self.own: dict[str, Own] = {}
         self.wishes: list[Wish] = []
         self.failing: set[str] = set()
@@ -77,40 +81,42 @@
         # how long it was not before, and until when
         self._gaps: dict[str, tuple[float, float]] = {}
 
-    def run(self) -> list[Broken]:
+    def run(self) -> list[RuleViolation]:
         for what, pace in ((self._send_some, SEND), (self._staff, STAFF), (self._reached, LOOK)):
-            self.at(pace, what)
+            self.schedule(pace, what)
         for name in self.voters:
-            self._start(self.members[name])
-        self.at(400.0, self._fault)
-        self._until(FAULTY)
-        self._heal()
+            self.start_member(self.members[name])
+        self.schedule(400.0, self.fault_injector.inject)
+        self.run_until(FAULT_PHASE_MS)
+        self.fault_injector.end_all()
         self.failing, self.pressed = set(), False
-        self._until(FAULTY + CALM)
+        self.run_until(FAULT_PHASE_MS + CALM)
         up = {n: o for n, o in self.own.items() if self.members[n].core is not None}
         orders = {n: o.part.order.packed() for n, o in up.items()}
         due = next(iter(up.values())).part.order.held() if up else {}
         waits = [w.target for w in self.wishes if w.step != "over"]
         self.turns.ended(self.now, orders, {n: o.part.holds for n, o in up.items()}, due, waits)
-        return self.checker.broken
+        return self.checker.violations
 
     # Members
 
-    def _start(self, m: Member) -> None:
-        if m.gone or m.core is not None:
+    def start_member(self, m: SimulatedMember) -> None:
+        if m.is_removed or m.core is not None:
             return
-        order = ORDERS.get(self.plant, Order)()
-        part = PARTS.get(self.plant, Part)(m.name, f"{m.name}/{m.life + 1}", TERMS, self.now, order)
+        order = ORDERS.get(self.seeded_defect, Order)()
+        part = PARTS.get(self.seeded_defect, Part)(
+            m.name, f"{m.name}/{m.incarnation + 1}", TERMS, self.now, order
+        )
         self.own[m.name] = Own(part)
-        part.begins(m.disk.state, *m.disk.told())
-        super()._start(m)
+        part.begins(m.disk.snapshot, *m.disk.command_replay())
+        super().start_member(m)
         self.turns.returns(m.name)
-        self._turn(m, m.life)
+        self._turn(m, m.incarnation)
 
-    def _applied(self, m: Member, index: int, entry: Entry) -> None:
-        super()._applied(m, index, entry)
+    def on_entry_applied(self, m: SimulatedMember, index: int, entry: Entry) -> None:
+        super().on_entry_applied(m, index, entry)
         part = self.own[m.name].part
-        if entry.kind == COMMAND:
+        if entry.kind == EntryKind.COMMAND:
             before = {r.target: (r.state, r.epoch) for r in part.order.requests.values()}
             part.applied(self.now, index, entry.data)
             for r in [*part.order.requests.values(), *part.order.over]:
@@ -130,45 +136,47 @@
         if lapsed and before is not None and before[0] in ("granted", "draining"):
             self.turns.lapsed(self.now, r.target, before[1])
 
-    def _restored(self, m: Member, index: int, state: bytes) -> None:
-        m.applied, m.seen = index, []
+    def on_snapshot_restored(self, m: SimulatedMember, index: int, state: bytes) -> None:
+        m.applied_index, m.applied_commands = index, []
         part = self.own[m.name].part
         part.restored(state)
         part.came_to(index, 0)
-        self.checker.reached(m.name, m.life, index)
+        self.checker.restarted(m.name, m.incarnation, index)
 
-    def _state(self, m: Member) -> bytes:
+    def snapshot_of(self, m: SimulatedMember) -> bytes:
         return self.own[m.name].part.order.packed()
 
-    def _turn(self, m: Member, life: int) -> None:
-        if m.core is not None and m.life == life:
+    def _turn(self, m: SimulatedMember, life: int) -> None:
+        if m.core is not None and m.incarnation == life:
             self._do_turn(m)
-            self.at(LOOK, self._turn, m, life)
+            self.schedule(LOOK, self._turn, m, life)
 
-    def _do_turn(self, m: Member) -> None:
-        if m.core is None or m.stalled:
+    def _do_turn(self, m: SimulatedMember) -> None:
+        if m.core is None or m.is_stalled:
             return
         own, core = self.own[m.name], m.core
         idle = {t for t in own.part.holds if not own.out.get(t)}
-        heard = core.heard_within(Times().patience)
-        acts = own.part.turn(self.now, Around(core.leader, self.voters, heard, idle))
+        heard = core.responded_within(RaftTiming().election_timeout_ms)
+        acts = own.part.turn(self.now, Around(core.leader_id, self.voters, heard, idle))
         if acts.show:
-            self._show(m, core.leader)
+            self._show(m, core.leader_id)
         for command in acts.say:
             self._ask_leader(m, command)
         if acts.tick is not None:
-            self._do(m, core.propose(self.now, msgspec.msgpack.encode(acts.tick))[1])
+            self.carry_out(m, core.propose(self.now, msgspec.msgpack.encode(acts.tick))[1])
         if acts.hand_over and m.core is not None:
-            self._do(m, core.hand_over(self.now))
+            self.carry_out(m, core.transfer_leadership(self.now))
         if acts.stop and m.core is not None:
             self.turns.leaves(self.now, m.name)
-            self._kill(m)
-            self.at(self.rng.uniform(300, 1500), self._start, m)
+            self.kill_member(m)
+            self.schedule(self.rng.uniform(300, 1500), self.start_member, m)
 
     def _travels(self, sender: str, to: str) -> bool:
-        return (sender, to) not in self.cuts and (sender == to or self.rng.random() >= self.loss)
+        return (sender, to) not in self.network.cuts and (
+            sender == to or self.rng.random() >= self.network.loss_rate
+        )
 
-    def _show(self, m: Member, leader: str) -> None:
+    def _show(self, m: SimulatedMember, leader: str) -> None:
         part = self.own[m.name].part
         zones = []
         for zone in sorted(set(part.asked_for().values())):
@@ -180,32 +188,43 @@
             View(tuple(zones), tuple(sorted(part.asked_for())), part.latest())
         )
         if self._travels(m.name, leader):
-            self.at(self.rng.expovariate(1 / self.delay), self._shown, leader, m.name, data)
+            self.schedule(
+                self.rng.expovariate(1 / self.network.mean_delay_ms),
+                self._shown,
+                leader,
+                m.name,
+                data,
+            )
 
     def _shown(self, leader: str, sender: str, data: bytes) -> None:
         to = self.members[leader]
-        if to.core is not None and not to.stalled:
+        if to.core is not None and not to.is_stalled:
             self.own[leader].part.shown(self.now, sender, data)
 
-    def _ask_leader(self, m: Member, command: Command) -> None:
+    def _ask_leader(self, m: SimulatedMember, command: Command) -> None:
         """Through whoever leads, as far as this member knows; may be lost, late or doubled."""
-        if m.core is None or not m.core.leader or not self._travels(m.name, m.core.leader):
+        if m.core is None or not m.core.leader_id or not self._travels(m.name, m.core.leader_id):
             return
         data = msgspec.msgpack.encode(command)
-        for _ in range(1 + (self.rng.random() < self.double)):
-            self.at(self.rng.expovariate(1 / self.delay), self._propose_at, m.core.leader, data)
+        for _ in range(1 + (self.rng.random() < self.network.duplication_rate)):
+            self.schedule(
+                self.rng.expovariate(1 / self.network.mean_delay_ms),
+                self._propose_at,
+                m.core.leader_id,
+                data,
+            )
 
     def _propose_at(self, leader: str, data: bytes) -> None:
         to = self.members[leader]
-        if to.core is not None and not to.stalled and to.core.role is Role.LEADER:
-            self._do(to, to.core.propose(self.now, data)[1])
+        if to.core is not None and not to.is_stalled and to.core.role is Role.LEADER:
+            self.carry_out(to, to.core.propose(self.now, data)[1])
 
     # Requests
 
     def _send_some(self) -> None:
-        self.at(self.rng.uniform(0.5, 1.5) * SEND, self._send_some)
-        m = self._some()
-        if m is None or m.stalled:
+        self.schedule(self.rng.uniform(0.5, 1.5) * SEND, self._send_some)
+        m = self.random_running_member()
+        if m is None or m.is_stalled:
             return
         own = self.own[m.name]
         machine = self.rng.choice(sorted(ZONES))
@@ -217,7 +236,7 @@
                 if self.rng.random() < 0.95
                 else self.rng.uniform(200, 1500)
             )
-            self.at(took, self._ends, own, machine)
+            self.schedule(took, self._ends, own, machine)
 
     def _ends(self, own: Own, machine: str) -> None:
         own.out[machine] -= 1
@@ -226,11 +245,15 @@
         """Which members are surely within reach of each other now, for the checker's word on who
         was left out.
         """
-        self.at(LOOK, self._reached)
-        calm = not self.cuts and self.loss <= 0.1 and self.delay <= 50.0
-        leaders = {m.name for m, _ in self._leaders()}
+        self.schedule(LOOK, self._reached)
+        calm = (
+            not self.network.cuts
+            and self.network.loss_rate <= 0.1
+            and self.network.mean_delay_ms <= 50.0
+        )
+        leaders = {m.name for m, _ in self.running_leaders()}
         for m in self.members.values():
-            if calm and m.core is not None and not m.stalled and m.core.leader in leaders:
+            if calm and m.core is not None and not m.is_stalled and m.core.leader_id in leaders:
                 gap = self.now - self._reach.get(m.name, 0.0)
                 if gap > 2 * LOOK:
                     self._gaps[m.name] = (gap, self.now)
@@ -246,9 +269,9 @@
     # Staff
 
     def _staff(self) -> None:
-        self.at(self.rng.uniform(0.5, 1.5) * STAFF, self._staff)
+        self.schedule(self.rng.uniform(0.5, 1.5) * STAFF, self._staff)
         wanting = [w for w in self.wishes if w.step != "over"]
-        if self.now < FAULTY and len(wanting) < 4:
+        if self.now < FAULT_PHASE_MS and len(wanting) < 4:
             free = sorted({*ZONES, *self.voters} - {w.target for w in wanting})
             target = self.rng.choice(
                 free if self.rng.random() < 0.2 else [t for t in free if t in ZONES] or free
@@ -264,8 +287,8 @@
             self._go_on_with(wish)
 
     def _go_on_with(self, wish: Wish) -> None:
-        m = self._some()
-        if m is None or m.stalled:
+        m = self.random_running_member()
+        if m is None or m.is_stalled:
             return
         order = self.own[m.name].part.order
         if any(r.why == wish.word for r in order.over):
@@ -283,28 +306,25 @@
             busy = {n: o.out.get(wish.target, 0) for n, o in self.own.items()}
             away = {n: self._out_of_reach(n) for n in self.voters}
             self.turns.pull(self.now, wish.target, mine.held, self.voters, busy, away)
-            self._note(f"{wish.target} is pulled, held by {mine.held}")
+            self.record_event(f"{wish.target} is pulled, held by {mine.held}")
             wish.step = "work"
-            self.at(self.rng.uniform(300, 2500), self._worked, wish)
+            self.schedule(self.rng.uniform(300, 2500), self._worked, wish)
         elif wish.step == "done" and self.now - wish.asked >= AGAIN:
             wish.asked = self.now
             self._ask_leader(m, Command("done", wish.target, once=f"{wish.word}/done"))
 
     def _worked(self, wish: Wish) -> None:
         self.turns.back(self.now, wish.target)
-        self._note(f"{wish.target} is back")
+        self.record_event(f"{wish.target} is back")
         wish.step, wish.asked = "done", -1e18
 
-    def _client(self) -> None:
-        """Staff are the clients here."""
-
     # Faults of machines
 
     def _fail(self) -> None:
         machine = self.rng.choice(sorted(ZONES))
         self.failing.add(machine)
-        self.at(self.rng.uniform(200, 4000), self.failing.discard, machine)
+        self.schedule(self.rng.uniform(200, 4000), self.failing.discard, machine)
 
     def _press(self) -> None:
         self.pressed = True
-        self.at(self.rng.uniform(100, 1500), setattr, self, "pressed", False)
+        self.schedule(self.rng.uniform(100, 1500), setattr, self, "pressed", False)
--- /dev/null
+++ b/dockthread/lab/raft/client.py
@@ -0,0 +1,63 @@
+"""The simulated client: proposes commands and asks for reads at whoever leads."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Final
+
+from dockthread.lab.raft.checker import RaftChecker
+from dockthread.lab.raft.cluster import SimulatedCluster
+
+MEAN_REQUEST_INTERVAL_MS: Final = 40.0
+READ_CHANCE: Final = 0.3  # of a request to be a read
+
+
+@dataclass(frozen=True, slots=True)
+class ProposedCommand:
+    """A command of the client; `number` counts them from 1, `at_ms` is when it was proposed."""
+
+    number: int
+    at_ms: float
+    data: bytes
+
+
+class SimulatedClient:
+    """Sends one request after another, and remembers what it proposed.
+
+    Attributes:
+        commands: how many commands it has proposed.
+    """
+
+    def __init__(self, cluster: SimulatedCluster, checker: RaftChecker) -> None:
+        self._cluster = cluster
+        self._checker = checker
+        self.commands = 0
+        self._reads = 0
+        self._proposed: list[ProposedCommand] = []
+
+    def send_request(self) -> None:
+        """Send a read or a command to a random leader, if any, and schedule the next request."""
+        cluster = self._cluster
+        delay = cluster.rng.uniform(0.5, 1.5) * MEAN_REQUEST_INTERVAL_MS
+        cluster.schedule(delay, self.send_request)
+        leaders = cluster.running_leaders()
+        if not leaders:
+            return
+        member, core = cluster.rng.choice(leaders)
+        if cluster.rng.random() < READ_CHANCE:
+            self._reads += 1
+            self._checker.read_requested(self._reads)
+            _, actions = core.read_index(cluster.now, self._reads)
+        else:
+            self.commands += 1
+            data = b"c%d" % self.commands
+            self._proposed.append(ProposedCommand(self.commands, cluster.now, data))
+            _, actions = core.propose(cluster.now, data)
+        cluster.carry_out(member, actions)
+
+    def first_command_after(self, number: int, until_ms: float) -> bytes | None:
+        """Return the first command behind a number that was proposed by a time, or None."""
+        for command in self._proposed:
+            if command.number > number and command.at_ms <= until_ms:
+                return command.data
+        return None
--- /dev/null
+++ b/dockthread/lab/raft/faults.py
@@ -0,0 +1,200 @@
+"""Faults of the network and of processes that a simulation injects at random times.
+
+Swarm testing (Groce et al., 2012): each seed turns on a random subset of the faults, so that rare
+combinations come up. Every random choice is drawn from the simulation's generator.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from enum import StrEnum
+from typing import Final
+
+from dockthread.lab.raft.cluster import SimulatedCluster, SimulatedMember
+from dockthread.lab.raft.membership import MembershipFaults
+
+
+class Fault(StrEnum):
+    """Kinds of faults; their order decides which random draw turns each on."""
+
+    CUT = "cut"
+    ONE_WAY_CUT = "one-way"
+    LOSS = "loss"
+    DELAY = "delay"
+    DUPLICATION = "double"
+    CRASH = "crash"
+    CRASH_ALL = "crash-all"
+    STALL = "stall"
+    TORN_WRITE = "torn"
+    DISK_LOSS = "forget"
+    COMPACTION = "compact"
+    VOTER_CHANGE = "voters"
+    LEADERSHIP_TRANSFER = "hand"
+
+
+FAULTS: Final = tuple(Fault)
+NETWORK_FAULTS: Final = (Fault.CUT, Fault.ONE_WAY_CUT, Fault.LOSS, Fault.DELAY)
+
+FAULT_PHASE_MS: Final = 20_000.0  # the start of a run, in which faults happen
+MEAN_FAULT_INTERVAL_MS: Final = 400.0
+CUT_CHANCE: Final = 0.3  # of each direction between two members, in a one-way cut
+CUT_DURATION_MS: Final = (200, 4000)
+LOSS_RATES: Final = (0.0, 0.1, 0.3, 0.6)
+MEAN_DELAYS_MS: Final = (1.0, 5.0, 50.0, 200.0)
+DUPLICATION_RATES: Final = (0.0, 0.3)
+CRASH_DURATION_MS: Final = (10, 3000)
+CRASH_ALL_DURATION_MS: Final = (10, 1500)
+STALL_DURATION_MS: Final = (100, 5000)
+COMPACTION_CHANCE: Final = 0.5  # of each member
+RESTART_DELAYS_MS: Final = (2.0, 20.0, 2000.0)  # at most, after a crash at a write
+
+
+class FaultInjector:
+    """Injects faults into a simulated cluster until the fault phase ends.
+
+    Attributes:
+        handlers: what injects each fault, by its name; a simulation may add its own.
+    """
+
+    def __init__(self, cluster: SimulatedCluster) -> None:
+        self._cluster = cluster
+        self._rng = cluster.rng
+        membership = MembershipFaults(cluster)
+        self.handlers: dict[str, Callable[[], None]] = {
+            Fault.CUT: self._cut,
+            Fault.ONE_WAY_CUT: self._cut_one_way,
+            Fault.LOSS: self._lose_messages,
+            Fault.DELAY: self._delay_messages,
+            Fault.DUPLICATION: self._duplicate_messages,
+            Fault.CRASH: self._crash,
+            Fault.CRASH_ALL: self._crash_all,
+            Fault.STALL: self._stall,
+            Fault.DISK_LOSS: membership.lose_disk,
+            Fault.COMPACTION: self._compact,
+            Fault.VOTER_CHANGE: membership.change_voters,
+            Fault.LEADERSHIP_TRANSFER: self._transfer_leadership,
+        }
+
+    def inject(self) -> None:
+        """Inject one random fault, and schedule the next."""
+        cluster = self._cluster
+        if cluster.now >= FAULT_PHASE_MS:
+            return
+        cluster.schedule(self._rng.expovariate(1 / MEAN_FAULT_INTERVAL_MS), self.inject)
+        if cluster.faults:
+            fault = self._rng.choice(cluster.faults)
+            cluster.record_event(f"fault {fault}")
+            if fault != Fault.TORN_WRITE:  # its crashes come at writes instead
+                self.handlers[fault]()
+
+    def end_all(self) -> None:
+        """End every fault: heal the network, resume and start all members."""
+        cluster = self._cluster
+        cluster.record_event("all faults end")
+        cluster.network.heal()
+        for member in list(cluster.members.values()):
+            if member.is_stalled:
+                self._resume(member, member.incarnation)
+            cluster.start_member(member)
+
+    def is_torn_write(self, chance: float) -> bool:
+        """Draw whether the process crashes at the write at hand."""
+        return (
+            Fault.TORN_WRITE in self._cluster.faults
+            and self._cluster.now < FAULT_PHASE_MS
+            and self._rng.random() < chance
+        )
+
+    def crash_at_write(self, member: SimulatedMember) -> None:
+        """Kill a member in the middle of a write, and start it again later."""
+        self._cluster.kill_member(member)
+        delay = self._rng.choice(RESTART_DELAYS_MS) * self._rng.random()
+        self._cluster.schedule(delay, self._cluster.start_member, member)
+
+    # The network
+
+    def _cut(self) -> None:
+        """Cut the members into two sides."""
+        names = list(self._cluster.members)
+        side: set[str] = set()
+        if len(names) > 1:
+            side = set(self._rng.sample(names, self._rng.randrange(1, len(names))))
+        network = self._cluster.network
+        network.cuts = {
+            (sender, receiver)
+            for sender in names
+            for receiver in names
+            if (sender in side) != (receiver in side)
+        }
+        self._cluster.schedule(self._rng.uniform(*CUT_DURATION_MS), network.cuts.clear)
+
+    def _cut_one_way(self) -> None:
+        """Cut random directions between members."""
+        names = list(self._cluster.members)
+        cut = {
+            (sender, receiver)
+            for sender in names
+            for receiver in names
+            if sender != receiver and self._rng.random() < CUT_CHANCE
+        }
+        cuts = self._cluster.network.cuts
+        cuts |= cut
+        self._cluster.schedule(self._rng.uniform(*CUT_DURATION_MS), cuts.difference_update, cut)
+
+    def _lose_messages(self) -> None:
+        self._cluster.network.loss_rate = self._rng.choice(LOSS_RATES)
+
+    def _delay_messages(self) -> None:
+        self._cluster.network.mean_delay_ms = self._rng.choice(MEAN_DELAYS_MS)
+
+    def _duplicate_messages(self) -> None:
+        self._cluster.network.duplication_rate = self._rng.choice(DUPLICATION_RATES)
+
+    # Processes
+
+    def _crash(self) -> None:
+        if member := self._cluster.random_running_member():
+            self._cluster.kill_member(member)
+            delay = self._rng.uniform(*CRASH_DURATION_MS)
+            self._cluster.schedule(delay, self._cluster.start_member, member)
+
+    def _crash_all(self) -> None:
+        for member in list(self._cluster.members.values()):
+            self._cluster.kill_member(member)
+            delay = self._rng.uniform(*CRASH_ALL_DURATION_MS)
+            self._cluster.schedule(delay, self._cluster.start_member, member)
+
+    def _stall(self) -> None:
+        member = self._cluster.random_running_member()
+        if member is not None and not member.is_stalled:
+            member.is_stalled = True
+            delay = self._rng.uniform(*STALL_DURATION_MS)
+            self._cluster.schedule(delay, self._resume, member, member.incarnation)
+
+    def _resume(self, member: SimulatedMember, incarnation: int) -> None:
+        """End a stall, unless the process ended meanwhile; it first reads its inbox."""
+        if member.incarnation != incarnation or not member.is_stalled or member.core is None:
+            return
+        inbox = member.inbox
+        member.is_stalled = False
+        member.inbox = []
+        for message in inbox:
+            self._cluster.deliver(member.name, message)
+        member.tick_deadline = self._cluster.now
+        self._cluster.tick_member(member, incarnation)
+
+    # The log
+
+    def _compact(self) -> None:
+        """Have random members replace their applied entries by a snapshot."""
+        cluster = self._cluster
+        for member in list(cluster.members.values()):
+            core = member.core
+            if core is None or member.is_stalled or self._rng.random() >= COMPACTION_CHANCE:
+                continue
+            snapshot = cluster.snapshot_of(member)
+            cluster.carry_out(member, core.compact(member.applied_index, snapshot))
+
+    def _transfer_leadership(self) -> None:
+        for member, core in self._cluster.running_leaders():
+            self._cluster.carry_out(member, core.transfer_leadership(self._cluster.now))
--- /dev/null
+++ b/dockthread/lab/raft/membership.py
@@ -0,0 +1,105 @@
+"""Faults that change who votes: lost disks, and voters added and removed.
+
+They stay within what Raft can bear: a disk is lost only where a majority of every set of voters
+that stands in any log is left.
+"""
+
+from __future__ import annotations
+
+from typing import Final
+
+from dockthread.lab.raft.cluster import SimulatedCluster, SimulatedMember
+from dockthread.raft.actions import PersistentState
+from dockthread.raft.core import RaftCore
+from dockthread.raft.log import RaftLog
+from dockthread.raft.messages import EntryKind
+
+RESTART_DELAY_MS: Final = (10, 500)  # after a disk was lost
+FIRST_REPLACEMENT_MS: Final = 600.0  # after a disk was lost, until an operator replaces the voter
+REPLACEMENT_RETRY_MS: Final = 400.0
+LEAST_VOTERS: Final = 2  # fewer are not left by a removal
+FEW_VOTERS: Final = 3  # above this many, a voter is always removed
+
+
+class MembershipFaults:
+    """Loses disks and changes voters of a simulated cluster."""
+
+    def __init__(self, cluster: SimulatedCluster) -> None:
+        self._cluster = cluster
+
+    def lose_disk(self) -> None:
+        """Lose a random member's disk, and start a new identity that takes its place.
+
+        The new identity has no vote until a majority has added it.
+        """
+        cluster = self._cluster
+        member = cluster.random_running_member()
+        if member is None or not self._may_lose(member.name):
+            return
+        cluster.kill_member(member)
+        if cluster.seeded_defect == "same-name-without-memory":
+            member.disk = PersistentState()
+            delay = cluster.rng.uniform(*RESTART_DELAY_MS)
+            cluster.schedule(delay, cluster.start_member, member)
+            return
+        member.is_removed = True
+        new = SimulatedMember(f"{member.name.split('.')[0]}.{len(cluster.members)}")
+        cluster.members[new.name] = new
+        cluster.schedule(cluster.rng.uniform(*RESTART_DELAY_MS), cluster.start_member, new)
+        cluster.schedule(FIRST_REPLACEMENT_MS, self._replace_voter, member.name, new.name)
+
+    def change_voters(self) -> None:
+        """Have each leader remove a random voter, or add a member that is up."""
+        cluster = self._cluster
+        for member, core in cluster.running_leaders():
+            voters = set(core.voters)
+            if any(cluster.members[name].is_removed for name in voters):
+                continue  # lost voters are replaced first
+            candidates = [
+                other.name
+                for other in cluster.members.values()
+                if other.core is not None and other.name not in voters
+            ]
+            removes = len(voters) > FEW_VOTERS or (len(voters) > LEAST_VOTERS and not candidates)
+            change = {cluster.rng.choice(sorted(voters))} if removes else set(candidates[:1])
+            if cluster.seeded_defect == "many-changes-at-once":
+                change = set(cluster.rng.sample(sorted(cluster.members), 2))
+            if voters ^ change:
+                self._propose_voters(member, core, voters ^ change)
+
+    def _may_lose(self, name: str) -> bool:
+        """Return whether every set of voters in any log keeps a majority without this member.
+
+        A set that has lost a voter before may lose no other.
+        """
+        members = self._cluster.members.values()
+        remaining = [member for member in members if not member.is_removed]
+        logs = [
+            member.core.log if member.core else RaftLog(member.disk, ()) for member in remaining
+        ]
+        voter_sets = {log.voters_at(log.last_index) for log in logs}
+        left = {member.name for member in remaining} - {name}
+        lost = {member.name for member in members if member.is_removed}
+        return all(
+            2 * len(left & set(voters)) > len(voters) and not lost & set(voters)
+            for voters in voter_sets
+            if voters
+        )
+
+    def _replace_voter(self, old: str, new: str) -> None:
+        """Ask every leader to add the new voter, then to remove the old one, until both stand."""
+        cluster = self._cluster
+        voters = cluster.newest_voters()
+        if new in voters and old not in voters:
+            return
+        cluster.schedule(REPLACEMENT_RETRY_MS, self._replace_voter, old, new)
+        for member, core in cluster.running_leaders():
+            core.learners.add(new)
+            current = set(core.voters)
+            wanted = current - {old} if new in current else current | {new}
+            self._propose_voters(member, core, wanted)
+
+    def _propose_voters(self, member: SimulatedMember, core: RaftCore, voters: set[str]) -> None:
+        data = " ".join(sorted(voters)).encode()
+        _, actions = core.propose(self._cluster.now, data, EntryKind.VOTERS)
+        self._cluster.carry_out(member, actions)
--- /dev/null
+++ b/dockthread/lab/raft/network.py
@@ -0,0 +1,53 @@
+"""The simulated network between members: cuts, loss, delay and duplication of messages."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from typing import Final
+
+from dockthread.lab.raft.event_queue import EventQueue
+from dockthread.raft.messages import Message
+
+DEFAULT_MEAN_DELAY_MS: Final = 5.0
+# ms that every message takes at least and at most, before the random delay
+LEAST_TRANSIT_MS: Final = 0.2
+MOST_TRANSIT_MS: Final = 1.0
+
+
+class SimulatedNetwork:
+    """Delivers messages between members as its faults allow.
+
+    Attributes:
+        cuts: pairs of sender and receiver between which nothing passes.
+        loss_rate: chance that a message is lost.
+        mean_delay_ms: mean of the exponentially distributed delay.
+        duplication_rate: chance that a message arrives twice.
+    """
+
+    def __init__(self, events: EventQueue, rng: random.Random) -> None:
+        self._events = events
+        self._rng = rng
+        self.cuts: set[tuple[str, str]] = set()
+        self.loss_rate = 0.0
+        self.mean_delay_ms = DEFAULT_MEAN_DELAY_MS
+        self.duplication_rate = 0.0
+
+    def send(
+        self, sender: str, to: str, message: Message, deliver: Callable[[str, Message], None]
+    ) -> None:
+        """Schedule the delivery of a message, or drop it."""
+        if (sender, to) in self.cuts or self._rng.random() < self.loss_rate:
+            return
+        copies = 1 + (self._rng.random() < self.duplication_rate)
+        for _ in range(copies):
+            transit = self._rng.uniform(LEAST_TRANSIT_MS, MOST_TRANSIT_MS)
+            delay = self._rng.expovariate(1 / self.mean_delay_ms)
+            self._events.schedule(transit + delay, deliver, to, message)
+
+    def heal(self) -> None:
+        """End all cuts, loss, extra delay and duplication."""
+        self.cuts.clear()
+        self.loss_rate = 0.0
+        self.mean_delay_ms = DEFAULT_MEAN_DELAY_MS
+        self.duplication_rate = 0.0
--- a/dockthread/lab/raft/seeded_defects.py
+++ b/dockthread/lab/raft/seeded_defects.py
@@ -6,95 +6,109 @@
 
 from collections.abc import Iterable
 
-from dockthread.raft.actions import Action, ReadAt, Role
-from dockthread.raft.core import Agreement
-from dockthread.raft.messages import Append, Message, VoteAnswer, VoteAsk
+from dockthread.raft.actions import Action, ReadIndexReady, Role
+from dockthread.raft.core import RaftCore
+from dockthread.raft.messages import AppendEntries, Message, VoteRequest, VoteResponse
 
 
-class VoteTwice(Agreement):
-    def _asked(self, m: VoteAsk) -> None:
-        if not m.pre and self.vote != self.me:
-            self.vote = ""
+class VoteTwice(RaftCore):
+    def _asked(self, m: VoteRequest) -> None:
+        if not m.pre_vote and self.voted_for != self.member_id:
+            self.voted_for = ""
         super()._asked(m)
 
 
-class VoteNotKept(Agreement):
-    def _asked(self, m: VoteAsk) -> None:
-        if m.pre or self.vote not in ("", m.sender) or not self._newer(m):
+class VoteNotKept(RaftCore):
+    def _asked(self, m: VoteRequest) -> None:
+        if m.pre_vote or self.voted_for not in ("", m.sender) or not self._newer(m):
             return super()._asked(m)
-        self.vote = m.sender
+        self.voted_for = m.sender
         self._wait()
-        return self._send(m.sender, VoteAnswer(self.term, self.me, True))
+        return self._send(m.sender, VoteResponse(self.term, self.member_id, True))
 
 
-class AnyLogLeads(Agreement):
-    def _newer(self, m: VoteAsk) -> bool:
+class AnyLogLeads(RaftCore):
+    def _newer(self, m: VoteRequest) -> bool:
         return True
 
 
-class SmallMajority(Agreement):
-    def majority(self, who: Iterable[str]) -> bool:
+class SmallMajority(RaftCore):
+    def has_quorum(self, who: Iterable[str]) -> bool:
         return 2 * len(set(who) & set(self.voters)) + 2 > len(self.voters)
 
 
-class BeforeUnchecked(Agreement):
-    def _take_entries(self, m: Append) -> tuple[bool, int]:
-        if m.before <= self.log.last and m.before >= self.log.base:
-            m = Append(
-                m.term, m.sender, m.before, self.log.term_at(m.before), m.entries, m.commit, m.round
+class BeforeUnchecked(RaftCore):
+    def _take_entries(self, m: AppendEntries) -> tuple[bool, int]:
+        if m.previous_index <= self.log.last_index and m.previous_index >= self.log.snapshot_index:
+            m = AppendEntries(
+                m.term,
+                m.sender,
+                m.previous_index,
+                self.log.term_at(m.previous_index),
+                m.entries,
+                m.commit_index,
+                m.heartbeat_round,
             )
         return super()._take_entries(m)
 
 
-class ConflictKept(Agreement):
-    def _take_entries(self, m: Append) -> tuple[bool, int]:
+class ConflictKept(RaftCore):
+    def _take_entries(self, m: AppendEntries) -> tuple[bool, int]:
         if (
-            m.before > self.log.last
-            or m.before >= self.log.base
-            and self.log.term_at(m.before) != m.before_term
+            m.previous_index > self.log.last_index
+            or m.previous_index >= self.log.snapshot_index
+            and self.log.term_at(m.previous_index) != m.previous_term
         ):
             return super()._take_entries(m)
-        end = m.before + len(m.entries)
-        if end > self.log.last:
-            self._append(m.entries[max(0, self.log.last - m.before) :])
-        self._commit_to(min(m.commit, end))
+        end = m.previous_index + len(m.entries)
+        if end > self.log.last_index:
+            self._append(m.entries[max(0, self.log.last_index - m.previous_index) :])
+        self._commit_to(min(m.commit_index, end))
         return True, end
 
 
-class EpochUnchecked(Agreement):
-    def heard(self, now: float, m: Message) -> list[Action]:
-        if isinstance(m, Append) and m.term < self.term:
-            m = Append(self.term, m.sender, m.before, m.before_term, m.entries, m.commit, m.round)
-        return super().heard(now, m)
+class EpochUnchecked(RaftCore):
+    def step(self, now: float, m: Message) -> list[Action]:
+        if isinstance(m, AppendEntries) and m.term < self.term:
+            m = AppendEntries(
+                self.term,
+                m.sender,
+                m.previous_index,
+                m.previous_term,
+                m.entries,
+                m.commit_index,
+                m.heartbeat_round,
+            )
+        return super().step(now, m)
 
 
-class ReadAtOnce(Agreement):
-    def read(self, now: float, token: int) -> tuple[bool, list[Action]]:
+class ReadAtOnce(RaftCore):
+    def read_index(self, now: float, token: int) -> tuple[bool, list[Action]]:
         if self.role is not Role.LEADER:
             return False, []
-        return True, [ReadAt(token, self.commit)]
+        return True, [ReadIndexReady(token, self.commit_index)]
 
 
-class CommitTooFar(Agreement):
-    def _take_entries(self, m: Append) -> tuple[bool, int]:
+class CommitTooFar(RaftCore):
+    def _take_entries(self, m: AppendEntries) -> tuple[bool, int]:
         ok, match = super()._take_entries(m)
-        self._commit_to(m.commit)
+        self._commit_to(m.commit_index)
         return ok, match
 
 
-class ManyChangesAtOnce(Agreement):
+class ManyChangesAtOnce(RaftCore):
     def _may_change(self, voters: tuple[str, ...]) -> bool:
         return True
 
 
-class SnapshotTooOld(Agreement):
+class SnapshotTooOld(RaftCore):
     """Lets go of one entry more than its state holds."""
 
     def compact(self, index: int, state: bytes) -> list[Action]:
         return super().compact(index, state.rpartition(b"\x00")[0])
 
 
-CORES: dict[str, type[Agreement]] = {
+DEFECTIVE_CORES: dict[str, type[RaftCore]] = {
     "vote-twice": VoteTwice,
     "vote-not-kept": VoteNotKept,
     "any-log-leads": AnyLogLeads,
@@ -108,5 +122,5 @@
     "snapshot-too-old": SnapshotTooOld,
 }
 # Bugs of the rim: what is carried out wrongly round a core that is right.
-RIMS = ("fsync-left-out", "sent-before-kept", "same-name-without-memory")
-NAMES = (*CORES, *RIMS)
+ADAPTER_DEFECTS = ("fsync-left-out", "sent-before-kept", "same-name-without-memory")
+NAMES = (*DEFECTIVE_CORES, *ADAPTER_DEFECTS)
--- a/dockthread/lab/scale/distribution.py
+++ b/dockthread/lab/scale/distribution.py
@@ -13,7 +13,7 @@
 from dockthread.lab.maintenance.rig import HOST, reserved
 from dockthread.lab.scale.channel import Child, Words
 from dockthread.lab.scale.plan import Plan
-from dockthread.raft.storage import Store
+from dockthread.raft.storage import RaftStorage
 
 MOST_CONNECTIONS: Final = 10_000
 FILLING: Final = 120.0  # s, for all routes to be published
@@ -83,7 +83,7 @@
     def _voter_file(self, number: int) -> Path:
         home = self._folder / f"voter-{number}"
         home.mkdir()
-        Store(home, f"v{number}", make=True).close()
+        RaftStorage(home, f"v{number}", create=True).close()
         members = ", ".join(f"v{n}={at}" for n, at in enumerate(self._fleet))
         fleet = (
             f"[fleet]\nlisten = {self._fleet[number]}\nmembers = {members}\ndirectory = {home}\n"
--- a/dockthread/lab/seeds.py
+++ b/dockthread/lab/seeds.py
@@ -7,14 +7,14 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass
 
-from dockthread.lab.raft.checker import Broken
+from dockthread.lab.raft.checker import RuleViolation
 
 
 @dataclass(frozen=True, slots=True)
 class PlayedSeed:
     """One seed: what broke, and its record, the same each time."""
 
-    broken: tuple[Broken, ...]
+    broken: tuple[RuleViolation, ...]
     record: tuple[str, ...]
 
 
@@ -23,7 +23,7 @@
     """The first rule that a seed broke."""
 
     seed: int
-    broken: Broken
+    broken: RuleViolation
 
 
 @dataclass(frozen=True, slots=True)
--- a/dockthread/maintenance/service.py
+++ b/dockthread/maintenance/service.py
@@ -18,7 +18,7 @@
 from dockthread.maintenance.participant import Acts, Around, Part, Terms
 from dockthread.maintenance.scheduler import Order
 from dockthread.raft.options import FleetOptions
-from dockthread.raft.server import Member
+from dockthread.raft.server import RaftServer
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -41,11 +41,12 @@
     def __init__(self, ingress: Ingress, options: FleetOptions, stop: Callable[[], None]) -> None:
         self._ingress, self._options, self._stop = ingress, options, stop
         terms = Terms(
-            options.node_bears, *map(float, (options.reserve, options.lapse, options.dead))
+            options.node_capacity,
+            *map(float, (options.headroom, options.grant_timeout, options.failure_timeout)),
         )
         now = ingress.clock.now()
         self.part = Part(ingress.config.name, secrets.token_hex(8), terms, now)
-        self.member = Member(
+        self.member = RaftServer(
             ingress.config.name, options, ingress.clock, secrets.randbits(32), self
         )
         self._some, self._stopping = asyncio.Event(), False
@@ -57,8 +58,8 @@
 
     async def open(self) -> None:
         """Hold what the disk says is out, before the first request; then take part."""
-        stored = self.member.store.stored
-        self.part.begins(stored.state, *stored.told())
+        stored = self.member.storage.persistent_state
+        self.part.begins(stored.snapshot, *stored.command_replay())
         self._turn()
         await self.member.open()
         self._spawn(self._run())
@@ -70,7 +71,7 @@
 
     def leave(self) -> None:
         """The end of this life has come: another is to lead while requests are answered here."""
-        self.member.hand_over()
+        self.member.transfer_leadership()
 
     # What its member tells (fleet/member.py, Owner)
 
@@ -82,18 +83,18 @@
         self.part.restored(state)
         self._some.set()
 
-    def state(self) -> bytes:
+    def snapshot(self) -> bytes:
         return self.part.order.packed()
 
-    def came_to(self, index: int, term: int) -> None:
+    def on_applied(self, index: int, term: int) -> None:
         self.part.came_to(index, term)
         self._some.set()
 
-    def shown(self, sender: str, data: bytes) -> None:
+    def on_status_report(self, sender: str, data: bytes) -> None:
         self.part.shown(self._ingress.clock.now(), sender, data)
         self._some.set()
 
-    def changed(self) -> None:
+    def on_leader_changed(self) -> None:
         self._some.set()
 
     # Its turns
@@ -122,9 +123,9 @@
         """
         ingress, member = self._ingress, self.member
         around = Around(
-            member.leader,
+            member.leader_id,
             member.members,
-            member.heard(),
+            member.responsive_members(),
             observation.idle(ingress, self.part.holds),
             ingress.ready,
         )
@@ -140,7 +141,7 @@
             ingress.hold(target, False)
             logger.info("work: {} comes back", target)
         if acts.show:
-            self.member.show(
+            self.member.report_status(
                 msgspec.msgpack.encode(
                     observation.view(ingress, self.part.asked_for(), self.part.latest())
                 )
@@ -148,9 +149,9 @@
         for command in acts.say:
             self._spawn(self._say(command))
         if acts.tick is not None:
-            self.member.propose_here(msgspec.msgpack.encode(acts.tick))
+            self.member.propose_as_leader(msgspec.msgpack.encode(acts.tick))
         if acts.hand_over:
-            self.member.hand_over()
+            self.member.transfer_leadership()
         if acts.stop and not self._stopping:
             self._stopping = True  # once: the order says so until the next life
             logger.info("work: the turn of this ingress has come: it ends gently")
@@ -215,7 +216,7 @@
             return Answer(400, b'"for" is no number of seconds\n')
         node = zone is not None
         cold = self._ingress.config.module.safety.cold_time * 1000.0
-        warm = cold if node else INGRESS_WARM * self._options.patience
+        warm = cold if node else INGRESS_WARM * self._options.election_timeout
         return commands.Command(
             DOING[call.verb],  # type: ignore[arg-type]
             target,
@@ -223,7 +224,7 @@
             str(more.get("why", "")),
             self._ingress.config.name,
             more["urgency"] if isinstance(more.get("urgency"), int) else 0,
-            self._options.most_out,
+            self._options.max_unavailable,
             secrets.token_hex(8),
             commands.NODE if node else commands.INGRESS,
             length * 1000.0,
--- a/dockthread/raft/actions.py
+++ b/dockthread/raft/actions.py
@@ -7,97 +7,103 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from dockthread.raft.messages import COMMAND, Entry, Message
+from dockthread.raft.messages import Entry, EntryKind, Message
 
 
 class Role(Enum):
     FOLLOWER = "follower"
-    ASKING = "asking"
+    PRE_CANDIDATE = "asking"
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
+class RaftTiming:
     """In ms. An election is due after `patience` to twice as much without a leader; a leader speaks
     each `beat`.
     """
 
-    patience: float = 600.0
-    beat: float = 100.0
+    election_timeout_ms: float = 600.0
+    heartbeat_interval_ms: float = 100.0
 
 
 @dataclass(slots=True)
-class Stored:
+class PersistentState:
     """What outlives a process. `state`: of the owner's machine after entry `base`; `entries`: those
     behind it; `commit`: up to where the log was known to be agreed at the last write, or
     further.
     """
 
     term: int = 0
-    vote: str = ""
-    base: int = 0
-    base_term: int = 0
-    base_voters: tuple[str, ...] = ()
-    state: bytes = b""
+    voted_for: str = ""
+    snapshot_index: int = 0
+    snapshot_term: int = 0
+    snapshot_voters: tuple[str, ...] = ()
+    snapshot: bytes = b""
     entries: list[Entry] = field(default_factory=list)
-    commit: int = 0
+    commit_index: int = 0
 
-    def told(self) -> tuple[list[tuple[int, bytes]], int, int, int]:
+    def command_replay(self) -> tuple[list[tuple[int, bytes]], int, int, int]:
         """The commands behind the state, each with its place; up to where the log is known to be
         agreed; the place of the last entry, and its term.
         """
-        places = enumerate(self.entries, self.base + 1)
-        commands = [(index, entry.data) for index, entry in places if entry.kind == COMMAND]
-        term = self.entries[-1].term if self.entries else self.base_term
-        return commands, self.commit, self.base + len(self.entries), term
-
-    def keep(self, what: Keep) -> None:
-        self.term, self.vote, self.commit = what.term, what.vote, max(self.commit, what.commit)
-        self.entries[what.start - self.base - 1 :] = what.entries
-
-    def keep_state(self, what: KeepState) -> None:
-        self.entries = [] if what.whole else self.entries[what.base - self.base :]
-        self.base, self.base_term, self.base_voters, self.state = (
-            what.base,
-            what.base_term,
+        places = enumerate(self.entries, self.snapshot_index + 1)
+        commands = [
+            (index, entry.data) for index, entry in places if entry.kind == EntryKind.COMMAND
+        ]
+        term = self.entries[-1].term if self.entries else self.snapshot_term
+        return commands, self.commit_index, self.snapshot_index + len(self.entries), term
+
+    def persist_entries(self, what: PersistEntries) -> None:
+        self.term, self.voted_for, self.commit_index = (
+            what.term,
+            what.voted_for,
+            max(self.commit_index, what.commit_index),
+        )
+        self.entries[what.first_index - self.snapshot_index - 1 :] = what.entries
+
+    def persist_snapshot(self, what: PersistSnapshot) -> None:
+        self.entries = [] if what.discards_log else self.entries[what.index - self.snapshot_index :]
+        self.snapshot_index, self.snapshot_term, self.snapshot_voters, self.snapshot = (
+            what.index,
+            what.term,
             what.voters,
-            what.state,
+            what.snapshot,
         )
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class PersistEntries:
     """Term and vote, and the log from entry `start` on, which replaces whatever stood there;
     `commit`: up to where it is known to be agreed.
     """
 
     term: int
-    vote: str
-    start: int
+    voted_for: str
+    first_index: int
     entries: tuple[Entry, ...]
-    commit: int = 0
+    commit_index: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class KeepState:
+class PersistSnapshot:
     """A state in place of all entries up to `base`. `whole`: none behind it counts either."""
 
-    base: int
-    base_term: int
+    index: int
+    term: int
     voters: tuple[str, ...]
-    state: bytes
-    whole: bool
+    snapshot: bytes
+    discards_log: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendMessage:
     to: str
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class Apply:
+class ApplyEntry:
     """Committed: to be applied in this order, each index once a life."""
 
     index: int
@@ -105,13 +111,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Restore:
+class RestoreSnapshot:
     index: int
-    state: bytes
+    snapshot: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class ReadAt:
+class ReadIndexReady:
     """A majority still followed after `token` was asked: the state after `index` is not older than
     the question.
     """
@@ -121,10 +127,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Became:
+class RoleChanged:
     role: Role
     term: int
-    leader: str
-
-
-Action = Keep | KeepState | Send | Apply | Restore | ReadAt | Became
+    leader_id: str
+
+
+Action = (
+    PersistEntries
+    | PersistSnapshot
+    | SendMessage
+    | ApplyEntry
+    | RestoreSnapshot
+    | ReadIndexReady
+    | RoleChanged
+)
--- a/dockthread/raft/core.py
+++ b/dockthread/raft/core.py
@@ -34,36 +34,34 @@
 
 from dockthread.raft.actions import (
     Action,
-    Apply,
-    Became,
-    Keep,
-    KeepState,
-    ReadAt,
-    Restore,
+    ApplyEntry,
+    PersistEntries,
+    PersistentState,
+    PersistSnapshot,
+    RaftTiming,
+    ReadIndexReady,
+    RestoreSnapshot,
     Role,
-    Send,
-    Stored,
-    Times,
+    RoleChanged,
+    SendMessage,
 )  # fmt: skip
-from dockthread.raft.log import Log
+from dockthread.raft.log import RaftLog
 from dockthread.raft.messages import (
-    COMMAND,
-    NOTHING,
-    VOTERS,
-    Append,
-    Appended,
+    AppendEntries,
+    AppendEntriesResponse,
     Entry,
-    Install,
+    EntryKind,
+    InstallSnapshot,
     Message,
-    TakeOver,
-    VoteAnswer,
-    VoteAsk,
+    TimeoutNow,
+    VoteRequest,
+    VoteResponse,
 )
 
 MOST_ENTRIES = 64  # in one message
 
 
-class Agreement:
+class RaftCore:
     """One member. `voters` counts only where nothing is stored; a member that is no voter follows
     and never asks.
     """
@@ -72,16 +70,16 @@
         self,
         me: str,
         voters: Iterable[str],
-        stored: Stored,
-        times: Times,
+        stored: PersistentState,
+        times: RaftTiming,
         rng: random.Random,
         now: float,
     ) -> None:
-        self.me, self._times, self._rng, self.now = me, times, rng, now
-        self.term, self.vote = stored.term, stored.vote
-        self.log = Log(stored, voters)
-        self.commit = self.applied = self.log.base
-        self.role, self.leader = Role.FOLLOWER, ""
+        self.member_id, self._times, self._rng, self.now = me, times, rng, now
+        self.term, self.voted_for = stored.term, stored.voted_for
+        self.log = RaftLog(stored, voters)
+        self.commit_index = self.applied_index = self.log.snapshot_index
+        self.role, self.leader_id = Role.FOLLOWER, ""
         self.learners: set[str] = set()  # who is sent the log without a vote
         self._actions: list[Action] = []
         self._votes: set[str] = set()
@@ -100,17 +98,17 @@
 
     @property
     def voters(self) -> tuple[str, ...]:
-        return self.log.voters_at(self.log.last)
+        return self.log.voters_at(self.log.last_index)
 
-    def due(self) -> float:
+    def next_deadline(self) -> float:
         """When it wants `tick` next."""
         return self._beat_due if self.role is Role.LEADER else self._election_due
 
-    def majority(self, who: Iterable[str]) -> bool:
+    def has_quorum(self, who: Iterable[str]) -> bool:
         voters = self.voters
         return 2 * len(set(who) & set(voters)) > len(voters)
 
-    def heard_within(self, ms: float) -> set[str]:
+    def responded_within(self, ms: float) -> set[str]:
         """Who answered this leader so lately; empty where it does not lead."""
         return {
             p for p, at in self._answered.items() if self.role is Role.LEADER and self.now - at < ms
@@ -122,87 +120,91 @@
         self.now = now
         if self.role is Role.LEADER:
             if now >= self._beat_due:
-                if self.majority(self.heard_within(self._times.patience) | {self.me}):
+                if self.has_quorum(
+                    self.responded_within(self._times.election_timeout_ms) | {self.member_id}
+                ):
                     self._beat()
                 else:  # whoever is on the other side may have another leader by now
                     self._follow(self.term, "")
         elif now >= self._election_due:
             self._wait()
-            if self.me in self.voters:
+            if self.member_id in self.voters:
                 self._ask(pre=True)
         return self._take()
 
     def propose(
-        self, now: float, data: bytes, kind: int = COMMAND
+        self, now: float, data: bytes, kind: int = EntryKind.COMMAND
     ) -> tuple[int | None, list[Action]]:
         """The entry's index; None where this member does not lead, hands over, or must not change
         voters yet.
         """
         self.now = now
-        may = kind != VOTERS or self._may_change(tuple(data.decode().split()))
+        may = kind != EntryKind.VOTERS or self._may_change(tuple(data.decode().split()))
         if self.role is not Role.LEADER or now < self._handing or not may:
             return None, self._take()
         self._append((Entry(self.term, kind, data),))
         self._spread()
         self._settle()
-        return self.log.last, self._take()
+        return self.log.last_index, self._take()
 
-    def read(self, now: float, token: int) -> tuple[bool, list[Action]]:
+    def read_index(self, now: float, token: int) -> tuple[bool, list[Action]]:
         """Ask whether this member still leads; `ReadAt` answers. False where it does not lead."""
         self.now = now
-        if self.role is not Role.LEADER or self.log.term_at(self.commit) != self.term:
+        if self.role is not Role.LEADER or self.log.term_at(self.commit_index) != self.term:
             return False, self._take()
         self._beat()
-        self._reads.append((token, self.commit, self._round))
+        self._reads.append((token, self.commit_index, self._round))
         self._answer_reads()
         return True, self._take()
 
-    def hand_over(self, now: float) -> list[Action]:
+    def transfer_leadership(self, now: float) -> list[Action]:
         """At the end of a life: the voter that is furthest and was heard last is to lead."""
         self.now = now
-        peers = [p for p in self.voters if p != self.me]
+        peers = [p for p in self.voters if p != self.member_id]
         if self.role is Role.LEADER and peers:
             to = max(peers, key=lambda p: (self._match.get(p, 0), self._answered.get(p, 0.0)))
-            self._handing = now + self._times.patience
+            self._handing = now + self._times.election_timeout_ms
             self._send_entries(to)
-            self._send(to, TakeOver(self.term, self.me))
+            self._send(to, TimeoutNow(self.term, self.member_id))
         return self._take()
 
     def compact(self, index: int, state: bytes) -> list[Action]:
         """The owner's state after `index`, which is applied: entries up to it are let go."""
-        if self.log.base < index <= self.applied:
+        if self.log.snapshot_index < index <= self.applied_index:
             term, voters = self.log.term_at(index), self.log.voters_at(index)
-            self.log.let_go(index, term, voters, state, False)
-            self._actions.append(KeepState(index, term, voters, state, False))
+            self.log.install_snapshot(index, term, voters, state, False)
+            self._actions.append(PersistSnapshot(index, term, voters, state, False))
         return self._take()
 
-    def heard(self, now: float, m: Message) -> list[Action]:
+    def step(self, now: float, m: Message) -> list[Action]:
         self.now = now
         if m.term > self.term and not self._ignores(m):
             pre = (
-                isinstance(m, VoteAsk)
-                and m.pre
-                or isinstance(m, VoteAnswer)
-                and m.pre
+                isinstance(m, VoteRequest)
+                and m.pre_vote
+                or isinstance(m, VoteResponse)
+                and m.pre_vote
                 and m.granted
             )
             if not pre:
-                self._follow(m.term, m.sender if isinstance(m, Append | Install) else "")
+                self._follow(
+                    m.term, m.sender if isinstance(m, AppendEntries | InstallSnapshot) else ""
+                )
         elif m.term > self.term:
             return self._take()
-        if m.term < self.term and not isinstance(m, Appended):
+        if m.term < self.term and not isinstance(m, AppendEntriesResponse):
             self._old(m)
             return self._take()
         match m:
-            case VoteAsk():
+            case VoteRequest():
                 self._asked(m)
-            case VoteAnswer():
+            case VoteResponse():
                 self._voted(m)
-            case Append() | Install() if m.term == self.term:
+            case AppendEntries() | InstallSnapshot() if m.term == self.term:
                 self._led(m)
-            case Appended() if m.term == self.term and self.role is Role.LEADER:
+            case AppendEntriesResponse() if m.term == self.term and self.role is Role.LEADER:
                 self._matched(m)
-            case TakeOver() if self.me in self.voters and self.role is not Role.LEADER:
+            case TimeoutNow() if self.member_id in self.voters and self.role is not Role.LEADER:
                 self._ask(pre=False, handed=True)
         return self._take()
 
@@ -210,180 +212,214 @@
 
     def _ignores(self, m: Message) -> bool:
         """A vote is not even weighed while a leader is heard, unless that leader asks for it."""
-        led = self.role is Role.LEADER or self.now - self._heard < self._times.patience
-        return isinstance(m, VoteAsk) and led and not m.handed
+        led = self.role is Role.LEADER or self.now - self._heard < self._times.election_timeout_ms
+        return isinstance(m, VoteRequest) and led and not m.leadership_transfer
 
     def _old(self, m: Message) -> None:
         """Whoever speaks in an older term is told of this one."""
-        if isinstance(m, VoteAsk):
-            self._send(m.sender, VoteAnswer(self.term, self.me, False, m.pre))
-        elif isinstance(m, Append | Install):
-            self._send(m.sender, Appended(self.term, self.me, False, 0, m.round))
+        if isinstance(m, VoteRequest):
+            self._send(m.sender, VoteResponse(self.term, self.member_id, False, m.pre_vote))
+        elif isinstance(m, AppendEntries | InstallSnapshot):
+            self._send(
+                m.sender,
+                AppendEntriesResponse(self.term, self.member_id, False, 0, m.heartbeat_round),
+            )
 
     def _ask(self, pre: bool, handed: bool = False) -> None:
-        self.role, self.leader, self._votes = (
-            (Role.ASKING if pre else Role.CANDIDATE),
+        self.role, self.leader_id, self._votes = (
+            (Role.PRE_CANDIDATE if pre else Role.CANDIDATE),
             "",
-            {self.me},
+            {self.member_id},
         )
         if not pre:
-            self.term, self.vote = self.term + 1, self.me
+            self.term, self.voted_for = self.term + 1, self.member_id
             self._keep()
         self._wait()
         self._say()
         term = self.term + 1 if pre else self.term
         for peer in self.voters:
-            if peer != self.me:
-                last_term = self.log.term_at(self.log.last)
-                self._send(peer, VoteAsk(term, self.me, self.log.last, last_term, pre, handed))
+            if peer != self.member_id:
+                last_term = self.log.term_at(self.log.last_index)
+                self._send(
+                    peer,
+                    VoteRequest(term, self.member_id, self.log.last_index, last_term, pre, handed),
+                )
         self._count_votes()
 
-    def _newer(self, m: VoteAsk) -> bool:
+    def _newer(self, m: VoteRequest) -> bool:
         """Whether the asker's log is at least as new as this one."""
-        return (m.last_term, m.last) >= (self.log.term_at(self.log.last), self.log.last)
+        return (m.last_term, m.last_index) >= (
+            self.log.term_at(self.log.last_index),
+            self.log.last_index,
+        )
 
-    def _asked(self, m: VoteAsk) -> None:
-        if m.pre:
+    def _asked(self, m: VoteRequest) -> None:
+        if m.pre_vote:
             granted = m.term > self.term and self._newer(m) and not self._ignores(m)
             self._send(
-                m.sender, VoteAnswer(m.term if granted else self.term, self.me, granted, True)
+                m.sender,
+                VoteResponse(m.term if granted else self.term, self.member_id, granted, True),
             )
             return
-        granted = self.vote in ("", m.sender) and self._newer(m)
+        granted = self.voted_for in ("", m.sender) and self._newer(m)
         if granted:
-            self.vote = m.sender
+            self.voted_for = m.sender
             self._keep()
             self._wait()
-        self._send(m.sender, VoteAnswer(self.term, self.me, granted))
+        self._send(m.sender, VoteResponse(self.term, self.member_id, granted))
 
-    def _voted(self, m: VoteAnswer) -> None:
-        asked = Role.ASKING if m.pre else Role.CANDIDATE
-        if self.role is asked and m.granted and m.term == self.term + m.pre:
+    def _voted(self, m: VoteResponse) -> None:
+        asked = Role.PRE_CANDIDATE if m.pre_vote else Role.CANDIDATE
+        if self.role is asked and m.granted and m.term == self.term + m.pre_vote:
             self._votes.add(m.sender)
             self._count_votes()
 
     def _count_votes(self) -> None:
-        if not self.majority(self._votes):
+        if not self.has_quorum(self._votes):
             return
-        if self.role is Role.ASKING:
+        if self.role is Role.PRE_CANDIDATE:
             self._ask(pre=False)
         elif self.role is Role.CANDIDATE:
             self._lead()
 
     def _lead(self) -> None:
-        self.role, self.leader = Role.LEADER, self.me
+        self.role, self.leader_id = Role.LEADER, self.member_id
         self._next, self._match, self._busy, self._reads = {}, {}, {}, []
         self._answered = dict.fromkeys(self.voters, self.now)
         self._say()
-        self._append((Entry(self.term, NOTHING),))  # what is older is committed with it
+        self._append((Entry(self.term, EntryKind.NO_OP),))  # what is older is committed with it
         self._beat()
         self._settle()
 
     def _follow(self, term: int, leader: str) -> None:
-        changed = term != self.term or self.role is not Role.FOLLOWER or leader != self.leader
+        changed = term != self.term or self.role is not Role.FOLLOWER or leader != self.leader_id
         if term > self.term:
-            self.term, self.vote = term, ""
+            self.term, self.voted_for = term, ""
             self._keep()
-        self.role, self.leader, self._reads = Role.FOLLOWER, leader, []
+        self.role, self.leader_id, self._reads = Role.FOLLOWER, leader, []
         self._wait()
         if changed:
             self._say()
 
     def _wait(self) -> None:
-        self._election_due = self.now + self._times.patience * self._rng.uniform(1.0, 2.0)
+        self._election_due = self.now + self._times.election_timeout_ms * self._rng.uniform(
+            1.0, 2.0
+        )
         self._beat_due = self.now
 
     # The log
 
-    def _led(self, m: Append | Install) -> None:
-        if self.role is not Role.FOLLOWER or self.leader != m.sender:
+    def _led(self, m: AppendEntries | InstallSnapshot) -> None:
+        if self.role is not Role.FOLLOWER or self.leader_id != m.sender:
             self._follow(m.term, m.sender)
         self._heard = self.now
         self._wait()
-        ok, match = self._install(m) if isinstance(m, Install) else self._take_entries(m)
-        self._send(m.sender, Appended(self.term, self.me, ok, match, m.round))
-
-    def _take_entries(self, m: Append) -> tuple[bool, int]:
-        if m.before > self.log.last:
-            return False, self.log.last
-        if m.before >= self.log.base and self.log.term_at(m.before) != m.before_term:
-            return False, max(self.log.base, m.before - 1)
-        end = m.before + len(m.entries)
-        for at, entry in enumerate(m.entries, m.before + 1):
-            if at > self.log.base and (at > self.log.last or self.log.term_at(at) != entry.term):
-                self._append(m.entries[at - m.before - 1 :], at)
+        ok, match = self._install(m) if isinstance(m, InstallSnapshot) else self._take_entries(m)
+        self._send(
+            m.sender, AppendEntriesResponse(self.term, self.member_id, ok, match, m.heartbeat_round)
+        )
+
+    def _take_entries(self, m: AppendEntries) -> tuple[bool, int]:
+        if m.previous_index > self.log.last_index:
+            return False, self.log.last_index
+        if (
+            m.previous_index >= self.log.snapshot_index
+            and self.log.term_at(m.previous_index) != m.previous_term
+        ):
+            return False, max(self.log.snapshot_index, m.previous_index - 1)
+        end = m.previous_index + len(m.entries)
+        for at, entry in enumerate(m.entries, m.previous_index + 1):
+            if at > self.log.snapshot_index and (
+                at > self.log.last_index or self.log.term_at(at) != entry.term
+            ):
+                self._append(m.entries[at - m.previous_index - 1 :], at)
                 break
-        self._commit_to(min(m.commit, end))
+        self._commit_to(min(m.commit_index, end))
         return True, end
 
-    def _install(self, m: Install) -> tuple[bool, int]:
-        if m.last <= self.commit:
-            return True, self.commit
+    def _install(self, m: InstallSnapshot) -> tuple[bool, int]:
+        if m.last_index <= self.commit_index:
+            return True, self.commit_index
         whole = not (
-            self.log.base < m.last <= self.log.last and self.log.term_at(m.last) == m.last_term
+            self.log.snapshot_index < m.last_index <= self.log.last_index
+            and self.log.term_at(m.last_index) == m.last_term
         )
-        self.log.let_go(m.last, m.last_term, m.voters, m.state, whole)
-        self.commit = self.applied = m.last
-        self._actions.append(KeepState(m.last, m.last_term, m.voters, m.state, whole))
-        self._actions.append(Restore(m.last, m.state))
-        return True, m.last
+        self.log.install_snapshot(m.last_index, m.last_term, m.voters, m.snapshot, whole)
+        self.commit_index = self.applied_index = m.last_index
+        self._actions.append(
+            PersistSnapshot(m.last_index, m.last_term, m.voters, m.snapshot, whole)
+        )
+        self._actions.append(RestoreSnapshot(m.last_index, m.snapshot))
+        return True, m.last_index
 
-    def _matched(self, m: Appended) -> None:
+    def _matched(self, m: AppendEntriesResponse) -> None:
         peer = m.sender
         self._answered[peer] = self.now
-        self._rounds[peer] = max(self._rounds.get(peer, 0), m.round)
-        if self._busy.get(peer, 0) <= m.round:
+        self._rounds[peer] = max(self._rounds.get(peer, 0), m.heartbeat_round)
+        if self._busy.get(peer, 0) <= m.heartbeat_round:
             self._busy.pop(peer, None)
-        if m.ok:
-            self._match[peer] = max(self._match.get(peer, 0), m.match)
+        if m.success:
+            self._match[peer] = max(self._match.get(peer, 0), m.match_index)
             self._next[peer] = max(self._next.get(peer, 1), self._match[peer] + 1)
             self._settle()
         else:
             self._next[peer] = (
-                max(self._match.get(peer, 0), min(m.match, self._next.get(peer, 1) - 1)) + 1
+                max(self._match.get(peer, 0), min(m.match_index, self._next.get(peer, 1) - 1)) + 1
             )
-        behind = self._next[peer] <= self.log.last or self._told.get(peer, 0) < self.commit
+        behind = (
+            self._next[peer] <= self.log.last_index or self._told.get(peer, 0) < self.commit_index
+        )
         if behind and peer not in self._busy:
             self._send_entries(peer)
         self._answer_reads()
 
     def _settle(self) -> None:
         """Commit what a majority holds, if it is of this term."""
-        for index in range(self.log.last, self.commit, -1):
+        for index in range(self.log.last_index, self.commit_index, -1):
             if self.log.term_at(index) != self.term:
                 break
-            if self.majority([self.me, *(p for p, at in self._match.items() if at >= index)]):
+            if self.has_quorum(
+                [self.member_id, *(p for p, at in self._match.items() if at >= index)]
+            ):
                 self._commit_to(index)
                 self._spread()
                 break
 
     def _commit_to(self, index: int) -> None:
-        self.commit = max(self.commit, min(index, self.log.last))
-        while self.applied < self.commit:
-            self.applied += 1
-            self._actions.append(Apply(self.applied, self.log.at(self.applied)))
-        if self.role is Role.LEADER and self.me not in self.voters:
+        self.commit_index = max(self.commit_index, min(index, self.log.last_index))
+        while self.applied_index < self.commit_index:
+            self.applied_index += 1
+            self._actions.append(
+                ApplyEntry(self.applied_index, self.log.entry_at(self.applied_index))
+            )
+        if self.role is Role.LEADER and self.member_id not in self.voters:
             self._follow(self.term, "")
 
     def _append(self, entries: tuple[Entry, ...], start: int = 0) -> None:
-        start = start or self.log.last + 1
-        self.log.put(start, entries)
+        start = start or self.log.last_index + 1
+        self.log.truncate_and_append(start, entries)
         self._keep(start, entries)
 
     def _keep(self, start: int = 0, entries: tuple[Entry, ...] = ()) -> None:
         self._actions.append(
-            Keep(self.term, self.vote, start or self.log.last + 1, entries, self.commit)
+            PersistEntries(
+                self.term,
+                self.voted_for,
+                start or self.log.last_index + 1,
+                entries,
+                self.commit_index,
+            )
         )
 
     def _may_change(self, voters: tuple[str, ...]) -> bool:
         """One voter more or less than now, a new one ready, none of it under way, and this term has
         committed.
         """
-        pending = any(e.kind == VOTERS for e in self.log.behind(self.commit))
+        pending = any(e.kind == EntryKind.VOTERS for e in self.log.entries_after(self.commit_index))
         step = len(set(voters) ^ set(self.voters)) <= 1
         # one that is not there, or far behind, makes a majority harder to have
-        near = self.commit - MOST_ENTRIES
-        here = self.heard_within(self._times.patience)
+        near = self.commit_index - MOST_ENTRIES
+        here = self.responded_within(self._times.election_timeout_ms)
         ready = all(
             p in here and self._match.get(p, 0) >= near for p in set(voters) - set(self.voters)
         )
@@ -392,17 +428,17 @@
             and ready
             and bool(voters)
             and not pending
-            and self.log.term_at(self.commit) == self.term
+            and self.log.term_at(self.commit_index) == self.term
         )
 
     # Sending
 
     def _peers(self) -> list[str]:
-        return [p for p in sorted({*self.voters, *self.learners}) if p != self.me]
+        return [p for p in sorted({*self.voters, *self.learners}) if p != self.member_id]
 
     def _beat(self) -> None:
         self._round += 1
-        self._beat_due = self.now + self._times.beat
+        self._beat_due = self.now + self._times.heartbeat_interval_ms
         self._busy.clear()  # what was lost goes again
         for peer in self._peers():
             self._send_entries(peer)
@@ -413,19 +449,36 @@
                 self._send_entries(peer)
 
     def _send_entries(self, peer: str) -> None:
-        start, self._told[peer] = self._next.setdefault(peer, self.log.last + 1), self.commit
-        if start <= self.log.base:
+        start, self._told[peer] = (
+            self._next.setdefault(peer, self.log.last_index + 1),
+            self.commit_index,
+        )
+        if start <= self.log.snapshot_index:
             log = self.log
-            state = Install(
-                self.term, self.me, log.base, log.base_term, log.base_voters, log.state, self._round
+            state = InstallSnapshot(
+                self.term,
+                self.member_id,
+                log.snapshot_index,
+                log.snapshot_term,
+                log.snapshot_voters,
+                log.snapshot,
+                self._round,
             )
             self._send(peer, state)
         else:
-            entries = self.log.behind(start - 1, MOST_ENTRIES)
+            entries = self.log.entries_after(start - 1, MOST_ENTRIES)
             before = self.log.term_at(start - 1)
             self._send(
                 peer,
-                Append(self.term, self.me, start - 1, before, entries, self.commit, self._round),
+                AppendEntries(
+                    self.term,
+                    self.member_id,
+                    start - 1,
+                    before,
+                    entries,
+                    self.commit_index,
+                    self._round,
+                ),
             )
             if not entries:
                 return
@@ -434,16 +487,18 @@
     def _answer_reads(self) -> None:
         while self._reads:
             token, index, at = self._reads[0]
-            if not self.majority([self.me, *(p for p, r in self._rounds.items() if r >= at)]):
+            if not self.has_quorum(
+                [self.member_id, *(p for p, r in self._rounds.items() if r >= at)]
+            ):
                 return
             self._reads.pop(0)
-            self._actions.append(ReadAt(token, index))
+            self._actions.append(ReadIndexReady(token, index))
 
     def _send(self, to: str, message: Message) -> None:
-        self._actions.append(Send(to, message))
+        self._actions.append(SendMessage(to, message))
 
     def _say(self) -> None:
-        self._actions.append(Became(self.role, self.term, self.leader))
+        self._actions.append(RoleChanged(self.role, self.term, self.leader_id))
 
     def _take(self) -> list[Action]:
         actions, self._actions = self._actions, []
--- a/dockthread/raft/messages.py
+++ b/dockthread/raft/messages.py
@@ -5,19 +5,28 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
+from enum import IntEnum
 from typing import Final
 
 import msgspec
 
-from dockthread.framing import HEAD, Codec, MalformedFrame, UnknownMessage
+from dockthread.framing import FRAME_HEADER, Codec, MalformedFrameError, UnknownMessageError
 
 VERSION: Final = 1
 # bytes of a message: 64 entries of 64 KiB bodies, as one `Append` may hold, and room
-MOST_FRAME: Final = 8 << 20
-PART: Final = 256 << 10  # bytes of a state in one frame; a larger one goes in parts
-MOST_STATE: Final = 256 << 20  # bytes of a state: some five times that of 90,000 resources
+MAX_MESSAGE_BYTES: Final = 8 << 20
+CHUNK_BYTES: Final = 256 << 10  # bytes of a state in one frame; a larger one goes in parts
+MAX_SNAPSHOT_BYTES: Final = 256 << 20  # bytes of a state: some five times that of 90,000 resources
 
-__all__ = ["HEAD", "MalformedFrame", "UnknownMessage"]
+__all__ = ["FRAME_HEADER", "MalformedFrameError", "UnknownMessageError"]
+
+
+class EntryKind(IntEnum):
+    """What an entry of the log carries."""
+
+    NO_OP = 0
+    COMMAND = 1
+    VOTERS = 2
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
@@ -28,78 +37,75 @@
     data: bytes = b""
 
 
-NOTHING, COMMAND, VOTERS = 0, 1, 2
-
-
-class VoteAsk(msgspec.Struct, frozen=True, array_like=True, tag="v"):
+class VoteRequest(msgspec.Struct, frozen=True, array_like=True, tag="v"):
     """`pre`: would you, if I asked? `handed`: the leader itself told me to ask."""
 
     term: int
     sender: str
-    last: int
+    last_index: int
     last_term: int
-    pre: bool = False
-    handed: bool = False
+    pre_vote: bool = False
+    leadership_transfer: bool = False
 
 
-class VoteAnswer(msgspec.Struct, frozen=True, array_like=True, tag="w"):
+class VoteResponse(msgspec.Struct, frozen=True, array_like=True, tag="w"):
     term: int
     sender: str
     granted: bool
-    pre: bool = False
+    pre_vote: bool = False
 
 
-class Append(msgspec.Struct, frozen=True, array_like=True, tag="a"):
+class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag="a"):
     term: int
     sender: str
-    before: int
-    before_term: int
+    previous_index: int
+    previous_term: int
     entries: tuple[Entry, ...]
-    commit: int
-    round: int
+    commit_index: int
+    heartbeat_round: int
 
 
-class Appended(msgspec.Struct, frozen=True, array_like=True, tag="b"):
+class AppendEntriesResponse(msgspec.Struct, frozen=True, array_like=True, tag="b"):
     """`match`: where both logs are alike, or, where not `ok`, the last place at which they may
     be.
     """
 
     term: int
     sender: str
-    ok: bool
-    match: int
-    round: int
+    success: bool
+    match_index: int
+    heartbeat_round: int
 
 
-class Install(msgspec.Struct, frozen=True, array_like=True, tag="i"):
+class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="i"):
     """The state after entry `last`, for one that is too far behind for the log."""
 
     term: int
     sender: str
-    last: int
+    last_index: int
     last_term: int
     voters: tuple[str, ...]
-    state: bytes
-    round: int
+    snapshot: bytes
+    heartbeat_round: int
 
 
-class Part(msgspec.Struct, frozen=True, array_like=True, tag="p"):
+class SnapshotChunk(msgspec.Struct, frozen=True, array_like=True, tag="p"):
     """Part `number`, from 0, of an `Install` whose state has `size` bytes: its head is that of the
     message itself.
     """
 
-    head: Install
+    header: InstallSnapshot
     number: int
-    size: int
+    snapshot_size: int
     data: bytes
 
 
-class TakeOver(msgspec.Struct, frozen=True, array_like=True, tag="t"):
+class TimeoutNow(msgspec.Struct, frozen=True, array_like=True, tag="t"):
     term: int
     sender: str
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag="q"):
+class ForwardedProposal(msgspec.Struct, frozen=True, array_like=True, tag="q"):
     """A member that does not lead has the leader propose this for it."""
 
     term: int
@@ -108,7 +114,7 @@
     data: bytes
 
 
-class Told(msgspec.Struct, frozen=True, array_like=True, tag="r"):
+class ForwardedProposalResponse(msgspec.Struct, frozen=True, array_like=True, tag="r"):
     """Whether what was asked under `token` stands in the log, at `index`."""
 
     term: int
@@ -117,7 +123,7 @@
     index: int
 
 
-class Show(msgspec.Struct, frozen=True, array_like=True, tag="s"):
+class StatusReport(msgspec.Struct, frozen=True, array_like=True, tag="s"):
     """What the sender sees, for whoever leads; the owner of the log knows what it means."""
 
     term: int
@@ -125,46 +131,63 @@
     data: bytes
 
 
-Message = VoteAsk | VoteAnswer | Append | Appended | Install | TakeOver | Ask | Told | Show
-Frame = Message | Part
-
-_codec: Codec[Frame] = Codec(Frame, VERSION, MOST_FRAME)
+Message = (
+    VoteRequest
+    | VoteResponse
+    | AppendEntries
+    | AppendEntriesResponse
+    | InstallSnapshot
+    | TimeoutNow
+    | ForwardedProposal
+    | ForwardedProposalResponse
+    | StatusReport
+)
+Frame = Message | SnapshotChunk
+
+_codec: Codec[Frame] = Codec(Frame, VERSION, MAX_MESSAGE_BYTES)
 pack, length, unpack = _codec.pack, _codec.length, _codec.unpack
 
 
-def cut(whole: Install, key: bytes) -> Iterator[bytes]:
+def split_snapshot(whole: InstallSnapshot, key: bytes) -> Iterator[bytes]:
     """The frames of a state in parts."""
-    head = msgspec.structs.replace(whole, state=b"")
-    for number, at in enumerate(range(0, len(whole.state), PART)):
-        yield pack(Part(head, number, len(whole.state), whole.state[at : at + PART]), key)
+    head = msgspec.structs.replace(whole, snapshot=b"")
+    for number, at in enumerate(range(0, len(whole.snapshot), CHUNK_BYTES)):
+        yield pack(
+            SnapshotChunk(head, number, len(whole.snapshot), whole.snapshot[at : at + CHUNK_BYTES]),
+            key,
+        )
 
 
-class Assembly:
+class SnapshotAssembler:
     """Parts of one connection, joined to the message that they were cut from."""
 
     def __init__(self) -> None:
-        self._head: Install | None = None
+        self._head: InstallSnapshot | None = None
         self._size, self._state = 0, bytearray()
 
-    def add(self, part: Part) -> Install | None:
+    def add(self, part: SnapshotChunk) -> InstallSnapshot | None:
         """The message once its last part is there. Raises `MalformedFrame` for parts that don't
         follow each other.
         """
         if part.number == 0:
-            self._head, self._size, self._state = part.head, part.size, bytearray()
-        at = part.number * PART
-        follows = self._head == part.head and self._size == part.size and len(self._state) == at
+            self._head, self._size, self._state = part.header, part.snapshot_size, bytearray()
+        at = part.number * CHUNK_BYTES
+        follows = (
+            self._head == part.header
+            and self._size == part.snapshot_size
+            and len(self._state) == at
+        )
         if (
             not follows
-            or len(part.data) != min(PART, part.size - at)
-            or not part.size <= MOST_STATE
+            or len(part.data) != min(CHUNK_BYTES, part.snapshot_size - at)
+            or not part.snapshot_size <= MAX_SNAPSHOT_BYTES
         ):
-            raise MalformedFrame(
-                f"part {part.number} of a state of {part.size} bytes does not follow {at}"
+            raise MalformedFrameError(
+                f"part {part.number} of a state of {part.snapshot_size} bytes does not follow {at}"
             )
         self._state += part.data
         if len(self._state) < self._size:
             return None
-        whole = msgspec.structs.replace(part.head, state=bytes(self._state))
+        whole = msgspec.structs.replace(part.header, snapshot=bytes(self._state))
         self._head, self._state = None, bytearray()
         return whole
--- a/dockthread/raft/options.py
+++ b/dockthread/raft/options.py
@@ -7,6 +7,8 @@
 from collections.abc import Iterable
 from pathlib import Path
 
+import msgspec
+
 from dockthread.config.ini_reader import Section
 from dockthread.config.platform_settings import Address
 from dockthread.config.quantities import Duration, Share
@@ -30,13 +32,13 @@
     members: tuple[str, ...] = ()
     directory: str = ""
     key_file: str = ""
-    patience: Duration = Duration(600.0)
-    beat: Duration = Duration(100.0)
-    most_out: int = 1
-    node_bears: float = 0.0
-    reserve: Share = Share(0.2)
-    lapse: Duration = Duration(30_000.0)
-    dead: Duration = Duration(5_000.0)
+    election_timeout: Duration = msgspec.field(default=Duration(600.0), name="patience")
+    heartbeat_interval: Duration = msgspec.field(default=Duration(100.0), name="beat")
+    max_unavailable: int = msgspec.field(default=1, name="most_out")
+    node_capacity: float = msgspec.field(default=0.0, name="node_bears")
+    headroom: Share = msgspec.field(default=Share(0.2), name="reserve")
+    grant_timeout: Duration = msgspec.field(default=Duration(30_000.0), name="lapse")
+    failure_timeout: Duration = msgspec.field(default=Duration(5_000.0), name="dead")
 
     def faults(self) -> Iterable[tuple[str, str, str]]:
         if not self.listen:
@@ -68,33 +70,33 @@
             yield "members", "names one twice", "give each ingress its own name"
         if not self.directory:
             yield "directory", "is missing", "name a folder that outlives the process"
-        if self.most_out < 1:
+        if self.max_unavailable < 1:
             yield "most_out", "is under 1", "write how many machines of a zone may be out at once"
-        if not 0 <= self.reserve < 1:
+        if not 0 <= self.headroom < 1:
             yield (
                 "reserve",
                 "is not from 0% to under 100%",
                 "write the part of the rest that is to be left",
             )
-        if self.node_bears < 0:
+        if self.node_capacity < 0:
             yield (
                 "node_bears",
                 "is under 0",
                 "write how many requests a node bears at once, or 0 for not known",
             )
-        if self.dead < 2 * self.patience:
+        if self.failure_timeout < 2 * self.election_timeout:
             yield (
                 "dead",
                 "is under twice the patience",
                 "a member would be dead while a leader is voted for",
             )
-        if self.lapse <= self.dead:
+        if self.grant_timeout <= self.failure_timeout:
             yield (
                 "lapse",
                 "is not over `dead`",
                 "a turn would lapse before a dead member is left out",
             )
-        if self.beat * 3 > self.patience:
+        if self.heartbeat_interval * 3 > self.election_timeout:
             yield "patience", "is under three beats", "a lost beat would cost a leader its place"
 
     def addresses(self) -> dict[str, Address]:
--- a/dockthread/raft/server.py
+++ b/dockthread/raft/server.py
@@ -26,19 +26,19 @@
 from dockthread.raft import messages
 from dockthread.raft.actions import (
     Action,
-    Apply,
-    Became,
-    Keep,
-    KeepState,
-    Restore,
+    ApplyEntry,
+    PersistEntries,
+    PersistSnapshot,
+    RaftTiming,
+    RestoreSnapshot,
     Role,
-    Send,
-    Times,
+    RoleChanged,
+    SendMessage,
 )
-from dockthread.raft.core import Agreement
+from dockthread.raft.core import RaftCore
 from dockthread.raft.options import FleetOptions
-from dockthread.raft.storage import Store
-from dockthread.raft.transport import Link
+from dockthread.raft.storage import RaftStorage
+from dockthread.raft.transport import PeerTransport
 
 KEEP_ENTRIES = 512  # applied entries in the log before a state takes their place
 # bytes of the state before for each further entry: a large one is written more seldom
@@ -50,7 +50,7 @@
 HANDING = 300.0  # ms that a leader waits for another at the end of its life
 
 
-class Owner(Protocol):
+class StateMachine(Protocol):
     """Whose log it is, and what it is told."""
 
     def apply(self, index: int, data: bytes) -> None:
@@ -59,22 +59,22 @@
     def restore(self, index: int, state: bytes) -> None:
         """A whole state, in place of all commands up to `index`."""
 
-    def state(self) -> bytes:
+    def snapshot(self) -> bytes:
         """Its state now, for a snapshot."""
 
-    def came_to(self, index: int, term: int) -> None:
+    def on_applied(self, index: int, term: int) -> None:
         """Agreed and applied up to here; `term` is 0 for a state."""
 
-    def shown(self, sender: str, data: bytes) -> None:
+    def on_status_report(self, sender: str, data: bytes) -> None:
         """What another member sees, told to this leader; raises ValueError for what means
         nothing.
         """
 
-    def changed(self) -> None:
+    def on_leader_changed(self) -> None:
         """Another leads, or nobody."""
 
 
-class Member:
+class RaftServer:
     """`owner`: whose log it is. All times in ms."""
 
     def __init__(
@@ -83,7 +83,7 @@
         options: FleetOptions,
         clock: Clock,
         seed: int,
-        owner: Owner,
+        owner: StateMachine,
     ) -> None:
         """Raises OSError, ValueError or `store.Lost` where the directory or the key cannot be
         used.
@@ -96,16 +96,16 @@
                 f"[fleet] members: {name}, this ingress, is not among {', '.join(self._addresses)}"
             )
         self._rng = random.Random(seed)
-        self.store = Store(Path(options.directory), name)
-        if self.store.name != name:
-            self.store.close()
+        self.storage = RaftStorage(Path(options.directory), name)
+        if self.storage.name != name:
+            self.storage.close()
             raise ValueError(
-                f"[fleet] directory: {options.directory} is of {self.store.name}, and this is {name}"
+                f"[fleet] directory: {options.directory} is of {self.storage.name}, and this is {name}"
             )
-        self._times = Times(options.patience, options.beat)
-        self.spoilt, self.messages = 0, MessageCounts()
-        self.opened = False  # it takes part
-        self._links: dict[str, Link] = {}
+        self._times = RaftTiming(options.election_timeout, options.heartbeat_interval)
+        self.rejected_messages, self.message_counts = 0, MessageCounts()
+        self.is_open = False  # it takes part
+        self._links: dict[str, PeerTransport] = {}
         self._actions: deque[Action] = deque()
         self._some = asyncio.Event()
         # by index: its term, who waits for it
@@ -127,19 +127,19 @@
         self._loop = asyncio.get_running_loop()
         listen = Address.parse(self._options.listen)
         self._server = await asyncio.start_server(self._read, listen.host, listen.port)
-        stored = self.store.stored
-        if stored.base:
-            self._owner.restore(stored.base, stored.state)
-            self._came_to(stored.base, 0)
-        self._agreement = Agreement(
+        stored = self.storage.persistent_state
+        if stored.snapshot_index:
+            self._owner.restore(stored.snapshot_index, stored.snapshot)
+            self._came_to(stored.snapshot_index, 0)
+        self._agreement = RaftCore(
             self.name, self._addresses, stored, self._times, self._rng, self._clock.now()
         )
         self._links = {
-            n: Link(a, self._rng, self._key, self.messages)
+            n: PeerTransport(a, self._rng, self._key, self.message_counts)
             for n, a in self._addresses.items()
             if n != self.name
         }
-        self.opened = True
+        self.is_open = True
         self._tasks = [self._loop.create_task(self._carry_out())]
         self._arm()
         logger.info(
@@ -152,7 +152,7 @@
     async def close(self) -> None:
         """Hand over where it leads, then leave."""
         if self._agreement.role is Role.LEADER:
-            self.hand_over()
+            self.transfer_leadership()
             until = self._clock.now() + HANDING
             while self._agreement.role is Role.LEADER and self._clock.now() < until:
                 await asyncio.sleep(0.01)
@@ -165,16 +165,16 @@
         for future in [*(f for _, f in self._waiting.values()), *self._asked.values()]:
             future.cancel()
         self._keeper.shutdown()
-        self.store.close()
+        self.storage.close()
 
-    async def propose(self, data: bytes, most: float = 3_000.0) -> int:
+    async def propose(self, data: bytes, timeout_ms: float = 3_000.0) -> int:
         """The index at which it stands, once that is agreed and applied here; 0 where that is not
         known within `most` ms: then it may stand or not. It is handed to whoever leads, and again
         where that changes or no answer comes, so the owner has to know it for the same when it
         comes twice.
         """
         try:
-            async with asyncio.timeout(most / 1000.0):
+            async with asyncio.timeout(timeout_ms / 1000.0):
                 while not (index := await self._try(data)):
                     await asyncio.sleep(RETRY / 1000.0)
                 # the leader is ahead: what is answered here must know of it
@@ -195,12 +195,14 @@
         if core.role is Role.LEADER:
             self._propose(data, future)
             return await future
-        if core.leader not in self._links:
+        if core.leader_id not in self._links:
             return 0
         self._token += 1
         token = self._token
         self._asked[token] = future
-        self._links[core.leader].send(messages.Ask(core.term, self.name, token, data))
+        self._links[core.leader_id].send(
+            messages.ForwardedProposal(core.term, self.name, token, data)
+        )
         try:
             async with asyncio.timeout(ASKING / 1000.0):
                 return await future
@@ -217,70 +219,81 @@
             self._waiting[index] = (self._agreement.term, future)
         self._do(actions)
 
-    async def _propose_for(self, ask: messages.Ask) -> None:
+    async def _propose_for(self, ask: messages.ForwardedProposal) -> None:
         index = await self._try(ask.data) if self._agreement.role is Role.LEADER else 0
         if link := self._links.get(ask.sender):
-            link.send(messages.Told(self._agreement.term, self.name, ask.token, index))
+            link.send(
+                messages.ForwardedProposalResponse(
+                    self._agreement.term, self.name, ask.token, index
+                )
+            )
 
     # What its owner asks of it
 
     @property
-    def leader(self) -> str:
+    def leader_id(self) -> str:
         """Whoever leads, as far as is known here; empty for nobody."""
-        return self._agreement.leader if self.opened else ""
+        return self._agreement.leader_id if self.is_open else ""
 
     @property
     def members(self) -> list[str]:
         return list(self._addresses)
 
-    def heard(self) -> set[str]:
+    def responsive_members(self) -> set[str]:
         """Who answered this leader within its patience."""
-        return self._agreement.heard_within(self._options.patience) if self.opened else set()
+        return (
+            self._agreement.responded_within(self._options.election_timeout)
+            if self.is_open
+            else set()
+        )
 
-    def age(self) -> float:
+    def staleness_ms(self) -> float:
         """ms since the owner was known to have all that was agreed on, give or take a beat; -1 for
         never. A leader counts from when a majority answered, any other from when it last heard its
         leader.
         """
-        if not self.opened:
+        if not self.is_open:
             return -1.0
         now, core = self._clock.now(), self._agreement
-        if core.role is Role.LEADER and core.log.term_at(core.commit) == core.term:
+        if core.role is Role.LEADER and core.log.term_at(core.commit_index) == core.term:
             spans = (
-                self._times.beat * n
-                for n in range(1, 1 + int(self._times.patience // self._times.beat))
+                self._times.heartbeat_interval_ms * n
+                for n in range(
+                    1, 1 + int(self._times.election_timeout_ms // self._times.heartbeat_interval_ms)
+                )
             )
             within = next(
-                (ms for ms in spans if core.majority(core.heard_within(ms) | {self.name})), None
+                (ms for ms in spans if core.has_quorum(core.responded_within(ms) | {self.name})),
+                None,
             )
-            if within is not None and self._carried >= core.commit:
+            if within is not None and self._carried >= core.commit_index:
                 self._current = max(self._current, now - within)
         return now - self._current if self._current >= 0 else -1.0
 
-    def propose_here(self, data: bytes) -> None:
+    def propose_as_leader(self, data: bytes) -> None:
         """Only where this member leads, and with nobody waiting for it."""
         self._do(self._agreement.propose(self._clock.now(), data)[1])
 
-    def show(self, data: bytes) -> None:
+    def report_status(self, data: bytes) -> None:
         """To whoever leads: what this member sees. May be lost."""
-        message = messages.Show(self._agreement.term, self.name, data)
-        if self.leader == self.name:
+        message = messages.StatusReport(self._agreement.term, self.name, data)
+        if self.leader_id == self.name:
             self._shown(message)
-        elif link := self._links.get(self.leader):
+        elif link := self._links.get(self.leader_id):
             link.send(message)
 
-    def _shown(self, message: messages.Show) -> None:
-        if self.leader == self.name:
+    def _shown(self, message: messages.StatusReport) -> None:
+        if self.leader_id == self.name:
             try:
-                self._owner.shown(message.sender, message.data)
+                self._owner.on_status_report(message.sender, message.data)
             except ValueError as error:
-                self.spoilt += 1
+                self.rejected_messages += 1
                 logger.debug("fleet: {}", error)
 
-    def hand_over(self) -> None:
+    def transfer_leadership(self) -> None:
         """Another is to lead, where this one does."""
-        if self.opened:
-            self._do(self._agreement.hand_over(self._clock.now()))
+        if self.is_open:
+            self._do(self._agreement.transfer_leadership(self._clock.now()))
 
     def status(self) -> dict[str, Any]:
         core = self._agreement
@@ -288,12 +301,12 @@
             "name": self.name,
             "role": core.role.value,
             "term": core.term,
-            "leader": core.leader,
+            "leader": core.leader_id,
             "voters": list(core.voters),
-            "last": core.log.last,
-            "commit": core.commit,
-            "applied": core.applied,
-            "spoilt": self.spoilt,
+            "last": core.log.last_index,
+            "commit": core.commit_index,
+            "applied": core.applied_index,
+            "spoilt": self.rejected_messages,
         }
 
     # Time and messages, told to the agreement
@@ -301,7 +314,7 @@
     def _arm(self) -> None:
         if self._alarm is not None:
             self._alarm.cancel()
-        wait = max(1.0, self._agreement.due() - self._clock.now()) / 1000.0
+        wait = max(1.0, self._agreement.next_deadline() - self._clock.now()) / 1000.0
         self._alarm = self._loop.call_later(wait, self._tick)
 
     def _tick(self) -> None:
@@ -309,34 +322,34 @@
         self._arm()
 
     async def _read(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        assembly = messages.Assembly()
+        assembly = messages.SnapshotAssembler()
         try:
             while True:
-                head = await reader.readexactly(messages.HEAD.size)
+                head = await reader.readexactly(messages.FRAME_HEADER.size)
                 body = await reader.readexactly(messages.length(head))
-                self.messages.received += 1
+                self.message_counts.received += 1
                 try:
                     message = messages.unpack(head, body, self._key)
-                except messages.UnknownMessage as error:
-                    self.spoilt += 1
+                except messages.UnknownMessageError as error:
+                    self.rejected_messages += 1
                     logger.debug("fleet: a message is dropped: {}", error)
                     continue
-                if isinstance(message, messages.Part):
+                if isinstance(message, messages.SnapshotChunk):
                     if (whole := assembly.add(message)) is not None:
                         self._hear(whole)
-                elif isinstance(message, messages.Show):
+                elif isinstance(message, messages.StatusReport):
                     self._shown(message)
-                elif isinstance(message, messages.Ask):
+                elif isinstance(message, messages.ForwardedProposal):
                     task = self._loop.create_task(self._propose_for(message))
                     self._tasks.append(task)
                     task.add_done_callback(self._tasks.remove)
-                elif isinstance(message, messages.Told):
+                elif isinstance(message, messages.ForwardedProposalResponse):
                     if (asked := self._asked.pop(message.token, None)) and not asked.done():
                         asked.set_result(message.index)
                 else:
                     self._hear(message)
-        except messages.MalformedFrame as error:
-            self.spoilt += 1
+        except messages.MalformedFrameError as error:
+            self.rejected_messages += 1
             logger.debug("fleet: a frame is dropped: {}", error)
         except (OSError, EOFError, asyncio.CancelledError):
             pass
@@ -345,13 +358,13 @@
 
     def _hear(self, message: messages.Message) -> None:
         now, core = self._clock.now(), self._agreement
-        self._do(core.heard(now, message))
+        self._do(core.step(now, message))
         self._arm()
         # Then it has all that was agreed on when that was sent; `commit` 0 tells nothing of it.
         if (
-            isinstance(message, messages.Append)
-            and core.leader == message.sender
-            and 0 < message.commit <= self._carried
+            isinstance(message, messages.AppendEntries)
+            and core.leader_id == message.sender
+            and 0 < message.commit_index <= self._carried
         ):
             self._current = now
 
@@ -369,19 +382,19 @@
             while self._actions:
                 action = self._actions.popleft()
                 match action:
-                    case Keep() | KeepState():
-                        await self._loop.run_in_executor(self._keeper, self.store.keep, action)
-                    case Send(to, message):
+                    case PersistEntries() | PersistSnapshot():
+                        await self._loop.run_in_executor(self._keeper, self.storage.persist, action)
+                    case SendMessage(to, message):
                         if link := self._links.get(to):
                             link.send(message)
-                    case Apply(index, entry):
+                    case ApplyEntry(index, entry):
                         self._applied(index, entry)
-                    case Restore(index, state):
+                    case RestoreSnapshot(index, state):
                         self._owner.restore(index, state)
                         self._came_to(index, 0)
-                    case Became(role, term, leader):
+                    case RoleChanged(role, term, leader):
                         self._changed()
-                        self._owner.changed()
+                        self._owner.on_leader_changed()
                         logger.info(
                             "fleet: {} in term {}, led by {}",
                             role.value,
@@ -403,7 +416,7 @@
 
     def _came_to(self, index: int, term: int) -> None:
         self._carried = index
-        self._owner.came_to(index, term)
+        self._owner.on_applied(index, term)
         for at, behind in self._behind:
             if at <= index and not behind.done():
                 behind.set_result(None)
@@ -412,7 +425,7 @@
         ]
 
     def _applied(self, index: int, entry: messages.Entry) -> None:
-        if entry.kind == messages.COMMAND:
+        if entry.kind == messages.EntryKind.COMMAND:
             try:
                 self._owner.apply(index, entry.data)
             except Exception:
@@ -423,6 +436,6 @@
             if not future.done():
                 future.set_result(index if term == entry.term else 0)
         core = self._agreement
-        most = max(KEEP_ENTRIES, len(core.log.state) // STATE_AN_ENTRY)
-        if core.applied == index and index - core.log.base >= most:
-            self._do(core.compact(index, self._owner.state()))
+        most = max(KEEP_ENTRIES, len(core.log.snapshot) // STATE_AN_ENTRY)
+        if core.applied_index == index and index - core.log.snapshot_index >= most:
+            self._do(core.compact(index, self._owner.snapshot()))
--- a/dockthread/raft/transport.py
+++ b/dockthread/raft/transport.py
@@ -27,7 +27,7 @@
 CONNECTING, DRAINING = 2.0, 5.0  # s
 
 
-class Link:
+class PeerTransport:
     """Frames to one other member. `counts`: where they are counted."""
 
     def __init__(self, to: Address, rng: random.Random, key: bytes, counts: MessageCounts) -> None:
@@ -41,20 +41,25 @@
 
     def send(self, message: messages.Message) -> None:
         """Queue a message; the oldest are dropped where too many wait."""
-        if isinstance(message, messages.Install) and len(message.state) > messages.PART:
+        if (
+            isinstance(message, messages.InstallSnapshot)
+            and len(message.snapshot) > messages.CHUNK_BYTES
+        ):
             self._send_state(message)
         else:
             self._waiting.append(messages.pack(message, self._key))
         self._some.set()
 
-    def _send_state(self, m: messages.Install) -> None:
-        same = (m.term, m.last) == self._state and time.monotonic() - self._sent < REPEAT
+    def _send_state(self, m: messages.InstallSnapshot) -> None:
+        same = (m.term, m.last_index) == self._state and time.monotonic() - self._sent < REPEAT
         if self._parts is not None or same:
-            beat = messages.Append(m.term, m.sender, m.last, m.last_term, (), 0, m.round)
+            beat = messages.AppendEntries(
+                m.term, m.sender, m.last_index, m.last_term, (), 0, m.heartbeat_round
+            )
             self._waiting.append(messages.pack(beat, self._key))
         else:
-            self._state = m.term, m.last
-            self._parts = messages.cut(m, self._key)
+            self._state = m.term, m.last_index
+            self._parts = messages.split_snapshot(m, self._key)
 
     async def _run(self) -> None:
         while True:
--- a/tests/byte_cases.py
+++ b/tests/byte_cases.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from dockthread.control_plane import messages, publish_state_machine, snapshot_cache
-from dockthread.framing import HEAD
+from dockthread.framing import FRAME_HEADER
 from dockthread.maintenance.commands import INGRESS, Command, Request, Tick, Zone
 from dockthread.maintenance.participant import Seen, View
 from dockthread.maintenance.scheduler import Order
@@ -51,7 +51,7 @@
 
 def _raft_stream(key: bytes) -> ByteCodec:
     def decode(data: bytes) -> raft_messages.Frame:
-        head, body = data[: HEAD.size], data[HEAD.size :]
+        head, body = data[: FRAME_HEADER.size], data[FRAME_HEADER.size :]
         assert raft_messages.length(head) == len(body)
         return raft_messages.unpack(head, body, key)
 
@@ -60,7 +60,7 @@
 
 def _distribution_stream(key: bytes) -> ByteCodec:
     def decode(data: bytes) -> messages.Message:
-        head, body = data[: HEAD.size], data[HEAD.size :]
+        head, body = data[: FRAME_HEADER.size], data[FRAME_HEADER.size :]
         assert messages.codec.length(head) == len(body)
         return messages.codec.unpack(head, body, key)
 
@@ -95,12 +95,18 @@
 # The agreed log: its stream and its records on disk
 
 ENTRIES: Final = (
-    raft_messages.Entry(term=2, kind=raft_messages.COMMAND, data=b"command"),
-    raft_messages.Entry(term=3, kind=raft_messages.VOTERS, data=b"n0 n1 n2"),
-    raft_messages.Entry(term=4, kind=raft_messages.NOTHING),
+    raft_messages.Entry(term=2, kind=raft_messages.EntryKind.COMMAND, data=b"command"),
+    raft_messages.Entry(term=3, kind=raft_messages.EntryKind.VOTERS, data=b"n0 n1 n2"),
+    raft_messages.Entry(term=4, kind=raft_messages.EntryKind.NO_OP),
 )
-SNAPSHOT: Final = raft_messages.Install(
-    term=5, sender="n0", last=300, last_term=4, voters=("n0", "n1"), state=b"state", round=70_000
+SNAPSHOT: Final = raft_messages.InstallSnapshot(
+    term=5,
+    sender="n0",
+    last_index=300,
+    last_term=4,
+    voters=("n0", "n1"),
+    snapshot=b"state",
+    heartbeat_round=70_000,
 )
 
 RAFT_STREAM_CASES: Final = tuple(
@@ -108,107 +114,141 @@
     for name, value in (
         (
             "vote-request",
-            raft_messages.VoteAsk(
-                term=5, sender="n0", last=300, last_term=4, pre=True, handed=True
+            raft_messages.VoteRequest(
+                term=5,
+                sender="n0",
+                last_index=300,
+                last_term=4,
+                pre_vote=True,
+                leadership_transfer=True,
             ),
         ),
         (
             "vote-request.pre",
-            raft_messages.VoteAsk(
-                term=5, sender="n0", last=300, last_term=4, pre=True, handed=False
+            raft_messages.VoteRequest(
+                term=5,
+                sender="n0",
+                last_index=300,
+                last_term=4,
+                pre_vote=True,
+                leadership_transfer=False,
             ),
         ),
         (
             "vote-request.defaults",
-            raft_messages.VoteAsk(term=5, sender="n0", last=300, last_term=4),
+            raft_messages.VoteRequest(term=5, sender="n0", last_index=300, last_term=4),
         ),
-        ("vote-response", raft_messages.VoteAnswer(term=5, sender="n1", granted=True, pre=True)),
-        ("vote-response.defaults", raft_messages.VoteAnswer(term=5, sender="n1", granted=True)),
+        (
+            "vote-response",
+            raft_messages.VoteResponse(term=5, sender="n1", granted=True, pre_vote=True),
+        ),
+        ("vote-response.defaults", raft_messages.VoteResponse(term=5, sender="n1", granted=True)),
         (
             "append-entries",
-            raft_messages.Append(
+            raft_messages.AppendEntries(
                 term=5,
                 sender="n0",
-                before=299,
-                before_term=3,
+                previous_index=299,
+                previous_term=3,
                 entries=ENTRIES,
-                commit=298,
-                round=70_000,
+                commit_index=298,
+                heartbeat_round=70_000,
             ),
         ),
         (
             "append-entries.empty",
-            raft_messages.Append(
-                term=5, sender="n0", before=299, before_term=3, entries=(), commit=0, round=70_000
+            raft_messages.AppendEntries(
+                term=5,
+                sender="n0",
+                previous_index=299,
+                previous_term=3,
+                entries=(),
+                commit_index=0,
+                heartbeat_round=70_000,
             ),
         ),
         (
             "append-entries-response",
-            raft_messages.Appended(term=5, sender="n1", ok=True, match=302, round=70_000),
+            raft_messages.AppendEntriesResponse(
+                term=5, sender="n1", success=True, match_index=302, heartbeat_round=70_000
+            ),
         ),
         (
             "append-entries-response.failed",
-            raft_messages.Appended(term=5, sender="n1", ok=False, match=1, round=70_000),
+            raft_messages.AppendEntriesResponse(
+                term=5, sender="n1", success=False, match_index=1, heartbeat_round=70_000
+            ),
         ),
         ("install-snapshot", SNAPSHOT),
         (
             "install-snapshot.part",
-            raft_messages.Part(
-                head=msgspec.structs.replace(SNAPSHOT, state=b""),
+            raft_messages.SnapshotChunk(
+                header=msgspec.structs.replace(SNAPSHOT, snapshot=b""),
                 number=2,
-                size=600_000,
+                snapshot_size=600_000,
                 data=b"piece",
             ),
         ),
-        ("timeout-now", raft_messages.TakeOver(term=5, sender="n0")),
+        ("timeout-now", raft_messages.TimeoutNow(term=5, sender="n0")),
         (
             "forwarded-proposal",
-            raft_messages.Ask(term=5, sender="n1", token=2**40, data=b"command"),
+            raft_messages.ForwardedProposal(term=5, sender="n1", token=2**40, data=b"command"),
         ),
         (
             "forwarded-proposal-response",
-            raft_messages.Told(term=5, sender="n0", token=2**40, index=301),
+            raft_messages.ForwardedProposalResponse(term=5, sender="n0", token=2**40, index=301),
         ),
-        ("observation", raft_messages.Show(term=5, sender="n1", data=b"observation")),
+        ("observation", raft_messages.StatusReport(term=5, sender="n1", data=b"observation")),
     )
 )
 
 RAFT_DISK_CASES: Final = (
-    Case("raft.stream.without-key", raft_messages.TakeOver(term=5, sender="n0"), _raft_stream(b"")),
+    Case(
+        "raft.stream.without-key", raft_messages.TimeoutNow(term=5, sender="n0"), _raft_stream(b"")
+    ),
     *(
         Case(f"raft.entry.{number}", entry, _record(raft_messages.Entry))
         for number, entry in enumerate(ENTRIES)
     ),
     Case(
         "raft.disk.state",
-        storage.Whole(
+        storage.SnapshotRecord(
             number=7,
             name="n1",
             term=5,
-            vote="n0",
-            base=300,
-            base_term=4,
+            voted_for="n0",
+            snapshot_index=300,
+            snapshot_term=4,
             voters=("n0", "n1"),
-            state=b"state",
+            snapshot=b"state",
         ),
-        _record(storage.Whole),
+        _record(storage.SnapshotRecord),
     ),
     Case(
         "raft.disk.state.new",
-        storage.Whole(
-            number=1, name="n1", term=0, vote="", base=0, base_term=0, voters=(), state=b""
+        storage.SnapshotRecord(
+            number=1,
+            name="n1",
+            term=0,
+            voted_for="",
+            snapshot_index=0,
+            snapshot_term=0,
+            voters=(),
+            snapshot=b"",
         ),
-        _record(storage.Whole),
+        _record(storage.SnapshotRecord),
     ),
     Case(
         "raft.disk.record",
-        storage.Written(number=7, term=5, vote="n0", start=301, entries=ENTRIES, commit=300),
-        _record(storage.Written),
+        storage.LogRecord(
+            number=7, term=5, voted_for="n0", first_index=301, entries=ENTRIES, commit_index=300
+        ),
+        _record(storage.LogRecord),
     ),
     Case(
         "raft.disk.record.defaults",
-        storage.Written(number=7, term=5, vote="n0", start=301, entries=()),
-        _record(storage.Written),
+        storage.LogRecord(number=7, term=5, voted_for="n0", first_index=301, entries=()),
+        _record(storage.LogRecord),
     ),
 )
 
--- a/tests/control_plane/control_rig.py
+++ b/tests/control_plane/control_rig.py
@@ -16,7 +16,7 @@
 from dockthread.control_plane import admin_client
 from dockthread.control_plane.messages import Published, Status, StatusRequest, SubscriberStatus
 from dockthread.lab.maintenance.rig import reserved
-from dockthread.raft.storage import Store
+from dockthread.raft.storage import RaftStorage
 from tests.loopback import LIST, raw_config
 
 KEY = b"a key of 16 bytes or more"
@@ -77,7 +77,7 @@
         if name in DISTRIBUTORS:
             return f"{common}{cache}{servers}role = distributor\n"
         if not (home / "log").exists():
-            Store(home / "log", name, make=True).close()
+            RaftStorage(home / "log", name, create=True).close()
         members = ", ".join(f"{other}={at}" for other, at in self._fleet.items())
         fleet = f"[fleet]\nlisten = {self._fleet[name]}\nmembers = {members}\ndirectory = {home / 'log'}\n"
         return f"{common}role = voter\n{fleet}"
--- a/tests/control_plane/test_distribution_cores.py
+++ b/tests/control_plane/test_distribution_cores.py
@@ -36,7 +36,7 @@
     Subscriber,
     SubscriberTimes,
 )
-from dockthread.framing import HEAD
+from dockthread.framing import FRAME_HEADER
 
 LIMITS = FanoutLimits(part=400)
 
@@ -59,7 +59,7 @@
     """All that there is for a connection now."""
     found = []
     while (frame := server.next_frame(now, connection)) is not None:
-        found.append(codec.unpack(frame[: HEAD.size], frame[HEAD.size :]))
+        found.append(codec.unpack(frame[: FRAME_HEADER.size], frame[FRAME_HEADER.size :]))
     return found
 
 
@@ -473,5 +473,5 @@
 def test_messages_of_a_state_are_read_as_they_were_written() -> None:
     update = snapshot(table(3), 1 << 20)[0]
     frame = codec.pack(update, b"key")
-    assert codec.unpack(frame[: HEAD.size], frame[HEAD.size :], b"key") == update
+    assert codec.unpack(frame[: FRAME_HEADER.size], frame[FRAME_HEADER.size :], b"key") == update
     assert msgspec.structs.replace(update, horizon=2) != update
--- a/tests/control_plane/test_distribution_processes.py
+++ b/tests/control_plane/test_distribution_processes.py
@@ -14,7 +14,7 @@
 
 from dockthread.control_plane.messages import Acknowledge, Publish, Update, codec
 from dockthread.control_plane.server import MOST_REQUEST
-from dockthread.framing import HEAD
+from dockthread.framing import FRAME_HEADER
 from tests.control_plane.control_rig import DISTRIBUTORS, INGRESSES, KEY, MOST, VOTERS, ControlRig
 
 
@@ -166,7 +166,7 @@
 
 
 def frame(size: int, version: int = 1) -> bytes:
-    return HEAD.pack(size, version, bytes(16))
+    return FRAME_HEADER.pack(size, version, bytes(16))
 
 
 MALFORMED = {
--- a/tests/control_plane/test_distribution_rim.py
+++ b/tests/control_plane/test_distribution_rim.py
@@ -31,7 +31,7 @@
 from dockthread.control_plane.server import MOST_REQUEST, Server, ServerLimits
 from dockthread.control_plane.snapshot_cache import BrokenCache, Cache, read
 from dockthread.daemon import Daemon
-from dockthread.framing import HEAD
+from dockthread.framing import FRAME_HEADER
 from dockthread.routes.bounds import Facts
 from tests.loopback import LIST, SETTINGS, raw_config, run, until
 
@@ -80,7 +80,7 @@
             assert connection.transport.get_write_buffer_size() <= BUFFER + 2 * PART
         sent = 0
         while sent < server.table.revision:
-            head = await reader.readexactly(HEAD.size)
+            head = await reader.readexactly(FRAME_HEADER.size)
             message = codec.unpack(head, await reader.readexactly(codec.length(head)))
             sent = message.revision if isinstance(message, Update) else sent
         writer.close()
--- a/tests/lab/test_turns_simulated.py
+++ b/tests/lab/test_turns_simulated.py
@@ -123,12 +123,14 @@
 
 def test_a_message_of_a_later_release_is_told_from_spoilt_bytes() -> None:
     later = msgspec.msgpack.encode(["z", 1, "n1"])
-    with pytest.raises(messages.UnknownMessage):
-        messages.unpack(messages.HEAD.pack(len(later), messages.VERSION, bytes(16)), later)
-    whole = messages.pack(messages.Show(1, "n1", b"x"), b"k" * 16)
-    with pytest.raises(messages.MalformedFrame) as spoilt:
-        messages.unpack(whole[: messages.HEAD.size], whole[messages.HEAD.size :], b"l" * 16)
-    assert not isinstance(spoilt.value, messages.UnknownMessage), (
+    with pytest.raises(messages.UnknownMessageError):
+        messages.unpack(messages.FRAME_HEADER.pack(len(later), messages.VERSION, bytes(16)), later)
+    whole = messages.pack(messages.StatusReport(1, "n1", b"x"), b"k" * 16)
+    with pytest.raises(messages.MalformedFrameError) as spoilt:
+        messages.unpack(
+            whole[: messages.FRAME_HEADER.size], whole[messages.FRAME_HEADER.size :], b"l" * 16
+        )
+    assert not isinstance(spoilt.value, messages.UnknownMessageError), (
         "another key: the connection is closed"
     )
 
--- a/tests/maintenance/test_work.py
+++ b/tests/maintenance/test_work.py
@@ -18,10 +18,10 @@
 from dockthread.config.section_registry import read_text
 from dockthread.maintenance.commands import Command, Tick, Zone
 from dockthread.maintenance.scheduler import Order
-from dockthread.raft.actions import Keep, KeepState
-from dockthread.raft.messages import COMMAND, Entry
+from dockthread.raft.actions import PersistEntries, PersistSnapshot
+from dockthread.raft.messages import Entry, EntryKind
 from dockthread.raft.options import FleetOptions
-from dockthread.raft.storage import Lost, Store
+from dockthread.raft.storage import RaftStorage, RaftStorageError
 
 MEMBERS = ("n0", "n1", "n2")
 
@@ -281,44 +281,58 @@
 
 
 def entries(*texts: str) -> tuple[Entry, ...]:
-    return tuple(Entry(1, COMMAND, text.encode()) for text in texts)
+    return tuple(Entry(1, EntryKind.COMMAND, text.encode()) for text in texts)
 
 
 def test_a_kill_at_every_byte_of_the_log_leaves_what_was_kept_before(tmp_path: Path) -> None:
-    store = Store(tmp_path / "whole", "n0", make=True)
+    store = RaftStorage(tmp_path / "whole", "n0", create=True)
     kept = [
-        Keep(1, "n1", 1, entries("a")),
-        Keep(1, "n1", 2, entries("b", "c")),
-        Keep(2, "", 2, entries("B")),
+        PersistEntries(1, "n1", 1, entries("a")),
+        PersistEntries(1, "n1", 2, entries("b", "c")),
+        PersistEntries(2, "", 2, entries("B")),
     ]
     known: list[tuple[int, str, list[Entry]]] = [(0, "", [])]
     ends = [0]
     for what in kept:
-        store.keep(what)
-        known.append((store.stored.term, store.stored.vote, list(store.stored.entries)))
+        store.persist(what)
+        known.append(
+            (
+                store.persistent_state.term,
+                store.persistent_state.voted_for,
+                list(store.persistent_state.entries),
+            )
+        )
         ends.append((tmp_path / "whole" / "log").stat().st_size)
     store.close()
     whole = (tmp_path / "whole" / "log").read_bytes()
     for cut in range(len(whole) + 1):
         (tmp_path / "whole" / "log").write_bytes(whole[:cut])
-        again = Store(tmp_path / "whole", "n0")
+        again = RaftStorage(tmp_path / "whole", "n0")
         last = max(i for i, end in enumerate(ends) if end <= cut)
-        assert (again.stored.term, again.stored.vote, again.stored.entries) == known[last]
+        assert (
+            again.persistent_state.term,
+            again.persistent_state.voted_for,
+            again.persistent_state.entries,
+        ) == known[last]
         again.close()
 
 
 def test_a_state_takes_the_place_of_entries(tmp_path: Path) -> None:
-    store = Store(tmp_path / "n", "n0", make=True)
-    store.keep(Keep(3, "n2", 1, entries("a", "b", "c")))
-    store.keep(KeepState(2, 1, ("n0", "n1"), b"ab", False))
-    store.keep(Keep(3, "n2", 4, entries("d")))
+    store = RaftStorage(tmp_path / "n", "n0", create=True)
+    store.persist(PersistEntries(3, "n2", 1, entries("a", "b", "c")))
+    store.persist(PersistSnapshot(2, 1, ("n0", "n1"), b"ab", False))
+    store.persist(PersistEntries(3, "n2", 4, entries("d")))
     store.close()
-    again = Store(tmp_path / "n", "n0")
-    assert (again.stored.base, again.stored.state, again.stored.term) == (2, b"ab", 3)
-    assert again.stored.entries == list(entries("c", "d"))
+    again = RaftStorage(tmp_path / "n", "n0")
+    assert (
+        again.persistent_state.snapshot_index,
+        again.persistent_state.snapshot,
+        again.persistent_state.term,
+    ) == (2, b"ab", 3)
+    assert again.persistent_state.entries == list(entries("c", "d"))
     size = (tmp_path / "n" / "log").stat().st_size
     for _ in range(50):
-        again.keep(KeepState(2, 1, ("n0", "n1"), b"ab", False))
+        again.persist(PersistSnapshot(2, 1, ("n0", "n1"), b"ab", False))
     assert (tmp_path / "n" / "log").stat().st_size <= size, (
         "what no longer counts does not fill the disk"
     )
@@ -328,33 +342,38 @@
 def test_a_kill_between_the_writes_of_a_state_harms_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    store = Store(tmp_path / "n", "n0", make=True)
-    store.keep(Keep(3, "n2", 1, entries("a", "b", "c")))
+    store = RaftStorage(tmp_path / "n", "n0", create=True)
+    store.persist(PersistEntries(3, "n2", 1, entries("a", "b", "c")))
     for step, base in ((0, 0), (1, 2)):
-        monkeypatch.setattr(Store, "_beside", killed_at(step, Store._beside))
+        monkeypatch.setattr(
+            RaftStorage, "_replace_file", killed_at(step, RaftStorage._replace_file)
+        )
         with pytest.raises(KeyboardInterrupt):
-            store.keep(KeepState(2, 1, ("n0",), b"ab", False))
+            store.persist(PersistSnapshot(2, 1, ("n0",), b"ab", False))
         monkeypatch.undo()
         store.close()
-        store = Store(tmp_path / "n", "n0")
-        assert store.stored.base == base
-        assert store.stored.entries == list(entries("a", "b", "c"))[base:]
-    store.keep(Keep(4, "", 4, entries("d")))
+        store = RaftStorage(tmp_path / "n", "n0")
+        assert store.persistent_state.snapshot_index == base
+        assert store.persistent_state.entries == list(entries("a", "b", "c"))[base:]
+    store.persist(PersistEntries(4, "", 4, entries("d")))
     store.close()
-    store = Store(tmp_path / "n", "n0")
-    assert (store.stored.term, store.stored.entries) == (4, list(entries("c", "d")))
+    store = RaftStorage(tmp_path / "n", "n0")
+    assert (store.persistent_state.term, store.persistent_state.entries) == (
+        4,
+        list(entries("c", "d")),
+    )
     store.close()
 
 
 def killed_at(
-    step: int, real: Callable[[Store, str, bytes], None]
-) -> Callable[[Store, str, bytes], None]:
+    step: int, real: Callable[[RaftStorage, str, bytes], None]
+) -> Callable[[RaftStorage, str, bytes], None]:
     """The store's write beside, but for a kill at the `step`-th: before the state's rename, or the
     log's.
     """
     calls = iter(range(9))
 
-    def beside(store: Store, name: str, body: bytes) -> None:
+    def beside(store: RaftStorage, name: str, body: bytes) -> None:
         if next(calls) == step:
             raise KeyboardInterrupt
         real(store, name, body)
@@ -363,20 +382,20 @@
 
 
 def test_what_lies_there_is_believed_only_whole(tmp_path: Path) -> None:
-    with pytest.raises(Lost, match="fleet init"):
-        Store(tmp_path / "none", "n0")
-    store = Store(tmp_path / "n", "n0", make=True)
-    store.keep(Keep(1, "n0", 1, entries("a")))
+    with pytest.raises(RaftStorageError, match="fleet init"):
+        RaftStorage(tmp_path / "none", "n0")
+    store = RaftStorage(tmp_path / "n", "n0", create=True)
+    store.persist(PersistEntries(1, "n0", 1, entries("a")))
     with pytest.raises(BlockingIOError):
-        Store(tmp_path / "n", "n0")  # another process has it
+        RaftStorage(tmp_path / "n", "n0")  # another process has it
     store.close()
     with pytest.raises(FileExistsError):
-        Store(tmp_path / "n", "n0", make=True)
+        RaftStorage(tmp_path / "n", "n0", create=True)
     data = bytearray((tmp_path / "n" / "log").read_bytes())
     data[-1] ^= 1
     (tmp_path / "n" / "log").write_bytes(data)
-    with pytest.raises(Lost, match="spoilt at byte 0"):
-        Store(tmp_path / "n", "n0")
+    with pytest.raises(RaftStorageError, match="spoilt at byte 0"):
+        RaftStorage(tmp_path / "n", "n0")
 
 
 @pytest.mark.parametrize(
--- a/tests/raft/test_fleet_agreement.py
+++ b/tests/raft/test_fleet_agreement.py
@@ -15,94 +15,114 @@
 from dockthread.lab.raft.seeds import SCENARIOS, play_seed
 from dockthread.lab.seeds import play_many
 from dockthread.raft import messages
-from dockthread.raft.actions import Apply, Keep, Role, Send, Stored, Times
-from dockthread.raft.core import Agreement
+from dockthread.raft.actions import (
+    ApplyEntry,
+    PersistEntries,
+    PersistentState,
+    RaftTiming,
+    Role,
+    SendMessage,
+)
+from dockthread.raft.core import RaftCore
 from dockthread.raft.messages import (
-    COMMAND,
-    VOTERS,
-    Append,
-    Appended,
+    AppendEntries,
+    AppendEntriesResponse,
     Entry,
-    MalformedFrame,
-    TakeOver,
-    VoteAnswer,
-    VoteAsk,
+    EntryKind,
+    MalformedFrameError,
+    TimeoutNow,
+    VoteRequest,
+    VoteResponse,
 )
 
 THREE = ("a", "b", "c")
 
 
-def member(me: str = "a", stored: Stored | None = None) -> Agreement:
-    return Agreement(me, THREE, stored or Stored(), Times(), random.Random(1), 0.0)
+def member(me: str = "a", stored: PersistentState | None = None) -> RaftCore:
+    return RaftCore(me, THREE, stored or PersistentState(), RaftTiming(), random.Random(1), 0.0)
 
 
-def leader() -> Agreement:
+def leader() -> RaftCore:
     """`a`, which `b` voted for in term 1 and which has committed its entry of nothing with it."""
     one = member()
     one.tick(2_000.0)
-    one.heard(2_001.0, VoteAnswer(1, "b", True, pre=True))
-    one.heard(2_002.0, VoteAnswer(1, "b", True))
-    one.heard(2_003.0, Appended(1, "b", True, 1, 1))
+    one.step(2_001.0, VoteResponse(1, "b", True, pre_vote=True))
+    one.step(2_002.0, VoteResponse(1, "b", True))
+    one.step(2_003.0, AppendEntriesResponse(1, "b", True, 1, 1))
     assert one.role is Role.LEADER
     return one
 
 
 def test_a_message_travels_whole_and_what_is_spoilt_says_why() -> None:
-    told = Append(3, "n1", 4, 2, (Entry(3, COMMAND, b"x"),), 4, 9)
+    told = AppendEntries(3, "n1", 4, 2, (Entry(3, EntryKind.COMMAND, b"x"),), 4, 9)
     frame = messages.pack(told, b"key")
-    head, body = frame[: messages.HEAD.size], frame[messages.HEAD.size :]
+    head, body = frame[: messages.FRAME_HEADER.size], frame[messages.FRAME_HEADER.size :]
     assert messages.length(head) == len(body)
     assert messages.unpack(head, body, b"key") == told
     for key, changed in ((b"other", body), (b"key", body[:-1] + b"\x00"), (b"", body)):
-        with pytest.raises(MalformedFrame, match="tag"):
+        with pytest.raises(MalformedFrameError, match="tag"):
             messages.unpack(head, changed, key)
-    with pytest.raises(MalformedFrame, match="version 9"):
-        messages.length(messages.HEAD.pack(3, 9, bytes(16)))
-    with pytest.raises(MalformedFrame, match="the most"):
-        messages.length(messages.HEAD.pack(messages.MOST_FRAME + 1, 1, bytes(16)))
+    with pytest.raises(MalformedFrameError, match="version 9"):
+        messages.length(messages.FRAME_HEADER.pack(3, 9, bytes(16)))
+    with pytest.raises(MalformedFrameError, match="the most"):
+        messages.length(messages.FRAME_HEADER.pack(messages.MAX_MESSAGE_BYTES + 1, 1, bytes(16)))
     for rubbish in (b"", b"\xc1", b"\x93\xa1a\x01\x02", b"\xff" * 40):
-        with pytest.raises(MalformedFrame, match="no message"):
-            messages.unpack(messages.HEAD.pack(len(rubbish), 1, bytes(16)), rubbish)
+        with pytest.raises(MalformedFrameError, match="no message"):
+            messages.unpack(messages.FRAME_HEADER.pack(len(rubbish), 1, bytes(16)), rubbish)
 
 
 def test_a_vote_is_kept_before_it_is_sent_and_given_once_a_term() -> None:
     one = member()
-    first = one.heard(5_000.0, VoteAsk(1, "b", 0, 0))
+    first = one.step(5_000.0, VoteRequest(1, "b", 0, 0))
     at = [type(action) for action in first]
-    assert at.index(Keep) < at.index(Send)
-    assert [a.vote for a in first if isinstance(a, Keep)][-1] == "b"
-    answers = [a.message for a in one.heard(5_001.0, VoteAsk(1, "c", 0, 0)) if isinstance(a, Send)]
-    assert answers == [VoteAnswer(1, "a", False)]
+    assert at.index(PersistEntries) < at.index(SendMessage)
+    assert [a.voted_for for a in first if isinstance(a, PersistEntries)][-1] == "b"
+    answers = [
+        a.message
+        for a in one.step(5_001.0, VoteRequest(1, "c", 0, 0))
+        if isinstance(a, SendMessage)
+    ]
+    assert answers == [VoteResponse(1, "a", False)]
 
 
 def test_no_vote_for_an_older_log_and_none_while_a_leader_is_heard() -> None:
-    one = member(stored=Stored(term=2, entries=[Entry(1, COMMAND), Entry(2, COMMAND)]))
-    assert not granted(one, VoteAsk(3, "b", 5, 1))
-    assert granted(one, VoteAsk(4, "b", 2, 2))
-    one.heard(9_000.0, Append(4, "c", 2, 2, (), 0, 1))
-    assert one.heard(9_100.0, VoteAsk(9, "b", 9, 4)) == []
+    one = member(
+        stored=PersistentState(
+            term=2, entries=[Entry(1, EntryKind.COMMAND), Entry(2, EntryKind.COMMAND)]
+        )
+    )
+    assert not granted(one, VoteRequest(3, "b", 5, 1))
+    assert granted(one, VoteRequest(4, "b", 2, 2))
+    one.step(9_000.0, AppendEntries(4, "c", 2, 2, (), 0, 1))
+    assert one.step(9_100.0, VoteRequest(9, "b", 9, 4)) == []
     assert one.term == 4, "a member cut off from its leader unseats nobody"
-    assert granted(one, VoteAsk(5, "b", 9, 4, handed=True), 9_200.0), (
+    assert granted(one, VoteRequest(5, "b", 9, 4, leadership_transfer=True), 9_200.0), (
         "unless the leader told it to ask"
     )
 
 
-def granted(one: Agreement, ask: VoteAsk, now: float = 5_000.0) -> bool:
-    actions = one.heard(now, ask)
+def granted(one: RaftCore, ask: VoteRequest, now: float = 5_000.0) -> bool:
+    actions = one.step(now, ask)
     return any(
-        isinstance(a, Send) and isinstance(a.message, VoteAnswer) and a.message.granted
+        isinstance(a, SendMessage) and isinstance(a.message, VoteResponse) and a.message.granted
         for a in actions
     )
 
 
 def test_an_entry_of_an_older_term_is_not_committed_by_count() -> None:
-    one = member(stored=Stored(term=1, entries=[Entry(1, COMMAND, b"old")]))
+    one = member(stored=PersistentState(term=1, entries=[Entry(1, EntryKind.COMMAND, b"old")]))
     one.tick(2_000.0)
-    one.heard(2_001.0, VoteAnswer(2, "b", True, pre=True))
-    one.heard(2_002.0, VoteAnswer(2, "b", True))
-    assert not [a for a in one.heard(2_003.0, Appended(2, "b", True, 1, 1)) if isinstance(a, Apply)]
+    one.step(2_001.0, VoteResponse(2, "b", True, pre_vote=True))
+    one.step(2_002.0, VoteResponse(2, "b", True))
+    assert not [
+        a
+        for a in one.step(2_003.0, AppendEntriesResponse(2, "b", True, 1, 1))
+        if isinstance(a, ApplyEntry)
+    ]
     applied = [
-        a.index for a in one.heard(2_004.0, Appended(2, "b", True, 2, 1)) if isinstance(a, Apply)
+        a.index
+        for a in one.step(2_004.0, AppendEntriesResponse(2, "b", True, 2, 1))
+        if isinstance(a, ApplyEntry)
     ]
     assert applied == [1, 2], "with the first of its own term"
 
@@ -114,9 +134,9 @@
     for step in range(12):
         actions += one.tick(2_100.0 + 100 * step)
     assert one.role is Role.FOLLOWER
-    assert not [a for a in actions if isinstance(a, Apply)]
+    assert not [a for a in actions if isinstance(a, ApplyEntry)]
     assert one.propose(3_500.0, b"more")[0] is None
-    assert not one.read(3_500.0, 1)[0]
+    assert not one.read_index(3_500.0, 1)[0]
 
 
 @pytest.mark.parametrize(
@@ -126,9 +146,9 @@
 )
 def test_voters_change_one_at_a_time_and_only_to_who_is_there(voters: str, taken: bool) -> None:
     one = leader()
-    assert (one.propose(2_100.0, voters.encode(), VOTERS)[0] is not None) is taken
+    assert (one.propose(2_100.0, voters.encode(), EntryKind.VOTERS)[0] is not None) is taken
     if taken:
-        assert one.propose(2_101.0, b"a b c", VOTERS)[0] is None, (
+        assert one.propose(2_101.0, b"a b c", EntryKind.VOTERS)[0] is None, (
             "while the one before is under way"
         )
 
@@ -136,7 +156,9 @@
 def test_a_leader_hands_over_to_the_voter_that_is_furthest() -> None:
     one = leader()
     told = [
-        a for a in one.hand_over(2_100.0) if isinstance(a, Send) and isinstance(a.message, TakeOver)
+        a
+        for a in one.transfer_leadership(2_100.0)
+        if isinstance(a, SendMessage) and isinstance(a.message, TimeoutNow)
     ]
     assert [a.to for a in told] == ["b"]
     assert one.propose(2_101.0, b"late")[0] is None
--- a/tests/raft/test_fleet_state.py
+++ b/tests/raft/test_fleet_state.py
@@ -17,15 +17,15 @@
 from dockthread.lab.maintenance.rig import reserved
 from dockthread.raft import messages
 from dockthread.raft.options import FleetOptions
-from dockthread.raft.server import Member
-from dockthread.raft.storage import Store
-from dockthread.raft.transport import Link
+from dockthread.raft.server import RaftServer
+from dockthread.raft.storage import RaftStorage
+from dockthread.raft.transport import PeerTransport
 
 STATE = random.Random(1).randbytes(1000) * 45_000  # as 90,000 resources of 500 bytes
-INSTALL = messages.Install(3, "n0", 90_000, 3, ("n0", "n1"), b"", 7)
+INSTALL = messages.InstallSnapshot(3, "n0", 90_000, 3, ("n0", "n1"), b"", 7)
 
 
-class Owner:
+class StateMachine:
     """Its state is `STATE` once the first command came, and empty before."""
 
     def __init__(self) -> None:
@@ -37,36 +37,48 @@
     def restore(self, index: int, state: bytes) -> None:
         self.held = state
 
-    def state(self) -> bytes:
+    def snapshot(self) -> bytes:
         return self.held
 
-    def came_to(self, index: int, term: int) -> None: ...
+    def on_applied(self, index: int, term: int) -> None: ...
 
-    def shown(self, sender: str, data: bytes) -> None: ...
+    def on_status_report(self, sender: str, data: bytes) -> None: ...
 
-    def changed(self) -> None: ...
+    def on_leader_changed(self) -> None: ...
 
 
-@pytest.mark.parametrize("size", [1, messages.PART, messages.PART + 1, 3 * messages.PART])
+@pytest.mark.parametrize(
+    "size", [1, messages.CHUNK_BYTES, messages.CHUNK_BYTES + 1, 3 * messages.CHUNK_BYTES]
+)
 def test_parts_join_to_the_state_that_was_cut(size: int) -> None:
-    whole = msgspec.structs.replace(INSTALL, state=STATE[:size])
-    assembly, joined = messages.Assembly(), []
-    for frame in messages.cut(whole, b""):
-        part = messages.unpack(frame[: messages.HEAD.size], frame[messages.HEAD.size :])
-        assert isinstance(part, messages.Part)
+    whole = msgspec.structs.replace(INSTALL, snapshot=STATE[:size])
+    assembly, joined = messages.SnapshotAssembler(), []
+    for frame in messages.split_snapshot(whole, b""):
+        part = messages.unpack(
+            frame[: messages.FRAME_HEADER.size], frame[messages.FRAME_HEADER.size :]
+        )
+        assert isinstance(part, messages.SnapshotChunk)
         joined.append(assembly.add(part))
     assert joined == [None] * (len(joined) - 1) + [whole]
 
 
 @pytest.mark.parametrize(
-    "change", [{"number": 2}, {"size": 5}, {"size": messages.MOST_STATE + 1}, {"data": b"x"}]
+    "change",
+    [
+        {"number": 2},
+        {"snapshot_size": 5},
+        {"snapshot_size": messages.MAX_SNAPSHOT_BYTES + 1},
+        {"data": b"x"},
+    ],
 )
 def test_parts_that_do_not_follow_end_the_connection(change: dict[str, object]) -> None:
-    size, data = 2 * messages.PART, STATE[: messages.PART]
-    assembly = messages.Assembly()
-    assembly.add(messages.Part(INSTALL, 0, size, data))
-    with pytest.raises(messages.MalformedFrame, match="does not follow"):
-        assembly.add(msgspec.structs.replace(messages.Part(INSTALL, 1, size, data), **change))
+    size, data = 2 * messages.CHUNK_BYTES, STATE[: messages.CHUNK_BYTES]
+    assembly = messages.SnapshotAssembler()
+    assembly.add(messages.SnapshotChunk(INSTALL, 0, size, data))
+    with pytest.raises(messages.MalformedFrameError, match="does not follow"):
+        assembly.add(
+            msgspec.structs.replace(messages.SnapshotChunk(INSTALL, 1, size, data), **change)
+        )
 
 
 def test_beats_pass_between_the_parts_and_a_state_under_way_is_not_queued_again() -> None:
@@ -75,24 +87,24 @@
 
         async def read(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                head = await reader.readexactly(messages.HEAD.size)
+                head = await reader.readexactly(messages.FRAME_HEADER.size)
                 seen.append(messages.unpack(head, await reader.readexactly(messages.length(head))))
 
         server = await asyncio.start_server(read, "127.0.0.1", 0)
-        link = Link(
+        link = PeerTransport(
             Address(*server.sockets[0].getsockname()[:2]), random.Random(1), b"", MessageCounts()
         )
-        whole = msgspec.structs.replace(INSTALL, state=STATE[: 40 * messages.PART])
+        whole = msgspec.structs.replace(INSTALL, snapshot=STATE[: 40 * messages.CHUNK_BYTES])
         link.send(whole)
         async with asyncio.timeout(20):
             while len(seen) < 3:
                 await asyncio.sleep(0)
             link.send(whole)
-            while sum(isinstance(one, messages.Part) for one in seen) < 40 or not isinstance(
-                seen[-1], messages.Part
-            ):
+            while sum(
+                isinstance(one, messages.SnapshotChunk) for one in seen
+            ) < 40 or not isinstance(seen[-1], messages.SnapshotChunk):
                 await asyncio.sleep(0)
-        beats = [at for at, one in enumerate(seen) if isinstance(one, messages.Append)]
+        beats = [at for at, one in enumerate(seen) if isinstance(one, messages.AppendEntries)]
         assert len(seen) == 41 and len(beats) == 1 and beats[0] < 40
         link.task.cancel()
         server.close()
@@ -105,15 +117,15 @@
     at = {f"n{i}": Address(*one.getsockname()[:2]) for i, one in enumerate(held)}
     names = tuple(f"{name}={address}" for name, address in at.items())
 
-    def member(name: str, owner: Owner) -> Member:
+    def member(name: str, owner: StateMachine) -> RaftServer:
         folder = tmp_path / name
         if not folder.exists():
-            Store(folder, name, make=True).close()
+            RaftStorage(folder, name, create=True).close()
         options = FleetOptions(listen=str(at[name]), members=names, directory=str(folder))
-        return Member(name, options, Clock(), int(name[1]), owner)
+        return RaftServer(name, options, Clock(), int(name[1]), owner)
 
     async def scenario() -> None:
-        owners = {name: Owner() for name in at}
+        owners = {name: StateMachine() for name in at}
         pair = [member(name, owners[name]) for name in ("n0", "n1")]
         for one in pair:
             await one.open()
@@ -129,8 +141,8 @@
             await one.close()
 
     asyncio.run(scenario())
-    again = Store(tmp_path / "n2", "n2")
-    assert again.stored.state == STATE
+    again = RaftStorage(tmp_path / "n2", "n2")
+    assert again.persistent_state.snapshot == STATE
     again.close()
     for one in held:
         one.close()
--- a/tests/test_byte_compatibility.py
+++ b/tests/test_byte_compatibility.py
@@ -33,14 +33,14 @@
 from dockthread.control_plane.resource_table import ResourceTable
 from dockthread.control_plane.update_assembler import Receiver
 from dockthread.daemon import Daemon
-from dockthread.framing import HEAD
+from dockthread.framing import FRAME_HEADER
 from dockthread.maintenance.commands import INGRESS, Command, Tick, Zone
 from dockthread.maintenance.scheduler import Order
 from dockthread.maintenance.service import Work
 from dockthread.raft import messages as raft_messages
-from dockthread.raft.actions import Keep, KeepState, Stored
-from dockthread.raft.log import Log
-from dockthread.raft.storage import Store
+from dockthread.raft.actions import PersistEntries, PersistentState, PersistSnapshot
+from dockthread.raft.log import RaftLog
+from dockthread.raft.storage import RaftStorage
 from dockthread.routes.options import RouteOptions
 from tests import byte_cases
 from tests.byte_cases import CASES, Case
@@ -82,24 +82,39 @@
     return {path.name: path.read_bytes() for path in folder.iterdir() if path.name != "lock"}
 
 
-def written_raft_files(folder: Path) -> Iterator[tuple[str, dict[str, bytes], Stored]]:
+def written_raft_files(folder: Path) -> Iterator[tuple[str, dict[str, bytes], PersistentState]]:
     """A directory after it is made, after term, vote and entries, and after a snapshot; and what is
     stored then.
     """
-    store = Store(folder, "n1", make=True)
+    store = RaftStorage(folder, "n1", create=True)
     entries = byte_cases.ENTRIES
-    yield "made", raft_files(folder), Stored()
-    store.keep(Keep(term=4, vote="n0", start=1, entries=entries, commit=0))
-    store.keep(Keep(term=5, vote="n2", start=3, entries=(entries[0], entries[2]), commit=2))
-    stored = Stored(
-        term=5, vote="n2", entries=[entries[0], entries[1], entries[0], entries[2]], commit=2
+    yield "made", raft_files(folder), PersistentState()
+    store.persist(
+        PersistEntries(term=4, voted_for="n0", first_index=1, entries=entries, commit_index=0)
+    )
+    store.persist(
+        PersistEntries(
+            term=5, voted_for="n2", first_index=3, entries=(entries[0], entries[2]), commit_index=2
+        )
+    )
+    stored = PersistentState(
+        term=5,
+        voted_for="n2",
+        entries=[entries[0], entries[1], entries[0], entries[2]],
+        commit_index=2,
     )
     yield "records", raft_files(folder), stored
-    store.keep(
-        KeepState(base=3, base_term=2, voters=("n0", "n1", "n2"), state=b"state", whole=False)
+    store.persist(
+        PersistSnapshot(
+            index=3, term=2, voters=("n0", "n1", "n2"), snapshot=b"state", discards_log=False
+        )
+    )
+    store.persist(
+        PersistEntries(term=6, voted_for="n1", first_index=5, entries=(entries[1],), commit_index=4)
+    )
+    stored = PersistentState(
+        6, "n1", 3, 2, ("n0", "n1", "n2"), b"state", [entries[2], entries[1]], 4
     )
-    store.keep(Keep(term=6, vote="n1", start=5, entries=(entries[1],), commit=4))
-    stored = Stored(6, "n1", 3, 2, ("n0", "n1", "n2"), b"state", [entries[2], entries[1]], 4)
     yield "snapshot", raft_files(folder), stored
     store.close()
 
@@ -114,20 +129,22 @@
         folder.mkdir()
         for file, data in known.items():
             (folder / file.partition("/")[2]).write_bytes(data)
-        store = Store(folder, "n1")
-        assert (store.name, store.stored) == ("n1", expected)
+        store = RaftStorage(folder, "n1")
+        assert (store.name, store.persistent_state) == ("n1", expected)
         store.close()
 
 
 def test_voters_are_read_from_their_entry() -> None:
     entry = msgspec.msgpack.decode(WRITTEN["raft.entry.1"], type=raft_messages.Entry)
-    assert Log(Stored(entries=[entry]), ["n9"]).voters_at(1) == ("n0", "n1", "n2")
+    assert RaftLog(PersistentState(entries=[entry]), ["n9"]).voters_at(1) == ("n0", "n1", "n2")
 
 
 def snapshot_in_parts() -> list[bytes]:
     state = bytes(range(256)) * 2_100  # two full parts and one of 13,312 bytes
     return list(
-        raft_messages.cut(msgspec.structs.replace(byte_cases.SNAPSHOT, state=state), byte_cases.KEY)
+        raft_messages.split_snapshot(
+            msgspec.structs.replace(byte_cases.SNAPSHOT, snapshot=state), byte_cases.KEY
+        )
     )
 
 
@@ -136,13 +153,15 @@
     assert (
         blake2b(b"".join(frames)).digest() == WRITTEN["raft.stream.parts.blake2b"]
     )  # 540 KB themselves
-    assembly = raft_messages.Assembly()
+    assembly = raft_messages.SnapshotAssembler()
     for frame in frames:
-        part = raft_messages.unpack(frame[: HEAD.size], frame[HEAD.size :], byte_cases.KEY)
-        assert isinstance(part, raft_messages.Part)
+        part = raft_messages.unpack(
+            frame[: FRAME_HEADER.size], frame[FRAME_HEADER.size :], byte_cases.KEY
+        )
+        assert isinstance(part, raft_messages.SnapshotChunk)
         whole = assembly.add(part)
     assert whole is not None
-    assert whole.state == bytes(range(256)) * 2_100
+    assert whole.snapshot == bytes(range(256)) * 2_100
 
 
 def maintenance_commands() -> list[Command]:
