--- a/benchmarks/fleet_idle.py
+++ b/benchmarks/fleet_idle.py
@@ -18,9 +18,9 @@
 
 from dockthread.lab.arrivals import Arrival
 from dockthread.lab.load import Load, Target
+from dockthread.lab.maintenance.process_cluster import HOST, ProcessCluster
 from dockthread.lab.maintenance.rehearsal import SETTINGS
-from dockthread.lab.maintenance.rig import HOST, Rig
-from dockthread.lab.maintenance.stand_in import Node
+from dockthread.lab.maintenance.stand_in import StandInBackend
 
 UP = 20.0  # s until all serve
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -36,10 +36,12 @@
     folder: Path, members: int, seconds: float, rate: int, fleet: bool
 ) -> tuple[float, int]:
     """ms a second of the mean ingress, and requests served."""
-    nodes = [Node(f"m{i}", "hall-a") for i in range(4)]
+    nodes = [StandInBackend(f"m{i}", "hall-a") for i in range(4)]
     for node in nodes:
         await node.open()
-    rig = Rig(folder, members, {**SETTINGS, "Azs": ["hall-a"]}, [node.listed() for node in nodes])
+    rig = ProcessCluster(
+        folder, members, {**SETTINGS, "Azs": ["hall-a"]}, [node.listed() for node in nodes]
+    )
     try:
         for link in rig.links.values():
             await link.open()
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -15,7 +15,7 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
-from dockthread.lab.maintenance.rig import Rig
+from dockthread.lab.maintenance.process_cluster import ProcessCluster
 
 SETTINGS: dict[str, Any] = {
     "Classes": [
@@ -40,13 +40,13 @@
     return f"{name}: p50 {times[len(times) // 2]:.0f} ms, p99 {times[min(len(times) - 1, len(times) * 99 // 100)]:.0f} ms, {len(times)} times"
 
 
-async def asked(rig: Rig, name: str, do: str) -> tuple[float, int]:
+async def asked(rig: ProcessCluster, name: str, do: str) -> tuple[float, int]:
     began = time.monotonic()
     status, _ = await rig.call(name, "POST", f"/_work/{do}", {"target": "s-0"})
     return (time.monotonic() - began) * 1000.0, status
 
 
-async def comes_to(rig: Rig, name: str, states: tuple[str, ...]) -> float:
+async def comes_to(rig: ProcessCluster, name: str, states: tuple[str, ...]) -> float:
     """When one member says that `s-0` has come to one of these states."""
     async with asyncio.timeout(LONGEST):
         while True:
@@ -59,7 +59,7 @@
             await asyncio.sleep(0.002)
 
 
-async def stands(rig: Rig, among: list[str] | None = None) -> str:
+async def stands(rig: ProcessCluster, among: list[str] | None = None) -> str:
     async with asyncio.timeout(LONGEST):
         while not (leader := await rig.leader(among)):
             await asyncio.sleep(0.02)
@@ -74,7 +74,7 @@
         "state": "active",
         "boot_ms": 0,
     }
-    rig = Rig(folder, members, SETTINGS, [backend])
+    rig = ProcessCluster(folder, members, SETTINGS, [backend])
     await rig.open()
     try:
         await stands(rig)
--- a/dockthread/cli/lab_fleet.py
+++ b/dockthread/cli/lab_fleet.py
@@ -22,7 +22,7 @@
     show_seeds,
 )
 from dockthread.lab.maintenance import seeded_defects
-from dockthread.lab.maintenance.scenario import ScenarioError, parse, shipped
+from dockthread.lab.maintenance.scenario import ScenarioError, parse_scenario, shipped_scenarios
 from dockthread.lab.raft.seeded_defects import NAMES as AGREEMENT
 from dockthread.lab.raft.seeds import SCENARIOS, play_seed
 from dockthread.lab.seeds import play_many
@@ -44,8 +44,8 @@
     """
     for name, scenario in SCENARIOS.items():
         click.echo(f"{name}  {scenario.about}")
-    for name, text in shipped().items():
-        click.echo(f"{name}  (run) {parse(text, name).settings.about}")
+    for name, text in shipped_scenarios().items():
+        click.echo(f"{name}  (run) {parse_scenario(text, name).settings.about}")
 
 
 scenario_argument = click.argument("scenario", type=click.Choice(list(SCENARIOS)))
@@ -99,12 +99,12 @@
 
     Exit codes: 0 all held; 1 a rule broke; 2 the scenario is wrong, or the run is void.
     """
-    from dockthread.lab.maintenance.rehearsal import Rehearsal, Verdict, Void
+    from dockthread.lab.maintenance.rehearsal import Rehearsal, RehearsalResult, VoidRunError
 
-    known = shipped()
+    known = shipped_scenarios()
     try:
         text = known[scenario] if scenario in known else Path(scenario).read_text()
-        played = parse(text, scenario, ingresses or 0, seed)
+        played = parse_scenario(text, scenario, ingresses or 0, seed)
     except OSError as error:
         raise click.BadParameter(
             f"{scenario}: no shipped scenario, and no file: {error.strerror}"
@@ -112,13 +112,13 @@
     except ScenarioError as error:
         raise click.BadParameter(str(error)) from error
 
-    async def rehearse(folder: str) -> Verdict:
+    async def rehearse(folder: str) -> RehearsalResult:
         return await Rehearsal(Path(folder), played).play()
 
     try:
         with TemporaryDirectory() as folder:
             verdict = asyncio.run(rehearse(folder))
-    except Void as error:
+    except VoidRunError as error:
         click.echo(f"{scenario}: void: {error}", err=True)
         sys.exit(VOID)
     broken = [{"rule": b.rule, "at": round(b.at), "detail": b.detail} for b in verdict.broken]
--- a/dockthread/cli/work.py
+++ b/dockthread/cli/work.py
@@ -142,10 +142,10 @@
     """Offline: in what order the machines of FILE would go, and why each waits. A line: MACHINE
     ZONE [URGENCY].
     """
-    from dockthread.maintenance.plan import read, rounds
+    from dockthread.maintenance.plan import plan_rounds, read_plan
 
     try:
-        planned = rounds(read(file.read_text(), str(file)), most_out)
+        planned = plan_rounds(read_plan(file.read_text(), str(file)), most_out)
     except (ValueError, OSError) as error:
         click.echo(str(error), err=True)
         sys.exit(1)
--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -31,7 +31,7 @@
     from dockthread.config.ini_reader import Read
     from dockthread.control_plane.ingress import Controlled
     from dockthread.control_plane.options import ControlOptions
-    from dockthread.maintenance.service import Work
+    from dockthread.maintenance.service import MaintenanceService
     from dockthread.routes.layers import Layers
     from dockthread.telemetry.exporter import Exporter
 
@@ -63,7 +63,7 @@
             self.ingress.observe(Tracer())
         self._exporter: Exporter | None = None
         self._no_part = ""
-        self._work: Work | None = None  # its part in a fleet, where the operator's file has one
+        self._work: MaintenanceService | None = None  # only where the INI file has [fleet]
         self._fleet = read.named("fleet")[""] if read is not None else None
         self._control: ControlOptions | None = (
             read.named("control")[""] if read is not None else None
@@ -201,11 +201,11 @@
             opened = Door(self, self.ingress.config.management)
             opened.open()
         if self._fleet is not None and self._fleet.listen:
-            from dockthread.maintenance.service import Work
+            from dockthread.maintenance.service import MaintenanceService
             from dockthread.raft.storage import Lost
 
             try:
-                self._work = Work(self.ingress, self._fleet, self.stop)
+                self._work = MaintenanceService(self.ingress, self._fleet, self.stop)
                 await self._work.open()
             except Lost as error:  # requests are served all the same
                 self._no_part = f"no part in the fleet: {error}"
--- a/dockthread/lab/maintenance/checker.py
+++ b/dockthread/lab/maintenance/checker.py
@@ -17,7 +17,7 @@
 from dockthread.lab.raft.checker import Broken
 
 
-class TurnsChecker:
+class MaintenanceChecker:
     """`zone_of`: by machine; `most`: away at once; `warm`, `dead`, `lapse` in ms."""
 
     def __init__(
--- a/dockthread/lab/maintenance/rig.py
+++ b/dockthread/lab/maintenance/process_cluster.py
@@ -26,7 +26,7 @@
 HOST = "127.0.0.1"
 
 
-def reserved() -> socket.socket:
+def reserve_port() -> socket.socket:
     """A port that the system gives to nobody else while this is held, and that a process started
     here may listen at: a port that was only found free was now and then taken by an outgoing
     connection before the process came up.
@@ -37,7 +37,7 @@
     return one
 
 
-class Rig:
+class ProcessCluster:
     """`settings`: the platform's object, for all. `targets`: what discovery lists, in its own form.
     `more`: further lines of the section `[fleet]`.
     """
@@ -68,7 +68,7 @@
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
 
     def _address(self) -> Address:
-        self._reserved.append(reserved())
+        self._reserved.append(reserve_port())
         return Address(*self._reserved[-1].getsockname()[:2])
 
     async def open(self) -> None:
--- a/dockthread/lab/maintenance/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -25,9 +25,9 @@
 
 from dockthread.lab.arrivals import Arrival
 from dockthread.lab.load import Load, Target
-from dockthread.lab.maintenance.rig import HOST, Rig
-from dockthread.lab.maintenance.scenario import Played, Step
-from dockthread.lab.maintenance.stand_in import Node
+from dockthread.lab.maintenance.process_cluster import HOST, ProcessCluster
+from dockthread.lab.maintenance.scenario import PlannedScenario, Step
+from dockthread.lab.maintenance.stand_in import StandInBackend
 from dockthread.lab.outcome import OUTCOMES
 from dockthread.lab.raft.checker import Broken
 
@@ -51,12 +51,12 @@
 OUT = ("out", "overdue")
 
 
-class Void(Exception):
+class VoidRunError(Exception):
     """The run says nothing: it could not be set up, or the tool itself fell behind."""
 
 
 @dataclass
-class Verdict:
+class RehearsalResult:
     broken: list[Broken] = field(default_factory=list)
     record: list[str] = field(default_factory=list)
     served: int = 0
@@ -64,25 +64,27 @@
 
 
 class Rehearsal:
-    def __init__(self, folder: Path, scenario: Played) -> None:
+    def __init__(self, folder: Path, scenario: PlannedScenario) -> None:
         s = self._settings = scenario.settings
-        self._scenario, self._verdict, self._begun = scenario, Verdict(), time.monotonic()
+        self._scenario, self._verdict, self._begun = scenario, RehearsalResult(), time.monotonic()
         zones = [f"hall-{chr(97 + i)}" for i in range(s.zones)]
-        self._nodes = {f"m{i}": Node(f"m{i}", zones[i % s.zones]) for i in range(s.machines)}
+        self._nodes = {
+            f"m{i}": StandInBackend(f"m{i}", zones[i % s.zones]) for i in range(s.machines)
+        }
         self._folder, self._zones = folder, zones
-        self._rig: Rig
+        self._rig: ProcessCluster
         self._hurt: set[str] = set()  # ingresses that were killed or held still
         self._turned: set[str] = set()  # ingresses that went in their turn
         self._down: set[str] = set()  # killed by the scenario, until it starts them
         self._away: set[str] = set()  # ended in their own turns
 
-    async def play(self) -> Verdict:
+    async def play(self) -> RehearsalResult:
         """Raises Void."""
         for node in self._nodes.values():
             await node.open()
         targets = [node.listed() for node in self._nodes.values()]
         settings = {**SETTINGS, "Azs": self._zones}
-        self._rig = Rig(
+        self._rig = ProcessCluster(
             self._folder, self._scenario.ingresses, settings, targets, self._settings.most_out, MORE
         )
         tasks: list[asyncio.Task[Any]] = []
@@ -115,7 +117,7 @@
         try:
             await asyncio.wait_for(what, most)
         except TimeoutError as error:
-            raise Void(f"the fleet has no leader after {most:.0f} s") from error
+            raise VoidRunError(f"the fleet has no leader after {most:.0f} s") from error
 
     async def _all_follow(self) -> None:
         while True:
--- a/dockthread/lab/maintenance/scenario.py
+++ b/dockthread/lab/maintenance/scenario.py
@@ -101,7 +101,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Played:
+class PlannedScenario:
     """A scenario as it is to be played with one seed."""
 
     name: str
@@ -134,7 +134,7 @@
     return f"takes {takes}, and {odd[0]!r} is none" if odd else ""
 
 
-def parse(text: str, name: str, ingresses: int = 0, seed: int = 0) -> Played:
+def parse_scenario(text: str, name: str, ingresses: int = 0, seed: int = 0) -> PlannedScenario:
     """Raises ScenarioError, naming the file, the key, what is wrong and what would do."""
     found = read(text, name, {"scenario": Kind(ScenarioSection), "faults": Kind(FaultsSection)})
     if found.errors:
@@ -145,7 +145,9 @@
         raise ScenarioError(f"{name}: {size} ingresses; write 1, 3, 5 or 7")
     steps = [_step(line) for line in settings.steps.split("\n") if line.strip()]
     drawn = _drawn(found.one("faults"), random.Random(seed), size, settings.machines)
-    return Played(name, settings, size, tuple(sorted([*steps, *drawn], key=lambda s: s.at)))
+    return PlannedScenario(
+        name, settings, size, tuple(sorted([*steps, *drawn], key=lambda s: s.at))
+    )
 
 
 def _step(text: str) -> Step:
@@ -165,7 +167,7 @@
         at += float(faults.every)
 
 
-def shipped() -> dict[str, str]:
+def shipped_scenarios() -> dict[str, str]:
     """The texts of the scenarios that come with the program, by name."""
     folder = resources.files("dockthread.lab.maintenance") / "scenarios"
     files = sorted((f for f in folder.iterdir() if f.name.endswith(".ini")), key=lambda f: f.name)
--- a/dockthread/lab/maintenance/simulation.py
+++ b/dockthread/lab/maintenance/simulation.py
@@ -15,17 +15,23 @@
 
 import msgspec
 
-from dockthread.lab.maintenance.checker import TurnsChecker
-from dockthread.lab.maintenance.seeded_defects import ORDERS, PARTS
+from dockthread.lab.maintenance.checker import MaintenanceChecker
+from dockthread.lab.maintenance.seeded_defects import PARTICIPANTS, SCHEDULERS
 from dockthread.lab.raft.checker import Broken
 from dockthread.lab.raft.simulation import FAULTY, Member, World
-from dockthread.maintenance.commands import INGRESS, Command, Request
-from dockthread.maintenance.participant import Around, Part, Seen, Terms, View
-from dockthread.maintenance.scheduler import HELD, Order
+from dockthread.maintenance.commands import INGRESS, MaintenanceCommand, MaintenanceRequest
+from dockthread.maintenance.participant import (
+    ClusterView,
+    MaintenanceOptions,
+    MaintenanceParticipant,
+    MemberObservation,
+    ZoneObservation,
+)
+from dockthread.maintenance.scheduler import HELD, MaintenanceScheduler
 from dockthread.raft.actions import Role, Times
 from dockthread.raft.messages import COMMAND, Entry
 
-TERMS = Terms(bears=0.0, reserve=0.2, lapse=4_000.0, dead=2_000.0)
+TERMS = MaintenanceOptions(bears=0.0, reserve=0.2, lapse=4_000.0, dead=2_000.0)
 # of a machine that comes back; in which all that was asked for has to come to its end
 WARM, CALM = 800.0, 40_000.0
 ZONES = {f"m{i}": "ab"[i % 2] for i in range(6)}
@@ -43,7 +49,7 @@
 class Own:
     """What a member has beside its log, in one life."""
 
-    part: Part
+    part: MaintenanceParticipant
     out: dict[str, int] = field(default_factory=dict)  # own requests out, by machine
 
 
@@ -53,20 +59,20 @@
 
     word: str
     target: str
-    command: Command
+    command: MaintenanceCommand
     step: str = "ask"  # ask, look, work, done, over
     asked: float = -1e18
     regrets: bool = False  # takes it back as soon as it stands
 
 
-class TurnsWorld(World):
+class MaintenanceSimulation(World):
     def __init__(
         self, seed: int, size: int, plant: str = "", faults: tuple[str, ...] | None = None
     ) -> None:
         super().__init__(seed, size, plant, faults)
         drawn = tuple(f for f in FAULTS if self.rng.random() < 0.4)
         self.faults = drawn if faults is None else faults
-        self.turns = TurnsChecker(ZONES, 1, WARM, TERMS.dead - SLACK, TERMS.lapse - SLACK)
+        self.turns = MaintenanceChecker(ZONES, 1, WARM, TERMS.dead - SLACK, TERMS.lapse - SLACK)
         self.checker.once, self.turns.broken = False, self.checker.broken
         self.own: dict[str, Own] = {}
         self.wishes: list[Wish] = []
@@ -88,7 +94,7 @@
         self.failing, self.pressed = set(), False
         self._until(FAULTY + CALM)
         up = {n: o for n, o in self.own.items() if self.members[n].core is not None}
-        orders = {n: o.part.order.packed() for n, o in up.items()}
+        orders = {n: o.part.order.snapshot() for n, o in up.items()}
         due = next(iter(up.values())).part.order.held() if up else {}
         waits = [w.target for w in self.wishes if w.step != "over"]
         self.turns.ended(self.now, orders, {n: o.part.holds for n, o in up.items()}, due, waits)
@@ -99,8 +105,10 @@
     def _start(self, m: Member) -> None:
         if m.gone or m.core is not None:
             return
-        order = ORDERS.get(self.plant, Order)()
-        part = PARTS.get(self.plant, Part)(m.name, f"{m.name}/{m.life + 1}", TERMS, self.now, order)
+        order = SCHEDULERS.get(self.plant, MaintenanceScheduler)()
+        part = PARTICIPANTS.get(self.plant, MaintenanceParticipant)(
+            m.name, f"{m.name}/{m.life + 1}", TERMS, self.now, order
+        )
         self.own[m.name] = Own(part)
         part.begins(m.disk.state, *m.disk.told())
         super()._start(m)
@@ -118,7 +126,7 @@
         part.came_to(index, entry.term)
         self._do_turn(m)
 
-    def _seen(self, r: Request, before: tuple[str, int] | None) -> None:
+    def _seen(self, r: MaintenanceRequest, before: tuple[str, int] | None) -> None:
         self.turns.request(self.now, r.why, r.since)
         if r.state == "granted":
             self.turns.granted(self.now, r.target, r.epoch)
@@ -138,7 +146,7 @@
         self.checker.reached(m.name, m.life, index)
 
     def _state(self, m: Member) -> bytes:
-        return self.own[m.name].part.order.packed()
+        return self.own[m.name].part.order.snapshot()
 
     def _turn(self, m: Member, life: int) -> None:
         if m.core is not None and m.life == life:
@@ -151,7 +159,7 @@
         own, core = self.own[m.name], m.core
         idle = {t for t in own.part.holds if not own.out.get(t)}
         heard = core.heard_within(Times().patience)
-        acts = own.part.turn(self.now, Around(core.leader, self.voters, heard, idle))
+        acts = own.part.turn(self.now, ClusterView(core.leader, self.voters, heard, idle))
         if acts.show:
             self._show(m, core.leader)
         for command in acts.say:
@@ -175,9 +183,9 @@
             here = [t for t in ZONES if ZONES[t] == zone and t not in self.turns.pulled]
             ready = tuple(t for t in here if t not in part.holds)
             ailing = tuple(t for t in ready if t in self.failing)
-            zones.append(Seen(zone, ready, ailing, 0.0, self.pressed))
+            zones.append(ZoneObservation(zone, ready, ailing, 0.0, self.pressed))
         data = msgspec.msgpack.encode(
-            View(tuple(zones), tuple(sorted(part.asked_for())), part.latest())
+            MemberObservation(tuple(zones), tuple(sorted(part.asked_for())), part.latest())
         )
         if self._travels(m.name, leader):
             self.at(self.rng.expovariate(1 / self.delay), self._shown, leader, m.name, data)
@@ -187,7 +195,7 @@
         if to.core is not None and not to.stalled:
             self.own[leader].part.shown(self.now, sender, data)
 
-    def _ask_leader(self, m: Member, command: Command) -> None:
+    def _ask_leader(self, m: Member, command: MaintenanceCommand) -> None:
         """Through whoever leads, as far as this member knows; may be lost, late or doubled."""
         if m.core is None or not m.core.leader or not self._travels(m.name, m.core.leader):
             return
@@ -255,7 +263,7 @@
             )
             self._words += 1
             word, kind = f"w{self._words}", "node" if target in ZONES else INGRESS
-            command = Command(
+            command = MaintenanceCommand(
                 "ask", target, ZONES.get(target, ""), word, "staff", self.rng.randrange(3), once=word, kind=kind,
                 length=self.rng.choice((0.0, 1_000.0)), warm=WARM if kind == "node" else 0.0,
             )  # fmt: skip
@@ -276,7 +284,9 @@
             wish.asked = self.now
             self._ask_leader(m, wish.command)
         elif wish.step == "ask" and mine is not None and wish.regrets:
-            self._ask_leader(m, Command("withdraw", wish.target, once=f"{wish.word}/withdraw"))
+            self._ask_leader(
+                m, MaintenanceCommand("withdraw", wish.target, once=f"{wish.word}/withdraw")
+            )
         elif wish.step == "ask" and mine is not None and wish.target not in ZONES:
             wish.step = "look"  # an ingress comes back by itself
         elif wish.step == "ask" and mine is not None and mine.state in HELD[2:]:
@@ -288,7 +298,7 @@
             self.at(self.rng.uniform(300, 2500), self._worked, wish)
         elif wish.step == "done" and self.now - wish.asked >= AGAIN:
             wish.asked = self.now
-            self._ask_leader(m, Command("done", wish.target, once=f"{wish.word}/done"))
+            self._ask_leader(m, MaintenanceCommand("done", wish.target, once=f"{wish.word}/done"))
 
     def _worked(self, wish: Wish) -> None:
         self.turns.back(self.now, wish.target)
--- a/dockthread/lab/maintenance/stand_in.py
+++ b/dockthread/lab/maintenance/stand_in.py
@@ -13,7 +13,7 @@
 HOST = "127.0.0.1"
 
 
-class Node:
+class StandInBackend:
     """`used`: connections and requests that came while the plug was pulled; they are broken off."""
 
     def __init__(self, uid: str, zone: str, work: float = 0.005) -> None:
--- a/dockthread/lab/raft/seeds.py
+++ b/dockthread/lab/raft/seeds.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from dockthread.lab.maintenance.simulation import TurnsWorld
+from dockthread.lab.maintenance.simulation import MaintenanceSimulation
 from dockthread.lab.raft.simulation import FAULTS, World
 from dockthread.lab.seeds import PlayedSeed
 
@@ -32,14 +32,14 @@
     "work-agreement-crashes": Scenario("three voters killed at writes and votes", 3, CRASHES),
     "work-agreement-moves": Scenario("voters replaced while members die", 3, MOVES),
     "work-turns": Scenario(
-        "turns of work, a random part of all faults a seed", 3, None, TurnsWorld
+        "turns of work, a random part of all faults a seed", 3, None, MaintenanceSimulation
     ),
-    "work-turns-five": Scenario("turns of work with five members", 5, None, TurnsWorld),
+    "work-turns-five": Scenario("turns of work with five members", 5, None, MaintenanceSimulation),
     "work-turns-links": Scenario(
-        "turns of work over links that lose, delay and double", 3, LINKS, TurnsWorld
+        "turns of work over links that lose, delay and double", 3, LINKS, MaintenanceSimulation
     ),
     "work-turns-crashes": Scenario(
-        "turns of work while members die and stall", 3, (*CRASHES, "fail"), TurnsWorld
+        "turns of work while members die and stall", 3, (*CRASHES, "fail"), MaintenanceSimulation
     ),
 }
 
--- a/dockthread/lab/scale/distribution.py
+++ b/dockthread/lab/scale/distribution.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 from dockthread.config.platform_settings import Address
-from dockthread.lab.maintenance.rig import HOST, reserved
+from dockthread.lab.maintenance.process_cluster import HOST, reserve_port
 from dockthread.lab.scale.channel import Child, Words
 from dockthread.lab.scale.plan import Plan
 from dockthread.raft.storage import Store
@@ -24,7 +24,7 @@
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self._plan, self._folder = plan, folder
-        self._held = [reserved() for _ in range(2 * plan.voters + plan.distributors)]
+        self._held = [reserve_port() for _ in range(2 * plan.voters + plan.distributors)]
         ports = [Address(*one.getsockname()[:2]) for one in self._held]
         self._fleet, ports = ports[: plan.voters], ports[plan.voters :]
         self._voter_at, self._distributor_at = ports[: plan.voters], ports[plan.voters :]
--- a/dockthread/maintenance/commands.py
+++ b/dockthread/maintenance/commands.py
@@ -11,7 +11,7 @@
 NODE, INGRESS = "node", "ingress"
 
 
-class Zone(msgspec.Struct, frozen=True, array_like=True):
+class ZoneStatus(msgspec.Struct, frozen=True, array_like=True):
     """What a majority of members sees of a zone together. `ready`: nodes that serve; `ailing`:
     those that fail; `load`: what all have out there, in nodes that bear it; under 0 where nobody
     knows; `pressed`: requests wait too long.
@@ -24,7 +24,7 @@
     pressed: bool = False
 
 
-class Tick(msgspec.Struct, frozen=True, array_like=True):
+class LeaderReport(msgspec.Struct, frozen=True, array_like=True):
     """The leader's word on time and on what all see. `elapsed`: ms since the tick before, as far as
     it saw; `alive`: of `members`, who was heard; `seen`: targets asked for that a majority sees;
     `lapse`, `dead`: ms after which an unfinished drain, or a silent member, is not waited for;
@@ -35,14 +35,14 @@
     elapsed: float = 0.0
     members: tuple[str, ...] = ()
     alive: tuple[str, ...] = ()
-    zones: tuple[Zone, ...] = ()
+    zones: tuple[ZoneStatus, ...] = ()
     seen: tuple[str, ...] = ()
     lapse: float = 30_000.0
     dead: float = 5_000.0
     reserve: float = 0.2
 
 
-class Command(msgspec.Struct, frozen=True, array_like=True):
+class MaintenanceCommand(msgspec.Struct, frozen=True, array_like=True):
     """What is agreed on. `zone`: where the machine stands, as the ingress that was asked knew it;
     `by`: who says it; `length`, `warm`: ms that the work is to take, and that the machine needs
     after it; `epoch`: of the grant that is spoken of; `life`: of the ingress that is to go.
@@ -61,10 +61,10 @@
     warm: float = 0.0
     epoch: int = 0
     life: str = ""
-    tick: Tick = Tick()
+    tick: LeaderReport = LeaderReport()
 
 
-class Request(msgspec.Struct, array_like=True):
+class MaintenanceRequest(msgspec.Struct, array_like=True):
     """`since`: the log's index at which it was asked; `epoch`: at which it was granted, 0 before;
     `at`: the log's time of its state; `held`, `freed`: who said so under this epoch; `looked`: a
     tick has come since it was asked.
--- a/dockthread/maintenance/observation.py
+++ b/dockthread/maintenance/observation.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection
 from typing import TYPE_CHECKING
 
-from dockthread.maintenance.participant import Seen, View
+from dockthread.maintenance.participant import MemberObservation, ZoneObservation
 from dockthread.policy.attempts import PRESSED
 
 if TYPE_CHECKING:
@@ -34,7 +34,7 @@
     return set(targets) - busy
 
 
-def view(ingress: Ingress, targets: dict[str, str], since: int) -> View:
+def view(ingress: Ingress, targets: dict[str, str], since: int) -> MemberObservation:
     """`targets`: zone by node asked for; `since`: the latest request known. What is listed of them,
     and how their zones stand.
     """
@@ -44,7 +44,7 @@
     for uid, worker in _listed(ingress):
         zones.setdefault(destinations.zone_of(uid) or "", []).append((uid, worker))
     seen = tuple(
-        Seen(
+        ZoneObservation(
             zone,
             tuple(uid for uid, w in nodes if w.ready),
             tuple(uid for uid, w in nodes if w.ready and w.failed > AILING),
@@ -54,6 +54,6 @@
         for zone in sorted(set(targets.values()))
         if (nodes := zones.get(zone))
     )
-    return View(
+    return MemberObservation(
         seen, tuple(uid for uid in sorted(targets) if destinations.zone_of(uid) is not None), since
     )
--- a/dockthread/maintenance/participant.py
+++ b/dockthread/maintenance/participant.py
@@ -31,8 +31,8 @@
 
 import msgspec
 
-from dockthread.maintenance.commands import INGRESS, Command, Tick, Zone
-from dockthread.maintenance.scheduler import HELD, TAKING, Order
+from dockthread.maintenance.commands import INGRESS, LeaderReport, MaintenanceCommand, ZoneStatus
+from dockthread.maintenance.scheduler import HELD, TAKING, MaintenanceScheduler
 
 # ms between ticks: while something moves; while all that is out stays out
 TICK, SLOW_TICK = 500.0, 5_000.0
@@ -41,7 +41,7 @@
 PATIENT = 2.0  # ticks for which a first look at a request waits for a majority's
 
 
-class Seen(msgspec.Struct, frozen=True, array_like=True):
+class ZoneObservation(msgspec.Struct, frozen=True, array_like=True):
     """Of a zone, by one member: uids that serve, uids that fail by what it met, its own attempts
     out there.
     """
@@ -53,16 +53,16 @@
     pressed: bool
 
 
-class View(msgspec.Struct, frozen=True, array_like=True):
+class MemberObservation(msgspec.Struct, frozen=True, array_like=True):
     """What one member shows of the zones in which something is asked for."""
 
-    zones: tuple[Seen, ...]
+    zones: tuple[ZoneObservation, ...]
     listed: tuple[str, ...]  # of the targets asked for, those that its list has
     since: int = 0  # the log's index of the latest request that it knew
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class MaintenanceOptions:
     """From the operator's file. `bears`: requests that a node of weight 1 bears at once, 0 for not
     known; `reserve`: part of what the rest bears that is to be left; `lapse`, `dead` in ms.
     """
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Around:
+class ClusterView:
     """How it stands just now. `leader`: empty for nobody; `heard`: who was heard of late, to a
     leader; `idle`: of the nodes held, those that nothing of this ingress is out at; `serving`: it
     takes requests.
@@ -88,28 +88,38 @@
 
 
 @dataclass(slots=True)
-class Acts:
+class ParticipantActions:
     """What is to be done, in this order. `say`: to be agreed on; `tick`: by this leader alone."""
 
     hold: list[str] = field(default_factory=list)
     free: list[str] = field(default_factory=list)
-    say: list[Command] = field(default_factory=list)
-    tick: Command | None = None
+    say: list[MaintenanceCommand] = field(default_factory=list)
+    tick: MaintenanceCommand | None = None
     show: bool = False
     hand_over: bool = False
     stop: bool = False
 
 
-class Part:
+class MaintenanceParticipant:
     def __init__(
-        self, me: str, life: str, terms: Terms, now: float, order: Order | None = None
+        self,
+        me: str,
+        life: str,
+        terms: MaintenanceOptions,
+        now: float,
+        order: MaintenanceScheduler | None = None,
     ) -> None:
-        self.me, self.life, self.terms, self.order = me, life, terms, order or Order()
+        self.me, self.life, self.terms, self.order = (
+            me,
+            life,
+            terms,
+            order or MaintenanceScheduler(),
+        )
         self.holds: set[str] = set()
         # Held since a start, until the log on disk is known to be agreed.
         self._before, self._end = set[str](), (0, 0)
         self._said: dict[tuple[str, str, int], float] = {}
-        self._views: dict[str, tuple[float, View]] = {}
+        self._views: dict[str, tuple[float, MemberObservation]] = {}
         self._shown = self._handed = -1e18
         self._ticked = now  # when the last tick was applied, or this one came to lead
         self._proposed = -1e18
@@ -128,7 +138,7 @@
         stands behind may be replaced.
         """
         self._end = (last, term)
-        ahead = Order()
+        ahead = MaintenanceScheduler()
         ahead.restore(state)
         self._before = set(ahead.held())
         for index, data in commands:
@@ -154,7 +164,7 @@
     def shown(self, now: float, member: str, data: bytes) -> None:
         """Raises ValueError for what is no view."""
         try:
-            self._views[member] = (now, msgspec.msgpack.decode(data, type=View))
+            self._views[member] = (now, msgspec.msgpack.decode(data, type=MemberObservation))
         except msgspec.MsgspecError as error:
             raise ValueError(f"no view of {member}: {error}") from error
 
@@ -175,8 +185,8 @@
         """The log's index of the latest request."""
         return max((r.since for r in self.order.requests.values()), default=0)
 
-    def turn(self, now: float, around: Around) -> Acts:
-        acts = Acts()
+    def turn(self, now: float, around: ClusterView) -> ParticipantActions:
+        acts = ParticipantActions()
         wanted = set(self.order.held()) | self._before
         acts.hold, acts.free = sorted(wanted - self.holds), sorted(self.holds - wanted)
         self.holds = wanted
@@ -203,7 +213,13 @@
         return acts
 
     def _myself(
-        self, now: float, state: str, epoch: int, life: str, around: Around, acts: Acts
+        self,
+        now: float,
+        state: str,
+        epoch: int,
+        life: str,
+        around: ClusterView,
+        acts: ParticipantActions,
     ) -> None:
         if state in TAKING:
             if around.leader == self.me and len(around.members) > 1:
@@ -216,20 +232,22 @@
         elif state in HELD and around.serving:
             self._say(now, acts, "back", self.me, epoch)
 
-    def _say(self, now: float, acts: Acts, do: str, target: str, epoch: int) -> None:
+    def _say(self, now: float, acts: ParticipantActions, do: str, target: str, epoch: int) -> None:
         key = (do, target, epoch)
         if now - self._said.get(key, -1e18) >= SAY_AGAIN:
             self._said = {k: at for k, at in self._said.items() if now - at < SAY_AGAIN}
             self._said[key] = now
-            acts.say.append(Command(do, target, by=self.me, epoch=epoch, life=self.life))  # type: ignore[arg-type]
+            acts.say.append(MaintenanceCommand(do, target, by=self.me, epoch=epoch, life=self.life))  # type: ignore[arg-type]
 
-    def unsaid(self, command: Command) -> None:
+    def unsaid(self, command: MaintenanceCommand) -> None:
         """It was not agreed on in time: to be said again at once."""
         self._said.pop((command.do, command.target, command.epoch), None)
 
     # Where it leads
 
-    def _lead(self, now: float, around: Around, pace: float, unlooked: bool, acts: Acts) -> None:
+    def _lead(
+        self, now: float, around: ClusterView, pace: float, unlooked: bool, acts: ParticipantActions
+    ) -> None:
         views = {m: view for m, (at, view) in self._views.items() if now - at <= FRESH * TICK}
         enough = 2 * len(views) > len(around.members)
         current = 2 * sum(v.since >= self.latest() for v in views.values()) > len(around.members)
@@ -242,17 +260,21 @@
         if waits or now - self._ticked < least or now - self._proposed < least:
             return
         self._proposed = now
-        zones, seen = together(views, len(around.members), self.terms.bears) if enough else ((), ())
+        zones, seen = (
+            combine_observations(views, len(around.members), self.terms.bears)
+            if enough
+            else ((), ())
+        )
         alive = tuple(sorted({*around.heard, self.me}))
-        acts.tick = Command("tick", by=self.me, tick=Tick(
+        acts.tick = MaintenanceCommand("tick", by=self.me, tick=LeaderReport(
             self.order.ticks + 1, min(now - self._ticked, 2 * pace), tuple(sorted(around.members)), alive,
             zones, seen, self.terms.lapse, self.terms.dead, self.terms.reserve,
         ))  # fmt: skip
 
 
-def together(
-    views: Mapping[str, View], members: int, bears: float
-) -> tuple[tuple[Zone, ...], tuple[str, ...]]:
+def combine_observations(
+    views: Mapping[str, MemberObservation], members: int, bears: float
+) -> tuple[tuple[ZoneStatus, ...], tuple[str, ...]]:
     """What a majority sees. A node counts as ready where over half of the views have it so, as
     failing where a third of the members met failures; a zone is pressed where a third of the views
     say so. One member alone, which may be ill itself, calls nothing failing in a fleet of over
@@ -268,7 +290,7 @@
         return sorted(name for name, n in counts.items() if n >= count)
 
     seen = by(members // 2 + 1, (v.listed for v in views.values()))
-    by_zone: dict[str, list[Seen]] = {}
+    by_zone: dict[str, list[ZoneObservation]] = {}
     for view in views.values():
         for one in view.zones:
             by_zone.setdefault(one.zone, []).append(one)
@@ -281,5 +303,7 @@
         out = sum(s.out for s in told) * members / len(told)
         load = out / bears if bears else -1.0
         pressed = sum(s.pressed for s in told) >= some
-        zones.append(Zone(name, ready, tuple(by(some, (s.ailing for s in told))), load, pressed))
+        zones.append(
+            ZoneStatus(name, ready, tuple(by(some, (s.ailing for s in told))), load, pressed)
+        )
     return tuple(zones), tuple(seen)
--- a/dockthread/maintenance/plan.py
+++ b/dockthread/maintenance/plan.py
@@ -11,21 +11,21 @@
 
 import msgspec
 
-from dockthread.maintenance.commands import Command, Tick, Zone
-from dockthread.maintenance.scheduler import Order
+from dockthread.maintenance.commands import LeaderReport, MaintenanceCommand, ZoneStatus
+from dockthread.maintenance.scheduler import MaintenanceScheduler
 
 ALONE = "staff"  # the one member of a fleet that is only thought of
 
 
 @dataclass(frozen=True, slots=True)
-class Round:
+class MaintenanceRound:
     """Who goes at the same time, and why each of the others waits then."""
 
     goes: tuple[str, ...]
     waits: tuple[tuple[str, str], ...]
 
 
-def read(text: str, file: str) -> list[tuple[str, str, int]]:
+def read_plan(text: str, file: str) -> list[tuple[str, str, int]]:
     """Name, zone and urgency of each. Raises ValueError with the line, what is wrong and what would
     do.
     """
@@ -50,22 +50,28 @@
     return list(found.values())
 
 
-def rounds(machines: list[tuple[str, str, int]], most_out: int) -> list[Round]:
+def plan_rounds(machines: list[tuple[str, str, int]], most_out: int) -> list[MaintenanceRound]:
     """All go, in as many rounds as it takes."""
-    order, index, planned = Order(), 0, list[Round]()
-    zones = tuple(Zone(zone, len(machines)) for zone in sorted({zone for _, zone, _ in machines}))
+    order, index, planned = MaintenanceScheduler(), 0, list[MaintenanceRound]()
+    zones = tuple(
+        ZoneStatus(zone, len(machines)) for zone in sorted({zone for _, zone, _ in machines})
+    )
     seen = tuple(name for name, _, _ in machines)
 
-    def tell(command: Command) -> None:
+    def tell(command: MaintenanceCommand) -> None:
         nonlocal index
         index += 1
         order.apply(index, msgspec.msgpack.encode(command))
 
     def tick() -> None:
-        tell(Command("tick", tick=Tick(order.ticks + 1, 500.0, (ALONE,), (ALONE,), zones, seen)))
+        tell(
+            MaintenanceCommand(
+                "tick", tick=LeaderReport(order.ticks + 1, 500.0, (ALONE,), (ALONE,), zones, seen)
+            )
+        )
 
     for name, zone, urgency in machines:
-        tell(Command("ask", name, zone, urgency=urgency, most=most_out))
+        tell(MaintenanceCommand("ask", name, zone, urgency=urgency, most=most_out))
     while order.requests:
         tick()
         held = order.held()
@@ -73,10 +79,10 @@
             (r.target, order.reason(r)) for r in order.requests.values() if r.target not in held
         )
         if held:  # the last tick only ends what came back
-            planned.append(Round(tuple(held), waits))
+            planned.append(MaintenanceRound(tuple(held), waits))
         for name, epoch in held.items():
-            tell(Command("held", name, by=ALONE, epoch=epoch))
+            tell(MaintenanceCommand("held", name, by=ALONE, epoch=epoch))
         for name, epoch in held.items():
-            tell(Command("done", name))
-            tell(Command("freed", name, by=ALONE, epoch=epoch))
+            tell(MaintenanceCommand("done", name))
+            tell(MaintenanceCommand("freed", name, by=ALONE, epoch=epoch))
     return planned
--- a/dockthread/maintenance/scheduler.py
+++ b/dockthread/maintenance/scheduler.py
@@ -37,7 +37,12 @@
 
 import msgspec
 
-from dockthread.maintenance.commands import INGRESS, Command, Request, Tick
+from dockthread.maintenance.commands import (
+    INGRESS,
+    LeaderReport,
+    MaintenanceCommand,
+    MaintenanceRequest,
+)
 
 KEPT, SEEN = 64, 256  # requests that are over, for whoever looks; commands known again
 JUST_NOW = -1.0  # the log's time of a state that no tick has followed yet
@@ -49,20 +54,20 @@
 LEAVE = {"ask": "waiting", "done": "done", "withdraw": "withdrawn", "back": "done"}
 
 
-class Order:
+class MaintenanceScheduler:
     def __init__(self) -> None:
-        self.requests: dict[str, Request] = {}
-        self.over: list[Request] = []
+        self.requests: dict[str, MaintenanceRequest] = {}
+        self.over: list[MaintenanceRequest] = []
         self.seen: list[str] = []  # the latest commands, which are not carried out twice
         self.clock, self.ticks = 0.0, 0  # ms by all ticks; how many
         self.silent: dict[str, float] = {}  # by member: ms without a word of it
-        self.last = Tick()
+        self.last = LeaderReport()
 
     @staticmethod
-    def read(data: bytes) -> Command:
+    def read(data: bytes) -> MaintenanceCommand:
         """Raises ValueError for what is no command."""
         try:
-            return msgspec.msgpack.decode(data, type=Command)
+            return msgspec.msgpack.decode(data, type=MaintenanceCommand)
         except msgspec.MsgspecError as error:
             raise ValueError(f"no command of the order of work: {error}") from error
 
@@ -81,7 +86,7 @@
         elif command.do == "ask":
             if request is None:
                 c = command
-                self.requests[c.target] = Request(
+                self.requests[c.target] = MaintenanceRequest(
                     c.target, c.zone, c.why[:200], c.by, c.urgency, max(1, c.most), index,
                     kind=c.kind, length=c.length, warm=c.warm,
                 )  # fmt: skip
@@ -89,7 +94,7 @@
             self._about(request, command)
         self._settle(index)
 
-    def _about(self, r: Request, c: Command) -> None:
+    def _about(self, r: MaintenanceRequest, c: MaintenanceCommand) -> None:
         current = c.epoch == r.epoch
         if c.do == "held" and current and r.state in HELD:
             r.held = tuple(sorted({*r.held, c.by}))
@@ -110,11 +115,11 @@
         ):
             r.state, r.ends, r.freed = "returning", LEAVE[c.do], ()
 
-    def _end(self, r: Request, state: str) -> None:
+    def _end(self, r: MaintenanceRequest, state: str) -> None:
         r.state = state
         self.over = [*self.over, self.requests.pop(r.target)][-KEPT:]
 
-    def _tick(self, t: Tick) -> None:
+    def _tick(self, t: LeaderReport) -> None:
         if t.number != self.ticks + 1:  # proposed by one that did not know of the latest
             return
         self.ticks, self.clock, self.last = t.number, self.clock + max(0.0, t.elapsed), t
@@ -134,7 +139,7 @@
             elif r.state == "warming" and self.clock >= r.at + r.warm:
                 self._end(r, r.ends)
 
-    def _called_back(self, r: Request) -> str:
+    def _called_back(self, r: MaintenanceRequest) -> str:
         if self.clock >= r.at + self.last.lapse:
             missing = ", ".join(sorted(self._awaited(r) - set(r.held)))
             r.tries += 1
@@ -142,7 +147,7 @@
         why = self._unsafe(r) if r.kind != INGRESS else ""
         return f"called back, as {why}" if why else ""
 
-    def _wait_again(self, r: Request, why: str) -> None:
+    def _wait_again(self, r: MaintenanceRequest, why: str) -> None:
         r.state, r.why_back, r.held, r.life = "waiting", why, (), ""
         if r.tries >= TRIES:
             self._end(r, "abandoned")
@@ -157,7 +162,7 @@
             if r.state == "waiting" and not self._hindered(r):
                 r.state, r.epoch, r.at, r.why_back, r.freed = "granted", index, JUST_NOW, "", ()
 
-    def _awaited(self, r: Request) -> set[str]:
+    def _awaited(self, r: MaintenanceRequest) -> set[str]:
         """Whose word is waited for: of an ingress its own, of a node that of all that are not
         agreed dead.
         """
@@ -167,7 +172,7 @@
 
     # Why a request waits
 
-    def _hindered(self, r: Request) -> str:
+    def _hindered(self, r: MaintenanceRequest) -> str:
         """In words; empty where its turn can be had."""
         away = [
             o
@@ -186,7 +191,7 @@
             return "fewer than half of the members see it"
         return self._unsafe(r)
 
-    def _unsafe(self, r: Request) -> str:
+    def _unsafe(self, r: MaintenanceRequest) -> str:
         zone = next((h for h in self.last.zones if h.name == r.zone), None)
         if zone is None:
             return f"{r.zone or 'its zone'} is not seen by a majority"
@@ -226,7 +231,7 @@
             if r.state in HELD and r.kind != INGRESS
         }
 
-    def reason(self, request: Request) -> str:
+    def reason(self, request: MaintenanceRequest) -> str:
         """Why it waits, in words; of one under way, whom it waits for."""
         if request.state == "waiting":
             why = self._hindered(request) or "its turn comes with the next entry"
@@ -241,7 +246,7 @@
 
     # As bytes
 
-    def packed(self) -> bytes:
+    def snapshot(self) -> bytes:
         whole = (
             list(self.requests.values()),
             self.over,
@@ -254,15 +259,23 @@
         return msgspec.msgpack.encode(whole)
 
     def restore(self, state: bytes) -> None:
-        kind = tuple[list[Request], list[Request], list[str], float, int, dict[str, float], Tick]
-        state = state or Order().packed()
+        kind = tuple[
+            list[MaintenanceRequest],
+            list[MaintenanceRequest],
+            list[str],
+            float,
+            int,
+            dict[str, float],
+            LeaderReport,
+        ]
+        state = state or MaintenanceScheduler().snapshot()
         requests, self.over, self.seen, self.clock, self.ticks, self.silent, self.last = (
             msgspec.msgpack.decode(state, type=kind)
         )
         self.requests = {r.target: r for r in requests}
 
 
-def _word(r: Request) -> str:
+def _word(r: MaintenanceRequest) -> str:
     return "out" if r.state in HELD else "coming back"
 
 
--- a/dockthread/maintenance/service.py
+++ b/dockthread/maintenance/service.py
@@ -15,8 +15,13 @@
 
 from dockthread.admin.commands import Answer, Command, Verb
 from dockthread.maintenance import commands, observation
-from dockthread.maintenance.participant import Acts, Around, Part, Terms
-from dockthread.maintenance.scheduler import Order
+from dockthread.maintenance.participant import (
+    ClusterView,
+    MaintenanceOptions,
+    MaintenanceParticipant,
+    ParticipantActions,
+)
+from dockthread.maintenance.scheduler import MaintenanceScheduler
 from dockthread.raft.options import FleetOptions
 from dockthread.raft.server import Member
 
@@ -33,18 +38,18 @@
 INGRESS_WARM = 2.0  # patiences until an ingress that is back counts as there
 
 
-class Work:
+class MaintenanceService:
     """One ingress's part. A node that is granted is held as one drained by hand is, under the rule
     on drains. `stop`: ends the ingress gently, when its own turn has come.
     """
 
     def __init__(self, ingress: Ingress, options: FleetOptions, stop: Callable[[], None]) -> None:
         self._ingress, self._options, self._stop = ingress, options, stop
-        terms = Terms(
+        terms = MaintenanceOptions(
             options.node_bears, *map(float, (options.reserve, options.lapse, options.dead))
         )
         now = ingress.clock.now()
-        self.part = Part(ingress.config.name, secrets.token_hex(8), terms, now)
+        self.part = MaintenanceParticipant(ingress.config.name, secrets.token_hex(8), terms, now)
         self.member = Member(
             ingress.config.name, options, ingress.clock, secrets.randbits(32), self
         )
@@ -52,7 +57,7 @@
         self._tasks: set[asyncio.Task[Any]] = set()
 
     @property
-    def order(self) -> Order:
+    def order(self) -> MaintenanceScheduler:
         return self.part.order
 
     async def open(self) -> None:
@@ -83,7 +88,7 @@
         self._some.set()
 
     def state(self) -> bytes:
-        return self.part.order.packed()
+        return self.part.order.snapshot()
 
     def came_to(self, index: int, term: int) -> None:
         self.part.came_to(index, term)
@@ -121,7 +126,7 @@
         must not be taken for a machine that has just come back cold.
         """
         ingress, member = self._ingress, self.member
-        around = Around(
+        around = ClusterView(
             member.leader,
             member.members,
             member.heard(),
@@ -130,7 +135,7 @@
         )
         self._carry_out(self.part.turn(ingress.clock.now(), around))
 
-    def _carry_out(self, acts: Acts) -> None:
+    def _carry_out(self, acts: ParticipantActions) -> None:
         ingress = self._ingress
         for target in acts.hold:
             if not ingress.hold(target, True):  # not listed here yet: drained as soon as it is
@@ -161,14 +166,14 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _say(self, command: commands.Command) -> None:
+    async def _say(self, command: commands.MaintenanceCommand) -> None:
         if not await self.member.propose(msgspec.msgpack.encode(command)):
             self.part.unsaid(command)
 
     # The management door
 
     def listed(self) -> dict[str, Any]:
-        def plain(r: commands.Request) -> dict[str, Any]:
+        def plain(r: commands.MaintenanceRequest) -> dict[str, Any]:
             told = msgspec.structs.asdict(r)
             return {**told, "reason": self.order.reason(r)}
 
@@ -202,7 +207,7 @@
         answer = {"target": told.target, "state": state, "reason": why, "at": index}
         return Answer(200, json.dumps(answer).encode() + b"\n", JSON)
 
-    def _command(self, call: Command) -> commands.Command | Answer:
+    def _command(self, call: Command) -> commands.MaintenanceCommand | Answer:
         """What is to be agreed on, or the answer that says why not."""
         target, more, ask = call.target, call.more, call.verb is Verb.WORK_ASK
         zone, ingress = self._ingress.destinations.zone_of(target), target in self.member.members
@@ -216,7 +221,7 @@
         node = zone is not None
         cold = self._ingress.config.module.safety.cold_time * 1000.0
         warm = cold if node else INGRESS_WARM * self._options.patience
-        return commands.Command(
+        return commands.MaintenanceCommand(
             DOING[call.verb],  # type: ignore[arg-type]
             target,
             zone or "",
--- a/tests/byte_cases.py
+++ b/tests/byte_cases.py
@@ -15,9 +15,15 @@
 
 from dockthread.control_plane import messages, publish_state_machine, snapshot_cache
 from dockthread.framing import HEAD
-from dockthread.maintenance.commands import INGRESS, Command, Request, Tick, Zone
-from dockthread.maintenance.participant import Seen, View
-from dockthread.maintenance.scheduler import Order
+from dockthread.maintenance.commands import (
+    INGRESS,
+    LeaderReport,
+    MaintenanceCommand,
+    MaintenanceRequest,
+    ZoneStatus,
+)
+from dockthread.maintenance.participant import MemberObservation, ZoneObservation
+from dockthread.maintenance.scheduler import MaintenanceScheduler
 from dockthread.policy import gossip_codec as gossip
 from dockthread.raft import messages as raft_messages
 from dockthread.raft import storage
@@ -68,14 +74,14 @@
 
 
 def _encode_maintenance_state(fields: tuple[Any, ...]) -> bytes:
-    order = Order()
+    order = MaintenanceScheduler()
     requests, order.over, order.seen, order.clock, order.ticks, order.silent, order.last = fields
     order.requests = {request.target: request for request in requests}
-    return order.packed()
+    return order.snapshot()
 
 
 def _decode_maintenance_state(data: bytes) -> tuple[Any, ...]:
-    order = Order()
+    order = MaintenanceScheduler()
     order.restore(data)
     requests = list(order.requests.values())
     return requests, order.over, order.seen, order.clock, order.ticks, order.silent, order.last
@@ -88,7 +94,7 @@
 RAFT_STREAM: Final = _raft_stream(KEY)
 DISTRIBUTION_STREAM: Final = _distribution_stream(KEY)
 CACHE_RECORD: Final = _record(snapshot_cache.Record)
-MAINTENANCE_COMMAND: Final = ByteCodec(msgspec.msgpack.encode, Order.read)
+MAINTENANCE_COMMAND: Final = ByteCodec(msgspec.msgpack.encode, MaintenanceScheduler.read)
 MAINTENANCE_STATE: Final = ByteCodec(_encode_maintenance_state, _decode_maintenance_state)
 GOSSIP: Final = ByteCodec(_encode_gossip, lambda data: gossip.unpack(data, PLANS))
 
@@ -214,19 +220,19 @@
 
 # Maintenance: commands of its log, its state, and what members show their leader
 
-ZONE: Final = Zone(name="z1", ready=5, ailing=("b3",), load=2.5, pressed=True)
-TICK: Final = Tick(
+ZONE: Final = ZoneStatus(name="z1", ready=5, ailing=("b3",), load=2.5, pressed=True)
+TICK: Final = LeaderReport(
     number=9,
     elapsed=500.5,
     members=("n0", "n1", "n2"),
     alive=("n0", "n1"),
-    zones=(ZONE, Zone(name="z2", ready=0)),
+    zones=(ZONE, ZoneStatus(name="z2", ready=0)),
     seen=("b1",),
     lapse=20_000.5,
     dead=4_000.5,
     reserve=0.25,
 )
-REQUEST: Final = Request(
+REQUEST: Final = MaintenanceRequest(
     target="b1", zone="z1", why="new disk", by="n0", urgency=-3, most=2, since=300, state="returning", epoch=301,
     kind=INGRESS, length=60_000.5, warm=30_000.5, at=4_500.5, held=("n0", "n1"), freed=("n2",), ends="done", tries=1,
     why_back="called back, as b2 of z1 fails", life="0123456789abcdef", looked=True,
@@ -243,27 +249,47 @@
 STATES_OVER: Final = ("done", "withdrawn", "abandoned")
 
 
-def _requests(states: tuple[str, ...]) -> list[Request]:
+def _requests(states: tuple[str, ...]) -> list[MaintenanceRequest]:
     return [msgspec.structs.replace(REQUEST, target=f"b-{state}", state=state) for state in states]
 
 
 MAINTENANCE_CASES: Final = (
     Case(
         "maintenance.command",
-        Command(
+        MaintenanceCommand(
             do="ask", target="b1", zone="z1", why="new disk", by="n0", urgency=-3, most=2, once="89abcdef",
             kind=INGRESS, length=60_000.5, warm=30_000.5, epoch=301, life="0123456789abcdef", tick=TICK,
         ),
         MAINTENANCE_COMMAND,
     ),
-    Case("maintenance.command.ask", Command(do="ask", target="b1"), MAINTENANCE_COMMAND),
-    Case("maintenance.command.withdraw", Command(do="withdraw", target="b1"), MAINTENANCE_COMMAND),
-    Case("maintenance.command.done", Command(do="done", target="b1"), MAINTENANCE_COMMAND),
-    Case("maintenance.command.held", Command(do="held", target="b1", by="n0", epoch=7), MAINTENANCE_COMMAND),
-    Case("maintenance.command.freed", Command(do="freed", target="b1", by="n0", epoch=7), MAINTENANCE_COMMAND),
-    Case("maintenance.command.back", Command(do="back", target="n0", by="n0", epoch=7), MAINTENANCE_COMMAND),
-    Case("maintenance.command.tick", Command(do="tick", tick=TICK), MAINTENANCE_COMMAND),
-    Case("maintenance.command.tick.defaults", Command(do="tick", tick=Tick()), MAINTENANCE_COMMAND),
+    Case("maintenance.command.ask", MaintenanceCommand(do="ask", target="b1"), MAINTENANCE_COMMAND),
+    Case(
+        "maintenance.command.withdraw",
+        MaintenanceCommand(do="withdraw", target="b1"),
+        MAINTENANCE_COMMAND,
+    ),
+    Case("maintenance.command.done", MaintenanceCommand(do="done", target="b1"), MAINTENANCE_COMMAND),
+    Case(
+        "maintenance.command.held",
+        MaintenanceCommand(do="held", target="b1", by="n0", epoch=7),
+        MAINTENANCE_COMMAND,
+    ),
+    Case(
+        "maintenance.command.freed",
+        MaintenanceCommand(do="freed", target="b1", by="n0", epoch=7),
+        MAINTENANCE_COMMAND,
+    ),
+    Case(
+        "maintenance.command.back",
+        MaintenanceCommand(do="back", target="n0", by="n0", epoch=7),
+        MAINTENANCE_COMMAND,
+    ),
+    Case("maintenance.command.tick", MaintenanceCommand(do="tick", tick=TICK), MAINTENANCE_COMMAND),
+    Case(
+        "maintenance.command.tick.defaults",
+        MaintenanceCommand(do="tick", tick=LeaderReport()),
+        MAINTENANCE_COMMAND,
+    ),
     Case(
         "maintenance.state",
         (
@@ -280,22 +306,22 @@
     Case(
         "maintenance.state.defaults",
         (
-            [Request(target="b1", zone="z1", why="", by="", urgency=0, most=1, since=1)],
-            [], [], 0.0, 0, {}, Tick(),
+            [MaintenanceRequest(target="b1", zone="z1", why="", by="", urgency=0, most=1, since=1)],
+            [], [], 0.0, 0, {}, LeaderReport(),
         ),
         MAINTENANCE_STATE,
     ),
-    Case("maintenance.state.empty", ([], [], [], 0.0, 0, {}, Tick()), MAINTENANCE_STATE),
+    Case("maintenance.state.empty", ([], [], [], 0.0, 0, {}, LeaderReport()), MAINTENANCE_STATE),
     Case(
         "maintenance.observation",
-        View(
-            zones=(Seen(zone="z1", ready=("b1", "b2"), ailing=("b2",), out=2.5, pressed=True),),
+        MemberObservation(
+            zones=(ZoneObservation(zone="z1", ready=("b1", "b2"), ailing=("b2",), out=2.5, pressed=True),),
             listed=("b1",),
             since=300,
         ),
-        _record(View),
+        _record(MemberObservation),
     ),
-    Case("maintenance.observation.defaults", View(zones=(), listed=()), _record(View)),
+    Case("maintenance.observation.defaults", MemberObservation(zones=(), listed=()), _record(MemberObservation)),
 )  # fmt: skip
 
 # The distribution: its stream, its log, its cache
--- a/tests/control_plane/control_rig.py
+++ b/tests/control_plane/control_rig.py
@@ -15,7 +15,7 @@
 from dockthread.config.platform_settings import Address
 from dockthread.control_plane import admin_client
 from dockthread.control_plane.messages import Published, Status, StatusRequest, SubscriberStatus
-from dockthread.lab.maintenance.rig import reserved
+from dockthread.lab.maintenance.process_cluster import reserve_port
 from dockthread.raft.storage import Store
 from tests.loopback import LIST, raw_config
 
@@ -29,7 +29,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self._reserved = [reserved() for _ in range(8)]
+        self._reserved = [reserve_port() for _ in range(8)]
         ports = [Address(*one.getsockname()[:2]) for one in self._reserved]
         self.at = dict(zip((*VOTERS, *DISTRIBUTORS), ports, strict=False))
         self._fleet = dict(zip(VOTERS, ports[5:], strict=True))
--- a/tests/lab/test_rehearsal.py
+++ b/tests/lab/test_rehearsal.py
@@ -11,8 +11,13 @@
 
 from dockthread.cli.lab import lab
 from dockthread.lab.maintenance.rehearsal import Rehearsal
-from dockthread.lab.maintenance.scenario import ScenarioError, Step, parse, shipped
-from dockthread.lab.maintenance.stand_in import Node
+from dockthread.lab.maintenance.scenario import (
+    ScenarioError,
+    Step,
+    parse_scenario,
+    shipped_scenarios,
+)
+from dockthread.lab.maintenance.stand_in import StandInBackend
 
 SHORT = """
 [scenario]
@@ -45,20 +50,20 @@
 )
 def test_a_scenario_that_cannot_be_is_refused_with_its_key(text: str, wrong: str) -> None:
     with pytest.raises(ScenarioError, match=wrong.replace("(", r"\(")):
-        parse(text, "f.ini")
+        parse_scenario(text, "f.ini")
 
 
 def test_steps_stand_in_time_and_drawn_faults_come_of_the_seed_and_end() -> None:
-    played = parse(SHORT, "f.ini")
+    played = parse_scenario(SHORT, "f.ini")
     assert [s.verb for s in played.steps] == ["ask", "kill", "start"] and played.ingresses == 3
     assert played.steps[0] == Step(500.0, "ask", ("m0", "m1"))
     drawn = "[faults]\nkinds = kill, stop, cut, delay\nevery = 1s\nuntil = 9s"
-    first, again, other = (parse(drawn, "f.ini", 5, seed).steps for seed in (1, 1, 2))
+    first, again, other = (parse_scenario(drawn, "f.ini", 5, seed).steps for seed in (1, 1, 2))
     assert first == again != other
     for begins, ends in (("kill", "start"), ("stop", "continue")):
         assert sum(s.verb == begins for s in first) == sum(s.verb == ends for s in first)
-    for name, text in shipped().items():
-        assert name.startswith("work-") and parse(text, name).settings.about
+    for name, text in shipped_scenarios().items():
+        assert name.startswith("work-") and parse_scenario(text, name).settings.about
 
 
 def test_a_short_scenario_is_played_on_processes_by_the_command(tmp_path: Path) -> None:
@@ -78,7 +83,7 @@
 
 def test_the_judge_sees_two_of_a_zone_and_what_comes_to_a_pulled_machine(tmp_path: Path) -> None:
     async def scenario() -> None:
-        one = Rehearsal(tmp_path, parse(SHORT, "f.ini"))
+        one = Rehearsal(tmp_path, parse_scenario(SHORT, "f.ini"))
         one._rig = type("Rig", (), {"processes": {"n0": None, "n1": None}})()
         for node in one._nodes.values():
             await node.open()
@@ -96,7 +101,7 @@
     asyncio.run(asyncio.wait_for(scenario(), 30))
 
 
-async def use(node: Node) -> None:
+async def use(node: StandInBackend) -> None:
     reader, writer = await asyncio.open_connection(node.address.host, node.address.port)
     try:
         assert await reader.read(1) == b""
--- a/tests/lab/test_turns_simulated.py
+++ b/tests/lab/test_turns_simulated.py
@@ -7,8 +7,16 @@
 
 from dockthread.lab.maintenance.seeded_defects import NAMES
 from dockthread.lab.raft.seeds import play_seed
-from dockthread.maintenance.commands import INGRESS, Command, Tick, Zone
-from dockthread.maintenance.participant import Acts, Around, Part, Seen, Terms, View, together
+from dockthread.maintenance.commands import INGRESS, LeaderReport, MaintenanceCommand, ZoneStatus
+from dockthread.maintenance.participant import (
+    ClusterView,
+    MaintenanceOptions,
+    MaintenanceParticipant,
+    MemberObservation,
+    ParticipantActions,
+    ZoneObservation,
+    combine_observations,
+)
 from dockthread.raft import messages
 
 MEMBERS = ("n0", "n1", "n2")
@@ -27,32 +35,35 @@
 
 
 def data(do: str, target: str = "", **more: object) -> bytes:
-    return msgspec.msgpack.encode(Command(do, target, "a", **more))  # type: ignore[arg-type]
+    return msgspec.msgpack.encode(MaintenanceCommand(do, target, "a", **more))  # type: ignore[arg-type]
 
 
 def tick(number: int, elapsed: float = 500.0) -> bytes:
     return data(
         "tick",
-        tick=Tick(
-            number, elapsed, MEMBERS, MEMBERS, (Zone("a", 4),), ("x", "y"), 30_000.0, 5_000.0
+        tick=LeaderReport(
+            number, elapsed, MEMBERS, MEMBERS, (ZoneStatus("a", 4),), ("x", "y"), 30_000.0, 5_000.0
         ),
     )
 
 
-def around(leader: str = "n0", idle: tuple[str, ...] = (), serving: bool = True) -> Around:
-    return Around(leader, MEMBERS, MEMBERS, idle, serving)
+def around(leader: str = "n0", idle: tuple[str, ...] = (), serving: bool = True) -> ClusterView:
+    return ClusterView(leader, MEMBERS, MEMBERS, idle, serving)
 
 
-def out(me: str, held: tuple[str, ...] = MEMBERS) -> tuple[Part, int]:
+def out(me: str, held: tuple[str, ...] = MEMBERS) -> tuple[MaintenanceParticipant, int]:
     """A part that was told of a node out, held by some."""
-    part, log = Part(me, "life", Terms(), 0.0), [data("ask", "x"), tick(1)]
+    part, log = (
+        MaintenanceParticipant(me, "life", MaintenanceOptions(), 0.0),
+        [data("ask", "x"), tick(1)],
+    )
     log += [data("held", "x", by=member, epoch=2) for member in held]
     for index, one in enumerate(log, 1):
         part.applied(0.0, index, one)
     return part, len(log)
 
 
-def said(acts: Acts) -> list[tuple[str, str]]:
+def said(acts: ParticipantActions) -> list[tuple[str, str]]:
     return [(c.do, c.target) for c in acts.say]
 
 
@@ -72,14 +83,14 @@
     back = [(6, data("done", "x")), (7, tick(2))]
     log = [(1, data("ask", "x")), (2, tick(1)), *((3 + i, data("held", "x", by=m, epoch=2)) for i, m in
            enumerate(MEMBERS)), *back]  # fmt: skip
-    part = Part("n1", "again", Terms(), 0.0)
+    part = MaintenanceParticipant("n1", "again", MaintenanceOptions(), 0.0)
     part.begins(b"", log, 5, 7, 1)
     assert part.turn(0.0, around("")).hold == ["x"]
     for index, one in log:
         part.applied(1.0, index, one)
         part.came_to(index, 1)
     assert part.turn(2.0, around()).free == ["x"]
-    sure = Part("n1", "again", Terms(), 0.0)
+    sure = MaintenanceParticipant("n1", "again", MaintenanceOptions(), 0.0)
     sure.begins(b"", log, 7, 7, 1)
     assert sure.turn(0.0, around("")).hold == [], "known to be agreed to its end"
 
@@ -94,7 +105,7 @@
     ],
 )
 def test_an_ingress_in_its_own_turn(leader: str, life: str, state: str, wanted: str) -> None:
-    part = Part("n1", life, Terms(), 0.0)
+    part = MaintenanceParticipant("n1", life, MaintenanceOptions(), 0.0)
     log = [data("ask", "n1", kind=INGRESS), tick(1)]
     log += [data("held", "n1", by="n1", epoch=2, life="a")] if state == "out" else []
     for index, one in enumerate(log, 1):
@@ -111,14 +122,17 @@
         ailing: tuple[str, ...] = (),
         pressed: bool = False,
         out: float = 2.0,
-    ) -> View:
-        return View((Seen("a", ready, ailing, out, pressed),), ("x",))
+    ) -> MemberObservation:
+        return MemberObservation((ZoneObservation("a", ready, ailing, out, pressed),), ("x",))
 
     three = {"n0": view(("x", "y")), "n1": view(("x", "y"), ("y",), True, 4.0), "n2": view(("x",))}
-    assert together(three, 5, 4.0) == ((Zone("a", 1, (), 8 * 5 / 3 / 4, False),), ("x",))
+    assert combine_observations(three, 5, 4.0) == (
+        (ZoneStatus("a", 1, (), 8 * 5 / 3 / 4, False),),
+        ("x",),
+    )
     both = {**three, "n3": view(("x", "y"), ("y",), True)}
-    assert together(both, 5, 0.0)[0] == (Zone("a", 2, ("y",), -1.0, True),)
-    assert together({"n0": three["n0"], "n1": three["n1"]}, 5, 4.0) == ((), ())
+    assert combine_observations(both, 5, 0.0)[0] == (ZoneStatus("a", 2, ("y",), -1.0, True),)
+    assert combine_observations({"n0": three["n0"], "n1": three["n1"]}, 5, 4.0) == ((), ())
 
 
 def test_a_message_of_a_later_release_is_told_from_spoilt_bytes() -> None:
--- a/tests/maintenance/test_fleet_processes.py
+++ b/tests/maintenance/test_fleet_processes.py
@@ -13,7 +13,7 @@
 from typing import Any
 from unittest.mock import ANY
 
-from dockthread.lab.maintenance.rig import Rig
+from dockthread.lab.maintenance.process_cluster import ProcessCluster
 from tests.loopback import SETTINGS, target
 
 TARGETS = [target(f"s-{i}", 6000 + i) for i in range(4)]  # all of hall-a
@@ -30,14 +30,17 @@
 
 
 def fleet(
-    folder: Path, scenario: Callable[[Rig], Awaitable[None]], size: int = 3, watched: bool = True
+    folder: Path,
+    scenario: Callable[[ProcessCluster], Awaitable[None]],
+    size: int = 3,
+    watched: bool = True,
 ) -> None:
     """Runs it on real processes. All the while no member may hold more than one for granted, nor
     two members hold unlike ones at the same place of the log.
     """
 
     async def bounded() -> None:
-        rig = Rig(folder, size, SETTINGS, TARGETS, more=SOON)
+        rig = ProcessCluster(folder, size, SETTINGS, TARGETS, more=SOON)
         await rig.open()
         watching = asyncio.create_task(watch(rig) if watched else asyncio.sleep(1_000))
         try:
@@ -51,7 +54,7 @@
     asyncio.run(bounded())
 
 
-async def watch(rig: Rig) -> None:
+async def watch(rig: ProcessCluster) -> None:
     while True:
         for name in list(rig.processes):
             out = await rig.away(name)
@@ -59,16 +62,16 @@
         await asyncio.sleep(0.02)
 
 
-async def ask(rig: Rig, name: str, uid: str, do: str = "ask") -> tuple[int, Any]:
+async def ask(rig: ProcessCluster, name: str, uid: str, do: str = "ask") -> tuple[int, Any]:
     return await rig.call(name, "POST", f"/_work/{do}", {"target": uid, "why": "test"})
 
 
-async def settled(rig: Rig, uid: str, names: list[str]) -> bool:
+async def settled(rig: ProcessCluster, uid: str, names: list[str]) -> bool:
     return all([await rig.away(name) == {uid} for name in names])
 
 
 def test_two_asked_for_at_the_same_moment_go_one_after_the_other(tmp_path: Path) -> None:
-    async def scenario(rig: Rig) -> None:
+    async def scenario(rig: ProcessCluster) -> None:
         await until(lambda: both_know(rig))
         said = await asyncio.gather(ask(rig, "n0", "s-0"), ask(rig, "n1", "s-1"))
         assert {status for status, _ in said} == {200}
@@ -86,13 +89,13 @@
     fleet(tmp_path, scenario)
 
 
-async def both_know(rig: Rig) -> bool:
+async def both_know(rig: ProcessCluster) -> bool:
     said = [await rig.call(name, "GET", "/_fleet") for name in rig.names]
     return all(status == 200 and one["leader"] for status, one in said)
 
 
 def test_what_was_granted_outlives_its_leader_and_all_of_them(tmp_path: Path) -> None:
-    async def scenario(rig: Rig) -> None:
+    async def scenario(rig: ProcessCluster) -> None:
         await until(lambda: both_know(rig))
         leader = await rig.leader()
         await until(lambda: taken(rig, leader, "s-0"))
@@ -110,7 +113,7 @@
 
 
 def test_a_minority_grants_nothing_and_comes_back_to_what_was_agreed(tmp_path: Path) -> None:
-    async def scenario(rig: Rig) -> None:
+    async def scenario(rig: ProcessCluster) -> None:
         await until(lambda: both_know(rig))
         leader = await rig.leader()
         rest = [name for name in rig.names if name != leader]
@@ -128,7 +131,7 @@
 
 
 def test_five_cut_three_to_two_where_the_cut_then_moves(tmp_path: Path) -> None:
-    async def scenario(rig: Rig) -> None:
+    async def scenario(rig: ProcessCluster) -> None:
         await until(lambda: both_know(rig))
         leader = await rig.leader()
         few = {leader, next(name for name in rig.names if name != leader)}
@@ -153,7 +156,7 @@
     fleet(tmp_path, scenario, size=5)
 
 
-async def none_out(rig: Rig, names: list[str], but: str = "") -> bool:
+async def none_out(rig: ProcessCluster, names: list[str], but: str = "") -> bool:
     """`but`: one that was asked for in a minority; it may have been agreed on since, and is then
     out alone.
     """
@@ -161,7 +164,7 @@
 
 
 def test_a_leader_heard_by_nobody_is_replaced_and_slow_links_only_slow(tmp_path: Path) -> None:
-    async def scenario(rig: Rig) -> None:
+    async def scenario(rig: ProcessCluster) -> None:
         await until(lambda: both_know(rig))
         leader = await rig.leader()
         rest = [name for name in rig.names if name != leader]
@@ -177,7 +180,7 @@
 
 
 def test_an_ingress_in_a_crash_loop_does_not_stop_the_others(tmp_path: Path) -> None:
-    async def scenario(rig: Rig) -> None:
+    async def scenario(rig: ProcessCluster) -> None:
         await until(lambda: both_know(rig))
         leader = await rig.leader()
         bad = next(name for name in rig.names if name != leader)
@@ -194,14 +197,14 @@
     fleet(tmp_path, scenario)
 
 
-async def taken(rig: Rig, name: str, uid: str) -> bool:
+async def taken(rig: ProcessCluster, name: str, uid: str) -> bool:
     """Asked for again until its turn has come: asked twice it is one request."""
     status, said = await ask(rig, name, uid)
     return status == 200 and said["state"] in TAKEN
 
 
 def test_a_leader_held_still_grants_nothing_when_it_goes_on(tmp_path: Path) -> None:
-    async def scenario(rig: Rig) -> None:
+    async def scenario(rig: ProcessCluster) -> None:
         await until(lambda: both_know(rig))
         leader = await rig.leader()
         rest = [name for name in rig.names if name != leader]
@@ -217,18 +220,18 @@
     fleet(tmp_path, scenario)
 
 
-async def out_at(rig: Rig, uid: str, name: str) -> bool:
+async def out_at(rig: ProcessCluster, uid: str, name: str) -> bool:
     """Whether one member says that it is out: all hold it, so that staff may pull the plug."""
     return await rig.away(name, ("out",)) == {uid}
 
 
-async def refused(rig: Rig, name: str) -> str:
+async def refused(rig: ProcessCluster, name: str) -> str:
     status, said = await rig.call(name, "GET", "/_fleet")
     return str(said) if status == 503 else ""
 
 
 def test_an_ingress_that_is_no_member_says_so_and_does_not_start(tmp_path: Path) -> None:
-    async def scenario(rig: Rig) -> None:
+    async def scenario(rig: ProcessCluster) -> None:
         rig.kill("n2")
         ini = rig.folder / "n2" / "dockthread.ini"
         rig.start("n2", f"{ini.read_text()}".replace("n2=", "n9="))
@@ -241,7 +244,7 @@
 
 
 def test_staff_go_through_a_night_of_work_by_the_commands(tmp_path: Path) -> None:
-    async def scenario(rig: Rig) -> None:
+    async def scenario(rig: ProcessCluster) -> None:
         await until(lambda: both_know(rig))
         for words, said in (
             ("work ask s-0 --why fan --for 1h", "s-0  "),
@@ -273,7 +276,7 @@
 
 
 def test_a_log_that_was_spoilt_is_not_believed(tmp_path: Path) -> None:
-    async def scenario(rig: Rig) -> None:
+    async def scenario(rig: ProcessCluster) -> None:
         await until(lambda: both_know(rig))
         leader = await rig.leader()
         victim = next(name for name in rig.names if name != leader)
@@ -294,7 +297,7 @@
     fleet(tmp_path, scenario)
 
 
-async def state_of(rig: Rig, name: str, target: str) -> str:
+async def state_of(rig: ProcessCluster, name: str, target: str) -> str:
     """Of a request at one member, over or not; empty where it does not answer or knows none."""
     status, said = await rig.call(name, "GET", "/_work", most=0.5)
     known = [*said["over"], *said["work"]] if status == 200 else []
@@ -304,7 +307,7 @@
 def test_ingresses_go_one_after_another_each_back_before_the_next_and_the_leader_hands_over(
     tmp_path: Path,
 ) -> None:
-    async def scenario(rig: Rig) -> None:
+    async def scenario(rig: ProcessCluster) -> None:
         await until(lambda: both_know(rig))
         leader = await rig.leader()
         for name in rig.names:
@@ -331,7 +334,7 @@
 def test_a_machine_that_is_out_is_held_from_the_first_moment_of_a_life_in_a_minority_too(
     tmp_path: Path,
 ) -> None:
-    async def scenario(rig: Rig) -> None:
+    async def scenario(rig: ProcessCluster) -> None:
         await until(lambda: both_know(rig))
         assert (await ask(rig, "n0", "s-0"))[0] == 200
         await until(lambda: out_at(rig, "s-0", "n1"))
@@ -349,12 +352,12 @@
     fleet(tmp_path, scenario, watched=False)
 
 
-async def ready(rig: Rig, name: str) -> bool:
+async def ready(rig: ProcessCluster, name: str) -> bool:
     return (await rig.call(name, "GET", "/_ready", most=0.5))[0] == 200
 
 
 def test_a_dead_ingress_is_waited_for_only_until_that_is_agreed(tmp_path: Path) -> None:
-    async def scenario(rig: Rig) -> None:
+    async def scenario(rig: ProcessCluster) -> None:
         await until(lambda: both_know(rig))
         leader = await rig.leader()
         rest = [name for name in rig.names if name != leader]
--- a/tests/maintenance/test_work.py
+++ b/tests/maintenance/test_work.py
@@ -16,8 +16,8 @@
 
 from dockthread.cli.work import fleet, work
 from dockthread.config.section_registry import read_text
-from dockthread.maintenance.commands import Command, Tick, Zone
-from dockthread.maintenance.scheduler import Order
+from dockthread.maintenance.commands import LeaderReport, MaintenanceCommand, ZoneStatus
+from dockthread.maintenance.scheduler import MaintenanceScheduler
 from dockthread.raft.actions import Keep, KeepState
 from dockthread.raft.messages import COMMAND, Entry
 from dockthread.raft.options import FleetOptions
@@ -27,7 +27,7 @@
 
 
 def said(do: str, target: str = "", zone: str = "a", **more: Any) -> bytes:
-    return msgspec.msgpack.encode(Command(do, target, zone, **more))  # type: ignore[arg-type]
+    return msgspec.msgpack.encode(MaintenanceCommand(do, target, zone, **more))  # type: ignore[arg-type]
 
 
 class Told:
@@ -36,7 +36,7 @@
     """
 
     def __init__(self) -> None:
-        self.order, self.index = Order(), 0
+        self.order, self.index = MaintenanceScheduler(), 0
 
     def do(self, do: str, target: str = "", zone: str = "a", **more: Any) -> str:
         self.index, self.said = self.index + 1, said(do, target, zone, **more)
@@ -44,7 +44,7 @@
         return self.state(target)
 
     def tick(self, elapsed: float = 500.0, alive: tuple[str, ...] = MEMBERS, **more: Any) -> None:
-        zones = (Zone("a", 6), Zone("b", 6))
+        zones = (ZoneStatus("a", 6), ZoneStatus("b", 6))
         known = {
             "zones": zones,
             "seen": tuple(self.order.requests),
@@ -52,7 +52,7 @@
             "dead": 5_000.0,
             **more,
         }
-        self.do("tick", tick=Tick(self.order.ticks + 1, elapsed, MEMBERS, alive, **known))
+        self.do("tick", tick=LeaderReport(self.order.ticks + 1, elapsed, MEMBERS, alive, **known))
 
     def state(self, target: str) -> str:
         request = self.order.requests.get(target)
@@ -138,10 +138,10 @@
 @pytest.mark.parametrize(
     ("zone", "why"),
     [
-        ({"zones": (Zone("a", 6, ("z",)),)}, "z of a fails"),
-        ({"zones": (Zone("a", 6, pressed=True),)}, "requests wait too long in a"),
+        ({"zones": (ZoneStatus("a", 6, ("z",)),)}, "z of a fails"),
+        ({"zones": (ZoneStatus("a", 6, pressed=True),)}, "requests wait too long in a"),
         (
-            {"zones": (Zone("a", 6, load=4.1),)},
+            {"zones": (ZoneStatus("a", 6, load=4.1),)},
             "the rest of a would carry 0.82 of what it bears, and 0.80 is most",
         ),
         ({"zones": ()}, "a is not seen by a majority"),
@@ -206,7 +206,7 @@
 def test_time_is_the_ticks_own_and_a_tick_proposed_twice_counts_once() -> None:
     told = Told()
     for number, clock in ((1, 500.0), (1, 500.0), (3, 500.0), (2, 1_000.0)):
-        told.do("tick", tick=Tick(number, 500.0, MEMBERS, MEMBERS))
+        told.do("tick", tick=LeaderReport(number, 500.0, MEMBERS, MEMBERS))
         assert told.order.clock == clock
 
 
@@ -216,7 +216,7 @@
     told.do("withdraw", "x")
     assert told.do("ask", "x", once="7f") == "withdrawn"
     other = Told()
-    other.order.restore(told.order.packed())
+    other.order.restore(told.order.snapshot())
     assert other.do("ask", "x", once="7f") == "withdrawn"
 
 
@@ -225,17 +225,17 @@
     for target in ("x", "x", "y"):
         told.do("ask", target)
     assert told.do("done", "y") == "waiting"
-    before = told.order.packed()
+    before = told.order.snapshot()
     told.order.apply(9, b"\xc1 rubbish")
     told.order.apply(9, msgspec.msgpack.encode(["explode", "x"]))
-    assert told.order.packed() == before and len(told.order.requests) == 2
+    assert told.order.snapshot() == before and len(told.order.requests) == 2
 
 
 @pytest.mark.parametrize("seed", range(200))
 def test_whatever_comes_no_zone_has_more_away_than_the_careful_say_and_all_members_agree(
     seed: int,
 ) -> None:
-    rng, told, other = random.Random(seed), Told(), Order()
+    rng, told, other = random.Random(seed), Told(), MaintenanceScheduler()
     away: set[str] = set()
     for step in range(150):
         target = f"m{rng.randrange(8)}"
@@ -265,10 +265,10 @@
             zone, most, by = "ab"[int(target[1:]) % 2], rng.randrange(1, 4), rng.choice(MEMBERS)
             told.do(do, target, zone, by=by, epoch=epoch, urgency=rng.randrange(3), most=most)
         if step == 75:  # one that comes back from a state goes on alike
-            other.restore(told.order.packed())
+            other.restore(told.order.snapshot())
         elif step > 75:
             other.apply(told.index, told.said)
-            assert other.packed() == told.order.packed()
+            assert other.snapshot() == told.order.snapshot()
         now = {r.target: r for r in told.order.requests.values() if r.state != "waiting"}
         for zone in "ab":
             in_zone = [r for r in told.order.requests.values() if r.zone == zone]
--- a/tests/raft/test_fleet_state.py
+++ b/tests/raft/test_fleet_state.py
@@ -14,7 +14,7 @@
 from dockthread.clock import Clock
 from dockthread.config.platform_settings import Address
 from dockthread.framing import MessageCounts
-from dockthread.lab.maintenance.rig import reserved
+from dockthread.lab.maintenance.process_cluster import reserve_port
 from dockthread.raft import messages
 from dockthread.raft.options import FleetOptions
 from dockthread.raft.server import Member
@@ -101,7 +101,7 @@
 
 
 def test_a_member_that_was_away_receives_a_state_of_45_mb_and_keeps_it(tmp_path: Path) -> None:
-    held = [reserved() for _ in range(3)]
+    held = [reserve_port() for _ in range(3)]
     at = {f"n{i}": Address(*one.getsockname()[:2]) for i, one in enumerate(held)}
     names = tuple(f"{name}={address}" for name, address in at.items())
 
--- a/tests/test_byte_compatibility.py
+++ b/tests/test_byte_compatibility.py
@@ -34,9 +34,9 @@
 from dockthread.control_plane.update_assembler import Receiver
 from dockthread.daemon import Daemon
 from dockthread.framing import HEAD
-from dockthread.maintenance.commands import INGRESS, Command, Tick, Zone
-from dockthread.maintenance.scheduler import Order
-from dockthread.maintenance.service import Work
+from dockthread.maintenance.commands import INGRESS, LeaderReport, MaintenanceCommand, ZoneStatus
+from dockthread.maintenance.scheduler import MaintenanceScheduler
+from dockthread.maintenance.service import MaintenanceService
 from dockthread.raft import messages as raft_messages
 from dockthread.raft.actions import Keep, KeepState, Stored
 from dockthread.raft.log import Log
@@ -145,19 +145,21 @@
     assert whole.state == bytes(range(256)) * 2_100
 
 
-def maintenance_commands() -> list[Command]:
+def maintenance_commands() -> list[MaintenanceCommand]:
     """A request that is granted, called back, granted, lapses, is carried out and warms up; one
     that is withdrawn; and an ingress that restarts.
     """
     zone, sick = (
-        Zone(name="z1", ready=4, load=1.0),
-        Zone(name="z1", ready=4, ailing=("b2",), load=1.0),
+        ZoneStatus(name="z1", ready=4, load=1.0),
+        ZoneStatus(name="z1", ready=4, ailing=("b2",), load=1.0),
     )
 
-    def tick(number: int, zones: tuple[Zone, ...] = (zone,), elapsed: float = 500.0) -> Command:
+    def tick(
+        number: int, zones: tuple[ZoneStatus, ...] = (zone,), elapsed: float = 500.0
+    ) -> MaintenanceCommand:
         members = ("n0", "n1")
         seen = ("b1", "b3")
-        told = Tick(
+        told = LeaderReport(
             number=number,
             elapsed=elapsed,
             members=members,
@@ -166,10 +168,10 @@
             seen=seen,
             lapse=900.0,
         )
-        return Command(do="tick", tick=told)
+        return MaintenanceCommand(do="tick", tick=told)
 
     return [
-        Command(
+        MaintenanceCommand(
             do="ask",
             target="b1",
             zone="z1",
@@ -179,38 +181,38 @@
             warm=400.0,
             once="aa",
         ),
-        Command(do="ask", target="b1", zone="z1", why="new disk", by="n0", once="aa"),
-        Command(do="ask", target="b3", zone="z1", urgency=-1),
+        MaintenanceCommand(do="ask", target="b1", zone="z1", why="new disk", by="n0", once="aa"),
+        MaintenanceCommand(do="ask", target="b3", zone="z1", urgency=-1),
         tick(1),
         tick(2, (sick,)),
         tick(3),
         tick(4, elapsed=300.0),
         tick(5, (sick,), elapsed=1_000.0),
         tick(6),
-        Command(do="held", target="b1", by="n0", epoch=9),
-        Command(do="held", target="b1", by="n1", epoch=9),
+        MaintenanceCommand(do="held", target="b1", by="n0", epoch=9),
+        MaintenanceCommand(do="held", target="b1", by="n1", epoch=9),
         tick(7),
         tick(8, elapsed=800.0),
-        Command(do="done", target="b1"),
-        Command(do="freed", target="b1", by="n1", epoch=9),
-        Command(do="freed", target="b1", by="n0", epoch=9),
+        MaintenanceCommand(do="done", target="b1"),
+        MaintenanceCommand(do="freed", target="b1", by="n1", epoch=9),
+        MaintenanceCommand(do="freed", target="b1", by="n0", epoch=9),
         tick(9),
-        Command(do="withdraw", target="b3"),
+        MaintenanceCommand(do="withdraw", target="b3"),
         tick(10),
-        Command(do="ask", target="n1", kind=INGRESS, warm=100.0),
+        MaintenanceCommand(do="ask", target="n1", kind=INGRESS, warm=100.0),
         tick(11),
-        Command(do="held", target="n1", by="n1", epoch=20, life="0123456789abcdef"),
-        Command(do="back", target="n1", by="n1", epoch=20),
+        MaintenanceCommand(do="held", target="n1", by="n1", epoch=20, life="0123456789abcdef"),
+        MaintenanceCommand(do="back", target="n1", by="n1", epoch=20),
         tick(12),
     ]
 
 
 def maintenance_history() -> list[bytes]:
     """The states after each command of `maintenance_commands`, each with its length before it."""
-    order, states = Order(), list[bytes]()
+    order, states = MaintenanceScheduler(), list[bytes]()
     for index, command in enumerate(maintenance_commands(), 1):
         order.apply(index, msgspec.msgpack.encode(command))
-        state = order.packed()
+        state = order.snapshot()
         states.append(len(state).to_bytes(4, "little") + state)
     return states
 
@@ -224,9 +226,9 @@
 
 def maintenance_listing() -> bytes:
     """The management endpoint's JSON of what is asked for; its keys are names of fields."""
-    order = Order()
+    order = MaintenanceScheduler()
     order.restore(WRITTEN["maintenance.state"])
-    listed = Work.listed(cast(Work, SimpleNamespace(order=order)))
+    listed = MaintenanceService.listed(cast(MaintenanceService, SimpleNamespace(order=order)))
     return json.dumps(listed, sort_keys=True).encode()
 
 
