--- a/dockthread/lab/maintenance/simulation.py
+++ b/dockthread/lab/maintenance/simulation.py
@@ -15,19 +15,25 @@
 
 import msgspec
 
-from dockthread.lab.maintenance.checker import TurnsChecker
-from dockthread.lab.maintenance.seeded_defects import ORDERS, PARTS
+from dockthread.lab.maintenance.checker import MaintenanceChecker
+from dockthread.lab.maintenance.seeded_defects import PARTICIPANTS, SCHEDULERS
 from dockthread.lab.raft.checker import RuleViolation
 from dockthread.lab.raft.cluster import SimulatedMember
 from dockthread.lab.raft.faults import FAULT_PHASE_MS
 from dockthread.lab.raft.simulation import RaftSimulation
-from dockthread.maintenance.commands import INGRESS, Command, Request
-from dockthread.maintenance.participant import Around, Part, Seen, Terms, View
-from dockthread.maintenance.scheduler import HELD, Order
+from dockthread.maintenance.commands import INGRESS, MaintenanceCommand, MaintenanceRequest
+from dockthread.maintenance.participant import (
+    ClusterView,
+    MaintenanceOptions,
+    MaintenanceParticipant,
+    MemberObservation,
+    ZoneObservation,
+)
+from dockthread.maintenance.scheduler import HELD, MaintenanceScheduler
 from dockthread.raft.actions import RaftTiming, Role
 from dockthread.raft.messages import Entry, EntryKind
 
-TERMS = Terms(bears=0.0, reserve=0.2, lapse=4_000.0, dead=2_000.0)
+TERMS = MaintenanceOptions(bears=0.0, reserve=0.2, lapse=4_000.0, dead=2_000.0)
 # of a machine that comes back; in which all that was asked for has to come to its end
 WARM, CALM = 800.0, 40_000.0
 ZONES = {f"m{i}": "ab"[i % 2] for i in range(6)}
@@ -45,7 +51,7 @@
 class Own:
     """What a member has beside its log, in one life."""
 
-    part: Part
+    part: MaintenanceParticipant
     out: dict[str, int] = field(default_factory=dict)  # own requests out, by machine
 
 
@@ -55,20 +61,20 @@
 
     word: str
     target: str
-    command: Command
+    command: MaintenanceCommand
     step: str = "ask"  # ask, look, work, done, over
     asked: float = -1e18
     regrets: bool = False  # takes it back as soon as it stands
 
 
-class TurnsWorld(RaftSimulation):
+class MaintenanceSimulation(RaftSimulation):
     def __init__(
         self, seed: int, size: int, plant: str = "", faults: tuple[str, ...] | None = None
     ) -> None:
         super().__init__(seed, size, plant, faults)
         drawn = tuple(f for f in FAULTS if self.rng.random() < 0.4)
         self.faults = drawn if faults is None else faults
-        self.turns = TurnsChecker(ZONES, 1, WARM, TERMS.dead - SLACK, TERMS.lapse - SLACK)
+        self.turns = MaintenanceChecker(ZONES, 1, WARM, TERMS.dead - SLACK, TERMS.lapse - SLACK)
         self.checker.commands_are_unique = False
         self.turns.broken = self.checker.violations
         self.fault_injector.handlers.update({"fail": self._fail, "press": self._press})
@@ -92,7 +98,7 @@
         self.failing, self.pressed = set(), False
         self.run_until(FAULT_PHASE_MS + CALM)
         up = {n: o for n, o in self.own.items() if self.members[n].core is not None}
-        orders = {n: o.part.order.packed() for n, o in up.items()}
+        orders = {n: o.part.order.snapshot() for n, o in up.items()}
         due = next(iter(up.values())).part.order.held() if up else {}
         waits = [w.target for w in self.wishes if w.step != "over"]
         self.turns.ended(self.now, orders, {n: o.part.holds for n, o in up.items()}, due, waits)
@@ -103,8 +109,8 @@
     def start_member(self, m: SimulatedMember) -> None:
         if m.is_removed or m.core is not None:
             return
-        order = ORDERS.get(self.seeded_defect, Order)()
-        part = PARTS.get(self.seeded_defect, Part)(
+        order = SCHEDULERS.get(self.seeded_defect, MaintenanceScheduler)()
+        part = PARTICIPANTS.get(self.seeded_defect, MaintenanceParticipant)(
             m.name, f"{m.name}/{m.incarnation + 1}", TERMS, self.now, order
         )
         self.own[m.name] = Own(part)
@@ -124,7 +130,7 @@
         part.came_to(index, entry.term)
         self._do_turn(m)
 
-    def _seen(self, r: Request, before: tuple[str, int] | None) -> None:
+    def _seen(self, r: MaintenanceRequest, before: tuple[str, int] | None) -> None:
         self.turns.request(self.now, r.why, r.since)
         if r.state == "granted":
             self.turns.granted(self.now, r.target, r.epoch)
@@ -144,7 +150,7 @@
         self.checker.restarted(m.name, m.incarnation, index)
 
     def snapshot_of(self, m: SimulatedMember) -> bytes:
-        return self.own[m.name].part.order.packed()
+        return self.own[m.name].part.order.snapshot()
 
     def _turn(self, m: SimulatedMember, life: int) -> None:
         if m.core is not None and m.incarnation == life:
@@ -157,7 +163,7 @@
         own, core = self.own[m.name], m.core
         idle = {t for t in own.part.holds if not own.out.get(t)}
         heard = core.responded_within(RaftTiming().election_timeout_ms)
-        acts = own.part.turn(self.now, Around(core.leader_id, self.voters, heard, idle))
+        acts = own.part.turn(self.now, ClusterView(core.leader_id, self.voters, heard, idle))
         if acts.show:
             self._show(m, core.leader_id)
         for command in acts.say:
@@ -183,9 +189,9 @@
             here = [t for t in ZONES if ZONES[t] == zone and t not in self.turns.pulled]
             ready = tuple(t for t in here if t not in part.holds)
             ailing = tuple(t for t in ready if t in self.failing)
-            zones.append(Seen(zone, ready, ailing, 0.0, self.pressed))
+            zones.append(ZoneObservation(zone, ready, ailing, 0.0, self.pressed))
         data = msgspec.msgpack.encode(
-            View(tuple(zones), tuple(sorted(part.asked_for())), part.latest())
+            MemberObservation(tuple(zones), tuple(sorted(part.asked_for())), part.latest())
         )
         if self._travels(m.name, leader):
             self.schedule(
@@ -201,7 +207,7 @@
         if to.core is not None and not to.is_stalled:
             self.own[leader].part.shown(self.now, sender, data)
 
-    def _ask_leader(self, m: SimulatedMember, command: Command) -> None:
+    def _ask_leader(self, m: SimulatedMember, command: MaintenanceCommand) -> None:
         """Through whoever leads, as far as this member knows; may be lost, late or doubled."""
         if m.core is None or not m.core.leader_id or not self._travels(m.name, m.core.leader_id):
             return
@@ -278,7 +284,7 @@
             )
             self._words += 1
             word, kind = f"w{self._words}", "node" if target in ZONES else INGRESS
-            command = Command(
+            command = MaintenanceCommand(
                 "ask", target, ZONES.get(target, ""), word, "staff", self.rng.randrange(3), once=word, kind=kind,
                 length=self.rng.choice((0.0, 1_000.0)), warm=WARM if kind == "node" else 0.0,
             )  # fmt: skip
@@ -299,7 +305,9 @@
             wish.asked = self.now
             self._ask_leader(m, wish.command)
         elif wish.step == "ask" and mine is not None and wish.regrets:
-            self._ask_leader(m, Command("withdraw", wish.target, once=f"{wish.word}/withdraw"))
+            self._ask_leader(
+                m, MaintenanceCommand("withdraw", wish.target, once=f"{wish.word}/withdraw")
+            )
         elif wish.step == "ask" and mine is not None and wish.target not in ZONES:
             wish.step = "look"  # an ingress comes back by itself
         elif wish.step == "ask" and mine is not None and mine.state in HELD[2:]:
@@ -311,7 +319,7 @@
             self.schedule(self.rng.uniform(300, 2500), self._worked, wish)
         elif wish.step == "done" and self.now - wish.asked >= AGAIN:
             wish.asked = self.now
-            self._ask_leader(m, Command("done", wish.target, once=f"{wish.word}/done"))
+            self._ask_leader(m, MaintenanceCommand("done", wish.target, once=f"{wish.word}/done"))
 
     def _worked(self, wish: Wish) -> None:
         self.turns.back(self.now, wish.target)
