--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -44,7 +44,7 @@
 from dockthread import api
 from dockthread.config.ini_reader import Kind, read
 from dockthread.config.platform_settings import Names
-from dockthread.control_plane.resource_schemas import route_of
+from dockthread.control_plane.resource_schemas import parse_route
 from dockthread.routes.bounds import Facts
 from dockthread.routes.check import check
 from dockthread.routes.layers import Layers
@@ -272,7 +272,7 @@
                 data = json.dumps({**body, "timeout": f"{1000 + n}ms"}).encode()
                 begun = time.perf_counter()
                 refused = layers.put(
-                    "firm-0" if kind == "by firm" else "a-broad", route_of("r", data), 0.0
+                    "firm-0" if kind == "by firm" else "a-broad", parse_route("r", data), 0.0
                 )
                 times.append((time.perf_counter() - begun) * 1e3)
                 assert not refused or kind == "broad", refused
--- a/dockthread/cli/control.py
+++ b/dockthread/cli/control.py
@@ -17,7 +17,7 @@
 
 from dockthread.config.platform_settings import Address
 from dockthread.control_plane import admin_client
-from dockthread.control_plane.messages import MOST_BODY, Resource, SubscriberStatus
+from dockthread.control_plane.messages import MAX_BODY_BYTES, Resource, SubscriberStatus
 from dockthread.control_plane.options import read_key
 from dockthread.telemetry.options import host_port
 
@@ -108,8 +108,8 @@
     """
     if (body is None) != delete:
         raise click.UsageError("give either --body or --delete")
-    data = None if body is None else body.read(MOST_BODY + 1)
-    change = admin_client.change(kind, name, data, -1 if expected is None else expected)
+    data = None if body is None else body.read(MAX_BODY_BYTES + 1)
+    change = admin_client.new_request(kind, name, data, -1 if expected is None else expected)
     answer = asyncio.run(admin_client.publish(servers, change, key))
     if answer.revision <= 0:
         word = "refused" if answer.revision == 0 else "not known to be accepted"
@@ -129,8 +129,8 @@
     all.
     """
     try:
-        found = asyncio.run(admin_client.look_up(servers, kind, name, key))
-    except admin_client.NoAnswer as error:
+        found = asyncio.run(admin_client.lookup(servers, kind, name, key))
+    except admin_client.NoResponseError as error:
         click.echo(str(error), err=True)
         sys.exit(1)
     if name and not found:
@@ -156,21 +156,21 @@
 @json_option
 def status(servers: list[Address], key: bytes, as_json: bool) -> None:
     """What is in force where, and who lags, by all servers given."""
-    whole = asyncio.run(admin_client.overview(servers, key))
+    whole = asyncio.run(admin_client.fetch_overview(servers, key))
     if as_json:
         click.echo(json.dumps(plain(whole)))
     else:
         for line in lines(whole):
             click.echo(line)
-    if not whole.good:
+    if not whole.is_healthy:
         sys.exit(1)
 
 
-def plain(whole: admin_client.Overview) -> dict[str, Any]:
+def plain(whole: admin_client.ControlPlaneOverview) -> dict[str, Any]:
     return {
         "epoch": whole.epoch,
         "revision": whole.revision,
-        "good": whole.good,
+        "good": whole.is_healthy,
         "servers": {
             at: {
                 "name": s.name,
@@ -182,12 +182,12 @@
             }
             for at, s in whole.servers.items()
         },
-        "missed": whole.missed,
+        "missed": whole.unreachable,
         "subscribers": [subscriber(one, whole) for one in whole.subscribers],
     }
 
 
-def subscriber(one: SubscriberStatus, whole: admin_client.Overview) -> dict[str, Any]:
+def subscriber(one: SubscriberStatus, whole: admin_client.ControlPlaneOverview) -> dict[str, Any]:
     rejected = [
         {"kind": r.kind, "name": r.name, "revision": r.revision, "reason": r.reason}
         for r in one.rejected
@@ -205,7 +205,7 @@
     }
 
 
-def lines(whole: admin_client.Overview) -> list[str]:
+def lines(whole: admin_client.ControlPlaneOverview) -> list[str]:
     out = [f"revision {whole.revision} of {whole.epoch or 'no history'}"]
     lagging = whole.lagging_servers()
     for at, s in sorted(whole.servers.items()):
@@ -214,7 +214,7 @@
         out.append(
             f"{s.role} {s.name} at {at}: revision {s.revision}{lags}, {age}, {len(s.subscribers)} subscribers"
         )
-    out += [f"not reached: {at}: {why}" for at, why in sorted(whole.missed.items())]
+    out += [f"not reached: {at}: {why}" for at, why in sorted(whole.unreachable.items())]
     everywhere, current = Counter[tuple[str, str]](), Counter[tuple[str, str]]()
     for one in whole.subscribers:
         everywhere[one.region, one.zone] += 1
@@ -230,7 +230,7 @@
     return out
 
 
-def lag(one: SubscriberStatus, whole: admin_client.Overview) -> list[str]:
+def lag(one: SubscriberStatus, whole: admin_client.ControlPlaneOverview) -> list[str]:
     out = []
     if not one.connected:
         out.append(f"{one.name}: not connected, revision {one.revision} when it was last seen")
--- a/dockthread/control_plane/admin_client.py
+++ b/dockthread/control_plane/admin_client.py
@@ -11,14 +11,14 @@
 
 from dockthread.config.platform_settings import Address
 from dockthread.control_plane.messages import (
-    Found,
-    Lookup,
+    LookupRequest,
+    LookupResponse,
     Message,
-    Publish,
-    Published,
+    PublishRequest,
+    PublishResponse,
     Resource,
-    Status,
     StatusRequest,
+    StatusResponse,
     SubscriberStatus,
     codec,
 )
@@ -29,11 +29,13 @@
 PAUSE = 0.2  # s before the servers are asked once more
 
 
-class NoAnswer(Exception):
+class NoResponseError(Exception):
     """A server that could not be asked; the text says why."""
 
 
-async def ask(server: Address, message: Message, key: bytes, most: float = ANSWER) -> Message:
+async def send_request(
+    server: Address, message: Message, key: bytes, most: float = ANSWER
+) -> Message:
     """One question on a connection of its own. Raises `NoAnswer`."""
     writer = None
     try:
@@ -43,51 +45,55 @@
             head = await reader.readexactly(HEAD.size)
             return codec.unpack(head, await reader.readexactly(codec.length(head)), key)
     except asyncio.IncompleteReadError as error:
-        raise NoAnswer("it closed the connection: another key, or no server of control") from error
+        raise NoResponseError(
+            "it closed the connection: another key, or no server of control"
+        ) from error
     except TimeoutError as error:
-        raise NoAnswer(f"no answer within {most:g} s") from error
+        raise NoResponseError(f"no answer within {most:g} s") from error
     except (OSError, MalformedFrame) as error:
-        raise NoAnswer(str(error)) from error
+        raise NoResponseError(str(error)) from error
     finally:
         if writer is not None:
             writer.close()
 
 
 async def publish(
-    servers: Sequence[Address], change: Publish, key: bytes, most: float = PUBLISHING
-) -> Published:
+    servers: Sequence[Address], change: PublishRequest, key: bytes, most: float = PUBLISHING
+) -> PublishResponse:
     """By the first server that knows; the others are asked with the same token, so that it counts
     once.
     """
-    last = Published(change.token, -1, "no server was asked")
+    last = PublishResponse(change.token, -1, "no server was asked")
     loop = asyncio.get_running_loop()
     until = loop.time() + most
     while True:
         for server in servers:
             try:
-                answer = await ask(server, change, key, max(0.1, min(ANSWER, until - loop.time())))
-            except NoAnswer as error:
-                last = Published(change.token, -1, f"{server}: {error}")
+                answer = await send_request(
+                    server, change, key, max(0.1, min(ANSWER, until - loop.time()))
+                )
+            except NoResponseError as error:
+                last = PublishResponse(change.token, -1, f"{server}: {error}")
                 continue
-            if isinstance(answer, Published) and answer.revision >= 0:
+            if isinstance(answer, PublishResponse) and answer.revision >= 0:
                 return answer
             reason = (
                 answer.reason
-                if isinstance(answer, Published)
+                if isinstance(answer, PublishResponse)
                 else f"it says {type(answer).__name__}"
             )
-            last = Published(change.token, -1, f"{server}: {reason}")
+            last = PublishResponse(change.token, -1, f"{server}: {reason}")
         if loop.time() + PAUSE >= until:
             return last
         await asyncio.sleep(PAUSE)
 
 
-def change(kind: str, name: str, body: bytes | None, expected: int = -1) -> Publish:
+def new_request(kind: str, name: str, body: bytes | None, expected: int = -1) -> PublishRequest:
     """A change under a token of its own, drawn anew."""
-    return Publish(secrets.token_hex(16), kind, name, body, expected)
+    return PublishRequest(secrets.token_hex(16), kind, name, body, expected)
 
 
-async def look_up(servers: Sequence[Address], kind: str, name: str, key: bytes) -> list[Resource]:
+async def lookup(servers: Sequence[Address], kind: str, name: str, key: bytes) -> list[Resource]:
     """From the first server that answers. Raises `NoAnswer` where none does."""
     faults = []
     for server in servers:
@@ -95,23 +101,23 @@
         try:
             while True:
                 after = found[-1].name if found else ""
-                answer = await ask(server, Lookup(kind, name, after), key)
-                if not isinstance(answer, Found):
-                    raise NoAnswer(f"it says {type(answer).__name__}")
+                answer = await send_request(server, LookupRequest(kind, name, after), key)
+                if not isinstance(answer, LookupResponse):
+                    raise NoResponseError(f"it says {type(answer).__name__}")
                 found += answer.resources
                 if not answer.more or not answer.resources:
                     return found
-        except NoAnswer as error:
+        except NoResponseError as error:
             faults.append(f"{server}: {error}")
-    raise NoAnswer("; ".join(faults))
+    raise NoResponseError("; ".join(faults))
 
 
 @dataclass(slots=True)
-class Overview:
+class ControlPlaneOverview:
     """What all servers tell together. `revision` and `epoch`: of the newest that was seen."""
 
-    servers: dict[str, Status] = field(default_factory=dict)  # by address
-    missed: dict[str, str] = field(default_factory=dict)  # why, by address
+    servers: dict[str, StatusResponse] = field(default_factory=dict)  # by address
+    unreachable: dict[str, str] = field(default_factory=dict)  # why, by address
     subscribers: list[SubscriberStatus] = field(default_factory=list)
     epoch: str = ""
     revision: int = 0
@@ -124,7 +130,7 @@
         """Whether an ingress is gone, or lacks what was accepted last."""
         return not one.connected or one.revision < self.revision
 
-    def lagging_servers(self) -> list[Status]:
+    def lagging_servers(self) -> list[StatusResponse]:
         """Servers that do not hold what the furthest one holds."""
         return [
             one
@@ -133,23 +139,23 @@
         ]
 
     @property
-    def good(self) -> bool:
+    def is_healthy(self) -> bool:
         """Whether every server answered and nobody lags."""
-        return not (self.missed or self.lagging() or self.lagging_servers())
+        return not (self.unreachable or self.lagging() or self.lagging_servers())
 
 
-async def overview(servers: Sequence[Address], key: bytes) -> Overview:
+async def fetch_overview(servers: Sequence[Address], key: bytes) -> ControlPlaneOverview:
     """Of all servers at once."""
-    whole = Overview()
+    whole = ControlPlaneOverview()
 
     async def one(server: Address) -> None:
         try:
-            answer = await ask(server, StatusRequest(), key)
-            if not isinstance(answer, Status):
-                raise NoAnswer(f"it says {type(answer).__name__}")
+            answer = await send_request(server, StatusRequest(), key)
+            if not isinstance(answer, StatusResponse):
+                raise NoResponseError(f"it says {type(answer).__name__}")
             whole.servers[str(server)] = answer
-        except NoAnswer as error:
-            whole.missed[str(server)] = str(error)
+        except NoResponseError as error:
+            whole.unreachable[str(server)] = str(error)
 
     await asyncio.gather(*(one(server) for server in servers))
     newest = max(
@@ -161,7 +167,7 @@
     return whole
 
 
-def _joined(servers: list[Status]) -> list[SubscriberStatus]:
+def _joined(servers: list[StatusResponse]) -> list[SubscriberStatus]:
     """Each subscriber once, as the server knows it that it is connected to, or was last ahead with;
     but for servers that told of themselves.
     """
--- a/dockthread/control_plane/applied_resources.py
+++ b/dockthread/control_plane/applied_resources.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 
 from dockthread.control_plane.messages import (
+    MAX_REJECTIONS,
     MOST_REASON,
-    MOST_REJECTIONS,
     Acknowledge,
     Rejection,
     Resource,
@@ -22,7 +22,7 @@
     resources: Sequence[Resource]
 
 
-class InForce:
+class AppliedResources:
     """Batches that the owner was given, until it tells that they are in force."""
 
     def __init__(self, held: Acknowledge, rejections: Iterable[Rejection]) -> None:
@@ -49,7 +49,7 @@
         else:
             self._held = then
 
-    def applied(self, number: int, rejected: Iterable[Rejection]) -> bool:
+    def on_applied(self, number: int, rejected: Iterable[Rejection]) -> bool:
         """All up to this batch is in force but for what was rejected. False for a batch that is not
         awaited.
         """
@@ -71,5 +71,5 @@
         held = self._held
         rejected = self.rejections
         return Acknowledge(
-            held.epoch, held.revision, held.digest, rejected[:MOST_REJECTIONS], len(rejected)
+            held.epoch, held.revision, held.digest, rejected[:MAX_REJECTIONS], len(rejected)
         )
--- a/dockthread/control_plane/client.py
+++ b/dockthread/control_plane/client.py
@@ -25,7 +25,7 @@
 from dockthread.clock import Clock
 from dockthread.config.platform_settings import Address
 from dockthread.control_plane.messages import (
-    MOST_FRAME,
+    MAX_MESSAGE_BYTES,
     Heartbeat,
     Message,
     Rejection,
@@ -35,15 +35,15 @@
 )
 from dockthread.control_plane.options import ControlOptions
 from dockthread.control_plane.resource_table import ResourceTable
-from dockthread.control_plane.snapshot_cache import Cache
+from dockthread.control_plane.snapshot_cache import SnapshotCache
 from dockthread.control_plane.stream import FrameStream
 from dockthread.control_plane.subscriber import (
     Action,
-    Changed,
+    CandidateServer,
     Connect,
     Disconnect,
+    ResourcesChanged,
     Send,
-    Server,
     Subscriber,
     SubscriberTimes,
 )
@@ -58,7 +58,7 @@
 Key = tuple[str, str]  # kind and name
 
 
-class Owner(Protocol):
+class ResourceApplier(Protocol):
     """Puts resources in force."""
 
     def apply(self, changes: Sequence[Resource]) -> Sequence[Rejection]:
@@ -66,61 +66,61 @@
         block for long.
         """
 
-    def in_force(self, kind: str, name: str) -> Resource | None:
+    def applied_resource(self, kind: str, name: str) -> Resource | None:
         """What holds now under that name, whatever was refused since; None for nothing, or where it
         is not known.
         """
 
-    def settled(self) -> None:
+    def on_batch_applied(self) -> None:
         """All that came up to now was handed over."""
 
 
 class Connection(FrameStream):
     """The one that the client has, by the core's number."""
 
-    def __init__(self, client: Client, number: int, key: bytes) -> None:
-        super().__init__(key, MOST_FRAME, client.messages)
+    def __init__(self, client: ControlPlaneClient, number: int, key: bytes) -> None:
+        super().__init__(key, MAX_MESSAGE_BYTES, client.messages)
         self._client, self.number = client, number
 
-    def heard(self, message: Message) -> None:
+    def on_message(self, message: Message) -> None:
         """A whole message came."""
-        self._client.heard(self.number, message)
+        self._client.on_message(self.number, message)
 
-    def received(self) -> None:
+    def on_bytes(self) -> None:
         """Some bytes came."""
-        self._client.received(self.number)
+        self._client.on_bytes(self.number)
 
-    def malformed(self, reason: str) -> None:
+    def on_malformed(self, reason: str) -> None:
         """What came is no message."""
-        self._client.malformed(self.number, reason)
+        self._client.on_malformed(self.number, reason)
 
-    def ended(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """The connection is gone."""
-        self._client.ended(self.number, reason)
+        self._client.on_closed(self.number, reason)
 
 
-class Client:
+class ControlPlaneClient:
     """One subscriber. `servers`: by their distance, the nearest first, each HOST:PORT."""
 
     def __init__(
         self,
         name: str,
-        servers: Sequence[Server],
-        owner: Owner,
+        servers: Sequence[CandidateServer],
+        applier: ResourceApplier,
         clock: Clock,
         rng: random.Random,
         key: bytes = b"",
         region: str = "",
         zone: str = "",
-        cache: Cache | None = None,
+        cache: SnapshotCache | None = None,
         times: SubscriberTimes | None = None,
         slice_size: int = SLICE,
     ) -> None:
-        self._owner, self._clock, self._key = owner, clock, key
+        self._applier, self._clock, self._key = applier, clock, key
         self.messages = MessageCounts()
         self._cache, self._slice_size = cache, slice_size
         self._kept: dict[Key, Resource] = {}  # in force in place of what was refused
-        self._batches: deque[Changed] = deque()
+        self._batches: deque[ResourcesChanged] = deque()
         self._applying: Iterator[list[Resource]] | None = None
         self._refused: dict[Key, Rejection] = {}  # of the batch under way
         self._connection: Connection | None = None
@@ -132,7 +132,7 @@
         cached = cache.load() if cache is not None else None
         rejections: Sequence[Rejection] = ()
         if cached is not None:
-            rejections = self._restore(cached.table, cached.kept)
+            rejections = self._restore(cached.table, cached.last_good)
             logger.info(
                 "control: {} resources of revision {} from the cache",
                 len(cached.table),
@@ -155,21 +155,21 @@
         by now.
         """
         later = {(one.kind, one.name) for one in kept}
-        self._owner.apply(kept)
+        self._applier.apply(kept)
         good = (one for one in table.live() if (one.kind, one.name) not in later)
-        refused = [r for part in _slices(good, RESTORED) for r in self._owner.apply(part)]
+        refused = [r for part in _slices(good, RESTORED) for r in self._applier.apply(part)]
         later.update((r.kind, r.name) for r in refused)
         again = [one for key in later if (one := table.get(*key)) is not None]
         again.sort(key=lambda one: one.revision)
-        rejections = [_short(r) for r in self._owner.apply(again)]
+        rejections = [_short(r) for r in self._applier.apply(again)]
         self._remember_kept({(r.kind, r.name) for r in rejections})
-        self._owner.settled()
+        self._applier.on_batch_applied()
         return rejections
 
     def open(self) -> None:
         """Begin to receive. It needs a running loop."""
         self._loop = asyncio.get_running_loop()
-        self._do(self.subscriber.tick(self._clock.now()))
+        self._do(self.subscriber.on_timer(self._clock.now()))
 
     async def close(self) -> None:
         """End the connection and write what the cache lacks."""
@@ -184,9 +184,9 @@
             await self._cache.close()
         await asyncio.sleep(0)
 
-    def apply_again(self) -> None:
+    def reapply(self) -> None:
         """Hand the owner all that is held once more, as it judges by other settings now."""
-        self._do(self.subscriber.apply_again())
+        self._do(self.subscriber.reapply())
 
     @property
     def idle(self) -> bool:
@@ -208,7 +208,7 @@
                         self._connection.send(action.message)
                 case Disconnect():
                     self._disconnect(action)
-                case Changed():
+                case ResourcesChanged():
                     self._take(action)
         if self._told and self._connection is None:
             logger.info("control: receives no more from {}", self._told)
@@ -223,7 +223,9 @@
         except OSError as error:
             if not self._closed:
                 self._do(
-                    self.subscriber.disconnected(self._clock.now(), action.connection, str(error))
+                    self.subscriber.on_disconnected(
+                        self._clock.now(), action.connection, str(error)
+                    )
                 )
             return
         self._opening = None
@@ -232,11 +234,13 @@
             return
         if made.is_closing:
             self._do(
-                self.subscriber.disconnected(self._clock.now(), action.connection, "closed at once")
+                self.subscriber.on_disconnected(
+                    self._clock.now(), action.connection, "closed at once"
+                )
             )
             return
         self._connection = made
-        self._do(self.subscriber.connected(self._clock.now(), action.connection))
+        self._do(self.subscriber.on_connected(self._clock.now(), action.connection))
 
     def _disconnect(self, action: Disconnect) -> None:
         if self._opening is not None and self._opening[0] == action.connection:
@@ -249,40 +253,40 @@
 
     # What its connection tells
 
-    def heard(self, number: int, message: Message) -> None:
+    def on_message(self, number: int, message: Message) -> None:
         """A whole message came on a connection."""
         if not self._closed:
             if not _finite(message):
-                self.malformed(number, "a time that is no number")
+                self.on_malformed(number, "a time that is no number")
                 return
             if not self._told and isinstance(message, Update | Heartbeat):
                 self._told = self.subscriber.server
                 logger.info("control: receives from {}", self._told)
-            self._do(self.subscriber.heard(self._clock.now(), number, message))
+            self._do(self.subscriber.on_message(self._clock.now(), number, message))
 
-    def received(self, number: int) -> None:
+    def on_bytes(self, number: int) -> None:
         """Some bytes, if no whole message yet."""
-        self.subscriber.received(self._clock.now(), number)
+        self.subscriber.on_bytes(self._clock.now(), number)
 
-    def malformed(self, number: int, reason: str) -> None:
+    def on_malformed(self, number: int, reason: str) -> None:
         """What came on a connection is no message: it ends, and the last good table stays."""
         if not self._closed:
             logger.debug("control: connection {} is malformed: {}", number, reason)
-            self._do(self.subscriber.malformed(self._clock.now(), number, reason))
+            self._do(self.subscriber.on_malformed(self._clock.now(), number, reason))
 
-    def ended(self, number: int, reason: str) -> None:
+    def on_closed(self, number: int, reason: str) -> None:
         """A connection is gone, whoever ended it."""
         if self._connection is not None and self._connection.number == number:
             self._connection = None
             if not self._closed:
-                self._do(self.subscriber.disconnected(self._clock.now(), number, reason))
+                self._do(self.subscriber.on_disconnected(self._clock.now(), number, reason))
 
     # Putting in force
 
-    def _take(self, changed: Changed) -> None:
+    def _take(self, changed: ResourcesChanged) -> None:
         self._batches.append(changed)
         if len(self._batches) >= MOST_BATCHES and self._connection is not None:
-            self._connection.hold_reading()
+            self._connection.pause_reading()
         if len(self._batches) == 1:
             self._turn()
 
@@ -304,14 +308,14 @@
 
     def _apply(self, part: Sequence[Resource]) -> Sequence[Rejection]:
         try:
-            return self._owner.apply(part)
+            return self._applier.apply(part)
         except Exception as error:  # a fault of the owner must not end the distribution to it
             logger.exception("control: changes could not be applied")
             return [
                 Rejection(one.kind, one.name, one.revision, f"fault: {error!r}") for one in part
             ]
 
-    def _finish(self, batch: Changed) -> None:
+    def _finish(self, batch: ResourcesChanged) -> None:
         if self._refused and len(batch.resources) > len(self._refused):
             again = [one for one in batch.resources if (one.kind, one.name) in self._refused]
             self._refused = {(r.kind, r.name): r for r in self._apply(again)}
@@ -321,28 +325,28 @@
         self._remember_kept(set(self._refused))
         self._applying, self._refused = None, {}
         self._batches.popleft()
-        self._owner.settled()
+        self._applier.on_batch_applied()
         if self._cache is not None:
             self._save(batch)
         if self._batches:
             self._loop.call_soon(self._turn)
         elif self._connection is not None:
-            self._connection.read_on()
-        self._do(self.subscriber.applied(self._clock.now(), batch.batch, refused))
+            self._connection.resume_reading()
+        self._do(self.subscriber.on_applied(self._clock.now(), batch.batch, refused))
 
-    def _save(self, batch: Changed) -> None:
+    def _save(self, batch: ResourcesChanged) -> None:
         """Only with nothing under way and a whole table: then what it holds is what was handed
         over.
         """
         assert self._cache is not None
         self._unsaved += batch.resources
-        if not self._batches and self.subscriber.table.whole:
+        if not self._batches and self.subscriber.table.is_complete:
             self._cache.save(self.subscriber.table, self._unsaved, tuple(self._kept.values()))
             self._unsaved = []
 
     def _remember_kept(self, refused: set[Key]) -> None:
         for kind, name in refused:
-            if (good := self._owner.in_force(kind, name)) is not None:
+            if (good := self._applier.applied_resource(kind, name)) is not None:
                 self._kept[kind, name] = good
 
     # Time
@@ -350,19 +354,19 @@
     def _arm(self) -> None:
         """A timer that is too early only asks again, so an old one stands unless it is too late."""
         now = self._clock.now()
-        due = self._loop.time() + max(LEAST_WAIT, (self.subscriber.due() - now) / 1000.0)
+        due = self._loop.time() + max(LEAST_WAIT, (self.subscriber.next_timer_at() - now) / 1000.0)
         if self._alarm is not None:
             if self._alarm.when() <= due:
                 return
             self._alarm.cancel()
-        self._alarm = self._loop.call_at(due, self._tick)
+        self._alarm = self._loop.call_at(due, self._on_timer)
 
-    def _tick(self) -> None:
+    def _on_timer(self) -> None:
         self._alarm = None
         if self._closed:
             return
         now = self._clock.now()
-        self._do(self.subscriber.tick(now) if now >= self.subscriber.due() else [])
+        self._do(self.subscriber.on_timer(now) if now >= self.subscriber.next_timer_at() else [])
 
 
 def _slices(resources: Iterable[Resource], size: int) -> Iterator[list[Resource]]:
@@ -382,12 +386,14 @@
     return Rejection(one.kind, one.name, one.revision, one.reason[:MOST_REASON])
 
 
-def servers_of(options: ControlOptions) -> list[Server]:
+def servers_from_options(options: ControlOptions) -> list[CandidateServer]:
     """The servers that the section names, near ones first."""
-    near = [Server(server, 0) for server in options.servers]
-    return near + [Server(server, 1) for server in options.far_servers]
+    near = [CandidateServer(server, 0) for server in options.servers]
+    return near + [CandidateServer(server, 1) for server in options.far_servers]
 
 
-def cache_of(options: ControlOptions, name: str) -> Cache | None:
+def cache_from_options(options: ControlOptions, name: str) -> SnapshotCache | None:
     """Where the section keeps what was received; None for nowhere."""
-    return Cache(Path(options.cache), name, options.cache_interval) if options.cache else None
+    return (
+        SnapshotCache(Path(options.cache), name, options.cache_interval) if options.cache else None
+    )
--- a/dockthread/control_plane/fanout.py
+++ b/dockthread/control_plane/fanout.py
@@ -27,13 +27,13 @@
 from typing import Final
 
 from dockthread.control_plane.admission import SnapshotBudget
-from dockthread.control_plane.encoded import FramesCache, Snapshot
-from dockthread.control_plane.lag import Arrivals
+from dockthread.control_plane.encoded import EncodedFrameCache, EncodedSnapshot
+from dockthread.control_plane.lag import LagTracker
 from dockthread.control_plane.messages import (
-    MOST_NAME,
+    AGE_UNKNOWN,
+    MAX_NAME_BYTES,
+    MAX_REJECTIONS,
     MOST_REASON,
-    MOST_REJECTIONS,
-    NEVER,
     NO_DIGEST,
     Acknowledge,
     Heartbeat,
@@ -55,29 +55,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FanoutLimits:
+class FanOutLimits:
     """`snapshot_rate`: bytes of snapshots a second, over time; `snapshot_burst`: bytes of them at
     once. Times in ms: `beat` between heartbeats, `silence` after which a subscriber is closed,
     `remember` for the status of one that is gone. `part`: bytes of resources in one frame.
     """
 
-    most_subscribers: int = 400
+    max_subscribers: int = 400
     snapshot_rate: float = 20e6
     snapshot_burst: float = 40e6
-    part: int = 256 << 10
-    beat: float = 1_000.0
-    silence: float = 10_000.0
-    remember: float = 3_600_000.0
-    retry_least: float = 250.0
-    retry_most: float = 60_000.0
+    chunk_bytes: int = 256 << 10
+    heartbeat_interval: float = 1_000.0
+    silence_timeout: float = 10_000.0
+    status_retention: float = 3_600_000.0
+    retry_after_min: float = 250.0
+    retry_after_max: float = 60_000.0
 
 
-class UnexpectedMessage(Exception):
+class UnexpectedMessageError(Exception):
     """A subscriber says what it may not say there; the rim closes its connection."""
 
 
 @dataclass(frozen=True, slots=True)
-class Overdue:
+class OverdueConnection:
     """A connection that the rim is to close, and then to tell `closed`."""
 
     connection: int
@@ -104,9 +104,9 @@
     heard_at: float
     epoch: str
     revision: int
-    snapshot: Snapshot | None = None  # under way
+    snapshot: EncodedSnapshot | None = None  # under way
     wants_snapshot: bool = False
-    part: int = 0
+    next_chunk: int = 0
     # the last digest that it was told, where nothing was handed over since
     confirmed: bytes = NO_DIGEST
     owed: float = 0.0  # bytes of the snapshot
@@ -114,7 +114,7 @@
     replaced: bool = False  # by another connection of the same name
 
 
-class Fanout:
+class FanOut:
     """Serves `table`, which somebody else changes, to subscribers by the rim's numbers of their
     connections.
 
@@ -124,7 +124,7 @@
     def __init__(
         self,
         table: ResourceTable,
-        limits: FanoutLimits,
+        limits: FanOutLimits,
         rng: random.Random,
         key: bytes = b"",
         now: float = 0.0,
@@ -133,14 +133,18 @@
         self._cursors: dict[int, _Cursor] = {}
         self._connection_of: dict[str, int] = {}  # by subscriber
         self._gone: OrderedDict[str, _Standing] = OrderedDict()
-        self._cache = FramesCache(table, limits.part, key)
+        self._cache = EncodedFrameCache(table, limits.chunk_bytes, key)
         self._snapshot_asked = now
         self._budget = SnapshotBudget(
-            limits.snapshot_rate, limits.snapshot_burst, limits.retry_least, limits.retry_most, rng
+            limits.snapshot_rate,
+            limits.snapshot_burst,
+            limits.retry_after_min,
+            limits.retry_after_max,
+            rng,
         )
-        self._arrivals = Arrivals(now, table)
+        self._arrivals = LagTracker(now, table)
         self._fresh_at: float | None = None
-        self._beat_at = now + limits.beat
+        self._beat_at = now + limits.heartbeat_interval
         self._paced = False  # a part waits for the budget
 
     def subscribe(self, now: float, connection: int, message: Subscribe) -> RetryLater | None:
@@ -149,15 +153,15 @@
         second one on the same connection.
         """
         if connection in self._cursors:
-            raise UnexpectedMessage("it has subscribed before")
+            raise UnexpectedMessageError("it has subscribed before")
         if (
-            not 0 < len(message.name.encode()) <= MOST_NAME
-            or len(message.region + message.zone) > 2 * MOST_NAME
+            not 0 < len(message.name.encode()) <= MAX_NAME_BYTES
+            or len(message.region + message.zone) > 2 * MAX_NAME_BYTES
         ):
-            raise UnexpectedMessage("its name or place is empty or too long")
+            raise UnexpectedMessageError("its name or place is empty or too long")
         self._arrivals.notice(now, self.table)
         if (
-            len(self._connection_of) >= self._limits.most_subscribers
+            len(self._connection_of) >= self._limits.max_subscribers
             and message.name not in self._connection_of
         ):
             return RetryLater(
@@ -174,17 +178,17 @@
         self._gone.pop(message.name, None)
         return None
 
-    def heard(self, now: float, connection: int, message: Acknowledge | Heartbeat) -> None:
+    def on_message(self, now: float, connection: int, message: Acknowledge | Heartbeat) -> None:
         """Any later message. Raises `UnexpectedMessage` where the connection has not subscribed."""
         cursor = self._cursors.get(connection)
         if cursor is None:
-            raise UnexpectedMessage("it has not subscribed")
+            raise UnexpectedMessageError("it has not subscribed")
         cursor.heard_at = now
         if isinstance(message, Acknowledge):
-            if len(message.rejected) > MOST_REJECTIONS or any(
+            if len(message.rejected) > MAX_REJECTIONS or any(
                 _too_long(one) for one in message.rejected
             ):
-                raise UnexpectedMessage(
+                raise UnexpectedMessageError(
                     "more or longer rejections than an acknowledgement may hold"
                 )
             standing = cursor.standing
@@ -201,14 +205,14 @@
             return None
         self._arrivals.notice(now, self.table)
         # the first one too: it tells how fresh this is
-        if now - cursor.heartbeat_at >= 2 * self._limits.beat:
+        if now - cursor.heartbeat_at >= 2 * self._limits.heartbeat_interval:
             return self._heartbeat(now, cursor)
         frame = self._update(now, cursor)
-        if frame is None and now - cursor.heartbeat_at >= self._limits.beat - EARLY:
+        if frame is None and now - cursor.heartbeat_at >= self._limits.heartbeat_interval - EARLY:
             return self._heartbeat(now, cursor)
         return frame
 
-    def closed(self, now: float, connection: int) -> None:
+    def on_closed(self, now: float, connection: int) -> None:
         """A connection is gone, whoever ended it. One that is not known is passed over."""
         cursor = self._cursors.pop(connection, None)
         if cursor is None:
@@ -222,35 +226,35 @@
             while len(self._gone) > MOST_GONE:
                 self._gone.popitem(last=False)
 
-    def fresh(self, now: float, age: float) -> None:
+    def set_table_age(self, now: float, age: float) -> None:
         """The table was known to hold all that was agreed on `age` ms ago; `NEVER` for never.
         Heartbeats tell it. On a voter: since it last heard from a leader, or as one from a
         majority; on a distributor `Subscriber.age`.
         """
         self._fresh_at = now - age if age >= 0.0 else None
 
-    def tick(self, now: float) -> list[Overdue]:
+    def on_timer(self, now: float) -> list[OverdueConnection]:
         """Connections to be closed. Call it at `due`; then ask `next_frame` of every connection
         with room.
         """
         self._arrivals.notice(now, self.table)
         self._paced = False  # whoever is asked next tells again
         if now >= self._beat_at:
-            self._beat_at = now + self._limits.beat
+            self._beat_at = now + self._limits.heartbeat_interval
         if now - self._snapshot_asked > SNAPSHOT_KEPT:
             self._cache.drop_snapshot()
         self._forget(now)
         overdue = [
-            Overdue(c, "replaced by a newer connection")
+            OverdueConnection(c, "replaced by a newer connection")
             for c, one in self._cursors.items()
             if one.replaced
         ]
         for connection, cursor in self._cursors.items():
-            if not cursor.replaced and now - cursor.heard_at > self._limits.silence:
-                overdue.append(Overdue(connection, "silent for too long"))
+            if not cursor.replaced and now - cursor.heard_at > self._limits.silence_timeout:
+                overdue.append(OverdueConnection(connection, "silent for too long"))
         return overdue
 
-    def due(self) -> float:
+    def next_timer_at(self) -> float:
         """When `tick` is wanted: for the next heartbeat, or for the budget's next part."""
         if self._paced:
             return min(self._beat_at, self._budget.affords_at())
@@ -297,7 +301,7 @@
     def _forget(self, now: float) -> None:
         while self._gone:
             name = next(iter(self._gone))
-            if now - self._gone[name].at <= self._limits.remember:
+            if now - self._gone[name].at <= self._limits.status_retention:
                 return
             del self._gone[name]
 
@@ -308,7 +312,7 @@
             return False  # nothing to be had here yet
         if cursor.epoch != table.epoch or cursor.revision < max(table.horizon, 1):
             return True
-        same = cursor.revision == table.revision and table.whole
+        same = cursor.revision == table.revision and table.is_complete
         return same and bool(digest) and digest != table.digest
 
     def _update(self, now: float, cursor: _Cursor) -> bytes | None:
@@ -323,17 +327,19 @@
         """One that lost its place while it was served (other epoch, too slow) was not admitted for
         a snapshot: it is owed one all the same, and paid from the same budget.
         """
-        if not self.table.whole:
+        if not self.table.is_complete:
             return None
-        cursor.snapshot, cursor.part, cursor.wants_snapshot = self._cache.snapshot(), 0, False
+        cursor.snapshot, cursor.next_chunk, cursor.wants_snapshot = self._cache.snapshot(), 0, False
         return self._snapshot_part(now, cursor, cursor.snapshot)
 
-    def _snapshot_part(self, now: float, cursor: _Cursor, snapshot: Snapshot) -> bytes | None:
+    def _snapshot_part(
+        self, now: float, cursor: _Cursor, snapshot: EncodedSnapshot
+    ) -> bytes | None:
         if not self._budget.affords(now):
             self._paced = True
             return None
         self._snapshot_asked = now
-        frame = snapshot.frame(cursor.part)
+        frame = snapshot.frame(cursor.next_chunk)
         if frame is None:
             self._end_snapshot(cursor, snapshot)
             return self._update(now, cursor)
@@ -341,10 +347,10 @@
         paid = min(float(len(frame)), cursor.owed)
         self._budget.settle(paid)
         cursor.owed -= paid
-        cursor.part += 1
+        cursor.next_chunk += 1
         return frame
 
-    def _end_snapshot(self, cursor: _Cursor, snapshot: Snapshot) -> None:
+    def _end_snapshot(self, cursor: _Cursor, snapshot: EncodedSnapshot) -> None:
         self._budget.settle(cursor.owed)
         cursor.owed, cursor.snapshot = 0.0, None
         cursor.epoch, cursor.revision, cursor.confirmed = (
@@ -356,10 +362,10 @@
 
     def _delta(self, cursor: _Cursor) -> bytes | None:
         table = self.table
-        if cursor.epoch != table.epoch or not table.can_resume(cursor.revision):
+        if cursor.epoch != table.epoch or not table.can_resume_from(cursor.revision):
             return None  # nothing here yet, or the table is behind
         if cursor.revision == table.revision and (
-            cursor.confirmed == table.digest or not table.whole
+            cursor.confirmed == table.digest or not table.is_complete
         ):
             return None
         delta = self._cache.delta(cursor.revision)
@@ -368,12 +374,12 @@
 
     def _heartbeat(self, now: float, cursor: _Cursor) -> bytes:
         cursor.heartbeat_at = now
-        age = NEVER if self._fresh_at is None else max(0.0, now - self._fresh_at)
+        age = AGE_UNKNOWN if self._fresh_at is None else max(0.0, now - self._fresh_at)
         return codec.pack(Heartbeat(self.table.epoch, self.table.revision, age), self._key)
 
 
 def _too_long(rejection: Rejection) -> bool:
     return (
-        max(len(rejection.kind), len(rejection.name)) > MOST_NAME
+        max(len(rejection.kind), len(rejection.name)) > MAX_NAME_BYTES
         or len(rejection.reason) > MOST_REASON
     )
--- a/dockthread/control_plane/ingress.py
+++ b/dockthread/control_plane/ingress.py
@@ -13,15 +13,19 @@
 from loguru import logger
 
 from dockthread.config.platform_settings import Address, Config
-from dockthread.control_plane.client import Client, cache_of, servers_of
+from dockthread.control_plane.client import (
+    ControlPlaneClient,
+    cache_from_options,
+    servers_from_options,
+)
 from dockthread.control_plane.messages import Rejection, Resource
 from dockthread.control_plane.options import ControlOptions
 from dockthread.control_plane.resource_schemas import (
     ADDRESS,
     ROUTE,
-    BadResource,
-    address_of,
-    route_of,
+    InvalidResourceError,
+    parse_address,
+    parse_route,
 )
 from dockthread.routes.layers import Layers
 
@@ -31,7 +35,7 @@
 NO_COUNTER = "this ingress was started without a counter: it asks none"
 
 
-class Controlled:
+class IngressResourceApplier:
     """Puts resources in force at one ingress. `layers`: its routes."""
 
     def __init__(self, ingress: Ingress, layers: Layers, options: ControlOptions) -> None:
@@ -42,16 +46,16 @@
         self._in_force: dict[tuple[str, str], Resource] = {}
         self._refused: list[Rejection] = []
         name, rng = ingress.config.name, random.Random(secrets.randbits(64))
-        self.client = Client(
+        self.client = ControlPlaneClient(
             name,
-            servers_of(options),
+            servers_from_options(options),
             self,
             ingress.clock,
             rng,
             options.key(),
             options.region,
             options.zone,
-            cache_of(options, name),
+            cache_from_options(options, name),
         )
 
     def open(self) -> None:
@@ -62,7 +66,7 @@
         """Stop receiving, and write the cache."""
         await self.client.close()
 
-    def layered(self, config: Config) -> Config:
+    def with_published_addresses(self, config: Config) -> Config:
         """A configuration as it was read again, with the addresses that were published."""
         self._configured = config
         return replace(
@@ -71,11 +75,11 @@
             counter=self._addresses.get("counter", config.counter),
         )
 
-    def settings_changed(self) -> None:
+    def on_settings_changed(self) -> None:
         """Prove all that was published by the settings that hold now: what has become bad goes,
         with a reason told, and what was refused before may be good.
         """
-        self.client.apply_again()
+        self.client.reapply()
 
     # What its client tells (client.py, Owner)
 
@@ -94,11 +98,11 @@
         self._refused += refused
         return refused
 
-    def in_force(self, kind: str, name: str) -> Resource | None:
+    def applied_resource(self, kind: str, name: str) -> Resource | None:
         """What is in force under a key; None for nothing."""
         return self._in_force.get((kind, name))
 
-    def settled(self) -> None:
+    def on_batch_applied(self) -> None:
         """All that was given has been dealt with: log once what was refused."""
         if self._refused:
             first = self._refused[0]
@@ -123,7 +127,7 @@
                 return self._route(one)
             if one.kind == ADDRESS:
                 return self._address(one)
-        except BadResource as error:
+        except InvalidResourceError as error:
             return str(error)
         return "" if one.body is None else f"this release knows no kind {one.kind}"
 
@@ -132,13 +136,13 @@
         if one.body is None:
             self._layers.remove(one.name, now)
             return ""
-        return self._layers.put(one.name, route_of(one.name, one.body), now)
+        return self._layers.put(one.name, parse_route(one.name, one.body), now)
 
     def _address(self, one: Resource) -> str:
         if one.body is None:
             self._addresses.pop(one.name, None)
         else:
-            at = address_of(one.name, one.body)
+            at = parse_address(one.name, one.body)
             if one.name == "counter" and self._configured.counter is None:
                 return NO_COUNTER
             self._addresses[one.name] = at
@@ -148,7 +152,7 @@
     def _move(self) -> None:
         """As the configuration of a SIGHUP does (`Ingress.reconfigure`)."""
         ingress = self._ingress
-        config = self.layered(self._configured)
+        config = self.with_published_addresses(self._configured)
         ingress.config = replace(ingress.config, discovery=config.discovery, counter=config.counter)
         ingress.watch.move(config.discovery)
         ingress.counter.move(config.counter)
--- a/dockthread/control_plane/lag.py
+++ b/dockthread/control_plane/lag.py
@@ -11,7 +11,7 @@
 MOST_ARRIVALS: Final = 4096
 
 
-class Arrivals:
+class LagTracker:
     """When revisions of one table were noticed."""
 
     def __init__(self, now: float, table: ResourceTable) -> None:
--- a/dockthread/control_plane/listing.py
+++ b/dockthread/control_plane/listing.py
@@ -4,20 +4,20 @@
 
 import heapq
 
-from dockthread.control_plane.messages import Found, Lookup, Resource
+from dockthread.control_plane.messages import LookupRequest, LookupResponse, Resource
 from dockthread.control_plane.resource_table import ResourceTable
 
 MOST_LISTED = 1000  # resources of one page
 MOST_PAGE = 1 << 20  # bytes of bodies in one page; one resource at least
 
 
-def found(table: ResourceTable, lookup: Lookup) -> Found:
+def found(table: ResourceTable, lookup: LookupRequest) -> LookupResponse:
     """One resource by its name, or a page of a kind. A page costs a walk over the table: it is for
     people.
     """
     if lookup.name:
         one = table.get(lookup.kind, lookup.name)
-        return Found(table.revision, () if one is None else (one,))
+        return LookupResponse(table.revision, () if one is None else (one,))
     later = (one for one in table.live() if one.kind == lookup.kind and one.name > lookup.after)
     page = heapq.nsmallest(MOST_LISTED, later, key=lambda one: one.name)
     taken: list[Resource] = []
@@ -28,4 +28,4 @@
             break
         taken.append(one)
     more = len(taken) < len(page) or len(page) == MOST_LISTED
-    return Found(table.revision, tuple(taken), more)
+    return LookupResponse(table.revision, tuple(taken), more)
--- a/dockthread/control_plane/messages.py
+++ b/dockthread/control_plane/messages.py
@@ -15,13 +15,13 @@
 from dockthread.framing import Codec
 
 VERSION: Final = 1
-MOST_FRAME: Final = 4 << 20  # bytes of a message
-MOST_BODY: Final = 64 << 10  # bytes of one resource's body
-MOST_NAME: Final = 128  # bytes of a kind or a name
-MOST_REJECTIONS: Final = 64  # in one acknowledgement
+MAX_MESSAGE_BYTES: Final = 4 << 20  # bytes of a message
+MAX_BODY_BYTES: Final = 64 << 10  # bytes of one resource's body
+MAX_NAME_BYTES: Final = 128  # bytes of a kind or a name
+MAX_REJECTIONS: Final = 64  # in one acknowledgement
 MOST_REASON: Final = 256  # characters of a rejection's reason
 NO_DIGEST: Final = b""
-NEVER: Final = -1.0  # ms: the age of a table that was never known to hold all
+AGE_UNKNOWN: Final = -1.0  # ms: the age of a table that was never known to hold all
 
 
 class Resource(msgspec.Struct, frozen=True, array_like=True):
@@ -105,7 +105,7 @@
     reason: str
 
 
-class Publish(msgspec.Struct, frozen=True, array_like=True, tag="p"):
+class PublishRequest(msgspec.Struct, frozen=True, array_like=True, tag="p"):
     """A change to be accepted. `token`: the caller's own for it, the same when it asks again.
     `expected`: the revision of the resource that it replaces, 0 for none there, -1 for whatever is
     there. `body`: None deletes.
@@ -118,7 +118,7 @@
     expected: int = -1
 
 
-class Published(msgspec.Struct, frozen=True, array_like=True, tag="q"):
+class PublishResponse(msgspec.Struct, frozen=True, array_like=True, tag="q"):
     """Accepted as `revision`; or refused, with 0 and the reason; or not known, with -1 and the
     reason.
     """
@@ -147,7 +147,7 @@
     rejected: tuple[Rejection, ...] = ()
 
 
-class Status(msgspec.Struct, frozen=True, array_like=True, tag="v"):
+class StatusResponse(msgspec.Struct, frozen=True, array_like=True, tag="v"):
     """What a server holds and who receives from it."""
 
     name: str
@@ -159,7 +159,7 @@
     subscribers: tuple[SubscriberStatus, ...]
 
 
-class Lookup(msgspec.Struct, frozen=True, array_like=True, tag="g"):
+class LookupRequest(msgspec.Struct, frozen=True, array_like=True, tag="g"):
     """What is held of a kind: the resource `name`, or, where that is empty, those whose names come
     behind `after`.
     """
@@ -169,7 +169,7 @@
     after: str = ""
 
 
-class Found(msgspec.Struct, frozen=True, array_like=True, tag="f"):
+class LookupResponse(msgspec.Struct, frozen=True, array_like=True, tag="f"):
     """Live resources by name. `more`: there may be others behind the last of them."""
 
     revision: int
@@ -183,12 +183,12 @@
     | Acknowledge
     | Heartbeat
     | RetryLater
-    | Publish
-    | Published
+    | PublishRequest
+    | PublishResponse
     | StatusRequest
-    | Status
-    | Lookup
-    | Found
+    | StatusResponse
+    | LookupRequest
+    | LookupResponse
 )
 
-codec: Codec[Message] = Codec(Message, VERSION, MOST_FRAME)
+codec: Codec[Message] = Codec(Message, VERSION, MAX_MESSAGE_BYTES)
--- a/dockthread/control_plane/options.py
+++ b/dockthread/control_plane/options.py
@@ -11,7 +11,7 @@
 from dockthread.config.ini_reader import Section
 from dockthread.config.platform_settings import Address
 from dockthread.config.quantities import Duration, Size
-from dockthread.control_plane.messages import MOST_NAME
+from dockthread.control_plane.messages import MAX_NAME_BYTES
 from dockthread.telemetry.options import host_port
 
 LEAST_KEY, MOST_KEY = 16, 64  # bytes of the shared key
@@ -95,11 +95,11 @@
             yield "name", "is missing", f"write a name of this {self.role} that no other has"
         for key in ("name", "region", "zone"):
             value = getattr(self, key)
-            if len(value.encode()) > MOST_NAME or any(c.isspace() for c in value):
+            if len(value.encode()) > MAX_NAME_BYTES or any(c.isspace() for c in value):
                 yield (
                     key,
                     f"{value[:40]!r} is no name",
-                    f"write {MOST_NAME} bytes at most, without spaces",
+                    f"write {MAX_NAME_BYTES} bytes at most, without spaces",
                 )
 
     def _budget_faults(self) -> Iterable[Fault]:
--- a/dockthread/control_plane/process.py
+++ b/dockthread/control_plane/process.py
@@ -17,11 +17,15 @@
 from dockthread.clock import Clock
 from dockthread.config.platform_settings import Address, SettingsError
 from dockthread.config.section_registry import load
-from dockthread.control_plane.client import Client, cache_of, servers_of
-from dockthread.control_plane.fanout import FanoutLimits
+from dockthread.control_plane.client import (
+    ControlPlaneClient,
+    cache_from_options,
+    servers_from_options,
+)
+from dockthread.control_plane.fanout import FanOutLimits
 from dockthread.control_plane.messages import Rejection, Resource
 from dockthread.control_plane.options import ControlOptions
-from dockthread.control_plane.server import Server, ServerLimits
+from dockthread.control_plane.server import ControlPlaneServer, ServerLimits
 from dockthread.control_plane.voter import Voter
 from dockthread.framing import MessageCounts
 from dockthread.logs.setup import set_up
@@ -50,11 +54,11 @@
 
     def __init__(self, options: ControlOptions, clock: Clock, rng: random.Random) -> None:
         key = options.key()
-        self._server: Server | None = None  # until the client has read its cache
-        cache = cache_of(options, options.name)
-        self._client = Client(
+        self._server: ControlPlaneServer | None = None  # until the client has read its cache
+        cache = cache_from_options(options, options.name)
+        self._client = ControlPlaneClient(
             options.name,
-            servers_of(options),
+            servers_from_options(options),
             self,
             clock,
             rng,
@@ -65,8 +69,8 @@
             slice_size=DISTRIBUTOR_SLICE,
         )
         subscriber = self._client.subscriber
-        limits, fanout = limits_of(options)
-        self._server = Server(
+        limits, fanout = limits_from_options(options)
+        self._server = ControlPlaneServer(
             options.name,
             "distributor",
             subscriber.table,
@@ -103,21 +107,24 @@
         """Refuses nothing: a distributor knows no kind."""
         return ()
 
-    def in_force(self, kind: str, name: str) -> Resource | None:
+    def applied_resource(self, kind: str, name: str) -> Resource | None:
         """Nothing is in force at a distributor."""
         return None
 
-    def settled(self) -> None:
+    def on_batch_applied(self) -> None:
         """The table has changed: serve it on."""
         if self._server is not None:
             self._server.changed()
 
 
-def limits_of(options: ControlOptions) -> tuple[ServerLimits, FanoutLimits]:
+def limits_from_options(options: ControlOptions) -> tuple[ServerLimits, FanOutLimits]:
     """Limits of a server and of its fan-out by the section."""
     most, rate = options.most_connections, float(options.snapshot_rate)
-    fanout = FanoutLimits(
-        most, snapshot_rate=rate, snapshot_burst=2 * rate, beat=float(options.heartbeat)
+    fanout = FanOutLimits(
+        most,
+        snapshot_rate=rate,
+        snapshot_burst=2 * rate,
+        heartbeat_interval=float(options.heartbeat),
     )
     return ServerLimits(most + ASKING, options.write_buffer), fanout
 
@@ -127,7 +134,7 @@
     rng = random.Random(secrets.randbits(64))
     if control.role == "distributor":
         return Distributor(control, Clock(), rng)
-    limits, fanout = limits_of(control)
+    limits, fanout = limits_from_options(control)
     return Voter(control.name, fleet, Clock(), rng, limits, fanout, control.key())
 
 
--- a/dockthread/control_plane/publish_state_machine.py
+++ b/dockthread/control_plane/publish_state_machine.py
@@ -23,8 +23,14 @@
 
 import msgspec
 
-from dockthread.control_plane.messages import MOST_BODY, MOST_NAME, Publish, Published, Resource
-from dockthread.control_plane.resource_table import MOST_TOMBSTONES, ResourceTable
+from dockthread.control_plane.messages import (
+    MAX_BODY_BYTES,
+    MAX_NAME_BYTES,
+    PublishRequest,
+    PublishResponse,
+    Resource,
+)
+from dockthread.control_plane.resource_table import MAX_TOMBSTONES, ResourceTable
 
 MOST_TOKENS: Final = 65_536  # outcomes remembered: about a week of changes
 MOST_TOKEN: Final = 64  # bytes of a token
@@ -38,7 +44,7 @@
 class Proposal(msgspec.Struct, frozen=True, array_like=True):
     """One entry of the log."""
 
-    publish: Publish
+    publish: PublishRequest
     nonce: bytes
 
 
@@ -64,7 +70,7 @@
 _state_decoder = msgspec.msgpack.Decoder(State)
 
 
-class Publishing:
+class PublishStateMachine:
     """The owner of a log (`dockthread.raft.server.Owner` without what concerns its members).
 
     `table` holds what is accepted; its identity stays the same for its life, also when a state is
@@ -76,20 +82,20 @@
         self,
         validators: Mapping[str, Validator],
         rng: random.Random,
-        most_tokens: int = MOST_TOKENS,
-        most_tombstones: int = MOST_TOMBSTONES,
+        max_tokens: int = MOST_TOKENS,
+        max_tombstones: int = MAX_TOMBSTONES,
     ) -> None:
-        self.table = ResourceTable(most_tombstones=most_tombstones)
+        self.table = ResourceTable(max_tombstones=max_tombstones)
         self.undecodable = 0  # entries that mean nothing here
-        self._validators, self._rng, self._most_tokens = dict(validators), rng, most_tokens
+        self._validators, self._rng, self._most_tokens = dict(validators), rng, max_tokens
         self._outcomes: OrderedDict[str, Outcome] = OrderedDict()  # by token
 
-    def answer(self, token: str) -> Published | None:
+    def response_for(self, token: str) -> PublishResponse | None:
         """What became of a change that was applied; None where it is not known here."""
         outcome = self._outcomes.get(token)
-        return None if outcome is None else Published(token, outcome.revision, outcome.reason)
+        return None if outcome is None else PublishResponse(token, outcome.revision, outcome.reason)
 
-    def refusal(self, publish: Publish) -> str:
+    def rejection_reason(self, publish: PublishRequest) -> str:
         """Why the change may not be proposed, whatever the state; empty where it may. That refusal
         is final too.
         """
@@ -101,7 +107,7 @@
             return reason
         return validator(publish.name, publish.body)
 
-    def proposal(self, publish: Publish) -> bytes:
+    def encode_proposal(self, publish: PublishRequest) -> bytes:
         """What is to be proposed to the log. Whoever proposes asks `answer` and `refusal`
         before.
         """
@@ -110,11 +116,11 @@
     def apply(self, index: int, data: bytes) -> None:
         """An entry that is agreed on, in its order. `answer` then knows its token."""
         try:
-            proposal = _proposal_decoder.decode(data)
+            encode_proposal = _proposal_decoder.decode(data)
         except msgspec.MsgspecError:
             self.undecodable += 1
             return
-        publish = proposal.publish
+        publish = encode_proposal.publish
         if publish.token in self._outcomes:
             return
         reason = _out_of_bounds(publish) or self._unexpected(publish)
@@ -136,7 +142,7 @@
         self.table.load(held.epoch, held.revision, held.horizon, held.entries)
         self._outcomes = OrderedDict((outcome.token, outcome) for outcome in held.outcomes)
 
-    def _accept(self, publish: Publish, data: bytes) -> int:
+    def _accept(self, publish: PublishRequest, data: bytes) -> int:
         """The revision that it becomes."""
         if not self.table.epoch:
             self.table.epoch = blake2b(data, digest_size=8).hexdigest()
@@ -149,7 +155,7 @@
         while len(self._outcomes) > self._most_tokens:
             self._outcomes.popitem(last=False)
 
-    def _unexpected(self, publish: Publish) -> str:
+    def _unexpected(self, publish: PublishRequest) -> str:
         there = self.table.get(publish.kind, publish.name)
         revision = 0 if there is None else there.revision
         if publish.expected not in (ANY_REVISION, revision):
@@ -159,13 +165,13 @@
         return ""
 
 
-def _out_of_bounds(publish: Publish) -> str:
+def _out_of_bounds(publish: PublishRequest) -> str:
     """Which bound the change breaks, whatever the state; empty for none."""
     if not 0 < len(publish.token.encode()) <= MOST_TOKEN:
         return f"a token has 1 to {MOST_TOKEN} bytes"
     for word, text in (("kind", publish.kind), ("name", publish.name)):
-        if not 0 < len(text.encode()) <= MOST_NAME or not text.isprintable():
-            return f"a {word} has 1 to {MOST_NAME} bytes and can be printed"
-    if publish.body is not None and len(publish.body) > MOST_BODY:
-        return f"{len(publish.body)} bytes, and {MOST_BODY} are the most"
+        if not 0 < len(text.encode()) <= MAX_NAME_BYTES or not text.isprintable():
+            return f"a {word} has 1 to {MAX_NAME_BYTES} bytes and can be printed"
+    if publish.body is not None and len(publish.body) > MAX_BODY_BYTES:
+        return f"{len(publish.body)} bytes, and {MAX_BODY_BYTES} are the most"
     return ""
--- a/dockthread/control_plane/resource_schemas.py
+++ b/dockthread/control_plane/resource_schemas.py
@@ -27,53 +27,57 @@
 _FIELDS = {field.encode_name: field for field in msgspec.structs.fields(RouteOptions)}
 
 
-class BadResource(ValueError):
+class InvalidResourceError(ValueError):
     """A body that is not of its kind's form; the text is the reason."""
 
 
-def route_of(name: str, body: bytes) -> RouteOptions:
+def parse_route(name: str, body: bytes) -> RouteOptions:
     """Raises `BadResource` with key, fault and what would do."""
     if not name.strip() or len(name) > MOST_ROUTE_NAME or any(c in name for c in "[]\r\n"):
-        raise BadResource(f"{name[:40]!r} is no name of a route")
+        raise InvalidResourceError(f"{name[:40]!r} is no name of a route")
     values: dict[str, Any] = {}
     for key, value in _object(body).items():
         if key not in _FIELDS:
-            raise BadResource(f"{key}: is no key of a route; known: {', '.join(sorted(_FIELDS))}")
+            raise InvalidResourceError(
+                f"{key}: is no key of a route; known: {', '.join(sorted(_FIELDS))}"
+            )
         try:
             values[_FIELDS[key].name] = convert(_text(value), _FIELDS[key].type)
         except (ValueError, msgspec.ValidationError) as error:
-            raise BadResource(f"{key}: {_text(value)[:80]!r} {error}") from error
+            raise InvalidResourceError(f"{key}: {_text(value)[:80]!r} {error}") from error
     options = RouteOptions(**values)
     for key, wrong, would_do in options.faults():
-        raise BadResource(str(Problem("", "", key, wrong, would_do)).removeprefix(": "))
+        raise InvalidResourceError(str(Problem("", "", key, wrong, would_do)).removeprefix(": "))
     return options
 
 
-def address_of(name: str, body: bytes) -> Address:
+def parse_address(name: str, body: bytes) -> Address:
     """Raises `BadResource` with the fault and what would do."""
     if name not in ADDRESSES:
-        raise BadResource(
+        raise InvalidResourceError(
             f"{name[:40]!r} is no address of an ingress; known: {', '.join(ADDRESSES)}"
         )
     value = _object(body).get("address")
     found = host_port(value) if isinstance(value, str) else None
     if found is None:
-        raise BadResource(f'address: {value!r} is no address; write {{"address": "HOST:PORT"}}')
+        raise InvalidResourceError(
+            f'address: {value!r} is no address; write {{"address": "HOST:PORT"}}'
+        )
     return Address(*found)
 
 
 def _validate_route(name: str, body: bytes) -> str:
     try:
-        route_of(name, body)
-    except BadResource as error:
+        parse_route(name, body)
+    except InvalidResourceError as error:
         return str(error)
     return ""
 
 
 def _validate_address(name: str, body: bytes) -> str:
     try:
-        address_of(name, body)
-    except BadResource as error:
+        parse_address(name, body)
+    except InvalidResourceError as error:
         return str(error)
     return ""
 
@@ -85,9 +89,9 @@
     try:
         found = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise BadResource(f"is not JSON: {error}") from error
+        raise InvalidResourceError(f"is not JSON: {error}") from error
     if not isinstance(found, dict):
-        raise BadResource('is no JSON object, such as {"attempts": 2}')
+        raise InvalidResourceError('is no JSON object, such as {"attempts": 2}')
     return found
 
 
--- a/dockthread/control_plane/resource_table.py
+++ b/dockthread/control_plane/resource_table.py
@@ -23,7 +23,7 @@
 
 from dockthread.control_plane.messages import Resource, Update
 
-MOST_TOMBSTONES: Final = 8192
+MAX_TOMBSTONES: Final = 8192
 DIGEST_SIZE: Final = 16  # bytes
 OVERHEAD: Final = 8  # bytes that a resource may take in a message besides what is held of it
 _MODULUS: Final = 1 << (8 * DIGEST_SIZE)
@@ -31,21 +31,21 @@
 _HEAD: Final = struct.Struct("<Q?")  # revision, whether it is live
 
 
-class OutOfOrder(ValueError):
+class OutOfOrderError(ValueError):
     """A change that is not newer than the table it was to go into."""
 
 
 class ResourceTable:
     """Resources of the history `epoch` up to `revision`."""
 
-    def __init__(self, epoch: str = "", most_tombstones: int = MOST_TOMBSTONES) -> None:
+    def __init__(self, epoch: str = "", max_tombstones: int = MAX_TOMBSTONES) -> None:
         self.epoch = epoch
         self.revision = 0
         self.horizon = 0
         # holds the latest of each key at `revision`; not between the parts of an update
-        self.whole = True
+        self.is_complete = True
         self.bytes = 0  # of all entries in messages, about
-        self._most_tombstones = most_tombstones
+        self._most_tombstones = max_tombstones
         self._packed: dict[str, bytes] = {}  # by kind and name, the newest last
         self._tombstones: deque[tuple[int, str]] = deque()  # some may have been replaced since
         self._live = 0
@@ -84,7 +84,7 @@
         changed.
         """
         if resource.revision <= self.revision:
-            raise OutOfOrder(f"revision {resource.revision} after {self.revision}")
+            raise OutOfOrderError(f"revision {resource.revision} after {self.revision}")
         key = _key(resource.kind, resource.name)
         self._remove(key)
         packed = self._packed[key] = _pack(resource)
@@ -107,19 +107,19 @@
         included. Raises `OutOfOrder` for another order, and then the table is of no use: load into
         a new one.
         """
-        self.epoch, self.revision, self.horizon, self.whole = epoch, 0, horizon, True
+        self.epoch, self.revision, self.horizon, self.is_complete = epoch, 0, horizon, True
         self._packed, self._live, self._sum, self.bytes = {}, 0, 0, 0
         self._tombstones.clear()
         for entry in entries:
             self.put(entry)
         if self.revision > revision:
-            raise OutOfOrder(f"revision {self.revision} in a table of revision {revision}")
+            raise OutOfOrderError(f"revision {self.revision} in a table of revision {revision}")
         self.revision = revision
 
-    def adopt(self, other: ResourceTable) -> None:
+    def replace_with(self, other: ResourceTable) -> None:
         """Hold what `other` holds, in place of all before. `other` is of no use after it."""
         self.epoch, self.revision, self.horizon = other.epoch, other.revision, other.horizon
-        self.whole, self.bytes = other.whole, other.bytes
+        self.is_complete, self.bytes = other.is_complete, other.bytes
         self._packed, self._tombstones = other._packed, other._tombstones
         self._live, self._sum = other._live, other._sum
         self._forget_tombstones()
@@ -152,13 +152,13 @@
         """What is held now, to be cut into the parts of a snapshot while the table goes on."""
         return FrozenTable(self)
 
-    def can_resume(self, revision: int) -> bool:
+    def can_resume_from(self, revision: int) -> bool:
         """Whether a receiver that holds `revision` of this history can be brought up to date
         without a snapshot.
         """
         return max(self.horizon, 1) <= revision <= self.revision
 
-    def since(self, revision: int, most_bytes: int) -> Update:
+    def delta_since(self, revision: int, most_bytes: int) -> Update:
         """The next part for a receiver that holds `revision`, for which `can_resume` holds: the
         latest of each key only, and one resource at least where there is any. It is complete only
         where the table is whole.
@@ -171,7 +171,7 @@
             part.append(lacking.pop())
         if lacking:
             return Update(self.epoch, part[-1].revision, tuple(part), complete=False)
-        if not self.whole:
+        if not self.is_complete:
             return Update(self.epoch, self.revision, tuple(part), complete=False)
         return Update(self.epoch, self.revision, tuple(part), digest=self.digest)
 
@@ -224,7 +224,7 @@
         """Whether all parts were given."""
         return self._begun and self._next == len(self._keys)
 
-    def next_part(self, most_bytes: int) -> Update:
+    def next_chunk(self, most_bytes: int) -> Update:
         """The part behind the last one given: the first opens a snapshot, the last is complete."""
         start, room = self._next, most_bytes
         while self._next < len(self._keys):
--- a/dockthread/control_plane/server.py
+++ b/dockthread/control_plane/server.py
@@ -21,18 +21,18 @@
 
 from dockthread.clock import Clock
 from dockthread.config.platform_settings import Address
-from dockthread.control_plane.fanout import Fanout, FanoutLimits, UnexpectedMessage
+from dockthread.control_plane.fanout import FanOut, FanOutLimits, UnexpectedMessageError
 from dockthread.control_plane.listing import found
 from dockthread.control_plane.messages import (
-    MOST_FRAME,
+    MAX_MESSAGE_BYTES,
     Acknowledge,
     Heartbeat,
-    Lookup,
+    LookupRequest,
     Message,
-    Publish,
-    Published,
-    Status,
+    PublishRequest,
+    PublishResponse,
     StatusRequest,
+    StatusResponse,
     Subscribe,
     codec,
 )
@@ -40,7 +40,7 @@
 from dockthread.control_plane.stream import FrameStream
 from dockthread.framing import MessageCounts
 
-MOST_REQUEST = 256 << 10  # bytes of a message to a server: a resource's body, or 64 rejections
+MAX_REQUEST_BYTES = 256 << 10  # bytes of a message to a server: a resource's body, or 64 rejections
 MOST_PUBLISHING = 64  # changes that wait for the agreed log at once
 MOST_SILENCE = 10_000.0  # ms that a connection may stand without a subscription or a question
 FRAMES_A_TURN = 4  # to one connection before others have their turn
@@ -52,7 +52,7 @@
 class Publisher(Protocol):
     """Takes changes: a voter."""
 
-    async def publish(self, change: Publish) -> Published:
+    async def publish(self, change: PublishRequest) -> PublishResponse:
         """Have a change agreed on; how it ended."""
 
 
@@ -67,7 +67,7 @@
 
 
 @dataclass(slots=True)
-class Counts:
+class ServerCounts:
     """Since the start."""
 
     accepted: int = 0
@@ -81,34 +81,34 @@
 class Connection(FrameStream):
     """One accepted connection."""
 
-    def __init__(self, server: Server, number: int, key: bytes) -> None:
-        super().__init__(key, MOST_REQUEST, server.messages)
+    def __init__(self, server: ControlPlaneServer, number: int, key: bytes) -> None:
+        super().__init__(key, MAX_REQUEST_BYTES, server.messages)
         self._server, self.number = server, number
         self.subscribed = False
         self.heard_at = server.clock.now()
 
-    def opened(self) -> None:
+    def on_open(self) -> None:
         """The connection is open."""
-        self._server.accepted(self)
+        self._server.on_accept(self)
 
-    def heard(self, message: Message) -> None:
+    def on_message(self, message: Message) -> None:
         """A whole message came."""
-        self._server.heard(self, message)
+        self._server.on_message(self, message)
 
-    def malformed(self, reason: str) -> None:
+    def on_malformed(self, reason: str) -> None:
         """What came is no message."""
-        self._server.malformed(self, reason)
+        self._server.on_malformed(self, reason)
 
-    def ended(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """The connection is gone."""
-        self._server.ended(self)
+        self._server.on_closed(self)
 
-    def may_write(self) -> None:
+    def on_writable(self) -> None:
         """Its socket has room again."""
         self._server.write_to(self)
 
 
-class Server:
+class ControlPlaneServer:
     """Serves `table`. `age`: ms since the table was known to hold all that was agreed on, -1 for
     never. `publisher`: None on a distributor.
     """
@@ -122,15 +122,15 @@
         rng: random.Random,
         age: Callable[[], float],
         limits: ServerLimits | None = None,
-        fanout_limits: FanoutLimits | None = None,
+        fanout_limits: FanOutLimits | None = None,
         key: bytes = b"",
         publisher: Publisher | None = None,
     ) -> None:
         self.name, self.role, self.table, self.clock = name, role, table, clock
-        self.counts, self.messages = Counts(), MessageCounts()
+        self.counts, self.messages = ServerCounts(), MessageCounts()
         self._limits, self._key = limits or ServerLimits(), key
         self._age, self._publisher = age, publisher
-        self.fanout = Fanout(table, fanout_limits or FanoutLimits(), rng, key, clock.now())
+        self.fanout = FanOut(table, fanout_limits or FanOutLimits(), rng, key, clock.now())
         self._connections: dict[int, Connection] = {}
         self._number = 0
         self._server: asyncio.Server | None = None
@@ -174,7 +174,7 @@
         self._number += 1
         return Connection(self, self._number, self._key)
 
-    def accepted(self, connection: Connection) -> None:
+    def on_accept(self, connection: Connection) -> None:
         """Take a connection in, or close it where there are too many."""
         if len(self._connections) >= self._limits.connections:
             self.counts.refused += 1
@@ -185,12 +185,12 @@
         connection.transport.set_write_buffer_limits(high=self._limits.write_buffer)
         self._connections[connection.number] = connection
 
-    def ended(self, connection: Connection) -> None:
+    def on_closed(self, connection: Connection) -> None:
         """Forget a connection that is gone."""
         if self._connections.pop(connection.number, None) is not None and connection.subscribed:
-            self.fanout.closed(self.clock.now(), connection.number)
+            self.fanout.on_closed(self.clock.now(), connection.number)
 
-    def malformed(self, connection: Connection, reason: str) -> None:
+    def on_malformed(self, connection: Connection, reason: str) -> None:
         """Counted, and told now and then: it may be a wrong key."""
         self.counts.malformed += 1
         if (now := self.clock.now()) >= self._complain_at:
@@ -207,7 +207,7 @@
                 reason,
             )
 
-    def heard(self, connection: Connection, message: Message) -> None:
+    def on_message(self, connection: Connection, message: Message) -> None:
         """A whole message came on a connection."""
         now = connection.heard_at = self.clock.now()
         if not connection.writable and not connection.subscribed:
@@ -219,17 +219,17 @@
                 case Subscribe():
                     self._subscribe(now, connection, message)
                 case Acknowledge() | Heartbeat():
-                    self.fanout.heard(now, connection.number, message)
+                    self.fanout.on_message(now, connection.number, message)
                     self.write_to(connection)
-                case Publish():
+                case PublishRequest():
                     self._publish(connection, message)
                 case StatusRequest():
                     connection.send(self.status())
-                case Lookup():
+                case LookupRequest():
                     connection.send(found(self.table, message))
                 case _:
-                    raise UnexpectedMessage(type(message).__name__)
-        except UnexpectedMessage as error:
+                    raise UnexpectedMessageError(type(message).__name__)
+        except UnexpectedMessageError as error:
             self.counts.unexpected += 1
             logger.debug(
                 "control: connection {} is closed, it said what it may not: {}",
@@ -248,14 +248,16 @@
         self.write_to(connection)
         self._arm()
 
-    def _publish(self, connection: Connection, change: Publish) -> None:
+    def _publish(self, connection: Connection, change: PublishRequest) -> None:
         if self._publisher is None:
             connection.send(
-                Published(change.token, -1, f"{self.name} is no voter and takes no changes")
+                PublishResponse(change.token, -1, f"{self.name} is no voter and takes no changes")
             )
         elif len(self._publishing) >= MOST_PUBLISHING:
             connection.send(
-                Published(change.token, -1, f"{MOST_PUBLISHING} changes wait already: ask again")
+                PublishResponse(
+                    change.token, -1, f"{MOST_PUBLISHING} changes wait already: ask again"
+                )
             )
         else:
             task = self._loop.create_task(self._accept_change(self._publisher, connection, change))
@@ -263,17 +265,17 @@
             task.add_done_callback(self._publishing.discard)
 
     async def _accept_change(
-        self, publisher: Publisher, connection: Connection, change: Publish
+        self, publisher: Publisher, connection: Connection, change: PublishRequest
     ) -> None:
         connection.send(await publisher.publish(change))
 
-    def status(self) -> Status:
+    def status(self) -> StatusResponse:
         """What is held here and who receives from it. Reasons are left out where they would not fit
         a frame.
         """
         subscribers = self.fanout.status(self.clock.now())
         table = self.table
-        whole = Status(
+        whole = StatusResponse(
             self.name,
             self.role,
             table.epoch,
@@ -282,7 +284,7 @@
             self._age(),
             subscribers,
         )
-        if len(codec.pack(whole)) <= MOST_FRAME:
+        if len(codec.pack(whole)) <= MAX_MESSAGE_BYTES:
             return whole
         bare = tuple(msgspec.structs.replace(one, rejected=()) for one in subscribers)
         return msgspec.structs.replace(whole, subscribers=bare)
@@ -306,7 +308,7 @@
 
     def _write_all(self) -> None:
         self._changed = False
-        self.fanout.fresh(self.clock.now(), self._age())
+        self.fanout.set_table_age(self.clock.now(), self._age())
         for connection in list(self._connections.values()):
             self.write_to(connection)
 
@@ -315,13 +317,13 @@
     def _arm(self) -> None:
         if self._alarm is not None:
             self._alarm.cancel()
-        wait = max(LEAST_WAIT, (self.fanout.due() - self.clock.now()) / 1000.0)
-        self._alarm = self._loop.call_later(wait, self._tick)
+        wait = max(LEAST_WAIT, (self.fanout.next_timer_at() - self.clock.now()) / 1000.0)
+        self._alarm = self._loop.call_later(wait, self._on_timer)
 
-    def _tick(self) -> None:
+    def _on_timer(self) -> None:
         now = self.clock.now()
-        self.fanout.fresh(now, self._age())
-        for overdue in self.fanout.tick(now):
+        self.fanout.set_table_age(now, self._age())
+        for overdue in self.fanout.on_timer(now):
             self._close_overdue(overdue.connection, overdue.reason)
         for connection in list(self._connections.values()):
             if not connection.subscribed and now - connection.heard_at > MOST_SILENCE:
@@ -335,4 +337,4 @@
         if connection := self._connections.get(number):
             connection.abort()
         else:
-            self.fanout.closed(self.clock.now(), number)
+            self.fanout.on_closed(self.clock.now(), number)
--- a/dockthread/control_plane/server_selection.py
+++ b/dockthread/control_plane/server_selection.py
@@ -14,17 +14,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Server:
+class CandidateServer:
     """`distance`: those of a smaller one are preferred (0 for the own region)."""
 
     name: str
     distance: int = 0
 
 
-class ServerChoice:
+class ServerSelector:
     """The servers in the order of one subscriber."""
 
-    def __init__(self, subscriber: str, servers: Sequence[Server]) -> None:
+    def __init__(self, subscriber: str, servers: Sequence[CandidateServer]) -> None:
         self._subscriber = subscriber
         self._order: list[str] = []
         self._avoided_until: dict[str, float] = {}
@@ -36,7 +36,7 @@
     def __contains__(self, server: str) -> bool:
         return server in self._order
 
-    def set(self, servers: Sequence[Server]) -> None:
+    def set(self, servers: Sequence[CandidateServer]) -> None:
         """Another list; what is avoided stays so."""
         ordered = sorted(servers, key=lambda server: (server.distance, self._weight(server.name)))
         self._order = list(dict.fromkeys(server.name for server in ordered))
--- a/dockthread/control_plane/snapshot_cache.py
+++ b/dockthread/control_plane/snapshot_cache.py
@@ -30,7 +30,7 @@
 from loguru import logger
 
 from dockthread.control_plane.messages import Resource
-from dockthread.control_plane.resource_table import FrozenTable, OutOfOrder, ResourceTable
+from dockthread.control_plane.resource_table import FrozenTable, OutOfOrderError, ResourceTable
 
 VERSION: Final = 1
 SUM: Final = 16  # bytes
@@ -42,20 +42,20 @@
 GROWTH: Final = 2  # times its state to which a file may grow
 
 
-class Head(msgspec.Struct, frozen=True, array_like=True, tag="h"):
+class CacheHeader(msgspec.Struct, frozen=True, array_like=True, tag="h"):
     """First record of a cache: its version and whose it is."""
 
     version: int
     name: str
 
 
-class Part(msgspec.Struct, frozen=True, array_like=True, tag="p"):
+class CacheChunk(msgspec.Struct, frozen=True, array_like=True, tag="p"):
     """Resources that were received, in the order in which they came."""
 
     resources: tuple[Resource, ...]
 
 
-class Commit(msgspec.Struct, frozen=True, array_like=True, tag="c"):
+class CacheCommit(msgspec.Struct, frozen=True, array_like=True, tag="c"):
     """All before it is a state. `kept`: what is in force in place of resources that were
     refused.
     """
@@ -64,29 +64,29 @@
     revision: int
     horizon: int
     digest: bytes
-    kept: tuple[Resource, ...] = ()
+    last_good: tuple[Resource, ...] = ()
 
 
-Record = Head | Part | Commit
+CacheRecord = CacheHeader | CacheChunk | CacheCommit
 _COMMIT: Final = b"\x96\xa1c"  # how a commit begins: six fields, the first its tag
 _encoder = msgspec.msgpack.Encoder()
-_decoder: msgspec.msgpack.Decoder[Record] = msgspec.msgpack.Decoder(Record)
+_decoder: msgspec.msgpack.Decoder[CacheRecord] = msgspec.msgpack.Decoder(CacheRecord)
 
 
-class BrokenCache(Exception):
+class CorruptCacheError(Exception):
     """A file that holds no state of this program; the text says why."""
 
 
 @dataclass(slots=True)
-class Cached:
+class CachedSnapshot:
     """A state as it was read. `size`: bytes of the file up to its last commit."""
 
     table: ResourceTable
-    kept: tuple[Resource, ...]
+    last_good: tuple[Resource, ...]
     size: int
 
 
-def read(path: Path, name: str) -> Cached | None:
+def read_snapshot(path: Path, name: str) -> CachedSnapshot | None:
     """The last state in a file; None where there is no file. Raises `BrokenCache`. It is read
     twice, a record at a time: first to check it and find its last commit, then into a table.
     """
@@ -94,23 +94,23 @@
         with path.open("rb") as file:
             last, size = _last_commit(file, name)
             file.seek(0)
-            return Cached(_table(file, last, size), last.kept, size)
+            return CachedSnapshot(_table(file, last, size), last.last_good, size)
     except FileNotFoundError:
         return None
     except OSError as error:
-        raise BrokenCache(f"cannot be read: {error.strerror}") from error
+        raise CorruptCacheError(f"cannot be read: {error.strerror}") from error
 
 
-def _last_commit(file: BinaryIO, name: str) -> tuple[Commit, int]:
+def _last_commit(file: BinaryIO, name: str) -> tuple[CacheCommit, int]:
     """It, and where it ends."""
     last, size = None, 0
     for number, (body, end) in enumerate(_bodies(file)):
-        if number == 0 and _decode(body) != Head(VERSION, name):
-            raise BrokenCache(f"is not that of {name} in version {VERSION}")
-        if body[:3] == _COMMIT and isinstance(record := _decode(body), Commit):
+        if number == 0 and _decode(body) != CacheHeader(VERSION, name):
+            raise CorruptCacheError(f"is not that of {name} in version {VERSION}")
+        if body[:3] == _COMMIT and isinstance(record := _decode(body), CacheCommit):
             last, size = record, end
     if last is None:
-        raise BrokenCache("holds no whole state")
+        raise CorruptCacheError("holds no whole state")
     return last, size
 
 
@@ -120,28 +120,28 @@
     while len(head := file.read(RECORD.size)) == RECORD.size:
         size, told = RECORD.unpack(head)
         if size > MOST_RECORD:
-            raise BrokenCache(f"has a record of {size} bytes at byte {at}")
+            raise CorruptCacheError(f"has a record of {size} bytes at byte {at}")
         if len(body := file.read(size)) < size:
             return
         if blake2b(body, digest_size=SUM).digest() != told:
-            raise BrokenCache(f"has a wrong sum at byte {at}")
+            raise CorruptCacheError(f"has a wrong sum at byte {at}")
         at += RECORD.size + size
         yield body, at
 
 
-def _decode(body: bytes) -> Record:
+def _decode(body: bytes) -> CacheRecord:
     try:
         return _decoder.decode(body)
     except msgspec.MsgspecError as error:
-        raise BrokenCache(f"holds no record: {error}") from error
+        raise CorruptCacheError(f"holds no record: {error}") from error
 
 
-def _table(file: BinaryIO, last: Commit, size: int) -> ResourceTable:
+def _table(file: BinaryIO, last: CacheCommit, size: int) -> ResourceTable:
     """All up to the commit that ends at `size`."""
 
     def resources() -> Iterator[Resource]:
         for body, end in _bodies(file):
-            if isinstance(record := _decode(body), Part):
+            if isinstance(record := _decode(body), CacheChunk):
                 yield from record.resources
             if end == size:
                 return
@@ -149,15 +149,15 @@
     table = ResourceTable()
     try:
         table.load(last.epoch, last.revision, last.horizon, resources())
-    except OutOfOrder as error:
-        raise BrokenCache(f"is out of order: {error}") from error
+    except OutOfOrderError as error:
+        raise CorruptCacheError(f"is out of order: {error}") from error
     if table.digest != last.digest:
-        raise BrokenCache(f"has another digest than it tells at revision {last.revision}")
+        raise CorruptCacheError(f"has another digest than it tells at revision {last.revision}")
     return table
 
 
 @dataclass(frozen=True, slots=True)
-class Job:
+class WriteJob:
     """What is written at once. `anew`: to a new file beside; `commit`: a state ends with it."""
 
     data: bytes
@@ -165,7 +165,7 @@
     commit: bool
 
 
-class Cache:
+class SnapshotCache:
     """One subscriber's file in `directory`. `interval`: least ms between the starts of two
     writes.
     """
@@ -173,7 +173,7 @@
     def __init__(self, directory: Path, name: str, interval: float) -> None:
         self.path = directory / f"{quote(name, safe='')}.cache"
         self._name, self._interval = name, interval / 1000.0
-        self._queue: deque[Head | Resource | FrozenTable | Commit] = deque()
+        self._queue: deque[CacheHeader | Resource | FrozenTable | CacheCommit] = deque()
         self._waiting = 0  # bytes in it
         self._epoch, self._revision = "", 0  # of what was queued last
         self._state = self._appended = 0  # bytes of the file's first state, and since
@@ -186,11 +186,11 @@
         self._file: int | None = None
         self._beside: Path | None = None  # the file that is being written, until its first commit
 
-    def load(self) -> Cached | None:
+    def load(self) -> CachedSnapshot | None:
         """What stands there; a broken file is dropped with one line in the log."""
         try:
-            found = read(self.path, self._name)
-        except BrokenCache as error:
+            found = read_snapshot(self.path, self._name)
+        except CorruptCacheError as error:
             logger.warning("control: {} is dropped: it {}", self.path, error)
             with suppress(OSError):
                 self.path.unlink(missing_ok=True)
@@ -210,18 +210,20 @@
         return found
 
     def save(
-        self, table: ResourceTable, changes: Sequence[Resource], kept: tuple[Resource, ...]
+        self, table: ResourceTable, changes: Sequence[Resource], last_good: tuple[Resource, ...]
     ) -> None:
         """`table` after `changes`, which are all since the last call. It needs a running loop."""
         follows = self._usable and self._epoch == table.epoch and _follow(self._revision, changes)
         if not follows or self._appended > max(LEAST_REWRITE, GROWTH * self._state):
             self._queue.clear()
-            self._queue += (Head(VERSION, self._name), table.freeze())
+            self._queue += (CacheHeader(VERSION, self._name), table.freeze())
             self._waiting, self._appended, self._usable = table.bytes, 0, True
         else:
             self._queue += changes
             self._waiting += sum(map(_size, changes))
-        self._queue.append(Commit(table.epoch, table.revision, table.horizon, table.digest, kept))
+        self._queue.append(
+            CacheCommit(table.epoch, table.revision, table.horizon, table.digest, last_good)
+        )
         self._epoch, self._revision = table.epoch, table.revision
         if self._alarm is None and self._writing is None:
             self._arm()
@@ -264,29 +266,31 @@
                 return
             self._failed = False
 
-    def _next(self) -> Job | None:
+    def _next(self) -> WriteJob | None:
         """The next slice of resources, with the head before and the commit behind it."""
         if not self._queue:
             return None
-        records: list[Record] = []
-        anew = isinstance(head := self._queue[0], Head)
-        if isinstance(head, Head):
+        records: list[CacheRecord] = []
+        anew = isinstance(head := self._queue[0], CacheHeader)
+        if isinstance(head, CacheHeader):
             records.append(head)
             self._queue.popleft()
         if part := self._take_slice():
-            records.append(Part(part))
+            records.append(CacheChunk(part))
             self._waiting = max(0, self._waiting - sum(map(_size, part)))
         commit = (
-            self._queue.popleft() if self._queue and isinstance(self._queue[0], Commit) else None
+            self._queue.popleft()
+            if self._queue and isinstance(self._queue[0], CacheCommit)
+            else None
         )
-        if isinstance(commit, Commit):
+        if isinstance(commit, CacheCommit):
             records.append(commit)
-        return Job(b"".join(map(_framed, records)), anew, commit is not None)
+        return WriteJob(b"".join(map(_framed, records)), anew, commit is not None)
 
     def _take_slice(self) -> tuple[Resource, ...]:
         """The next resources, up to a commit."""
         if self._queue and isinstance(frozen := self._queue[0], FrozenTable):
-            part = frozen.next_part(SLICE).resources
+            part = frozen.next_chunk(SLICE).resources
             if frozen.exhausted:
                 self._queue.popleft()
             return part
@@ -298,7 +302,7 @@
             room -= _size(one)
         return tuple(taken)
 
-    def _carry_out(self, job: Job) -> None:
+    def _carry_out(self, job: WriteJob) -> None:
         """Never two at once."""
         if job.anew:
             self._close_file()
@@ -332,7 +336,7 @@
         self._file = None
 
 
-def _framed(record: Record) -> bytes:
+def _framed(record: CacheRecord) -> bytes:
     body = _encoder.encode(record)
     return RECORD.pack(len(body), blake2b(body, digest_size=SUM).digest()) + body
 
--- a/dockthread/control_plane/stream.py
+++ b/dockthread/control_plane/stream.py
@@ -26,22 +26,22 @@
 
     # For whoever carries it
 
-    def opened(self) -> None:
+    def on_open(self) -> None:
         """The connection stands."""
 
-    def heard(self, message: Message) -> None:
+    def on_message(self, message: Message) -> None:
         """A whole message."""
 
-    def received(self) -> None:
+    def on_bytes(self) -> None:
         """Some bytes came, and no whole message with them yet."""
 
-    def malformed(self, reason: str) -> None:
+    def on_malformed(self, reason: str) -> None:
         """Bytes that are no message, or too many; the connection ends."""
 
-    def ended(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """The connection is gone, whoever ended it."""
 
-    def may_write(self) -> None:
+    def on_writable(self) -> None:
         """The transport's buffer is low again."""
 
     def send(self, message: Message) -> None:
@@ -59,13 +59,13 @@
         """Whether it is closed, or about to be."""
         return self.transport is None or self.transport.is_closing()
 
-    def hold_reading(self) -> None:
-        """Read nothing more until `read_on`."""
+    def pause_reading(self) -> None:
+        """Read nothing more until `resume_reading`."""
         if self.transport is not None and not self.is_closing and self.transport.is_reading():
             self.transport.pause_reading()
 
-    def read_on(self) -> None:
-        """Read on after `hold_reading`."""
+    def resume_reading(self) -> None:
+        """Read on after `pause_reading`."""
         if self.transport is not None and not self.is_closing and not self.transport.is_reading():
             self.transport.resume_reading()
 
@@ -84,12 +84,12 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """From asyncio: the connection is open."""
         self.transport = transport  # type: ignore[assignment]  # uvloop's own class
-        self.opened()
+        self.on_open()
 
     def connection_lost(self, error: Exception | None) -> None:
         """From asyncio: the connection is gone."""
         self._buffer.clear()
-        self.ended(str(error) if error is not None else "closed")
+        self.on_closed(str(error) if error is not None else "closed")
 
     def pause_writing(self) -> None:
         """From asyncio: the write buffer is full."""
@@ -98,7 +98,7 @@
     def resume_writing(self) -> None:
         """From asyncio: the write buffer has room again."""
         self.writable = True
-        self.may_write()
+        self.on_writable()
 
     def data_received(self, data: bytes) -> None:
         """From asyncio: bytes came."""
@@ -107,10 +107,10 @@
         self._buffer += data
         try:
             if not self._cut():
-                self.received()
+                self.on_bytes()
         except MalformedFrame as error:
             self._buffer.clear()
-            self.malformed(str(error))
+            self.on_malformed(str(error))
             self.abort()
 
     def _cut(self) -> bool:
@@ -128,7 +128,7 @@
             body = bytes(buffer[at + HEAD.size : at + HEAD.size + size])
             at += HEAD.size + size
             self._counts.received += 1
-            self.heard(codec.unpack(head, body, self._key))
+            self.on_message(codec.unpack(head, body, self._key))
             if self.is_closing:
                 return True
         del buffer[:at]
--- a/dockthread/control_plane/subscriber.py
+++ b/dockthread/control_plane/subscriber.py
@@ -27,9 +27,9 @@
 from dataclasses import dataclass
 from typing import Final
 
-from dockthread.control_plane.applied_resources import InForce
+from dockthread.control_plane.applied_resources import AppliedResources
 from dockthread.control_plane.messages import (
-    NEVER,
+    AGE_UNKNOWN,
     NO_DIGEST,
     Acknowledge,
     Heartbeat,
@@ -41,17 +41,21 @@
     Update,
 )
 from dockthread.control_plane.resource_table import ResourceTable
-from dockthread.control_plane.server_selection import Server, ServerChoice
+from dockthread.control_plane.server_selection import CandidateServer, ServerSelector
 from dockthread.control_plane.subscriber_actions import (
     Action,
-    Changed,
     Connect,
-    Counts,
     Disconnect,
+    ResourcesChanged,
     Send,
+    SubscriberCounts,
     SubscriberTimes,
 )
-from dockthread.control_plane.update_assembler import BadUpdate, Receiver, WrongDigest
+from dockthread.control_plane.update_assembler import (
+    DigestMismatchError,
+    InvalidUpdateError,
+    UpdateAssembler,
+)
 
 MOST_DOUBLINGS: Final = 16
 
@@ -80,7 +84,7 @@
     def __init__(
         self,
         name: str,
-        servers: Sequence[Server],
+        servers: Sequence[CandidateServer],
         times: SubscriberTimes,
         rng: random.Random,
         now: float,
@@ -89,12 +93,12 @@
         region: str = "",
         zone: str = "",
     ) -> None:
-        self.name, self.counts = name, Counts()
+        self.name, self.counts = name, SubscriberCounts()
         self.table = ResourceTable() if table is None else table
         self._times, self._rng, self._region, self._zone = times, rng, region, zone
-        self._choice = ServerChoice(name, servers)
-        self._receiver = Receiver(self.table)
-        self._in_force = InForce(self._whole_acknowledge(), rejections)
+        self._choice = ServerSelector(name, servers)
+        self._assembler = UpdateAssembler(self.table)
+        self._in_force = AppliedResources(self._whole_acknowledge(), rejections)
         self._link: _Link | None = None
         self._connections = 0
         self._wait_until = now
@@ -116,7 +120,7 @@
         """What the owner refused of what is in force."""
         return self._in_force.rejections
 
-    def due(self) -> float:
+    def next_timer_at(self) -> float:
         """When it wants `tick` next."""
         link, times = self._link, self._times
         if link is None:
@@ -124,14 +128,17 @@
         if link.heard_at is None:
             return min(link.deadline, link.beat_at) if link.open else link.deadline
         return min(
-            link.heard_at + times.silence, link.beat_at, link.home_at, self._leave_stale_at(link)
+            link.heard_at + times.silence_timeout,
+            link.beat_at,
+            link.home_at,
+            self._leave_stale_at(link),
         )
 
     def age(self, now: float) -> float:
         """ms since all that was agreed on was known to be held here; `NEVER` for never."""
-        return NEVER if self._fresh_at is None else max(0.0, now - self._fresh_at)
+        return AGE_UNKNOWN if self._fresh_at is None else max(0.0, now - self._fresh_at)
 
-    def tick(self, now: float) -> list[Action]:
+    def on_timer(self, now: float) -> list[Action]:
         """Time has passed."""
         link = self._link
         if link is None:
@@ -139,7 +146,7 @@
                 self._connect(now, self._choice.best(now))
         elif link.heard_at is None and now >= link.deadline:
             self._fail(now, link, "no answer in time")
-        elif link.heard_at is not None and now >= link.heard_at + self._times.silence:
+        elif link.heard_at is not None and now >= link.heard_at + self._times.silence_timeout:
             self.counts.silences += 1
             self._fail(now, link, "silent for too long")
         elif now >= self._leave_stale_at(link):
@@ -147,32 +154,32 @@
         elif now >= link.home_at:
             self._go_home(now, link)
         elif link.open and now >= link.beat_at:
-            link.beat_at = now + self._times.beat
+            link.beat_at = now + self._times.heartbeat_interval
             self._send(link, Heartbeat(self.table.epoch, self.table.revision, self.age(now)))
         return self._take()
 
-    def connected(self, now: float, connection: int) -> list[Action]:
+    def on_connected(self, now: float, connection: int) -> list[Action]:
         """The connection is open."""
         link = self._current(connection)
         if link is not None and not link.open:
-            link.open, link.beat_at = True, now + self._times.beat
+            link.open, link.beat_at = True, now + self._times.heartbeat_interval
             self._send(link, self._subscribe())
         return self._take()
 
-    def disconnected(self, now: float, connection: int, reason: str = "") -> list[Action]:
+    def on_disconnected(self, now: float, connection: int, reason: str = "") -> list[Action]:
         """It could not be opened, or was closed or broken by somebody else."""
         link = self._current(connection)
         if link is not None:
             self._pause(now, link)
         return self._take()
 
-    def received(self, now: float, connection: int) -> None:
+    def on_bytes(self, now: float, connection: int) -> None:
         """Some bytes came, if no whole message yet: a sign of life of a slow link."""
         link = self._current(connection)
         if link is not None and link.heard_at is not None:
             link.heard_at = now
 
-    def heard(self, now: float, connection: int, message: Message) -> list[Action]:
+    def on_message(self, now: float, connection: int, message: Message) -> list[Action]:
         """A whole message."""
         link = self._current(connection)
         if link is None:
@@ -189,26 +196,28 @@
                 self._malformed(now, link, f"a server does not say {type(message).__name__}")
         return self._take()
 
-    def malformed(self, now: float, connection: int, reason: str) -> list[Action]:
+    def on_malformed(self, now: float, connection: int, reason: str) -> list[Action]:
         """Bytes that are no message, or too many."""
         link = self._current(connection)
         if link is not None:
             self._malformed(now, link, reason)
         return self._take()
 
-    def applied(self, now: float, batch: int, rejected: Sequence[Rejection] = ()) -> list[Action]:
+    def on_applied(
+        self, now: float, batch: int, rejected: Sequence[Rejection] = ()
+    ) -> list[Action]:
         """The owner has put a `Changed` in force, and all before it, but for what it refused."""
-        if self._in_force.applied(batch, rejected):
+        if self._in_force.on_applied(batch, rejected):
             self._acknowledge()
         return self._take()
 
-    def apply_again(self) -> list[Action]:
+    def reapply(self) -> list[Action]:
         """The owner judges by other settings now: it is given all that is held once more."""
         if held := tuple(self.table.live()):
             self._changed(held, complete=False)
         return self._take()
 
-    def set_servers(self, now: float, servers: Sequence[Server]) -> list[Action]:
+    def set_servers(self, now: float, servers: Sequence[CandidateServer]) -> list[Action]:
         """Another list; the connection stays where its server is still in it."""
         self._choice.set(servers)
         self._hops_left = len(self._choice) - 1
@@ -226,23 +235,23 @@
 
     def _connect(self, now: float, server: str) -> None:
         if not server:  # an empty list: until there is another
-            self._wait_until = now + self._times.pause_most
+            self._wait_until = now + self._times.backoff_max
             return
         self._connections += 1
         self.counts.connections += 1
         home_at = float("inf")
         if not self._choice.is_home(server):
-            home_at = now + self._times.home * self._rng.uniform(0.5, 1.5)
-        deadline = now + self._times.connect
+            home_at = now + self._times.return_interval * self._rng.uniform(0.5, 1.5)
+        deadline = now + self._times.connect_timeout
         self._link = _Link(self._connections, server, deadline, deadline, home_at)
-        self._receiver.begin()
+        self._assembler.begin()
         self._actions.append(Connect(self._connections, server))
 
     def _subscribe(self) -> Subscribe:
         table = self.table
         if self._ask_anew:
             return Subscribe(self.name, table.epoch, 0, NO_DIGEST, self._region, self._zone)
-        digest = table.digest if table.whole else NO_DIGEST
+        digest = table.digest if table.is_complete else NO_DIGEST
         return Subscribe(self.name, table.epoch, table.revision, digest, self._region, self._zone)
 
     def _disconnect(self, link: _Link, reason: str) -> None:
@@ -259,26 +268,26 @@
         """
         self.counts.failures += 1
         self._link = None
-        self._choice.avoid(link.server, now + self._times.failed_memory)
-        bound = self._times.pause_first * 2.0 ** min(self._failures, MOST_DOUBLINGS)
-        self._wait_until = now + self._rng.uniform(0.0, min(bound, self._times.pause_most))
+        self._choice.avoid(link.server, now + self._times.failure_penalty)
+        bound = self._times.backoff_initial * 2.0 ** min(self._failures, MOST_DOUBLINGS)
+        self._wait_until = now + self._rng.uniform(0.0, min(bound, self._times.backoff_max))
         self._failures += 1
 
     def _retry_later(self, now: float, link: _Link, after: float) -> None:
         self.counts.retries_later += 1
         self._disconnect(link, "the server has no room now")
-        self._choice.avoid(link.server, now + self._times.failed_memory)
+        self._choice.avoid(link.server, now + self._times.failure_penalty)
         self._wait_until = now + (
-            after if 0.0 <= after <= self._times.retry_most else self._times.retry_most
+            after if 0.0 <= after <= self._times.retry_after_max else self._times.retry_after_max
         )
 
     def _go_home(self, now: float, link: _Link) -> None:
         home = self._choice.home(now)
-        if home and not self._receiver.staging:
+        if home and not self._assembler.staging:
             self._disconnect(link, "back to the first choice")
             self._connect(now, home)
         else:
-            link.home_at = now + self._times.home * self._rng.uniform(0.5, 1.5)
+            link.home_at = now + self._times.return_interval * self._rng.uniform(0.5, 1.5)
 
     # Stale servers
 
@@ -287,7 +296,7 @@
         if link.heard_at is None or len(self._choice) < 2:
             return float("inf")
         told_at = link.fresh_at
-        stale_at = float("inf") if told_at is None else told_at + self._times.stale
+        stale_at = float("inf") if told_at is None else told_at + self._times.staleness_limit
         return stale_at if self._hops_left > 0 else max(stale_at, self._hop_at)
 
     def _leave_stale(self, now: float, link: _Link) -> None:
@@ -296,21 +305,21 @@
         """
         self.counts.stale += 1
         self._hops_left = max(0, self._hops_left - 1)
-        self._hop_at = now + self._times.stale_memory * self._rng.uniform(0.5, 1.5)
-        self._choice.avoid(link.server, now + self._times.stale_memory)
+        self._hop_at = now + self._times.stale_penalty * self._rng.uniform(0.5, 1.5)
+        self._choice.avoid(link.server, now + self._times.stale_penalty)
         self._disconnect(link, "its table is stale")
         self._connect(now, self._choice.best(now, but=link.server))
 
     def _heartbeat(self, now: float, link: _Link, message: Heartbeat) -> None:
         told_at = now - message.age if message.age >= 0.0 else float("-inf")
         link.fresh_at = told_at
-        if told_at + self._times.stale <= now:
+        if told_at + self._times.staleness_limit <= now:
             if now >= self._leave_stale_at(link):
                 self._leave_stale(now, link)
             return
         self._hops_left = len(self._choice) - 1
         same = message.epoch == self.table.epoch and message.revision <= self.table.revision
-        if same and self.table.whole and not self._receiver.staging:
+        if same and self.table.is_complete and not self._assembler.staging:
             self._fresh_at = max(told_at, told_at if self._fresh_at is None else self._fresh_at)
 
     # Updates
@@ -325,10 +334,10 @@
             return
         epoch = self.table.epoch
         try:
-            taken = self._receiver.take(update)
-        except BadUpdate as error:
+            taken = self._assembler.add(update)
+        except InvalidUpdateError as error:
             self._malformed(now, link, str(error))
-        except WrongDigest as error:
+        except DigestMismatchError as error:
             self.counts.mismatches += 1
             self._ask_anew = True
             self._changed(error.changed, complete=False)
@@ -348,7 +357,7 @@
             return False
         if update.epoch in self._left_epochs:
             return True
-        return link.fresh_at is None or link.fresh_at + self._times.stale <= now
+        return link.fresh_at is None or link.fresh_at + self._times.staleness_limit <= now
 
     def _took(self, changed: tuple[Resource, ...], snapshot: bool, complete: bool) -> None:
         if snapshot:
@@ -368,7 +377,7 @@
             return
         batch = self._in_force.give(changed, then)
         self._actions.append(
-            Changed(batch, self.table.epoch, self.table.revision, changed, complete)
+            ResourcesChanged(batch, self.table.epoch, self.table.revision, changed, complete)
         )
 
     def _malformed(self, now: float, link: _Link, reason: str) -> None:
@@ -377,7 +386,9 @@
 
     def _whole_acknowledge(self) -> Acknowledge:
         table = self.table
-        return Acknowledge(table.epoch, table.revision, table.digest if table.whole else NO_DIGEST)
+        return Acknowledge(
+            table.epoch, table.revision, table.digest if table.is_complete else NO_DIGEST
+        )
 
     def _acknowledge(self) -> None:
         if self._link is not None and self._link.heard_at is not None:
@@ -393,12 +404,12 @@
 
 __all__ = [
     "Action",
-    "Changed",
+    "ResourcesChanged",
     "Connect",
-    "Counts",
+    "SubscriberCounts",
     "Disconnect",
     "Send",
-    "Server",
+    "CandidateServer",
     "Subscriber",
     "SubscriberTimes",
 ]
--- a/dockthread/control_plane/subscriber_actions.py
+++ b/dockthread/control_plane/subscriber_actions.py
@@ -19,16 +19,16 @@
     take half, a subscriber of another server goes back to its first choice.
     """
 
-    connect: float = 1_000.0
-    silence: float = 2_500.0
-    beat: float = 1_000.0
-    stale: float = 4_000.0
-    stale_memory: float = 30_000.0
-    failed_memory: float = 60_000.0
-    pause_first: float = 200.0
-    pause_most: float = 2_000.0
-    retry_most: float = 60_000.0
-    home: float = 300_000.0
+    connect_timeout: float = 1_000.0
+    silence_timeout: float = 2_500.0
+    heartbeat_interval: float = 1_000.0
+    staleness_limit: float = 4_000.0
+    stale_penalty: float = 30_000.0
+    failure_penalty: float = 60_000.0
+    backoff_initial: float = 200.0
+    backoff_max: float = 2_000.0
+    retry_after_max: float = 60_000.0
+    return_interval: float = 300_000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class ResourcesChanged:
     """What differs in the table, the oldest revision first, `body` None for what is gone. The owner
     puts it in force, keeps its last good one of what it refuses, and tells `applied` with this
     `batch`. `complete`: up to `revision` nothing was left out when the server sent it.
@@ -69,11 +69,11 @@
     complete: bool
 
 
-Action = Connect | Send | Disconnect | Changed
+Action = Connect | Send | Disconnect | ResourcesChanged
 
 
 @dataclass(slots=True)
-class Counts:
+class SubscriberCounts:
     """Since the start."""
 
     connections: int = 0
--- a/dockthread/control_plane/update_assembler.py
+++ b/dockthread/control_plane/update_assembler.py
@@ -11,15 +11,15 @@
 
 from dataclasses import dataclass
 
-from dockthread.control_plane.messages import MOST_BODY, MOST_NAME, Resource, Update
+from dockthread.control_plane.messages import MAX_BODY_BYTES, MAX_NAME_BYTES, Resource, Update
 from dockthread.control_plane.resource_table import ResourceTable
 
 
-class BadUpdate(Exception):
+class InvalidUpdateError(Exception):
     """An update that its sender should not have sent; nothing of it was taken."""
 
 
-class WrongDigest(Exception):
+class DigestMismatchError(Exception):
     """A complete update after which the digest differs from the sender's. A snapshot was not taken;
     a delta was, and `changed` is what it changed.
     """
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class AssemblyResult:
     """What an update changed in the table; None in `changed` while a snapshot is staged. `old`: it
     is complete, and older than what is held.
     """
@@ -40,7 +40,7 @@
     old: bool = False
 
 
-class Receiver:
+class UpdateAssembler:
     """Takes what one connection after another brings into `table`."""
 
     def __init__(self, table: ResourceTable) -> None:
@@ -56,12 +56,14 @@
         """A new connection: what was staged of the one before is let go."""
         self._staged = None
 
-    def take(self, update: Update) -> Taken:
+    def add(self, update: Update) -> AssemblyResult:
         """Raises `BadUpdate` or `WrongDigest`; then the connection is of no use any more."""
         if not update.epoch or (update.complete and not update.digest):
-            raise BadUpdate("it names no epoch, or no digest where it is complete")
+            raise InvalidUpdateError("it names no epoch, or no digest where it is complete")
         if update.horizon > update.revision:
-            raise BadUpdate(f"a horizon of {update.horizon} in an update to {update.revision}")
+            raise InvalidUpdateError(
+                f"a horizon of {update.horizon} in an update to {update.revision}"
+            )
         if update.snapshot:
             self._staged = ResourceTable(update.epoch)
         into = self._table if self._staged is None else self._staged
@@ -69,47 +71,47 @@
         for resource in update.resources:
             into.put(resource)
         into.advance(update.revision)
-        into.whole = update.complete
+        into.is_complete = update.complete
         return (
             self._end_delta(update)
             if self._staged is None
             else self._end_part(update, self._staged)
         )
 
-    def _end_delta(self, update: Update) -> Taken:
+    def _end_delta(self, update: Update) -> AssemblyResult:
         if update.complete and update.digest != self._table.digest:
-            self._table.whole = False
-            raise WrongDigest(update.resources)
-        return Taken(update.resources)
+            self._table.is_complete = False
+            raise DigestMismatchError(update.resources)
+        return AssemblyResult(update.resources)
 
-    def _end_part(self, update: Update, staged: ResourceTable) -> Taken:
+    def _end_part(self, update: Update, staged: ResourceTable) -> AssemblyResult:
         if not update.complete:
-            return Taken(None, snapshot=True)
+            return AssemblyResult(None, snapshot=True)
         if update.digest != staged.digest:
-            raise WrongDigest(())
+            raise DigestMismatchError(())
         staged.horizon = max(staged.horizon, update.horizon)
         if staged.epoch == self._table.epoch and staged.revision < self._table.revision:
-            return Taken(None, snapshot=True, old=True)
+            return AssemblyResult(None, snapshot=True, old=True)
         changed = self._table.difference(staged)
-        self._table.adopt(staged)
+        self._table.replace_with(staged)
         self._staged = None
-        return Taken(changed, snapshot=True)
+        return AssemblyResult(changed, snapshot=True)
 
     @staticmethod
     def _check(update: Update, into: ResourceTable) -> None:
         if update.epoch != into.epoch:
-            raise BadUpdate(f"an update of epoch {update.epoch} after {into.epoch}")
+            raise InvalidUpdateError(f"an update of epoch {update.epoch} after {into.epoch}")
         before = into.revision
         if update.revision < before:
-            raise BadUpdate(f"an update to revision {update.revision} after {before}")
+            raise InvalidUpdateError(f"an update to revision {update.revision} after {before}")
         for resource in update.resources:
             if not before < resource.revision <= update.revision:
-                raise BadUpdate(f"revision {resource.revision} out of its order")
+                raise InvalidUpdateError(f"revision {resource.revision} out of its order")
             before = resource.revision
             if (
-                max(len(resource.kind), len(resource.name)) > MOST_NAME
-                or len(resource.body or b"") > MOST_BODY
+                max(len(resource.kind), len(resource.name)) > MAX_NAME_BYTES
+                or len(resource.body or b"") > MAX_BODY_BYTES
             ):
-                raise BadUpdate("a resource is too large")
+                raise InvalidUpdateError("a resource is too large")
             if "\x00" in resource.kind:
-                raise BadUpdate("a kind holds a zero")
+                raise InvalidUpdateError("a kind holds a zero")
--- a/dockthread/control_plane/voter.py
+++ b/dockthread/control_plane/voter.py
@@ -10,11 +10,11 @@
 
 from dockthread.clock import Clock
 from dockthread.config.platform_settings import Address
-from dockthread.control_plane.fanout import FanoutLimits
-from dockthread.control_plane.messages import Publish, Published
-from dockthread.control_plane.publish_state_machine import Publishing
+from dockthread.control_plane.fanout import FanOutLimits
+from dockthread.control_plane.messages import PublishRequest, PublishResponse
+from dockthread.control_plane.publish_state_machine import PublishStateMachine
 from dockthread.control_plane.resource_schemas import VALIDATORS
-from dockthread.control_plane.server import Server, ServerLimits
+from dockthread.control_plane.server import ControlPlaneServer, ServerLimits
 from dockthread.framing import MessageCounts
 from dockthread.raft.options import FleetOptions
 from dockthread.raft.server import Member
@@ -33,14 +33,14 @@
         clock: Clock,
         rng: random.Random,
         limits: ServerLimits | None = None,
-        fanout_limits: FanoutLimits | None = None,
+        fanout_limits: FanOutLimits | None = None,
         key: bytes = b"",
     ) -> None:
         """Raises OSError, ValueError or `fleet.store.Lost` where the directory or the key cannot be
         used.
         """
-        self.publishing = Publishing(VALIDATORS, rng)
-        self.server = Server(
+        self.publishing = PublishStateMachine(VALIDATORS, rng)
+        self.server = ControlPlaneServer(
             name,
             "voter",
             self.publishing.table,
@@ -83,15 +83,17 @@
         """With the other voters and with those whom it serves."""
         return self.member.messages + self.server.messages
 
-    async def publish(self, change: Publish) -> Published:
+    async def publish(self, change: PublishRequest) -> PublishResponse:
         """Have the log agree on a change. The same token counts once."""
-        if (known := self.publishing.answer(change.token)) is not None:
+        if (known := self.publishing.response_for(change.token)) is not None:
             return known
-        if reason := self.publishing.refusal(change):
-            return Published(change.token, 0, reason)
-        if not await self.member.propose(self.publishing.proposal(change), AGREEMENT):
-            return Published(change.token, -1, NOT_AGREED)
-        return self.publishing.answer(change.token) or Published(change.token, -1, NOT_AGREED)
+        if reason := self.publishing.rejection_reason(change):
+            return PublishResponse(change.token, 0, reason)
+        if not await self.member.propose(self.publishing.encode_proposal(change), AGREEMENT):
+            return PublishResponse(change.token, -1, NOT_AGREED)
+        return self.publishing.response_for(change.token) or PublishResponse(
+            change.token, -1, NOT_AGREED
+        )
 
     # What its member tells (fleet/member.py, Owner)
 
--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -29,7 +29,7 @@
 if TYPE_CHECKING:
     from dockthread.admin import commands
     from dockthread.config.ini_reader import Read
-    from dockthread.control_plane.ingress import Controlled
+    from dockthread.control_plane.ingress import IngressResourceApplier
     from dockthread.control_plane.options import ControlOptions
     from dockthread.maintenance.service import Work
     from dockthread.routes.layers import Layers
@@ -69,7 +69,7 @@
             read.named("control")[""] if read is not None else None
         )
         # what receives configuration, where the operator's file has it
-        self._controlled: Controlled | None = None
+        self._controlled: IngressResourceApplier | None = None
         self._routes: Layers | None = None
         self._applied: dict[str, object] = {}
         self._reloading: asyncio.Task[None] | None = None
@@ -163,11 +163,11 @@
         if options.role != "ingress":
             wrong = f"{self._file}: [control] role: is {options.role}, and this is an ingress"
             raise SettingsError(f"{wrong}; `dockthread control serve` runs it")
-        from dockthread.control_plane.ingress import Controlled
+        from dockthread.control_plane.ingress import IngressResourceApplier
 
         self._routes = self._routes or self._layers()
         try:
-            self._controlled = Controlled(self.ingress, self._routes, options)
+            self._controlled = IngressResourceApplier(self.ingress, self._routes, options)
         except ValueError as error:
             raise SettingsError(str(error)) from error
         self._controlled.open()
@@ -263,14 +263,14 @@
         ingress = self.ingress
         before = ingress.config.module, ingress.config.names
         if self._controlled is not None:
-            config = self._controlled.layered(config)
+            config = self._controlled.with_published_addresses(config)
         ingress.reconfigure(config)
         if self._routes is not None:
             self._routes.set_settings(ingress.config.module, ingress.config.names)
         if read is not None:
             self._apply_routes(read)
         if self._controlled is not None and (ingress.config.module, ingress.config.names) != before:
-            self._controlled.settings_changed()
+            self._controlled.on_settings_changed()
         if read is not None:
             for section, held in (("fleet", self._fleet), ("control", self._control)):
                 if read.named(section)[""] != held:
--- a/dockthread/lab/control_plane/ingress.py
+++ b/dockthread/lab/control_plane/ingress.py
@@ -11,7 +11,7 @@
 
 from dockthread.control_plane.messages import Rejection, Resource
 from dockthread.control_plane.resource_table import ResourceTable
-from dockthread.control_plane.subscriber import Changed
+from dockthread.control_plane.subscriber import ResourcesChanged
 from dockthread.lab.control_plane.network import Connection
 from dockthread.lab.control_plane.nodes import Process, ReceivingSide
 
@@ -42,10 +42,10 @@
     in_force: dict[Key, Resource]
 
     def begin(self) -> None:
-        table = ResourceTable(most_tombstones=self.world.settings.most_tombstones)
+        table = ResourceTable(max_tombstones=self.world.settings.max_tombstones)
         self.in_force, rejections = {}, tuple[Rejection, ...]()
         self.revision = 0 if self.cache is None else self.cache.revision
-        self._queue: deque[Changed] = deque()
+        self._queue: deque[ResourcesChanged] = deque()
         if self.cache is not None:
             table.load(
                 self.cache.epoch, self.cache.revision, self.cache.horizon, self.cache.entries
@@ -64,11 +64,11 @@
         if self.cached:
             self.world.clock.after(SAVE_EVERY, self._save, self.life)
 
-    def due(self) -> float:
-        return self.receiver.subscriber.due()
+    def next_timer_at(self) -> float:
+        return self.receiver.subscriber.next_timer_at()
 
-    def tick(self) -> None:
-        self._took(self.receiver.tick())
+    def on_timer(self) -> None:
+        self._took(self.receiver.on_timer())
 
     def opened(self, connection: Connection) -> None:
         self._took(self.receiver.opened(connection))
@@ -88,7 +88,7 @@
         """What is in force."""
         return {key: resource.body or b"" for key, resource in self.in_force.items()}
 
-    def _took(self, batches: Sequence[Changed]) -> None:
+    def _took(self, batches: Sequence[ResourcesChanged]) -> None:
         for batch in batches:
             self._queue.append(batch)
             self.world.clock.after(self.world.rng.uniform(0.0, APPLY_MOST), self._apply, self.life)
@@ -110,7 +110,7 @@
                 )
                 continue
             self._put(now, resource)
-        self.receiver.do(self.receiver.subscriber.applied(now, batch.batch, rejected))
+        self.receiver.do(self.receiver.subscriber.on_applied(now, batch.batch, rejected))
         self.settle()
 
     def _put(self, now: float, resource: Resource) -> None:
@@ -127,7 +127,7 @@
         self.world.clock.after(SAVE_EVERY, self._save, life)
         subscriber = self.receiver.subscriber
         table = subscriber.table
-        if self.stalled or self._queue or not table.whole or not table.epoch:
+        if self.stalled or self._queue or not table.is_complete or not table.epoch:
             return
         entries = tuple(table.entries())
         rejections = subscriber.rejections
--- a/dockthread/lab/control_plane/nodes.py
+++ b/dockthread/lab/control_plane/nodes.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Final
 
 from dockthread.control_plane import subscriber as receiving
-from dockthread.control_plane.fanout import Fanout, UnexpectedMessage
+from dockthread.control_plane.fanout import FanOut, UnexpectedMessageError
 from dockthread.control_plane.messages import Acknowledge, Heartbeat, Message, Subscribe, codec
 from dockthread.control_plane.resource_table import ResourceTable
 from dockthread.control_plane.subscriber import Subscriber
@@ -56,7 +56,7 @@
         if not self.up or self.stalled:
             return
         self.pump()
-        due = max(self.due(), self.world.clock.now + LEAST_WAIT)
+        due = max(self.next_timer_at(), self.world.clock.now + LEAST_WAIT)
         if due < self._armed:
             self._armed = due
             self.world.clock.after(due - self.world.clock.now, self._alarm, self.life, due)
@@ -66,18 +66,18 @@
             return
         self._armed = float("inf")
         if not self.stalled:
-            if self.due() <= self.world.clock.now:
-                self.tick()
+            if self.next_timer_at() <= self.world.clock.now:
+                self.on_timer()
             self.settle()
 
     def begin(self) -> None:
         """A new life: nothing but what is on disk is known."""
         raise NotImplementedError
 
-    def due(self) -> float:
+    def next_timer_at(self) -> float:
         raise NotImplementedError
 
-    def tick(self) -> None:
+    def on_timer(self) -> None:
         raise NotImplementedError
 
     def pump(self) -> None:
@@ -110,7 +110,7 @@
 class ServingSide:
     """The rim of a `Fanout`."""
 
-    def __init__(self, process: Process, fanout: Fanout) -> None:
+    def __init__(self, process: Process, fanout: FanOut) -> None:
         self._process, self.fanout = process, fanout
         self._numbers: dict[int, int] = {}  # by connection's place
         self._connections: dict[int, Connection] = {}
@@ -136,10 +136,10 @@
                     world.network.send(connection, self._process, codec.pack(refused))
                     self._close(number)
             elif isinstance(message, Acknowledge | Heartbeat):
-                self.fanout.heard(world.clock.now, number, message)
+                self.fanout.on_message(world.clock.now, number, message)
             else:
-                raise UnexpectedMessage(type(message).__name__)
-        except (MalformedFrame, UnexpectedMessage):
+                raise UnexpectedMessageError(type(message).__name__)
+        except (MalformedFrame, UnexpectedMessageError):
             self._close(number)
         else:
             self.pump_one(connection)
@@ -148,17 +148,17 @@
         number = self._numbers.pop(connection.place)
         del self._connections[number]
         self._snapshots.discard(number)
-        self.fanout.closed(self._process.world.clock.now, number)
+        self.fanout.on_closed(self._process.world.clock.now, number)
 
-    def tick(self) -> None:
-        for overdue in self.fanout.tick(self._process.world.clock.now):
+    def on_timer(self) -> None:
+        for overdue in self.fanout.on_timer(self._process.world.clock.now):
             self._close(overdue.connection)
         for connection in list(self._connections.values()):
             self.pump_one(connection)
 
     def pump(self) -> None:
         table = self.fanout.table
-        served = (table.epoch, table.revision, table.whole)
+        served = (table.epoch, table.revision, table.is_complete)
         if served != self._served:
             self._served = served
             for connection in list(self._connections.values()):
@@ -207,27 +207,29 @@
     def has(self, connection: Connection) -> bool:
         return self._connections.get(connection.number) is connection
 
-    def opened(self, connection: Connection) -> list[receiving.Changed]:
-        return self.do(self.subscriber.connected(self._process.world.clock.now, connection.number))
+    def opened(self, connection: Connection) -> list[receiving.ResourcesChanged]:
+        return self.do(
+            self.subscriber.on_connected(self._process.world.clock.now, connection.number)
+        )
 
-    def frame(self, connection: Connection, data: bytes) -> list[receiving.Changed]:
+    def frame(self, connection: Connection, data: bytes) -> list[receiving.ResourcesChanged]:
         now = self._process.world.clock.now
         try:
             message = unpacked(data)
         except MalformedFrame as error:
-            return self.do(self.subscriber.malformed(now, connection.number, str(error)))
-        return self.do(self.subscriber.heard(now, connection.number, message))
+            return self.do(self.subscriber.on_malformed(now, connection.number, str(error)))
+        return self.do(self.subscriber.on_message(now, connection.number, message))
 
-    def broken(self, connection: Connection) -> list[receiving.Changed]:
+    def broken(self, connection: Connection) -> list[receiving.ResourcesChanged]:
         del self._connections[connection.number]
         return self.do(
-            self.subscriber.disconnected(self._process.world.clock.now, connection.number)
+            self.subscriber.on_disconnected(self._process.world.clock.now, connection.number)
         )
 
-    def tick(self) -> list[receiving.Changed]:
-        return self.do(self.subscriber.tick(self._process.world.clock.now))
+    def on_timer(self) -> list[receiving.ResourcesChanged]:
+        return self.do(self.subscriber.on_timer(self._process.world.clock.now))
 
-    def do(self, actions: list[receiving.Action]) -> list[receiving.Changed]:
+    def do(self, actions: list[receiving.Action]) -> list[receiving.ResourcesChanged]:
         """Carry out what concerns connections; what changed is left to the caller."""
         world, changed = self._process.world, []
         for action in actions:
@@ -244,7 +246,7 @@
                         f"{self._process.name} leaves {self._connections[number].server.name}: {reason}"
                     )
                     world.network.close(self._connections.pop(number), self._process)
-                case receiving.Changed():
+                case receiving.ResourcesChanged():
                     changed.append(action)
         return changed
 
@@ -277,23 +279,23 @@
 
     def begin(self) -> None:
         world = self.world
-        table = ResourceTable(most_tombstones=world.settings.most_tombstones)
+        table = ResourceTable(max_tombstones=world.settings.max_tombstones)
         world.checker.started(self.name, "", 0, {})
         self.receiver = ReceivingSide(
             self, world.make_subscriber(self, world.voter_servers(), table)
         )
         self.server = ServingSide(self, world.make_fanout(self, table))
 
-    def due(self) -> float:
-        return min(self.receiver.subscriber.due(), self.server.fanout.due())
+    def next_timer_at(self) -> float:
+        return min(self.receiver.subscriber.next_timer_at(), self.server.fanout.next_timer_at())
 
-    def tick(self) -> None:
+    def on_timer(self) -> None:
         now = self.world.clock.now
-        if self.receiver.subscriber.due() <= now:
-            self._took(self.receiver.tick())
+        if self.receiver.subscriber.next_timer_at() <= now:
+            self._took(self.receiver.on_timer())
         self._freshen()
-        if self.server.fanout.due() <= now:
-            self.server.tick()
+        if self.server.fanout.next_timer_at() <= now:
+            self.server.on_timer()
 
     def opened(self, connection: Connection) -> None:
         self._took(self.receiver.opened(connection))
@@ -316,10 +318,10 @@
 
     def _freshen(self) -> None:
         now = self.world.clock.now
-        self.server.fanout.fresh(now, self.receiver.subscriber.age(now))
+        self.server.fanout.set_table_age(now, self.receiver.subscriber.age(now))
 
-    def _took(self, changed: list[receiving.Changed]) -> None:
+    def _took(self, changed: list[receiving.ResourcesChanged]) -> None:
         subscriber = self.receiver.subscriber
         for one in changed:
             self.world.checker.table(self.world.clock.now, self.name, one.epoch, one.revision)
-            self.receiver.do(subscriber.applied(self.world.clock.now, one.batch))
+            self.receiver.do(subscriber.on_applied(self.world.clock.now, one.batch))
--- a/dockthread/lab/control_plane/publisher.py
+++ b/dockthread/lab/control_plane/publisher.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Final
 
-from dockthread.control_plane.messages import Publish, Published
+from dockthread.control_plane.messages import PublishRequest, PublishResponse
 from dockthread.control_plane.publish_state_machine import ANY_REVISION, NOT_KNOWN
 from dockthread.lab.control_plane.checker import Asked
 from dockthread.lab.control_plane.ingress import BAD
@@ -45,7 +45,7 @@
         expected = self._known(kind, name) if rng.random() < 0.2 else ANY_REVISION
         token = f"t{self._count}"
         self._world.checker.ask(token, Asked(kind, name, body, expected))
-        self._ask(Publish(token, kind, name, body, expected))
+        self._ask(PublishRequest(token, kind, name, body, expected))
 
     def _known(self, kind: str, name: str) -> int:
         """What the publisher believes to be there."""
@@ -59,7 +59,7 @@
         )
         return 0 if last is None or last.body is None else last.revision or 0
 
-    def _ask(self, message: Publish) -> None:
+    def _ask(self, message: PublishRequest) -> None:
         asked = self._world.checker.asked.get(message.token)
         if asked is None or asked.revision is not None:
             return
@@ -74,17 +74,17 @@
                 message,
             )
 
-    def _arrive(self, voter: str, message: Publish) -> None:
+    def _arrive(self, voter: str, message: PublishRequest) -> None:
         node = next(one for one in self._world.voters if one.name == voter)
         if node.up and not node.stalled:
             node.publish(message, self._told)
 
-    def _told(self, answer: Published) -> None:
+    def _told(self, answer: PublishResponse) -> None:
         rng, clock = self._world.rng, self._world.clock
         if answer.revision != NOT_KNOWN and rng.random() >= LOST:
             clock.after(rng.uniform(1.0, 10.0), self._heard, answer, self._world.histories)
 
-    def _heard(self, answer: Published, history: int) -> None:
+    def _heard(self, answer: PublishResponse, history: int) -> None:
         if history != self._world.histories:
             return
         self._world.note(f"{answer.token} is told {answer.revision} {answer.reason}")
--- a/dockthread/lab/control_plane/seeded_defects.py
+++ b/dockthread/lab/control_plane/seeded_defects.py
@@ -8,20 +8,20 @@
 from dataclasses import dataclass, replace
 from typing import Any, Final
 
-from dockthread.control_plane.encoded import DeltaFrame, FramesCache, Snapshot
-from dockthread.control_plane.fanout import Fanout
+from dockthread.control_plane.encoded import DeltaFrame, EncodedFrameCache, EncodedSnapshot
+from dockthread.control_plane.fanout import FanOut
 from dockthread.control_plane.messages import (
     NO_DIGEST,
-    Publish,
+    PublishRequest,
     Rejection,
     RetryLater,
     Subscribe,
     Update,
 )
-from dockthread.control_plane.publish_state_machine import Publishing
+from dockthread.control_plane.publish_state_machine import PublishStateMachine
 from dockthread.control_plane.resource_table import ResourceTable
 from dockthread.control_plane.subscriber import Action, Subscriber
-from dockthread.control_plane.update_assembler import Receiver, Taken
+from dockthread.control_plane.update_assembler import AssemblyResult, UpdateAssembler
 
 FOREVER: Final = 1e12  # ms
 
@@ -35,11 +35,11 @@
     scenario: str = "drawn"
     faults: tuple[str, ...] | None = None
     subscriber: type[Subscriber] = Subscriber
-    fanout: type[Fanout] = Fanout
-    publishing: type[Publishing] = Publishing
+    fanout: type[FanOut] = FanOut
+    publishing: type[PublishStateMachine] = PublishStateMachine
 
 
-class CursorOfTheName(Fanout):
+class CursorOfTheName(FanOut):
     """Goes on from what it handed over to a subscriber's connection before, whether that arrived or
     not.
     """
@@ -56,11 +56,11 @@
             )
         return super().subscribe(now, connection, message)
 
-    def closed(self, now: float, connection: int) -> None:
+    def on_closed(self, now: float, connection: int) -> None:
         cursor = self._cursors.get(connection)
         if cursor is not None:
             self._sent[cursor.standing.message.name] = (cursor.epoch, cursor.revision)
-        super().closed(now, connection)
+        super().on_closed(now, connection)
 
 
 class DeletesForgotten(Subscriber):
@@ -68,15 +68,17 @@
 
     def __init__(self, *args: Any, **options: Any) -> None:
         super().__init__(*args, **options)
-        self._receiver = MergingReceiver(self.table)
+        self._assembler = MergingReceiver(self.table)
 
 
-class MergingReceiver(Receiver):
-    def take(self, update: Update) -> Taken:
-        taken = super().take(update)
+class MergingReceiver(UpdateAssembler):
+    def add(self, update: Update) -> AssemblyResult:
+        taken = super().add(update)
         if not taken.snapshot or taken.changed is None:
             return taken
-        return Taken(tuple(one for one in taken.changed if one.body is not None), snapshot=True)
+        return AssemblyResult(
+            tuple(one for one in taken.changed if one.body is not None), snapshot=True
+        )
 
 
 class OlderTaken(Subscriber):
@@ -84,17 +86,17 @@
 
     def __init__(self, *args: Any, **options: Any) -> None:
         super().__init__(*args, **options)
-        self._receiver = CarelessReceiver(self.table)
+        self._assembler = CarelessReceiver(self.table)
 
 
-class CarelessReceiver(Receiver):
-    def _end_part(self, update: Update, staged: ResourceTable) -> Taken:
+class CarelessReceiver(UpdateAssembler):
+    def _end_part(self, update: Update, staged: ResourceTable) -> AssemblyResult:
         if update.complete:
             self._table.revision = min(self._table.revision, staged.revision)
         return super()._end_part(update, staged)
 
 
-class OlderServed(Fanout):
+class OlderServed(FanOut):
     """Gives a snapshot of its own to one that holds more."""
 
     def subscribe(self, now: float, connection: int, message: Subscribe) -> RetryLater | None:
@@ -106,15 +108,15 @@
 class DigestUnchecked(Subscriber):
     def __init__(self, *args: Any, **options: Any) -> None:
         super().__init__(*args, **options)
-        self._receiver = TrustingReceiver(self.table)
+        self._assembler = TrustingReceiver(self.table)
 
 
-class TrustingReceiver(Receiver):
-    def _end_delta(self, update: Update) -> Taken:
-        return Taken(update.resources)
+class TrustingReceiver(UpdateAssembler):
+    def _end_delta(self, update: Update) -> AssemblyResult:
+        return AssemblyResult(update.resources)
 
 
-class DigestUnread(Fanout):
+class DigestUnread(FanOut):
     def subscribe(self, now: float, connection: int, message: Subscribe) -> RetryLater | None:
         unread = Subscribe(
             message.name, message.epoch, message.revision, NO_DIGEST, message.region, message.zone
@@ -122,7 +124,7 @@
         return super().subscribe(now, connection, unread)
 
 
-class TokensForgotten(Publishing):
+class TokensForgotten(PublishStateMachine):
     """A state holds no outcomes."""
 
     def restore(self, index: int, state: bytes) -> None:
@@ -130,12 +132,12 @@
         self._outcomes.clear()
 
 
-class ExpectedUnchecked(Publishing):
-    def _unexpected(self, publish: Publish) -> str:
+class ExpectedUnchecked(PublishStateMachine):
+    def _unexpected(self, publish: PublishRequest) -> str:
         return ""
 
 
-class BudgetIgnored(Fanout):
+class BudgetIgnored(FanOut):
     def __init__(self, *args: Any, **options: Any) -> None:
         super().__init__(*args, **options)
         self._budget._rate, self._budget._burst = FOREVER, FOREVER
@@ -148,13 +150,13 @@
 
     def __init__(self, *args: Any, **options: Any) -> None:
         super().__init__(*args, **options)
-        self._times = replace(self._times, silence=FOREVER, stale=FOREVER)
+        self._times = replace(self._times, silence_timeout=FOREVER, staleness_limit=FOREVER)
 
 
 class StaleServerKept(Subscriber):
     def __init__(self, *args: Any, **options: Any) -> None:
         super().__init__(*args, **options)
-        self._times = replace(self._times, stale=FOREVER)
+        self._times = replace(self._times, staleness_limit=FOREVER)
 
 
 class AnyHistory(Subscriber):
@@ -164,23 +166,23 @@
         return False
 
 
-class StaleSnapshotServed(Fanout):
+class StaleSnapshotServed(FanOut):
     """The cached snapshot counts as the table of now."""
 
-    def _end_snapshot(self, cursor: Any, snapshot: Snapshot) -> None:
+    def _end_snapshot(self, cursor: Any, snapshot: EncodedSnapshot) -> None:
         super()._end_snapshot(cursor, snapshot)
         cursor.revision = self.table.revision
 
 
-class StaleDeltas(Fanout):
+class StaleDeltas(FanOut):
     """What followed a revision once is sent for good."""
 
     def __init__(self, *args: Any, **options: Any) -> None:
         super().__init__(*args, **options)
-        self._cache = EndlessCache(self.table, self._limits.part, self._key)
+        self._cache = EndlessCache(self.table, self._limits.chunk_bytes, self._key)
 
 
-class EndlessCache(FramesCache):
+class EndlessCache(EncodedFrameCache):
     def __init__(self, table: ResourceTable, part: int, key: bytes) -> None:
         super().__init__(table, part, key)
         self._kept: dict[int, DeltaFrame] = {}
@@ -197,28 +199,30 @@
 
     def __init__(self, *args: Any, **options: Any) -> None:
         super().__init__(*args, **options)
-        self._receiver = HastyReceiver(self.table)
+        self._assembler = HastyReceiver(self.table)
 
 
-class HastyReceiver(Receiver):
-    def _end_part(self, update: Update, staged: ResourceTable) -> Taken:
-        staged.whole = True
+class HastyReceiver(UpdateAssembler):
+    def _end_part(self, update: Update, staged: ResourceTable) -> AssemblyResult:
+        staged.is_complete = True
         changed = self._table.difference(staged)
-        self._table.adopt(staged)
+        self._table.replace_with(staged)
         self._staged = None
-        return Taken(changed, snapshot=True)
+        return AssemblyResult(changed, snapshot=True)
 
 
 class RejectionsUntold(Subscriber):
-    def applied(self, now: float, batch: int, rejected: Sequence[Rejection] = ()) -> list[Action]:
-        return super().applied(now, batch, ())
+    def on_applied(
+        self, now: float, batch: int, rejected: Sequence[Rejection] = ()
+    ) -> list[Action]:
+        return super().on_applied(now, batch, ())
 
 
-class AlwaysFresh(Fanout):
+class AlwaysFresh(FanOut):
     """Heartbeats say that the table is fresh, whatever is known."""
 
-    def fresh(self, now: float, age: float) -> None:
-        super().fresh(now, 0.0)
+    def set_table_age(self, now: float, age: float) -> None:
+        super().set_table_age(now, 0.0)
 
 
 PLANTS: Final = {
--- a/dockthread/lab/control_plane/simulation.py
+++ b/dockthread/lab/control_plane/simulation.py
@@ -19,11 +19,11 @@
 from dataclasses import dataclass
 from typing import Final, TypeVar
 
-from dockthread.control_plane.fanout import Fanout, FanoutLimits
+from dockthread.control_plane.fanout import FanOut, FanOutLimits
 from dockthread.control_plane.messages import Rejection
-from dockthread.control_plane.publish_state_machine import Publishing
+from dockthread.control_plane.publish_state_machine import PublishStateMachine
 from dockthread.control_plane.resource_table import ResourceTable
-from dockthread.control_plane.server_selection import Server
+from dockthread.control_plane.server_selection import CandidateServer
 from dockthread.control_plane.subscriber import Subscriber, SubscriberTimes
 from dockthread.lab.control_plane.checker import Checker, Seen
 from dockthread.lab.control_plane.faults import FAULTS, HOUR, SINGLE, Faults
@@ -60,11 +60,11 @@
     zones: int = 2  # of a region
     distributors: int = 2  # of a region
     ingresses: int = 8  # of a region
-    most_tombstones: int = 3
-    most_tokens: int = 4_096
-    limits: FanoutLimits = FanoutLimits(
-        most_subscribers=16, snapshot_rate=5_000.0, snapshot_burst=1_500.0, part=800, silence=4_000.0,
-        retry_least=50.0, retry_most=1_500.0,
+    max_tombstones: int = 3
+    max_tokens: int = 4_096
+    limits: FanOutLimits = FanOutLimits(
+        max_subscribers=16, snapshot_rate=5_000.0, snapshot_burst=1_500.0, chunk_bytes=800, silence_timeout=4_000.0,
+        retry_after_min=50.0, retry_after_max=1_500.0,
     )  # fmt: skip
     times: SubscriberTimes = SubscriberTimes()
 
@@ -85,7 +85,9 @@
         self.rng, self.clock, self.settings = random.Random(seed), Clock(), Settings()
         self.network = Network(self.clock, self.rng)
         limits = self.settings.limits
-        self.checker = Checker(limits.snapshot_burst, limits.snapshot_rate, limits.part * 2.0)
+        self.checker = Checker(
+            limits.snapshot_burst, limits.snapshot_rate, limits.chunk_bytes * 2.0
+        )
         self.record: list[str] = []
         self.histories = 1
         self._plant: Plant = PLANTS[plant] if plant else Plant()
@@ -122,16 +124,19 @@
     def process(self, name: str) -> Process:
         return self.processes[name]
 
-    def voter_servers(self) -> list[Server]:
-        return [Server(name) for name in self.voter_names]
+    def voter_servers(self) -> list[CandidateServer]:
+        return [CandidateServer(name) for name in self.voter_names]
 
-    def distributor_servers(self, receiver: Process) -> list[Server]:
-        return [Server(one.name, int(one.region != receiver.region)) for one in self.distributors]
+    def distributor_servers(self, receiver: Process) -> list[CandidateServer]:
+        return [
+            CandidateServer(one.name, int(one.region != receiver.region))
+            for one in self.distributors
+        ]
 
     def make_subscriber(
         self,
         process: Process,
-        servers: list[Server],
+        servers: list[CandidateServer],
         table: ResourceTable,
         rejections: Sequence[Rejection] = (),
     ) -> Subscriber:
@@ -141,16 +146,14 @@
             process.name, servers, times, rng, now, table, rejections, *place
         )
 
-    def make_fanout(self, process: Process, table: ResourceTable) -> Fanout:
+    def make_fanout(self, process: Process, table: ResourceTable) -> FanOut:
         rng = random.Random(self.rng.random())
         return self._plant.fanout(table, self.settings.limits, rng, b"", self.clock.now)
 
-    def make_publishing(self) -> Publishing:
+    def make_publishing(self) -> PublishStateMachine:
         rng, settings = random.Random(self.rng.random()), self.settings
         validators = {kind: lambda name, body: "" for kind in KINDS}
-        return self._plant.publishing(
-            validators, rng, settings.most_tokens, settings.most_tombstones
-        )
+        return self._plant.publishing(validators, rng, settings.max_tokens, settings.max_tombstones)
 
     def send_log(self, sender: Process, to: str, message: LogMessage) -> None:
         receiver = next(voter for voter in self.voters if voter.name == to)
--- a/dockthread/lab/control_plane/voter.py
+++ b/dockthread/lab/control_plane/voter.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from typing import Final
 
-from dockthread.control_plane.messages import Publish, Published
+from dockthread.control_plane.messages import PublishRequest, PublishResponse
 from dockthread.control_plane.publish_state_machine import NOT_KNOWN
 from dockthread.lab.control_plane.network import Connection
 from dockthread.lab.control_plane.nodes import ServingProcess, ServingSide
@@ -30,7 +30,7 @@
 
 TIMES: Final = Times(patience=600.0, beat=200.0)
 KEEP_ENTRIES: Final = 40  # applied entries before a state takes their place
-Reply = Callable[[Published], None]
+Reply = Callable[[PublishResponse], None]
 
 
 class Voter(ServingProcess):
@@ -54,16 +54,16 @@
         self.kill()
         self.disk = Stored()
 
-    def due(self) -> float:
-        return min(self.core.due(), self.server.fanout.due())
+    def next_timer_at(self) -> float:
+        return min(self.core.due(), self.server.fanout.next_timer_at())
 
-    def tick(self) -> None:
+    def on_timer(self) -> None:
         now = self.world.clock.now
         if self.core.due() <= now:
             self._do(self.core.tick(now))
         self._freshen()
-        if self.server.fanout.due() <= now:
-            self.server.tick()
+        if self.server.fanout.next_timer_at() <= now:
+            self.server.on_timer()
 
     def frame(self, connection: Connection, data: bytes) -> None:
         if self.server.has(connection):
@@ -88,18 +88,20 @@
             self._current_at = self.world.clock.now
         self.settle()
 
-    def publish(self, message: Publish, reply: Reply) -> None:
+    def publish(self, message: PublishRequest, reply: Reply) -> None:
         """A publisher asks; only a leader takes it."""
-        refused = self.publishing.refusal(message)
+        refused = self.publishing.rejection_reason(message)
         if refused:
-            reply(Published(message.token, 0, refused))
+            reply(PublishResponse(message.token, 0, refused))
             return
         if self.core.role is not Role.LEADER:
-            reply(Published(message.token, NOT_KNOWN, "another leads"))
+            reply(PublishResponse(message.token, NOT_KNOWN, "another leads"))
             return
-        index, actions = self.core.propose(self.world.clock.now, self.publishing.proposal(message))
+        index, actions = self.core.propose(
+            self.world.clock.now, self.publishing.encode_proposal(message)
+        )
         if index is None:
-            reply(Published(message.token, NOT_KNOWN, "another is to lead"))
+            reply(PublishResponse(message.token, NOT_KNOWN, "another is to lead"))
         else:
             self._replies.setdefault(message.token, []).append(reply)
         self._do(actions)
@@ -126,7 +128,7 @@
         self.publishing.apply(index, data)
         self.world.checker.accepted(self.world.clock.now, self.publishing.table.revision)
         for token in list(self._replies):
-            answer = self.publishing.answer(token)
+            answer = self.publishing.response_for(token)
             if answer is not None:
                 for reply in self._replies.pop(token):
                     reply(answer)
@@ -138,4 +140,4 @@
             if core.majority(heard):
                 self._current_at = now
         age = -1.0 if self._current_at is None else now - self._current_at
-        self.server.fanout.fresh(now, age)
+        self.server.fanout.set_table_age(now, age)
--- a/dockthread/lab/scale/control.py
+++ b/dockthread/lab/scale/control.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from dockthread.control_plane.ingress import Controlled
+from dockthread.control_plane.ingress import IngressResourceApplier
 from dockthread.control_plane.messages import Rejection, Resource
 from dockthread.control_plane.options import ControlOptions
 from dockthread.lab.scale.plan import REGIONS, zone_name
@@ -37,12 +37,12 @@
     passed.
     """
 
-    def observe(self, controlled: Controlled, alter: Alteration | None = None) -> None:
+    def observe(self, controlled: IngressResourceApplier, alter: Alteration | None = None) -> None:
         """From now on; at once after it was opened, before anything can have come."""
         self._owner, self._alter, self._highest = controlled, alter, 0
         self._refused = set[str]()
         client: Any = controlled.client
-        client._owner = self  # there is no public way to stand between the two
+        client._applier = self  # there is no public way to stand between the two
 
     # What the client tells its owner
 
@@ -61,11 +61,11 @@
         self._highest = max([self._highest, *(one.revision for one in changes)])
         return rejections
 
-    def in_force(self, kind: str, name: str) -> Resource | None:
+    def applied_resource(self, kind: str, name: str) -> Resource | None:
         """What the owner holds under a key."""
-        return self._owner.in_force(kind, name)
+        return self._owner.applied_resource(kind, name)
 
-    def settled(self) -> None:
+    def on_batch_applied(self) -> None:
         """All that was given has been dealt with: note how far that is."""
-        self._owner.settled()
+        self._owner.on_batch_applied()
         self.come_to(max(self._highest, self._revision))
--- a/dockthread/lab/scale/hollow.py
+++ b/dockthread/lab/scale/hollow.py
@@ -15,7 +15,7 @@
 
 from dockthread.clock import Clock
 from dockthread.config.platform_settings import Address, Config, Names
-from dockthread.control_plane.ingress import Controlled
+from dockthread.control_plane.ingress import IngressResourceApplier
 from dockthread.lab.scale.control import ControlWitness, options_of
 from dockthread.lab.scale.planted_bugs import alteration, control_alteration
 from dockthread.lab.scale.witness import Row, Witness, table
@@ -107,10 +107,10 @@
             None, self.clock, self._decider.tell, self._timers.at, timeout=COUNTER_TIMEOUT
         )
         self.layers = Layers(Table(shared.names, module.zone, number + 1), module, shared.names)
-        self._controlled: Controlled | None = None
+        self._controlled: IngressResourceApplier | None = None
         if control is not None:
             options = options_of(number, shared.servers[cut], shared.key_file)
-            self._controlled = Controlled(cast(Ingress, self), self.layers, options)
+            self._controlled = IngressResourceApplier(cast(Ingress, self), self.layers, options)
 
     def start(self) -> None:
         """In the order of an ingress's own start."""
--- a/dockthread/lab/scale/publisher.py
+++ b/dockthread/lab/scale/publisher.py
@@ -39,7 +39,7 @@
 
     async def _put(self, number: int, body: bytes | None, version: int | None) -> None:
         sent = time.monotonic()
-        change = admin_client.change(KIND, name_of(number), body)
+        change = admin_client.new_request(KIND, name_of(number), body)
         for _ in range(TRIES):
             answer = await admin_client.publish(self._voters, change, self._key)
             if answer.revision > 0:
--- a/dockthread/lab/scale/real.py
+++ b/dockthread/lab/scale/real.py
@@ -9,7 +9,7 @@
 
 from dockthread.config.platform_settings import read_config
 from dockthread.config.section_registry import load
-from dockthread.control_plane.ingress import Controlled
+from dockthread.control_plane.ingress import IngressResourceApplier
 from dockthread.daemon import Daemon
 from dockthread.lab.scale.channel import Words, serve_commands
 from dockthread.lab.scale.control import ControlWitness
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self._lateness, self._in_force, self._control_in_force = Lateness(), InForce(), InForce()
         self._control: ControlWitness | None = None
-        self._controlled: Controlled | None = None
+        self._controlled: IngressResourceApplier | None = None
         self._tasks: list[asyncio.Task[None]] = []
 
     async def begin(self, told: Words) -> Words:
--- a/dockthread/lab/scale/server.py
+++ b/dockthread/lab/scale/server.py
@@ -11,7 +11,7 @@
 
 from dockthread.clock import Clock
 from dockthread.config.section_registry import load
-from dockthread.control_plane.process import Distributor, limits_of
+from dockthread.control_plane.process import Distributor, limits_from_options
 from dockthread.control_plane.voter import Voter
 from dockthread.lab.scale.channel import Words, serve_commands
 from dockthread.lab.scale.usage import Lateness, traffic
@@ -32,7 +32,7 @@
         if options.role == "distributor":
             part = Distributor(options, Clock(), rng)
         else:
-            limits, fanout = limits_of(options)
+            limits, fanout = limits_from_options(options)
             part = Voter(
                 options.name, read.one("fleet"), Clock(), rng, limits, fanout, options.key()
             )
--- a/tests/byte_cases.py
+++ b/tests/byte_cases.py
@@ -87,7 +87,7 @@
 
 RAFT_STREAM: Final = _raft_stream(KEY)
 DISTRIBUTION_STREAM: Final = _distribution_stream(KEY)
-CACHE_RECORD: Final = _record(snapshot_cache.Record)
+CACHE_RECORD: Final = _record(snapshot_cache.CacheRecord)
 MAINTENANCE_COMMAND: Final = ByteCodec(msgspec.msgpack.encode, Order.read)
 MAINTENANCE_STATE: Final = ByteCodec(_encode_maintenance_state, _decode_maintenance_state)
 GOSSIP: Final = ByteCodec(_encode_gossip, lambda data: gossip.unpack(data, PLANS))
@@ -305,7 +305,7 @@
 REJECTION: Final = messages.Rejection(
     kind="route", name="slow", revision=41, reason="attempts: 0 is too few"
 )
-PUBLISH: Final = messages.Publish(
+PUBLISH: Final = messages.PublishRequest(
     token="t1", kind="route", name="slow", body=b'{"attempts": 2}', expected=40
 )
 SUBSCRIBER: Final = messages.SubscriberStatus(
@@ -335,22 +335,22 @@
         ),
         ("acknowledge.defaults", messages.Acknowledge(epoch="e1", revision=42, digest=DIGEST)),
         ("heartbeat", messages.Heartbeat(epoch="e1", revision=42, age=12.5)),
-        ("heartbeat.never-complete", messages.Heartbeat(epoch="", revision=0, age=messages.NEVER)),
+        ("heartbeat.never-complete", messages.Heartbeat(epoch="", revision=0, age=messages.AGE_UNKNOWN)),
         ("retry-later", messages.RetryLater(after=250.5, reason="no capacity")),
         ("publish", PUBLISH),
-        ("publish.defaults", messages.Publish(token="t1", kind="route", name="slow", body=None)),
-        ("published", messages.Published(token="t1", revision=-1, reason="no majority")),
-        ("published.defaults", messages.Published(token="t1", revision=41)),
+        ("publish.defaults", messages.PublishRequest(token="t1", kind="route", name="slow", body=None)),
+        ("published", messages.PublishResponse(token="t1", revision=-1, reason="no majority")),
+        ("published.defaults", messages.PublishResponse(token="t1", revision=41)),
         ("status-request", messages.StatusRequest()),
         (
             "status",
-            messages.Status(
+            messages.StatusResponse(
                 name="v1", role="voter", epoch="e1", revision=42, digest=DIGEST, age=12.5, subscribers=(SUBSCRIBER,)
             ),
         ),
         (
             "status.defaults",
-            messages.Status(
+            messages.StatusResponse(
                 name="v1", role="voter", epoch="e1", revision=42, digest=DIGEST, age=12.5,
                 subscribers=(
                     messages.SubscriberStatus(
@@ -359,10 +359,10 @@
                 ),
             ),
         ),
-        ("lookup", messages.Lookup(kind="route", name="slow", after="fast")),
-        ("lookup.defaults", messages.Lookup(kind="route")),
-        ("found", messages.Found(revision=42, resources=(ROUTE,), more=True)),
-        ("found.defaults", messages.Found(revision=42, resources=())),
+        ("lookup", messages.LookupRequest(kind="route", name="slow", after="fast")),
+        ("lookup.defaults", messages.LookupRequest(kind="route")),
+        ("found", messages.LookupResponse(revision=42, resources=(ROUTE,), more=True)),
+        ("found.defaults", messages.LookupResponse(revision=42, resources=())),
     )
 )  # fmt: skip
 
@@ -387,16 +387,24 @@
         ),
         _record(publish_state_machine.State),
     ),
-    Case("distribution.cache.head", snapshot_cache.Head(version=1, name="in-1"), CACHE_RECORD),
-    Case("distribution.cache.part", snapshot_cache.Part(resources=(ROUTE, DELETED)), CACHE_RECORD),
+    Case(
+        "distribution.cache.head", snapshot_cache.CacheHeader(version=1, name="in-1"), CACHE_RECORD
+    ),
+    Case(
+        "distribution.cache.part",
+        snapshot_cache.CacheChunk(resources=(ROUTE, DELETED)),
+        CACHE_RECORD,
+    ),
     Case(
         "distribution.cache.commit",
-        snapshot_cache.Commit(epoch="e1", revision=42, horizon=39, digest=DIGEST, kept=(ROUTE,)),
+        snapshot_cache.CacheCommit(
+            epoch="e1", revision=42, horizon=39, digest=DIGEST, last_good=(ROUTE,)
+        ),
         CACHE_RECORD,
     ),
     Case(
         "distribution.cache.commit.defaults",
-        snapshot_cache.Commit(epoch="e1", revision=42, horizon=39, digest=DIGEST),
+        snapshot_cache.CacheCommit(epoch="e1", revision=42, horizon=39, digest=DIGEST),
         CACHE_RECORD,
     ),
 )
--- a/tests/control_plane/control_rig.py
+++ b/tests/control_plane/control_rig.py
@@ -14,7 +14,12 @@
 
 from dockthread.config.platform_settings import Address
 from dockthread.control_plane import admin_client
-from dockthread.control_plane.messages import Published, Status, StatusRequest, SubscriberStatus
+from dockthread.control_plane.messages import (
+    PublishResponse,
+    StatusRequest,
+    StatusResponse,
+    SubscriberStatus,
+)
 from dockthread.lab.maintenance.rig import reserved
 from dockthread.raft.storage import Store
 from tests.loopback import LIST, raw_config
@@ -107,22 +112,24 @@
         command = [sys.executable, "-m", "dockthread", "control", *words.split(), *at]
         return subprocess.run(command, input=body, capture_output=True, text=True, timeout=MOST)
 
-    def publish(self, kind: str, name: str, body: Any) -> Published:
+    def publish(self, kind: str, name: str, body: Any) -> PublishResponse:
         """Raises AssertionError where it is not accepted."""
         data = None if body is None else json.dumps(body).encode()
         answer = asyncio.run(
-            admin_client.publish(self.voters, admin_client.change(kind, name, data), KEY, MOST)
+            admin_client.publish(self.voters, admin_client.new_request(kind, name, data), KEY, MOST)
         )
         assert answer.revision > 0, answer
         return answer
 
-    def status(self, name: str) -> Status | None:
+    def status(self, name: str) -> StatusResponse | None:
         """None where it does not answer."""
         try:
-            answer = asyncio.run(admin_client.ask(self.at[name], StatusRequest(), KEY, 0.5))
-        except admin_client.NoAnswer:
+            answer = asyncio.run(
+                admin_client.send_request(self.at[name], StatusRequest(), KEY, 0.5)
+            )
+        except admin_client.NoResponseError:
             return None
-        assert isinstance(answer, Status)
+        assert isinstance(answer, StatusResponse)
         return answer
 
     def standing(self) -> dict[str, SubscriberStatus]:
--- a/tests/control_plane/test_distribution_processes.py
+++ b/tests/control_plane/test_distribution_processes.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from dockthread.control_plane.messages import Acknowledge, Publish, Update, codec
-from dockthread.control_plane.server import MOST_REQUEST
+from dockthread.control_plane.messages import Acknowledge, PublishRequest, Update, codec
+from dockthread.control_plane.server import MAX_REQUEST_BYTES
 from dockthread.framing import HEAD
 from tests.control_plane.control_rig import DISTRIBUTORS, INGRESSES, KEY, MOST, VOTERS, ControlRig
 
@@ -171,10 +171,10 @@
 
 MALFORMED = {
     "no frame": b"GET / HTTP/1.1\r\nHost: control\r\n\r\n",
-    "too large": frame(MOST_REQUEST + 1),
+    "too large": frame(MAX_REQUEST_BYTES + 1),
     "another version": frame(3, 9) + b"abc",
-    "another key": codec.pack(Publish("t", "route", "x", b"{}"), b"another key of 16 bytes"),
-    "no message": codec.pack(Publish("t", "route", "x", b"{}"), KEY)[:-1] + b"\x00",
+    "another key": codec.pack(PublishRequest("t", "route", "x", b"{}"), b"another key of 16 bytes"),
+    "no message": codec.pack(PublishRequest("t", "route", "x", b"{}"), KEY)[:-1] + b"\x00",
     "of a server": codec.pack(Update("e", 1, ()), KEY),
     "before its subscription": codec.pack(Acknowledge("e", 1, b""), KEY),
 }
--- a/tests/control_plane/test_distribution_rim.py
+++ b/tests/control_plane/test_distribution_rim.py
@@ -17,8 +17,8 @@
 from dockthread.clock import Clock
 from dockthread.config.platform_settings import Address, read_config
 from dockthread.config.section_registry import load
-from dockthread.control_plane.client import Client
-from dockthread.control_plane.fanout import FanoutLimits
+from dockthread.control_plane.client import ControlPlaneClient
+from dockthread.control_plane.fanout import FanOutLimits
 from dockthread.control_plane.messages import (
     Rejection,
     Resource,
@@ -28,8 +28,8 @@
     codec,
 )
 from dockthread.control_plane.resource_table import ResourceTable
-from dockthread.control_plane.server import MOST_REQUEST, Server, ServerLimits
-from dockthread.control_plane.snapshot_cache import BrokenCache, Cache, read
+from dockthread.control_plane.server import MAX_REQUEST_BYTES, ControlPlaneServer, ServerLimits
+from dockthread.control_plane.snapshot_cache import CorruptCacheError, SnapshotCache, read_snapshot
 from dockthread.daemon import Daemon
 from dockthread.framing import HEAD
 from dockthread.routes.bounds import Facts
@@ -40,11 +40,12 @@
 
 
 def served(
-    scenario: Callable[[Server, Address], Coroutine[Any, Any, None]], connections: int = 4
+    scenario: Callable[[ControlPlaneServer, Address], Coroutine[Any, Any, None]],
+    connections: int = 4,
 ) -> None:
     async def whole() -> None:
-        limits, fanout = ServerLimits(connections, BUFFER), FanoutLimits(part=PART)
-        server = Server(
+        limits, fanout = ServerLimits(connections, BUFFER), FanOutLimits(chunk_bytes=PART)
+        server = ControlPlaneServer(
             "d",
             "distributor",
             ResourceTable("e"),
@@ -61,13 +62,13 @@
     run(whole())
 
 
-def put(server: Server, name: str) -> None:
+def put(server: ControlPlaneServer, name: str) -> None:
     server.table.put(Resource("route", name, server.table.revision + 1, BODY))
     server.changed()
 
 
 def test_a_subscriber_that_does_not_read_holds_a_few_frames_and_is_sent_only_the_latest() -> None:
-    async def scenario(server: Server, at: Address) -> None:
+    async def scenario(server: ControlPlaneServer, at: Address) -> None:
         put(server, "r0")
         reader, writer = await asyncio.open_connection(at.host, at.port, limit=1 << 10)
         writer.write(codec.pack(Subscribe("slow")))
@@ -89,7 +90,7 @@
 
 
 def test_connections_beyond_the_limit_and_those_that_ask_without_reading_are_closed() -> None:
-    async def scenario(server: Server, at: Address) -> None:
+    async def scenario(server: ControlPlaneServer, at: Address) -> None:
         for n in range(4):
             put(server, f"r{n}")
         first = [await asyncio.open_connection(at.host, at.port) for _ in range(4)]
@@ -97,7 +98,7 @@
         reader, writer = await asyncio.open_connection(at.host, at.port)
         assert await reader.read() == b"" and server.counts.refused == 1
         question = codec.pack(StatusRequest()) * 1000
-        assert len(question) < MOST_REQUEST
+        assert len(question) < MAX_REQUEST_BYTES
         while not server.counts.unread:
             first[0][1].write(question)
             await asyncio.sleep(0)
@@ -112,7 +113,7 @@
     table = ResourceTable("e")
 
     async def write() -> None:
-        cache = Cache(folder, "n0", 0.0)
+        cache = SnapshotCache(folder, "n0", 0.0)
         for name in names:
             one = Resource("route", name, table.revision + 1, name.encode())
             table.put(one)
@@ -129,11 +130,11 @@
     whole = path.read_bytes()
     for cut in range(1, 40):  # the last commit, at least in part
         path.write_bytes(whole[:-cut])
-        found = read(path, "n0")
+        found = read_snapshot(path, "n0")
         assert found is not None and found.table.revision == table.revision - 1
         assert {one.name for one in found.table.live()} == {"a", "b"}
     path.write_bytes(whole)
-    found = read(path, "n0")
+    found = read_snapshot(path, "n0")
     assert found is not None and (found.table.revision, found.table.digest) == (3, table.digest)
 
 
@@ -143,11 +144,11 @@
     whole = path.read_bytes()
     for at in range(len(whole) // 2):
         path.write_bytes(whole[:at] + bytes([whole[at] ^ 0x40]) + whole[at + 1 :])
-        with pytest.raises(BrokenCache):
-            read(path, "n0")
+        with pytest.raises(CorruptCacheError):
+            read_snapshot(path, "n0")
     path.write_bytes(whole)
-    with pytest.raises(BrokenCache, match="is not that of n1"):
-        read(path, "n1")
+    with pytest.raises(CorruptCacheError, match="is not that of n1"):
+        read_snapshot(path, "n1")
 
 
 def test_a_directory_that_cannot_be_written_costs_one_line_and_a_later_change_is_kept(
@@ -159,7 +160,7 @@
     folder.write_text("in the way")
 
     async def scenario() -> None:
-        cache = Cache(folder, "n0", 0.0)
+        cache = SnapshotCache(folder, "n0", 0.0)
         for number in (1, 2, 3):
             if number == 3:
                 folder.unlink()
@@ -171,7 +172,7 @@
 
     run(scenario())
     logger.remove(sink)
-    found = read(folder / "n0.cache", "n0")
+    found = read_snapshot(folder / "n0.cache", "n0")
     assert len(lines) == 1 and "cannot be written" in lines[0]
     assert found is not None and found.table.digest == table.digest and len(found.table) == 3
 
@@ -187,10 +188,10 @@
         self.held.update((one.name, one) for one in changes if one not in bad)
         return [Rejection(one.kind, one.name, one.revision, "is bad") for one in bad]
 
-    def in_force(self, kind: str, name: str) -> Resource | None:
+    def applied_resource(self, kind: str, name: str) -> Resource | None:
         return self.held.get(name)
 
-    def settled(self) -> None: ...
+    def on_batch_applied(self) -> None: ...
 
 
 def test_what_was_refused_before_a_restart_is_refused_after_it_and_the_last_good_one_holds(
@@ -199,8 +200,8 @@
     good = Resource("route", "bad", 1, b"good")
     cached(tmp_path, ["a", "bad"], (good,))
     owner = Owner()
-    cache = Cache(tmp_path, "n0", 0.0)
-    client = Client("n0", [], owner, Clock(), random.Random(1), cache=cache)
+    cache = SnapshotCache(tmp_path, "n0", 0.0)
+    client = ControlPlaneClient("n0", [], owner, Clock(), random.Random(1), cache=cache)
     assert owner.held["bad"] == good and owner.held["a"].body == b"a"
     assert client.subscriber.rejections == (Rejection("route", "bad", 2, "is bad"),)
     asyncio.run(cache.close())
@@ -247,7 +248,7 @@
     def configure(*classes: dict[str, Any]) -> None:
         path.write_text(json.dumps(raw_config(LIST, 9, settings={**SETTINGS, "Classes": classes})))
 
-    async def scenario(server: Server, at: Address) -> None:
+    async def scenario(server: ControlPlaneServer, at: Address) -> None:
         configure(status, checkout)
         file.write_text(
             f"[route status twice]\nclass = status\n[control]\nrole = ingress\nservers = {at}\n"
--- a/tests/test_byte_compatibility.py
+++ b/tests/test_byte_compatibility.py
@@ -27,11 +27,11 @@
 from dockthread.config.platform_settings import Address
 from dockthread.config.quantities import Duration, Share
 from dockthread.control_plane import messages, snapshot_cache
-from dockthread.control_plane.encoded import FramesCache
-from dockthread.control_plane.publish_state_machine import Publishing
-from dockthread.control_plane.resource_schemas import VALIDATORS, address_of, route_of
+from dockthread.control_plane.encoded import EncodedFrameCache
+from dockthread.control_plane.publish_state_machine import PublishStateMachine
+from dockthread.control_plane.resource_schemas import VALIDATORS, parse_address, parse_route
 from dockthread.control_plane.resource_table import ResourceTable
-from dockthread.control_plane.update_assembler import Receiver
+from dockthread.control_plane.update_assembler import UpdateAssembler
 from dockthread.daemon import Daemon
 from dockthread.framing import HEAD
 from dockthread.maintenance.commands import INGRESS, Command, Tick, Zone
@@ -55,7 +55,7 @@
 UNIONS: Final = (
     (raft_messages.Frame, byte_cases.RAFT_STREAM),
     (messages.Message, byte_cases.DISTRIBUTION_STREAM),
-    (snapshot_cache.Record, byte_cases.CACHE_RECORD),
+    (snapshot_cache.CacheRecord, byte_cases.CACHE_RECORD),
 )
 
 
@@ -234,28 +234,32 @@
     assert maintenance_listing() == WRITTEN["maintenance.listing.json"]
 
 
-def published() -> tuple[list[bytes], Publishing]:
+def published() -> tuple[list[bytes], PublishStateMachine]:
     """Entries of the distribution's log, and the machine after them: changes accepted, refused and
     repeated.
     """
-    machine = Publishing(VALIDATORS, random.Random(7), most_tombstones=1)
+    machine = PublishStateMachine(VALIDATORS, random.Random(7), max_tombstones=1)
     changes = [
-        messages.Publish(token="t1", kind="route", name="slow", body=b'{"attempts": 2}'),
-        messages.Publish(
+        messages.PublishRequest(token="t1", kind="route", name="slow", body=b'{"attempts": 2}'),
+        messages.PublishRequest(
             token="t2", kind="route", name="slow", body=b'{"attempts": 3}', expected=7
         ),
-        messages.Publish(
+        messages.PublishRequest(
             token="t3", kind="address", name="counter", body=b'{"address": "h:1"}', expected=0
         ),
-        messages.Publish(token="t3", kind="address", name="counter", body=b'{"address": "h:2"}'),
-        messages.Publish(token="t4", kind="address", name="counter", body=None),
-        messages.Publish(token="t5", kind="route", name="none", body=None),
-        messages.Publish(token="t6", kind="route", name="", body=b"{}"),
-        messages.Publish(token="t7", kind="route", name="slow", body=None, expected=1),
-        messages.Publish(token="t8", kind="route", name="big", body=bytes(messages.MOST_BODY + 1)),
-        messages.Publish(token="t9", kind="route", name="fast", body=b'{"attempts": 1}'),
+        messages.PublishRequest(
+            token="t3", kind="address", name="counter", body=b'{"address": "h:2"}'
+        ),
+        messages.PublishRequest(token="t4", kind="address", name="counter", body=None),
+        messages.PublishRequest(token="t5", kind="route", name="none", body=None),
+        messages.PublishRequest(token="t6", kind="route", name="", body=b"{}"),
+        messages.PublishRequest(token="t7", kind="route", name="slow", body=None, expected=1),
+        messages.PublishRequest(
+            token="t8", kind="route", name="big", body=bytes(messages.MAX_BODY_BYTES + 1)
+        ),
+        messages.PublishRequest(token="t9", kind="route", name="fast", body=b'{"attempts": 1}'),
     ]
-    proposals = [machine.proposal(change) for change in changes]
+    proposals = [machine.encode_proposal(change) for change in changes]
     for index, proposal in enumerate(proposals, 1):
         machine.apply(index, proposal)
     return proposals, machine
@@ -265,10 +269,10 @@
     proposals, machine = published()
     assert proposals[0] == WRITTEN["distribution.log.first-proposal"]
     assert machine.state() == WRITTEN["distribution.log.history-state"]
-    restored = Publishing(VALIDATORS, random.Random(8), most_tombstones=1)
+    restored = PublishStateMachine(VALIDATORS, random.Random(8), max_tombstones=1)
     restored.restore(10, WRITTEN["distribution.log.history-state"])
     assert held(restored.table) == held(machine.table)
-    assert restored.answer("t2") == machine.answer("t2") is not None
+    assert restored.response_for("t2") == machine.response_for("t2") is not None
 
 
 def held(table: ResourceTable) -> tuple[object, ...]:
@@ -293,7 +297,7 @@
 
 def table_frames(part: int) -> list[bytes]:
     """Frames of a snapshot in parts of so many bytes, and of what lacks behind revision 12."""
-    frames = FramesCache(resource_table(), part, byte_cases.KEY)
+    frames = EncodedFrameCache(resource_table(), part, byte_cases.KEY)
     snapshot, found = frames.snapshot(), list[bytes]()
     while (frame := snapshot.frame(len(found))) is not None:
         found.append(frame)
@@ -305,10 +309,10 @@
     assert b"".join(snapshot) == WRITTEN["distribution.frames.snapshot"]
     assert delta == WRITTEN["distribution.frames.delta"]
     table = ResourceTable()
-    receiver = Receiver(table)
+    assembler = UpdateAssembler(table)
     for frame in snapshot:
         update = byte_cases.DISTRIBUTION_STREAM.decode(frame)
-        receiver.take(update)
+        assembler.add(update)
     assert held(table) == held(resource_table())
 
 
@@ -318,7 +322,7 @@
     """
     table = resource_table()
     kept = (messages.Resource(kind="route", name="r0", revision=10, body=b"{}"),)
-    file = snapshot_cache.Cache(directory, "in/1 a", 0.0)
+    file = snapshot_cache.SnapshotCache(directory, "in/1 a", 0.0)
     file.save(table, (), kept)
     change = messages.Resource(
         kind="address", name="counter", revision=26, body=b'{"address": "h:1"}'
@@ -334,19 +338,19 @@
     assert path == tmp_path / "in%2F1%20a.cache"
     assert path.read_bytes() == WRITTEN["distribution.cache.file"]
     path.write_bytes(WRITTEN["distribution.cache.file"])
-    found = snapshot_cache.read(path, "in/1 a")
+    found = snapshot_cache.read_snapshot(path, "in/1 a")
     table = resource_table()
     table.put(
         messages.Resource(kind="address", name="counter", revision=26, body=b'{"address": "h:1"}')
     )
     assert found is not None
-    assert (held(found.table), found.kept) == (held(table), ())
+    assert (held(found.table), found.last_good) == (held(table), ())
     first_commit = WRITTEN["distribution.cache.file.first-state"]
     path.write_bytes(first_commit)
-    found = snapshot_cache.read(path, "in/1 a")
+    found = snapshot_cache.read_snapshot(path, "in/1 a")
     assert found is not None
     kept = (messages.Resource(kind="route", name="r0", revision=10, body=b"{}"),)
-    assert (held(found.table), found.kept) == (held(resource_table()), kept)
+    assert (held(found.table), found.last_good) == (held(resource_table()), kept)
 
 
 def test_backends_held_by_hand(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -387,7 +391,7 @@
 
 def test_the_body_of_a_route() -> None:
     assert set(ROUTE_BODY) == {field.encode_name for field in msgspec.structs.fields(RouteOptions)}
-    assert route_of("slow", WRITTEN["distribution.resource.route"]) == RouteOptions(
+    assert parse_route("slow", WRITTEN["distribution.resource.route"]) == RouteOptions(
         classes=("cheap", "heavy"), plan=("basic",), verb=("read",), firm=("1f", "2a"), units="1..3", retry=True,
         hall=("h1",), timeout=Duration(2_000), attempt_timeout=Duration(500), attempts=3,
         retry_on=("error", "turned-away"), backoff=Duration(10), backoff_max=Duration(50), copies=True,
@@ -398,7 +402,7 @@
 
 @pytest.mark.parametrize("name", ["counter", "discovery"])
 def test_the_body_of_an_address(name: str) -> None:
-    assert address_of(name, WRITTEN["distribution.resource.address"]) == Address("h", 1)
+    assert parse_address(name, WRITTEN["distribution.resource.address"]) == Address("h", 1)
     assert set(VALIDATORS) == {"address", "route"}
 
 
