--- a/dockthread/lab/raft/seeds.py
+++ b/dockthread/lab/raft/seeds.py
@@ -60,10 +60,16 @@
     ),
     "work-turns-five": Scenario("turns of work with five members", 5, None, MaintenanceSimulation),
     "work-turns-links": Scenario(
-        "turns of work over links that lose, delay and double", 3, LINK_FAULTS, MaintenanceSimulation
+        "turns of work over links that lose, delay and double",
+        3,
+        LINK_FAULTS,
+        MaintenanceSimulation,
     ),
     "work-turns-crashes": Scenario(
-        "turns of work while members die and stall", 3, (*CRASH_FAULTS, "fail"), MaintenanceSimulation
+        "turns of work while members die and stall",
+        3,
+        (*CRASH_FAULTS, "fail"),
+        MaintenanceSimulation,
     ),
 }
 
