--- a/dockthread/routes/check.py
+++ b/dockthread/routes/check.py
@@ -14,8 +14,9 @@
 from dockthread.policy import DeduplicationScope, Effect, Outcome, PolicySettings, RequestClass
 from dockthread.routes.bounds import WORDS
 from dockthread.routes.budget import PART
-from dockthread.routes.matcher import Numbers, file_places, rules_of, shadows
+from dockthread.routes.matcher import Numbers, file_places, rules_of
 from dockthread.routes.options import RouteOptions
+from dockthread.routes.ordered import shadows
 from dockthread.routes.worst import Worst, amplification, worst
 
 PROVEN = frozenset(
--- a/dockthread/routes/matcher.py
+++ b/dockthread/routes/matcher.py
@@ -11,7 +11,6 @@
 from dockthread.config.platform_settings import Names
 from dockthread.routes.bounds import BACKOFF_MAX, WORDS, Facts, Rules
 from dockthread.routes.options import RouteOptions
-from dockthread.routes.ordered import Ordered
 
 Place = tuple[int, int, str]
 """Where a route stands among the others: its layer, its number there, its name."""
@@ -151,12 +150,3 @@
         zones=frozenset(zones[n] for n in o.nodes if n in zones),
         kinds=frozenset(kinds[n] for n in o.nodes if n in kinds and n not in zones),
     )
-
-
-def shadows(found: Iterable[Matcher]) -> Iterable[tuple[str, str]]:
-    """Routes that can never match, each with one that shadows it. `found`: in their order."""
-    before = Ordered()
-    for one in found:
-        if (earlier := before.first_covering(one)) is not None:
-            yield one.rules.name, earlier.rules.name
-        before.put(one)
--- a/dockthread/routes/ordered.py
+++ b/dockthread/routes/ordered.py
@@ -7,10 +7,8 @@
 from bisect import insort
 from collections.abc import Iterable
 from itertools import chain
-from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:
-    from dockthread.routes.matcher import Matcher, Place
+from dockthread.routes.matcher import Matcher, Place
 
 
 def _place(one: Matcher) -> Place:
@@ -73,3 +71,15 @@
     """
     theirs, mine = earlier.halls, later.halls
     return earlier.covers(later) and (not theirs or (bool(mine) and mine <= theirs))
+
+
+def shadows(found: Iterable[Matcher]) -> Iterable[tuple[str, str]]:
+    """Yield each route that can never match, with the route that shadows it.
+
+    `found` lists the matchers in their order.
+    """
+    before = Ordered()
+    for one in found:
+        if (earlier := before.first_covering(one)) is not None:
+            yield one.rules.name, earlier.rules.name
+        before.put(one)
