--- a/tests/benchmarks/test_regress.py
+++ b/tests/benchmarks/test_regress.py
@@ -86,7 +86,7 @@
     ("path", "groups"),
     [
         ("docs/ROADMAP.md", set()),
-        ("tests/policy/test_rules.py", set()),
+        ("tests/policy/test_engine.py", set()),
         ("dockthread/lab/load.py", set()),
         ("dockthread/telemetry/links.py", {"sockets", "days", "fleet"}),
         ("dockthread/policy/admission.py", {"module", "sockets", "days", "fleet"}),
--- a/tests/lab/test_cold_ramp.py
+++ b/tests/lab/test_cold_ramp.py
@@ -11,7 +11,7 @@
 from dockthread.lab.slow_start.simulation import TWO_KINDS, Scene
 from dockthread.policy import SafetyLimits
 from dockthread.policy.slow_start import Ramp
-from tests.policy.test_rules import BASE, OPEN, RATE, Drive, entry
+from tests.policy.harness import BASE, OPEN, RATE, Drive, entry
 
 
 @pytest.mark.parametrize("plan", [OPEN, RATE])
--- a/tests/policy/test_list_size.py
+++ b/tests/policy/test_list_size.py
@@ -27,7 +27,7 @@
 from dockthread.policy.backend_pool import MOST_WEIGHED, SCANNED, SLOTS_PER_CHANGE
 from tests.loopback import Backend, message, run, serving, target, until
 from tests.net.test_parsers import HEAD, chunks, destinations
-from tests.policy.test_rules import BASE, KEYED, SAFE, Drive
+from tests.policy.harness import BASE, KEYED, SAFE, Drive
 
 MANY = 24_000
 
--- a/tests/policy/test_pressure.py
+++ b/tests/policy/test_overload.py
@@ -27,7 +27,7 @@
     TimerFired,
 )
 from dockthread.policy.latency_estimates import Crowds
-from tests.policy.test_fleet import settings
+from tests.policy.test_many_ingresses import settings
 
 CORES, WORK = 4, 0.3
 
