--- a/benchmarks/list_size.py
+++ b/benchmarks/list_size.py
@@ -36,8 +36,8 @@
 from benchmarks import rig
 from dockthread.clock import ManualClock
 from dockthread.config.platform_settings import Names
-from dockthread.net.discovery_watch import WatchParser
-from dockthread.net.endpoint_list import DestinationSet, WatchError
+from dockthread.net.discovery_watch import WatchResponseParser
+from dockthread.net.endpoint_list import DiscoveryError, EndpointList
 from dockthread.policy import (
     Action,
     AttemptEnded,
@@ -125,13 +125,13 @@
         self.now = until
 
 
-def parsed(size: int, destinations: DestinationSet) -> tuple[Any, dict[str, float]]:
+def parsed(size: int, destinations: EndpointList) -> tuple[Any, dict[str, float]]:
     """The list as the parser yields it, cut as a socket cuts it; with the bytes, and the time of
     the longest piece.
     """
     text, parser, found = (
         json.dumps(whole_list(size)).encode(),
-        WatchParser(destinations.read),
+        WatchResponseParser(destinations.read),
         list[Any](),
     )
     figures = {"list_kb": len(text) / 1000, "taken": 1.0, "parse_ms": 0.0, "parse_longest_ms": 0.0}
@@ -141,7 +141,7 @@
         begun = time.thread_time()
         try:
             found += parser.feed(b"%x\r\n%b\r\n" % (len(piece), piece))
-        except WatchError:
+        except DiscoveryError:
             figures["taken"] = 0.0
             break
         spent = (time.thread_time() - begun) * 1000
@@ -150,7 +150,7 @@
     return found[0] if found else whole_list(size), figures
 
 
-def changes(module: Module, destinations: DestinationSet, size: int) -> dict[str, float]:
+def changes(module: Module, destinations: EndpointList, size: int) -> dict[str, float]:
     """One backend at a time leaves or comes back as a new process; figures of the destination set
     and the module.
     """
@@ -173,7 +173,7 @@
     }
 
 
-def quiet(module: Module, destinations: DestinationSet) -> dict[str, float]:
+def quiet(module: Module, destinations: EndpointList) -> dict[str, float]:
     """Housekeeping without traffic, in percent of a core: the module's, and each 250 ms the
     destination set's.
     """
@@ -227,7 +227,7 @@
 def measure(size: int) -> dict[str, float]:
     gc.collect()
     bare = resident()
-    destinations = DestinationSet(NAMES, ManualClock())
+    destinations = EndpointList(NAMES, ManualClock())
     said, figures = parsed(size, destinations)
     module, spent = Module(GATEWAYS), list[float]()
     begun = time.thread_time()
--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -23,7 +23,7 @@
 from dockthread.clock import Clock
 from dockthread.config.platform_settings import Config, SettingsError, read_config, reread_config
 from dockthread.logs.setup import set_up
-from dockthread.net.endpoint_list import WatchError
+from dockthread.net.endpoint_list import DiscoveryError
 from dockthread.net.ingress import Ingress
 
 if TYPE_CHECKING:
@@ -317,7 +317,7 @@
             runner.run(_serve(config, file, read, level.upper() == "TRACE", early))
         # the interpreter's end, too, gives defaults back
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    except (SettingsError, WatchError) as error:
+    except (SettingsError, DiscoveryError) as error:
         print(f"dockthread: {error}", file=sys.stderr)
         return BAD_CONFIGURATION
     except OSError as error:
--- a/dockthread/lab/scale/hollow.py
+++ b/dockthread/lab/scale/hollow.py
@@ -19,11 +19,11 @@
 from dockthread.lab.scale.control import ControlWitness, options_of
 from dockthread.lab.scale.planted_bugs import alteration, control_alteration
 from dockthread.lab.scale.witness import Row, Witness, table
-from dockthread.net.discovery_watch import Watch
-from dockthread.net.endpoint_list import DestinationSet
+from dockthread.net.discovery_watch import DiscoveryWatch
+from dockthread.net.endpoint_list import EndpointList
 from dockthread.net.ingress import HOUSEKEEPING, Ingress
 from dockthread.net.policy_host import Decider
-from dockthread.net.quota_counter import Counter
+from dockthread.net.quota_counter import QuotaCounterClient
 from dockthread.net.timers import Timers
 from dockthread.policy import (
     EndpointListKind,
@@ -44,7 +44,7 @@
 Alteration = Callable[[Any], Any]
 
 
-class AlteredSet(DestinationSet):
+class AlteredSet(EndpointList):
     """A destination set with a planted bug before it."""
 
     alter: Alteration | None = None
@@ -95,12 +95,12 @@
         self.gateway = PolicyEngine(module, number + 1, self.clock.now() / 1000.0)
         self._decider = Decider(self.gateway, self.clock, lambda request: None)
         self._timers = Timers(self.clock, module.clock_tick * 1000.0)
-        self.destinations = DestinationSet(shared.names, self.clock)
+        self.destinations = EndpointList(shared.names, self.clock)
         if (alter := alteration(plant)) is not None:
             self.destinations = AlteredSet(shared.names, self.clock)
             self.destinations.alter = alter
         discovery = shared.discovery[cut]
-        self.watch = Watch(
+        self.watch = DiscoveryWatch(
             discovery, self.destinations, self.clock, self._listed, module, number + 1
         )
         self._decider.carry_out = {
@@ -112,7 +112,7 @@
         self.config = Config(
             f"n{number}", NOWHERE, discovery, number + 1, 1024, EMPTY, module, shared.names
         )
-        self.counter = Counter(
+        self.counter = QuotaCounterClient(
             None, self.clock, self._decider.tell, self._timers.at, timeout=COUNTER_TIMEOUT
         )
         self.layers = Layers(Table(shared.names, module.zone, number + 1), module, shared.names)
--- a/dockthread/lab/scale/witness.py
+++ b/dockthread/lab/scale/witness.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from dockthread.net.endpoint_list import DestinationSet
+from dockthread.net.endpoint_list import EndpointList
 from dockthread.policy import BackendState, EndpointListKind, EndpointsListed, PolicyEngine
 
 # of a backend: uid, endpoint, whether it may be sent to, weight; of a route: name, version
@@ -103,7 +103,7 @@
         self._held[worker] = weight
 
 
-def table(gateway: PolicyEngine, destinations: DestinationSet) -> list[Row]:
+def table(gateway: PolicyEngine, destinations: EndpointList) -> list[Row]:
     """What the module holds of the backends that are not gone, in the order of their uids."""
     return sorted(
         [known.uid, str(known.endpoint), held.ready, held.entry.weight]
--- a/dockthread/lab/slow_start/restart_wave.py
+++ b/dockthread/lab/slow_start/restart_wave.py
@@ -22,7 +22,14 @@
 from heapq import heappop, heappush
 from math import inf
 
-from dockthread.net.discovery_watch import LEAST_PAUSE, OVERBOOKED, PATIENCE, SILENCE, SOON, WINDOW
+from dockthread.net.discovery_watch import (
+    FIRST_ANSWER_TIMEOUT_MS,
+    MAX_RECONNECT_DELAY_MS,
+    MAX_WAIT_MS,
+    MIN_BACKOFF_LIMIT_MS,
+    OVERLOAD_AFTER_MS,
+    SILENCE_TIMEOUT_MS,
+)
 from dockthread.policy.backoff import Backoff
 
 ROUND_TRIP = 2.0  # ms
@@ -75,9 +82,9 @@
         self.wave, self.now = wave, 0.0
         rng = random.Random(seed)
         self._hurry = wave.drain_grace / 2
-        self._patience = SILENCE if wave.pushed else PATIENCE
-        soon = min(self._hurry, SOON)
-        longest = min(WINDOW, max(self._hurry, LEAST_PAUSE)) if wave.pushed else inf
+        self._patience = SILENCE_TIMEOUT_MS if wave.pushed else FIRST_ANSWER_TIMEOUT_MS
+        soon = min(self._hurry, MAX_RECONNECT_DELAY_MS)
+        longest = min(MAX_WAIT_MS, max(self._hurry, MIN_BACKOFF_LIMIT_MS)) if wave.pushed else inf
         self.ingresses = [
             Ingress(backoff(random.Random(rng.getrandbits(64)), wave.fleet, soon, longest))
             for _ in range(wave.restarted)
@@ -149,10 +156,12 @@
 
     def _unanswered(self, ingress: Ingress, call: int) -> None:
         if call == ingress.call:
-            self._pause(ingress, WINDOW - self._patience)
+            self._pause(ingress, MAX_WAIT_MS - self._patience)
 
-    def _pause(self, ingress: Ingress, most: float = WINDOW) -> None:
-        overbooked = self.now - ingress.started > OVERBOOKED  # it takes connections, up or down
+    def _pause(self, ingress: Ingress, most: float = MAX_WAIT_MS) -> None:
+        overbooked = (
+            self.now - ingress.started > OVERLOAD_AFTER_MS
+        )  # it takes connections, up or down
         pause = ingress.backoff.again(inf if overbooked else most)
         ingress.paused += pause
         self._at(self.now + pause, self._again, ingress, ingress.call)
--- a/dockthread/net/discovery_watch.py
+++ b/dockthread/net/discovery_watch.py
@@ -35,33 +35,39 @@
 
 from dockthread.clock import Clock
 from dockthread.config.platform_settings import Address
-from dockthread.net.endpoint_list import DestinationSet, WatchError
+from dockthread.net.endpoint_list import DiscoveryError, EndpointList
 from dockthread.observer import Observer
 from dockthread.policy import EndpointsListed, PolicySettings
 from dockthread.policy.backoff import Backoff
 
 # in one list: twice the longest planned; a backend takes 178 bytes of it
-MOST_BACKENDS, ENTRY_BYTES = 50_000, 400
+MAX_LISTED_BACKENDS, MAX_ENTRY_BYTES = 50_000, 400
 # bytes of one object of a watch, entries of a list among them
-MOST_OBJECT = MOST_BACKENDS * ENTRY_BYTES
+MAX_OBJECT_BYTES = MAX_LISTED_BACKENDS * MAX_ENTRY_BYTES
 # bytes of one object in which no entry ended; parsed they may take ten times as much
-MOST_UNREAD = 4 * 1024 * 1024
+MAX_UNREAD_BYTES = 4 * 1024 * 1024
 # after discovery had a change and could be reached, or a watch fell silent, it counts as told
-BOUND = 6_000.0
+NOTIFICATION_BOUND_MS = 6_000.0
 # of it, for the call that brings the change: found due in a round of housekeeping, made, answered
-ANSWER = 1_000.0
-WINDOW = BOUND - ANSWER  # for a pause, or a call without an answer
-SILENCE = 3_500.0  # a watch says something every 2 s; one silent for longer is dead
-HALF = 4_000.0  # for an object that has begun to be whole, or for one more entry of a long list
+ANSWER_ALLOWANCE_MS = 1_000.0
+MAX_WAIT_MS = (
+    NOTIFICATION_BOUND_MS - ANSWER_ALLOWANCE_MS
+)  # for a pause, or a call without an answer
+SILENCE_TIMEOUT_MS = 3_500.0  # a watch says something every 2 s; one silent for longer is dead
+PROGRESS_TIMEOUT_MS = (
+    4_000.0  # for an object that has begun to be whole, or for one more entry of a long list
+)
 # for the first word of a call, where lists are asked for: it may wait behind those of the fleet
-PATIENCE = 4_500.0
-SOON = WINDOW - HALF  # for the pause after a watch that was given up, at the most
-LEAST_PAUSE = 100.0  # between calls on an agent that refuses them
+FIRST_ANSWER_TIMEOUT_MS = 4_500.0
+MAX_RECONNECT_DELAY_MS = (
+    MAX_WAIT_MS - PROGRESS_TIMEOUT_MS
+)  # for the pause after a watch that was given up, at the most
+MIN_BACKOFF_LIMIT_MS = 100.0  # between calls on an agent that refuses them
 # for which a service that can be reached serves nothing: it has more callers than it can serve
-OVERBOOKED = 20_000.0
+OVERLOAD_AFTER_MS = 20_000.0
 
 
-class WatchParser:
+class WatchResponseParser:
     """Bytes of one watch's HTTP answer in, JSON objects out, however they are laid out and cut;
     what is blank between them is a sign of life.
 
@@ -84,7 +90,7 @@
         self.entries_read = 0  # of all objects
         self._size = 0  # bytes of the present object, and a little more
         self._unread = 0  # of these, since an entry was read
-        self._failure: WatchError | None = None
+        self._failure: DiscoveryError | None = None
         self.half = False  # an object has begun and is not whole
         self.stood = False  # the answer is a watch, and has said something
         self.ended = False
@@ -94,7 +100,7 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._failure = self._failure or WatchError(
+            self._failure = self._failure or DiscoveryError(
                 f"not an HTTP answer: {error.__context__ or error}"
             )
         found = list(self._found)
@@ -123,7 +129,7 @@
     def on_headers_complete(self) -> None:
         """From httptools: the head is whole."""
         if (status := self._parser.get_status_code()) != 200:
-            self._failure = WatchError(f"discovery answered {status}")
+            self._failure = DiscoveryError(f"discovery answered {status}")
 
     def on_body(self, body: bytes) -> None:
         """From httptools: a part of the body came."""
@@ -134,11 +140,11 @@
         try:
             self._json.send(body)
             self._read_entries()
-        except WatchError as error:
+        except DiscoveryError as error:
             self._failure = error
             return
         except (ijson.JSONError, UnicodeDecodeError, RecursionError) as error:
-            self._failure = WatchError(f"not JSON: {' '.join(str(error).split())[:100]}")
+            self._failure = DiscoveryError(f"not JSON: {' '.join(str(error).split())[:100]}")
             return
         said = body.rstrip()
         if len(self._found) > before:
@@ -146,15 +152,15 @@
             self._outer = None if not self.half else self._outer
         elif said:
             self._size, self.half = self._size + len(body), True
-        if self._size > MOST_OBJECT or self._unread > MOST_UNREAD:
-            self._failure = WatchError("an object does not end")
+        if self._size > MAX_OBJECT_BYTES or self._unread > MAX_UNREAD_BYTES:
+            self._failure = DiscoveryError("an object does not end")
 
     def on_message_complete(self) -> None:
         """From httptools: the answer has ended."""
         self.ended = True
 
 
-class Watch:
+class DiscoveryWatch:
     """Holds a watch on discovery for as long as it runs; starts another whenever one ends or goes
     silent.
     """
@@ -162,7 +168,7 @@
     def __init__(
         self,
         address: Address,
-        destinations: DestinationSet,
+        destinations: EndpointList,
         clock: Clock,
         told: Callable[[EndpointsListed], None],
         settings: PolicySettings,
@@ -170,10 +176,13 @@
     ) -> None:
         self._pushed = not settings.must_poll_endpoints
         self._hurry = settings.safety.drain_grace * 1000.0 / 2
-        self._patience = SILENCE if self._pushed else PATIENCE
-        longest = min(WINDOW, max(self._hurry, LEAST_PAUSE)) if self._pushed else inf
+        self._patience = SILENCE_TIMEOUT_MS if self._pushed else FIRST_ANSWER_TIMEOUT_MS
+        longest = min(MAX_WAIT_MS, max(self._hurry, MIN_BACKOFF_LIMIT_MS)) if self._pushed else inf
         self._backoff = Backoff(
-            random.Random(seed), settings.ingress_count, min(self._hurry, SOON), longest
+            random.Random(seed),
+            settings.ingress_count,
+            min(self._hurry, MAX_RECONNECT_DELAY_MS),
+            longest,
         )
         # the old list, while a newer one may come at once
         self._cached: EndpointsListed | None = None
@@ -262,7 +271,7 @@
                 self._destinations.revision,
             )
             if not waited:
-                await self._pause(self._backoff.soon() if self._stood else self._again(WINDOW))
+                await self._pause(self._backoff.soon() if self._stood else self._again(MAX_WAIT_MS))
 
     def check(self) -> None:
         """End a watch that has gone silent, or does not come to the end of an object: its machine
@@ -271,13 +280,15 @@
         """
         now = self._clock.now()
         if self._stood:
-            silent = now - self._heard > SILENCE or now - self._whole > HALF
+            silent = (
+                now - self._heard > SILENCE_TIMEOUT_MS or now - self._whole > PROGRESS_TIMEOUT_MS
+            )
         else:  # a head without a list is no answer
             silent = now - self._began > self._patience
         if self._attempt is None or not silent:
             return
         if not self._stood and not self._given_up:
-            self._given_up = now + self._again(self._began + WINDOW - now)
+            self._given_up = now + self._again(self._began + MAX_WAIT_MS - now)
         if now >= self._given_up:
             self._attempt.cancel()
 
@@ -285,7 +296,7 @@
         """The pause after one more call that failed, `most` at the most where discovery may be free
         to serve.
         """
-        overbooked = self._connected and self._clock.now() - self._failing_since > OVERBOOKED
+        overbooked = self._connected and self._clock.now() - self._failing_since > OVERLOAD_AFTER_MS
         return self._backoff.again(inf if overbooked else most)
 
     async def _watch(self) -> None:
@@ -298,11 +309,15 @@
                 f"GET {path} HTTP/1.1\r\nHost: {self._address}\r\nAccept: application/json\r\n\r\n"
             )
             await loop.sock_sendall(sock, head.encode())
-            parser, buffer, entries_read = WatchParser(self._destinations.read), bytearray(65536), 0
+            parser, buffer, entries_read = (
+                WatchResponseParser(self._destinations.read),
+                bytearray(65536),
+                0,
+            )
             while not parser.ended:
                 size = await loop.sock_recv_into(sock, buffer)
                 if not size:
-                    raise WatchError("discovery closed the connection")
+                    raise DiscoveryError("discovery closed the connection")
                 self._heard = self._clock.now()
                 if parser.stood:
                     self._failing_since = self._heard
--- a/dockthread/net/endpoint_list.py
+++ b/dockthread/net/endpoint_list.py
@@ -11,20 +11,22 @@
 from dockthread.config.platform_settings import Address, Names, SettingsError
 from dockthread.policy import BackendState, Endpoint, EndpointListKind, EndpointsListed
 
-STATES = {
+STATE_BY_NAME = {
     "active": BackendState.READY,
     "leaving": BackendState.DRAINING,
     "left": BackendState.REMOVED,
 }
-PART = 1_000  # entries that are taken over and told at once: some 10 ms
-KEPT = 60_000.0  # for which a destination that is gone is known: no call to it can be out by then
+ENTRIES_PER_PART = 1_000  # entries that are taken over and told at once: some 10 ms
+REMOVED_RETENTION_MS = (
+    60_000.0  # for which a destination that is gone is known: no call to it can be out by then
+)
 
 
-class WatchError(Exception):
+class DiscoveryError(Exception):
     """Discovery said something that is not on the protocol's page."""
 
 
-class Target(NamedTuple):
+class ListedEndpoint(NamedTuple):
     """One backend as discovery lists it, in the module's words."""
 
     uid: str
@@ -43,16 +45,16 @@
         )
 
 
-class TargetList(NamedTuple):
+class EndpointListUpdate(NamedTuple):
     """A list or its changes as discovery sends them."""
 
     revision: int
     full: bool
-    targets: list[Target]
+    targets: list[ListedEndpoint]
 
 
 @dataclass(slots=True)
-class Destination:
+class BackendRecord:
     """One backend that is known, listed or gone."""
 
     worker: int
@@ -76,7 +78,7 @@
         return self.state is BackendState.READY
 
 
-class DestinationSet:
+class EndpointList:
     """The destinations listed, and for a while those that are gone, by the module's number for
     each.
 
@@ -92,13 +94,13 @@
         self._zones = {name: number for number, name in enumerate(names.zones)}
         self._kinds = {name: number for number, name in enumerate(names.kinds)}
         self._clock = clock
-        self._by_uid: dict[str, Destination] = {}
-        self.by_worker: dict[int, Destination] = {}
-        self._gone: dict[int, Destination] = {}  # those of them that are not listed any more
+        self._by_uid: dict[str, BackendRecord] = {}
+        self.by_worker: dict[int, BackendRecord] = {}
+        self._gone: dict[int, BackendRecord] = {}  # those of them that are not listed any more
         self._numbers = 0
         self.revision = 0
         self.partial = False  # the first list is being taken over, and is long
-        self.moved: Callable[[Destination], None] = lambda destination: None
+        self.moved: Callable[[BackendRecord], None] = lambda destination: None
         # uids left out by hand: the module hears that they drain, whatever is listed
         self.held: set[str] = set()
 
@@ -157,7 +159,7 @@
 
     def tidy(self) -> None:
         """Forget those long gone: on a long day there are ever new ones."""
-        oldest = self._clock.now() - KEPT
+        oldest = self._clock.now() - REMOVED_RETENTION_MS
         for destination in [d for d in self._gone.values() if d.gone < oldest]:
             del (
                 self._gone[destination.worker],
@@ -171,7 +173,7 @@
         """
         return self._apply(self._read_list(message), cached)
 
-    def _apply(self, said: TargetList, cached: bool = False) -> EndpointsListed:
+    def _apply(self, said: EndpointListUpdate, cached: bool = False) -> EndpointsListed:
         entries = tuple([self._take(target, said.revision) for target in said.targets])
         self.revision, self.partial = said.revision, False
         if said.full:
@@ -186,7 +188,7 @@
         as it was, and discovery tells all of it again.
         """
         said = self._read_list(message)
-        if len(said.targets) <= PART:
+        if len(said.targets) <= ENTRIES_PER_PART:
             yield self._apply(said)
             return
         self.partial = self.partial or not self.by_worker
@@ -195,7 +197,7 @@
         listed: set[int] = set()
         said.targets.reverse()
         while said.targets:
-            part, said.targets[-PART:] = said.targets[-PART:], []
+            part, said.targets[-ENTRIES_PER_PART:] = said.targets[-ENTRIES_PER_PART:], []
             entries = tuple([self._take(target, said.revision) for target in reversed(part)])
             listed.update([entry.backend for entry in entries])
             yield EndpointsListed(EndpointListKind.CHANGES, entries)
@@ -203,14 +205,15 @@
         self.revision, self.partial = said.revision, False
         yield EndpointsListed(EndpointListKind.CHANGES, tuple(left_out))
 
-    def _read_list(self, message: Any) -> TargetList:
+    def _read_list(self, message: Any) -> EndpointListUpdate:
         try:
             targets = [
-                one if isinstance(one, Target) else self.read(one) for one in message["targets"]
+                one if isinstance(one, ListedEndpoint) else self.read(one)
+                for one in message["targets"]
             ]
-            return TargetList(int(message["rev"]), bool(message["all"]), targets)
+            return EndpointListUpdate(int(message["rev"]), bool(message["all"]), targets)
         except (KeyError, TypeError, ValueError) as error:
-            raise WatchError(f"not a list of destinations: {error!r}") from error
+            raise DiscoveryError(f"not a list of destinations: {error!r}") from error
 
     def _leave_out(self, listed: set[int]) -> list[Endpoint]:
         """Whoever a whole list does not name is gone: these, as they are told."""
@@ -225,7 +228,7 @@
                 self.moved(destination)
         return left_out
 
-    def read(self, said: Any) -> Target:
+    def read(self, said: Any) -> ListedEndpoint:
         """One entry of a list. Raises WatchError where it is malformed."""
         try:
             uid, weight = said["uid"], float(said.get("capacity_hint", 1.0))
@@ -235,10 +238,10 @@
             if not (isfinite(weight) and isfinite(boot)):
                 raise ValueError("a figure is not finite")
             Address.parse(address := said["endpoint"])  # raises where it is none
-            return Target(
+            return ListedEndpoint(
                 uid,
                 address,
-                STATES[said["state"]],
+                STATE_BY_NAME[said["state"]],
                 self._zones.get(said.get("az", ""), len(self._zones)),
                 self._kinds.get(said.get("model", ""), len(self._kinds)),
                 int(said.get("pod_group", 0)),
@@ -246,14 +249,14 @@
                 self._clock.from_unix(boot) / 1000.0 if boot else 0.0,
             )
         except (KeyError, TypeError, ValueError, AttributeError, SettingsError) as error:
-            raise WatchError(f"not a list of destinations: {error!r}") from error
+            raise DiscoveryError(f"not a list of destinations: {error!r}") from error
 
-    def _take(self, read: Target, revision: int) -> Endpoint:
+    def _take(self, read: ListedEndpoint, revision: int) -> Endpoint:
         uid, started = read.uid, read.started * 1000.0 if read.started else 0.0
         known = self._by_uid.get(uid)
         if known is None:
             worker = self._numbers = self._numbers + 1
-            known = Destination(worker, uid, read.address, read.state, started)
+            known = BackendRecord(worker, uid, read.address, read.state, started)
             self._by_uid[uid] = self.by_worker[worker] = known
         elif (
             revision < known.revision
--- a/dockthread/net/event_loop_lag.py
+++ b/dockthread/net/event_loop_lag.py
@@ -21,11 +21,11 @@
 
 from __future__ import annotations
 
-PERIOD = 10.0  # ms between beats
-HELD = 1.5  # periods between two beats that say the loop was held
+HEARTBEAT_INTERVAL_MS = 10.0  # ms between beats
+HELD_LOOP_INTERVALS = 1.5  # periods between two beats that say the loop was held
 
 
-class LoopDelay:
+class EventLoopLagMonitor:
     """Times in milliseconds on the ingress's clock."""
 
     __slots__ = ("last", "since")
@@ -36,13 +36,17 @@
     @property
     def slow(self) -> bool:
         """Whether the loop was held between the last two beats."""
-        return self.last - self.since > HELD * PERIOD
+        return self.last - self.since > HELD_LOOP_INTERVALS * HEARTBEAT_INTERVAL_MS
 
     def late(self, came: float, now: float) -> float:
         """By how much what came after `came`, as far as is known, may be read late at `now`; 0
         where nothing held the loop since.
         """
-        free = max(self.last - self.since, now - self.last) <= HELD * PERIOD and came >= self.since
+        free = (
+            max(self.last - self.since, now - self.last)
+            <= HELD_LOOP_INTERVALS * HEARTBEAT_INTERVAL_MS
+            and came >= self.since
+        )
         return 0.0 if free else max(0.0, now - came)
 
     def beat(self, now: float) -> None:
@@ -50,7 +54,7 @@
         self.since, self.last = self.last, now
 
 
-class Backlog:
+class AcceptBacklog:
     """Since when connections may have waited to be accepted."""
 
     __slots__ = ("left",)
@@ -59,7 +63,7 @@
         # where the last look left some: when the oldest of them can have come
         self.left: float | None = None
 
-    def came(self, loop_delay: LoopDelay) -> float:
+    def came(self, loop_delay: EventLoopLagMonitor) -> float:
         """The earliest at which a connection accepted now can have come."""
         return loop_delay.since if self.left is None else self.left
 
@@ -67,6 +71,6 @@
         """A look left nothing to accept."""
         self.left = None
 
-    def not_emptied(self, loop_delay: LoopDelay) -> None:
+    def not_emptied(self, loop_delay: EventLoopLagMonitor) -> None:
         """A look ended with connections left, as far as is known."""
         self.left = self.came(loop_delay)
--- a/dockthread/net/gossip_transport.py
+++ b/dockthread/net/gossip_transport.py
@@ -24,10 +24,10 @@
 from dockthread.policy import GossipReceived, SendGossip
 from dockthread.policy.gossip_codec import MOST_BYTES
 
-TURN = 64  # datagrams read in one turn of the loop
+MAX_DATAGRAMS_PER_TURN = 64  # datagrams read in one turn of the loop
 
 
-class Peers:
+class GossipTransport:
     """`told` gets each message of another ingress."""
 
     def __init__(
@@ -88,7 +88,7 @@
             self._sock = None
 
     def _read(self) -> None:
-        for _ in range(TURN):
+        for _ in range(MAX_DATAGRAMS_PER_TURN):
             if self._sock is None:
                 return
             try:
--- a/dockthread/net/inbound.py
+++ b/dockthread/net/inbound.py
@@ -21,7 +21,7 @@
 
 from dockthread.clock import Clock
 from dockthread.net import resp
-from dockthread.net.event_loop_lag import LoopDelay
+from dockthread.net.event_loop_lag import EventLoopLagMonitor
 from dockthread.observer import Traffic
 
 BUFFER = 8 * 1024
@@ -60,9 +60,9 @@
     """What an inbound connection needs of its ingress."""
 
     clock: Clock
-    vocabulary: resp.Vocabulary
+    vocabulary: resp.RequestParser
     traffic: Traffic
-    loop_delay: LoopDelay
+    loop_delay: EventLoopLagMonitor
 
     @property
     def ready(self) -> bool:
@@ -78,11 +78,11 @@
         """Whether a request of this id is open."""
         ...
 
-    def arrived(self, connection: Inbound, ask: resp.Ask) -> Slot:
+    def arrived(self, connection: Inbound, ask: resp.RequestCommand) -> Slot:
         """A whole request was read; where its answer will stand."""
         ...
 
-    def answered_at_once(self, ask: resp.Ask, reason: str, answer: bytes) -> Slot:
+    def answered_at_once(self, ask: resp.RequestCommand, reason: str, answer: bytes) -> Slot:
         """A request that is answered without a decision."""
         ...
 
@@ -114,7 +114,7 @@
         self._unsent_bytes = 0
         self._writer: asyncio.Task[None] | None = None
         self._writing = 0.0  # since when
-        self._reader, self._bounds = resp.reader(), resp.command_bounds()
+        self._reader, self._bounds = resp.new_parser(), resp.command_guard()
         self._bad = 0  # commands that could not be served
         self._ignored = 0  # bytes read after the last command
         self._ahead = 0  # bytes read while commands before them were waiting
@@ -158,7 +158,7 @@
             1 + ((half or not self.asked) and self.has_input())
         ):
             if half:
-                self._say_last(resp.TOO_SLOW)
+                self._say_last(resp.COMMAND_TIMEOUT)
                 self.flush()
             elif not self.asked:
                 self.end()
@@ -348,14 +348,14 @@
                     return False
                 if (message := self._reader.gets()) is resp.INCOMPLETE:
                     if self._bounds.broken:
-                        self._say_last(resp.BAD_FRAMING)
+                        self._say_last(resp.PROTOCOL_ERROR)
                     return False
                 self.asked, self.begun = self.asked + 1, self.used
                 self._command(message)
                 if self._bad >= MOST_BAD or len(self._pending) > MOST_WAITING:
-                    self._say_last(resp.TOO_MANY)
+                    self._say_last(resp.TOO_MANY_COMMANDS)
         except resp.ProtocolError:
-            self._say_last(resp.BAD_FRAMING)
+            self._say_last(resp.PROTOCOL_ERROR)
         return not self._last
 
     def _say_last(self, answer: bytes) -> None:
@@ -381,15 +381,15 @@
     def _request(self, args: list[bytes]) -> Slot:
         try:
             ask = self._host.vocabulary.ask(args)
-        except resp.BadCommand as error:
-            return self._refuse(resp.error(str(error)))
+        except resp.CommandError as error:
+            return self._refuse(resp.encode_error(str(error)))
         if self.surplus:
             self._last = True
             return self._host.answered_at_once(ask, "surplus", resp.BUSY)
         if self._host.is_open(ask.wire_id):
             self._bad += 1
             return self._host.answered_at_once(
-                ask, "duplicate", resp.error("this id is open already")
+                ask, "duplicate", resp.encode_error("this id is open already")
             )
         return self._host.arrived(self, ask)
 
@@ -397,7 +397,7 @@
         if verb == b"PING":
             if not self._host.ready:
                 return Slot(resp.NOT_READY)
-            return Slot(resp.PONG if len(args) == 1 else resp.served(args[1]))
+            return Slot(resp.PONG if len(args) == 1 else resp.encode_value(args[1]))
         if verb in (b"CLIENT", b"SELECT"):
             return Slot(resp.OK)
-        return self._refuse(resp.error("unknown command"))
+        return self._refuse(resp.encode_error("unknown command"))
--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -12,16 +12,16 @@
 from dockthread.clock import Clock
 from dockthread.config.platform_settings import Config
 from dockthread.net import resp
-from dockthread.net.discovery_watch import Watch
-from dockthread.net.endpoint_list import DestinationSet
-from dockthread.net.event_loop_lag import PERIOD, LoopDelay
-from dockthread.net.gossip_transport import Peers
+from dockthread.net.discovery_watch import DiscoveryWatch
+from dockthread.net.endpoint_list import EndpointList
+from dockthread.net.event_loop_lag import HEARTBEAT_INTERVAL_MS, EventLoopLagMonitor
+from dockthread.net.gossip_transport import GossipTransport
 from dockthread.net.inbound import Inbound, Slot
 from dockthread.net.lifecycle import Lifecycle, Phase
 from dockthread.net.listener import Budget, Listener
 from dockthread.net.outbound import Outbound, OutboundCall
 from dockthread.net.policy_host import Decider
-from dockthread.net.quota_counter import Counter
+from dockthread.net.quota_counter import QuotaCounterClient
 from dockthread.net.request import Request, Routes
 from dockthread.net.timers import Timers
 from dockthread.observer import FAILED, REFUSED, SERVED, Observer, Traffic
@@ -59,7 +59,7 @@
         self.traffic.grow(len(config.names.classes))
         self._loop = asyncio.get_running_loop()
         module = config.module
-        self.vocabulary = resp.Vocabulary(
+        self.vocabulary = resp.RequestParser(
             config.names, module.classes, module.ingress_count, config.most_units
         )
         # Without a counter there is none to call, and without addresses nobody to tell, whatever is
@@ -86,13 +86,13 @@
         self.address = config.listen
         self._stop = asyncio.Event()
         self._beating: asyncio.TimerHandle | None = None
-        self.loop_delay = LoopDelay(clock.now())
+        self.loop_delay = EventLoopLagMonitor(clock.now())
         self.budget = Budget.of(min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0]))
-        self.destinations = DestinationSet(config.names, clock)
+        self.destinations = EndpointList(config.names, clock)
         self.outbound = Outbound(
             self.destinations,
             clock,
-            resp.ReplyReader(config.module.load_report_fields),
+            resp.ReplyParser(config.module.load_report_fields),
             self._call_ended,
             self.at,
             most=self.budget.outbound,
@@ -102,13 +102,13 @@
         )
         self.destinations.moved = self.outbound.forget
         self.listener = Listener(self, self.budget, self.outbound)
-        self.watch = Watch(
+        self.watch = DiscoveryWatch(
             config.discovery, self.destinations, clock, self._tell, config.module, config.seed
         )
-        self.counter = Counter(
+        self.counter = QuotaCounterClient(
             config.counter, clock, self._tell, self.at, timeout=config.counter_timeout
         )
-        self.peers = Peers(
+        self.peers = GossipTransport(
             config.peers if tells else None, module.ingress_number, self._tell, self.traffic
         )
         self.observe(self.observer)
@@ -120,7 +120,7 @@
             CancelAttempt: self._cancel,
             SetTimer: self._set_timer,
             AddToCounter: lambda action: self.counter.call(
-                action.name, action.amount, action.life * 1000.0
+                action.name, action.amount, action.lifetime * 1000.0
             ),
             SendGossip: self.peers.tell,
             PollEndpoints: lambda action: None,  # the watch stands anyway
@@ -192,7 +192,7 @@
             module=module,
             names=retuned.names,
         )
-        self.vocabulary = resp.Vocabulary(
+        self.vocabulary = resp.RequestParser(
             retuned.names,
             module.classes,
             module.ingress_count,
@@ -248,7 +248,7 @@
 
     def _beat(self) -> None:
         self.loop_delay.beat(self.clock.now())
-        self._beating = self._loop.call_later(PERIOD / 1000.0, self._beat)
+        self._beating = self._loop.call_later(HEARTBEAT_INTERVAL_MS / 1000.0, self._beat)
 
     def _housekeeping(self) -> None:
         now = self.clock.now()
@@ -285,13 +285,13 @@
             self.outbound.give_up(call, Outcome.CANCELLED)
         self._tell(ClientDisconnected(number))
 
-    def arrived(self, connection: Inbound, ask: resp.Ask) -> Slot:
+    def arrived(self, connection: Inbound, ask: resp.RequestCommand) -> Slot:
         held = self._held + ask.body_bytes
         if len(self.requests) >= self.config.most_open or held > self._most_held or self.draining:
             reason = (
                 "draining" if self.draining else "bodies" if held > self._most_held else "crowded"
             )
-            return self.answered_at_once(ask, reason, resp.busy(self._advice))
+            return self.answered_at_once(ask, reason, resp.encode_busy(self._advice))
         # The client counts from when it sent. The module answers two ticks before the end, and its
         # timer may
         # ring a tick late: without this some answers came after the client had given up.
@@ -299,7 +299,7 @@
         late = self.loop_delay.late(connection.since, now)
         left = ask.time_left - min(WAY_BACK, ask.time_left / 10.0) - late
         if late and left < ask.time_left * LATE_PART:
-            return self.answered_at_once(ask, "late", resp.busy(self._advice))
+            return self.answered_at_once(ask, "late", resp.encode_busy(self._advice))
         self._numbers += 1
         route = self.routes.bounds(ask) if self.routes is not None else None
         if route is not None and route.timeout:
@@ -325,7 +325,7 @@
         )
         return request
 
-    def answered_at_once(self, ask: resp.Ask, reason: str, answer: bytes) -> Slot:
+    def answered_at_once(self, ask: resp.RequestCommand, reason: str, answer: bytes) -> Slot:
         """The answer to a request that the module never hears of: there is no room for it, or it is
         open.
         """
@@ -356,7 +356,7 @@
     def _close_id(self, request: Request) -> None:
         self._open_ids.discard(request.ask.wire_id)
 
-    def _call_ended(self, call: OutboundCall, reply: resp.Reply) -> None:
+    def _call_ended(self, call: OutboundCall, reply: resp.BackendReply) -> None:
         request = self.requests[call.request]
         request.out -= 1
         first = reply.outcome is Outcome.OK and not request.finished
@@ -371,7 +371,7 @@
                 load=",".join(f"{figure:.4g}" for figure in reply.load) or "-",
             )
         if first:
-            self._answer(request, resp.served(reply.value), SERVED)
+            self._answer(request, resp.encode_value(reply.value), SERVED)
         self._tell(
             AttemptEnded(
                 call.request,
@@ -429,7 +429,7 @@
 
     def _refuse(self, action: Reject) -> None:
         if (request := self.requests.get(action.request)) and not request.finished:
-            answer = resp.busy(min(action.retry_after * 1000.0, self._advice))
+            answer = resp.encode_busy(min(action.retry_after * 1000.0, self._advice))
             self._answer(request, answer, REFUSED, action.reason or request.last_outcome)
 
     def _fail(self, action: Fail) -> None:
--- a/dockthread/net/listener.py
+++ b/dockthread/net/listener.py
@@ -13,7 +13,7 @@
 from loguru import logger
 
 from dockthread.config.platform_settings import Address
-from dockthread.net.event_loop_lag import Backlog
+from dockthread.net.event_loop_lag import AcceptBacklog
 from dockthread.net.inbound import Host, Inbound
 
 BACKLOG = 1024
@@ -65,7 +65,7 @@
         self._host, self.budget, self._outbound = host, budget, outbound
         self._loop = asyncio.get_running_loop()
         self.inbound: set[Inbound] = set()
-        self._backlog = Backlog()
+        self._backlog = AcceptBacklog()
         self._emptied = asyncio.Event()
 
     def listen(self, name: str, address: Address, inherited: int | None) -> Address:
--- a/dockthread/net/outbound.py
+++ b/dockthread/net/outbound.py
@@ -14,7 +14,7 @@
 
 from dockthread.clock import Clock
 from dockthread.net import resp
-from dockthread.net.endpoint_list import Destination, DestinationSet
+from dockthread.net.endpoint_list import BackendRecord, EndpointList
 from dockthread.observer import Observer, Traffic
 from dockthread.policy import IDLE_CLOSE_FRACTION, NEVER_RAN, Outcome
 
@@ -36,7 +36,7 @@
         request: int,
         number: int,
         worker: int,
-        ask: resp.Ask,
+        ask: resp.RequestCommand,
         started: float,
         due: float,
         begin_by: float = inf,
@@ -70,7 +70,7 @@
         "wake",
     )
 
-    def __init__(self, destination: Destination, call: OutboundCall) -> None:
+    def __init__(self, destination: BackendRecord, call: OutboundCall) -> None:
         self.destination, self.endpoint, self.born = (
             destination,
             destination.endpoint,
@@ -108,10 +108,10 @@
 
     def __init__(
         self,
-        destinations: DestinationSet,
+        destinations: EndpointList,
         clock: Clock,
-        replies: resp.ReplyReader,
-        ended: Callable[[OutboundCall, resp.Reply], None],
+        replies: resp.ReplyParser,
+        ended: Callable[[OutboundCall, resp.BackendReply], None],
         at: Callable[..., None],
         *,
         most: int,
@@ -185,7 +185,7 @@
                 self._drop(call.connection)
             self._end(call, outcome if call.begun or outcome in NEVER_RAN else Outcome.NOT_SENT)
 
-    def forget(self, destination: Destination) -> None:
+    def forget(self, destination: BackendRecord) -> None:
         """Close the idle connections to a destination that left, moved or restarted."""
         for connection in self._idle.pop(destination.worker, ()):
             self._drop(connection)
@@ -224,9 +224,9 @@
         connection.sock.close()
 
     def _end(self, call: OutboundCall, outcome: Outcome) -> None:
-        self._tell(call, resp.Reply(outcome))
+        self._tell(call, resp.BackendReply(outcome))
 
-    def _tell(self, call: OutboundCall, reply: resp.Reply) -> None:
+    def _tell(self, call: OutboundCall, reply: resp.BackendReply) -> None:
         if call.outcome is None:
             call.outcome, call.connection = reply.outcome, None
             self._ended(call, reply)
@@ -296,25 +296,25 @@
 
     async def _answer(
         self, connection: Connection, call: OutboundCall, buffer: bytearray
-    ) -> tuple[resp.Reply, bool]:
+    ) -> tuple[resp.BackendReply, bool]:
         """What a backend says of a call, and whether the connection is of no more use after it.
 
         A spoilt answer is an error, never a refusal: the request has run. What came behind a good
         one answers nothing, and whose would the next answer on that connection be?
         """
-        reader, bounds = resp.reader(), resp.reply_bounds()
+        reader, bounds = resp.new_parser(), resp.reply_guard()
         begun = False
         while True:
             size = await self._loop.sock_recv_into(connection.sock, buffer)
             if not size:
-                return resp.Reply(Outcome.RESET), True
+                return resp.BackendReply(Outcome.RESET), True
             self._traffic.node_in += size
             data = bytes(buffer[:size])
             reader.feed(data[: bounds.sound(data)])
             try:
                 message = reader.gets()
             except (resp.ProtocolError, UnicodeDecodeError):
-                return resp.Reply(Outcome.ERROR), True
+                return resp.BackendReply(Outcome.ERROR), True
             if message is not resp.INCOMPLETE:
                 reply = self._replies.reply(message)
                 return (
@@ -324,7 +324,7 @@
             if bounds.broken:
                 log = logger.bind(worker=call.worker, uid=connection.destination.uid)
                 log.debug("{} says what cannot be read", connection.endpoint)
-                return resp.Reply(Outcome.ERROR), True
+                return resp.BackendReply(Outcome.ERROR), True
             if not begun:
                 begun = True
                 self._at(self._clock.now() + WHOLE, self._half_answered, connection, call)
--- a/dockthread/net/quota_counter.py
+++ b/dockthread/net/quota_counter.py
@@ -17,14 +17,14 @@
 from dockthread.observer import Observer
 from dockthread.policy import CounterReplied, Outcome
 
-BUFFER = 4 * 1024
-MOST_OUT = 64  # calls without an answer; a line that long would not be answered in time
+RECEIVE_BUFFER_BYTES = 4 * 1024
+MAX_IN_FLIGHT = 64  # calls without an answer; a line that long would not be answered in time
 # of a connection with a call out, after which it is given up; the next may be heard
-SILENCE = 100.0
-PAUSE = 250.0  # after a connection that never came up, before the next
+SILENCE_TIMEOUT_MS = 100.0
+RECONNECT_DELAY_MS = 250.0  # after a connection that never came up, before the next
 
 
-class Call:
+class CounterAddition:
     """One call that is out or not yet sent. `started`: ms, when it was asked for."""
 
     __slots__ = ("amount", "life", "name", "started", "told")
@@ -34,22 +34,22 @@
         self.told = False
 
 
-class Line:
+class CounterConnection:
     """One connection to the counter, and the calls on it in the order of their answers."""
 
     def __init__(self, address: Address) -> None:
         self.sock = address.new_socket()
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.address = address
-        self.unsent: deque[Call] = deque()
-        self.out: deque[Call] = deque()
+        self.unsent: deque[CounterAddition] = deque()
+        self.out: deque[CounterAddition] = deque()
         self.up = False
         self.heard = 0.0  # when it last said something
         self.writing: asyncio.Task[None] | None = None
         self.task: asyncio.Task[None] | None = None
 
 
-class Counter:
+class QuotaCounterClient:
     """`told` gets each call's end, exactly once."""
 
     def __init__(
@@ -65,8 +65,8 @@
         self._address, self._clock, self._told, self._at = address, clock, told, at
         self._timeout = timeout
         self._loop = asyncio.get_running_loop()
-        self._line: Line | None = None
-        self._lines: set[Line] = set()
+        self._line: CounterConnection | None = None
+        self._lines: set[CounterConnection] = set()
         self._not_before = 0.0
 
     def move(self, address: Address | None) -> None:
@@ -79,21 +79,21 @@
     def call(self, name: int, amount: float, life: float) -> None:
         """Add to a number; `told` gets the end."""
         now = self._clock.now()
-        call = Call(name, amount, life, now)
+        call = CounterAddition(name, amount, life, now)
         line = self._line
         if line is None:
             if self._address is None or now < self._not_before:
                 self._end(call, Outcome.UNREACHABLE)
                 return
             try:
-                line = self._line = Line(self._address)
+                line = self._line = CounterConnection(self._address)
             except OSError as error:
                 logger.debug("no socket for the counter: {}", error)
                 self._end(call, Outcome.UNREACHABLE)
                 return
             self._lines.add(line)
             line.task = self._loop.create_task(self._run(line))
-        elif len(line.out) + len(line.unsent) >= MOST_OUT:
+        elif len(line.out) + len(line.unsent) >= MAX_IN_FLIGHT:
             self._end(call, Outcome.NOT_SENT)
             return
         line.unsent.append(call)
@@ -116,10 +116,10 @@
             if done or self._silent(line, now):
                 self._drop(line)
 
-    def _silent(self, line: Line, now: float) -> bool:
-        return bool(line.out) and now - max(line.heard, line.out[0].started) > SILENCE
+    def _silent(self, line: CounterConnection, now: float) -> bool:
+        return bool(line.out) and now - max(line.heard, line.out[0].started) > SILENCE_TIMEOUT_MS
 
-    def _overdue(self, line: Line, call: Call) -> None:
+    def _overdue(self, line: CounterConnection, call: CounterAddition) -> None:
         if call.told:
             return
         if call in line.unsent:
@@ -133,20 +133,20 @@
             if self._silent(line, self._clock.now()):
                 self._drop(line)
 
-    def _end(self, call: Call, outcome: Outcome, total: float = 0.0) -> None:
+    def _end(self, call: CounterAddition, outcome: Outcome, total: float = 0.0) -> None:
         if not call.told:
             call.told = True
             self.observer.counted(outcome, self._clock.now() - call.started)
             self._told(CounterReplied(call.name, outcome, total))
 
-    def _drop(self, line: Line) -> None:
+    def _drop(self, line: CounterConnection) -> None:
         if line not in self._lines:
             return
         self._lines.discard(line)
         if self._line is line:
             self._line = None
             if not line.up:
-                self._not_before = self._clock.now() + PAUSE
+                self._not_before = self._clock.now() + RECONNECT_DELAY_MS
         for task in (line.task, line.writing):
             if task is not None:
                 task.cancel()
@@ -157,22 +157,27 @@
         for call in line.unsent:
             self._end(call, Outcome.UNREACHABLE)
 
-    async def _write(self, line: Line) -> None:
+    async def _write(self, line: CounterConnection) -> None:
         try:
             while line.unsent:
                 calls = list(line.unsent)
                 line.unsent.clear()
                 line.out.extend(calls)
                 await self._loop.sock_sendall(
-                    line.sock, b"".join(resp.count(c.name, c.amount, c.life) for c in calls)
+                    line.sock,
+                    b"".join(resp.encode_counter_addition(c.name, c.amount, c.life) for c in calls),
                 )
             line.writing = None
         except OSError:
             line.writing = None
             self._drop(line)
 
-    async def _run(self, line: Line) -> None:
-        reader, bounds, buffer = resp.reader(), resp.total_bounds(), bytearray(BUFFER)
+    async def _run(self, line: CounterConnection) -> None:
+        reader, bounds, buffer = (
+            resp.new_parser(),
+            resp.counter_reply_guard(),
+            bytearray(RECEIVE_BUFFER_BYTES),
+        )
         try:
             await self._loop.sock_connect(line.sock, (line.address.host, line.address.port))
             line.up = True
@@ -184,7 +189,7 @@
                 while (message := reader.gets()) is not resp.INCOMPLETE:
                     if not line.out:
                         raise resp.ProtocolError("an answer to nothing")
-                    outcome, total = resp.counted(message)
+                    outcome, total = resp.parse_counter_reply(message)
                     self._end(line.out.popleft(), outcome, total)
                     if outcome is Outcome.ERROR:
                         raise resp.ProtocolError("a total that cannot be read")
--- a/dockthread/net/request.py
+++ b/dockthread/net/request.py
@@ -26,7 +26,12 @@
     )
 
     def __init__(
-        self, number: int, connection: Inbound, ask: resp.Ask, deadline: float, left: float
+        self,
+        number: int,
+        connection: Inbound,
+        ask: resp.RequestCommand,
+        deadline: float,
+        left: float,
     ) -> None:
         super().__init__()
         self.taken = deadline - left
@@ -63,6 +68,6 @@
 
     spent: dict[str, Any]
 
-    def bounds(self, ask: resp.Ask) -> Bounds | None:
+    def bounds(self, ask: resp.RequestCommand) -> Bounds | None:
         """What the request's route adds; None where it has none."""
         ...
--- a/dockthread/net/resp.py
+++ b/dockthread/net/resp.py
@@ -28,9 +28,9 @@
 PONG, OK, BUSY = b"+PONG\r\n", b"+OK\r\n", b"-BUSY\r\n"
 NOT_READY = b"-LOADING not ready to serve\r\n"
 FAILED = b"-ERR failed\r\n"
-BAD_FRAMING = b"-ERR Protocol error\r\n"
-TOO_SLOW = b"-ERR Protocol error: half a command\r\n"
-TOO_MANY = b"-ERR too many commands at once\r\n"
+PROTOCOL_ERROR = b"-ERR Protocol error\r\n"
+COMMAND_TIMEOUT = b"-ERR Protocol error: half a command\r\n"
+TOO_MANY_COMMANDS = b"-ERR too many commands at once\r\n"
 
 # A load report names its fields as the site does, the settings as the simulator's wire does.
 LOAD_WORDS = {
@@ -51,12 +51,12 @@
 ERROR_LINE = re.compile(rb"-[ -~]+\r\n")
 
 
-def reader() -> hiredis.Reader:
+def new_parser() -> hiredis.Reader:
     """A parser that tells what is not whole yet from null."""
     return hiredis.Reader(notEnoughData=INCOMPLETE)
 
 
-class Bounds:
+class FramingGuard:
     """Reads the headers of what is about to be fed to a reader, and lets none through that would
     have it allocate for a length that nobody means, or wait for an end that never comes.
     """
@@ -151,27 +151,27 @@
         return self._least <= size <= MOST_VALUE
 
 
-def command_bounds() -> Bounds:
+def command_guard() -> FramingGuard:
     """Of clients' commands."""
-    return Bounds(range(1, MOST_PARTS + 1))
+    return FramingGuard(range(1, MOST_PARTS + 1))
 
 
-def reply_bounds() -> Bounds:
+def reply_guard() -> FramingGuard:
     """Of backends' replies."""
-    return Bounds(range(3, 4), null=True, errors=True)
+    return FramingGuard(range(3, 4), null=True, errors=True)
 
 
-def total_bounds() -> Bounds:
+def counter_reply_guard() -> FramingGuard:
     """Of the counter's replies."""
-    return Bounds(range(0), errors=True, bare=True)
+    return FramingGuard(range(0), errors=True, bare=True)
 
 
-class BadCommand(Exception):
+class CommandError(Exception):
     """A command that is whole but says nothing that can be served; the text is for the client."""
 
 
 @dataclass(slots=True)
-class Ask:
+class RequestCommand:
     """A request as its client worded it, ready to be worded again for a backend."""
 
     args: list[bytes]
@@ -202,17 +202,17 @@
         """
         verb, customer, wire_id, _, *body = self.args
         terms = b"%b%d%b" % (self.head, max(1, int(time_left)), self.rest)
-        return command(verb, customer, wire_id, terms, *body)
+        return encode_command(verb, customer, wire_id, terms, *body)
 
 
-def command(*args: bytes) -> bytes:
+def encode_command(*args: bytes) -> bytes:
     """A command as an array of bulk strings."""
     parts = [b"*%d\r\n" % len(args)]
     parts += [b"$%d\r\n%b\r\n" % (len(arg), arg) for arg in args]
     return b"".join(parts)
 
 
-class Vocabulary:
+class RequestParser:
     """Reads requests by the names that the settings give to classes and plans."""
 
     def __init__(
@@ -234,25 +234,25 @@
         self._verbs = [b"API.READ" if s else b"API.WRITE" for s in safe]
         self._gateways, self._most_units = gateways, most_units
 
-    def ask(self, args: list[bytes]) -> Ask:
+    def ask(self, args: list[bytes]) -> RequestCommand:
         """A command's request. Raises BadCommand."""
         if len(args) not in (4, 5):
-            raise BadCommand("wrong number of arguments")
+            raise CommandError("wrong number of arguments")
         if not HEX.fullmatch(args[1]) or not HEX.fullmatch(args[2]):
-            raise BadCommand("a customer or an id is not 16 hex digits")
+            raise CommandError("a customer or an id is not 16 hex digits")
         customer, text = int(args[1], 16), args[3]
         pairs = text.split(b",")
         try:
             terms = dict(pair.split(b"=", 1) for pair in pairs)
             number, plan, time = self._classes[terms[b"c"]], self._plans[terms[b"t"]], terms[b"d"]
         except KeyError as error:
-            raise BadCommand("a term is missing, or names an unknown class or plan") from error
+            raise CommandError("a term is missing, or names an unknown class or plan") from error
         except ValueError as error:
-            raise BadCommand("a term cannot be read") from error
+            raise CommandError("a term cannot be read") from error
         if len(terms) < len(pairs):
-            raise BadCommand("a term stands twice")
+            raise CommandError("a term stands twice")
         if args[0].upper() != self._verbs[number]:
-            raise BadCommand("this class goes by the other command")
+            raise CommandError("this class goes by the other command")
         units, spread = self._whole(terms, b"units", b"1"), self._whole(terms, b"spread", b"1")
         first, left = (
             self._whole(terms, b"first", b"0"),
@@ -265,37 +265,39 @@
             and first < self._gateways
             and customer < LARGEST_KEY
         ):
-            raise BadCommand("a figure is out of range")
+            raise CommandError("a figure is out of range")
         at = 2 if text.startswith(b"d=") else text.index(b",d=") + 3
         end = text.find(b",", at)
         rest = text[end:] if end >= 0 else b""
         again = terms.get(b"r") == b"1"
-        return Ask(args, text[:at], rest, number, plan, customer, left, units, spread, first, again)
+        return RequestCommand(
+            args, text[:at], rest, number, plan, customer, left, units, spread, first, again
+        )
 
     @staticmethod
     def _whole(terms: dict[bytes, bytes], name: bytes, default: bytes) -> int:
         if not WHOLE.fullmatch(text := terms.get(name, default)):
-            raise BadCommand("a figure is not a whole number")
+            raise CommandError("a figure is not a whole number")
         return int(text)
 
 
-def busy(retry_after: float) -> bytes:
+def encode_busy(retry_after: float) -> bytes:
     """A fail-fast: `retry_after` in milliseconds, 0 for no advice."""
     return b"-BUSY %d\r\n" % round(retry_after) if retry_after >= 0.5 else BUSY
 
 
-def error(text: str) -> bytes:
+def encode_error(text: str) -> bytes:
     """An error line."""
     return b"-ERR %b\r\n" % text.encode()
 
 
-def served(value: bytes) -> bytes:
+def encode_value(value: bytes) -> bytes:
     """The answer that hands a value to the client."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
 @dataclass(slots=True)
-class Reply:
+class BackendReply:
     """What a backend said of one outbound call."""
 
     outcome: Outcome
@@ -306,34 +308,34 @@
     known: bool = True  # its form is the protocol's, so the connection may carry another call
 
 
-class ReplyReader:
+class ReplyParser:
     """Understands backends' replies; load reports are given in the order that the module knows."""
 
     def __init__(self, load_names: tuple[str, ...]) -> None:
         self._load = [LOAD_WORDS.get(name, name).encode() for name in load_names]
         self._wire = [name.encode() for name in load_names]
 
-    def reply(self, message: Any) -> Reply:
+    def reply(self, message: Any) -> BackendReply:
         """What a whole reply says."""
         if isinstance(message, list) and len(message) == 3 and type(message[0]) is bytes:
             value, use, load = message
             if len(value) <= MOST_VALUE and all(n is None or type(n) is bytes for n in (use, load)):
-                reply = Reply(Outcome.OK, value)
+                reply = BackendReply(Outcome.OK, value)
                 for note in (use, load):
                     if note:
                         self._note(reply, note)
                 return reply
         if isinstance(message, hiredis.ReplyError):
             kind, *notes = str(message).split(" ")
-            reply = Reply(Outcome.AT_CAPACITY if kind == "BUSY" else Outcome.ERROR)
+            reply = BackendReply(Outcome.AT_CAPACITY if kind == "BUSY" else Outcome.ERROR)
             reply.known = kind == "BUSY" or (kind == "ERR" and notes[:1] == ["failed"])
             for note in notes:
                 self._note(reply, note.encode())
             return reply
         # nothing that a backend says of a request it served
-        return Reply(Outcome.ERROR, known=False)
+        return BackendReply(Outcome.ERROR, known=False)
 
-    def _note(self, reply: Reply, text: bytes) -> None:
+    def _note(self, reply: BackendReply, text: bytes) -> None:
         """Figures on use, or a load report. What cannot be read, or cannot be true, is passed over:
         one nan would stay in every smoothed figure for good.
         """
@@ -356,12 +358,12 @@
             reply.load = tuple(figure for figure in load if figure is not None)
 
 
-def count(name: int, amount: float, life: float) -> bytes:
+def encode_counter_addition(name: int, amount: float, life: float) -> bytes:
     """A call to the counter; `life` in milliseconds."""
-    return command(b"CNT.ADD", b"%x" % name, b"%.6g" % amount, b"%d" % max(1, round(life)))
+    return encode_command(b"CNT.ADD", b"%x" % name, b"%.6g" % amount, b"%d" % max(1, round(life)))
 
 
-def counted(message: Any) -> tuple[Outcome, float]:
+def parse_counter_reply(message: Any) -> tuple[Outcome, float]:
     """What the counter says of a call, and the total. What cannot be read was added all the
     same.
     """
--- a/dockthread/routes/table.py
+++ b/dockthread/routes/table.py
@@ -28,7 +28,7 @@
 from dockthread.routes.ordered import Ordered
 
 if TYPE_CHECKING:
-    from dockthread.net.resp import Ask
+    from dockthread.net.resp import RequestCommand
 
 MOST_LOOKED_UP = 20_000  # firms in all lists that one change looks up anew
 MOST_LISTED = 4096  # combinations kept: a site whose units have no bound must not fill the memory
@@ -196,7 +196,7 @@
         one = self.find(facts)
         return one.rules if one is not None else self._default
 
-    def bounds(self, ask: Ask) -> Bounds | None:
+    def bounds(self, ask: RequestCommand) -> Bounds | None:
         """None where no route matches: then nothing bounds the request."""
         write = ask.args[0].upper() == b"API.WRITE"
         facts = Facts(ask.request_class, ask.plan, write, ask.customer, int(ask.units), ask.retry)
--- a/tests/lab/test_restart_wave.py
+++ b/tests/lab/test_restart_wave.py
@@ -11,8 +11,8 @@
 from dockthread.clock import ManualClock
 from dockthread.config.platform_settings import Address, Names
 from dockthread.lab.slow_start.restart_wave import Passed, Restarts, Wave, waves
-from dockthread.net.discovery_watch import Watch
-from dockthread.net.endpoint_list import DestinationSet
+from dockthread.net.discovery_watch import DiscoveryWatch
+from dockthread.net.endpoint_list import EndpointList
 from dockthread.policy import PolicySettings, RequestClass, SafetyLimits
 from dockthread.policy.backoff import Backoff
 
@@ -81,7 +81,7 @@
     assert passed.calls > 40 * 200
 
 
-def begun(pushed: bool, targets: list[dict[str, str]]) -> tuple[Watch, list[float]]:
+def begun(pushed: bool, targets: list[dict[str, str]]) -> tuple[DiscoveryWatch, list[float]]:
     """The program's own watch, begun at 0 with a list of its configuration, and the timers that it
     set.
     """
@@ -94,8 +94,8 @@
         safety=SafetyLimits(drain_grace=1.0),
         must_poll_endpoints=not pushed,
     )
-    destinations = DestinationSet(Names((), (), ("a",), ("m",)), clock)
-    watch = Watch(
+    destinations = EndpointList(Names((), (), ("a",), ("m",)), clock)
+    watch = DiscoveryWatch(
         Address.parse("127.0.0.1:1"), destinations, clock, lambda listed: None, settings, 1
     )
     timers: list[float] = []
--- a/tests/net/test_counter.py
+++ b/tests/net/test_counter.py
@@ -9,7 +9,7 @@
 
 from dockthread.clock import Clock
 from dockthread.config.platform_settings import Address
-from dockthread.net.quota_counter import Counter
+from dockthread.net.quota_counter import QuotaCounterClient
 from dockthread.policy import CounterReplied, Outcome
 from tests.loopback import Backend, run, until
 
@@ -18,7 +18,9 @@
     return b"$4\r\n12.5\r\n"
 
 
-def counter(port: int | None, timeout: float = 5_000.0) -> tuple[Counter, list[CounterReplied]]:
+def counter(
+    port: int | None, timeout: float = 5_000.0
+) -> tuple[QuotaCounterClient, list[CounterReplied]]:
     told, loop = list[CounterReplied](), asyncio.get_running_loop()
     clock = Clock()
 
@@ -26,7 +28,7 @@
         loop.call_later((due - clock.now()) / 1000, then, *args)
 
     at = None if port is None else Address("127.0.0.1", port)
-    return Counter(at, clock, told.append, timer, timeout=timeout), told
+    return QuotaCounterClient(at, clock, told.append, timer, timeout=timeout), told
 
 
 def test_calls_share_a_connection_and_are_told_in_turn() -> None:
--- a/tests/net/test_loop_delay.py
+++ b/tests/net/test_loop_delay.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from dockthread.net.event_loop_lag import Backlog, LoopDelay
+from dockthread.net.event_loop_lag import AcceptBacklog, EventLoopLagMonitor
 from tests.loopback import KEY, Backend, command, run, serving
 
 # s: the loop is held for; the client waits; a slow machine may take
@@ -72,7 +72,7 @@
 
 
 def test_the_bound_is_the_beat_before_the_last_or_the_last_empty_backlog() -> None:
-    loop_delay, backlog = LoopDelay(0.0), Backlog()
+    loop_delay, backlog = EventLoopLagMonitor(0.0), AcceptBacklog()
     for now in (10.0, 20.0):
         loop_delay.beat(now)
     assert (loop_delay.since, loop_delay.late(loop_delay.since, 25.0)) == (10.0, 0.0), (
--- a/tests/net/test_parsers.py
+++ b/tests/net/test_parsers.py
@@ -15,14 +15,14 @@
 from dockthread.clock import ManualClock
 from dockthread.config.platform_settings import Address, Names, SettingsError, read_config
 from dockthread.net import resp
-from dockthread.net.discovery_watch import WatchParser
-from dockthread.net.endpoint_list import DestinationSet, WatchError
+from dockthread.net.discovery_watch import WatchResponseParser
+from dockthread.net.endpoint_list import DiscoveryError, EndpointList
 from dockthread.policy import BackendState, EndpointListKind, Outcome
 from tests.loopback import FIRST_ID, KEY, SETTINGS, config, message, raw_config, target
 
 KNOWN = message(1, full=True)
 CONFIG = config(KNOWN)
-VOCABULARY = resp.Vocabulary(CONFIG.names, CONFIG.module.classes, gateways=4, most_units=4)
+VOCABULARY = resp.RequestParser(CONFIG.names, CONFIG.module.classes, gateways=4, most_units=4)
 ID = b"%016x" % FIRST_ID
 TERMS = b"c=status,t=gross,d=480,units=2,spread=3,first=1"
 
@@ -40,7 +40,7 @@
     for body in ([], [b"BO\r\nDY"], [b""]):
         ask = VOCABULARY.ask([b"API.READ", KEY, ID, terms, *body])
         sent = ask.onward(77.9)
-        assert sent == resp.command(b"API.READ", KEY, ID, onward, *body)
+        assert sent == resp.encode_command(b"API.READ", KEY, ID, onward, *body)
     assert (ask.customer, ask.time_left, ask.request_class) == (0xB4D65521, 480.0, 0)
 
 
@@ -68,7 +68,7 @@
     ],
 )  # fmt: skip
 def test_bad_requests_are_told_so(args: list[bytes]) -> None:
-    with pytest.raises(resp.BadCommand):
+    with pytest.raises(resp.CommandError):
         VOCABULARY.ask(args)
 
 
@@ -104,13 +104,13 @@
     ],
 )
 def test_backends_replies(wire: bytes, expected: tuple[Any, ...]) -> None:
-    reader = resp.reader()
+    reader = resp.new_parser()
     reader.feed(wire)
-    reply = resp.ReplyReader(("rif", "rate", "q")).reply(reader.gets())
+    reply = resp.ReplyParser(("rif", "rate", "q")).reply(reader.gets())
     assert (reply.outcome, reply.value, reply.used, reply.cost, reply.load) == expected
 
 
-COMMANDS, REPLIES = resp.command_bounds, resp.reply_bounds
+COMMANDS, REPLIES = resp.command_guard, resp.reply_guard
 
 
 @pytest.mark.parametrize(
@@ -150,8 +150,8 @@
     assert sound <= fed <= len(wire) if broken else fed == sound
 
 
-def destinations(clock: ManualClock | None = None) -> DestinationSet:
-    return DestinationSet(Names((), (), ("hall-a",), ()), clock or ManualClock())
+def destinations(clock: ManualClock | None = None) -> EndpointList:
+    return EndpointList(Names((), (), ("hall-a",), ()), clock or ManualClock())
 
 
 def test_a_uid_is_one_worker_and_an_unchanged_boot_no_restart() -> None:
@@ -181,7 +181,7 @@
 )  # fmt: skip
 def test_malformed_lists_change_nothing(said: Any) -> None:
     known = destinations()
-    with pytest.raises(WatchError):
+    with pytest.raises(DiscoveryError):
         known.apply(said)
     assert (known.by_worker, known.revision) == ({}, 0)
 
@@ -196,15 +196,15 @@
         ([HEAD, b"4\r\n", b'{"a"', b"\r\n4\r\n:1}\n\r\n1\r\n\n\r\n"], [{"a": 1}]),
         ([HEAD + b"1\r\n\n\r\n1\r\n\n\r\n"], []),
         ([HEAD + b"6\r\n{}\n[]\n\r\n3\r\n{}\n\r\n"], [{}, [], {}]),
-        ([b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"], WatchError),
-        ([b"+PONG\r\n"], WatchError),
-        ([HEAD + b"3\r\n{]\n\r\n"], WatchError),
+        ([b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"], DiscoveryError),
+        ([b"+PONG\r\n"], DiscoveryError),
+        ([HEAD + b"3\r\n{]\n\r\n"], DiscoveryError),
     ],
 )
 def test_a_watch_is_read_line_by_line(pieces: list[bytes], found: Any) -> None:
-    parser = WatchParser()
-    if found is WatchError:
-        with pytest.raises(WatchError):
+    parser = WatchResponseParser()
+    if found is DiscoveryError:
+        with pytest.raises(DiscoveryError):
             [said for piece in pieces for said in parser.feed(piece)]
     else:
         assert [said for piece in pieces for said in parser.feed(piece)] == found
@@ -219,12 +219,12 @@
     said = [message(n, target('s-ü{["', 6379), full=n == 1) for n in (1, 2)]
     text = b"\n\n".join(json.dumps(one, indent=indent, ensure_ascii=False).encode() for one in said)
     for cut in range(1, len(text)):
-        parser, found = WatchParser(), list[Any]()
+        parser, found = WatchResponseParser(), list[Any]()
         for piece in (HEAD, *chunks(text[:cut], text[cut:])):
             found += parser.feed(piece)
         assert found == said
         assert not parser.half
-    parser, found = WatchParser(), []
+    parser, found = WatchResponseParser(), []
     for piece in (HEAD, *chunks(*(text[n : n + 1] for n in range(len(text))))):
         before = len(found)
         found += parser.feed(piece)
@@ -234,14 +234,14 @@
 
 
 def test_what_is_whole_is_told_before_what_cannot_be_read_and_no_object_is_endless() -> None:
-    parser, found = WatchParser(), list[Any]()
-    with pytest.raises(WatchError, match="not JSON"):
+    parser, found = WatchResponseParser(), list[Any]()
+    with pytest.raises(DiscoveryError, match="not JSON"):
         for piece in (HEAD, *chunks(b'{"rev": 1}\n}')):
             for said in parser.feed(piece):
                 found.append(said)
     assert found == [{"rev": 1}]
-    parser = WatchParser()
-    with pytest.raises(WatchError, match="does not end"):
+    parser = WatchResponseParser()
+    with pytest.raises(DiscoveryError, match="does not end"):
         for piece in (HEAD, *chunks(b'{"a": [', *[b"1, " * 10_000] * 200)):
             list(parser.feed(piece))
 
@@ -249,7 +249,7 @@
 def test_a_list_that_comes_byte_by_byte_costs_no_square_of_its_length() -> None:
     targets = [target(f"s-{n}", 6379) for n in range(3_000)]
     text = json.dumps(message(1, *targets, full=True), indent=2).encode()
-    parser, began = WatchParser(), time.monotonic()
+    parser, began = WatchResponseParser(), time.monotonic()
     pieces = (HEAD, *chunks(*(text[n : n + 1] for n in range(len(text)))))
     found = [said for piece in pieces for said in parser.feed(piece)]
     assert len(found[0]["targets"]) == 3_000
@@ -343,12 +343,12 @@
     ],
 )  # fmt: skip
 def test_the_counters_totals(wire: bytes, expected: tuple[Any, ...]) -> None:
-    reader, bounds = resp.reader(), resp.total_bounds()
+    reader, bounds = resp.new_parser(), resp.counter_reply_guard()
     assert (bounds.sound(wire), bounds.broken, bounds.between) == (len(wire), False, True)
     reader.feed(wire)
-    assert resp.counted(reader.gets()) == expected
+    assert resp.parse_counter_reply(reader.gets()) == expected
     for spoilt in (b":5\r\n", b"*1000000000\r\n", b"$3000000000\r\n", b"noise", b"+OK\r\n"):
-        bounds = resp.total_bounds()
+        bounds = resp.counter_reply_guard()
         bounds.sound(spoilt)
         assert bounds.broken
 
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -10,7 +10,7 @@
 import pytest
 
 from dockthread.config.platform_settings import Address, PeerAddresses, SettingsError
-from dockthread.net.gossip_transport import TURN, Peers
+from dockthread.net.gossip_transport import MAX_DATAGRAMS_PER_TURN, GossipTransport
 from dockthread.net.ingress import Ingress
 from dockthread.observer import Traffic
 from dockthread.policy import GossipReceived, SendGossip, gossip_codec
@@ -30,8 +30,8 @@
     return found
 
 
-def peers(all_of: tuple[Address, ...], number: int, told: list[GossipReceived]) -> Peers:
-    made = Peers(PeerAddresses(all_of[number], all_of), number, told.append, Traffic())
+def peers(all_of: tuple[Address, ...], number: int, told: list[GossipReceived]) -> GossipTransport:
+    made = GossipTransport(PeerAddresses(all_of[number], all_of), number, told.append, Traffic())
     made.open()
     return made
 
@@ -66,11 +66,11 @@
         await until(lambda: here._traffic.messages_odd == 2)
         other.tell(SendGossip(b"x" * (gossip_codec.MOST_BYTES + 1), 0))  # it would void the run
         assert (told, other._traffic.messages_out) == ([], 0)
-        for _ in range(TURN + 20):
+        for _ in range(MAX_DATAGRAMS_PER_TURN + 20):
             other.tell(SendGossip(b"m", 0))
         here._read()
-        assert len(told) == TURN, "requests have their turn before the rest"
-        await until(lambda: len(told) == TURN + 20)
+        assert len(told) == MAX_DATAGRAMS_PER_TURN, "requests have their turn before the rest"
+        await until(lambda: len(told) == MAX_DATAGRAMS_PER_TURN + 20)
         here.close()
         other.close()
 
--- a/tests/net/test_rules_on_sockets.py
+++ b/tests/net/test_rules_on_sockets.py
@@ -645,6 +645,6 @@
             _,
         ):
             assert await client.call() == "BUSY"
-            assert resp.busy(0.0) == b"-BUSY\r\n"
+            assert resp.encode_busy(0.0) == b"-BUSY\r\n"
 
     run(scenario())
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -14,7 +14,7 @@
 from benchmarks import fleet_count
 from dockthread.clock import ManualClock
 from dockthread.config.platform_settings import Names
-from dockthread.net.endpoint_list import DestinationSet
+from dockthread.net.endpoint_list import EndpointList
 from dockthread.policy import (
     AddToCounter,
     AttemptEnded,
@@ -294,7 +294,7 @@
 
 def test_a_list_that_names_a_node_twice_or_started_in_the_future_is_served_from() -> None:
     clock = ManualClock(1_000_000.0, 1_700_000_000_000.0)
-    destinations = DestinationSet(Names(("read",), ("free",), ("hall-a",), ("type-a",)), clock)
+    destinations = EndpointList(Names(("read",), ("free",), ("hall-a",), ("type-a",)), clock)
     node = {
         "uid": "s-1",
         "endpoint": "127.0.0.1:1",
--- a/tests/policy/test_list_size.py
+++ b/tests/policy/test_list_size.py
@@ -13,8 +13,13 @@
 import pytest
 
 from dockthread.clock import ManualClock
-from dockthread.net.discovery_watch import MOST_OBJECT, MOST_UNREAD, WatchParser
-from dockthread.net.endpoint_list import PART, DestinationSet, Target, WatchError
+from dockthread.net.discovery_watch import MAX_OBJECT_BYTES, MAX_UNREAD_BYTES, WatchResponseParser
+from dockthread.net.endpoint_list import (
+    ENTRIES_PER_PART,
+    DiscoveryError,
+    EndpointList,
+    ListedEndpoint,
+)
 from dockthread.policy import (
     IDLE_CLOSE_FRACTION,
     BackendState,
@@ -168,22 +173,22 @@
     return message(revision, *(target(f"s-{n:021x}", 6379) for n in range(count)), full=True)
 
 
-def fed(parser: WatchParser, text: bytes) -> list[Any]:
+def fed(parser: WatchResponseParser, text: bytes) -> list[Any]:
     return [said for piece in pieces(text) for said in parser.feed(piece)]
 
 
-def told(known: DestinationSet, said: Any) -> list[EndpointsListed]:
+def told(known: EndpointList, said: Any) -> list[EndpointsListed]:
     return list(known.parts(said))
 
 
 def test_a_whole_long_list_is_taken_in_parts_and_nothing_of_it_stays_unread() -> None:
     known = destinations()
-    (said,) = fed(WatchParser(known.read), json.dumps(whole_list(MANY)).encode())
-    assert sum(not isinstance(one, Target) for one in said["targets"]) <= 1, (
+    (said,) = fed(WatchResponseParser(known.read), json.dumps(whole_list(MANY)).encode())
+    assert sum(not isinstance(one, ListedEndpoint) for one in said["targets"]) <= 1, (
         "the last is read at the end"
     )
     parts = told(known, said)
-    assert max(len(part.endpoints) for part in parts) == PART
+    assert max(len(part.endpoints) for part in parts) == ENTRIES_PER_PART
     assert [entry.backend for part in parts for entry in part.endpoints] == list(range(1, MANY + 1))
     assert (known.listed, known.revision, known.partial) == (MANY, 1, False)
 
@@ -192,7 +197,7 @@
     text, known = json.dumps(whole_list(10_000)).encode(), destinations()
     cut = pieces(text)
     tracemalloc.start()
-    parser = WatchParser(known.read)
+    parser = WatchResponseParser(known.read)
     (said,) = [one for piece in cut for one in parser.feed(piece)]
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
@@ -204,7 +209,7 @@
 def test_entries_are_read_alike_wherever_a_list_is_cut(size: int) -> None:
     first, second = whole_list(40), message(2, target("s-x", 1, "leaving"))
     text = json.dumps(first).encode() + b"\n" + json.dumps(second, indent=2).encode()
-    known, parser = destinations(), WatchParser(destinations().read)
+    known, parser = destinations(), WatchResponseParser(destinations().read)
     found = [said for piece in pieces(text, size) for said in parser.feed(piece)]
     plain = destinations()
     assert [known.apply(said) for said in found] == [plain.apply(first), plain.apply(second)]
@@ -220,63 +225,63 @@
     said = whole_list(10_000)
     said["targets"][place] |= bad
     known = destinations()
-    with pytest.raises(WatchError):
-        for one in fed(WatchParser(known.read), json.dumps(said).encode()):
+    with pytest.raises(DiscoveryError):
+        for one in fed(WatchResponseParser(known.read), json.dumps(said).encode()):
             told(known, one)
     assert (known.by_worker, known.revision) == ({}, 0)
 
 
 def test_an_endless_list_is_refused_by_its_bytes_and_one_without_entries_sooner() -> None:
     entry_text = json.dumps(target("s" * 5_000, 6379)).encode()
-    many = b'{"targets": [' + b", ".join([entry_text] * (MOST_OBJECT // len(entry_text) + 20))
-    with pytest.raises(WatchError, match="does not end"):
-        fed(WatchParser(destinations().read), many)
-    parser, given = WatchParser(destinations().read), 0
-    with pytest.raises(WatchError, match="does not end"):
+    many = b'{"targets": [' + b", ".join([entry_text] * (MAX_OBJECT_BYTES // len(entry_text) + 20))
+    with pytest.raises(DiscoveryError, match="does not end"):
+        fed(WatchResponseParser(destinations().read), many)
+    parser, given = WatchResponseParser(destinations().read), 0
+    with pytest.raises(DiscoveryError, match="does not end"):
         for piece in pieces(
             b'{"targets": ['
             + json.dumps(target("s-0", 1)).encode()
             + b', {"x": "'
-            + b"x" * MOST_OBJECT
+            + b"x" * MAX_OBJECT_BYTES
         ):
             list(parser.feed(piece))
             given += len(piece)
-    assert given <= MOST_UNREAD + 2 * 65_536
+    assert given <= MAX_UNREAD_BYTES + 2 * 65_536
 
 
 def test_who_is_left_out_of_a_long_list_is_gone_at_its_end() -> None:
     known, moved = destinations(), list[str]()
-    told(known, whole_list(PART + 2))
+    told(known, whole_list(ENTRIES_PER_PART + 2))
     known.moved = lambda destination: moved.append(destination.uid)
-    shorter = whole_list(PART + 2, revision=2)
+    shorter = whole_list(ENTRIES_PER_PART + 2, revision=2)
     left_out = shorter["targets"].pop(5)["uid"]
     last = told(known, shorter)[-1]
     assert [(known.uid(e.backend), e.state) for e in last.endpoints] == [
         (left_out, BackendState.REMOVED)
     ]
-    assert (moved, known.listed) == ([left_out], PART + 1)
+    assert (moved, known.listed) == ([left_out], ENTRIES_PER_PART + 1)
 
 
 def test_a_long_list_given_up_on_the_way_is_asked_for_again() -> None:
     known = destinations()
-    parts = known.parts(whole_list(3 * PART))
+    parts = known.parts(whole_list(3 * ENTRIES_PER_PART))
     next(parts)
     del parts
-    assert (known.revision, known.partial, known.listed) == (0, True, PART)
-    told(known, whole_list(PART))
-    assert (known.revision, known.partial, known.listed) == (1, False, PART)
+    assert (known.revision, known.partial, known.listed) == (0, True, ENTRIES_PER_PART)
+    told(known, whole_list(ENTRIES_PER_PART))
+    assert (known.revision, known.partial, known.listed) == (1, False, ENTRIES_PER_PART)
 
 
 def test_the_module_and_the_set_agree_between_the_parts() -> None:
     known, drive = destinations(), long_list(0)
-    for part in known.parts(whole_list(2 * PART + 1)):
+    for part in known.parts(whole_list(2 * ENTRIES_PER_PART + 1)):
         drive.give(part)
         assert set(drive.gateway.workers) == set(known.by_worker)
     held = known.hold("s-" + "0" * 21, True, 0.0)
     assert held is not None
     drive.give(held)
     assert known.avoided == 1
-    assert len(drive.gateway.pool) == 2 * PART
+    assert len(drive.gateway.pool) == 2 * ENTRIES_PER_PART
 
 
 def test_a_long_list_from_discovery_is_taken_and_served_by_and_what_left_costs_nothing_more() -> (
@@ -286,10 +291,10 @@
         backend, clock = Backend(), ManualClock()
         async with serving(backend, clock=clock) as (ingress, client, discovery):
             port = int(backend.server.sockets[0].getsockname()[1])
-            targets = [target(f"s-{n:021x}", port) for n in range(3 * PART)]
+            targets = [target(f"s-{n:021x}", port) for n in range(3 * ENTRIES_PER_PART)]
             discovery.push(message(2, *targets, full=True))
             await until(lambda: ingress.destinations.revision == 2)
-            assert ingress.destinations.listed == 3 * PART
+            assert ingress.destinations.listed == 3 * ENTRIES_PER_PART
             assert [await client.call() for _ in range(5)] == [b"value"] * 5
             assert ingress.outbound._idle
             clock.advance(15_000 * IDLE_CLOSE_FRACTION + 1)
