--- a/benchmarks/list_size.py
+++ b/benchmarks/list_size.py
@@ -35,7 +35,7 @@
 
 from benchmarks import rig
 from dockthread.clock import ManualClock
-from dockthread.config.platform_settings import Names
+from dockthread.config.ingress_config import Names
 from dockthread.net.discovery_watch import WatchParser
 from dockthread.net.endpoint_list import DestinationSet, WatchError
 from dockthread.policy import (
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -41,8 +41,8 @@
     pool,
     spread,
 )
+from dockthread.config.ingress_config import Names
 from dockthread.config.ini_reader import Kind, read
-from dockthread.config.platform_settings import Names
 from dockthread.control_plane.resource_schemas import route_of
 from dockthread.policy import Effect, Plan, PolicySettings, RequestClass
 from dockthread.routes.bounds import Facts
--- a/dockthread/admin/reload.py
+++ b/dockthread/admin/reload.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from dockthread.config.platform_settings import Names
+from dockthread.config.ingress_config import Names
 from dockthread.policy import PolicyEngine, PolicySettings
 
 if TYPE_CHECKING:
--- a/dockthread/admin/server.py
+++ b/dockthread/admin/server.py
@@ -17,7 +17,7 @@
 from loguru import logger
 
 from dockthread.admin import commands
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 
 SILENT = 5.0  # s for which a connection may stand without a whole call
 MOST = 48  # connections at once
--- a/dockthread/cli/control.py
+++ b/dockthread/cli/control.py
@@ -15,7 +15,7 @@
 
 import click
 
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.control_plane import admin_client
 from dockthread.control_plane.messages import MOST_BODY, Resource, SubscriberStatus
 from dockthread.control_plane.options import read_key
--- a/dockthread/cli/files.py
+++ b/dockthread/cli/files.py
@@ -9,8 +9,9 @@
 import msgspec
 
 from dockthread.config.ini_reader import Read
-from dockthread.config.platform_settings import SettingsError, read_config, read_for_check
+from dockthread.config.platform_settings import read_config, read_for_check
 from dockthread.config.section_registry import KINDS, load, read_file, read_text, where
+from dockthread.errors import SettingsError
 
 
 @click.command()
--- a/dockthread/cli/lab.py
+++ b/dockthread/cli/lab.py
@@ -13,7 +13,9 @@
 from dockthread.cli.lab_distribution import distribution
 from dockthread.cli.lab_fleet import fleet
 from dockthread.cli.lab_scale import scale
-from dockthread.config.platform_settings import Address, SettingsError, read_for_check
+from dockthread.config.address import Address
+from dockthread.config.platform_settings import read_for_check
+from dockthread.errors import SettingsError
 from dockthread.lab.arrivals import Mix, read_trace, shape, weights, write_trace
 from dockthread.lab.load import Target
 from dockthread.lab.outcome import OUTCOMES, Outcome
--- a/dockthread/cli/main.py
+++ b/dockthread/cli/main.py
@@ -8,7 +8,7 @@
 
 import click
 
-from dockthread.config.platform_settings import SettingsError
+from dockthread.errors import SettingsError
 
 LAZY = {
     "serve": ("dockthread.cli.daemon", "serve"),
--- /dev/null
+++ b/dockthread/config/address.py
@@ -0,0 +1,60 @@
+"""A network address, `host:port`, and the sockets that belong to it."""
+
+from __future__ import annotations
+
+import socket
+from dataclasses import dataclass
+
+from dockthread.errors import SettingsError
+
+MAX_PORT = 65_535
+
+
+@dataclass(frozen=True, slots=True)
+class Address:
+    """The host and port of one side of a connection. An IPv6 host stands without brackets."""
+
+    host: str
+    port: int
+
+    @classmethod
+    def parse(cls, text: str) -> Address:
+        """Read `host:port`, or `[host]:port` for IPv6.
+
+        Raises:
+            SettingsError: The text is no address.
+        """
+        host, _, port = text.rpartition(":")
+        host = host.strip("[]")
+        if not host or not port.isdecimal() or not 0 <= int(port) <= MAX_PORT:
+            raise SettingsError(f"not an address, host:port: {text!r}")
+        return cls(host, int(port))
+
+    def new_socket(self, kind: int = socket.SOCK_STREAM) -> socket.socket:
+        """Return a non-blocking socket of this address's family, for use by the event loop."""
+        family = socket.AF_INET6 if ":" in self.host else socket.AF_INET
+        return socket.socket(family, kind | socket.SOCK_NONBLOCK)
+
+    def listener(self, backlog: int | None) -> socket.socket:
+        """Return a non-blocking socket bound to this address.
+
+        With a `backlog` the socket listens for connections. Without one it is a datagram socket,
+        which does not share its address.
+
+        Raises:
+            OSError: The address cannot be bound; no socket is left open.
+        """
+        listener = self.new_socket(socket.SOCK_DGRAM if backlog is None else socket.SOCK_STREAM)
+        try:
+            if backlog is not None:
+                listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            listener.bind((self.host, self.port))
+            if backlog is not None:
+                listener.listen(backlog)
+        except OSError:
+            listener.close()
+            raise
+        return listener
+
+    def __str__(self) -> str:
+        return f"[{self.host}]:{self.port}" if ":" in self.host else f"{self.host}:{self.port}"
--- a/dockthread/config/platform_settings.py
+++ b/dockthread/config/platform_settings.py
@@ -8,12 +8,13 @@
 from __future__ import annotations
 
 import json
-import socket
 from collections.abc import Mapping
-from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
+from dockthread.config.address import Address
+from dockthread.config.ingress_config import Config, Names, PeerAddresses
+from dockthread.errors import SettingsError
 from dockthread.policy import (
     CostWeights,
     DeduplicationScope,
@@ -28,96 +29,6 @@
 EFFECTS = {"pure": Effect.SAFE, "token": Effect.KEYED, "side_effect": Effect.UNSAFE}
 
 
-class SettingsError(Exception):
-    """Settings or a configuration that cannot be used; the text is one plain line."""
-
-
-@dataclass(frozen=True, slots=True)
-class Names:
-    """The names that messages use, in the order by which the module counts them."""
-
-    classes: tuple[str, ...]
-    plans: tuple[str, ...]
-    zones: tuple[str, ...]
-    kinds: tuple[str, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class Address:
-    host: str
-    port: int
-
-    @classmethod
-    def parse(cls, text: str) -> Address:
-        host, _, port = text.rpartition(":")
-        host = host.strip("[]")
-        if not host or not port.isdecimal() or not 0 <= int(port) <= 65535:
-            raise SettingsError(f"not an address, host:port: {text!r}")
-        return cls(host, int(port))
-
-    def new_socket(self, kind: int = socket.SOCK_STREAM) -> socket.socket:
-        """A socket of this address's family, for the loop: it never blocks."""
-        family = socket.AF_INET6 if ":" in self.host else socket.AF_INET
-        return socket.socket(family, kind | socket.SOCK_NONBLOCK)
-
-    def listener(self, backlog: int | None) -> socket.socket:
-        """A socket that listens here, for the loop: for connections, or without a backlog for
-        datagrams, and then alone. Raises OSError where it cannot, and then holds nothing.
-        """
-        listener = self.new_socket(socket.SOCK_DGRAM if backlog is None else socket.SOCK_STREAM)
-        try:
-            if backlog is not None:
-                listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            listener.bind((self.host, self.port))
-            if backlog is not None:
-                listener.listen(backlog)
-        except OSError:
-            listener.close()
-            raise
-        return listener
-
-    def __str__(self) -> str:
-        return f"[{self.host}]:{self.port}" if ":" in self.host else f"{self.host}:{self.port}"
-
-
-@dataclass(frozen=True, slots=True)
-class PeerAddresses:
-    """Where the ingresses of the tier hear each other: `peers` by number, this one's own among
-    them.
-    """
-
-    listen: Address
-    peers: tuple[Address, ...]
-    everyone: Address | None = None
-
-
-@dataclass(frozen=True, slots=True)
-class Config:
-    """All that one ingress is told at its start. Times are in milliseconds but for the module's
-    settings.
-    """
-
-    name: str
-    listen: Address
-    discovery: Address
-    seed: int
-    sockets: int
-    known: dict[str, Any]
-    module: PolicySettings
-    names: Names
-    memory_mb: float = 192.0
-    most_units: int = 1_000_000
-    counter: Address | None = None
-    peers: PeerAddresses | None = None
-    counter_timeout: float = 50.0
-    conn_idle: float = 15_000.0
-    connect_timeout: float = 250.0
-    most_open: int = 20_000
-    management: Address | None = None  # the management door, where there is one
-    # the descriptor of a listening socket that the platform holds for clients
-    inherited: int | None = None
-
-
 def read_config(environ: Mapping[str, str]) -> Config:
     """The configuration at `NODE_CONFIG`; `NODE_NAME`, `NODE_LISTEN`, `NODE_DISCOVERY`,
     `NODE_MANAGEMENT` override its own.
--- a/dockthread/config/section_registry.py
+++ b/dockthread/config/section_registry.py
@@ -8,9 +8,10 @@
 from collections.abc import Mapping
 from pathlib import Path
 
+from dockthread.config.ingress_config import Names
 from dockthread.config.ini_reader import MOST_BYTES, Kind, Problem, Read, read
-from dockthread.config.platform_settings import Names, SettingsError
 from dockthread.control_plane.options import ControlOptions
+from dockthread.errors import SettingsError
 from dockthread.logs.options import LogOptions
 from dockthread.policy import PolicySettings
 from dockthread.raft.options import FleetOptions
--- a/dockthread/control_plane/admin_client.py
+++ b/dockthread/control_plane/admin_client.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.control_plane.messages import (
     Found,
     Lookup,
--- a/dockthread/control_plane/client.py
+++ b/dockthread/control_plane/client.py
@@ -23,7 +23,7 @@
 from loguru import logger
 
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.control_plane.messages import (
     MOST_FRAME,
     Heartbeat,
--- a/dockthread/control_plane/ingress.py
+++ b/dockthread/control_plane/ingress.py
@@ -12,7 +12,8 @@
 
 from loguru import logger
 
-from dockthread.config.platform_settings import Address, Config
+from dockthread.config.address import Address
+from dockthread.config.ingress_config import Config
 from dockthread.control_plane.client import Client, cache_of, servers_of
 from dockthread.control_plane.messages import Rejection, Resource
 from dockthread.control_plane.options import ControlOptions
--- a/dockthread/control_plane/options.py
+++ b/dockthread/control_plane/options.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 from typing import Literal
 
+from dockthread.config.address import Address
 from dockthread.config.ini_reader import Section
-from dockthread.config.platform_settings import Address
 from dockthread.config.quantities import Duration, Size
 from dockthread.control_plane.messages import MOST_NAME
 from dockthread.telemetry.options import host_port
--- a/dockthread/control_plane/process.py
+++ b/dockthread/control_plane/process.py
@@ -15,7 +15,7 @@
 from loguru import logger
 
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Address, SettingsError
+from dockthread.config.address import Address
 from dockthread.config.section_registry import load
 from dockthread.control_plane.client import Client, cache_of, servers_of
 from dockthread.control_plane.fanout import FanoutLimits
@@ -23,6 +23,7 @@
 from dockthread.control_plane.options import ControlOptions
 from dockthread.control_plane.server import Server, ServerLimits
 from dockthread.control_plane.voter import Voter
+from dockthread.errors import SettingsError
 from dockthread.framing import MessageCounts
 from dockthread.logs.setup import set_up
 from dockthread.raft.options import FleetOptions
--- a/dockthread/control_plane/resource_schemas.py
+++ b/dockthread/control_plane/resource_schemas.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
+from dockthread.config.address import Address
 from dockthread.config.ini_reader import Problem, convert
-from dockthread.config.platform_settings import Address
 from dockthread.control_plane.publish_state_machine import Validator
 from dockthread.routes.options import RouteOptions
 from dockthread.telemetry.options import host_port
--- a/dockthread/control_plane/server.py
+++ b/dockthread/control_plane/server.py
@@ -20,7 +20,7 @@
 from loguru import logger
 
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.control_plane.fanout import Fanout, FanoutLimits, UnexpectedMessage
 from dockthread.control_plane.listing import found
 from dockthread.control_plane.messages import (
--- a/dockthread/control_plane/voter.py
+++ b/dockthread/control_plane/voter.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.control_plane.fanout import FanoutLimits
 from dockthread.control_plane.messages import Publish, Published
 from dockthread.control_plane.publish_state_machine import Publishing
--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -21,7 +21,9 @@
 
 from dockthread.admin.prometheus import Figures, render
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Config, SettingsError, read_config, reread_config
+from dockthread.config.ingress_config import Config
+from dockthread.config.platform_settings import read_config, reread_config
+from dockthread.errors import SettingsError
 from dockthread.logs.setup import set_up
 from dockthread.net.endpoint_list import WatchError
 from dockthread.net.ingress import Ingress
--- a/dockthread/lab/maintenance/relay.py
+++ b/dockthread/lab/maintenance/relay.py
@@ -6,7 +6,7 @@
 
 import asyncio
 
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 
 
 class Relay:
--- a/dockthread/lab/maintenance/rig.py
+++ b/dockthread/lab/maintenance/rig.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.lab.maintenance.relay import Relay
 from dockthread.maintenance.scheduler import HELD
 from dockthread.raft.storage import Store
--- a/dockthread/lab/maintenance/stand_in.py
+++ b/dockthread/lab/maintenance/stand_in.py
@@ -8,7 +8,7 @@
 
 import hiredis
 
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 
 HOST = "127.0.0.1"
 
--- a/dockthread/lab/scale/distribution.py
+++ b/dockthread/lab/scale/distribution.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Final
 
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.lab.maintenance.rig import HOST, reserved
 from dockthread.lab.scale.channel import Child, Words
 from dockthread.lab.scale.plan import Plan
--- a/dockthread/lab/scale/hollow.py
+++ b/dockthread/lab/scale/hollow.py
@@ -14,7 +14,8 @@
 from typing import Any, Final, cast
 
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Address, Config, Names
+from dockthread.config.address import Address
+from dockthread.config.ingress_config import Config, Names
 from dockthread.control_plane.ingress import Controlled
 from dockthread.lab.scale.control import ControlWitness, options_of
 from dockthread.lab.scale.planted_bugs import alteration, control_alteration
--- a/dockthread/lab/scale/host.py
+++ b/dockthread/lab/scale/host.py
@@ -7,7 +7,9 @@
 import json
 import time
 
-from dockthread.config.platform_settings import Address, Names, read_settings
+from dockthread.config.address import Address
+from dockthread.config.ingress_config import Names
+from dockthread.config.platform_settings import read_settings
 from dockthread.lab.scale.channel import Words, serve_commands
 from dockthread.lab.scale.control import ControlWitness
 from dockthread.lab.scale.hollow import HollowIngress, Shared
--- a/dockthread/lab/scale/publisher.py
+++ b/dockthread/lab/scale/publisher.py
@@ -9,7 +9,7 @@
 import time
 from typing import Any, Final
 
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.control_plane import admin_client
 from dockthread.control_plane.options import read_key
 from dockthread.lab.scale.channel import Words, serve_commands
--- a/dockthread/lab/scale/relay.py
+++ b/dockthread/lab/scale/relay.py
@@ -10,7 +10,7 @@
 from contextlib import suppress
 from typing import Final
 
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.lab.scale.channel import Words, serve_commands
 
 HOST: Final = "127.0.0.1"
--- a/dockthread/logs/setup.py
+++ b/dockthread/logs/setup.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from dockthread.config.platform_settings import SettingsError
+from dockthread.errors import SettingsError
 
 if TYPE_CHECKING:
     from dockthread.logs.options import LogOptions
--- a/dockthread/net/discovery_watch.py
+++ b/dockthread/net/discovery_watch.py
@@ -34,7 +34,7 @@
 from loguru import logger
 
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.net.endpoint_list import DestinationSet, WatchError
 from dockthread.observer import Observer
 from dockthread.policy import EndpointsListed, PolicySettings
--- a/dockthread/net/endpoint_list.py
+++ b/dockthread/net/endpoint_list.py
@@ -8,7 +8,9 @@
 from typing import Any, NamedTuple
 
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Address, Names, SettingsError
+from dockthread.config.address import Address
+from dockthread.config.ingress_config import Names
+from dockthread.errors import SettingsError
 from dockthread.policy import BackendState, Endpoint, EndpointListKind, EndpointsListed
 
 STATES = {
--- a/dockthread/net/gossip_transport.py
+++ b/dockthread/net/gossip_transport.py
@@ -19,7 +19,7 @@
 
 from loguru import logger
 
-from dockthread.config.platform_settings import PeerAddresses
+from dockthread.config.ingress_config import PeerAddresses
 from dockthread.observer import Traffic
 from dockthread.policy import GossipReceived, SendGossip
 from dockthread.policy.gossip_codec import MOST_BYTES
--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -10,7 +10,7 @@
 
 from dockthread.admin import reload
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Config
+from dockthread.config.ingress_config import Config
 from dockthread.net import resp
 from dockthread.net.discovery_watch import Watch
 from dockthread.net.endpoint_list import DestinationSet
--- a/dockthread/net/listener.py
+++ b/dockthread/net/listener.py
@@ -12,7 +12,7 @@
 
 from loguru import logger
 
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.net.event_loop_lag import Backlog
 from dockthread.net.inbound import Host, Inbound
 
--- a/dockthread/net/quota_counter.py
+++ b/dockthread/net/quota_counter.py
@@ -12,7 +12,7 @@
 from loguru import logger
 
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.net import resp
 from dockthread.observer import Observer
 from dockthread.policy import CounterReplied, Outcome
--- a/dockthread/net/resp.py
+++ b/dockthread/net/resp.py
@@ -13,7 +13,7 @@
 
 import hiredis
 
-from dockthread.config.platform_settings import Names
+from dockthread.config.ingress_config import Names
 from dockthread.policy import Effect, Outcome, RequestClass
 
 INCOMPLETE = object()  # what a reader gives while its next message is not whole
--- a/dockthread/raft/options.py
+++ b/dockthread/raft/options.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterable
 from pathlib import Path
 
+from dockthread.config.address import Address
 from dockthread.config.ini_reader import Section
-from dockthread.config.platform_settings import Address
 from dockthread.config.quantities import Duration, Share
 from dockthread.telemetry.options import host_port
 
--- a/dockthread/raft/server.py
+++ b/dockthread/raft/server.py
@@ -21,7 +21,7 @@
 from loguru import logger
 
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.framing import MessageCounts
 from dockthread.raft import messages
 from dockthread.raft.actions import (
--- a/dockthread/raft/transport.py
+++ b/dockthread/raft/transport.py
@@ -17,7 +17,7 @@
 from collections import deque
 from collections.abc import Iterator
 
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.framing import MessageCounts
 from dockthread.raft import messages
 
--- a/dockthread/routes/check.py
+++ b/dockthread/routes/check.py
@@ -8,8 +8,8 @@
 from collections.abc import Iterator, Mapping
 from difflib import get_close_matches
 
+from dockthread.config.ingress_config import Names
 from dockthread.config.ini_reader import Problem
-from dockthread.config.platform_settings import Names
 from dockthread.config.quantities import Duration
 from dockthread.policy import DeduplicationScope, Effect, Outcome, PolicySettings, RequestClass
 from dockthread.routes.bounds import WORDS
--- a/dockthread/routes/explain.py
+++ b/dockthread/routes/explain.py
@@ -6,8 +6,9 @@
 
 from collections.abc import Iterator, Mapping
 
-from dockthread.config.platform_settings import Names, SettingsError
+from dockthread.config.ingress_config import Names
 from dockthread.config.quantities import Duration
+from dockthread.errors import SettingsError
 from dockthread.policy import Effect, PolicySettings
 from dockthread.routes.bounds import Facts, Rules
 from dockthread.routes.budget import PART
--- a/dockthread/routes/layers.py
+++ b/dockthread/routes/layers.py
@@ -12,7 +12,7 @@
 
 from collections.abc import Mapping
 
-from dockthread.config.platform_settings import Names
+from dockthread.config.ingress_config import Names
 from dockthread.policy import PolicySettings
 from dockthread.routes.check import SHADOWED, check_one
 from dockthread.routes.matcher import Numbers, Place, file_places, published_place
--- a/dockthread/routes/matcher.py
+++ b/dockthread/routes/matcher.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any, Final
 
-from dockthread.config.platform_settings import Names
+from dockthread.config.ingress_config import Names
 from dockthread.routes.bounds import BACKOFF_MAX, WORDS, Facts, Rules
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.ordered import Ordered
--- a/dockthread/routes/model.py
+++ b/dockthread/routes/model.py
@@ -21,7 +21,7 @@
 from collections.abc import Callable, Iterator, Mapping, Sequence
 from dataclasses import dataclass, field, replace
 
-from dockthread.config.platform_settings import Names
+from dockthread.config.ingress_config import Names
 from dockthread.policy import (
     NEVER_RAN,
     AttemptEnded,
--- a/dockthread/routes/table.py
+++ b/dockthread/routes/table.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from dockthread.config.platform_settings import Names
+from dockthread.config.ingress_config import Names
 from dockthread.routes.bounds import Bounds, Facts, Rules, Spent
 from dockthread.routes.budget import FLOOR, PART, Budget
 from dockthread.routes.limit import LEAST, MOST, Limit
--- a/dockthread/simulator_adapter.py
+++ b/dockthread/simulator_adapter.py
@@ -7,7 +7,8 @@
 from collections.abc import Callable
 from typing import Any, BinaryIO
 
-from dockthread.config.platform_settings import SECOND, SettingsError, read_settings
+from dockthread.config.platform_settings import SECOND, read_settings
+from dockthread.errors import SettingsError
 from dockthread.policy import (
     Action,
     AddToCounter,
--- a/dockthread/telemetry/options.py
+++ b/dockthread/telemetry/options.py
@@ -5,9 +5,10 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, Literal
 
+from dockthread.config.address import Address
 from dockthread.config.ini_reader import Section
-from dockthread.config.platform_settings import Address, SettingsError
 from dockthread.config.quantities import Duration, Size
+from dockthread.errors import SettingsError
 
 LEAST_INTERVAL, MOST_INTERVAL = Duration(100), Duration(3_600_000)
 LEAST_QUEUE = Size(16 * 1024)
--- a/dockthread/telemetry/receivers.py
+++ b/dockthread/telemetry/receivers.py
@@ -11,7 +11,7 @@
 
 from loguru import logger
 
-from dockthread.config.platform_settings import SettingsError
+from dockthread.errors import SettingsError
 from dockthread.telemetry import collectd, graphite, putval
 from dockthread.telemetry.backlog import Backlog, Report
 from dockthread.telemetry.catalogue import Point, part
--- a/tests/admin/test_door.py
+++ b/tests/admin/test_door.py
@@ -9,7 +9,7 @@
 
 from dockthread.admin import commands
 from dockthread.admin.server import Door
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.daemon import Daemon
 from dockthread.policy import BackendState
 from tests.loopback import Backend, config, message, run, serving, target
--- a/tests/admin/test_retune.py
+++ b/tests/admin/test_retune.py
@@ -8,7 +8,8 @@
 import pytest
 
 from dockthread.admin.reload import merge
-from dockthread.config.platform_settings import Names, _module
+from dockthread.config.ingress_config import Names
+from dockthread.config.platform_settings import _module
 from dockthread.policy import Effect, PolicySettings, RequestClass
 from tests.loopback import SETTINGS, Backend, run, serving
 
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from dockthread.config.platform_settings import SettingsError
 from dockthread.config.quantities import Duration, Size
 from dockthread.config.section_registry import load, read_file, read_text
+from dockthread.errors import SettingsError
 
 GRAPHITE = "[graphite main]\naddress = 127.0.0.1:2003\n"
 
--- a/tests/control_plane/control_rig.py
+++ b/tests/control_plane/control_rig.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.control_plane import admin_client
 from dockthread.control_plane.messages import Published, Status, StatusRequest, SubscriberStatus
 from dockthread.lab.maintenance.rig import reserved
--- a/tests/control_plane/test_distribution_rim.py
+++ b/tests/control_plane/test_distribution_rim.py
@@ -15,7 +15,8 @@
 from loguru import logger
 
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Address, read_config
+from dockthread.config.address import Address
+from dockthread.config.platform_settings import read_config
 from dockthread.config.section_registry import load
 from dockthread.control_plane.client import Client
 from dockthread.control_plane.fanout import FanoutLimits
--- a/tests/lab/test_restart_wave.py
+++ b/tests/lab/test_restart_wave.py
@@ -9,7 +9,8 @@
 import pytest
 
 from dockthread.clock import ManualClock
-from dockthread.config.platform_settings import Address, Names
+from dockthread.config.address import Address
+from dockthread.config.ingress_config import Names
 from dockthread.lab.slow_start.restart_wave import Passed, Restarts, Wave, waves
 from dockthread.net.discovery_watch import Watch
 from dockthread.net.endpoint_list import DestinationSet
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -16,7 +16,8 @@
 import uvloop
 
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Config, read_config
+from dockthread.config.ingress_config import Config
+from dockthread.config.platform_settings import read_config
 from dockthread.net.ingress import Ingress
 
 SETTINGS: dict[str, Any] = {
--- a/tests/net/test_counter.py
+++ b/tests/net/test_counter.py
@@ -8,7 +8,7 @@
 import pytest
 
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.net.quota_counter import Counter
 from dockthread.policy import CounterReplied, Outcome
 from tests.loopback import Backend, run, until
--- a/tests/net/test_discovery_bounds.py
+++ b/tests/net/test_discovery_bounds.py
@@ -21,7 +21,7 @@
 import pytest
 
 from dockthread.clock import ManualClock
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.net.ingress import Ingress
 from tests.loopback import (
     LIST,
--- a/tests/net/test_parsers.py
+++ b/tests/net/test_parsers.py
@@ -13,7 +13,10 @@
 import pytest
 
 from dockthread.clock import ManualClock
-from dockthread.config.platform_settings import Address, Names, SettingsError, read_config
+from dockthread.config.address import Address
+from dockthread.config.ingress_config import Names
+from dockthread.config.platform_settings import read_config
+from dockthread.errors import SettingsError
 from dockthread.net import resp
 from dockthread.net.discovery_watch import WatchParser
 from dockthread.net.endpoint_list import DestinationSet, WatchError
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -9,7 +9,9 @@
 
 import pytest
 
-from dockthread.config.platform_settings import Address, PeerAddresses, SettingsError
+from dockthread.config.address import Address
+from dockthread.config.ingress_config import PeerAddresses
+from dockthread.errors import SettingsError
 from dockthread.net.gossip_transport import TURN, Peers
 from dockthread.net.ingress import Ingress
 from dockthread.observer import Traffic
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -13,7 +13,7 @@
 
 from benchmarks import fleet_count
 from dockthread.clock import ManualClock
-from dockthread.config.platform_settings import Names
+from dockthread.config.ingress_config import Names
 from dockthread.net.endpoint_list import DestinationSet
 from dockthread.policy import (
     AddToCounter,
--- a/tests/raft/test_fleet_state.py
+++ b/tests/raft/test_fleet_state.py
@@ -12,7 +12,7 @@
 import pytest
 
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.framing import MessageCounts
 from dockthread.lab.maintenance.rig import reserved
 from dockthread.raft import messages
--- a/tests/routes/test_routes_file.py
+++ b/tests/routes/test_routes_file.py
@@ -8,9 +8,10 @@
 
 import pytest
 
+from dockthread.config.ingress_config import Names
 from dockthread.config.ini_reader import Problem
-from dockthread.config.platform_settings import Names, SettingsError
 from dockthread.config.section_registry import read_text
+from dockthread.errors import SettingsError
 from dockthread.policy import DeduplicationScope, Effect, Plan, PolicySettings, RequestClass
 from dockthread.routes.explain import explain, facts_of
 from dockthread.routes.worst import amplification
--- a/tests/routes/test_routes_parts.py
+++ b/tests/routes/test_routes_parts.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dockthread.config.platform_settings import Names
+from dockthread.config.ingress_config import Names
 from dockthread.config.quantities import Duration, Share
 from dockthread.policy import (
     AttemptEnded,
--- a/tests/test_byte_compatibility.py
+++ b/tests/test_byte_compatibility.py
@@ -23,8 +23,8 @@
 import pytest
 
 import dockthread
+from dockthread.config.address import Address
 from dockthread.config.ini_reader import Section
-from dockthread.config.platform_settings import Address
 from dockthread.config.quantities import Duration, Share
 from dockthread.control_plane import messages, snapshot_cache
 from dockthread.control_plane.encoded import FramesCache
