--- a/dockthread/control_plane/voter.py
+++ b/dockthread/control_plane/voter.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.control_plane.fanout import FanOutLimits
 from dockthread.control_plane.messages import PublishRequest, PublishResponse
 from dockthread.control_plane.publish_state_machine import PublishStateMachine
--- a/dockthread/raft/options.py
+++ b/dockthread/raft/options.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
+from dockthread.config.address import Address
 from dockthread.config.ini_reader import Section
-from dockthread.config.platform_settings import Address
 from dockthread.config.quantities import Duration, Share
 from dockthread.telemetry.options import host_port
 
