--- a/dockthread/framing.py
+++ b/dockthread/framing.py
@@ -1,8 +1,8 @@
-"""Frames of one TCP stream: a length, a version, a keyed tag, and a message in msgpack.
+"""Frames of a TCP stream between members: a length, a version, a keyed tag and a message.
 
-One frame is four bytes of length, one of the version, 16 of a keyed BLAKE2 tag (zeros where there
-is no key), and a message. Whatever is not such a frame raises `MalformedFrame`, with the reason:
-the connection is of no use any more.
+A frame is four bytes of length (little-endian), one byte of version, 16 bytes of a keyed BLAKE2
+tag (zeros where there is no key) and a message in msgpack. Anything else raises
+`MalformedFrameError`; the connection can't be used after it.
 """
 
 from __future__ import annotations
@@ -15,25 +15,26 @@
 
 import msgspec
 
-TAG: Final = 16  # bytes of a tag
-FRAME_HEADER: Final = struct.Struct("<IB16s")
+TAG_BYTES: Final = 16
+FRAME_HEADER: Final = struct.Struct(f"<IB{TAG_BYTES}s")  # length, version, tag
 
 MessageT = TypeVar("MessageT")
 
 
 class MalformedFrameError(Exception):
-    """Bytes that are no frame of this version with a right tag."""
+    """Bytes that are not a frame of this version with a valid tag."""
 
 
 class UnknownMessageError(MalformedFrameError):
-    """A whole frame whose message means nothing here, as one of a later release may: what follows
-    it can be read.
+    """A valid frame with a message that this release does not know.
+
+    A later release may send one; the frames behind it can still be read.
     """
 
 
 @dataclass(slots=True)
 class MessageCounts:
-    """Whole messages since the start, over all connections that count into it."""
+    """Messages received and sent since the start, over all connections that share it."""
 
     received: int = 0
     sent: int = 0
@@ -43,38 +44,49 @@
 
 
 class Codec(Generic[MessageT]):
-    """Packs and unpacks the messages of one protocol.
+    """Packs and unpacks the frames of one protocol.
 
-    `messages`: the union of its message types. `version`: the one version it speaks. `most`: the
-    bytes that a message may hold.
+    Attributes:
+        version: the one version of the protocol that it accepts and writes.
+        max_message_bytes: the size up to which it accepts a message.
     """
 
-    def __init__(self, messages: Any, version: int, most: int) -> None:
-        self.version, self.most = version, most
+    def __init__(self, messages: Any, version: int, max_message_bytes: int) -> None:
+        """Make a codec for `messages`, the union of the protocol's message types."""
+        self.version = version
+        self.max_message_bytes = max_message_bytes
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder: msgspec.msgpack.Decoder[MessageT] = msgspec.msgpack.Decoder(messages)
 
     def pack(self, message: MessageT, key: bytes = b"") -> bytes:
-        """One frame. The sender keeps messages under the bound; a reader refuses what is over
-        it.
+        """Return a message as one frame.
+
+        The caller keeps messages under `max_message_bytes`; the receiver rejects larger ones.
         """
         body = self._encoder.encode(message)
         return FRAME_HEADER.pack(len(body), self.version, _tag(key, body)) + body
 
-    def length(self, head: bytes) -> int:
-        """Bytes of the message that follows a frame's head. Raises `MalformedFrame`."""
-        size, version, _ = FRAME_HEADER.unpack(head)
+    def length(self, header: bytes) -> int:
+        """Return the size in bytes of the message that follows a frame's header.
+
+        Raises:
+            MalformedFrameError: the version is another one, or the message is too large.
+        """
+        size, version, _ = FRAME_HEADER.unpack(header)
         if version != self.version:
             raise MalformedFrameError(f"version {version}, and this program speaks {self.version}")
-        if size > self.most:
-            raise MalformedFrameError(f"{size} bytes, and {self.most} are the most")
+        if size > self.max_message_bytes:
+            raise MalformedFrameError(f"{size} bytes, and {self.max_message_bytes} are the most")
         return int(size)
 
-    def unpack(self, head: bytes, body: bytes, key: bytes = b"") -> MessageT:
-        """The message of one frame. Raises `MalformedFrame` for a wrong tag, `UnknownMessage` for
-        no message.
+    def unpack(self, header: bytes, body: bytes, key: bytes = b"") -> MessageT:
+        """Return the message of one frame.
+
+        Raises:
+            MalformedFrameError: the tag is wrong.
+            UnknownMessageError: the body is not a message of this protocol.
         """
-        if not hmac.compare_digest(FRAME_HEADER.unpack(head)[2], _tag(key, body)):
+        if not hmac.compare_digest(FRAME_HEADER.unpack(header)[2], _tag(key, body)):
             raise MalformedFrameError("the tag is wrong: another key, or changed on the way")
         try:
             return self._decoder.decode(body)
@@ -83,4 +95,6 @@
 
 
 def _tag(key: bytes, body: bytes) -> bytes:
-    return hashlib.blake2b(body, digest_size=TAG, key=key).digest() if key else bytes(TAG)
+    if not key:
+        return bytes(TAG_BYTES)
+    return hashlib.blake2b(body, digest_size=TAG_BYTES, key=key).digest()
--- a/dockthread/lab/raft/seeded_defects.py
+++ b/dockthread/lab/raft/seeded_defects.py
@@ -1,10 +1,15 @@
-"""Planted bugs of the agreement, each of which the checker has to find: proof that it sees. Never
-in the program.
+"""Seeded defects of the Raft core and of what carries its actions out.
+
+The checker has to find each of them, which shows that it sees such faults. The program itself never
+loads this module. The names are words of the command line.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from typing import Final
+
+import msgspec
 
 from dockthread.raft.actions import Action, ReadIndexReady, Role
 from dockthread.raft.core import RaftCore
@@ -12,115 +17,126 @@
 
 
 class VoteTwice(RaftCore):
-    def _asked(self, m: VoteRequest) -> None:
-        if not m.pre_vote and self.voted_for != self.member_id:
+    """Votes again in a term in which it has voted for another member."""
+
+    def _handle_vote_request(self, request: VoteRequest) -> None:
+        if not request.pre_vote and self.voted_for != self.member_id:
             self.voted_for = ""
-        super()._asked(m)
+        super()._handle_vote_request(request)
+
 
+class VoteNotPersisted(RaftCore):
+    """Sends a vote that is not on disk."""
 
-class VoteNotKept(RaftCore):
-    def _asked(self, m: VoteRequest) -> None:
-        if m.pre_vote or self.voted_for not in ("", m.sender) or not self._newer(m):
-            return super()._asked(m)
-        self.voted_for = m.sender
-        self._wait()
-        return self._send(m.sender, VoteResponse(self.term, self.member_id, True))
+    def _handle_vote_request(self, request: VoteRequest) -> None:
+        may_vote = self.voted_for in ("", request.sender)
+        if request.pre_vote or not may_vote or not self._is_log_up_to_date(request):
+            super()._handle_vote_request(request)
+            return
+        self.voted_for = request.sender
+        self._reset_election_timer()
+        self._send(request.sender, VoteResponse(self.term, self.member_id, True))
 
 
 class AnyLogLeads(RaftCore):
-    def _newer(self, m: VoteRequest) -> bool:
+    """Votes for candidates whose log is older than its own."""
+
+    def _is_log_up_to_date(self, request: VoteRequest) -> bool:  # noqa: ARG002  the defect
         return True
 
 
 class SmallMajority(RaftCore):
-    def has_quorum(self, who: Iterable[str]) -> bool:
-        return 2 * len(set(who) & set(self.voters)) + 2 > len(self.voters)
+    """Takes one member less than a majority for a majority."""
+
+    def has_quorum(self, members: Iterable[str]) -> bool:
+        """Return whether these members and one more are a majority of the voters."""
+        return 2 * len(set(members) & set(self.voters)) + 2 > len(self.voters)
+
 
+class PreviousEntryUnchecked(RaftCore):
+    """Appends entries without comparing the term of the entry before them."""
 
-class BeforeUnchecked(RaftCore):
-    def _take_entries(self, m: AppendEntries) -> tuple[bool, int]:
-        if m.previous_index <= self.log.last_index and m.previous_index >= self.log.snapshot_index:
-            m = AppendEntries(
-                m.term,
-                m.sender,
-                m.previous_index,
-                self.log.term_at(m.previous_index),
-                m.entries,
-                m.commit_index,
-                m.heartbeat_round,
-            )
-        return super()._take_entries(m)
+    def _accept_entries(self, message: AppendEntries) -> tuple[bool, int]:
+        if self.log.snapshot_index <= message.previous_index <= self.log.last_index:
+            own_term = self.log.term_at(message.previous_index)
+            message = msgspec.structs.replace(message, previous_term=own_term)
+        return super()._accept_entries(message)
 
 
 class ConflictKept(RaftCore):
-    def _take_entries(self, m: AppendEntries) -> tuple[bool, int]:
-        if (
-            m.previous_index > self.log.last_index
-            or m.previous_index >= self.log.snapshot_index
-            and self.log.term_at(m.previous_index) != m.previous_term
-        ):
-            return super()._take_entries(m)
-        end = m.previous_index + len(m.entries)
-        if end > self.log.last_index:
-            self._append(m.entries[max(0, self.log.last_index - m.previous_index) :])
-        self._commit_to(min(m.commit_index, end))
-        return True, end
-
-
-class EpochUnchecked(RaftCore):
-    def step(self, now: float, m: Message) -> list[Action]:
-        if isinstance(m, AppendEntries) and m.term < self.term:
-            m = AppendEntries(
-                self.term,
-                m.sender,
-                m.previous_index,
-                m.previous_term,
-                m.entries,
-                m.commit_index,
-                m.heartbeat_round,
-            )
-        return super().step(now, m)
+    """Keeps entries that conflict with the leader's, and appends only behind them."""
+
+    def _accept_entries(self, message: AppendEntries) -> tuple[bool, int]:
+        log = self.log
+        previous = message.previous_index
+        if previous > log.last_index:
+            return super()._accept_entries(message)
+        if previous >= log.snapshot_index and log.term_at(previous) != message.previous_term:
+            return super()._accept_entries(message)
+        match_index = previous + len(message.entries)
+        if match_index > log.last_index:
+            self._append_entries(message.entries[max(0, log.last_index - previous) :])
+        self._commit_up_to(min(message.commit_index, match_index))
+        return True, match_index
+
+
+class TermUnchecked(RaftCore):
+    """Takes the entries of a leader of an older term for those of the current one."""
+
+    def step(self, now: float, message: Message) -> list[Action]:
+        """Handle a message of another member."""
+        if isinstance(message, AppendEntries) and message.term < self.term:
+            message = msgspec.structs.replace(message, term=self.term)
+        return super().step(now, message)
 
 
 class ReadAtOnce(RaftCore):
-    def read_index(self, now: float, token: int) -> tuple[bool, list[Action]]:
+    """Answers reads without confirming that it still leads."""
+
+    def read_index(self, now: float, token: int) -> tuple[bool, list[Action]]:  # noqa: ARG002  the defect
+        """Answer with the commit index as it is."""
         if self.role is not Role.LEADER:
             return False, []
         return True, [ReadIndexReady(token, self.commit_index)]
 
 
 class CommitTooFar(RaftCore):
-    def _take_entries(self, m: AppendEntries) -> tuple[bool, int]:
-        ok, match = super()._take_entries(m)
-        self._commit_to(m.commit_index)
-        return ok, match
+    """Commits entries that the leader has not confirmed to be equal to its own."""
+
+    def _accept_entries(self, message: AppendEntries) -> tuple[bool, int]:
+        success, match_index = super()._accept_entries(message)
+        self._commit_up_to(message.commit_index)
+        return success, match_index
 
 
 class ManyChangesAtOnce(RaftCore):
-    def _may_change(self, voters: tuple[str, ...]) -> bool:
+    """Allows any change of voters at any time."""
+
+    def _may_change_voters(self, voters: tuple[str, ...]) -> bool:  # noqa: ARG002  the defect
         return True
 
 
 class SnapshotTooOld(RaftCore):
-    """Lets go of one entry more than its state holds."""
+    """Drops one entry more than its snapshot holds."""
 
-    def compact(self, index: int, state: bytes) -> list[Action]:
-        return super().compact(index, state.rpartition(b"\x00")[0])
+    def compact(self, index: int, snapshot: bytes) -> list[Action]:
+        """Replace the entries up to `index` by a snapshot without the last command."""
+        return super().compact(index, snapshot.rpartition(b"\x00")[0])
 
 
-DEFECTIVE_CORES: dict[str, type[RaftCore]] = {
+DEFECTIVE_CORES: Final[dict[str, type[RaftCore]]] = {
     "vote-twice": VoteTwice,
-    "vote-not-kept": VoteNotKept,
+    "vote-not-kept": VoteNotPersisted,
     "any-log-leads": AnyLogLeads,
     "small-majority": SmallMajority,
-    "before-unchecked": BeforeUnchecked,
+    "before-unchecked": PreviousEntryUnchecked,
     "conflict-kept": ConflictKept,
-    "epoch-unchecked": EpochUnchecked,
+    "epoch-unchecked": TermUnchecked,
     "read-at-once": ReadAtOnce,
     "commit-too-far": CommitTooFar,
     "many-changes-at-once": ManyChangesAtOnce,
     "snapshot-too-old": SnapshotTooOld,
 }
-# Bugs of the rim: what is carried out wrongly round a core that is right.
-ADAPTER_DEFECTS = ("fsync-left-out", "sent-before-kept", "same-name-without-memory")
-NAMES = (*DEFECTIVE_CORES, *ADAPTER_DEFECTS)
+# A right core whose actions the simulation carries out wrongly.
+ADAPTER_DEFECTS: Final = ("fsync-left-out", "sent-before-kept", "same-name-without-memory")
+NAMES: Final = (*DEFECTIVE_CORES, *ADAPTER_DEFECTS)
--- a/dockthread/raft/actions.py
+++ b/dockthread/raft/actions.py
@@ -1,16 +1,21 @@
-"""What an agreement gives to be carried out, what it keeps on disk, and its times. Decides
-nothing.
+"""What a Raft core returns to be carried out, what it needs from the disk, and its timing.
+
+The caller carries actions out in their order. A message behind a `PersistEntries` or a
+`PersistSnapshot` may not leave before that write is on disk.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import NamedTuple
 
 from dockthread.raft.messages import Entry, EntryKind, Message
 
 
 class Role(Enum):
+    """Roles of a member (Raft paper, section 5.1); the values are shown to operators."""
+
     FOLLOWER = "follower"
     PRE_CANDIDATE = "asking"
     CANDIDATE = "candidate"
@@ -19,19 +24,46 @@
 
 @dataclass(frozen=True, slots=True)
 class RaftTiming:
-    """In ms. An election is due after `patience` to twice as much without a leader; a leader speaks
-    each `beat`.
+    """Times of the protocol in ms.
+
+    Attributes:
+        election_timeout_ms: a member campaigns after this to twice this long without a leader.
+        heartbeat_interval_ms: between heartbeats of a leader.
     """
 
     election_timeout_ms: float = 600.0
     heartbeat_interval_ms: float = 100.0
 
 
+class CommandReplay(NamedTuple):
+    """The commands of a log behind its snapshot, as a state machine needs them at a start.
+
+    Attributes:
+        commands: each with its index.
+        commit_index: up to which the log was known to be committed when it was last written.
+        last_index: of the last entry of the log.
+        last_term: of the last entry of the log.
+    """
+
+    commands: list[tuple[int, bytes]]
+    commit_index: int
+    last_index: int
+    last_term: int
+
+
 @dataclass(slots=True)
 class PersistentState:
-    """What outlives a process. `state`: of the owner's machine after entry `base`; `entries`: those
-    behind it; `commit`: up to where the log was known to be agreed at the last write, or
-    further.
+    """What outlives a process: the hard state, a snapshot, and the entries behind it.
+
+    Attributes:
+        term: the current term.
+        voted_for: who received this member's vote in the term; empty for nobody.
+        snapshot_index: of the last entry that the snapshot holds; 0 for no snapshot.
+        snapshot_term: of that entry.
+        snapshot_voters: as of that entry.
+        snapshot: the state machine after that entry.
+        entries: those behind the snapshot.
+        commit_index: up to which the log was known to be committed at the last write.
     """
 
     term: int = 0
@@ -43,39 +75,49 @@
     entries: list[Entry] = field(default_factory=list)
     commit_index: int = 0
 
-    def command_replay(self) -> tuple[list[tuple[int, bytes]], int, int, int]:
-        """The commands behind the state, each with its place; up to where the log is known to be
-        agreed; the place of the last entry, and its term.
-        """
-        places = enumerate(self.entries, self.snapshot_index + 1)
+    def command_replay(self) -> CommandReplay:
+        """Return the commands behind the snapshot, and how far the log reaches."""
         commands = [
-            (index, entry.data) for index, entry in places if entry.kind == EntryKind.COMMAND
+            (index, entry.data)
+            for index, entry in enumerate(self.entries, self.snapshot_index + 1)
+            if entry.kind == EntryKind.COMMAND
         ]
-        term = self.entries[-1].term if self.entries else self.snapshot_term
-        return commands, self.commit_index, self.snapshot_index + len(self.entries), term
-
-    def persist_entries(self, what: PersistEntries) -> None:
-        self.term, self.voted_for, self.commit_index = (
-            what.term,
-            what.voted_for,
-            max(self.commit_index, what.commit_index),
-        )
-        self.entries[what.first_index - self.snapshot_index - 1 :] = what.entries
-
-    def persist_snapshot(self, what: PersistSnapshot) -> None:
-        self.entries = [] if what.discards_log else self.entries[what.index - self.snapshot_index :]
-        self.snapshot_index, self.snapshot_term, self.snapshot_voters, self.snapshot = (
-            what.index,
-            what.term,
-            what.voters,
-            what.snapshot,
-        )
+        last_term = self.entries[-1].term if self.entries else self.snapshot_term
+        last_index = self.snapshot_index + len(self.entries)
+        return CommandReplay(commands, self.commit_index, last_index, last_term)
+
+    def persist_entries(self, action: PersistEntries) -> None:
+        """Take over what the action says."""
+        self.term = action.term
+        self.voted_for = action.voted_for
+        self.commit_index = max(self.commit_index, action.commit_index)
+        self.entries[action.first_index - self.snapshot_index - 1 :] = action.entries
+
+    def persist_snapshot(self, action: PersistSnapshot) -> None:
+        """Replace the entries up to the snapshot, or all, by it."""
+        if action.discards_log:
+            self.entries = []
+        else:
+            self.entries = self.entries[action.index - self.snapshot_index :]
+        self.snapshot_index = action.index
+        self.snapshot_term = action.term
+        self.snapshot_voters = action.voters
+        self.snapshot = action.snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class PersistEntries:
-    """Term and vote, and the log from entry `start` on, which replaces whatever stood there;
-    `commit`: up to where it is known to be agreed.
+    """Write the hard state, and replace the log from `first_index` on by `entries`.
+
+    One record on disk holds both. Where only the hard state changed, `first_index` is behind the
+    last entry and `entries` is empty.
+
+    Attributes:
+        term: the current term.
+        voted_for: who received this member's vote in the term; empty for nobody.
+        first_index: of `entries`.
+        entries: to be written.
+        commit_index: up to which the log is known to be committed.
     """
 
     term: int
@@ -87,7 +129,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistSnapshot:
-    """A state in place of all entries up to `base`. `whole`: none behind it counts either."""
+    """Write a snapshot in place of all entries up to its index.
+
+    Attributes:
+        index: of the last entry that the snapshot holds.
+        term: of that entry.
+        voters: as of that entry.
+        snapshot: the state machine after that entry.
+        discards_log: the entries behind the snapshot are dropped too.
+    """
 
     index: int
     term: int
@@ -98,13 +148,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
+    """Send a message to a member; it may be lost."""
+
     to: str
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyEntry:
-    """Committed: to be applied in this order, each index once a life."""
+    """Apply a committed entry to the state machine; each index comes once, in order."""
 
     index: int
     entry: Entry
@@ -112,14 +164,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RestoreSnapshot:
+    """Replace the state machine by a snapshot, which holds all entries up to `index`."""
+
     index: int
     snapshot: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ReadIndexReady:
-    """A majority still followed after `token` was asked: the state after `index` is not older than
-    the question.
+    """Answer a read with the state machine after `index`.
+
+    A majority confirmed, after the read was requested, that this member led; so the state is not
+    older than the request.
     """
 
     token: int
@@ -128,6 +184,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RoleChanged:
+    """The role, the term or the leader has changed; `leader_id` is empty for no known leader."""
+
     role: Role
     term: int
     leader_id: str
--- a/dockthread/raft/core.py
+++ b/dockthread/raft/core.py
@@ -1,36 +1,40 @@
-"""A log that a majority of voters agrees on: Raft, free of I/O, with a clock that is told.
+"""The Raft protocol of one member: elections, the log, reads and changes of voters, without I/O.
 
-Theory of operation. Time is cut into terms; in a term at most one voter leads, as each voter gives
-one vote a term and a majority is needed. The leader appends entries and sends them; an entry of its
-own term that a majority holds is committed, and all before it with it, never an entry of an older
-term by count alone. A voter gives its vote only to one whose log is at least as new as its own, so
-that whoever leads holds all that was committed. The term is the epoch with which everything granted
-is fenced.
+Source: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014), and
+Ongaro's dissertation (2014). The caller passes in the time and the messages; each call returns the
+actions that the caller has to carry out, in their order.
 
-| role | a leader is heard | silence for its patience | a majority answers | a higher term is heard |
+Time is divided into terms. In a term at most one voter leads, as each voter gives one vote a term
+and a majority is needed. The leader appends entries and sends them. An entry of the leader's own
+term that a majority holds is committed, and with it all entries before it; an entry of an older
+term is never committed by count alone (section 5.4.2). A voter votes only for a candidate whose log
+is at least as up to date as its own, so a leader holds all that was committed (section 5.4.1). The
+term fences whatever was granted under an older leader.
+
+| role | hears the leader | election timeout | a majority answers | hears of a later term |
 | --- | --- | --- | --- | --- |
-| follower | follows, patience anew | asks whether it would be voted for | - | follows in it |
-| asking (pre-vote) | follows | asks again | candidate in the next term | follows in it |
-| candidate | follows | asks again, pre-vote first | leads, appends an entry of nothing | follows in it |
-| leader | cannot be, in its term | of a majority: follows | goes on | follows in it |
-
-Who was cut off raises no term while it asks, and a voter that hears a leader gives no vote
-(pre-vote and check-quorum): so one that comes back unseats nobody, and a leader that reaches no
-majority stops leading within its patience. Voters change one at a time by an entry that counts from
-when it is appended, and only after the leader committed one of its own term.
-
-What must be on disk before anything else is carried out comes as `Keep`; actions are carried out in
-their order, and a `Send` behind a `Keep` may not leave before it is kept. Who forgot its log must
-not come back under its old identity.
-
-What can't be had: nothing is committed in a minority; an entry whose proposer saw no answer may or
-may not be.
+| follower | follows | pre-candidate | - | follower in it |
+| pre-candidate | follower | pre-candidate again | candidate in the next term | follower in it |
+| candidate | follower | pre-candidate | leader, appends a no-op | follower in it |
+| leader | can't be in its term | without a majority: follower | stays leader | follower in it |
+
+A member that was cut off does not raise the term while it is a pre-candidate, and a voter that
+hears a leader does not vote: so a member that comes back does not unseat the leader (pre-vote,
+dissertation section 9.6), and a leader that reaches no majority steps down within its election
+timeout (check-quorum, section 6.2). Voters change one at a time by an entry that counts from when
+it is appended (section 4.1), and only after the leader has committed an entry of its own term.
+
+A member that lost its disk must not come back under its old name, as it could vote twice. Nothing
+is committed in a minority. An entry whose proposer saw no answer may or may not be in the log.
 """
 
 from __future__ import annotations
 
 import random
+from collections import deque
 from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import Final
 
 from dockthread.raft.actions import (
     Action,
@@ -44,7 +48,7 @@
     Role,
     RoleChanged,
     SendMessage,
-)  # fmt: skip
+)
 from dockthread.raft.log import RaftLog
 from dockthread.raft.messages import (
     AppendEntries,
@@ -57,449 +61,571 @@
     VoteRequest,
     VoteResponse,
 )
+from dockthread.raft.progress import NEVER, Progress, ProgressTracker
+
+MAX_ENTRIES_PER_MESSAGE: Final = 64
+# A new voter may lack this many committed entries: one that is further behind would make a majority
+# harder to reach (dissertation, section 4.2.1).
+MAX_NEW_VOTER_LAG: Final = MAX_ENTRIES_PER_MESSAGE
+
+
+@dataclass(frozen=True, slots=True)
+class PendingRead:
+    """A read that waits until a majority has answered the heartbeat round."""
 
-MOST_ENTRIES = 64  # in one message
+    token: int
+    index: int
+    heartbeat_round: int
 
 
 class RaftCore:
-    """One member. `voters` counts only where nothing is stored; a member that is no voter follows
-    and never asks.
+    """The state of one member and its transitions.
+
+    It has more than 20 methods, as etcd's `raft` has: each message touches the term, the role and
+    the log together, and parts with state of their own would have to reach into each other. What
+    stands alone is apart: the log, and the progress of other members.
+
+    Attributes:
+        member_id: this member's name.
+        now: time in ms of the last call.
+        term: the current term.
+        voted_for: who received its vote in the term; empty for nobody.
+        log: the snapshot and the entries behind it.
+        commit_index: up to which the log is known to be committed.
+        applied_index: up to which entries were returned to be applied.
+        role: in the current term.
+        leader_id: who leads; empty for no known leader.
+        learners: members without a vote that a leader sends the log to.
     """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913  all of it is needed, and there is one kind of caller
         self,
-        me: str,
+        member_id: str,
         voters: Iterable[str],
         stored: PersistentState,
-        times: RaftTiming,
+        timing: RaftTiming,
         rng: random.Random,
         now: float,
     ) -> None:
-        self.member_id, self._times, self._rng, self.now = me, times, rng, now
-        self.term, self.voted_for = stored.term, stored.voted_for
+        """Start as a follower.
+
+        Args:
+            member_id: this member's name; a member that is not a voter never campaigns.
+            voters: the first voters; ignored where voters are stored.
+            stored: what the disk holds.
+            timing: election timeout and heartbeat interval.
+            rng: for the random part of election timeouts.
+            now: the time in ms.
+        """
+        self.member_id = member_id
+        self.now = now
+        self.term = stored.term
+        self.voted_for = stored.voted_for
         self.log = RaftLog(stored, voters)
-        self.commit_index = self.applied_index = self.log.snapshot_index
-        self.role, self.leader_id = Role.FOLLOWER, ""
-        self.learners: set[str] = set()  # who is sent the log without a vote
+        self.commit_index = self.log.snapshot_index
+        self.applied_index = self.log.snapshot_index
+        self.role = Role.FOLLOWER
+        self.leader_id = ""
+        self.learners: set[str] = set()
+        self._timing = timing
+        self._rng = rng
         self._actions: list[Action] = []
-        self._votes: set[str] = set()
-        self._next: dict[str, int] = {}
-        self._match: dict[str, int] = {}
-        self._busy: dict[str, int] = {}  # round of the entries under way to a peer
-        self._told: dict[str, int] = {}  # how far each was told that it is committed
-        self._round, self._rounds = 0, dict[str, int]()  # of beats; the last that each answered
-        self._answered: dict[str, float] = {}  # when each spoke last, to a leader
-        self._reads: list[tuple[int, int, int]] = []  # token, index, round
-        self._heard = -1e18  # a leader, last
-        self._handing = -1e18  # until when nothing is proposed, as another takes over
-        self._wait()
+        self._votes: set[str] = set()  # that it received as candidate or pre-candidate
+        self._progress = ProgressTracker()
+        self._heartbeat_round = 0
+        self._pending_reads: deque[PendingRead] = deque()
+        self._leader_heard_at = NEVER
+        self._transfer_until = NEVER  # nothing is proposed before, as leadership is handed over
+        self._reset_election_timer()
 
     # What it knows
 
     @property
     def voters(self) -> tuple[str, ...]:
+        """The voters by the last change in the log."""
         return self.log.voters_at(self.log.last_index)
 
     def next_deadline(self) -> float:
-        """When it wants `tick` next."""
-        return self._beat_due if self.role is Role.LEADER else self._election_due
+        """Return the time in ms at which `tick` has to be called next."""
+        return self._heartbeat_due if self.role is Role.LEADER else self._election_due
 
-    def has_quorum(self, who: Iterable[str]) -> bool:
+    def has_quorum(self, members: Iterable[str]) -> bool:
+        """Return whether these members are a majority of the voters."""
         voters = self.voters
-        return 2 * len(set(who) & set(voters)) > len(voters)
+        return 2 * len(set(members) & set(voters)) > len(voters)
 
-    def responded_within(self, ms: float) -> set[str]:
-        """Who answered this leader so lately; empty where it does not lead."""
-        return {
-            p for p, at in self._answered.items() if self.role is Role.LEADER and self.now - at < ms
-        }
+    def responded_within(self, window_ms: float) -> set[str]:
+        """Return who responded to this leader less than `window_ms` ago; empty for a follower."""
+        if self.role is not Role.LEADER:
+            return set()
+        return self._progress.responded_within(window_ms, self.now)
 
-    # Events; each gives what is to be carried out, in order
+    # Events; each returns the actions that follow from it
 
     def tick(self, now: float) -> list[Action]:
+        """Send heartbeats, step down or campaign, if it is time to."""
         self.now = now
         if self.role is Role.LEADER:
-            if now >= self._beat_due:
-                if self.has_quorum(
-                    self.responded_within(self._times.election_timeout_ms) | {self.member_id}
-                ):
-                    self._beat()
-                else:  # whoever is on the other side may have another leader by now
-                    self._follow(self.term, "")
+            if now >= self._heartbeat_due:
+                self._check_quorum()
         elif now >= self._election_due:
-            self._wait()
+            self._reset_election_timer()
             if self.member_id in self.voters:
-                self._ask(pre=True)
-        return self._take()
+                self._campaign(pre_vote=True)
+        return self._take_actions()
 
     def propose(
         self, now: float, data: bytes, kind: int = EntryKind.COMMAND
     ) -> tuple[int | None, list[Action]]:
-        """The entry's index; None where this member does not lead, hands over, or must not change
-        voters yet.
+        """Append an entry, and return its index and the actions.
+
+        The index is None where this member does not lead, hands leadership over, or must not make
+        this change of voters now.
         """
         self.now = now
-        may = kind != EntryKind.VOTERS or self._may_change(tuple(data.decode().split()))
-        if self.role is not Role.LEADER or now < self._handing or not may:
-            return None, self._take()
-        self._append((Entry(self.term, kind, data),))
-        self._spread()
-        self._settle()
-        return self.log.last_index, self._take()
+        is_allowed = kind != EntryKind.VOTERS or self._may_change_voters(
+            tuple(data.decode().split())
+        )
+        if self.role is not Role.LEADER or now < self._transfer_until or not is_allowed:
+            return None, self._take_actions()
+        self._append_entries((Entry(self.term, kind, data),))
+        self._replicate()
+        self._advance_commit()
+        return self.log.last_index, self._take_actions()
 
     def read_index(self, now: float, token: int) -> tuple[bool, list[Action]]:
-        """Ask whether this member still leads; `ReadAt` answers. False where it does not lead."""
+        """Confirm that this member leads, and answer by `ReadIndexReady` (dissertation, 6.4).
+
+        Returns:
+            False where it does not lead or has not committed in its term yet, and the actions.
+        """
         self.now = now
-        if self.role is not Role.LEADER or self.log.term_at(self.commit_index) != self.term:
-            return False, self._take()
-        self._beat()
-        self._reads.append((token, self.commit_index, self._round))
+        if self.role is not Role.LEADER or not self._has_committed_in_term():
+            return False, self._take_actions()
+        self._send_heartbeats()
+        self._pending_reads.append(PendingRead(token, self.commit_index, self._heartbeat_round))
         self._answer_reads()
-        return True, self._take()
+        return True, self._take_actions()
 
     def transfer_leadership(self, now: float) -> list[Action]:
-        """At the end of a life: the voter that is furthest and was heard last is to lead."""
+        """Have the voter with the longest log, and of those the last heard from, campaign."""
         self.now = now
-        peers = [p for p in self.voters if p != self.member_id]
+        peers = [voter for voter in self.voters if voter != self.member_id]
         if self.role is Role.LEADER and peers:
-            to = max(peers, key=lambda p: (self._match.get(p, 0), self._answered.get(p, 0.0)))
-            self._handing = now + self._times.election_timeout_ms
-            self._send_entries(to)
-            self._send(to, TimeoutNow(self.term, self.member_id))
-        return self._take()
-
-    def compact(self, index: int, state: bytes) -> list[Action]:
-        """The owner's state after `index`, which is applied: entries up to it are let go."""
+            target = max(
+                peers,
+                key=lambda peer: (
+                    self._progress.match_index(peer),
+                    self._progress.last_response_at(peer),
+                ),
+            )
+            self._transfer_until = now + self._timing.election_timeout_ms
+            self._send_entries(target)
+            self._send(target, TimeoutNow(self.term, self.member_id))
+        return self._take_actions()
+
+    def compact(self, index: int, snapshot: bytes) -> list[Action]:
+        """Replace the entries up to `index`, which are applied, by a snapshot."""
         if self.log.snapshot_index < index <= self.applied_index:
-            term, voters = self.log.term_at(index), self.log.voters_at(index)
-            self.log.install_snapshot(index, term, voters, state, False)
-            self._actions.append(PersistSnapshot(index, term, voters, state, False))
-        return self._take()
+            term = self.log.term_at(index)
+            voters = self.log.voters_at(index)
+            self._replace_by_snapshot(index, term, voters, snapshot, discards_log=False)
+        return self._take_actions()
 
-    def step(self, now: float, m: Message) -> list[Action]:
+    def step(self, now: float, message: Message) -> list[Action]:
+        """Handle a message of another member."""
         self.now = now
-        if m.term > self.term and not self._ignores(m):
-            pre = (
-                isinstance(m, VoteRequest)
-                and m.pre_vote
-                or isinstance(m, VoteResponse)
-                and m.pre_vote
-                and m.granted
-            )
-            if not pre:
-                self._follow(
-                    m.term, m.sender if isinstance(m, AppendEntries | InstallSnapshot) else ""
-                )
-        elif m.term > self.term:
-            return self._take()
-        if m.term < self.term and not isinstance(m, AppendEntriesResponse):
-            self._old(m)
-            return self._take()
-        match m:
+        if message.term > self.term:
+            if self._ignores(message):
+                return self._take_actions()
+            if not _is_pre_vote(message):
+                is_from_leader = isinstance(message, AppendEntries | InstallSnapshot)
+                self._become_follower(message.term, message.sender if is_from_leader else "")
+        if message.term < self.term and not isinstance(message, AppendEntriesResponse):
+            self._reject_old_term(message)
+        else:
+            self._handle(message)
+        return self._take_actions()
+
+    def _handle(self, message: Message) -> None:
+        """Handle a message that is not of an older term."""
+        match message:
             case VoteRequest():
-                self._asked(m)
+                self._handle_vote_request(message)
             case VoteResponse():
-                self._voted(m)
-            case AppendEntries() | InstallSnapshot() if m.term == self.term:
-                self._led(m)
-            case AppendEntriesResponse() if m.term == self.term and self.role is Role.LEADER:
-                self._matched(m)
-            case TimeoutNow() if self.member_id in self.voters and self.role is not Role.LEADER:
-                self._ask(pre=False, handed=True)
-        return self._take()
+                self._handle_vote_response(message)
+            case AppendEntries() | InstallSnapshot() if message.term == self.term:
+                self._handle_from_leader(message)
+            case AppendEntriesResponse() if message.term == self.term:
+                if self.role is Role.LEADER:
+                    self._handle_append_response(message)
+            case TimeoutNow():
+                if self.member_id in self.voters and self.role is not Role.LEADER:
+                    self._campaign(pre_vote=False, leadership_transfer=True)
 
     # Elections
 
-    def _ignores(self, m: Message) -> bool:
-        """A vote is not even weighed while a leader is heard, unless that leader asks for it."""
-        led = self.role is Role.LEADER or self.now - self._heard < self._times.election_timeout_ms
-        return isinstance(m, VoteRequest) and led and not m.leadership_transfer
-
-    def _old(self, m: Message) -> None:
-        """Whoever speaks in an older term is told of this one."""
-        if isinstance(m, VoteRequest):
-            self._send(m.sender, VoteResponse(self.term, self.member_id, False, m.pre_vote))
-        elif isinstance(m, AppendEntries | InstallSnapshot):
-            self._send(
-                m.sender,
-                AppendEntriesResponse(self.term, self.member_id, False, 0, m.heartbeat_round),
-            )
+    def _ignores(self, message: Message) -> bool:
+        """Return whether it is a request for a vote while a leader is heard.
 
-    def _ask(self, pre: bool, handed: bool = False) -> None:
-        self.role, self.leader_id, self._votes = (
-            (Role.PRE_CANDIDATE if pre else Role.CANDIDATE),
-            "",
-            {self.member_id},
+        Only a candidate that the leader itself told to campaign is considered then.
+        """
+        if not isinstance(message, VoteRequest) or message.leadership_transfer:
+            return False
+        silence = self.now - self._leader_heard_at
+        return self.role is Role.LEADER or silence < self._timing.election_timeout_ms
+
+    def _reject_old_term(self, message: Message) -> None:
+        """Reject a message from an older term, and reply with the current term."""
+        if isinstance(message, VoteRequest):
+            response = VoteResponse(self.term, self.member_id, False, message.pre_vote)
+            self._send(message.sender, response)
+        elif isinstance(message, AppendEntries | InstallSnapshot):
+            self._respond_to_leader(message, success=False, match_index=0)
+
+    def _campaign(self, pre_vote: bool, leadership_transfer: bool = False) -> None:
+        """Ask all voters for their votes, as pre-candidate or as candidate in a new term."""
+        self.role = Role.PRE_CANDIDATE if pre_vote else Role.CANDIDATE
+        self.leader_id = ""
+        self._votes = {self.member_id}
+        if not pre_vote:
+            self.term += 1
+            self.voted_for = self.member_id
+            self._persist_hard_state()
+        self._reset_election_timer()
+        self._announce_role()
+        request = VoteRequest(
+            term=self.term + 1 if pre_vote else self.term,
+            sender=self.member_id,
+            last_index=self.log.last_index,
+            last_term=self.log.term_at(self.log.last_index),
+            pre_vote=pre_vote,
+            leadership_transfer=leadership_transfer,
         )
-        if not pre:
-            self.term, self.voted_for = self.term + 1, self.member_id
-            self._keep()
-        self._wait()
-        self._say()
-        term = self.term + 1 if pre else self.term
         for peer in self.voters:
             if peer != self.member_id:
-                last_term = self.log.term_at(self.log.last_index)
-                self._send(
-                    peer,
-                    VoteRequest(term, self.member_id, self.log.last_index, last_term, pre, handed),
-                )
+                self._send(peer, request)
         self._count_votes()
 
-    def _newer(self, m: VoteRequest) -> bool:
-        """Whether the asker's log is at least as new as this one."""
-        return (m.last_term, m.last_index) >= (
-            self.log.term_at(self.log.last_index),
-            self.log.last_index,
-        )
+    def _is_log_up_to_date(self, request: VoteRequest) -> bool:
+        """Return whether the candidate's log is at least as up to date (section 5.4.1)."""
+        last_term = self.log.term_at(self.log.last_index)
+        return (request.last_term, request.last_index) >= (last_term, self.log.last_index)
 
-    def _asked(self, m: VoteRequest) -> None:
-        if m.pre_vote:
-            granted = m.term > self.term and self._newer(m) and not self._ignores(m)
-            self._send(
-                m.sender,
-                VoteResponse(m.term if granted else self.term, self.member_id, granted, True),
-            )
+    def _handle_vote_request(self, request: VoteRequest) -> None:
+        if request.pre_vote:
+            self._handle_pre_vote_request(request)
             return
-        granted = self.voted_for in ("", m.sender) and self._newer(m)
+        granted = self.voted_for in ("", request.sender) and self._is_log_up_to_date(request)
         if granted:
-            self.voted_for = m.sender
-            self._keep()
-            self._wait()
-        self._send(m.sender, VoteResponse(self.term, self.member_id, granted))
-
-    def _voted(self, m: VoteResponse) -> None:
-        asked = Role.PRE_CANDIDATE if m.pre_vote else Role.CANDIDATE
-        if self.role is asked and m.granted and m.term == self.term + m.pre_vote:
-            self._votes.add(m.sender)
+            self.voted_for = request.sender
+            self._persist_hard_state()
+            self._reset_election_timer()
+        self._send(request.sender, VoteResponse(self.term, self.member_id, granted))
+
+    def _handle_pre_vote_request(self, request: VoteRequest) -> None:
+        granted = (
+            request.term > self.term
+            and self._is_log_up_to_date(request)
+            and not self._ignores(request)
+        )
+        term = request.term if granted else self.term
+        self._send(request.sender, VoteResponse(term, self.member_id, granted, pre_vote=True))
+
+    def _handle_vote_response(self, response: VoteResponse) -> None:
+        expected_role = Role.PRE_CANDIDATE if response.pre_vote else Role.CANDIDATE
+        expected_term = self.term + 1 if response.pre_vote else self.term
+        is_current = self.role is expected_role and response.term == expected_term
+        if is_current and response.granted:
+            self._votes.add(response.sender)
             self._count_votes()
 
     def _count_votes(self) -> None:
         if not self.has_quorum(self._votes):
             return
         if self.role is Role.PRE_CANDIDATE:
-            self._ask(pre=False)
+            self._campaign(pre_vote=False)
         elif self.role is Role.CANDIDATE:
-            self._lead()
-
-    def _lead(self) -> None:
-        self.role, self.leader_id = Role.LEADER, self.member_id
-        self._next, self._match, self._busy, self._reads = {}, {}, {}, []
-        self._answered = dict.fromkeys(self.voters, self.now)
-        self._say()
-        self._append((Entry(self.term, EntryKind.NO_OP),))  # what is older is committed with it
-        self._beat()
-        self._settle()
-
-    def _follow(self, term: int, leader: str) -> None:
-        changed = term != self.term or self.role is not Role.FOLLOWER or leader != self.leader_id
-        if term > self.term:
-            self.term, self.voted_for = term, ""
-            self._keep()
-        self.role, self.leader_id, self._reads = Role.FOLLOWER, leader, []
-        self._wait()
-        if changed:
-            self._say()
-
-    def _wait(self) -> None:
-        self._election_due = self.now + self._times.election_timeout_ms * self._rng.uniform(
-            1.0, 2.0
+            self._become_leader()
+
+    def _become_leader(self) -> None:
+        """Lead, and append a no-op: what is older is committed with it (section 8)."""
+        self.role = Role.LEADER
+        self.leader_id = self.member_id
+        self._pending_reads.clear()
+        self._announce_role()
+        self._append_entries((Entry(self.term, EntryKind.NO_OP),))
+        self._progress.reset(self.voters, self.log.last_index + 1, self.now)
+        self._send_heartbeats()
+        self._advance_commit()
+
+    def _become_follower(self, term: int, leader_id: str) -> None:
+        is_change = (
+            term != self.term or self.role is not Role.FOLLOWER or leader_id != self.leader_id
         )
-        self._beat_due = self.now
-
-    # The log
-
-    def _led(self, m: AppendEntries | InstallSnapshot) -> None:
-        if self.role is not Role.FOLLOWER or self.leader_id != m.sender:
-            self._follow(m.term, m.sender)
-        self._heard = self.now
-        self._wait()
-        ok, match = self._install(m) if isinstance(m, InstallSnapshot) else self._take_entries(m)
-        self._send(
-            m.sender, AppendEntriesResponse(self.term, self.member_id, ok, match, m.heartbeat_round)
+        if term > self.term:
+            self.term = term
+            self.voted_for = ""
+            self._persist_hard_state()
+        self.role = Role.FOLLOWER
+        self.leader_id = leader_id
+        self._pending_reads.clear()
+        self._reset_election_timer()
+        if is_change:
+            self._announce_role()
+
+    def _check_quorum(self) -> None:
+        """Send heartbeats while a majority responds; otherwise step down.
+
+        A majority on the other side of a cut may have elected another leader by then.
+        """
+        responded = self.responded_within(self._timing.election_timeout_ms)
+        if self.has_quorum(responded | {self.member_id}):
+            self._send_heartbeats()
+        else:
+            self._become_follower(self.term, "")
+
+    def _reset_election_timer(self) -> None:
+        """Draw an election timeout, from one to two times the shortest (section 5.2)."""
+        timeout = self._timing.election_timeout_ms * self._rng.uniform(1.0, 2.0)
+        self._election_due = self.now + timeout
+        self._heartbeat_due = self.now
+
+    # The log of a follower
+
+    def _handle_from_leader(self, message: AppendEntries | InstallSnapshot) -> None:
+        if self.role is not Role.FOLLOWER or self.leader_id != message.sender:
+            self._become_follower(message.term, message.sender)
+        self._leader_heard_at = self.now
+        self._reset_election_timer()
+        if isinstance(message, InstallSnapshot):
+            success, match_index = self._accept_snapshot(message)
+        else:
+            success, match_index = self._accept_entries(message)
+        self._respond_to_leader(message, success, match_index)
+
+    def _respond_to_leader(
+        self, message: AppendEntries | InstallSnapshot, success: bool, match_index: int
+    ) -> None:
+        response = AppendEntriesResponse(
+            self.term, self.member_id, success, match_index, message.heartbeat_round
         )
+        self._send(message.sender, response)
 
-    def _take_entries(self, m: AppendEntries) -> tuple[bool, int]:
-        if m.previous_index > self.log.last_index:
-            return False, self.log.last_index
-        if (
-            m.previous_index >= self.log.snapshot_index
-            and self.log.term_at(m.previous_index) != m.previous_term
-        ):
-            return False, max(self.log.snapshot_index, m.previous_index - 1)
-        end = m.previous_index + len(m.entries)
-        for at, entry in enumerate(m.entries, m.previous_index + 1):
-            if at > self.log.snapshot_index and (
-                at > self.log.last_index or self.log.term_at(at) != entry.term
-            ):
-                self._append(m.entries[at - m.previous_index - 1 :], at)
-                break
-        self._commit_to(min(m.commit_index, end))
-        return True, end
+    def _accept_entries(self, message: AppendEntries) -> tuple[bool, int]:
+        """Append a leader's entries; return success and the match index of the response.
 
-    def _install(self, m: InstallSnapshot) -> tuple[bool, int]:
-        if m.last_index <= self.commit_index:
+        An entry that conflicts with one in the log replaces it and all behind it (section 5.3).
+        """
+        log = self.log
+        previous = message.previous_index
+        if previous > log.last_index:
+            return False, log.last_index
+        if previous >= log.snapshot_index and log.term_at(previous) != message.previous_term:
+            return False, max(log.snapshot_index, previous - 1)
+        for index, entry in enumerate(message.entries, previous + 1):
+            if index <= log.snapshot_index:
+                continue
+            if index > log.last_index or log.term_at(index) != entry.term:
+                self._append_entries(message.entries[index - previous - 1 :], index)
+                break
+        match_index = previous + len(message.entries)
+        self._commit_up_to(min(message.commit_index, match_index))
+        return True, match_index
+
+    def _accept_snapshot(self, message: InstallSnapshot) -> tuple[bool, int]:
+        """Install a leader's snapshot; return success and the match index of the response."""
+        index = message.last_index
+        if index <= self.commit_index:
             return True, self.commit_index
-        whole = not (
-            self.log.snapshot_index < m.last_index <= self.log.last_index
-            and self.log.term_at(m.last_index) == m.last_term
+        log = self.log
+        is_in_log = log.snapshot_index < index <= log.last_index
+        matches_log = is_in_log and log.term_at(index) == message.last_term
+        self.commit_index = index
+        self.applied_index = index
+        self._replace_by_snapshot(
+            index,
+            message.last_term,
+            message.voters,
+            message.snapshot,
+            discards_log=not matches_log,
         )
-        self.log.install_snapshot(m.last_index, m.last_term, m.voters, m.snapshot, whole)
-        self.commit_index = self.applied_index = m.last_index
-        self._actions.append(
-            PersistSnapshot(m.last_index, m.last_term, m.voters, m.snapshot, whole)
-        )
-        self._actions.append(RestoreSnapshot(m.last_index, m.snapshot))
-        return True, m.last_index
-
-    def _matched(self, m: AppendEntriesResponse) -> None:
-        peer = m.sender
-        self._answered[peer] = self.now
-        self._rounds[peer] = max(self._rounds.get(peer, 0), m.heartbeat_round)
-        if self._busy.get(peer, 0) <= m.heartbeat_round:
-            self._busy.pop(peer, None)
-        if m.success:
-            self._match[peer] = max(self._match.get(peer, 0), m.match_index)
-            self._next[peer] = max(self._next.get(peer, 1), self._match[peer] + 1)
-            self._settle()
+        self._actions.append(RestoreSnapshot(index, message.snapshot))
+        return True, index
+
+    def _replace_by_snapshot(
+        self, index: int, term: int, voters: tuple[str, ...], snapshot: bytes, discards_log: bool
+    ) -> None:
+        self.log.install_snapshot(index, term, voters, snapshot, discards_log)
+        self._actions.append(PersistSnapshot(index, term, voters, snapshot, discards_log))
+
+    def _append_entries(self, entries: tuple[Entry, ...], first_index: int = 0) -> None:
+        """Write entries at `first_index`, or at the end of the log for 0."""
+        first_index = first_index or self.log.last_index + 1
+        self.log.truncate_and_append(first_index, entries)
+        self._persist(first_index, entries)
+
+    def _persist_hard_state(self) -> None:
+        self._persist(self.log.last_index + 1, ())
+
+    def _persist(self, first_index: int, entries: tuple[Entry, ...]) -> None:
+        action = PersistEntries(self.term, self.voted_for, first_index, entries, self.commit_index)
+        self._actions.append(action)
+
+    def _commit_up_to(self, index: int) -> None:
+        """Commit the log up to an index, and apply what is committed."""
+        self.commit_index = max(self.commit_index, min(index, self.log.last_index))
+        while self.applied_index < self.commit_index:
+            self.applied_index += 1
+            entry = self.log.entry_at(self.applied_index)
+            self._actions.append(ApplyEntry(self.applied_index, entry))
+        if self.role is Role.LEADER and self.member_id not in self.voters:
+            self._become_follower(self.term, "")
+
+    # The log of a leader
+
+    def _handle_append_response(self, response: AppendEntriesResponse) -> None:
+        peer = response.sender
+        progress = self._progress.of(peer, next_index=1)
+        progress.acknowledge(response.heartbeat_round, self.now)
+        if response.success:
+            progress.accept(response.match_index)
+            self._advance_commit()
         else:
-            self._next[peer] = (
-                max(self._match.get(peer, 0), min(m.match_index, self._next.get(peer, 1) - 1)) + 1
-            )
-        behind = (
-            self._next[peer] <= self.log.last_index or self._told.get(peer, 0) < self.commit_index
+            progress.back_off(response.match_index)
+        is_behind = (
+            progress.next_index <= self.log.last_index
+            or progress.notified_commit < self.commit_index
         )
-        if behind and peer not in self._busy:
+        if is_behind and progress.in_flight_round is None:
             self._send_entries(peer)
         self._answer_reads()
 
-    def _settle(self) -> None:
-        """Commit what a majority holds, if it is of this term."""
+    def _advance_commit(self) -> None:
+        """Commit the last entry that a majority holds, if it is of this term (section 5.4.2)."""
         for index in range(self.log.last_index, self.commit_index, -1):
             if self.log.term_at(index) != self.term:
                 break
-            if self.has_quorum(
-                [self.member_id, *(p for p, at in self._match.items() if at >= index)]
-            ):
-                self._commit_to(index)
-                self._spread()
+            if self.has_quorum(self._progress.holding(index) | {self.member_id}):
+                self._commit_up_to(index)
+                self._replicate()
                 break
 
-    def _commit_to(self, index: int) -> None:
-        self.commit_index = max(self.commit_index, min(index, self.log.last_index))
-        while self.applied_index < self.commit_index:
-            self.applied_index += 1
-            self._actions.append(
-                ApplyEntry(self.applied_index, self.log.entry_at(self.applied_index))
-            )
-        if self.role is Role.LEADER and self.member_id not in self.voters:
-            self._follow(self.term, "")
-
-    def _append(self, entries: tuple[Entry, ...], start: int = 0) -> None:
-        start = start or self.log.last_index + 1
-        self.log.truncate_and_append(start, entries)
-        self._keep(start, entries)
-
-    def _keep(self, start: int = 0, entries: tuple[Entry, ...] = ()) -> None:
-        self._actions.append(
-            PersistEntries(
-                self.term,
-                self.voted_for,
-                start or self.log.last_index + 1,
-                entries,
-                self.commit_index,
-            )
-        )
+    def _has_committed_in_term(self) -> bool:
+        return self.log.term_at(self.commit_index) == self.term
+
+    def _may_change_voters(self, voters: tuple[str, ...]) -> bool:
+        """Return whether the voters may change to these now.
 
-    def _may_change(self, voters: tuple[str, ...]) -> bool:
-        """One voter more or less than now, a new one ready, none of it under way, and this term has
-        committed.
+        One voter may be added or removed at a time, no other change may be pending, the leader has
+        to have committed in its term, and a new voter has to respond and to be nearly up to date.
         """
-        pending = any(e.kind == EntryKind.VOTERS for e in self.log.entries_after(self.commit_index))
-        step = len(set(voters) ^ set(self.voters)) <= 1
-        # one that is not there, or far behind, makes a majority harder to have
-        near = self.commit_index - MOST_ENTRIES
-        here = self.responded_within(self._times.election_timeout_ms)
-        ready = all(
-            p in here and self._match.get(p, 0) >= near for p in set(voters) - set(self.voters)
+        current = set(self.voters)
+        is_single_step = len(set(voters) ^ current) <= 1
+        is_pending = any(
+            entry.kind == EntryKind.VOTERS for entry in self.log.entries_after(self.commit_index)
+        )
+        responsive = self.responded_within(self._timing.election_timeout_ms)
+        least_match = self.commit_index - MAX_NEW_VOTER_LAG
+        are_new_ready = all(
+            voter in responsive and self._progress.match_index(voter) >= least_match
+            for voter in set(voters) - current
         )
         return (
-            step
-            and ready
+            is_single_step
+            and are_new_ready
             and bool(voters)
-            and not pending
-            and self.log.term_at(self.commit_index) == self.term
+            and not is_pending
+            and self._has_committed_in_term()
         )
 
     # Sending
 
     def _peers(self) -> list[str]:
-        return [p for p in sorted({*self.voters, *self.learners}) if p != self.member_id]
-
-    def _beat(self) -> None:
-        self._round += 1
-        self._beat_due = self.now + self._times.heartbeat_interval_ms
-        self._busy.clear()  # what was lost goes again
+        """Return all other voters and the learners, in a fixed order."""
+        members = {*self.voters, *self.learners}
+        return [member for member in sorted(members) if member != self.member_id]
+
+    def _send_heartbeats(self) -> None:
+        """Start a heartbeat round; it repeats what may have been lost."""
+        self._heartbeat_round += 1
+        self._heartbeat_due = self.now + self._timing.heartbeat_interval_ms
+        self._progress.clear_in_flight()
         for peer in self._peers():
             self._send_entries(peer)
 
-    def _spread(self) -> None:
+    def _replicate(self) -> None:
+        """Send new entries to every peer that has no others on their way."""
         for peer in self._peers():
-            if peer not in self._busy:
+            if self._progress_of(peer).in_flight_round is None:
                 self._send_entries(peer)
 
+    def _progress_of(self, peer: str) -> Progress:
+        return self._progress.of(peer, next_index=self.log.last_index + 1)
+
     def _send_entries(self, peer: str) -> None:
-        start, self._told[peer] = (
-            self._next.setdefault(peer, self.log.last_index + 1),
-            self.commit_index,
+        """Send a peer what it lacks: entries, a snapshot, or only the commit index."""
+        progress = self._progress_of(peer)
+        progress.notified_commit = self.commit_index
+        log = self.log
+        previous = progress.next_index - 1
+        if previous < log.snapshot_index:
+            self._send_snapshot(peer)
+            progress.in_flight_round = self._heartbeat_round
+            return
+        entries = log.entries_after(previous, MAX_ENTRIES_PER_MESSAGE)
+        message = AppendEntries(
+            term=self.term,
+            sender=self.member_id,
+            previous_index=previous,
+            previous_term=log.term_at(previous),
+            entries=entries,
+            commit_index=self.commit_index,
+            heartbeat_round=self._heartbeat_round,
         )
-        if start <= self.log.snapshot_index:
-            log = self.log
-            state = InstallSnapshot(
-                self.term,
-                self.member_id,
-                log.snapshot_index,
-                log.snapshot_term,
-                log.snapshot_voters,
-                log.snapshot,
-                self._round,
-            )
-            self._send(peer, state)
-        else:
-            entries = self.log.entries_after(start - 1, MOST_ENTRIES)
-            before = self.log.term_at(start - 1)
-            self._send(
-                peer,
-                AppendEntries(
-                    self.term,
-                    self.member_id,
-                    start - 1,
-                    before,
-                    entries,
-                    self.commit_index,
-                    self._round,
-                ),
-            )
-            if not entries:
-                return
-        self._busy[peer] = self._round
+        self._send(peer, message)
+        if entries:
+            progress.in_flight_round = self._heartbeat_round
+
+    def _send_snapshot(self, peer: str) -> None:
+        message = InstallSnapshot(
+            term=self.term,
+            sender=self.member_id,
+            last_index=self.log.snapshot_index,
+            last_term=self.log.snapshot_term,
+            voters=self.log.snapshot_voters,
+            snapshot=self.log.snapshot,
+            heartbeat_round=self._heartbeat_round,
+        )
+        self._send(peer, message)
 
     def _answer_reads(self) -> None:
-        while self._reads:
-            token, index, at = self._reads[0]
-            if not self.has_quorum(
-                [self.member_id, *(p for p, r in self._rounds.items() if r >= at)]
-            ):
+        """Answer the reads whose heartbeat round a majority has answered, in their order."""
+        while self._pending_reads:
+            read = self._pending_reads[0]
+            confirmed = self._progress.acknowledging(read.heartbeat_round)
+            if not self.has_quorum(confirmed | {self.member_id}):
                 return
-            self._reads.pop(0)
-            self._actions.append(ReadIndexReady(token, index))
+            self._pending_reads.popleft()
+            self._actions.append(ReadIndexReady(read.token, read.index))
 
     def _send(self, to: str, message: Message) -> None:
         self._actions.append(SendMessage(to, message))
 
-    def _say(self) -> None:
+    def _announce_role(self) -> None:
         self._actions.append(RoleChanged(self.role, self.term, self.leader_id))
 
-    def _take(self) -> list[Action]:
-        actions, self._actions = self._actions, []
+    def _take_actions(self) -> list[Action]:
+        actions = self._actions
+        self._actions = []
         return actions
+
+
+def _is_pre_vote(message: Message) -> bool:
+    """Return whether it is pre-vote traffic, whose later term nobody is in yet.
+
+    A rejected pre-vote bears the voter's own term, which counts.
+    """
+    if isinstance(message, VoteRequest):
+        return message.pre_vote
+    return isinstance(message, VoteResponse) and message.pre_vote and message.granted
--- a/dockthread/raft/messages.py
+++ b/dockthread/raft/messages.py
@@ -1,5 +1,9 @@
-"""What ingresses of a fleet say to each other about their log; it travels in frames
-(dockthread/framing.py).
+"""Messages between Raft members, and the chunks in which a large snapshot is sent.
+
+The names are those of the Raft paper (Ongaro and Ousterhout, "In Search of an Understandable
+Consensus Algorithm", 2014) and of Ongaro's dissertation (2014). Messages travel in frames
+(dockthread/framing.py). All are encoded as arrays, so the order of fields is part of the protocol
+and their names are not.
 """
 
 from __future__ import annotations
@@ -10,13 +14,20 @@
 
 import msgspec
 
-from dockthread.framing import FRAME_HEADER, Codec, MalformedFrameError, UnknownMessageError
+from dockthread.framing import (
+    FRAME_HEADER,
+    Codec,
+    MalformedFrameError,
+    UnknownMessageError,
+)
 
 VERSION: Final = 1
-# bytes of a message: 64 entries of 64 KiB bodies, as one `Append` may hold, and room
+# bytes of a message: 64 entries of 64 KiB bodies, as one `AppendEntries` may hold, and some more
 MAX_MESSAGE_BYTES: Final = 8 << 20
-CHUNK_BYTES: Final = 256 << 10  # bytes of a state in one frame; a larger one goes in parts
-MAX_SNAPSHOT_BYTES: Final = 256 << 20  # bytes of a state: some five times that of 90,000 resources
+# bytes of a snapshot in one frame; a larger snapshot is sent in chunks
+CHUNK_BYTES: Final = 256 << 10
+# bytes of a snapshot: some five times that of 90,000 resources
+MAX_SNAPSHOT_BYTES: Final = 256 << 20
 
 __all__ = ["FRAME_HEADER", "MalformedFrameError", "UnknownMessageError"]
 
@@ -24,13 +35,16 @@
 class EntryKind(IntEnum):
     """What an entry of the log carries."""
 
-    NO_OP = 0
-    COMMAND = 1
-    VOTERS = 2
+    NO_OP = 0  # appended by a new leader, to commit the entries of earlier terms with it
+    COMMAND = 1  # for the state machine
+    VOTERS = 2  # the names of all voters from this entry on, separated by blanks
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log. `kind`: `NOTHING`, `COMMAND` or `VOTERS`."""
+    """One entry of the log.
+
+    `kind` is an `EntryKind`; it is typed as a number so that a kind of a later release can be read.
+    """
 
     term: int
     kind: int
@@ -38,7 +52,16 @@
 
 
 class VoteRequest(msgspec.Struct, frozen=True, array_like=True, tag="v"):
-    """`pre`: would you, if I asked? `handed`: the leader itself told me to ask."""
+    """RequestVote (Raft paper, section 5.2), also as a pre-vote (dissertation, section 9.6).
+
+    Attributes:
+        term: the candidate's; of a pre-vote, the term in which it would be candidate.
+        sender: the candidate.
+        last_index: of the candidate's last entry.
+        last_term: of the candidate's last entry.
+        pre_vote: the candidate only asks whether it would receive the vote.
+        leadership_transfer: the leader itself told the candidate to campaign.
+    """
 
     term: int
     sender: str
@@ -49,6 +72,8 @@
 
 
 class VoteResponse(msgspec.Struct, frozen=True, array_like=True, tag="w"):
+    """Answer to a `VoteRequest`; a granted pre-vote bears the term of its request."""
+
     term: int
     sender: str
     granted: bool
@@ -56,6 +81,18 @@
 
 
 class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag="a"):
+    """AppendEntries (Raft paper, section 5.3); without entries, a heartbeat.
+
+    Attributes:
+        term: the leader's.
+        sender: the leader.
+        previous_index: of the entry right before `entries`.
+        previous_term: of the entry right before `entries`.
+        entries: to be appended.
+        commit_index: the leader's; 0 where the message says nothing about it.
+        heartbeat_round: number of the leader's last heartbeat; the response repeats it.
+    """
+
     term: int
     sender: str
     previous_index: int
@@ -66,8 +103,15 @@
 
 
 class AppendEntriesResponse(msgspec.Struct, frozen=True, array_like=True, tag="b"):
-    """`match`: where both logs are alike, or, where not `ok`, the last place at which they may
-    be.
+    """Answer to `AppendEntries` and to `InstallSnapshot`.
+
+    Attributes:
+        term: the follower's.
+        sender: the follower.
+        success: the follower's log now holds what was sent.
+        match_index: up to which both logs are equal; without `success`, the last index at which
+            they may be equal.
+        heartbeat_round: that of the message that is answered.
     """
 
     term: int
@@ -78,7 +122,17 @@
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="i"):
-    """The state after entry `last`, for one that is too far behind for the log."""
+    """InstallSnapshot (Raft paper, section 7), for a follower that needs compacted entries.
+
+    Attributes:
+        term: the leader's.
+        sender: the leader.
+        last_index: of the last entry that the snapshot replaces.
+        last_term: of that entry.
+        voters: as of that entry.
+        snapshot: the state machine after that entry.
+        heartbeat_round: number of the leader's last heartbeat.
+    """
 
     term: int
     sender: str
@@ -90,8 +144,13 @@
 
 
 class SnapshotChunk(msgspec.Struct, frozen=True, array_like=True, tag="p"):
-    """Part `number`, from 0, of an `Install` whose state has `size` bytes: its head is that of the
-    message itself.
+    """A part of an `InstallSnapshot` that is too large for one frame.
+
+    Attributes:
+        header: the message, with an empty snapshot.
+        number: of this chunk, from 0.
+        snapshot_size: bytes of the complete snapshot.
+        data: `CHUNK_BYTES` of the snapshot; the last chunk may be shorter.
     """
 
     header: InstallSnapshot
@@ -101,12 +160,14 @@
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, array_like=True, tag="t"):
+    """Tells a follower to campaign at once (dissertation, section 3.10, leadership transfer)."""
+
     term: int
     sender: str
 
 
 class ForwardedProposal(msgspec.Struct, frozen=True, array_like=True, tag="q"):
-    """A member that does not lead has the leader propose this for it."""
+    """Asks the leader to propose a command for a member that does not lead."""
 
     term: int
     sender: str
@@ -115,7 +176,7 @@
 
 
 class ForwardedProposalResponse(msgspec.Struct, frozen=True, array_like=True, tag="r"):
-    """Whether what was asked under `token` stands in the log, at `index`."""
+    """Says at which index the proposal with this token was committed; 0 where that is unknown."""
 
     term: int
     sender: str
@@ -124,7 +185,7 @@
 
 
 class StatusReport(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """What the sender sees, for whoever leads; the owner of the log knows what it means."""
+    """What a member observes, for the leader's state machine; Raft does not read it."""
 
     term: int
     sender: str
@@ -145,49 +206,57 @@
 Frame = Message | SnapshotChunk
 
 _codec: Codec[Frame] = Codec(Frame, VERSION, MAX_MESSAGE_BYTES)
-pack, length, unpack = _codec.pack, _codec.length, _codec.unpack
+pack = _codec.pack
+length = _codec.length
+unpack = _codec.unpack
 
 
-def split_snapshot(whole: InstallSnapshot, key: bytes) -> Iterator[bytes]:
-    """The frames of a state in parts."""
-    head = msgspec.structs.replace(whole, snapshot=b"")
-    for number, at in enumerate(range(0, len(whole.snapshot), CHUNK_BYTES)):
-        yield pack(
-            SnapshotChunk(head, number, len(whole.snapshot), whole.snapshot[at : at + CHUNK_BYTES]),
-            key,
-        )
+def split_snapshot(message: InstallSnapshot, key: bytes) -> Iterator[bytes]:
+    """Yield the frames of a message whose snapshot is sent in chunks."""
+    header = msgspec.structs.replace(message, snapshot=b"")
+    size = len(message.snapshot)
+    for number, start in enumerate(range(0, size, CHUNK_BYTES)):
+        data = message.snapshot[start : start + CHUNK_BYTES]
+        yield pack(SnapshotChunk(header, number, size, data), key)
 
 
 class SnapshotAssembler:
-    """Parts of one connection, joined to the message that they were cut from."""
+    """Joins the chunks of one connection to the message that they were split from."""
 
     def __init__(self) -> None:
-        self._head: InstallSnapshot | None = None
-        self._size, self._state = 0, bytearray()
+        self._header: InstallSnapshot | None = None
+        self._size = 0
+        self._received = bytearray()
 
-    def add(self, part: SnapshotChunk) -> InstallSnapshot | None:
-        """The message once its last part is there. Raises `MalformedFrame` for parts that don't
-        follow each other.
+    def add(self, chunk: SnapshotChunk) -> InstallSnapshot | None:
+        """Return the message if this was its last chunk, otherwise None.
+
+        Raises:
+            MalformedFrameError: the chunk does not follow the one before it.
         """
-        if part.number == 0:
-            self._head, self._size, self._state = part.header, part.snapshot_size, bytearray()
-        at = part.number * CHUNK_BYTES
-        follows = (
-            self._head == part.header
-            and self._size == part.snapshot_size
-            and len(self._state) == at
-        )
-        if (
-            not follows
-            or len(part.data) != min(CHUNK_BYTES, part.snapshot_size - at)
-            or not part.snapshot_size <= MAX_SNAPSHOT_BYTES
-        ):
+        if chunk.number == 0:
+            self._header = chunk.header
+            self._size = chunk.snapshot_size
+            self._received = bytearray()
+        if not self._is_next(chunk):
             raise MalformedFrameError(
-                f"part {part.number} of a state of {part.snapshot_size} bytes does not follow {at}"
+                f"chunk {chunk.number} of a snapshot of {chunk.snapshot_size} bytes "
+                f"does not follow {len(self._received)} bytes"
             )
-        self._state += part.data
-        if len(self._state) < self._size:
+        self._received += chunk.data
+        if len(self._received) < self._size:
             return None
-        whole = msgspec.structs.replace(part.header, snapshot=bytes(self._state))
-        self._head, self._state = None, bytearray()
-        return whole
+        message = msgspec.structs.replace(chunk.header, snapshot=bytes(self._received))
+        self._header = None
+        self._received = bytearray()
+        return message
+
+    def _is_next(self, chunk: SnapshotChunk) -> bool:
+        start = chunk.number * CHUNK_BYTES
+        return (
+            self._header == chunk.header
+            and self._size == chunk.snapshot_size
+            and len(self._received) == start
+            and len(chunk.data) == min(CHUNK_BYTES, chunk.snapshot_size - start)
+            and chunk.snapshot_size <= MAX_SNAPSHOT_BYTES
+        )
--- a/dockthread/raft/transport.py
+++ b/dockthread/raft/transport.py
@@ -1,12 +1,12 @@
-"""Frames to one other member: a bounded queue, and beside it a state in parts.
+"""Sends frames to one other member: a bounded queue, and a snapshot in chunks beside it.
 
-Theory of operation. The agreement sends the whole state to a member that is too far behind, anew at
-each beat until it is answered. A state of 90,000 resources has tens of megabytes: in one frame it
-would hold up every sign of life behind it, and a queue of such frames would fill the memory. So a
-state is cut into parts, sent only while no other frame waits and one at a time; while it is under
-way, and for `REPEAT` after it, a beat that would send it again sends an empty `Append` behind the
-state's last entry instead. The receiver answers that one like any other, so that both know of each
-other meanwhile; it is answered with yes once the state has arrived.
+The core sends a snapshot to a member that is too far behind, again at each heartbeat until it is
+answered. A snapshot of 90,000 resources has tens of megabytes: in one frame it would hold up all
+heartbeats behind it, and a queue of such frames would fill the memory. So it is cut into chunks,
+which are sent one at a time and only while no other frame waits. While a snapshot is being sent,
+and for `SNAPSHOT_RETRY_S` after it, an empty `AppendEntries` behind the snapshot's last entry is
+sent in place of each repetition. The receiver answers it like any other, so both members still
+hear from each other; it succeeds once the snapshot has arrived.
 """
 
 from __future__ import annotations
@@ -16,27 +16,39 @@
 import time
 from collections import deque
 from collections.abc import Iterator
+from typing import Final
 
 from dockthread.config.platform_settings import Address
 from dockthread.framing import MessageCounts
 from dockthread.raft import messages
 
-MOST_WAITING = 256  # frames to one member
-PAUSE = 200.0  # ms before a broken connection is opened again, give or take half
-REPEAT = 5.0  # s after a state was sent before the same one is sent again
-CONNECTING, DRAINING = 2.0, 5.0  # s
+MAX_QUEUED_FRAMES: Final = 256  # to one member
+RECONNECT_MS: Final = 200.0  # before a lost connection is opened again, give or take half
+SNAPSHOT_RETRY_S: Final = 5.0  # after a snapshot was sent, before the same one is sent again
+CONNECT_TIMEOUT_S: Final = 2.0
+DRAIN_TIMEOUT_S: Final = 5.0
 
 
 class PeerTransport:
-    """Frames to one other member. `counts`: where they are counted."""
+    """A connection to one other member, opened when there is something to send.
 
-    def __init__(self, to: Address, rng: random.Random, key: bytes, counts: MessageCounts) -> None:
-        self._to, self._rng, self._key, self._counts = to, rng, key, counts
-        self._waiting: deque[bytes] = deque(maxlen=MOST_WAITING)
-        self._parts: Iterator[bytes] | None = None  # of the state that is under way
-        self._state: tuple[int, int] = (0, 0)  # term and last entry of the state that was sent last
-        self._sent = -REPEAT  # when its last part was written
-        self._some = asyncio.Event()
+    Attributes:
+        task: sends what is queued until it is cancelled.
+    """
+
+    def __init__(
+        self, address: Address, rng: random.Random, key: bytes, counts: MessageCounts
+    ) -> None:
+        """Start sending; the frames that are sent are counted in `counts`."""
+        self._address = address
+        self._rng = rng
+        self._key = key
+        self._counts = counts
+        self._queue: deque[bytes] = deque(maxlen=MAX_QUEUED_FRAMES)
+        self._chunks: Iterator[bytes] | None = None  # of the snapshot that is being sent
+        self._snapshot_id = (0, 0)  # term and last index of the snapshot that was sent last
+        self._snapshot_sent_at = -SNAPSHOT_RETRY_S  # when its last chunk was written
+        self._has_work = asyncio.Event()
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def send(self, message: messages.Message) -> None:
@@ -45,52 +57,68 @@
             isinstance(message, messages.InstallSnapshot)
             and len(message.snapshot) > messages.CHUNK_BYTES
         ):
-            self._send_state(message)
+            self._send_snapshot(message)
         else:
-            self._waiting.append(messages.pack(message, self._key))
-        self._some.set()
+            self._queue.append(messages.pack(message, self._key))
+        self._has_work.set()
 
-    def _send_state(self, m: messages.InstallSnapshot) -> None:
-        same = (m.term, m.last_index) == self._state and time.monotonic() - self._sent < REPEAT
-        if self._parts is not None or same:
-            beat = messages.AppendEntries(
-                m.term, m.sender, m.last_index, m.last_term, (), 0, m.heartbeat_round
+    def _send_snapshot(self, message: messages.InstallSnapshot) -> None:
+        """Start sending a snapshot in chunks, or send a heartbeat while one is on its way."""
+        snapshot_id = (message.term, message.last_index)
+        recently = time.monotonic() - self._snapshot_sent_at < SNAPSHOT_RETRY_S
+        if self._chunks is not None or (snapshot_id == self._snapshot_id and recently):
+            heartbeat = messages.AppendEntries(
+                term=message.term,
+                sender=message.sender,
+                previous_index=message.last_index,
+                previous_term=message.last_term,
+                entries=(),
+                commit_index=0,
+                heartbeat_round=message.heartbeat_round,
             )
-            self._waiting.append(messages.pack(beat, self._key))
+            self._queue.append(messages.pack(heartbeat, self._key))
         else:
-            self._state = m.term, m.last_index
-            self._parts = messages.split_snapshot(m, self._key)
+            self._snapshot_id = snapshot_id
+            self._chunks = messages.split_snapshot(message, self._key)
 
     async def _run(self) -> None:
+        """Connect whenever something is queued, and write until the connection breaks."""
         while True:
-            await self._some.wait()
+            await self._has_work.wait()
             writer = None
             try:
-                async with asyncio.timeout(CONNECTING):
-                    _, writer = await asyncio.open_connection(self._to.host, self._to.port)
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                    address = self._address
+                    _, writer = await asyncio.open_connection(address.host, address.port)
                 while True:
-                    await self._some.wait()
-                    self._some.clear()
-                    await self._write(writer)
+                    await self._has_work.wait()
+                    self._has_work.clear()
+                    await self._write_queued(writer)
             except (OSError, TimeoutError):
-                self._waiting.clear()  # old by the time it could be sent
-                self._parts, self._state = None, (0, 0)
-                await asyncio.sleep(PAUSE * self._rng.uniform(0.5, 1.5) / 1000.0)
+                self._queue.clear()  # outdated by the time it could be sent
+                self._chunks = None
+                self._snapshot_id = (0, 0)
+                await asyncio.sleep(RECONNECT_MS * self._rng.uniform(0.5, 1.5) / 1000.0)
             finally:
                 if writer is not None:
                     writer.close()
 
-    async def _write(self, writer: asyncio.StreamWriter) -> None:
-        """All that waits, then parts of a state as long as nothing else waits."""
-        while self._waiting or self._parts is not None:
-            while self._waiting:
-                writer.write(self._waiting.popleft())
+    async def _write_queued(self, writer: asyncio.StreamWriter) -> None:
+        """Write the queue, then one chunk of a snapshot at a time while the queue is empty."""
+        while self._queue or self._chunks is not None:
+            while self._queue:
+                writer.write(self._queue.popleft())
                 self._counts.sent += 1
-            if self._parts is not None:
-                if (part := next(self._parts, None)) is None:
-                    self._parts, self._sent = None, time.monotonic()
-                else:
-                    writer.write(part)
-                    self._counts.sent += 1
-            async with asyncio.timeout(DRAINING):
+            if self._chunks is not None:
+                self._write_chunk(writer, self._chunks)
+            async with asyncio.timeout(DRAIN_TIMEOUT_S):
                 await writer.drain()
+
+    def _write_chunk(self, writer: asyncio.StreamWriter, chunks: Iterator[bytes]) -> None:
+        chunk = next(chunks, None)
+        if chunk is None:
+            self._chunks = None
+            self._snapshot_sent_at = time.monotonic()
+        else:
+            writer.write(chunk)
+            self._counts.sent += 1
