--- a/dockthread/cli/lab_distribution.py
+++ b/dockthread/cli/lab_distribution.py
@@ -8,7 +8,7 @@
 import click
 
 from dockthread.cli.lab_seeds import jobs_option, json_option, seeds_option, show_replay, show_seeds
-from dockthread.lab.control_plane.seeded_defects import NAMES, PLANTS
+from dockthread.lab.control_plane.seeded_defects import NAMES, SEEDED_DEFECTS
 from dockthread.lab.control_plane.seeds import SCENARIOS, play_seed
 from dockthread.lab.seeds import play_many
 
@@ -22,7 +22,7 @@
     """A planted bug's name, or the list of them and the end."""
     if value == "list":
         for name in NAMES:
-            click.echo(f"{name}  a planted bug, for scenario {PLANTS[name].scenario}")
+            click.echo(f"{name}  a planted bug, for scenario {SEEDED_DEFECTS[name].scenario}")
         ctx.exit(0)
     if value and value not in NAMES:
         raise click.BadParameter(f"{value!r} is none of: {', '.join(NAMES)}")
--- a/dockthread/control_plane/admin_client.py
+++ b/dockthread/control_plane/admin_client.py
@@ -1,6 +1,4 @@
-"""Asks servers of control from outside: publishes, looks up, and puts together what all of them
-tell.
-"""
+"""Requests of operators and publishers to the servers of the control plane."""
 
 from __future__ import annotations
 
@@ -8,6 +6,7 @@
 import secrets
 from collections.abc import Sequence
 from dataclasses import dataclass, field
+from typing import Final
 
 from dockthread.config.platform_settings import Address
 from dockthread.control_plane.messages import (
@@ -22,24 +21,39 @@
     SubscriberStatus,
     codec,
 )
+from dockthread.control_plane.publish_state_machine import ANY_REVISION, OUTCOME_UNKNOWN
 from dockthread.framing import HEAD, MalformedFrame
 
-ANSWER = 5.0  # s for one question
-PUBLISHING = 20.0  # s until a change is given up
-PAUSE = 0.2  # s before the servers are asked once more
+REQUEST_TIMEOUT: Final = 5.0
+"""Time in s for one request."""
+MIN_REQUEST_TIMEOUT: Final = 0.1
+"""Time in s that a request has at least, shortly before a change is given up."""
+PUBLISH_TIMEOUT: Final = 20.0
+"""Time in s after which a change is given up."""
+PUBLISH_RETRY_DELAY: Final = 0.2
+"""Time in s before all servers are tried once more."""
+TOKEN_BYTES: Final = 16
+"""Random bytes of a change's token."""
 
 
 class NoResponseError(Exception):
-    """A server that could not be asked; the text says why."""
+    """A server did not respond as expected; the text says why."""
 
 
 async def send_request(
-    server: Address, message: Message, key: bytes, most: float = ANSWER
+    server: Address,
+    message: Message,
+    key: bytes,
+    timeout: float = REQUEST_TIMEOUT,  # noqa: ASYNC109  it includes connecting
 ) -> Message:
-    """One question on a connection of its own. Raises `NoAnswer`."""
+    """Return the response to a request on a connection of its own. `timeout` is in s.
+
+    Raises:
+        NoResponseError: The server cannot be reached, or does not respond in time.
+    """
     writer = None
     try:
-        async with asyncio.timeout(most):
+        async with asyncio.timeout(timeout):
             reader, writer = await asyncio.open_connection(server.host, server.port)
             writer.write(codec.pack(message, key))
             head = await reader.readexactly(HEAD.size)
@@ -49,7 +63,7 @@
             "it closed the connection: another key, or no server of control"
         ) from error
     except TimeoutError as error:
-        raise NoResponseError(f"no answer within {most:g} s") from error
+        raise NoResponseError(f"no answer within {timeout:g} s") from error
     except (OSError, MalformedFrame) as error:
         raise NoResponseError(str(error)) from error
     finally:
@@ -57,127 +71,176 @@
             writer.close()
 
 
+def new_request(
+    kind: str, name: str, body: bytes | None, expected: int = ANY_REVISION
+) -> PublishRequest:
+    """Return a change with a new random token; `body` None deletes the resource."""
+    return PublishRequest(secrets.token_hex(TOKEN_BYTES), kind, name, body, expected)
+
+
 async def publish(
-    servers: Sequence[Address], change: PublishRequest, key: bytes, most: float = PUBLISHING
+    servers: Sequence[Address],
+    request: PublishRequest,
+    key: bytes,
+    timeout: float = PUBLISH_TIMEOUT,  # noqa: ASYNC109  the last outcome is returned, not raised
 ) -> PublishResponse:
-    """By the first server that knows; the others are asked with the same token, so that it counts
-    once.
+    """Publish a change and return the response of the first server that knows the outcome.
+
+    The servers are tried in turn with the same token, so the change counts once. After `timeout`
+    seconds the response is the last one without an outcome.
     """
-    last = PublishResponse(change.token, -1, "no server was asked")
+    last = PublishResponse(request.token, OUTCOME_UNKNOWN, "no server was asked")
     loop = asyncio.get_running_loop()
-    until = loop.time() + most
+    deadline = loop.time() + timeout
     while True:
         for server in servers:
-            try:
-                answer = await send_request(
-                    server, change, key, max(0.1, min(ANSWER, until - loop.time()))
-                )
-            except NoResponseError as error:
-                last = PublishResponse(change.token, -1, f"{server}: {error}")
-                continue
-            if isinstance(answer, PublishResponse) and answer.revision >= 0:
-                return answer
-            reason = (
-                answer.reason
-                if isinstance(answer, PublishResponse)
-                else f"it says {type(answer).__name__}"
-            )
-            last = PublishResponse(change.token, -1, f"{server}: {reason}")
-        if loop.time() + PAUSE >= until:
+            remaining = max(MIN_REQUEST_TIMEOUT, min(REQUEST_TIMEOUT, deadline - loop.time()))
+            last = await _publish_to(server, request, key, remaining)
+            if last.revision >= 0:
+                return last
+        if loop.time() + PUBLISH_RETRY_DELAY >= deadline:
             return last
-        await asyncio.sleep(PAUSE)
+        await asyncio.sleep(PUBLISH_RETRY_DELAY)
 
 
-def new_request(kind: str, name: str, body: bytes | None, expected: int = -1) -> PublishRequest:
-    """A change under a token of its own, drawn anew."""
-    return PublishRequest(secrets.token_hex(16), kind, name, body, expected)
+async def _publish_to(
+    server: Address,
+    request: PublishRequest,
+    key: bytes,
+    timeout: float,  # noqa: ASYNC109  passed on
+) -> PublishResponse:
+    """Return the response of one server, or one without an outcome that says why."""
+    try:
+        response = await send_request(server, request, key, timeout)
+    except NoResponseError as error:
+        return PublishResponse(request.token, OUTCOME_UNKNOWN, f"{server}: {error}")
+    if not isinstance(response, PublishResponse):
+        reason = f"it says {type(response).__name__}"
+    elif response.revision >= 0:
+        return response
+    else:
+        reason = response.reason
+    return PublishResponse(request.token, OUTCOME_UNKNOWN, f"{server}: {reason}")
 
 
 async def lookup(servers: Sequence[Address], kind: str, name: str, key: bytes) -> list[Resource]:
-    """From the first server that answers. Raises `NoAnswer` where none does."""
+    """Return one resource, or all of a kind, from the first server that responds.
+
+    Raises:
+        NoResponseError: None does.
+    """
     faults = []
     for server in servers:
-        found: list[Resource] = []
         try:
-            while True:
-                after = found[-1].name if found else ""
-                answer = await send_request(server, LookupRequest(kind, name, after), key)
-                if not isinstance(answer, LookupResponse):
-                    raise NoResponseError(f"it says {type(answer).__name__}")
-                found += answer.resources
-                if not answer.more or not answer.resources:
-                    return found
+            return await _lookup_at(server, kind, name, key)
         except NoResponseError as error:
             faults.append(f"{server}: {error}")
     raise NoResponseError("; ".join(faults))
 
 
+async def _lookup_at(server: Address, kind: str, name: str, key: bytes) -> list[Resource]:
+    """Return all pages of one server."""
+    found: list[Resource] = []
+    while True:
+        after = found[-1].name if found else ""
+        response = await send_request(server, LookupRequest(kind, name, after), key)
+        if not isinstance(response, LookupResponse):
+            raise NoResponseError(f"it says {type(response).__name__}")
+        found += response.resources
+        if not response.more or not response.resources:
+            return found
+
+
 @dataclass(slots=True)
 class ControlPlaneOverview:
-    """What all servers tell together. `revision` and `epoch`: of the newest that was seen."""
+    """The status of all servers together.
+
+    Attributes:
+        servers: Status of the servers that responded, by address.
+        unreachable: Why the others did not, by address.
+        subscribers: Each subscriber once, by name.
+        epoch: History of the newest table.
+        revision: Revision of the newest table.
+    """
 
-    servers: dict[str, StatusResponse] = field(default_factory=dict)  # by address
-    unreachable: dict[str, str] = field(default_factory=dict)  # why, by address
+    servers: dict[str, StatusResponse] = field(default_factory=dict)
+    unreachable: dict[str, str] = field(default_factory=dict)
     subscribers: list[SubscriberStatus] = field(default_factory=list)
     epoch: str = ""
     revision: int = 0
 
     def lagging(self) -> list[SubscriberStatus]:
-        """Those that are not known to have the newest in force, or refused some of it."""
-        return [one for one in self.subscribers if one.rejections or self.lags(one)]
+        """Return the subscribers that lag or reject something."""
+        return [
+            subscriber
+            for subscriber in self.subscribers
+            if subscriber.rejections or self.lags(subscriber)
+        ]
 
-    def lags(self, one: SubscriberStatus) -> bool:
-        """Whether an ingress is gone, or lacks what was accepted last."""
-        return not one.connected or one.revision < self.revision
+    def lags(self, subscriber: SubscriberStatus) -> bool:
+        """Return whether a subscriber left, or has not acknowledged the newest revision."""
+        return not subscriber.connected or subscriber.revision < self.revision
 
     def lagging_servers(self) -> list[StatusResponse]:
-        """Servers that do not hold what the furthest one holds."""
+        """Return the servers whose table is not the newest."""
+        newest = (self.epoch, self.revision)
         return [
-            one
-            for one in self.servers.values()
-            if (one.epoch, one.revision) != (self.epoch, self.revision)
+            server for server in self.servers.values() if (server.epoch, server.revision) != newest
         ]
 
     @property
     def is_healthy(self) -> bool:
-        """Whether every server answered and nobody lags."""
+        """Whether every server responded and nobody lags."""
         return not (self.unreachable or self.lagging() or self.lagging_servers())
 
 
 async def fetch_overview(servers: Sequence[Address], key: bytes) -> ControlPlaneOverview:
-    """Of all servers at once."""
-    whole = ControlPlaneOverview()
+    """Request the status of all servers at once."""
+    overview = ControlPlaneOverview()
 
-    async def one(server: Address) -> None:
+    async def fetch(server: Address) -> None:
         try:
-            answer = await send_request(server, StatusRequest(), key)
-            if not isinstance(answer, StatusResponse):
-                raise NoResponseError(f"it says {type(answer).__name__}")
-            whole.servers[str(server)] = answer
+            overview.servers[str(server)] = await _fetch_status(server, key)
         except NoResponseError as error:
-            whole.unreachable[str(server)] = str(error)
+            overview.unreachable[str(server)] = str(error)
 
-    await asyncio.gather(*(one(server) for server in servers))
+    await asyncio.gather(*(fetch(server) for server in servers))
     newest = max(
-        whole.servers.values(), key=lambda s: (s.role == "voter", s.revision), default=None
+        overview.servers.values(),
+        key=lambda server: (server.role == "voter", server.revision),
+        default=None,
     )
     if newest is not None:
-        whole.epoch, whole.revision = newest.epoch, newest.revision
-    whole.subscribers = _joined(list(whole.servers.values()))
-    return whole
+        overview.epoch = newest.epoch
+        overview.revision = newest.revision
+    overview.subscribers = _merge_subscribers(list(overview.servers.values()))
+    return overview
 
 
-def _joined(servers: list[StatusResponse]) -> list[SubscriberStatus]:
-    """Each subscriber once, as the server knows it that it is connected to, or was last ahead with;
-    but for servers that told of themselves.
+async def _fetch_status(server: Address, key: bytes) -> StatusResponse:
+    response = await send_request(server, StatusRequest(), key)
+    if not isinstance(response, StatusResponse):
+        raise NoResponseError(f"it says {type(response).__name__}")
+    return response
+
+
+def _merge_subscribers(servers: list[StatusResponse]) -> list[SubscriberStatus]:
+    """Return each subscriber once, except for servers that responded themselves.
+
+    Of two servers that know it, the one counts that it is connected to, or that knows the newer
+    revision.
     """
     best: dict[str, SubscriberStatus] = {}
-    known = {server.name for server in servers}
+    server_names = {server.name for server in servers}
     for server in servers:
-        for one in server.subscribers:
-            if one.name in known:
+        for status in server.subscribers:
+            if status.name in server_names:
                 continue
-            there = best.get(one.name)
-            if there is None or (one.connected, one.revision) > (there.connected, there.revision):
-                best[one.name] = one
+            known = best.get(status.name)
+            if known is None or _rank(status) > _rank(known):
+                best[status.name] = status
     return [best[name] for name in sorted(best)]
+
+
+def _rank(status: SubscriberStatus) -> tuple[bool, int]:
+    return status.connected, status.revision
--- a/dockthread/control_plane/applied_resources.py
+++ b/dockthread/control_plane/applied_resources.py
@@ -1,4 +1,4 @@
-"""What of a table the owner has put in force, and what it refused."""
+"""What of a subscriber's table is applied, and what was rejected."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 
 from dockthread.control_plane.messages import (
+    MAX_REASON_CHARACTERS,
     MAX_REJECTIONS,
-    MOST_REASON,
     Acknowledge,
     Rejection,
     Resource,
@@ -17,59 +17,79 @@
 
 @dataclass(slots=True)
 class _Batch:
+    """Resources that are being applied.
+
+    Attributes:
+        number: Number of the batch, counted from 1.
+        acknowledgement: Acknowledgement once it is applied, without rejections.
+        resources: The resources.
+    """
+
     number: int
-    acknowledge: Acknowledge  # once it is in force, without rejections
+    acknowledgement: Acknowledge
     resources: Sequence[Resource]
 
 
 class AppliedResources:
-    """Batches that the owner was given, until it tells that they are in force."""
+    """Tracks batches until they are applied, and the acknowledgement of what is applied."""
 
-    def __init__(self, held: Acknowledge, rejections: Iterable[Rejection]) -> None:
-        self._held = held
-        self._rejections = {(one.kind, one.name): one for one in rejections}
-        self._batches: deque[_Batch] = deque()
-        self._given = 0
+    def __init__(self, applied: Acknowledge, rejections: Iterable[Rejection]) -> None:
+        self._applied = applied
+        self._rejections = {(rejection.kind, rejection.name): rejection for rejection in rejections}
+        self._batches: deque[_Batch] = deque()  # those not yet applied, the oldest first
+        self._last_number = 0
 
     @property
     def rejections(self) -> tuple[Rejection, ...]:
-        """Of all that is in force."""
+        """Rejections among the resources that are applied."""
         return tuple(self._rejections.values())
 
-    def give(self, resources: Sequence[Resource], then: Acknowledge) -> int:
-        """The number of a new batch; `then` holds once it is in force."""
-        self._given += 1
-        self._batches.append(_Batch(self._given, then, resources))
-        return self._given
+    def begin_batch(self, resources: Sequence[Resource], acknowledgement: Acknowledge) -> int:
+        """Return the number of a new batch; `acknowledgement` holds once it is applied."""
+        self._last_number += 1
+        self._batches.append(_Batch(self._last_number, acknowledgement, resources))
+        return self._last_number
 
-    def unchanged(self, then: Acknowledge) -> None:
-        """The table moved on without a change to any resource."""
+    def on_unchanged(self, acknowledgement: Acknowledge) -> None:
+        """Record that the table advanced without a change to any resource."""
         if self._batches:
-            self._batches[-1].acknowledge = then
+            self._batches[-1].acknowledgement = acknowledgement
         else:
-            self._held = then
+            self._applied = acknowledgement
 
     def on_applied(self, number: int, rejected: Iterable[Rejection]) -> bool:
-        """All up to this batch is in force but for what was rejected. False for a batch that is not
-        awaited.
+        """Record that batches up to `number` are applied, except for what was rejected.
+
+        Returns:
+            False for a batch that is not being applied.
         """
-        if not self._batches or not self._batches[0].number <= number <= self._given:
+        if not self._batches or not self._batches[0].number <= number <= self._last_number:
             return False
         while self._batches and self._batches[0].number <= number:
             batch = self._batches.popleft()
-            if self._rejections:
-                for resource in batch.resources:
-                    self._rejections.pop((resource.kind, resource.name), None)
-            self._held = batch.acknowledge
-        for one in rejected:
-            shortened = Rejection(one.kind, one.name, one.revision, one.reason[:MOST_REASON])
-            self._rejections[one.kind, one.name] = shortened
+            self._drop_rejections(batch.resources)
+            self._applied = batch.acknowledgement
+        for rejection in rejected:
+            reason = rejection.reason[:MAX_REASON_CHARACTERS]
+            self._rejections[rejection.kind, rejection.name] = Rejection(
+                rejection.kind, rejection.name, rejection.revision, reason
+            )
         return True
 
-    def acknowledge(self) -> Acknowledge:
-        """What is in force now."""
-        held = self._held
-        rejected = self.rejections
+    def acknowledgement(self) -> Acknowledge:
+        """Return the acknowledgement of what is applied now."""
+        applied = self._applied
+        rejections = self.rejections
         return Acknowledge(
-            held.epoch, held.revision, held.digest, rejected[:MAX_REJECTIONS], len(rejected)
+            applied.epoch,
+            applied.revision,
+            applied.digest,
+            rejections[:MAX_REJECTIONS],
+            len(rejections),
         )
+
+    def _drop_rejections(self, resources: Sequence[Resource]) -> None:
+        if not self._rejections:
+            return
+        for resource in resources:
+            self._rejections.pop((resource.kind, resource.name), None)
--- a/dockthread/control_plane/encoded.py
+++ b/dockthread/control_plane/encoded.py
@@ -1,24 +1,30 @@
-"""Frames that many subscribers are sent, encoded once: the parts of one snapshot, and what follows
-a revision.
-"""
+"""Frames that many subscribers are sent, encoded once: chunks of a snapshot and deltas."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Final
+from typing import Final, NamedTuple
 
-from dockthread.control_plane.messages import codec
-from dockthread.control_plane.resource_table import FrozenTable, ResourceTable
+from dockthread.control_plane.frozen_table import FrozenTable
+from dockthread.control_plane.messages import NO_DIGEST, codec
+from dockthread.control_plane.resource_table import ResourceTable
 
-MOST_DELTAS: Final = 64  # frames kept of one state of the table
-LEAST_BEHIND: Final = 64  # changes that a cached snapshot may always lack
-BEHIND_SHARE: Final = 0.1  # changes that it may lack, as a part of the resources
+MAX_DELTA_FRAMES: Final = 64
+"""Delta frames cached for one state of the table."""
+MIN_SNAPSHOT_LAG: Final = 64
+"""Changes that a cached snapshot may always lack."""
+MAX_SNAPSHOT_LAG_FRACTION: Final = 0.1
+"""Changes that a cached snapshot may lack, as a fraction of the number of resources."""
 
 
 @dataclass(frozen=True, slots=True)
 class DeltaFrame:
-    """`revision`: what its receiver holds after it; `digest`: of all, empty where this is not
-    all.
+    """An encoded delta.
+
+    Attributes:
+        frame: Bytes to be written.
+        revision: Revision of its receiver afterwards.
+        digest: Digest of the table; `NO_DIGEST` where the delta is not complete.
     """
 
     frame: bytes
@@ -27,59 +33,76 @@
 
 
 class EncodedSnapshot:
-    """One table as it stood, in frames; each is encoded when it is first asked for."""
+    """A table as it was, in frames; each is encoded when it is first needed.
+
+    `chunk_bytes` bounds the resources of one frame; `key` tags the frames.
+    """
 
-    def __init__(self, table: ResourceTable, part: int, key: bytes) -> None:
-        self.epoch, self.revision, self.size = table.epoch, table.revision, float(table.bytes)
+    def __init__(self, table: ResourceTable, chunk_bytes: int, key: bytes) -> None:
+        self.epoch = table.epoch
+        self.revision = table.revision
         self.digest = table.digest
-        self._frozen: FrozenTable | None = table.freeze()
-        self._part, self._key = part, key
+        self._frozen: FrozenTable | None = table.freeze()  # until all frames are encoded
+        self._chunk_bytes = chunk_bytes
+        self._key = key
         self._frames: list[bytes] = []
 
     def frame(self, number: int) -> bytes | None:
-        """Part `number`, from 0; None behind the last one."""
+        """Return frame `number`, counted from 0, or None behind the last one."""
         while len(self._frames) <= number and self._frozen is not None:
-            self._frames.append(codec.pack(self._frozen.next_chunk(self._part), self._key))
+            chunk = self._frozen.next_chunk(self._chunk_bytes)
+            self._frames.append(codec.pack(chunk, self._key))
             if self._frozen.exhausted:
                 self._frozen = None
         return self._frames[number] if number < len(self._frames) else None
 
 
+class _TableState(NamedTuple):
+    """What a delta frame depends on besides its receiver's revision."""
+
+    epoch: str = ""
+    revision: int = 0
+    is_complete: bool = True
+    digest: bytes = NO_DIGEST
+
+
 class EncodedFrameCache:
-    """Frames of `table` as it is now, or was lately."""
+    """Encoded frames of a table: one recent snapshot, and deltas of its current state."""
 
-    def __init__(self, table: ResourceTable, part: int, key: bytes) -> None:
-        self._table, self._part, self._key = table, part, key
+    def __init__(self, table: ResourceTable, chunk_bytes: int, key: bytes) -> None:
+        self._table = table
+        self._chunk_bytes = chunk_bytes
+        self._key = key
         self._snapshot: EncodedSnapshot | None = None
-        self._deltas: dict[int, DeltaFrame] = {}
-        # epoch, revision, wholeness and digest of the table that they are of
-        self._deltas_of = ("", 0, True, b"")
+        self._deltas: dict[int, DeltaFrame] = {}  # by the receiver's revision
+        self._deltas_of = _TableState()
 
     def snapshot(self) -> EncodedSnapshot:
-        """The cached one where deltas bring its receiver up to date soon, else a new one."""
-        if self._snapshot is None or not self._near(self._snapshot):
-            self._snapshot = EncodedSnapshot(self._table, self._part, self._key)
+        """Return the cached snapshot where a short delta follows it, else a new one."""
+        if self._snapshot is None or not self._is_recent(self._snapshot):
+            self._snapshot = EncodedSnapshot(self._table, self._chunk_bytes, self._key)
         return self._snapshot
 
     def drop_snapshot(self) -> None:
-        """Nobody has asked for it for a while; who receives it keeps it."""
+        """Free the cached snapshot; transfers under way keep theirs."""
         self._snapshot = None
 
     def delta(self, revision: int) -> DeltaFrame:
-        """What follows for a receiver that holds `revision`."""
+        """Return the next delta for a receiver at `revision`."""
         table = self._table
-        state = (table.epoch, table.revision, table.is_complete, table.digest)
-        if state != self._deltas_of or len(self._deltas) >= MOST_DELTAS:
-            self._deltas, self._deltas_of = {}, state
+        state = _TableState(table.epoch, table.revision, table.is_complete, table.digest)
+        if state != self._deltas_of or len(self._deltas) >= MAX_DELTA_FRAMES:
+            self._deltas = {}
+            self._deltas_of = state
         if revision not in self._deltas:
-            update = table.delta_since(revision, self._part)
-            self._deltas[revision] = DeltaFrame(
-                codec.pack(update, self._key), update.revision, update.digest
-            )
+            update = table.delta_since(revision, self._chunk_bytes)
+            frame = codec.pack(update, self._key)
+            self._deltas[revision] = DeltaFrame(frame, update.revision, update.digest)
         return self._deltas[revision]
 
-    def _near(self, snapshot: EncodedSnapshot) -> bool:
+    def _is_recent(self, snapshot: EncodedSnapshot) -> bool:
         table = self._table
         if snapshot.epoch != table.epoch or not table.can_resume_from(snapshot.revision):
             return False
-        return table.revision - snapshot.revision <= max(LEAST_BEHIND, len(table) * BEHIND_SHARE)
+        allowed = max(MIN_SNAPSHOT_LAG, len(table) * MAX_SNAPSHOT_LAG_FRACTION)
+        return table.revision - snapshot.revision <= allowed
--- a/dockthread/control_plane/fanout.py
+++ b/dockthread/control_plane/fanout.py
@@ -1,22 +1,21 @@
-"""One table served to many subscribers: no queue for any of them, only a cursor. Free of I/O.
+"""Serves one table to many subscribers with a cursor for each and no queues, without I/O.
 
-Theory of operation. The rim tells what arrives on a connection and asks for `next_frame` whenever
-that connection's socket has room; the frame is made from the table as it is then, so a slow
-subscriber is sent the latest of each key and nothing waits for it in memory. A frame that was
-handed over counts as sent: if the connection breaks instead, its cursor goes with it, and the
-subscriber tells on its next one what it holds.
+Theory of operation. The caller reports what arrives on a connection, and asks for `next_frame`
+whenever that connection can be written to. The frame is made from the table as it is then, so a
+slow subscriber is sent the latest of each key and nothing waits for it in memory. A frame that was
+returned counts as sent: if the connection breaks instead, its cursor goes with it, and the
+subscriber names the table that it holds on its next connection.
 
 | what a subscriber holds | what it is sent |
 | --- | --- |
-| nothing (revision 0), or of another epoch, or older than the table's horizon | a snapshot in parts, then deltas |
+| nothing (revision 0), another epoch, or a revision before the table's horizon | a snapshot in chunks, then deltas |
 | the table's revision with another digest | a snapshot |
-| an older revision | deltas in parts |
-| a newer revision than the table | heartbeats, until the table has come past it |
+| an older revision | deltas |
+| a newer revision than the table | heartbeats, until the table has passed it |
 
-Frames are encoded once: the parts of a snapshot are kept and sent to all who need one until the
-table is too far from it, and the frame that follows a revision is kept until the table changes.
-What the snapshots of a wave of restarts may cost is bounded by a token bucket of bytes: who finds
-it empty is told to come again (`RetryLater`) at a time that is spread over the wave.
+Frames are encoded once: the chunks of a snapshot are sent to all who need one until the table is
+too far ahead of it, and the delta that follows a revision is reused until the table changes. What
+the snapshots of a wave of restarts cost is bounded by `admission`. All times are in ms.
 """
 
 from __future__ import annotations
@@ -26,14 +25,14 @@
 from dataclasses import dataclass
 from typing import Final
 
-from dockthread.control_plane.admission import SnapshotBudget
+from dockthread.control_plane.admission import SnapshotBudget, SnapshotBudgetLimits
 from dockthread.control_plane.encoded import EncodedFrameCache, EncodedSnapshot
 from dockthread.control_plane.lag import LagTracker
 from dockthread.control_plane.messages import (
     AGE_UNKNOWN,
     MAX_NAME_BYTES,
+    MAX_REASON_CHARACTERS,
     MAX_REJECTIONS,
-    MOST_REASON,
     NO_DIGEST,
     Acknowledge,
     Heartbeat,
@@ -46,19 +45,31 @@
 from dockthread.control_plane.resource_table import ResourceTable
 
 NEVER_SENT: Final = -1e18
-# ms, about: no room for one more subscriber, so it had better go elsewhere
-FULL_RETRY: Final = 500.0
-# ms for which the encoded snapshot is kept after it was last asked for
-SNAPSHOT_KEPT: Final = 60_000.0
-MOST_GONE: Final = 20_000  # subscribers remembered after they are gone
-EARLY: Final = 1.0  # ms by which a heartbeat may leave early
+"""Time in ms of a heartbeat that was never sent: the next one is due at once."""
+AT_CAPACITY_RETRY: Final = 500.0
+"""Time in ms, give or take half, after which a subscriber retries that found no capacity."""
+SNAPSHOT_RETENTION: Final = 60_000.0
+"""Time in ms for which the encoded snapshot is kept after its last use."""
+MAX_DEPARTED: Final = 20_000
+"""Subscribers whose status is remembered after they left."""
+HEARTBEAT_TOLERANCE: Final = 1.0
+"""Time in ms by which a heartbeat may leave early."""
 
 
 @dataclass(frozen=True, slots=True)
 class FanOutLimits:
-    """`snapshot_rate`: bytes of snapshots a second, over time; `snapshot_burst`: bytes of them at
-    once. Times in ms: `beat` between heartbeats, `silence` after which a subscriber is closed,
-    `remember` for the status of one that is gone. `part`: bytes of resources in one frame.
+    """Limits of a fan-out. Times are in ms.
+
+    Attributes:
+        max_subscribers: Subscribers served at once.
+        snapshot_rate: Bytes of snapshots a second, over time.
+        snapshot_burst: Bytes of snapshots at once.
+        chunk_bytes: Bytes of resources in one frame.
+        heartbeat_interval: Between heartbeats to a subscriber.
+        silence_timeout: After which a silent subscriber is closed.
+        status_retention: For which the status of a subscriber is remembered after it left.
+        retry_after_min: Least time after which a subscriber retries that got no snapshot.
+        retry_after_max: Longest such time.
     """
 
     max_subscribers: int = 400
@@ -73,52 +84,73 @@
 
 
 class UnexpectedMessageError(Exception):
-    """A subscriber says what it may not say there; the rim closes its connection."""
+    """A subscriber sent what it must not send there; the caller closes its connection."""
 
 
 @dataclass(frozen=True, slots=True)
 class OverdueConnection:
-    """A connection that the rim is to close, and then to tell `closed`."""
+    """A connection that the caller has to close, followed by `on_closed`."""
 
     connection: int
     reason: str
 
 
 @dataclass(slots=True)
-class _Standing:
-    """What is known of a subscriber, also after it is gone."""
+class _SubscriberRecord:
+    """What is known of a subscriber, also after it left.
+
+    Attributes:
+        subscription: Its `Subscribe` message.
+        updated_at: When it last acknowledged, or left.
+        epoch: History that it acknowledged.
+        revision: Revision that it acknowledged.
+        rejections: Number of resources that it rejects.
+        rejected: The rejections it reported.
+    """
 
-    message: Subscribe
-    at: float
+    subscription: Subscribe
+    updated_at: float
     epoch: str = ""
-    revision: int = 0  # in force
+    revision: int = 0
     rejections: int = 0
     rejected: tuple[Rejection, ...] = ()
 
 
 @dataclass(slots=True)
 class _Cursor:
-    """One connection: what was handed over for it."""
+    """What was returned for one connection.
+
+    Attributes:
+        record: The subscriber.
+        last_received_at: When something last arrived on the connection.
+        epoch: History that the subscriber holds.
+        revision: Revision that it holds.
+        snapshot: Snapshot that is under way.
+        needs_snapshot: Whether a snapshot has to begin.
+        next_chunk: Number of the next chunk of `snapshot`.
+        confirmed: Digest that it was last sent, where nothing was returned since.
+        owed: Bytes of an admitted snapshot that were not yet sent.
+        heartbeat_at: When its last heartbeat was returned.
+        is_replaced: Whether a newer connection of the same subscriber took its place.
+    """
 
-    standing: _Standing
-    heard_at: float
+    record: _SubscriberRecord
+    last_received_at: float
     epoch: str
     revision: int
-    snapshot: EncodedSnapshot | None = None  # under way
-    wants_snapshot: bool = False
+    snapshot: EncodedSnapshot | None = None
+    needs_snapshot: bool = False
     next_chunk: int = 0
-    # the last digest that it was told, where nothing was handed over since
     confirmed: bytes = NO_DIGEST
-    owed: float = 0.0  # bytes of the snapshot
+    owed: float = 0.0
     heartbeat_at: float = NEVER_SENT
-    replaced: bool = False  # by another connection of the same name
+    is_replaced: bool = False
 
 
 class FanOut:
-    """Serves `table`, which somebody else changes, to subscribers by the rim's numbers of their
-    connections.
+    """Serves `table`, which others change, to subscribers by the numbers of their connections.
 
-    `key`: with which frames are tagged. All times in ms of the one clock.
+    `key` tags the frames.
     """
 
     def __init__(
@@ -129,247 +161,272 @@
         key: bytes = b"",
         now: float = 0.0,
     ) -> None:
-        self.table, self._limits, self._rng, self._key = table, limits, rng, key
-        self._cursors: dict[int, _Cursor] = {}
+        self.table = table
+        self._limits = limits
+        self._rng = rng
+        self._key = key
+        self._cursors: dict[int, _Cursor] = {}  # by connection
         self._connection_of: dict[str, int] = {}  # by subscriber
-        self._gone: OrderedDict[str, _Standing] = OrderedDict()
-        self._cache = EncodedFrameCache(table, limits.chunk_bytes, key)
-        self._snapshot_asked = now
+        self._departed: OrderedDict[str, _SubscriberRecord] = OrderedDict()  # the oldest first
+        self._frames = EncodedFrameCache(table, limits.chunk_bytes, key)
+        self._snapshot_used_at = now
         self._budget = SnapshotBudget(
-            limits.snapshot_rate,
-            limits.snapshot_burst,
-            limits.retry_after_min,
-            limits.retry_after_max,
+            SnapshotBudgetLimits(
+                limits.snapshot_rate,
+                limits.snapshot_burst,
+                limits.retry_after_min,
+                limits.retry_after_max,
+            ),
             rng,
         )
-        self._arrivals = LagTracker(now, table)
-        self._fresh_at: float | None = None
-        self._beat_at = now + limits.heartbeat_interval
-        self._paced = False  # a part waits for the budget
+        self._lag = LagTracker(now, table)
+        self._fresh_at: float | None = None  # when the table was last known to be complete
+        self._heartbeats_at = now + limits.heartbeat_interval
+        self._awaits_budget = False  # a chunk waits for the budget
 
     def subscribe(self, now: float, connection: int, message: Subscribe) -> RetryLater | None:
-        """The first message of a connection. None where it is taken in; else the rim sends the
-        answer and closes, and the connection is not known here. Raises `UnexpectedMessage` for a
-        second one on the same connection.
+        """Take the first message of a connection.
+
+        Returns:
+            None where the subscriber is served; else a message that the caller sends before it
+            closes the connection, which is not known here.
+
+        Raises:
+            UnexpectedMessageError: The connection has subscribed before, or the message is invalid.
         """
         if connection in self._cursors:
             raise UnexpectedMessageError("it has subscribed before")
-        if (
-            not 0 < len(message.name.encode()) <= MAX_NAME_BYTES
-            or len(message.region + message.zone) > 2 * MAX_NAME_BYTES
-        ):
-            raise UnexpectedMessageError("its name or place is empty or too long")
-        self._arrivals.notice(now, self.table)
-        if (
-            len(self._connection_of) >= self._limits.max_subscribers
-            and message.name not in self._connection_of
-        ):
-            return RetryLater(
-                FULL_RETRY * self._rng.uniform(0.5, 1.5), "no room for one more subscriber"
-            )
-        cursor = _Cursor(_Standing(message, now), now, message.epoch, message.revision)
+        _check_subscription(message)
+        self._lag.observe(now, self.table)
+        if self._is_at_capacity(message.name):
+            after = AT_CAPACITY_RETRY * self._rng.uniform(0.5, 1.5)
+            return RetryLater(after, "no room for one more subscriber")
+        cursor = _Cursor(_SubscriberRecord(message, now), now, message.epoch, message.revision)
         if self._needs_snapshot(cursor, message.digest):
-            if not self._budget.admits(now, self.table.bytes):
+            if not self._budget.admit(now, self.table.bytes):
                 after = self._budget.retry_after(now, self.table.bytes)
                 return RetryLater(after, "no budget for one more snapshot")
-            cursor.wants_snapshot, cursor.owed = True, float(self.table.bytes)
-        self._replace(message.name, connection)
+            cursor.needs_snapshot = True
+            cursor.owed = float(self.table.bytes)
+        self._replace_older_connection(message.name, connection)
         self._cursors[connection] = cursor
-        self._gone.pop(message.name, None)
+        self._departed.pop(message.name, None)
         return None
 
     def on_message(self, now: float, connection: int, message: Acknowledge | Heartbeat) -> None:
-        """Any later message. Raises `UnexpectedMessage` where the connection has not subscribed."""
+        """Handle any later message.
+
+        Raises:
+            UnexpectedMessageError: The connection has not subscribed, or the message is invalid.
+        """
         cursor = self._cursors.get(connection)
         if cursor is None:
             raise UnexpectedMessageError("it has not subscribed")
-        cursor.heard_at = now
+        cursor.last_received_at = now
         if isinstance(message, Acknowledge):
-            if len(message.rejected) > MAX_REJECTIONS or any(
-                _too_long(one) for one in message.rejected
-            ):
-                raise UnexpectedMessageError(
-                    "more or longer rejections than an acknowledgement may hold"
-                )
-            standing = cursor.standing
-            standing.at, standing.epoch, standing.revision = now, message.epoch, message.revision
-            standing.rejections, standing.rejected = message.rejections, message.rejected
+            _check_rejections(message)
+            record = cursor.record
+            record.updated_at = now
+            record.epoch = message.epoch
+            record.revision = message.revision
+            record.rejections = message.rejections
+            record.rejected = message.rejected
 
     def next_frame(self, now: float, connection: int) -> bytes | None:
-        """The next frame for a connection whose socket has room, ready to be written: an update, or
-        a heartbeat that is due. Ask again until there is None: then when the table has changed, and
-        at `due`. None too for one that is not known.
+        """Return the next frame for a connection that can be written to.
+
+        The caller asks again until there is None; later when the table has changed, and after
+        `on_timer`. There is None for a connection that is not known.
         """
         cursor = self._cursors.get(connection)
-        if cursor is None or cursor.replaced:
+        if cursor is None or cursor.is_replaced:
             return None
-        self._arrivals.notice(now, self.table)
-        # the first one too: it tells how fresh this is
-        if now - cursor.heartbeat_at >= 2 * self._limits.heartbeat_interval:
+        self._lag.observe(now, self.table)
+        # The first heartbeat leaves before any update: it says how old the table is.
+        since_heartbeat = now - cursor.heartbeat_at
+        if since_heartbeat >= 2 * self._limits.heartbeat_interval:
             return self._heartbeat(now, cursor)
         frame = self._update(now, cursor)
-        if frame is None and now - cursor.heartbeat_at >= self._limits.heartbeat_interval - EARLY:
+        since_heartbeat = now - cursor.heartbeat_at  # the end of a snapshot makes one due
+        if (
+            frame is None
+            and since_heartbeat >= self._limits.heartbeat_interval - HEARTBEAT_TOLERANCE
+        ):
             return self._heartbeat(now, cursor)
         return frame
 
     def on_closed(self, now: float, connection: int) -> None:
-        """A connection is gone, whoever ended it. One that is not known is passed over."""
+        """Forget a connection, whoever closed it; unknown ones are ignored."""
         cursor = self._cursors.pop(connection, None)
         if cursor is None:
             return
-        self._budget.settle(cursor.owed)
-        name = cursor.standing.message.name
+        self._budget.release(cursor.owed)
+        name = cursor.record.subscription.name
         if self._connection_of.get(name) == connection:
             del self._connection_of[name]
-            self._gone[name] = cursor.standing
-            cursor.standing.at = now
-            while len(self._gone) > MOST_GONE:
-                self._gone.popitem(last=False)
+            self._departed[name] = cursor.record
+            cursor.record.updated_at = now
+            while len(self._departed) > MAX_DEPARTED:
+                self._departed.popitem(last=False)
 
     def set_table_age(self, now: float, age: float) -> None:
-        """The table was known to hold all that was agreed on `age` ms ago; `NEVER` for never.
-        Heartbeats tell it. On a voter: since it last heard from a leader, or as one from a
-        majority; on a distributor `Subscriber.age`.
+        """Record for how long the table may have lacked a change, or `AGE_UNKNOWN`.
+
+        Heartbeats report it. On a voter it is the time since it last heard from a leader, or as
+        the leader from a majority; on a distributor it is `Subscriber.age`.
         """
         self._fresh_at = now - age if age >= 0.0 else None
 
     def on_timer(self, now: float) -> list[OverdueConnection]:
-        """Connections to be closed. Call it at `due`; then ask `next_frame` of every connection
-        with room.
+        """Return the connections to be closed.
+
+        The caller then asks `next_frame` for every connection that can be written to.
         """
-        self._arrivals.notice(now, self.table)
-        self._paced = False  # whoever is asked next tells again
-        if now >= self._beat_at:
-            self._beat_at = now + self._limits.heartbeat_interval
-        if now - self._snapshot_asked > SNAPSHOT_KEPT:
-            self._cache.drop_snapshot()
-        self._forget(now)
+        self._lag.observe(now, self.table)
+        self._awaits_budget = False  # `next_frame` sets it again
+        if now >= self._heartbeats_at:
+            self._heartbeats_at = now + self._limits.heartbeat_interval
+        if now - self._snapshot_used_at > SNAPSHOT_RETENTION:
+            self._frames.drop_snapshot()
+        self._forget_departed(now)
         overdue = [
-            OverdueConnection(c, "replaced by a newer connection")
-            for c, one in self._cursors.items()
-            if one.replaced
+            OverdueConnection(number, "replaced by a newer connection")
+            for number, cursor in self._cursors.items()
+            if cursor.is_replaced
         ]
-        for connection, cursor in self._cursors.items():
-            if not cursor.replaced and now - cursor.heard_at > self._limits.silence_timeout:
-                overdue.append(OverdueConnection(connection, "silent for too long"))
+        for number, cursor in self._cursors.items():
+            silence = now - cursor.last_received_at
+            if not cursor.is_replaced and silence > self._limits.silence_timeout:
+                overdue.append(OverdueConnection(number, "silent for too long"))
         return overdue
 
     def next_timer_at(self) -> float:
-        """When `tick` is wanted: for the next heartbeat, or for the budget's next part."""
-        if self._paced:
-            return min(self._beat_at, self._budget.affords_at())
-        return self._beat_at
+        """Return when `on_timer` is due: for heartbeats, or for a chunk that awaits the budget."""
+        if self._awaits_budget:
+            return min(self._heartbeats_at, self._budget.can_send_at())
+        return self._heartbeats_at
 
     def connections(self) -> list[int]:
-        """Those that are subscribed."""
+        """Return the connections that are subscribed."""
         return list(self._cursors)
 
     def status(self, now: float) -> tuple[SubscriberStatus, ...]:
-        """Each subscriber, and each that is gone since less than `remember`, by name."""
-        self._arrivals.notice(now, self.table)
-        here = {
-            one.standing.message.name: one.standing
-            for one in self._cursors.values()
-            if not one.replaced
+        """Return each subscriber, and each that left within `status_retention`, by name."""
+        self._lag.observe(now, self.table)
+        connected = {
+            cursor.record.subscription.name: cursor.record
+            for cursor in self._cursors.values()
+            if not cursor.is_replaced
         }
-        known = {**self._gone, **here}
-        return tuple(self._status(now, known[name], name in here) for name in sorted(known))
+        known = {**self._departed, **connected}
+        return tuple(
+            self._subscriber_status(now, known[name], name in connected) for name in sorted(known)
+        )
 
-    def _status(self, now: float, standing: _Standing, connected: bool) -> SubscriberStatus:
-        message = standing.message
-        revision = standing.revision if standing.epoch == self.table.epoch else 0
+    def _subscriber_status(
+        self, now: float, record: _SubscriberRecord, is_connected: bool
+    ) -> SubscriberStatus:
+        subscription = record.subscription
+        revision = record.revision if record.epoch == self.table.epoch else 0
         return SubscriberStatus(
-            message.name,
-            message.region,
-            message.zone,
-            connected,
+            subscription.name,
+            subscription.region,
+            subscription.zone,
+            is_connected,
             revision,
-            self._arrivals.behind(now, revision),
-            standing.rejections,
-            standing.rejected,
+            self._lag.lag(now, revision),
+            record.rejections,
+            record.rejected,
         )
 
-    def _replace(self, name: str, connection: int) -> None:
-        """The newest connection of a subscriber counts; its older one is closed at the next
-        tick.
-        """
+    def _is_at_capacity(self, name: str) -> bool:
+        """Return whether there is no capacity for a subscriber; a reconnecting one needs none."""
+        is_full = len(self._connection_of) >= self._limits.max_subscribers
+        return is_full and name not in self._connection_of
+
+    def _replace_older_connection(self, name: str, connection: int) -> None:
+        """Serve the newest connection of a subscriber; `on_timer` closes its older one."""
         older = self._connection_of.get(name)
         if older is not None:
-            self._cursors[older].replaced = True
+            self._cursors[older].is_replaced = True
         self._connection_of[name] = connection
 
-    def _forget(self, now: float) -> None:
-        while self._gone:
-            name = next(iter(self._gone))
-            if now - self._gone[name].at <= self._limits.status_retention:
+    def _forget_departed(self, now: float) -> None:
+        while self._departed:
+            name = next(iter(self._departed))
+            if now - self._departed[name].updated_at <= self._limits.status_retention:
                 return
-            del self._gone[name]
+            del self._departed[name]
 
     def _needs_snapshot(self, cursor: _Cursor, digest: bytes) -> bool:
-        """Whether nothing but a snapshot brings it up to date, as the table is now."""
+        """Return whether only a snapshot brings a subscriber up to date."""
         table = self.table
         if not table.revision:
-            return False  # nothing to be had here yet
+            return False  # there is nothing to send yet
         if cursor.epoch != table.epoch or cursor.revision < max(table.horizon, 1):
             return True
-        same = cursor.revision == table.revision and table.is_complete
-        return same and bool(digest) and digest != table.digest
+        is_same_revision = cursor.revision == table.revision and table.is_complete
+        return is_same_revision and bool(digest) and digest != table.digest
 
     def _update(self, now: float, cursor: _Cursor) -> bytes | None:
-        if cursor.snapshot is None:
-            cursor.wants_snapshot = cursor.wants_snapshot or self._needs_snapshot(cursor, b"")
-            if cursor.wants_snapshot:
-                return self._begin_snapshot(now, cursor)
-            return self._delta(cursor)
-        return self._snapshot_part(now, cursor, cursor.snapshot)
+        if cursor.snapshot is not None:
+            return self._snapshot_chunk(now, cursor, cursor.snapshot)
+        cursor.needs_snapshot = cursor.needs_snapshot or self._needs_snapshot(cursor, NO_DIGEST)
+        if cursor.needs_snapshot:
+            return self._begin_snapshot(now, cursor)
+        return self._delta(cursor)
 
     def _begin_snapshot(self, now: float, cursor: _Cursor) -> bytes | None:
-        """One that lost its place while it was served (other epoch, too slow) was not admitted for
-        a snapshot: it is owed one all the same, and paid from the same budget.
+        """Return the first chunk of a snapshot.
+
+        A subscriber that fell behind while it was served (another epoch, too slow) was not
+        admitted for it; it is sent one all the same, paid from the same budget.
         """
         if not self.table.is_complete:
             return None
-        cursor.snapshot, cursor.next_chunk, cursor.wants_snapshot = self._cache.snapshot(), 0, False
-        return self._snapshot_part(now, cursor, cursor.snapshot)
+        cursor.snapshot = self._frames.snapshot()
+        cursor.next_chunk = 0
+        cursor.needs_snapshot = False
+        return self._snapshot_chunk(now, cursor, cursor.snapshot)
 
-    def _snapshot_part(
+    def _snapshot_chunk(
         self, now: float, cursor: _Cursor, snapshot: EncodedSnapshot
     ) -> bytes | None:
-        if not self._budget.affords(now):
-            self._paced = True
+        if not self._budget.can_send(now):
+            self._awaits_budget = True
             return None
-        self._snapshot_asked = now
+        self._snapshot_used_at = now
         frame = snapshot.frame(cursor.next_chunk)
         if frame is None:
             self._end_snapshot(cursor, snapshot)
             return self._update(now, cursor)
         self._budget.spend(len(frame))
         paid = min(float(len(frame)), cursor.owed)
-        self._budget.settle(paid)
+        self._budget.release(paid)
         cursor.owed -= paid
         cursor.next_chunk += 1
         return frame
 
     def _end_snapshot(self, cursor: _Cursor, snapshot: EncodedSnapshot) -> None:
-        self._budget.settle(cursor.owed)
-        cursor.owed, cursor.snapshot = 0.0, None
-        cursor.epoch, cursor.revision, cursor.confirmed = (
-            snapshot.epoch,
-            snapshot.revision,
-            snapshot.digest,
-        )
-        cursor.heartbeat_at = min(cursor.heartbeat_at, NEVER_SENT)  # how fresh it is now
+        self._budget.release(cursor.owed)
+        cursor.owed = 0.0
+        cursor.snapshot = None
+        cursor.epoch = snapshot.epoch
+        cursor.revision = snapshot.revision
+        cursor.confirmed = snapshot.digest
+        cursor.heartbeat_at = NEVER_SENT  # the next one says how old the table is now
 
     def _delta(self, cursor: _Cursor) -> bytes | None:
         table = self.table
         if cursor.epoch != table.epoch or not table.can_resume_from(cursor.revision):
-            return None  # nothing here yet, or the table is behind
-        if cursor.revision == table.revision and (
-            cursor.confirmed == table.digest or not table.is_complete
-        ):
-            return None
-        delta = self._cache.delta(cursor.revision)
-        cursor.revision, cursor.confirmed = delta.revision, delta.digest
+            return None  # there is nothing to send yet, or the subscriber is ahead
+        if cursor.revision == table.revision:
+            is_confirmed = cursor.confirmed == table.digest
+            if is_confirmed or not table.is_complete:
+                return None
+        delta = self._frames.delta(cursor.revision)
+        cursor.revision = delta.revision
+        cursor.confirmed = delta.digest
         return delta.frame
 
     def _heartbeat(self, now: float, cursor: _Cursor) -> bytes:
@@ -378,8 +435,19 @@
         return codec.pack(Heartbeat(self.table.epoch, self.table.revision, age), self._key)
 
 
-def _too_long(rejection: Rejection) -> bool:
-    return (
-        max(len(rejection.kind), len(rejection.name)) > MAX_NAME_BYTES
-        or len(rejection.reason) > MOST_REASON
-    )
+def _check_subscription(message: Subscribe) -> None:
+    """Raise UnexpectedMessageError for a name or place that is empty or too long."""
+    has_name = 0 < len(message.name.encode()) <= MAX_NAME_BYTES
+    if not has_name or len(message.region + message.zone) > 2 * MAX_NAME_BYTES:
+        raise UnexpectedMessageError("its name or place is empty or too long")
+
+
+def _check_rejections(message: Acknowledge) -> None:
+    """Raise UnexpectedMessageError for more or longer rejections than there may be."""
+    if len(message.rejected) > MAX_REJECTIONS or any(map(_is_too_long, message.rejected)):
+        raise UnexpectedMessageError("more or longer rejections than an acknowledgement may hold")
+
+
+def _is_too_long(rejection: Rejection) -> bool:
+    longest_name = max(len(rejection.kind), len(rejection.name))
+    return longest_name > MAX_NAME_BYTES or len(rejection.reason) > MAX_REASON_CHARACTERS
--- /dev/null
+++ b/dockthread/control_plane/frozen_table.py
@@ -0,0 +1,65 @@
+"""The content of a table at one moment, cut into the chunks of a snapshot."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from dockthread.control_plane.messages import Update
+from dockthread.control_plane.packed_resource import packed_size, unpack
+
+
+class FrozenTable:
+    """A table as it was, tombstones included, the oldest revision first.
+
+    No resource is copied: keys and packed resources are shared with the table.
+    """
+
+    def __init__(  # noqa: PLR0913  the fields of a table, named once by `ResourceTable.freeze`
+        self,
+        epoch: str,
+        revision: int,
+        horizon: int,
+        digest: bytes,
+        size: int,
+        packed: Mapping[str, bytes],
+    ) -> None:
+        self.epoch = epoch
+        self.revision = revision
+        self.horizon = horizon
+        self.digest = digest
+        self.bytes = size
+        self._keys = list(packed)
+        self._values = list(packed.values())
+        self._next = 0
+        self._has_begun = False
+
+    @property
+    def exhausted(self) -> bool:
+        """Whether all chunks were returned."""
+        return self._has_begun and self._next == len(self._keys)
+
+    def next_chunk(self, max_bytes: int) -> Update:
+        """Return the next chunk: the first begins a snapshot, the last is complete."""
+        first = self._next
+        last = self._advance(max_bytes)
+        entries = zip(self._keys[first:last], self._values[first:last], strict=True)
+        resources = tuple(unpack(key, packed) for key, packed in entries)
+        is_first = not self._has_begun
+        self._has_begun = True
+        if not self.exhausted:
+            revision = resources[-1].revision
+            return Update(self.epoch, revision, resources, snapshot=is_first, complete=False)
+        return Update(
+            self.epoch, self.revision, resources, is_first, True, self.digest, self.horizon
+        )
+
+    def _advance(self, max_bytes: int) -> int:
+        """Move past the next chunk, one resource at least, and return where it ends."""
+        start = self._next
+        capacity = max_bytes
+        while self._next < len(self._keys):
+            capacity -= packed_size(self._keys[self._next], self._values[self._next])
+            if capacity < 0 and self._next > start:
+                break
+            self._next += 1
+        return self._next
--- a/dockthread/control_plane/ingress.py
+++ b/dockthread/control_plane/ingress.py
@@ -1,6 +1,4 @@
-"""What an ingress does with what it receives: routes over the file's, and the addresses of
-discovery and counter.
-"""
+"""Applies published resources to an ingress: routes over the file's, and two addresses."""
 
 from __future__ import annotations
 
@@ -8,20 +6,23 @@
 import secrets
 from collections.abc import Sequence
 from dataclasses import replace
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Final
 
 from loguru import logger
 
 from dockthread.config.platform_settings import Address, Config
+from dockthread.control_plane.batch_applier import ResourceKey, key_of
 from dockthread.control_plane.client import (
     ControlPlaneClient,
     cache_from_options,
-    servers_from_options,
+    client_settings_from_options,
 )
 from dockthread.control_plane.messages import Rejection, Resource
 from dockthread.control_plane.options import ControlOptions
 from dockthread.control_plane.resource_schemas import (
     ADDRESS,
+    COUNTER,
+    DISCOVERY,
     ROUTE,
     InvalidResourceError,
     parse_address,
@@ -32,34 +33,39 @@
 if TYPE_CHECKING:
     from dockthread.net.ingress import Ingress
 
-NO_COUNTER = "this ingress was started without a counter: it asks none"
+MS_PER_SECOND: Final = 1_000.0
+SEED_BITS: Final = 64
+"""Bits of the seed of the client's random numbers."""
+NO_COUNTER: Final = "this ingress was started without a counter: it asks none"
 
 
 class IngressResourceApplier:
-    """Puts resources in force at one ingress. `layers`: its routes."""
+    """Applies resources to one ingress, whose routes are `layers`.
+
+    Attributes:
+        client: Receives the resources.
+    """
 
     def __init__(self, ingress: Ingress, layers: Layers, options: ControlOptions) -> None:
-        """Puts in force what the cache holds. Raises ValueError where the key cannot be used."""
-        self._ingress, self._layers = ingress, layers
-        self._configured = ingress.config  # what holds without what was published
-        self._addresses: dict[str, Address] = {}
-        self._in_force: dict[tuple[str, str], Resource] = {}
-        self._refused: list[Rejection] = []
-        name, rng = ingress.config.name, random.Random(secrets.randbits(64))
-        self.client = ControlPlaneClient(
-            name,
-            servers_from_options(options),
-            self,
-            ingress.clock,
-            rng,
-            options.key(),
-            options.region,
-            options.zone,
-            cache_from_options(options, name),
-        )
+        """Apply what the cache holds.
+
+        Raises:
+            KeyFileError: The file of the shared key cannot be read or has a wrong length.
+        """
+        self._ingress = ingress
+        self._layers = layers
+        self._configured = ingress.config  # without what was published
+        self._addresses: dict[str, Address] = {}  # published, by name
+        self._applied: dict[ResourceKey, Resource] = {}
+        self._rejected: list[Rejection] = []  # since the last log line
+        name = ingress.config.name
+        rng = random.Random(secrets.randbits(SEED_BITS))
+        settings = client_settings_from_options(options, name)
+        cache = cache_from_options(options, name)
+        self.client = ControlPlaneClient(settings, self, ingress.clock, rng, cache)
 
     def open(self) -> None:
-        """Start to receive."""
+        """Begin to receive."""
         self.client.open()
 
     async def close(self) -> None:
@@ -67,90 +73,100 @@
         await self.client.close()
 
     def with_published_addresses(self, config: Config) -> Config:
-        """A configuration as it was read again, with the addresses that were published."""
+        """Return a configuration that was read again, with the published addresses."""
         self._configured = config
         return replace(
             config,
-            discovery=self._addresses.get("discovery", config.discovery),
-            counter=self._addresses.get("counter", config.counter),
+            discovery=self._addresses.get(DISCOVERY, config.discovery),
+            counter=self._addresses.get(COUNTER, config.counter),
         )
 
     def on_settings_changed(self) -> None:
-        """Prove all that was published by the settings that hold now: what has become bad goes,
-        with a reason told, and what was refused before may be good.
+        """Validate everything published against the settings that hold now.
+
+        What became invalid is withdrawn and reported as rejected; what was rejected may be valid.
         """
         self.client.reapply()
 
-    # What its client tells (client.py, Owner)
+    # Methods of ResourceApplier
 
     def apply(self, changes: Sequence[Resource]) -> Sequence[Rejection]:
-        """Put changes in force; those that are refused leave the last good one in its place."""
-        refused = []
-        for one in changes:
-            if reason := self._apply(one):
-                refused.append(Rejection(one.kind, one.name, one.revision, reason))
-                self._withdraw(one)
-                continue
-            if one.body is None:
-                self._in_force.pop((one.kind, one.name), None)
+        """Apply changes; of a rejected resource the last good version stays."""
+        rejections = []
+        for resource in changes:
+            if reason := self._apply_or_explain(resource):
+                rejections.append(
+                    Rejection(resource.kind, resource.name, resource.revision, reason)
+                )
+                self._withdraw_if_applied(resource)
+            elif resource.body is None:
+                self._applied.pop(key_of(resource), None)
             else:
-                self._in_force[one.kind, one.name] = one
-        self._refused += refused
-        return refused
+                self._applied[key_of(resource)] = resource
+        self._rejected += rejections
+        return rejections
 
     def applied_resource(self, kind: str, name: str) -> Resource | None:
-        """What is in force under a key; None for nothing."""
-        return self._in_force.get((kind, name))
+        """Return what is applied under a name; None for nothing."""
+        return self._applied.get(ResourceKey(kind, name))
 
     def on_batch_applied(self) -> None:
-        """All that was given has been dealt with: log once what was refused."""
-        if self._refused:
-            first = self._refused[0]
-            told = "control: {} refused, the last good one stays; the first is {} {} of revision {}: {}"
-            logger.warning(
-                told, len(self._refused), first.kind, first.name, first.revision, first.reason
-            )
-            self._refused = []
-
-    def _withdraw(self, refused: Resource) -> None:
-        """A resource that was good by earlier settings is not its own last good one."""
-        key = refused.kind, refused.name
-        held = self._in_force.get(key)
-        if held is not None and held.revision == refused.revision:
-            del self._in_force[key]
-            self._apply(Resource(refused.kind, refused.name, refused.revision, None))
-
-    def _apply(self, one: Resource) -> str:
-        """The reason where it is refused."""
+        """Log what was rejected, in one line."""
+        if not self._rejected:
+            return
+        first = self._rejected[0]
+        logger.warning(
+            "control: {} rejected, the last good one stays; the first is {} {} of revision {}: {}",
+            len(self._rejected),
+            first.kind,
+            first.name,
+            first.revision,
+            first.reason,
+        )
+        self._rejected = []
+
+    def _withdraw_if_applied(self, rejected: Resource) -> None:
+        """Withdraw a resource that is rejected at the very revision that is applied.
+
+        It was valid by earlier settings and is no last good version of itself.
+        """
+        key = key_of(rejected)
+        applied = self._applied.get(key)
+        if applied is not None and applied.revision == rejected.revision:
+            del self._applied[key]
+            self._apply_or_explain(Resource(rejected.kind, rejected.name, rejected.revision, None))
+
+    def _apply_or_explain(self, resource: Resource) -> str:
+        """Apply a resource, or return why it is rejected."""
         try:
-            if one.kind == ROUTE:
-                return self._route(one)
-            if one.kind == ADDRESS:
-                return self._address(one)
+            if resource.kind == ROUTE:
+                return self._apply_route(resource)
+            if resource.kind == ADDRESS:
+                return self._apply_address(resource)
         except InvalidResourceError as error:
             return str(error)
-        return "" if one.body is None else f"this release knows no kind {one.kind}"
+        return "" if resource.body is None else f"this release knows no kind {resource.kind}"
 
-    def _route(self, one: Resource) -> str:
-        now = self._ingress.clock.now() / 1000.0
-        if one.body is None:
-            self._layers.remove(one.name, now)
+    def _apply_route(self, resource: Resource) -> str:
+        now = self._ingress.clock.now() / MS_PER_SECOND
+        if resource.body is None:
+            self._layers.remove(resource.name, now)
             return ""
-        return self._layers.put(one.name, parse_route(one.name, one.body), now)
+        return self._layers.put(resource.name, parse_route(resource.name, resource.body), now)
 
-    def _address(self, one: Resource) -> str:
-        if one.body is None:
-            self._addresses.pop(one.name, None)
+    def _apply_address(self, resource: Resource) -> str:
+        if resource.body is None:
+            self._addresses.pop(resource.name, None)
         else:
-            at = parse_address(one.name, one.body)
-            if one.name == "counter" and self._configured.counter is None:
+            address = parse_address(resource.name, resource.body)
+            if resource.name == COUNTER and self._configured.counter is None:
                 return NO_COUNTER
-            self._addresses[one.name] = at
-        self._move()
+            self._addresses[resource.name] = address
+        self._use_addresses()
         return ""
 
-    def _move(self) -> None:
-        """As the configuration of a SIGHUP does (`Ingress.reconfigure`)."""
+    def _use_addresses(self) -> None:
+        """Point the ingress to its addresses, as `Ingress.reconfigure` does on SIGHUP."""
         ingress = self._ingress
         config = self.with_published_addresses(self._configured)
         ingress.config = replace(ingress.config, discovery=config.discovery, counter=config.counter)
--- a/dockthread/control_plane/lag.py
+++ b/dockthread/control_plane/lag.py
@@ -1,4 +1,4 @@
-"""Since when a table holds what: how long a subscriber has lacked something."""
+"""For how long a subscriber has lacked some change of a table."""
 
 from __future__ import annotations
 
@@ -7,33 +7,36 @@
 
 from dockthread.control_plane.resource_table import ResourceTable
 
-# remembered: what came before counts as having come with the oldest of them
-MOST_ARRIVALS: Final = 4096
+MAX_ARRIVALS: Final = 4096
+"""Revisions remembered; older ones count as having arrived with the oldest of them."""
 
 
 class LagTracker:
-    """When revisions of one table were noticed."""
+    """Remembers when the revisions of one table were first observed. Times are in ms."""
 
     def __init__(self, now: float, table: ResourceTable) -> None:
         self._epoch = table.epoch
         self._revisions: list[int] = [table.revision] if table.revision else []
-        self._times: list[float] = [now] if table.revision else []
+        self._times: list[float] = [now] if table.revision else []  # one for each revision
 
-    def notice(self, now: float, table: ResourceTable) -> None:
-        """The table may have changed."""
-        last = self._revisions[-1] if self._revisions else 0
-        if table.epoch == self._epoch and table.revision <= last:
+    def observe(self, now: float, table: ResourceTable) -> None:
+        """Record the revision of the table if it is new."""
+        newest = self._revisions[-1] if self._revisions else 0
+        if table.epoch == self._epoch and table.revision <= newest:
             return
         if table.epoch != self._epoch:
-            self._epoch, self._revisions, self._times = table.epoch, [], []
+            self._epoch = table.epoch
+            self._revisions = []
+            self._times = []
         self._revisions.append(table.revision)
         self._times.append(now)
-        if len(self._revisions) > MOST_ARRIVALS:
-            del self._revisions[: MOST_ARRIVALS // 2], self._times[: MOST_ARRIVALS // 2]
-
-    def behind(self, now: float, revision: int) -> float:
-        """ms since the first thing came that a holder of `revision` lacks; 0 where it lacks
-        nothing.
-        """
-        first = bisect_right(self._revisions, revision)
-        return now - self._times[first] if first < len(self._times) else 0.0
+        if len(self._revisions) > MAX_ARRIVALS:
+            del self._revisions[: MAX_ARRIVALS // 2]
+            del self._times[: MAX_ARRIVALS // 2]
+
+    def lag(self, now: float, revision: int) -> float:
+        """Return for how many ms a holder of `revision` has lacked a change; 0 where it is current."""
+        first_lacking = bisect_right(self._revisions, revision)
+        if first_lacking == len(self._times):
+            return 0.0
+        return now - self._times[first_lacking]
--- a/dockthread/control_plane/messages.py
+++ b/dockthread/control_plane/messages.py
@@ -1,9 +1,11 @@
-"""What publishers, distributors and subscribers of control say to each other, in frames
-(dockthread/framing.py).
+"""Messages between publishers, distributors and subscribers of the control plane.
 
-A revision counts accepted changes, from 1, over all kinds. A table at revision R holds the latest
-of every key whose last change is at or before R. `epoch` names one history of revisions: another
-one voids whatever was received.
+Messages travel in frames (`dockthread.framing`), encoded by position (`array_like`): the order of
+the fields and the tags are the wire format.
+
+A revision counts accepted changes, from 1, over all kinds of resources. A table at revision R
+holds the latest of every key whose last change is at or before R. `epoch` names one history of
+revisions; a table of another epoch replaces everything received before. All times are in ms.
 """
 
 from __future__ import annotations
@@ -15,17 +17,32 @@
 from dockthread.framing import Codec
 
 VERSION: Final = 1
-MAX_MESSAGE_BYTES: Final = 4 << 20  # bytes of a message
-MAX_BODY_BYTES: Final = 64 << 10  # bytes of one resource's body
-MAX_NAME_BYTES: Final = 128  # bytes of a kind or a name
-MAX_REJECTIONS: Final = 64  # in one acknowledgement
-MOST_REASON: Final = 256  # characters of a rejection's reason
+"""Version of the protocol, in the head of every frame."""
+MAX_MESSAGE_BYTES: Final = 4 << 20
+"""Bytes of one encoded message; chunks of a snapshot are far below it."""
+MAX_BODY_BYTES: Final = 64 << 10
+"""Bytes of one resource's body."""
+MAX_NAME_BYTES: Final = 128
+"""Bytes of a kind or of a name in UTF-8."""
+MAX_REJECTIONS: Final = 64
+"""Rejections listed in one acknowledgement; it counts them all."""
+MAX_REASON_CHARACTERS: Final = 256
+"""Characters of a rejection's reason; longer ones are cut."""
 NO_DIGEST: Final = b""
-AGE_UNKNOWN: Final = -1.0  # ms: the age of a table that was never known to hold all
+"""Digest of a table that may be incomplete, and so cannot be compared."""
+AGE_UNKNOWN: Final = -1.0
+"""Age in ms of a table that was never known to be complete."""
 
 
 class Resource(msgspec.Struct, frozen=True, array_like=True):
-    """One versioned piece of configuration. `body`: None once it is deleted."""
+    """One versioned piece of configuration.
+
+    Attributes:
+        kind: Kind of the resource, such as `route`.
+        name: Name, unique within its kind.
+        revision: Revision of the change that last touched it.
+        body: Encoded content; None marks a deleted resource (a tombstone).
+    """
 
     kind: str
     name: str
@@ -34,8 +51,15 @@
 
 
 class Subscribe(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """First message of a subscriber. `revision` and `digest` tell what it holds; revision 0 for
-    nothing.
+    """First message of a subscriber: who it is and which table it holds.
+
+    Attributes:
+        name: Name of the subscriber, unique among all.
+        epoch: History of the table it holds; empty for none.
+        revision: Revision of that table; 0 asks for a full snapshot.
+        digest: Digest of that table; `NO_DIGEST` where it may be incomplete.
+        region: Region of the subscriber, for status only.
+        zone: Zone of the subscriber, for status only.
     """
 
     name: str
@@ -47,13 +71,20 @@
 
 
 class Update(msgspec.Struct, frozen=True, array_like=True, tag="u"):
-    """Resources in the order of their revisions, deleted ones included.
-
-    After it the receiver holds the latest of every key whose last change is at or before
-    `revision`. `snapshot`: the first part of a snapshot, so whatever is held and not named from
-    here up to the complete part is gone. `complete`: the receiver then holds the sender's table as
-    it stood at `revision`; only then `digest` is that of this table and `snapshot` parts take
-    effect. `horizon`, of a complete snapshot: deletes behind it are named in the snapshot.
+    """A delta, or one chunk of a snapshot.
+
+    Attributes:
+        epoch: History that the resources belong to.
+        revision: After this update the receiver holds the latest of every key whose last change
+            is at or before this revision.
+        resources: Live resources and tombstones, the oldest revision first.
+        snapshot: True for the first chunk of a snapshot. The snapshot lasts up to the first
+            complete update; held resources that it does not name are then removed.
+        complete: True where the receiver now holds the sender's whole table at `revision`. The
+            chunks of a snapshot take effect with the complete one.
+        digest: Digest of the sender's table, where `complete`.
+        horizon: In the last chunk of a snapshot, the revision up to which tombstones may have
+            been dropped.
     """
 
     epoch: str
@@ -66,7 +97,7 @@
 
 
 class Rejection(msgspec.Struct, frozen=True, array_like=True):
-    """A resource that the subscriber refused; it keeps its last good one."""
+    """A resource that a subscriber rejected (a NACK); its last good version stays applied."""
 
     kind: str
     name: str
@@ -75,8 +106,14 @@
 
 
 class Acknowledge(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """What is in force at a subscriber: all up to `revision` but for `rejections` resources, some
-    in `rejected`.
+    """What a subscriber has applied (an ACK).
+
+    Attributes:
+        epoch: History of the applied table.
+        revision: Everything up to here is applied, except what was rejected.
+        digest: Digest of the table at that revision.
+        rejected: The first `MAX_REJECTIONS` rejections.
+        rejections: Number of all rejections.
     """
 
     epoch: str
@@ -87,8 +124,13 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="h"):
-    """Sign of life of a sender. `age`: ms since it last knew itself to hold all that was agreed on;
-    -1 for never.
+    """Shows that the sender is alive and how old its table is.
+
+    Attributes:
+        epoch: History of the sender's table.
+        revision: Revision of the sender's table.
+        age: Time in ms since the sender last knew its table to hold all that was agreed on;
+            `AGE_UNKNOWN` where it never did.
     """
 
     epoch: str
@@ -97,18 +139,22 @@
 
 
 class RetryLater(msgspec.Struct, frozen=True, array_like=True, tag="l"):
-    """The sender has no room for this subscriber now; come again after so many ms, here or
-    elsewhere.
-    """
+    """The server is at capacity: the subscriber reconnects after `after` ms, here or elsewhere."""
 
     after: float
     reason: str
 
 
 class PublishRequest(msgspec.Struct, frozen=True, array_like=True, tag="p"):
-    """A change to be accepted. `token`: the caller's own for it, the same when it asks again.
-    `expected`: the revision of the resource that it replaces, 0 for none there, -1 for whatever is
-    there. `body`: None deletes.
+    """A change to be accepted.
+
+    Attributes:
+        token: Idempotency key chosen by the publisher, repeated when it retries.
+        kind: Kind of the resource.
+        name: Name of the resource.
+        body: New content; None deletes the resource.
+        expected: Revision that the change replaces; 0 where the resource must not exist, -1 for
+            any revision.
     """
 
     token: str
@@ -119,8 +165,13 @@
 
 
 class PublishResponse(msgspec.Struct, frozen=True, array_like=True, tag="q"):
-    """Accepted as `revision`; or refused, with 0 and the reason; or not known, with -1 and the
-    reason.
+    """Outcome of a publish request.
+
+    Attributes:
+        token: Token of the request.
+        revision: Revision given to an accepted change; 0 where it was rejected; -1 where the
+            outcome is not known, and the publisher retries with the same token.
+        reason: Why it was rejected, or why the outcome is not known.
     """
 
     token: str
@@ -129,12 +180,21 @@
 
 
 class StatusRequest(msgspec.Struct, frozen=True, array_like=True, tag="t"):
-    """Asks a server what it holds and who receives from it."""
+    """Asks a server for its `StatusResponse`."""
 
 
 class SubscriberStatus(msgspec.Struct, frozen=True, array_like=True):
-    """One subscriber as its distributor knows it. `behind`: ms for which it has lacked something; 0
-    for nothing.
+    """One subscriber as its server knows it.
+
+    Attributes:
+        name: Name of the subscriber.
+        region: Its region.
+        zone: Its zone.
+        connected: Whether it is connected to this server now.
+        revision: Revision that it last acknowledged.
+        behind: Time in ms for which it has lacked some change; 0 where it lacks nothing.
+        rejections: Number of resources that it rejects.
+        rejected: The rejections it reported.
     """
 
     name: str
@@ -148,7 +208,17 @@
 
 
 class StatusResponse(msgspec.Struct, frozen=True, array_like=True, tag="v"):
-    """What a server holds and who receives from it."""
+    """A server's table and its subscribers.
+
+    Attributes:
+        name: Name of the server.
+        role: `voter` or `distributor`.
+        epoch: History of its table.
+        revision: Revision of its table.
+        digest: Digest of its table.
+        age: Age of its table in ms, as in `Heartbeat`.
+        subscribers: Connected subscribers and those that left recently.
+    """
 
     name: str
     role: str
@@ -160,8 +230,12 @@
 
 
 class LookupRequest(msgspec.Struct, frozen=True, array_like=True, tag="g"):
-    """What is held of a kind: the resource `name`, or, where that is empty, those whose names come
-    behind `after`.
+    """Asks for one resource, or for a page of a kind.
+
+    Attributes:
+        kind: Kind of the resources.
+        name: Name of one resource; empty for a page of the kind.
+        after: The page begins behind this name.
     """
 
     kind: str
@@ -170,7 +244,13 @@
 
 
 class LookupResponse(msgspec.Struct, frozen=True, array_like=True, tag="f"):
-    """Live resources by name. `more`: there may be others behind the last of them."""
+    """Live resources ordered by name.
+
+    Attributes:
+        revision: Revision of the server's table.
+        resources: The resources found.
+        more: Whether there may be others behind the last one.
+    """
 
     revision: int
     resources: tuple[Resource, ...]
--- a/dockthread/control_plane/publish_state_machine.py
+++ b/dockthread/control_plane/publish_state_machine.py
@@ -1,16 +1,16 @@
-"""The state machine of the agreed log of control: accepts each change once and gives it a revision.
-
-Theory of operation. A publisher's change is checked before it is proposed against bounds and the
-validator of its kind (`refusal`), and goes into the log (`proposal`). What depends on the state,
-whether the resource is at the revision that the change expects, is judged only when the entry is
-applied, where it is the same on every voter. The bounds are judged once more there, the validators
-not: voters of two releases may hold different ones while they are upgraded, and would part for
-good. The outcome under a token, accepted or refused, is part of the state and final while it is
-among the last `MOST_TOKENS`: a publisher that saw no answer asks again with the same token, and one
-change of two that were proposed counts, whichever comes late.
-
-`epoch` names the history: it is drawn from the nonce of the first change that is accepted, so that
-a log begun anew is told apart from the one before. It is empty until then.
+"""The replicated state machine that accepts each published change once and gives it a revision.
+
+Theory of operation. Before a change is proposed it is checked against bounds and the validator of
+its kind (`rejection_reason`); then it goes into the replicated log (`encode_proposal`). The check
+that depends on the state, whether the resource is at the expected revision, is made when the entry
+is applied, with the same result on every voter. The bounds are checked again there. Validators are
+not: voters of two releases may have different ones during an upgrade, and their states would
+diverge. The outcome under a token, accepted or rejected, is part of the state, and is final while
+it is among the last `MAX_TOKENS`: a publisher that got no response retries with the same token, and
+of two entries with one token only the first counts.
+
+`epoch` names the history. It is derived from the nonce of the first accepted change, so that a new
+log can be told from the one before; it is empty until then.
 """
 
 from __future__ import annotations
@@ -32,24 +32,34 @@
 )
 from dockthread.control_plane.resource_table import MAX_TOMBSTONES, ResourceTable
 
-MOST_TOKENS: Final = 65_536  # outcomes remembered: about a week of changes
-MOST_TOKEN: Final = 64  # bytes of a token
-ANY_REVISION: Final = -1  # `expected` of a change that replaces whatever is there
-NOT_KNOWN: Final = -1  # revision of an answer that cannot be given now
+MAX_TOKENS: Final = 65_536
+"""Outcomes remembered: about a week of changes."""
+MAX_TOKEN_BYTES: Final = 64
+"""Bytes of a token in UTF-8."""
+ANY_REVISION: Final = -1
+"""`PublishRequest.expected` of a change that replaces whatever is there."""
+OUTCOME_UNKNOWN: Final = -1
+"""`PublishResponse.revision` where the publisher has to retry."""
+REJECTED: Final = 0
+"""Revision of a change that was rejected."""
+NONCE_BYTES: Final = 8
+"""Random bytes of a proposal, from which the epoch of a new log is derived."""
+EPOCH_BYTES: Final = 8
+"""Bytes of an epoch, written in hexadecimal."""
 
 Validator = Callable[[str, bytes], str]
-"""From a resource's name and body to the reason for which it is refused; empty where it is good."""
+"""Returns why a resource of this name and body is rejected; empty where it is valid."""
 
 
 class Proposal(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log."""
+    """One entry of the log: a request, and random bytes for the epoch."""
 
     publish: PublishRequest
     nonce: bytes
 
 
 class Outcome(msgspec.Struct, frozen=True, array_like=True):
-    """What became of a change: `revision` where it was accepted, 0 and a reason where not."""
+    """What became of a change: its revision, or `REJECTED` and the reason."""
 
     token: str
     revision: int
@@ -57,7 +67,7 @@
 
 
 class State(msgspec.Struct, frozen=True, array_like=True):
-    """All that the state machine holds, for a snapshot of the log."""
+    """Complete state of the machine, for a snapshot of the log."""
 
     epoch: str
     revision: int
@@ -71,107 +81,121 @@
 
 
 class PublishStateMachine:
-    """The owner of a log (`dockthread.raft.server.Owner` without what concerns its members).
+    """Accepted resources, and the outcomes of recent changes.
 
-    `table` holds what is accepted; its identity stays the same for its life, also when a state is
-    restored. `validators`: by kind; a kind that is not among them is refused. All voters need the
-    same ones.
+    `validators` are by kind; a change of any other kind is rejected. All voters need the same.
+
+    Attributes:
+        table: Accepted resources; the same object for the life of the machine.
+        undecodable: Log entries that could not be decoded.
     """
 
     def __init__(
         self,
         validators: Mapping[str, Validator],
         rng: random.Random,
-        max_tokens: int = MOST_TOKENS,
+        max_tokens: int = MAX_TOKENS,
         max_tombstones: int = MAX_TOMBSTONES,
     ) -> None:
         self.table = ResourceTable(max_tombstones=max_tombstones)
-        self.undecodable = 0  # entries that mean nothing here
-        self._validators, self._rng, self._most_tokens = dict(validators), rng, max_tokens
-        self._outcomes: OrderedDict[str, Outcome] = OrderedDict()  # by token
+        self.undecodable = 0
+        self._validators = dict(validators)
+        self._rng = rng
+        self._max_tokens = max_tokens
+        self._outcomes: OrderedDict[str, Outcome] = OrderedDict()  # by token, the oldest first
 
     def response_for(self, token: str) -> PublishResponse | None:
-        """What became of a change that was applied; None where it is not known here."""
+        """Return the outcome of an applied change; None where it is not known here."""
         outcome = self._outcomes.get(token)
-        return None if outcome is None else PublishResponse(token, outcome.revision, outcome.reason)
+        if outcome is None:
+            return None
+        return PublishResponse(token, outcome.revision, outcome.reason)
+
+    def rejection_reason(self, request: PublishRequest) -> str:
+        """Return why a request must not be proposed, whatever the state; empty where it may.
 
-    def rejection_reason(self, publish: PublishRequest) -> str:
-        """Why the change may not be proposed, whatever the state; empty where it may. That refusal
-        is final too.
+        Such a rejection is final too.
         """
-        validator = self._validators.get(publish.kind)
+        validator = self._validators.get(request.kind)
         if validator is None:
-            return f"no such kind: {publish.kind}"
-        reason = _out_of_bounds(publish)
-        if reason or publish.body is None:
+            return f"no such kind: {request.kind}"
+        reason = _broken_bound(request)
+        if reason or request.body is None:
             return reason
-        return validator(publish.name, publish.body)
+        return validator(request.name, request.body)
 
-    def encode_proposal(self, publish: PublishRequest) -> bytes:
-        """What is to be proposed to the log. Whoever proposes asks `answer` and `refusal`
-        before.
+    def encode_proposal(self, request: PublishRequest) -> bytes:
+        """Return the log entry of a request.
+
+        The caller has consulted `response_for` and `rejection_reason` before.
         """
-        return msgspec.msgpack.encode(Proposal(publish, self._rng.randbytes(8)))
+        return msgspec.msgpack.encode(Proposal(request, self._rng.randbytes(NONCE_BYTES)))
 
-    def apply(self, index: int, data: bytes) -> None:
-        """An entry that is agreed on, in its order. `answer` then knows its token."""
+    def apply(self, index: int, data: bytes) -> None:  # noqa: ARG002  interface of a log's owner
+        """Apply a committed log entry; `response_for` then knows its token."""
         try:
-            encode_proposal = _proposal_decoder.decode(data)
+            proposal = _proposal_decoder.decode(data)
         except msgspec.MsgspecError:
             self.undecodable += 1
             return
-        publish = encode_proposal.publish
-        if publish.token in self._outcomes:
+        request = proposal.publish
+        if request.token in self._outcomes:
             return
-        reason = _out_of_bounds(publish) or self._unexpected(publish)
-        revision = 0 if reason else self._accept(publish, data)
-        self._remember(Outcome(publish.token, revision, reason))
+        reason = _broken_bound(request) or self._conflict(request)
+        revision = REJECTED if reason else self._accept(request, data)
+        self._remember(Outcome(request.token, revision, reason))
 
     def state(self) -> bytes:
-        """All that is held, for a snapshot of the log."""
+        """Return the encoded state, for a snapshot of the log."""
         table = self.table
-        entries, outcomes = tuple(table.entries()), tuple(self._outcomes.values())
-        held = State(table.epoch, table.revision, table.horizon, entries, outcomes)
-        return msgspec.msgpack.encode(held)
+        entries = tuple(table.entries())
+        outcomes = tuple(self._outcomes.values())
+        state = State(table.epoch, table.revision, table.horizon, entries, outcomes)
+        return msgspec.msgpack.encode(state)
+
+    def restore(self, index: int, state: bytes) -> None:  # noqa: ARG002  interface of a log's owner
+        """Replace the state by that of a snapshot of the log.
 
-    def restore(self, index: int, state: bytes) -> None:
-        """A whole state, in place of all entries up to `index`. Raises `msgspec.MsgspecError` for
-        none.
+        Raises:
+            msgspec.MsgspecError: The bytes are no state.
         """
-        held = _state_decoder.decode(state)
-        self.table.load(held.epoch, held.revision, held.horizon, held.entries)
-        self._outcomes = OrderedDict((outcome.token, outcome) for outcome in held.outcomes)
+        restored = _state_decoder.decode(state)
+        self.table.load(restored.epoch, restored.revision, restored.horizon, restored.entries)
+        self._outcomes = OrderedDict((outcome.token, outcome) for outcome in restored.outcomes)
 
-    def _accept(self, publish: PublishRequest, data: bytes) -> int:
-        """The revision that it becomes."""
+    def _accept(self, request: PublishRequest, data: bytes) -> int:
+        """Put the change into the table and return its revision."""
         if not self.table.epoch:
-            self.table.epoch = blake2b(data, digest_size=8).hexdigest()
+            self.table.epoch = blake2b(data, digest_size=EPOCH_BYTES).hexdigest()
         revision = self.table.revision + 1
-        self.table.put(Resource(publish.kind, publish.name, revision, publish.body))
+        self.table.put(Resource(request.kind, request.name, revision, request.body))
         return revision
 
     def _remember(self, outcome: Outcome) -> None:
         self._outcomes[outcome.token] = outcome
-        while len(self._outcomes) > self._most_tokens:
+        while len(self._outcomes) > self._max_tokens:
             self._outcomes.popitem(last=False)
 
-    def _unexpected(self, publish: PublishRequest) -> str:
-        there = self.table.get(publish.kind, publish.name)
-        revision = 0 if there is None else there.revision
-        if publish.expected not in (ANY_REVISION, revision):
-            return f"expected revision {publish.expected}, and it is at {revision}"
-        if publish.body is None and there is None:
+    def _conflict(self, request: PublishRequest) -> str:
+        """Return how a request conflicts with the state; empty where it does not."""
+        # These texts are part of the replicated state: voters of all releases must agree on them.
+        current = self.table.get(request.kind, request.name)
+        revision = 0 if current is None else current.revision
+        if request.expected not in (ANY_REVISION, revision):
+            return f"expected revision {request.expected}, and it is at {revision}"
+        if request.body is None and current is None:
             return "there is nothing to delete"
         return ""
 
 
-def _out_of_bounds(publish: PublishRequest) -> str:
-    """Which bound the change breaks, whatever the state; empty for none."""
-    if not 0 < len(publish.token.encode()) <= MOST_TOKEN:
-        return f"a token has 1 to {MOST_TOKEN} bytes"
-    for word, text in (("kind", publish.kind), ("name", publish.name)):
+def _broken_bound(request: PublishRequest) -> str:
+    """Return which bound a request breaks, whatever the state; empty for none."""
+    # These texts are part of the replicated state, as those of `_conflict`.
+    if not 0 < len(request.token.encode()) <= MAX_TOKEN_BYTES:
+        return f"a token has 1 to {MAX_TOKEN_BYTES} bytes"
+    for field, text in (("kind", request.kind), ("name", request.name)):
         if not 0 < len(text.encode()) <= MAX_NAME_BYTES or not text.isprintable():
-            return f"a {word} has 1 to {MAX_NAME_BYTES} bytes and can be printed"
-    if publish.body is not None and len(publish.body) > MAX_BODY_BYTES:
-        return f"{len(publish.body)} bytes, and {MAX_BODY_BYTES} are the most"
+            return f"a {field} has 1 to {MAX_NAME_BYTES} bytes and can be printed"
+    if request.body is not None and len(request.body) > MAX_BODY_BYTES:
+        return f"{len(request.body)} bytes, and {MAX_BODY_BYTES} are the most"
     return ""
--- a/dockthread/control_plane/resource_schemas.py
+++ b/dockthread/control_plane/resource_schemas.py
@@ -1,9 +1,10 @@
-"""The kinds of resources that an ingress knows, as they are published: their form, without the
-site's settings.
+"""The kinds of resources that an ingress knows, and how their bodies are parsed.
 
-`route`: a JSON object of the keys of a section `[route NAME]`, each a text as the operator's file
-has it, or a number, a truth value or a list of such. `address`: one named `discovery` or `counter`,
-a JSON object with `address`.
+* `route`: a JSON object with keys of a section `[route NAME]`. Each value is a text as the
+  operator's file has it, or a number, a boolean or a list of such.
+* `address`: a JSON object with `address`; its name is `discovery` or `counter`.
+
+Whether a resource fits the settings of a site is checked at the ingress alone.
 """
 
 from __future__ import annotations
@@ -20,44 +21,71 @@
 from dockthread.telemetry.options import host_port
 
 ROUTE: Final = "route"
+"""Kind of a route."""
 ADDRESS: Final = "address"
-ADDRESSES: Final = ("discovery", "counter")
-MOST_ROUTE_NAME: Final = 100  # characters
-
-_FIELDS = {field.encode_name: field for field in msgspec.structs.fields(RouteOptions)}
+"""Kind of an address of a service that ingresses use."""
+DISCOVERY: Final = "discovery"
+"""Name of discovery's address."""
+COUNTER: Final = "counter"
+"""Name of the quota counter's address."""
+ADDRESSES: Final = (DISCOVERY, COUNTER)
+"""Names of the addresses that exist."""
+MAX_ROUTE_NAME_CHARACTERS: Final = 100
+SHOWN_NAME_CHARACTERS: Final = 40
+"""Characters of a wrong name that a reason repeats."""
+SHOWN_VALUE_CHARACTERS: Final = 80
+"""Characters of a wrong value that a reason repeats."""
+_NOT_IN_ROUTE_NAMES: Final = "[]\r\n"
+"""Characters that a section's head in the operator's file cannot contain."""
+
+_ROUTE_FIELDS: Final = {field.encode_name: field for field in msgspec.structs.fields(RouteOptions)}
 
 
 class InvalidResourceError(ValueError):
-    """A body that is not of its kind's form; the text is the reason."""
+    """A body does not have the form of its kind; the text is the reason of the rejection."""
 
 
 def parse_route(name: str, body: bytes) -> RouteOptions:
-    """Raises `BadResource` with key, fault and what would do."""
-    if not name.strip() or len(name) > MOST_ROUTE_NAME or any(c in name for c in "[]\r\n"):
-        raise InvalidResourceError(f"{name[:40]!r} is no name of a route")
-    values: dict[str, Any] = {}
-    for key, value in _object(body).items():
-        if key not in _FIELDS:
-            raise InvalidResourceError(
-                f"{key}: is no key of a route; known: {', '.join(sorted(_FIELDS))}"
-            )
+    """Return the route that a resource describes.
+
+    Raises:
+        InvalidResourceError: It has no such form; the text says the key, what is wrong and what
+            would do.
+    """
+    is_name = bool(name.strip()) and len(name) <= MAX_ROUTE_NAME_CHARACTERS
+    if not is_name or any(character in name for character in _NOT_IN_ROUTE_NAMES):
+        raise InvalidResourceError(f"{name[:SHOWN_NAME_CHARACTERS]!r} is no name of a route")
+    values = {}
+    for key, value in _parse_object(body).items():
+        if key not in _ROUTE_FIELDS:
+            known = ", ".join(sorted(_ROUTE_FIELDS))
+            raise InvalidResourceError(f"{key}: is no key of a route; known: {known}")
+        field = _ROUTE_FIELDS[key]
+        text = _ini_text(value)
         try:
-            values[_FIELDS[key].name] = convert(_text(value), _FIELDS[key].type)
+            values[field.name] = convert(text, field.type)
         except (ValueError, msgspec.ValidationError) as error:
-            raise InvalidResourceError(f"{key}: {_text(value)[:80]!r} {error}") from error
-    options = RouteOptions(**values)
-    for key, wrong, would_do in options.faults():
-        raise InvalidResourceError(str(Problem("", "", key, wrong, would_do)).removeprefix(": "))
-    return options
+            shown = text[:SHOWN_VALUE_CHARACTERS]
+            raise InvalidResourceError(f"{key}: {shown!r} {error}") from error
+    route = RouteOptions(**values)
+    for key, wrong, would_do in route.faults():
+        problem = Problem("", "", key, wrong, would_do)
+        raise InvalidResourceError(str(problem).removeprefix(": "))
+    return route
 
 
 def parse_address(name: str, body: bytes) -> Address:
-    """Raises `BadResource` with the fault and what would do."""
+    """Return the address that a resource describes.
+
+    Raises:
+        InvalidResourceError: It has no such form; the text says what is wrong and what would do.
+    """
     if name not in ADDRESSES:
+        shown = name[:SHOWN_NAME_CHARACTERS]
         raise InvalidResourceError(
-            f"{name[:40]!r} is no address of an ingress; known: {', '.join(ADDRESSES)}"
+            f"{shown!r} is no address of an ingress; known: {', '.join(ADDRESSES)}"
         )
-    value = _object(body).get("address")
+    value = _parse_object(body).get("address")
     found = host_port(value) if isinstance(value, str) else None
     if found is None:
         raise InvalidResourceError(
@@ -83,22 +111,23 @@
 
 
 VALIDATORS: Final[dict[str, Validator]] = {ROUTE: _validate_route, ADDRESS: _validate_address}
+"""Validators of all kinds, for the voters."""
 
 
-def _object(body: bytes) -> dict[str, Any]:
+def _parse_object(body: bytes) -> dict[str, object]:
     try:
-        found = json.loads(body)
+        found: Any = json.loads(body)
     except (ValueError, RecursionError) as error:
         raise InvalidResourceError(f"is not JSON: {error}") from error
     if not isinstance(found, dict):
-        raise InvalidResourceError('is no JSON object, such as {"attempts": 2}')
+        raise InvalidResourceError('is no JSON object, such as {"attempts": 2}')  # noqa: TRY004  of JSON
     return found
 
 
-def _text(value: Any) -> str:
-    """As the operator's file would have it."""
+def _ini_text(value: object) -> str:
+    """Return a value of JSON as the operator's file would have it."""
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, list):
-        return ", ".join(_text(one) for one in value)
+        return ", ".join(_ini_text(item) for item in value)
     return value if isinstance(value, str) else json.dumps(value)
--- a/dockthread/control_plane/server.py
+++ b/dockthread/control_plane/server.py
@@ -1,11 +1,10 @@
-"""Serves subscribers, publishers and questions on TCP: the rim round `Fanout`, of voters and of
-distributors.
-
-Theory of operation. A connection is a subscriber's from its `Subscribe` on; before, and else, it
-may publish and ask. The core is asked for a connection's next frame only while the transport's
-write buffer is low, so a slow subscriber holds one frame and no queue. A change of the table is
-told by `changed`; all that come within one turn of the loop are served by one round over the
-connections. One timer serves all connections.
+"""Serves subscribers, publishers and lookups on TCP: the I/O of voters and distributors.
+
+Theory of operation. A connection belongs to a subscriber from its `Subscribe` on; before that, and
+without one, it may publish and look up. `FanOut` is asked for a connection's next frame only while
+the transport's write buffer is low, so a slow subscriber costs one frame and no queue. Whoever
+changes the table calls `on_table_changed`; all changes within one turn of the loop are served by
+one pass over the connections. One timer serves all connections.
 """
 
 from __future__ import annotations
@@ -13,8 +12,8 @@
 import asyncio
 import random
 from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Any, Protocol
+from dataclasses import dataclass, field
+from typing import Any, Final, Protocol
 
 import msgspec
 from loguru import logger
@@ -22,7 +21,7 @@
 from dockthread.clock import Clock
 from dockthread.config.platform_settings import Address
 from dockthread.control_plane.fanout import FanOut, FanOutLimits, UnexpectedMessageError
-from dockthread.control_plane.listing import found
+from dockthread.control_plane.listing import lookup_resources
 from dockthread.control_plane.messages import (
     MAX_MESSAGE_BYTES,
     Acknowledge,
@@ -36,300 +35,385 @@
     Subscribe,
     codec,
 )
+from dockthread.control_plane.options import ControlOptions
+from dockthread.control_plane.publish_state_machine import OUTCOME_UNKNOWN
 from dockthread.control_plane.resource_table import ResourceTable
 from dockthread.control_plane.stream import FrameStream
 from dockthread.framing import MessageCounts
 
-MAX_REQUEST_BYTES = 256 << 10  # bytes of a message to a server: a resource's body, or 64 rejections
-MOST_PUBLISHING = 64  # changes that wait for the agreed log at once
-MOST_SILENCE = 10_000.0  # ms that a connection may stand without a subscription or a question
-FRAMES_A_TURN = 4  # to one connection before others have their turn
-BACKLOG = 1024  # connections that wait to be accepted: a wave of restarts
-LEAST_WAIT = 0.005  # s
-COMPLAINT = 60_000.0  # ms between two lines in the log about malformed bytes
+MAX_REQUEST_BYTES: Final = 256 << 10
+"""Bytes of a message to a server: the body of a resource, or 64 rejections."""
+MAX_PENDING_PUBLISHES: Final = 64
+"""Changes that wait for the replicated log at once."""
+MAX_IDLE: Final = 10_000.0
+"""Time in ms after which a connection is closed that neither subscribes nor requests."""
+FRAMES_PER_TURN: Final = 4
+"""Frames written to one connection before the others have their turn."""
+LISTEN_BACKLOG: Final = 1024
+"""Connections that wait to be accepted: a wave of restarts."""
+MIN_TIMER_DELAY: Final = 0.005
+"""Time in s between two runs of the timer."""
+MALFORMED_LOG_INTERVAL: Final = 60_000.0
+"""Time in ms between two log lines about malformed bytes."""
+REQUEST_CONNECTIONS: Final = 32
+"""Connections of publishers and operators, besides those of subscribers."""
+SNAPSHOT_BURST_SECONDS: Final = 2
+"""The burst of snapshots, in seconds of their rate."""
+MS_PER_SECOND: Final = 1_000.0
 
 
 class Publisher(Protocol):
-    """Takes changes: a voter."""
+    """Accepts changes: a voter."""
 
-    async def publish(self, change: PublishRequest) -> PublishResponse:
-        """Have a change agreed on; how it ended."""
+    async def publish(self, request: PublishRequest) -> PublishResponse:
+        """Have the voters agree on a change and return the outcome."""
 
 
 @dataclass(frozen=True, slots=True)
-class ServerLimits:
-    """`connections` at once; `write_buffer`: bytes that wait in one transport before its next frame
-    is made.
+class ServerSettings:
+    """Settings of a server.
+
+    Attributes:
+        name: Name of the server, unique among all.
+        role: `voter` or `distributor`.
+        connections: Connections accepted at once.
+        write_buffer: Bytes that may wait in one transport before its next frame is made.
+        fan_out: Limits of the fan-out to subscribers.
+        key: Key that tags all messages; empty for none.
     """
 
+    name: str
+    role: str
     connections: int = 512
     write_buffer: int = 64 << 10
+    fan_out: FanOutLimits = field(default_factory=FanOutLimits)
+    key: bytes = b""
+
+
+def server_settings_from_options(options: ControlOptions) -> ServerSettings:
+    """Return the settings that the section `[control]` gives.
+
+    Raises:
+        KeyFileError: The file of the shared key cannot be read or has a wrong length.
+    """
+    rate = float(options.snapshot_rate)
+    fan_out = FanOutLimits(
+        options.most_connections,
+        snapshot_rate=rate,
+        snapshot_burst=SNAPSHOT_BURST_SECONDS * rate,
+        heartbeat_interval=float(options.heartbeat),
+    )
+    return ServerSettings(
+        options.name,
+        options.role or "",
+        options.most_connections + REQUEST_CONNECTIONS,
+        options.write_buffer,
+        fan_out,
+        options.key(),
+    )
+
+
+@dataclass(frozen=True, slots=True)
+class TableSource:
+    """The table that a server serves.
+
+    Attributes:
+        table: The table.
+        age: Returns for how many ms the table may have lacked a change, or `AGE_UNKNOWN`.
+    """
+
+    table: ResourceTable
+    age: Callable[[], float]
 
 
 @dataclass(slots=True)
 class ServerCounts:
-    """Since the start."""
+    """Events of a server since its start.
+
+    Attributes:
+        accepted: Connections accepted.
+        rejected: Connections closed as there were too many.
+        malformed: Connections closed for malformed bytes.
+        unexpected: Connections closed for a message out of place.
+        overdue: Connections closed for their silence.
+        unread: Connections closed since they requested and did not read.
+    """
 
     accepted: int = 0
-    refused: int = 0  # connections beyond the limit
+    rejected: int = 0
     malformed: int = 0
-    unexpected: int = 0  # messages out of place
-    overdue: int = 0  # connections closed for their silence
-    unread: int = 0  # connections closed since they asked and did not read
+    unexpected: int = 0
+    overdue: int = 0
+    unread: int = 0
+
 
+class ServerStream(FrameStream):
+    """One accepted connection.
 
-class Connection(FrameStream):
-    """One accepted connection."""
+    Attributes:
+        number: Number of the connection, counted from 1.
+        is_subscribed: Whether a subscriber is served on it.
+        last_received_at: When its last message came, in ms.
+    """
 
     def __init__(self, server: ControlPlaneServer, number: int, key: bytes) -> None:
         super().__init__(key, MAX_REQUEST_BYTES, server.messages)
-        self._server, self.number = server, number
-        self.subscribed = False
-        self.heard_at = server.clock.now()
+        self._server = server
+        self.number = number
+        self.is_subscribed = False
+        self.last_received_at = server.clock.now()
 
     def on_open(self) -> None:
-        """The connection is open."""
-        self._server.on_accept(self)
+        """Have the server accept the connection."""
+        self._server.on_open(self)
 
     def on_message(self, message: Message) -> None:
-        """A whole message came."""
+        """Pass a message to the server."""
         self._server.on_message(self, message)
 
     def on_malformed(self, reason: str) -> None:
-        """What came is no message."""
+        """Have the server count malformed bytes."""
         self._server.on_malformed(self, reason)
 
-    def on_closed(self, reason: str) -> None:
-        """The connection is gone."""
+    def on_closed(self, reason: str) -> None:  # noqa: ARG002  the reason does not matter here
+        """Have the server forget the connection."""
         self._server.on_closed(self)
 
     def on_writable(self) -> None:
-        """Its socket has room again."""
+        """Have the server write on."""
         self._server.write_to(self)
 
 
 class ControlPlaneServer:
-    """Serves `table`. `age`: ms since the table was known to hold all that was agreed on, -1 for
-    never. `publisher`: None on a distributor.
+    """Serves the table of `source`. `publisher` is None on a distributor.
+
+    Attributes:
+        table: The served table.
+        clock: Clock of the process.
+        counts: Events since the start.
+        messages: Messages received and sent.
+        fan_out: Cursors of the subscribers.
     """
 
     def __init__(
         self,
-        name: str,
-        role: str,
-        table: ResourceTable,
+        settings: ServerSettings,
+        source: TableSource,
         clock: Clock,
         rng: random.Random,
-        age: Callable[[], float],
-        limits: ServerLimits | None = None,
-        fanout_limits: FanOutLimits | None = None,
-        key: bytes = b"",
         publisher: Publisher | None = None,
     ) -> None:
-        self.name, self.role, self.table, self.clock = name, role, table, clock
-        self.counts, self.messages = ServerCounts(), MessageCounts()
-        self._limits, self._key = limits or ServerLimits(), key
-        self._age, self._publisher = age, publisher
-        self.fanout = FanOut(table, fanout_limits or FanOutLimits(), rng, key, clock.now())
-        self._connections: dict[int, Connection] = {}
-        self._number = 0
+        self.table = source.table
+        self.clock = clock
+        self.counts = ServerCounts()
+        self.messages = MessageCounts()
+        self.fan_out = FanOut(source.table, settings.fan_out, rng, settings.key, clock.now())
+        self._settings = settings
+        self._age = source.age
+        self._publisher = publisher
+        self._connections: dict[int, ServerStream] = {}  # by number
+        self._last_number = 0
         self._server: asyncio.Server | None = None
-        self._alarm: asyncio.TimerHandle | None = None
-        self._changed = False
-        self._complain_at = 0.0
+        self._timer: asyncio.TimerHandle | None = None
+        self._is_write_planned = False
+        self._next_malformed_log_at = 0.0
         self._publishing: set[asyncio.Task[Any]] = set()
 
     async def open(self, listen: Address) -> Address:
-        """Serve here; the address with the port that was given. Raises OSError where it cannot
-        listen.
+        """Listen, and return the address with the port that was assigned.
+
+        Raises:
+            OSError: The address cannot be listened on.
         """
         self._loop = asyncio.get_running_loop()
         self._server = await self._loop.create_server(
-            self._accept, listen.host, listen.port, backlog=BACKLOG
+            self._make_stream, listen.host, listen.port, backlog=LISTEN_BACKLOG
         )
-        self._arm()
+        self._plan_timer()
         return Address(*self._server.sockets[0].getsockname()[:2])
 
     async def close(self) -> None:
-        """Take no more, and end all connections."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
-        if self._alarm is not None:
-            self._alarm.cancel()
+        if self._timer is not None:
+            self._timer.cancel()
         for task in list(self._publishing):
             task.cancel()
         for connection in list(self._connections.values()):
             connection.abort()
         await asyncio.sleep(0)
 
-    def changed(self) -> None:
-        """The table has changed, or its age."""
-        if not self._changed:
-            self._changed = True
+    def on_table_changed(self) -> None:
+        """Serve a change of the table or of its age, in the next turn of the loop."""
+        if not self._is_write_planned:
+            self._is_write_planned = True
             self._loop.call_soon(self._write_all)
 
     # Connections
 
-    def _accept(self) -> Connection:
-        self._number += 1
-        return Connection(self, self._number, self._key)
+    def _make_stream(self) -> ServerStream:
+        self._last_number += 1
+        return ServerStream(self, self._last_number, self._settings.key)
 
-    def on_accept(self, connection: Connection) -> None:
-        """Take a connection in, or close it where there are too many."""
-        if len(self._connections) >= self._limits.connections:
-            self.counts.refused += 1
+    def on_open(self, connection: ServerStream) -> None:
+        """Accept a connection, or close it where there are too many."""
+        if len(self._connections) >= self._settings.connections:
+            self.counts.rejected += 1
             connection.abort()
             return
         self.counts.accepted += 1
         assert connection.transport is not None
-        connection.transport.set_write_buffer_limits(high=self._limits.write_buffer)
+        connection.transport.set_write_buffer_limits(high=self._settings.write_buffer)
         self._connections[connection.number] = connection
 
-    def on_closed(self, connection: Connection) -> None:
-        """Forget a connection that is gone."""
-        if self._connections.pop(connection.number, None) is not None and connection.subscribed:
-            self.fanout.on_closed(self.clock.now(), connection.number)
+    def on_closed(self, connection: ServerStream) -> None:
+        """Forget a connection."""
+        known = self._connections.pop(connection.number, None)
+        if known is not None and connection.is_subscribed:
+            self.fan_out.on_closed(self.clock.now(), connection.number)
 
-    def on_malformed(self, connection: Connection, reason: str) -> None:
-        """Counted, and told now and then: it may be a wrong key."""
+    def on_malformed(self, connection: ServerStream, reason: str) -> None:
+        """Count malformed bytes and log them now and then: the key may be wrong."""
         self.counts.malformed += 1
-        if (now := self.clock.now()) >= self._complain_at:
-            self._complain_at = now + COMPLAINT
-            peer = (
-                connection.transport.get_extra_info("peername")
-                if connection.transport is not None
-                else None
-            )
-            logger.warning(
-                "control: {} malformed so far, the last from {}: {}",
-                self.counts.malformed,
-                peer,
-                reason,
-            )
+        now = self.clock.now()
+        if now < self._next_malformed_log_at:
+            return
+        self._next_malformed_log_at = now + MALFORMED_LOG_INTERVAL
+        transport = connection.transport
+        peer = transport.get_extra_info("peername") if transport is not None else None
+        logger.warning(
+            "control: {} malformed so far, the last from {}: {}",
+            self.counts.malformed,
+            peer,
+            reason,
+        )
 
-    def on_message(self, connection: Connection, message: Message) -> None:
-        """A whole message came on a connection."""
-        now = connection.heard_at = self.clock.now()
-        if not connection.writable and not connection.subscribed:
+    def on_message(self, connection: ServerStream, message: Message) -> None:
+        """Handle a message."""
+        now = self.clock.now()
+        connection.last_received_at = now
+        if not connection.is_writable and not connection.is_subscribed:
             self.counts.unread += 1
             connection.abort()
             return
         try:
-            match message:
-                case Subscribe():
-                    self._subscribe(now, connection, message)
-                case Acknowledge() | Heartbeat():
-                    self.fanout.on_message(now, connection.number, message)
-                    self.write_to(connection)
-                case PublishRequest():
-                    self._publish(connection, message)
-                case StatusRequest():
-                    connection.send(self.status())
-                case LookupRequest():
-                    connection.send(found(self.table, message))
-                case _:
-                    raise UnexpectedMessageError(type(message).__name__)
+            self._dispatch(now, connection, message)
         except UnexpectedMessageError as error:
             self.counts.unexpected += 1
             logger.debug(
-                "control: connection {} is closed, it said what it may not: {}",
+                "control: connection {} is closed, its message was unexpected: {}",
                 connection.number,
                 error,
             )
             connection.abort()
 
-    def _subscribe(self, now: float, connection: Connection, message: Subscribe) -> None:
-        later = self.fanout.subscribe(now, connection.number, message)
-        if later is not None:
-            connection.send(later)
+    def _dispatch(self, now: float, connection: ServerStream, message: Message) -> None:
+        match message:
+            case Subscribe():
+                self._subscribe(now, connection, message)
+            case Acknowledge() | Heartbeat():
+                self.fan_out.on_message(now, connection.number, message)
+                self.write_to(connection)
+            case PublishRequest():
+                self._publish(connection, message)
+            case StatusRequest():
+                connection.send(self.status())
+            case LookupRequest():
+                connection.send(lookup_resources(self.table, message))
+            case _:
+                raise UnexpectedMessageError(type(message).__name__)
+
+    def _subscribe(self, now: float, connection: ServerStream, message: Subscribe) -> None:
+        retry_later = self.fan_out.subscribe(now, connection.number, message)
+        if retry_later is not None:
+            connection.send(retry_later)
             connection.close()
             return
-        connection.subscribed = True
+        connection.is_subscribed = True
         self.write_to(connection)
-        self._arm()
+        self._plan_timer()
 
-    def _publish(self, connection: Connection, change: PublishRequest) -> None:
+    def _publish(self, connection: ServerStream, request: PublishRequest) -> None:
         if self._publisher is None:
-            connection.send(
-                PublishResponse(change.token, -1, f"{self.name} is no voter and takes no changes")
-            )
-        elif len(self._publishing) >= MOST_PUBLISHING:
-            connection.send(
-                PublishResponse(
-                    change.token, -1, f"{MOST_PUBLISHING} changes wait already: ask again"
-                )
-            )
+            reason = f"{self._settings.name} is no voter and takes no changes"
+            connection.send(PublishResponse(request.token, OUTCOME_UNKNOWN, reason))
+        elif len(self._publishing) >= MAX_PENDING_PUBLISHES:
+            reason = f"{MAX_PENDING_PUBLISHES} changes wait already: ask again"
+            connection.send(PublishResponse(request.token, OUTCOME_UNKNOWN, reason))
         else:
-            task = self._loop.create_task(self._accept_change(self._publisher, connection, change))
+            publishing = self._respond(self._publisher, connection, request)
+            task = self._loop.create_task(publishing)
             self._publishing.add(task)
             task.add_done_callback(self._publishing.discard)
 
-    async def _accept_change(
-        self, publisher: Publisher, connection: Connection, change: PublishRequest
+    async def _respond(
+        self, publisher: Publisher, connection: ServerStream, request: PublishRequest
     ) -> None:
-        connection.send(await publisher.publish(change))
+        connection.send(await publisher.publish(request))
 
     def status(self) -> StatusResponse:
-        """What is held here and who receives from it. Reasons are left out where they would not fit
-        a frame.
+        """Return the table's state and the subscribers.
+
+        The rejections are left out where they would not fit into a message.
         """
-        subscribers = self.fanout.status(self.clock.now())
+        subscribers = self.fan_out.status(self.clock.now())
         table = self.table
-        whole = StatusResponse(
-            self.name,
-            self.role,
+        response = StatusResponse(
+            self._settings.name,
+            self._settings.role,
             table.epoch,
             table.revision,
             table.digest,
             self._age(),
             subscribers,
         )
-        if len(codec.pack(whole)) <= MAX_MESSAGE_BYTES:
-            return whole
-        bare = tuple(msgspec.structs.replace(one, rejected=()) for one in subscribers)
-        return msgspec.structs.replace(whole, subscribers=bare)
+        if len(codec.pack(response)) <= MAX_MESSAGE_BYTES:
+            return response
+        without_reasons = tuple(
+            msgspec.structs.replace(subscriber, rejected=()) for subscriber in subscribers
+        )
+        return msgspec.structs.replace(response, subscribers=without_reasons)
 
     # Writing
 
-    def write_to(self, connection: Connection) -> None:
-        """Frames while the transport has room; after a few of them others have their turn."""
-        for _ in range(FRAMES_A_TURN):
-            if (
-                not connection.subscribed
-                or not connection.writable
-                or connection.number not in self._connections
-            ):
+    def write_to(self, connection: ServerStream) -> None:
+        """Write frames while the transport has capacity, a few before others have their turn."""
+        for _ in range(FRAMES_PER_TURN):
+            if not connection.is_subscribed or not connection.is_writable:
+                return
+            if connection.number not in self._connections:
                 return
-            frame = self.fanout.next_frame(self.clock.now(), connection.number)
+            frame = self.fan_out.next_frame(self.clock.now(), connection.number)
             if frame is None:
                 return
             connection.write(frame)
         self._loop.call_soon(self.write_to, connection)
 
     def _write_all(self) -> None:
-        self._changed = False
-        self.fanout.set_table_age(self.clock.now(), self._age())
+        self._is_write_planned = False
+        self.fan_out.set_table_age(self.clock.now(), self._age())
         for connection in list(self._connections.values()):
             self.write_to(connection)
 
-    # Time
+    # Timer
 
-    def _arm(self) -> None:
-        if self._alarm is not None:
-            self._alarm.cancel()
-        wait = max(LEAST_WAIT, (self.fanout.next_timer_at() - self.clock.now()) / 1000.0)
-        self._alarm = self._loop.call_later(wait, self._on_timer)
+    def _plan_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+        delay = (self.fan_out.next_timer_at() - self.clock.now()) / MS_PER_SECOND
+        self._timer = self._loop.call_later(max(MIN_TIMER_DELAY, delay), self._on_timer)
 
     def _on_timer(self) -> None:
         now = self.clock.now()
-        self.fanout.set_table_age(now, self._age())
-        for overdue in self.fanout.on_timer(now):
+        self.fan_out.set_table_age(now, self._age())
+        for overdue in self.fan_out.on_timer(now):
             self._close_overdue(overdue.connection, overdue.reason)
         for connection in list(self._connections.values()):
-            if not connection.subscribed and now - connection.heard_at > MOST_SILENCE:
-                self._close_overdue(connection.number, "it says nothing")
+            if not connection.is_subscribed and now - connection.last_received_at > MAX_IDLE:
+                self._close_overdue(connection.number, "idle for too long")
         self._write_all()
-        self._arm()
+        self._plan_timer()
 
     def _close_overdue(self, number: int, reason: str) -> None:
         self.counts.overdue += 1
@@ -337,4 +421,4 @@
         if connection := self._connections.get(number):
             connection.abort()
         else:
-            self.fanout.on_closed(self.clock.now(), number)
+            self.fan_out.on_closed(self.clock.now(), number)
--- /dev/null
+++ b/dockthread/control_plane/server_connection.py
@@ -0,0 +1,270 @@
+"""The connection of a subscriber to one server at a time: which server, and until when.
+
+| state | silence, break or rejection | stale server |
+| --- | --- | --- |
+| (no connection: backing off) | - | - |
+| `CONNECTING` | next server after a backoff | - |
+| `SUBSCRIBED` (no message yet) | next server after a backoff | - |
+| `RECEIVING` | next server after a backoff | next server, as `staleness` allows |
+
+A subscriber that is not connected to its preferred server returns to it now and then. Times are in
+ms.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from enum import Enum, auto
+
+from dockthread.control_plane.backoff import ReconnectBackoff
+from dockthread.control_plane.server_selection import CandidateServer, ServerSelector
+from dockthread.control_plane.staleness import NEVER_DUE, StaleServerPolicy
+from dockthread.control_plane.subscriber_actions import (
+    Action,
+    Connect,
+    Disconnect,
+    SubscriberCounts,
+)
+from dockthread.control_plane.subscriber_settings import SubscriberSettings
+
+
+class ConnectionState(Enum):
+    """How far a connection has come."""
+
+    CONNECTING = auto()
+    SUBSCRIBED = auto()
+    RECEIVING = auto()
+
+
+@dataclass(slots=True)
+class ServerConnection:
+    """The current connection.
+
+    Attributes:
+        number: Number of the connection, counted from 1.
+        server: Name of the server.
+        deadline: When it fails unless a message has come.
+        heartbeat_at: When the next heartbeat is sent.
+        return_at: When to return to the preferred server.
+        is_open: Whether it was opened, and the subscription sent.
+        last_received_at: When the server was last heard from; None before its first message.
+        fresh_at: When the server's table was last known to be complete; None before its first
+            heartbeat.
+    """
+
+    number: int
+    server: str
+    deadline: float
+    heartbeat_at: float
+    return_at: float
+    is_open: bool = False
+    last_received_at: float | None = None
+    fresh_at: float | None = None
+
+    @property
+    def state(self) -> ConnectionState:
+        """How far it has come."""
+        if self.last_received_at is not None:
+            return ConnectionState.RECEIVING
+        return ConnectionState.SUBSCRIBED if self.is_open else ConnectionState.CONNECTING
+
+
+class ConnectionManager:
+    """Opens, fails and replaces the connection of a subscriber.
+
+    Actions are appended to `actions`; `before_connect` is called before each `Connect`.
+
+    Attributes:
+        current: The current connection; None while backing off.
+        servers: The servers in the subscriber's order.
+    """
+
+    def __init__(  # noqa: PLR0913  what one subscriber shares with it
+        self,
+        settings: SubscriberSettings,
+        servers: Sequence[CandidateServer],
+        rng: random.Random,
+        now: float,
+        counts: SubscriberCounts,
+        actions: list[Action],
+        before_connect: Callable[[], None],
+    ) -> None:
+        self.current: ServerConnection | None = None
+        self.servers = ServerSelector(settings.name, servers)
+        self._times = settings.times
+        self._rng = rng
+        self._counts = counts
+        self._actions = actions
+        self._before_connect = before_connect
+        self._backoff = ReconnectBackoff(self._times, rng, now)
+        self._staleness = StaleServerPolicy(self._times, rng, len(self.servers), now)
+        self._last_number = 0
+
+    def find(self, number: int) -> ServerConnection | None:
+        """Return the current connection if it has this number."""
+        if self.current is None or self.current.number != number:
+            return None
+        return self.current
+
+    def next_timer_at(self) -> float:
+        """Return when `on_timer` is due."""
+        connection = self.current
+        if connection is None:
+            return self._backoff.wait_until
+        if connection.last_received_at is None:
+            if connection.is_open:
+                return min(connection.deadline, connection.heartbeat_at)
+            return connection.deadline
+        return min(
+            connection.last_received_at + self._times.silence_timeout,
+            connection.heartbeat_at,
+            connection.return_at,
+            self._leave_stale_at(connection),
+        )
+
+    def on_timer(self, now: float, is_staging: bool) -> bool:
+        """Do what is due.
+
+        A snapshot under way (`is_staging`) is not interrupted to return to the preferred server.
+
+        Returns:
+            True where nothing was due that concerns the connection, so a heartbeat may be sent.
+        """
+        connection = self.current
+        if connection is None:
+            if now >= self._backoff.wait_until:
+                self._connect(now, self.servers.select(now))
+            return False
+        if self._is_overdue(now, connection):
+            self.fail(now, connection, "no answer in time")
+        elif self._is_silent(now, connection):
+            self._counts.silences += 1
+            self.fail(now, connection, "silent for too long")
+        elif now >= self._leave_stale_at(connection):
+            self._leave_stale(now, connection)
+        elif now >= connection.return_at:
+            self._return_to_preferred(now, connection, is_staging)
+        else:
+            return True
+        return False
+
+    def on_opened(self, now: float, connection: ServerConnection) -> None:
+        """Record that the connection is open."""
+        connection.is_open = True
+        connection.heartbeat_at = now + self._times.heartbeat_interval
+
+    def heartbeat_due(self, now: float) -> ServerConnection | None:
+        """Return the connection if a heartbeat is due on it, and plan the next one."""
+        connection = self.current
+        if connection is None or not connection.is_open or now < connection.heartbeat_at:
+            return None
+        connection.heartbeat_at = now + self._times.heartbeat_interval
+        return connection
+
+    def on_server_age(self, now: float, connection: ServerConnection, fresh_at: float) -> bool:
+        """Record when the server's table was last known to be complete.
+
+        A stale server is left if that may be done now.
+
+        Returns:
+            Whether the server is fresh.
+        """
+        connection.fresh_at = fresh_at
+        if not self._staleness.is_stale(now, fresh_at):
+            self._staleness.on_fresh(len(self.servers))
+            return True
+        if now >= self._leave_stale_at(connection):
+            self._leave_stale(now, connection)
+        return False
+
+    def is_known_fresh(self, now: float, connection: ServerConnection) -> bool:
+        """Return whether the server has reported that its table is not stale."""
+        fresh_at = connection.fresh_at
+        return fresh_at is not None and not self._staleness.is_stale(now, fresh_at)
+
+    def on_complete_update(self) -> None:
+        """Record that the connection brought a complete update."""
+        self._backoff.reset()
+
+    def disconnect(self, connection: ServerConnection, reason: str) -> None:
+        """Close the connection."""
+        self._actions.append(Disconnect(connection.number, reason))
+        self.current = None
+
+    def fail(self, now: float, connection: ServerConnection, reason: str) -> None:
+        """Close the connection and back off."""
+        self._actions.append(Disconnect(connection.number, reason))
+        self.back_off(now, connection)
+
+    def back_off(self, now: float, connection: ServerConnection) -> None:
+        """Wait before the next connection: this one failed or was closed."""
+        self._counts.failures += 1
+        self.current = None
+        self.servers.penalize(connection.server, now + self._times.failure_penalty)
+        self._backoff.on_failure(now)
+
+    def retry_later(self, now: float, connection: ServerConnection, after: float) -> None:
+        """Close the connection: the server is at capacity for `after` ms."""
+        self._counts.retries_later += 1
+        self.disconnect(connection, "the server is at capacity")
+        self.servers.penalize(connection.server, now + self._times.failure_penalty)
+        self._backoff.on_retry_later(now, after)
+
+    def set_servers(self, now: float, servers: Sequence[CandidateServer]) -> None:
+        """Replace the list; the connection stays where its server is still listed."""
+        self.servers.set_servers(servers)
+        self._staleness.on_fresh(len(self.servers))
+        if self.current is not None and self.current.server not in self.servers:
+            self.disconnect(self.current, "its server is no longer listed")
+            self._backoff.wait_until = now
+
+    def _connect(self, now: float, server: str) -> None:
+        if not server:  # the list is empty, until there is another
+            self._backoff.wait_until = now + self._times.backoff_max
+            return
+        self._last_number += 1
+        self._counts.connections += 1
+        return_at = NEVER_DUE
+        if not self.servers.is_preferred(server):
+            return_at = self._draw_return_at(now)
+        deadline = now + self._times.connect_timeout
+        self.current = ServerConnection(self._last_number, server, deadline, deadline, return_at)
+        self._before_connect()
+        self._actions.append(Connect(self._last_number, server))
+
+    def _draw_return_at(self, now: float) -> float:
+        return now + self._times.return_interval * self._rng.uniform(0.5, 1.5)
+
+    def _return_to_preferred(
+        self, now: float, connection: ServerConnection, is_staging: bool
+    ) -> None:
+        preferred = self.servers.preferred(now)
+        if preferred and not is_staging:
+            self.disconnect(connection, "returns to the preferred server")
+            self._connect(now, preferred)
+        else:
+            connection.return_at = self._draw_return_at(now)
+
+    def _is_overdue(self, now: float, connection: ServerConnection) -> bool:
+        return connection.last_received_at is None and now >= connection.deadline
+
+    def _is_silent(self, now: float, connection: ServerConnection) -> bool:
+        last_received_at = connection.last_received_at
+        if last_received_at is None:
+            return False
+        return now >= last_received_at + self._times.silence_timeout
+
+    def _leave_stale_at(self, connection: ServerConnection) -> float:
+        """Return when to leave the server, unless it reports a fresher table before."""
+        if connection.last_received_at is None or len(self.servers) < 2:
+            return NEVER_DUE
+        return self._staleness.leave_at(connection.fresh_at)
+
+    def _leave_stale(self, now: float, connection: ServerConnection) -> None:
+        self._counts.stale += 1
+        self._staleness.on_left(now)
+        self.servers.penalize(connection.server, now + self._times.stale_penalty)
+        self.disconnect(connection, "its table is stale")
+        self._connect(now, self.servers.select(now, exclude=connection.server))
--- a/dockthread/control_plane/server_selection.py
+++ b/dockthread/control_plane/server_selection.py
@@ -1,9 +1,9 @@
-"""Which server a subscriber goes to.
+"""Selects the server that a subscriber connects to.
 
-Servers stand in the order of their distance, and among those of one distance in the order of a hash
-of their name with the subscriber's (rendezvous): each server is the first choice of an even part of
-the subscribers, and when it is lost these spread over the others. One that failed or was stale is
-passed over for a while; where all are, the one for which that ends first is taken.
+Servers are ordered by their distance, and those of one distance by a hash of their name with the
+subscriber's (rendezvous hashing): each server is preferred by an even part of the subscribers, and
+when it is lost they spread over the others. A server that failed or was stale is penalized for a
+while; where all are, the one whose penalty ends first is selected. Times are in ms.
 """
 
 from __future__ import annotations
@@ -11,63 +11,71 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 from hashlib import blake2b
+from typing import Final
+
+WEIGHT_BYTES: Final = 8
+"""Bytes of the hash by which servers of one distance are ordered."""
 
 
 @dataclass(frozen=True, slots=True)
 class CandidateServer:
-    """`distance`: those of a smaller one are preferred (0 for the own region)."""
+    """A server and its distance; smaller distances are preferred (0 for the own region)."""
 
     name: str
     distance: int = 0
 
 
 class ServerSelector:
-    """The servers in the order of one subscriber."""
+    """The servers in the order in which one subscriber prefers them."""
 
     def __init__(self, subscriber: str, servers: Sequence[CandidateServer]) -> None:
         self._subscriber = subscriber
         self._order: list[str] = []
-        self._avoided_until: dict[str, float] = {}
-        self.set(servers)
+        self._penalized_until: dict[str, float] = {}
+        self.set_servers(servers)
 
     def __len__(self) -> int:
+        """Return the number of servers."""
         return len(self._order)
 
     def __contains__(self, server: str) -> bool:
+        """Return whether a server is listed."""
         return server in self._order
 
-    def set(self, servers: Sequence[CandidateServer]) -> None:
-        """Another list; what is avoided stays so."""
+    def set_servers(self, servers: Sequence[CandidateServer]) -> None:
+        """Replace the list; penalties of servers that stay are kept."""
         ordered = sorted(servers, key=lambda server: (server.distance, self._weight(server.name)))
         self._order = list(dict.fromkeys(server.name for server in ordered))
-        self._avoided_until = {
-            name: at for name, at in self._avoided_until.items() if name in self._order
+        self._penalized_until = {
+            name: until for name, until in self._penalized_until.items() if name in self._order
         }
 
-    def avoid(self, server: str, until: float) -> None:
-        """Pass it over until then."""
+    def penalize(self, server: str, until: float) -> None:
+        """Pass a server over until a time."""
         if server in self._order:
-            self._avoided_until[server] = until
+            self._penalized_until[server] = until
+
+    def select(self, now: float, exclude: str = "") -> str:
+        """Return the first server without a penalty, else the one whose penalty ends first.
 
-    def best(self, now: float, but: str = "") -> str:
-        """The first that is not avoided, or else the one that is so for the shortest time; never
-        `but`. Empty where there is none.
+        `exclude` is never returned. The result is empty where there is no other server.
         """
-        others = [name for name in self._order if name != but]
-        for name in others:
-            if self._avoided_until.get(name, now) <= now:
+        candidates = [name for name in self._order if name != exclude]
+        for name in candidates:
+            if self._penalized_until.get(name, now) <= now:
                 return name
-        return min(others, key=lambda name: self._avoided_until[name], default="")
+        return min(candidates, key=lambda name: self._penalized_until[name], default="")
 
-    def is_home(self, server: str) -> bool:
-        """Whether it is the first choice."""
+    def is_preferred(self, server: str) -> bool:
+        """Return whether a server is the first of the order."""
         return self._order[:1] == [server]
 
-    def home(self, now: float) -> str:
-        """The first choice where it is not avoided; else empty."""
-        return next(
-            (name for name in self._order[:1] if self._avoided_until.get(name, now) <= now), ""
-        )
+    def preferred(self, now: float) -> str:
+        """Return the first server of the order; empty where it is penalized or there is none."""
+        if not self._order or self._penalized_until.get(self._order[0], now) > now:
+            return ""
+        return self._order[0]
 
     def _weight(self, server: str) -> bytes:
-        return blake2b(f"{self._subscriber}\x00{server}".encode(), digest_size=8).digest()
+        pair = f"{self._subscriber}\x00{server}".encode()
+        return blake2b(pair, digest_size=WEIGHT_BYTES).digest()
--- /dev/null
+++ b/dockthread/control_plane/staleness.py
@@ -0,0 +1,50 @@
+"""Decides when a subscriber leaves a server whose table is stale.
+
+A server is stale once its table is older than `SubscriberTimes.staleness_limit`. The subscriber
+then moves to another server at once; after it has tried each one in a row without finding a fresh
+table it moves only once in about `stale_penalty`, so that it does not flap while all are stale.
+"""
+
+from __future__ import annotations
+
+import random
+
+from dockthread.control_plane.subscriber_settings import SubscriberTimes
+
+NEVER_DUE = float("inf")
+"""A time in ms that never comes."""
+
+
+class StaleServerPolicy:
+    """How often stale servers may be left. Times are in ms."""
+
+    def __init__(
+        self, times: SubscriberTimes, rng: random.Random, server_count: int, now: float
+    ) -> None:
+        self._times = times
+        self._rng = rng
+        self._immediate_moves = server_count - 1
+        self._next_move_at = now  # once there are no immediate moves left
+
+    def is_stale(self, now: float, fresh_at: float) -> bool:
+        """Return whether a table that was last known to be complete at `fresh_at` is stale."""
+        return fresh_at + self._times.staleness_limit <= now
+
+    def leave_at(self, fresh_at: float | None) -> float:
+        """Return when to leave a server, unless it reports a fresher table before.
+
+        `fresh_at` is when its table was last known to be complete; None where it has not reported.
+        """
+        stale_at = NEVER_DUE if fresh_at is None else fresh_at + self._times.staleness_limit
+        if self._immediate_moves > 0:
+            return stale_at
+        return max(stale_at, self._next_move_at)
+
+    def on_left(self, now: float) -> None:
+        """Record that a stale server was left."""
+        self._immediate_moves = max(0, self._immediate_moves - 1)
+        self._next_move_at = now + self._times.stale_penalty * self._rng.uniform(0.5, 1.5)
+
+    def on_fresh(self, server_count: int) -> None:
+        """Allow each other server to be tried at once again: a server was fresh."""
+        self._immediate_moves = server_count - 1
--- a/dockthread/control_plane/stream.py
+++ b/dockthread/control_plane/stream.py
@@ -1,6 +1,4 @@
-"""One connection that carries frames of the distribution: bounded reading, and writing that can be
-held back.
-"""
+"""A connection that carries frames: bounded reading, and writing with back-pressure."""
 
 from __future__ import annotations
 
@@ -11,56 +9,59 @@
 
 
 class FrameStream(asyncio.Protocol):
-    """Cuts what arrives into messages. `most`: bytes that a message of the other side may have.
-    `counts`: where the messages are counted, each way.
+    """Cuts the bytes that arrive into messages; subclasses override the `on_...` methods.
 
-    What is malformed ends the connection, after `malformed` was told of it; nothing of it is read
-    any more.
+    Bytes that are no frame close the connection after `on_malformed`; nothing behind them is read.
+
+    Attributes:
+        transport: Transport of the connection; None before it is open.
+        is_writable: Whether the transport's write buffer is below its limit.
     """
 
-    def __init__(self, key: bytes, most: int, counts: MessageCounts) -> None:
-        self._key, self._most, self._counts = key, most, counts
+    def __init__(self, key: bytes, max_message_bytes: int, counts: MessageCounts) -> None:
+        """`key` tags messages; `counts` counts them each way."""
+        self._key = key
+        self._max_message_bytes = max_message_bytes
+        self._counts = counts
         self._buffer = bytearray()
         self.transport: asyncio.Transport | None = None
-        self.writable = True  # the transport's buffer is low
-
-    # For whoever carries it
+        self.is_writable = True
 
     def on_open(self) -> None:
-        """The connection stands."""
+        """Handle that the connection is open."""
 
     def on_message(self, message: Message) -> None:
-        """A whole message."""
+        """Handle a complete message."""
 
     def on_bytes(self) -> None:
-        """Some bytes came, and no whole message with them yet."""
+        """Handle that bytes came which complete no message yet."""
 
     def on_malformed(self, reason: str) -> None:
-        """Bytes that are no message, or too many; the connection ends."""
+        """Handle bytes that are no frame, or too many; the connection is closed next."""
 
     def on_closed(self, reason: str) -> None:
-        """The connection is gone, whoever ended it."""
+        """Handle that the connection is closed, whoever closed it."""
 
     def on_writable(self) -> None:
-        """The transport's buffer is low again."""
+        """Handle that the write buffer is below its limit again."""
 
     def send(self, message: Message) -> None:
         """Write a message, tagged with the key."""
         self.write(codec.pack(message, self._key))
 
     def write(self, frame: bytes) -> None:
-        """Write a frame that is packed already; nothing where the connection is closing."""
+        """Write an encoded frame; nothing where the connection is closing."""
         if self.transport is not None and not self.transport.is_closing():
             self._counts.sent += 1
             self.transport.write(frame)
 
     @property
     def is_closing(self) -> bool:
-        """Whether it is closed, or about to be."""
+        """Whether the connection is closed or about to be."""
         return self.transport is None or self.transport.is_closing()
 
     def pause_reading(self) -> None:
-        """Read nothing more until `resume_reading`."""
+        """Read nothing until `resume_reading`."""
         if self.transport is not None and not self.is_closing and self.transport.is_reading():
             self.transport.pause_reading()
 
@@ -70,66 +71,72 @@
             self.transport.resume_reading()
 
     def close(self) -> None:
-        """What was written still leaves."""
+        """Close the connection after everything written has left."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once, whatever is not yet written."""
+        """Close the connection at once and drop what has not left."""
         if self.transport is not None:
             self.transport.abort()
 
-    # What asyncio tells
+    # Methods of asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """From asyncio: the connection is open."""
+        """Called by asyncio when the connection is open."""
         self.transport = transport  # type: ignore[assignment]  # uvloop's own class
         self.on_open()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """From asyncio: the connection is gone."""
+        """Called by asyncio when the connection is closed."""
         self._buffer.clear()
         self.on_closed(str(error) if error is not None else "closed")
 
     def pause_writing(self) -> None:
-        """From asyncio: the write buffer is full."""
-        self.writable = False
+        """Called by asyncio when the write buffer is above its limit."""
+        self.is_writable = False
 
     def resume_writing(self) -> None:
-        """From asyncio: the write buffer has room again."""
-        self.writable = True
+        """Called by asyncio when the write buffer is below its limit again."""
+        self.is_writable = True
         self.on_writable()
 
     def data_received(self, data: bytes) -> None:
-        """From asyncio: bytes came."""
+        """Called by asyncio with bytes that came."""
         if self.is_closing:
             return
         self._buffer += data
         try:
-            if not self._cut():
+            if not self._handle_messages():
                 self.on_bytes()
         except MalformedFrame as error:
             self._buffer.clear()
             self.on_malformed(str(error))
             self.abort()
 
-    def _cut(self) -> bool:
-        """All whole messages; whether there was one. Raises `MalformedFrame`: what is too large is
-        so by its head.
+    def _handle_messages(self) -> bool:
+        """Handle all complete messages in the buffer and return whether there was one.
+
+        Raises:
+            MalformedFrame: The next frame is none, or too large by its head.
         """
-        at, buffer = 0, self._buffer
-        while len(buffer) - at >= HEAD.size:
-            head = bytes(buffer[at : at + HEAD.size])
+        position = 0
+        buffer = self._buffer
+        while len(buffer) - position >= HEAD.size:
+            body_start = position + HEAD.size
+            head = bytes(buffer[position:body_start])
             size = codec.length(head)
-            if size > self._most:
-                raise MalformedFrame(f"{size} bytes, and {self._most} are the most here")
-            if len(buffer) - at < HEAD.size + size:
+            if size > self._max_message_bytes:
+                raise MalformedFrame(
+                    f"{size} bytes, and {self._max_message_bytes} are the most here"
+                )
+            if len(buffer) < body_start + size:
                 break
-            body = bytes(buffer[at + HEAD.size : at + HEAD.size + size])
-            at += HEAD.size + size
+            body = bytes(buffer[body_start : body_start + size])
+            position = body_start + size
             self._counts.received += 1
             self.on_message(codec.unpack(head, body, self._key))
             if self.is_closing:
                 return True
-        del buffer[:at]
-        return at > 0
+        del buffer[:position]
+        return position > 0
--- a/dockthread/control_plane/subscriber_actions.py
+++ b/dockthread/control_plane/subscriber_actions.py
@@ -1,4 +1,4 @@
-"""What a subscriber gives to be carried out, its times and its counts. Decides nothing."""
+"""Actions that a subscriber returns for its caller to carry out, and its counters."""
 
 from __future__ import annotations
 
@@ -7,33 +7,9 @@
 from dockthread.control_plane.messages import Acknowledge, Heartbeat, Resource, Subscribe
 
 
-@dataclass(frozen=True, slots=True)
-class SubscriberTimes:
-    """In ms.
-
-    `connect`: for a connection and the first message on it; `silence`: after which a server is
-    left; `beat`: between the subscriber's own heartbeats; `stale`: age of a server's table at which
-    it is left for a fresher one; `stale_memory`, `failed_memory`: for how long a server is passed
-    over after it was stale, or failed; `pause_first`, `pause_most`: bounds of the drawn pause after
-    a failure; `retry_most`: the most that `RetryLater` may ask for; `home`: after which, give or
-    take half, a subscriber of another server goes back to its first choice.
-    """
-
-    connect_timeout: float = 1_000.0
-    silence_timeout: float = 2_500.0
-    heartbeat_interval: float = 1_000.0
-    staleness_limit: float = 4_000.0
-    stale_penalty: float = 30_000.0
-    failure_penalty: float = 60_000.0
-    backoff_initial: float = 200.0
-    backoff_max: float = 2_000.0
-    retry_after_max: float = 60_000.0
-    return_interval: float = 300_000.0
-
-
 @dataclass(frozen=True, slots=True)
 class Connect:
-    """Open connection `connection` to `server`; then tell `connected`, or `disconnected`."""
+    """Open a connection to a server; then call `on_connected` or `on_disconnected`."""
 
     connection: int
     server: str
@@ -49,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Disconnect:
-    """Close it, or give up opening it; nothing needs to be told of it any more."""
+    """Close a connection, or stop opening it; no event of it is expected any more."""
 
     connection: int
     reason: str
@@ -57,9 +33,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourcesChanged:
-    """What differs in the table, the oldest revision first, `body` None for what is gone. The owner
-    puts it in force, keeps its last good one of what it refuses, and tells `applied` with this
-    `batch`. `complete`: up to `revision` nothing was left out when the server sent it.
+    """Apply what changed in the table; then call `on_applied` with the number of the batch.
+
+    Attributes:
+        batch: Number of the batch.
+        epoch: History of the table.
+        revision: Revision of the table.
+        resources: What changed, the oldest revision first; tombstones for what was deleted. Of a
+            resource that is rejected the last good version stays applied.
+        complete: Whether the table lacked nothing when the server sent it.
     """
 
     batch: int
@@ -74,7 +56,20 @@
 
 @dataclass(slots=True)
 class SubscriberCounts:
-    """Since the start."""
+    """Events of a subscriber since its start.
+
+    Attributes:
+        connections: Connections that it opened or tried to open.
+        failures: Connections that failed, each followed by a backoff.
+        silences: Servers left because they sent nothing.
+        stale: Servers left because their table was stale.
+        malformed: Messages that were malformed or out of order.
+        mismatches: Complete updates after which the digest differed.
+        snapshots: Updates that belonged to snapshots.
+        deltas: Deltas.
+        retries_later: Servers that asked for a later retry.
+        old: Complete snapshots that were older than the table, and were staged further.
+    """
 
     connections: int = 0
     failures: int = 0
@@ -85,4 +80,4 @@
     snapshots: int = 0
     deltas: int = 0
     retries_later: int = 0
-    old: int = 0  # snapshots that were older than what was held, and waited for what followed
+    old: int = 0
--- /dev/null
+++ b/dockthread/control_plane/table_receiver.py
@@ -0,0 +1,159 @@
+"""Receives updates into a subscriber's table and tracks what of it is applied.
+
+A resource never replaces a newer one, and an epoch that was left does not return. The digests are
+compared wherever the server says that the table is complete; where they differ the next
+subscription asks for a full snapshot.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import ClassVar
+
+from dockthread.control_plane.applied_resources import AppliedResources
+from dockthread.control_plane.messages import (
+    AGE_UNKNOWN,
+    NO_DIGEST,
+    Acknowledge,
+    Heartbeat,
+    Rejection,
+    Resource,
+    Subscribe,
+    Update,
+)
+from dockthread.control_plane.resource_table import ResourceTable
+from dockthread.control_plane.subscriber_actions import (
+    Action,
+    ResourcesChanged,
+    SubscriberCounts,
+)
+from dockthread.control_plane.subscriber_settings import SubscriberSettings
+from dockthread.control_plane.update_assembler import DigestMismatchError, UpdateAssembler
+
+
+class TableReceiver:
+    """The table of a subscriber.
+
+    `ResourcesChanged` is appended to `actions`. `rejections` are those among the resources of
+    `table` at the start.
+
+    Attributes:
+        table: The received table.
+        applied: What of it is applied.
+    """
+
+    assembler_type: ClassVar[type[UpdateAssembler]] = UpdateAssembler
+
+    def __init__(
+        self,
+        table: ResourceTable,
+        rejections: Sequence[Rejection],
+        counts: SubscriberCounts,
+        actions: list[Action],
+    ) -> None:
+        self.table = table
+        self._counts = counts
+        self._actions = actions
+        self._assembler = self.assembler_type(table)
+        self.applied = AppliedResources(self._full_acknowledgement(), rejections)
+        self._needs_snapshot = False  # the digest differed
+        self._left_epochs: set[str] = set()
+        self._fresh_at: float | None = None  # when the table was last known to be complete
+
+    @property
+    def is_staging(self) -> bool:
+        """Whether a snapshot is under way."""
+        return self._assembler.is_staging
+
+    def begin(self) -> None:
+        """Start with a new connection."""
+        self._assembler.begin()
+
+    def age(self, now: float) -> float:
+        """Return for how many ms the table may have lacked a change, or `AGE_UNKNOWN`."""
+        return AGE_UNKNOWN if self._fresh_at is None else max(0.0, now - self._fresh_at)
+
+    def subscription(self, settings: SubscriberSettings) -> Subscribe:
+        """Return the first message of a connection."""
+        table = self.table
+        if self._needs_snapshot:
+            return Subscribe(
+                settings.name, table.epoch, 0, NO_DIGEST, settings.region, settings.zone
+            )
+        digest = self._comparable_digest()
+        return Subscribe(
+            settings.name, table.epoch, table.revision, digest, settings.region, settings.zone
+        )
+
+    def on_fresh_server(self, message: Heartbeat, fresh_at: float) -> None:
+        """Record that the server's table was complete at `fresh_at`.
+
+        If this table includes the server's, it was complete then as well.
+        """
+        is_covered = message.epoch == self.table.epoch and message.revision <= self.table.revision
+        if is_covered and self.table.is_complete and not self.is_staging:
+            previous = fresh_at if self._fresh_at is None else self._fresh_at
+            self._fresh_at = max(fresh_at, previous)
+
+    def accepts_epoch(self, update: Update, is_server_fresh: bool) -> bool:
+        """Return whether an update's history may replace the current one.
+
+        Only a fresh server may bring another history, and one that was left does not return.
+        """
+        if not self.table.epoch or update.epoch == self.table.epoch:
+            return True
+        return update.epoch not in self._left_epochs and is_server_fresh
+
+    def add(self, update: Update) -> bool:
+        """Put an update into the table.
+
+        Returns:
+            Whether there is a new acknowledgement: the table advanced without a change.
+
+        Raises:
+            InvalidUpdateError: The update is out of order or too large.
+            DigestMismatchError: The tables differ. What a delta changed is applied all the same.
+        """
+        previous_epoch = self.table.epoch
+        try:
+            result = self._assembler.add(update)
+        except DigestMismatchError as error:
+            self._counts.mismatches += 1
+            self._needs_snapshot = True
+            self.apply(error.changed, complete=False)
+            raise
+        self._counts.old += result.old
+        if previous_epoch not in ("", self.table.epoch):
+            self._left_epochs.add(previous_epoch)
+        if result.changed is None:
+            return False
+        if result.snapshot:
+            self._counts.snapshots += 1
+            self._needs_snapshot = False
+        else:
+            self._counts.deltas += 1
+        return self.apply(result.changed, update.complete)
+
+    def apply(self, changed: tuple[Resource, ...], complete: bool) -> bool:
+        """Have what changed applied.
+
+        Returns:
+            Whether there is a new acknowledgement, as nothing has to be applied.
+        """
+        acknowledgement = self._full_acknowledgement()
+        if not changed:
+            self.applied.on_unchanged(acknowledgement)
+            return True
+        batch = self.applied.begin_batch(changed, acknowledgement)
+        self._actions.append(
+            ResourcesChanged(batch, self.table.epoch, self.table.revision, changed, complete)
+        )
+        return False
+
+    def _full_acknowledgement(self) -> Acknowledge:
+        """Return the acknowledgement of the whole table, without rejections."""
+        table = self.table
+        return Acknowledge(table.epoch, table.revision, self._comparable_digest())
+
+    def _comparable_digest(self) -> bytes:
+        return self.table.digest if self.table.is_complete else NO_DIGEST
--- a/dockthread/control_plane/update_assembler.py
+++ b/dockthread/control_plane/update_assembler.py
@@ -1,10 +1,10 @@
-"""Takes updates into a table, in their order or not at all.
+"""Assembles updates into a table, in their order or not at all.
 
-A delta is checked whole before any of it is put. The parts of a snapshot go into a table of their
-own, which takes the place of the held one with the last part; until then the held one stays as it
-was. A snapshot of an older revision than what is held (one that the server encoded some time ago,
-for a subscriber whose digest differed) goes on to be staged, with the deltas behind it, until it
-has come as far.
+A delta is checked completely before any of it is put. The chunks of a snapshot go into a staged
+table, which replaces the current one with the last chunk; until then the current one is unchanged.
+A snapshot may be older than the current table (the server encoded it some time ago, for a
+subscriber whose digest differed). It then stays staged, with the deltas behind it, until it has
+caught up.
 """
 
 from __future__ import annotations
@@ -20,8 +20,9 @@
 
 
 class DigestMismatchError(Exception):
-    """A complete update after which the digest differs from the sender's. A snapshot was not taken;
-    a delta was, and `changed` is what it changed.
+    """After a complete update the digest differs from the sender's.
+
+    A snapshot was discarded; a delta was put, and `changed` names what it changed.
     """
 
     def __init__(self, changed: tuple[Resource, ...]) -> None:
@@ -31,8 +32,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AssemblyResult:
-    """What an update changed in the table; None in `changed` while a snapshot is staged. `old`: it
-    is complete, and older than what is held.
+    """Effect of an update on the table.
+
+    Attributes:
+        changed: What changed in the table; None while a snapshot is staged.
+        snapshot: Whether the update belongs to a snapshot.
+        old: Whether a complete snapshot stays staged, as it is older than the current table.
     """
 
     changed: tuple[Resource, ...] | None
@@ -41,23 +46,29 @@
 
 
 class UpdateAssembler:
-    """Takes what one connection after another brings into `table`."""
+    """Assembles the updates of one connection after another into `table`."""
 
     def __init__(self, table: ResourceTable) -> None:
         self._table = table
         self._staged: ResourceTable | None = None
 
     @property
-    def staging(self) -> bool:
+    def is_staging(self) -> bool:
         """Whether a snapshot is under way."""
         return self._staged is not None
 
     def begin(self) -> None:
-        """A new connection: what was staged of the one before is let go."""
+        """Start with a new connection: discard what was staged from the one before."""
         self._staged = None
 
     def add(self, update: Update) -> AssemblyResult:
-        """Raises `BadUpdate` or `WrongDigest`; then the connection is of no use any more."""
+        """Put an update into the table, or into the staged one.
+
+        Raises:
+            InvalidUpdateError: The update is out of order, too large or lacks a field.
+            DigestMismatchError: The tables differ. After either error the caller has to close the
+                connection.
+        """
         if not update.epoch or (update.complete and not update.digest):
             raise InvalidUpdateError("it names no epoch, or no digest where it is complete")
         if update.horizon > update.revision:
@@ -66,17 +77,15 @@
             )
         if update.snapshot:
             self._staged = ResourceTable(update.epoch)
-        into = self._table if self._staged is None else self._staged
-        self._check(update, into)
+        target = self._table if self._staged is None else self._staged
+        _check_order(update, target)
         for resource in update.resources:
-            into.put(resource)
-        into.advance(update.revision)
-        into.is_complete = update.complete
-        return (
-            self._end_delta(update)
-            if self._staged is None
-            else self._end_part(update, self._staged)
-        )
+            target.put(resource)
+        target.advance(update.revision)
+        target.is_complete = update.complete
+        if self._staged is None:
+            return self._end_delta(update)
+        return self._end_chunk(update, self._staged)
 
     def _end_delta(self, update: Update) -> AssemblyResult:
         if update.complete and update.digest != self._table.digest:
@@ -84,7 +93,7 @@
             raise DigestMismatchError(update.resources)
         return AssemblyResult(update.resources)
 
-    def _end_part(self, update: Update, staged: ResourceTable) -> AssemblyResult:
+    def _end_chunk(self, update: Update, staged: ResourceTable) -> AssemblyResult:
         if not update.complete:
             return AssemblyResult(None, snapshot=True)
         if update.digest != staged.digest:
@@ -97,21 +106,25 @@
         self._staged = None
         return AssemblyResult(changed, snapshot=True)
 
-    @staticmethod
-    def _check(update: Update, into: ResourceTable) -> None:
-        if update.epoch != into.epoch:
-            raise InvalidUpdateError(f"an update of epoch {update.epoch} after {into.epoch}")
-        before = into.revision
-        if update.revision < before:
-            raise InvalidUpdateError(f"an update to revision {update.revision} after {before}")
-        for resource in update.resources:
-            if not before < resource.revision <= update.revision:
-                raise InvalidUpdateError(f"revision {resource.revision} out of its order")
-            before = resource.revision
-            if (
-                max(len(resource.kind), len(resource.name)) > MAX_NAME_BYTES
-                or len(resource.body or b"") > MAX_BODY_BYTES
-            ):
-                raise InvalidUpdateError("a resource is too large")
-            if "\x00" in resource.kind:
-                raise InvalidUpdateError("a kind holds a zero")
+
+def _check_order(update: Update, target: ResourceTable) -> None:
+    """Raise InvalidUpdateError unless the update follows what `target` holds."""
+    if update.epoch != target.epoch:
+        raise InvalidUpdateError(f"an update of epoch {update.epoch} after {target.epoch}")
+    previous = target.revision
+    if update.revision < previous:
+        raise InvalidUpdateError(f"an update to revision {update.revision} after {previous}")
+    for resource in update.resources:
+        if not previous < resource.revision <= update.revision:
+            raise InvalidUpdateError(f"revision {resource.revision} out of its order")
+        previous = resource.revision
+        _check_bounds(resource)
+
+
+def _check_bounds(resource: Resource) -> None:
+    """Raise InvalidUpdateError for a resource that is too large or has an impossible kind."""
+    longest_name = max(len(resource.kind), len(resource.name))
+    if longest_name > MAX_NAME_BYTES or len(resource.body or b"") > MAX_BODY_BYTES:
+        raise InvalidUpdateError("a resource is too large")
+    if "\x00" in resource.kind:
+        raise InvalidUpdateError("a kind holds a zero")
--- a/dockthread/control_plane/voter.py
+++ b/dockthread/control_plane/voter.py
@@ -1,125 +1,133 @@
-"""A voter: takes changes into the agreed log (`fleet/member.py`) and serves distributors from what
-is agreed.
+"""A voter: takes changes into the replicated log and serves the accepted resources.
+
+The log is replicated by `dockthread.raft`; each voter applies its entries to a
+`PublishStateMachine` and serves that table to distributors.
 """
 
 from __future__ import annotations
 
 import random
+from typing import Final
 
 import msgspec
 
 from dockthread.clock import Clock
 from dockthread.config.platform_settings import Address
-from dockthread.control_plane.fanout import FanOutLimits
 from dockthread.control_plane.messages import PublishRequest, PublishResponse
-from dockthread.control_plane.publish_state_machine import PublishStateMachine
+from dockthread.control_plane.publish_state_machine import (
+    OUTCOME_UNKNOWN,
+    REJECTED,
+    PublishStateMachine,
+)
 from dockthread.control_plane.resource_schemas import VALIDATORS
-from dockthread.control_plane.server import ControlPlaneServer, ServerLimits
+from dockthread.control_plane.server import ControlPlaneServer, ServerSettings, TableSource
 from dockthread.framing import MessageCounts
 from dockthread.raft.options import FleetOptions
 from dockthread.raft.server import Member
 
-AGREEMENT = 3_000.0  # ms that a publisher waits for the agreed log
-NOT_AGREED = "no majority has agreed in time: ask again with the same token, and it counts once"
+AGREEMENT_TIMEOUT: Final = 3_000.0
+"""Time in ms that a publisher waits for the replicated log."""
+NOT_AGREED: Final = (
+    "no majority has agreed in time: ask again with the same token, and it counts once"
+)
+RAFT_SEED_BITS: Final = 32
+"""Bits of the seed of the log's random numbers."""
 
 
 class Voter:
-    """One member of the agreed log of control, and its server."""
+    """A member of the replicated log, and the server of its table.
+
+    Attributes:
+        state_machine: Accepted resources.
+        server: Serves them.
+        member: Member of the replicated log.
+    """
 
     def __init__(
-        self,
-        name: str,
-        fleet: FleetOptions,
-        clock: Clock,
-        rng: random.Random,
-        limits: ServerLimits | None = None,
-        fanout_limits: FanOutLimits | None = None,
-        key: bytes = b"",
+        self, settings: ServerSettings, fleet: FleetOptions, clock: Clock, rng: random.Random
     ) -> None:
-        """Raises OSError, ValueError or `fleet.store.Lost` where the directory or the key cannot be
-        used.
+        """Open the log's directory.
+
+        Raises:
+            OSError: The directory cannot be used.
+            ValueError: The key or the members cannot be used.
+            dockthread.raft.storage.Lost: The log was lost.
         """
-        self.publishing = PublishStateMachine(VALIDATORS, rng)
-        self.server = ControlPlaneServer(
-            name,
-            "voter",
-            self.publishing.table,
-            clock,
-            rng,
-            self.age,
-            limits,
-            fanout_limits,
-            key,
-            self,
-        )
-        self.member = Member(name, fleet, clock, rng.getrandbits(32), self)
-        self._clock, self._serving = clock, False
+        self.state_machine = PublishStateMachine(VALIDATORS, rng)
+        source = TableSource(self.state_machine.table, self.age)
+        self.server = ControlPlaneServer(settings, source, clock, rng, self)
+        self.member = Member(settings.name, fleet, clock, rng.getrandbits(RAFT_SEED_BITS), self)
+        self._is_serving = False
 
     async def open(self, listen: Address) -> Address:
-        """Serve, and take part. Raises OSError where it cannot listen, ValueError for a state that
-        means nothing.
+        """Serve and take part in the log, and return the address.
+
+        Raises:
+            OSError: The address cannot be listened on.
+            ValueError: The log is not that of a control plane.
         """
-        at = await self.server.open(listen)
-        self._serving = True
+        address = await self.server.open(listen)
+        self._is_serving = True
         try:
             await self.member.open()
         except msgspec.MsgspecError as error:
             raise ValueError(
                 f"[fleet] directory: its log is not that of control: {error}"
             ) from error
-        return at
+        return address
 
     async def close(self) -> None:
-        """Leave the log, handing over where it leads, and stop serving."""
+        """Leave the log, handing over where this voter leads, and stop serving."""
         await self.member.close()
         await self.server.close()
 
     def age(self) -> float:
-        """ms since what is applied here was known to be all that was agreed on; -1 for never."""
+        """Return for how many ms the table may have lacked a change, or -1 for unknown."""
         return self.member.age()
 
     @property
     def messages(self) -> MessageCounts:
-        """With the other voters and with those whom it serves."""
+        """Messages with the other voters and with subscribers."""
         return self.member.messages + self.server.messages
 
-    async def publish(self, change: PublishRequest) -> PublishResponse:
-        """Have the log agree on a change. The same token counts once."""
-        if (known := self.publishing.response_for(change.token)) is not None:
+    async def publish(self, request: PublishRequest) -> PublishResponse:
+        """Have the log agree on a change; the same token counts once."""
+        known = self.state_machine.response_for(request.token)
+        if known is not None:
             return known
-        if reason := self.publishing.rejection_reason(change):
-            return PublishResponse(change.token, 0, reason)
-        if not await self.member.propose(self.publishing.encode_proposal(change), AGREEMENT):
-            return PublishResponse(change.token, -1, NOT_AGREED)
-        return self.publishing.response_for(change.token) or PublishResponse(
-            change.token, -1, NOT_AGREED
-        )
+        if reason := self.state_machine.rejection_reason(request):
+            return PublishResponse(request.token, REJECTED, reason)
+        proposal = self.state_machine.encode_proposal(request)
+        not_agreed = PublishResponse(request.token, OUTCOME_UNKNOWN, NOT_AGREED)
+        if not await self.member.propose(proposal, AGREEMENT_TIMEOUT):
+            return not_agreed
+        return self.state_machine.response_for(request.token) or not_agreed
 
-    # What its member tells (fleet/member.py, Owner)
+    # Methods of the log's owner (`dockthread.raft.server.Owner`)
 
     def apply(self, index: int, data: bytes) -> None:
-        """From the log: a change that is agreed on."""
-        self.publishing.apply(index, data)
-        self._changed()
+        """Apply a committed entry."""
+        self.state_machine.apply(index, data)
+        self._on_table_changed()
 
     def restore(self, index: int, state: bytes) -> None:
-        """From the log: a whole state, in place of what was applied."""
-        self.publishing.restore(index, state)
-        self._changed()
+        """Replace the state by that of a snapshot of the log."""
+        self.state_machine.restore(index, state)
+        self._on_table_changed()
 
     def state(self) -> bytes:
-        """For the log: the state after what was applied."""
-        return self.publishing.state()
+        """Return the state, for a snapshot of the log."""
+        return self.state_machine.state()
 
     def came_to(self, index: int, term: int) -> None:
-        """From the log; nothing here depends on it."""
+        """Do nothing: nothing here depends on how far the log has been applied."""
 
     def shown(self, sender: str, data: bytes) -> None:
-        """From the log; members of control show each other nothing."""
+        """Do nothing: voters of the control plane exchange no observations."""
 
     def changed(self) -> None:
-        """From the log; who leads is asked where it matters."""
+        """Do nothing: who leads is looked up where it matters."""
 
-    def _changed(self) -> None:
-        if self._serving:
-            self.server.changed()
+    def _on_table_changed(self) -> None:
+        if self._is_serving:
+            self.server.on_table_changed()
--- a/dockthread/lab/control_plane/ingress.py
+++ b/dockthread/lab/control_plane/ingress.py
@@ -11,7 +11,7 @@
 
 from dockthread.control_plane.messages import Rejection, Resource
 from dockthread.control_plane.resource_table import ResourceTable
-from dockthread.control_plane.subscriber import ResourcesChanged
+from dockthread.control_plane.subscriber_actions import ResourcesChanged
 from dockthread.lab.control_plane.network import Connection
 from dockthread.lab.control_plane.nodes import Process, ReceivingSide
 
--- a/dockthread/lab/control_plane/nodes.py
+++ b/dockthread/lab/control_plane/nodes.py
@@ -6,7 +6,7 @@
 
 from typing import TYPE_CHECKING, Final
 
-from dockthread.control_plane import subscriber as receiving
+from dockthread.control_plane import subscriber_actions as receiving
 from dockthread.control_plane.fanout import FanOut, UnexpectedMessageError
 from dockthread.control_plane.messages import Acknowledge, Heartbeat, Message, Subscribe, codec
 from dockthread.control_plane.resource_table import ResourceTable
--- a/dockthread/lab/control_plane/publisher.py
+++ b/dockthread/lab/control_plane/publisher.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Final
 
 from dockthread.control_plane.messages import PublishRequest, PublishResponse
-from dockthread.control_plane.publish_state_machine import ANY_REVISION, NOT_KNOWN
+from dockthread.control_plane.publish_state_machine import ANY_REVISION, OUTCOME_UNKNOWN
 from dockthread.lab.control_plane.checker import Asked
 from dockthread.lab.control_plane.ingress import BAD
 
@@ -81,7 +81,7 @@
 
     def _told(self, answer: PublishResponse) -> None:
         rng, clock = self._world.rng, self._world.clock
-        if answer.revision != NOT_KNOWN and rng.random() >= LOST:
+        if answer.revision != OUTCOME_UNKNOWN and rng.random() >= LOST:
             clock.after(rng.uniform(1.0, 10.0), self._heard, answer, self._world.histories)
 
     def _heard(self, answer: PublishResponse, history: int) -> None:
--- a/dockthread/lab/control_plane/simulation.py
+++ b/dockthread/lab/control_plane/simulation.py
@@ -24,14 +24,15 @@
 from dockthread.control_plane.publish_state_machine import PublishStateMachine
 from dockthread.control_plane.resource_table import ResourceTable
 from dockthread.control_plane.server_selection import CandidateServer
-from dockthread.control_plane.subscriber import Subscriber, SubscriberTimes
+from dockthread.control_plane.subscriber import Subscriber
+from dockthread.control_plane.subscriber_settings import SubscriberSettings, SubscriberTimes
 from dockthread.lab.control_plane.checker import Checker, Seen
 from dockthread.lab.control_plane.faults import FAULTS, HOUR, SINGLE, Faults
 from dockthread.lab.control_plane.ingress import Ingress
 from dockthread.lab.control_plane.network import AGAIN, Clock, Network
 from dockthread.lab.control_plane.nodes import Distributor, Process
 from dockthread.lab.control_plane.publisher import KINDS, Publisher
-from dockthread.lab.control_plane.seeded_defects import PLANTS, Plant
+from dockthread.lab.control_plane.seeded_defects import SEEDED_DEFECTS, SeededDefect
 from dockthread.lab.control_plane.voter import Voter
 from dockthread.lab.raft.checker import Broken
 from dockthread.raft.messages import Message as LogMessage
@@ -90,7 +91,7 @@
         )
         self.record: list[str] = []
         self.histories = 1
-        self._plant: Plant = PLANTS[plant] if plant else Plant()
+        self._plant: SeededDefect = SEEDED_DEFECTS[plant] if plant else SeededDefect()
         self._single, self._hour = single, hour
         drawn = tuple(SINGLE if single else [f for f in FAULTS if self.rng.random() < 0.4])
         chosen = self._plant.faults if faults is None else tuple(faults)
@@ -140,20 +141,22 @@
         table: ResourceTable,
         rejections: Sequence[Rejection] = (),
     ) -> Subscriber:
-        rng, times, now = random.Random(self.rng.random()), self.settings.times, self.clock.now
-        place = (process.region, process.zone)
-        return self._plant.subscriber(
-            process.name, servers, times, rng, now, table, rejections, *place
+        rng = random.Random(self.rng.random())
+        settings = SubscriberSettings(
+            process.name, process.region, process.zone, self.settings.times
         )
+        return self._plant.subscriber(settings, servers, rng, self.clock.now, table, rejections)
 
     def make_fanout(self, process: Process, table: ResourceTable) -> FanOut:
         rng = random.Random(self.rng.random())
-        return self._plant.fanout(table, self.settings.limits, rng, b"", self.clock.now)
+        return self._plant.fan_out(table, self.settings.limits, rng, b"", self.clock.now)
 
     def make_publishing(self) -> PublishStateMachine:
         rng, settings = random.Random(self.rng.random()), self.settings
         validators = {kind: lambda name, body: "" for kind in KINDS}
-        return self._plant.publishing(validators, rng, settings.max_tokens, settings.max_tombstones)
+        return self._plant.state_machine(
+            validators, rng, settings.max_tokens, settings.max_tombstones
+        )
 
     def send_log(self, sender: Process, to: str, message: LogMessage) -> None:
         receiver = next(voter for voter in self.voters if voter.name == to)
--- a/dockthread/lab/control_plane/voter.py
+++ b/dockthread/lab/control_plane/voter.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 from dockthread.control_plane.messages import PublishRequest, PublishResponse
-from dockthread.control_plane.publish_state_machine import NOT_KNOWN
+from dockthread.control_plane.publish_state_machine import OUTCOME_UNKNOWN
 from dockthread.lab.control_plane.network import Connection
 from dockthread.lab.control_plane.nodes import ServingProcess, ServingSide
 from dockthread.raft.actions import (
@@ -95,13 +95,13 @@
             reply(PublishResponse(message.token, 0, refused))
             return
         if self.core.role is not Role.LEADER:
-            reply(PublishResponse(message.token, NOT_KNOWN, "another leads"))
+            reply(PublishResponse(message.token, OUTCOME_UNKNOWN, "another leads"))
             return
         index, actions = self.core.propose(
             self.world.clock.now, self.publishing.encode_proposal(message)
         )
         if index is None:
-            reply(PublishResponse(message.token, NOT_KNOWN, "another is to lead"))
+            reply(PublishResponse(message.token, OUTCOME_UNKNOWN, "another is to lead"))
         else:
             self._replies.setdefault(message.token, []).append(reply)
         self._do(actions)
--- a/dockthread/lab/scale/control.py
+++ b/dockthread/lab/scale/control.py
@@ -5,7 +5,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
-from typing import Any
 
 from dockthread.control_plane.ingress import IngressResourceApplier
 from dockthread.control_plane.messages import Rejection, Resource
@@ -41,8 +40,7 @@
         """From now on; at once after it was opened, before anything can have come."""
         self._owner, self._alter, self._highest = controlled, alter, 0
         self._refused = set[str]()
-        client: Any = controlled.client
-        client._applier = self  # there is no public way to stand between the two
+        controlled.client.batches.applier = self
 
     # What the client tells its owner
 
--- a/dockthread/lab/scale/server.py
+++ b/dockthread/lab/scale/server.py
@@ -11,7 +11,8 @@
 
 from dockthread.clock import Clock
 from dockthread.config.section_registry import load
-from dockthread.control_plane.process import Distributor, limits_from_options
+from dockthread.control_plane.distributor import Distributor
+from dockthread.control_plane.server import server_settings_from_options
 from dockthread.control_plane.voter import Voter
 from dockthread.lab.scale.channel import Words, serve_commands
 from dockthread.lab.scale.usage import Lateness, traffic
@@ -32,10 +33,7 @@
         if options.role == "distributor":
             part = Distributor(options, Clock(), rng)
         else:
-            limits, fanout = limits_from_options(options)
-            part = Voter(
-                options.name, read.one("fleet"), Clock(), rng, limits, fanout, options.key()
-            )
+            part = Voter(server_settings_from_options(options), read.one("fleet"), Clock(), rng)
         self._part = part
         self._port = (await part.open(options.listen_address())).port
         self._watching = asyncio.get_running_loop().create_task(self._lateness.watch())
--- a/tests/control_plane/test_distribution_cores.py
+++ b/tests/control_plane/test_distribution_cores.py
@@ -28,14 +28,14 @@
 from dockthread.control_plane.publish_state_machine import PublishStateMachine
 from dockthread.control_plane.resource_table import OutOfOrderError, ResourceTable
 from dockthread.control_plane.server_selection import CandidateServer, ServerSelector
-from dockthread.control_plane.subscriber import (
+from dockthread.control_plane.subscriber import Subscriber
+from dockthread.control_plane.subscriber_actions import (
     Connect,
     Disconnect,
     ResourcesChanged,
     Send,
-    Subscriber,
-    SubscriberTimes,
 )
+from dockthread.control_plane.subscriber_settings import SubscriberSettings, SubscriberTimes
 from dockthread.framing import HEAD
 
 LIMITS = FanOutLimits(chunk_bytes=400)
@@ -71,7 +71,7 @@
     held: ResourceTable | None = None, servers: Sequence[str] = ("a", "b", "c")
 ) -> Subscriber:
     listed = [CandidateServer(name) for name in servers]
-    return Subscriber("i1", listed, SubscriberTimes(), random.Random(1), 0.0, held)
+    return Subscriber(SubscriberSettings("i1"), listed, random.Random(1), 0.0, held)
 
 
 def receiving(
@@ -464,15 +464,15 @@
 
 def test_servers_are_spread_evenly_and_the_nearer_ones_come_first() -> None:
     servers = [CandidateServer(f"d{number}", number % 2) for number in range(10)]
-    firsts = [ServerSelector(f"i{number}", servers).best(0.0) for number in range(1_000)]
+    firsts = [ServerSelector(f"i{number}", servers).select(0.0) for number in range(1_000)]
     counts = {name: firsts.count(name) for name in set(firsts)}
     assert set(counts) == {"d0", "d2", "d4", "d6", "d8"} and max(counts.values()) < 1.35 * min(
         counts.values()
     )
     choice = ServerSelector("i1", servers)
-    first = choice.best(0.0)
-    choice.avoid(first, 50.0)
-    assert choice.best(0.0) != first == choice.best(50.0) and choice.is_home(first)
+    first = choice.select(0.0)
+    choice.penalize(first, 50.0)
+    assert choice.select(0.0) != first == choice.select(50.0) and choice.is_preferred(first)
 
 
 def test_messages_of_a_state_are_read_as_they_were_written() -> None:
--- a/tests/control_plane/test_distribution_rim.py
+++ b/tests/control_plane/test_distribution_rim.py
@@ -17,7 +17,7 @@
 from dockthread.clock import Clock
 from dockthread.config.platform_settings import Address, read_config
 from dockthread.config.section_registry import load
-from dockthread.control_plane.client import ControlPlaneClient
+from dockthread.control_plane.client import ClientSettings, ControlPlaneClient
 from dockthread.control_plane.fanout import FanOutLimits
 from dockthread.control_plane.messages import (
     Rejection,
@@ -28,15 +28,22 @@
     codec,
 )
 from dockthread.control_plane.resource_table import ResourceTable
-from dockthread.control_plane.server import MAX_REQUEST_BYTES, ControlPlaneServer, ServerLimits
+from dockthread.control_plane.server import (
+    MAX_REQUEST_BYTES,
+    ControlPlaneServer,
+    ServerSettings,
+    TableSource,
+)
 from dockthread.control_plane.snapshot_cache import CorruptCacheError, SnapshotCache, read_snapshot
+from dockthread.control_plane.subscriber_settings import SubscriberSettings
 from dockthread.daemon import Daemon
 from dockthread.framing import HEAD
 from dockthread.routes.bounds import Facts
 from tests.loopback import LIST, SETTINGS, raw_config, run, until
 
 BODY = bytes(10_000)
-BUFFER, PART = 16 << 10, 64 << 10
+BUFFER = 16 << 10
+CHUNK = 64 << 10
 
 
 def served(
@@ -44,17 +51,10 @@
     connections: int = 4,
 ) -> None:
     async def whole() -> None:
-        limits, fanout = ServerLimits(connections, BUFFER), FanOutLimits(chunk_bytes=PART)
-        server = ControlPlaneServer(
-            "d",
-            "distributor",
-            ResourceTable("e"),
-            Clock(),
-            random.Random(1),
-            lambda: 0.0,
-            limits,
-            fanout,
-        )
+        limits = FanOutLimits(chunk_bytes=CHUNK)
+        settings = ServerSettings("d", "distributor", connections, BUFFER, limits)
+        source = TableSource(ResourceTable("e"), lambda: 0.0)
+        server = ControlPlaneServer(settings, source, Clock(), random.Random(1))
         at = await server.open(Address("127.0.0.1", 0))
         await scenario(server, at)
         await server.close()
@@ -64,7 +64,7 @@
 
 def put(server: ControlPlaneServer, name: str) -> None:
     server.table.put(Resource("route", name, server.table.revision + 1, BODY))
-    server.changed()
+    server.on_table_changed()
 
 
 def test_a_subscriber_that_does_not_read_holds_a_few_frames_and_is_sent_only_the_latest() -> None:
@@ -72,13 +72,13 @@
         put(server, "r0")
         reader, writer = await asyncio.open_connection(at.host, at.port, limit=1 << 10)
         writer.write(codec.pack(Subscribe("slow")))
-        await until(server.fanout.connections)
+        await until(server.fan_out.connections)
         (connection,) = server._connections.values()
         for n in range(2000):
             put(server, f"r{n % 10}")
             await asyncio.sleep(0)
             assert connection.transport is not None
-            assert connection.transport.get_write_buffer_size() <= BUFFER + 2 * PART
+            assert connection.transport.get_write_buffer_size() <= BUFFER + 2 * CHUNK
         sent = 0
         while sent < server.table.revision:
             head = await reader.readexactly(HEAD.size)
@@ -96,7 +96,7 @@
         first = [await asyncio.open_connection(at.host, at.port) for _ in range(4)]
         await until(lambda: server.counts.accepted == 4)
         reader, writer = await asyncio.open_connection(at.host, at.port)
-        assert await reader.read() == b"" and server.counts.refused == 1
+        assert await reader.read() == b"" and server.counts.rejected == 1
         question = codec.pack(StatusRequest()) * 1000
         assert len(question) < MAX_REQUEST_BYTES
         while not server.counts.unread:
@@ -167,7 +167,7 @@
             one = Resource("route", f"r{number}", number, b"x")
             table.put(one)
             cache.save(table, [one], ())
-            await until(lambda: cache._alarm is None and cache._writing is None)
+            await until(lambda: cache._timer is None and cache._writing is None)
         await cache.close()
 
     run(scenario())
@@ -201,7 +201,8 @@
     cached(tmp_path, ["a", "bad"], (good,))
     owner = Owner()
     cache = SnapshotCache(tmp_path, "n0", 0.0)
-    client = ControlPlaneClient("n0", [], owner, Clock(), random.Random(1), cache=cache)
+    settings = ClientSettings(SubscriberSettings("n0"), [])
+    client = ControlPlaneClient(settings, owner, Clock(), random.Random(1), cache)
     assert owner.held["bad"] == good and owner.held["a"].body == b"a"
     assert client.subscriber.rejections == (Rejection("route", "bad", 2, "is bad"),)
     asyncio.run(cache.close())
--- a/tests/lab/test_distribution_simulated.py
+++ b/tests/lab/test_distribution_simulated.py
@@ -11,7 +11,7 @@
 
 from dockthread.cli.lab import lab
 from dockthread.lab.control_plane.checker import Asked, Checker
-from dockthread.lab.control_plane.seeded_defects import PLANTS
+from dockthread.lab.control_plane.seeded_defects import SEEDED_DEFECTS
 from dockthread.lab.control_plane.seeds import play_seed
 from dockthread.lab.seeds import play_many
 
@@ -25,9 +25,11 @@
     assert [found for chunk in chunks for found in chunk.found] == []
 
 
-@pytest.mark.parametrize("plant", PLANTS)
+@pytest.mark.parametrize("plant", SEEDED_DEFECTS)
 def test_a_planted_bug_is_found(plant: str) -> None:
-    assert any(play_seed(PLANTS[plant].scenario, seed, plant).broken for seed in SEEDS_OF_A_PLANT)
+    assert any(
+        play_seed(SEEDED_DEFECTS[plant].scenario, seed, plant).broken for seed in SEEDS_OF_A_PLANT
+    )
 
 
 def test_a_seed_gives_the_same_record_each_time_and_the_command_shows_it() -> None:
