--- a/dockthread/control_plane/admin_client.py
+++ b/dockthread/control_plane/admin_client.py
@@ -22,7 +22,7 @@
     codec,
 )
 from dockthread.control_plane.publish_state_machine import ANY_REVISION, OUTCOME_UNKNOWN
-from dockthread.framing import HEAD, MalformedFrame
+from dockthread.framing import FRAME_HEADER, MalformedFrameError
 
 REQUEST_TIMEOUT: Final = 5.0
 """Time in s for one request."""
@@ -56,7 +56,7 @@
         async with asyncio.timeout(timeout):
             reader, writer = await asyncio.open_connection(server.host, server.port)
             writer.write(codec.pack(message, key))
-            head = await reader.readexactly(HEAD.size)
+            head = await reader.readexactly(FRAME_HEADER.size)
             return codec.unpack(head, await reader.readexactly(codec.length(head)), key)
     except asyncio.IncompleteReadError as error:
         raise NoResponseError(
@@ -64,7 +64,7 @@
         ) from error
     except TimeoutError as error:
         raise NoResponseError(f"no answer within {timeout:g} s") from error
-    except (OSError, MalformedFrame) as error:
+    except (OSError, MalformedFrameError) as error:
         raise NoResponseError(str(error)) from error
     finally:
         if writer is not None:
--- a/dockthread/control_plane/process.py
+++ b/dockthread/control_plane/process.py
@@ -22,7 +22,7 @@
 from dockthread.control_plane.voter import Voter
 from dockthread.logs.setup import set_up
 from dockthread.raft.options import FleetOptions
-from dockthread.raft.storage import Lost
+from dockthread.raft.storage import RaftStorageError
 
 EXIT_OK: Final = 0
 EXIT_CANNOT_LISTEN: Final = 1
@@ -51,7 +51,7 @@
     Raises:
         OSError: The directory of the log cannot be used.
         ValueError: The key or a member cannot be used.
-        Lost: The log was lost.
+        RaftStorageError: The log was lost.
     """
     rng = random.Random(secrets.randbits(SEED_BITS))
     if control.role == "distributor":
@@ -78,7 +78,7 @@
         SettingsError: The file or the role is wrong.
         OSError: The address cannot be listened on.
         ValueError: The key or the directory of the log cannot be used.
-        Lost: The log was lost.
+        RaftStorageError: The log was lost.
     """
     sections = load(file)
     control = sections.one("control")
@@ -96,7 +96,7 @@
     """Serve as the operator's file says, until SIGTERM or SIGINT, and return the exit code."""
     try:
         _serve(file)
-    except (SettingsError, ValueError, Lost) as error:
+    except (SettingsError, ValueError, RaftStorageError) as error:
         print(f"dockthread: {error}", file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
     except OSError as error:
--- a/dockthread/control_plane/publish_state_machine.py
+++ b/dockthread/control_plane/publish_state_machine.py
@@ -131,7 +131,7 @@
         """
         return msgspec.msgpack.encode(Proposal(request, self._rng.randbytes(NONCE_BYTES)))
 
-    def apply(self, index: int, data: bytes) -> None:  # noqa: ARG002  interface of a log's owner
+    def apply(self, index: int, data: bytes) -> None:  # noqa: ARG002  interface of a replicated state machine
         """Apply a committed log entry; `response_for` then knows its token."""
         try:
             proposal = _proposal_decoder.decode(data)
@@ -153,7 +153,7 @@
         state = State(table.epoch, table.revision, table.horizon, entries, outcomes)
         return msgspec.msgpack.encode(state)
 
-    def restore(self, index: int, state: bytes) -> None:  # noqa: ARG002  interface of a log's owner
+    def restore(self, index: int, state: bytes) -> None:  # noqa: ARG002  interface of a replicated state machine
         """Replace the state by that of a snapshot of the log.
 
         Raises:
--- a/dockthread/control_plane/stream.py
+++ b/dockthread/control_plane/stream.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from dockthread.control_plane.messages import Message, codec
-from dockthread.framing import HEAD, MalformedFrame, MessageCounts
+from dockthread.framing import FRAME_HEADER, MalformedFrameError, MessageCounts
 
 
 class FrameStream(asyncio.Protocol):
@@ -109,7 +109,7 @@
         try:
             if not self._handle_messages():
                 self.on_bytes()
-        except MalformedFrame as error:
+        except MalformedFrameError as error:
             self._buffer.clear()
             self.on_malformed(str(error))
             self.abort()
@@ -118,16 +118,16 @@
         """Handle all complete messages in the buffer and return whether there was one.
 
         Raises:
-            MalformedFrame: The next frame is none, or too large by its head.
+            MalformedFrameError: The next frame is none, or too large by its head.
         """
         position = 0
         buffer = self._buffer
-        while len(buffer) - position >= HEAD.size:
-            body_start = position + HEAD.size
+        while len(buffer) - position >= FRAME_HEADER.size:
+            body_start = position + FRAME_HEADER.size
             head = bytes(buffer[position:body_start])
             size = codec.length(head)
             if size > self._max_message_bytes:
-                raise MalformedFrame(
+                raise MalformedFrameError(
                     f"{size} bytes, and {self._max_message_bytes} are the most here"
                 )
             if len(buffer) < body_start + size:
--- a/dockthread/control_plane/voter.py
+++ b/dockthread/control_plane/voter.py
@@ -23,7 +23,7 @@
 from dockthread.control_plane.server import ControlPlaneServer, ServerSettings, TableSource
 from dockthread.framing import MessageCounts
 from dockthread.raft.options import FleetOptions
-from dockthread.raft.server import Member
+from dockthread.raft.server import RaftServer
 
 AGREEMENT_TIMEOUT: Final = 3_000.0
 """Time in ms that a publisher waits for the replicated log."""
@@ -51,12 +51,12 @@
         Raises:
             OSError: The directory cannot be used.
             ValueError: The key or the members cannot be used.
-            dockthread.raft.storage.Lost: The log was lost.
+            dockthread.raft.storage.RaftStorageError: The log was lost.
         """
         self.state_machine = PublishStateMachine(VALIDATORS, rng)
         source = TableSource(self.state_machine.table, self.age)
         self.server = ControlPlaneServer(settings, source, clock, rng, self)
-        self.member = Member(settings.name, fleet, clock, rng.getrandbits(RAFT_SEED_BITS), self)
+        self.member = RaftServer(settings.name, fleet, clock, rng.getrandbits(RAFT_SEED_BITS), self)
         self._is_serving = False
 
     async def open(self, listen: Address) -> Address:
@@ -83,12 +83,12 @@
 
     def age(self) -> float:
         """Return for how many ms the table may have lacked a change, or -1 for unknown."""
-        return self.member.age()
+        return self.member.staleness_ms()
 
     @property
     def messages(self) -> MessageCounts:
         """Messages with the other voters and with subscribers."""
-        return self.member.messages + self.server.messages
+        return self.member.message_counts + self.server.messages
 
     async def publish(self, request: PublishRequest) -> PublishResponse:
         """Have the log agree on a change; the same token counts once."""
@@ -103,7 +103,7 @@
             return not_agreed
         return self.state_machine.response_for(request.token) or not_agreed
 
-    # Methods of the log's owner (`dockthread.raft.server.Owner`)
+    # Methods of the log's state machine (`dockthread.raft.server.StateMachine`)
 
     def apply(self, index: int, data: bytes) -> None:
         """Apply a committed entry."""
@@ -115,17 +115,17 @@
         self.state_machine.restore(index, state)
         self._on_table_changed()
 
-    def state(self) -> bytes:
+    def snapshot(self) -> bytes:
         """Return the state, for a snapshot of the log."""
         return self.state_machine.state()
 
-    def came_to(self, index: int, term: int) -> None:
+    def on_applied(self, index: int, term: int) -> None:
         """Do nothing: nothing here depends on how far the log has been applied."""
 
-    def shown(self, sender: str, data: bytes) -> None:
+    def on_status_report(self, sender: str, data: bytes) -> None:
         """Do nothing: voters of the control plane exchange no observations."""
 
-    def changed(self) -> None:
+    def on_leader_changed(self) -> None:
         """Do nothing: who leads is looked up where it matters."""
 
     def _on_table_changed(self) -> None:
--- a/dockthread/lab/control_plane/nodes.py
+++ b/dockthread/lab/control_plane/nodes.py
@@ -11,7 +11,7 @@
 from dockthread.control_plane.messages import Acknowledge, Heartbeat, Message, Subscribe, codec
 from dockthread.control_plane.resource_table import ResourceTable
 from dockthread.control_plane.subscriber import Subscriber
-from dockthread.framing import HEAD, MalformedFrame
+from dockthread.framing import FRAME_HEADER, MalformedFrameError
 from dockthread.lab.control_plane.network import Connection
 
 if TYPE_CHECKING:
@@ -100,10 +100,10 @@
 
 
 def unpacked(data: bytes) -> Message:
-    """Raises `MalformedFrame`."""
-    head, body = data[: HEAD.size], data[HEAD.size :]
+    """Raises `MalformedFrameError`."""
+    head, body = data[: FRAME_HEADER.size], data[FRAME_HEADER.size :]
     if codec.length(head) != len(body):
-        raise MalformedFrame("another length")
+        raise MalformedFrameError("another length")
     return codec.unpack(head, body)
 
 
@@ -139,7 +139,7 @@
                 self.fanout.on_message(world.clock.now, number, message)
             else:
                 raise UnexpectedMessageError(type(message).__name__)
-        except (MalformedFrame, UnexpectedMessageError):
+        except (MalformedFrameError, UnexpectedMessageError):
             self._close(number)
         else:
             self.pump_one(connection)
@@ -216,7 +216,7 @@
         now = self._process.world.clock.now
         try:
             message = unpacked(data)
-        except MalformedFrame as error:
+        except MalformedFrameError as error:
             return self.do(self.subscriber.on_malformed(now, connection.number, str(error)))
         return self.do(self.subscriber.on_message(now, connection.number, message))
 
