--- a/dockthread/control_plane/admin_client.py
+++ b/dockthread/control_plane/admin_client.py
@@ -199,6 +199,7 @@
     overview = ControlPlaneOverview()
 
     async def fetch(server: Address) -> None:
+        """Add one server's status to the overview."""
         try:
             overview.servers[str(server)] = await _fetch_status(server, key)
         except NoResponseError as error:
--- a/dockthread/control_plane/fanout.py
+++ b/dockthread/control_plane/fanout.py
@@ -21,7 +21,6 @@
 from __future__ import annotations
 
 import random
-from collections import OrderedDict
 from dataclasses import dataclass
 from typing import Final
 
@@ -43,6 +42,7 @@
     codec,
 )
 from dockthread.control_plane.resource_table import ResourceTable
+from dockthread.control_plane.subscriber_records import DepartedSubscribers, SubscriberRecord
 
 NEVER_SENT: Final = -1e18
 """Time in ms of a heartbeat that was never sent: the next one is due at once."""
@@ -50,8 +50,6 @@
 """Time in ms, give or take half, after which a subscriber retries that found no capacity."""
 SNAPSHOT_RETENTION: Final = 60_000.0
 """Time in ms for which the encoded snapshot is kept after its last use."""
-MAX_DEPARTED: Final = 20_000
-"""Subscribers whose status is remembered after they left."""
 HEARTBEAT_TOLERANCE: Final = 1.0
 """Time in ms by which a heartbeat may leave early."""
 
@@ -95,27 +93,6 @@
     reason: str
 
 
-@dataclass(slots=True)
-class _SubscriberRecord:
-    """What is known of a subscriber, also after it left.
-
-    Attributes:
-        subscription: Its `Subscribe` message.
-        updated_at: When it last acknowledged, or left.
-        epoch: History that it acknowledged.
-        revision: Revision that it acknowledged.
-        rejections: Number of resources that it rejects.
-        rejected: The rejections it reported.
-    """
-
-    subscription: Subscribe
-    updated_at: float
-    epoch: str = ""
-    revision: int = 0
-    rejections: int = 0
-    rejected: tuple[Rejection, ...] = ()
-
-
 @dataclass(slots=True)
 class _Cursor:
     """What was returned for one connection.
@@ -134,7 +111,7 @@
         is_replaced: Whether a newer connection of the same subscriber took its place.
     """
 
-    record: _SubscriberRecord
+    record: SubscriberRecord
     last_received_at: float
     epoch: str
     revision: int
@@ -167,7 +144,7 @@
         self._key = key
         self._cursors: dict[int, _Cursor] = {}  # by connection
         self._connection_of: dict[str, int] = {}  # by subscriber
-        self._departed: OrderedDict[str, _SubscriberRecord] = OrderedDict()  # the oldest first
+        self._departed = DepartedSubscribers()
         self._frames = EncodedFrameCache(table, limits.chunk_bytes, key)
         self._snapshot_used_at = now
         self._budget = SnapshotBudget(
@@ -180,7 +157,7 @@
             rng,
         )
         self._lag = LagTracker(now, table)
-        self._fresh_at: float | None = None  # when the table was last known to be complete
+        self._complete_at: float | None = None  # when the table was last known to be complete
         self._heartbeats_at = now + limits.heartbeat_interval
         self._awaits_budget = False  # a chunk waits for the budget
 
@@ -201,16 +178,16 @@
         if self._is_at_capacity(message.name):
             after = AT_CAPACITY_RETRY * self._rng.uniform(0.5, 1.5)
             return RetryLater(after, "no room for one more subscriber")
-        cursor = _Cursor(_SubscriberRecord(message, now), now, message.epoch, message.revision)
+        cursor = _Cursor(SubscriberRecord(message, now), now, message.epoch, message.revision)
         if self._needs_snapshot(cursor, message.digest):
             if not self._budget.admit(now, self.table.bytes):
                 after = self._budget.retry_after(now, self.table.bytes)
                 return RetryLater(after, "no budget for one more snapshot")
             cursor.needs_snapshot = True
             cursor.owed = float(self.table.bytes)
-        self._replace_older_connection(message.name, connection)
+        self._supersede_connection(message.name, connection)
         self._cursors[connection] = cursor
-        self._departed.pop(message.name, None)
+        self._departed.discard(message.name)
         return None
 
     def on_message(self, now: float, connection: int, message: Acknowledge | Heartbeat) -> None:
@@ -225,12 +202,7 @@
         cursor.last_received_at = now
         if isinstance(message, Acknowledge):
             _check_rejections(message)
-            record = cursor.record
-            record.updated_at = now
-            record.epoch = message.epoch
-            record.revision = message.revision
-            record.rejections = message.rejections
-            record.rejected = message.rejected
+            cursor.record.acknowledge(now, message)
 
     def next_frame(self, now: float, connection: int) -> bytes | None:
         """Return the next frame for a connection that can be written to.
@@ -264,10 +236,8 @@
         name = cursor.record.subscription.name
         if self._connection_of.get(name) == connection:
             del self._connection_of[name]
-            self._departed[name] = cursor.record
             cursor.record.updated_at = now
-            while len(self._departed) > MAX_DEPARTED:
-                self._departed.popitem(last=False)
+            self._departed.add(cursor.record)
 
     def set_table_age(self, now: float, age: float) -> None:
         """Record for how long the table may have lacked a change, or `AGE_UNKNOWN`.
@@ -275,7 +245,7 @@
         Heartbeats report it. On a voter it is the time since it last heard from a leader, or as
         the leader from a majority; on a distributor it is `Subscriber.age`.
         """
-        self._fresh_at = now - age if age >= 0.0 else None
+        self._complete_at = now - age if age >= 0.0 else None
 
     def on_timer(self, now: float) -> list[OverdueConnection]:
         """Return the connections to be closed.
@@ -288,7 +258,7 @@
             self._heartbeats_at = now + self._limits.heartbeat_interval
         if now - self._snapshot_used_at > SNAPSHOT_RETENTION:
             self._frames.drop_snapshot()
-        self._forget_departed(now)
+        self._departed.forget_before(now, self._limits.status_retention)
         overdue = [
             OverdueConnection(number, "replaced by a newer connection")
             for number, cursor in self._cursors.items()
@@ -318,25 +288,10 @@
             for cursor in self._cursors.values()
             if not cursor.is_replaced
         }
-        known = {**self._departed, **connected}
+        known = {**self._departed.by_name(), **connected}
         return tuple(
-            self._subscriber_status(now, known[name], name in connected) for name in sorted(known)
-        )
-
-    def _subscriber_status(
-        self, now: float, record: _SubscriberRecord, is_connected: bool
-    ) -> SubscriberStatus:
-        subscription = record.subscription
-        revision = record.revision if record.epoch == self.table.epoch else 0
-        return SubscriberStatus(
-            subscription.name,
-            subscription.region,
-            subscription.zone,
-            is_connected,
-            revision,
-            self._lag.lag(now, revision),
-            record.rejections,
-            record.rejected,
+            known[name].status(now, self.table.epoch, self._lag, name in connected)
+            for name in sorted(known)
         )
 
     def _is_at_capacity(self, name: str) -> bool:
@@ -344,20 +299,13 @@
         is_full = len(self._connection_of) >= self._limits.max_subscribers
         return is_full and name not in self._connection_of
 
-    def _replace_older_connection(self, name: str, connection: int) -> None:
+    def _supersede_connection(self, name: str, connection: int) -> None:
         """Serve the newest connection of a subscriber; `on_timer` closes its older one."""
         older = self._connection_of.get(name)
         if older is not None:
             self._cursors[older].is_replaced = True
         self._connection_of[name] = connection
 
-    def _forget_departed(self, now: float) -> None:
-        while self._departed:
-            name = next(iter(self._departed))
-            if now - self._departed[name].updated_at <= self._limits.status_retention:
-                return
-            del self._departed[name]
-
     def _needs_snapshot(self, cursor: _Cursor, digest: bytes) -> bool:
         """Return whether only a snapshot brings a subscriber up to date."""
         table = self.table
@@ -431,7 +379,7 @@
 
     def _heartbeat(self, now: float, cursor: _Cursor) -> bytes:
         cursor.heartbeat_at = now
-        age = AGE_UNKNOWN if self._fresh_at is None else max(0.0, now - self._fresh_at)
+        age = AGE_UNKNOWN if self._complete_at is None else max(0.0, now - self._complete_at)
         return codec.pack(Heartbeat(self.table.epoch, self.table.revision, age), self._key)
 
 
--- a/dockthread/control_plane/options.py
+++ b/dockthread/control_plane/options.py
@@ -9,6 +9,8 @@
 from pathlib import Path
 from typing import Final, Literal, NamedTuple
 
+import msgspec
+
 from dockthread.config.ini_reader import Section
 from dockthread.config.platform_settings import Address
 from dockthread.config.quantities import Duration, Size
@@ -65,7 +67,7 @@
         key_file: File with the key that all processes share.
         cache: Directory of the snapshot cache; empty for none.
         cache_interval: Least time in ms between two writes of the cache.
-        most_connections: Connections that a server accepts at once.
+        max_connections: Connections that a server accepts at once.
         write_buffer: Bytes that may wait in one connection before its next frame is made.
         heartbeat: Time in ms between heartbeats of a server.
         snapshot_rate: Bytes of snapshots a second that a server sends over time; twice as many
@@ -82,7 +84,7 @@
     key_file: str = ""
     cache: str = ""
     cache_interval: Duration = Duration(10_000.0)
-    most_connections: int = 512
+    max_connections: int = msgspec.field(name="most_connections", default=512)
     write_buffer: Size = Size(64 << 10)
     heartbeat: Duration = Duration(1_000.0)
     snapshot_rate: Size = Size(20_000_000)
@@ -154,9 +156,9 @@
                 f"{self.cache_interval} is too short",
                 f"{MIN_CACHE_INTERVAL:g}ms at least; 10s is usual",
             )
-        if not 1 <= self.most_connections <= MAX_CONNECTIONS:
+        if not 1 <= self.max_connections <= MAX_CONNECTIONS:
             yield SettingFault(
-                "most_connections", f"{self.most_connections} is out of range", "1 to 10000"
+                "most_connections", f"{self.max_connections} is out of range", "1 to 10000"
             )
         if not MIN_WRITE_BUFFER <= self.write_buffer <= MAX_WRITE_BUFFER:
             yield SettingFault(
--- a/dockthread/control_plane/server.py
+++ b/dockthread/control_plane/server.py
@@ -98,7 +98,7 @@
     """
     rate = float(options.snapshot_rate)
     fan_out = FanOutLimits(
-        options.most_connections,
+        options.max_connections,
         snapshot_rate=rate,
         snapshot_burst=SNAPSHOT_BURST_SECONDS * rate,
         heartbeat_interval=float(options.heartbeat),
@@ -106,7 +106,7 @@
     return ServerSettings(
         options.name,
         options.role or "",
-        options.most_connections + REQUEST_CONNECTIONS,
+        options.max_connections + REQUEST_CONNECTIONS,
         options.write_buffer,
         fan_out,
         options.key(),
--- a/dockthread/control_plane/server_connection.py
+++ b/dockthread/control_plane/server_connection.py
@@ -50,7 +50,7 @@
         return_at: When to return to the preferred server.
         is_open: Whether it was opened, and the subscription sent.
         last_received_at: When the server was last heard from; None before its first message.
-        fresh_at: When the server's table was last known to be complete; None before its first
+        complete_at: When the server's table was last known to be complete; None before its first
             heartbeat.
     """
 
@@ -61,7 +61,7 @@
     return_at: float
     is_open: bool = False
     last_received_at: float | None = None
-    fresh_at: float | None = None
+    complete_at: float | None = None
 
     @property
     def state(self) -> ConnectionState:
@@ -70,6 +70,15 @@
             return ConnectionState.RECEIVING
         return ConnectionState.SUBSCRIBED if self.is_open else ConnectionState.CONNECTING
 
+    def is_overdue(self, now: float) -> bool:
+        """Return whether no message came by the deadline."""
+        return self.state is not ConnectionState.RECEIVING and now >= self.deadline
+
+    def has_timed_out(self, now: float, silence_timeout: float) -> bool:
+        """Return whether nothing came for `silence_timeout` ms since the last message."""
+        last_received_at = self.last_received_at
+        return last_received_at is not None and now >= last_received_at + silence_timeout
+
 
 class ConnectionManager:
     """Opens, fails and replaces the connection of a subscriber.
@@ -137,9 +146,9 @@
             if now >= self._backoff.wait_until:
                 self._connect(now, self.servers.select(now))
             return False
-        if self._is_overdue(now, connection):
+        if connection.is_overdue(now):
             self.fail(now, connection, "no answer in time")
-        elif self._is_silent(now, connection):
+        elif connection.has_timed_out(now, self._times.silence_timeout):
             self._counts.silences += 1
             self.fail(now, connection, "silent for too long")
         elif now >= self._leave_stale_at(connection):
@@ -163,7 +172,7 @@
         connection.heartbeat_at = now + self._times.heartbeat_interval
         return connection
 
-    def on_server_age(self, now: float, connection: ServerConnection, fresh_at: float) -> bool:
+    def on_server_age(self, now: float, connection: ServerConnection, complete_at: float) -> bool:
         """Record when the server's table was last known to be complete.
 
         A stale server is left if that may be done now.
@@ -171,18 +180,18 @@
         Returns:
             Whether the server is fresh.
         """
-        connection.fresh_at = fresh_at
-        if not self._staleness.is_stale(now, fresh_at):
-            self._staleness.on_fresh(len(self.servers))
+        connection.complete_at = complete_at
+        if not self._staleness.is_stale(now, complete_at):
+            self._staleness.on_current_server(len(self.servers))
             return True
         if now >= self._leave_stale_at(connection):
             self._leave_stale(now, connection)
         return False
 
-    def is_known_fresh(self, now: float, connection: ServerConnection) -> bool:
+    def is_known_current(self, now: float, connection: ServerConnection) -> bool:
         """Return whether the server has reported that its table is not stale."""
-        fresh_at = connection.fresh_at
-        return fresh_at is not None and not self._staleness.is_stale(now, fresh_at)
+        complete_at = connection.complete_at
+        return complete_at is not None and not self._staleness.is_stale(now, complete_at)
 
     def on_complete_update(self) -> None:
         """Record that the connection brought a complete update."""
@@ -198,6 +207,11 @@
         self._actions.append(Disconnect(connection.number, reason))
         self.back_off(now, connection)
 
+    def fail_malformed(self, now: float, connection: ServerConnection, reason: str) -> None:
+        """Close the connection, which brought malformed or unexpected bytes, and back off."""
+        self._counts.malformed += 1
+        self.fail(now, connection, reason)
+
     def back_off(self, now: float, connection: ServerConnection) -> None:
         """Wait before the next connection: this one failed or was closed."""
         self._counts.failures += 1
@@ -215,7 +229,7 @@
     def set_servers(self, now: float, servers: Sequence[CandidateServer]) -> None:
         """Replace the list; the connection stays where its server is still listed."""
         self.servers.set_servers(servers)
-        self._staleness.on_fresh(len(self.servers))
+        self._staleness.on_current_server(len(self.servers))
         if self.current is not None and self.current.server not in self.servers:
             self.disconnect(self.current, "its server is no longer listed")
             self._backoff.wait_until = now
@@ -247,20 +261,11 @@
         else:
             connection.return_at = self._draw_return_at(now)
 
-    def _is_overdue(self, now: float, connection: ServerConnection) -> bool:
-        return connection.last_received_at is None and now >= connection.deadline
-
-    def _is_silent(self, now: float, connection: ServerConnection) -> bool:
-        last_received_at = connection.last_received_at
-        if last_received_at is None:
-            return False
-        return now >= last_received_at + self._times.silence_timeout
-
     def _leave_stale_at(self, connection: ServerConnection) -> float:
         """Return when to leave the server, unless it reports a fresher table before."""
         if connection.last_received_at is None or len(self.servers) < 2:
             return NEVER_DUE
-        return self._staleness.leave_at(connection.fresh_at)
+        return self._staleness.leave_at(connection.complete_at)
 
     def _leave_stale(self, now: float, connection: ServerConnection) -> None:
         self._counts.stale += 1
--- a/dockthread/control_plane/snapshot_cache.py
+++ b/dockthread/control_plane/snapshot_cache.py
@@ -213,12 +213,12 @@
 
     Attributes:
         data: The bytes.
-        begins_file: Whether they begin a new file.
+        starts_file: Whether they begin a new file.
         ends_state: Whether they end with a commit.
     """
 
     data: bytes
-    begins_file: bool
+    starts_file: bool
     ends_state: bool
 
 
@@ -348,7 +348,7 @@
             return None
         records: list[CacheRecord] = []
         head = self._queue[0]
-        begins_file = isinstance(head, CacheHeader)
+        starts_file = isinstance(head, CacheHeader)
         if isinstance(head, CacheHeader):
             records.append(head)
             self._queue.popleft()
@@ -362,7 +362,7 @@
             records.append(commit)
             self._queue.popleft()
             ends_state = True
-        return WriteJob(b"".join(map(_encode, records)), begins_file, ends_state)
+        return WriteJob(b"".join(map(_encode, records)), starts_file, ends_state)
 
     def _take_slice(self) -> tuple[Resource, ...]:
         """Remove and return the next resources, up to a commit."""
@@ -381,7 +381,7 @@
 
     def _write(self, job: WriteJob) -> None:
         """Carry out a job, in a thread; never two at once."""
-        if job.begins_file:
+        if job.starts_file:
             self._close_file()
             self._new_path = self.path.with_suffix(".new")
             self._new_path.parent.mkdir(parents=True, exist_ok=True)
--- a/dockthread/control_plane/staleness.py
+++ b/dockthread/control_plane/staleness.py
@@ -26,16 +26,16 @@
         self._immediate_moves = server_count - 1
         self._next_move_at = now  # once there are no immediate moves left
 
-    def is_stale(self, now: float, fresh_at: float) -> bool:
-        """Return whether a table that was last known to be complete at `fresh_at` is stale."""
-        return fresh_at + self._times.staleness_limit <= now
+    def is_stale(self, now: float, complete_at: float) -> bool:
+        """Return whether a table that was last known to be complete at `complete_at` is stale."""
+        return complete_at + self._times.staleness_limit <= now
 
-    def leave_at(self, fresh_at: float | None) -> float:
+    def leave_at(self, complete_at: float | None) -> float:
         """Return when to leave a server, unless it reports a fresher table before.
 
-        `fresh_at` is when its table was last known to be complete; None where it has not reported.
+        `complete_at` is when its table was last known to be complete; None where it has not reported.
         """
-        stale_at = NEVER_DUE if fresh_at is None else fresh_at + self._times.staleness_limit
+        stale_at = NEVER_DUE if complete_at is None else complete_at + self._times.staleness_limit
         if self._immediate_moves > 0:
             return stale_at
         return max(stale_at, self._next_move_at)
@@ -45,6 +45,6 @@
         self._immediate_moves = max(0, self._immediate_moves - 1)
         self._next_move_at = now + self._times.stale_penalty * self._rng.uniform(0.5, 1.5)
 
-    def on_fresh(self, server_count: int) -> None:
+    def on_current_server(self, server_count: int) -> None:
         """Allow each other server to be tried at once again: a server was fresh."""
         self._immediate_moves = server_count - 1
--- a/dockthread/control_plane/subscriber.py
+++ b/dockthread/control_plane/subscriber.py
@@ -63,11 +63,6 @@
             settings, servers, rng, now, self.counts, self._actions, self._receiver.begin
         )
 
-    @property
-    def name(self) -> str:
-        """Name of the subscriber."""
-        return self._settings.name
-
     @property
     def table(self) -> ResourceTable:
         """The received table; the same object for the life of the subscriber."""
@@ -137,14 +132,14 @@
                 self._connections.retry_later(now, current, after)
             case _:
                 reason = f"a server does not send {type(message).__name__}"
-                self._fail_malformed(now, current, reason)
+                self._connections.fail_malformed(now, current, reason)
         return self._take_actions()
 
     def on_malformed(self, now: float, connection: int, reason: str) -> list[Action]:
         """Close a connection that brought bytes which are no message, or too many."""
         current = self._connections.find(connection)
         if current is not None:
-            self._fail_malformed(now, current, reason)
+            self._connections.fail_malformed(now, current, reason)
         return self._take_actions()
 
     def on_applied(
@@ -170,20 +165,20 @@
         return self._take_actions()
 
     def _on_heartbeat(self, now: float, connection: ServerConnection, message: Heartbeat) -> None:
-        fresh_at = now - message.age if message.age >= 0.0 else float("-inf")
-        if self._connections.on_server_age(now, connection, fresh_at):
-            self._receiver.on_fresh_server(message, fresh_at)
+        complete_at = now - message.age if message.age >= 0.0 else float("-inf")
+        if self._connections.on_server_age(now, connection, complete_at):
+            self._receiver.on_current_server(message, complete_at)
 
     def _on_update(self, now: float, connection: ServerConnection, update: Update) -> None:
-        is_fresh = self._connections.is_known_fresh(now, connection)
-        if not self._receiver.accepts_epoch(update, is_fresh):
+        is_current = self._connections.is_known_current(now, connection)
+        if not self._receiver.accepts_epoch(update, is_current):
             reason = "another history, left before or of a server that is not known to be fresh"
             self._connections.fail(now, connection, reason)
             return
         try:
             is_acknowledged = self._receiver.add(update)
         except InvalidUpdateError as error:
-            self._fail_malformed(now, connection, str(error))
+            self._connections.fail_malformed(now, connection, str(error))
             return
         except DigestMismatchError as error:
             if not error.changed:
@@ -195,10 +190,6 @@
         if is_acknowledged:
             self._acknowledge()
 
-    def _fail_malformed(self, now: float, connection: ServerConnection, reason: str) -> None:
-        self.counts.malformed += 1
-        self._connections.fail(now, connection, reason)
-
     def _acknowledge(self) -> None:
         current = self._connections.current
         if current is not None and current.last_received_at is not None:
--- /dev/null
+++ b/dockthread/control_plane/subscriber_records.py
@@ -0,0 +1,94 @@
+"""What a server knows of its subscribers, also after they left."""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Final
+
+from dockthread.control_plane.lag import LagTracker
+from dockthread.control_plane.messages import (
+    Acknowledge,
+    Rejection,
+    Subscribe,
+    SubscriberStatus,
+)
+
+MAX_DEPARTED: Final = 20_000
+"""Subscribers remembered after they left."""
+
+
+@dataclass(slots=True)
+class SubscriberRecord:
+    """What is known of one subscriber.
+
+    Attributes:
+        subscription: Its `Subscribe` message.
+        updated_at: When it last acknowledged, or left, in ms.
+        epoch: History that it acknowledged.
+        revision: Revision that it acknowledged.
+        rejections: Number of resources that it rejects.
+        rejected: The rejections it reported.
+    """
+
+    subscription: Subscribe
+    updated_at: float
+    epoch: str = ""
+    revision: int = 0
+    rejections: int = 0
+    rejected: tuple[Rejection, ...] = ()
+
+    def acknowledge(self, now: float, message: Acknowledge) -> None:
+        """Record an acknowledgement."""
+        self.updated_at = now
+        self.epoch = message.epoch
+        self.revision = message.revision
+        self.rejections = message.rejections
+        self.rejected = message.rejected
+
+    def status(
+        self, now: float, epoch: str, lag: LagTracker, is_connected: bool
+    ) -> SubscriberStatus:
+        """Return the status; `epoch` is that of the server's table."""
+        subscription = self.subscription
+        revision = self.revision if self.epoch == epoch else 0
+        return SubscriberStatus(
+            subscription.name,
+            subscription.region,
+            subscription.zone,
+            is_connected,
+            revision,
+            lag.lag(now, revision),
+            self.rejections,
+            self.rejected,
+        )
+
+
+class DepartedSubscribers:
+    """Subscribers that left, the oldest first."""
+
+    def __init__(self) -> None:
+        self._records: OrderedDict[str, SubscriberRecord] = OrderedDict()
+
+    def by_name(self) -> Mapping[str, SubscriberRecord]:
+        """Return the records by name."""
+        return self._records
+
+    def add(self, record: SubscriberRecord) -> None:
+        """Remember a subscriber, and forget the oldest of too many."""
+        self._records[record.subscription.name] = record
+        while len(self._records) > MAX_DEPARTED:
+            self._records.popitem(last=False)
+
+    def discard(self, name: str) -> None:
+        """Forget a subscriber that is connected again."""
+        self._records.pop(name, None)
+
+    def forget_before(self, now: float, retention: float) -> None:
+        """Forget those that left more than `retention` ms ago."""
+        while self._records:
+            name = next(iter(self._records))
+            if now - self._records[name].updated_at <= retention:
+                return
+            del self._records[name]
--- a/dockthread/control_plane/table_receiver.py
+++ b/dockthread/control_plane/table_receiver.py
@@ -58,7 +58,7 @@
         self.applied = AppliedResources(self._full_acknowledgement(), rejections)
         self._needs_snapshot = False  # the digest differed
         self._left_epochs: set[str] = set()
-        self._fresh_at: float | None = None  # when the table was last known to be complete
+        self._complete_at: float | None = None  # when the table was last known to be complete
 
     @property
     def is_staging(self) -> bool:
@@ -71,7 +71,7 @@
 
     def age(self, now: float) -> float:
         """Return for how many ms the table may have lacked a change, or `AGE_UNKNOWN`."""
-        return AGE_UNKNOWN if self._fresh_at is None else max(0.0, now - self._fresh_at)
+        return AGE_UNKNOWN if self._complete_at is None else max(0.0, now - self._complete_at)
 
     def subscription(self, settings: SubscriberSettings) -> Subscribe:
         """Return the first message of a connection."""
@@ -85,24 +85,24 @@
             settings.name, table.epoch, table.revision, digest, settings.region, settings.zone
         )
 
-    def on_fresh_server(self, message: Heartbeat, fresh_at: float) -> None:
-        """Record that the server's table was complete at `fresh_at`.
+    def on_current_server(self, message: Heartbeat, complete_at: float) -> None:
+        """Record that the server's table was complete at `complete_at`.
 
         If this table includes the server's, it was complete then as well.
         """
         is_covered = message.epoch == self.table.epoch and message.revision <= self.table.revision
         if is_covered and self.table.is_complete and not self.is_staging:
-            previous = fresh_at if self._fresh_at is None else self._fresh_at
-            self._fresh_at = max(fresh_at, previous)
+            previous = complete_at if self._complete_at is None else self._complete_at
+            self._complete_at = max(complete_at, previous)
 
-    def accepts_epoch(self, update: Update, is_server_fresh: bool) -> bool:
+    def accepts_epoch(self, update: Update, is_server_current: bool) -> bool:
         """Return whether an update's history may replace the current one.
 
         Only a fresh server may bring another history, and one that was left does not return.
         """
         if not self.table.epoch or update.epoch == self.table.epoch:
             return True
-        return update.epoch not in self._left_epochs and is_server_fresh
+        return update.epoch not in self._left_epochs and is_server_current
 
     def add(self, update: Update) -> bool:
         """Put an update into the table.
--- a/dockthread/lab/control_plane/seeded_defects.py
+++ b/dockthread/lab/control_plane/seeded_defects.py
@@ -218,7 +218,7 @@
 class AnyEpochReceiver(TableReceiver):
     """Accepts any epoch."""
 
-    def accepts_epoch(self, update: Update, is_server_fresh: bool) -> bool:  # noqa: ARG002  the defect
+    def accepts_epoch(self, update: Update, is_server_current: bool) -> bool:  # noqa: ARG002  the defect
         """Accept it."""
         return True
 
