--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -42,7 +42,7 @@
     spread,
 )
 from dockthread.config.ingress_config import Names
-from dockthread.config.ini_reader import Kind, read
+from dockthread.config.ini_reader import SectionKind, read_sections
 from dockthread.control_plane.resource_schemas import route_of
 from dockthread.policy import Effect, Plan, PolicySettings, RequestClass
 from dockthread.routes.bounds import Facts
@@ -247,7 +247,9 @@
     for count in (1000, 7500):
         text = routes(count)
         begun = time.perf_counter()
-        found = read(text, "f", {"route": Kind(RouteOptions, named=True)}).named("route")
+        found = read_sections(
+            text, "f", {"route": SectionKind(RouteOptions, named=True)}
+        ).named_sections("route")
         parsed = time.perf_counter()
         assert not check("f", found, SETTINGS, NAMES)
         proved = time.perf_counter()
--- a/dockthread/admin/prometheus.py
+++ b/dockthread/admin/prometheus.py
@@ -11,10 +11,10 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from dockthread.observer import FAILED, REFUSED, SERVED
+from dockthread.observer import FAILED, REJECTED, SERVED
 
 PREFIX = "app"
-BY_CLASS = (("ok", SERVED), ("shed", REFUSED), ("errors", FAILED))
+BY_CLASS = (("ok", SERVED), ("shed", REJECTED), ("errors", FAILED))
 
 
 @dataclass(frozen=True, slots=True)
--- a/dockthread/cli/control.py
+++ b/dockthread/cli/control.py
@@ -73,10 +73,10 @@
 
     Exit codes: 0 ended as told, 1 cannot listen, 2 a bad configuration.
     """
-    from dockthread.config.section_registry import where
+    from dockthread.config.section_registry import operator_file_path
     from dockthread.control_plane.process import serve as run
 
-    path = where(os.environ, file or ctx.find_root().obj)
+    path = operator_file_path(os.environ, file or ctx.find_root().obj)
     if path is None:
         raise click.UsageError("name the operator's file: --config FILE, or DOCKTHREAD_CONFIG")
     ctx.exit(run(path))
--- a/dockthread/cli/files.py
+++ b/dockthread/cli/files.py
@@ -8,9 +8,15 @@
 import click
 import msgspec
 
-from dockthread.config.ini_reader import Read
-from dockthread.config.platform_settings import read_config, read_for_check
-from dockthread.config.section_registry import KINDS, load, read_file, read_text, where
+from dockthread.config.ini_reader import OperatorConfig
+from dockthread.config.platform_settings import read_config, read_policy_settings_file
+from dockthread.config.section_registry import (
+    SECTION_KINDS,
+    load_operator_file,
+    operator_file_path,
+    parse_operator_file,
+    read_operator_file,
+)
 from dockthread.errors import SettingsError
 
 
@@ -35,10 +41,10 @@
     settings = settings or os.environ.get("NODE_CONFIG")
     if explain and not settings:
         raise click.UsageError("--explain needs --settings, or NODE_CONFIG")
-    told, names = read_for_check(settings) if settings else (None, None)
-    found = read_file(file, told, names)
+    told, names = read_policy_settings_file(settings) if settings else (None, None)
+    found = read_operator_file(file, told, names)
     for problem in found.problems:
-        click.echo(f"{'warning: ' * problem.warning}{problem}")
+        click.echo(f"{'warning: ' * problem.is_warning}{problem}")
     if found.errors:
         ctx.exit(2)
     click.echo(f"{file}: good")
@@ -46,7 +52,9 @@
         from dockthread.routes.explain import explain as explained
         from dockthread.routes.explain import facts_of
 
-        for line in explained(found.named("route"), told, names, facts_of(explain, told, names)):
+        for line in explained(
+            found.named_sections("route"), told, names, facts_of(explain, told, names)
+        ):
             click.echo(line)
 
 
@@ -64,20 +72,20 @@
     """Show every key that holds, and where it comes from. The text is itself a good operator's
     file.
     """
-    path = where(os.environ, file or ctx.find_root().obj)
-    found = load(path) if path else read_text("", "no file")
+    path = operator_file_path(os.environ, file or ctx.find_root().obj)
+    found = load_operator_file(path) if path else parse_operator_file("", "no file")
     for line in lines(found, path):
         click.echo(line)
     for line in platform():
         click.echo(line)
 
 
-def lines(found: Read, path: str | None) -> list[str]:
+def lines(found: OperatorConfig, path: str | None) -> list[str]:
     out = []
-    for kind in KINDS:
-        for name, section in found.named(kind).items():
+    for kind in SECTION_KINDS:
+        for name, section in found.named_sections(kind).items():
             out.append(f"[{kind}{' ' * bool(name)}{name}]")
-            given = found.given.get((kind, name), set())
+            given = found.explicit_keys.get((kind, name), set())
             for field in msgspec.structs.fields(section):
                 value = getattr(section, field.name)
                 source = path if field.encode_name in given else "default"
@@ -111,7 +119,7 @@
         "discovery": (told.discovery, "NODE_DISCOVERY"),
         "counter": (told.counter or "none", ""),
         "memory_mb": (f"{told.memory_mb:g}", ""),
-        "sockets": (told.sockets, ""),
+        "sockets": (told.max_sockets, ""),
     }
     out = ["# the platform's part"]
     for key, (value, variable) in rows.items():
--- a/dockthread/cli/lab.py
+++ b/dockthread/cli/lab.py
@@ -14,7 +14,7 @@
 from dockthread.cli.lab_fleet import fleet
 from dockthread.cli.lab_scale import scale
 from dockthread.config.address import Address
-from dockthread.config.platform_settings import read_for_check
+from dockthread.config.platform_settings import read_policy_settings_file
 from dockthread.errors import SettingsError
 from dockthread.lab.arrivals import Mix, read_trace, shape, weights, write_trace
 from dockthread.lab.load import Target
@@ -159,7 +159,7 @@
     """
     deadlines, writes = dict(deadline), frozenset(filter(None, write.split(",")))
     if settings:
-        told, names = read_for_check(settings)
+        told, names = read_policy_settings_file(settings)
         pairs = list(zip(names.classes, told.classes, strict=True))
         deadlines = {name: one.deadline for name, one in pairs}
         writes = frozenset(name for name, one in pairs if one.effect is not Effect.SAFE)
--- a/dockthread/config/ingress_config.py
+++ b/dockthread/config/ingress_config.py
@@ -34,11 +34,11 @@
 
     listen: Address
     peers: tuple[Address, ...]
-    everyone: Address | None = None
+    broadcast: Address | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Config:
+class IngressConfig:
     """All that one ingress is configured with at its start.
 
     Times are in milliseconds, except in `module`, where they are in seconds.
@@ -48,17 +48,17 @@
     listen: Address
     discovery: Address
     seed: int
-    sockets: int
-    known: dict[str, Any]
-    module: PolicySettings
+    max_sockets: int
+    known_endpoints: dict[str, Any]
+    policy_settings: PolicySettings
     names: Names
     memory_mb: float = 192.0
-    most_units: int = 1_000_000
+    max_request_units: int = 1_000_000
     counter: Address | None = None
     peers: PeerAddresses | None = None
-    counter_timeout: float = 50.0
-    conn_idle: float = 15_000.0
-    connect_timeout: float = 250.0
-    most_open: int = 20_000
+    counter_timeout_ms: float = 50.0
+    connection_idle_ms: float = 15_000.0
+    connect_timeout_ms: float = 250.0
+    max_open_requests: int = 20_000
     management: Address | None = None
-    inherited: int | None = None
+    inherited_listener_fd: int | None = None
--- a/dockthread/config/ini_reader.py
+++ b/dockthread/config/ini_reader.py
@@ -20,22 +20,22 @@
 
 import msgspec
 
-from dockthread.config.quantities import Duration, Share, Size, yes_or_no
+from dockthread.config.quantities import Duration, Share, Size, parse_bool
 
 # of a file: a wrong path, such as one to a log, must not fill the memory
-MOST_BYTES = 4 * 1024 * 1024
+MAX_FILE_BYTES = 4 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
-class Problem:
+class ConfigProblem:
     """What is wrong with a file, in one plain line: where, what, and what would do."""
 
     file: str
     section: str
     key: str
-    wrong: str
-    would_do: str = ""
-    warning: bool = False
+    reason: str
+    remedy: str = ""
+    is_warning: bool = False
 
     def __str__(self) -> str:
         where = (
@@ -43,20 +43,35 @@
             + (self.section and f"[{self.section}] ")
             + (self.key and f"{self.key}: ")
         )
-        text = where + self.wrong + (f"; {self.would_do}" if self.would_do else "")
+        text = where + self.reason + (f"; {self.remedy}" if self.remedy else "")
         return " ".join(text.split())
 
 
+@dataclass(frozen=True, slots=True)
+class KeyProblem:
+    """What a section finds wrong with one of its keys.
+
+    Attributes:
+        key: The key; empty where the section as a whole is wrong.
+        reason: What is wrong.
+        remedy: What would do instead.
+    """
+
+    key: str
+    reason: str
+    remedy: str
+
+
 class Section(msgspec.Struct, frozen=True, kw_only=True):
-    """The base of all sections. `faults` tells what one section's keys say against each other."""
+    """Base class of all sections: the fields are the keys, their defaults those of the file."""
 
-    def faults(self) -> Iterable[tuple[str, str, str]]:
-        """Key, what is wrong, what would do; the key may be empty."""
+    def problems(self) -> Iterable[KeyProblem]:
+        """Yield what is wrong with this section's keys, alone and against each other."""
         return ()
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class SectionKind:
     """How sections of one kind are read. Those `named` may stand several times, with unlike
     names.
     """
@@ -66,32 +81,32 @@
 
 
 @dataclass(slots=True)
-class Read:
+class OperatorConfig:
     """A file as read: sections by kind and name ('' where the kind has none), and the keys it set
     itself.
     """
 
     file: str
     sections: dict[str, dict[str, Section]] = field(default_factory=dict)
-    given: dict[tuple[str, str], set[str]] = field(default_factory=dict)
-    problems: list[Problem] = field(default_factory=list)
+    explicit_keys: dict[tuple[str, str], set[str]] = field(default_factory=dict)
+    problems: list[ConfigProblem] = field(default_factory=list)
 
-    def one(self, kind: str) -> Any:
+    def section(self, kind: str) -> Any:
         return self.sections[kind][""]
 
-    def named(self, kind: str) -> dict[str, Any]:
+    def named_sections(self, kind: str) -> dict[str, Any]:
         return self.sections.get(kind, {})
 
     @property
-    def errors(self) -> list[Problem]:
-        return [problem for problem in self.problems if not problem.warning]
+    def errors(self) -> list[ConfigProblem]:
+        return [problem for problem in self.problems if not problem.is_warning]
 
 
-def read(text: str, file: str, kinds: Mapping[str, Kind]) -> Read:
+def read_sections(text: str, file: str, kinds: Mapping[str, SectionKind]) -> OperatorConfig:
     """Read a file's text; `file` is only its name in problems. Unnamed kinds always have a
     section.
     """
-    found = Read(file)
+    found = OperatorConfig(file)
     parser = configparser.ConfigParser(
         interpolation=None,
         delimiters=("=",),
@@ -112,45 +127,47 @@
         if kind not in kinds:
             near = _near(kind, kinds)
             found.problems.append(
-                Problem(file, head, "", "is no section", near or f"known: {_all(kinds)}")
+                ConfigProblem(file, head, "", "is no section", near or f"known: {_all(kinds)}")
             )
         elif kinds[kind].named and not name:
-            found.problems.append(Problem(file, head, "", "needs a name", f"such as [{kind} main]"))
+            found.problems.append(
+                ConfigProblem(file, head, "", "needs a name", f"such as [{kind} main]")
+            )
         elif name and not kinds[kind].named:
-            found.problems.append(Problem(file, head, "", "takes no name", f"write [{kind}]"))
+            found.problems.append(ConfigProblem(file, head, "", "takes no name", f"write [{kind}]"))
         elif name in found.sections.get(kind, {}):
             found.problems.append(
-                Problem(file, head, "", "stands twice", "give one of them another name")
+                ConfigProblem(file, head, "", "stands twice", "give one of them another name")
             )
         else:
             section = _section(found, head, kinds[kind].struct, dict(parser.items(head)))
             if section is not None:
                 found.sections.setdefault(kind, {})[name] = section
-                found.given[kind, name] = set(parser.options(head))
+                found.explicit_keys[kind, name] = set(parser.options(head))
     for kind, how in kinds.items():
         if not how.named and kind not in found.sections:
             found.sections[kind] = {"": how.struct()}
     return found
 
 
-def _unreadable(file: str, error: configparser.Error) -> Problem:
+def _unreadable(file: str, error: configparser.Error) -> ConfigProblem:
     if isinstance(error, configparser.DuplicateSectionError):
         wrong = f"stands twice (line {error.lineno})"
-        return Problem(file, error.section, "", wrong, "join the two, or rename one")
+        return ConfigProblem(file, error.section, "", wrong, "join the two, or rename one")
     if isinstance(error, configparser.DuplicateOptionError):
-        return Problem(
+        return ConfigProblem(
             file, error.section, error.option, f"stands twice (line {error.lineno})", "leave one"
         )
     if isinstance(error, configparser.MissingSectionHeaderError):
         wrong = f"line {error.lineno} stands before any section"
-        return Problem(file, "", "", wrong, "begin with a head such as [telemetry]")
+        return ConfigProblem(file, "", "", wrong, "begin with a head such as [telemetry]")
     lines = [str(number) for number, _ in getattr(error, "errors", [])]
     wrong = f"line {', '.join(lines)} cannot be read" if lines else str(error)
-    return Problem(file, "", "", wrong, "write KEY = VALUE")
+    return ConfigProblem(file, "", "", wrong, "write KEY = VALUE")
 
 
 def _section(
-    found: Read, head: str, struct: type[Section], texts: dict[str, str]
+    found: OperatorConfig, head: str, struct: type[Section], texts: dict[str, str]
 ) -> Section | None:
     known = {f.encode_name: f for f in msgspec.structs.fields(struct)}
     values: dict[str, Any] = {}
@@ -158,14 +175,14 @@
 
     def wrong(key: str, text: str, would_do: str = "") -> None:
         bad.add(key)
-        found.problems.append(Problem(found.file, head, key, text, would_do))
+        found.problems.append(ConfigProblem(found.file, head, key, text, would_do))
 
     for key, text in texts.items():
         if key not in known:
             wrong(key, "is no key of this section", _near(key, known) or f"known: {_all(known)}")
             continue
         try:
-            values[known[key].name] = convert(text, known[key].type)
+            values[known[key].name] = parse_value(text, known[key].type)
         except (ValueError, msgspec.ValidationError) as error:
             wrong(key, f"{text[:80]!r} {error}")
     for name, wanted in known.items():
@@ -175,13 +192,13 @@
         return None
     # defaults in place of bad keys, so that the rest is looked at all the same
     section = struct(**values)
-    for key, text, would_do in section.faults():
-        if key not in bad:
-            wrong(key, text, would_do)
+    for problem in section.problems():
+        if problem.key not in bad:
+            wrong(problem.key, problem.reason, problem.remedy)
     return None if bad else section
 
 
-def convert(text: str, wanted: Any) -> Any:
+def parse_value(text: str, wanted: Any) -> Any:
     """One key's text as its field's type has it. Raises ValueError or msgspec's ValidationError."""
     options = [t for t in typing.get_args(wanted) if t is not type(None)]
     if typing.get_origin(wanted) in (types.UnionType, Union) and len(options) == 1:
@@ -189,10 +206,10 @@
     if wanted in (Duration, Share, Size):
         return wanted.parse(text)
     if wanted is bool:
-        return yes_or_no(text)
+        return parse_bool(text)
     if typing.get_origin(wanted) in (tuple, list):
         parts = [part.strip() for part in text.split(",") if part.strip()]
-        return tuple(convert(part, typing.get_args(wanted)[0]) for part in parts)
+        return tuple(parse_value(part, typing.get_args(wanted)[0]) for part in parts)
     if typing.get_origin(wanted) is typing.Literal:
         if text not in typing.get_args(wanted):
             words = typing.get_args(wanted)
--- a/dockthread/config/platform_settings.py
+++ b/dockthread/config/platform_settings.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from dockthread.config.address import Address
-from dockthread.config.ingress_config import Config, Names, PeerAddresses
+from dockthread.config.ingress_config import IngressConfig, Names, PeerAddresses
 from dockthread.errors import SettingsError
 from dockthread.policy import (
     CostWeights,
@@ -29,7 +29,7 @@
 EFFECTS = {"pure": Effect.SAFE, "token": Effect.KEYED, "side_effect": Effect.UNSAFE}
 
 
-def read_config(environ: Mapping[str, str]) -> Config:
+def read_config(environ: Mapping[str, str]) -> IngressConfig:
     """The configuration at `NODE_CONFIG`; `NODE_NAME`, `NODE_LISTEN`, `NODE_DISCOVERY`,
     `NODE_MANAGEMENT` override its own.
     """
@@ -52,14 +52,14 @@
         raise SettingsError(f"{path}: {error}") from error
 
 
-def reread_config(environ: Mapping[str, str]) -> Config:
+def reread_config(environ: Mapping[str, str]) -> IngressConfig:
     """The configuration after SIGHUP. The environment is as old as the process: only the file can
     say where discovery lies now.
     """
     return read_config({name: value for name, value in environ.items() if name != "NODE_DISCOVERY"})
 
 
-def _config(raw: dict[str, Any], environ: Mapping[str, str]) -> Config:
+def _config(raw: dict[str, Any], environ: Mapping[str, str]) -> IngressConfig:
     settings = raw["settings"]
     if not isinstance(settings, dict):
         raise SettingsError("settings is not an object")
@@ -71,24 +71,24 @@
     sockets = machine.get("sockets", 1024)
     if sockets < 64:
         raise SettingsError(f"limits.sockets is {sockets}, and an ingress needs at least 64")
-    return Config(
+    return IngressConfig(
         name=environ.get("NODE_NAME") or raw["name"],
         listen=Address.parse(environ.get("NODE_LISTEN") or raw["listen"]),
         discovery=Address.parse(environ.get("NODE_DISCOVERY") or raw["discovery"]),
         seed=int(str(raw.get("seed", "0")), 16),
-        sockets=sockets,
-        known=raw.get("known") or {"rev": 0, "all": True, "targets": []},
-        module=_module(settings),
+        max_sockets=sockets,
+        known_endpoints=raw.get("known") or {"rev": 0, "all": True, "targets": []},
+        policy_settings=_module(settings),
         names=_names(settings),
         memory_mb=float(machine.get("memory_mb", 192.0)),
-        most_units=int(domain.get("Largest", 1_000_000)),
+        max_request_units=int(domain.get("Largest", 1_000_000)),
         counter=Address.parse(raw["counter"]) if raw.get("counter") else None,
         peers=_peers(raw, settings["ReplicasOfMe"]),
-        counter_timeout=domain.get("CounterTimeout", SECOND / 20) / MILLISECOND,
-        conn_idle=limits.get("ConnIdle", 15 * SECOND) / MILLISECOND,
-        connect_timeout=limits.get("ConnectTimeout", SECOND / 4) / MILLISECOND,
-        most_open=limits.get("MaxOpen", 20_000),
-        inherited=int(fd) if (fd := environ.get("NODE_INHERITED_FD")) else None,
+        counter_timeout_ms=domain.get("CounterTimeout", SECOND / 20) / MILLISECOND,
+        connection_idle_ms=limits.get("ConnIdle", 15 * SECOND) / MILLISECOND,
+        connect_timeout_ms=limits.get("ConnectTimeout", SECOND / 4) / MILLISECOND,
+        max_open_requests=limits.get("MaxOpen", 20_000),
+        inherited_listener_fd=int(fd) if (fd := environ.get("NODE_INHERITED_FD")) else None,
         management=Address.parse(door)
         if (door := environ.get("NODE_MANAGEMENT") or raw.get("management"))
         else None,
@@ -107,7 +107,7 @@
     return PeerAddresses(Address.parse(listen), tuple(map(Address.parse, peers)), every)
 
 
-def read_for_check(path: str) -> tuple[PolicySettings, Names]:
+def read_policy_settings_file(path: str) -> tuple[PolicySettings, Names]:
     """Settings and names of a file: the platform's configuration, or its `settings` alone. Raises
     SettingsError.
     """
@@ -130,7 +130,7 @@
     )
 
 
-def read_settings(text: bytes) -> PolicySettings:
+def parse_policy_settings(text: bytes) -> PolicySettings:
     """Settings as the module knows them; keys that it does not know are skipped."""
     try:
         return _module(json.loads(text))
--- a/dockthread/config/quantities.py
+++ b/dockthread/config/quantities.py
@@ -70,7 +70,7 @@
         return f"{float(self):g}"
 
 
-def yes_or_no(text: str) -> bool:
+def parse_bool(text: str) -> bool:
     word = text.strip().lower()
     if word not in YES + NO:
         raise ValueError("is neither yes nor no")
--- a/dockthread/control_plane/ingress.py
+++ b/dockthread/control_plane/ingress.py
@@ -13,7 +13,7 @@
 from loguru import logger
 
 from dockthread.config.address import Address
-from dockthread.config.ingress_config import Config
+from dockthread.config.ingress_config import IngressConfig
 from dockthread.control_plane.client import Client, cache_of, servers_of
 from dockthread.control_plane.messages import Rejection, Resource
 from dockthread.control_plane.options import ControlOptions
@@ -63,7 +63,7 @@
         """Stop receiving, and write the cache."""
         await self.client.close()
 
-    def layered(self, config: Config) -> Config:
+    def layered(self, config: IngressConfig) -> IngressConfig:
         """A configuration as it was read again, with the addresses that were published."""
         self._configured = config
         return replace(
--- a/dockthread/control_plane/options.py
+++ b/dockthread/control_plane/options.py
@@ -9,7 +9,7 @@
 from typing import Literal
 
 from dockthread.config.address import Address
-from dockthread.config.ini_reader import Section
+from dockthread.config.ini_reader import KeyProblem, Section
 from dockthread.config.quantities import Duration, Size
 from dockthread.control_plane.messages import MOST_NAME
 from dockthread.telemetry.options import host_port
@@ -21,8 +21,6 @@
 LEAST_HEARTBEAT, MOST_HEARTBEAT = 50.0, 1_000.0
 ROLES = "ingress, distributor, voter"
 
-Fault = tuple[str, str, str]
-
 
 class ControlOptions(Section, frozen=True, kw_only=True):
     """`role`: what this process is in the distribution; absent for none of it. `name`: of a voter,
@@ -50,73 +48,87 @@
     heartbeat: Duration = Duration(1_000.0)
     snapshot_rate: Size = Size(20_000_000)
 
-    def faults(self) -> Iterable[Fault]:
+    def problems(self) -> Iterable[KeyProblem]:
         """Key, fault and what would do, of all that this section shows to be wrong."""
         if self.role is None:
             if self.listen or self.servers or self.cache:
-                yield "role", "is missing", f"write one of {ROLES}"
+                yield KeyProblem("role", "is missing", f"write one of {ROLES}")
             return
-        yield from self._address_faults()
-        yield from self._name_faults()
-        yield from self._budget_faults()
+        yield from self._address_problems()
+        yield from self._name_problems()
+        yield from self._budget_problems()
 
-    def _address_faults(self) -> Iterable[Fault]:
+    def _address_problems(self) -> Iterable[KeyProblem]:
         if self.listen and host_port(self.listen) is None:
-            yield "listen", f"{self.listen!r} is no address", "write HOST:PORT"
+            yield KeyProblem("listen", f"{self.listen!r} is no address", "write HOST:PORT")
         if self.role == "ingress" and self.listen:
-            yield "listen", "is set, and an ingress serves no subscribers", "leave it out"
+            yield KeyProblem(
+                "listen", "is set, and an ingress serves no subscribers", "leave it out"
+            )
         if self.role != "ingress" and not self.listen:
-            yield (
+            yield KeyProblem(
                 "listen",
                 "is missing",
                 f"write the address at which this {self.role} serves, HOST:PORT",
             )
         if self.role != "voter" and not self.servers:
-            yield (
+            yield KeyProblem(
                 "servers",
                 "is missing",
                 f"name those from which this {self.role} receives, HOST:PORT, ...",
             )
         if self.role == "voter" and self.servers:
-            yield "servers", "is set, and a voter receives by [fleet]", "leave it out"
+            yield KeyProblem("servers", "is set, and a voter receives by [fleet]", "leave it out")
         if self.far_servers and not self.servers:
-            yield "far_servers", "is set without servers", "name the near ones in servers"
+            yield KeyProblem(
+                "far_servers", "is set without servers", "name the near ones in servers"
+            )
         named = (*self.servers, *self.far_servers)
         for key, servers in (("servers", self.servers), ("far_servers", self.far_servers)):
             for server in servers:
                 if host_port(server) is None:
-                    yield key, f"{server!r} is no address", "write HOST:PORT"
+                    yield KeyProblem(key, f"{server!r} is no address", "write HOST:PORT")
                 elif named.count(server) > 1:
-                    yield key, f"names {server} twice", "name each once"
+                    yield KeyProblem(key, f"names {server} twice", "name each once")
                     return
 
-    def _name_faults(self) -> Iterable[Fault]:
+    def _name_problems(self) -> Iterable[KeyProblem]:
         if self.role != "ingress" and not self.name:
-            yield "name", "is missing", f"write a name of this {self.role} that no other has"
+            yield KeyProblem(
+                "name", "is missing", f"write a name of this {self.role} that no other has"
+            )
         for key in ("name", "region", "zone"):
             value = getattr(self, key)
             if len(value.encode()) > MOST_NAME or any(c.isspace() for c in value):
-                yield (
+                yield KeyProblem(
                     key,
                     f"{value[:40]!r} is no name",
                     f"write {MOST_NAME} bytes at most, without spaces",
                 )
 
-    def _budget_faults(self) -> Iterable[Fault]:
+    def _budget_problems(self) -> Iterable[KeyProblem]:
         if self.cache_interval < LEAST_SAVE:
-            yield (
+            yield KeyProblem(
                 "cache_interval",
                 f"{self.cache_interval} is too short",
                 f"{LEAST_SAVE:g}ms at least; 10s is usual",
             )
         if not 1 <= self.most_connections <= 10_000:
-            yield "most_connections", f"{self.most_connections} is out of range", "1 to 10000"
+            yield KeyProblem(
+                "most_connections", f"{self.most_connections} is out of range", "1 to 10000"
+            )
         if not 4 << 10 <= self.write_buffer <= 16 << 20:
-            yield "write_buffer", f"{self.write_buffer} is out of range", "4KiB to 16MiB"
+            yield KeyProblem(
+                "write_buffer", f"{self.write_buffer} is out of range", "4KiB to 16MiB"
+            )
         if self.snapshot_rate < LEAST_RATE:
-            yield "snapshot_rate", f"{self.snapshot_rate} is too low", "1MB at least; 20MB is usual"
+            yield KeyProblem(
+                "snapshot_rate", f"{self.snapshot_rate} is too low", "1MB at least; 20MB is usual"
+            )
         if not LEAST_HEARTBEAT <= self.heartbeat <= MOST_HEARTBEAT:
-            yield "heartbeat", f"{self.heartbeat} is out of range", f"{LEAST_HEARTBEAT:g}ms to 1s"
+            yield KeyProblem(
+                "heartbeat", f"{self.heartbeat} is out of range", f"{LEAST_HEARTBEAT:g}ms to 1s"
+            )
 
     def listen_address(self) -> Address:
         """Where it listens. Raises SettingsError for what is no address."""
--- a/dockthread/control_plane/process.py
+++ b/dockthread/control_plane/process.py
@@ -16,7 +16,7 @@
 
 from dockthread.clock import Clock
 from dockthread.config.address import Address
-from dockthread.config.section_registry import load
+from dockthread.config.section_registry import load_operator_file
 from dockthread.control_plane.client import Client, cache_of, servers_of
 from dockthread.control_plane.fanout import FanoutLimits
 from dockthread.control_plane.messages import Rejection, Resource
@@ -147,8 +147,8 @@
 def serve(file: str) -> int:
     """Serve until told to stop; the exit code."""
     try:
-        read = load(file)
-        control, log = read.one("control"), read.one("log")
+        read = load_operator_file(file)
+        control, log = read.section("control"), read.section("log")
         if control.role not in ("voter", "distributor"):
             raise SettingsError(
                 f"{file}: [control] role: is {control.role or 'missing'}; voter or distributor would do"
@@ -156,7 +156,7 @@
         level = os.environ.get("DOCKTHREAD_LOG") or log.level
         set_up(level.upper(), log, ingress=control.name)
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(_run(control, read.one("fleet")))
+            runner.run(_run(control, read.section("fleet")))
     except (SettingsError, ValueError, Lost) as error:
         print(f"dockthread: {error}", file=sys.stderr)
         return BAD_CONFIGURATION
--- a/dockthread/control_plane/resource_schemas.py
+++ b/dockthread/control_plane/resource_schemas.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from dockthread.config.address import Address
-from dockthread.config.ini_reader import Problem, convert
+from dockthread.config.ini_reader import ConfigProblem, parse_value
 from dockthread.control_plane.publish_state_machine import Validator
 from dockthread.routes.options import RouteOptions
 from dockthread.telemetry.options import host_port
@@ -40,12 +40,13 @@
         if key not in _FIELDS:
             raise BadResource(f"{key}: is no key of a route; known: {', '.join(sorted(_FIELDS))}")
         try:
-            values[_FIELDS[key].name] = convert(_text(value), _FIELDS[key].type)
+            values[_FIELDS[key].name] = parse_value(_text(value), _FIELDS[key].type)
         except (ValueError, msgspec.ValidationError) as error:
             raise BadResource(f"{key}: {_text(value)[:80]!r} {error}") from error
     options = RouteOptions(**values)
-    for key, wrong, would_do in options.faults():
-        raise BadResource(str(Problem("", "", key, wrong, would_do)).removeprefix(": "))
+    for found in options.problems():
+        problem = ConfigProblem("", "", found.key, found.reason, found.remedy)
+        raise BadResource(str(problem).removeprefix(": "))
     return options
 
 
--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -21,7 +21,7 @@
 
 from dockthread.admin.prometheus import Figures, render
 from dockthread.clock import Clock
-from dockthread.config.ingress_config import Config
+from dockthread.config.ingress_config import IngressConfig
 from dockthread.config.platform_settings import read_config, reread_config
 from dockthread.errors import SettingsError
 from dockthread.logs.setup import set_up
@@ -30,7 +30,7 @@
 
 if TYPE_CHECKING:
     from dockthread.admin import commands
-    from dockthread.config.ini_reader import Read
+    from dockthread.config.ini_reader import OperatorConfig
     from dockthread.control_plane.ingress import Controlled
     from dockthread.control_plane.options import ControlOptions
     from dockthread.maintenance.service import Work
@@ -55,7 +55,11 @@
     """One ingress and what runs beside it. `file`: the operator's, or None."""
 
     def __init__(
-        self, config: Config, file: str | None, read: Read | None, trace: bool = False
+        self,
+        config: IngressConfig,
+        file: str | None,
+        read: OperatorConfig | None,
+        trace: bool = False,
     ) -> None:
         self._file = file
         self.ingress = Ingress(config, Clock())
@@ -66,9 +70,9 @@
         self._exporter: Exporter | None = None
         self._no_part = ""
         self._work: Work | None = None  # its part in a fleet, where the operator's file has one
-        self._fleet = read.named("fleet")[""] if read is not None else None
+        self._fleet = read.named_sections("fleet")[""] if read is not None else None
         self._control: ControlOptions | None = (
-            read.named("control")[""] if read is not None else None
+            read.named_sections("control")[""] if read is not None else None
         )
         # what receives configuration, where the operator's file has it
         self._controlled: Controlled | None = None
@@ -94,7 +98,7 @@
             Figures(
                 classes=ingress.config.names.classes,
                 outcomes=ingress.traffic.outcomes,
-                tries=ingress.traffic.tries,
+                tries=ingress.traffic.attempts_sent,
                 active=ingress.active,
                 pool_size=ingress.destinations.listed,
                 pool_ejected=ingress.destinations.avoided,
@@ -133,13 +137,13 @@
             return commands.Answer(404, b"no such call\n")
         return await self._work.answer(command)
 
-    def _apply(self, read: Read) -> None:
+    def _apply(self, read: OperatorConfig) -> None:
         """Raises SettingsError, and then nothing has changed."""
         self._apply_telemetry(read)
         self._apply_routes(read)
 
-    def _apply_routes(self, read: Read) -> None:
-        routes, ingress = read.named("route"), self.ingress
+    def _apply_routes(self, read: OperatorConfig) -> None:
+        routes, ingress = read.named_sections("route"), self.ingress
         if self._routes is None and routes:
             self._routes = self._layers()
         if self._routes is not None and routes != self._applied:
@@ -152,8 +156,8 @@
         from dockthread.routes.table import Table
 
         config = self.ingress.config
-        table = self.ingress.routes = Table(config.names, config.module.zone, config.seed)
-        return Layers(table, config.module, config.names)
+        table = self.ingress.routes = Table(config.names, config.policy_settings.zone, config.seed)
+        return Layers(table, config.policy_settings, config.names)
 
     def _receive(self) -> None:
         """Configuration, where [control] names servers: first what the cache holds. Raises
@@ -174,8 +178,10 @@
             raise SettingsError(str(error)) from error
         self._controlled.open()
 
-    def _apply_telemetry(self, read: Read) -> None:
-        if self._exporter is None and not (read.named("graphite") or read.named("collectd")):
+    def _apply_telemetry(self, read: OperatorConfig) -> None:
+        if self._exporter is None and not (
+            read.named_sections("graphite") or read.named_sections("collectd")
+        ):
             return
         if self._exporter is None:
             from dockthread.telemetry.exporter import Exporter
@@ -244,9 +250,11 @@
             try:
                 config, read = reread_config(os.environ), None
                 if self._file is not None:
-                    from dockthread.config.section_registry import load
+                    from dockthread.config.section_registry import load_operator_file
 
-                    read = await asyncio.to_thread(load, self._file, config.module, config.names)
+                    read = await asyncio.to_thread(
+                        load_operator_file, self._file, config.policy_settings, config.names
+                    )
                     self._apply_telemetry(read)
             except SettingsError as error:
                 self.rejected += 1
@@ -260,27 +268,34 @@
                 config.counter,
             )
 
-    def _take_over(self, config: Config, read: Read | None) -> None:
+    def _take_over(self, config: IngressConfig, read: OperatorConfig | None) -> None:
         """First the classes, which routes may name."""
         ingress = self.ingress
-        before = ingress.config.module, ingress.config.names
+        before = ingress.config.policy_settings, ingress.config.names
         if self._controlled is not None:
             config = self._controlled.layered(config)
         ingress.reconfigure(config)
         if self._routes is not None:
-            self._routes.set_settings(ingress.config.module, ingress.config.names)
+            self._routes.set_settings(ingress.config.policy_settings, ingress.config.names)
         if read is not None:
             self._apply_routes(read)
-        if self._controlled is not None and (ingress.config.module, ingress.config.names) != before:
+        if (
+            self._controlled is not None
+            and (ingress.config.policy_settings, ingress.config.names) != before
+        ):
             self._controlled.settings_changed()
         if read is not None:
             for section, held in (("fleet", self._fleet), ("control", self._control)):
-                if read.named(section)[""] != held:
+                if read.named_sections(section)[""] != held:
                     logger.warning("[{}] has changed: it holds from the next start on", section)
 
 
 async def _serve(
-    config: Config, file: str | None, read: Read | None, trace: bool, early: list[int]
+    config: IngressConfig,
+    file: str | None,
+    read: OperatorConfig | None,
+    trace: bool,
+    early: list[int],
 ) -> None:
     daemon = Daemon(config, file, read, trace)
     loop = asyncio.get_running_loop()
@@ -309,10 +324,10 @@
         file = file or os.environ.get("DOCKTHREAD_CONFIG") or None
         read = None
         if file is not None:
-            from dockthread.config.section_registry import load
+            from dockthread.config.section_registry import load_operator_file
 
-            read = load(file, config.module, config.names)
-        log = read.one("log") if read else None
+            read = load_operator_file(file, config.policy_settings, config.names)
+        log = read.section("log") if read else None
         level = os.environ.get("DOCKTHREAD_LOG") or (log.level if log else "INFO")
         set_up(level.upper(), log, ingress=config.name)
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/dockthread/lab/maintenance/scenario.py
+++ b/dockthread/lab/maintenance/scenario.py
@@ -29,7 +29,7 @@
 from dataclasses import dataclass
 from importlib import resources
 
-from dockthread.config.ini_reader import Kind, Section, read
+from dockthread.config.ini_reader import KeyProblem, Section, SectionKind, read_sections
 from dockthread.config.quantities import Duration
 
 INGRESSES = (1, 3, 5, 7)
@@ -71,20 +71,22 @@
     most_out: int = 1
     steps: str = ""
 
-    def faults(self) -> Iterable[tuple[str, str, str]]:
+    def problems(self) -> Iterable[KeyProblem]:
         if self.ingresses not in INGRESSES:
-            yield "ingresses", f"is {self.ingresses}", "write 1, 3, 5 or 7"
+            yield KeyProblem("ingresses", f"is {self.ingresses}", "write 1, 3, 5 or 7")
         if not 1 <= self.zones <= self.machines <= 32:
-            yield (
+            yield KeyProblem(
                 "machines",
                 f"is {self.machines} in {self.zones} zones",
                 "write 1 to 32, and no more zones",
             )
         if not 1_000 <= self.lasts <= 600_000:
-            yield "lasts", "is not from 1s to 10min", "write for how long it is played"
+            yield KeyProblem("lasts", "is not from 1s to 10min", "write for how long it is played")
         for text in self.steps.split("\n"):
             if text.strip() and (wrong := step_fault(text, self.machines)):
-                yield "steps", f"{text.strip()!r} {wrong}", "write TIME and " + ", ".join(VERBS)
+                yield KeyProblem(
+                    "steps", f"{text.strip()!r} {wrong}", "write TIME and " + ", ".join(VERBS)
+                )
 
 
 class FaultsSection(Section, frozen=True, kw_only=True):
@@ -92,12 +94,12 @@
     every: Duration = Duration(3_000.0)
     until: Duration = Duration(10_000.0)
 
-    def faults(self) -> Iterable[tuple[str, str, str]]:
+    def problems(self) -> Iterable[KeyProblem]:
         for kind in self.kinds:
             if kind not in DRAWN:
-                yield "kinds", f"{kind!r} is none", "write some of " + ", ".join(DRAWN)
+                yield KeyProblem("kinds", f"{kind!r} is none", "write some of " + ", ".join(DRAWN))
         if self.every < 200:
-            yield "every", "is under 200ms", "faults would stand on each other"
+            yield KeyProblem("every", "is under 200ms", "faults would stand on each other")
 
 
 @dataclass(frozen=True, slots=True)
@@ -136,15 +138,17 @@
 
 def parse(text: str, name: str, ingresses: int = 0, seed: int = 0) -> Played:
     """Raises ScenarioError, naming the file, the key, what is wrong and what would do."""
-    found = read(text, name, {"scenario": Kind(ScenarioSection), "faults": Kind(FaultsSection)})
+    found = read_sections(
+        text, name, {"scenario": SectionKind(ScenarioSection), "faults": SectionKind(FaultsSection)}
+    )
     if found.errors:
         raise ScenarioError("\n".join(str(problem) for problem in found.errors))
-    settings: ScenarioSection = found.one("scenario")
+    settings: ScenarioSection = found.section("scenario")
     size = ingresses or settings.ingresses
     if size not in INGRESSES:
         raise ScenarioError(f"{name}: {size} ingresses; write 1, 3, 5 or 7")
     steps = [_step(line) for line in settings.steps.split("\n") if line.strip()]
-    drawn = _drawn(found.one("faults"), random.Random(seed), size, settings.machines)
+    drawn = _drawn(found.section("faults"), random.Random(seed), size, settings.machines)
     return Played(name, settings, size, tuple(sorted([*steps, *drawn], key=lambda s: s.at)))
 
 
--- a/dockthread/lab/scale/hollow.py
+++ b/dockthread/lab/scale/hollow.py
@@ -15,7 +15,7 @@
 
 from dockthread.clock import Clock
 from dockthread.config.address import Address
-from dockthread.config.ingress_config import Config, Names
+from dockthread.config.ingress_config import IngressConfig, Names
 from dockthread.control_plane.ingress import Controlled
 from dockthread.lab.scale.control import ControlWitness, options_of
 from dockthread.lab.scale.planted_bugs import alteration, control_alteration
@@ -110,7 +110,7 @@
         }
         self._watching: asyncio.Task[None] | None = None
         self._stopped = False
-        self.config = Config(
+        self.config = IngressConfig(
             f"n{number}", NOWHERE, discovery, number + 1, 1024, EMPTY, module, shared.names
         )
         self.counter = Counter(
--- a/dockthread/lab/scale/host.py
+++ b/dockthread/lab/scale/host.py
@@ -9,7 +9,7 @@
 
 from dockthread.config.address import Address
 from dockthread.config.ingress_config import Names
-from dockthread.config.platform_settings import read_settings
+from dockthread.config.platform_settings import parse_policy_settings
 from dockthread.lab.scale.channel import Words, serve_commands
 from dockthread.lab.scale.control import ControlWitness
 from dockthread.lab.scale.hollow import HollowIngress, Shared
@@ -51,7 +51,7 @@
         servers: list[list[str]] = control["servers"] if control else [[], []]
         self._control_ports = [Address.parse(one).port for at in servers for one in at]
         self._shared = Shared(
-            read_settings(json.dumps(words).encode()),
+            parse_policy_settings(json.dumps(words).encode()),
             names_of(words),
             (first, cut),
             (servers[0], servers[1]),
--- a/dockthread/lab/scale/real.py
+++ b/dockthread/lab/scale/real.py
@@ -8,7 +8,7 @@
 import os
 
 from dockthread.config.platform_settings import read_config
-from dockthread.config.section_registry import load
+from dockthread.config.section_registry import load_operator_file
 from dockthread.control_plane.ingress import Controlled
 from dockthread.daemon import Daemon
 from dockthread.lab.scale.channel import Words, serve_commands
@@ -47,7 +47,11 @@
         self._witness = Witness(told["number"], self._in_force, told["reached"])
         self._witness.new_life(not told["reached"])
         config = read_config({**os.environ, "NODE_CONFIG": told["config"]})
-        read = load(told["ini"], config.module, config.names) if told["ini"] else None
+        read = (
+            load_operator_file(told["ini"], config.policy_settings, config.names)
+            if told["ini"]
+            else None
+        )
         self._daemon = Daemon(config, told["ini"] or None, read)
         ingress = self._daemon.ingress
         ingress.observe(ListObserver(self._daemon, self._witness))
--- a/dockthread/lab/scale/server.py
+++ b/dockthread/lab/scale/server.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from dockthread.clock import Clock
-from dockthread.config.section_registry import load
+from dockthread.config.section_registry import load_operator_file
 from dockthread.control_plane.process import Distributor, limits_of
 from dockthread.control_plane.voter import Voter
 from dockthread.lab.scale.channel import Words, serve_commands
@@ -25,8 +25,8 @@
 
     async def begin(self, told: Words) -> Words:
         """Start, by the run's first words."""
-        read = load(told["file"])
-        options = read.one("control")
+        read = load_operator_file(told["file"])
+        options = read.section("control")
         rng = random.Random(secrets.randbits(64))
         part: Any
         if options.role == "distributor":
@@ -34,7 +34,7 @@
         else:
             limits, fanout = limits_of(options)
             part = Voter(
-                options.name, read.one("fleet"), Clock(), rng, limits, fanout, options.key()
+                options.name, read.section("fleet"), Clock(), rng, limits, fanout, options.key()
             )
         self._part = part
         self._port = (await part.open(options.listen_address())).port
--- a/dockthread/logs/options.py
+++ b/dockthread/logs/options.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Literal
 
-from dockthread.config.ini_reader import Section
+from dockthread.config.ini_reader import KeyProblem, Section
 
 
 class LogOptions(Section, frozen=True, kw_only=True):
@@ -16,6 +16,6 @@
     form: Literal["text", "json"] = "text"
     target: str = "stderr"
 
-    def faults(self) -> Iterable[tuple[str, str, str]]:
+    def problems(self) -> Iterable[KeyProblem]:
         if not self.target or "\0" in self.target:
-            yield "target", "is no target", "write stderr, stdout or a path"
+            yield KeyProblem("target", "is no target", "write stderr, stdout or a path")
--- a/dockthread/logs/trace.py
+++ b/dockthread/logs/trace.py
@@ -20,34 +20,36 @@
             "trace {}", " ".join([what, *(f"{key}={figure}" for key, figure in figures.items())])
         )
 
-    def answered(
+    def request_completed(
         self,
         request_class: int,
         plan: int,
-        firm: int,
+        customer: int,
         outcome: str,
         reason: str,
-        took: float,
+        duration_ms: float,
         units: float,
-        sent_on: bool,
+        was_forwarded: bool,
     ) -> None:
         self.event(
             "answer",
             kind=request_class,
             plan=plan,
-            firm=f"{firm:x}",
+            firm=f"{customer:x}",
             outcome=outcome,
             reason=reason.replace(" ", "-") or "-",
-            took=round(took, 1),
+            took=round(duration_ms, 1),
             units=units,
-            sent=int(sent_on),
+            sent=int(was_forwarded),
         )
 
-    def gone(self, request_class: int, plan: int, firm: int, units: float, sent_on: bool) -> None:
-        self.answered(request_class, plan, firm, "gone", "", 0.0, units, sent_on)
+    def client_disconnected(
+        self, request_class: int, plan: int, customer: int, units: float, was_forwarded: bool
+    ) -> None:
+        self.request_completed(request_class, plan, customer, "gone", "", 0.0, units, was_forwarded)
 
-    def counted(self, outcome: Outcome, took: float) -> None:
-        self.event("count", outcome=outcome.value.replace(" ", "-"), took=round(took, 1))
+    def counter_call_ended(self, outcome: Outcome, duration_ms: float) -> None:
+        self.event("count", outcome=outcome.value.replace(" ", "-"), took=round(duration_ms, 1))
 
     def phase(self, name: str) -> None:
         self.event("phase", name=name)
--- a/dockthread/maintenance/service.py
+++ b/dockthread/maintenance/service.py
@@ -214,7 +214,7 @@
         if not isinstance(length, int | float) or not 0 <= length < 1e8:
             return Answer(400, b'"for" is no number of seconds\n')
         node = zone is not None
-        cold = self._ingress.config.module.safety.warm_up_time * 1000.0
+        cold = self._ingress.config.policy_settings.safety.warm_up_time * 1000.0
         warm = cold if node else INGRESS_WARM * self._options.patience
         return commands.Command(
             DOING[call.verb],  # type: ignore[arg-type]
--- a/dockthread/net/gossip_transport.py
+++ b/dockthread/net/gossip_transport.py
@@ -67,7 +67,7 @@
         """
         if self._sock is None or self._addresses is None or len(message.data) > MOST_BYTES:
             return
-        peers, everyone = self._addresses.peers, self._addresses.everyone
+        peers, everyone = self._addresses.peers, self._addresses.broadcast
         if message.peer is None:
             to = [everyone] if everyone is not None else [peers[n] for n in self._numbers.values()]
         else:
@@ -75,7 +75,7 @@
         for address in to:
             try:
                 self._sock.sendto(message.data, (address.host, address.port))
-                self._traffic.messages_out += 1
+                self._traffic.gossip_sent += 1
             except OSError as error:
                 logger.debug("a message to {} was not sent: {}", address, error)
 
@@ -100,7 +100,7 @@
                 continue
             number = self._numbers.get((sender[0], sender[1]))
             if number is None or len(data) > MOST_BYTES:
-                self._traffic.messages_odd += 1
+                self._traffic.gossip_rejected += 1
                 continue
-            self._traffic.messages_in += 1
+            self._traffic.gossip_received += 1
             self._told(GossipReceived(number, data))
--- a/dockthread/net/inbound.py
+++ b/dockthread/net/inbound.py
@@ -215,7 +215,7 @@
         except OSError:
             self._loop.call_soon(self.close)
             return
-        self._host.traffic.client_out += sent
+        self._host.traffic.client_bytes_out += sent
         self._unsent_bytes -= sent
         self._unsent.clear()
         if sent < len(data):
@@ -245,7 +245,7 @@
             while self._unsent:
                 data = b"".join(self._unsent)
                 self._unsent.clear()
-                self._host.traffic.client_out += len(data)
+                self._host.traffic.client_bytes_out += len(data)
                 await self._loop.sock_sendall(self.sock, data)
                 self._unsent_bytes -= len(data)
                 self._writing = self._host.clock.now()
@@ -275,7 +275,7 @@
                         pause = PAUSE if self._ignored < FLOOD else LONG_PAUSE
                         await asyncio.sleep(0.0 if self._host.loop_delay.slow else pause)
                     continue
-                self._host.traffic.client_in += size
+                self._host.traffic.client_bytes_in += size
                 self._feed(bytes(buffer[:size]))
                 more = True
                 while more:
@@ -308,7 +308,7 @@
         except OSError:
             return False
         self._ahead += len(data)
-        self._host.traffic.client_in += len(data)
+        self._host.traffic.client_bytes_in += len(data)
         since = self.since  # of the commands that wait: these came no earlier
         self._feed(data)
         self.since = since
@@ -364,7 +364,7 @@
 
     def _refuse(self, answer: bytes) -> Slot:
         self._bad += 1
-        self._host.traffic.spoilt += 1
+        self._host.traffic.commands_rejected += 1
         return Slot(answer)
 
     def _command(self, message: object) -> None:
--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -10,7 +10,7 @@
 
 from dockthread.admin import reload
 from dockthread.clock import Clock
-from dockthread.config.ingress_config import Config
+from dockthread.config.ingress_config import IngressConfig
 from dockthread.net import resp
 from dockthread.net.discovery_watch import Watch
 from dockthread.net.endpoint_list import DestinationSet
@@ -24,7 +24,7 @@
 from dockthread.net.quota_counter import Counter
 from dockthread.net.request import Request, Routes
 from dockthread.net.timers import Timers
-from dockthread.observer import FAILED, REFUSED, SERVED, Observer, Traffic
+from dockthread.observer import FAILED, REJECTED, SERVED, Observer, Traffic
 from dockthread.policy import (
     AddToCounter,
     AttemptEnded,
@@ -53,14 +53,16 @@
 
 
 class Ingress:
-    def __init__(self, config: Config, clock: Clock, observer: Observer | None = None) -> None:
+    def __init__(
+        self, config: IngressConfig, clock: Clock, observer: Observer | None = None
+    ) -> None:
         self.config, self.clock, self.lifecycle = config, clock, Lifecycle()
         self.observer, self.traffic = observer or Observer(), Traffic()
-        self.traffic.grow(len(config.names.classes))
+        self.traffic.ensure_classes(len(config.names.classes))
         self._loop = asyncio.get_running_loop()
-        module = config.module
+        module = config.policy_settings
         self.vocabulary = resp.Vocabulary(
-            config.names, module.classes, module.ingress_count, config.most_units
+            config.names, module.classes, module.ingress_count, config.max_request_units
         )
         # Without a counter there is none to call, and without addresses nobody to tell, whatever is
         # allowed.
@@ -75,9 +77,9 @@
         self.gateway = PolicyEngine(module, config.seed, clock.now() / 1000.0)
         self._decider = Decider(self.gateway, clock, self._abandon)
         self._tell = self._decider.tell
-        self.timers = Timers(clock, config.module.clock_tick * 1000.0)
+        self.timers = Timers(clock, config.policy_settings.clock_tick * 1000.0)
         self.at = self.timers.at
-        self._advice = config.module.max_retry_after * 1000.0
+        self._advice = config.policy_settings.max_retry_after * 1000.0
         self.requests: dict[int, Request] = {}
         self._numbers = 0
         self._open_ids: set[bytes] = set()
@@ -87,26 +89,33 @@
         self._stop = asyncio.Event()
         self._beating: asyncio.TimerHandle | None = None
         self.loop_delay = LoopDelay(clock.now())
-        self.budget = Budget.of(min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0]))
+        self.budget = Budget.of(
+            min(config.max_sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+        )
         self.destinations = DestinationSet(config.names, clock)
         self.outbound = Outbound(
             self.destinations,
             clock,
-            resp.ReplyReader(config.module.load_report_fields),
+            resp.ReplyReader(config.policy_settings.load_report_fields),
             self._call_ended,
             self.at,
             most=self.budget.outbound,
-            conn_idle=config.conn_idle,
-            connect_timeout=config.connect_timeout,
+            conn_idle=config.connection_idle_ms,
+            connect_timeout=config.connect_timeout_ms,
             traffic=self.traffic,
         )
         self.destinations.moved = self.outbound.forget
         self.listener = Listener(self, self.budget, self.outbound)
         self.watch = Watch(
-            config.discovery, self.destinations, clock, self._tell, config.module, config.seed
+            config.discovery,
+            self.destinations,
+            clock,
+            self._tell,
+            config.policy_settings,
+            config.seed,
         )
         self.counter = Counter(
-            config.counter, clock, self._tell, self.at, timeout=config.counter_timeout
+            config.counter, clock, self._tell, self.at, timeout=config.counter_timeout_ms
         )
         self.peers = Peers(
             config.peers if tells else None, module.ingress_number, self._tell, self.traffic
@@ -174,41 +183,49 @@
         self._tell(listed)
         return True
 
-    def reconfigure(self, config: Config) -> None:
+    def reconfigure(self, config: IngressConfig) -> None:
         """Take over what may change under load: the addresses of discovery and of the counter, the
         classes and the attempts allowed (dockthread/admin/reload.py). A request in flight keeps the
         class it came with.
         """
-        retuned = reload.merge(self.gateway.s, self.config.names, config.module, config.names)
+        retuned = reload.merge(
+            self.gateway.s, self.config.names, config.policy_settings, config.names
+        )
         reload.retune(self.gateway, retuned.settings)
         settings = retuned.settings
         module = replace(
-            self.config.module, classes=settings.classes, max_attempts=settings.max_attempts
+            self.config.policy_settings,
+            classes=settings.classes,
+            max_attempts=settings.max_attempts,
         )
         self.config = replace(
             self.config,
             discovery=config.discovery,
             counter=config.counter,
-            module=module,
+            policy_settings=module,
             names=retuned.names,
         )
         self.vocabulary = resp.Vocabulary(
             retuned.names,
             module.classes,
             module.ingress_count,
-            self.config.most_units,
+            self.config.max_request_units,
             retuned.offered,
         )
-        self.traffic.grow(len(retuned.names.classes))
+        self.traffic.ensure_classes(len(retuned.names.classes))
         self.watch.move(config.discovery)
         self.counter.move(config.counter)
 
     async def run(self) -> None:
         """Serve until told to stop, then answer all that was taken."""
         listener = self.listener
-        self.address = listener.listen(self.config.name, self.config.listen, self.config.inherited)
-        self.watch.begin(self.config.known, self.at)
-        for name, plan in zip(self.config.names.plans, self.config.module.plans, strict=True):
+        self.address = listener.listen(
+            self.config.name, self.config.listen, self.config.inherited_listener_fd
+        )
+        self.watch.begin(self.config.known_endpoints, self.at)
+        for name, plan in zip(
+            self.config.names.plans, self.config.policy_settings.plans, strict=True
+        ):
             self.observer.event(
                 "plan", name=name, rate=plan.rate, burst=plan.burst, ceiling=plan.ceiling_burst
             )
@@ -232,7 +249,7 @@
             for connection in list(self.listener.inbound):
                 connection.end()
             # By then all is answered; what still stands is a client that does not read.
-            longest = max(c.deadline for c in self.config.module.classes) * 1000.0
+            longest = max(c.deadline for c in self.config.policy_settings.classes) * 1000.0
             self.at(self.clock.now() + longest + LINGER, listener.close_all)
             await listener.empty()
         finally:
@@ -287,7 +304,11 @@
 
     def arrived(self, connection: Inbound, ask: resp.Ask) -> Slot:
         held = self._held + ask.body_bytes
-        if len(self.requests) >= self.config.most_open or held > self._most_held or self.draining:
+        if (
+            len(self.requests) >= self.config.max_open_requests
+            or held > self._most_held
+            or self.draining
+        ):
             reason = (
                 "draining" if self.draining else "bodies" if held > self._most_held else "crowded"
             )
@@ -329,9 +350,9 @@
         """The answer to a request that the module never hears of: there is no room for it, or it is
         open.
         """
-        outcome = REFUSED if answer.startswith(resp.BUSY[:5]) else FAILED
+        outcome = REJECTED if answer.startswith(resp.BUSY[:5]) else FAILED
         self.traffic.outcomes[outcome][ask.request_class] += 1
-        self.observer.answered(
+        self.observer.request_completed(
             ask.request_class, ask.plan, ask.customer, outcome, reason, 0.0, ask.units, False
         )
         return Slot(answer)
@@ -340,7 +361,7 @@
         if isinstance(slot, Request) and not slot.finished:
             slot.gone = True
             ask = slot.ask
-            self.observer.gone(
+            self.observer.client_disconnected(
                 ask.request_class, ask.plan, ask.customer, ask.units, bool(slot.calls)
             )
             self._tell(ClientDisconnected(slot.number))
@@ -361,7 +382,7 @@
         request.out -= 1
         first = reply.outcome is Outcome.OK and not request.finished
         if self.observer.active:
-            self.observer.call_ended(reply.outcome)
+            self.observer.attempt_ended(reply.outcome)
         if self.observer.tracing:
             self.observer.event(
                 "ended",
@@ -410,8 +431,8 @@
         )
         number, begin_by = len(request.calls), action.start_deadline * 1000.0
         call = OutboundCall(request.number, number, action.backend, request.ask, now, due, begin_by)
-        self.traffic.calls += 1
-        self.traffic.copies += request.out > 0
+        self.traffic.attempts_started += 1
+        self.traffic.hedges_started += request.out > 0
         request.calls.append(call)
         request.out += 1
         if self.observer.tracing:
@@ -430,7 +451,7 @@
     def _refuse(self, action: Reject) -> None:
         if (request := self.requests.get(action.request)) and not request.finished:
             answer = resp.busy(min(action.retry_after * 1000.0, self._advice))
-            self._answer(request, answer, REFUSED, action.reason or request.last_outcome)
+            self._answer(request, answer, REJECTED, action.reason or request.last_outcome)
 
     def _fail(self, action: Fail) -> None:
         if (request := self.requests.get(action.request)) and not request.finished:
@@ -448,7 +469,7 @@
         self.traffic.outcomes[outcome][request.ask.request_class] += 1
         if self.observer.active:
             ask, took = request.ask, self.clock.now() - request.taken
-            self.observer.answered(
+            self.observer.request_completed(
                 ask.request_class,
                 ask.plan,
                 ask.customer,
--- a/dockthread/net/listener.py
+++ b/dockthread/net/listener.py
@@ -123,7 +123,7 @@
 
     def _opened(self, sock: socket.socket) -> None:
         sock.setblocking(False)
-        self._host.traffic.clients_opened += 1
+        self._host.traffic.client_connections_opened += 1
         surplus = len(self.inbound) >= self.budget.inbound and not self.shed()
         try:
             self.inbound.add(
--- a/dockthread/net/outbound.py
+++ b/dockthread/net/outbound.py
@@ -155,7 +155,7 @@
             self._end(call, Outcome.NOT_SENT)
             return
         call.connection = connection
-        self._traffic.nodes_opened += 1
+        self._traffic.backend_connections_opened += 1
         if self.observer.tracing:
             self.observer.event("open", node=destination.uid, stand=len(self._connections))
         self._connections.add(connection)
@@ -275,11 +275,11 @@
             self._end(call, Outcome.NOT_SENT)
             return False
         command = call.ask.onward(left)
-        self._traffic.node_out += len(command)
+        self._traffic.backend_bytes_out += len(command)
         call.begun = True
         await self._loop.sock_sendall(connection.sock, command)
         call.written = True
-        self._traffic.tries += 1
+        self._traffic.attempts_sent += 1
         reply, last = await self._answer(connection, call, buffer)
         if last:
             self._tell(call, reply)
@@ -308,7 +308,7 @@
             size = await self._loop.sock_recv_into(connection.sock, buffer)
             if not size:
                 return resp.Reply(Outcome.RESET), True
-            self._traffic.node_in += size
+            self._traffic.backend_bytes_in += size
             data = bytes(buffer[:size])
             reader.feed(data[: bounds.sound(data)])
             try:
--- a/dockthread/net/quota_counter.py
+++ b/dockthread/net/quota_counter.py
@@ -136,7 +136,7 @@
     def _end(self, call: Call, outcome: Outcome, total: float = 0.0) -> None:
         if not call.told:
             call.told = True
-            self.observer.counted(outcome, self._clock.now() - call.started)
+            self.observer.counter_call_ended(outcome, self._clock.now() - call.started)
             self._told(CounterReplied(call.name, outcome, total))
 
     def _drop(self, line: Line) -> None:
--- a/dockthread/observer.py
+++ b/dockthread/observer.py
@@ -1,88 +1,117 @@
-"""What an ingress tells whoever counts: one narrow seam between the sockets and telemetry.
+"""The interface by which an ingress reports what happens to telemetry and to the trace log.
 
-The ingress calls these at each event, on its own path, so an observer only adds up. `Observer`
-itself does nothing and is what an ingress has while nobody counts.
+The ingress calls an `Observer` at each event on its own path, so an observer only adds up.
+`Observer` itself does nothing: an ingress has it while neither telemetry nor tracing is on.
 """
 
 from __future__ import annotations
 
 from dockthread.policy import Outcome
 
-SERVED, REFUSED, FAILED = "served", "refused", "failed"
-OUTCOMES = (SERVED, REFUSED, FAILED)
+# Outcomes of a request; they are part of metric paths.
+SERVED = "served"
+REJECTED = "refused"
+FAILED = "failed"
+OUTCOMES = (SERVED, REJECTED, FAILED)
 
 
 class Traffic:
-    """Bytes and connections by side, since the start. Plain integers, always counted: cheaper than
-    asking.
+    """Counts of one ingress since its start: bytes, connections, attempts, gossip and requests.
+
+    They are plain integers that are always counted, which costs less than to ask whether anybody
+    reads them.
+
+    Attributes:
+        attempts_started: Attempts begun.
+        attempts_sent: Attempts whose last byte was sent.
+        hedges_started: Attempts begun while an earlier one of the same request was in flight.
+        gossip_rejected: Messages from an unknown sender, or too long.
+        commands_rejected: Commands of clients that could not be served.
+        outcomes: Completed requests by outcome, then by the policy engine's number of their class.
     """
 
     __slots__ = (
-        "calls",
-        "client_in",
-        "client_out",
-        "clients_opened",
-        "copies",
-        "messages_in",
-        "messages_odd",
-        "messages_out",
-        "node_in",
-        "node_out",
-        "nodes_opened",
+        "attempts_sent",
+        "attempts_started",
+        "backend_bytes_in",
+        "backend_bytes_out",
+        "backend_connections_opened",
+        "client_bytes_in",
+        "client_bytes_out",
+        "client_connections_opened",
+        "commands_rejected",
+        "gossip_received",
+        "gossip_rejected",
+        "gossip_sent",
+        "hedges_started",
         "outcomes",
-        "spoilt",
-        "tries",
     )
 
     def __init__(self) -> None:
-        self.calls = self.copies = 0  # outbound calls begun; of them, while an earlier one was out
-        self.client_in = self.client_out = self.node_in = self.node_out = 0
-        self.clients_opened = self.nodes_opened = 0
-        self.messages_in = self.messages_out = 0  # of other ingresses, and to them
-        self.messages_odd = 0  # from nobody known, or too long
-        self.spoilt = 0  # commands that could not be served
-        self.tries = 0  # outbound calls whose last byte went out
-        # Final answers by outcome and by the module's number of their class; `grow` as classes are
-        # added.
+        self.attempts_started = 0
+        self.attempts_sent = 0
+        self.hedges_started = 0
+        self.client_bytes_in = 0
+        self.client_bytes_out = 0
+        self.backend_bytes_in = 0
+        self.backend_bytes_out = 0
+        self.client_connections_opened = 0
+        self.backend_connections_opened = 0
+        self.gossip_received = 0
+        self.gossip_sent = 0
+        self.gossip_rejected = 0
+        self.commands_rejected = 0
         self.outcomes: dict[str, list[int]] = {outcome: [] for outcome in OUTCOMES}
 
-    def grow(self, classes: int) -> None:
+    def ensure_classes(self, count: int) -> None:
+        """Have a count per outcome for at least `count` classes."""
         for counts in self.outcomes.values():
-            counts.extend([0] * (classes - len(counts)))
+            counts.extend([0] * (count - len(counts)))
 
 
 class Observer:
-    """Times in milliseconds; classes and plans by the module's numbers. No method may raise."""
+    """Receives the events of an ingress and ignores them.
 
-    active = False  # the ingress asks before it works out what it would tell
-    tracing = False  # whether single events are wanted, by `event`
+    Times are in milliseconds; classes and plans are the policy engine's numbers. No method may
+    raise.
 
-    def answered(
+    Attributes:
+        active: Whether the ingress is to work out what it would report.
+        tracing: Whether `event` is to be called for single events.
+    """
+
+    active = False
+    tracing = False
+
+    def request_completed(  # noqa: PLR0913 - called for every request, so no object is made for it
         self,
         request_class: int,
         plan: int,
-        firm: int,
+        customer: int,
         outcome: str,
         reason: str,
-        took: float,
+        duration_ms: float,
         units: float,
-        sent_on: bool,
+        was_forwarded: bool,
     ) -> None:
-        """The one final answer of a request was given to its connection. `sent_on`: a call was
-        started for it, which takes its units.
+        """A request was given its one response.
+
+        `was_forwarded` says that at least one attempt was started, which consumes the units.
         """
 
-    def gone(self, request_class: int, plan: int, firm: int, units: float, sent_on: bool) -> None:
-        """A client went away before its answer."""
+    def client_disconnected(
+        self, request_class: int, plan: int, customer: int, units: float, was_forwarded: bool
+    ) -> None:
+        """A client closed its connection before its response."""
 
-    def call_ended(self, outcome: Outcome) -> None:
-        """An outbound call ended."""
+    def attempt_ended(self, outcome: Outcome) -> None:
+        """An attempt at a backend ended."""
 
-    def counted(self, outcome: Outcome, took: float) -> None:
-        """A call to the counter ended."""
+    def counter_call_ended(self, outcome: Outcome, duration_ms: float) -> None:
+        """A call to the quota counter ended."""
 
     def phase(self, name: str) -> None:
-        """The ingress entered a phase."""
+        """The ingress entered a phase of its life cycle."""
 
     def event(self, what: str, **figures: object) -> None:
-        """One event that is counted nowhere else: told only where `tracing`."""
+        """A single event happened; called only while `tracing` is set."""
--- a/dockthread/raft/options.py
+++ b/dockthread/raft/options.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from dockthread.config.address import Address
-from dockthread.config.ini_reader import Section
+from dockthread.config.ini_reader import KeyProblem, Section
 from dockthread.config.quantities import Duration, Share
 from dockthread.telemetry.options import host_port
 
@@ -38,20 +38,20 @@
     lapse: Duration = Duration(30_000.0)
     dead: Duration = Duration(5_000.0)
 
-    def faults(self) -> Iterable[tuple[str, str, str]]:
+    def problems(self) -> Iterable[KeyProblem]:
         if not self.listen:
             if self.members or self.directory or self.key_file:
-                yield (
+                yield KeyProblem(
                     "listen",
                     "is missing",
                     "write the address of this ingress among the others, HOST:PORT",
                 )
             return
         if host_port(self.listen) is None:
-            yield "listen", f"{self.listen!r} is no address", "write HOST:PORT"
+            yield KeyProblem("listen", f"{self.listen!r} is no address", "write HOST:PORT")
         names = [name.strip() for name, _, _ in (m.partition("=") for m in self.members)]
         if len(names) not in (1, 3, 5, 7):
-            yield (
+            yield KeyProblem(
                 "members",
                 f"names {len(names)}",
                 "name 1, 3, 5 or 7, an odd number that can lose less than half",
@@ -63,39 +63,41 @@
                 or any(c.isspace() for c in name.strip())
                 or host_port(where.strip()) is None
             ):
-                yield "members", f"{member!r} is no member", "write NAME=HOST:PORT"
+                yield KeyProblem("members", f"{member!r} is no member", "write NAME=HOST:PORT")
         if len(set(names)) < len(names):
-            yield "members", "names one twice", "give each ingress its own name"
+            yield KeyProblem("members", "names one twice", "give each ingress its own name")
         if not self.directory:
-            yield "directory", "is missing", "name a folder that outlives the process"
+            yield KeyProblem("directory", "is missing", "name a folder that outlives the process")
         if self.most_out < 1:
-            yield "most_out", "is under 1", "write how many machines of a zone may be out at once"
+            yield KeyProblem(
+                "most_out", "is under 1", "write how many machines of a zone may be out at once"
+            )
         if not 0 <= self.reserve < 1:
-            yield (
+            yield KeyProblem(
                 "reserve",
                 "is not from 0% to under 100%",
                 "write the part of the rest that is to be left",
             )
         if self.node_bears < 0:
-            yield (
+            yield KeyProblem(
                 "node_bears",
                 "is under 0",
                 "write how many requests a node bears at once, or 0 for not known",
             )
         if self.dead < 2 * self.patience:
-            yield (
+            yield KeyProblem(
                 "dead",
                 "is under twice the patience",
                 "a member would be dead while a leader is voted for",
             )
         if self.lapse <= self.dead:
-            yield (
-                "lapse",
-                "is not over `dead`",
-                "a turn would lapse before a dead member is left out",
+            yield KeyProblem(
+                "lapse", "is not over `dead`", "a turn would lapse before a dead member is left out"
             )
         if self.beat * 3 > self.patience:
-            yield "patience", "is under three beats", "a lost beat would cost a leader its place"
+            yield KeyProblem(
+                "patience", "is under three beats", "a lost beat would cost a leader its place"
+            )
 
     def addresses(self) -> dict[str, Address]:
         found: dict[str, Address] = {}
--- a/dockthread/routes/check.py
+++ b/dockthread/routes/check.py
@@ -9,7 +9,7 @@
 from difflib import get_close_matches
 
 from dockthread.config.ingress_config import Names
-from dockthread.config.ini_reader import Problem
+from dockthread.config.ini_reader import ConfigProblem
 from dockthread.config.quantities import Duration
 from dockthread.policy import DeduplicationScope, Effect, Outcome, PolicySettings, RequestClass
 from dockthread.routes.bounds import WORDS
@@ -35,7 +35,7 @@
     routes: Mapping[str, RouteOptions],
     settings: PolicySettings | None,
     names: Names | None,
-) -> list[Problem]:
+) -> list[ConfigProblem]:
     """All that is wrong. Without settings only what the file says against itself: names are taken
     as they stand.
     """
@@ -43,7 +43,7 @@
 
     def say(name: str, found: Found) -> None:
         key, wrong, would_do, warning = found
-        problems.append(Problem(file, f"route {name}", key, wrong, would_do, warning))
+        problems.append(ConfigProblem(file, f"route {name}", key, wrong, would_do, warning))
 
     if settings is None or names is None:
         names = _names_in(routes)
@@ -66,13 +66,13 @@
 
 def check_one(
     name: str, route: RouteOptions, settings: PolicySettings, names: Names
-) -> list[Problem]:
+) -> list[ConfigProblem]:
     """All that is wrong with one route by itself. A route of another hall is checked as one of
     this: what is published goes to all ingresses.
     """
     found = list(_unknown(route, names)) or list(_against(name, route, settings, names))
     return [
-        Problem("", f"route {name}", key, wrong, would_do, warning)
+        ConfigProblem("", f"route {name}", key, wrong, would_do, warning)
         for key, wrong, would_do, warning in found
     ]
 
--- a/dockthread/routes/layers.py
+++ b/dockthread/routes/layers.py
@@ -57,7 +57,7 @@
         refused; then nothing is changed.
         """
         errors = [
-            one for one in check_one(name, route, self._settings, self._names) if not one.warning
+            one for one in check_one(name, route, self._settings, self._names) if not one.is_warning
         ]
         if errors:
             return str(errors[0]).removeprefix(": ")
--- a/dockthread/simulator_adapter.py
+++ b/dockthread/simulator_adapter.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any, BinaryIO
 
-from dockthread.config.platform_settings import SECOND, read_settings
+from dockthread.config.platform_settings import SECOND, parse_policy_settings
 from dockthread.errors import SettingsError
 from dockthread.policy import (
     Action,
@@ -235,7 +235,7 @@
             if code == CODE_UP:
                 _, seed, offset, length = UP.unpack_from(record, 2)
                 self.gateways[instance] = PolicyEngine(
-                    read_settings(_cut(tail, offset, length)), seed, now
+                    parse_policy_settings(_cut(tail, offset, length)), seed, now
                 )
             elif code == CODE_KILL:
                 self.gateways.pop(instance, None)
--- a/dockthread/telemetry/exporter.py
+++ b/dockthread/telemetry/exporter.py
@@ -24,7 +24,7 @@
 from dockthread.telemetry.tally import Tally
 
 if TYPE_CHECKING:
-    from dockthread.config.ini_reader import Read
+    from dockthread.config.ini_reader import OperatorConfig
     from dockthread.net.ingress import Ingress
 
 SAMPLE = 0.1  # s between looks at the loop's delay and at the counter's mute
@@ -55,12 +55,15 @@
     def tally(self) -> Tally | None:
         return self._tally
 
-    def apply(self, read: Read) -> None:
+    def apply(self, read: OperatorConfig) -> None:
         """Take over the file's receivers and figures. Raises SettingsError, and then all stays as
         it was.
         """
-        options: TelemetryOptions = read.one("telemetry")
-        named: Mapping[str, Options] = {**read.named("graphite"), **read.named("collectd")}
+        options: TelemetryOptions = read.section("telemetry")
+        named: Mapping[str, Options] = {
+            **read.named_sections("graphite"),
+            **read.named_sections("collectd"),
+        }
         room = options.queue or max(
             LEAST_ROOM, self._ingress.config.memory_mb * (1 << 20) // MEMORY_PART
         )
@@ -96,7 +99,7 @@
 
     def _begin_life(self) -> None:
         ingress, options = self._ingress, self._options
-        module, names = ingress.config.module, ingress.config.names
+        module, names = ingress.config.policy_settings, ingress.config.names
         self._tally = tally = Tally(module.classes, len(names.plans), options.firms)
         now = ingress.clock.now()
         unix = now + ingress.clock.unix_offset
--- a/dockthread/telemetry/options.py
+++ b/dockthread/telemetry/options.py
@@ -6,14 +6,13 @@
 from typing import Any, Literal
 
 from dockthread.config.address import Address
-from dockthread.config.ini_reader import Section
+from dockthread.config.ini_reader import KeyProblem, Section
 from dockthread.config.quantities import Duration, Size
 from dockthread.errors import SettingsError
 
 LEAST_INTERVAL, MOST_INTERVAL = Duration(100), Duration(3_600_000)
 LEAST_QUEUE = Size(16 * 1024)
 MOST_PREFIX, MOST_USER = 128, 256
-Faults = Iterable[tuple[str, str, str]]
 
 
 class TelemetryOptions(Section, frozen=True, kw_only=True):
@@ -25,20 +24,24 @@
     nodes: int = 64
     queue: Size | None = None
 
-    def faults(self) -> Faults:
+    def problems(self) -> Iterable[KeyProblem]:
         if not LEAST_INTERVAL <= self.interval <= MOST_INTERVAL:
-            yield (
+            yield KeyProblem(
                 "interval",
                 f"{self.interval} is out of range",
                 f"{LEAST_INTERVAL} to {MOST_INTERVAL} would do",
             )
         if self.farewell > 5_000:
-            yield "farewell", f"{self.farewell} would hold up the exit", "5s is the most"
+            yield KeyProblem(
+                "farewell", f"{self.farewell} would hold up the exit", "5s is the most"
+            )
         for key, figure, most in (("firms", self.firms, 500), ("nodes", self.nodes, 500)):
             if not 0 <= figure <= most:
-                yield key, f"{figure} is out of range", f"0 to {most} would do"
+                yield KeyProblem(key, f"{figure} is out of range", f"0 to {most} would do")
         if self.queue is not None and self.queue < LEAST_QUEUE:
-            yield "queue", f"{self.queue} holds no report", f"{LEAST_QUEUE} is the least"
+            yield KeyProblem(
+                "queue", f"{self.queue} holds no report", f"{LEAST_QUEUE} is the least"
+            )
 
 
 class GraphiteOptions(Section, frozen=True, kw_only=True):
@@ -51,12 +54,12 @@
     prefix: str = "dockthread"
     tags: bool = False
 
-    def faults(self) -> Faults:
-        yield from _address_faults(self.address, unix=False)
+    def problems(self) -> Iterable[KeyProblem]:
+        yield from _address_problems(self.address, unix=False)
         sound = all(part and part.isascii() and part.replace("-", "").replace("_", "").isalnum()
                     for part in self.prefix.split("."))  # fmt: skip
         if not sound or len(self.prefix) > MOST_PREFIX:
-            yield (
+            yield KeyProblem(
                 "prefix",
                 f"{self.prefix[:40]!r} is no path",
                 "letters, digits, - and _ between single dots",
@@ -78,21 +81,25 @@
     def path(self) -> str:
         return self.address[5:] if self.address.startswith("unix:") else ""
 
-    def faults(self) -> Faults:
-        yield from _address_faults(self.address, unix=True)
+    def problems(self) -> Iterable[KeyProblem]:
+        yield from _address_problems(self.address, unix=True)
         if self.security != "none":
             if self.path:
-                yield "security", "a unix socket knows none", "write none, or leave it out"
+                yield KeyProblem(
+                    "security", "a unix socket knows none", "write none, or leave it out"
+                )
             if not self.user or len(self.user.encode()) > MOST_USER:
-                yield (
+                yield KeyProblem(
                     "user",
                     f"is needed for security = {self.security}",
                     f"a name of {MOST_USER} bytes at most",
                 )
             if not self.password_file:
-                yield "password_file", f"is needed for security = {self.security}", "name a file"
+                yield KeyProblem(
+                    "password_file", f"is needed for security = {self.security}", "name a file"
+                )
         if not self.plugin.replace("_", "").isalnum() or len(self.plugin) > 32:
-            yield (
+            yield KeyProblem(
                 "plugin",
                 f"{self.plugin[:40]!r} is no plugin's name",
                 "letters, digits and _, 32 at most",
@@ -117,13 +124,15 @@
     return found.host, found.port
 
 
-def _address_faults(text: str, unix: bool) -> Faults:
+def _address_problems(text: str, unix: bool) -> Iterable[KeyProblem]:
     if unix and text.startswith("unix:"):
         if not text[5:].startswith("/") or len(text[5:].encode()) > 107:
-            yield "address", f"{text[:120]!r} names no socket", "unix:/PATH, 107 bytes at most"
+            yield KeyProblem(
+                "address", f"{text[:120]!r} names no socket", "unix:/PATH, 107 bytes at most"
+            )
     elif host_port(text) is None:
         would_do = "HOST:PORT" + (" or unix:/PATH" if unix else "")
-        yield "address", f"{text[:80]!r} is no address", f"write {would_do}"
+        yield KeyProblem("address", f"{text[:80]!r} is no address", f"write {would_do}")
 
 
 def shared_names(graphite: Mapping[str, Any], collectd: Mapping[str, Any]) -> list[str]:
--- a/dockthread/telemetry/reading.py
+++ b/dockthread/telemetry/reading.py
@@ -41,7 +41,10 @@
     def __init__(self, ingress: Ingress, tally: Tally, life: float, nodes: int, firms: int) -> None:
         self._ingress, self._tally, self.life = ingress, tally, int(life)
         self._nodes, self._firms = nodes, firms
-        self._calls_before, self._copies_before = ingress.traffic.calls, ingress.traffic.copies
+        self._calls_before, self._copies_before = (
+            ingress.traffic.attempts_started,
+            ingress.traffic.hedges_started,
+        )
         names = ingress.config.names
         self._classes = [part(name) for name in names.classes]
         self._plans = [part(name) for name in names.plans]
@@ -81,8 +84,12 @@
 
     def _calls(self) -> Iterator[Point]:
         tally, ingress = self._tally, self._ingress
-        yield Point(("attempts", "started"), DERIVE, ingress.traffic.calls - self._calls_before)
-        yield Point(("attempts", "copies"), DERIVE, ingress.traffic.copies - self._copies_before)
+        yield Point(
+            ("attempts", "started"), DERIVE, ingress.traffic.attempts_started - self._calls_before
+        )
+        yield Point(
+            ("attempts", "copies"), DERIVE, ingress.traffic.hedges_started - self._copies_before
+        )
         for outcome, word in ENDINGS.items():
             yield Point(("attempts", word), DERIVE, tally.ended[outcome])
             if ingress.config.counter is not None:
@@ -154,19 +161,19 @@
         ingress, traffic, loop = self._ingress, self._ingress.traffic, self._tally.loop_times
         yield Point(("connections", "clients"), GAUGE, ingress.clients)
         yield Point(("connections", "nodes"), GAUGE, len(ingress.outbound))
-        yield Point(("opened", "clients"), DERIVE, traffic.clients_opened)
-        yield Point(("opened", "nodes"), DERIVE, traffic.nodes_opened)
-        yield Point(("messages", "in"), DERIVE, traffic.messages_in)
-        yield Point(("messages", "out"), DERIVE, traffic.messages_out)
-        yield Point(("messages", "odd"), DERIVE, traffic.messages_odd)
+        yield Point(("opened", "clients"), DERIVE, traffic.client_connections_opened)
+        yield Point(("opened", "nodes"), DERIVE, traffic.backend_connections_opened)
+        yield Point(("messages", "in"), DERIVE, traffic.gossip_received)
+        yield Point(("messages", "out"), DERIVE, traffic.gossip_sent)
+        yield Point(("messages", "odd"), DERIVE, traffic.gossip_rejected)
         yield Point(("requests", "open"), GAUGE, len(ingress.requests))
         yield Point(("requests", "bodies"), GAUGE, ingress.held)
-        yield Point(("commands", "bad"), DERIVE, traffic.spoilt)
+        yield Point(("commands", "bad"), DERIVE, traffic.commands_rejected)
         for side, way, many in (
-            ("clients", "in", traffic.client_in),
-            ("clients", "out", traffic.client_out),
-            ("nodes", "in", traffic.node_in),
-            ("nodes", "out", traffic.node_out),
+            ("clients", "in", traffic.client_bytes_in),
+            ("clients", "out", traffic.client_bytes_out),
+            ("nodes", "in", traffic.backend_bytes_in),
+            ("nodes", "out", traffic.backend_bytes_out),
         ):
             yield Point(("bytes", side, way), DERIVE, many)
         yield Point(("loop", "p50"), GAUGE, loop.quantile(0.5))
--- a/dockthread/telemetry/tally.py
+++ b/dockthread/telemetry/tally.py
@@ -10,7 +10,7 @@
 
 from ddsketch import LogCollapsingLowestDenseDDSketch
 
-from dockthread.observer import OUTCOMES, REFUSED, SERVED, Observer
+from dockthread.observer import OUTCOMES, REJECTED, SERVED, Observer
 from dockthread.policy import Outcome, RequestClass
 from dockthread.telemetry.busiest import REFUSED as FIRM_REFUSED
 from dockthread.telemetry.busiest import SENT_ON, Busiest
@@ -42,8 +42,8 @@
         self._sketch = LogCollapsingLowestDenseDDSketch(ACCURACY, BINS)
         self._longest = 0.0
 
-    def add(self, took: float) -> None:
-        self._pending.append(took)
+    def add(self, duration_ms: float) -> None:
+        self._pending.append(duration_ms)
         if len(self._pending) >= FOLD:
             self.fold()
 
@@ -52,9 +52,9 @@
         if not pending:
             return
         add = self._sketch.add
-        for took in pending:
-            add(took)
-            steps[bisect_left(TIME_STEPS, took)] += 1
+        for duration_ms in pending:
+            add(duration_ms)
+            steps[bisect_left(TIME_STEPS, duration_ms)] += 1
         self._sum += sum(pending)
         self._longest = max(self._longest, *pending)
         pending.clear()
@@ -113,18 +113,20 @@
             times.begin()
         self.busiest = Busiest(self._firms * PLACES)
 
-    def answered(
+    def request_completed(
         self,
         request_class: int,
         plan: int,
-        firm: int,
+        customer: int,
         outcome: str,
         reason: str,
-        took: float,
+        duration_ms: float,
         units: float,
-        sent_on: bool,
+        was_forwarded: bool,
     ) -> None:
-        self._pending.append((request_class, plan, firm, outcome, reason, took, units, sent_on))
+        self._pending.append(
+            (request_class, plan, customer, outcome, reason, duration_ms, units, was_forwarded)
+        )
         if len(self._pending) >= FOLD:
             self.fold()
 
@@ -133,45 +135,56 @@
         alone.
         """
         answers, late, times, aims = self.answers, self.late, self.times, self.aims
-        for request_class, plan, firm, outcome, reason, took, units, sent_on in self._pending:
+        for (
+            request_class,
+            plan,
+            customer,
+            outcome,
+            reason,
+            duration_ms,
+            units,
+            was_forwarded,
+        ) in self._pending:
             answers[request_class, plan, outcome] += 1
-            self._units(plan, firm, units, sent_on)
+            self._units(plan, customer, units, was_forwarded)
             if outcome == SERVED:
-                times[request_class].add(took)
-                late[request_class] += took > aims[request_class]
+                times[request_class].add(duration_ms)
+                late[request_class] += duration_ms > aims[request_class]
             else:
-                self._unserved(request_class, plan, firm, outcome, reason, units)
+                self._unserved(request_class, plan, customer, outcome, reason, units)
         self._pending.clear()
 
     def _unserved(
-        self, request_class: int, plan: int, firm: int, outcome: str, reason: str, units: float
+        self, request_class: int, plan: int, customer: int, outcome: str, reason: str, units: float
     ) -> None:
         key = (request_class, plan, outcome, reason)
         if key not in self.why and len(self.why) >= MOST_REASONS * len(self.answers):
             key = (request_class, plan, outcome, "other")
         self.why[key] += 1
-        if outcome == REFUSED:
+        if outcome == REJECTED:
             self.units_refused[plan] += units
-            self.busiest.add(FIRM_REFUSED, plan, firm, units)
+            self.busiest.add(FIRM_REFUSED, plan, customer, units)
 
-    def _units(self, plan: int, firm: int, units: float, sent_on: bool) -> None:
+    def _units(self, plan: int, customer: int, units: float, was_forwarded: bool) -> None:
         self.asked[plan] += units
         if self._firms:
-            self.busiest.ask(plan, firm, units)
-        if sent_on:
+            self.busiest.ask(plan, customer, units)
+        if was_forwarded:
             self.units_on[plan] += units
-            self.busiest.add(SENT_ON, plan, firm, units)
+            self.busiest.add(SENT_ON, plan, customer, units)
 
-    def gone(self, request_class: int, plan: int, firm: int, units: float, sent_on: bool) -> None:
+    def client_disconnected(
+        self, request_class: int, plan: int, customer: int, units: float, was_forwarded: bool
+    ) -> None:
         self.gone_away[request_class, plan] += 1
-        self._units(plan, firm, units, sent_on)
+        self._units(plan, customer, units, was_forwarded)
 
-    def call_ended(self, outcome: Outcome) -> None:
+    def attempt_ended(self, outcome: Outcome) -> None:
         self.ended[outcome] += 1
 
-    def counted(self, outcome: Outcome, took: float) -> None:
+    def counter_call_ended(self, outcome: Outcome, duration_ms: float) -> None:
         self.counter[outcome] += 1
-        self.counter_times.add(took)
+        self.counter_times.add(duration_ms)
 
     def phase(self, name: str) -> None:
         self.noted(name)
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from dockthread.config.section_registry import read_text
+from dockthread.config.section_registry import parse_operator_file
 
 ROOT = Path(__file__).parents[2]
 
@@ -48,7 +48,7 @@
     assert f"interval = 2500ms  # {path}" in done.stdout
     assert "farewell = 500ms  # default" in done.stdout
     assert "# name = n7  # NODE_NAME" in done.stdout
-    first, again = read_text(path.read_text(), "a"), read_text(done.stdout, "b")
+    first, again = parse_operator_file(path.read_text(), "a"), parse_operator_file(done.stdout, "b")
     assert not again.errors
     assert again.sections == first.sections
 
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -277,7 +277,7 @@
 def test_one_program_reads_each_sites_form_whole(name: str) -> None:
     path = Path(__file__).parents[2] / "example" / name
     raw, config = json.loads(path.read_text()), read_config({"NODE_CONFIG": str(path)})
-    module, settings = config.module, raw["settings"]
+    module, settings = config.policy_settings, raw["settings"]
     assert config.names.classes == tuple(c["Name"] for c in settings["Classes"])
     assert [p.max_in_flight for p in module.plans] == [
         p.get("MaxOut", 0) for p in settings["Packages"]
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -7,7 +7,11 @@
 import pytest
 
 from dockthread.config.quantities import Duration, Size
-from dockthread.config.section_registry import load, read_file, read_text
+from dockthread.config.section_registry import (
+    load_operator_file,
+    parse_operator_file,
+    read_operator_file,
+)
 from dockthread.errors import SettingsError
 
 GRAPHITE = "[graphite main]\naddress = 127.0.0.1:2003\n"
@@ -101,7 +105,7 @@
 
 @pytest.mark.parametrize(("text", "expected"), BAD)
 def test_what_is_wrong_is_one_plain_line(text: str, expected: str) -> None:
-    problems = [str(p) for p in read_text(text, "my.ini").errors]
+    problems = [str(p) for p in parse_operator_file(text, "my.ini").errors]
     assert any(line.startswith("my.ini: ") and expected in line for line in problems), problems
     assert all("\n" not in line for line in problems)
 
@@ -111,17 +115,17 @@
     path.write_text(
         "[telemetry]\ninterval = 1\nfirms = x\nfarewell = 1h\n[graphite a]\naddress = x\n[oops]\n"
     )
-    assert len(read_file(str(path)).errors) == 5
+    assert len(read_operator_file(str(path)).errors) == 5
     with pytest.raises(SettingsError, match=r"interval: '1' .* \(and 4 more: dockthread check "):
-        load(str(path))
+        load_operator_file(str(path))
 
 
 def test_what_is_left_out_has_its_default_and_comments_are_passed_over() -> None:
-    found = read_text(
+    found = parse_operator_file(
         "# mine\n[graphite main]  ; the graphs\naddress = [::1]:2003  # v6\n", "my.ini"
     )
     assert not found.errors
-    graphite, telemetry = found.named("graphite")["main"], found.one("telemetry")
+    graphite, telemetry = found.named_sections("graphite")["main"], found.section("telemetry")
     assert (graphite.address, graphite.protocol, graphite.prefix, graphite.tags) == (
         "[::1]:2003",
         "plaintext",
@@ -129,7 +133,7 @@
         False,
     )
     assert (telemetry.interval, telemetry.farewell, telemetry.queue) == (10_000.0, 500.0, None)
-    assert found.given == {("graphite", "main"): {"address"}}
+    assert found.explicit_keys == {("graphite", "main"): {"address"}}
 
 
 @pytest.mark.parametrize(
@@ -140,4 +144,4 @@
     path = tmp_path / "my.ini"
     if data is not None:
         path.write_bytes(data)
-    assert wrong in str(read_file(str(path)).errors[0])
+    assert wrong in str(read_operator_file(str(path)).errors[0])
--- a/tests/control_plane/test_control_options.py
+++ b/tests/control_plane/test_control_options.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from dockthread.config.section_registry import read_text
+from dockthread.config.section_registry import parse_operator_file
 from dockthread.control_plane.options import ControlOptions, read_key
 
 DISTRIBUTOR = "role = distributor\nname = d1\nlisten = 127.0.0.1:7000\nservers = 127.0.0.1:7001\n"
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize(("text", "said"), BAD)
 def test_a_bad_section_is_refused_with_its_reason(text: str, said: str) -> None:
-    problems = read_text(f"[control]\n{text}\n", "my.ini").problems
+    problems = parse_operator_file(f"[control]\n{text}\n", "my.ini").problems
     assert any(str(p).startswith("my.ini: [control] ") and said in str(p) for p in problems), (
         problems
     )
@@ -67,12 +67,12 @@
 
 @pytest.mark.parametrize("text", ["", "[control]\n" + DISTRIBUTOR, "[control]\n" + VOTER + FLEET])
 def test_a_good_one_has_no_problem(text: str) -> None:
-    assert read_text(text, "my.ini").problems == []
+    assert parse_operator_file(text, "my.ini").problems == []
 
 
 def test_it_is_off_where_it_is_absent() -> None:
-    assert read_text("", "my.ini").one("control") == ControlOptions(role=None)
-    code = "import sys, dockthread.daemon, dockthread.config.section_registry as s; s.read_text('', 'f')\n"
+    assert parse_operator_file("", "my.ini").section("control") == ControlOptions(role=None)
+    code = "import sys, dockthread.daemon, dockthread.config.section_registry as s; s.parse_operator_file('', 'f')\n"
     code += "print([m for m in sys.modules if m.startswith('dockthread.control_plane.')])"
     done = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True, timeout=30
--- a/tests/control_plane/test_distribution_rim.py
+++ b/tests/control_plane/test_distribution_rim.py
@@ -17,7 +17,7 @@
 from dockthread.clock import Clock
 from dockthread.config.address import Address
 from dockthread.config.platform_settings import read_config
-from dockthread.config.section_registry import load
+from dockthread.config.section_registry import load_operator_file
 from dockthread.control_plane.client import Client
 from dockthread.control_plane.fanout import FanoutLimits
 from dockthread.control_plane.messages import (
@@ -218,7 +218,9 @@
 
     async def scenario() -> None:
         config = read_config({"NODE_CONFIG": str(path)})
-        daemon = Daemon(config, str(file), load(str(file), config.module, config.names))
+        daemon = Daemon(
+            config, str(file), load_operator_file(str(file), config.policy_settings, config.names)
+        )
         new = {**SETTINGS["Classes"][0], "Name": "renew"}
         path.write_text(
             json.dumps(
@@ -257,7 +259,9 @@
             body = json.dumps({"class": route_class, "copies": "yes"}).encode()
             server.table.put(Resource("route", name, server.table.revision + 1, body))
         config = read_config({"NODE_CONFIG": str(path)})
-        daemon = Daemon(config, str(file), load(str(file), config.module, config.names))
+        daemon = Daemon(
+            config, str(file), load_operator_file(str(file), config.policy_settings, config.names)
+        )
         daemon._receive()
         controlled, layers = daemon._controlled, daemon._routes
         assert controlled is not None and layers is not None
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -16,7 +16,7 @@
 import uvloop
 
 from dockthread.clock import Clock
-from dockthread.config.ingress_config import Config
+from dockthread.config.ingress_config import IngressConfig
 from dockthread.config.platform_settings import read_config
 from dockthread.net.ingress import Ingress
 
@@ -89,7 +89,7 @@
     return {**raw, "limits": {"sockets": 1024}, "known": known, "settings": SETTINGS, **changes}
 
 
-def config(known: dict[str, Any], discovery: int = 9, **changes: Any) -> Config:
+def config(known: dict[str, Any], discovery: int = 9, **changes: Any) -> IngressConfig:
     with TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(raw_config(known, discovery, **changes)))
--- a/tests/maintenance/test_work.py
+++ b/tests/maintenance/test_work.py
@@ -15,7 +15,7 @@
 from click.testing import CliRunner
 
 from dockthread.cli.work import fleet, work
-from dockthread.config.section_registry import read_text
+from dockthread.config.section_registry import parse_operator_file
 from dockthread.maintenance.commands import Command, Tick, Zone
 from dockthread.maintenance.scheduler import Order
 from dockthread.raft.actions import Keep, KeepState
@@ -396,12 +396,12 @@
     ],
 )
 def test_a_fleet_that_cannot_be_is_refused_with_its_key(text: str, wrong: str) -> None:
-    problems = [str(p) for p in read_text(f"[fleet]\n{text}\n", "f.ini").errors]
+    problems = [str(p) for p in parse_operator_file(f"[fleet]\n{text}\n", "f.ini").errors]
     assert any(wrong in problem for problem in problems), problems
 
 
 def test_without_the_section_there_is_no_fleet_and_a_short_key_is_refused(tmp_path: Path) -> None:
-    assert read_text("", "f.ini").one("fleet") == FleetOptions()
+    assert parse_operator_file("", "f.ini").section("fleet") == FleetOptions()
     (tmp_path / "key").write_text("short")
     with pytest.raises(ValueError, match="5 bytes; 16 to 64"):
         FleetOptions(key_file=str(tmp_path / "key")).key()
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -474,7 +474,7 @@
                 discovery.push(message(2, target("s-0", port, "leaving")))
                 await until(lambda: ingress.destinations.revision == 2)
             if waits_for == "a pause":
-                table = Table(ingress.config.names, ingress.config.module.zone, 1)
+                table = Table(ingress.config.names, ingress.config.policy_settings.zone, 1)
                 pause = RouteOptions(
                     backoff=Duration(300), backoff_max=Duration(300), retry_floor=100.0
                 )
@@ -491,7 +491,7 @@
                 await until(lambda: waits_for != "the counter" or counter.seen)
                 if resets:
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            before = ingress.traffic.calls
+            before = ingress.traffic.attempts_started
             with held(0.05):
                 await asyncio.sleep(0.1)
                 if waits_for == "a worker":
@@ -500,7 +500,8 @@
                     writer.write(b"$1\r\n2\r\n")
                 await asyncio.sleep(0.4)
             assert (
-                ingress.traffic.calls == before == (waits_for == "a pause") and not ingress.requests
+                ingress.traffic.attempts_started == before == (waits_for == "a pause")
+                and not ingress.requests
             )
 
     run(scenario())
--- a/tests/net/test_loop_delay.py
+++ b/tests/net/test_loop_delay.py
@@ -66,7 +66,7 @@
                 sock.setblocking(False)
                 answer = await asyncio.get_running_loop().sock_recv(sock, 100)
             assert answer.startswith(b"-BUSY")
-            assert ingress.traffic.calls == 0
+            assert ingress.traffic.attempts_started == 0
 
     run(scenario())
 
--- a/tests/net/test_parsers.py
+++ b/tests/net/test_parsers.py
@@ -25,7 +25,7 @@
 
 KNOWN = message(1, full=True)
 CONFIG = config(KNOWN)
-VOCABULARY = resp.Vocabulary(CONFIG.names, CONFIG.module.classes, gateways=4, most_units=4)
+VOCABULARY = resp.Vocabulary(CONFIG.names, CONFIG.policy_settings.classes, gateways=4, most_units=4)
 ID = b"%016x" % FIRST_ID
 TERMS = b"c=status,t=gross,d=480,units=2,spread=3,first=1"
 
@@ -327,7 +327,7 @@
     path.write_text(json.dumps(raw_config(KNOWN, 9)))
     environ = {"NODE_CONFIG": str(path), "NODE_NAME": "n7", "NODE_LISTEN": "[::1]:5"}
     read = read_config(environ)
-    assert (read.name, read.listen, read.seed, read.conn_idle) == (
+    assert (read.name, read.listen, read.seed, read.connection_idle_ms) == (
         "n7",
         Address("::1", 5),
         0x8C1F,
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -65,9 +65,9 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             stranger.sendto(b"hello", (where[0].host, where[0].port))
         other._sock.sendto(b"x" * (gossip_codec.MOST_BYTES + 1), (where[0].host, where[0].port))  # type: ignore[union-attr]
-        await until(lambda: here._traffic.messages_odd == 2)
+        await until(lambda: here._traffic.gossip_rejected == 2)
         other.tell(SendGossip(b"x" * (gossip_codec.MOST_BYTES + 1), 0))  # it would void the run
-        assert (told, other._traffic.messages_out) == ([], 0)
+        assert (told, other._traffic.gossip_sent) == ([], 0)
         for _ in range(TURN + 20):
             other.tell(SendGossip(b"m", 0))
         here._read()
@@ -125,7 +125,7 @@
             ]
             ingresses: list[Ingress] = [ingress for ingress, _, _ in made]
             clients: list[Client] = [client for _, client, _ in made]
-            await until(lambda: all(i.traffic.messages_in for i in ingresses))
+            await until(lambda: all(i.traffic.gossip_received for i in ingresses))
             served = 0
             for turn in range(60):  # 2 units each of a store that holds 40 and is not filled
                 answer = await clients[turn % 3].call("status")
--- a/tests/routes/test_routes_file.py
+++ b/tests/routes/test_routes_file.py
@@ -9,8 +9,8 @@
 import pytest
 
 from dockthread.config.ingress_config import Names
-from dockthread.config.ini_reader import Problem
-from dockthread.config.section_registry import read_text
+from dockthread.config.ini_reader import ConfigProblem
+from dockthread.config.section_registry import parse_operator_file
 from dockthread.errors import SettingsError
 from dockthread.policy import DeduplicationScope, Effect, Plan, PolicySettings, RequestClass
 from dockthread.routes.explain import explain, facts_of
@@ -46,8 +46,8 @@
 STATUS, CHECKOUT, KEYED = ("class = " + name + "\n" for name in NAMES.classes)
 
 
-def problems(text: str, settings: PolicySettings = SETTINGS) -> list[Problem]:
-    return read_text(text, "r.ini", settings, NAMES).problems
+def problems(text: str, settings: PolicySettings = SETTINGS) -> list[ConfigProblem]:
+    return parse_operator_file(text, "r.ini", settings, NAMES).problems
 
 
 # Keys of one route, and what its one line must say.
@@ -201,7 +201,7 @@
 
 @pytest.mark.parametrize(("keys", "expected"), BAD)
 def test_a_bad_route_is_refused_with_its_reason(keys: str, expected: str) -> None:
-    errors = [str(p) for p in problems(f"[route r]\n{keys}\n") if not p.warning]
+    errors = [str(p) for p in problems(f"[route r]\n{keys}\n") if not p.is_warning]
     assert any(expected in line and line.startswith("r.ini: [route r] ") for line in errors), errors
 
 
@@ -230,7 +230,7 @@
 )
 def test_routes_are_checked_against_each_other(text: str, expected: str) -> None:
     assert any(expected in str(p) for p in problems(text))
-    assert any(expected in str(p) for p in read_text(text, "r.ini").problems), (
+    assert any(expected in str(p) for p in parse_operator_file(text, "r.ini").problems), (
         "without settings, too"
     )
 
@@ -261,12 +261,12 @@
     (warning,) = problems(
         f"[route r]\n{STATUS}timeout = 1s\nattempts = 2\nattempt_timeout = 700ms\n"
     )
-    assert warning.warning
+    assert warning.is_warning
     assert "2 attempts of 700ms = 1400ms outlasts timeout = 1s; attempt_timeout = 500ms" in str(
         warning
     )
     (warning,) = problems(f"[route r]\n{STATUS}retry_budget = 80%\n")
-    assert warning.warning and "nodes see 1.80 times the first tries" in str(warning)
+    assert warning.is_warning and "nodes see 1.80 times the first tries" in str(warning)
 
 
 def test_the_values_that_would_do_do() -> None:
@@ -284,7 +284,7 @@
 
 def test_explain_tells_the_route_the_timeline_and_the_worst_case() -> None:
     text = f"[route vip]\nfirm = b4d6\n[route s]\n{STATUS}attempts = 2\nattempt_timeout = 1s\nbackoff = 50ms\n"
-    routes = read_text(text, "r.ini", SETTINGS, NAMES).named("route")
+    routes = parse_operator_file(text, "r.ini", SETTINGS, NAMES).named_sections("route")
     lines = list(
         explain(routes, SETTINGS, NAMES, facts_of("c=seat-status,t=gross,units=2", SETTINGS, NAMES))
     )
--- a/tests/routes/test_routes_on_sockets.py
+++ b/tests/routes/test_routes_on_sockets.py
@@ -17,7 +17,7 @@
 import pytest
 
 from dockthread.clock import ManualClock
-from dockthread.config.section_registry import read_text
+from dockthread.config.section_registry import parse_operator_file
 from dockthread.net.ingress import Ingress
 from dockthread.routes.table import Table
 from tests.loopback import (
@@ -57,13 +57,13 @@
 
 def obey(ingress: Ingress, text: str) -> Table:
     """Have an ingress obey a file's routes."""
-    read = read_text(text, "test", ingress.config.module, ingress.config.names)
+    read = parse_operator_file(text, "test", ingress.config.policy_settings, ingress.config.names)
     assert not read.errors, read.errors
     table = ingress.routes
     if not isinstance(table, Table):
         table = Table(ingress.config.names, 0, 1)
         ingress.routes = table
-    table.replace(read.named("route"), ingress.clock.now() / 1000.0)
+    table.replace(read.named_sections("route"), ingress.clock.now() / 1000.0)
     return table
 
 
--- a/tests/routes/test_routes_parts.py
+++ b/tests/routes/test_routes_parts.py
@@ -112,7 +112,7 @@
             route = data.draw(drawn)
             reason = layers.put(name, route, 0.0)
             after = merged(file, {**layers.published, name: route})
-            own = any(not one.warning for one in check_one(name, route, settings, NAMES))
+            own = any(not one.is_warning for one in check_one(name, route, settings, NAMES))
             assert bool(reason) == (own or any(name in pair for pair in shadows_of(after))), (
                 reason,
                 before,
--- a/tests/telemetry/test_telemetry_on_sockets.py
+++ b/tests/telemetry/test_telemetry_on_sockets.py
@@ -20,7 +20,7 @@
 import pytest
 
 from dockthread.clock import Clock, ManualClock
-from dockthread.config.section_registry import read_text
+from dockthread.config.section_registry import parse_operator_file
 from dockthread.telemetry.catalogue import Point
 from dockthread.telemetry.collectd import Opener, Wording, sealing
 from dockthread.telemetry.exporter import Exporter
@@ -294,7 +294,7 @@
             _,
         ):
             exporter = Exporter(ingress)
-            exporter.apply(read_text(operators_file(stand_in, folder, interval), "test"))
+            exporter.apply(parse_operator_file(operators_file(stand_in, folder, interval), "test"))
             try:
                 yield ingress, exporter, client, stand_in, ledger
             finally:
@@ -311,18 +311,18 @@
                 await client.call()
             moved = operators_file(second, tmp_path)
             # the old one hears the end, the new one goes on
-            exporter.apply(read_text(moved, "test"))
+            exporter.apply(parse_operator_file(moved, "test"))
             for _ in range(3):
                 await client.call()
             await until(lambda: totals(two, "plaintext").get(("status", "gross", "served")) == 8)
             await until(lambda: totals(two, "pickle").get(("status", "gross", "served")) == 8)
-            exporter.apply(read_text("", "test"))
+            exporter.apply(parse_operator_file("", "test"))
             await until(lambda: not exporter._leaving)
             assert exporter.tally is None and not ingress.observer.active
             seen = two.seen["plaintext"]
             await client.call()
             # a new life, from nothing
-            exporter.apply(read_text(operators_file(first, tmp_path), "test"))
+            exporter.apply(parse_operator_file(operators_file(first, tmp_path), "test"))
             await client.call()
             await until(
                 lambda: (
@@ -342,7 +342,7 @@
             bad = "[graphite new]\naddress = 127.0.0.1:1\n[collectd c]\naddress = 127.0.0.1:1\nsecurity = sign\n"
             bad += "user = u\npassword_file = /no/such/file\n"
             with pytest.raises(Exception, match="/no/such/file cannot be read"):
-                exporter.apply(read_text(bad, "test"))
+                exporter.apply(parse_operator_file(bad, "test"))
             assert exporter.receivers == before
             await client.call()
             await until(lambda: totals(ledger, "plaintext").get(("status", "gross", "served")) == 1)
@@ -390,7 +390,7 @@
         async with exporting(tmp_path, "plaintext", interval="1h") as (ingress, exporter, _, _, _):
             tally = exporter.tally
             for n in range(10_000):
-                tally.answered(0, 0, n, "refused", f"reason-{n}", 0.0, 1.0, False)
+                tally.request_completed(0, 0, n, "refused", f"reason-{n}", 0.0, 1.0, False)
             for n in range(100):
                 targets = [target(f"s-{n}-{k}", 1 + k) for k in range(3)]
                 ingress._tell(ingress.destinations.apply(message(n + 2, *targets, full=True)))
@@ -414,7 +414,7 @@
 
         async with serving(Backend(waits)) as (ingress, client, _):
             exporter = Exporter(ingress)
-            exporter.apply(read_text("[graphite g]\naddress = 127.0.0.1:9\n", "test"))
+            exporter.apply(parse_operator_file("[graphite g]\naddress = 127.0.0.1:9\n", "test"))
             tally = exporter.tally
             assert tally is not None
             client.ask()
