--- a/dockthread/admin/commands.py
+++ b/dockthread/admin/commands.py
@@ -29,46 +29,60 @@
 from typing import Any
 
 
-class Verb(Enum):
+class Operation(Enum):
     READY = "ready"
-    VARS = "vars"
+    METRICS = "vars"
     DETACH = "detach"
     ATTACH = "attach"
-    FLEET = "fleet"
-    WORK = "work"
-    WORK_ASK = "ask"
-    WORK_DONE = "done"
-    WORK_WITHDRAW = "withdraw"
-
-
-TARGETED = (Verb.DETACH, Verb.ATTACH, Verb.WORK_ASK, Verb.WORK_DONE, Verb.WORK_WITHDRAW)
-FLEET = (Verb.FLEET, Verb.WORK, Verb.WORK_ASK, Verb.WORK_DONE, Verb.WORK_WITHDRAW)
+    FLEET_STATUS = "fleet"
+    MAINTENANCE_STATUS = "work"
+    REQUEST_MAINTENANCE = "ask"
+    FINISH_MAINTENANCE = "done"
+    WITHDRAW_MAINTENANCE = "withdraw"
+
+
+TARGETED = (
+    Operation.DETACH,
+    Operation.ATTACH,
+    Operation.REQUEST_MAINTENANCE,
+    Operation.FINISH_MAINTENANCE,
+    Operation.WITHDRAW_MAINTENANCE,
+)
+FLEET_OPERATIONS = (
+    Operation.FLEET_STATUS,
+    Operation.MAINTENANCE_STATUS,
+    Operation.REQUEST_MAINTENANCE,
+    Operation.FINISH_MAINTENANCE,
+    Operation.WITHDRAW_MAINTENANCE,
+)
 
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    verb: Verb
+    operation: Operation
     target: str = ""
-    more: dict[str, Any] = field(default_factory=dict, compare=False)  # whatever else the body said
+    body_fields: dict[str, Any] = field(
+        default_factory=dict, compare=False
+    )  # whatever else the body said
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class Response:
     status: int
     body: bytes
-    kind: bytes = b"text/plain; charset=utf-8"
-
-
-TABLE: dict[bytes, tuple[bytes, Verb]] = {
-    b"/_ready": (b"GET", Verb.READY),
-    b"/_vars": (b"GET", Verb.VARS),
-    b"/_backends/detach": (b"POST", Verb.DETACH),
-    b"/_backends/attach": (b"POST", Verb.ATTACH),
-    b"/_fleet": (b"GET", Verb.FLEET),
-    b"/_work": (b"GET", Verb.WORK),
-    b"/_work/ask": (b"POST", Verb.WORK_ASK),
-    b"/_work/done": (b"POST", Verb.WORK_DONE),
-    b"/_work/withdraw": (b"POST", Verb.WORK_WITHDRAW),
+    content_type: bytes = b"text/plain; charset=utf-8"
+
+
+ROUTES: dict[bytes, tuple[bytes, Operation]] = {
+    b"/_ready": (b"GET", Operation.READY),
+    b"/_vars": (b"GET", Operation.METRICS),
+    b"/_backends/detach": (b"POST", Operation.DETACH),
+    b"/_backends/attach": (b"POST", Operation.ATTACH),
+    b"/_fleet": (b"GET", Operation.FLEET_STATUS),
+    b"/_work": (b"GET", Operation.MAINTENANCE_STATUS),
+    b"/_work/ask": (b"POST", Operation.REQUEST_MAINTENANCE),
+    b"/_work/done": (b"POST", Operation.FINISH_MAINTENANCE),
+    b"/_work/withdraw": (b"POST", Operation.WITHDRAW_MAINTENANCE),
 }
 REASONS = {
     200: b"OK",
@@ -79,40 +93,40 @@
 }
 
 
-def decide(method: bytes, path: bytes, body: bytes) -> Command | Answer:
+def parse_request(method: bytes, path: bytes, body: bytes) -> Command | Response:
     """A call's command, or the answer that refuses it. `path` may carry a query, which is not
     looked at.
     """
-    found = TABLE.get(path.split(b"?", 1)[0])
+    found = ROUTES.get(path.split(b"?", 1)[0])
     if found is None:
-        return Answer(404, b"no such call\n")
-    wanted, verb = found
+        return Response(404, b"no such call\n")
+    wanted, operation = found
     if method != wanted and not (wanted == b"GET" and method == b"HEAD"):
-        return Answer(405, b"this call goes by " + wanted + b"\n")
-    if verb not in TARGETED:
-        return Command(verb)
+        return Response(405, b"this call goes by " + wanted + b"\n")
+    if operation not in TARGETED:
+        return Command(operation)
     try:
         said = json.loads(body)
     except ValueError:
-        return Answer(400, b'the body is not JSON; {"target":"ID"} would do\n')
+        return Response(400, b'the body is not JSON; {"target":"ID"} would do\n')
     target = said.get("target") if isinstance(said, dict) else None
     if not isinstance(target, str) or not target:
-        return Answer(400, b'no target in the body; {"target":"ID"} would do\n')
-    return Command(verb, target, said)
+        return Response(400, b'no target in the body; {"target":"ID"} would do\n')
+    return Command(operation, target, said)
 
 
-def carried(command: Command, done: bool) -> Answer:
+def outcome_response(command: Command, done: bool) -> Response:
     """The answer once the ingress has tried: `done` is False where it knows no such id, or is not
     ready.
     """
-    if command.verb is Verb.READY:
-        return Answer(200, b"ready\n") if done else Answer(503, b"not ready\n")
+    if command.operation is Operation.READY:
+        return Response(200, b"ready\n") if done else Response(503, b"not ready\n")
     if done:
-        return Answer(200, b"ok\n")
-    return Answer(404, b"no backend " + command.target.encode() + b" here\n")
+        return Response(200, b"ok\n")
+    return Response(404, b"no backend " + command.target.encode() + b" here\n")
 
 
-def wording(answer: Answer, head_only: bool = False) -> bytes:
+def encode_response(answer: Response, head_only: bool = False) -> bytes:
     """The answer on the wire; the connection closes behind it."""
     reason = REASONS.get(answer.status, b"")
     head = (
@@ -120,7 +134,7 @@
         % (
             answer.status,
             reason,
-            answer.kind,
+            answer.content_type,
             len(answer.body),
         )
     )
--- a/dockthread/admin/prometheus.py
+++ b/dockthread/admin/prometheus.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class MetricsSnapshot:
     classes: Sequence[str]
     outcomes: Mapping[str, Sequence[int]]  # by outcome, by class's number
     tries: int
@@ -29,7 +29,7 @@
     config_rejected: int
 
 
-def render(figures: Figures, prefix: str = PREFIX) -> bytes:
+def render_metrics(figures: MetricsSnapshot, prefix: str = PREFIX) -> bytes:
     lines: list[str] = []
     for name, outcome in BY_CLASS:
         lines.append(f"# TYPE {prefix}_{name} counter")
--- a/dockthread/admin/reload.py
+++ b/dockthread/admin/reload.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Retuned:
+class MergedSettings:
     """The module's settings and names after a reload, and the classes that clients may ask for."""
 
     settings: PolicySettings
@@ -37,7 +37,9 @@
     offered: frozenset[str]
 
 
-def merge(old: PolicySettings, old_names: Names, new: PolicySettings, new_names: Names) -> Retuned:
+def merge_settings(
+    old: PolicySettings, old_names: Names, new: PolicySettings, new_names: Names
+) -> MergedSettings:
     """`old`: what the module holds now; `new`: the file just read. Raises nothing."""
     classes, names = list(old.classes), list(old_names.classes)
     for name, rules in zip(new_names.classes, new.classes, strict=True):
@@ -47,7 +49,9 @@
             names.append(name)
             classes.append(rules)
     settings = replace(old, classes=tuple(classes), max_attempts=new.max_attempts)
-    return Retuned(settings, replace(old_names, classes=tuple(names)), frozenset(new_names.classes))
+    return MergedSettings(
+        settings, replace(old_names, classes=tuple(names)), frozenset(new_names.classes)
+    )
 
 
 def retune(gateway: PolicyEngine, settings: PolicySettings) -> None:
--- a/dockthread/admin/server.py
+++ b/dockthread/admin/server.py
@@ -36,7 +36,7 @@
 
     def attach(self, target: str) -> bool: ...
 
-    async def fleet(self, command: commands.Command) -> commands.Answer:
+    async def fleet(self, command: commands.Command) -> commands.Response:
         """What concerns the fleet; the only call that may take its time, as others have to
         agree.
         """
@@ -59,23 +59,23 @@
         self.whole = True
 
 
-async def answer(host: Host, method: bytes, path: bytes, body: bytes) -> commands.Answer:
-    decided = commands.decide(method, path, body)
-    if isinstance(decided, commands.Answer):
+async def handle(host: Host, method: bytes, path: bytes, body: bytes) -> commands.Response:
+    decided = commands.parse_request(method, path, body)
+    if isinstance(decided, commands.Response):
         return decided
-    if decided.verb in commands.FLEET:
+    if decided.operation in commands.FLEET_OPERATIONS:
         return await host.fleet(decided)
-    if decided.verb is commands.Verb.VARS:
-        return commands.Answer(200, host.figures(), b"text/plain; version=0.0.4")
-    if decided.verb is commands.Verb.READY:
-        return commands.carried(decided, host.ready)
-    held = decided.verb is commands.Verb.DETACH
-    return commands.carried(
+    if decided.operation is commands.Operation.METRICS:
+        return commands.Response(200, host.figures(), b"text/plain; version=0.0.4")
+    if decided.operation is commands.Operation.READY:
+        return commands.outcome_response(decided, host.ready)
+    held = decided.operation is commands.Operation.DETACH
+    return commands.outcome_response(
         decided, host.detach(decided.target) if held else host.attach(decided.target)
     )
 
 
-class Door:
+class ManagementServer:
     def __init__(self, host: Host, address: Address) -> None:
         self._host, self.address = host, address
         self._open: dict[socket.socket, asyncio.Task[None]] = {}
@@ -125,12 +125,12 @@
                         return
                     parser.feed_data(memoryview(buffer)[:got])
                 method = parser.get_method()
-                said = await answer(self._host, method, call.url, bytes(call.body))
-                await loop.sock_sendall(sock, commands.wording(said, method == b"HEAD"))
+                said = await handle(self._host, method, call.url, bytes(call.body))
+                await loop.sock_sendall(sock, commands.encode_response(said, method == b"HEAD"))
         except httptools.HttpParserError:
             with suppress(OSError):
                 await loop.sock_sendall(
-                    sock, commands.wording(commands.Answer(400, b"not an HTTP call\n"))
+                    sock, commands.encode_response(commands.Response(400, b"not an HTTP call\n"))
                 )
         except (OSError, TimeoutError):
             pass
--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -19,7 +19,7 @@
 import uvloop
 from loguru import logger
 
-from dockthread.admin.prometheus import Figures, render
+from dockthread.admin.prometheus import MetricsSnapshot, render_metrics
 from dockthread.clock import Clock
 from dockthread.config.ingress_config import IngressConfig
 from dockthread.config.platform_settings import read_config, reread_config
@@ -94,8 +94,8 @@
 
     def figures(self) -> bytes:
         ingress = self.ingress
-        return render(
-            Figures(
+        return render_metrics(
+            MetricsSnapshot(
                 classes=ingress.config.names.classes,
                 outcomes=ingress.traffic.outcomes,
                 tries=ingress.traffic.attempts_sent,
@@ -128,13 +128,13 @@
         logger.info("backend {} {} by hand", target, "detached" if held else "attached")
         return True
 
-    async def fleet(self, command: commands.Command) -> commands.Answer:
+    async def fleet(self, command: commands.Command) -> commands.Response:
         from dockthread.admin import commands
 
         if self._work is None:
             if self._no_part:
-                return commands.Answer(503, f"{self._no_part}\n".encode())
-            return commands.Answer(404, b"no such call\n")
+                return commands.Response(503, f"{self._no_part}\n".encode())
+            return commands.Response(404, b"no such call\n")
         return await self._work.answer(command)
 
     def _apply(self, read: OperatorConfig) -> None:
@@ -204,9 +204,9 @@
         gc.set_threshold(20_000)
         opened = None
         if self.ingress.config.management is not None:
-            from dockthread.admin.server import Door
+            from dockthread.admin.server import ManagementServer
 
-            opened = Door(self, self.ingress.config.management)
+            opened = ManagementServer(self, self.ingress.config.management)
             opened.open()
         if self._fleet is not None and self._fleet.listen:
             from dockthread.maintenance.service import Work
--- a/dockthread/maintenance/service.py
+++ b/dockthread/maintenance/service.py
@@ -13,7 +13,7 @@
 import msgspec
 from loguru import logger
 
-from dockthread.admin.commands import Answer, Command, Verb
+from dockthread.admin.commands import Command, Operation, Response
 from dockthread.maintenance import commands, observation
 from dockthread.maintenance.participant import Acts, Around, Part, Terms
 from dockthread.maintenance.scheduler import Order
@@ -26,7 +26,11 @@
     from dockthread.net.ingress import Ingress
 
 JSON = b"application/json"
-DOING = {Verb.WORK_ASK: "ask", Verb.WORK_DONE: "done", Verb.WORK_WITHDRAW: "withdraw"}
+DOING = {
+    Operation.REQUEST_MAINTENANCE: "ask",
+    Operation.FINISH_MAINTENANCE: "done",
+    Operation.WITHDRAW_MAINTENANCE: "withdraw",
+}
 # s between looks while something moves, and while all that is out stays out
 SOON, QUIET = 0.05, 1.0
 LOOKED = 2.0  # s that staff wait for a request to be looked at
@@ -175,20 +179,20 @@
         requests = sorted(self.order.requests.values(), key=lambda r: r.since)
         return {"work": [plain(r) for r in requests], "over": [plain(r) for r in self.order.over]}
 
-    async def answer(self, command: Command) -> Answer:
+    async def answer(self, command: Command) -> Response:
         """A call of the management door."""
-        if command.verb is Verb.FLEET:
+        if command.operation is Operation.FLEET_STATUS:
             silent = self.order.silent
             said = {**self.member.status(), "silent": {m: ms for m, ms in silent.items() if ms}}
-            return Answer(200, json.dumps(said).encode() + b"\n", JSON)
-        if command.verb is Verb.WORK:
-            return Answer(200, json.dumps(self.listed()).encode() + b"\n", JSON)
+            return Response(200, json.dumps(said).encode() + b"\n", JSON)
+        if command.operation is Operation.MAINTENANCE_STATUS:
+            return Response(200, json.dumps(self.listed()).encode() + b"\n", JSON)
         told = self._command(command)
-        if isinstance(told, Answer):
+        if isinstance(told, Response):
             return told
         index = await self.member.propose(msgspec.msgpack.encode(told))
         if not index:
-            return Answer(
+            return Response(
                 503,
                 b"no majority has agreed in time: ask again, the same request is not made twice\n",
             )
@@ -200,24 +204,30 @@
         )
         state, why = (request.state, self.order.reason(request)) if request else (over, "")
         answer = {"target": told.target, "state": state, "reason": why, "at": index}
-        return Answer(200, json.dumps(answer).encode() + b"\n", JSON)
+        return Response(200, json.dumps(answer).encode() + b"\n", JSON)
 
-    def _command(self, call: Command) -> commands.Command | Answer:
+    def _command(self, call: Command) -> commands.Command | Response:
         """What is to be agreed on, or the answer that says why not."""
-        target, more, ask = call.target, call.more, call.verb is Verb.WORK_ASK
+        target, more, ask = (
+            call.target,
+            call.body_fields,
+            call.operation is Operation.REQUEST_MAINTENANCE,
+        )
         zone, ingress = self._ingress.destinations.zone_of(target), target in self.member.members
         if ask and zone is None and not ingress:
-            return Answer(404, f"no backend {target} here, and no ingress of this name\n".encode())
+            return Response(
+                404, f"no backend {target} here, and no ingress of this name\n".encode()
+            )
         if not ask and target not in self.order.requests:
-            return Answer(404, f"no work on {target} is asked for\n".encode())
+            return Response(404, f"no work on {target} is asked for\n".encode())
         length = more.get("for", 0)
         if not isinstance(length, int | float) or not 0 <= length < 1e8:
-            return Answer(400, b'"for" is no number of seconds\n')
+            return Response(400, b'"for" is no number of seconds\n')
         node = zone is not None
         cold = self._ingress.config.policy_settings.safety.warm_up_time * 1000.0
         warm = cold if node else INGRESS_WARM * self._options.patience
         return commands.Command(
-            DOING[call.verb],  # type: ignore[arg-type]
+            DOING[call.operation],  # type: ignore[arg-type]
             target,
             zone or "",
             str(more.get("why", "")),
--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -188,11 +188,11 @@
         classes and the attempts allowed (dockthread/admin/reload.py). A request in flight keeps the
         class it came with.
         """
-        retuned = reload.merge(
+        merged = reload.merge_settings(
             self.gateway.s, self.config.names, config.policy_settings, config.names
         )
-        reload.retune(self.gateway, retuned.settings)
-        settings = retuned.settings
+        reload.retune(self.gateway, merged.settings)
+        settings = merged.settings
         module = replace(
             self.config.policy_settings,
             classes=settings.classes,
@@ -203,16 +203,16 @@
             discovery=config.discovery,
             counter=config.counter,
             policy_settings=module,
-            names=retuned.names,
+            names=merged.names,
         )
         self.vocabulary = resp.Vocabulary(
-            retuned.names,
+            merged.names,
             module.classes,
             module.ingress_count,
             self.config.max_request_units,
-            retuned.offered,
+            merged.offered,
         )
-        self.traffic.ensure_classes(len(retuned.names.classes))
+        self.traffic.ensure_classes(len(merged.names.classes))
         self.watch.move(config.discovery)
         self.counter.move(config.counter)
 
--- a/tests/admin/test_door.py
+++ b/tests/admin/test_door.py
@@ -8,7 +8,7 @@
 import pytest
 
 from dockthread.admin import commands
-from dockthread.admin.server import Door
+from dockthread.admin.server import ManagementServer
 from dockthread.config.address import Address
 from dockthread.daemon import Daemon
 from dockthread.policy import BackendState
@@ -18,10 +18,10 @@
 @pytest.mark.parametrize(
     ("method", "path", "body", "expected"),
     [
-        (b"GET", b"/_ready", b"", commands.Command(commands.Verb.READY)),
-        (b"GET", b"/_vars?x=1", b"", commands.Command(commands.Verb.VARS)),
-        (b"POST", b"/_backends/detach", b'{"target":"s-1"}', commands.Command(commands.Verb.DETACH, "s-1")),
-        (b"POST", b"/_backends/attach", b'{"target":"s-1"}', commands.Command(commands.Verb.ATTACH, "s-1")),
+        (b"GET", b"/_ready", b"", commands.Command(commands.Operation.READY)),
+        (b"GET", b"/_vars?x=1", b"", commands.Command(commands.Operation.METRICS)),
+        (b"POST", b"/_backends/detach", b'{"target":"s-1"}', commands.Command(commands.Operation.DETACH, "s-1")),
+        (b"POST", b"/_backends/attach", b'{"target":"s-1"}', commands.Command(commands.Operation.ATTACH, "s-1")),
         (b"GET", b"/_nothing", b"", 404),
         (b"POST", b"/_ready", b"", 405),
         (b"GET", b"/_backends/detach", b"", 405),
@@ -35,11 +35,11 @@
 def test_calls_are_read_by_one_table(
     method: bytes, path: bytes, body: bytes, expected: object
 ) -> None:
-    decided = commands.decide(method, path, body)
+    decided = commands.parse_request(method, path, body)
     if isinstance(expected, commands.Command):
         assert decided == expected
     else:
-        assert isinstance(decided, commands.Answer)
+        assert isinstance(decided, commands.Response)
         assert decided.status == expected
 
 
@@ -66,7 +66,7 @@
             daemon = Daemon.__new__(Daemon)
             daemon.ingress, daemon.applied, daemon.rejected = ingress, 0, 0
             daemon._held_file = Path("/nonexistent/held.json")
-            opened = Door(daemon, Address("127.0.0.1", 0))
+            opened = ManagementServer(daemon, Address("127.0.0.1", 0))
             opened.open()
             port = opened.address.port
             silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(60)]
--- a/tests/admin/test_retune.py
+++ b/tests/admin/test_retune.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from dockthread.admin.reload import merge
+from dockthread.admin.reload import merge_settings
 from dockthread.config.ingress_config import Names
 from dockthread.config.platform_settings import _module
 from dockthread.policy import Effect, PolicySettings, RequestClass
@@ -38,14 +38,16 @@
     new: tuple[tuple[str, RequestClass], ...], module: tuple[str, ...], offered: set[str]
 ) -> None:
     settings = replace(OLD, classes=tuple(rules for _, rules in new), max_attempts=2)
-    retuned = merge(OLD, names("status", "checkout"), settings, names(*(name for name, _ in new)))
-    assert retuned.names.classes == module
-    assert retuned.offered == offered
-    assert retuned.settings.max_attempts == 2
+    merged = merge_settings(
+        OLD, names("status", "checkout"), settings, names(*(name for name, _ in new))
+    )
+    assert merged.names.classes == module
+    assert merged.offered == offered
+    assert merged.settings.max_attempts == 2
     given = dict(new)
     for number, name in enumerate(module):
         expected = given.get(name, (STATUS, CHECKOUT)[number] if number < 2 else None)
-        assert retuned.settings.classes[number] == expected
+        assert merged.settings.classes[number] == expected
 
 
 def test_a_new_class_is_served_and_a_vanished_one_refused() -> None:
