--- a/dockthread/config/ingress_config.py
+++ b/dockthread/config/ingress_config.py
@@ -1,7 +1,4 @@
-"""What one ingress is configured with, as typed values.
-
-`platform_settings.py` reads these from the platform's JSON.
-"""
+"""The types of one ingress's configuration; `platform_settings.py` reads them."""
 
 from __future__ import annotations
 
@@ -14,7 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Names:
-    """The names that messages use, in the order by which the policy engine numbers them."""
+    """The names that messages use, in the order by which the policy engine numbers them.
+
+    Attributes:
+        kinds: The kinds of backends.
+    """
 
     classes: tuple[str, ...]
     plans: tuple[str, ...]
@@ -28,8 +29,8 @@
 
     Attributes:
         listen: Where this ingress receives.
-        peers: The addresses of all ingresses by number, with this one's own.
-        everyone: An address that reaches all of them at once, where there is one.
+        peers: The addresses of all ingresses by number, including this one's own.
+        broadcast: An address that reaches all of them with one message, where there is one.
     """
 
     listen: Address
@@ -39,9 +40,28 @@
 
 @dataclass(frozen=True, slots=True)
 class IngressConfig:
-    """All that one ingress is configured with at its start.
+    """All that one ingress is configured with when it starts.
 
-    Times are in milliseconds, except in `module`, where they are in seconds.
+    Attributes:
+        name: The name of this ingress among the others.
+        listen: Where it serves clients.
+        discovery: Where it polls for the list of backends.
+        seed: The seed of the policy engine's random numbers.
+        max_sockets: How many sockets the platform lets the process open.
+        known_endpoints: The list of backends to start with, as discovery would send it.
+        policy_settings: The settings of the policy engine; their times are in seconds.
+        names: The names of the classes, plans, zones and kinds in `policy_settings`.
+        memory_mb: How much memory the platform gives to the process, in MB.
+        max_request_units: The most units that one request may ask for.
+        counter: The address of the quota counter, where there is one.
+        peers: The addresses for gossip, where the ingresses exchange any.
+        counter_timeout_ms: How long a call to the quota counter may take.
+        connection_idle_ms: How long a backend keeps an idle connection open.
+        connect_timeout_ms: How long a connection to a backend may take to open.
+        max_open_requests: The most requests that are open at once.
+        management: Where the management server listens, where there is one.
+        inherited_listener_fd: The descriptor of a listening socket for clients that the platform
+            handed over, where it did.
     """
 
     name: str
--- a/dockthread/config/platform_settings.py
+++ b/dockthread/config/platform_settings.py
@@ -1,8 +1,7 @@
-"""Reads what an operator sets: the settings, for adapter and ingress alike, and the ingress's
-configuration.
+"""Reads the platform's JSON: the ingress's configuration, and the policy engine's settings in it.
 
-Settings come in microseconds. The module is given seconds; what the ingress itself uses is in
-milliseconds.
+The policy settings also reach the simulator's adapter, without a configuration around them. Times
+are in microseconds in the JSON. The policy engine takes seconds, the ingress itself milliseconds.
 """
 
 from __future__ import annotations
@@ -25,201 +24,270 @@
     SafetyLimits,
 )
 
-SECOND, MILLISECOND = 1_000_000, 1_000
+# Microseconds, the JSON's unit of time.
+SECOND = 1_000_000
+MILLISECOND = 1_000
+
+# A JSON object as it was decoded; every use checks what it takes from it.
+JsonObject = dict[str, Any]
+
+# An ingress needs this many sockets for its listeners, discovery and a few clients and backends.
+MIN_SOCKETS = 64
+
 EFFECTS = {"pure": Effect.SAFE, "token": Effect.KEYED, "side_effect": Effect.UNSAFE}
 
 
 def read_config(environ: Mapping[str, str]) -> IngressConfig:
-    """The configuration at `NODE_CONFIG`; `NODE_NAME`, `NODE_LISTEN`, `NODE_DISCOVERY`,
-    `NODE_MANAGEMENT` override its own.
+    """Read the configuration file that `NODE_CONFIG` names.
+
+    `NODE_NAME`, `NODE_LISTEN`, `NODE_DISCOVERY` and `NODE_MANAGEMENT` override the file's values.
+
+    Raises:
+        SettingsError: There is no such file, or it cannot be used.
     """
     path = environ.get("NODE_CONFIG")
     if not path:
-        raise SettingsError("NODE_CONFIG is not set: it names the configuration file")
-    try:
-        raw = json.loads(Path(path).read_bytes())
-    except OSError as error:
-        raise SettingsError(f"cannot read {path}: {error.strerror}") from error
-    except ValueError as error:
-        raise SettingsError(f"{path} is not JSON: {error}") from error
+        raise SettingsError("is not set: it names the configuration file", key="NODE_CONFIG")
+    raw = _read_json(path)
     try:
-        return _config(raw, environ)
+        return _ingress_config(raw, environ)
     except SettingsError as error:
-        raise SettingsError(f"{path}: {error}") from error
+        raise error.in_file(path) from error
     except KeyError as error:
-        raise SettingsError(f"{path}: {error.args[0]!r} is missing") from error
+        key = error.args[0]
+        raise SettingsError(
+            "is missing", file=path, key=str(key), text=f"{path}: {key!r} is missing"
+        ) from error
     except (ValueError, TypeError, AttributeError) as error:
-        raise SettingsError(f"{path}: {error}") from error
+        raise SettingsError(str(error), file=path) from error
 
 
 def reread_config(environ: Mapping[str, str]) -> IngressConfig:
-    """The configuration after SIGHUP. The environment is as old as the process: only the file can
-    say where discovery lies now.
+    """Read the configuration again, after SIGHUP.
+
+    The environment is as old as the process, so only the file can say where discovery is now.
+
+    Raises:
+        SettingsError: As `read_config`.
     """
     return read_config({name: value for name, value in environ.items() if name != "NODE_DISCOVERY"})
 
 
-def _config(raw: dict[str, Any], environ: Mapping[str, str]) -> IngressConfig:
+def read_policy_settings_file(path: str) -> tuple[PolicySettings, Names]:
+    """Read the policy settings and the names of a file, to check an operator's file against them.
+
+    The file is the platform's configuration, or its `settings` alone.
+
+    Raises:
+        SettingsError: The file cannot be read, or holds no settings.
+    """
+    try:
+        raw = json.loads(Path(path).read_bytes())
+        settings = raw.get("settings", raw)
+        return _policy_settings(settings), _names(settings)
+    except OSError as error:
+        raise _unreadable(path, error) from error
+    except (ValueError, KeyError, TypeError, AttributeError) as error:
+        raise SettingsError(f"cannot be read: {error!r}", file=path, key="settings") from error
+
+
+def parse_policy_settings(text: bytes) -> PolicySettings:
+    """Read policy settings from their JSON text; keys that are not known are skipped.
+
+    Raises:
+        SettingsError: The text holds no settings.
+    """
+    try:
+        return _policy_settings(json.loads(text))
+    except (ValueError, KeyError, TypeError, AttributeError) as error:
+        raise SettingsError(f"cannot be read: {error!r}", key="settings") from error
+
+
+def _read_json(path: str) -> Any:
+    try:
+        return json.loads(Path(path).read_bytes())
+    except OSError as error:
+        raise _unreadable(path, error) from error
+    except ValueError as error:
+        reason = f"is not JSON: {error}"
+        raise SettingsError(reason, file=path, text=f"{path} {reason}") from error
+
+
+def _unreadable(path: str, error: OSError) -> SettingsError:
+    return SettingsError(
+        f"cannot be read: {error.strerror}", file=path, text=f"cannot read {path}: {error.strerror}"
+    )
+
+
+def _ingress_config(raw: JsonObject, environ: Mapping[str, str]) -> IngressConfig:
     settings = raw["settings"]
     if not isinstance(settings, dict):
-        raise SettingsError("settings is not an object")
-    limits, domain, machine = (
-        settings.get("Limits", {}),
-        settings.get("Domain", {}),
-        raw.get("limits", {}),
-    )
-    sockets = machine.get("sockets", 1024)
-    if sockets < 64:
-        raise SettingsError(f"limits.sockets is {sockets}, and an ingress needs at least 64")
+        raise SettingsError("is not an object", key="settings")
+    limits = settings.get("Limits", {})
+    domain = settings.get("Domain", {})
+    machine = raw.get("limits", {})
     return IngressConfig(
+        max_sockets=_max_sockets(machine),
         name=environ.get("NODE_NAME") or raw["name"],
         listen=Address.parse(environ.get("NODE_LISTEN") or raw["listen"]),
         discovery=Address.parse(environ.get("NODE_DISCOVERY") or raw["discovery"]),
         seed=int(str(raw.get("seed", "0")), 16),
-        max_sockets=sockets,
         known_endpoints=raw.get("known") or {"rev": 0, "all": True, "targets": []},
-        policy_settings=_module(settings),
+        policy_settings=_policy_settings(settings),
         names=_names(settings),
         memory_mb=float(machine.get("memory_mb", 192.0)),
         max_request_units=int(domain.get("Largest", 1_000_000)),
-        counter=Address.parse(raw["counter"]) if raw.get("counter") else None,
-        peers=_peers(raw, settings["ReplicasOfMe"]),
+        counter=_optional_address(raw.get("counter")),
+        peers=_peer_addresses(raw, settings["ReplicasOfMe"]),
         counter_timeout_ms=domain.get("CounterTimeout", SECOND / 20) / MILLISECOND,
         connection_idle_ms=limits.get("ConnIdle", 15 * SECOND) / MILLISECOND,
         connect_timeout_ms=limits.get("ConnectTimeout", SECOND / 4) / MILLISECOND,
         max_open_requests=limits.get("MaxOpen", 20_000),
-        inherited_listener_fd=int(fd) if (fd := environ.get("NODE_INHERITED_FD")) else None,
-        management=Address.parse(door)
-        if (door := environ.get("NODE_MANAGEMENT") or raw.get("management"))
-        else None,
+        inherited_listener_fd=_optional_int(environ.get("NODE_INHERITED_FD")),
+        management=_optional_address(environ.get("NODE_MANAGEMENT") or raw.get("management")),
     )
 
 
-def _peers(raw: dict[str, Any], gateways: int) -> PeerAddresses | None:
-    listen, peers, everyone = raw.get("peer_listen"), raw.get("peers"), raw.get("peers_all")
-    if not listen or not peers:
-        return None
-    if not isinstance(peers, list) or len(peers) != gateways:
-        raise SettingsError(
-            f"peers is {peers!r}; a list of {gateways} addresses, as settings.ReplicasOfMe, would do"
-        )
-    every = Address.parse(everyone) if everyone else None
-    return PeerAddresses(Address.parse(listen), tuple(map(Address.parse, peers)), every)
+def _max_sockets(machine: JsonObject) -> int:
+    sockets: int = machine.get("sockets", 1024)
+    if sockets < MIN_SOCKETS:
+        reason = f"is {sockets}, and an ingress needs at least {MIN_SOCKETS}"
+        raise SettingsError(reason, key="limits.sockets")
+    return sockets
 
 
-def read_policy_settings_file(path: str) -> tuple[PolicySettings, Names]:
-    """Settings and names of a file: the platform's configuration, or its `settings` alone. Raises
-    SettingsError.
-    """
-    try:
-        raw = json.loads(Path(path).read_bytes())
-        settings = raw.get("settings", raw)
-        return _module(settings), _names(settings)
-    except OSError as error:
-        raise SettingsError(f"cannot read {path}: {error.strerror}") from error
-    except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise SettingsError(f"{path}: settings cannot be read: {error!r}") from error
+def _optional_address(text: str | None) -> Address | None:
+    return Address.parse(text) if text else None
+
+
+def _optional_int(text: str | None) -> int | None:
+    return int(text) if text else None
+
+
+def _peer_addresses(raw: JsonObject, ingress_count: int) -> PeerAddresses | None:
+    listen = raw.get("peer_listen")
+    peers = raw.get("peers")
+    if not listen or not peers:
+        return None
+    if not isinstance(peers, list) or len(peers) != ingress_count:
+        remedy = f"a list of {ingress_count} addresses, as settings.ReplicasOfMe, would do"
+        raise SettingsError(f"is {peers!r}", key="peers", remedy=remedy)
+    broadcast = _optional_address(raw.get("peers_all"))
+    return PeerAddresses(Address.parse(listen), tuple(map(Address.parse, peers)), broadcast)
 
 
-def _names(settings: dict[str, Any]) -> Names:
+def _names(settings: JsonObject) -> Names:
     return Names(
-        classes=tuple(c["Name"] for c in settings["Classes"]),
-        plans=tuple(p["Name"] for p in settings.get("Packages", [])),
+        classes=tuple(each["Name"] for each in settings["Classes"]),
+        plans=tuple(each["Name"] for each in settings.get("Packages", [])),
         zones=tuple(settings.get("Azs", ())),
         kinds=tuple(settings.get("Models", ())),
     )
 
 
-def parse_policy_settings(text: bytes) -> PolicySettings:
-    """Settings as the module knows them; keys that it does not know are skipped."""
-    try:
-        return _module(json.loads(text))
-    except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise SettingsError(f"settings cannot be read: {error!r}") from error
-
-
-def _module(raw: dict[str, Any]) -> PolicySettings:
-    def seconds(value: float) -> float:
-        return value / SECOND
-
-    limits, safety = raw.get("Limits", {}), raw.get("Safety", {})
-    domain, costs, stats = raw.get("Domain", {}), raw.get("Costs", {}), raw.get("Stats", {})
-    for number, c in enumerate(raw["Classes"]):
-        for key in ("Aim", "HardLimit"):
-            if not c[key] > 0:
-                raise SettingsError(
-                    f"settings.Classes[{number}].{key} is {c[key]!r}; a time over 0 would do"
-                )
-    if not limits.get("SendCap", 1) > 0:
-        raise SettingsError(
-            f"settings.Limits.SendCap is {limits['SendCap']!r}; 1 attempt or more would do"
-        )
-    if not raw["Classes"]:
-        raise SettingsError("settings.Classes is empty; one class at least would do")
-    classes = tuple(
-        RequestClass(
-            latency_objective=seconds(c["Aim"]),
-            deadline=seconds(c["HardLimit"]),
-            priority_weight=c.get("Points", 1.0),
-            late_weight=c.get("LateShare", 0.0),
-            effect=EFFECTS[c["Effect"]],
-            deduplication_scope=DeduplicationScope(c.get("Group", "all")),
-            deduplication_window=seconds(c.get("Window", 0)),
-            is_stream=c.get("Stream", False),
-        )
-        for c in raw["Classes"]
-    )
-    plans = tuple(
-        Plan(
-            rate=p.get("Refill", 0.0),
-            burst=p.get("PeakUnits", 0.0),
-            max_in_flight=p.get("MaxOut", 0),
-            priority_multiplier=p.get("WorthFactor", 1.0),
-            over_quota_weight=p.get("OverWorth", 0.0),
-            over_quota_cost=p.get("ExcessCost", 0.0),
-            ceiling_rate=p.get("CeilingRate", 0.0),
-            ceiling_burst=p.get("CapDepth", 0.0),
-            ceiling_slack=p.get("Tolerance", 0.0),
-        )
-        for p in raw.get("Packages", [])
-    )
+def _policy_settings(raw: JsonObject) -> PolicySettings:
+    limits = raw.get("Limits", {})
+    domain = raw.get("Domain", {})
+    load_reports = raw.get("Stats", {})
+    _check_ranges(raw["Classes"], limits)
     return PolicySettings(
+        classes=tuple(map(_request_class, raw["Classes"])),
+        plans=tuple(map(_plan, raw.get("Packages", []))),
         ingress_number=raw["MyNumber"],
         ingress_count=raw["ReplicasOfMe"],
-        classes=classes,
-        plans=plans,
         zone=raw.get("Zone", 0),
-        clock_tick=seconds(raw.get("Period", 1000)),
-        safety=SafetyLimits(
-            answer_slack=seconds(safety.get("AnswerSlack", 0)),
-            drain_grace=seconds(safety.get("StopSendingWithin", 0)),
-            cold_capacity=safety.get("ColdShare", 1.0),
-            warm_up_time=seconds(safety.get("Cold", 0)),
-            overload_multiple=safety.get("FallMultiple", 1.0),
-            overload_time=seconds(safety.get("TipAfter", SECOND)),
-            poll_interval=seconds(safety.get("AskWithin", 10 * SECOND)),
-        ),
-        costs=CostWeights(
-            cross_zone=costs.get("CrossZone", 0.0),
-            waste=costs.get("Waste", 0.0),
-            health_check=costs.get("Probe", 0.0),
-            gossip=costs.get("Peer", 0.0),
-            late_failure=costs.get("LateFail", 0.0),
-            handshake=costs.get("Handshake", 0.0),
-        ),
+        clock_tick=_seconds(raw.get("Period", 1000)),
+        safety=_safety_limits(raw.get("Safety", {})),
+        costs=_cost_weights(raw.get("Costs", {})),
         max_attempts=limits.get("SendCap", 1),
         may_hedge=limits.get("SecondCopies", False),
         may_cancel=limits.get("Cancelling", False),
         may_check_health=limits.get("Probes", False),
         may_gossip=limits.get("Peers", False),
-        max_retry_after=seconds(limits.get("MaxRetryAfter", 0)),
+        max_retry_after=_seconds(limits.get("MaxRetryAfter", 0)),
         gossip_intake_rate=domain.get("PeerInPerS", 0.0),
         max_request_units=domain.get("Largest", 1),
         settles_units=domain.get("TruedUp", False),
-        usage_report_period=seconds(domain.get("Metering", 0)),
+        usage_report_period=_seconds(domain.get("Metering", 0)),
         may_use_counter=domain.get("MayCount", False),
-        conn_idle=seconds(limits.get("ConnIdle", 15 * SECOND)),
-        load_report_fields=tuple(stats.get("Names", ())),
-        has_load_reports=stats.get("Source") == "inline",
+        conn_idle=_seconds(limits.get("ConnIdle", 15 * SECOND)),
+        load_report_fields=tuple(load_reports.get("Names", ())),
+        has_load_reports=load_reports.get("Source") == "inline",
         must_poll_endpoints=raw.get("Discovery") == "subscribe",
     )
+
+
+def _check_ranges(classes: list[JsonObject], limits: JsonObject) -> None:
+    """Reject values with which the policy engine would compute nonsense."""
+    for number, request_class in enumerate(classes):
+        for key in ("Aim", "HardLimit"):
+            if not request_class[key] > 0:
+                raise SettingsError(
+                    f"is {request_class[key]!r}",
+                    key=f"settings.Classes[{number}].{key}",
+                    remedy="a time over 0 would do",
+                )
+    if not limits.get("SendCap", 1) > 0:
+        raise SettingsError(
+            f"is {limits['SendCap']!r}",
+            key="settings.Limits.SendCap",
+            remedy="1 attempt or more would do",
+        )
+    if not classes:
+        raise SettingsError(
+            "is empty", key="settings.Classes", remedy="one class at least would do"
+        )
+
+
+def _request_class(raw: JsonObject) -> RequestClass:
+    return RequestClass(
+        latency_objective=_seconds(raw["Aim"]),
+        deadline=_seconds(raw["HardLimit"]),
+        priority_weight=raw.get("Points", 1.0),
+        late_weight=raw.get("LateShare", 0.0),
+        effect=EFFECTS[raw["Effect"]],
+        deduplication_scope=DeduplicationScope(raw.get("Group", "all")),
+        deduplication_window=_seconds(raw.get("Window", 0)),
+        is_stream=raw.get("Stream", False),
+    )
+
+
+def _plan(raw: JsonObject) -> Plan:
+    return Plan(
+        rate=raw.get("Refill", 0.0),
+        burst=raw.get("PeakUnits", 0.0),
+        max_in_flight=raw.get("MaxOut", 0),
+        priority_multiplier=raw.get("WorthFactor", 1.0),
+        over_quota_weight=raw.get("OverWorth", 0.0),
+        over_quota_cost=raw.get("ExcessCost", 0.0),
+        ceiling_rate=raw.get("CeilingRate", 0.0),
+        ceiling_burst=raw.get("CapDepth", 0.0),
+        ceiling_slack=raw.get("Tolerance", 0.0),
+    )
+
+
+def _safety_limits(raw: JsonObject) -> SafetyLimits:
+    return SafetyLimits(
+        answer_slack=_seconds(raw.get("AnswerSlack", 0)),
+        drain_grace=_seconds(raw.get("StopSendingWithin", 0)),
+        cold_capacity=raw.get("ColdShare", 1.0),
+        warm_up_time=_seconds(raw.get("Cold", 0)),
+        overload_multiple=raw.get("FallMultiple", 1.0),
+        overload_time=_seconds(raw.get("TipAfter", SECOND)),
+        poll_interval=_seconds(raw.get("AskWithin", 10 * SECOND)),
+    )
+
+
+def _cost_weights(raw: JsonObject) -> CostWeights:
+    return CostWeights(
+        cross_zone=raw.get("CrossZone", 0.0),
+        waste=raw.get("Waste", 0.0),
+        health_check=raw.get("Probe", 0.0),
+        gossip=raw.get("Peer", 0.0),
+        late_failure=raw.get("LateFail", 0.0),
+        handshake=raw.get("Handshake", 0.0),
+    )
+
+
+def _seconds(microseconds: float) -> float:
+    return microseconds / SECOND
--- a/dockthread/config/quantities.py
+++ b/dockthread/config/quantities.py
@@ -1,10 +1,10 @@
-"""Quantities with units, as the operator's file writes them: `250ms`, `10s`, `64KiB`."""
+"""Quantities with units, as the operator's file writes them: `250ms`, `10s`, `64KiB`, `5%`."""
 
 from __future__ import annotations
 
 import re
 
-MILLISECONDS = {
+MILLISECONDS_BY_UNIT = {
     "us": 0.001,
     "ms": 1.0,
     "s": 1_000.0,
@@ -12,9 +12,21 @@
     "min": 60_000.0,
     "h": 3_600_000.0,
 }
-BYTES = {"b": 1, "kib": 1 << 10, "mib": 1 << 20, "gib": 1 << 30, "kb": 1_000, "mb": 1_000_000}
-NUMBER = re.compile(r"([0-9]+(?:\.[0-9]+)?)\s*([A-Za-z]*)")
-YES, NO = ("yes", "true", "on", "1"), ("no", "false", "off", "0")
+BYTES_BY_UNIT = {
+    "b": 1,
+    "kib": 1 << 10,
+    "mib": 1 << 20,
+    "gib": 1 << 30,
+    "kb": 1_000,
+    "mb": 1_000_000,
+}
+# The units in which a quantity is shown, the largest first.
+SHOWN_DURATION_UNITS = (("h", 3_600_000), ("min", 60_000), ("s", 1_000))
+SHOWN_SIZE_UNITS = (("GiB", 1 << 30), ("MiB", 1 << 20), ("KiB", 1 << 10))
+QUANTITY = re.compile(r"([0-9]+(?:\.[0-9]+)?)\s*([A-Za-z]*)")
+SHARE = re.compile(r"([0-9]+(?:\.[0-9]+)?)\s*(%?)")
+TRUE_WORDS = ("yes", "true", "on", "1")
+FALSE_WORDS = ("no", "false", "off", "0")
 
 
 class Duration(float):
@@ -22,16 +34,20 @@
 
     @classmethod
     def parse(cls, text: str) -> Duration:
-        """Raises ValueError for what is no number with a unit of time."""
-        found = NUMBER.fullmatch(text.strip())
-        if found is None or found[2].lower() not in MILLISECONDS:
+        """Read a number with a unit of time, such as `250ms`.
+
+        Raises:
+            ValueError: The text is no such number.
+        """
+        match = QUANTITY.fullmatch(text.strip())
+        if match is None or match[2].lower() not in MILLISECONDS_BY_UNIT:
             raise ValueError(
                 "is not a duration: a number and one of us, ms, s, min, h, such as 250ms or 10s"
             )
-        return cls(float(found[1]) * MILLISECONDS[found[2].lower()])
+        return cls(float(match[1]) * MILLISECONDS_BY_UNIT[match[2].lower()])
 
     def __str__(self) -> str:
-        for unit, size in (("h", 3_600_000), ("min", 60_000), ("s", 1_000)):
+        for unit, size in SHOWN_DURATION_UNITS:
             if self >= size and self % size == 0:
                 return f"{int(self / size)}{unit}"
         return f"{self:g}ms" if self >= 1 or not self else f"{self * 1000:g}us"
@@ -42,14 +58,18 @@
 
     @classmethod
     def parse(cls, text: str) -> Size:
-        """Raises ValueError for what is no number with a unit of size."""
-        found = NUMBER.fullmatch(text.strip())
-        if found is None or found[2].lower() not in BYTES:
+        """Read a number with a unit of size, such as `64KiB`.
+
+        Raises:
+            ValueError: The text is no such number.
+        """
+        match = QUANTITY.fullmatch(text.strip())
+        if match is None or match[2].lower() not in BYTES_BY_UNIT:
             raise ValueError("is not a size: a number and one of B, KiB, MiB, GiB, such as 64KiB")
-        return cls(float(found[1]) * BYTES[found[2].lower()])
+        return cls(float(match[1]) * BYTES_BY_UNIT[match[2].lower()])
 
     def __str__(self) -> str:
-        for unit, size in (("GiB", 1 << 30), ("MiB", 1 << 20), ("KiB", 1 << 10)):
+        for unit, size in SHOWN_SIZE_UNITS:
             if self >= size and self % size == 0:
                 return f"{int(self) // size}{unit}"
         return f"{int(self)}B"
@@ -60,18 +80,27 @@
 
     @classmethod
     def parse(cls, text: str) -> Share:
-        """Raises ValueError for what is no part."""
-        found = re.fullmatch(r"([0-9]+(?:\.[0-9]+)?)\s*(%?)", text.strip())
-        if found is None:
+        """Read a number, or a percentage.
+
+        Raises:
+            ValueError: The text is neither.
+        """
+        match = SHARE.fullmatch(text.strip())
+        if match is None:
             raise ValueError("is no share: write a number such as 0.05, or 5%")
-        return cls(float(found[1]) / (100.0 if found[2] else 1.0))
+        return cls(float(match[1]) / (100.0 if match[2] else 1.0))
 
     def __str__(self) -> str:
         return f"{float(self):g}"
 
 
 def parse_bool(text: str) -> bool:
+    """Read `yes` or `no`, or one of their synonyms, in any case.
+
+    Raises:
+        ValueError: The text is neither.
+    """
     word = text.strip().lower()
-    if word not in YES + NO:
+    if word not in TRUE_WORDS + FALSE_WORDS:
         raise ValueError("is neither yes nor no")
-    return word in YES
+    return word in TRUE_WORDS
--- a/dockthread/config/section_registry.py
+++ b/dockthread/config/section_registry.py
@@ -1,6 +1,6 @@
-"""The one place that joins the sections: which kinds there are, and where the file lies.
+"""The operator's file: where it is, which sections it may have, and what they say together.
 
-A new subsystem adds its section's type here, and nothing else about it.
+A new subsystem adds its section's type to `SECTION_KINDS`, and nothing else about itself.
 """
 
 from __future__ import annotations
@@ -39,87 +39,101 @@
     "fleet": SectionKind(FleetOptions),
     "control": SectionKind(ControlOptions),
 }
-VARIABLE = "DOCKTHREAD_CONFIG"
+PATH_VARIABLE = "DOCKTHREAD_CONFIG"
 
 
 def operator_file_path(environ: Mapping[str, str], option: str | None) -> str | None:
-    """The operator's file: `--config` before `DOCKTHREAD_CONFIG`; None where there is none."""
-    return option or environ.get(VARIABLE) or None
+    """Return the path of the operator's file; None where there is no such file.
+
+    The command line's `--config`, given as `option`, wins over `DOCKTHREAD_CONFIG`.
+    """
+    return option or environ.get(PATH_VARIABLE) or None
 
 
 def parse_operator_file(
     text: str, file: str, settings: PolicySettings | None = None, names: Names | None = None
 ) -> OperatorConfig:
-    """With the platform's settings, routes are proved against them; without, only against each
-    other.
+    """Read the text of an operator's file, with everything that is wrong with it.
+
+    With the platform's `settings` and `names` the routes are checked against these; without them
+    only against each other. `file` is the name that problems show.
     """
-    found = read_sections(text, file, SECTION_KINDS)
-    found.problems += check(file, found.named_sections("route"), settings, names)
-    for name in shared_names(found.named_sections("graphite"), found.named_sections("collectd")):
-        found.problems.append(
-            ConfigProblem(
-                file, f"collectd {name}", "", "has the name of a graphite receiver", "rename one"
-            )
-        )
-    found.problems += _control_problems(file, found)
-    return found
+    config = read_sections(text, file, SECTION_KINDS)
+    config.problems += check(file, config.named_sections("route"), settings, names)
+    config.problems += _receiver_problems(file, config)
+    config.problems += _control_problems(file, config)
+    return config
 
 
-def _control_problems(file: str, found: OperatorConfig) -> list[ConfigProblem]:
-    """What `[control]` and `[fleet]` say against each other; nothing where either could not be
-    read.
-    """
-    if "control" not in found.sections or "fleet" not in found.sections:
+def _receiver_problems(file: str, config: OperatorConfig) -> list[ConfigProblem]:
+    shared = shared_names(config.named_sections("graphite"), config.named_sections("collectd"))
+    reason = "has the name of a graphite receiver"
+    return [ConfigProblem(file, f"collectd {name}", "", reason, "rename one") for name in shared]
+
+
+def _control_problems(file: str, config: OperatorConfig) -> list[ConfigProblem]:
+    """Check `[control]` against `[fleet]`; there is no problem where either could not be read."""
+    if "control" not in config.sections or "fleet" not in config.sections:
         return []
-    control, fleet = found.section("control"), found.section("fleet")
+    control = config.section("control")
+    fleet = config.section("fleet")
     if control.role != "voter":
         return []
     if not fleet.listen:
-        return [
-            ConfigProblem(
-                file,
-                "control",
-                "role",
-                "is voter, and there is no [fleet]",
-                "write [fleet] with all voters",
-            )
-        ]
+        reason = "is voter, and there is no [fleet]"
+        return [ConfigProblem(file, "control", "role", reason, "write [fleet] with all voters")]
     if control.name not in fleet.addresses():
-        wrong = f"{control.name!r} is not among the members of [fleet]"
-        return [
-            ConfigProblem(file, "control", "name", wrong, f"one of {', '.join(fleet.addresses())}")
-        ]
+        reason = f"{control.name!r} is not among the members of [fleet]"
+        remedy = f"one of {', '.join(fleet.addresses())}"
+        return [ConfigProblem(file, "control", "name", reason, remedy)]
     return []
 
 
 def read_operator_file(
     path: str, settings: PolicySettings | None = None, names: Names | None = None
 ) -> OperatorConfig:
-    """All of a file, with all that is wrong with it. A file that cannot be read is one problem."""
+    """Read an operator's file, with everything that is wrong with it.
+
+    A file that cannot be read at all has one problem. For `settings` and `names` see
+    `parse_operator_file`.
+    """
     try:
         with Path(path).open("rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
         if len(data) > MAX_FILE_BYTES:
-            return _nothing(path, f"is larger than {MAX_FILE_BYTES} bytes", "name an INI file")
+            return _unreadable(path, f"is larger than {MAX_FILE_BYTES} bytes", "name an INI file")
         return parse_operator_file(data.decode(), path, settings, names)
     except OSError as error:
-        return _nothing(path, f"cannot be read: {error.strerror}", "name a file that can")
+        return _unreadable(path, f"cannot be read: {error.strerror}", "name a file that can")
     except UnicodeDecodeError:
-        return _nothing(path, "is not UTF-8 text", "name an INI file")
+        return _unreadable(path, "is not UTF-8 text", "name an INI file")
 
 
 def load_operator_file(
     path: str, settings: PolicySettings | None = None, names: Names | None = None
 ) -> OperatorConfig:
-    """A file without a fault. Raises SettingsError with its first fault, and how many more there
-    are.
+    """Read an operator's file that has to be good. Warnings do not count.
+
+    For `settings` and `names` see `parse_operator_file`.
+
+    Raises:
+        SettingsError: The file has errors. The text shows the first, and how many there are more.
     """
-    found = read_operator_file(path, settings, names)
-    if errors := found.errors:
-        more = f" (and {len(errors) - 1} more: dockthread check {path})" if len(errors) > 1 else ""
-        raise SettingsError(f"{errors[0]}{more}")
-    return found
+    config = read_operator_file(path, settings, names)
+    if errors := config.errors:
+        first = errors[0]
+        others = len(errors) - 1
+        more = f" (and {others} more: dockthread check {path})" if others else ""
+        raise SettingsError(
+            first.reason,
+            file=first.file,
+            section=first.section,
+            key=first.key,
+            remedy=first.remedy,
+            text=f"{first}{more}",
+        )
+    return config
 
 
-def _nothing(path: str, wrong: str, would_do: str) -> OperatorConfig:
-    return OperatorConfig(path, problems=[ConfigProblem(path, "", "", wrong, would_do)])
+def _unreadable(path: str, reason: str, remedy: str) -> OperatorConfig:
+    return OperatorConfig(path, problems=[ConfigProblem(path, "", "", reason, remedy)])
--- a/tests/admin/test_retune.py
+++ b/tests/admin/test_retune.py
@@ -9,7 +9,7 @@
 
 from dockthread.admin.reload import merge_settings
 from dockthread.config.ingress_config import Names
-from dockthread.config.platform_settings import _module
+from dockthread.config.platform_settings import _policy_settings
 from dockthread.policy import Effect, PolicySettings, RequestClass
 from tests.loopback import SETTINGS, Backend, run, serving
 
@@ -62,7 +62,9 @@
             raw: dict[str, Any] = SETTINGS | {"Classes": [renew, SETTINGS["Classes"][1]]}
             assert "unknown class" in str(await client.call("renew"))
             read = replace(ingress.config.names, classes=("renew", "checkout"))
-            ingress.reconfigure(replace(ingress.config, policy_settings=_module(raw), names=read))
+            ingress.reconfigure(
+                replace(ingress.config, policy_settings=_policy_settings(raw), names=read)
+            )
             assert await client.call("renew") == b"value"
             assert await client.call("checkout") == b"value"
             assert "unknown class" in str(await client.call("status"))
