--- a/dockthread/control_plane/ingress.py
+++ b/dockthread/control_plane/ingress.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from dockthread.config.address import Address
-from dockthread.config.ingress_config import Config
+from dockthread.config.ingress_config import IngressConfig
 from dockthread.control_plane.batch_applier import ResourceKey, key_of
 from dockthread.control_plane.client import (
     ControlPlaneClient,
@@ -73,7 +73,7 @@
         """Stop receiving, and write the cache."""
         await self.client.close()
 
-    def with_published_addresses(self, config: Config) -> Config:
+    def with_published_addresses(self, config: IngressConfig) -> IngressConfig:
         """Return a configuration that was read again, with the published addresses."""
         self._configured = config
         return replace(
--- a/dockthread/control_plane/options.py
+++ b/dockthread/control_plane/options.py
@@ -7,12 +7,12 @@
 
 from collections.abc import Iterable
 from pathlib import Path
-from typing import Final, Literal, NamedTuple
+from typing import Final, Literal
 
 import msgspec
 
 from dockthread.config.address import Address
-from dockthread.config.ini_reader import Section
+from dockthread.config.ini_reader import KeyProblem, Section
 from dockthread.config.quantities import Duration, Size
 from dockthread.control_plane.messages import MAX_NAME_BYTES
 from dockthread.telemetry.options import host_port
@@ -40,14 +40,6 @@
 ROLES: Final = "ingress, distributor, voter"
 
 
-class SettingFault(NamedTuple):
-    """What is wrong with one key of the section, and what would do."""
-
-    key: str
-    fault: str
-    would_do: str
-
-
 class KeyFileError(ValueError):
     """The file of the shared key cannot be read or has a wrong length."""
 
@@ -89,53 +81,53 @@
     heartbeat: Duration = Duration(1_000.0)
     snapshot_rate: Size = Size(20_000_000)
 
-    def faults(self) -> Iterable[SettingFault]:
+    def problems(self) -> Iterable[KeyProblem]:
         """Yield everything that is wrong with this section by itself."""
         if self.role is None:
             if self.listen or self.servers or self.cache:
-                yield SettingFault("role", "is missing", f"write one of {ROLES}")
+                yield KeyProblem("role", "is missing", f"write one of {ROLES}")
             return
-        yield from self._address_faults()
-        yield from self._name_faults()
-        yield from self._budget_faults()
+        yield from self._address_problems()
+        yield from self._name_problems()
+        yield from self._budget_problems()
 
-    def _address_faults(self) -> Iterable[SettingFault]:
+    def _address_problems(self) -> Iterable[KeyProblem]:
         if self.listen and host_port(self.listen) is None:
-            yield SettingFault("listen", f"{self.listen!r} is no address", "write HOST:PORT")
+            yield KeyProblem("listen", f"{self.listen!r} is no address", "write HOST:PORT")
         if self.role == "ingress" and self.listen:
-            yield SettingFault(
+            yield KeyProblem(
                 "listen", "is set, and an ingress serves no subscribers", "leave it out"
             )
         if self.role != "ingress" and not self.listen:
-            yield SettingFault(
+            yield KeyProblem(
                 "listen",
                 "is missing",
                 f"write the address at which this {self.role} serves, HOST:PORT",
             )
         if self.role != "voter" and not self.servers:
-            yield SettingFault(
+            yield KeyProblem(
                 "servers",
                 "is missing",
                 f"name those from which this {self.role} receives, HOST:PORT, ...",
             )
         if self.role == "voter" and self.servers:
-            yield SettingFault("servers", "is set, and a voter receives by [fleet]", "leave it out")
+            yield KeyProblem("servers", "is set, and a voter receives by [fleet]", "leave it out")
         if self.far_servers and not self.servers:
-            yield SettingFault(
+            yield KeyProblem(
                 "far_servers", "is set without servers", "name the near ones in servers"
             )
         named = (*self.servers, *self.far_servers)
         for key, servers in (("servers", self.servers), ("far_servers", self.far_servers)):
             for server in servers:
                 if host_port(server) is None:
-                    yield SettingFault(key, f"{server!r} is no address", "write HOST:PORT")
+                    yield KeyProblem(key, f"{server!r} is no address", "write HOST:PORT")
                 elif named.count(server) > 1:
-                    yield SettingFault(key, f"names {server} twice", "name each once")
+                    yield KeyProblem(key, f"names {server} twice", "name each once")
                     return
 
-    def _name_faults(self) -> Iterable[SettingFault]:
+    def _name_problems(self) -> Iterable[KeyProblem]:
         if self.role != "ingress" and not self.name:
-            yield SettingFault(
+            yield KeyProblem(
                 "name", "is missing", f"write a name of this {self.role} that no other has"
             )
         for key in ("name", "region", "zone"):
@@ -143,33 +135,33 @@
             if len(value.encode()) > MAX_NAME_BYTES or any(
                 character.isspace() for character in value
             ):
-                yield SettingFault(
+                yield KeyProblem(
                     key,
                     f"{value[:SHOWN_CHARACTERS]!r} is no name",
                     f"write {MAX_NAME_BYTES} bytes at most, without spaces",
                 )
 
-    def _budget_faults(self) -> Iterable[SettingFault]:
+    def _budget_problems(self) -> Iterable[KeyProblem]:
         if self.cache_interval < MIN_CACHE_INTERVAL:
-            yield SettingFault(
+            yield KeyProblem(
                 "cache_interval",
                 f"{self.cache_interval} is too short",
                 f"{MIN_CACHE_INTERVAL:g}ms at least; 10s is usual",
             )
         if not 1 <= self.max_connections <= MAX_CONNECTIONS:
-            yield SettingFault(
+            yield KeyProblem(
                 "most_connections", f"{self.max_connections} is out of range", "1 to 10000"
             )
         if not MIN_WRITE_BUFFER <= self.write_buffer <= MAX_WRITE_BUFFER:
-            yield SettingFault(
+            yield KeyProblem(
                 "write_buffer", f"{self.write_buffer} is out of range", "4KiB to 16MiB"
             )
         if self.snapshot_rate < MIN_SNAPSHOT_RATE:
-            yield SettingFault(
+            yield KeyProblem(
                 "snapshot_rate", f"{self.snapshot_rate} is too low", "1MB at least; 20MB is usual"
             )
         if not MIN_HEARTBEAT <= self.heartbeat <= MAX_HEARTBEAT:
-            yield SettingFault(
+            yield KeyProblem(
                 "heartbeat", f"{self.heartbeat} is out of range", f"{MIN_HEARTBEAT:g}ms to 1s"
             )
 
--- a/dockthread/control_plane/process.py
+++ b/dockthread/control_plane/process.py
@@ -15,7 +15,7 @@
 
 from dockthread.clock import Clock
 from dockthread.config.address import Address
-from dockthread.config.section_registry import load
+from dockthread.config.section_registry import load_operator_file
 from dockthread.control_plane.distributor import Distributor
 from dockthread.control_plane.options import ControlOptions
 from dockthread.control_plane.server import server_settings_from_options
@@ -81,16 +81,16 @@
         ValueError: The key or the directory of the log cannot be used.
         RaftStorageError: The log was lost.
     """
-    sections = load(file)
-    control = sections.one("control")
-    log = sections.one("log")
+    sections = load_operator_file(file)
+    control = sections.section("control")
+    log = sections.section("log")
     if control.role not in ("voter", "distributor"):
         role = control.role or "missing"
         raise SettingsError(f"{file}: [control] role: is {role}; voter or distributor would do")
     level = os.environ.get("DOCKTHREAD_LOG") or log.level
     set_up(level.upper(), log, ingress=control.name)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(_run(control, sections.one("fleet")))
+        runner.run(_run(control, sections.section("fleet")))
 
 
 def serve(file: str) -> int:
