--- a/tests/lab/test_cold_ramp.py
+++ b/tests/lab/test_cold_ramp.py
@@ -11,17 +11,17 @@
 from dockthread.lab.slow_start.simulation import TWO_KINDS, Scene
 from dockthread.policy import SafetyLimits
 from dockthread.policy.slow_start import Ramp
-from tests.policy.harness import BASE, OPEN, RATE, Drive, entry
+from tests.policy.harness import OPEN_PLAN, RATE_PLAN, SETTINGS, IngressHarness, endpoint
 
 
-@pytest.mark.parametrize("plan", [OPEN, RATE])
+@pytest.mark.parametrize("plan", [OPEN_PLAN, RATE_PLAN])
 def test_a_request_held_for_long_is_sent_though_its_customer_was_forgotten(plan: int) -> None:
-    drive = Drive(replace(BASE, may_gossip=False), workers=0)
-    request = drive.ask(plan=plan, left=30.0)
+    ingress = IngressHarness(replace(SETTINGS, may_gossip=False), backends=0)
+    request = ingress.send_request(plan=plan, remaining_time=30.0)
     # a store of 8 units is full again after 4 s, and so its customer as good as new
-    drive.run(drive.now + 8.0)
-    drive.listed(entry(0))
-    assert drive.let_in(request)
+    ingress.run_until(ingress.now + 8.0)
+    ingress.list_endpoints(endpoint(0))
+    assert ingress.is_admitted(request)
 
 
 SIZES = ((3, 12, 8), (30, 12, 4), (200, 20, 1))  # ingresses, backends, seeds
--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -22,6 +22,7 @@
     GossipReceived,
     Outcome,
     Plan,
+    PolicyEngine,
     PolicySettings,
     Reject,
     RequestArrived,
@@ -31,7 +32,6 @@
     SendGossip,
     SetTimer,
     TimerFired,
-    engine,
     gossip_codec,
 )
 
@@ -48,14 +48,14 @@
     ),
     RequestClass(1.0, 4.0, priority_weight=5, effect=Effect.UNSAFE),
 )
-OPEN, RATE, CEILING = 0, 1, 2
+OPEN_PLAN, RATE_PLAN, CEILING_PLAN = 0, 1, 2
 PLANS = (
     Plan(),
     Plan(rate=2.0, burst=8.0, over_quota_cost=1.0),
     Plan(rate=2.0, burst=8.0, ceiling_rate=4.0, ceiling_burst=16.0, ceiling_slack=2.0),
     Plan(max_in_flight=2),
 )
-BASE = PolicySettings(
+SETTINGS = PolicySettings(
     ingress_number=0,
     ingress_count=2,
     classes=CLASSES,
@@ -68,201 +68,269 @@
 )
 
 
-class Drive:
-    """One gateway under a clock; its timers fire, and what it does is noted."""
+class IngressHarness:
+    """One policy engine under a manual clock that fires its timers and records its actions.
 
-    def __init__(self, s: PolicySettings = BASE, workers: int = 3, seed: int = 1) -> None:
-        self.now, self.next = 100.0, 0
-        self.gateway = engine.PolicyEngine(s, seed, self.now)
+    Attributes:
+        now: the clock, s.
+        last_request: number of the request that arrived last.
+        attempts: attempts sent, by request, in the order sent.
+        answers: final answers, by request; more than one would be an error of the engine.
+        sent_gossip: gossip that no test has delivered yet.
+        cancelled: (request, attempt) of each cancelled attempt.
+        counter_totals: totals of a shared counter of this ingress's own, by name.
+    """
+
+    def __init__(
+        self, settings: PolicySettings = SETTINGS, backends: int = 3, seed: int = 1
+    ) -> None:
+        self.now = 100.0
+        self.last_request = 0
+        self.engine = PolicyEngine(settings, seed, self.now)
         self.timers: list[tuple[float, int]] = []
-        self.sent: dict[int, list[SendAttempt]] = {}
-        self.final: dict[int, list[str]] = {}
-        self.told: list[SendGossip] = []
+        self.attempts: dict[int, list[SendAttempt]] = {}
+        self.answers: dict[int, list[str]] = {}
+        self.sent_gossip: list[SendGossip] = []
         self.cancelled: list[tuple[int, int]] = []
-        self.numbers: dict[int, float] = {}  # on a counter of its own
-        self.listed(*(entry(n) for n in range(workers)), kind=EndpointListKind.CACHED)
+        self.counter_totals: dict[int, float] = {}
+        self.list_endpoints(*(endpoint(n) for n in range(backends)), kind=EndpointListKind.CACHED)
 
-    def give(self, event: Event) -> list[Action]:
-        actions = self.gateway.handle(self.now, event)
+    def handle(self, event: Event) -> list[Action]:
+        """Give the engine an event and record its actions."""
+        actions = self.engine.handle(self.now, event)
         for action in actions:
             match action:
                 case SendAttempt():
-                    self.sent.setdefault(action.request, []).append(action)
+                    self.attempts.setdefault(action.request, []).append(action)
                 case Reject():
-                    self.final.setdefault(action.request, []).append("refused")
+                    self.answers.setdefault(action.request, []).append("refused")
                 case Fail():
-                    self.final.setdefault(action.request, []).append("failed")
+                    self.answers.setdefault(action.request, []).append("failed")
                 case SetTimer():
                     self.timers.append((action.at, action.token))
                 case SendGossip():
-                    self.told.append(action)
+                    self.sent_gossip.append(action)
                 case CancelAttempt():
                     self.cancelled.append((action.request, action.attempt))
         return actions
 
-    def listed(self, *entries: Endpoint, kind: EndpointListKind = EndpointListKind.CHANGES) -> None:
-        self.give(EndpointsListed(kind, entries))
+    def list_endpoints(
+        self, *endpoints: Endpoint, kind: EndpointListKind = EndpointListKind.CHANGES
+    ) -> None:
+        self.handle(EndpointsListed(kind, endpoints))
 
-    def ask(self, cls: int = SAFE, plan: int = OPEN, customer: int = 7, **more: float) -> int:
-        self.next += 1
-        spread = int(more.pop("spread", 1))
-        left, units, first = (
-            more.get("left", 4.0),
-            more.get("units", 1.0),
-            int(more.get("first", 0)),
+    def send_request(
+        self,
+        request_class: int = SAFE,
+        plan: int = OPEN_PLAN,
+        customer: int = 7,
+        *,
+        remaining_time: float = 4.0,
+        units: float = 1.0,
+        spread: int = 1,
+        first_ingress: int = 0,
+    ) -> int:
+        """Let a request arrive and return its number."""
+        self.last_request += 1
+        self.handle(
+            RequestArrived(
+                self.last_request,
+                request_class,
+                plan,
+                customer,
+                remaining_time,
+                units,
+                spread,
+                first_ingress,
+            )
         )
-        self.give(RequestArrived(self.next, cls, plan, customer, left, units, spread, first))
-        return self.next
+        return self.last_request
 
-    def end(
+    def end_attempt(
         self,
         request: int,
         attempt: int,
         outcome: Outcome,
-        true_units: float = 0.0,
-        took: float = 0.1,
+        actual_units: float = 0.0,
+        duration: float = 0.1,
     ) -> None:
-        send = self.sent[request][attempt]
+        """End an attempt; its request is final if this or an earlier answer ended it."""
+        send = self.attempts[request][attempt]
         ok = outcome is Outcome.OK
         if ok:
-            self.final.setdefault(request, []).append("served")
-        done = bool(self.final.get(request))
-        self.give(AttemptEnded(request, attempt, send.backend, outcome, done, took, true_units))
+            self.answers.setdefault(request, []).append("served")
+        done = bool(self.answers.get(request))
+        self.handle(
+            AttemptEnded(request, attempt, send.backend, outcome, done, duration, actual_units)
+        )
 
-    def run(self, until: float) -> None:
+    def run_until(self, until: float) -> None:
+        """Fire all timers that are due by then, in order, and set the clock."""
         while due := sorted(t for t in self.timers if t[0] <= until):
             self.timers.remove(due[0])
             self.now = max(self.now, due[0][0])
-            self.give(TimerFired(due[0][1]))
+            self.handle(TimerFired(due[0][1]))
         self.now = until
 
-    def let_in(self, request: int) -> bool:
-        return request in self.sent
+    def is_admitted(self, request: int) -> bool:
+        return request in self.attempts
 
 
-def entry(
-    n: int, state: BackendState = BackendState.READY, started: float = 0.0, cell: int = 0
+def endpoint(
+    number: int, state: BackendState = BackendState.READY, started: float = 0.0, cell: int = 0
 ) -> Endpoint:
-    return Endpoint(1000 + n, state, 0, 0, cell, 1.0, started)
-
-
-def heavy(drive: Drive, seconds: float, rate: float, spread: int = 1, told: object = None) -> float:
-    """Units a second let in of a customer that asks for `rate` units a second."""
-    passed, start = 0, drive.now
-    while drive.now < start + seconds:
-        drive.run(drive.now + 1 / rate)
-        if callable(told):
-            told()
-        request = drive.ask(UNSAFE, RATE, spread=spread)
-        if drive.let_in(request):
+    """Make the listed endpoint of backend 1000 + `number`."""
+    return Endpoint(1000 + number, state, 0, 0, cell, 1.0, started)
+
+
+def admitted_rate(ingress: IngressHarness, seconds: float, rate: float, spread: int = 1) -> float:
+    """Measure the admitted units/s of a customer that requests `rate` units/s of one ingress."""
+    passed, start = 0, ingress.now
+    while ingress.now < start + seconds:
+        ingress.run_until(ingress.now + 1 / rate)
+        request = ingress.send_request(UNSAFE, RATE_PLAN, spread=spread)
+        if ingress.is_admitted(request):
             passed += 1
-            drive.end(request, 0, Outcome.OK)
+            ingress.end_attempt(request, 0, Outcome.OK)
     return passed / seconds
 
 
-def exchange(drives: list[Drive], lost: random.Random | None = None) -> None:
-    """Hand over what was told since the last time, but for one in five where some are lost."""
-    for number, drive in enumerate(drives):
-        told, drive.told = drive.told, []
-        for tell in told:
+def exchange_gossip(ingresses: list[IngressHarness], lost: random.Random | None = None) -> None:
+    """Deliver the gossip sent since the last exchange; with `lost`, drop one message in five."""
+    for number, ingress in enumerate(ingresses):
+        messages, ingress.sent_gossip = ingress.sent_gossip, []
+        for message in messages:
             if lost is None or lost.random() > 0.2:
-                assert tell.peer is not None
-                drives[tell.peer].give(GossipReceived(number, tell.data))
+                assert message.peer is not None
+                ingresses[message.peer].handle(GossipReceived(number, message.data))
 
 
-def fleet(count: int, **more: object) -> list[Drive]:
-    s = replace(BASE, ingress_count=count, **more)  # type: ignore[arg-type]
-    return [Drive(replace(s, ingress_number=n), seed=n + 1) for n in range(count)]
+def make_ingresses(count: int, **more: object) -> list[IngressHarness]:
+    """Make `count` ingresses of one deployment; `more` are settings that differ."""
+    settings = replace(SETTINGS, ingress_count=count, **more)  # type: ignore[arg-type]
+    return [
+        IngressHarness(replace(settings, ingress_number=number), seed=number + 1)
+        for number in range(count)
+    ]
 
 
-def spread_out(
-    drives: list[Drive], seconds: float, rate: float, lost: random.Random | None = None
+def admitted_rate_of_all(
+    ingresses: list[IngressHarness], seconds: float, rate: float, lost: random.Random | None = None
 ) -> float:
-    """Units a second let in of a customer whose requests come to all gateways in turn."""
-    passed, rng, start = 0, random.Random(5), drives[0].now
-    while drives[0].now < start + seconds:
-        for drive in drives:
-            drive.run(drive.now + 1 / rate)
-        exchange(drives, lost)
-        drive = rng.choice(drives)
-        request = drive.ask(UNSAFE, RATE, spread=len(drives))
-        if drive.let_in(request):
+    """Measure the admitted units/s of a customer whose requests are spread over all ingresses."""
+    passed, rng, start = 0, random.Random(5), ingresses[0].now
+    while ingresses[0].now < start + seconds:
+        for ingress in ingresses:
+            ingress.run_until(ingress.now + 1 / rate)
+        exchange_gossip(ingresses, lost)
+        ingress = rng.choice(ingresses)
+        request = ingress.send_request(UNSAFE, RATE_PLAN, spread=len(ingresses))
+        if ingress.is_admitted(request):
             passed += 1
-            drive.end(request, 0, Outcome.OK)
+            ingress.end_attempt(request, 0, Outcome.OK)
     return passed / seconds
 
 
-def silence(drive: Drive, worker: int, count: int) -> None:
-    """All workers answer at once, but one never does."""
+def leave_unanswered(ingress: IngressHarness, backend: int, count: int) -> None:
+    """Send `count` requests; all backends answer at once but the given one, which never does."""
     for _ in range(count):
-        request = drive.ask(SAFE)
-        for number, send in enumerate(list(drive.sent[request])):
-            if send.backend != worker:
-                drive.end(request, number, Outcome.OK)
-        drive.run(drive.now + 0.2)
-
-
-def report(
-    key: int, plan: int, arrived: float, spent: float, left: float, out: int = 0, life: int = 1
+        request = ingress.send_request(SAFE)
+        for number, send in enumerate(list(ingress.attempts[request])):
+            if send.backend != backend:
+                ingress.end_attempt(request, number, Outcome.OK)
+        ingress.run_until(ingress.now + 0.2)
+
+
+def customer_gossip(
+    customer: int,
+    plan: int,
+    arrived: float,
+    spent: float,
+    left: float,
+    in_flight: int = 0,
+    incarnation: int = 1,
 ) -> bytes:
+    """Encode a gossip message with one customer's report; sums and `left` are in units."""
     sums = gossip_codec.whole(arrived), gossip_codec.whole(spent)
-    return gossip_codec.pack(life, [], [gossip_codec.Report(key, plan, out, *sums, left)])
+    report = gossip_codec.Report(customer, plan, in_flight, *sums, left)
+    return gossip_codec.pack(incarnation, [], [report])
 
 
-SHARED = replace(BASE, may_gossip=False, may_use_counter=True, usage_report_period=1.0)
+COUNTER_SETTINGS = replace(
+    SETTINGS, may_gossip=False, may_use_counter=True, usage_report_period=1.0
+)
 
 
-def counts(actions: list[Action]) -> list[AddToCounter]:
-    return [a for a in actions if isinstance(a, AddToCounter)]
+def counter_calls(actions: list[Action]) -> list[AddToCounter]:
+    """Pick the calls of the shared counter out of these actions."""
+    return [action for action in actions if isinstance(action, AddToCounter)]
 
 
-def total(drive: Drive, call: AddToCounter, others: float = 0.0) -> CounterReplied:
-    """The counter's answer to a call, after what the others added."""
-    drive.numbers[call.name] = drive.numbers.get(call.name, 0.0) + call.amount + others
-    return CounterReplied(call.name, Outcome.OK, drive.numbers[call.name])
+def counter_reply(
+    ingress: IngressHarness, call: AddToCounter, others: float = 0.0
+) -> CounterReplied:
+    """Add a call to the counter after `others` units of other ingresses, and make its reply."""
+    ingress.counter_totals[call.name] = (
+        ingress.counter_totals.get(call.name, 0.0) + call.amount + others
+    )
+    return CounterReplied(call.name, Outcome.OK, ingress.counter_totals[call.name])
 
 
-def settle(drive: Drive, called: list[AddToCounter], others: float = 0.0) -> None:
-    """Answer these calls and all that follow; the others' units come before the first."""
+def answer_counter_calls(
+    ingress: IngressHarness, called: list[AddToCounter], others: float = 0.0
+) -> None:
+    """Answer these calls and all that follow; `others` units are added before the first."""
     while called:
-        called += counts(drive.give(total(drive, called.pop(0), others)))
+        called += counter_calls(ingress.handle(counter_reply(ingress, called.pop(0), others)))
         others = 0.0
 
 
-def spend(drive: Drive, most: int = 30) -> tuple[int, AddToCounter]:
-    """Ask until what the others let in decides; the request then held, and the call. All before is
-    answered.
+def request_beyond_even_split(
+    ingress: IngressHarness, max_requests: int = 30
+) -> tuple[int, AddToCounter]:
+    """Send requests until one waits for the counter.
+
+    Returns:
+        The waiting request and the counter call it waits for; all earlier calls are answered.
+
+    Raises:
+        AssertionError: no request waited.
     """
-    for _ in range(most):
-        drive.next, drive.now = drive.next + 1, drive.now + 0.01
-        asked = RequestArrived(drive.next, SAFE, RATE, 7, 4.0, 1.0, 2, 0)
-        called = counts(drive.give(asked))
-        if called and not drive.sent.get(drive.next):
-            return drive.next, called[0]
-        settle(drive, called)
-    raise AssertionError("the counter was never asked")
-
-
-REPORTS = replace(
-    BASE, ingress_count=1, load_report_fields=("rif", "rate", "q"), has_load_reports=True
+    for _ in range(max_requests):
+        ingress.last_request, ingress.now = ingress.last_request + 1, ingress.now + 0.01
+        arrived = RequestArrived(ingress.last_request, SAFE, RATE_PLAN, 7, 4.0, 1.0, 2, 0)
+        called = counter_calls(ingress.handle(arrived))
+        if called and not ingress.attempts.get(ingress.last_request):
+            return ingress.last_request, called[0]
+        answer_counter_calls(ingress, called)
+    raise AssertionError("the counter was never called")
+
+
+LOAD_REPORT_SETTINGS = replace(
+    SETTINGS, ingress_count=1, load_report_fields=("rif", "rate", "q"), has_load_reports=True
 )
 
 
-def answered(drive: Drive, request: int, load: tuple[float, ...], took: float = 0.1) -> None:
-    send = drive.sent[request][0]
-    ended = AttemptEnded(request, 0, send.backend, Outcome.OK, True, took, 0.0, None, load)
-    drive.give(ended)
+def answer_with_load(
+    ingress: IngressHarness, request: int, load: tuple[float, ...], duration: float = 0.1
+) -> None:
+    """End a request's first attempt well, with a load report."""
+    send = ingress.attempts[request][0]
+    ended = AttemptEnded(request, 0, send.backend, Outcome.OK, True, duration, 0.0, None, load)
+    ingress.handle(ended)
 
 
-def chosen(
-    drive: Drive, load: dict[int, float], took: dict[int, float], many: int = 300
+def requests_by_backend(
+    ingress: IngressHarness, load: dict[int, float], durations: dict[int, float], count: int = 300
 ) -> dict[int, int]:
-    """How many requests each worker was sent, while each tells its load and takes its time."""
+    """Count the requests that each backend is sent, given its reported load and duration (s)."""
     sent = dict.fromkeys(load, 0)
-    for n in range(many):
-        request = drive.ask()
-        worker = drive.sent[request][0].backend
-        sent[worker] += 1
-        answered(drive, request, (load[worker] + n % 2 * 0.1, 10.0, 0.0), took[worker])
-        drive.run(drive.now + 0.05)
+    for number in range(count):
+        request = ingress.send_request()
+        backend = ingress.attempts[request][0].backend
+        sent[backend] += 1
+        answer_with_load(
+            ingress, request, (load[backend] + number % 2 * 0.1, 10.0, 0.0), durations[backend]
+        )
+        ingress.run_until(ingress.now + 0.05)
     return sent
--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -15,61 +15,63 @@
     ClientDisconnected,
     Outcome,
 )
-from tests.policy.harness import BASE, KEYED, SAFE, UNSAFE, Drive, entry
+from tests.policy.harness import KEYED, SAFE, SETTINGS, UNSAFE, IngressHarness, endpoint
 
 
-def test_no_worker_means_a_refusal_in_time() -> None:
-    drive = Drive(workers=0)
-    request = drive.ask()
-    drive.run(drive.now + 4.0)
-    assert drive.final[request] == ["refused"]
+def test_request_without_any_backend_is_rejected_in_time() -> None:
+    ingress = IngressHarness(backends=0)
+    request = ingress.send_request()
+    ingress.run_until(ingress.now + 4.0)
+    assert ingress.answers[request] == ["refused"]
 
 
-def test_held_request_goes_out_when_a_worker_comes() -> None:
-    drive = Drive(workers=0)
-    request = drive.ask(UNSAFE)
-    drive.listed(entry(4))
-    assert drive.sent[request][0].backend == 1004
+def test_waiting_request_is_sent_when_a_backend_is_listed() -> None:
+    ingress = IngressHarness(backends=0)
+    request = ingress.send_request(UNSAFE)
+    ingress.list_endpoints(endpoint(4))
+    assert ingress.attempts[request][0].backend == 1004
 
 
 @pytest.mark.parametrize(
     "outcome", [Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CANCELLED]
 )
-def test_unsafe_that_may_have_run_only_fails(outcome: Outcome) -> None:
-    drive = Drive()
-    request = drive.ask(UNSAFE)
-    drive.end(request, 0, outcome)
-    assert len(drive.sent[request]) == 1
-    assert drive.final[request] == ["failed"]
+def test_unsafe_request_that_may_have_run_is_not_retried(outcome: Outcome) -> None:
+    ingress = IngressHarness()
+    request = ingress.send_request(UNSAFE)
+    ingress.end_attempt(request, 0, outcome)
+    assert len(ingress.attempts[request]) == 1
+    assert ingress.answers[request] == ["failed"]
 
 
 @pytest.mark.parametrize("outcome", [Outcome.AT_CAPACITY, Outcome.UNREACHABLE])
-def test_unsafe_that_never_ran_goes_elsewhere(outcome: Outcome) -> None:
-    drive = Drive()
-    request = drive.ask(UNSAFE)
-    drive.end(request, 0, outcome)
-    first, second = drive.sent[request]
+def test_unsafe_request_that_never_ran_is_retried_on_another_backend(outcome: Outcome) -> None:
+    ingress = IngressHarness()
+    request = ingress.send_request(UNSAFE)
+    ingress.end_attempt(request, 0, outcome)
+    first, second = ingress.attempts[request]
     assert first.backend != second.backend
 
 
-def test_keyed_repeat_stays_in_its_cell_and_window() -> None:
-    drive = Drive(workers=0)
-    drive.listed(entry(0, cell=1), entry(1, cell=2), entry(2, cell=2), entry(3, cell=1))
+def test_keyed_retry_stays_in_its_cell_and_deduplication_window() -> None:
+    ingress = IngressHarness(backends=0)
+    ingress.list_endpoints(
+        endpoint(0, cell=1), endpoint(1, cell=2), endpoint(2, cell=2), endpoint(3, cell=1)
+    )
     cells = {1000: 1, 1001: 2, 1002: 2, 1003: 1}
     for _ in range(10):
-        request = drive.ask(KEYED)
-        drive.end(request, 0, Outcome.ERROR)
-        first, second = drive.sent[request]
+        request = ingress.send_request(KEYED)
+        ingress.end_attempt(request, 0, Outcome.ERROR)
+        first, second = ingress.attempts[request]
         assert cells[first.backend] == cells[second.backend]
         assert first.backend != second.backend
         assert first.start_deadline == math.inf
-        assert second.start_deadline == pytest.approx(drive.now + 3.0 - BASE.clock_tick)
-    drive.end(again := drive.ask(SAFE), 0, Outcome.ERROR)
-    assert [send.start_deadline for send in drive.sent[again]] == [math.inf] * 2
-    late = drive.ask(KEYED)
-    drive.now += 3.0
-    drive.end(late, 0, Outcome.ERROR)
-    assert len(drive.sent[late]) == 1
+        assert second.start_deadline == pytest.approx(ingress.now + 3.0 - SETTINGS.clock_tick)
+    ingress.end_attempt(again := ingress.send_request(SAFE), 0, Outcome.ERROR)
+    assert [send.start_deadline for send in ingress.attempts[again]] == [math.inf] * 2
+    late = ingress.send_request(KEYED)
+    ingress.now += 3.0
+    ingress.end_attempt(late, 0, Outcome.ERROR)
+    assert len(ingress.attempts[late]) == 1
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
@@ -77,73 +79,75 @@
     st.lists(st.tuples(st.integers(0, 4), st.integers(0, 2), st.floats(0.0, 0.7)), max_size=60),
     st.booleans(),
 )
-def test_one_answer_in_time_and_no_effect_twice(
+def test_each_request_gets_one_answer_in_time_and_no_effect_twice(
     steps: list[tuple[int, int, float]], copies: bool
 ) -> None:
-    drive = Drive(replace(BASE, may_hedge=copies), workers=4)
+    ingress = IngressHarness(replace(SETTINGS, may_hedge=copies), backends=4)
     asked: dict[int, tuple[int, float]] = {}
     ended: dict[int, dict[int, Outcome]] = {}
     outcomes = (Outcome.OK, Outcome.ERROR, Outcome.AT_CAPACITY, Outcome.UNREACHABLE)
     for what, which, pause in steps:
-        drive.run(drive.now + pause)
-        every = [(r, n) for r, sends in drive.sent.items() for n in range(len(sends))]
+        ingress.run_until(ingress.now + pause)
+        every = [(r, n) for r, sends in ingress.attempts.items() for n in range(len(sends))]
         out = [(r, n) for r, n in every if n not in ended.get(r, {})]
-        for request, number in [x for x in out if x in drive.cancelled]:
+        for request, number in [x for x in out if x in ingress.cancelled]:
             ended.setdefault(request, {})[number] = Outcome.CANCELLED
-            drive.end(request, number, Outcome.CANCELLED)
+            ingress.end_attempt(request, number, Outcome.CANCELLED)
         out = [(r, n) for r, n in out if n not in ended.get(r, {})]
         if what < 2 or not out:
-            request = drive.ask(which)
-            asked[request] = (which, drive.now + 4.0)
+            request = ingress.send_request(which)
+            asked[request] = (which, ingress.now + 4.0)
         else:
             request, number = out[which % len(out)]
             outcome = outcomes[what - 1]
             ended.setdefault(request, {})[number] = outcome
-            if outcome is Outcome.OK and drive.final.get(request):
+            if outcome is Outcome.OK and ingress.answers.get(request):
                 outcome = Outcome.CANCELLED
-            drive.end(request, number, outcome)
+            ingress.end_attempt(request, number, outcome)
         for request, (cls, _) in asked.items():
-            sends = drive.sent.get(request, [])
+            sends = ingress.attempts.get(request, [])
             gone = ended.get(request, {})
             unproven = [n for n in range(len(sends)) if gone.get(n) not in NEVER_RAN]
-            assert len(drive.final.get(request, [])) <= 1
+            assert len(ingress.answers.get(request, [])) <= 1
             if cls == UNSAFE:
                 assert len(unproven) <= 1
                 assert all(n == len(sends) - 1 for n in unproven)
-                assert not (unproven and drive.final.get(request) == ["refused"])
+                assert not (unproven and ingress.answers.get(request) == ["refused"])
             if cls == KEYED and unproven:
-                assert drive.final.get(request) != ["refused"]
+                assert ingress.answers.get(request) != ["refused"]
             if not copies:
                 assert sum(n not in gone for n in range(len(sends))) <= 1
-    drive.run(drive.now + 5)
-    assert all(len(drive.final.get(r, [])) == 1 for r in asked)
+    ingress.run_until(ingress.now + 5)
+    assert all(len(ingress.answers.get(r, [])) == 1 for r in asked)
 
 
-def test_nothing_is_sent_for_a_finished_request() -> None:
-    drive = Drive()
-    request = drive.ask()
-    drive.give(ClientDisconnected(request))
-    drive.give(AttemptEnded(request, 0, drive.sent[request][0].backend, Outcome.ERROR, False, 0.1))
-    drive.run(drive.now + 5)
-    assert len(drive.sent[request]) == 1
-    assert request not in drive.final
+def test_no_attempt_is_sent_after_the_client_disconnected() -> None:
+    ingress = IngressHarness()
+    request = ingress.send_request()
+    ingress.handle(ClientDisconnected(request))
+    ingress.handle(
+        AttemptEnded(request, 0, ingress.attempts[request][0].backend, Outcome.ERROR, False, 0.1)
+    )
+    ingress.run_until(ingress.now + 5)
+    assert len(ingress.attempts[request]) == 1
+    assert request not in ingress.answers
 
 
-def test_slow_answers_are_not_copied_while_the_worker_answers() -> None:
-    drive = Drive(workers=1)
-    slow = drive.ask(SAFE)
+def test_slow_request_is_not_hedged_while_its_backend_responds() -> None:
+    ingress = IngressHarness(backends=1)
+    slow = ingress.send_request(SAFE)
     for _ in range(20):
-        request = drive.ask(SAFE)
-        drive.run(drive.now + 0.1)
-        drive.end(request, 0, Outcome.OK)
-    drive.listed(entry(1))
-    assert len(drive.sent[slow]) == 1
-
-
-def test_what_no_worker_can_be_given_is_refused_before_half_its_time_is_over() -> None:
-    drive = Drive(workers=0)
-    request = drive.ask(left=4.0)
-    drive.run(drive.now + 1.5)
-    assert not drive.final.get(request)
-    drive.run(drive.now + 0.6)
-    assert drive.final[request] == ["refused"]
+        request = ingress.send_request(SAFE)
+        ingress.run_until(ingress.now + 0.1)
+        ingress.end_attempt(request, 0, Outcome.OK)
+    ingress.list_endpoints(endpoint(1))
+    assert len(ingress.attempts[slow]) == 1
+
+
+def test_request_that_no_backend_can_take_is_rejected_at_half_its_deadline() -> None:
+    ingress = IngressHarness(backends=0)
+    request = ingress.send_request(remaining_time=4.0)
+    ingress.run_until(ingress.now + 1.5)
+    assert not ingress.answers.get(request)
+    ingress.run_until(ingress.now + 0.6)
+    assert ingress.answers[request] == ["refused"]
--- a/tests/policy/test_engine.py
+++ b/tests/policy/test_engine.py
@@ -19,28 +19,35 @@
     RequestArrived,
     TimerFired,
 )
-from tests.policy.harness import BASE, RATE, SHARED, UNSAFE, Drive, entry
+from tests.policy.harness import (
+    COUNTER_SETTINGS,
+    RATE_PLAN,
+    SETTINGS,
+    UNSAFE,
+    IngressHarness,
+    endpoint,
+)
 
 
 @pytest.mark.parametrize("change", [{"ingress_count": 1}, {"may_gossip": False}, {"plans": ()}])
-def test_ordinary_settings(change: dict[str, object]) -> None:
-    s = replace(BASE, **{"plans": (Plan(),), **change})  # type: ignore[arg-type]
-    drive = Drive(s)
-    drive.run(drive.now + 1)
-    assert not drive.told or s.ingress_count > 1
+def test_engine_runs_alone_without_gossip_and_without_plans(change: dict[str, object]) -> None:
+    s = replace(SETTINGS, **{"plans": (Plan(),), **change})  # type: ignore[arg-type]
+    ingress = IngressHarness(s)
+    ingress.run_until(ingress.now + 1)
+    assert not ingress.sent_gossip or s.ingress_count > 1
     if s.plans:
-        assert drive.let_in(drive.ask())
+        assert ingress.is_admitted(ingress.send_request())
 
 
-def test_same_events_same_actions_and_nothing_shared() -> None:
+def test_same_seed_and_events_give_the_same_actions() -> None:
     def play() -> list[list[Action]]:
-        drive = Drive(seed=3)
-        return [drive.give(RequestArrived(r, r % 3, r % 4, r % 5, 4.0)) for r in range(1, 80)]
+        ingress = IngressHarness(seed=3)
+        return [ingress.handle(RequestArrived(r, r % 3, r % 4, r % 5, 4.0)) for r in range(1, 80)]
 
     assert play() == play()
 
 
-def test_files_named_as_policy_exist_and_stay_short() -> None:
+def test_files_listed_as_policy_exist_and_stay_short() -> None:
     root = Path(__file__).parents[2]
     named = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["policy"]
     assert len(named) == len(set(named))
@@ -50,33 +57,33 @@
         assert max(map(len, lines)) <= 100, file
 
 
-def test_list_that_failed_is_asked_for_again() -> None:
-    drive = Drive(replace(BASE, must_poll_endpoints=True))
-    drive.give(EndpointsListed(EndpointListKind.FAILED, ()))
+def test_failed_endpoint_list_is_polled_again() -> None:
+    ingress = IngressHarness(replace(SETTINGS, must_poll_endpoints=True))
+    ingress.handle(EndpointsListed(EndpointListKind.FAILED, ()))
     asked = False
-    while drive.timers and not asked and drive.now < 110:
-        due = min(drive.timers)
-        drive.timers.remove(due)
-        drive.now = due[0]
-        asked = PollEndpoints() in drive.give(TimerFired(due[1]))
+    while ingress.timers and not asked and ingress.now < 110:
+        due = min(ingress.timers)
+        ingress.timers.remove(due)
+        ingress.now = due[0]
+        asked = PollEndpoints() in ingress.handle(TimerFired(due[1]))
     assert asked
-    assert drive.let_in(drive.ask())
+    assert ingress.is_admitted(ingress.send_request())
 
 
-def test_who_is_gone_is_forgotten_and_who_comes_again_starts_clean() -> None:
-    drive = Drive(SHARED)
+def test_removed_backends_and_idle_customers_expire_and_a_restarted_backend_starts_clean() -> None:
+    ingress = IngressHarness(COUNTER_SETTINGS)
     for customer in range(500):
-        drive.end(drive.ask(plan=RATE, customer=customer), 0, Outcome.OK)
-    held = drive.ask(UNSAFE, plan=RATE, customer=1000)
-    worker = drive.gateway.workers[drive.sent[held][0].backend]
-    worker.failed, worker.full_until = 0.9, {RATE: math.inf}
-    drive.listed(replace(worker.entry, started_at=drive.now))
-    assert (worker.failed, worker.full_until) == (0.0, {})
-    drive.listed(entry(50), kind=EndpointListKind.FULL)
-    drive.run(drive.now + 40)
-    assert set(drive.gateway.workers) == {worker.entry.backend, 1050}  # one has a call out
-    assert set(drive.gateway.customers) == {1000}
-    drive.end(held, 0, Outcome.OK)
-    drive.run(drive.now + 10)
-    assert set(drive.gateway.workers) == {1050}
-    assert not drive.gateway.customers
+        ingress.end_attempt(ingress.send_request(plan=RATE_PLAN, customer=customer), 0, Outcome.OK)
+    held = ingress.send_request(UNSAFE, plan=RATE_PLAN, customer=1000)
+    backend = ingress.engine.workers[ingress.attempts[held][0].backend]
+    backend.failed, backend.full_until = 0.9, {RATE_PLAN: math.inf}
+    ingress.list_endpoints(replace(backend.entry, started_at=ingress.now))
+    assert (backend.failed, backend.full_until) == (0.0, {})
+    ingress.list_endpoints(endpoint(50), kind=EndpointListKind.FULL)
+    ingress.run_until(ingress.now + 40)
+    assert set(ingress.engine.workers) == {backend.entry.backend, 1050}  # one has a call out
+    assert set(ingress.engine.customers) == {1000}
+    ingress.end_attempt(held, 0, Outcome.OK)
+    ingress.run_until(ingress.now + 10)
+    assert set(ingress.engine.workers) == {1050}
+    assert not ingress.engine.customers
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -14,45 +14,53 @@
     gossip,
     gossip_codec,
 )
-from tests.policy.harness import RATE, SAFE, UNSAFE, Drive, exchange, fleet, report
+from tests.policy.harness import (
+    RATE_PLAN,
+    SAFE,
+    UNSAFE,
+    IngressHarness,
+    customer_gossip,
+    exchange_gossip,
+    make_ingresses,
+)
 
 
-def test_what_others_say_of_a_worker_counts_only_where_it_is_silent_here() -> None:
-    drive = Drive()
-    request = drive.ask(UNSAFE)
-    w = drive.gateway.workers[drive.sent[request][0].backend]
-    drive.end(request, 0, Outcome.OK)
-    said = GossipReceived(1, gossip_codec.pack(1, [(w.code, 0.8)], []))
-    drive.give(said)
-    assert w.failed == 0.0
-    drive.run(drive.now + gossip.TRUST + 0.1)
-    drive.give(said)
-    assert w.failed == pytest.approx(0.8, abs=0.01)
+def test_gossip_about_a_backend_counts_only_without_recent_responses_here() -> None:
+    ingress = IngressHarness()
+    request = ingress.send_request(UNSAFE)
+    backend = ingress.engine.workers[ingress.attempts[request][0].backend]
+    ingress.end_attempt(request, 0, Outcome.OK)
+    said = GossipReceived(1, gossip_codec.pack(1, [(backend.code, 0.8)], []))
+    ingress.handle(said)
+    assert backend.failed == 0.0
+    ingress.run_until(ingress.now + gossip.TRUST + 0.1)
+    ingress.handle(said)
+    assert backend.failed == pytest.approx(0.8, abs=0.01)
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.integers(-1, 3), st.binary(max_size=80))
-def test_garbled_messages_do_no_harm(peer: int, data: bytes) -> None:
-    drive = Drive()
-    drive.give(GossipReceived(peer, data))
-    assert drive.let_in(drive.ask(SAFE, RATE))
+def test_garbled_gossip_is_ignored(peer: int, data: bytes) -> None:
+    ingress = IngressHarness()
+    ingress.handle(GossipReceived(peer, data))
+    assert ingress.is_admitted(ingress.send_request(SAFE, RATE_PLAN))
 
 
 @pytest.mark.parametrize("bad", [math.inf, -math.inf, math.nan])
-def test_absurd_figures_change_nothing(bad: float) -> None:
-    drive = Drive()
+def test_gossip_with_absurd_numbers_is_ignored(bad: float) -> None:
+    ingress = IngressHarness()
     for form in (gossip_codec.NARROW, gossip_codec.WIDE):
         head = gossip_codec.HEAD.pack(gossip_codec.VERSION, 1, 0, form is gossip_codec.WIDE)
-        drive.give(GossipReceived(1, head + form.pack(7, RATE, 0, 9, 9, bad)))
-        drive.give(GossipReceived(1, head + form.pack(7, 200, 0, 9, 9, 1.0)))
-    drive.give(GossipReceived(5, report(7, RATE, 9.0, 9.0, 0.0)))
-    assert 7 not in drive.gateway.customers
+        ingress.handle(GossipReceived(1, head + form.pack(7, RATE_PLAN, 0, 9, 9, bad)))
+        ingress.handle(GossipReceived(1, head + form.pack(7, 200, 0, 9, 9, 1.0)))
+    ingress.handle(GossipReceived(5, customer_gossip(7, RATE_PLAN, 9.0, 9.0, 0.0)))
+    assert 7 not in ingress.engine.customers
 
 
 @pytest.mark.parametrize(("widest", "most"), [((1 << 32) - 1, 21), (1 << 32, 15)])
-def test_short_customer_ids_leave_room_for_more_reports(widest: int, most: int) -> None:
+def test_narrow_customer_ids_leave_room_for_more_reports(widest: int, most: int) -> None:
     keys = [7, widest]
-    reports = [gossip_codec.Report(key, RATE, 1, 2, 3, 4.0) for key in keys * 10]
+    reports = [gossip_codec.Report(key, RATE_PLAN, 1, 2, 3, 4.0) for key in keys * 10]
     assert gossip_codec.room(0, keys) == most
     told = gossip_codec.unpack(data := gossip_codec.pack(1, [], reports[:most]), 3)
     assert (
@@ -61,19 +69,19 @@
     assert gossip_codec.unpack(data[:-1], 3) is None
 
 
-def test_largest_customer_id_travels() -> None:
+def test_largest_customer_id_is_carried_by_gossip() -> None:
     key = (1 << 64) - 1
-    drives = fleet(2)
-    for drive in drives:
+    ingresses = make_ingresses(2)
+    for ingress in ingresses:
         for _ in range(4):
-            drive.ask(SAFE, RATE, customer=key, spread=2)
-        drive.run(drive.now + 1)
-    exchange(drives)
-    assert any(drive.gateway.customers[key].told for drive in drives)
+            ingress.send_request(SAFE, RATE_PLAN, customer=key, spread=2)
+        ingress.run_until(ingress.now + 1)
+    exchange_gossip(ingresses)
+    assert any(ingress.engine.customers[key].told for ingress in ingresses)
 
 
-def test_suspicion_is_told() -> None:
-    drive = Drive()
-    w = drive.gateway.workers[1001]
-    drive.give(GossipReceived(1, gossip_codec.pack(1, [(w.code, 0.8)], [])))
-    assert w.failed == pytest.approx(0.8, abs=0.01)
+def test_suspected_backend_in_gossip_is_believed() -> None:
+    ingress = IngressHarness()
+    backend = ingress.engine.workers[1001]
+    ingress.handle(GossipReceived(1, gossip_codec.pack(1, [(backend.code, 0.8)], [])))
+    assert backend.failed == pytest.approx(0.8, abs=0.01)
--- a/tests/policy/test_list_size.py
+++ b/tests/policy/test_list_size.py
@@ -27,135 +27,140 @@
 from dockthread.policy.backend_pool import MOST_WEIGHED, SCANNED, SLOTS_PER_CHANGE
 from tests.loopback import Backend, message, run, serving, target, until
 from tests.net.test_parsers import HEAD, chunks, destinations
-from tests.policy.harness import BASE, KEYED, SAFE, Drive
+from tests.policy.harness import KEYED, SAFE, SETTINGS, IngressHarness
 
 MANY = 24_000
 
 
-def entry(n: int, state: BackendState = BackendState.READY, started: float = 0.0) -> Endpoint:
+def endpoint(n: int, state: BackendState = BackendState.READY, started: float = 0.0) -> Endpoint:
     return Endpoint(1000 + n, state, n % 3, n % 2, n // 12, 1.0, started)
 
 
-def long_list(count: int = MANY, **changes: object) -> Drive:
-    drive = Drive(replace(BASE, ingress_count=400, may_gossip=False, **changes), workers=0)  # type: ignore[arg-type]
-    drive.listed(*(entry(n) for n in range(count)), kind=EndpointListKind.FULL)
-    drive.run(drive.now + 1)
-    return drive
+def long_list(count: int = MANY, **changes: object) -> IngressHarness:
+    settings = replace(SETTINGS, ingress_count=400, may_gossip=False, **changes)  # type: ignore[arg-type]
+    ingress = IngressHarness(settings, backends=0)
+    ingress.list_endpoints(*(endpoint(n) for n in range(count)), kind=EndpointListKind.FULL)
+    ingress.run_until(ingress.now + 1)
+    return ingress
 
 
-def test_a_change_costs_by_its_own_size() -> None:
-    drive, drawn = long_list(), random.Random(3)
-    pool = drive.gateway.pool
+def test_cost_of_a_change_does_not_depend_on_the_list_length() -> None:
+    ingress, drawn = long_list(), random.Random(3)
+    pool = ingress.engine.pool
     before = pool.visits
     for _ in range(200):
-        drive.listed(entry(drawn.randrange(MANY), BackendState.DRAINING))
+        ingress.list_endpoints(endpoint(drawn.randrange(MANY), BackendState.DRAINING))
     assert pool.visits - before <= 3 * 200
-    assert len(pool) == sum(w.ready for w in drive.gateway.workers.values())
+    assert len(pool) == sum(backend.ready for backend in ingress.engine.workers.values())
 
 
-def test_housekeeping_visits_only_workers_whose_figures_move() -> None:
-    drive = long_list()
-    pool = drive.gateway.pool
+def test_maintenance_visits_only_backends_whose_weight_moves() -> None:
+    ingress = long_list()
+    pool = ingress.engine.pool
     before = pool.visits
-    drive.run(drive.now + 10)
+    ingress.run_until(ingress.now + 10)
     assert pool.visits == before, "nothing moves"
-    drive.listed(*(entry(n, started=drive.now) for n in range(5)))
-    request = drive.ask(SAFE)
-    drive.end(request, 0, Outcome.ERROR)
-    drive.end(request, 1, Outcome.OK)
-    drive.run(drive.now + 5)
+    ingress.list_endpoints(*(endpoint(n, started=ingress.now) for n in range(5)))
+    request = ingress.send_request(SAFE)
+    ingress.end_attempt(request, 0, Outcome.ERROR)
+    ingress.end_attempt(request, 1, Outcome.OK)
+    ingress.run_until(ingress.now + 5)
     assert (len(pool.failing), len(pool.cold)) == (1, 5)
     assert pool.visits - before <= 6 * 2 * (5 / 0.25 + 2)
-    drive.run(drive.now + 6)
+    ingress.run_until(ingress.now + 6)
     assert not pool.cold, "warm by now"
     assert pool.failing
-    drive.run(drive.now + 60 * 10)
+    ingress.run_until(ingress.now + 60 * 10)
     assert not pool.failing, "in a long list failures rest at a thousandth"
 
 
-def test_where_all_warm_up_at_once_a_round_weighs_some_and_each_has_its_turn() -> None:
-    drive = Drive(replace(BASE, ingress_count=400, may_gossip=False), workers=0)
-    drive.listed(*(entry(n, started=drive.now) for n in range(MANY)), kind=EndpointListKind.FULL)
-    pool = drive.gateway.pool
-    drive.run(drive.now + 1)
+def test_maintenance_weighs_a_bounded_number_in_turn_when_all_warm_up_at_once() -> None:
+    ingress = IngressHarness(replace(SETTINGS, ingress_count=400, may_gossip=False), backends=0)
+    ingress.list_endpoints(
+        *(endpoint(n, started=ingress.now) for n in range(MANY)), kind=EndpointListKind.FULL
+    )
+    pool = ingress.engine.pool
+    ingress.run_until(ingress.now + 1)
     assert not pool.warm
     before = pool.visits
-    drive.run(drive.now + 1)
+    ingress.run_until(ingress.now + 1)
     assert 0 < pool.visits - before <= 5 * MOST_WEIGHED
-    drive.run(drive.now + 10 + MANY / MOST_WEIGHED * 0.25)
+    ingress.run_until(ingress.now + 10 + MANY / MOST_WEIGHED * 0.25)
     assert pool.warm and not pool.cold
-    assert len({w.place for w in pool.draw(random.Random(1), 64)}) > 50
+    assert len({backend.place for backend in pool.draw(random.Random(1), 64)}) > 50
 
 
-def test_a_lost_zone_is_drawn_from_no_more_and_forgotten() -> None:
-    drive, lost = long_list(), range(0, MANY, 14)
-    pool = drive.gateway.pool
+def test_backends_of_a_lost_zone_are_not_drawn_and_expire() -> None:
+    ingress, lost = long_list(), range(0, MANY, 14)
+    pool = ingress.engine.pool
     for n in lost:
-        drive.listed(entry(n, BackendState.REMOVED))
+        ingress.list_endpoints(endpoint(n, BackendState.REMOVED))
     gone = {1000 + n for n in lost}
     for _ in range(300):
-        assert drive.sent[drive.ask(SAFE)][0].backend not in gone
-    drive.run(drive.now + 40)
-    assert len(drive.gateway.workers) == len(pool) == MANY - len(lost)
-    assert not drive.gateway.leaving
+        assert ingress.attempts[ingress.send_request(SAFE)][0].backend not in gone
+    ingress.run_until(ingress.now + 40)
+    assert len(ingress.engine.workers) == len(pool) == MANY - len(lost)
+    assert not ingress.engine.leaving
 
 
-def test_sums_follow_the_shares_of_a_long_list() -> None:
-    """A worker whose share has fallen is drawn the less from the next round of housekeeping on."""
-    drive = long_list()
-    ill = list(drive.gateway.workers.values())[: MANY // 2]
-    for worker in ill:
-        worker.failed = 0.9
-    drive.run(drive.now + 0.3)
-    drawn = drive.gateway.pool.draw(random.Random(1), 20_000)
-    assert sum(w.failed > 0 for w in drawn) < 20_000 * 0.05
+def test_cumulative_weights_follow_the_weights_of_a_long_list() -> None:
+    """A backend whose share has fallen is drawn the less from the next round of housekeeping on."""
+    ingress = long_list()
+    ill = list(ingress.engine.workers.values())[: MANY // 2]
+    for backend in ill:
+        backend.failed = 0.9
+    ingress.run_until(ingress.now + 0.3)
+    drawn = ingress.engine.pool.draw(random.Random(1), 20_000)
+    assert sum(backend.failed > 0 for backend in drawn) < 20_000 * 0.05
 
 
 @pytest.mark.parametrize(
     "group", [DeduplicationScope.ALL, DeduplicationScope.ZONE, DeduplicationScope.CELL]
 )
-def test_a_repeat_in_a_long_list_stays_in_its_group(group: DeduplicationScope) -> None:
+def test_a_retry_in_a_long_list_stays_in_its_deduplication_scope(group: DeduplicationScope) -> None:
     classes = (
-        BASE.classes[SAFE],
-        replace(BASE.classes[KEYED], deduplication_scope=group),
-        BASE.classes[2],
+        SETTINGS.classes[SAFE],
+        replace(SETTINGS.classes[KEYED], deduplication_scope=group),
+        SETTINGS.classes[2],
     )
-    drive = long_list(classes=classes)
+    ingress = long_list(classes=classes)
     for _ in range(20):
-        request = drive.ask(KEYED)
-        drive.end(request, 0, Outcome.RESET)
-        first, second = (drive.gateway.workers[send.backend].entry for send in drive.sent[request])
+        request = ingress.send_request(KEYED)
+        ingress.end_attempt(request, 0, Outcome.RESET)
+        first, second = (
+            ingress.engine.workers[send.backend].entry for send in ingress.attempts[request]
+        )
         assert first.backend != second.backend
         assert group is DeduplicationScope.ALL or first.zone == second.zone
         assert group is not DeduplicationScope.CELL or first.cell == second.cell
 
 
 @pytest.mark.parametrize("count", [SCANNED, MANY])
-def test_the_part_of_a_list_that_a_route_allows(count: int) -> None:
-    pool = long_list(count).gateway.pool
+def test_a_filtered_pool_draws_only_matching_backends(count: int) -> None:
+    pool = long_list(count).engine.pool
     part = pool.sifted(lambda e: e.zone == 1 and e.kind == 0)
     assert part is not None
     drawn = part.draw(random.Random(1), 200)
-    assert drawn and {(w.entry.zone, w.entry.kind) for w in drawn} == {(1, 0)}
-    assert {(w.entry.zone, w.entry.kind) for w in part} == {(1, 0)}
+    assert drawn and {(backend.entry.zone, backend.entry.kind) for backend in drawn} == {(1, 0)}
+    assert {(backend.entry.zone, backend.entry.kind) for backend in part} == {(1, 0)}
     assert pool.sifted(lambda e: e.zone == 7) is None
 
 
-def test_among_many_that_are_full_one_with_room_is_found() -> None:
-    drive = long_list()
-    for worker in list(drive.gateway.workers.values())[1:]:
-        worker.full(0, drive.now + 60)
-    assert drive.sent[drive.ask(SAFE)][0].backend == 1000
+def test_the_one_backend_with_capacity_among_many_is_found() -> None:
+    ingress = long_list()
+    for backend in list(ingress.engine.workers.values())[1:]:
+        backend.full(0, ingress.now + 60)
+    assert ingress.attempts[ingress.send_request(SAFE)][0].backend == 1000
 
 
-def test_places_are_closed_up_as_workers_are_forgotten() -> None:
-    drive = long_list(3 * SLOTS_PER_CHANGE)
+def test_slots_are_compacted_as_backends_expire() -> None:
+    ingress = long_list(3 * SLOTS_PER_CHANGE)
     for round_ in range(6):
-        new = [entry(10_000 * (round_ + 1) + n) for n in range(3 * SLOTS_PER_CHANGE)]
-        drive.listed(*new, kind=EndpointListKind.FULL)
-        drive.run(drive.now + 40)
-    pool = drive.gateway.pool
-    assert len(drive.gateway.workers) == len(pool) == 3 * SLOTS_PER_CHANGE
+        new = [endpoint(10_000 * (round_ + 1) + n) for n in range(3 * SLOTS_PER_CHANGE)]
+        ingress.list_endpoints(*new, kind=EndpointListKind.FULL)
+        ingress.run_until(ingress.now + 40)
+    pool = ingress.engine.pool
+    assert len(ingress.engine.workers) == len(pool) == 3 * SLOTS_PER_CHANGE
     assert len(pool.draw(random.Random(1), 10)) == 10
     assert len(pool._slots) <= 2 * 3 * SLOTS_PER_CHANGE
 
@@ -176,7 +181,7 @@
     return list(known.parts(said))
 
 
-def test_a_whole_long_list_is_taken_in_parts_and_nothing_of_it_stays_unread() -> None:
+def test_a_long_full_list_is_applied_in_parts() -> None:
     known = destinations()
     (said,) = fed(WatchParser(known.read), json.dumps(whole_list(MANY)).encode())
     assert sum(not isinstance(one, Target) for one in said["targets"]) <= 1, (
@@ -184,11 +189,13 @@
     )
     parts = told(known, said)
     assert max(len(part.endpoints) for part in parts) == PART
-    assert [entry.backend for part in parts for entry in part.endpoints] == list(range(1, MANY + 1))
+    assert [endpoint.backend for part in parts for endpoint in part.endpoints] == list(
+        range(1, MANY + 1)
+    )
     assert (known.listed, known.revision, known.partial) == (MANY, 1, False)
 
 
-def test_a_long_list_never_stands_in_memory_as_members() -> None:
+def test_a_long_list_is_never_held_in_memory_as_parsed_objects() -> None:
     text, known = json.dumps(whole_list(10_000)).encode(), destinations()
     cut = pieces(text)
     tracemalloc.start()
@@ -201,7 +208,7 @@
 
 
 @pytest.mark.parametrize("size", [7, 100, 5_000])
-def test_entries_are_read_alike_wherever_a_list_is_cut(size: int) -> None:
+def test_endpoints_are_parsed_alike_wherever_the_stream_is_cut(size: int) -> None:
     first, second = whole_list(40), message(2, target("s-x", 1, "leaving"))
     text = json.dumps(first).encode() + b"\n" + json.dumps(second, indent=2).encode()
     known, parser = destinations(), WatchParser(destinations().read)
@@ -214,7 +221,7 @@
     "bad", [{"state": "new"}, {"endpoint": "nowhere"}, {"uid": 7}, {"boot_ms": "x"}]
 )
 @pytest.mark.parametrize("place", [0, 4_999, 9_999])
-def test_nothing_of_a_long_list_with_one_bad_entry_is_taken(
+def test_a_long_list_with_one_bad_endpoint_is_rejected_completely(
     bad: dict[str, Any], place: int
 ) -> None:
     said = whole_list(10_000)
@@ -226,7 +233,7 @@
     assert (known.by_worker, known.revision) == ({}, 0)
 
 
-def test_an_endless_list_is_refused_by_its_bytes_and_one_without_entries_sooner() -> None:
+def test_an_endless_list_is_rejected_by_its_bytes_and_one_without_endpoints_sooner() -> None:
     entry_text = json.dumps(target("s" * 5_000, 6379)).encode()
     many = b'{"targets": [' + b", ".join([entry_text] * (MOST_OBJECT // len(entry_text) + 20))
     with pytest.raises(WatchError, match="does not end"):
@@ -244,7 +251,7 @@
     assert given <= MOST_UNREAD + 2 * 65_536
 
 
-def test_who_is_left_out_of_a_long_list_is_gone_at_its_end() -> None:
+def test_endpoints_missing_from_a_long_list_are_removed_at_its_end() -> None:
     known, moved = destinations(), list[str]()
     told(known, whole_list(PART + 2))
     known.moved = lambda destination: moved.append(destination.uid)
@@ -257,7 +264,7 @@
     assert (moved, known.listed) == ([left_out], PART + 1)
 
 
-def test_a_long_list_given_up_on_the_way_is_asked_for_again() -> None:
+def test_a_long_list_that_was_abandoned_halfway_is_polled_again() -> None:
     known = destinations()
     parts = known.parts(whole_list(3 * PART))
     next(parts)
@@ -267,21 +274,19 @@
     assert (known.revision, known.partial, known.listed) == (1, False, PART)
 
 
-def test_the_module_and_the_set_agree_between_the_parts() -> None:
-    known, drive = destinations(), long_list(0)
+def test_engine_and_endpoint_list_agree_between_the_parts() -> None:
+    known, ingress = destinations(), long_list(0)
     for part in known.parts(whole_list(2 * PART + 1)):
-        drive.give(part)
-        assert set(drive.gateway.workers) == set(known.by_worker)
+        ingress.handle(part)
+        assert set(ingress.engine.workers) == set(known.by_worker)
     held = known.hold("s-" + "0" * 21, True, 0.0)
     assert held is not None
-    drive.give(held)
+    ingress.handle(held)
     assert known.avoided == 1
-    assert len(drive.gateway.pool) == 2 * PART
+    assert len(ingress.engine.pool) == 2 * PART
 
 
-def test_a_long_list_from_discovery_is_taken_and_served_by_and_what_left_costs_nothing_more() -> (
-    None
-):
+def test_a_long_list_from_discovery_is_used_and_idle_connections_are_released() -> None:
     async def scenario() -> None:
         backend, clock = Backend(), ManualClock()
         async with serving(backend, clock=clock) as (ingress, client, discovery):
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -14,22 +14,22 @@
 )
 from dockthread.policy.latency_estimates import Reports
 from tests.policy.harness import (
-    BASE,
-    REPORTS,
+    LOAD_REPORT_SETTINGS,
+    SETTINGS,
     UNSAFE,
-    Drive,
-    answered,
-    chosen,
-    entry,
+    IngressHarness,
+    answer_with_load,
+    endpoint,
+    requests_by_backend,
 )
 
 
-def test_nothing_new_to_a_draining_or_missing_worker() -> None:
-    drive = Drive()
-    drive.listed(entry(0, BackendState.DRAINING), entry(1, BackendState.REMOVED))
-    assert {drive.sent[drive.ask()][0].backend for _ in range(20)} == {1002}
-    drive.listed(entry(1), kind=EndpointListKind.FULL)
-    assert {drive.sent[drive.ask()][0].backend for _ in range(20)} == {1001}
+def test_draining_and_removed_backends_get_no_new_request() -> None:
+    ingress = IngressHarness()
+    ingress.list_endpoints(endpoint(0, BackendState.DRAINING), endpoint(1, BackendState.REMOVED))
+    assert {ingress.attempts[ingress.send_request()][0].backend for _ in range(20)} == {1002}
+    ingress.list_endpoints(endpoint(1), kind=EndpointListKind.FULL)
+    assert {ingress.attempts[ingress.send_request()][0].backend for _ in range(20)} == {1001}
 
 
 @pytest.mark.parametrize(
@@ -46,7 +46,7 @@
         ((), (), None),
     ],
 )
-def test_any_load_report_tells_of_the_others(
+def test_load_of_other_ingresses_is_read_from_any_load_report(
     names: tuple[str, ...], report: tuple[float, ...], others: float | None
 ) -> None:
     told = Reports(names).others(report, 2, 0.1)
@@ -54,40 +54,46 @@
 
 
 @pytest.mark.parametrize("names", [("busy",), ()])
-def test_choice_by_use_alone_and_by_no_report(names: tuple[str, ...]) -> None:
-    drive = Drive(replace(BASE, load_report_fields=names))
+def test_balancing_by_cpu_use_alone_and_without_load_reports(names: tuple[str, ...]) -> None:
+    ingress = IngressHarness(replace(SETTINGS, load_report_fields=names))
     use = {1000: 0.9, 1001: 0.3, 1002: 0.3}
     sent = dict.fromkeys(use, 0)
     for n in range(600):
-        drive.run(drive.now + 0.05)
-        request = drive.ask(UNSAFE)
-        worker = drive.sent[request][0].backend
-        sent[worker] += n >= 100
-        load = (use[worker] + n % 7 / 1000,) if names else ()
-        drive.run(drive.now + 0.05)
-        drive.give(AttemptEnded(request, 0, worker, Outcome.OK, True, 0.05, load_report=load))
+        ingress.run_until(ingress.now + 0.05)
+        request = ingress.send_request(UNSAFE)
+        backend = ingress.attempts[request][0].backend
+        sent[backend] += n >= 100
+        load = (use[backend] + n % 7 / 1000,) if names else ()
+        ingress.run_until(ingress.now + 0.05)
+        ingress.handle(AttemptEnded(request, 0, backend, Outcome.OK, True, 0.05, load_report=load))
     if names:
         assert sent[1000] < min(sent[1001], sent[1002]) / 2, "the busy one gets less"
     assert all(sent.values()), "and each gets some"
 
 
-def test_what_the_others_have_at_a_worker_counts_as_load() -> None:
+def test_requests_of_other_ingresses_count_as_load() -> None:
     even = {1000: 0.1, 1001: 0.1}
-    sent = chosen(Drive(REPORTS, workers=2), {1000: 12.0, 1001: 1.0}, even)
+    sent = requests_by_backend(
+        IngressHarness(LOAD_REPORT_SETTINGS, backends=2), {1000: 12.0, 1001: 1.0}, even
+    )
     assert sent[1001] > 5 * sent[1000]
 
 
-def test_a_slow_worker_gets_less() -> None:
-    sent = chosen(Drive(REPORTS, workers=2), {1000: 3.0, 1001: 3.0}, {1000: 0.4, 1001: 0.1})
+def test_a_slow_backend_gets_fewer_requests() -> None:
+    sent = requests_by_backend(
+        IngressHarness(LOAD_REPORT_SETTINGS, backends=2),
+        {1000: 3.0, 1001: 3.0},
+        {1000: 0.4, 1001: 0.1},
+    )
     assert sent[1001] > 2 * sent[1000]
 
 
-def test_an_old_report_says_less_than_a_new_one() -> None:
-    drive = Drive(REPORTS, workers=1)
-    worker = drive.gateway.workers[1000]
-    answered(drive, drive.ask(), (5.0, 10.0, 0.0))
-    mean, then = worker.others_mean, drive.now
-    assert worker.load(then) == pytest.approx(worker.others)
-    answered(drive, drive.ask(), (5.0, 10.0, 0.0))  # the same again is no news
-    assert worker.report_at == then
-    assert worker.load(then + 10) == pytest.approx(mean, abs=0.01)
+def test_a_load_report_decays_to_the_mean() -> None:
+    ingress = IngressHarness(LOAD_REPORT_SETTINGS, backends=1)
+    backend = ingress.engine.workers[1000]
+    answer_with_load(ingress, ingress.send_request(), (5.0, 10.0, 0.0))
+    mean, then = backend.others_mean, ingress.now
+    assert backend.load(then) == pytest.approx(backend.others)
+    answer_with_load(ingress, ingress.send_request(), (5.0, 10.0, 0.0))  # the same again is no news
+    assert backend.report_at == then
+    assert backend.load(then + 10) == pytest.approx(mean, abs=0.01)
--- a/tests/policy/test_many_ingresses.py
+++ b/tests/policy/test_many_ingresses.py
@@ -1,6 +1,4 @@
-"""What is harmless in one ingress and harmful in forty: ingresses together, on a clock of the
-test's own.
-"""
+"""Many ingresses together on a simulated clock: what is harmless in one may harm in forty."""
 
 from __future__ import annotations
 
@@ -39,12 +37,18 @@
 from dockthread.policy.backoff import PART, Backoff
 from dockthread.policy.latency_estimates import smoothed
 
-SERVICE, PATIENCE, ROOM = 130.0, 2_000.0, 24  # ms a call; ms it waits at most; calls that wait
+SERVICE_TIME_MS = 130.0  # of discovery for one call
+CALL_TIMEOUT_MS = 2_000.0
+MAX_QUEUED_CALLS = 24
 
 
-def asked(fleet: int, *, all_fail: bool, until: float) -> tuple[list[float], list[float]]:
-    """When each call of a fleet that lost discovery at 0 was made, and when calls were answered, by
-    a service that works in turn, also on calls that nobody waits for any more.
+def discovery_calls(fleet: int, *, all_fail: bool, until: float) -> tuple[list[float], list[float]]:
+    """Simulate ingresses that all lose discovery at 0 ms and poll a service that works in turn.
+
+    The service also works on calls whose caller has timed out.
+
+    Returns:
+        Times (ms) at which calls were made, and at which calls were answered.
     """
     ingresses = [Backoff(random.Random(seed), fleet) for seed in range(fleet)]
     due: list[tuple[float, int]] = []
@@ -56,40 +60,40 @@
     while due and due[0][0] < until:
         now, number = heappop(due)
         calls.append(now)
-        full = free - now > ROOM * SERVICE
+        full = free - now > MAX_QUEUED_CALLS * SERVICE_TIME_MS
         if not full:
-            free = max(free, now) + SERVICE
+            free = max(free, now) + SERVICE_TIME_MS
         if all_fail or full:
             heappush(due, (now + 4.0 + ingresses[number].again(), number))
-        elif free - now > PATIENCE:
-            heappush(due, (now + PATIENCE + ingresses[number].again(), number))
+        elif free - now > CALL_TIMEOUT_MS:
+            heappush(due, (now + CALL_TIMEOUT_MS + ingresses[number].again(), number))
         else:
             served.append(free)
     return calls, served
 
 
-def most_within(times: list[float], window: float) -> int:
+def max_calls_within(times: list[float], window: float) -> int:
     return max(sum(1 for t in times if at <= t < at + window) for at in times)
 
 
 @pytest.mark.parametrize("fleet", [4, 40, 120])
-def test_a_fleet_that_loses_discovery_at_once_asks_again_spread_out(fleet: int) -> None:
-    calls, _ = asked(fleet, all_fail=True, until=40_000.0)
+def test_polls_are_spread_out_after_all_ingresses_lose_discovery_at_once(fleet: int) -> None:
+    calls, _ = discovery_calls(fleet, all_fail=True, until=40_000.0)
     # With a fixed pause of 250 ms all of them would fall into each such window.
-    assert most_within([t for t in calls if t > 510.0], 250.0) <= 10
+    assert max_calls_within([t for t in calls if t > 510.0], 250.0) <= 10
     assert all(t <= 500.0 for t in calls[:fleet]), (
         "the loss itself is asked about before a drain's grace is over"
     )
     assert len([t for t in calls if t >= 10_000.0]) <= 30 * 1000.0 / PART
 
 
-def test_discovery_overbooked_serves_all_of_a_fleet_in_turn() -> None:
-    _, served = asked(40, all_fail=False, until=60_000.0)
+def test_overloaded_discovery_serves_every_ingress_in_turn() -> None:
+    _, served = discovery_calls(40, all_fail=False, until=60_000.0)
     assert len(served) == 40
     assert max(served) < 12_000.0
 
 
-def test_a_backoff_grows_to_its_end_and_starts_anew() -> None:
+def test_backoff_grows_to_its_cap_and_resets() -> None:
     def ends(backoff: Backoff, times: int = 400) -> float:
         return max(backoff.again() for _ in range(times))
 
@@ -100,8 +104,8 @@
     assert backoff.again() <= 500.0
 
 
-def settings(gateways: int, number: int = 0) -> PolicySettings:
-    """Of a fleet: no counter, and load in answers."""
+def fleet_settings(ingress_count: int, number: int = 0) -> PolicySettings:
+    """Make settings without the shared counter and with load reports in responses."""
     safety = SafetyLimits(
         drain_grace=1.0,
         cold_capacity=0.22,
@@ -111,7 +115,7 @@
     )
     return PolicySettings(
         ingress_number=number,
-        ingress_count=gateways,
+        ingress_count=ingress_count,
         classes=(RequestClass(latency_objective=1.5, deadline=4.0, effect=Effect.SAFE),),
         plans=(Plan(rate=1e6, burst=1e6),),
         clock_tick=0.004,
@@ -122,40 +126,41 @@
     )
 
 
-class Pool:
-    """Many gateways over workers that answer at once: `takes` and `fails` by worker, `came` what
-    each was sent.
-    """
-
-    def __init__(self, gateways: int, entries: list[Endpoint]) -> None:
-        self.now, self.requests, self.came = (
-            1_000.0,
-            0,
-            dict.fromkeys((e.backend for e in entries), 0),
-        )
-        self.takes: dict[int, float] = {}
-        self.fails: set[int] = set()
-        # by gateway and worker, since when a connection is
-        self.idle: dict[tuple[int, int], float] = {}
-        self.opened = 0
-        self.gateways = [PolicyEngine(settings(gateways, n), n, self.now) for n in range(gateways)]
-        self.say(EndpointsListed(EndpointListKind.FULL, tuple(entries)))
-
-    def say(self, event: Event) -> None:
-        for gateway in self.gateways:
-            gateway.handle(self.now, event)
-
-    def ask(self, gateway: PolicyEngine) -> None:
+class IngressFleet:
+    """Many ingresses over backends that answer at once, after simulated response times (s)."""
+
+    def __init__(self, engines: int, entries: list[Endpoint]) -> None:
+        self.now = 1_000.0
+        self.requests = 0
+        self.requests_by_backend = dict.fromkeys((entry.backend for entry in entries), 0)
+        self.response_times: dict[int, float] = {}
+        self.failing_backends: set[int] = set()
+        # by ingress and backend, when its connection was used last
+        self.last_used: dict[tuple[int, int], float] = {}
+        self.connections_opened = 0
+        self.engines = [
+            PolicyEngine(fleet_settings(engines, n), n, self.now) for n in range(engines)
+        ]
+        self.broadcast(EndpointsListed(EndpointListKind.FULL, tuple(entries)))
+
+    def broadcast(self, event: Event) -> None:
+        for engine in self.engines:
+            engine.handle(self.now, event)
+
+    def send_request(self, engine: PolicyEngine) -> None:
         self.requests += 1
         event: Event = RequestArrived(self.requests, 0, 0, 7, 4.0)
-        actions = gateway.handle(self.now, event)
+        actions = engine.handle(self.now, event)
         number = 0
         while send := next((a for a in actions if isinstance(a, SendAttempt)), None):
-            self.came[send.backend] += 1
-            link = (gateway.me, send.backend)
-            self.opened += self.idle.get(link, 0.0) < self.now - 7.5
-            self.idle[link] = self.now
-            bad, took = send.backend in self.fails, self.takes.get(send.backend, 0.3)
+            self.requests_by_backend[send.backend] += 1
+            link = (engine.me, send.backend)
+            self.connections_opened += self.last_used.get(link, 0.0) < self.now - 7.5
+            self.last_used[link] = self.now
+            bad, took = (
+                send.backend in self.failing_backends,
+                self.response_times.get(send.backend, 0.3),
+            )
             outcome = Outcome.ERROR if bad else Outcome.OK
             ended = AttemptEnded(
                 send.request,
@@ -166,56 +171,64 @@
                 took,
                 load_report=() if bad else (2.0, 5.0, 0.0),
             )
-            actions, number = gateway.handle(self.now, ended), number + 1
+            actions, number = engine.handle(self.now, ended), number + 1
 
-    def play(self, rounds: int) -> None:
-        """Each gateway asks once in 0.15 s, as forty do that share some 270 requests a second."""
+    def run_rounds(self, rounds: int) -> None:
+        """Send one request per ingress each 0.15 s, as forty do that share some 270 requests/s."""
         for _ in range(rounds):
-            for gateway in self.gateways:
-                self.ask(gateway)
+            for engine in self.engines:
+                self.send_request(engine)
             self.now += 0.15
-            for gateway in self.gateways:
-                for token in list(gateway.timers):
-                    if gateway.timers[token][0] == gateway._tick:
-                        gateway.handle(self.now, TimerFired(token))
+            for engine in self.engines:
+                for token in list(engine.timers):
+                    if engine.timers[token][0] == engine._tick:
+                        engine.handle(self.now, TimerFired(token))
 
 
-def listed(count: int, kinds: int = 1, started: float = 0.0, first: int = 0) -> list[Endpoint]:
+def ready_endpoints(
+    count: int, kinds: int = 1, started: float = 0.0, first: int = 0
+) -> list[Endpoint]:
     ready = BackendState.READY
     return [Endpoint(first + i, ready, kind=i % kinds, started_at=started) for i in range(count)]
 
 
-def test_a_worker_that_fails_at_once_costs_a_fleet_few_requests() -> None:
-    pool = Pool(40, listed(60))
-    pool.fails = {0, 1, 2, 3, 4, 5}
-    pool.play(160)
-    bad = sum(pool.came[w] for w in pool.fails) / sum(pool.came.values())
-    assert bad < 0.1, "with the weight and the time that suit three gateways it is 0.19"
+def test_a_backend_that_fails_fast_costs_many_ingresses_few_requests() -> None:
+    pool = IngressFleet(40, ready_endpoints(60))
+    pool.failing_backends = {0, 1, 2, 3, 4, 5}
+    pool.run_rounds(160)
+    bad = sum(pool.requests_by_backend[backend] for backend in pool.failing_backends) / sum(
+        pool.requests_by_backend.values()
+    )
+    assert bad < 0.1, "with the weight and the time that suit three ingresses it is 0.19"
 
 
-def test_what_is_seen_of_a_kind_is_believed_of_its_workers_not_met_yet() -> None:
-    pool = Pool(40, listed(60, kinds=2))
-    pool.takes = {w: 0.2 if w % 2 == 0 else 0.8 for w in range(60)}
-    pool.play(20)  # three meetings in ten with each worker, at each gateway
-    slow = sum(n for w, n in pool.came.items() if w % 2) / sum(pool.came.values())
+def test_latency_of_a_kind_is_assumed_for_its_backends_without_samples() -> None:
+    pool = IngressFleet(40, ready_endpoints(60, kinds=2))
+    pool.response_times = {backend: 0.2 if backend % 2 == 0 else 0.8 for backend in range(60)}
+    pool.run_rounds(20)  # three meetings in ten with each backend, at each ingress
+    slow = sum(n for backend, n in pool.requests_by_backend.items() if backend % 2) / sum(
+        pool.requests_by_backend.values()
+    )
     assert slow < 0.3
 
 
-def test_new_workers_are_taken_as_empty_and_get_their_part_by_warmth() -> None:
-    pool = Pool(40, listed(30))
-    pool.play(20)
-    before = sum(pool.came.values())
-    new = listed(30, started=pool.now, first=100)
-    pool.came.update(dict.fromkeys((e.backend for e in new), 0))
-    pool.say(EndpointsListed(EndpointListKind.CHANGES, tuple(new)))
-    pool.play(20)
-    part = sum(n for w, n in pool.came.items() if w >= 100) / (sum(pool.came.values()) - before)
+def test_new_backends_count_as_idle_and_are_used_by_slow_start_weight() -> None:
+    pool = IngressFleet(40, ready_endpoints(30))
+    pool.run_rounds(20)
+    before = sum(pool.requests_by_backend.values())
+    new = ready_endpoints(30, started=pool.now, first=100)
+    pool.requests_by_backend.update(dict.fromkeys((e.backend for e in new), 0))
+    pool.broadcast(EndpointsListed(EndpointListKind.CHANGES, tuple(new)))
+    pool.run_rounds(20)
+    part = sum(n for backend, n in pool.requests_by_backend.items() if backend >= 100) / (
+        sum(pool.requests_by_backend.values()) - before
+    )
     # At a warmth of 0.22 to 0.37 a fair part is 0.23; twice as much is short of the three times
     # that they stand.
     assert 0.2 < part < 0.46, "by the square of their warmth, and as busy as the rest, 0.03"
 
 
-def test_one_answer_after_ages_makes_no_late_answer_usual() -> None:
+def test_one_outlier_hardly_moves_the_smoothed_latency() -> None:
     usual, deviation = 0.3, 0.1
     for _ in range(20):
         usual, deviation = smoothed(usual, deviation, 0.3, 0.05)
@@ -226,38 +239,41 @@
     assert 1.1 < usual < 1.3, "a lasting change is followed"
 
 
-def test_a_firm_far_beyond_its_quota_gets_no_request_free_at_each_of_thirty_ingresses() -> None:
+def test_a_customer_far_beyond_its_quota_gets_no_free_request_at_each_of_thirty_ingresses() -> None:
     base = replace(
-        settings(40), plans=(Plan(rate=1.0, burst=6.0),), may_use_counter=True, clock_offset=35.0
+        fleet_settings(40),
+        plans=(Plan(rate=1.0, burst=6.0),),
+        may_use_counter=True,
+        clock_offset=35.0,
     )
     fleet = [PolicyEngine(replace(base, ingress_number=n), n, 0.0) for n in range(40)]
     now, total = 0.0, 0.0
     for request in range(300):  # 5 a second for a minute, dealt out among thirty
         now += 0.2
-        gateway = fleet[request * 7 % 30]
-        waiting = gateway.handle(now, RequestArrived(request, 0, 0, 7, 4.0, 1.0, 30, 0))
+        engine = fleet[request * 7 % 30]
+        waiting = engine.handle(now, RequestArrived(request, 0, 0, 7, 4.0, 1.0, 30, 0))
         while waiting:
             action = waiting.pop(0)
             if isinstance(action, AddToCounter):
                 total += action.amount
-                waiting += gateway.handle(now, CounterReplied(action.name, Outcome.OK, total))
+                waiting += engine.handle(now, CounterReplied(action.name, Outcome.OK, total))
     assert total < 130, (
         "66 are inside the quota; with a free one a window at each ingress it was 223"
     )
 
 
-def test_a_new_connections_price_makes_idle_ones_worth_more() -> None:
-    def opened(price: float) -> int:
-        pool = Pool(40, listed(60))
-        for gateway in pool.gateways:
-            gateway.s = replace(gateway.s, costs=CostWeights(handshake=price))
-        pool.play(80)
-        return pool.opened
+def test_handshake_cost_favours_idle_connections() -> None:
+    def connections_opened(price: float) -> int:
+        pool = IngressFleet(40, ready_endpoints(60))
+        for engine in pool.engines:
+            engine.s = replace(engine.s, costs=CostWeights(handshake=price))
+        pool.run_rounds(80)
+        return pool.connections_opened
 
-    assert opened(0.08) < 0.8 * opened(0.0)
+    assert connections_opened(0.08) < 0.8 * connections_opened(0.0)
 
 
-def test_a_day_is_counted_across_the_logs_of_a_fleet(tmp_path: Path) -> None:
+def test_requests_are_counted_across_the_logs_of_many_ingresses(tmp_path: Path) -> None:
     plan = (
         "0.000 2026-12-01T00:00:00.000 TRACE trace plan name=klein rate=1.0 burst=2.0 ceiling=0.0\n"
     )
@@ -292,7 +308,7 @@
     assert klein.refused == {("ceiling", "half"): 1}
 
 
-def test_a_list_that_names_a_node_twice_or_started_in_the_future_is_served_from() -> None:
+def test_an_endpoint_list_with_a_duplicate_or_a_future_start_time_is_used() -> None:
     clock = ManualClock(1_000_000.0, 1_700_000_000_000.0)
     destinations = DestinationSet(Names(("read",), ("free",), ("hall-a",), ("type-a",)), clock)
     node = {
@@ -303,15 +319,15 @@
         "model": "type-a",
     }
     later = {**node, "uid": "s-2", "boot_ms": 1_700_000_000_000.0 + 60_000.0}
-    gateway = PolicyEngine(settings(40), 1, 1_000.0)
-    gateway.handle(
+    engine = PolicyEngine(fleet_settings(40), 1, 1_000.0)
+    engine.handle(
         1_000.0, destinations.apply({"rev": 1, "all": True, "targets": [node, later, node]})
     )
     assert sorted(destinations.by_worker) == [1, 2] and destinations.active(1)
     sent = [
         action.backend
         for request in range(200)
-        for action in gateway.handle(1_000.0 + request, RequestArrived(request, 0, 0, 7, 4.0))
+        for action in engine.handle(1_000.0 + request, RequestArrived(request, 0, 0, 7, 4.0))
         if isinstance(action, SendAttempt)
     ]
     assert len(sent) == 200 and sent.count(1) > sent.count(2), (
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -7,46 +7,54 @@
 from dockthread.policy import (
     Outcome,
 )
-from tests.policy.harness import BASE, RATE, SAFE, UNSAFE, Drive, entry, silence
+from tests.policy.harness import (
+    RATE_PLAN,
+    SAFE,
+    SETTINGS,
+    UNSAFE,
+    IngressHarness,
+    endpoint,
+    leave_unanswered,
+)
 
 
-def test_silent_worker_is_shunned_and_its_safe_requests_copied() -> None:
-    drive = Drive(workers=5)
-    silence(drive, 1000, 60)
-    stuck = [r for r, sends in drive.sent.items() if sends[0].backend == 1000]
-    assert any(len(drive.sent[r]) > 1 for r in stuck)
+def test_silent_backend_is_avoided_and_its_safe_requests_are_hedged() -> None:
+    ingress = IngressHarness(backends=5)
+    leave_unanswered(ingress, 1000, 60)
+    stuck = [r for r, sends in ingress.attempts.items() if sends[0].backend == 1000]
+    assert any(len(ingress.attempts[r]) > 1 for r in stuck)
     before = len(stuck)
-    silence(drive, 1000, 50)
-    after = sum(sends[0].backend == 1000 for sends in drive.sent.values())
+    leave_unanswered(ingress, 1000, 50)
+    after = sum(sends[0].backend == 1000 for sends in ingress.attempts.values())
     assert after - before < 50 / 5 / 2  # less than half of an even part
 
 
-def test_an_answer_that_takes_longer_than_most_says_nothing_against_its_worker() -> None:
+def test_a_response_slower_than_most_does_not_count_as_a_failure() -> None:
     """Usual answers take 0.2 s, give or take 0.1 s: one in fifty takes four times that longer, one
     in 2,000 nine.
     """
-    drive = Drive(replace(BASE, may_hedge=False))
-    request = drive.ask(UNSAFE)
-    w = drive.gateway.workers[drive.sent[request][0].backend]
-    drive.run(drive.now + 0.2 + 8 * 0.1)
-    assert w.failed == 0.0
-    drive.run(drive.now + 0.2)
-    assert w.failed > 0.4, "silent by now"
+    ingress = IngressHarness(replace(SETTINGS, may_hedge=False))
+    request = ingress.send_request(UNSAFE)
+    backend = ingress.engine.workers[ingress.attempts[request][0].backend]
+    ingress.run_until(ingress.now + 0.2 + 8 * 0.1)
+    assert backend.failed == 0.0
+    ingress.run_until(ingress.now + 0.2)
+    assert backend.failed > 0.4, "silent by now"
 
 
-def test_failing_worker_is_shunned_and_comes_back() -> None:
-    drive = Drive(workers=5)
+def test_failing_backend_is_avoided_and_recovers() -> None:
+    ingress = IngressHarness(backends=5)
 
     def sends_to_bad(outcome: Outcome, count: int) -> int:
         hits = 0
         for _ in range(count):
-            request = drive.ask(SAFE)
-            bad = drive.sent[request][0].backend == 1000
+            request = ingress.send_request(SAFE)
+            bad = ingress.attempts[request][0].backend == 1000
             hits += bad
-            drive.end(request, 0, outcome if bad else Outcome.OK)
-            for number in range(1, len(drive.sent[request])):
-                drive.end(request, number, Outcome.OK)
-            drive.run(drive.now + 0.1)
+            ingress.end_attempt(request, 0, outcome if bad else Outcome.OK)
+            for number in range(1, len(ingress.attempts[request])):
+                ingress.end_attempt(request, number, Outcome.OK)
+            ingress.run_until(ingress.now + 0.1)
         return hits
 
     assert sends_to_bad(Outcome.ERROR, 200) < 30
@@ -54,27 +62,27 @@
     assert sends_to_bad(Outcome.OK, 200) > 20
 
 
-def test_full_worker_is_busy_and_not_shunned() -> None:
-    drive = Drive(workers=3)
+def test_backend_at_capacity_does_not_count_as_failing() -> None:
+    ingress = IngressHarness(backends=3)
     for _ in range(10):
-        drive.gateway.slow = 0.0  # not pressed
-        drive.end(drive.ask(SAFE), 0, Outcome.AT_CAPACITY)
-    assert all(w.failed == 0 for w in drive.gateway.workers.values())
-
-
-def test_full_for_one_plan_says_nothing_of_others() -> None:
-    drive = Drive(workers=1)
-    drive.end(drive.ask(SAFE, RATE), 0, Outcome.AT_CAPACITY)
-    drive.listed(entry(0), entry(1))
-    w = drive.gateway.workers[1000]
-    assert w.full_until.keys() == {RATE}
-
-
-def test_a_late_attempt_is_still_out_at_its_worker() -> None:
-    drive = Drive(workers=1)
-    drive.ask(UNSAFE)
-    worker = drive.gateway.workers[1000]
-    drive.run(drive.now + 3)
-    assert (worker.out, drive.gateway.out) == (1, 0)
-    drive.end(1, 0, Outcome.OK)
-    assert (worker.out, drive.gateway.out) == (0, 0)
+        ingress.engine.slow = 0.0  # not pressed
+        ingress.end_attempt(ingress.send_request(SAFE), 0, Outcome.AT_CAPACITY)
+    assert all(backend.failed == 0 for backend in ingress.engine.workers.values())
+
+
+def test_at_capacity_for_one_plan_says_nothing_about_others() -> None:
+    ingress = IngressHarness(backends=1)
+    ingress.end_attempt(ingress.send_request(SAFE, RATE_PLAN), 0, Outcome.AT_CAPACITY)
+    ingress.list_endpoints(endpoint(0), endpoint(1))
+    backend = ingress.engine.workers[1000]
+    assert backend.full_until.keys() == {RATE_PLAN}
+
+
+def test_a_late_attempt_stays_in_flight_at_its_backend() -> None:
+    ingress = IngressHarness(backends=1)
+    ingress.send_request(UNSAFE)
+    backend = ingress.engine.workers[1000]
+    ingress.run_until(ingress.now + 3)
+    assert (backend.out, ingress.engine.out) == (1, 0)
+    ingress.end_attempt(1, 0, Outcome.OK)
+    assert (backend.out, ingress.engine.out) == (0, 0)
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -1,6 +1,4 @@
-"""What jams a fleet: a worker taken for fast as it was empty, and a start that sees its own flood
-too late.
-"""
+"""Overload: idle backends that look fast, a flood right after a start, and shedding at low load."""
 
 from __future__ import annotations
 
@@ -27,112 +25,121 @@
     TimerFired,
 )
 from dockthread.policy.latency_estimates import Crowds
-from tests.policy.test_many_ingresses import settings
-
-CORES, WORK = 4, 0.3
-
-
-def entries(workers: int) -> list[Endpoint]:
-    return [Endpoint(w, BackendState.READY) for w in range(workers)]
-
-
-class Queues:
-    """Gateways over workers that serve in turn with `CORES` each, and tell what they hold."""
-
-    def __init__(self, gateways: int, workers: int, asked: float, seed: int, **more: Any) -> None:
-        self.rng, self.now, self.next = random.Random(seed), 1_000.0, 0
-        each = [replace(settings(gateways, n), **more) for n in range(gateways)]
-        self.gateways, self.classes = (
-            [PolicyEngine(s, seed + s.ingress_number, self.now) for s in each],
-            each[0].classes,
-        )
-        self.due: list[tuple[float, int, str, Any]] = []
-        self.held = dict.fromkeys(range(workers), 0)
-        self.waiting: dict[int, list[Any]] = {w: [] for w in range(workers)}
-        self.asked, self.let_in, self.refused = asked, 0, 0
-        for gateway in self.gateways:
-            self.tell(gateway, EndpointsListed(EndpointListKind.FULL, tuple(entries(workers))))
-        self.at(0.0, "ask", None)
-
-    def at(self, after: float, kind: str, what: Any) -> None:
+from tests.policy.test_many_ingresses import fleet_settings
+
+BACKEND_CORES = 4
+MEAN_SERVICE_TIME = 0.3  # s
+
+
+def ready_endpoints(backends: int) -> list[Endpoint]:
+    return [Endpoint(backend, BackendState.READY) for backend in range(backends)]
+
+
+class QueueingFleet:
+    """Ingresses over backends that serve in turn with `BACKEND_CORES` each and report their load."""
+
+    def __init__(
+        self, engines: int, backends: int, request_rate: float, seed: int, **more: Any
+    ) -> None:
+        self.rng = random.Random(seed)
+        self.now = 1_000.0
+        self.next = 0
+        each = [replace(fleet_settings(engines, number), **more) for number in range(engines)]
+        self.engines = [
+            PolicyEngine(settings, seed + settings.ingress_number, self.now) for settings in each
+        ]
+        self.classes = each[0].classes
+        self.pending_events: list[tuple[float, int, str, Any]] = []
+        self.in_flight = dict.fromkeys(range(backends), 0)
+        self.waiting: dict[int, list[Any]] = {backend: [] for backend in range(backends)}
+        self.request_rate = request_rate  # requests/s over all ingresses
+        self.attempts_sent = 0
+        self.requests_rejected = 0
+        for engine in self.engines:
+            self.deliver(
+                engine, EndpointsListed(EndpointListKind.FULL, tuple(ready_endpoints(backends)))
+            )
+        self.schedule(0.0, "ask", None)
+
+    def schedule(self, after: float, kind: str, what: Any) -> None:
         self.next += 1
-        heappush(self.due, (self.now + after, self.next, kind, what))
+        heappush(self.pending_events, (self.now + after, self.next, kind, what))
 
-    def tell(self, gateway: PolicyEngine, event: Event) -> None:
-        for action in gateway.handle(self.now, event):
+    def deliver(self, engine: PolicyEngine, event: Event) -> None:
+        for action in engine.handle(self.now, event):
             if isinstance(action, SetTimer):
-                self.at(action.at - self.now, "timer", (gateway, action.token))
+                self.schedule(action.at - self.now, "timer", (engine, action.token))
             elif isinstance(action, SendAttempt):
-                self.let_in += 1
-                self.held[action.backend] += 1
-                job = (gateway, action.request, action.backend, self.now)
-                if self.held[action.backend] <= CORES:
-                    self.begin(job)
+                self.attempts_sent += 1
+                self.in_flight[action.backend] += 1
+                job = (engine, action.request, action.backend, self.now)
+                if self.in_flight[action.backend] <= BACKEND_CORES:
+                    self.start_service(job)
                 else:
                     self.waiting[action.backend].append(job)
             elif isinstance(action, Reject):
-                self.refused += 1
+                self.requests_rejected += 1
 
-    def begin(self, job: Any) -> None:
-        self.at(self.rng.expovariate(1 / WORK), "done", job)
+    def start_service(self, job: Any) -> None:
+        self.schedule(self.rng.expovariate(1 / MEAN_SERVICE_TIME), "done", job)
 
-    def play(self, until: float) -> None:
-        while self.due[0][0] < until:
-            self.now, _, kind, what = heappop(self.due)
+    def run_until(self, until: float) -> None:
+        while self.pending_events[0][0] < until:
+            self.now, _, kind, what = heappop(self.pending_events)
             if kind == "timer":
-                self.tell(what[0], TimerFired(what[1]))
+                self.deliver(what[0], TimerFired(what[1]))
             elif kind == "ask":
-                self.at(self.rng.expovariate(self.asked), "ask", None)
+                self.schedule(self.rng.expovariate(self.request_rate), "ask", None)
                 self.next += 1
-                asked = RequestArrived(self.next, self.next % len(self.classes), 0, 7, 4.0)
-                self.tell(self.rng.choice(self.gateways), asked)
+                arrived = RequestArrived(self.next, self.next % len(self.classes), 0, 7, 4.0)
+                self.deliver(self.rng.choice(self.engines), arrived)
             else:
-                gateway, request, worker, sent = what
-                self.held[worker] -= 1
-                if self.waiting[worker]:
-                    self.begin(self.waiting[worker].pop(0))
-                load, ok = (float(self.held[worker]), 0.0, 0.0), Outcome.OK
-                self.tell(
-                    gateway,
-                    AttemptEnded(request, 0, worker, ok, True, self.now - sent, load_report=load),
+                engine, request, backend, sent = what
+                self.in_flight[backend] -= 1
+                if self.waiting[backend]:
+                    self.start_service(self.waiting[backend].pop(0))
+                load, ok = (float(self.in_flight[backend]), 0.0, 0.0), Outcome.OK
+                self.deliver(
+                    engine,
+                    AttemptEnded(request, 0, backend, ok, True, self.now - sent, load_report=load),
                 )
 
 
-def test_a_worker_that_was_empty_is_not_taken_for_faster_than_one_that_was_full() -> None:
-    gateway, now = PolicyEngine(settings(1), 1, 1_000.0), 1_000.0
+def test_an_idle_backend_does_not_count_as_faster_than_a_loaded_one() -> None:
+    engine, now = PolicyEngine(fleet_settings(1), 1, 1_000.0), 1_000.0
     came: list[int] = []
     for request in range(246):
-        # Alike in speed all the while: first one is full and one empty, in turns, then each by what
-        # it is sent.
+        # Both are equally fast throughout. For 200 requests one is loaded and the other idle, in
+        # turns of ten; then both are equally loaded; at last each is as loaded as it is sent to.
         both = request >= 206
         listed = (
-            entries(2)
+            ready_endpoints(2)
             if both
-            else [entries(2)[request // 10 % 2 if request < 200 else request % 2]]
+            else [ready_endpoints(2)[request // 10 % 2 if request < 200 else request % 2]]
         )
-        gateway.handle(now, EndpointsListed(EndpointListKind.FULL, tuple(listed)))
+        engine.handle(now, EndpointsListed(EndpointListKind.FULL, tuple(listed)))
         now += 0.05
-        asked = RequestArrived(request, 0, 0, 7, 4.0)
-        worker = next(a.backend for a in gateway.handle(now, asked) if isinstance(a, SendAttempt))
-        held = (
-            1.0 * came[-10:].count(worker)
+        arrived = RequestArrived(request, 0, 0, 7, 4.0)
+        backend = next(a.backend for a in engine.handle(now, arrived) if isinstance(a, SendAttempt))
+        in_flight = (
+            1.0 * came[-10:].count(backend)
             if both
-            else (10.0, 0.0)[worker]
+            else (10.0, 0.0)[backend]
             if request < 200
             else 5.0
         )
-        came += [worker] * both
-        now += (took := 0.02 * (held + 2))
-        load = (held + 1, 0.0, 0.0)
-        gateway.handle(
-            now, AttemptEnded(request, 0, worker, Outcome.OK, True, took, load_report=load)
+        came += [backend] * both
+        now += (took := 0.02 * (in_flight + 2))
+        load = (in_flight + 1, 0.0, 0.0)
+        engine.handle(
+            now, AttemptEnded(request, 0, backend, Outcome.OK, True, took, load_report=load)
         )
     assert 14 <= came.count(0) <= 26, (
         "taken for several times as fast, the one that was empty gets nearly all"
     )
 
 
-def test_a_pace_is_set_against_how_full_the_worker_was() -> None:
+def test_relative_concurrency_compares_with_the_usual_concurrency() -> None:
     crowds = Crowds()
     for _ in range(500):
         crowds.met(10.0)
@@ -140,13 +147,15 @@
     assert crowds.met(0.0) < 0.2 < 1.0 < crowds.met(30.0)
 
 
-def test_a_flood_right_after_a_start_is_seen_before_the_tightest_aim_is_over() -> None:
-    fleet = Queues(gateways=1, workers=4, asked=400.0, seed=1)  # the workers bear some 53 a second
-    fleet.play(1_001.0)
-    assert fleet.refused > 100, "before, none was in the first second, and 400 waited"
+def test_overload_right_after_a_start_is_noticed_within_the_tightest_objective() -> None:
+    # The backends can serve some 53 requests/s.
+    fleet = QueueingFleet(engines=1, backends=4, request_rate=400.0, seed=1)
+    fleet.run_until(1_001.0)
+    assert fleet.requests_rejected > 100, "before, none was in the first second, and 400 waited"
 
 
-def test_cheap_work_is_let_in_on_a_quiet_day_where_work_takes_a_fifth_of_its_aim() -> None:
+def test_low_priority_requests_are_admitted_under_light_load() -> None:
+    """A request's service takes a fifth of the tighter latency objective."""
     cheap = RequestClass(
         latency_objective=1.5, deadline=4.0, priority_weight=0.5, effect=Effect.SAFE
     )
@@ -154,8 +163,8 @@
         latency_objective=3.0, deadline=8.0, priority_weight=3.0, effect=Effect.UNSAFE
     )
     for classes in ((cheap, dear), (dear, cheap)):
-        # they bear some 107 a second
-        fleet = Queues(gateways=1, workers=8, asked=20.0, seed=1, classes=classes)
-        fleet.play(1_030.0)
-        asked = fleet.refused + fleet.let_in
-        assert fleet.refused < 0.15 * asked, "half is, nearly all of the cheap class"
+        # The backends can serve some 107 requests/s.
+        fleet = QueueingFleet(engines=1, backends=8, request_rate=20.0, seed=1, classes=classes)
+        fleet.run_until(1_030.0)
+        requests = fleet.requests_rejected + fleet.attempts_sent
+        assert fleet.requests_rejected < 0.15 * requests, "half is, nearly all of the cheap class"
--- a/tests/policy/test_quota_counter_sync.py
+++ b/tests/policy/test_quota_counter_sync.py
@@ -11,70 +11,81 @@
     RequestArrived,
     admission,
 )
-from tests.policy.harness import RATE, SAFE, SHARED, Drive, counts, settle, spend, total
+from tests.policy.harness import (
+    COUNTER_SETTINGS,
+    RATE_PLAN,
+    SAFE,
+    IngressHarness,
+    answer_counter_calls,
+    counter_calls,
+    counter_reply,
+    request_beyond_even_split,
+)
 
 
 @pytest.mark.parametrize(("others", "let_in"), [(0.0, True), (50.0, False)])
-def test_beyond_an_even_split_the_counters_total_decides(others: float, let_in: bool) -> None:
-    drive = Drive(SHARED)
-    request, call = spend(drive)
-    assert not drive.final.get(request)  # it waits, and no longer than the counter may take
-    drive.give(total(drive, call, others))
-    assert drive.let_in(request) is let_in
-    assert drive.final.get(request) == (None if let_in else ["refused"])
+def test_counter_total_decides_beyond_an_even_split(others: float, let_in: bool) -> None:
+    ingress = IngressHarness(COUNTER_SETTINGS)
+    request, call = request_beyond_even_split(ingress)
+    assert not ingress.answers.get(request)  # it waits, and no longer than the counter may take
+    ingress.handle(counter_reply(ingress, call, others))
+    assert ingress.is_admitted(request) is let_in
+    assert ingress.answers.get(request) == (None if let_in else ["refused"])
 
 
-def test_a_store_known_to_be_empty_refuses_without_a_call() -> None:
-    drive = Drive(SHARED)
-    _, call = spend(drive)
-    drive.give(CounterReplied(call.name, Outcome.OK, 1000.0))
-    actions = drive.give(RequestArrived(900, SAFE, RATE, 7, 4.0, 1.0, 2, 0))
-    assert not counts(actions)
+def test_an_empty_token_bucket_rejects_without_a_counter_call() -> None:
+    ingress = IngressHarness(COUNTER_SETTINGS)
+    _, call = request_beyond_even_split(ingress)
+    ingress.handle(CounterReplied(call.name, Outcome.OK, 1000.0))
+    actions = ingress.handle(RequestArrived(900, SAFE, RATE_PLAN, 7, 4.0, 1.0, 2, 0))
+    assert not counter_calls(actions)
     assert any(isinstance(a, Reject) for a in actions)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.AT_CAPACITY, Outcome.ERROR])
-def test_without_the_counters_word_all_is_decided_and_it_is_left_alone(outcome: Outcome) -> None:
-    drive = Drive(SHARED)
-    request, call = spend(drive)
-    drive.gateway.failures = admission.TRIES - 0.25
-    drive.give(CounterReplied(call.name, outcome))
-    assert drive.let_in(request) or drive.final[request] == ["refused"]
-    assert not counts([a for n in range(901, 920) for a in drive.give(
-        RequestArrived(n, SAFE, RATE, 7, 4.0, 1.0, 2, 0))])  # fmt: skip
-    c = drive.gateway.customers[7]
+def test_requests_are_decided_and_the_circuit_opens_when_the_counter_fails(
+    outcome: Outcome,
+) -> None:
+    ingress = IngressHarness(COUNTER_SETTINGS)
+    request, call = request_beyond_even_split(ingress)
+    ingress.engine.failures = admission.TRIES - 0.25
+    ingress.handle(CounterReplied(call.name, outcome))
+    assert ingress.is_admitted(request) or ingress.answers[request] == ["refused"]
+    assert not counter_calls([a for n in range(901, 920) for a in ingress.handle(
+        RequestArrived(n, SAFE, RATE_PLAN, 7, 4.0, 1.0, 2, 0))])  # fmt: skip
+    c = ingress.engine.customers[7]
     # nothing was added: told next time
     assert (c.unsaid >= call.amount) or outcome is not Outcome.AT_CAPACITY
 
 
-def test_a_spoilt_answer_of_the_counter_is_asked_for_again_before_anything_is_decided() -> None:
-    drive = Drive(SHARED)
-    request, call = spend(drive)
-    again = counts(drive.give(CounterReplied(call.name, Outcome.ERROR)))
+def test_a_garbled_counter_reply_is_requested_again_before_any_decision() -> None:
+    ingress = IngressHarness(COUNTER_SETTINGS)
+    request, call = request_beyond_even_split(ingress)
+    again = counter_calls(ingress.handle(CounterReplied(call.name, Outcome.ERROR)))
     assert [c.amount for c in again] == [0.0]  # what the first one added is not added twice
-    assert not drive.final.get(request)
-    drive.give(CounterReplied(call.name, Outcome.OK, 1000.0))
-    assert drive.final[request] == ["refused"]
+    assert not ingress.answers.get(request)
+    ingress.handle(CounterReplied(call.name, Outcome.OK, 1000.0))
+    assert ingress.answers[request] == ["refused"]
 
 
-def test_a_request_that_waits_for_the_counter_is_answered_in_its_time() -> None:
-    drive = Drive(SHARED)
-    spend(drive)  # a call is out, and its answer does not come
-    drive.next, drive.now = drive.next + 1, drive.now + 0.01
-    drive.give(RequestArrived(drive.next, SAFE, RATE, 7, 0.03, 1.0, 2, 0))
-    drive.run(drive.now + 0.03)
-    assert drive.final[drive.next] == ["refused"]
+def test_a_request_that_waits_for_the_counter_is_answered_before_its_deadline() -> None:
+    ingress = IngressHarness(COUNTER_SETTINGS)
+    request_beyond_even_split(ingress)  # a call is out, and its answer does not come
+    ingress.last_request, ingress.now = ingress.last_request + 1, ingress.now + 0.01
+    ingress.handle(RequestArrived(ingress.last_request, SAFE, RATE_PLAN, 7, 0.03, 1.0, 2, 0))
+    ingress.run_until(ingress.now + 0.03)
+    assert ingress.answers[ingress.last_request] == ["refused"]
 
 
-def test_what_ran_over_a_full_store_covers_what_the_others_used_meanwhile() -> None:
-    drive = Drive(SHARED)
-    _, call = spend(drive)
-    settle(drive, [call], 3.0)
-    c = drive.gateway.customers[7]
+def test_overflow_of_a_full_token_bucket_covers_usage_elsewhere() -> None:
+    ingress = IngressHarness(COUNTER_SETTINGS)
+    _, call = request_beyond_even_split(ingress)
+    answer_counter_calls(ingress, [call], 3.0)
+    c = ingress.engine.customers[7]
     for others, left in ((8.0, 8.0), (40.0, 0.0)):
-        drive.run(drive.now + 8)  # 16 units came in, and the store holds 8
-        drive.gateway._customer(7, RATE)
-        drive.gateway.actions = []
-        drive.gateway._call(7, c)
-        settle(drive, counts(drive.gateway.actions), others)
+        ingress.run_until(ingress.now + 8)  # 16 units came in, and the store holds 8
+        ingress.engine._customer(7, RATE_PLAN)
+        ingress.engine.actions = []
+        ingress.engine._call(7, c)
+        answer_counter_calls(ingress, counter_calls(ingress.engine.actions), others)
         assert c.store.level == pytest.approx(left, abs=1.5)
--- a/tests/policy/test_quota_of_many_ingresses.py
+++ b/tests/policy/test_quota_of_many_ingresses.py
@@ -1,6 +1,4 @@
-"""A firm's quota over many ingresses that only the counter joins: what they let in together, and
-what it costs.
-"""
+"""A customer's quota over many ingresses that share only the counter: admissions and calls."""
 
 from __future__ import annotations
 
@@ -25,13 +23,14 @@
     RequestClass,
 )
 
-DAY = 25.0  # s
-SIZES = (1.0, 1.0, 1.0, 2.0, 2.0, 3.0, 4.0)  # units of a request
-TRIES, COME_AGAIN = 3, 0.6  # of a client's request; the chance that a refused one comes again
+RUN_TIME = 25.0  # s
+REQUEST_UNITS = (1.0, 1.0, 1.0, 2.0, 2.0, 3.0, 4.0)  # units of a request
+CLIENT_ATTEMPTS = 3  # of one request
+CLIENT_RETRY_CHANCE = 0.6  # after a rejection
 
 
-class LetIn(PolicyEngine):
-    """Decides on admission alone: nodes have room for all."""
+class AdmissionOnlyEngine(PolicyEngine):
+    """An engine that decides on admission alone: backends have capacity for everything."""
 
     def _try(self, request: int, call: object) -> bool:
         return True
@@ -41,49 +40,55 @@
 
 
 @dataclass(slots=True)
-class Ask:
-    firm: int
+class ClientRequest:
+    """One request of a client; `number` counts its attempts from 0."""
+
+    customer: int
     units: float
     number: int = 0
 
 
 @dataclass(slots=True)
-class Firm:
-    """Its traffic, and its store as one that saw all would keep it."""
+class SimulatedCustomer:
+    """A customer's traffic, and its token bucket as an observer of all ingresses would keep it."""
 
     spread: int
     first: int
-    every: float  # s between requests, on average
+    mean_interval: float  # s between requests
     burst_at: float
-    burst_x: float
+    burst_factor: float
     level: float
     at: float = 0.0
 
-    def pause(self, now: float, rng: random.Random) -> float:
+    def next_interval(self, now: float, rng: random.Random) -> float:
         in_burst = (now - self.burst_at) % 15.0 < 2.0
-        return rng.expovariate((self.burst_x if in_burst else 1.0) / self.every)
+        return rng.expovariate((self.burst_factor if in_burst else 1.0) / self.mean_interval)
 
 
 class Fleet:
-    """Ingresses under one clock with a counter that answers after some milliseconds, and firms of
-    every kind: far below their quotas, at them, several times beyond, and such that come in
+    """Ingresses under one clock that share a counter with some milliseconds of latency.
+
+    Their customers stay far below their quotas, use them up, exceed them several times, or send
     bursts.
     """
 
     def __init__(
         self, plan: Plan, spread: tuple[int, int], seed: int, ingresses: int = 110
     ) -> None:
-        self.rng, self.plan, self.now, self.next = random.Random(seed), plan, 0.0, 0
-        kinds = tuple(
-            RequestClass(latency_objective=0.4, deadline=1.2, priority_weight=worth)
-            for worth in (4.0, 1.0, 2.0)
+        self.rng = random.Random(seed)
+        self.plan = plan
+        self.now = 0.0
+        self.next = 0
+        classes = tuple(
+            RequestClass(latency_objective=0.4, deadline=1.2, priority_weight=weight)
+            for weight in (4.0, 1.0, 2.0)
         )
-        self.gateways = [
-            LetIn(
+        self.engines = [
+            AdmissionOnlyEngine(
                 PolicySettings(
                     n,
                     ingresses,
-                    kinds,
+                    classes,
                     (plan,),
                     clock_tick=0.002,
                     may_use_counter=True,
@@ -94,93 +99,99 @@
             )
             for n in range(ingresses)
         ]
-        self.due: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
-        self.asked: dict[int, Ask] = {}
-        self.numbers: defaultdict[int, float] = defaultdict(float)
+        self.pending_events: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
+        self.client_requests: dict[int, ClientRequest] = {}
+        self.counter_totals: defaultdict[int, float] = defaultdict(float)
         self.units: defaultdict[str, float] = defaultdict(float)
         self.calls = 0
-        self.firms = [self.firm(spread) for _ in range(40)]
-        for number in range(len(self.firms)):
-            self.at(self.rng.random(), self.come, number)
+        self.customers = [self.customer(spread) for _ in range(40)]
+        for number in range(len(self.customers)):
+            self.schedule(self.rng.random(), self.next_arrival, number)
 
-    def firm(self, spread: tuple[int, int]) -> Firm:
+    def customer(self, spread: tuple[int, int]) -> SimulatedCustomer:
         rng = self.rng
         kind = rng.choices(("full", "heavy", "calm"), (0.15, 0.1, 0.75))[0]
         use = {"full": 1.0, "heavy": rng.uniform(2.0, 4.2), "calm": rng.uniform(0.25, 0.48)}[kind]
-        mean = sum(SIZES) / len(SIZES)
+        mean = sum(REQUEST_UNITS) / len(REQUEST_UNITS)
         bursts = rng.uniform(2.2, 7.0) if rng.random() < 0.16 else 1.0
-        first = rng.randrange(len(self.gateways))
+        first = rng.randrange(len(self.engines))
         every = mean / use / self.plan.rate
-        return Firm(
+        return SimulatedCustomer(
             rng.randint(*spread), first, every, rng.uniform(1.0, 10.0), bursts, self.plan.burst
         )
 
-    def at(self, after: float, then: Callable[..., None], *about: object) -> None:
+    def schedule(self, after: float, callback: Callable[..., None], *arguments: object) -> None:
         self.next += 1
-        heappush(self.due, (self.now + after, self.next, then, about))
+        heappush(self.pending_events, (self.now + after, self.next, callback, arguments))
 
     def play(self) -> None:
-        while self.due[0][0] < DAY:
-            self.now, _, then, about = heappop(self.due)
-            then(*about)
+        while self.pending_events[0][0] < RUN_TIME:
+            self.now, _, callback, arguments = heappop(self.pending_events)
+            callback(*arguments)
 
-    def come(self, number: int) -> None:
-        self.at(self.firms[number].pause(self.now, self.rng), self.come, number)
-        self.ask(Ask(number, self.rng.choice(SIZES)))
+    def next_arrival(self, number: int) -> None:
+        self.schedule(
+            self.customers[number].next_interval(self.now, self.rng), self.next_arrival, number
+        )
+        self.send_request(ClientRequest(number, self.rng.choice(REQUEST_UNITS)))
 
-    def ask(self, ask: Ask) -> None:
-        firm = self.firms[ask.firm]
-        number = (firm.first + self.rng.randrange(firm.spread)) % len(self.gateways)
+    def send_request(self, ask: ClientRequest) -> None:
+        customer = self.customers[ask.customer]
+        number = (customer.first + self.rng.randrange(customer.spread)) % len(self.engines)
         self.next += 1
-        request, gateway = self.next, self.gateways[number]
-        self.asked[request] = ask
+        request, engine = self.next, self.engines[number]
+        self.client_requests[request] = ask
         kind = self.rng.randrange(3)
-        event = RequestArrived(request, kind, 0, ask.firm, 1.2, ask.units, firm.spread, firm.first)
-        self.carry_out(number, gateway.handle(self.now, event))
-        if request in gateway.calls and request not in gateway.customers[ask.firm].waiting:
+        event = RequestArrived(
+            request, kind, 0, ask.customer, 1.2, ask.units, customer.spread, customer.first
+        )
+        self.carry_out(number, engine.handle(self.now, event))
+        if request in engine.calls and request not in engine.customers[ask.customer].waiting:
             self.settle(ask, let_in=True)
 
     def carry_out(self, number: int, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, AddToCounter):
                 self.calls += 1
-                self.at(self.rng.uniform(0.002, 0.012), self.add, number, action)
+                self.schedule(self.rng.uniform(0.002, 0.012), self.add_to_counter, number, action)
             elif isinstance(action, Reject):
-                ask = self.asked[action.request]
+                ask = self.client_requests[action.request]
                 self.settle(ask, let_in=False)
-                if ask.number < TRIES - 1 and self.rng.random() < COME_AGAIN:
-                    self.at(
+                if ask.number < CLIENT_ATTEMPTS - 1 and self.rng.random() < CLIENT_RETRY_CHANCE:
+                    self.schedule(
                         self.rng.uniform(0.03, 0.25),
-                        self.ask,
-                        Ask(ask.firm, ask.units, ask.number + 1),
+                        self.send_request,
+                        ClientRequest(ask.customer, ask.units, ask.number + 1),
                     )
 
-    def add(self, number: int, call: AddToCounter) -> None:
-        self.numbers[call.name] += call.amount
-        told = CounterReplied(call.name, Outcome.OK, self.numbers[call.name])
-        self.at(self.rng.uniform(0.002, 0.012), self.told, number, told)
+    def add_to_counter(self, number: int, call: AddToCounter) -> None:
+        self.counter_totals[call.name] += call.amount
+        counter_replied = CounterReplied(call.name, Outcome.OK, self.counter_totals[call.name])
+        self.schedule(self.rng.uniform(0.002, 0.012), self.counter_replied, number, counter_replied)
 
-    def told(self, number: int, event: CounterReplied) -> None:
-        gateway = self.gateways[number]
-        waited = [r for r in gateway.customers[event.name >> 24].waiting if r in gateway.calls]
-        self.carry_out(number, gateway.handle(self.now, event))
+    def counter_replied(self, number: int, event: CounterReplied) -> None:
+        engine = self.engines[number]
+        waited = [r for r in engine.customers[event.name >> 24].waiting if r in engine.calls]
+        self.carry_out(number, engine.handle(self.now, event))
         for request in waited:
-            if request in gateway.calls:
-                self.settle(self.asked[request], let_in=True)
+            if request in engine.calls:
+                self.settle(self.client_requests[request], let_in=True)
 
-    def settle(self, ask: Ask, *, let_in: bool) -> None:
-        firm = self.firms[ask.firm]
-        firm.level = min(self.plan.burst, firm.level + self.plan.rate * (self.now - firm.at))
-        firm.at = self.now
+    def settle(self, ask: ClientRequest, *, let_in: bool) -> None:
+        customer = self.customers[ask.customer]
+        customer.level = min(
+            self.plan.burst, customer.level + self.plan.rate * (self.now - customer.at)
+        )
+        customer.at = self.now
         if let_in:
             self.units["let in"] += ask.units
-            if firm.level >= ask.units:
-                firm.level -= ask.units
+            if customer.level >= ask.units:
+                customer.level -= ask.units
             else:
                 self.units["beyond"] += ask.units
         else:
             self.units["refused"] += ask.units
-            if firm.level >= self.plan.burst / 2:
+            if customer.level >= self.plan.burst / 2:
                 self.units["refused with room"] += ask.units
 
 
@@ -194,7 +205,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("spread", [(12, 30), (40, 110)])
 @pytest.mark.parametrize("plan", PLANS)
-def test_what_many_ingresses_let_in_together_is_the_quota(
+def test_many_ingresses_together_admit_the_quota(
     plan: Plan, spread: tuple[int, int], seed: int
 ) -> None:
     fleet = Fleet(plan, spread, seed)
@@ -202,22 +213,20 @@
     units = fleet.units
     assert units["beyond"] < 0.05 * units["let in"], "a total that told no store left 0.07 to 0.27"
     assert units["refused with room"] < 0.15 * (units["let in"] + units["refused"])
-    assert fleet.calls < 1.8 * len(fleet.asked)
+    assert fleet.calls < 1.8 * len(fleet.client_requests)
 
 
-class Number:
-    """A firm's number on the counter, and two ingresses that call it; each call is added when the
-    test says so.
-    """
+class TwoIngressesWithCounter:
+    """One customer's counter and two ingresses that call it; the test answers each call."""
 
     def __init__(self, plan: Plan) -> None:
-        kind = RequestClass(latency_objective=0.4, deadline=1.2)
-        self.gateways = [
-            LetIn(
+        request_class = RequestClass(latency_objective=0.4, deadline=1.2)
+        self.engines = [
+            AdmissionOnlyEngine(
                 PolicySettings(
                     n,
                     2,
-                    (kind,),
+                    (request_class,),
                     (plan,),
                     clock_tick=0.002,
                     may_use_counter=True,
@@ -228,89 +237,106 @@
             )
             for n in (0, 1)
         ]
-        self.total, self.request = 0.0, 0
+        self.total = 0.0
+        self.request = 0
 
     def ask(self, now: float, number: int) -> list[AddToCounter]:
         self.request += 1
         event = RequestArrived(self.request, 0, 0, 7, 1.2, 1.0, 2, 0)
-        return [a for a in self.gateways[number].handle(now, event) if isinstance(a, AddToCounter)]
+        return [a for a in self.engines[number].handle(now, event) if isinstance(a, AddToCounter)]
 
     def answer(self, now: float, number: int, call: AddToCounter) -> list[AddToCounter]:
         self.total += call.amount
-        told = CounterReplied(call.name, Outcome.OK, self.total)
-        return [a for a in self.gateways[number].handle(now, told) if isinstance(a, AddToCounter)]
+        counter_replied = CounterReplied(call.name, Outcome.OK, self.total)
+        return [
+            a
+            for a in self.engines[number].handle(now, counter_replied)
+            if isinstance(a, AddToCounter)
+        ]
 
     def settle(self, now: float, number: int, calls: list[AddToCounter]) -> None:
         while calls:
             calls += self.answer(now, number, calls.pop(0))
 
 
-def test_what_two_lift_at_the_same_time_is_lifted_once() -> None:
-    number = Number(Plan(rate=2.0, burst=8.0))
-    (first,), (second,) = number.ask(1.0, 0), number.ask(1.0, 1)
-    (lift,), (again,) = number.answer(1.0, 0, first), number.answer(1.0, 1, second)
+def test_counter_correction_by_two_ingresses_at_once_is_applied_once() -> None:
+    pair = TwoIngressesWithCounter(Plan(rate=2.0, burst=8.0))
+    (first,), (second,) = pair.ask(1.0, 0), pair.ask(1.0, 1)
+    (lift,), (again,) = pair.answer(1.0, 0, first), pair.answer(1.0, 1, second)
     assert lift.amount > 30.0 and again.amount > 30.0, "18 s of the epoch ran over"
-    number.settle(1.0, 0, [lift])
-    number.settle(1.0, 1, [again])
-    assert number.total == pytest.approx(2.0 * 18.0 + 2.0, abs=1.5)
+    pair.settle(1.0, 0, [lift])
+    pair.settle(1.0, 1, [again])
+    assert pair.total == pytest.approx(2.0 * 18.0 + 2.0, abs=1.5)
 
 
-def test_what_went_beyond_a_quota_takes_nothing_from_what_comes_in_later() -> None:
-    number = Number(Plan(rate=2.0, burst=8.0))
-    number.settle(1.0, 0, number.ask(1.0, 0))
-    number.total += 100.0  # let in while the counter was silent
-    number.settle(6.0, 0, number.ask(6.0, 0))
-    number.settle(8.0, 0, number.ask(8.0, 0))
-    assert number.gateways[0].customers[7].store.level > 2.0, "it would be empty for 45 s"
-    assert number.total < 2.0 * (17.0 + 8.0) + 8.0
+def test_usage_beyond_the_quota_takes_nothing_from_later_refill() -> None:
+    pair = TwoIngressesWithCounter(Plan(rate=2.0, burst=8.0))
+    pair.settle(1.0, 0, pair.ask(1.0, 0))
+    pair.total += 100.0  # let in while the counter was silent
+    pair.settle(6.0, 0, pair.ask(6.0, 0))
+    pair.settle(8.0, 0, pair.ask(8.0, 0))
+    assert pair.engines[0].customers[7].store.level > 2.0, "it would be empty for 45 s"
+    assert pair.total < 2.0 * (17.0 + 8.0) + 8.0
 
 
-class Capped:
-    """Ingresses of one firm whose plan only caps attempts out; nothing tells an ingress of the
-    others' attempts.
-    """
+class InFlightCapFleet:
+    """Ingresses of one customer whose plan only caps attempts in flight, without gossip."""
 
     def __init__(self, ingresses: int, cap: int, seed: int) -> None:
-        plan, kind = Plan(max_in_flight=cap), RequestClass(latency_objective=0.5, deadline=2.0)
-        self.gateways = [LetIn(PolicySettings(n, ingresses, (kind,), (plan,), may_use_counter=True), seed + n, 0.0)
-                         for n in range(ingresses)]  # fmt: skip
-        self.rng, self.cap, self.now, self.ends = random.Random(seed), cap, 0.0, list[float]()
-        self.let_in = self.beyond = self.calls = 0
-
-    def play(self, asked: float, answer: float, units: float) -> None:
-        """Requests come `asked` times as often as keeps the cap full; each takes `answer` s on
+        plan = Plan(max_in_flight=cap)
+        request_class = RequestClass(latency_objective=0.5, deadline=2.0)
+        self.engines = [
+            AdmissionOnlyEngine(
+                PolicySettings(n, ingresses, (request_class,), (plan,), may_use_counter=True),
+                seed + n,
+                0.0,
+            )
+            for n in range(ingresses)
+        ]
+        self.rng = random.Random(seed)
+        self.cap = cap
+        self.now = 0.0
+        self.ends: list[float] = []
+        self.let_in = 0
+        self.beyond = 0
+        self.calls = 0
+
+    def play(self, demand: float, answer: float, units: float) -> None:
+        """Let requests come `demand` times as often as keeps the cap full; each takes `answer` s on
         average.
         """
         request = 0
         while self.now < 60.0:
-            self.now += self.rng.expovariate(asked * self.cap / answer)
+            self.now += self.rng.expovariate(demand * self.cap / answer)
             while self.ends and self.ends[0] <= self.now:
                 heappop(self.ends)
             request += 1
-            gateway = self.rng.choice(self.gateways)
-            event = RequestArrived(request, 0, 0, 7, 2.0, units, len(self.gateways), 0)
-            actions = gateway.handle(self.now, event)
+            engine = self.rng.choice(self.engines)
+            event = RequestArrived(request, 0, 0, 7, 2.0, units, len(self.engines), 0)
+            actions = engine.handle(self.now, event)
             self.calls += sum(isinstance(a, AddToCounter) for a in actions)
-            if request in gateway.calls:
-                gateway.calls.pop(request)
+            if request in engine.calls:
+                engine.calls.pop(request)
                 self.let_in += 1
                 self.beyond += len(self.ends) >= self.cap
                 heappush(self.ends, self.now + self.rng.expovariate(1 / answer))
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_cap_on_attempts_out_is_split_evenly_where_nothing_tells_of_the_others(seed: int) -> None:
-    firm = Capped(ingresses=25, cap=5, seed=seed)
-    firm.play(asked=3.0, answer=0.1, units=1.0)
-    assert firm.beyond < 0.3 * firm.let_in, "with one attempt free at each ingress it was 0.71"
-    assert firm.let_in > 0.25 * 60.0 * firm.cap / 0.1
-    assert not firm.calls, "the counter has no number for a plan without a quota"
+def test_in_flight_cap_is_split_evenly_without_gossip(seed: int) -> None:
+    customer = InFlightCapFleet(ingresses=25, cap=5, seed=seed)
+    customer.play(demand=3.0, answer=0.1, units=1.0)
+    assert customer.beyond < 0.3 * customer.let_in, (
+        "with one attempt free at each ingress it was 0.71"
+    )
+    assert customer.let_in > 0.25 * 60.0 * customer.cap / 0.1
+    assert not customer.calls, "the counter has no number for a plan without a quota"
 
 
-def test_a_cap_on_attempts_out_counts_attempts_whatever_their_units() -> None:
+def test_in_flight_cap_counts_attempts_whatever_their_units() -> None:
     def let_in(units: float) -> int:
-        firm = Capped(ingresses=3, cap=8, seed=1)
-        firm.play(asked=1.0, answer=0.1, units=units)
-        return firm.let_in
+        customer = InFlightCapFleet(ingresses=3, cap=8, seed=1)
+        customer.play(demand=1.0, answer=0.1, units=units)
+        return customer.let_in
 
     assert let_in(4.0) == pytest.approx(let_in(1.0), rel=0.05)
--- a/tests/policy/test_quota_over_gossip.py
+++ b/tests/policy/test_quota_over_gossip.py
@@ -16,114 +16,125 @@
     RequestArrived,
 )
 from tests.policy.harness import (
-    BASE,
     PLANS,
-    RATE,
+    RATE_PLAN,
+    SETTINGS,
     UNSAFE,
-    Drive,
-    exchange,
-    fleet,
-    report,
-    spread_out,
+    IngressHarness,
+    admitted_rate_of_all,
+    customer_gossip,
+    exchange_gossip,
+    make_ingresses,
 )
 
 
 @pytest.mark.parametrize("count", [2, 40])
-def test_gateways_together_let_in_the_quota(count: int) -> None:
-    assert spread_out(fleet(count), 60, 8.0) == pytest.approx(2.0, rel=0.2)
+def test_ingresses_together_admit_the_quota(count: int) -> None:
+    assert admitted_rate_of_all(make_ingresses(count), 60, 8.0) == pytest.approx(2.0, rel=0.2)
 
 
-def test_lost_messages_heal() -> None:
-    assert spread_out(fleet(10), 60, 8.0, random.Random(3)) == pytest.approx(2.0, rel=0.25)
+def test_lost_gossip_is_made_up_by_later_messages() -> None:
+    assert admitted_rate_of_all(make_ingresses(10), 60, 8.0, random.Random(3)) == pytest.approx(
+        2.0, rel=0.25
+    )
 
 
-def test_lone_requests_of_an_ordinary_customer_pass_at_every_gateway() -> None:
-    assert spread_out(fleet(40), 40, 1.0) == pytest.approx(1.0, abs=0.05)
+def test_rare_requests_of_a_customer_within_its_quota_are_admitted_at_every_ingress() -> None:
+    assert admitted_rate_of_all(make_ingresses(40), 40, 1.0) == pytest.approx(1.0, abs=0.05)
 
 
 @pytest.mark.parametrize("down", [frozenset(), frozenset({"counter"}), frozenset({"messages"})])
-def test_with_messages_and_counter_use_is_counted_once_and_held_by_either_alone(
+def test_usage_is_counted_once_with_gossip_and_counter_and_the_quota_held_by_either_alone(
     down: frozenset[str],
 ) -> None:
-    """Three gateways under one clock, of a customer that asks four times its quota: what each
+    """Three ingresses under one clock, of a customer that asks four times its quota: what each
     source tells is the same use, and taken off twice it would halve the quota (so it was where both
     were allowed).
     """
-    drives, total, rng = fleet(3, may_use_counter=True), 0.0, random.Random(8)
-    passed, calls, start, names = 0, 0, drives[0].now, dict[int, float]()
+    ingresses, total, rng = make_ingresses(3, may_use_counter=True), 0.0, random.Random(8)
+    passed, calls, start, names = 0, 0, ingresses[0].now, dict[int, float]()
 
-    def answer(drive: Drive, actions: list[Action]) -> None:
+    def answer(ingress: IngressHarness, actions: list[Action]) -> None:
         nonlocal calls, total
         for action in actions:
             if isinstance(action, AddToCounter):
                 calls += 1
                 if "counter" in down:
-                    answer(drive, drive.give(CounterReplied(action.name, Outcome.TIMEOUT)))
+                    answer(ingress, ingress.handle(CounterReplied(action.name, Outcome.TIMEOUT)))
                 else:
                     names[action.name] = names.get(action.name, 0.0) + action.amount
                     answer(
-                        drive,
-                        drive.give(CounterReplied(action.name, Outcome.OK, names[action.name])),
+                        ingress,
+                        ingress.handle(CounterReplied(action.name, Outcome.OK, names[action.name])),
                     )
 
-    while drives[0].now < start + 90:
-        for drive in drives:
-            drive.run(drive.now + 1 / 8)
+    while ingresses[0].now < start + 90:
+        for ingress in ingresses:
+            ingress.run_until(ingress.now + 1 / 8)
         if "messages" in down:
-            for drive in drives:
-                drive.told.clear()
+            for ingress in ingresses:
+                ingress.sent_gossip.clear()
         else:
-            exchange(drives, rng)  # one in five is lost
-        drive = rng.choice(drives)
-        drive.next += 1
-        answer(drive, drive.give(RequestArrived(drive.next, UNSAFE, RATE, 7, 4.0, 1.0, 3, 0)))
-        if drive.let_in(drive.next):
+            exchange_gossip(ingresses, rng)  # one in five is lost
+        ingress = rng.choice(ingresses)
+        ingress.last_request += 1
+        answer(
+            ingress,
+            ingress.handle(
+                RequestArrived(ingress.last_request, UNSAFE, RATE_PLAN, 7, 4.0, 1.0, 3, 0)
+            ),
+        )
+        if ingress.is_admitted(ingress.last_request):
             passed += 1
-            drive.end(drive.next, 0, Outcome.OK)
+            ingress.end_attempt(ingress.last_request, 0, Outcome.OK)
     assert passed / 90 == pytest.approx(2.0, rel=0.2)
     assert calls < 10 if "messages" not in down else calls > 50, (
         "the counter is asked where messages fail only"
     )
 
 
-def test_a_silent_gateway_is_no_longer_taken_to_tell_all() -> None:
-    drives = fleet(3)
-    c = drives[0].gateway._customer(11, RATE)
+def test_a_silent_peer_is_no_longer_trusted_to_report_all_usage() -> None:
+    ingresses = make_ingresses(3)
+    c = ingresses[0].engine._customer(11, RATE_PLAN)
     c.spread = 3
 
-    def pass_time(until: float, heard: list[Drive]) -> None:
-        while drives[0].now < until:
-            for drive in drives:
-                drive.run(drive.now + 0.1)
-            for drive in drives:
-                if drive not in heard:
-                    drive.told.clear()
-            exchange(drives)
+    def pass_time(until: float, heard: list[IngressHarness]) -> None:
+        while ingresses[0].now < until:
+            for ingress in ingresses:
+                ingress.run_until(ingress.now + 0.1)
+            for ingress in ingresses:
+                if ingress not in heard:
+                    ingress.sent_gossip.clear()
+            exchange_gossip(ingresses)
 
-    pass_time(drives[0].now + 5, drives)
-    assert drives[0].gateway._hears(c), "with nothing to tell, that is told"
-    pass_time(drives[0].now + 3, drives[:2])
-    assert not drives[0].gateway._hears(c)
+    pass_time(ingresses[0].now + 5, ingresses)
+    assert ingresses[0].engine._hears(c), "with nothing to tell, that is told"
+    pass_time(ingresses[0].now + 3, ingresses[:2])
+    assert not ingresses[0].engine._hears(c)
 
 
-def test_who_starts_again_is_told_whose_quota_is_used_up() -> None:
-    drives = fleet(8)
-    spread_out(drives, 20, 8.0)
+def test_a_restarted_ingress_learns_which_quotas_are_used_up() -> None:
+    ingresses = make_ingresses(8)
+    admitted_rate_of_all(ingresses, 20, 8.0)
     new = 3
-    again = Drive(replace(BASE, ingress_count=8, ingress_number=new), seed=99)
-    again.now = drives[0].now
-    drives[new] = again
+    again = IngressHarness(replace(SETTINGS, ingress_count=8, ingress_number=new), seed=99)
+    again.now = ingresses[0].now
+    ingresses[new] = again
     for _ in range(10):
-        for drive in drives:
-            drive.run(drive.now + 0.05)
-        exchange(drives)
-    assert again.gateway.customers[7].store.level < 0.75 * PLANS[RATE].burst
+        for ingress in ingresses:
+            ingress.run_until(ingress.now + 0.05)
+        exchange_gossip(ingresses)
+    assert again.engine.customers[7].store.level < 0.75 * PLANS[RATE_PLAN].burst
 
 
-def test_spending_told_is_taken_from_the_store_once() -> None:
-    drive = Drive()
+def test_usage_in_gossip_is_taken_from_the_token_bucket_once() -> None:
+    ingress = IngressHarness()
     for arrived in (1.0, 2.0, 2.0):
-        drive.give(GossipReceived(1, report(7, RATE, arrived, arrived, 8.0 - arrived)))
-    assert drive.gateway.customers[7].store.level == pytest.approx(6.0)
-    drive.give(GossipReceived(1, report(7, RATE, 1.5, 1.5, 8.0, life=2)))  # it started again
-    assert drive.gateway.customers[7].store.level == pytest.approx(4.5)
+        ingress.handle(
+            GossipReceived(1, customer_gossip(7, RATE_PLAN, arrived, arrived, 8.0 - arrived))
+        )
+    assert ingress.engine.customers[7].store.level == pytest.approx(6.0)
+    ingress.handle(
+        GossipReceived(1, customer_gossip(7, RATE_PLAN, 1.5, 1.5, 8.0, incarnation=2))
+    )  # it started again
+    assert ingress.engine.customers[7].store.level == pytest.approx(4.5)
--- a/tests/policy/test_rate_sketch.py
+++ b/tests/policy/test_rate_sketch.py
@@ -12,7 +12,7 @@
 from dockthread.policy.rate_sketch import Sketch
 
 
-def test_sketch_moves_as_by_hand() -> None:
+def test_rate_decays_linearly_over_the_window() -> None:
     kept = Sketch(4.0, random.Random(1))
     # long unseen: units over the gap
     assert kept.add(5, 2.0, 10.0) == pytest.approx(2.0 / 1e9, abs=1e-6)
@@ -22,7 +22,7 @@
     assert kept.add(5, 2.0, 18.0) == pytest.approx(0.4)  # beyond the window: 2/5
 
 
-def test_sketch_takes_the_least_row() -> None:
+def test_rate_is_the_minimum_over_the_rows() -> None:
     kept = Sketch(4.0, random.Random(1))
     for row, (a, b) in enumerate(kept.salts):
         cell = (a * 5 + b) % rate_sketch.PRIME % rate_sketch.CELLS
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -5,21 +5,23 @@
 from dockthread.policy import (
     Outcome,
 )
-from tests.policy.harness import UNSAFE, Drive, entry
+from tests.policy.harness import UNSAFE, IngressHarness, endpoint
 
 
-def test_cold_worker_gets_less_than_its_part_and_no_further_attempts() -> None:
-    drive = Drive(workers=1)
-    drive.listed(entry(0), entry(5, started=drive.now))
+def test_cold_backend_gets_less_than_an_even_part_and_no_retries() -> None:
+    ingress = IngressHarness(backends=1)
+    ingress.list_endpoints(endpoint(0), endpoint(5, started=ingress.now))
     sent = []
-    for _ in range(400):  # at one moment, as hundreds of gateways might
-        sent.append(drive.ask(UNSAFE))
-        drive.end(sent[-1], 0, Outcome.OK)
-    # by warmth: for what it can do, no more than a warm one's; 3 times is what it stands
+    for _ in range(400):  # at one moment, as hundreds of ingresses might
+        sent.append(ingress.send_request(UNSAFE))
+        ingress.end_attempt(sent[-1], 0, Outcome.OK)
+    # By its slow-start weight it gets no more for its capacity than a warm one; it bears three times.
     part = 0.3 / 1.3
-    assert 0 < sum(drive.sent[r][0].backend == 1005 for r in sent) < 400 * part * 1.2
+    assert (
+        0 < sum(ingress.attempts[request][0].backend == 1005 for request in sent) < 400 * part * 1.2
+    )
     for _ in range(50):
-        drive.gateway.slow = 0.0  # not pressed
-        r = drive.ask(UNSAFE)
-        drive.end(r, 0, Outcome.AT_CAPACITY)
-        assert all(send.backend != 1005 for send in drive.sent[r][1:])
+        ingress.engine.slow = 0.0  # no overload
+        request = ingress.send_request(UNSAFE)
+        ingress.end_attempt(request, 0, Outcome.AT_CAPACITY)
+        assert all(send.backend != 1005 for send in ingress.attempts[request][1:])
--- a/tests/policy/test_token_bucket.py
+++ b/tests/policy/test_token_bucket.py
@@ -19,7 +19,7 @@
         ([("messages", 50.0), ("counter", 50.0)], 0.0),
     ],
 )
-def test_a_store_takes_what_both_sources_tell_once(
+def test_usage_reported_by_gossip_and_counter_is_taken_once(
     told: list[tuple[str, float]], left: float
 ) -> None:
     store, by_the_counter = QuotaStore(2.0, 8.0, 0.0), 0.0
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -78,7 +78,7 @@
     assert sink.getvalue() == bytes.fromhex("0800000000000000")
 
 
-def test_request_is_sent_to_the_listed_worker() -> None:
+def test_request_is_sent_to_the_listed_backend() -> None:
     (actions,) = serve(start())
     sends = [a for a in actions if a[:2] == b"\1\0"]
     assert len(sends) == 1
@@ -86,7 +86,7 @@
     assert all(len(a) == simulator_adapter.ACTION for a in actions)
 
 
-def test_outcome_of_the_wire_page_is_read() -> None:
+def test_attempt_ended_record_of_the_wire_specification_is_decoded() -> None:
     record = bytes.fromhex(
         "020003000000c4913a5dc80003000144480000000a124a07431f5600" + "0152b81e3f" + "00" * 15
     )
@@ -104,7 +104,7 @@
     assert simulator_adapter.worker_fields(event.backend) == (WORKER[:4], 0x1F43)
 
 
-def test_actions_of_the_wire_page_are_written() -> None:
+def test_actions_of_the_wire_specification_are_encoded() -> None:
     worker = simulator_adapter.worker_id(WORKER[:4], 0x1F43)
     send = simulator_adapter._write(3, SendAttempt(0x5D3A91C4, worker, 0.080000), bytearray())
     assert send == bytes.fromhex("010003000000c4913a5d0a124a07431f80380100")
@@ -116,7 +116,7 @@
     assert tail == b"xxhi p"
 
 
-def test_kill_and_start_in_one_batch() -> None:
+def test_kill_and_restart_in_one_batch() -> None:
     conf = json.dumps(CONF).encode()
     kill = struct.pack("<HI", 11, 3)
     again = frame(2_000_000, [kill, up(conf)], conf)
@@ -146,7 +146,7 @@
         "outside-tail",
     ],
 )
-def test_bad_input_ends_with_one_line(data: bytes) -> None:
+def test_bad_input_exits_with_one_error_line(data: bytes) -> None:
     done = subprocess.run(
         [sys.executable, "-m", "dockthread.simulator_adapter"],
         input=data,
@@ -159,7 +159,7 @@
     replies(done.stdout)
 
 
-def test_same_replies_whatever_the_hash_seed() -> None:
+def test_replies_do_not_depend_on_the_hash_seed() -> None:
     data = start() + b"".join(frame(1_100_000 + i * 1000, [request(10 + i)]) for i in range(60))
     outs = [
         subprocess.run(
