--- a/dockthread/lab/slow_start/restart_wave.py
+++ b/dockthread/lab/slow_start/restart_wave.py
@@ -105,7 +105,7 @@
         if wave.known:
             ingress.ready = self._hurry if wave.pushed else 0.0
         if wave.known and not wave.pushed:
-            ingress.started = ingress.backoff.soon()
+            ingress.started = ingress.backoff.initial_delay()
         self._at(ingress.started, self._call, ingress)
 
     def _call(self, ingress: Ingress) -> None:
@@ -153,7 +153,7 @@
 
     def _pause(self, ingress: Ingress, most: float = WINDOW) -> None:
         overbooked = self.now - ingress.started > OVERBOOKED  # it takes connections, up or down
-        pause = ingress.backoff.again(inf if overbooked else most)
+        pause = ingress.backoff.retry_delay(inf if overbooked else most)
         ingress.paused += pause
         self._at(self.now + pause, self._again, ingress, ingress.call)
 
--- a/dockthread/net/discovery_watch.py
+++ b/dockthread/net/discovery_watch.py
@@ -239,7 +239,7 @@
     async def run(self) -> None:
         """Hold a watch, one after another, for as long as it runs."""
         if self._destinations.by_worker and not self._pushed:  # what it knows serves meanwhile
-            await self._pause(self._backoff.soon())
+            await self._pause(self._backoff.initial_delay())
         while True:
             self._began = self._heard = self._whole = self._clock.now()
             self._stood = self._moved = self._connected = False
@@ -262,7 +262,9 @@
                 self._destinations.revision,
             )
             if not waited:
-                await self._pause(self._backoff.soon() if self._stood else self._again(WINDOW))
+                await self._pause(
+                    self._backoff.initial_delay() if self._stood else self._again(WINDOW)
+                )
 
     def check(self) -> None:
         """End a watch that has gone silent, or does not come to the end of an object: its machine
@@ -286,7 +288,7 @@
         to serve.
         """
         overbooked = self._connected and self._clock.now() - self._failing_since > OVERBOOKED
-        return self._backoff.again(inf if overbooked else most)
+        return self._backoff.retry_delay(inf if overbooked else most)
 
     async def _watch(self) -> None:
         loop = asyncio.get_running_loop()
--- a/dockthread/net/gossip_transport.py
+++ b/dockthread/net/gossip_transport.py
@@ -22,7 +22,7 @@
 from dockthread.config.platform_settings import PeerAddresses
 from dockthread.observer import Traffic
 from dockthread.policy import GossipReceived, SendGossip
-from dockthread.policy.gossip_codec import MOST_BYTES
+from dockthread.policy.gossip_codec import MAX_MESSAGE_BYTES
 
 TURN = 64  # datagrams read in one turn of the loop
 
@@ -65,7 +65,7 @@
         """Send to one, or by the address for all where there is one. What cannot go now is lost, as
         any may be.
         """
-        if self._sock is None or self._addresses is None or len(message.data) > MOST_BYTES:
+        if self._sock is None or self._addresses is None or len(message.data) > MAX_MESSAGE_BYTES:
             return
         peers, everyone = self._addresses.peers, self._addresses.everyone
         if message.peer is None:
@@ -92,14 +92,14 @@
             if self._sock is None:
                 return
             try:
-                data, sender = self._sock.recvfrom(MOST_BYTES + 1)
+                data, sender = self._sock.recvfrom(MAX_MESSAGE_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError as error:  # an earlier message found nobody
                 logger.debug("a message was not delivered: {}", error)
                 continue
             number = self._numbers.get((sender[0], sender[1]))
-            if number is None or len(data) > MOST_BYTES:
+            if number is None or len(data) > MAX_MESSAGE_BYTES:
                 self._traffic.messages_odd += 1
                 continue
             self._traffic.messages_in += 1
--- a/dockthread/policy/admission.py
+++ b/dockthread/policy/admission.py
@@ -8,7 +8,7 @@
 from dockthread.policy.attempts import PRESSED, Attempts
 from dockthread.policy.events import CounterReplied, RequestArrived
 from dockthread.policy.model import NEVER_RAN, Outcome, Plan, PolicySettings, RequestClass
-from dockthread.policy.rate_sketch import Sketch
+from dockthread.policy.rate_sketch import RateSketch
 from dockthread.policy.state import Call, Customer
 
 RESERVE, RESERVE_LOW = 0.15, 0.35  # of a store, for the dearest class; more for the cheapest
@@ -32,7 +32,7 @@
             p.burst / p.rate if p.rate > 0 else self.tight * bool(p.max_in_flight)
             for p in settings.plans
         ]
-        self.sketches = [Sketch(window, self.rng) if window else None for window in windows]
+        self.sketches = [RateSketch(window, self.rng) if window else None for window in windows]
         self.dearest = max(k.priority_weight for k in settings.classes)
         # of a unit, usually
         self.value = sum(k.priority_weight for k in settings.classes) / len(settings.classes)
@@ -70,7 +70,7 @@
         self.end_by(ask.request, call, self._close)
         self._try(ask.request, call)
         if self._asks(c) and (sketch := self.sketches[ask.plan]) is not None:
-            c.own, c.own_at = sketch.decayed(c.own, ask.units, self.now - c.own_at), self.now
+            c.own, c.own_at = sketch.decayed_rate(c.own, ask.units, self.now - c.own_at), self.now
             c.unsaid += ask.units
             if c.calling is None and self.now >= self.mute:
                 self._call(ask.customer, c)
@@ -81,7 +81,7 @@
         """
         return self.s.may_use_counter and c.store.rate > 0 and not self._hears(c)
 
-    def _doubtful(self, ask: RequestArrived, c: Customer, sketch: Sketch) -> bool:
+    def _doubtful(self, ask: RequestArrived, c: Customer, sketch: RateSketch) -> bool:
         """Whether what the others let in decides: not within an even split, nor while the store
         holds much, nor where it is too empty for this request whatever they did.
         """
@@ -120,9 +120,9 @@
         assert sketch is not None
         if e.outcome is Outcome.OK:
             room = plan.rate * (self.now - begun) - (e.total - units - lift)
-            left, due = c.store.by_the_number(room, units)
-            c.rest = sketch.decayed(
-                c.rest, c.store.counter_told(left - c.unsaid), self.now - c.heard
+            left, due = c.store.counter_balance(room, units)
+            c.rest = sketch.decayed_rate(
+                c.rest, c.store.apply_counter(left - c.unsaid), self.now - c.heard
             )
             c.due, c.lift, c.heard, self.failures = due * (not lift), due - lift, self.now, 0
             # else it is others' use, and not their lift of the same
@@ -174,7 +174,9 @@
         c.spent += ask.units
         return True
 
-    def _chance(self, units: float, worth: float, c: Customer, plan: Plan, sketch: Sketch) -> float:
+    def _chance(
+        self, units: float, worth: float, c: Customer, plan: Plan, sketch: RateSketch
+    ) -> float:
         """The chance to pass. Phi: the quota by this gateway's part of the arrivals where the
         others tell of theirs; else by its part of what is let in, by the counter or else by the
         meter; never less than an even split, which is all where nobody tells. Where the others' use
@@ -184,7 +186,7 @@
         if told or (not self.s.may_use_counter and self._hears_any()):
             if not plan.rate and told:
                 return 1.0  # only a cap on attempts out, and those are told
-            asked = sketch.decayed(c.asked, 0.0, gap)
+            asked = sketch.decayed_rate(c.asked, 0.0, gap)
             phi = max(rate * c.rate / (c.rate + asked), rate / c.spread)
             gone = c.spending * min(gap, self.turn)
             return self._lean(units, worth, c, min(1.0, phi / c.rate), gone, told)
@@ -195,7 +197,7 @@
             return min(1.0, phi / c.rate)
         gap = self.now - c.heard
         known = gap <= sketch.window
-        own = sketch.decayed(c.own, 0.0, self.now - c.own_at)
+        own = sketch.decayed_rate(c.own, 0.0, self.now - c.own_at)
         rest = c.rest if known else max(0.0, c.used * plan.rate - own)
         if own and (known or self.now - c.used_at < METER_FRESH * self.s.usage_report_period):
             phi = max(phi, plan.rate * own / (own + rest))
@@ -222,7 +224,7 @@
         plan = self.s.plans[number]
         if (c := self.customers.get(key)) is None:
             c = self.customers[key] = Customer(number, plan, self.now, self.born)
-        c.store.fill(self.now)
+        c.store.refill(self.now)
         return c
 
     def _rate(self, plan: Plan) -> float:
--- a/dockthread/policy/attempts.py
+++ b/dockthread/policy/attempts.py
@@ -8,8 +8,14 @@
 
 from dockthread.policy.actions import CancelAttempt, Fail, Reject, SendAttempt
 from dockthread.policy.events import AttemptEnded
-from dockthread.policy.latency_estimates import MOST_PACE, Crowds, Reports, scarcity, smoothed
+from dockthread.policy.latency_estimates import (
+    MAX_RELATIVE_LATENCY,
+    ConcurrencyEstimate,
+    sample_scarcity,
+    smooth_latency,
+)
 from dockthread.policy.load_balancer import Choice
+from dockthread.policy.load_reports import LoadReportReader
 from dockthread.policy.model import NEVER_RAN, Effect, Outcome, PolicySettings, RequestClass
 from dockthread.policy.state import Attempt, Call, Worker
 
@@ -34,9 +40,12 @@
 
     def __init__(self, settings: PolicySettings, seed: int, now: float) -> None:
         super().__init__(settings, seed, now)
-        self.reports, self.crowds = Reports(settings.load_report_fields), Crowds()
+        self.reports, self.crowds = (
+            LoadReportReader(settings.load_report_fields),
+            ConcurrencyEstimate(),
+        )
         self.tight = min(k.latency_objective for k in settings.classes)
-        self.blame = 1 - (1 - FAIL_STEP) ** scarcity(settings.ingress_count)
+        self.blame = 1 - (1 - FAIL_STEP) ** sample_scarcity(settings.ingress_count)
 
     def _survey(self) -> None:
         self.pool.refresh()
@@ -53,9 +62,9 @@
         if (worker := self._choose(call)) is None:
             return False
         del self.held[request]
-        crowd = self.crowds.met(worker.load(self.now))
+        crowd = self.crowds.relative_concurrency(worker.load(self.now))
         self.carry(worker, 1)
-        self.ramp.left -= not self.pool.warm
+        self.ramp.left -= not self.pool.has_warm_backend
         worker.take_link(self.now - self.kept)
         self.owner[request, len(call.attempts)] = call.ask.customer
         call.attempts.append(Attempt(worker.entry.backend, self.now, crowd))
@@ -120,7 +129,9 @@
         # every answer repeats the last report; only another one is news
         if e.load_report and e.load_report != w.report:
             w.hear(
-                e.load_report, self.reports.others(e.load_report, w.out, self._usually()), self.now
+                e.load_report,
+                self.reports.other_requests(e.load_report, w.out, self._usually()),
+                self.now,
             )
         w.answered = (
             self.now
@@ -152,11 +163,13 @@
             call.ask.route.ended(e.attempt, e.outcome, e.duration, self.now)
         if e.outcome is Outcome.OK:
             usual, deviation = self.usual[call.ask.request_class]
-            w.took(min(MOST_PACE, e.duration / usual / attempt.crowd))
-            self.usual[call.ask.request_class] = smoothed(usual, deviation, e.duration, SMOOTH)
+            w.took(min(MAX_RELATIVE_LATENCY, e.duration / usual / attempt.crowd))
+            self.usual[call.ask.request_class] = smooth_latency(
+                usual, deviation, e.duration, SMOOTH
+            )
         if self.s.settles_units and e.actual_units:
             more_units = e.actual_units - call.ask.units
-            c.store.take(more_units, below=True)
+            c.store.take(more_units, may_go_negative=True)
             c.spent += more_units
             self._report(owner, c)
         if e.is_final:
@@ -181,7 +194,7 @@
         the others is hardly drawn, and its late answers must not refuse what the others have room
         for.
         """
-        return min(1.0, ((1 - w.failed) / max(0.05, self.pool.sound)) ** 2)
+        return min(1.0, ((1 - w.failed) / max(0.05, self.pool.success_fraction)) ** 2)
 
     def _repeats(self, call: Call) -> bool:
         """Whether a second attempt may go while the first is out. A class may have been changed
--- a/dockthread/policy/backend_pool.py
+++ b/dockthread/policy/backend_pool.py
@@ -20,26 +20,30 @@
 from itertools import accumulate
 from typing import TYPE_CHECKING, Protocol
 
-from dockthread.policy.latency_estimates import Rounds
+from dockthread.policy.latency_estimates import DecayRounds
 from dockthread.policy.model import BackendState, DeduplicationScope, Endpoint
 
 if TYPE_CHECKING:
     from dockthread.policy.state import Worker
 
-SLOTS_PER_CHANGE = 1024  # places for each of which one change has all sums made anew, about 20 us
-FADED = 1e-18  # a failed part below this changes no sum with 1 in double precision: it is none
-FADED_OF_MANY = 1e-3  # the same in a long list, where one rests after ten halvings and not after 60
-MOST_WEIGHED = 1024  # workers weighed anew in one round: some 3 ms
+SLOTS_PER_RESUM = 1024  # places for each of which one change has all sums made anew, about 20 us
+NEGLIGIBLE_FAILURE = (
+    1e-18  # a failed part below this changes no sum with 1 in double precision: it is none
+)
+NEGLIGIBLE_FAILURE_LONG_LIST = (
+    1e-3  # the same in a long list, where one rests after ten halvings and not after 60
+)
+MAX_WEIGHED_PER_ROUND = 1024  # workers weighed anew in one round: some 3 ms
 # workers that are looked through for a few; of more, so many drawn evenly are, a quarter of it
-SCANNED = 1024
+SHORT_LIST = 1024
 # candidates of a long list: the best of so many is as good as one in 64, and more cost 4 us each
-MOST_DRAWN = 64
-TRIES = 4  # draws from all for one of a part of them
+MAX_CANDIDATES = 64
+DRAW_ATTEMPTS = 4  # draws from all for one of a part of them
 # of the places: left by workers that are forgotten, from which they are closed up
-VACANT_PART = 1 / 8
+MAX_VACANT_FRACTION = 1 / 8
 
 
-class Drawable(Protocol):
+class DrawableBackends(Protocol):
     """Workers to draw from by their shares."""
 
     def __len__(self) -> int:
@@ -52,12 +56,12 @@
         """By their shares, as many or fewer."""
         ...
 
-    def some(self, rng: random.Random) -> Iterable[Worker]:
+    def sample(self, rng: random.Random) -> Iterable[Worker]:
         """Evenly, some of many, and all of few."""
         ...
 
 
-class Subset:
+class BackendSubset:
     """Some workers, all ready, weighed once."""
 
     __slots__ = ("_sums", "_workers")
@@ -75,12 +79,12 @@
         """By their shares."""
         return rng.choices(self._workers, cum_weights=self._sums, k=count)
 
-    def some(self, rng: random.Random) -> Iterable[Worker]:
+    def sample(self, rng: random.Random) -> Iterable[Worker]:
         """All of them."""
         return self._workers
 
 
-class Sifted:
+class FilteredPool:
     """The part of a long list whose entries fit, drawn from all of it. Its length is that of the
     whole list, for of as many drawn from the whole those that fit are as many as its part would
     be.
@@ -88,7 +92,7 @@
 
     __slots__ = ("_fits", "_pool")
 
-    def __init__(self, pool: Drawable, fits: Callable[[Endpoint], bool]) -> None:
+    def __init__(self, pool: DrawableBackends, fits: Callable[[Endpoint], bool]) -> None:
         self._pool, self._fits = pool, fits
 
     def __len__(self) -> int:
@@ -101,16 +105,16 @@
         """Those that fit among some drawn from all; none where a few rounds of drawing find
         none.
         """
-        for _ in range(TRIES):
+        for _ in range(DRAW_ATTEMPTS):
             if drawn := [
                 worker for worker in self._pool.draw(rng, count) if self._fits(worker.entry)
             ]:
                 return drawn
         return []
 
-    def some(self, rng: random.Random) -> Iterable[Worker]:
+    def sample(self, rng: random.Random) -> Iterable[Worker]:
         """Those that fit among some of all."""
-        return [worker for worker in self._pool.some(rng) if self._fits(worker.entry)]
+        return [worker for worker in self._pool.sample(rng) if self._fits(worker.entry)]
 
 
 def _summed(shares: array[float]) -> array[float]:
@@ -120,10 +124,10 @@
     return array("d", list(accumulate(shares.tolist())))
 
 
-NOBODY = Subset([], lambda worker: 0.0)
+NO_BACKENDS = BackendSubset([], lambda worker: 0.0)
 
 
-class Pool:
+class BackendPool:
     """All workers listed. `share`: the chance of one to be drawn; `warmth`: 1 for one that is
     warm.
     """
@@ -139,12 +143,12 @@
         self._ready = self._vacant = 0
         self._weighed = 0  # since the sums were made
         self._due = False  # a round of housekeeping went by since
-        self.rounds = Rounds()
+        self.decay_rounds = DecayRounds()
         self.failing: dict[int, Worker] = {}  # with failures that fade
-        self.cold: dict[int, Worker] = {}  # ready ones that warm up
+        self.warming_up: dict[int, Worker] = {}  # ready ones that warm up
         self._turn = 0  # the next of these to be weighed, where they are too many for a round
-        self.sound = 1.0  # mean part of the ready ones' outcomes that were no failures
-        self.warm = False  # whether a ready one is warm
+        self.success_fraction = 1.0  # mean part of the ready ones' outcomes that were no failures
+        self.has_warm_backend = False  # whether a ready one is warm
         # workers looked at one by one, ever: the work that changes and housekeeping make
         self.visits = 0
 
@@ -155,7 +159,7 @@
         return (worker for worker in self._slots if worker.ready)
 
     @property
-    def total(self) -> float:
+    def total_weight(self) -> float:
         """The shares of all that are ready, as they were summed up last."""
         return self._sums[-1] if self._sums else 0.0
 
@@ -163,37 +167,37 @@
         """By their shares as they were summed up last; of a long list `MOST_DRAWN` at the most."""
         if not self._sums or not self._sums[-1]:
             return []
-        if self._ready > SCANNED:
-            count = min(count, MOST_DRAWN)
+        if self._ready > SHORT_LIST:
+            count = min(count, MAX_CANDIDATES)
         return rng.choices(self._slots, cum_weights=self._sums, k=count)
 
-    def some(self, rng: random.Random) -> Iterable[Worker]:
+    def sample(self, rng: random.Random) -> Iterable[Worker]:
         """All of a short list; of a long one some, drawn evenly."""
-        if self._ready <= SCANNED:
+        if self._ready <= SHORT_LIST:
             return iter(self)
-        return (worker for worker in rng.choices(self._slots, k=SCANNED // 4) if worker.ready)
+        return (worker for worker in rng.choices(self._slots, k=SHORT_LIST // 4) if worker.ready)
 
-    def near(self, home: Endpoint, group: DeduplicationScope) -> Drawable:
+    def in_scope(self, home: Endpoint, group: DeduplicationScope) -> DrawableBackends:
         """The workers of a group, beside one."""
         if group is DeduplicationScope.ALL:
             return self
         if group is DeduplicationScope.CELL:
             cell = self._cells.get((home.zone, home.cell), {})
-            return Subset(
+            return BackendSubset(
                 sorted((w for w in cell.values() if w.ready), key=lambda w: w.place), self._share
             )
         zone = home.zone
-        return Sifted(self, lambda entry: entry.zone == zone)
+        return FilteredPool(self, lambda entry: entry.zone == zone)
 
-    def sifted(self, fits: Callable[[Endpoint], bool]) -> Drawable | None:
+    def filtered(self, fits: Callable[[Endpoint], bool]) -> DrawableBackends | None:
         """Those whose zone and kind fit; None where no such worker is ready."""
-        if self._ready <= SCANNED:
+        if self._ready <= SHORT_LIST:
             fitting = [worker for worker in self if fits(worker.entry)]
-            return Subset(fitting, self._share) if fitting else None
+            return BackendSubset(fitting, self._share) if fitting else None
         parts = (
             Endpoint(0, BackendState.READY, *part) for part, count in self._parts.items() if count
         )
-        return Sifted(self, fits) if any(map(fits, parts)) else None
+        return FilteredPool(self, fits) if any(map(fits, parts)) else None
 
     def add(self, worker: Worker) -> None:
         """One that was not known before. It weighs nothing yet."""
@@ -205,14 +209,14 @@
             worker
         )
 
-    def forget(self, worker: Worker) -> None:
+    def remove(self, worker: Worker) -> None:
         """One that is not ready, and will not be again."""
         self.failing.pop(worker.entry.backend, None)
         self._leave_cell(worker)
         self._vacant += 1
         worker.place = -1
 
-    def relist(self, worker: Worker, entry: Endpoint, ready: bool) -> None:
+    def update(self, worker: Worker, entry: Endpoint, ready: bool) -> None:
         """What is listed of it now, and whether it may be drawn."""
         old = worker.entry
         self._parts[old.zone, old.kind] -= worker.ready
@@ -230,13 +234,15 @@
         if not self._cells[key]:
             del self._cells[key]
 
-    def fade(self, failures: float, paces: float) -> None:
+    def decay(self, failures: float, paces: float) -> None:
         """A round of housekeeping: these parts are left of what is known of failures, and of answer
         times.
         """
         self._due = True
-        self.rounds.end(paces)
-        least = FADED if len(self._slots) <= SCANNED else FADED_OF_MANY
+        self.decay_rounds.advance(paces)
+        least = (
+            NEGLIGIBLE_FAILURE if len(self._slots) <= SHORT_LIST else NEGLIGIBLE_FAILURE_LONG_LIST
+        )
         for worker in self.failing.values():
             worker.fade(failures, least)
 
@@ -244,29 +250,31 @@
         """Weigh anew and sum up, if it is time."""
         if (
             not self._due
-            and (self._weighed + 1) * SLOTS_PER_CHANGE <= len(self._slots) - self._vacant
+            and (self._weighed + 1) * SLOTS_PER_RESUM <= len(self._slots) - self._vacant
         ):
             return
         self._due = False
-        if self._vacant > len(self._slots) * VACANT_PART:
+        if self._vacant > len(self._slots) * MAX_VACANT_FRACTION:
             self._close_up()
         for worker in self._moving():
             self._weigh(worker)
         if self._weighed:
             self._weighed, self._sums = 0, _summed(self._shares)
         failed = sum(worker.failed for worker in self.failing.values() if worker.ready)
-        self.sound = (self._ready - failed) / max(1, self._ready)
-        self.warm = self._ready > len(self.cold)
+        self.success_fraction = (self._ready - failed) / max(1, self._ready)
+        self.has_warm_backend = self._ready > len(self.warming_up)
 
     def _moving(self) -> list[Worker]:
         """Those whose shares move by themselves; where these are too many, the next of them."""
         moving = list(self.failing.values())
-        moving += [worker for number, worker in self.cold.items() if number not in self.failing]
-        if len(moving) <= MOST_WEIGHED:
+        moving += [
+            worker for number, worker in self.warming_up.items() if number not in self.failing
+        ]
+        if len(moving) <= MAX_WEIGHED_PER_ROUND:
             return moving
         at = self._turn % len(moving)
-        self._turn = at + MOST_WEIGHED
-        return (moving + moving[:MOST_WEIGHED])[at : at + MOST_WEIGHED]
+        self._turn = at + MAX_WEIGHED_PER_ROUND
+        return (moving + moving[:MAX_WEIGHED_PER_ROUND])[at : at + MAX_WEIGHED_PER_ROUND]
 
     def _weigh(self, worker: Worker) -> None:
         """One with nothing that moves by itself is visited no more."""
@@ -274,9 +282,9 @@
         number = worker.entry.backend
         share = self._share(worker) if worker.ready else 0.0
         if worker.ready and self._warmth(worker) < 1.0:
-            self.cold[number] = worker
+            self.warming_up[number] = worker
         else:
-            self.cold.pop(number, None)
+            self.warming_up.pop(number, None)
         if not worker.failed:
             self.failing.pop(number, None)
         if share != self._shares[worker.place]:
--- a/dockthread/policy/backoff.py
+++ b/dockthread/policy/backoff.py
@@ -23,9 +23,9 @@
 from math import inf
 
 # ms of the first end for each ingress: eight calls a second over the fleet, then four, then two
-PART = 125.0
-MOST = 4.0  # ends at the most, in first ends
-LEAST = 10.0  # ms: a pause of nothing would be none
+FIRST_CAP_PER_INGRESS_MS = 125.0
+MAX_CAP_FACTOR = 4.0  # ends at the most, in first ends
+MIN_DELAY_MS = 10.0  # ms: a pause of nothing would be none
 
 
 class Backoff:
@@ -34,22 +34,26 @@
     """
 
     def __init__(
-        self, rng: random.Random, fleet: int, hurry: float = 500.0, longest: float = inf
+        self,
+        rng: random.Random,
+        ingress_count: int,
+        max_initial_delay: float = 500.0,
+        max_delay: float = inf,
     ) -> None:
-        self._rng, self._longest = rng, longest
-        self.first = PART * max(1, fleet)
-        self._hurry = min(hurry, self.first / 2)
+        self._rng, self._max_delay = rng, max_delay
+        self.first_cap = FIRST_CAP_PER_INGRESS_MS * max(1, ingress_count)
+        self._max_initial_delay = min(max_initial_delay, self.first_cap / 2)
         self._failures = 0
 
-    def soon(self) -> float:
+    def initial_delay(self) -> float:
         """Before the first call of a life, and after the loss of what was held."""
-        return self._rng.uniform(0.0, self._hurry)
+        return self._rng.uniform(0.0, self._max_initial_delay)
 
-    def again(self, most: float = inf) -> float:
+    def retry_delay(self, most: float = inf) -> float:
         """After one more call in a row that failed, and `most` at the most."""
-        end = min(most, self._longest, self.first * min(MOST, 2.0**self._failures))
+        end = min(most, self._max_delay, self.first_cap * min(MAX_CAP_FACTOR, 2.0**self._failures))
         self._failures = min(self._failures + 1, 30)
-        return max(LEAST, self._rng.uniform(0.0, end))
+        return max(MIN_DELAY_MS, self._rng.uniform(0.0, end))
 
     def reset(self) -> None:
         """The service answered."""
--- a/dockthread/policy/engine.py
+++ b/dockthread/policy/engine.py
@@ -25,7 +25,7 @@
     ResponseStarted,
     TimerFired,
 )
-from dockthread.policy.latency_estimates import scarcity
+from dockthread.policy.latency_estimates import sample_scarcity
 from dockthread.policy.model import BackendState, EndpointListKind, PolicySettings
 
 PACE_HALF = 15.0  # s in which what its answer times told counts half
@@ -37,7 +37,7 @@
 
     def __init__(self, settings: PolicySettings, seed: int, now: float) -> None:
         super().__init__(settings, seed, now)
-        self.fade = FADE_HALF * scarcity(settings.ingress_count)
+        self.fade = FADE_HALF * sample_scarcity(settings.ingress_count)
         self.handlers: dict[type, Callable[[Any], None]] = {
             RequestArrived: self._arrived,
             AttemptEnded: self._ended,
@@ -72,7 +72,7 @@
         self.done *= 1 - TICK / (DONE_OVER * self.s.safety.overload_time + TICK)
         # it tells of the moment: a jam that is gone must not refuse
         self.slow *= 0.5 ** (TICK / self.tight)
-        self.pool.fade(0.5 ** (TICK / self.fade), 0.5 ** (TICK / PACE_HALF))
+        self.pool.decay(0.5 ** (TICK / self.fade), 0.5 ** (TICK / PACE_HALF))
         self.tidy()
         self._beats()
         self._survey()
--- a/dockthread/policy/gossip.py
+++ b/dockthread/policy/gossip.py
@@ -18,7 +18,7 @@
 from dockthread.policy.actions import SendGossip
 from dockthread.policy.events import GossipReceived
 from dockthread.policy.model import PolicySettings
-from dockthread.policy.rate_sketch import Sketch
+from dockthread.policy.rate_sketch import RateSketch
 from dockthread.policy.state import NEVER, Customer, Memory
 
 INTAKE_PART, STOCK = 0.8, 4  # part of an intake that all use; s of messages in stock
@@ -36,7 +36,7 @@
     that follow it.
     """
 
-    sketches: list[Sketch | None]
+    sketches: list[RateSketch | None]
 
     def __init__(self, settings: PolicySettings, seed: int, now: float) -> None:
         super().__init__(settings, seed, now)
@@ -113,11 +113,15 @@
             if self.stock < 1 or (not notes and self.stock < STOCK * self.intake / 2):
                 break
             keys = list(notes)
-            room = gossip_codec.room(len(suspects), keys)
+            room = gossip_codec.report_capacity(len(suspects), keys)
             if len(keys) > room:  # those whose quota is nearest to its end
-                keys = sorted(keys, key=lambda key: self.customers[key].store.left(self.now))[:room]
+                keys = sorted(keys, key=lambda key: self.customers[key].store.level_at(self.now))[
+                    :room
+                ]
             reports = [self.customers[key].report_of(key, self.now) for key in keys]
-            self.actions.append(SendGossip(gossip_codec.pack(self.life, suspects, reports), peer))
+            self.actions.append(
+                SendGossip(gossip_codec.encode_message(self.life, suspects, reports), peer)
+            )
             self.stock, self.sent_at[peer] = self.stock - 1, self.now
             for key in keys:
                 del notes[key]
@@ -127,7 +131,7 @@
             self._schedule_gossip()
 
     def _said(self, e: GossipReceived) -> None:
-        told = gossip_codec.unpack(e.data, len(self.s.plans))
+        told = gossip_codec.decode_message(e.data, len(self.s.plans))
         if told is None or not 0 <= e.peer < self.s.ingress_count or e.peer == self.me:
             return
         self.heard[e.peer] = self.now
@@ -135,8 +139,10 @@
             suspect = self.codes.get(code)
             if suspect and self.now - suspect.answered > TRUST:
                 suspect.failed = max(suspect.failed, failed)
-        if self.lives.get(e.peer) != told.life:  # it started: it is to know whose quota is used up
-            self.lives[e.peer] = told.life
+        if (
+            self.lives.get(e.peer) != told.incarnation
+        ):  # it started: it is to know whose quota is used up
+            self.lives[e.peer] = told.incarnation
             self._tell_short(e.peer)
         for report in told.reports:
             self._told(e.peer, self._customer(report.customer, report.plan), report)
@@ -144,26 +150,29 @@
     def _tell_short(self, peer: int) -> None:
         for key, c in self.customers.items():
             in_set = (peer - c.first) % self.s.ingress_count < c.spread
-            if in_set and c.spread > 1 and c.store.left(self.now) < SHORT * c.store.burst:
+            if in_set and c.spread > 1 and c.store.level_at(self.now) < SHORT * c.store.burst:
                 self.unsent.setdefault(peer, {})[key] = None
         self.unsent.setdefault(peer, {})
         self._schedule_gossip()
 
-    def _told(self, peer: int, c: Customer, r: gossip_codec.Report) -> None:
+    def _told(self, peer: int, c: Customer, r: gossip_codec.CustomerReport) -> None:
         life, arrived, spent = c.told.get(peer, (-1, 0, 0))
         if life != self.lives[peer]:  # it counts from nothing
             arrived = spent = 0
-        asked, used = gossip_codec.grown(r.arrived, arrived), gossip_codec.grown(r.spent, spent)
+        asked, used = (
+            gossip_codec.units_between(r.arrived_sum, arrived),
+            gossip_codec.units_between(r.admitted_sum, spent),
+        )
         # one of us is new to it: the last request counts, and a start does not fill the store
         if life < 0:
             asked, used = min(asked, self.s.max_request_units), min(used, self.s.max_request_units)
-            c.store.at_most(r.left + used)
-        c.told[peer] = (self.lives[peer], r.arrived, r.spent)
+            c.store.lower_to(r.bucket_level + used)
+        c.told[peer] = (self.lives[peer], r.arrived_sum, r.admitted_sum)
         if (sketch := self.sketches[c.plan]) is not None:
             gap, c.told_at = self.now - c.told_at, self.now
-            c.store.messages_told(used, gap)
-            c.asked = sketch.decayed(c.asked, max(0.0, asked), gap)
-            c.spending = sketch.decayed(c.spending, max(0.0, used), gap)
+            c.store.apply_gossip(used, gap)
+            c.asked = sketch.decayed_rate(c.asked, max(0.0, asked), gap)
+            c.spending = sketch.decayed_rate(c.spending, max(0.0, used), gap)
         c.outs.pop(peer, None)
-        if r.out:
-            c.outs[peer] = (self.now, r.out)
+        if r.in_flight:
+            c.outs[peer] = (self.now, r.in_flight)
--- a/dockthread/policy/gossip_codec.py
+++ b/dockthread/policy/gossip_codec.py
@@ -10,83 +10,100 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-MOST_BYTES = 256  # of a message on the wire
+MAX_MESSAGE_BYTES = 256  # of a message on the wire
 VERSION = 5
-PARTS = 16  # of a unit
-SUM = 0xFFFF
-SANE = 60_000.0  # the largest figure that two bytes hold as a float
-HEAD, SUSPECT = struct.Struct("<BBBB"), struct.Struct("<3sB")
+PARTS_PER_UNIT = 16  # of a unit
+SUM_MASK = 0xFFFF
+MAX_BUCKET_LEVEL = 60_000.0  # the largest figure that two bytes hold as a float
+HEADER, SUSPECT_ENTRY = struct.Struct("<BBBB"), struct.Struct("<3sB")
 # a report, by the width of its customer's key
-NARROW, WIDE = struct.Struct("<IBBHHe"), struct.Struct("<QBBHHe")
+NARROW_REPORT, WIDE_REPORT = struct.Struct("<IBBHHe"), struct.Struct("<QBBHHe")
 
 
-class Report(NamedTuple):
+class CustomerReport(NamedTuple):
     """Of a customer: own attempts out, sums of units asked and let in here since the start, units
     left.
     """
 
     customer: int
     plan: int
-    out: int
-    arrived: int
-    spent: int
-    left: float
+    in_flight: int
+    arrived_sum: int
+    admitted_sum: int
+    bucket_level: float
 
 
-class Message(NamedTuple):
+class GossipMessage(NamedTuple):
     """One message of a peer, unpacked."""
 
-    life: int
+    incarnation: int
     suspects: list[tuple[bytes, float]]
-    reports: list[Report]
+    reports: list[CustomerReport]
 
 
-def worker_code(worker: int) -> bytes:
+def backend_code(worker: int) -> bytes:
     """A worker's number as messages have it."""
     return (worker * 0x9E3779B97F4A7C15 >> 20 & 0xFFFFFF).to_bytes(3, "big")
 
 
-def whole(units: float) -> int:
+def encode_units(units: float) -> int:
     """A sum of units as it travels."""
-    return round(units * PARTS) & SUM
+    return round(units * PARTS_PER_UNIT) & SUM_MASK
 
 
-def grown(now: int, then: int) -> float:
+def units_between(now: int, then: int) -> float:
     """Units that a sum has grown by, or shrunk."""
-    return ((now - then + 0x8000 & SUM) - 0x8000) / PARTS
+    return ((now - then + 0x8000 & SUM_MASK) - 0x8000) / PARTS_PER_UNIT
 
 
-def form_of(keys: Iterable[int]) -> struct.Struct:
+def report_format(keys: Iterable[int]) -> struct.Struct:
     """The narrowest that holds these keys: what is saved is room for reports of more customers."""
-    return NARROW if all(key >> 32 == 0 for key in keys) else WIDE
+    return NARROW_REPORT if all(key >> 32 == 0 for key in keys) else WIDE_REPORT
 
 
-def room(suspects: int, keys: Iterable[int]) -> int:
+def report_capacity(suspects: int, keys: Iterable[int]) -> int:
     """Reports of these customers that fit."""
-    return (MOST_BYTES - HEAD.size - suspects * SUSPECT.size) // form_of(keys).size
+    return (MAX_MESSAGE_BYTES - HEADER.size - suspects * SUSPECT_ENTRY.size) // report_format(
+        keys
+    ).size
 
 
-def pack(life: int, suspects: Sequence[tuple[bytes, float]], reports: Sequence[Report]) -> bytes:
+def encode_message(
+    life: int, suspects: Sequence[tuple[bytes, float]], reports: Sequence[CustomerReport]
+) -> bytes:
     """One message as bytes."""
-    form = form_of(r.customer for r in reports)
-    data = HEAD.pack(VERSION, life, len(suspects), form is WIDE)
-    data += b"".join(SUSPECT.pack(code, int(255 * failed)) for code, failed in suspects)
+    form = report_format(r.customer for r in reports)
+    data = HEADER.pack(VERSION, life, len(suspects), form is WIDE_REPORT)
+    data += b"".join(SUSPECT_ENTRY.pack(code, int(255 * failed)) for code, failed in suspects)
     for r in reports:
-        data += form.pack(*r[:2], min(r.out, 255), *r[3:5], max(-SANE, min(r.left, SANE)))
+        level = max(-MAX_BUCKET_LEVEL, min(r.bucket_level, MAX_BUCKET_LEVEL))
+        data += form.pack(
+            *r[:2],
+            min(r.in_flight, 255),
+            *r[3:5],
+            level,
+        )
     return data
 
 
-def unpack(data: bytes, plans: int) -> Message | None:
+def decode_message(data: bytes, plans: int) -> GossipMessage | None:
     """A message from bytes; None where they are none."""
-    if len(data) < HEAD.size or data[0] != VERSION:
+    if len(data) < HEADER.size or data[0] != VERSION:
         return None
-    reports = HEAD.size + data[2] * SUSPECT.size
-    form = WIDE if data[3] else NARROW
+    reports = HEADER.size + data[2] * SUSPECT_ENTRY.size
+    form = WIDE_REPORT if data[3] else NARROW_REPORT
     if len(data) < reports or (len(data) - reports) % form.size:
         return None
-    told = [Report(*fields) for fields in form.iter_unpack(data[reports:])]
-    return Message(
+    told = [CustomerReport(*fields) for fields in form.iter_unpack(data[reports:])]
+    return GossipMessage(
         data[1],
-        [(code, failed / 255) for code, failed in SUSPECT.iter_unpack(data[HEAD.size : reports])],
-        [r for r in told if r.plan < plans and -SANE <= r.left <= SANE],
+        [
+            (code, failed / 255)
+            for code, failed in SUSPECT_ENTRY.iter_unpack(data[HEADER.size : reports])
+        ],
+        [
+            r
+            for r in told
+            if r.plan < plans and -MAX_BUCKET_LEVEL <= r.bucket_level <= MAX_BUCKET_LEVEL
+        ],
     )
--- a/dockthread/policy/latency_estimates.py
+++ b/dockthread/policy/latency_estimates.py
@@ -1,162 +1,172 @@
-"""What a gateway estimates of workers from few answers. Decides nothing.
-
-Theory of operation. With many gateways each sees little of any worker: some three answers a minute,
-where three gateways saw a hundred. A figure smoothed from nothing with a small step never leaves
-its start then, and a report is old before the next comes. So the estimate of one worker leans on
-what is known of its kind (`KindStats`): the mean of one worker's few answers is drawn towards its
-kind's by a fixed number of imagined answers (shrinkage), and counts alone once there are many. A
-report's news fades back to the kind's mean, not to nothing: a worker not heard of is as busy as the
-others, and not a free one that draws all.
+"""Estimates of backends' latency, load and concurrency from few samples; it decides nothing.
+
+With many ingresses each of them sees few responses of any one backend: some three a minute with
+forty ingresses, a hundred with three. A value that is smoothed with a small step would hardly leave
+its start. So the estimate of one backend is drawn towards the mean of its kind by a fixed number of
+imaginary samples (shrinkage, as in empirical Bayes estimation), and counts alone once it has many
+samples. The load that a report told of decays to the kind's mean and not to zero: a backend without
+a recent report counts as loaded as the others, where an idle one would attract every request.
+
+Latencies are relative to the usual latency of the request's class, so 1.0 is as usual.
 """
 
 from __future__ import annotations
 
 import math
 
-IMAGINED = 2.0  # answers like its kind's that a worker is taken to have given
-MOST_PACE = 8.0  # the slowest answer that counts, in usual ones
-# least weight of one more answer in a worker's figures; in its kind's
-PACE_STEP, KIND_STEP = 0.05, 0.05
-FEW = 3.0  # gateways for which the weight of one failure, and the time that it lasts, were set
-FIELDS = ("rif", "busy", "rate", "lat_ms", "q")  # of load reports, on the wire
-BUSY = 1.0  # requests that a node's use of all its cores counts as, beside the own ones there
-# requests that take no longer than one does; weight of one more in the usual
-OWN_ROOM, CROWD_STEP = 2.0, 0.02
-CLIPPED = 3.0  # deviations beyond the usual time that one answer can tell
-
-
-def scarcity(gateways: int) -> float:
-    """How much more one failure tells, and for how much longer, where more gateways see fewer
-    answers of a worker each: one that fails at once costs each of them as many requests as it takes
-    to be told.
+# Imaginary samples with its kind's mean that each backend's estimate starts from.
+PRIOR_SAMPLES = 2.0
+# Largest relative latency that one sample counts as.
+MAX_RELATIVE_LATENCY = 8.0
+# Least weight of one more sample in the estimate of a backend.
+BACKEND_STEP = 0.05
+# Least weight of one more sample in the mean of a kind.
+KIND_STEP = 0.05
+# Ingress count for which the weight of one failure, and how long it lasts, were set.
+REFERENCE_INGRESS_COUNT = 3.0
+# Requests that a backend serves at once with none of them taking longer than one alone.
+BASE_CONCURRENCY = 2.0
+# Weight of one more request in the usual concurrency.
+CONCURRENCY_STEP = 0.02
+# Deviations above the usual latency at which one sample is clipped.
+MAX_DEVIATIONS = 3.0
+
+
+def sample_scarcity(ingress_count: int) -> float:
+    """Return the factor by which one failure weighs more, and lasts longer, with more ingresses.
+
+    Each of many ingresses sees fewer responses of a backend, so a backend that fails at once costs
+    each of them as many requests as it takes to notice.
     """
-    return max(1.0, math.sqrt(gateways / FEW))
+    return max(1.0, math.sqrt(ingress_count / REFERENCE_INGRESS_COUNT))
+
 
+class KindEstimates:
+    """Mean relative latency and mean load of the backends of one kind.
 
-class KindStats:
-    """What the workers of one kind have in common: answer time in usual ones, requests of others
-    there.
+    Attributes:
+        relative_latency: mean over the kind; 1.0 is as usual.
+        sample_count: latency samples so far.
+        other_requests: mean number of requests of other ingresses at a backend of the kind.
+        report_count: load reports so far.
     """
 
-    __slots__ = ("others", "pace", "reports", "seen")
+    __slots__ = ("other_requests", "relative_latency", "report_count", "sample_count")
 
     def __init__(self) -> None:
-        self.pace, self.seen = 1.0, 0
-        self.others, self.reports = 0.0, 0
-
-    def answered(self, pace: float) -> None:
-        """A worker of the kind answered, in `pace` usual times."""
-        self.seen += 1
-        self.pace += max(KIND_STEP, 1 / self.seen) * (pace - self.pace)
-
-    def reported(self, others: float) -> None:
-        """A worker of the kind told of `others` requests there."""
-        self.reports += 1
-        self.others += max(KIND_STEP, 1 / self.reports) * (others - self.others)
-
-
-class Rounds:
-    """Rounds of housekeeping gone by, each of which leaves a part of what answer times told."""
+        self.relative_latency = 1.0
+        self.sample_count = 0
+        self.other_requests = 0.0
+        self.report_count = 0
+
+    def add_latency(self, relative_latency: float) -> None:
+        """Count the relative latency of one response of a backend of the kind."""
+        self.sample_count += 1
+        step = max(KIND_STEP, 1 / self.sample_count)
+        self.relative_latency += step * (relative_latency - self.relative_latency)
+
+    def add_load(self, other_requests: float) -> None:
+        """Count the requests of other ingresses in one load report of the kind."""
+        self.report_count += 1
+        step = max(KIND_STEP, 1 / self.report_count)
+        self.other_requests += step * (other_requests - self.other_requests)
+
+
+class DecayRounds:
+    """Rounds of periodic maintenance so far, in each of which latency samples lose weight.
+
+    Attributes:
+        count: rounds so far.
+        remaining_per_round: fraction of a sample's weight that is left after each round.
+    """
 
-    __slots__ = ("count", "part")
+    __slots__ = ("count", "remaining_per_round")
 
     def __init__(self) -> None:
-        self.count, self.part = 0, 1.0
+        self.count = 0
+        self.remaining_per_round = 1.0
+
+    def advance(self, remaining: float) -> None:
+        """Count one more round, which leaves the fraction `remaining` of each weight."""
+        self.count += 1
+        self.remaining_per_round = remaining
 
-    def end(self, part: float) -> None:
-        """One more round; `part` of what was told is left after it."""
-        self.count, self.part = self.count + 1, part
+    def remaining_since(self, round_number: int) -> float:
+        """Return the fraction that is left of a weight set in an earlier round."""
+        return self.remaining_per_round ** (self.count - round_number)
 
-    def left(self, since: int) -> float:
-        """The part that is left of what was told at the round `since`."""
-        return self.part ** (self.count - since)
 
+class RelativeLatency:
+    """The mean relative latency of one backend, drawn towards the mean of its kind.
 
-class Pace:
-    """One worker's answer time in usual ones, leaning on its kind's. It fades by the rounds gone by
-    whenever it is looked at, for most workers of a long list have one and few are looked at in a
-    round.
+    Its weight decays by the rounds gone by whenever it is read: most backends of a long list have
+    an estimate, and few of them are read in a round.
     """
 
-    __slots__ = ("_at", "_mean", "_rounds", "_seen")
+    __slots__ = ("_mean", "_rounds", "_updated_in", "_weight")
 
-    def __init__(self, rounds: Rounds) -> None:
-        self._mean, self._seen = 1.0, 0.0
-        self._rounds, self._at = rounds, rounds.count
+    def __init__(self, rounds: DecayRounds) -> None:
+        self._mean = 1.0
+        self._weight = 0.0
+        self._rounds = rounds
+        self._updated_in = rounds.count
 
     @property
-    def seen(self) -> float:
-        """Answers that it counts as."""
-        return self._seen * self._rounds.left(self._at)
+    def sample_count(self) -> float:
+        """The decayed number of samples that the mean counts as."""
+        return self._weight * self._rounds.remaining_since(self._updated_in)
 
-    def answered(self, pace: float) -> None:
-        """One more answer, in `pace` usual times."""
-        self._seen, self._at = min(self.seen + 1, 1 / PACE_STEP), self._rounds.count
-        self._mean += (pace - self._mean) / self._seen
+    def add_sample(self, relative_latency: float) -> None:
+        """Count the relative latency of one more response."""
+        self._weight = min(self.sample_count + 1, 1 / BACKEND_STEP)
+        self._updated_in = self._rounds.count
+        self._mean += (relative_latency - self._mean) / self._weight
 
-    def estimate(self, kind: KindStats) -> float:
-        """The worker's pace, leaning on its kind's."""
-        seen = self.seen
-        return (IMAGINED * kind.pace + seen * self._mean) / (IMAGINED + seen)
+    def estimate(self, kind: KindEstimates) -> float:
+        """Return the backend's relative latency, drawn towards that of its kind."""
+        weight = self.sample_count
+        prior = PRIOR_SAMPLES * kind.relative_latency
+        return (prior + weight * self._mean) / (PRIOR_SAMPLES + weight)
 
 
-class Crowds:
-    """How crowded a worker is held to be beside what requests usually meet: 1 is as usual.
+class ConcurrencyEstimate:
+    """The usual concurrency that a request meets at its backend.
 
-    A worker's pace is to tell how fast it is, not how full it was. Without this a worker that was
-    spared while it was cold looked four times as fast as the loaded ones, was given sixty requests
-    to their fifteen as soon as it was warm, and jammed (3 ingresses and 17 nodes, pool-bern).
+    A backend's relative latency is to say how fast it is, and not how loaded it was: without this
+    correction a backend that was spared during slow start looked four times as fast as the loaded
+    ones, got sixty requests to their fifteen as soon as it was warm, and was overloaded (seen with
+    3 ingresses and 17 backends in the scenario pool-bern).
+
+    Attributes:
+        usual_concurrency: smoothed number of requests at a backend, `BASE_CONCURRENCY` included.
     """
 
-    __slots__ = ("usual",)
+    __slots__ = ("usual_concurrency",)
 
     def __init__(self) -> None:
-        self.usual = OWN_ROOM
+        self.usual_concurrency = BASE_CONCURRENCY
 
-    def met(self, load: float) -> float:
-        """One more request meets `load` others at its worker."""
-        here = load + OWN_ROOM
-        self.usual += CROWD_STEP * (here - self.usual)
-        return here / self.usual
+    def relative_concurrency(self, load: float) -> float:
+        """Count a request that meets `load` others and return its concurrency; 1.0 is as usual."""
+        concurrency = load + BASE_CONCURRENCY
+        self.usual_concurrency += CONCURRENCY_STEP * (concurrency - self.usual_concurrency)
+        return concurrency / self.usual_concurrency
 
 
-class Reports:
-    """Reads load reports, whichever of the wire's fields a site has: requests at a worker that are
-    not from here.
+def smooth_latency(
+    usual: float, deviation: float, duration: float, step: float
+) -> tuple[float, float]:
+    """Return the usual latency and its mean deviation (s) after one more response.
 
-    The first of these that the report has: `rif`, the requests there; `busy`, the part of the cores
-    in use, which counts as up to one request (to learn what it stands for, and count it whole, has
-    gateways run together to where late reports saw room); `rate`, requests served a second, by the
-    usual answer time; `lat_ms`, in usual answer times. `q`, the requests in its waiting room, comes
-    on top of all but the first. None where it tells nothing.
-    """
+    Both are exponentially weighted means, as in TCP's retransmission timer (RFC 6298). A far longer
+    duration, of a failing backend, is clipped: it would make later slow responses look usual.
 
-    __slots__ = ("at",)
-
-    def __init__(self, names: tuple[str, ...]) -> None:
-        self.at = {name: names.index(name) for name in FIELDS if name in names}
-
-    def others(self, report: tuple[float, ...], out: int, usual: float) -> float | None:
-        """Requests of others there. `out`: own attempts there, without the one whose answer brought
-        the report; `usual`: s that an answer takes.
-        """
-        told = {name: report[i] for name, i in self.at.items() if i < len(report)}
-        if "rif" in told:
-            return max(0.0, told["rif"] - out - 1)
-        queue = told.get("q", 0.0)
-        if "busy" in told:
-            return BUSY * max(0.0, told["busy"]) + queue
-        if "rate" in told:
-            return max(0.0, told["rate"] * usual - out) + queue
-        if "lat_ms" in told:
-            return max(0.0, told["lat_ms"] / 1000 / usual - out) + queue
-        return queue if told else None
-
-
-def smoothed(usual: float, deviation: float, took: float, step: float) -> tuple[float, float]:
-    """The usual time and its deviation after one more answer. One that took far longer, at a worker
-    that is ill, is clipped: it would make all that come late later look usual.
+    Args:
+        usual: usual latency so far, s.
+        deviation: its mean absolute deviation so far, s.
+        duration: duration of the response, s.
+        step: weight of the new sample, from 0 to 1.
     """
-    took = min(took, usual + CLIPPED * max(deviation, usual / 4))
-    deviation += step * (abs(took - usual) - deviation)
-    return usual + step * (took - usual), deviation
+    clipped = min(duration, usual + MAX_DEVIATIONS * max(deviation, usual / 4))
+    deviation += step * (abs(clipped - usual) - deviation)
+    return usual + step * (clipped - usual), deviation
--- a/dockthread/policy/load_balancer.py
+++ b/dockthread/policy/load_balancer.py
@@ -4,7 +4,7 @@
 
 from __future__ import annotations
 
-from dockthread.policy.backend_pool import NOBODY
+from dockthread.policy.backend_pool import NO_BACKENDS
 from dockthread.policy.model import Effect
 from dockthread.policy.slow_start import Warming, cold_times
 from dockthread.policy.state import NEVER, Call, Worker
@@ -24,13 +24,15 @@
         worker stands, less one that is kept for chance, whatever the others have no room for. Cold
         ones alone: by `Ramp`.
         """
-        if not self.pool.warm and self._ramp_left() < 1:
+        if not self.pool.has_warm_backend and self._ramp_left() < 1:
             return None
         ran, used = call.ran(), {a.worker for a in call.attempts}
         pool = self._subset(call, self.pool)
         if ran is not None and (effect := self._effect(call)) is not Effect.SAFE:  # rule 2
             repeats = effect is Effect.KEYED and self.now < self._repeat_ends(ran, call)
-            pool = self._near(call, pool, self.workers[ran.worker].entry) if repeats else NOBODY
+            pool = (
+                self._near(call, pool, self.workers[ran.worker].entry) if repeats else NO_BACKENDS
+            )
         elif pool:
             count = max(2, CHOICES * len(pool) // self.s.ingress_count)
             drawn = pool.draw(self.rng, count)
@@ -41,7 +43,7 @@
         # Full, or draining unannounced: its emptiness would draw all. When all are, only first
         # attempts go.
         roomy = self._roomy(call, pool)
-        ready = roomy if roomy or call.attempts else list(pool.some(self.rng))
+        ready = roomy if roomy or call.attempts else list(pool.sample(self.rng))
         ready = [w for w in ready if w.entry.backend not in used] or ([] if ran else ready)
         return self.rng.choices(ready, [self._share(w) for w in ready])[0] if ready else None
 
--- a/dockthread/policy/rate_sketch.py
+++ b/dockthread/policy/rate_sketch.py
@@ -8,28 +8,32 @@
 from dockthread.policy.state import NEVER
 
 # five rows as in the paper; several times wider than the customers seen lately
-ROWS, CELLS = 5, 1024
-PRIME, MIX = (1 << 61) - 1, 0x9E3779B97F4A7C15  # of the hashes
+ROWS, WIDTH = 5, 1024
+HASH_PRIME, MIX = (1 << 61) - 1, 0x9E3779B97F4A7C15  # of the hashes
 
 
-class Sketch:
+class RateSketch:
     """Rates over `window` seconds."""
 
     def __init__(self, window: float, rng: random.Random) -> None:
         self.window = window
-        self.salts = [(rng.randrange(1, PRIME), rng.randrange(PRIME)) for _ in range(ROWS)]
-        self.rates = [[0.0] * CELLS for _ in range(ROWS)]
-        self.times = [[NEVER] * CELLS for _ in range(ROWS)]
+        self.hash_coefficients = [
+            (rng.randrange(1, HASH_PRIME), rng.randrange(HASH_PRIME)) for _ in range(ROWS)
+        ]
+        self.rates = [[0.0] * WIDTH for _ in range(ROWS)]
+        self.updated_at = [[NEVER] * WIDTH for _ in range(ROWS)]
 
     def add(self, customer: int, units: float, now: float) -> float:
         """Units of a customer that come now; its rate with them."""
         least = math.inf
-        for (a, b), rates, times in zip(self.salts, self.rates, self.times, strict=True):
-            cell = (a * customer + b) % PRIME % CELLS
-            rates[cell], times[cell] = self.decayed(rates[cell], units, now - times[cell]), now
+        for (a, b), rates, times in zip(
+            self.hash_coefficients, self.rates, self.updated_at, strict=True
+        ):
+            cell = (a * customer + b) % HASH_PRIME % WIDTH
+            rates[cell], times[cell] = self.decayed_rate(rates[cell], units, now - times[cell]), now
             least = min(least, rates[cell])
         return least
 
-    def decayed(self, rate: float, units: float, gap: float) -> float:
+    def decayed_rate(self, rate: float, units: float, gap: float) -> float:
         """A rate after a gap, with units that come at its end."""
         return rate * max(0.0, 1 - gap / self.window) + units / max(gap, self.window)
--- a/dockthread/policy/route_constraints.py
+++ b/dockthread/policy/route_constraints.py
@@ -8,7 +8,7 @@
 
 from math import inf
 
-from dockthread.policy.backend_pool import Drawable, Sifted
+from dockthread.policy.backend_pool import DrawableBackends, FilteredPool
 from dockthread.policy.events import RequestArrived
 from dockthread.policy.gossip import Gossip
 from dockthread.policy.model import Effect, Endpoint, Outcome, RequestClass
@@ -43,24 +43,24 @@
         """The end of the window in which what may have run may be repeated."""
         return ran.sent + call.rules.deduplication_window - self.s.clock_tick
 
-    def _subset(self, call: Call, pool: Drawable) -> Drawable:
+    def _subset(self, call: Call, pool: DrawableBackends) -> DrawableBackends:
         """The workers of the route's share; all of them where it has none that is ready."""
         route = call.ask.route
         if route is None or not route.narrow:
             return pool
-        return self.pool.sifted(route.fits) or pool
+        return self.pool.filtered(route.fits) or pool
 
-    def _near(self, call: Call, pool: Drawable, home: Endpoint) -> Drawable:
+    def _near(self, call: Call, pool: DrawableBackends, home: Endpoint) -> DrawableBackends:
         """Those of a subset that drop the repeats of what ran at `home`."""
-        near, route = self.pool.near(home, call.rules.deduplication_scope), call.ask.route
-        return near if pool is self.pool or route is None else Sifted(near, route.fits)
+        near, route = self.pool.in_scope(home, call.rules.deduplication_scope), call.ask.route
+        return near if pool is self.pool or route is None else FilteredPool(near, route.fits)
 
-    def _roomy(self, call: Call, pool: Drawable) -> list[Worker]:
+    def _roomy(self, call: Call, pool: DrawableBackends) -> list[Worker]:
         """Those that have room, warm ones unless none is. Of many, those among some, unless none of
         these has any.
         """
-        cold = not self.pool.warm
-        roomy = [w for w in pool.some(self.rng) if self._fits(w, call, cold)]
+        cold = not self.pool.has_warm_backend
+        roomy = [w for w in pool.sample(self.rng) if self._fits(w, call, cold)]
         return roomy or [w for w in pool if self._fits(w, call, cold)]
 
     def _enters(self, ask: RequestArrived, call: Call) -> bool:
--- a/dockthread/policy/slow_start.py
+++ b/dockthread/policy/slow_start.py
@@ -84,9 +84,9 @@
     def _borne(self) -> None:
         """A worker answered."""
         self.done += 1
-        self.ramp.answered(self.now, self.pool.total, self._usually())
+        self.ramp.answered(self.now, self.pool.total_weight, self._usually())
 
     def _ramp_left(self) -> float:
         """Tries left for a pool of cold workers alone."""
-        self.ramp.pass_time(self.now, self.pool.total, self._usually())
+        self.ramp.pass_time(self.now, self.pool.total_weight, self._usually())
         return self.ramp.left
--- a/dockthread/policy/state.py
+++ b/dockthread/policy/state.py
@@ -10,10 +10,10 @@
 from math import inf
 
 from dockthread.policy.actions import Action, SetTimer
-from dockthread.policy.backend_pool import Pool
+from dockthread.policy.backend_pool import BackendPool
 from dockthread.policy.events import RequestArrived, TimerFired
-from dockthread.policy.gossip_codec import Report, whole, worker_code
-from dockthread.policy.latency_estimates import KindStats, Pace
+from dockthread.policy.gossip_codec import CustomerReport, backend_code, encode_units
+from dockthread.policy.latency_estimates import KindEstimates, RelativeLatency
 from dockthread.policy.model import (
     IDLE_CLOSE_FRACTION,
     BackendState,
@@ -23,7 +23,7 @@
     PolicySettings,
     RequestClass,
 )
-from dockthread.policy.token_bucket import QuotaStore
+from dockthread.policy.token_bucket import QuotaBucket
 
 NEVER = -1e9  # a time long ago
 DOUBLE = 8  # bytes of a figure that is kept packed
@@ -73,7 +73,7 @@
         "others", "others_mean", "out", "place", "pool", "ready", "report_at", "spare", "spare_at",
     )  # fmt: skip
 
-    def __init__(self, entry: Endpoint, kind: KindStats, pool: Pool) -> None:
+    def __init__(self, entry: Endpoint, kind: KindEstimates, pool: BackendPool) -> None:
         self.kind = kind  # what is known of its kind
         self.pool, self.place = pool, -1
         self.entry, self.ready, self.out = entry, False, 0  # attempts out, late ones too
@@ -87,7 +87,7 @@
     def _clear(self) -> None:
         self._failed, self.answered, self.full_for = 0.0, NEVER, 0.0
         self.full_until = NOT_FULL  # by plan
-        self._times: Pace | None = None
+        self._times: RelativeLatency | None = None
         # connections left idle by its answers, and when the last was
         self.spare, self.spare_at = 0, NEVER
         self.report_at = NEVER
@@ -96,7 +96,7 @@
     @property
     def code(self) -> bytes:
         """In messages."""
-        return worker_code(self.entry.backend)
+        return backend_code(self.entry.backend)
 
     @property
     def failed(self) -> float:
@@ -125,14 +125,16 @@
     @property
     def pace(self) -> float:
         """Answer time, in usual ones of its class."""
-        return self.kind.pace if self._times is None else self._times.estimate(self.kind)
+        return (
+            self.kind.relative_latency if self._times is None else self._times.estimate(self.kind)
+        )
 
     def took(self, pace: float) -> None:
         """An answer's time, in usual ones of its class."""
         if self._times is None:
-            self._times = Pace(self.pool.rounds)
-        self._times.answered(pace)
-        self.kind.answered(pace)
+            self._times = RelativeLatency(self.pool.decay_rounds)
+        self._times.add_sample(pace)
+        self.kind.add_latency(pace)
 
     def full(self, plan: int, until: float) -> None:
         """It has no room for a plan."""
@@ -148,14 +150,14 @@
             self.others = others
             # By time, not by report: where they are seldom, one says as much as many do.
             self.others_mean += (1 - 0.5 ** (gap / MEAN_HALF)) * (self.others - self.others_mean)
-            self.kind.reported(self.others)
+            self.kind.add_load(self.others)
 
     def load(self, now: float) -> float:
         """Requests there: the own ones out, and others by a report that says the less, the older it
         is.
         """
         if self.report_at == NEVER:  # else those not met yet would draw all
-            return self.out + (0.0 if self.fresh else self.kind.others)
+            return self.out + (0.0 if self.fresh else self.kind.other_requests)
         weight: float = 0.5 ** ((now - self.report_at) / REPORT_HALF)
         return self.out + self.others_mean + weight * (self.others - self.others_mean)
 
@@ -178,7 +180,7 @@
 
     def __init__(self, number: int, plan: Plan, now: float, born: float) -> None:
         self.plan = number
-        self.store = QuotaStore(plan.rate, plan.burst, now)  # of its quota, as far as known here
+        self.store = QuotaBucket(plan.rate, plan.burst, now)  # of its quota, as far as known here
         self.ceiling, self.ceiling_at = 0.0, born
         self.first, self.spread, self.out = 0, 1, 0
         self.rate = 0.0  # of the arrivals here
@@ -203,15 +205,20 @@
 
     def spent_none(self, plan: Plan, now: float) -> bool:
         """Whether a new one in its place would be known as much."""
-        idle, gap = now - self.store.at, now - self.ceiling_at
+        idle, gap = now - self.store.updated_at, now - self.ceiling_at
         if self.out or self.waiting or self.calling or idle * plan.rate < plan.burst:
             return False
         return plan.ceiling_rate * gap >= plan.ceiling_burst
 
-    def report_of(self, key: int, now: float) -> Report:
+    def report_of(self, key: int, now: float) -> CustomerReport:
         """Sums, not differences: what is lost is healed by the next report."""
-        return Report(
-            key, self.plan, self.out, whole(self.arrived), whole(self.spent), self.store.left(now)
+        return CustomerReport(
+            key,
+            self.plan,
+            self.out,
+            encode_units(self.arrived),
+            encode_units(self.spent),
+            self.store.level_at(now),
         )
 
 
@@ -232,13 +239,13 @@
         self.held: dict[int, None] = {}  # requests for which there is no worker now
         self.owner: dict[tuple[int, int], int] = {}  # customers of the attempts out
         self.workers: dict[int, Worker] = {}
-        self.kinds: dict[int, KindStats] = {}  # by the number of the kind
+        self.kinds: dict[int, KindEstimates] = {}  # by the number of the kind
         self.codes: dict[bytes, Worker] = {}
         self.kept = (
             settings.conn_idle * IDLE_CLOSE_FRACTION
         )  # for which a connection may stand idle
         self.leaving: dict[int, Worker] = {}  # those that are not listed any more
-        self.pool = Pool(self._share, self._warmth)
+        self.pool = BackendPool(self._share, self._warmth)
         # answer time of late; attempts out, not late; answers
         self.slow, self.out, self.done = 0.0, 0, 0.0
         self.tidied = now
@@ -263,7 +270,7 @@
     def known(self, entry: Endpoint) -> Worker:
         """The worker of an entry, a new one for a number never listed before."""
         if (w := self.workers.get(entry.backend)) is None:
-            kind = self.kinds.setdefault(entry.kind, KindStats())
+            kind = self.kinds.setdefault(entry.kind, KindEstimates())
             w = self.workers[entry.backend] = Worker(entry, kind, self.pool)
             self.pool.add(w)
             if self.s.may_gossip:
@@ -285,7 +292,7 @@
         elif w.gone != inf:
             w.gone = inf
             del self.leaving[w.entry.backend]
-        self.pool.relist(w, entry, state is BackendState.READY)
+        self.pool.update(w, entry, state is BackendState.READY)
 
     def no(self, why: str) -> bool:
         """Note why a request is not let in; False."""
@@ -307,7 +314,7 @@
             if self.now - w.gone > KEPT and not w.out:
                 del self.workers[number], self.leaving[number]
                 self.codes.pop(w.code, None)
-                self.pool.forget(w)
+                self.pool.remove(w)
         if not self.s.may_gossip:
             plans = self.s.plans
             self.customers = {
@@ -315,7 +322,9 @@
             }
         elif len(self.customers) > MANY:  # those long idle, with full stores, are as good as new
             kept = {
-                k: c for k, c in self.customers.items() if c.store.at > self.now - IDLE or c.out
+                k: c
+                for k, c in self.customers.items()
+                if c.store.updated_at > self.now - IDLE or c.out
             }
             self.customers, self.unsent = kept, {}
 
--- a/dockthread/policy/token_bucket.py
+++ b/dockthread/policy/token_bucket.py
@@ -20,36 +20,40 @@
 from __future__ import annotations
 
 
-class QuotaStore:
+class QuotaBucket:
     """Units left of one customer's quota. Times in seconds."""
 
-    __slots__ = ("at", "burst", "lead", "level", "over", "rate")
+    __slots__ = ("burst", "counter_lead", "level", "overflow", "rate", "updated_at")
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
         self.rate, self.burst, self.level = rate, burst, burst
-        self.at = now  # when it was last looked at
-        self.over = 0.0  # units that ran over the full store since the others were last heard of
-        self.lead = 0.0  # units of the others by the counter that their messages have not told
+        self.updated_at = now  # when it was last looked at
+        self.overflow = (
+            0.0  # units that ran over the full store since the others were last heard of
+        )
+        self.counter_lead = (
+            0.0  # units of the others by the counter that their messages have not told
+        )
 
-    def fill(self, now: float) -> None:
+    def refill(self, now: float) -> None:
         """What came in by the rate up to now."""
-        level, self.at = self.level + self.rate * (now - self.at), now
+        level, self.updated_at = self.level + self.rate * (now - self.updated_at), now
         self.level = min(self.burst, level)
-        self.over = min(self.burst, self.over + level - self.level)
+        self.overflow = min(self.burst, self.overflow + level - self.level)
 
-    def take(self, units: float, below: bool = False) -> None:
+    def take(self, units: float, may_go_negative: bool = False) -> None:
         """Let in here. What goes beyond the quota takes nothing, unless true units are known only
         afterwards.
         """
-        self.level = self.level - units if below else max(0.0, self.level - units)
+        self.level = self.level - units if may_go_negative else max(0.0, self.level - units)
 
-    def messages_told(self, units: float, since: float) -> None:
+    def apply_gossip(self, units: float, since: float) -> None:
         """The others' units by their messages; `since`: s since the last of them."""
-        known = min(max(0.0, units), self.lead)
-        self.lead -= known
+        known = min(max(0.0, units), self.counter_lead)
+        self.counter_lead -= known
         self._debit(units - known, since)
 
-    def by_the_number(self, room: float, units: float) -> tuple[float, float]:
+    def counter_balance(self, room: float, units: float) -> tuple[float, float]:
         """What is left once these units are told, and what the counter's number lacks of what it
         should be: what ran over, or below 0 what went beyond the quota, as that took nothing.
         `room`: what came in since the epoch's start, less the number before these units.
@@ -57,24 +61,24 @@
         left = self.burst + min(0.0, room) - units
         return left, max(0.0, room) + min(0.0, left)
 
-    def counter_told(self, level: float) -> float:
+    def apply_counter(self, level: float) -> float:
         """What is left by the counter. Returns the units of the others by which the store known
         here was too high.
         """
         units = max(0.0, self.level - max(0.0, level))
-        self.lead = min(self.burst, self.lead + units)
+        self.counter_lead = min(self.burst, self.counter_lead + units)
         self.level -= units
         return units
 
-    def at_most(self, level: float) -> None:
+    def lower_to(self, level: float) -> None:
         """Another has seen the store emptier, at a time when this gateway knew nothing of it."""
         self.level = max(0.0, min(self.level, level))
 
     def _debit(self, units: float, since: float) -> None:
-        covered = min(max(0.0, units), self.over, self.rate * since)
-        self.over = 0.0
+        covered = min(max(0.0, units), self.overflow, self.rate * since)
+        self.overflow = 0.0
         self.level = max(0.0, self.level - (units - covered))
 
-    def left(self, now: float) -> float:
+    def level_at(self, now: float) -> float:
         """The level at a time, nothing taken since."""
-        return min(self.burst, self.level + self.rate * (now - self.at))
+        return min(self.burst, self.level + self.rate * (now - self.updated_at))
--- a/dockthread/telemetry/reading.py
+++ b/dockthread/telemetry/reading.py
@@ -146,7 +146,7 @@
             yield Point((*path, "failed"), GAUGE, worker.failed)
             full = any(until > now for until in worker.full_until.values())
             yield Point((*path, "skipped"), GAUGE, int(full or not worker.ready))
-            if worker.report and (at := gateway.reports.at.get("rif", -1)) >= 0:
+            if worker.report and (at := gateway.reports.positions.get("rif", -1)) >= 0:
                 yield Point((*path, "inflight"), GAUGE, worker.report[at])
                 yield Point((*path, "report_age"), GAUGE, (now - worker.report_at) * 1000.0)
 
--- a/tests/byte_cases.py
+++ b/tests/byte_cases.py
@@ -81,8 +81,8 @@
     return requests, order.over, order.seen, order.clock, order.ticks, order.silent, order.last
 
 
-def _encode_gossip(message: gossip.Message) -> bytes:
-    return gossip.pack(message.life, message.suspects, message.reports)
+def _encode_gossip(message: gossip.GossipMessage) -> bytes:
+    return gossip.encode_message(message.incarnation, message.suspects, message.reports)
 
 
 RAFT_STREAM: Final = _raft_stream(KEY)
@@ -90,7 +90,7 @@
 CACHE_RECORD: Final = _record(snapshot_cache.Record)
 MAINTENANCE_COMMAND: Final = ByteCodec(msgspec.msgpack.encode, Order.read)
 MAINTENANCE_STATE: Final = ByteCodec(_encode_maintenance_state, _decode_maintenance_state)
-GOSSIP: Final = ByteCodec(_encode_gossip, lambda data: gossip.unpack(data, PLANS))
+GOSSIP: Final = ByteCodec(_encode_gossip, lambda data: gossip.decode_message(data, PLANS))
 
 # The agreed log: its stream and its records on disk
 
@@ -404,16 +404,25 @@
 # Gossip datagrams
 
 SUSPECTS: Final = [
-    (gossip.worker_code(1), 0.2),
-    (gossip.worker_code(77), 1.0),
+    (gossip.backend_code(1), 0.2),
+    (gossip.backend_code(77), 1.0),
 ]  # rates that a byte holds exactly
-NARROW_REPORT: Final = gossip.Report(
-    customer=2**32 - 1, plan=2, out=7, arrived=65_535, spent=320, left=-12.5
+NARROW_REPORT: Final = gossip.CustomerReport(
+    customer=2**32 - 1,
+    plan=2,
+    in_flight=7,
+    arrived_sum=65_535,
+    admitted_sum=320,
+    bucket_level=-12.5,
 )
 WIDE_REPORT: Final = NARROW_REPORT._replace(customer=2**32 + 5, plan=1)
 
 GOSSIP_CASES: Final = tuple(
-    Case(f"gossip.{name}", gossip.Message(life=life, suspects=suspects, reports=reports), GOSSIP)
+    Case(
+        f"gossip.{name}",
+        gossip.GossipMessage(incarnation=life, suspects=suspects, reports=reports),
+        GOSSIP,
+    )
     for name, life, suspects, reports in (
         ("narrow", 9, list[tuple[bytes, float]](), [NARROW_REPORT]),
         (
@@ -424,8 +433,8 @@
         ),
         ("wide", 255, list[tuple[bytes, float]](), [WIDE_REPORT]),
         ("wide.suspects", 255, SUSPECTS, [WIDE_REPORT, NARROW_REPORT]),
-        ("suspects", 0, SUSPECTS, list[gossip.Report]()),
-        ("empty", 0, list[tuple[bytes, float]](), list[gossip.Report]()),
+        ("suspects", 0, SUSPECTS, list[gossip.CustomerReport]()),
+        ("empty", 0, list[tuple[bytes, float]](), list[gossip.CustomerReport]()),
     )
 )
 
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -62,9 +62,10 @@
         here, other = peers(where, 0, told), peers(where, 1, mine)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             stranger.sendto(b"hello", (where[0].host, where[0].port))
-        other._sock.sendto(b"x" * (gossip_codec.MOST_BYTES + 1), (where[0].host, where[0].port))  # type: ignore[union-attr]
+        too_long = b"x" * (gossip_codec.MAX_MESSAGE_BYTES + 1)
+        other._sock.sendto(too_long, (where[0].host, where[0].port))  # type: ignore[union-attr]
         await until(lambda: here._traffic.messages_odd == 2)
-        other.tell(SendGossip(b"x" * (gossip_codec.MOST_BYTES + 1), 0))  # it would void the run
+        other.tell(SendGossip(too_long, 0))  # it would void the run
         assert (told, other._traffic.messages_out) == ([], 0)
         for _ in range(TURN + 20):
             other.tell(SendGossip(b"m", 0))
--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -251,9 +251,9 @@
     incarnation: int = 1,
 ) -> bytes:
     """Encode a gossip message with one customer's report; sums and `left` are in units."""
-    sums = gossip_codec.whole(arrived), gossip_codec.whole(spent)
-    report = gossip_codec.Report(customer, plan, in_flight, *sums, left)
-    return gossip_codec.pack(incarnation, [], [report])
+    sums = gossip_codec.encode_units(arrived), gossip_codec.encode_units(spent)
+    report = gossip_codec.CustomerReport(customer, plan, in_flight, *sums, left)
+    return gossip_codec.encode_message(incarnation, [], [report])
 
 
 COUNTER_SETTINGS = replace(
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -107,7 +107,8 @@
     assert ingress.is_admitted(ingress.send_request(SAFE, RATE_PLAN, spread=0))
     ingress.run_until(ingress.now + 1)
     assert all(
-        tell.peer == 1 and len(tell.data) <= gossip_codec.MOST_BYTES for tell in ingress.sent_gossip
+        tell.peer == 1 and len(tell.data) <= gossip_codec.MAX_MESSAGE_BYTES
+        for tell in ingress.sent_gossip
     )
 
 
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -30,7 +30,7 @@
     request = ingress.send_request(UNSAFE)
     backend = ingress.engine.workers[ingress.attempts[request][0].backend]
     ingress.end_attempt(request, 0, Outcome.OK)
-    said = GossipReceived(1, gossip_codec.pack(1, [(backend.code, 0.8)], []))
+    said = GossipReceived(1, gossip_codec.encode_message(1, [(backend.code, 0.8)], []))
     ingress.handle(said)
     assert backend.failed == 0.0
     ingress.run_until(ingress.now + gossip.TRUST + 0.1)
@@ -49,8 +49,10 @@
 @pytest.mark.parametrize("bad", [math.inf, -math.inf, math.nan])
 def test_gossip_with_absurd_numbers_is_ignored(bad: float) -> None:
     ingress = IngressHarness()
-    for form in (gossip_codec.NARROW, gossip_codec.WIDE):
-        head = gossip_codec.HEAD.pack(gossip_codec.VERSION, 1, 0, form is gossip_codec.WIDE)
+    for form in (gossip_codec.NARROW_REPORT, gossip_codec.WIDE_REPORT):
+        head = gossip_codec.HEADER.pack(
+            gossip_codec.VERSION, 1, 0, form is gossip_codec.WIDE_REPORT
+        )
         ingress.handle(GossipReceived(1, head + form.pack(7, RATE_PLAN, 0, 9, 9, bad)))
         ingress.handle(GossipReceived(1, head + form.pack(7, 200, 0, 9, 9, 1.0)))
     ingress.handle(GossipReceived(5, customer_gossip(7, RATE_PLAN, 9.0, 9.0, 0.0)))
@@ -60,13 +62,17 @@
 @pytest.mark.parametrize(("widest", "most"), [((1 << 32) - 1, 21), (1 << 32, 15)])
 def test_narrow_customer_ids_leave_room_for_more_reports(widest: int, most: int) -> None:
     keys = [7, widest]
-    reports = [gossip_codec.Report(key, RATE_PLAN, 1, 2, 3, 4.0) for key in keys * 10]
-    assert gossip_codec.room(0, keys) == most
-    told = gossip_codec.unpack(data := gossip_codec.pack(1, [], reports[:most]), 3)
+    reports = [gossip_codec.CustomerReport(key, RATE_PLAN, 1, 2, 3, 4.0) for key in keys * 10]
+    assert gossip_codec.report_capacity(0, keys) == most
+    told = gossip_codec.decode_message(
+        data := gossip_codec.encode_message(1, [], reports[:most]), 3
+    )
     assert (
-        told is not None and told.reports == reports[:most] and len(data) <= gossip_codec.MOST_BYTES
+        told is not None
+        and told.reports == reports[:most]
+        and len(data) <= gossip_codec.MAX_MESSAGE_BYTES
     )
-    assert gossip_codec.unpack(data[:-1], 3) is None
+    assert gossip_codec.decode_message(data[:-1], 3) is None
 
 
 def test_largest_customer_id_is_carried_by_gossip() -> None:
@@ -83,5 +89,5 @@
 def test_suspected_backend_in_gossip_is_believed() -> None:
     ingress = IngressHarness()
     backend = ingress.engine.workers[1001]
-    ingress.handle(GossipReceived(1, gossip_codec.pack(1, [(backend.code, 0.8)], [])))
+    ingress.handle(GossipReceived(1, gossip_codec.encode_message(1, [(backend.code, 0.8)], [])))
     assert backend.failed == pytest.approx(0.8, abs=0.01)
--- a/tests/policy/test_list_size.py
+++ b/tests/policy/test_list_size.py
@@ -24,7 +24,7 @@
     EndpointsListed,
     Outcome,
 )
-from dockthread.policy.backend_pool import MOST_WEIGHED, SCANNED, SLOTS_PER_CHANGE
+from dockthread.policy.backend_pool import MAX_WEIGHED_PER_ROUND, SHORT_LIST, SLOTS_PER_RESUM
 from tests.loopback import Backend, message, run, serving, target, until
 from tests.net.test_parsers import HEAD, chunks, destinations
 from tests.policy.harness import KEYED, SAFE, SETTINGS, IngressHarness
@@ -65,10 +65,10 @@
     ingress.end_attempt(request, 0, Outcome.ERROR)
     ingress.end_attempt(request, 1, Outcome.OK)
     ingress.run_until(ingress.now + 5)
-    assert (len(pool.failing), len(pool.cold)) == (1, 5)
+    assert (len(pool.failing), len(pool.warming_up)) == (1, 5)
     assert pool.visits - before <= 6 * 2 * (5 / 0.25 + 2)
     ingress.run_until(ingress.now + 6)
-    assert not pool.cold, "warm by now"
+    assert not pool.warming_up, "warm by now"
     assert pool.failing
     ingress.run_until(ingress.now + 60 * 10)
     assert not pool.failing, "in a long list failures rest at a thousandth"
@@ -81,12 +81,12 @@
     )
     pool = ingress.engine.pool
     ingress.run_until(ingress.now + 1)
-    assert not pool.warm
+    assert not pool.has_warm_backend
     before = pool.visits
     ingress.run_until(ingress.now + 1)
-    assert 0 < pool.visits - before <= 5 * MOST_WEIGHED
-    ingress.run_until(ingress.now + 10 + MANY / MOST_WEIGHED * 0.25)
-    assert pool.warm and not pool.cold
+    assert 0 < pool.visits - before <= 5 * MAX_WEIGHED_PER_ROUND
+    ingress.run_until(ingress.now + 10 + MANY / MAX_WEIGHED_PER_ROUND * 0.25)
+    assert pool.has_warm_backend and not pool.warming_up
     assert len({backend.place for backend in pool.draw(random.Random(1), 64)}) > 50
 
 
@@ -135,15 +135,15 @@
         assert group is not DeduplicationScope.CELL or first.cell == second.cell
 
 
-@pytest.mark.parametrize("count", [SCANNED, MANY])
+@pytest.mark.parametrize("count", [SHORT_LIST, MANY])
 def test_a_filtered_pool_draws_only_matching_backends(count: int) -> None:
     pool = long_list(count).engine.pool
-    part = pool.sifted(lambda e: e.zone == 1 and e.kind == 0)
+    part = pool.filtered(lambda e: e.zone == 1 and e.kind == 0)
     assert part is not None
     drawn = part.draw(random.Random(1), 200)
     assert drawn and {(backend.entry.zone, backend.entry.kind) for backend in drawn} == {(1, 0)}
     assert {(backend.entry.zone, backend.entry.kind) for backend in part} == {(1, 0)}
-    assert pool.sifted(lambda e: e.zone == 7) is None
+    assert pool.filtered(lambda e: e.zone == 7) is None
 
 
 def test_the_one_backend_with_capacity_among_many_is_found() -> None:
@@ -154,15 +154,15 @@
 
 
 def test_slots_are_compacted_as_backends_expire() -> None:
-    ingress = long_list(3 * SLOTS_PER_CHANGE)
+    ingress = long_list(3 * SLOTS_PER_RESUM)
     for round_ in range(6):
-        new = [endpoint(10_000 * (round_ + 1) + n) for n in range(3 * SLOTS_PER_CHANGE)]
+        new = [endpoint(10_000 * (round_ + 1) + n) for n in range(3 * SLOTS_PER_RESUM)]
         ingress.list_endpoints(*new, kind=EndpointListKind.FULL)
         ingress.run_until(ingress.now + 40)
     pool = ingress.engine.pool
-    assert len(ingress.engine.workers) == len(pool) == 3 * SLOTS_PER_CHANGE
+    assert len(ingress.engine.workers) == len(pool) == 3 * SLOTS_PER_RESUM
     assert len(pool.draw(random.Random(1), 10)) == 10
-    assert len(pool._slots) <= 2 * 3 * SLOTS_PER_CHANGE
+    assert len(pool._slots) <= 2 * 3 * SLOTS_PER_RESUM
 
 
 def pieces(text: bytes, size: int = 65_536) -> list[bytes]:
--- a/tests/policy/test_many_ingresses.py
+++ b/tests/policy/test_many_ingresses.py
@@ -34,8 +34,8 @@
     SendAttempt,
     TimerFired,
 )
-from dockthread.policy.backoff import PART, Backoff
-from dockthread.policy.latency_estimates import smoothed
+from dockthread.policy.backoff import FIRST_CAP_PER_INGRESS_MS, Backoff
+from dockthread.policy.latency_estimates import smooth_latency
 
 SERVICE_TIME_MS = 130.0  # of discovery for one call
 CALL_TIMEOUT_MS = 2_000.0
@@ -53,7 +53,7 @@
     ingresses = [Backoff(random.Random(seed), fleet) for seed in range(fleet)]
     due: list[tuple[float, int]] = []
     for number, backoff in enumerate(ingresses):
-        heappush(due, (backoff.soon(), number))
+        heappush(due, (backoff.initial_delay(), number))
     calls: list[float] = []
     served: list[float] = []
     free = 0.0
@@ -64,9 +64,9 @@
         if not full:
             free = max(free, now) + SERVICE_TIME_MS
         if all_fail or full:
-            heappush(due, (now + 4.0 + ingresses[number].again(), number))
+            heappush(due, (now + 4.0 + ingresses[number].retry_delay(), number))
         elif free - now > CALL_TIMEOUT_MS:
-            heappush(due, (now + CALL_TIMEOUT_MS + ingresses[number].again(), number))
+            heappush(due, (now + CALL_TIMEOUT_MS + ingresses[number].retry_delay(), number))
         else:
             served.append(free)
     return calls, served
@@ -84,7 +84,7 @@
     assert all(t <= 500.0 for t in calls[:fleet]), (
         "the loss itself is asked about before a drain's grace is over"
     )
-    assert len([t for t in calls if t >= 10_000.0]) <= 30 * 1000.0 / PART
+    assert len([t for t in calls if t >= 10_000.0]) <= 30 * 1000.0 / FIRST_CAP_PER_INGRESS_MS
 
 
 def test_overloaded_discovery_serves_every_ingress_in_turn() -> None:
@@ -95,13 +95,13 @@
 
 def test_backoff_grows_to_its_cap_and_resets() -> None:
     def ends(backoff: Backoff, times: int = 400) -> float:
-        return max(backoff.again() for _ in range(times))
+        return max(backoff.retry_delay() for _ in range(times))
 
     backoff = Backoff(random.Random(1), 4)
-    assert backoff.first == 500.0
+    assert backoff.first_cap == 500.0
     assert 1_900.0 < ends(backoff) <= 2_000.0
     backoff.reset()
-    assert backoff.again() <= 500.0
+    assert backoff.retry_delay() <= 500.0
 
 
 def fleet_settings(ingress_count: int, number: int = 0) -> PolicySettings:
@@ -231,11 +231,11 @@
 def test_one_outlier_hardly_moves_the_smoothed_latency() -> None:
     usual, deviation = 0.3, 0.1
     for _ in range(20):
-        usual, deviation = smoothed(usual, deviation, 0.3, 0.05)
-    after, _ = smoothed(usual, deviation, 14.0, 0.05)
+        usual, deviation = smooth_latency(usual, deviation, 0.3, 0.05)
+    after, _ = smooth_latency(usual, deviation, 14.0, 0.05)
     assert after < 1.1 * usual
     for _ in range(300):
-        usual, deviation = smoothed(usual, deviation, 1.2, 0.05)
+        usual, deviation = smooth_latency(usual, deviation, 1.2, 0.05)
     assert 1.1 < usual < 1.3, "a lasting change is followed"
 
 
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -24,7 +24,7 @@
     SetTimer,
     TimerFired,
 )
-from dockthread.policy.latency_estimates import Crowds
+from dockthread.policy.latency_estimates import ConcurrencyEstimate
 from tests.policy.test_many_ingresses import fleet_settings
 
 BACKEND_CORES = 4
@@ -140,11 +140,11 @@
 
 
 def test_relative_concurrency_compares_with_the_usual_concurrency() -> None:
-    crowds = Crowds()
+    crowds = ConcurrencyEstimate()
     for _ in range(500):
-        crowds.met(10.0)
-    assert 0.95 < crowds.met(10.0) < 1.05
-    assert crowds.met(0.0) < 0.2 < 1.0 < crowds.met(30.0)
+        crowds.relative_concurrency(10.0)
+    assert 0.95 < crowds.relative_concurrency(10.0) < 1.05
+    assert crowds.relative_concurrency(0.0) < 0.2 < 1.0 < crowds.relative_concurrency(30.0)
 
 
 def test_overload_right_after_a_start_is_noticed_within_the_tightest_objective() -> None:
--- a/tests/policy/test_rate_sketch.py
+++ b/tests/policy/test_rate_sketch.py
@@ -9,11 +9,11 @@
 from dockthread.policy import (
     rate_sketch,
 )
-from dockthread.policy.rate_sketch import Sketch
+from dockthread.policy.rate_sketch import RateSketch
 
 
 def test_rate_decays_linearly_over_the_window() -> None:
-    kept = Sketch(4.0, random.Random(1))
+    kept = RateSketch(4.0, random.Random(1))
     # long unseen: units over the gap
     assert kept.add(5, 2.0, 10.0) == pytest.approx(2.0 / 1e9, abs=1e-6)
     assert kept.add(5, 4.0, 11.0) == pytest.approx(1.0, abs=1e-6)  # 0 * 3/4 + 4/4
@@ -23,8 +23,8 @@
 
 
 def test_rate_is_the_minimum_over_the_rows() -> None:
-    kept = Sketch(4.0, random.Random(1))
-    for row, (a, b) in enumerate(kept.salts):
-        cell = (a * 5 + b) % rate_sketch.PRIME % rate_sketch.CELLS
-        kept.rates[row][cell], kept.times[row][cell] = 3.0 + row, 10.0
+    kept = RateSketch(4.0, random.Random(1))
+    for row, (a, b) in enumerate(kept.hash_coefficients):
+        cell = (a * 5 + b) % rate_sketch.HASH_PRIME % rate_sketch.WIDTH
+        kept.rates[row][cell], kept.updated_at[row][cell] = 3.0 + row, 10.0
     assert kept.add(5, 0.0, 10.0) == pytest.approx(3.0)
--- a/tests/policy/test_token_bucket.py
+++ b/tests/policy/test_token_bucket.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dockthread.policy.token_bucket import QuotaStore
+from dockthread.policy.token_bucket import QuotaBucket
 
 
 @pytest.mark.parametrize(
@@ -22,11 +22,11 @@
 def test_usage_reported_by_gossip_and_counter_is_taken_once(
     told: list[tuple[str, float]], left: float
 ) -> None:
-    store, by_the_counter = QuotaStore(2.0, 8.0, 0.0), 0.0
+    store, by_the_counter = QuotaBucket(2.0, 8.0, 0.0), 0.0
     for source, units in told:
         if source == "messages":
-            store.messages_told(units, 0.0)
+            store.apply_gossip(units, 0.0)
         else:
             by_the_counter += units
-            store.counter_told(8.0 - by_the_counter)
+            store.apply_counter(8.0 - by_the_counter)
     assert store.level == pytest.approx(left)
