--- a/dockthread/policy/attempts.py
+++ b/dockthread/policy/attempts.py
@@ -160,7 +160,7 @@
             e.outcome,
         )
         if call.ask.route is not None:
-            call.ask.route.ended(e.attempt, e.outcome, e.duration, self.now)
+            call.ask.route.on_attempt_ended(e.attempt, e.outcome, e.duration, self.now)
         if e.outcome is Outcome.OK:
             usual, deviation = self.usual[call.ask.request_class]
             w.took(min(MAX_RELATIVE_LATENCY, e.duration / usual / attempt.crowd))
--- a/dockthread/policy/route.py
+++ b/dockthread/policy/route.py
@@ -1,84 +1,96 @@
-"""What the module asks of a request's route; `dockthread/routes/bounds.py` answers it."""
+"""The interface of a request's route to the policy engine: limits beyond the deployment's own.
+
+`dockthread/routes/bounds.py` implements it. A route may restrict what the engine would do with a
+request, and never allows more.
+"""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 from dockthread.policy.model import Endpoint, Outcome
 
-if TYPE_CHECKING:
-    pass
-
 
 class Route(Protocol):
-    """What is allowed to one request beyond the rules: it narrows, and widens nothing. Times in
-    seconds.
+    """The limits of one request's route; times and durations are in seconds.
+
+    Attempts of the request are numbered from 0 in the order sent.
     """
 
     @property
-    def waits(self) -> bool:
-        """Whether the request is not inside the route's limit yet."""
+    def is_queued(self) -> bool:
+        """Whether the request still waits to be inside the route's concurrency limit."""
         ...
 
     @property
-    def queue_wait(self) -> float:
-        """s for which it may wait for its place."""
+    def max_queue_wait(self) -> float:
+        """The time (s) for which the request may wait for the concurrency limit."""
         ...
 
     @property
-    def narrow(self) -> bool:
-        """Whether it may go to some workers only."""
+    def restricts_backends(self) -> bool:
+        """Whether the request may go to some backends only."""
         ...
 
     @property
     def attempt_timeout(self) -> float:
-        """s that one attempt may take; 0 for no bound of its own."""
+        """The time (s) that one attempt may take; 0 where the route sets no bound."""
         ...
 
-    def fits(self, entry: Endpoint) -> bool:
-        """Whether the request may go to a worker."""
+    def allows(self, endpoint: Endpoint) -> bool:
+        """Return whether the request may go to this backend."""
         ...
 
-    def enter(self, request: int, worth: float, now: float) -> tuple[bool, int | None]:
-        """Whether it is inside the limit; if not, who is refused for it: itself, another, or
-        nobody.
+    def enter(self, request: int, priority_weight: float, now: float) -> tuple[bool, int | None]:
+        """Let the request inside the concurrency limit, or queue it.
+
+        Returns:
+            Whether it is inside; and, if not, the request to reject for it: itself, another one
+            that waits, or None.
         """
         ...
 
-    def admitted(self, now: float) -> None:
-        """It was taken from the queue."""
+    def on_dequeued(self, now: float) -> None:
+        """Note that the request was taken from the queue and is inside the limit."""
         ...
 
-    def gave_up_waiting(self, request: int) -> None:
-        """Its wait in the queue is over."""
+    def on_queue_timeout(self, request: int) -> None:
+        """Take the request out of the queue, as it has waited for `max_queue_wait`."""
         ...
 
-    def leave(self, request: int) -> list[int]:
-        """It is finished; the requests that go inside in its place."""
+    def release(self, request: int) -> list[int]:
+        """Finish the request and return the queued requests that are inside in its place."""
         ...
 
-    def sent(self, number: int, now: float) -> None:
-        """An attempt was sent."""
+    def on_attempt_sent(self, number: int, now: float) -> None:
+        """Note that an attempt was sent."""
         ...
 
-    def copy_after(self) -> float | None:
-        """s after which an attempt may get a second copy, where the route says so itself."""
+    def hedge_delay(self) -> float | None:
+        """Return the time (s) after which an attempt may be hedged; None to leave it to the engine."""
         ...
 
-    def copy(self, sent: int, now: float) -> bool:
-        """Whether a second copy may go now, after `sent` attempts. Draws on the budget."""
+    def try_hedge(self, sent: int, now: float) -> bool:
+        """Return whether a hedged attempt may go now, after `sent` attempts; draw on the budget."""
         ...
 
-    def again(self, sent: int, outcome: Outcome, now: float) -> float | None:
-        """s to wait before the next attempt; None where there is to be none. Draws on the
-        budget.
+    def retry_delay(self, sent: int, outcome: Outcome, now: float) -> float | None:
+        """Return the time (s) to wait before the next attempt and draw on the retry budget.
+
+        Args:
+            sent: attempts sent so far.
+            outcome: how the last of them ended.
+            now: s on the engine's clock.
+
+        Returns:
+            None where there is to be no further attempt.
         """
         ...
 
-    def still(self, sent: int, outcome: Outcome) -> bool:
-        """After that wait: whether what was allowed before it still is."""
+    def may_still_retry(self, sent: int, outcome: Outcome) -> bool:
+        """Return whether the retry that `retry_delay` allowed is still allowed after the wait."""
         ...
 
-    def ended(self, number: int, outcome: Outcome, took: float, now: float) -> None:
-        """An attempt has ended after `took` seconds."""
+    def on_attempt_ended(self, number: int, outcome: Outcome, duration: float, now: float) -> None:
+        """Note how an attempt ended and its duration (s)."""
         ...
--- a/dockthread/policy/route_constraints.py
+++ b/dockthread/policy/route_constraints.py
@@ -46,14 +46,14 @@
     def _subset(self, call: Call, pool: DrawableBackends) -> DrawableBackends:
         """The workers of the route's share; all of them where it has none that is ready."""
         route = call.ask.route
-        if route is None or not route.narrow:
+        if route is None or not route.restricts_backends:
             return pool
-        return self.pool.filtered(route.fits) or pool
+        return self.pool.filtered(route.allows) or pool
 
     def _near(self, call: Call, pool: DrawableBackends, home: Endpoint) -> DrawableBackends:
         """Those of a subset that drop the repeats of what ran at `home`."""
         near, route = self.pool.in_scope(home, call.rules.deduplication_scope), call.ask.route
-        return near if pool is self.pool or route is None else FilteredPool(near, route.fits)
+        return near if pool is self.pool or route is None else FilteredPool(near, route.allows)
 
     def _roomy(self, call: Call, pool: DrawableBackends) -> list[Worker]:
         """Those that have room, warm ones unless none is. Of many, those among some, unless none of
@@ -68,7 +68,7 @@
         refused.
         """
         route = ask.route
-        if route is None or not route.waits:
+        if route is None or not route.is_queued:
             return True
         worth = call.rules.priority_weight * self.s.plans[ask.plan].priority_multiplier * ask.units
         inside, loser = route.enter(ask.request, worth, self.now)
@@ -76,7 +76,7 @@
             return True
         self.calls[ask.request] = call
         if loser != ask.request:
-            self.timer(self.now + route.queue_wait, self._waited, ask.request)
+            self.timer(self.now + route.max_queue_wait, self._waited, ask.request)
         if loser is not None and (lost := self.calls.pop(loser, None)):
             self._leave(lost)
             self._refuse(loser, lost.rules, "limit")
@@ -88,10 +88,10 @@
         if (
             call is not None
             and (route := call.ask.route)
-            and route.waits
+            and route.is_queued
             and request not in self.entering
         ):
-            route.gave_up_waiting(request)
+            route.on_queue_timeout(request)
             del self.calls[request]
             self._leave(call)
             self._refuse(request, call.rules, "limit")
@@ -99,9 +99,9 @@
     def _leave(self, call: Call) -> None:
         """Its place is free: who waited for it is let in at the end of this round."""
         if (route := call.ask.route) is not None:
-            for request in route.leave(call.ask.request):
+            for request in route.release(call.ask.request):
                 if (waiting := self.calls.get(request)) and (theirs := waiting.ask.route):
-                    theirs.admitted(self.now)
+                    theirs.on_dequeued(self.now)
                     self.entering.append(request)
 
     def _sent(self, request: int, call: Call) -> tuple[float, float]:
@@ -118,8 +118,8 @@
         left, number = max(call.deadline - self.now, 0.0), len(call.attempts) - 1
         if (route := call.ask.route) is None:
             return left, begin_by
-        route.sent(number, self.now)
-        if (after := route.copy_after()) is not None:
+        route.on_attempt_sent(number, self.now)
+        if (after := route.hedge_delay()) is not None:
             self.timer(self.now + after, self._copy, request, number)
         return min(left, route.attempt_timeout or left), begin_by
 
@@ -148,13 +148,13 @@
         raise NotImplementedError
 
     def _may_copy(self, call: Call) -> bool:
-        return call.ask.route is None or call.ask.route.copy(len(call.attempts), self.now)
+        return call.ask.route is None or call.ask.route.try_hedge(len(call.attempts), self.now)
 
     def _pause(self, call: Call, outcome: Outcome) -> float | None:
         """The wait before the next attempt; None where the route has none."""
         if call.ask.route is None:
             return 0.0
-        pause = call.ask.route.again(len(call.attempts), outcome, self.now)
+        pause = call.ask.route.retry_delay(len(call.attempts), outcome, self.now)
         # A final answer is never delayed: where the wait would end too late, it comes now.
         late = pause is not None and self.now + pause >= call.deadline - 2 * self.s.clock_tick
         return None if late else pause
@@ -168,7 +168,11 @@
             return
         last: Attempt = call.attempts[-1]
         route = call.ask.route
-        if last.outcome is None or route is None or route.still(len(call.attempts), last.outcome):
+        if (
+            last.outcome is None
+            or route is None
+            or route.may_still_retry(len(call.attempts), last.outcome)
+        ):
             self._try(request, call)
         if not any(a.out for a in call.attempts):
             self._close(request)
--- a/dockthread/routes/bounds.py
+++ b/dockthread/routes/bounds.py
@@ -159,10 +159,10 @@
         return self.rules.attempt_timeout
 
     @property
-    def narrow(self) -> bool:
+    def restricts_backends(self) -> bool:
         return bool(self._rules.zones or self._rules.kinds)
 
-    def fits(self, entry: Endpoint) -> bool:
+    def allows(self, entry: Endpoint) -> bool:
         rules = self._rules
         return (not rules.zones or entry.zone in rules.zones) and (
             not rules.kinds or entry.kind in rules.kinds
@@ -186,23 +186,23 @@
         return False, loser
 
     @property
-    def queue_wait(self) -> float:
+    def max_queue_wait(self) -> float:
         return self._rules.queue_wait
 
-    def admitted(self, now: float) -> None:
+    def on_dequeued(self, now: float) -> None:
         """Taken from the queue."""
         self._entered = True
         self._spent.queue_wait += now - self._since
 
-    def gave_up_waiting(self, request: int) -> None:
+    def on_queue_timeout(self, request: int) -> None:
         self._spent.queue.leave(request)
         self._spent.refused_limit += 1
 
     @property
-    def waits(self) -> bool:
+    def is_queued(self) -> bool:
         return not self._entered
 
-    def leave(self, request: int) -> list[int]:
+    def release(self, request: int) -> list[int]:
         """The request is finished; who goes inside in its place."""
         spent = self._spent
         spent.open -= 1
@@ -218,7 +218,7 @@
             found.append(following)
         return found
 
-    def sent(self, number: int, now: float) -> None:
+    def on_attempt_sent(self, number: int, now: float) -> None:
         """An attempt was sent."""
         self._spent.attempts += 1
         if number == 0:
@@ -227,7 +227,7 @@
             if self._spent.budget is not None:
                 self._spent.budget.first(now)
 
-    def copy_after(self) -> float | None:
+    def hedge_delay(self) -> float | None:
         """When an attempt may get a second copy, where this route says so itself."""
         rules = self.rules
         if not rules.copies:
@@ -236,7 +236,7 @@
             return self._spent.percentile(rules.copy_percentile)
         return rules.copy_fixed or None
 
-    def copy(self, sent: int, now: float) -> bool:
+    def try_hedge(self, sent: int, now: float) -> bool:
         """Whether a second copy may go now. Draws on the budget where it may."""
         rules = self.rules
         if rules.copies is False or (rules.attempts and sent >= rules.attempts):
@@ -250,7 +250,7 @@
         self._spent.copies += 1
         return True
 
-    def again(self, sent: int, outcome: Outcome, now: float) -> float | None:
+    def retry_delay(self, sent: int, outcome: Outcome, now: float) -> float | None:
         """The wait before the next attempt, or None where there is to be none. Draws on the
         budget.
         """
@@ -267,14 +267,14 @@
         span = min(rules.backoff_max, rules.backoff * 2.0 ** min(sent - 1, 30))
         return self._spent.rng.uniform(0.0, span)
 
-    def still(self, sent: int, outcome: Outcome) -> bool:
+    def may_still_retry(self, sent: int, outcome: Outcome) -> bool:
         """After a wait: whether what was allowed before it still is."""
         rules = self.rules
         if rules.attempts and sent >= rules.attempts:
             return False
         return rules.retry_on is None or outcome in rules.retry_on or outcome is UNSENT
 
-    def ended(self, number: int, outcome: Outcome, took: float, now: float) -> None:
+    def on_attempt_ended(self, number: int, outcome: Outcome, took: float, now: float) -> None:
         spent = self._spent
         if outcome is Outcome.OK:
             if self._rules.copy_percentile:
--- a/tests/lab/test_restart_wave.py
+++ b/tests/lab/test_restart_wave.py
@@ -72,7 +72,7 @@
 
 
 class Impatient(Backoff):
-    def again(self, most: float = inf) -> float:
+    def retry_delay(self, most: float = inf) -> float:
         return 250.0
 
 
--- a/tests/routes/test_routes_parts.py
+++ b/tests/routes/test_routes_parts.py
@@ -164,7 +164,7 @@
     assert "y" not in table.spent, "gone at once: it had no request"
     table.replace({}, 2.0)
     assert "x" in table.spent, "still has one"
-    one.leave(1)
+    one.release(1)
     assert "x" not in table.spent
 
 
@@ -304,11 +304,11 @@
     one: Rules, other: Rules, sent: int, outcome: Outcome
 ) -> None:
     both = table_with(stricter(one, other))[1]
-    if both.still(sent, outcome):
-        assert table_with(one)[1].still(sent, outcome)
-        assert table_with(other)[1].still(sent, outcome)
-    if both.copy(sent, 0.0):
-        assert table_with(one)[1].copy(sent, 0.0) and table_with(other)[1].copy(sent, 0.0)
+    if both.may_still_retry(sent, outcome):
+        assert table_with(one)[1].may_still_retry(sent, outcome)
+        assert table_with(other)[1].may_still_retry(sent, outcome)
+    if both.try_hedge(sent, 0.0):
+        assert table_with(one)[1].try_hedge(sent, 0.0) and table_with(other)[1].try_hedge(sent, 0.0)
 
 
 def test_a_reload_narrows_a_request_in_flight_and_never_widens_it() -> None:
@@ -317,12 +317,14 @@
     facts = Facts(0, 0, False, 1, 1, False)
     bounds = Bounds(table, facts, table.rules_for(facts), table.spent["r"])
     table.replace({"r": RouteOptions(attempts=4)}, 1.0)
-    assert bounds.again(2, Outcome.AT_CAPACITY, 1.0) is None, "wider now, but not for this one"
-    assert bounds.again(1, Outcome.AT_CAPACITY, 1.0) == 0.0
+    assert bounds.retry_delay(2, Outcome.AT_CAPACITY, 1.0) is None, (
+        "wider now, but not for this one"
+    )
+    assert bounds.retry_delay(1, Outcome.AT_CAPACITY, 1.0) == 0.0
     table.replace({"r": RouteOptions(attempts=1)}, 2.0)
-    assert bounds.again(1, Outcome.AT_CAPACITY, 2.0) is None
+    assert bounds.retry_delay(1, Outcome.AT_CAPACITY, 2.0) is None
     table.replace({}, 3.0)
-    assert bounds.again(1, Outcome.AT_CAPACITY, 3.0) is None, "a strictness once met stays"
+    assert bounds.retry_delay(1, Outcome.AT_CAPACITY, 3.0) is None, "a strictness once met stays"
 
 
 def test_waits_between_attempts_are_drawn_from_a_doubling_span() -> None:
@@ -334,7 +336,7 @@
     facts = Facts(0, 0, False, 1, 1, False)
     bounds = Bounds(table, facts, table.rules_for(facts), table.spent["r"])
     for sent, span in ((1, 0.1), (2, 0.2), (3, 0.3)):
-        waits = [bounds.again(sent, Outcome.ERROR, now * 10.0) for now in range(200)]
+        waits = [bounds.retry_delay(sent, Outcome.ERROR, now * 10.0) for now in range(200)]
         drawn = [w for w in waits if w is not None]
         assert len(drawn) == 200
         assert max(drawn) <= span and max(drawn) > 0.9 * span and min(drawn) < 0.1 * span
@@ -425,7 +427,7 @@
 def test_a_wait_that_is_not_asked_again_after_a_reload_is_found(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Bounds, "still", lambda self, sent, outcome: True)
+    monkeypatch.setattr(Bounds, "may_still_retry", lambda self, sent, outcome: True)
     with pytest.raises(Broken, match="attempt 3 of 2"):
         explore(Effect.SAFE, PAUSES, 5)
 
@@ -482,7 +484,7 @@
         table.replace({"r": RouteOptions(backoff=Duration(100), retry_floor=100.0)}, 0.0)
         facts = Facts(0, 0, False, 1, 1, False)
         bounds = Bounds(table, facts, table.rules_for(facts), table.spent["r"])
-        return [bounds.again(1, Outcome.ERROR, float(n)) for n in range(5)]
+        return [bounds.retry_delay(1, Outcome.ERROR, float(n)) for n in range(5)]
 
     random.seed(1)
     first = waits()
