--- a/dockthread/policy/attempts.py
+++ b/dockthread/policy/attempts.py
@@ -130,7 +130,7 @@
         if e.load_report and e.load_report != w.report:
             w.hear(
                 e.load_report,
-                self.reports.other_requests(e.load_report, w.out, self._usually()),
+                self.reports.remote_requests(e.load_report, w.out, self._usually()),
                 self.now,
             )
         w.answered = (
--- a/dockthread/policy/backend_pool.py
+++ b/dockthread/policy/backend_pool.py
@@ -1,14 +1,17 @@
-"""The workers that attempts are drawn from, and their summed shares. Decides nothing.
-
-Theory of operation. A worker keeps a place in the order of the list for as long as it is known, and
-weighs nothing while nothing may be sent there, so that a change of the list touches one place. A
-share moves by itself only while its worker warms up or has failures that fade: those few are kept
-apart and weighed anew at each round of housekeeping (were they most of a long list, some of them in
-turn); the others stay as they are. The running sums, by which `random.choices` draws with a binary
-search, are summed up again by a round that moved anything, and between rounds by one change in
-`SLOTS_PER_CHANGE` places: at once in a list of up to that many, where it costs little, and in a
-longer one so seldom that a change costs the same in it. Until then a longer list is drawn from by
-slightly old shares; readiness is always read off the worker.
+"""The pool of listed backends that attempts are drawn from by weight; it decides nothing.
+
+Theory of operation. A backend keeps its slot, in the order of the list, for as long as it is known,
+and has the weight 0 while nothing may be sent to it. So a change of the list touches one slot.
+
+A weight changes by itself only while its backend is in slow start or has failures that decay. These
+few backends are kept apart and weighed again in each round of maintenance (in turn, where they are
+most of a long list); the weights of all others stay as they are.
+
+`random.choices` draws with a binary search in the cumulative weights. These are summed again by a
+round of maintenance that changed a weight, and between rounds once there was one change for each
+`SLOTS_PER_RESUM` slots: at once in a list of up to that many, where it costs little, and so seldom
+in a longer list that the cost per change is the same. Until then a longer list is drawn from by
+slightly old weights; whether a backend is ready is always read off the backend itself.
 """
 
 from __future__ import annotations
@@ -24,276 +27,311 @@
 from dockthread.policy.model import BackendState, DeduplicationScope, Endpoint
 
 if TYPE_CHECKING:
-    from dockthread.policy.state import Worker
-
-SLOTS_PER_RESUM = 1024  # places for each of which one change has all sums made anew, about 20 us
-NEGLIGIBLE_FAILURE = (
-    1e-18  # a failed part below this changes no sum with 1 in double precision: it is none
-)
-NEGLIGIBLE_FAILURE_LONG_LIST = (
-    1e-3  # the same in a long list, where one rests after ten halvings and not after 60
-)
-MAX_WEIGHED_PER_ROUND = 1024  # workers weighed anew in one round: some 3 ms
-# workers that are looked through for a few; of more, so many drawn evenly are, a quarter of it
+    from dockthread.policy.state import Worker as Backend
+
+# Slots for each of which one change makes all cumulative weights be summed again, in some 20 us.
+SLOTS_PER_RESUM = 1024
+# A failure fraction below this is taken as 0: added to 1 in double precision it changes nothing.
+NEGLIGIBLE_FAILURE = 1e-18
+# The same in a long list, where a failure is done with after ten half-lives and not after sixty.
+NEGLIGIBLE_FAILURE_LONG_LIST = 1e-3
+# Backends weighed again in one round of maintenance at the most, which takes some 3 ms.
+MAX_WEIGHED_PER_ROUND = 1024
+# Ready backends up to which a list is short: all are looked at. Of a longer one a sample is.
 SHORT_LIST = 1024
-# candidates of a long list: the best of so many is as good as one in 64, and more cost 4 us each
+# Backends in a sample of a long list.
+SAMPLE_SIZE = SHORT_LIST // 4
+# Candidates drawn from a long list at the most: the best of so many is as good as one in 64, and
+# each more costs 4 us.
 MAX_CANDIDATES = 64
-DRAW_ATTEMPTS = 4  # draws from all for one of a part of them
-# of the places: left by workers that are forgotten, from which they are closed up
+# Draws from a whole pool for candidates that match a filter, before there count as none.
+DRAW_ATTEMPTS = 4
+# Fraction of slots left vacant by removed backends beyond which the slots are compacted.
 MAX_VACANT_FRACTION = 1 / 8
 
 
 class DrawableBackends(Protocol):
-    """Workers to draw from by their shares."""
+    """Backends that can be drawn by their weights."""
 
     def __len__(self) -> int:
-        """How many are ready."""
+        """Return how many are ready."""
         ...
 
-    def __iter__(self) -> Iterator[Worker]: ...
+    def __iter__(self) -> Iterator[Backend]: ...
 
-    def draw(self, rng: random.Random, count: int) -> list[Worker]:
-        """By their shares, as many or fewer."""
+    def draw(self, rng: random.Random, count: int) -> list[Backend]:
+        """Draw up to `count` backends by their weights, with replacement."""
         ...
 
-    def sample(self, rng: random.Random) -> Iterable[Worker]:
-        """Evenly, some of many, and all of few."""
+    def sample(self, rng: random.Random) -> Iterable[Backend]:
+        """Return all backends if they are few, and some drawn evenly if they are many."""
         ...
 
 
 class BackendSubset:
-    """Some workers, all ready, weighed once."""
+    """A few ready backends with weights computed once."""
 
-    __slots__ = ("_sums", "_workers")
+    __slots__ = ("_backends", "_cumulative_weights")
 
-    def __init__(self, workers: list[Worker], share: Callable[[Worker], float]) -> None:
-        self._workers, self._sums = workers, list(accumulate(map(share, workers)))
+    def __init__(self, backends: list[Backend], weight: Callable[[Backend], float]) -> None:
+        self._backends = backends
+        self._cumulative_weights = list(accumulate(map(weight, backends)))
 
     def __len__(self) -> int:
-        return len(self._workers)
+        return len(self._backends)
 
-    def __iter__(self) -> Iterator[Worker]:
-        return iter(self._workers)
+    def __iter__(self) -> Iterator[Backend]:
+        return iter(self._backends)
 
-    def draw(self, rng: random.Random, count: int) -> list[Worker]:
-        """By their shares."""
-        return rng.choices(self._workers, cum_weights=self._sums, k=count)
+    def draw(self, rng: random.Random, count: int) -> list[Backend]:
+        """Draw `count` backends by their weights, with replacement."""
+        return rng.choices(self._backends, cum_weights=self._cumulative_weights, k=count)
 
-    def sample(self, rng: random.Random) -> Iterable[Worker]:
-        """All of them."""
-        return self._workers
+    def sample(self, rng: random.Random) -> Iterable[Backend]:
+        """Return all backends."""
+        return self._backends
 
 
 class FilteredPool:
-    """The part of a long list whose entries fit, drawn from all of it. Its length is that of the
-    whole list, for of as many drawn from the whole those that fit are as many as its part would
-    be.
+    """The backends of a long list whose endpoints match a filter, drawn from the whole list.
+
+    Its length is that of the whole list: of as many candidates drawn from the whole, those that
+    match are as many as one would draw from the matching part.
     """
 
-    __slots__ = ("_fits", "_pool")
+    __slots__ = ("_matches", "_pool")
 
-    def __init__(self, pool: DrawableBackends, fits: Callable[[Endpoint], bool]) -> None:
-        self._pool, self._fits = pool, fits
+    def __init__(self, pool: DrawableBackends, matches: Callable[[Endpoint], bool]) -> None:
+        self._pool = pool
+        self._matches = matches
 
     def __len__(self) -> int:
         return len(self._pool)
 
-    def __iter__(self) -> Iterator[Worker]:
-        return (worker for worker in self._pool if self._fits(worker.entry))
+    def __iter__(self) -> Iterator[Backend]:
+        return (backend for backend in self._pool if self._matches(backend.entry))
 
-    def draw(self, rng: random.Random, count: int) -> list[Worker]:
-        """Those that fit among some drawn from all; none where a few rounds of drawing find
-        none.
-        """
+    def draw(self, rng: random.Random, count: int) -> list[Backend]:
+        """Return the matching ones among `count` drawn from all; none after a few vain draws."""
         for _ in range(DRAW_ATTEMPTS):
-            if drawn := [
-                worker for worker in self._pool.draw(rng, count) if self._fits(worker.entry)
-            ]:
+            drawn = [
+                backend for backend in self._pool.draw(rng, count) if self._matches(backend.entry)
+            ]
+            if drawn:
                 return drawn
         return []
 
-    def sample(self, rng: random.Random) -> Iterable[Worker]:
-        """Those that fit among some of all."""
-        return [worker for worker in self._pool.sample(rng) if self._fits(worker.entry)]
+    def sample(self, rng: random.Random) -> Iterable[Backend]:
+        """Return the matching ones among a sample of all."""
+        return [backend for backend in self._pool.sample(rng) if self._matches(backend.entry)]
 
 
-def _summed(shares: array[float]) -> array[float]:
-    """The running sums. By way of lists, which takes two thirds of the time of an array by
-    itself.
-    """
-    return array("d", list(accumulate(shares.tolist())))
+def _cumulative(weights: array[float]) -> array[float]:
+    """Return the cumulative sums; by way of lists, in two thirds of the time of arrays alone."""
+    return array("d", list(accumulate(weights.tolist())))
 
 
-NO_BACKENDS = BackendSubset([], lambda worker: 0.0)
+NO_BACKENDS = BackendSubset([], lambda backend: 0.0)
 
 
 class BackendPool:
-    """All workers listed. `share`: the chance of one to be drawn; `warmth`: 1 for one that is
-    warm.
+    """All known backends, with the weights by which the ready ones are drawn.
+
+    Attributes:
+        decay_rounds: rounds of maintenance, by which latency estimates decay.
+        failing: backends with failures that decay, by number.
+        warming_up: ready backends in slow start, by number.
+        success_fraction: mean fraction of the ready backends' outcomes that were no failures.
+        has_warm_backend: whether a ready backend is past its slow start.
+        visits: backends weighed so far, which measures the work of changes and maintenance.
     """
 
-    def __init__(self, share: Callable[[Worker], float], warmth: Callable[[Worker], float]) -> None:
-        self._share, self._warmth = share, warmth
-        self._slots: list[Worker] = []
-        self._shares = array("d")
-        self._sums = array("d")
-        # by zone and cell, all that are known
-        self._cells: dict[tuple[int, int], dict[int, Worker]] = {}
-        self._parts: Counter[tuple[int, int]] = Counter()  # ready ones by zone and kind
-        self._ready = self._vacant = 0
-        self._weighed = 0  # since the sums were made
-        self._due = False  # a round of housekeeping went by since
+    def __init__(
+        self, weight: Callable[[Backend], float], slow_start_weight: Callable[[Backend], float]
+    ) -> None:
+        """Make an empty pool.
+
+        Args:
+            weight: returns the weight by which a ready backend is drawn.
+            slow_start_weight: returns a backend's part of it for slow start; 1 once it is warm.
+        """
+        self._weight = weight
+        self._slow_start_weight = slow_start_weight
+        self._slots: list[Backend] = []
+        self._weights = array("d")  # by slot
+        self._cumulative_weights = array("d")  # by slot, as of the last sum
+        # All known backends, by zone and cell.
+        self._cells: dict[tuple[int, int], dict[int, Backend]] = {}
+        # How many ready backends there are, by zone and kind.
+        self._ready_by_zone_and_kind: Counter[tuple[int, int]] = Counter()
+        self._ready = 0
+        self._vacant = 0  # slots of removed backends
+        self._changes = 0  # weights that changed since the last sum
+        self._is_round_due = False  # whether a round of maintenance went by since the last sum
+        self._next_turn = 0  # the next to be weighed, where too many change for one round
         self.decay_rounds = DecayRounds()
-        self.failing: dict[int, Worker] = {}  # with failures that fade
-        self.warming_up: dict[int, Worker] = {}  # ready ones that warm up
-        self._turn = 0  # the next of these to be weighed, where they are too many for a round
-        self.success_fraction = 1.0  # mean part of the ready ones' outcomes that were no failures
-        self.has_warm_backend = False  # whether a ready one is warm
-        # workers looked at one by one, ever: the work that changes and housekeeping make
+        self.failing: dict[int, Backend] = {}
+        self.warming_up: dict[int, Backend] = {}
+        self.success_fraction = 1.0
+        self.has_warm_backend = False
         self.visits = 0
 
     def __len__(self) -> int:
         return self._ready
 
-    def __iter__(self) -> Iterator[Worker]:
-        return (worker for worker in self._slots if worker.ready)
+    def __iter__(self) -> Iterator[Backend]:
+        return (backend for backend in self._slots if backend.ready)
 
     @property
     def total_weight(self) -> float:
-        """The shares of all that are ready, as they were summed up last."""
-        return self._sums[-1] if self._sums else 0.0
+        """The weights of all ready backends, as of the last sum."""
+        return self._cumulative_weights[-1] if self._cumulative_weights else 0.0
 
-    def draw(self, rng: random.Random, count: int) -> list[Worker]:
-        """By their shares as they were summed up last; of a long list `MOST_DRAWN` at the most."""
-        if not self._sums or not self._sums[-1]:
+    def draw(self, rng: random.Random, count: int) -> list[Backend]:
+        """Draw backends by their weights as of the last sum, with replacement.
+
+        Of a long list `MAX_CANDIDATES` are drawn at the most; none are where all weights are 0.
+        """
+        if not self._cumulative_weights or not self._cumulative_weights[-1]:
             return []
         if self._ready > SHORT_LIST:
             count = min(count, MAX_CANDIDATES)
-        return rng.choices(self._slots, cum_weights=self._sums, k=count)
+        return rng.choices(self._slots, cum_weights=self._cumulative_weights, k=count)
 
-    def sample(self, rng: random.Random) -> Iterable[Worker]:
-        """All of a short list; of a long one some, drawn evenly."""
+    def sample(self, rng: random.Random) -> Iterable[Backend]:
+        """Return all ready backends of a short list, and some of a long one, drawn evenly."""
         if self._ready <= SHORT_LIST:
             return iter(self)
-        return (worker for worker in rng.choices(self._slots, k=SHORT_LIST // 4) if worker.ready)
+        drawn = rng.choices(self._slots, k=SAMPLE_SIZE)
+        return (backend for backend in drawn if backend.ready)
 
-    def in_scope(self, home: Endpoint, group: DeduplicationScope) -> DrawableBackends:
-        """The workers of a group, beside one."""
-        if group is DeduplicationScope.ALL:
+    def in_scope(self, home: Endpoint, scope: DeduplicationScope) -> DrawableBackends:
+        """Return the backends that share a deduplication scope with the endpoint `home`."""
+        if scope is DeduplicationScope.ALL:
             return self
-        if group is DeduplicationScope.CELL:
+        if scope is DeduplicationScope.CELL:
             cell = self._cells.get((home.zone, home.cell), {})
-            return BackendSubset(
-                sorted((w for w in cell.values() if w.ready), key=lambda w: w.place), self._share
-            )
+            ready = (backend for backend in cell.values() if backend.ready)
+            return BackendSubset(sorted(ready, key=lambda backend: backend.place), self._weight)
         zone = home.zone
-        return FilteredPool(self, lambda entry: entry.zone == zone)
+        return FilteredPool(self, lambda endpoint: endpoint.zone == zone)
 
-    def filtered(self, fits: Callable[[Endpoint], bool]) -> DrawableBackends | None:
-        """Those whose zone and kind fit; None where no such worker is ready."""
+    def filtered(self, matches: Callable[[Endpoint], bool]) -> DrawableBackends | None:
+        """Return the ready backends whose zone and kind match; None where there is none.
+
+        Args:
+            matches: a filter that looks at an endpoint's zone and kind only.
+        """
         if self._ready <= SHORT_LIST:
-            fitting = [worker for worker in self if fits(worker.entry)]
-            return BackendSubset(fitting, self._share) if fitting else None
-        parts = (
-            Endpoint(0, BackendState.READY, *part) for part, count in self._parts.items() if count
+            matching = [backend for backend in self if matches(backend.entry)]
+            return BackendSubset(matching, self._weight) if matching else None
+        examples = (
+            Endpoint(0, BackendState.READY, *zone_and_kind)
+            for zone_and_kind, count in self._ready_by_zone_and_kind.items()
+            if count
         )
-        return FilteredPool(self, fits) if any(map(fits, parts)) else None
-
-    def add(self, worker: Worker) -> None:
-        """One that was not known before. It weighs nothing yet."""
-        worker.place = len(self._slots)
-        self._slots.append(worker)
-        self._shares.append(0.0)
-        self._sums.append(self._sums[-1] if self._sums else 0.0)
-        self._cells.setdefault((worker.entry.zone, worker.entry.cell), {})[worker.entry.backend] = (
-            worker
-        )
-
-    def remove(self, worker: Worker) -> None:
-        """One that is not ready, and will not be again."""
-        self.failing.pop(worker.entry.backend, None)
-        self._leave_cell(worker)
+        return FilteredPool(self, matches) if any(map(matches, examples)) else None
+
+    def add(self, backend: Backend) -> None:
+        """Add a backend that was not known before, with the weight 0."""
+        backend.place = len(self._slots)
+        self._slots.append(backend)
+        self._weights.append(0.0)
+        last_sum = self._cumulative_weights[-1] if self._cumulative_weights else 0.0
+        self._cumulative_weights.append(last_sum)
+        entry = backend.entry
+        self._cells.setdefault((entry.zone, entry.cell), {})[entry.backend] = backend
+
+    def remove(self, backend: Backend) -> None:
+        """Remove a backend that is not ready; its slot stays vacant until slots are compacted."""
+        self.failing.pop(backend.entry.backend, None)
+        self._remove_from_cell(backend)
         self._vacant += 1
-        worker.place = -1
-
-    def update(self, worker: Worker, entry: Endpoint, ready: bool) -> None:
-        """What is listed of it now, and whether it may be drawn."""
-        old = worker.entry
-        self._parts[old.zone, old.kind] -= worker.ready
-        self._parts[entry.zone, entry.kind] += ready
-        self._ready += ready - worker.ready
+        backend.place = -1
+
+    def update(self, backend: Backend, entry: Endpoint, ready: bool) -> None:
+        """Take over what is listed of a backend, and whether it may be drawn from now on."""
+        old = backend.entry
+        self._ready_by_zone_and_kind[old.zone, old.kind] -= backend.ready
+        self._ready_by_zone_and_kind[entry.zone, entry.kind] += ready
+        self._ready += ready - backend.ready
         if (old.zone, old.cell) != (entry.zone, entry.cell):
-            self._leave_cell(worker)
-            self._cells.setdefault((entry.zone, entry.cell), {})[entry.backend] = worker
-        worker.entry, worker.ready = entry, ready
-        self._weigh(worker)
-
-    def _leave_cell(self, worker: Worker) -> None:
-        key = worker.entry.zone, worker.entry.cell
-        del self._cells[key][worker.entry.backend]
+            self._remove_from_cell(backend)
+            self._cells.setdefault((entry.zone, entry.cell), {})[entry.backend] = backend
+        backend.entry = entry
+        backend.ready = ready
+        self._weigh(backend)
+
+    def _remove_from_cell(self, backend: Backend) -> None:
+        key = backend.entry.zone, backend.entry.cell
+        del self._cells[key][backend.entry.backend]
         if not self._cells[key]:
             del self._cells[key]
 
-    def decay(self, failures: float, paces: float) -> None:
-        """A round of housekeeping: these parts are left of what is known of failures, and of answer
-        times.
+    def decay(self, failures: float, latencies: float) -> None:
+        """Begin a round of maintenance, in which failures and latency samples lose weight.
+
+        Args:
+            failures: the fraction of each failure that is left after the round.
+            latencies: the fraction of each latency sample's weight that is left after it.
         """
-        self._due = True
-        self.decay_rounds.advance(paces)
-        least = (
-            NEGLIGIBLE_FAILURE if len(self._slots) <= SHORT_LIST else NEGLIGIBLE_FAILURE_LONG_LIST
-        )
-        for worker in self.failing.values():
-            worker.fade(failures, least)
+        self._is_round_due = True
+        self.decay_rounds.advance(latencies)
+        is_short = len(self._slots) <= SHORT_LIST
+        negligible = NEGLIGIBLE_FAILURE if is_short else NEGLIGIBLE_FAILURE_LONG_LIST
+        for backend in self.failing.values():
+            backend.fade(failures, negligible)
 
     def refresh(self) -> None:
-        """Weigh anew and sum up, if it is time."""
-        if (
-            not self._due
-            and (self._weighed + 1) * SLOTS_PER_RESUM <= len(self._slots) - self._vacant
-        ):
+        """Weigh changing backends again and sum the weights, if a round or enough changes are due."""
+        slots_in_use = len(self._slots) - self._vacant
+        if not self._is_round_due and (self._changes + 1) * SLOTS_PER_RESUM <= slots_in_use:
             return
-        self._due = False
+        self._is_round_due = False
         if self._vacant > len(self._slots) * MAX_VACANT_FRACTION:
-            self._close_up()
-        for worker in self._moving():
-            self._weigh(worker)
-        if self._weighed:
-            self._weighed, self._sums = 0, _summed(self._shares)
-        failed = sum(worker.failed for worker in self.failing.values() if worker.ready)
+            self._compact_slots()
+        for backend in self._changing():
+            self._weigh(backend)
+        if self._changes:
+            self._changes = 0
+            self._cumulative_weights = _cumulative(self._weights)
+        failed = sum(backend.failed for backend in self.failing.values() if backend.ready)
         self.success_fraction = (self._ready - failed) / max(1, self._ready)
         self.has_warm_backend = self._ready > len(self.warming_up)
 
-    def _moving(self) -> list[Worker]:
-        """Those whose shares move by themselves; where these are too many, the next of them."""
-        moving = list(self.failing.values())
-        moving += [
-            worker for number, worker in self.warming_up.items() if number not in self.failing
+    def _changing(self) -> list[Backend]:
+        """Return the backends whose weights change by themselves; the next ones, if too many."""
+        changing = list(self.failing.values())
+        changing += [
+            backend for number, backend in self.warming_up.items() if number not in self.failing
         ]
-        if len(moving) <= MAX_WEIGHED_PER_ROUND:
-            return moving
-        at = self._turn % len(moving)
-        self._turn = at + MAX_WEIGHED_PER_ROUND
-        return (moving + moving[:MAX_WEIGHED_PER_ROUND])[at : at + MAX_WEIGHED_PER_ROUND]
-
-    def _weigh(self, worker: Worker) -> None:
-        """One with nothing that moves by itself is visited no more."""
+        if len(changing) <= MAX_WEIGHED_PER_ROUND:
+            return changing
+        start = self._next_turn % len(changing)
+        self._next_turn = start + MAX_WEIGHED_PER_ROUND
+        wrapped = changing + changing[:MAX_WEIGHED_PER_ROUND]
+        return wrapped[start : start + MAX_WEIGHED_PER_ROUND]
+
+    def _weigh(self, backend: Backend) -> None:
+        """Set a backend's weight, and drop it from those that are weighed again if it is steady."""
         self.visits += 1
-        number = worker.entry.backend
-        share = self._share(worker) if worker.ready else 0.0
-        if worker.ready and self._warmth(worker) < 1.0:
-            self.warming_up[number] = worker
+        number = backend.entry.backend
+        weight = self._weight(backend) if backend.ready else 0.0
+        if backend.ready and self._slow_start_weight(backend) < 1.0:
+            self.warming_up[number] = backend
         else:
             self.warming_up.pop(number, None)
-        if not worker.failed:
+        if not backend.failed:
             self.failing.pop(number, None)
-        if share != self._shares[worker.place]:
-            self._shares[worker.place] = share
-            self._weighed += 1
-
-    def _close_up(self) -> None:
-        self._slots = [worker for worker in self._slots if worker.place >= 0]
-        self._shares = array("d", [self._shares[worker.place] for worker in self._slots])
-        for place, worker in enumerate(self._slots):
-            worker.place = place
-        self._vacant, self._sums = 0, _summed(self._shares)
+        if weight != self._weights[backend.place]:
+            self._weights[backend.place] = weight
+            self._changes += 1
+
+    def _compact_slots(self) -> None:
+        """Close the gaps that removed backends left, keeping the order."""
+        self._slots = [backend for backend in self._slots if backend.place >= 0]
+        self._weights = array("d", [self._weights[backend.place] for backend in self._slots])
+        for slot, backend in enumerate(self._slots):
+            backend.place = slot
+        self._vacant = 0
+        self._cumulative_weights = _cumulative(self._weights)
--- a/dockthread/policy/gossip_codec.py
+++ b/dockthread/policy/gossip_codec.py
@@ -1,7 +1,14 @@
-"""What gateways tell each other, as bytes: a head, suspected workers, reports of customers.
+"""The binary format of gossip messages between ingresses, in little-endian order.
 
-Sums travel modulo 2**16 and units in sixteenths. Anything short, garbled or absurd reads as
-nothing.
+A message has a header, entries of suspected backends, and reports of customers:
+
+    header    version (1 byte), incarnation (1), number of suspects (1), whether reports are wide (1)
+    suspect   backend's code (3 bytes), failure fraction in 1/255 (1)
+    report    customer (4 bytes, or 8 if wide), plan (1), attempts in flight (1), sum of units
+              requested (2), sum of units admitted (2), level of the token bucket (2, a float)
+
+Sums are in 1/16 unit, modulo 2**16. A message that is too short, garbled or of another version is
+ignored.
 """
 
 from __future__ import annotations
@@ -10,19 +17,47 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-MAX_MESSAGE_BYTES = 256  # of a message on the wire
+# Bytes of a message at the most, which all ingresses read.
+MAX_MESSAGE_BYTES = 256
+# Version of the format.
 VERSION = 5
-PARTS_PER_UNIT = 16  # of a unit
+# Parts of a unit in which sums are counted.
+PARTS_PER_UNIT = 16
+# Bits of a sum in a message: sums count modulo 2**16.
 SUM_MASK = 0xFFFF
-MAX_BUCKET_LEVEL = 60_000.0  # the largest figure that two bytes hold as a float
-HEADER, SUSPECT_ENTRY = struct.Struct("<BBBB"), struct.Struct("<3sB")
-# a report, by the width of its customer's key
-NARROW_REPORT, WIDE_REPORT = struct.Struct("<IBBHHe"), struct.Struct("<QBBHHe")
+# Half the range of a sum: a difference of sums beyond it is read as negative.
+HALF_SUM_RANGE = 0x8000
+# Largest level (units) that a message carries, safely within the range of a two-byte float.
+MAX_BUCKET_LEVEL = 60_000.0
+# Attempts in flight at the most that one byte holds.
+MAX_IN_FLIGHT = 255
+# Steps of a failure fraction in one byte.
+FRACTION_STEPS = 255
+# Multiplier (2**64 over the golden ratio, Fibonacci hashing) and shift that spread backends'
+# numbers over three bytes.
+CODE_MULTIPLIER = 0x9E3779B97F4A7C15
+CODE_SHIFT = 20
+CODE_MASK = 0xFFFFFF
+CODE_BYTES = 3
+# Bits of a customer's number in a narrow report.
+NARROW_CUSTOMER_BITS = 32
+
+HEADER = struct.Struct("<BBBB")
+SUSPECT_ENTRY = struct.Struct("<3sB")
+NARROW_REPORT = struct.Struct("<IBBHHe")
+WIDE_REPORT = struct.Struct("<QBBHHe")
 
 
 class CustomerReport(NamedTuple):
-    """Of a customer: own attempts out, sums of units asked and let in here since the start, units
-    left.
+    """What one ingress reports of a customer.
+
+    Attributes:
+        customer: the customer's number.
+        plan: the position of its plan in the settings.
+        in_flight: the sender's own attempts in flight.
+        arrived_sum: units requested of the sender since its start, as `encode_units` gives them.
+        admitted_sum: units that it admitted since its start, alike.
+        bucket_level: units left of the quota, as the sender knows it.
     """
 
     customer: int
@@ -34,76 +69,106 @@
 
 
 class GossipMessage(NamedTuple):
-    """One message of a peer, unpacked."""
+    """One decoded message of a peer.
+
+    Attributes:
+        incarnation: a random mark of the sender's present run; another one means a restart.
+        suspects: codes of suspected backends with their failure fractions (0 to 1).
+        reports: reports of customers.
+    """
 
     incarnation: int
     suspects: list[tuple[bytes, float]]
     reports: list[CustomerReport]
 
 
-def backend_code(worker: int) -> bytes:
-    """A worker's number as messages have it."""
-    return (worker * 0x9E3779B97F4A7C15 >> 20 & 0xFFFFFF).to_bytes(3, "big")
+def backend_code(backend: int) -> bytes:
+    """Return the three-byte hash of a backend's number that stands for it in messages."""
+    code = backend * CODE_MULTIPLIER >> CODE_SHIFT & CODE_MASK
+    return code.to_bytes(CODE_BYTES, "big")
 
 
 def encode_units(units: float) -> int:
-    """A sum of units as it travels."""
+    """Return a sum of units as a message carries it: in 1/16 unit, modulo 2**16."""
     return round(units * PARTS_PER_UNIT) & SUM_MASK
 
 
-def units_between(now: int, then: int) -> float:
-    """Units that a sum has grown by, or shrunk."""
-    return ((now - then + 0x8000 & SUM_MASK) - 0x8000) / PARTS_PER_UNIT
+def units_between(later: int, earlier: int) -> float:
+    """Return the units by which an encoded sum has grown; below 0 where it has shrunk."""
+    difference = (later - earlier + HALF_SUM_RANGE & SUM_MASK) - HALF_SUM_RANGE
+    return difference / PARTS_PER_UNIT
 
 
-def report_format(keys: Iterable[int]) -> struct.Struct:
-    """The narrowest that holds these keys: what is saved is room for reports of more customers."""
-    return NARROW_REPORT if all(key >> 32 == 0 for key in keys) else WIDE_REPORT
+def report_format(customers: Iterable[int]) -> struct.Struct:
+    """Return the narrowest report format for these customers, so that more reports fit."""
+    is_narrow = all(customer >> NARROW_CUSTOMER_BITS == 0 for customer in customers)
+    return NARROW_REPORT if is_narrow else WIDE_REPORT
 
 
-def report_capacity(suspects: int, keys: Iterable[int]) -> int:
-    """Reports of these customers that fit."""
-    return (MAX_MESSAGE_BYTES - HEADER.size - suspects * SUSPECT_ENTRY.size) // report_format(
-        keys
-    ).size
+def report_capacity(suspects: int, customers: Iterable[int]) -> int:
+    """Return how many reports of these customers fit into a message beside the suspects."""
+    left = MAX_MESSAGE_BYTES - HEADER.size - suspects * SUSPECT_ENTRY.size
+    return left // report_format(customers).size
 
 
 def encode_message(
-    life: int, suspects: Sequence[tuple[bytes, float]], reports: Sequence[CustomerReport]
+    incarnation: int,
+    suspects: Sequence[tuple[bytes, float]],
+    reports: Sequence[CustomerReport],
 ) -> bytes:
-    """One message as bytes."""
-    form = report_format(r.customer for r in reports)
-    data = HEADER.pack(VERSION, life, len(suspects), form is WIDE_REPORT)
-    data += b"".join(SUSPECT_ENTRY.pack(code, int(255 * failed)) for code, failed in suspects)
-    for r in reports:
-        level = max(-MAX_BUCKET_LEVEL, min(r.bucket_level, MAX_BUCKET_LEVEL))
-        data += form.pack(
-            *r[:2],
-            min(r.in_flight, 255),
-            *r[3:5],
-            level,
+    """Encode one message; the caller keeps to `report_capacity`.
+
+    Args:
+        incarnation: the mark of the sender's present run, from 0 to 255.
+        suspects: codes of suspected backends with their failure fractions.
+        reports: reports of customers; attempts in flight and levels are clipped to their ranges.
+    """
+    report_struct = report_format(report.customer for report in reports)
+    data = HEADER.pack(VERSION, incarnation, len(suspects), report_struct is WIDE_REPORT)
+    data += b"".join(
+        SUSPECT_ENTRY.pack(code, int(FRACTION_STEPS * fraction)) for code, fraction in suspects
+    )
+    for report in reports:
+        data += report_struct.pack(
+            report.customer,
+            report.plan,
+            min(report.in_flight, MAX_IN_FLIGHT),
+            report.arrived_sum,
+            report.admitted_sum,
+            max(-MAX_BUCKET_LEVEL, min(report.bucket_level, MAX_BUCKET_LEVEL)),
         )
     return data
 
 
-def decode_message(data: bytes, plans: int) -> GossipMessage | None:
-    """A message from bytes; None where they are none."""
+def decode_message(data: bytes, plan_count: int) -> GossipMessage | None:
+    """Decode one message.
+
+    Args:
+        data: the datagram.
+        plan_count: plans in the settings; reports of other plans are dropped, and so are reports
+            with an absurd level.
+
+    Returns:
+        None where the bytes are no message of this version.
+    """
     if len(data) < HEADER.size or data[0] != VERSION:
         return None
-    reports = HEADER.size + data[2] * SUSPECT_ENTRY.size
-    form = WIDE_REPORT if data[3] else NARROW_REPORT
-    if len(data) < reports or (len(data) - reports) % form.size:
+    _, incarnation, suspect_count, is_wide = HEADER.unpack_from(data)
+    reports_start = HEADER.size + suspect_count * SUSPECT_ENTRY.size
+    report_struct = WIDE_REPORT if is_wide else NARROW_REPORT
+    if len(data) < reports_start or (len(data) - reports_start) % report_struct.size:
         return None
-    told = [CustomerReport(*fields) for fields in form.iter_unpack(data[reports:])]
+    suspect_entries = SUSPECT_ENTRY.iter_unpack(data[HEADER.size : reports_start])
+    reports = [
+        CustomerReport(*fields) for fields in report_struct.iter_unpack(data[reports_start:])
+    ]
     return GossipMessage(
-        data[1],
-        [
-            (code, failed / 255)
-            for code, failed in SUSPECT_ENTRY.iter_unpack(data[HEADER.size : reports])
-        ],
+        incarnation,
+        [(code, fraction / FRACTION_STEPS) for code, fraction in suspect_entries],
         [
-            r
-            for r in told
-            if r.plan < plans and -MAX_BUCKET_LEVEL <= r.bucket_level <= MAX_BUCKET_LEVEL
+            report
+            for report in reports
+            if report.plan < plan_count
+            and -MAX_BUCKET_LEVEL <= report.bucket_level <= MAX_BUCKET_LEVEL
         ],
     )
--- a/dockthread/policy/latency_estimates.py
+++ b/dockthread/policy/latency_estimates.py
@@ -47,16 +47,16 @@
     Attributes:
         relative_latency: mean over the kind; 1.0 is as usual.
         sample_count: latency samples so far.
-        other_requests: mean number of requests of other ingresses at a backend of the kind.
+        remote_requests: mean number of requests of other ingresses at a backend of the kind.
         report_count: load reports so far.
     """
 
-    __slots__ = ("other_requests", "relative_latency", "report_count", "sample_count")
+    __slots__ = ("remote_requests", "relative_latency", "report_count", "sample_count")
 
     def __init__(self) -> None:
         self.relative_latency = 1.0
         self.sample_count = 0
-        self.other_requests = 0.0
+        self.remote_requests = 0.0
         self.report_count = 0
 
     def add_latency(self, relative_latency: float) -> None:
@@ -65,11 +65,11 @@
         step = max(KIND_STEP, 1 / self.sample_count)
         self.relative_latency += step * (relative_latency - self.relative_latency)
 
-    def add_load(self, other_requests: float) -> None:
+    def add_load(self, remote_requests: float) -> None:
         """Count the requests of other ingresses in one load report of the kind."""
         self.report_count += 1
         step = max(KIND_STEP, 1 / self.report_count)
-        self.other_requests += step * (other_requests - self.other_requests)
+        self.remote_requests += step * (remote_requests - self.remote_requests)
 
 
 class DecayRounds:
--- a/dockthread/policy/load_reports.py
+++ b/dockthread/policy/load_reports.py
@@ -37,7 +37,7 @@
     def __init__(self, names: tuple[str, ...]) -> None:
         self.positions = {name: names.index(name) for name in LOAD_REPORT_FIELDS if name in names}
 
-    def other_requests(
+    def remote_requests(
         self, report: tuple[float, ...], in_flight: int, usual_latency: float
     ) -> float | None:
         """Return how many requests of other ingresses a backend has.
--- a/dockthread/policy/rate_sketch.py
+++ b/dockthread/policy/rate_sketch.py
@@ -1,4 +1,9 @@
-"""The sketch of the design: decayed unit rates of a plan's customers, after rakelimit."""
+"""A count-min sketch of the decayed unit rates of a plan's customers.
+
+It follows rakelimit, Cloudflare's rate limiter, which estimates rates with a count-min sketch
+(Cormode and Muthukrishnan, 2005) whose cells hold decayed rates in place of counts. Collisions only
+ever make an estimate too high, and the minimum over the rows bounds by how much.
+"""
 
 from __future__ import annotations
 
@@ -7,13 +12,23 @@
 
 from dockthread.policy.state import NEVER
 
-# five rows as in the paper; several times wider than the customers seen lately
-ROWS, WIDTH = 5, 1024
-HASH_PRIME, MIX = (1 << 61) - 1, 0x9E3779B97F4A7C15  # of the hashes
+# Independent hash rows, as many as in rakelimit.
+ROWS = 5
+# Cells in a row: several times as many as there are customers in one window.
+WIDTH = 1024
+# The Mersenne prime 2**61 - 1, modulus of the universal hash functions.
+HASH_PRIME = (1 << 61) - 1
 
 
 class RateSketch:
-    """Rates over `window` seconds."""
+    """Estimates each customer's rate of units over a window.
+
+    Attributes:
+        window: s over which a rate is taken.
+        hash_coefficients: factor and offset of each row's hash function.
+        rates: units per second, by row and cell.
+        updated_at: when each cell was updated last, s, by row and cell.
+    """
 
     def __init__(self, window: float, rng: random.Random) -> None:
         self.window = window
@@ -24,16 +39,21 @@
         self.updated_at = [[NEVER] * WIDTH for _ in range(ROWS)]
 
     def add(self, customer: int, units: float, now: float) -> float:
-        """Units of a customer that come now; its rate with them."""
-        least = math.inf
-        for (a, b), rates, times in zip(
-            self.hash_coefficients, self.rates, self.updated_at, strict=True
-        ):
-            cell = (a * customer + b) % HASH_PRIME % WIDTH
-            rates[cell], times[cell] = self.decayed_rate(rates[cell], units, now - times[cell]), now
-            least = min(least, rates[cell])
-        return least
+        """Count units that a customer requests now and return its rate, in units per second."""
+        lowest = math.inf
+        rows = zip(self.hash_coefficients, self.rates, self.updated_at, strict=True)
+        for (factor, offset), rates, updated_at in rows:
+            cell = (factor * customer + offset) % HASH_PRIME % WIDTH
+            rate = self.decayed_rate(rates[cell], units, now - updated_at[cell])
+            rates[cell] = rate
+            updated_at[cell] = now
+            lowest = min(lowest, rate)
+        return lowest
 
     def decayed_rate(self, rate: float, units: float, gap: float) -> float:
-        """A rate after a gap, with units that come at its end."""
+        """Return a rate after `gap` seconds without units, at the end of which `units` come.
+
+        The rate falls linearly to 0 over the window. Over a gap longer than the window the new
+        units count as spread over the gap.
+        """
         return rate * max(0.0, 1 - gap / self.window) + units / max(gap, self.window)
--- a/dockthread/policy/state.py
+++ b/dockthread/policy/state.py
@@ -157,7 +157,7 @@
         is.
         """
         if self.report_at == NEVER:  # else those not met yet would draw all
-            return self.out + (0.0 if self.fresh else self.kind.other_requests)
+            return self.out + (0.0 if self.fresh else self.kind.remote_requests)
         weight: float = 0.5 ** ((now - self.report_at) / REPORT_HALF)
         return self.out + self.others_mean + weight * (self.others - self.others_mean)
 
--- a/dockthread/policy/token_bucket.py
+++ b/dockthread/policy/token_bucket.py
@@ -1,69 +1,99 @@
-"""A customer's store, as one gateway knows it: who took what, and from whom that was heard. Decides
-nothing.
-
-Theory of operation. The quota's store is one, and no gateway sees it whole. Each keeps its own
-copy: full at first, filled by the plan's rate, less what was let in here and less what the others
-let in. The last is heard from two sides that tell of the same units. The others' messages tell sums
-by sender, so that what is lost is healed by the next one. The counter tells what is left of the
-store itself: its number holds the units used since an epoch's start and those that ran over the
-full store, so that the epoch's filling, less the number, is the level, whoever reads it and however
-long ago it last did; what went beyond the quota took nothing and is taken back from it. Taken off
-once for each side, a customer would pay its use twice. So all that is heard goes through this one
-place: a level told only ever lowers the copy, and `lead` is how many units it was lowered by that
-the messages have not told yet; what these tell is first set against that. A lead is never more than
-the burst, beyond which it says nothing of the store as it is now.
-
-What ran over the full copy before the others' messages came was never there to be taken, and is set
-off as well, as far as it can have run over since the last of them.
+"""The token bucket of one customer's quota, as one ingress knows it; it decides nothing.
+
+Theory of operation. A quota is one token bucket for all ingresses together, and no ingress sees all
+that is taken from it. Each keeps a copy: full at first, refilled at the plan's rate, less what was
+admitted here and less what the other ingresses admitted. The latter is learnt from two sources
+which tell of the same units:
+
+* Gossip of the other ingresses carries sums by sender, so that a later message makes up for a lost
+  one.
+* The shared counter holds the units used since the start of an epoch and those that overflowed the
+  full bucket. The refill of the epoch less that total is therefore the level, whoever reads it and
+  however long ago it last did. Usage beyond the quota took nothing, and is taken back from the
+  total.
+
+If both were subtracted, a customer would pay twice for its usage. So both go through this class. A
+level by the counter only ever lowers the copy, and `counter_lead` is by how many units it did so
+that gossip has not reported yet; usage reported by gossip is first set against that. The lead is
+never more than the burst, beyond which it says nothing about the bucket as it is now.
+
+Tokens that overflowed the full copy before the others' gossip arrived were never there to be taken.
+They are set against the reported usage as well, as far as they can have overflowed since the last
+message.
 """
 
 from __future__ import annotations
 
 
 class QuotaBucket:
-    """Units left of one customer's quota. Times in seconds."""
+    """The token bucket of one customer's quota; times are in seconds, amounts in units.
+
+    Attributes:
+        rate: refill, in units per second.
+        burst: the level of the full bucket.
+        level: units left as of `updated_at`; below 0 after a settlement with the actual units.
+        updated_at: when the bucket was refilled last.
+        overflow: units that overflowed the full bucket since the last gossip of other ingresses.
+        counter_lead: usage of other ingresses known by the counter and not yet by gossip.
+    """
 
     __slots__ = ("burst", "counter_lead", "level", "overflow", "rate", "updated_at")
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
-        self.rate, self.burst, self.level = rate, burst, burst
-        self.updated_at = now  # when it was last looked at
-        self.overflow = (
-            0.0  # units that ran over the full store since the others were last heard of
-        )
-        self.counter_lead = (
-            0.0  # units of the others by the counter that their messages have not told
-        )
+        self.rate = rate
+        self.burst = burst
+        self.level = burst
+        self.updated_at = now
+        self.overflow = 0.0
+        self.counter_lead = 0.0
 
     def refill(self, now: float) -> None:
-        """What came in by the rate up to now."""
-        level, self.updated_at = self.level + self.rate * (now - self.updated_at), now
+        """Add what has come in at the rate since the last refill."""
+        level = self.level + self.rate * (now - self.updated_at)
+        self.updated_at = now
         self.level = min(self.burst, level)
         self.overflow = min(self.burst, self.overflow + level - self.level)
 
     def take(self, units: float, may_go_negative: bool = False) -> None:
-        """Let in here. What goes beyond the quota takes nothing, unless true units are known only
-        afterwards.
+        """Take the units of an admitted request.
+
+        Args:
+            units: the units admitted here.
+            may_go_negative: whether units beyond the level are owed, as where the actual units
+                are known only after the request; otherwise these take nothing.
         """
         self.level = self.level - units if may_go_negative else max(0.0, self.level - units)
 
     def apply_gossip(self, units: float, since: float) -> None:
-        """The others' units by their messages; `since`: s since the last of them."""
+        """Take the units that other ingresses reported by gossip.
+
+        Args:
+            units: the units reported since the last message; below 0 counts as 0.
+            since: s since that message.
+        """
         known = min(max(0.0, units), self.counter_lead)
         self.counter_lead -= known
-        self._debit(units - known, since)
+        self._take_reported(units - known, since)
 
-    def counter_balance(self, room: float, units: float) -> tuple[float, float]:
-        """What is left once these units are told, and what the counter's number lacks of what it
-        should be: what ran over, or below 0 what went beyond the quota, as that took nothing.
-        `room`: what came in since the epoch's start, less the number before these units.
+    def counter_balance(self, unused: float, units: float) -> tuple[float, float]:
+        """Work out the level by the shared counter, and what the counter's total lacks.
+
+        Args:
+            unused: the refill since the start of the epoch, less the total before these units.
+            units: the units that are added to the total now.
+
+        Returns:
+            The level after these units; and the correction that the total needs: the units that
+            overflowed, or, below 0, those beyond the quota, as these took nothing.
         """
-        left = self.burst + min(0.0, room) - units
-        return left, max(0.0, room) + min(0.0, left)
+        level = self.burst + min(0.0, unused) - units
+        return level, max(0.0, unused) + min(0.0, level)
 
     def apply_counter(self, level: float) -> float:
-        """What is left by the counter. Returns the units of the others by which the store known
-        here was too high.
+        """Lower the level to the one by the shared counter.
+
+        Returns:
+            The units of other ingresses by which the level was too high.
         """
         units = max(0.0, self.level - max(0.0, level))
         self.counter_lead = min(self.burst, self.counter_lead + units)
@@ -71,14 +101,15 @@
         return units
 
     def lower_to(self, level: float) -> None:
-        """Another has seen the store emptier, at a time when this gateway knew nothing of it."""
+        """Lower the level to one that a peer saw while this ingress knew nothing of the bucket."""
         self.level = max(0.0, min(self.level, level))
 
-    def _debit(self, units: float, since: float) -> None:
+    def _take_reported(self, units: float, since: float) -> None:
+        """Take reported units, less those that the overflow of the time since covers."""
         covered = min(max(0.0, units), self.overflow, self.rate * since)
         self.overflow = 0.0
         self.level = max(0.0, self.level - (units - covered))
 
     def level_at(self, now: float) -> float:
-        """The level at a time, nothing taken since."""
+        """Return the level at a time, if nothing is taken until then."""
         return min(self.burst, self.level + self.rate * (now - self.updated_at))
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -49,7 +49,7 @@
 def test_load_of_other_ingresses_is_read_from_any_load_report(
     names: tuple[str, ...], report: tuple[float, ...], others: float | None
 ) -> None:
-    told = LoadReportReader(names).other_requests(report, 2, 0.1)
+    told = LoadReportReader(names).remote_requests(report, 2, 0.1)
     assert told == (others if others is None else pytest.approx(others))
 
 
