--- a/benchmarks/list_size.py
+++ b/benchmarks/list_size.py
@@ -131,7 +131,7 @@
     """
     text, parser, found = (
         json.dumps(whole_list(size)).encode(),
-        WatchResponseParser(destinations.read),
+        WatchResponseParser(destinations.read_entry),
         list[Any](),
     )
     figures = {"list_kb": len(text) / 1000, "taken": 1.0, "parse_ms": 0.0, "parse_longest_ms": 0.0}
@@ -183,7 +183,7 @@
     module.run(module.now + QUIET)
     inside, begun = time.thread_time() - begun, time.thread_time()
     for _ in range(ticks):
-        destinations.tidy()
+        destinations.forget_expired()
     outside = time.thread_time() - begun
     return {"module_idle_percent": inside / QUIET * 100, "set_idle_percent": outside / QUIET * 100}
 
@@ -231,7 +231,7 @@
     said, figures = parsed(size, destinations)
     module, spent = Module(GATEWAYS), list[float]()
     begun = time.thread_time()
-    for listed in destinations.parts(said):
+    for listed in destinations.apply_in_parts(said):
         module.tell(listed)
         spent.append(time.thread_time() - begun)
         begun = time.thread_time()
--- a/dockthread/control_plane/ingress.py
+++ b/dockthread/control_plane/ingress.py
@@ -150,5 +150,5 @@
         ingress = self._ingress
         config = self.layered(self._configured)
         ingress.config = replace(ingress.config, discovery=config.discovery, counter=config.counter)
-        ingress.watch.move(config.discovery)
-        ingress.counter.move(config.counter)
+        ingress.watch.change_address(config.discovery)
+        ingress.counter.change_address(config.counter)
--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -76,7 +76,7 @@
         self._asked_again = False
         self.applied = self.rejected = 0  # files read again at SIGHUP
         self._held_file = Path(os.environ.get("TMPDIR") or tempfile.gettempdir()) / HELD_FILE
-        self.ingress.destinations.held.update(_read_held(self._held_file))
+        self.ingress.destinations.excluded_uids.update(_read_held(self._held_file))
         if read is not None:
             self._apply(read)
 
@@ -94,8 +94,8 @@
                 outcomes=ingress.traffic.outcomes,
                 tries=ingress.traffic.tries,
                 active=ingress.active,
-                pool_size=ingress.destinations.listed,
-                pool_ejected=ingress.destinations.avoided,
+                pool_size=ingress.destinations.listed_count,
+                pool_ejected=ingress.destinations.excluded_count,
                 config_applied=self.applied,
                 config_rejected=self.rejected,
             )
@@ -113,7 +113,7 @@
         # For the process that takes over at an upgrade: it starts with what is held here.
         try:
             passing = self._held_file.with_suffix(".new")
-            passing.write_text(json.dumps(sorted(self.ingress.destinations.held)))
+            passing.write_text(json.dumps(sorted(self.ingress.destinations.excluded_uids)))
             os.replace(passing, self._held_file)
         except OSError as error:
             logger.warning(
--- a/dockthread/lab/scale/hollow.py
+++ b/dockthread/lab/scale/hollow.py
@@ -55,10 +55,10 @@
             return EndpointsListed(EndpointListKind.CHANGES, ())
         return super().apply(message, cached)
 
-    def parts(self, message: Any) -> Iterator[EndpointsListed]:
+    def apply_in_parts(self, message: Any) -> Iterator[EndpointsListed]:
         """Take over a list in parts, altered first."""
         if self.alter is None or (message := self.alter(message)) is not None:
-            yield from super().parts(message)
+            yield from super().apply_in_parts(message)
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,7 +126,7 @@
         if self._controlled is not None and self._control_witness is not None:
             self._controlled.open()
             self._control_witness.observe(self._controlled, control_alteration(self._plant))
-        self.watch.begin(EMPTY, self._timers.at)
+        self.watch.start(EMPTY, self._timers.at)
         self._housekeeping()
         self._watching = asyncio.get_running_loop().create_task(self.watch.run())
 
@@ -157,8 +157,8 @@
         if self._stopped:
             return
         self._timers.at(self.clock.now() + HOUSEKEEPING, self._housekeeping)
-        self.destinations.tidy()
-        self.watch.check()
+        self.destinations.forget_expired()
+        self.watch.enforce_timeouts()
 
     def _set_timer(self, action: SetTimer) -> None:
         self._timers.at(action.at * 1000.0, self._fired, action.token)
--- a/dockthread/lab/scale/witness.py
+++ b/dockthread/lab/scale/witness.py
@@ -106,11 +106,11 @@
 def table(gateway: PolicyEngine, destinations: EndpointList) -> list[Row]:
     """What the module holds of the backends that are not gone, in the order of their uids."""
     return sorted(
-        [known.uid, str(known.endpoint), held.ready, held.entry.weight]
+        [known.uid, str(known.address), held.ready, held.entry.weight]
         for worker, held in gateway.workers.items()
         if held.entry.state is not BackendState.REMOVED
         and held.gone == float("inf")
-        and (known := destinations.by_worker.get(worker)) is not None
+        and (known := destinations.by_number.get(worker)) is not None
     )
 
 
--- a/dockthread/maintenance/observation.py
+++ b/dockthread/maintenance/observation.py
@@ -19,13 +19,13 @@
     """Destinations that are active by discovery, held or not, with what the module knows of
     each.
     """
-    workers, destinations = ingress.gateway.workers, ingress.destinations.by_worker
-    return [(d.uid, workers[n]) for n, d in destinations.items() if d.active and n in workers]
+    workers, destinations = ingress.gateway.workers, ingress.destinations.by_number
+    return [(d.uid, workers[n]) for n, d in destinations.items() if d.is_ready and n in workers]
 
 
 def idle(ingress: Ingress, targets: Collection[str]) -> set[str]:
     """Those of `targets` at which nothing of this ingress is out."""
-    workers, destinations = ingress.gateway.workers, ingress.destinations.by_worker
+    workers, destinations = ingress.gateway.workers, ingress.destinations.by_number
     busy = {
         d.uid
         for n, d in destinations.items()
--- a/dockthread/maintenance/service.py
+++ b/dockthread/maintenance/service.py
@@ -134,7 +134,7 @@
         ingress = self._ingress
         for target in acts.hold:
             if not ingress.hold(target, True):  # not listed here yet: drained as soon as it is
-                ingress.destinations.held.add(target)
+                ingress.destinations.excluded_uids.add(target)
             logger.info("work: {} is drained, its turn has come", target)
         for target in acts.free:
             ingress.hold(target, False)
--- a/dockthread/net/discovery_watch.py
+++ b/dockthread/net/discovery_watch.py
@@ -91,9 +91,9 @@
         self._size = 0  # bytes of the present object, and a little more
         self._unread = 0  # of these, since an entry was read
         self._failure: DiscoveryError | None = None
-        self.half = False  # an object has begun and is not whole
-        self.stood = False  # the answer is a watch, and has said something
-        self.ended = False
+        self.is_inside_object = False  # an object has begun and is not whole
+        self.has_body = False  # the answer is a watch, and has said something
+        self.is_complete = False
 
     def feed(self, data: bytes | memoryview) -> Iterator[Any]:
         """The objects that are whole now; then raises WatchError where the rest cannot be one."""
@@ -135,7 +135,7 @@
         """From httptools: a part of the body came."""
         if self._failure is not None:
             return
-        self.stood, before = True, len(self._found)
+        self.has_body, before = True, len(self._found)
         self._unread += len(body)
         try:
             self._json.send(body)
@@ -148,16 +148,16 @@
             return
         said = body.rstrip()
         if len(self._found) > before:
-            self._size, self._unread, self.half = 0, 0, not said.endswith(b"}")
-            self._outer = None if not self.half else self._outer
+            self._size, self._unread, self.is_inside_object = 0, 0, not said.endswith(b"}")
+            self._outer = None if not self.is_inside_object else self._outer
         elif said:
-            self._size, self.half = self._size + len(body), True
+            self._size, self.is_inside_object = self._size + len(body), True
         if self._size > MAX_OBJECT_BYTES or self._unread > MAX_UNREAD_BYTES:
             self._failure = DiscoveryError("an object does not end")
 
     def on_message_complete(self) -> None:
         """From httptools: the answer has ended."""
-        self.ended = True
+        self.is_complete = True
 
 
 class DiscoveryWatch:
@@ -206,7 +206,7 @@
         self._given_up = 0.0
         self.observer = Observer()
 
-    def begin(self, known: Any, at: Callable[..., None]) -> None:
+    def start(self, known: Any, at: Callable[..., None]) -> None:
         """Start from the list that lay in the configuration; `at` times what comes later. Raises
         WatchError where the list is malformed.
         """
@@ -218,12 +218,12 @@
             self._use_cached()
 
     @property
-    def informed(self) -> bool:
+    def has_list(self) -> bool:
         """Whether there is a list to serve by."""
         return (
             self._cached is None
-            and bool(self._destinations.by_worker)
-            and not self._destinations.partial
+            and bool(self._destinations.by_number)
+            and not self._destinations.is_partial
         )
 
     def _use_cached(self) -> None:
@@ -231,7 +231,7 @@
         if cached is not None:
             self._told(cached)
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Watch discovery at another address, and at once: the old one soon falls silent."""
         if address != self._address:
             self._address, self._moved = address, True
@@ -247,7 +247,7 @@
 
     async def run(self) -> None:
         """Hold a watch, one after another, for as long as it runs."""
-        if self._destinations.by_worker and not self._pushed:  # what it knows serves meanwhile
+        if self._destinations.by_number and not self._pushed:  # what it knows serves meanwhile
             await self._pause(self._backoff.soon())
         while True:
             self._began = self._heard = self._whole = self._clock.now()
@@ -273,7 +273,7 @@
             if not waited:
                 await self._pause(self._backoff.soon() if self._stood else self._again(MAX_WAIT_MS))
 
-    def check(self) -> None:
+    def enforce_timeouts(self) -> None:
         """End a watch that has gone silent, or does not come to the end of an object: its machine
         may have vanished, which TCP does not tell. A call that was never answered stays open for
         the pause that would follow it, and the next one goes at its end.
@@ -310,19 +310,19 @@
             )
             await loop.sock_sendall(sock, head.encode())
             parser, buffer, entries_read = (
-                WatchResponseParser(self._destinations.read),
+                WatchResponseParser(self._destinations.read_entry),
                 bytearray(65536),
                 0,
             )
-            while not parser.ended:
+            while not parser.is_complete:
                 size = await loop.sock_recv_into(sock, buffer)
                 if not size:
                     raise DiscoveryError("discovery closed the connection")
                 self._heard = self._clock.now()
-                if parser.stood:
+                if parser.has_body:
                     self._failing_since = self._heard
                 for message in parser.feed(memoryview(buffer)[:size]):
-                    for listed in self._destinations.parts(message):
+                    for listed in self._destinations.apply_in_parts(message):
                         self._use_cached()
                         self._told(listed)
                         # a long list comes in parts, and requests are answered between them
@@ -335,10 +335,10 @@
                     if self._failures:
                         logger.info("watch on discovery is back at {}", self._destinations.revision)
                         self._failures = 0
-                if parser.stood and not self._stood:
+                if parser.has_body and not self._stood:
                     self._stood, self._given_up = True, 0.0
                     self._backoff.reset()
-                if not parser.half or parser.entries_read > entries_read:
+                if not parser.is_inside_object or parser.entries_read > entries_read:
                     self._whole, entries_read = self._heard, parser.entries_read
-                if parser.half:
+                if parser.is_inside_object:
                     await asyncio.sleep(0)  # the rest of a long list may be here already
--- a/dockthread/net/endpoint_list.py
+++ b/dockthread/net/endpoint_list.py
@@ -30,18 +30,18 @@
     """One backend as discovery lists it, in the module's words."""
 
     uid: str
-    address: str
+    address_text: str
     state: BackendState
     zone: int
     kind: int
     cell: int
     weight: float
-    started: float  # seconds on the ingress's clock, 0 for long ago
+    started_at: float  # seconds on the ingress's clock, 0 for long ago
 
-    def entry(self, worker: int) -> Endpoint:
+    def to_policy_endpoint(self, worker: int) -> Endpoint:
         """As the module is told it, under its number there."""
         return Endpoint(
-            worker, self.state, self.zone, self.kind, self.cell, self.weight, self.started
+            worker, self.state, self.zone, self.kind, self.cell, self.weight, self.started_at
         )
 
 
@@ -49,31 +49,31 @@
     """A list or its changes as discovery sends them."""
 
     revision: int
-    full: bool
-    targets: list[ListedEndpoint]
+    is_full: bool
+    endpoints: list[ListedEndpoint]
 
 
 @dataclass(slots=True)
 class BackendRecord:
     """One backend that is known, listed or gone."""
 
-    worker: int
+    number: int
     uid: str
-    address: str  # as discovery writes it, which takes a third of the memory of an address
+    address_text: str  # as discovery writes it, which takes a third of the memory of an address
     state: BackendState
-    started: float  # milliseconds on the ingress's clock, 0 for long ago
-    gone: float = inf  # since when
+    started_ms: float  # milliseconds on the ingress's clock, 0 for long ago
+    removed_at_ms: float = inf  # since when
     revision: int = 0  # of the list that told of it last
     # what the module was last told of it, as discovery listed it
-    told: Endpoint | None = None
+    last_listed: Endpoint | None = None
 
     @property
-    def endpoint(self) -> Address:
+    def address(self) -> Address:
         """Where it takes connections."""
-        return Address.parse(self.address)
+        return Address.parse(self.address_text)
 
     @property
-    def active(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether new requests may be sent there."""
         return self.state is BackendState.READY
 
@@ -95,43 +95,43 @@
         self._kinds = {name: number for number, name in enumerate(names.kinds)}
         self._clock = clock
         self._by_uid: dict[str, BackendRecord] = {}
-        self.by_worker: dict[int, BackendRecord] = {}
+        self.by_number: dict[int, BackendRecord] = {}
         self._gone: dict[int, BackendRecord] = {}  # those of them that are not listed any more
         self._numbers = 0
         self.revision = 0
-        self.partial = False  # the first list is being taken over, and is long
-        self.moved: Callable[[BackendRecord], None] = lambda destination: None
+        self.is_partial = False  # the first list is being taken over, and is long
+        self.on_moved: Callable[[BackendRecord], None] = lambda destination: None
         # uids left out by hand: the module hears that they drain, whatever is listed
-        self.held: set[str] = set()
+        self.excluded_uids: set[str] = set()
 
     @property
-    def listed(self) -> int:
+    def listed_count(self) -> int:
         """How many are listed."""
-        return len(self.by_worker) - len(self._gone)
+        return len(self.by_number) - len(self._gone)
 
     @property
-    def avoided(self) -> int:
+    def excluded_count(self) -> int:
         """Listed destinations that are left out by hand."""
-        known = (self._by_uid.get(uid) for uid in self.held)
+        known = (self._by_uid.get(uid) for uid in self.excluded_uids)
         return sum(d is not None and d.state is not BackendState.REMOVED for d in known)
 
-    def hold(self, uid: str, held: bool, now: float) -> EndpointsListed | None:
+    def set_excluded(self, uid: str, held: bool, now: float) -> EndpointsListed | None:
         """Leave a uid out by hand, or let it serve again; None where no such uid is known. A uid
         let back has been restarted meanwhile, so it is told as started now: cold.
         """
         known = self._by_uid.get(uid)
-        if known is None and not (uid in self.held and not held):
+        if known is None and not (uid in self.excluded_uids and not held):
             return None
-        (self.held.add if held else self.held.discard)(uid)
-        if known is None or known.told is None:
+        (self.excluded_uids.add if held else self.excluded_uids.discard)(uid)
+        if known is None or known.last_listed is None:
             return EndpointsListed(EndpointListKind.CHANGES, ())
         if not held:
-            known.told = replace(known.told, started_at=now / 1000.0)
-            known.started = now
-        return EndpointsListed(EndpointListKind.CHANGES, (self._masked(known.told, uid),))
+            known.last_listed = replace(known.last_listed, started_at=now / 1000.0)
+            known.started_ms = now
+        return EndpointsListed(EndpointListKind.CHANGES, (self._masked(known.last_listed, uid),))
 
     def _masked(self, entry: Endpoint, uid: str) -> Endpoint:
-        if uid in self.held and entry.state is BackendState.READY:
+        if uid in self.excluded_uids and entry.state is BackendState.READY:
             return replace(entry, state=BackendState.DRAINING)
         return entry
 
@@ -140,30 +140,32 @@
         none of this uid.
         """
         known = self._by_uid.get(uid)
-        if known is None or known.told is None:
+        if known is None or known.last_listed is None:
             return None
-        return next((name for name, number in self._zones.items() if number == known.told.zone), "")
+        return next(
+            (name for name, number in self._zones.items() if number == known.last_listed.zone), ""
+        )
 
-    def uid(self, worker: int) -> str:
+    def uid_of(self, worker: int) -> str:
         """A backend's id at discovery; `-` for a number that is not known."""
-        return self.by_worker[worker].uid if worker in self.by_worker else "-"
+        return self.by_number[worker].uid if worker in self.by_number else "-"
 
-    def age(self, worker: int) -> int:
+    def age_ms(self, worker: int) -> int:
         """Milliseconds since its start, as far as told; -1 for long ago."""
-        known = self.by_worker.get(worker)
-        return round(self._clock.now() - known.started) if known and known.started else -1
+        known = self.by_number.get(worker)
+        return round(self._clock.now() - known.started_ms) if known and known.started_ms else -1
 
-    def active(self, worker: int) -> bool:
+    def is_ready(self, worker: int) -> bool:
         """Whether new requests may be sent to a backend."""
-        return worker in self.by_worker and self.by_worker[worker].active
+        return worker in self.by_number and self.by_number[worker].is_ready
 
-    def tidy(self) -> None:
+    def forget_expired(self) -> None:
         """Forget those long gone: on a long day there are ever new ones."""
         oldest = self._clock.now() - REMOVED_RETENTION_MS
-        for destination in [d for d in self._gone.values() if d.gone < oldest]:
+        for destination in [d for d in self._gone.values() if d.removed_at_ms < oldest]:
             del (
-                self._gone[destination.worker],
-                self.by_worker[destination.worker],
+                self._gone[destination.number],
+                self.by_number[destination.number],
                 self._by_uid[destination.uid],
             )
 
@@ -174,41 +176,41 @@
         return self._apply(self._read_list(message), cached)
 
     def _apply(self, said: EndpointListUpdate, cached: bool = False) -> EndpointsListed:
-        entries = tuple([self._take(target, said.revision) for target in said.targets])
-        self.revision, self.partial = said.revision, False
-        if said.full:
+        entries = tuple([self._take(target, said.revision) for target in said.endpoints])
+        self.revision, self.is_partial = said.revision, False
+        if said.is_full:
             self._leave_out({entry.backend for entry in entries})
-        kind = EndpointListKind.FULL if said.full else EndpointListKind.CHANGES
+        kind = EndpointListKind.FULL if said.is_full else EndpointListKind.CHANGES
         return EndpointsListed(EndpointListKind.CACHED if cached else kind, entries)
 
-    def parts(self, message: Any) -> Iterator[EndpointsListed]:
+    def apply_in_parts(self, message: Any) -> Iterator[EndpointsListed]:
         """The same, a long list in parts: each is taken over when it is asked for, to be told
         before the next, so that the set and the module agree in between. Whoever a whole list
         leaves out is told as gone at its end. One that is given up on the way leaves the revision
         as it was, and discovery tells all of it again.
         """
         said = self._read_list(message)
-        if len(said.targets) <= ENTRIES_PER_PART:
+        if len(said.endpoints) <= ENTRIES_PER_PART:
             yield self._apply(said)
             return
-        self.partial = self.partial or not self.by_worker
+        self.is_partial = self.is_partial or not self.by_number
         # what was taken over is to make room for what comes of it
-        message["targets"] = [None] * len(said.targets)
+        message["targets"] = [None] * len(said.endpoints)
         listed: set[int] = set()
-        said.targets.reverse()
-        while said.targets:
-            part, said.targets[-ENTRIES_PER_PART:] = said.targets[-ENTRIES_PER_PART:], []
+        said.endpoints.reverse()
+        while said.endpoints:
+            part, said.endpoints[-ENTRIES_PER_PART:] = said.endpoints[-ENTRIES_PER_PART:], []
             entries = tuple([self._take(target, said.revision) for target in reversed(part)])
             listed.update([entry.backend for entry in entries])
             yield EndpointsListed(EndpointListKind.CHANGES, entries)
-        left_out = self._leave_out(listed) if said.full else []
-        self.revision, self.partial = said.revision, False
+        left_out = self._leave_out(listed) if said.is_full else []
+        self.revision, self.is_partial = said.revision, False
         yield EndpointsListed(EndpointListKind.CHANGES, tuple(left_out))
 
     def _read_list(self, message: Any) -> EndpointListUpdate:
         try:
             targets = [
-                one if isinstance(one, ListedEndpoint) else self.read(one)
+                one if isinstance(one, ListedEndpoint) else self.read_entry(one)
                 for one in message["targets"]
             ]
             return EndpointListUpdate(int(message["rev"]), bool(message["all"]), targets)
@@ -218,17 +220,22 @@
     def _leave_out(self, listed: set[int]) -> list[Endpoint]:
         """Whoever a whole list does not name is gone: these, as they are told."""
         left_out: list[Endpoint] = []
-        for destination in self.by_worker.values():
-            if destination.worker not in listed and destination.state is not BackendState.REMOVED:
-                destination.state, destination.gone = BackendState.REMOVED, self._clock.now()
-                self._gone[destination.worker] = destination
-                if destination.told is not None:
-                    destination.told = replace(destination.told, state=BackendState.REMOVED)
-                    left_out.append(destination.told)
-                self.moved(destination)
+        for destination in self.by_number.values():
+            if destination.number not in listed and destination.state is not BackendState.REMOVED:
+                destination.state, destination.removed_at_ms = (
+                    BackendState.REMOVED,
+                    self._clock.now(),
+                )
+                self._gone[destination.number] = destination
+                if destination.last_listed is not None:
+                    destination.last_listed = replace(
+                        destination.last_listed, state=BackendState.REMOVED
+                    )
+                    left_out.append(destination.last_listed)
+                self.on_moved(destination)
         return left_out
 
-    def read(self, said: Any) -> ListedEndpoint:
+    def read_entry(self, said: Any) -> ListedEndpoint:
         """One entry of a list. Raises WatchError where it is malformed."""
         try:
             uid, weight = said["uid"], float(said.get("capacity_hint", 1.0))
@@ -252,32 +259,36 @@
             raise DiscoveryError(f"not a list of destinations: {error!r}") from error
 
     def _take(self, read: ListedEndpoint, revision: int) -> Endpoint:
-        uid, started = read.uid, read.started * 1000.0 if read.started else 0.0
+        uid, started = read.uid, read.started_at * 1000.0 if read.started_at else 0.0
         known = self._by_uid.get(uid)
         if known is None:
             worker = self._numbers = self._numbers + 1
-            known = BackendRecord(worker, uid, read.address, read.state, started)
-            self._by_uid[uid] = self.by_worker[worker] = known
+            known = BackendRecord(worker, uid, read.address_text, read.state, started)
+            self._by_uid[uid] = self.by_number[worker] = known
         elif (
             revision < known.revision
             and read.state is BackendState.READY
-            and started <= known.started
-            and known.told is not None
+            and started <= known.started_ms
+            and known.last_listed is not None
         ):
-            return self._masked(known.told, uid)
+            return self._masked(known.last_listed, uid)
         else:
-            later = started > known.started
+            later = started > known.started_ms
             revision = revision if later else max(revision, known.revision)
-            before = (known.address, known.active, known.started)
-            known.address, known.state, known.started = read.address, read.state, started
-            if before != (known.address, known.active, known.started):
-                self.moved(known)
+            before = (known.address_text, known.is_ready, known.started_ms)
+            known.address_text, known.state, known.started_ms = (
+                read.address_text,
+                read.state,
+                started,
+            )
+            if before != (known.address_text, known.is_ready, known.started_ms):
+                self.on_moved(known)
         known.revision = revision
         gone = known.state is BackendState.REMOVED
-        known.gone = min(known.gone, self._clock.now()) if gone else inf
+        known.removed_at_ms = min(known.removed_at_ms, self._clock.now()) if gone else inf
         if gone:
-            self._gone[known.worker] = known
+            self._gone[known.number] = known
         else:
-            self._gone.pop(known.worker, None)
-        known.told = read.entry(known.worker)
-        return self._masked(known.told, uid)
+            self._gone.pop(known.number, None)
+        known.last_listed = read.to_policy_endpoint(known.number)
+        return self._masked(known.last_listed, uid)
--- a/dockthread/net/event_loop_lag.py
+++ b/dockthread/net/event_loop_lag.py
@@ -28,30 +28,33 @@
 class EventLoopLagMonitor:
     """Times in milliseconds on the ingress's clock."""
 
-    __slots__ = ("last", "since")
+    __slots__ = ("earliest_arrival_ms", "last_heartbeat_ms")
 
     def __init__(self, now: float) -> None:
-        self.since = self.last = now
+        self.earliest_arrival_ms = self.last_heartbeat_ms = now
 
     @property
-    def slow(self) -> bool:
+    def is_lagging(self) -> bool:
         """Whether the loop was held between the last two beats."""
-        return self.last - self.since > HELD_LOOP_INTERVALS * HEARTBEAT_INTERVAL_MS
+        return (
+            self.last_heartbeat_ms - self.earliest_arrival_ms
+            > HELD_LOOP_INTERVALS * HEARTBEAT_INTERVAL_MS
+        )
 
-    def late(self, came: float, now: float) -> float:
+    def lag_ms(self, came: float, now: float) -> float:
         """By how much what came after `came`, as far as is known, may be read late at `now`; 0
         where nothing held the loop since.
         """
         free = (
-            max(self.last - self.since, now - self.last)
+            max(self.last_heartbeat_ms - self.earliest_arrival_ms, now - self.last_heartbeat_ms)
             <= HELD_LOOP_INTERVALS * HEARTBEAT_INTERVAL_MS
-            and came >= self.since
+            and came >= self.earliest_arrival_ms
         )
         return 0.0 if free else max(0.0, now - came)
 
-    def beat(self, now: float) -> None:
+    def record_heartbeat(self, now: float) -> None:
         """The loop turns. What is read from here on came after `since`."""
-        self.since, self.last = self.last, now
+        self.earliest_arrival_ms, self.last_heartbeat_ms = self.last_heartbeat_ms, now
 
 
 class AcceptBacklog:
@@ -63,14 +66,14 @@
         # where the last look left some: when the oldest of them can have come
         self.left: float | None = None
 
-    def came(self, loop_delay: EventLoopLagMonitor) -> float:
+    def earliest_arrival_ms(self, loop_delay: EventLoopLagMonitor) -> float:
         """The earliest at which a connection accepted now can have come."""
-        return loop_delay.since if self.left is None else self.left
+        return loop_delay.earliest_arrival_ms if self.left is None else self.left
 
-    def emptied(self) -> None:
+    def mark_empty(self) -> None:
         """A look left nothing to accept."""
         self.left = None
 
-    def not_emptied(self, loop_delay: EventLoopLagMonitor) -> None:
+    def mark_not_empty(self, loop_delay: EventLoopLagMonitor) -> None:
         """A look ended with connections left, as far as is known."""
-        self.left = self.came(loop_delay)
+        self.left = self.earliest_arrival_ms(loop_delay)
--- a/dockthread/net/gossip_transport.py
+++ b/dockthread/net/gossip_transport.py
@@ -61,7 +61,7 @@
             return
         asyncio.get_running_loop().add_reader(self._sock.fileno(), self._read)
 
-    def tell(self, message: SendGossip) -> None:
+    def send(self, message: SendGossip) -> None:
         """Send to one, or by the address for all where there is one. What cannot go now is lost, as
         any may be.
         """
--- a/dockthread/net/inbound.py
+++ b/dockthread/net/inbound.py
@@ -106,7 +106,7 @@
         self.since = came
         self._seen, self._beat = (
             came,
-            host.loop_delay.last,
+            host.loop_delay.last_heartbeat_ms,
         )  # when all that had come was read; the beat before the wait
         self._loop = asyncio.get_running_loop()
         self._pending: deque[Slot] = deque()
@@ -138,7 +138,7 @@
     @property
     def half(self) -> bool:
         """Whether a command has begun and is not whole."""
-        return not self._bounds.between and not self._last
+        return not self._bounds.is_between_messages and not self._last
 
     def has_input(self) -> bool:
         """Whether something has come that is not read yet."""
@@ -273,7 +273,7 @@
                         # An answer is owed: no close, but little work; where turns are long they
                         # are pause enough.
                         pause = PAUSE if self._ignored < FLOOD else LONG_PAUSE
-                        await asyncio.sleep(0.0 if self._host.loop_delay.slow else pause)
+                        await asyncio.sleep(0.0 if self._host.loop_delay.is_lagging else pause)
                     continue
                 self._host.traffic.client_in += size
                 self._feed(bytes(buffer[:size]))
@@ -288,7 +288,7 @@
                         if not self._read_ahead():
                             self.close()
                             return
-                self._ahead, self._beat = 0, self._host.loop_delay.last
+                self._ahead, self._beat = 0, self._host.loop_delay.last_heartbeat_ms
         except OSError:
             pass
         except Exception:
@@ -333,12 +333,14 @@
         loop_delay = self._host.loop_delay
         # It came while this waited to read, or before it did so, behind what was read before.
         self.since = (
-            max(self._seen, loop_delay.since) if loop_delay.since >= self._beat else self._seen
+            max(self._seen, loop_delay.earliest_arrival_ms)
+            if loop_delay.earliest_arrival_ms >= self._beat
+            else self._seen
         )
         self._seen = self.used if len(data) < BUFFER else self.since
-        if bounds.between:
+        if bounds.is_between_messages:
             self.begun = self.used
-        self._reader.feed(data[: bounds.sound(data)])
+        self._reader.feed(data[: bounds.count_safe_bytes(data)])
 
     def _take(self) -> bool:
         """Take a turn's commands from what was read; False once none is left."""
@@ -347,7 +349,7 @@
                 if self._last:
                     return False
                 if (message := self._reader.gets()) is resp.INCOMPLETE:
-                    if self._bounds.broken:
+                    if self._bounds.is_broken:
                         self._say_last(resp.PROTOCOL_ERROR)
                     return False
                 self.asked, self.begun = self.asked + 1, self.used
@@ -380,7 +382,7 @@
 
     def _request(self, args: list[bytes]) -> Slot:
         try:
-            ask = self._host.vocabulary.ask(args)
+            ask = self._host.vocabulary.parse(args)
         except resp.CommandError as error:
             return self._refuse(resp.encode_error(str(error)))
         if self.surplus:
--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -100,7 +100,7 @@
             connect_timeout=config.connect_timeout,
             traffic=self.traffic,
         )
-        self.destinations.moved = self.outbound.forget
+        self.destinations.on_moved = self.outbound.forget
         self.listener = Listener(self, self.budget, self.outbound)
         self.watch = DiscoveryWatch(
             config.discovery, self.destinations, clock, self._tell, config.module, config.seed
@@ -119,10 +119,10 @@
             Fail: self._fail,
             CancelAttempt: self._cancel,
             SetTimer: self._set_timer,
-            AddToCounter: lambda action: self.counter.call(
+            AddToCounter: lambda action: self.counter.add(
                 action.name, action.amount, action.lifetime * 1000.0
             ),
-            SendGossip: self.peers.tell,
+            SendGossip: self.peers.send,
             PollEndpoints: lambda action: None,  # the watch stands anyway
         }
 
@@ -130,7 +130,7 @@
 
     @property
     def ready(self) -> bool:
-        return self.lifecycle.ready and self.watch.informed
+        return self.lifecycle.ready and self.watch.has_list
 
     @property
     def draining(self) -> bool:
@@ -168,7 +168,7 @@
         """Leave a backend out by hand, under the rule on drains, or let it serve again, cold; the
         module hears it as a change of the list. False where no such backend is known.
         """
-        listed = self.destinations.hold(uid, held, self.clock.now())
+        listed = self.destinations.set_excluded(uid, held, self.clock.now())
         if listed is None:
             return False
         self._tell(listed)
@@ -200,14 +200,14 @@
             retuned.offered,
         )
         self.traffic.grow(len(retuned.names.classes))
-        self.watch.move(config.discovery)
-        self.counter.move(config.counter)
+        self.watch.change_address(config.discovery)
+        self.counter.change_address(config.counter)
 
     async def run(self) -> None:
         """Serve until told to stop, then answer all that was taken."""
         listener = self.listener
         self.address = listener.listen(self.config.name, self.config.listen, self.config.inherited)
-        self.watch.begin(self.config.known, self.at)
+        self.watch.start(self.config.known, self.at)
         for name, plan in zip(self.config.names.plans, self.config.module.plans, strict=True):
             self.observer.event(
                 "plan", name=name, rate=plan.rate, burst=plan.burst, ceiling=plan.ceiling_burst
@@ -247,16 +247,16 @@
             self.lifecycle.enter(Phase.STOPPED)
 
     def _beat(self) -> None:
-        self.loop_delay.beat(self.clock.now())
+        self.loop_delay.record_heartbeat(self.clock.now())
         self._beating = self._loop.call_later(HEARTBEAT_INTERVAL_MS / 1000.0, self._beat)
 
     def _housekeeping(self) -> None:
         now = self.clock.now()
         self.at(now + HOUSEKEEPING, self._housekeeping)
         self.outbound.sweep()
-        self.destinations.tidy()
-        self.watch.check()
-        self.counter.check()
+        self.destinations.forget_expired()
+        self.watch.enforce_timeouts()
+        self.counter.enforce_timeouts()
         self.peers.open()
         # Few requests live that long: a timer for each from its start cost a wake-up for nothing.
         for request in self.requests.values():
@@ -296,9 +296,9 @@
         # timer may
         # ring a tick late: without this some answers came after the client had given up.
         now = self.clock.now()
-        late = self.loop_delay.late(connection.since, now)
-        left = ask.time_left - min(WAY_BACK, ask.time_left / 10.0) - late
-        if late and left < ask.time_left * LATE_PART:
+        late = self.loop_delay.lag_ms(connection.since, now)
+        left = ask.time_left_ms - min(WAY_BACK, ask.time_left_ms / 10.0) - late
+        if late and left < ask.time_left_ms * LATE_PART:
             return self.answered_at_once(ask, "late", resp.encode_busy(self._advice))
         self._numbers += 1
         route = self.routes.bounds(ask) if self.routes is not None else None
@@ -365,10 +365,10 @@
         if self.observer.tracing:
             self.observer.event(
                 "ended",
-                node=self.destinations.uid(call.worker),
+                node=self.destinations.uid_of(call.worker),
                 outcome=reply.outcome.value.replace(" ", "-"),
                 took=round(self.clock.now() - call.started, 1),
-                load=",".join(f"{figure:.4g}" for figure in reply.load) or "-",
+                load=",".join(f"{figure:.4g}" for figure in reply.load_report) or "-",
             )
         if first:
             self._answer(request, resp.encode_value(reply.value), SERVED)
@@ -381,8 +381,8 @@
                 request.finished,
                 (self.clock.now() - call.started) / 1000.0,
                 reply.cost if first else 0.0,
-                reply.used,
-                reply.load,
+                reply.utilization,
+                reply.load_report,
             )
         )
         self._settle(request)
@@ -415,8 +415,8 @@
         request.calls.append(call)
         request.out += 1
         if self.observer.tracing:
-            age = self.destinations.age(call.worker)
-            uid = self.destinations.uid(call.worker)
+            age = self.destinations.age_ms(call.worker)
+            uid = self.destinations.uid_of(call.worker)
             self.observer.event(
                 "call", node=uid, number=call.number, kind=request.ask.request_class, age=age
             )
--- a/dockthread/net/listener.py
+++ b/dockthread/net/listener.py
@@ -116,10 +116,10 @@
             try:
                 sock, _ = self.socket.accept()
             except (BlockingIOError, ConnectionAbortedError):
-                self._backlog.emptied()
+                self._backlog.mark_empty()
                 return
             self._opened(sock)
-        self._backlog.not_emptied(self._host.loop_delay)
+        self._backlog.mark_not_empty(self._host.loop_delay)
 
     def _opened(self, sock: socket.socket) -> None:
         sock.setblocking(False)
@@ -127,7 +127,12 @@
         surplus = len(self.inbound) >= self.budget.inbound and not self.shed()
         try:
             self.inbound.add(
-                Inbound(self._host, sock, self._backlog.came(self._host.loop_delay), surplus)
+                Inbound(
+                    self._host,
+                    sock,
+                    self._backlog.earliest_arrival_ms(self._host.loop_delay),
+                    surplus,
+                )
             )
         except OSError:  # gone before it was looked at
             sock.close()
--- a/dockthread/net/outbound.py
+++ b/dockthread/net/outbound.py
@@ -73,8 +73,8 @@
     def __init__(self, destination: BackendRecord, call: OutboundCall) -> None:
         self.destination, self.endpoint, self.born = (
             destination,
-            destination.endpoint,
-            destination.started,
+            destination.address,
+            destination.started_ms,
         )
         self.sock = self.endpoint.new_socket()
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -88,7 +88,7 @@
     def current(self) -> bool:
         """Whether it leads to the process that is listed now, and that may be sent to."""
         to = self.destination
-        return to.active and to.endpoint == self.endpoint and to.started == self.born
+        return to.is_ready and to.address == self.endpoint and to.started_ms == self.born
 
     def dead(self) -> bool:
         """Whether an idle connection was closed, or says something nobody asked for: either is
@@ -135,7 +135,7 @@
         """Put a call on the connection that was idle for the shortest time, but long enough, or on
         a new one.
         """
-        destination = self._destinations.by_worker[call.worker]
+        destination = self._destinations.by_number[call.worker]
         if (connection := self._rested(call.worker)) is not None:
             connection.call, call.connection = call, connection
             if connection.wake is not None and not connection.wake.done():
@@ -187,7 +187,7 @@
 
     def forget(self, destination: BackendRecord) -> None:
         """Close the idle connections to a destination that left, moved or restarted."""
-        for connection in self._idle.pop(destination.worker, ()):
+        for connection in self._idle.pop(destination.number, ()):
             self._drop(connection)
 
     def sweep(self) -> None:
@@ -274,7 +274,7 @@
         if left <= 0 or now > call.begin_by or not connection.current:
             self._end(call, Outcome.NOT_SENT)
             return False
-        command = call.ask.onward(left)
+        command = call.ask.encode_for_backend(left)
         self._traffic.node_out += len(command)
         call.begun = True
         await self._loop.sock_sendall(connection.sock, command)
@@ -310,18 +310,21 @@
                 return resp.BackendReply(Outcome.RESET), True
             self._traffic.node_in += size
             data = bytes(buffer[:size])
-            reader.feed(data[: bounds.sound(data)])
+            reader.feed(data[: bounds.count_safe_bytes(data)])
             try:
                 message = reader.gets()
             except (resp.ProtocolError, UnicodeDecodeError):
                 return resp.BackendReply(Outcome.ERROR), True
             if message is not resp.INCOMPLETE:
-                reply = self._replies.reply(message)
+                reply = self._replies.parse(message)
                 return (
                     reply,
-                    not reply.known or bounds.broken or not bounds.between or reader.has_data(),
+                    not reply.is_well_formed
+                    or bounds.is_broken
+                    or not bounds.is_between_messages
+                    or reader.has_data(),
                 )
-            if bounds.broken:
+            if bounds.is_broken:
                 log = logger.bind(worker=call.worker, uid=connection.destination.uid)
                 log.debug("{} says what cannot be read", connection.endpoint)
                 return resp.BackendReply(Outcome.ERROR), True
--- a/dockthread/net/quota_counter.py
+++ b/dockthread/net/quota_counter.py
@@ -69,14 +69,14 @@
         self._lines: set[CounterConnection] = set()
         self._not_before = 0.0
 
-    def move(self, address: Address | None) -> None:
+    def change_address(self, address: Address | None) -> None:
         """Call the counter at another address; what is out at the old one is still answered
         there.
         """
         if address != self._address:
             self._address, self._line, self._not_before = address, None, 0.0
 
-    def call(self, name: int, amount: float, life: float) -> None:
+    def add(self, name: int, amount: float, life: float) -> None:
         """Add to a number; `told` gets the end."""
         now = self._clock.now()
         call = CounterAddition(name, amount, life, now)
@@ -106,7 +106,7 @@
         for line in list(self._lines):
             self._drop(line)
 
-    def check(self) -> None:
+    def enforce_timeouts(self) -> None:
         """Give up a connection whose counter has gone silent, and one to an old address once it is
         done.
         """
@@ -185,7 +185,7 @@
                 line.writing = self._loop.create_task(self._write(line))
             while size := await self._loop.sock_recv_into(line.sock, buffer):
                 data, line.heard = bytes(buffer[:size]), self._clock.now()
-                reader.feed(data[: bounds.sound(data)])
+                reader.feed(data[: bounds.count_safe_bytes(data)])
                 while (message := reader.gets()) is not resp.INCOMPLETE:
                     if not line.out:
                         raise resp.ProtocolError("an answer to nothing")
@@ -193,7 +193,7 @@
                     self._end(line.out.popleft(), outcome, total)
                     if outcome is Outcome.ERROR:
                         raise resp.ProtocolError("a total that cannot be read")
-                if bounds.broken:
+                if bounds.is_broken:
                     raise resp.ProtocolError("not a total")
         except (OSError, resp.ProtocolError, UnicodeDecodeError) as error:
             logger.debug("the connection to the counter ended: {!r}", error)
--- a/dockthread/net/resp.py
+++ b/dockthread/net/resp.py
@@ -61,7 +61,7 @@
     have it allocate for a length that nobody means, or wait for an end that never comes.
     """
 
-    __slots__ = ("_bare", "_errors", "_least", "_left", "_line", "_parts", "_value", "broken")
+    __slots__ = ("_bare", "_errors", "_least", "_left", "_line", "_parts", "_value", "is_broken")
 
     def __init__(
         self, parts: range, null: bool = False, errors: bool = False, bare: bool = False
@@ -72,18 +72,18 @@
         self._left = 0  # parts of the present array that are still to come
         self._value = -1  # bytes of the present part that are; -1 between parts
         self._line = b""
-        self.broken = False
+        self.is_broken = False
 
     @property
-    def between(self) -> bool:
+    def is_between_messages(self) -> bool:
         """Whether the last message is whole and none has begun."""
         return not (self._left or self._line or self._value >= 0)
 
-    def sound(self, data: bytes) -> int:
+    def count_safe_bytes(self, data: bytes) -> int:
         """How many of these bytes may be fed; fewer than all, and nothing more ever, once it is
         `broken`.
         """
-        at, end = self._whole(data) if self.between else 0, len(data)
+        at, end = self._whole(data) if self.is_between_messages else 0, len(data)
         while at < end:
             if self._value > 0:
                 step = min(self._value, end - at)
@@ -93,7 +93,7 @@
             stop = data.find(b"\n", at) + 1
             line = self._line + data[at : stop or end]
             if not self._may_be(line, bool(stop)):
-                self.broken = True
+                self.is_broken = True
                 return at
             self._line = b"" if stop else line
             at = stop or end
@@ -174,34 +174,38 @@
 class RequestCommand:
     """A request as its client worded it, ready to be worded again for a backend."""
 
-    args: list[bytes]
-    head: bytes  # of the terms, up to the figure of `d`
-    rest: bytes  # of the terms, from behind it
+    arguments: list[bytes]
+    terms_before_deadline: bytes  # of the terms, up to the figure of `d`
+    terms_after_deadline: bytes  # of the terms, from behind it
     request_class: int
     plan: int
     customer: int
-    time_left: float
+    time_left_ms: float
     units: float
     spread: int
     first: int
-    retry: bool = False  # the client marked it as one
+    is_retry: bool = False  # the client marked it as one
 
     @property
     def wire_id(self) -> bytes:
         """The request's id, as the client wrote it."""
-        return self.args[2]
+        return self.arguments[2]
 
     @property
     def body_bytes(self) -> int:
         """Bytes of the body."""
-        return sum(map(len, self.args[4:]))
+        return sum(map(len, self.arguments[4:]))
 
-    def onward(self, time_left: float) -> bytes:
+    def encode_for_backend(self, time_left: float) -> bytes:
         """The command for a backend. Only `d` may differ from the client's wording: in any other
         form a backend answers -SYNTAX.
         """
-        verb, customer, wire_id, _, *body = self.args
-        terms = b"%b%d%b" % (self.head, max(1, int(time_left)), self.rest)
+        verb, customer, wire_id, _, *body = self.arguments
+        terms = b"%b%d%b" % (
+            self.terms_before_deadline,
+            max(1, int(time_left)),
+            self.terms_after_deadline,
+        )
         return encode_command(verb, customer, wire_id, terms, *body)
 
 
@@ -234,7 +238,7 @@
         self._verbs = [b"API.READ" if s else b"API.WRITE" for s in safe]
         self._gateways, self._most_units = gateways, most_units
 
-    def ask(self, args: list[bytes]) -> RequestCommand:
+    def parse(self, args: list[bytes]) -> RequestCommand:
         """A command's request. Raises BadCommand."""
         if len(args) not in (4, 5):
             raise CommandError("wrong number of arguments")
@@ -302,10 +306,12 @@
 
     outcome: Outcome
     value: bytes = b""
-    used: float | None = None
+    utilization: float | None = None
     cost: float = 0.0
-    load: tuple[float, ...] = ()
-    known: bool = True  # its form is the protocol's, so the connection may carry another call
+    load_report: tuple[float, ...] = ()
+    is_well_formed: bool = (
+        True  # its form is the protocol's, so the connection may carry another call
+    )
 
 
 class ReplyParser:
@@ -315,7 +321,7 @@
         self._load = [LOAD_WORDS.get(name, name).encode() for name in load_names]
         self._wire = [name.encode() for name in load_names]
 
-    def reply(self, message: Any) -> BackendReply:
+    def parse(self, message: Any) -> BackendReply:
         """What a whole reply says."""
         if isinstance(message, list) and len(message) == 3 and type(message[0]) is bytes:
             value, use, load = message
@@ -328,12 +334,12 @@
         if isinstance(message, hiredis.ReplyError):
             kind, *notes = str(message).split(" ")
             reply = BackendReply(Outcome.AT_CAPACITY if kind == "BUSY" else Outcome.ERROR)
-            reply.known = kind == "BUSY" or (kind == "ERR" and notes[:1] == ["failed"])
+            reply.is_well_formed = kind == "BUSY" or (kind == "ERR" and notes[:1] == ["failed"])
             for note in notes:
                 self._note(reply, note.encode())
             return reply
         # nothing that a backend says of a request it served
-        return BackendReply(Outcome.ERROR, known=False)
+        return BackendReply(Outcome.ERROR, is_well_formed=False)
 
     def _note(self, reply: BackendReply, text: bytes) -> None:
         """Figures on use, or a load report. What cannot be read, or cannot be true, is passed over:
@@ -348,14 +354,14 @@
         if not all(isfinite(figure) and 0 <= figure < MOST_FIGURE for figure in fields.values()):
             return
         if b"used" in fields:
-            reply.used = fields[b"used"] / 100.0
+            reply.utilization = fields[b"used"] / 100.0
         reply.cost = fields.get(b"cost", reply.cost)
         load = [
             fields.get(name, fields.get(wire))
             for name, wire in zip(self._load, self._wire, strict=True)
         ]
         if load and None not in load:
-            reply.load = tuple(figure for figure in load if figure is not None)
+            reply.load_report = tuple(figure for figure in load if figure is not None)
 
 
 def encode_counter_addition(name: int, amount: float, life: float) -> bytes:
--- a/dockthread/routes/table.py
+++ b/dockthread/routes/table.py
@@ -198,8 +198,10 @@
 
     def bounds(self, ask: RequestCommand) -> Bounds | None:
         """None where no route matches: then nothing bounds the request."""
-        write = ask.args[0].upper() == b"API.WRITE"
-        facts = Facts(ask.request_class, ask.plan, write, ask.customer, int(ask.units), ask.retry)
+        write = ask.arguments[0].upper() == b"API.WRITE"
+        facts = Facts(
+            ask.request_class, ask.plan, write, ask.customer, int(ask.units), ask.is_retry
+        )
         one = self.find(facts)
         if one is None:
             return None
--- a/dockthread/telemetry/reading.py
+++ b/dockthread/telemetry/reading.py
@@ -135,10 +135,10 @@
         gateway, now = self._ingress.gateway, self._ingress.clock.now() / 1000.0
         listed = [
             d
-            for d in self._ingress.destinations.by_worker.values()
+            for d in self._ingress.destinations.by_number.values()
             if d.state is not BackendState.REMOVED
         ]
-        seen = [(d.uid, gateway.workers[d.worker]) for d in listed if d.worker in gateway.workers]
+        seen = [(d.uid, gateway.workers[d.number]) for d in listed if d.number in gateway.workers]
         seen.sort(key=lambda one: -one[1].out)
         for uid, worker in seen[: self._nodes]:
             path = ("nodes", part(uid))
--- a/tests/admin/test_door.py
+++ b/tests/admin/test_door.py
@@ -105,10 +105,10 @@
         assert first.detach("s-0") and first.detach("s-0") and not first.detach("nobody")
         second = Daemon(config(known), None, None)  # an upgrade: the same $TMPDIR
         listed = second.ingress.destinations.apply(known)
-        states = {second.ingress.destinations.uid(e.backend): e.state for e in listed.endpoints}
+        states = {second.ingress.destinations.uid_of(e.backend): e.state for e in listed.endpoints}
         assert states == {"s-0": BackendState.DRAINING, "s-1": BackendState.READY}
-        assert second.attach("s-0") and not second.ingress.destinations.held
+        assert second.attach("s-0") and not second.ingress.destinations.excluded_uids
         third = Daemon(config(known), None, None)
-        assert not third.ingress.destinations.held
+        assert not third.ingress.destinations.excluded_uids
 
     run(scenario())
--- a/tests/lab/test_restart_wave.py
+++ b/tests/lab/test_restart_wave.py
@@ -105,17 +105,17 @@
         if when < inf:
             then()
 
-    watch.begin({"rev": 1, "all": True, "targets": targets}, at)
+    watch.start({"rev": 1, "all": True, "targets": targets}, at)
     return watch, timers
 
 
 @pytest.mark.parametrize("pushed", [True, False])
 def test_the_simulation_holds_a_process_for_ready_when_its_watch_does(pushed: bool) -> None:
     watch, timers = begun(pushed, [TARGET])
-    assert watch.informed
+    assert watch.has_list
     (ingress,) = Restarts(1, Wave(1, 1, pushed=pushed, down=9_000.0)).play().ingresses
     assert ingress.ready == (timers[0] if pushed else 0.0)
-    assert not begun(pushed, [])[0].informed
+    assert not begun(pushed, [])[0].has_list
     (ingress,) = Restarts(1, Wave(1, 1, pushed=pushed, known=False, down=9_000.0)).play().ingresses
     assert ingress.ready > 9_000.0
 
--- a/tests/net/test_counter.py
+++ b/tests/net/test_counter.py
@@ -36,7 +36,7 @@
         numbers = Backend(adds)
         count, told = counter(await numbers.start())
         for name in (1, 2, 3):
-            count.call(name, 2.5, 60_000.0)
+            count.add(name, 2.5, 60_000.0)
         await until(lambda: len(told) == 3)
         assert told == [CounterReplied(name, Outcome.OK, 12.5) for name in (1, 2, 3)]
         assert (numbers.opened, numbers.seen[0]) == (1, [b"CNT.ADD", b"1", b"2.5", b"60000"])
@@ -63,11 +63,11 @@
 
         numbers = Backend(answers)
         count, told = counter(await numbers.start())
-        count.call(1, 1.0, 60_000.0)
+        count.add(1, 1.0, 60_000.0)
         await until(lambda: told)
         await asyncio.sleep(0)
         numbers.answer = adds
-        count.call(2, 1.0, 60_000.0)
+        count.add(2, 1.0, 60_000.0)
         await until(lambda: len(told) == 2)
         assert [t.outcome for t in told] == [outcome, Outcome.OK]
         assert numbers.opened == opened
@@ -85,12 +85,12 @@
             return b"$1\r\n%b\r\n" % args[1]
 
         count, told = counter(await Backend(late).start(), timeout=20.0)
-        count.call(1, 1.0, 60_000.0)
+        count.add(1, 1.0, 60_000.0)
         await until(lambda: told)
         assert told[0].outcome is Outcome.TIMEOUT
         gate.set()
         count._timeout = 5_000.0
-        count.call(2, 1.0, 60_000.0)
+        count.add(2, 1.0, 60_000.0)
         await until(lambda: len(told) == 2)
         assert told[1] == CounterReplied(
             2, Outcome.OK, 2.0
@@ -104,16 +104,16 @@
     async def scenario() -> None:
         old, new = Backend(adds), Backend(adds)
         count, told = counter(await old.start())
-        count.call(1, 1.0, 60_000.0)
+        count.add(1, 1.0, 60_000.0)
         await until(lambda: told)
-        count.move(Address("127.0.0.1", await new.start()))
-        count.call(2, 1.0, 60_000.0)
+        count.change_address(Address("127.0.0.1", await new.start()))
+        count.add(2, 1.0, 60_000.0)
         await until(lambda: len(told) == 2)
         assert (len(old.seen), len(new.seen)) == (1, 1)
-        count.check()  # nothing is out at the old one
+        count.enforce_timeouts()  # nothing is out at the old one
         assert len(count._lines) == 1
-        count.move(None)
-        count.call(3, 1.0, 60_000.0)
+        count.change_address(None)
+        count.add(3, 1.0, 60_000.0)
         assert told[2].outcome is Outcome.UNREACHABLE
         count.close()
 
@@ -128,11 +128,11 @@
 
         numbers = Backend(silent)
         count, told = counter(await numbers.start(), timeout=150.0)
-        count.call(1, 1.0, 60_000.0)
+        count.add(1, 1.0, 60_000.0)
         await until(lambda: told)
         assert told[0].outcome is Outcome.TIMEOUT
         numbers.answer, count._timeout = adds, 5_000.0
-        count.call(2, 1.0, 60_000.0)
+        count.add(2, 1.0, 60_000.0)
         await until(lambda: len(told) == 2)
         assert (told[1], numbers.opened) == (CounterReplied(2, Outcome.OK, 12.5), 2)
         count.close()
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -416,7 +416,7 @@
     holds: float,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    begun, onward = list[float](), resp.RequestCommand.onward
+    begun, onward = list[float](), resp.RequestCommand.encode_for_backend
 
     def noted(ask: resp.RequestCommand, left: float) -> bytes:
         begun.append(time.monotonic())
@@ -426,7 +426,7 @@
         await asyncio.sleep(max(0.0, left[0] + 0.11 - time.monotonic()) if left else 0.2)
         return b"-BUSY\r\n"
 
-    monkeypatch.setattr(resp.RequestCommand, "onward", noted)
+    monkeypatch.setattr(resp.RequestCommand, "encode_for_backend", noted)
     left = list[float]()
 
     def client(port: int) -> None:
--- a/tests/net/test_discovery_bounds.py
+++ b/tests/net/test_discovery_bounds.py
@@ -231,7 +231,7 @@
         async with watching(await old.start(), gateways, asks, grace=9.0) as (ingress, clock):
             while old.calls < 3:
                 await time_goes(ingress, clock, old)
-            ingress.watch.move(Address("127.0.0.1", await new.start()))
+            ingress.watch.change_address(Address("127.0.0.1", await new.start()))
             await fails(ingress, clock, new, 2)
             assert await taken_after(ingress, clock, new) <= BOUND
 
--- a/tests/net/test_loop_delay.py
+++ b/tests/net/test_loop_delay.py
@@ -74,19 +74,22 @@
 def test_the_bound_is_the_beat_before_the_last_or_the_last_empty_backlog() -> None:
     loop_delay, backlog = EventLoopLagMonitor(0.0), AcceptBacklog()
     for now in (10.0, 20.0):
-        loop_delay.beat(now)
-    assert (loop_delay.since, loop_delay.late(loop_delay.since, 25.0)) == (10.0, 0.0), (
-        "nothing held the loop"
-    )
-    assert loop_delay.late(loop_delay.since, 60.0) == 50.0, (
+        loop_delay.record_heartbeat(now)
+    assert (
+        loop_delay.earliest_arrival_ms,
+        loop_delay.lag_ms(loop_delay.earliest_arrival_ms, 25.0),
+    ) == (10.0, 0.0), "nothing held the loop"
+    assert loop_delay.lag_ms(loop_delay.earliest_arrival_ms, 60.0) == 50.0, (
         "the beat has not rung, and so held it is"
     )
-    loop_delay.beat(520.0)
-    assert loop_delay.late(loop_delay.since, 521.0) == 501.0
-    backlog.not_emptied(loop_delay)
-    loop_delay.beat(530.0)
-    loop_delay.beat(540.0)
-    assert loop_delay.late(loop_delay.since, 541.0) == 0.0
-    assert loop_delay.late(backlog.came(loop_delay), 541.0) == 521.0, "it was not taken since"
-    backlog.emptied()
-    assert backlog.came(loop_delay) == 530.0
+    loop_delay.record_heartbeat(520.0)
+    assert loop_delay.lag_ms(loop_delay.earliest_arrival_ms, 521.0) == 501.0
+    backlog.mark_not_empty(loop_delay)
+    loop_delay.record_heartbeat(530.0)
+    loop_delay.record_heartbeat(540.0)
+    assert loop_delay.lag_ms(loop_delay.earliest_arrival_ms, 541.0) == 0.0
+    assert loop_delay.lag_ms(backlog.earliest_arrival_ms(loop_delay), 541.0) == 521.0, (
+        "it was not taken since"
+    )
+    backlog.mark_empty()
+    assert backlog.earliest_arrival_ms(loop_delay) == 530.0
--- a/tests/net/test_parsers.py
+++ b/tests/net/test_parsers.py
@@ -38,10 +38,10 @@
 )
 def test_onward_command_differs_in_d_alone(terms: bytes, onward: bytes) -> None:
     for body in ([], [b"BO\r\nDY"], [b""]):
-        ask = VOCABULARY.ask([b"API.READ", KEY, ID, terms, *body])
-        sent = ask.onward(77.9)
+        ask = VOCABULARY.parse([b"API.READ", KEY, ID, terms, *body])
+        sent = ask.encode_for_backend(77.9)
         assert sent == resp.encode_command(b"API.READ", KEY, ID, onward, *body)
-    assert (ask.customer, ask.time_left, ask.request_class) == (0xB4D65521, 480.0, 0)
+    assert (ask.customer, ask.time_left_ms, ask.request_class) == (0xB4D65521, 480.0, 0)
 
 
 @pytest.mark.parametrize(
@@ -69,7 +69,7 @@
 )  # fmt: skip
 def test_bad_requests_are_told_so(args: list[bytes]) -> None:
     with pytest.raises(resp.CommandError):
-        VOCABULARY.ask(args)
+        VOCABULARY.parse(args)
 
 
 OK, ERROR, FULL = Outcome.OK, Outcome.ERROR, Outcome.AT_CAPACITY
@@ -106,8 +106,14 @@
 def test_backends_replies(wire: bytes, expected: tuple[Any, ...]) -> None:
     reader = resp.new_parser()
     reader.feed(wire)
-    reply = resp.ReplyParser(("rif", "rate", "q")).reply(reader.gets())
-    assert (reply.outcome, reply.value, reply.used, reply.cost, reply.load) == expected
+    reply = resp.ReplyParser(("rif", "rate", "q")).parse(reader.gets())
+    assert (
+        reply.outcome,
+        reply.value,
+        reply.utilization,
+        reply.cost,
+        reply.load_report,
+    ) == expected
 
 
 COMMANDS, REPLIES = resp.command_guard, resp.reply_guard
@@ -139,14 +145,14 @@
     bounds: Any, wire: bytes, sound: int, broken: bool
 ) -> None:
     whole = bounds()
-    assert (whole.sound(wire), whole.broken) == (sound, broken)
+    assert (whole.count_safe_bytes(wire), whole.is_broken) == (sound, broken)
     # In pieces it must come to the same, but for a line that is turned away before its end has
     # come.
     bitwise, fed = bounds(), 0
     for at in range(len(wire)):
-        if not bitwise.broken:
-            fed += bitwise.sound(wire[at : at + 1])
-    assert bitwise.broken is broken
+        if not bitwise.is_broken:
+            fed += bitwise.count_safe_bytes(wire[at : at + 1])
+    assert bitwise.is_broken is broken
     assert sound <= fed <= len(wire) if broken else fed == sound
 
 
@@ -157,7 +163,7 @@
 def test_a_uid_is_one_worker_and_an_unchanged_boot_no_restart() -> None:
     clock = ManualClock(now=5_000.0, unix=1_700_000_000_000.0)
     known, moved = destinations(clock), list[int]()
-    known.moved = lambda destination: moved.append(destination.worker)
+    known.on_moved = lambda destination: moved.append(destination.number)
     first = known.apply(
         message(1, target("a", 1), target("b", 2, boot_ms=1_700_000_000_000), full=True)
     )
@@ -166,9 +172,9 @@
     again = known.apply(message(2, target("b", 2, boot_ms=1_700_000_000_000)))
     assert (again.kind, again.endpoints[0].started_at, moved) == (EndpointListKind.CHANGES, 5.0, [])
     known.apply(message(3, target("b", 9, boot_ms=1_700_000_001_000)))
-    assert (known.by_worker[2].endpoint, moved) == (Address("127.0.0.1", 9), [2])
+    assert (known.by_number[2].address, moved) == (Address("127.0.0.1", 9), [2])
     known.apply(message(4, target("b", 9), full=True))
-    assert (known.active(1), known.active(2), known.revision) == (False, True, 4)
+    assert (known.is_ready(1), known.is_ready(2), known.revision) == (False, True, 4)
 
 
 @pytest.mark.parametrize(
@@ -183,7 +189,7 @@
     known = destinations()
     with pytest.raises(DiscoveryError):
         known.apply(said)
-    assert (known.by_worker, known.revision) == ({}, 0)
+    assert (known.by_number, known.revision) == ({}, 0)
 
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -223,7 +229,7 @@
         for piece in (HEAD, *chunks(text[:cut], text[cut:])):
             found += parser.feed(piece)
         assert found == said
-        assert not parser.half
+        assert not parser.is_inside_object
     parser, found = WatchResponseParser(), []
     for piece in (HEAD, *chunks(*(text[n : n + 1] for n in range(len(text))))):
         before = len(found)
@@ -281,7 +287,7 @@
     known = destinations(ManualClock(now=5_000.0, unix=1_700_000_000_000.0))
     for revision, said, boot in (told, late):
         entries = known.apply(message(revision, target("a", 1, said, boot), full=full)).endpoints
-    assert (known.by_worker[1].state, entries[0].state) == (state, state)
+    assert (known.by_number[1].state, entries[0].state) == (state, state)
     assert known.revision == late[0]
 
 
@@ -290,8 +296,8 @@
     known.apply(message(5, target("a", 1), target("b", 2), full=True))
     known.apply(message(6, target("b", 2), full=True))
     assert [entry.state for entry in known.apply(message(4, target("a", 1))).endpoints] == [LEFT]
-    known.hold("a", True, 0.0)
-    listed = known.hold("a", False, 0.0)
+    known.set_excluded("a", True, 0.0)
+    listed = known.set_excluded("a", False, 0.0)
     assert listed is not None
     assert [entry.state for entry in listed.endpoints] == [LEFT]
 
@@ -344,13 +350,17 @@
 )  # fmt: skip
 def test_the_counters_totals(wire: bytes, expected: tuple[Any, ...]) -> None:
     reader, bounds = resp.new_parser(), resp.counter_reply_guard()
-    assert (bounds.sound(wire), bounds.broken, bounds.between) == (len(wire), False, True)
+    assert (bounds.count_safe_bytes(wire), bounds.is_broken, bounds.is_between_messages) == (
+        len(wire),
+        False,
+        True,
+    )
     reader.feed(wire)
     assert resp.parse_counter_reply(reader.gets()) == expected
     for spoilt in (b":5\r\n", b"*1000000000\r\n", b"$3000000000\r\n", b"noise", b"+OK\r\n"):
         bounds = resp.counter_reply_guard()
-        bounds.sound(spoilt)
-        assert bounds.broken
+        bounds.count_safe_bytes(spoilt)
+        assert bounds.is_broken
 
 
 def test_destinations_long_gone_are_forgotten_and_their_numbers_not_given_again() -> None:
@@ -359,6 +369,6 @@
     known.apply(message(1, target("a", 1), target("b", 2), full=True))
     known.apply(message(2, target("a", 1, "left")))
     clock.advance(60_001)
-    known.tidy()
+    known.forget_expired()
     again = known.apply(message(3, target("a", 1)))
-    assert ([e.backend for e in again.endpoints], sorted(known.by_worker)) == ([3], [2, 3])
+    assert ([e.backend for e in again.endpoints], sorted(known.by_number)) == ([3], [2, 3])
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -40,10 +40,10 @@
     async def scenario() -> None:
         where, told = addresses(3), [list[GossipReceived]() for _ in range(3)]
         three = [peers(where, n, told[n]) for n in range(3)]
-        three[0].tell(SendGossip(b"to one", 2))
+        three[0].send(SendGossip(b"to one", 2))
         await until(lambda: told[2])
         assert told == [[], [], [GossipReceived(0, b"to one")]]
-        three[1].tell(SendGossip(b"to all"))
+        three[1].send(SendGossip(b"to all"))
         await until(lambda: told[0] and len(told[2]) == 2)
         assert (told[0], told[1], told[2][1]) == (
             [GossipReceived(1, b"to all")],
@@ -64,10 +64,10 @@
             stranger.sendto(b"hello", (where[0].host, where[0].port))
         other._sock.sendto(b"x" * (gossip_codec.MOST_BYTES + 1), (where[0].host, where[0].port))  # type: ignore[union-attr]
         await until(lambda: here._traffic.messages_odd == 2)
-        other.tell(SendGossip(b"x" * (gossip_codec.MOST_BYTES + 1), 0))  # it would void the run
+        other.send(SendGossip(b"x" * (gossip_codec.MOST_BYTES + 1), 0))  # it would void the run
         assert (told, other._traffic.messages_out) == ([], 0)
         for _ in range(MAX_DATAGRAMS_PER_TURN + 20):
-            other.tell(SendGossip(b"m", 0))
+            other.send(SendGossip(b"m", 0))
         here._read()
         assert len(told) == MAX_DATAGRAMS_PER_TURN, "requests have their turn before the rest"
         await until(lambda: len(told) == MAX_DATAGRAMS_PER_TURN + 20)
@@ -82,13 +82,13 @@
         where, old_told, told = addresses(2), list[GossipReceived](), list[GossipReceived]()
         old, new = peers(where, 0, old_told), peers(where, 0, told)
         other = peers(where, 1, [])
-        new.tell(SendGossip(b"from nowhere", 1))  # lost: it has no address to come from
-        other.tell(SendGossip(b"one", 0))
+        new.send(SendGossip(b"from nowhere", 1))  # lost: it has no address to come from
+        other.send(SendGossip(b"one", 0))
         await until(lambda: old_told)
         old.close()
         old.open()  # for good
         new.open()
-        other.tell(SendGossip(b"two", 0))
+        other.send(SendGossip(b"two", 0))
         await until(lambda: told)
         assert [m.data for m in old_told + told] == [b"one", b"two"]
         for one in (new, other):
--- a/tests/net/test_rules_on_sockets.py
+++ b/tests/net/test_rules_on_sockets.py
@@ -48,7 +48,7 @@
 
 def a_call(ingress: Ingress, worker: int = 1, ms: float = 4000.0) -> OutboundCall:
     terms = b"c=status,t=gross,d=4000"
-    ask = ingress.vocabulary.ask([b"API.READ", KEY, b"%016x" % FIRST_ID, terms])
+    ask = ingress.vocabulary.parse([b"API.READ", KEY, b"%016x" % FIRST_ID, terms])
     now = ingress.clock.now()
     return OutboundCall(0, 0, worker, ask, now, now + ms)
 
@@ -260,11 +260,11 @@
             discovery.push(message(41, target("s-1", 1)))
             await until(lambda: ingress.destinations.revision == 41)
             clock.advance(3_000)
-            ingress.watch.check()
+            ingress.watch.enforce_timeouts()
             await asyncio.sleep(0)
             assert len(discovery.paths) == 1  # an empty line may come as late as that
             clock.advance(1_000)
-            ingress.watch.check()
+            ingress.watch.enforce_timeouts()
             await until(lambda: len(discovery.paths) == 2)
             paths = [b"/discovery/hosts?watch=1&after=%d" % rev for rev in (1, 41)]
             assert discovery.paths == paths
@@ -285,7 +285,7 @@
         async with serving(Backend(), clock=clock) as (ingress, _, discovery):
             # silent for too long, and the pause is up to 500 ms for four ingresses
             clock.advance(3_600)
-            ingress.watch.check()
+            ingress.watch.enforce_timeouts()
             await asyncio.sleep(0.02)
             assert len(discovery.paths) == 1
             if answered:
@@ -293,7 +293,7 @@
                 await until(lambda: ingress.destinations.revision == 41)
                 assert len(discovery.paths) == 1
             clock.advance(501)
-            ingress.watch.check()
+            ingress.watch.enforce_timeouts()
             await asyncio.sleep(0.02)
             # the next goes at once
             await until(lambda: len(discovery.paths) == (1 if answered else 2))
--- a/tests/net/test_watch.py
+++ b/tests/net/test_watch.py
@@ -105,9 +105,9 @@
         ):
             await until(lambda: discovery.writers)
             clock.advance(3_600)
-            ingress.watch.check()  # silent for too long; half a grace more at the most
+            ingress.watch.enforce_timeouts()  # silent for too long; half a grace more at the most
             clock.advance(GRACE / 2)
-            ingress.watch.check()
+            ingress.watch.enforce_timeouts()
             await until(lambda: len(discovery.paths) == 2)
 
     run(scenario())
@@ -124,7 +124,7 @@
                 clock.advance(1_000)
                 discovery.writers[-1].write(b"1\r\n\n\r\n")
                 await until(partial(said, ingress, heard))
-                ingress.watch.check()
+                ingress.watch.enforce_timeouts()
                 await asyncio.sleep(0)
                 assert len(discovery.paths) == 1 or second == 4
             clock.advance(GRACE / 2)  # and a pause: within 6 s all in all
@@ -153,10 +153,10 @@
                 clock.advance(1_000)
                 discovery.writers[-1].write(b"%x\r\n%s\r\n" % (len(piece), piece))
                 await until(partial(said, ingress, heard))
-                ingress.watch.check()
+                ingress.watch.enforce_timeouts()
                 await asyncio.sleep(0)
             await until(partial(told, ingress, 9))
-            assert (ingress.destinations.listed, len(discovery.paths)) == (12, 1)
+            assert (ingress.destinations.listed_count, len(discovery.paths)) == (12, 1)
 
     run(scenario())
 
@@ -176,7 +176,7 @@
             clock.advance(GRACE / 2)  # the pause at a start
             ingress.timers.run()
             await until(lambda: first.paths and bool(refuses) == (ingress.watch._failures > 0))
-            ingress.watch.move(Address("127.0.0.1", await other.start()))
+            ingress.watch.change_address(Address("127.0.0.1", await other.start()))
             await asyncio.wait_for(until(lambda: other.paths), 2)
 
     run(scenario())
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -307,7 +307,7 @@
     gateway.handle(
         1_000.0, destinations.apply({"rev": 1, "all": True, "targets": [node, later, node]})
     )
-    assert sorted(destinations.by_worker) == [1, 2] and destinations.active(1)
+    assert sorted(destinations.by_number) == [1, 2] and destinations.is_ready(1)
     sent = [
         action.backend
         for request in range(200)
--- a/tests/policy/test_list_size.py
+++ b/tests/policy/test_list_size.py
@@ -178,26 +178,26 @@
 
 
 def told(known: EndpointList, said: Any) -> list[EndpointsListed]:
-    return list(known.parts(said))
+    return list(known.apply_in_parts(said))
 
 
 def test_a_whole_long_list_is_taken_in_parts_and_nothing_of_it_stays_unread() -> None:
     known = destinations()
-    (said,) = fed(WatchResponseParser(known.read), json.dumps(whole_list(MANY)).encode())
+    (said,) = fed(WatchResponseParser(known.read_entry), json.dumps(whole_list(MANY)).encode())
     assert sum(not isinstance(one, ListedEndpoint) for one in said["targets"]) <= 1, (
         "the last is read at the end"
     )
     parts = told(known, said)
     assert max(len(part.endpoints) for part in parts) == ENTRIES_PER_PART
     assert [entry.backend for part in parts for entry in part.endpoints] == list(range(1, MANY + 1))
-    assert (known.listed, known.revision, known.partial) == (MANY, 1, False)
+    assert (known.listed_count, known.revision, known.is_partial) == (MANY, 1, False)
 
 
 def test_a_long_list_never_stands_in_memory_as_members() -> None:
     text, known = json.dumps(whole_list(10_000)).encode(), destinations()
     cut = pieces(text)
     tracemalloc.start()
-    parser = WatchResponseParser(known.read)
+    parser = WatchResponseParser(known.read_entry)
     (said,) = [one for piece in cut for one in parser.feed(piece)]
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
@@ -209,7 +209,7 @@
 def test_entries_are_read_alike_wherever_a_list_is_cut(size: int) -> None:
     first, second = whole_list(40), message(2, target("s-x", 1, "leaving"))
     text = json.dumps(first).encode() + b"\n" + json.dumps(second, indent=2).encode()
-    known, parser = destinations(), WatchResponseParser(destinations().read)
+    known, parser = destinations(), WatchResponseParser(destinations().read_entry)
     found = [said for piece in pieces(text, size) for said in parser.feed(piece)]
     plain = destinations()
     assert [known.apply(said) for said in found] == [plain.apply(first), plain.apply(second)]
@@ -226,17 +226,17 @@
     said["targets"][place] |= bad
     known = destinations()
     with pytest.raises(DiscoveryError):
-        for one in fed(WatchResponseParser(known.read), json.dumps(said).encode()):
+        for one in fed(WatchResponseParser(known.read_entry), json.dumps(said).encode()):
             told(known, one)
-    assert (known.by_worker, known.revision) == ({}, 0)
+    assert (known.by_number, known.revision) == ({}, 0)
 
 
 def test_an_endless_list_is_refused_by_its_bytes_and_one_without_entries_sooner() -> None:
     entry_text = json.dumps(target("s" * 5_000, 6379)).encode()
     many = b'{"targets": [' + b", ".join([entry_text] * (MAX_OBJECT_BYTES // len(entry_text) + 20))
     with pytest.raises(DiscoveryError, match="does not end"):
-        fed(WatchResponseParser(destinations().read), many)
-    parser, given = WatchResponseParser(destinations().read), 0
+        fed(WatchResponseParser(destinations().read_entry), many)
+    parser, given = WatchResponseParser(destinations().read_entry), 0
     with pytest.raises(DiscoveryError, match="does not end"):
         for piece in pieces(
             b'{"targets": ['
@@ -252,35 +252,35 @@
 def test_who_is_left_out_of_a_long_list_is_gone_at_its_end() -> None:
     known, moved = destinations(), list[str]()
     told(known, whole_list(ENTRIES_PER_PART + 2))
-    known.moved = lambda destination: moved.append(destination.uid)
+    known.on_moved = lambda destination: moved.append(destination.uid)
     shorter = whole_list(ENTRIES_PER_PART + 2, revision=2)
     left_out = shorter["targets"].pop(5)["uid"]
     last = told(known, shorter)[-1]
-    assert [(known.uid(e.backend), e.state) for e in last.endpoints] == [
+    assert [(known.uid_of(e.backend), e.state) for e in last.endpoints] == [
         (left_out, BackendState.REMOVED)
     ]
-    assert (moved, known.listed) == ([left_out], ENTRIES_PER_PART + 1)
+    assert (moved, known.listed_count) == ([left_out], ENTRIES_PER_PART + 1)
 
 
 def test_a_long_list_given_up_on_the_way_is_asked_for_again() -> None:
     known = destinations()
-    parts = known.parts(whole_list(3 * ENTRIES_PER_PART))
+    parts = known.apply_in_parts(whole_list(3 * ENTRIES_PER_PART))
     next(parts)
     del parts
-    assert (known.revision, known.partial, known.listed) == (0, True, ENTRIES_PER_PART)
+    assert (known.revision, known.is_partial, known.listed_count) == (0, True, ENTRIES_PER_PART)
     told(known, whole_list(ENTRIES_PER_PART))
-    assert (known.revision, known.partial, known.listed) == (1, False, ENTRIES_PER_PART)
+    assert (known.revision, known.is_partial, known.listed_count) == (1, False, ENTRIES_PER_PART)
 
 
 def test_the_module_and_the_set_agree_between_the_parts() -> None:
     known, drive = destinations(), long_list(0)
-    for part in known.parts(whole_list(2 * ENTRIES_PER_PART + 1)):
+    for part in known.apply_in_parts(whole_list(2 * ENTRIES_PER_PART + 1)):
         drive.give(part)
-        assert set(drive.gateway.workers) == set(known.by_worker)
-    held = known.hold("s-" + "0" * 21, True, 0.0)
+        assert set(drive.gateway.workers) == set(known.by_number)
+    held = known.set_excluded("s-" + "0" * 21, True, 0.0)
     assert held is not None
     drive.give(held)
-    assert known.avoided == 1
+    assert known.excluded_count == 1
     assert len(drive.gateway.pool) == 2 * ENTRIES_PER_PART
 
 
@@ -294,7 +294,7 @@
             targets = [target(f"s-{n:021x}", port) for n in range(3 * ENTRIES_PER_PART)]
             discovery.push(message(2, *targets, full=True))
             await until(lambda: ingress.destinations.revision == 2)
-            assert ingress.destinations.listed == 3 * ENTRIES_PER_PART
+            assert ingress.destinations.listed_count == 3 * ENTRIES_PER_PART
             assert [await client.call() for _ in range(5)] == [b"value"] * 5
             assert ingress.outbound._idle
             clock.advance(15_000 * IDLE_CLOSE_FRACTION + 1)
--- a/tests/test_byte_compatibility.py
+++ b/tests/test_byte_compatibility.py
@@ -356,7 +356,7 @@
     known = message(1, target("s-0", 9), target("s-1", 10), full=True)
 
     async def held_at_start() -> set[str]:
-        return Daemon(config(known), None, None).ingress.destinations.held
+        return Daemon(config(known), None, None).ingress.destinations.excluded_uids
 
     assert asyncio.run(held_at_start()) == {"s-0", "s-1"}
 
