--- a/dockthread/cli/work.py
+++ b/dockthread/cli/work.py
@@ -142,10 +142,10 @@
     """Offline: in what order the machines of FILE would go, and why each waits. A line: MACHINE
     ZONE [URGENCY].
     """
-    from dockthread.maintenance.plan import read, rounds
+    from dockthread.maintenance.plan import plan_rounds, read_plan
 
     try:
-        planned = rounds(read(file.read_text(), str(file)), most_out)
+        planned = plan_rounds(read_plan(file.read_text(), str(file)), most_out)
     except (ValueError, OSError) as error:
         click.echo(str(error), err=True)
         sys.exit(1)
@@ -168,11 +168,11 @@
 @click.option("--name", required=True, help="The ingress that the folder is for.")
 def init(folder: Path, name: str) -> None:
     """Make the folder of a member that never had one. One that lost its folder needs a new name."""
-    from dockthread.raft.storage import Lost, Store
+    from dockthread.raft.storage import RaftStorage, RaftStorageError
 
     try:
-        Store(folder, name, make=True).close()
-    except (OSError, Lost) as error:
+        RaftStorage(folder, name, create=True).close()
+    except (OSError, RaftStorageError) as error:
         click.echo(f"{folder}: {error}", err=True)
         sys.exit(1)
     click.echo(f"{folder} is the folder of {name}")
--- a/dockthread/control_plane/voter.py
+++ b/dockthread/control_plane/voter.py
@@ -9,15 +9,15 @@
 import msgspec
 
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Address
-from dockthread.control_plane.fanout import FanoutLimits
-from dockthread.control_plane.messages import Publish, Published
-from dockthread.control_plane.publish_state_machine import Publishing
+from dockthread.config.address import Address
+from dockthread.control_plane.fanout import FanOutLimits
+from dockthread.control_plane.messages import PublishRequest, PublishResponse
+from dockthread.control_plane.publish_state_machine import PublishStateMachine
 from dockthread.control_plane.resource_schemas import VALIDATORS
-from dockthread.control_plane.server import Server, ServerLimits
+from dockthread.control_plane.server import ControlPlaneServer, ServerLimits
 from dockthread.framing import MessageCounts
 from dockthread.raft.options import FleetOptions
-from dockthread.raft.server import Member
+from dockthread.raft.server import RaftServer
 
 AGREEMENT = 3_000.0  # ms that a publisher waits for the agreed log
 NOT_AGREED = "no majority has agreed in time: ask again with the same token, and it counts once"
@@ -33,14 +33,14 @@
         clock: Clock,
         rng: random.Random,
         limits: ServerLimits | None = None,
-        fanout_limits: FanoutLimits | None = None,
+        fanout_limits: FanOutLimits | None = None,
         key: bytes = b"",
     ) -> None:
         """Raises OSError, ValueError or `fleet.store.Lost` where the directory or the key cannot be
         used.
         """
-        self.publishing = Publishing(VALIDATORS, rng)
-        self.server = Server(
+        self.publishing = PublishStateMachine(VALIDATORS, rng)
+        self.server = ControlPlaneServer(
             name,
             "voter",
             self.publishing.table,
@@ -52,7 +52,7 @@
             key,
             self,
         )
-        self.member = Member(name, fleet, clock, rng.getrandbits(32), self)
+        self.member = RaftServer(name, fleet, clock, rng.getrandbits(32), self)
         self._clock, self._serving = clock, False
 
     async def open(self, listen: Address) -> Address:
@@ -76,22 +76,24 @@
 
     def age(self) -> float:
         """ms since what is applied here was known to be all that was agreed on; -1 for never."""
-        return self.member.age()
+        return self.member.staleness_ms()
 
     @property
     def messages(self) -> MessageCounts:
         """With the other voters and with those whom it serves."""
-        return self.member.messages + self.server.messages
+        return self.member.message_counts + self.server.messages
 
-    async def publish(self, change: Publish) -> Published:
+    async def publish(self, change: PublishRequest) -> PublishResponse:
         """Have the log agree on a change. The same token counts once."""
-        if (known := self.publishing.answer(change.token)) is not None:
+        if (known := self.publishing.response_for(change.token)) is not None:
             return known
-        if reason := self.publishing.refusal(change):
-            return Published(change.token, 0, reason)
-        if not await self.member.propose(self.publishing.proposal(change), AGREEMENT):
-            return Published(change.token, -1, NOT_AGREED)
-        return self.publishing.answer(change.token) or Published(change.token, -1, NOT_AGREED)
+        if reason := self.publishing.rejection_reason(change):
+            return PublishResponse(change.token, 0, reason)
+        if not await self.member.propose(self.publishing.encode_proposal(change), AGREEMENT):
+            return PublishResponse(change.token, -1, NOT_AGREED)
+        return self.publishing.response_for(change.token) or PublishResponse(
+            change.token, -1, NOT_AGREED
+        )
 
     # What its member tells (fleet/member.py, Owner)
 
@@ -105,17 +107,17 @@
         self.publishing.restore(index, state)
         self._changed()
 
-    def state(self) -> bytes:
+    def snapshot(self) -> bytes:
         """For the log: the state after what was applied."""
         return self.publishing.state()
 
-    def came_to(self, index: int, term: int) -> None:
+    def on_applied(self, index: int, term: int) -> None:
         """From the log; nothing here depends on it."""
 
-    def shown(self, sender: str, data: bytes) -> None:
+    def on_status_report(self, sender: str, data: bytes) -> None:
         """From the log; members of control show each other nothing."""
 
-    def changed(self) -> None:
+    def on_leader_changed(self) -> None:
         """From the log; who leads is asked where it matters."""
 
     def _changed(self) -> None:
--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -21,7 +21,9 @@
 
 from dockthread.admin.prometheus import Figures, render
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Config, SettingsError, read_config, reread_config
+from dockthread.config.ingress_config import Config
+from dockthread.config.platform_settings import read_config, reread_config
+from dockthread.errors import SettingsError
 from dockthread.logs.setup import set_up
 from dockthread.net.endpoint_list import DiscoveryError
 from dockthread.net.ingress import Ingress
@@ -29,9 +31,9 @@
 if TYPE_CHECKING:
     from dockthread.admin import commands
     from dockthread.config.ini_reader import Read
-    from dockthread.control_plane.ingress import Controlled
+    from dockthread.control_plane.ingress import IngressResourceApplier
     from dockthread.control_plane.options import ControlOptions
-    from dockthread.maintenance.service import Work
+    from dockthread.maintenance.service import MaintenanceService
     from dockthread.routes.layers import Layers
     from dockthread.telemetry.exporter import Exporter
 
@@ -63,13 +65,13 @@
             self.ingress.observe(Tracer())
         self._exporter: Exporter | None = None
         self._no_part = ""
-        self._work: Work | None = None  # its part in a fleet, where the operator's file has one
+        self._work: MaintenanceService | None = None  # only where the INI file has [fleet]
         self._fleet = read.named("fleet")[""] if read is not None else None
         self._control: ControlOptions | None = (
             read.named("control")[""] if read is not None else None
         )
         # what receives configuration, where the operator's file has it
-        self._controlled: Controlled | None = None
+        self._controlled: IngressResourceApplier | None = None
         self._routes: Layers | None = None
         self._applied: dict[str, object] = {}
         self._reloading: asyncio.Task[None] | None = None
@@ -163,11 +165,11 @@
         if options.role != "ingress":
             wrong = f"{self._file}: [control] role: is {options.role}, and this is an ingress"
             raise SettingsError(f"{wrong}; `dockthread control serve` runs it")
-        from dockthread.control_plane.ingress import Controlled
+        from dockthread.control_plane.ingress import IngressResourceApplier
 
         self._routes = self._routes or self._layers()
         try:
-            self._controlled = Controlled(self.ingress, self._routes, options)
+            self._controlled = IngressResourceApplier(self.ingress, self._routes, options)
         except ValueError as error:
             raise SettingsError(str(error)) from error
         self._controlled.open()
@@ -201,13 +203,13 @@
             opened = Door(self, self.ingress.config.management)
             opened.open()
         if self._fleet is not None and self._fleet.listen:
-            from dockthread.maintenance.service import Work
-            from dockthread.raft.storage import Lost
+            from dockthread.maintenance.service import MaintenanceService
+            from dockthread.raft.storage import RaftStorageError
 
             try:
-                self._work = Work(self.ingress, self._fleet, self.stop)
+                self._work = MaintenanceService(self.ingress, self._fleet, self.stop)
                 await self._work.open()
-            except Lost as error:  # requests are served all the same
+            except RaftStorageError as error:  # requests are served all the same
                 self._no_part = f"no part in the fleet: {error}"
                 logger.error("{}", self._no_part)
             except ValueError as error:
@@ -263,14 +265,14 @@
         ingress = self.ingress
         before = ingress.config.module, ingress.config.names
         if self._controlled is not None:
-            config = self._controlled.layered(config)
+            config = self._controlled.with_published_addresses(config)
         ingress.reconfigure(config)
         if self._routes is not None:
             self._routes.set_settings(ingress.config.module, ingress.config.names)
         if read is not None:
             self._apply_routes(read)
         if self._controlled is not None and (ingress.config.module, ingress.config.names) != before:
-            self._controlled.settings_changed()
+            self._controlled.on_settings_changed()
         if read is not None:
             for section, held in (("fleet", self._fleet), ("control", self._control)):
                 if read.named(section)[""] != held:
--- a/dockthread/lab/maintenance/rig.py
+++ b/dockthread/lab/maintenance/process_cluster.py
@@ -18,15 +18,15 @@
 from pathlib import Path
 from typing import Any
 
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.lab.maintenance.relay import Relay
 from dockthread.maintenance.scheduler import HELD
-from dockthread.raft.storage import Store
+from dockthread.raft.storage import RaftStorage
 
 HOST = "127.0.0.1"
 
 
-def reserved() -> socket.socket:
+def reserve_port() -> socket.socket:
     """A port that the system gives to nobody else while this is held, and that a process started
     here may listen at: a port that was only found free was now and then taken by an outgoing
     connection before the process came up.
@@ -37,7 +37,7 @@
     return one
 
 
-class Rig:
+class ProcessCluster:
     """`settings`: the platform's object, for all. `targets`: what discovery lists, in its own form.
     `more`: further lines of the section `[fleet]`.
     """
@@ -68,7 +68,7 @@
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
 
     def _address(self) -> Address:
-        self._reserved.append(reserved())
+        self._reserved.append(reserve_port())
         return Address(*self._reserved[-1].getsockname()[:2])
 
     async def open(self) -> None:
@@ -91,7 +91,7 @@
         """
         home = self.folder / name
         if not (home / "log").exists():
-            Store(home / "log", name, make=True).close()
+            RaftStorage(home / "log", name, create=True).close()
         (home / "tmp").mkdir(parents=True, exist_ok=True)
         at = {
             other: f"{HOST}:{self.links[name, other].port}" for other in self.names if other != name
--- a/tests/control_plane/control_rig.py
+++ b/tests/control_plane/control_rig.py
@@ -12,11 +12,16 @@
 from pathlib import Path
 from typing import Any
 
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.control_plane import admin_client
-from dockthread.control_plane.messages import Published, Status, StatusRequest, SubscriberStatus
-from dockthread.lab.maintenance.rig import reserved
-from dockthread.raft.storage import Store
+from dockthread.control_plane.messages import (
+    PublishResponse,
+    StatusRequest,
+    StatusResponse,
+    SubscriberStatus,
+)
+from dockthread.lab.maintenance.process_cluster import reserve_port
+from dockthread.raft.storage import RaftStorage
 from tests.loopback import LIST, raw_config
 
 KEY = b"a key of 16 bytes or more"
@@ -29,7 +34,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self._reserved = [reserved() for _ in range(8)]
+        self._reserved = [reserve_port() for _ in range(8)]
         ports = [Address(*one.getsockname()[:2]) for one in self._reserved]
         self.at = dict(zip((*VOTERS, *DISTRIBUTORS), ports, strict=False))
         self._fleet = dict(zip(VOTERS, ports[5:], strict=True))
@@ -77,7 +82,7 @@
         if name in DISTRIBUTORS:
             return f"{common}{cache}{servers}role = distributor\n"
         if not (home / "log").exists():
-            Store(home / "log", name, make=True).close()
+            RaftStorage(home / "log", name, create=True).close()
         members = ", ".join(f"{other}={at}" for other, at in self._fleet.items())
         fleet = f"[fleet]\nlisten = {self._fleet[name]}\nmembers = {members}\ndirectory = {home / 'log'}\n"
         return f"{common}role = voter\n{fleet}"
@@ -107,22 +112,24 @@
         command = [sys.executable, "-m", "dockthread", "control", *words.split(), *at]
         return subprocess.run(command, input=body, capture_output=True, text=True, timeout=MOST)
 
-    def publish(self, kind: str, name: str, body: Any) -> Published:
+    def publish(self, kind: str, name: str, body: Any) -> PublishResponse:
         """Raises AssertionError where it is not accepted."""
         data = None if body is None else json.dumps(body).encode()
         answer = asyncio.run(
-            admin_client.publish(self.voters, admin_client.change(kind, name, data), KEY, MOST)
+            admin_client.publish(self.voters, admin_client.new_request(kind, name, data), KEY, MOST)
         )
         assert answer.revision > 0, answer
         return answer
 
-    def status(self, name: str) -> Status | None:
+    def status(self, name: str) -> StatusResponse | None:
         """None where it does not answer."""
         try:
-            answer = asyncio.run(admin_client.ask(self.at[name], StatusRequest(), KEY, 0.5))
-        except admin_client.NoAnswer:
+            answer = asyncio.run(
+                admin_client.send_request(self.at[name], StatusRequest(), KEY, 0.5)
+            )
+        except admin_client.NoResponseError:
             return None
-        assert isinstance(answer, Status)
+        assert isinstance(answer, StatusResponse)
         return answer
 
     def standing(self) -> dict[str, SubscriberStatus]:
