--- a/tests/policy/test_many_ingresses.py
+++ b/tests/policy/test_many_ingresses.py
@@ -323,7 +323,7 @@
     engine.handle(
         1_000.0, destinations.apply({"rev": 1, "all": True, "targets": [node, later, node]})
     )
-    assert sorted(destinations.by_worker) == [1, 2] and destinations.active(1)
+    assert sorted(destinations.by_number) == [1, 2] and destinations.is_ready(1)
     sent = [
         action.backend
         for request in range(200)
