--- a/dockthread/lab/raft/seeded_defects.py
+++ b/dockthread/lab/raft/seeded_defects.py
@@ -63,7 +63,7 @@
         return super()._accept_entries(message)
 
 
-class ConflictKept(RaftCore):
+class ConflictNotTruncated(RaftCore):
     """Keeps entries that conflict with the leader's, and appends only behind them."""
 
     def _accept_entries(self, message: AppendEntries) -> tuple[bool, int]:
@@ -130,7 +130,7 @@
     "any-log-leads": AnyLogLeads,
     "small-majority": SmallMajority,
     "before-unchecked": PreviousEntryUnchecked,
-    "conflict-kept": ConflictKept,
+    "conflict-kept": ConflictNotTruncated,
     "epoch-unchecked": TermUnchecked,
     "read-at-once": ReadAtOnce,
     "commit-too-far": CommitTooFar,
--- a/dockthread/raft/core.py
+++ b/dockthread/raft/core.py
@@ -134,7 +134,7 @@
         self._progress = ProgressTracker()
         self._heartbeat_round = 0
         self._pending_reads: deque[PendingRead] = deque()
-        self._leader_heard_at = NEVER
+        self._last_leader_contact = NEVER
         self._transfer_until = NEVER  # nothing is proposed before, as leadership is handed over
         self._reset_election_timer()
 
@@ -160,6 +160,10 @@
             return set()
         return self._progress.responded_within(window_ms, self.now)
 
+    def has_committed_in_term(self) -> bool:
+        """Return whether an entry of the current term is committed."""
+        return self.log.term_at(self.commit_index) == self.term
+
     # Events; each returns the actions that follow from it
 
     def tick(self, now: float) -> list[Action]:
@@ -200,7 +204,7 @@
             False where it does not lead or has not committed in its term yet, and the actions.
         """
         self.now = now
-        if self.role is not Role.LEADER or not self._has_committed_in_term():
+        if self.role is not Role.LEADER or not self.has_committed_in_term():
             return False, self._take_actions()
         self._send_heartbeats()
         self._pending_reads.append(PendingRead(token, self.commit_index, self._heartbeat_round))
@@ -272,7 +276,7 @@
         """
         if not isinstance(message, VoteRequest) or message.leadership_transfer:
             return False
-        silence = self.now - self._leader_heard_at
+        silence = self.now - self._last_leader_contact
         return self.role is Role.LEADER or silence < self._timing.election_timeout_ms
 
     def _reject_old_term(self, message: Message) -> None:
@@ -396,7 +400,7 @@
     def _handle_from_leader(self, message: AppendEntries | InstallSnapshot) -> None:
         if self.role is not Role.FOLLOWER or self.leader_id != message.sender:
             self._become_follower(message.term, message.sender)
-        self._leader_heard_at = self.now
+        self._last_leader_contact = self.now
         self._reset_election_timer()
         if isinstance(message, InstallSnapshot):
             success, match_index = self._accept_snapshot(message)
@@ -511,9 +515,6 @@
                 self._replicate()
                 break
 
-    def _has_committed_in_term(self) -> bool:
-        return self.log.term_at(self.commit_index) == self.term
-
     def _may_change_voters(self, voters: tuple[str, ...]) -> bool:
         """Return whether the voters may change to these now.
 
@@ -536,7 +537,7 @@
             and are_new_ready
             and bool(voters)
             and not is_pending
-            and self._has_committed_in_term()
+            and self.has_committed_in_term()
         )
 
     # Sending
--- a/dockthread/raft/options.py
+++ b/dockthread/raft/options.py
@@ -1,11 +1,14 @@
-"""The section `[fleet]` of the operator's file. Without it nothing of the fleet is opened, loaded
-or slowed.
+"""The section `[fleet]` of the operator's file.
+
+Without it nothing of the fleet is loaded, opened or slowed down. A field's name here is the term of
+the field; its `name=` is the key in the file.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Iterator
 from pathlib import Path
+from typing import Final
 
 import msgspec
 
@@ -14,18 +17,32 @@
 from dockthread.config.quantities import Duration, Share
 from dockthread.telemetry.options import host_port
 
-LEAST_KEY = 16  # bytes of the shared key
+MIN_KEY_BYTES: Final = 16
+MAX_KEY_BYTES: Final = 64  # as BLAKE2 takes
+CLUSTER_SIZES: Final = (1, 3, 5, 7)  # odd: an even number bears no more failures
+# A lost heartbeat must not cost a leader its place.
+MIN_HEARTBEATS_PER_ELECTION: Final = 3
+# A member must not count as failed while a leader is elected.
+MIN_ELECTIONS_PER_FAILURE: Final = 2
+
+Fault = tuple[str, str, str]  # key, what is wrong, what would do
 
 
 class FleetOptions(Section, frozen=True, kw_only=True):
-    """`listen`: this ingress's own address among the others; empty for none of it. `members`: all
-    that may vote, as NAME=HOST:PORT, this one included; the same at each. `directory`: for term,
-    vote and log. `key_file`: a key that all share. `most_out`: machines of one zone that may be out
-    for work at once. `patience`: silence of a leader after which another is voted for; `beat`:
-    between its signs of life. `node_bears`: requests that a node of weight 1 bears at once, 0 for
-    not known; `reserve`: part of what the rest of a zone bears that is to be left while one is out.
-    `lapse`: after which a turn whose drain was not confirmed is over; `dead`: silence after which a
-    member's word is not waited for.
+    """How this ingress takes part in the fleet.
+
+    Attributes:
+        listen: this ingress's own address among the members; empty to take no part.
+        members: all voters as NAME=HOST:PORT, this one included; the same at each member.
+        directory: for the hard state, the snapshot and the log.
+        key_file: of a key that all members share; empty for none.
+        election_timeout: silence of a leader after which another is elected.
+        heartbeat_interval: between heartbeats of a leader.
+        max_unavailable: machines of one zone that may be unavailable for maintenance at once.
+        node_capacity: requests that a node of weight 1 serves at once; 0 for unknown.
+        headroom: share of the capacity left in a zone that must stay free while one is unavailable.
+        grant_timeout: after which a grant is over whose drain was not confirmed.
+        failure_timeout: silence after which a member is not waited for.
     """
 
     listen: str = ""
@@ -40,36 +57,67 @@
     grant_timeout: Duration = msgspec.field(default=Duration(30_000.0), name="lapse")
     failure_timeout: Duration = msgspec.field(default=Duration(5_000.0), name="dead")
 
-    def faults(self) -> Iterable[tuple[str, str, str]]:
-        if not self.listen:
-            if self.members or self.directory or self.key_file:
-                yield (
-                    "listen",
-                    "is missing",
-                    "write the address of this ingress among the others, HOST:PORT",
-                )
-            return
+    def faults(self) -> Iterable[Fault]:
+        """Yield what the keys say against each other: the key, what is wrong, what would do."""
+        if self.listen:
+            yield from self._address_faults()
+            yield from self._limit_faults()
+            yield from self._timing_faults()
+        elif self.members or self.directory or self.key_file:
+            yield (
+                "listen",
+                "is missing",
+                "write the address of this ingress among the others, HOST:PORT",
+            )
+
+    def addresses(self) -> dict[str, Address]:
+        """Return the address of each member by its name."""
+        found: dict[str, Address] = {}
+        for name, address in _named_addresses(self.members):
+            host_and_port = host_port(address)
+            if host_and_port is not None:
+                found[name] = Address(*host_and_port)
+        return found
+
+    def key(self) -> bytes:
+        """Read the shared key; empty for none.
+
+        Raises:
+            OSError: the file can't be read.
+            ValueError: the key is too short or too long.
+        """
+        if not self.key_file:
+            return b""
+        key = Path(self.key_file).read_bytes().strip()
+        if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
+            raise ValueError(
+                f"[fleet] key_file: {self.key_file} holds {len(key)} bytes; "
+                f"{MIN_KEY_BYTES} to {MAX_KEY_BYTES} would do"
+            )
+        return key
+
+    def _address_faults(self) -> Iterator[Fault]:
         if host_port(self.listen) is None:
             yield "listen", f"{self.listen!r} is no address", "write HOST:PORT"
-        names = [name.strip() for name, _, _ in (m.partition("=") for m in self.members)]
-        if len(names) not in (1, 3, 5, 7):
+        names = [name for name, _ in _named_addresses(self.members)]
+        if len(names) not in CLUSTER_SIZES:
             yield (
                 "members",
                 f"names {len(names)}",
                 "name 1, 3, 5 or 7, an odd number that can lose less than half",
             )
-        for member in self.members:
-            name, _, where = member.partition("=")
-            if (
-                not name.strip()
-                or any(c.isspace() for c in name.strip())
-                or host_port(where.strip()) is None
-            ):
+        for member, (name, address) in zip(
+            self.members, _named_addresses(self.members), strict=True
+        ):
+            is_name = name and not any(character.isspace() for character in name)
+            if not is_name or host_port(address) is None:
                 yield "members", f"{member!r} is no member", "write NAME=HOST:PORT"
         if len(set(names)) < len(names):
             yield "members", "names one twice", "give each ingress its own name"
         if not self.directory:
             yield "directory", "is missing", "name a folder that outlives the process"
+
+    def _limit_faults(self) -> Iterator[Fault]:
         if self.max_unavailable < 1:
             yield "most_out", "is under 1", "write how many machines of a zone may be out at once"
         if not 0 <= self.headroom < 1:
@@ -84,7 +132,9 @@
                 "is under 0",
                 "write how many requests a node bears at once, or 0 for not known",
             )
-        if self.failure_timeout < 2 * self.election_timeout:
+
+    def _timing_faults(self) -> Iterator[Fault]:
+        if self.failure_timeout < MIN_ELECTIONS_PER_FAILURE * self.election_timeout:
             yield (
                 "dead",
                 "is under twice the patience",
@@ -96,24 +146,11 @@
                 "is not over `dead`",
                 "a turn would lapse before a dead member is left out",
             )
-        if self.heartbeat_interval * 3 > self.election_timeout:
+        if self.heartbeat_interval * MIN_HEARTBEATS_PER_ELECTION > self.election_timeout:
             yield "patience", "is under three beats", "a lost beat would cost a leader its place"
 
-    def addresses(self) -> dict[str, Address]:
-        found: dict[str, Address] = {}
-        for member in self.members:
-            name, _, where = member.partition("=")
-            if (at := host_port(where.strip())) is not None:
-                found[name.strip()] = Address(*at)
-        return found
 
-    def key(self) -> bytes:
-        """Raises OSError where it cannot be read, ValueError where it is too short."""
-        if not self.key_file:
-            return b""
-        key = Path(self.key_file).read_bytes().strip()
-        if not LEAST_KEY <= len(key) <= 64:
-            raise ValueError(
-                f"[fleet] key_file: {self.key_file} holds {len(key)} bytes; {LEAST_KEY} to 64 would do"
-            )
-        return key
+def _named_addresses(members: Iterable[str]) -> list[tuple[str, str]]:
+    """Split each NAME=HOST:PORT into its name and its address; either may be empty or wrong."""
+    pairs = (member.partition("=") for member in members)
+    return [(name.strip(), address.strip()) for name, _, address in pairs]
--- a/dockthread/raft/server.py
+++ b/dockthread/raft/server.py
@@ -1,22 +1,16 @@
-"""One ingress among the others, on sockets: the rim round the agreement. Decides nothing.
-
-Theory of operation. Messages leave on one TCP connection to each other member (link.py), opened
-when there is something to send and again after a pause when it broke; a bounded queue of frames
-stands before it, and what does not fit is let go, as the agreement sends again whatever matters.
-What comes in is read from connections that others opened; a frame that is spoilt is counted and
-closes its connection. The agreement's actions are carried out one after another by one task, and a
-write to disk is made in a thread that does nothing else, so that requests go on meanwhile and no
-message leaves before what it rests on is kept.
+"""One member of the fleet on sockets and on a disk, around the Raft core.
+
+Messages leave on one TCP connection to each other member (`transport`) and come in on connections
+that the others opened (`receiver`). The core's actions are carried out by `runner`. What doesn't
+fit into a queue is dropped, as the core sends again whatever matters.
 """
 
 from __future__ import annotations
 
 import asyncio
 import random
-from collections import deque
-from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
-from typing import Any, Protocol
+from typing import Final, TypedDict
 
 from loguru import logger
 
@@ -24,58 +18,48 @@
 from dockthread.config.platform_settings import Address
 from dockthread.framing import MessageCounts
 from dockthread.raft import messages
-from dockthread.raft.actions import (
-    Action,
-    ApplyEntry,
-    PersistEntries,
-    PersistSnapshot,
-    RaftTiming,
-    RestoreSnapshot,
-    Role,
-    RoleChanged,
-    SendMessage,
-)
+from dockthread.raft.actions import RaftTiming, Role
 from dockthread.raft.core import RaftCore
 from dockthread.raft.options import FleetOptions
+from dockthread.raft.proposals import UNKNOWN_INDEX, PendingProposals
+from dockthread.raft.receiver import FrameReceiver
+from dockthread.raft.runner import CoreRunner, StateMachine
 from dockthread.raft.storage import RaftStorage
 from dockthread.raft.transport import PeerTransport
 
-KEEP_ENTRIES = 512  # applied entries in the log before a state takes their place
-# bytes of the state before for each further entry: a large one is written more seldom
-STATE_AN_ENTRY = 1 << 10
-RETRY = 50.0  # ms between tries while nobody leads
-# ms until the leader is asked again: the question or its answer may have been lost with a
-# connection
-ASKING = 500.0
-HANDING = 300.0  # ms that a leader waits for another at the end of its life
-
-
-class StateMachine(Protocol):
-    """Whose log it is, and what it is told."""
-
-    def apply(self, index: int, data: bytes) -> None:
-        """A command that is agreed on, in its order, each once a life."""
-
-    def restore(self, index: int, state: bytes) -> None:
-        """A whole state, in place of all commands up to `index`."""
-
-    def snapshot(self) -> bytes:
-        """Its state now, for a snapshot."""
+PROPOSAL_TIMEOUT_MS: Final = 3_000.0
+PROPOSAL_RETRY_MS: Final = 50.0  # between attempts while no leader is known
+# until the leader is asked again: the proposal or its response may be lost with a connection
+FORWARD_TIMEOUT_MS: Final = 500.0
+# that a leader waits for another to take over when it is closed
+TRANSFER_TIMEOUT_MS: Final = 300.0
+TRANSFER_POLL_S: Final = 0.01
+UNKNOWN_AGE_MS: Final = -1.0
 
-    def on_applied(self, index: int, term: int) -> None:
-        """Agreed and applied up to here; `term` is 0 for a state."""
 
-    def on_status_report(self, sender: str, data: bytes) -> None:
-        """What another member sees, told to this leader; raises ValueError for what means
-        nothing.
-        """
+class MemberStatus(TypedDict):
+    """What an operator is shown of a member; the keys are those of the JSON."""
 
-    def on_leader_changed(self) -> None:
-        """Another leads, or nobody."""
+    name: str
+    role: str
+    term: int
+    leader: str
+    voters: list[str]
+    last: int
+    commit: int
+    applied: int
+    spoilt: int
 
 
 class RaftServer:
-    """`owner`: whose log it is. All times in ms."""
+    """Takes part in the fleet for a state machine. All times are in ms.
+
+    Attributes:
+        name: this member's.
+        storage: its directory, open until `close`.
+        message_counts: messages from and to the other members.
+        is_open: it takes part.
+    """
 
     def __init__(
         self,
@@ -83,65 +67,74 @@
         options: FleetOptions,
         clock: Clock,
         seed: int,
-        owner: StateMachine,
+        state_machine: StateMachine,
     ) -> None:
-        """Raises OSError, ValueError or `store.Lost` where the directory or the key cannot be
-        used.
+        """Open the directory.
+
+        Raises:
+            OSError: the directory or the key file can't be used.
+            ValueError: the key is wrong, or the member is not among the members or is another
+                than the directory's.
+            RaftStorageError: the directory holds no log, or one that is damaged.
         """
-        self.name, self._options, self._clock = name, options, clock
-        self._owner = owner
-        self._addresses, self._key = options.addresses(), options.key()
+        self.name = name
+        self._options = options
+        self._clock = clock
+        self._state_machine = state_machine
+        self._addresses = options.addresses()
+        self._key = options.key()
         if name not in self._addresses:
             raise ValueError(
                 f"[fleet] members: {name}, this ingress, is not among {', '.join(self._addresses)}"
             )
         self._rng = random.Random(seed)
-        self.storage = RaftStorage(Path(options.directory), name)
-        if self.storage.name != name:
-            self.storage.close()
+        self.storage = self._open_storage()
+        self._timing = RaftTiming(options.election_timeout, options.heartbeat_interval)
+        self.message_counts = MessageCounts()
+        self.is_open = False
+        self._proposals = PendingProposals()
+        self._runner = CoreRunner(clock, self.storage, state_machine, self._proposals)
+        self._receiver = FrameReceiver(self._key, self.message_counts, self._receive)
+        self._rejected_reports = 0
+        self._peers: dict[str, PeerTransport] = {}
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._server: asyncio.Server | None = None
+        self._current_at = UNKNOWN_AGE_MS  # when the state machine was last known to be current
+
+    def _open_storage(self) -> RaftStorage:
+        directory = self._options.directory
+        storage = RaftStorage(Path(directory), self.name)
+        if storage.name != self.name:
+            storage.close()
             raise ValueError(
-                f"[fleet] directory: {options.directory} is of {self.storage.name}, and this is {name}"
+                f"[fleet] directory: {directory} is of {storage.name}, and this is {self.name}"
             )
-        self._times = RaftTiming(options.election_timeout, options.heartbeat_interval)
-        self.rejected_messages, self.message_counts = 0, MessageCounts()
-        self.is_open = False  # it takes part
-        self._links: dict[str, PeerTransport] = {}
-        self._actions: deque[Action] = deque()
-        self._some = asyncio.Event()
-        # by index: its term, who waits for it
-        self._waiting: dict[int, tuple[int, asyncio.Future[int]]] = {}
-        # by token: who waits for the leader's word
-        self._asked: dict[int, asyncio.Future[int]] = {}
-        self._token = 0
-        self._current = -1.0  # when the owner was last known to have all
-        self._carried = 0  # the last index that the owner has applied
-        # who waits for the owner to come to an index
-        self._behind: list[tuple[int, asyncio.Future[None]]] = []
-        self._keeper = ThreadPoolExecutor(1, thread_name_prefix="fleet-log")
-        self._tasks: list[asyncio.Task[Any]] = []
-        self._alarm: asyncio.TimerHandle | None = None
-        self._server: asyncio.Server | None = None
+        return storage
 
     async def open(self) -> None:
-        """Listen and take part; raises OSError where it cannot."""
-        self._loop = asyncio.get_running_loop()
+        """Listen and take part.
+
+        Raises:
+            OSError: it can't listen on its address.
+        """
         listen = Address.parse(self._options.listen)
-        self._server = await asyncio.start_server(self._read, listen.host, listen.port)
-        stored = self.storage.persistent_state
-        if stored.snapshot_index:
-            self._owner.restore(stored.snapshot_index, stored.snapshot)
-            self._came_to(stored.snapshot_index, 0)
-        self._agreement = RaftCore(
-            self.name, self._addresses, stored, self._times, self._rng, self._clock.now()
+        self._server = await asyncio.start_server(self._receiver.serve, listen.host, listen.port)
+        self._runner.restore_stored_snapshot()
+        core = RaftCore(
+            self.name,
+            self._addresses,
+            self.storage.persistent_state,
+            self._timing,
+            self._rng,
+            self._clock.now(),
         )
-        self._links = {
-            n: PeerTransport(a, self._rng, self._key, self.message_counts)
-            for n, a in self._addresses.items()
-            if n != self.name
+        self._peers = {
+            name: PeerTransport(address, self._rng, self._key, self.message_counts)
+            for name, address in self._addresses.items()
+            if name != self.name
         }
         self.is_open = True
-        self._tasks = [self._loop.create_task(self._carry_out())]
-        self._arm()
+        self._runner.start(core, self._peers)
         logger.info(
             "fleet: {} takes part at {}, {} members",
             self.name,
@@ -150,292 +143,196 @@
         )
 
     async def close(self) -> None:
-        """Hand over where it leads, then leave."""
-        if self._agreement.role is Role.LEADER:
+        """Hand leadership over where this member leads, then stop taking part."""
+        core = self._runner.core
+        if core.role is Role.LEADER:
             self.transfer_leadership()
-            until = self._clock.now() + HANDING
-            while self._agreement.role is Role.LEADER and self._clock.now() < until:
-                await asyncio.sleep(0.01)
-        if self._alarm is not None:
-            self._alarm.cancel()
+            deadline = self._clock.now() + TRANSFER_TIMEOUT_MS
+            while core.role is Role.LEADER and self._clock.now() < deadline:
+                await asyncio.sleep(TRANSFER_POLL_S)
+        self._runner.stop()
         if self._server is not None:
             self._server.close()
-        for task in [*self._tasks, *(link.task for link in self._links.values())]:
+        for task in [*self._tasks, *(peer.task for peer in self._peers.values())]:
             task.cancel()
-        for future in [*(f for _, f in self._waiting.values()), *self._asked.values()]:
-            future.cancel()
-        self._keeper.shutdown()
-        self.storage.close()
-
-    async def propose(self, data: bytes, timeout_ms: float = 3_000.0) -> int:
-        """The index at which it stands, once that is agreed and applied here; 0 where that is not
-        known within `most` ms: then it may stand or not. It is handed to whoever leads, and again
-        where that changes or no answer comes, so the owner has to know it for the same when it
-        comes twice.
+        self._proposals.cancel()
+        self._runner.close_storage()
+
+    # Proposals
+
+    async def propose(self, data: bytes, timeout_ms: float = PROPOSAL_TIMEOUT_MS) -> int:
+        """Have a command committed and applied here.
+
+        The command goes to whoever leads, and again where the leader changes or does not answer;
+        so the state machine has to recognize a command that comes twice.
+
+        Returns:
+            The index of its entry, or `UNKNOWN_INDEX` where the outcome is not known in time: the
+            command may be committed or not.
         """
         try:
             async with asyncio.timeout(timeout_ms / 1000.0):
-                while not (index := await self._try(data)):
-                    await asyncio.sleep(RETRY / 1000.0)
-                # the leader is ahead: what is answered here must know of it
-                if index > self._carried:
-                    behind: asyncio.Future[None] = self._loop.create_future()
-                    self._behind.append((index, behind))
-                    await behind
+                while not (index := await self._attempt_proposal(data)):
+                    await asyncio.sleep(PROPOSAL_RETRY_MS / 1000.0)
+                # The leader is ahead: a caller must find its command applied here.
+                if index > self._runner.applied_index:
+                    await self._proposals.await_applied(index)
                 return index
         except TimeoutError:
-            return 0
+            return UNKNOWN_INDEX
 
-    async def _try(self, data: bytes) -> int:
-        """By whoever leads now; 0 where nobody does, or somebody else does before it is known to
-        stand.
-        """
-        future: asyncio.Future[int] = self._loop.create_future()
-        core = self._agreement
+    async def _attempt_proposal(self, data: bytes) -> int:
+        """Propose to the current leader; return `UNKNOWN_INDEX` where that fails."""
+        core = self._runner.core
         if core.role is Role.LEADER:
-            self._propose(data, future)
-            return await future
-        if core.leader_id not in self._links:
-            return 0
-        self._token += 1
-        token = self._token
-        self._asked[token] = future
-        self._links[core.leader_id].send(
-            messages.ForwardedProposal(core.term, self.name, token, data)
-        )
+            index = self._runner.propose(data)
+            if index is None:
+                return UNKNOWN_INDEX
+            return await self._proposals.await_commit(index, core.term)
+        if core.leader_id not in self._peers:
+            return UNKNOWN_INDEX
+        return await self._forward_proposal(data)
+
+    async def _forward_proposal(self, data: bytes) -> int:
+        """Have the leader propose a command, and return the index of its response."""
+        core = self._runner.core
+        token, response = self._proposals.await_response()
+        proposal = messages.ForwardedProposal(core.term, self.name, token, data)
+        self._peers[core.leader_id].send(proposal)
         try:
-            async with asyncio.timeout(ASKING / 1000.0):
-                return await future
+            async with asyncio.timeout(FORWARD_TIMEOUT_MS / 1000.0):
+                return await response
         except TimeoutError:
-            return 0
+            return UNKNOWN_INDEX
         finally:
-            self._asked.pop(token, None)
+            self._proposals.forget_response(token)
 
-    def _propose(self, data: bytes, future: asyncio.Future[int]) -> None:
-        index, actions = self._agreement.propose(self._clock.now(), data)
-        if index is None:
-            future.set_result(0)
-        else:
-            self._waiting[index] = (self._agreement.term, future)
-        self._do(actions)
-
-    async def _propose_for(self, ask: messages.ForwardedProposal) -> None:
-        index = await self._try(ask.data) if self._agreement.role is Role.LEADER else 0
-        if link := self._links.get(ask.sender):
-            link.send(
-                messages.ForwardedProposalResponse(
-                    self._agreement.term, self.name, ask.token, index
-                )
+    async def _answer_forwarded(self, proposal: messages.ForwardedProposal) -> None:
+        """Propose a command of another member where this one leads, and respond."""
+        core = self._runner.core
+        index = UNKNOWN_INDEX
+        if core.role is Role.LEADER:
+            index = await self._attempt_proposal(proposal.data)
+        peer = self._peers.get(proposal.sender)
+        if peer is not None:
+            response = messages.ForwardedProposalResponse(
+                core.term, self.name, proposal.token, index
             )
+            peer.send(response)
 
-    # What its owner asks of it
+    def propose_as_leader(self, data: bytes) -> None:
+        """Propose a command where this member leads, without waiting for the outcome."""
+        self._runner.propose(data)
+
+    # What the state machine's owner may ask
 
     @property
     def leader_id(self) -> str:
-        """Whoever leads, as far as is known here; empty for nobody."""
-        return self._agreement.leader_id if self.is_open else ""
+        """Who leads, as far as is known here; empty for no known leader."""
+        return self._runner.core.leader_id if self.is_open else ""
 
     @property
     def members(self) -> list[str]:
+        """The names of all members."""
         return list(self._addresses)
 
     def responsive_members(self) -> set[str]:
-        """Who answered this leader within its patience."""
-        return (
-            self._agreement.responded_within(self._options.election_timeout)
-            if self.is_open
-            else set()
-        )
+        """Return who responded to this leader within the election timeout."""
+        if not self.is_open:
+            return set()
+        return self._runner.core.responded_within(self._options.election_timeout)
 
     def staleness_ms(self) -> float:
-        """ms since the owner was known to have all that was agreed on, give or take a beat; -1 for
-        never. A leader counts from when a majority answered, any other from when it last heard its
-        leader.
+        """Return since when the state machine may lack committed commands.
+
+        A leader counts from when a majority responded, give or take a heartbeat; any other member
+        from when it last heard from its leader. -1 where it was never known to be current.
         """
         if not self.is_open:
-            return -1.0
-        now, core = self._clock.now(), self._agreement
-        if core.role is Role.LEADER and core.log.term_at(core.commit_index) == core.term:
-            spans = (
-                self._times.heartbeat_interval_ms * n
-                for n in range(
-                    1, 1 + int(self._times.election_timeout_ms // self._times.heartbeat_interval_ms)
-                )
-            )
-            within = next(
-                (ms for ms in spans if core.has_quorum(core.responded_within(ms) | {self.name})),
-                None,
-            )
-            if within is not None and self._carried >= core.commit_index:
-                self._current = max(self._current, now - within)
-        return now - self._current if self._current >= 0 else -1.0
+            return UNKNOWN_AGE_MS
+        now = self._clock.now()
+        window = self._quorum_window()
+        if window is not None and self._runner.applied_index >= self._runner.core.commit_index:
+            self._current_at = max(self._current_at, now - window)
+        return now - self._current_at if self._current_at >= 0 else UNKNOWN_AGE_MS
 
-    def propose_as_leader(self, data: bytes) -> None:
-        """Only where this member leads, and with nobody waiting for it."""
-        self._do(self._agreement.propose(self._clock.now(), data)[1])
+    def _quorum_window(self) -> float | None:
+        """Return within how many ms a majority responded to this leader, in whole heartbeats.
 
-    def report_status(self, data: bytes) -> None:
-        """To whoever leads: what this member sees. May be lost."""
-        message = messages.StatusReport(self._agreement.term, self.name, data)
-        if self.leader_id == self.name:
-            self._shown(message)
-        elif link := self._links.get(self.leader_id):
-            link.send(message)
+        None where it does not lead, has not committed in its term, or reaches no majority.
+        """
+        core = self._runner.core
+        if core.role is not Role.LEADER or not core.has_committed_in_term():
+            return None
+        interval = self._timing.heartbeat_interval_ms
+        rounds = int(self._timing.election_timeout_ms // interval)
+        for heartbeats in range(1, 1 + rounds):
+            window = interval * heartbeats
+            if core.has_quorum(core.responded_within(window) | {self.name}):
+                return window
+        return None
 
-    def _shown(self, message: messages.StatusReport) -> None:
+    def report_status(self, data: bytes) -> None:
+        """Send the leader's state machine what this member observes; it may be lost."""
+        report = messages.StatusReport(self._runner.core.term, self.name, data)
         if self.leader_id == self.name:
-            try:
-                self._owner.on_status_report(message.sender, message.data)
-            except ValueError as error:
-                self.rejected_messages += 1
-                logger.debug("fleet: {}", error)
+            self._accept_report(report)
+        elif peer := self._peers.get(self.leader_id):
+            peer.send(report)
 
     def transfer_leadership(self) -> None:
-        """Another is to lead, where this one does."""
+        """Have another member lead, where this one does."""
         if self.is_open:
-            self._do(self._agreement.transfer_leadership(self._clock.now()))
-
-    def status(self) -> dict[str, Any]:
-        core = self._agreement
-        return {
-            "name": self.name,
-            "role": core.role.value,
-            "term": core.term,
-            "leader": core.leader_id,
-            "voters": list(core.voters),
-            "last": core.log.last_index,
-            "commit": core.commit_index,
-            "applied": core.applied_index,
-            "spoilt": self.rejected_messages,
-        }
-
-    # Time and messages, told to the agreement
-
-    def _arm(self) -> None:
-        if self._alarm is not None:
-            self._alarm.cancel()
-        wait = max(1.0, self._agreement.next_deadline() - self._clock.now()) / 1000.0
-        self._alarm = self._loop.call_later(wait, self._tick)
-
-    def _tick(self) -> None:
-        self._do(self._agreement.tick(self._clock.now()))
-        self._arm()
+            self._runner.transfer_leadership()
+
+    def status(self) -> MemberStatus:
+        """Return what an operator is shown."""
+        core = self._runner.core
+        return MemberStatus(
+            name=self.name,
+            role=core.role.value,
+            term=core.term,
+            leader=core.leader_id,
+            voters=list(core.voters),
+            last=core.log.last_index,
+            commit=core.commit_index,
+            applied=core.applied_index,
+            spoilt=self._receiver.rejected + self._rejected_reports,
+        )
 
-    async def _read(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        assembly = messages.SnapshotAssembler()
-        try:
-            while True:
-                head = await reader.readexactly(messages.FRAME_HEADER.size)
-                body = await reader.readexactly(messages.length(head))
-                self.message_counts.received += 1
-                try:
-                    message = messages.unpack(head, body, self._key)
-                except messages.UnknownMessageError as error:
-                    self.rejected_messages += 1
-                    logger.debug("fleet: a message is dropped: {}", error)
-                    continue
-                if isinstance(message, messages.SnapshotChunk):
-                    if (whole := assembly.add(message)) is not None:
-                        self._hear(whole)
-                elif isinstance(message, messages.StatusReport):
-                    self._shown(message)
-                elif isinstance(message, messages.ForwardedProposal):
-                    task = self._loop.create_task(self._propose_for(message))
-                    self._tasks.append(task)
-                    task.add_done_callback(self._tasks.remove)
-                elif isinstance(message, messages.ForwardedProposalResponse):
-                    if (asked := self._asked.pop(message.token, None)) and not asked.done():
-                        asked.set_result(message.index)
-                else:
-                    self._hear(message)
-        except messages.MalformedFrameError as error:
-            self.rejected_messages += 1
-            logger.debug("fleet: a frame is dropped: {}", error)
-        except (OSError, EOFError, asyncio.CancelledError):
-            pass
-        finally:
-            writer.close()
+    # Messages of other members
+
+    def _receive(self, message: messages.Message) -> None:
+        """Handle a complete message: what the core does not know here, the rest by the core."""
+        if isinstance(message, messages.StatusReport):
+            self._accept_report(message)
+        elif isinstance(message, messages.ForwardedProposal):
+            task = asyncio.get_running_loop().create_task(self._answer_forwarded(message))
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
+        elif isinstance(message, messages.ForwardedProposalResponse):
+            self._proposals.on_response(message.token, message.index)
+        else:
+            self._step(message)
 
-    def _hear(self, message: messages.Message) -> None:
-        now, core = self._clock.now(), self._agreement
-        self._do(core.step(now, message))
-        self._arm()
-        # Then it has all that was agreed on when that was sent; `commit` 0 tells nothing of it.
+    def _step(self, message: messages.Message) -> None:
+        now = self._clock.now()
+        self._runner.step(message)
+        # All that was committed when the leader sent this is applied then; a commit index of 0 says
+        # nothing about it.
         if (
             isinstance(message, messages.AppendEntries)
-            and core.leader_id == message.sender
-            and 0 < message.commit_index <= self._carried
+            and self._runner.core.leader_id == message.sender
+            and 0 < message.commit_index <= self._runner.applied_index
         ):
-            self._current = now
-
-    # What it decides, carried out in order
-
-    def _do(self, actions: list[Action]) -> None:
-        if actions:
-            self._actions.extend(actions)
-            self._some.set()
-
-    async def _carry_out(self) -> None:
-        while True:
-            await self._some.wait()
-            self._some.clear()
-            while self._actions:
-                action = self._actions.popleft()
-                match action:
-                    case PersistEntries() | PersistSnapshot():
-                        await self._loop.run_in_executor(self._keeper, self.storage.persist, action)
-                    case SendMessage(to, message):
-                        if link := self._links.get(to):
-                            link.send(message)
-                    case ApplyEntry(index, entry):
-                        self._applied(index, entry)
-                    case RestoreSnapshot(index, state):
-                        self._owner.restore(index, state)
-                        self._came_to(index, 0)
-                    case RoleChanged(role, term, leader):
-                        self._changed()
-                        self._owner.on_leader_changed()
-                        logger.info(
-                            "fleet: {} in term {}, led by {}",
-                            role.value,
-                            term,
-                            leader or "nobody yet",
-                        )
-
-    def _changed(self) -> None:
-        """Whoever waits for the word of one that led asks the next; one that leads no more cannot
-        say what stands.
-        """
-        waiting = [*self._asked.values()]
-        if self._agreement.role is not Role.LEADER:
-            waiting += [future for _, future in self._waiting.values()]
-            self._waiting.clear()
-        for future in waiting:
-            if not future.done():
-                future.set_result(0)
-
-    def _came_to(self, index: int, term: int) -> None:
-        self._carried = index
-        self._owner.on_applied(index, term)
-        for at, behind in self._behind:
-            if at <= index and not behind.done():
-                behind.set_result(None)
-        self._behind = [
-            (at, behind) for at, behind in self._behind if at > index and not behind.done()
-        ]
-
-    def _applied(self, index: int, entry: messages.Entry) -> None:
-        if entry.kind == messages.EntryKind.COMMAND:
-            try:
-                self._owner.apply(index, entry.data)
-            except Exception:
-                logger.exception("fleet: entry {} could not be applied", index)
-        self._came_to(index, entry.term)
-        if waiting := self._waiting.pop(index, None):
-            term, future = waiting
-            if not future.done():
-                future.set_result(index if term == entry.term else 0)
-        core = self._agreement
-        most = max(KEEP_ENTRIES, len(core.log.snapshot) // STATE_AN_ENTRY)
-        if core.applied_index == index and index - core.log.snapshot_index >= most:
-            self._do(core.compact(index, self._owner.snapshot()))
+            self._current_at = now
+
+    def _accept_report(self, report: messages.StatusReport) -> None:
+        """Hand a status report to the state machine where this member leads."""
+        if self.leader_id != self.name:
+            return
+        try:
+            self._state_machine.on_status_report(report.sender, report.data)
+        except ValueError as error:
+            self._rejected_reports += 1
+            logger.debug("fleet: a status report is rejected: {}", error)
