--- a/benchmarks/fleet_idle.py
+++ b/benchmarks/fleet_idle.py
@@ -49,7 +49,7 @@
             rig.start(name, "" if fleet else "[log]\nlevel = INFO\n")
         async with asyncio.timeout(UP):
             for name in rig.names:
-                while (await rig.call(name, "GET", "/_ready", most=0.5))[0] != 200:
+                while (await rig.call(name, "GET", "/_ready", time_limit_s=0.5))[0] != 200:
                     await asyncio.sleep(0.05)
             while fleet and not await rig.leader():
                 await asyncio.sleep(0.05)
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -50,7 +50,7 @@
     """When one member says that `s-0` has come to one of these states."""
     async with asyncio.timeout(LONGEST):
         while True:
-            _, said = await rig.call(name, "GET", "/_work", most=0.5)
+            _, said = await rig.call(name, "GET", "/_work", time_limit_s=0.5)
             known = (
                 [r for r in [*said["over"], *said["work"]] if r["target"] == "s-0"] if said else []
             )
@@ -79,8 +79,7 @@
     try:
         await stands(rig)
         await asyncio.sleep(1.0)
-        for link in rig.links.values():
-            link.delay = delay
+        rig.delay(delay)
         grants, outs, backs, deaths = list[float](), list[float](), list[float](), list[float]()
 
         async def turn(name: str, began: float) -> None:
--- a/dockthread/cli/work.py
+++ b/dockthread/cli/work.py
@@ -150,11 +150,13 @@
         click.echo(str(error), err=True)
         sys.exit(1)
     if as_json:
-        click.echo(json.dumps([{"goes": r.goes, "waits": dict(r.waits)} for r in planned]))
+        click.echo(
+            json.dumps([{"goes": one.granted, "waits": dict(one.waiting)} for one in planned])
+        )
         return
     for number, one in enumerate(planned, 1):
-        click.echo(f"{number}. {', '.join(one.goes)}")
-        for name, why in one.waits:
+        click.echo(f"{number}. {', '.join(one.granted)}")
+        for name, why in one.waiting:
             click.echo(f"   {name} waits: {why}")
 
 
--- a/dockthread/lab/maintenance/checker.py
+++ b/dockthread/lab/maintenance/checker.py
@@ -1,115 +1,191 @@
-"""Judges turns of work from what machines, members and staff did. Shares no code with what it
-judges.
-
-Rules, by name: `zone`: machines of one zone that staff have pulled or that are cold are never more
-than the file allows; `used`: who said that it holds a machine sends nothing there while it is
-pulled; `idle`: nor has it anything out there when the plug is pulled; `dead`: whoever's word was
-not waited for was out of reach for long; `once`: what staff asked for once is one request; `early`:
-no turn lapses before its time; `ingresses`: one at a time is away in its own turn; `alike`: at the
-end all hold what the order says, the same order; `progress`: at the end nothing that was asked for
-still waits.
+"""Checks planned maintenance by what backends, members and staff did; shares no code with what it checks.
+
+The rules, by name:
+
+- `zone`: backends of one zone that staff have switched off, or that warm up, are never more than
+  allowed;
+- `used`: a member that says it has drained a backend sends nothing there while it is switched off;
+- `idle`: nor has it a request in flight there when the backend is switched off;
+- `dead`: a member whose confirmation was not awaited had been unreachable for long;
+- `once`: what staff requested once is one request;
+- `early`: no grant times out before its time;
+- `ingresses`: one ingress at a time is away for its own restart;
+- `alike`: at the end all members hold the same state, and drain what it says;
+- `progress`: at the end no request of staff is unfinished.
 """
 
 from __future__ import annotations
 
 from collections.abc import Collection, Mapping
+from dataclasses import dataclass
 
 from dockthread.lab.raft.checker import Broken
 
 
-class MaintenanceChecker:
-    """`zone_of`: by machine; `most`: away at once; `warm`, `dead`, `lapse` in ms."""
-
-    def __init__(
-        self, zone_of: Mapping[str, str], most: int, warm: float, dead: float, lapse: float
-    ) -> None:
-        self._zone_of, self._most, self._warm, self._dead, self._lapse = (
-            zone_of,
-            most,
-            warm,
-            dead,
-            lapse,
-        )
-        self.broken: list[Broken] = []
-        self.pulled: dict[str, Collection[str]] = {}  # by machine: who said that it holds it
-        self._cold: dict[str, float] = {}  # by machine: until when
-        self._asked: dict[str, int] = {}  # by staff's word: the request's place
-        self._granted: dict[tuple[str, int], float] = {}
-        self._away: set[str] = set()
-
-    def _break(self, rule: str, at: float, detail: str) -> None:
-        self.broken.append(Broken(rule, at, detail))
-
-    def pull(
-        self, at: float, machine: str, held: Collection[str], members: Collection[str],
-        busy: Mapping[str, int], out_of_reach: Mapping[str, float],
-    ) -> None:  # fmt: skip
-        """Staff pull the plug. `busy`: requests of each member there; `out_of_reach`: for how many
-        ms of late each member was down, held still or hard to hear.
-        """
-        self.pulled[machine] = held
-        zone = self._zone_of[machine]
-        away = [m for m in self.pulled if self._zone_of[m] == zone]
-        away += [
-            m
-            for m, until in self._cold.items()
-            if self._zone_of[m] == zone and until > at and m not in away
-        ]
-        if len(away) > self._most:
-            self._break(
-                "zone", at, f"{', '.join(sorted(away))} of {zone} are away, and {self._most} may be"
-            )
-        for member in members:
-            if member in held and busy.get(member):
-                self._break(
-                    "idle", at, f"{member} has {busy[member]} out at {machine}, which is pulled"
-                )
-            if member not in held and out_of_reach.get(member, 0.0) < self._dead:
-                self._break("dead", at, f"{machine} is out without {member}, which was there")
+@dataclass(frozen=True, slots=True)
+class Limits:
+    """What the rules allow.
+
+    Attributes:
+        max_unavailable: Backends of a zone that may be away at once.
+        warm_up_ms: For how long a backend that is back counts as away.
+        failure_timeout_ms: Least time for which a member that was not awaited was unreachable.
+        grant_timeout_ms: Least time after which a grant may time out.
+    """
+
+    max_unavailable: int
+    warm_up_ms: float
+    failure_timeout_ms: float
+    grant_timeout_ms: float
+
+
+@dataclass(frozen=True, slots=True)
+class SwitchOff:
+    """Staff switch a backend off.
 
-    def back(self, at: float, machine: str) -> None:
-        self.pulled.pop(machine, None)
-        self._cold[machine] = at + self._warm
+    Attributes:
+        at_ms: When.
+        backend: Which.
+        drained_by: Members that say they have drained it.
+        members: All members.
+        in_flight: Requests in flight there, by member.
+        unreachable_ms: For how long of late each member was down, stalled or hard to reach.
+    """
 
-    def used(self, at: float, member: str, machine: str) -> None:
-        if member in self.pulled.get(machine, ()):
-            self._break("used", at, f"{member} sends to {machine}, which it said it holds")
+    at_ms: float
+    backend: str
+    drained_by: Collection[str]
+    members: Collection[str]
+    in_flight: Mapping[str, int]
+    unreachable_ms: Mapping[str, float]
 
-    def request(self, at: float, word: str, since: int) -> None:
-        if self._asked.setdefault(word, since) != since:
-            self._break("once", at, f"{word} is a request at {self._asked[word]} and at {since}")
 
-    def granted(self, at: float, machine: str, epoch: int) -> None:
-        self._granted.setdefault((machine, epoch), at)
+@dataclass(frozen=True, slots=True)
+class FinalState:
+    """What the members and staff hold at the end.
 
-    def lapsed(self, at: float, machine: str, epoch: int) -> None:
-        took = at - self._granted.get((machine, epoch), at)
-        if took < self._lapse:
+    Attributes:
+        at_ms: When.
+        snapshots: Snapshot of each member's state.
+        drained: What each member drains.
+        expected: What the state says is drained.
+        unfinished: Targets of requests of staff that are not finished.
+    """
+
+    at_ms: float
+    snapshots: Mapping[str, bytes]
+    drained: Mapping[str, Collection[str]]
+    expected: Collection[str]
+    unfinished: Collection[str]
+
+
+class MaintenanceChecker:
+    """Takes note of what happens, and of each rule that is broken.
+
+    Args:
+        zone_of: Zone of each backend.
+        limits: What the rules allow.
+        broken: Where broken rules are added.
+
+    Attributes:
+        switched_off: Backends that are switched off, each with the members that have drained it.
+    """
+
+    def __init__(self, zone_of: Mapping[str, str], limits: Limits, broken: list[Broken]) -> None:
+        self._zone_of = zone_of
+        self._limits = limits
+        self._broken = broken
+        self.switched_off: dict[str, Collection[str]] = {}
+        self._warm_at: dict[str, float] = {}  # by backend that has come back
+        self._request_index: dict[str, int] = {}  # by staff's comment
+        self._granted_at: dict[tuple[str, int], float] = {}  # by backend and epoch
+        self._restarting: set[str] = set()
+
+    def _break(self, rule: str, at_ms: float, detail: str) -> None:
+        self._broken.append(Broken(rule, at_ms, detail))
+
+    def on_switched_off(self, event: SwitchOff) -> None:
+        """Check the rules `zone`, `idle` and `dead` as staff switch a backend off."""
+        self.switched_off[event.backend] = event.drained_by
+        self._check_zone(event.at_ms, self._zone_of[event.backend])
+        for member in event.members:
+            has_drained = member in event.drained_by
+            if has_drained and event.in_flight.get(member):
+                self._break(
+                    "idle",
+                    event.at_ms,
+                    f"{member} has {event.in_flight[member]} out at {event.backend}, which is pulled",
+                )
+            unreachable_ms = event.unreachable_ms.get(member, 0.0)
+            if not has_drained and unreachable_ms < self._limits.failure_timeout_ms:
+                self._break(
+                    "dead", event.at_ms, f"{event.backend} is out without {member}, which was there"
+                )
+
+    def _check_zone(self, at_ms: float, zone: str) -> None:
+        warming_up = {backend for backend, warm_at in self._warm_at.items() if warm_at > at_ms}
+        away = sorted(
+            backend
+            for backend in {*self.switched_off, *warming_up}
+            if self._zone_of[backend] == zone
+        )
+        limit = self._limits.max_unavailable
+        if len(away) > limit:
+            self._break("zone", at_ms, f"{', '.join(away)} of {zone} are away, and {limit} may be")
+
+    def on_switched_on(self, at_ms: float, backend: str) -> None:
+        """Take note that staff have switched a backend on again."""
+        self.switched_off.pop(backend, None)
+        self._warm_at[backend] = at_ms + self._limits.warm_up_ms
+
+    def on_request_sent(self, at_ms: float, member: str, backend: str) -> None:
+        """Check the rule `used` as a member sends a request to a backend."""
+        if member in self.switched_off.get(backend, ()):
+            self._break("used", at_ms, f"{member} sends to {backend}, which it said it holds")
+
+    def on_maintenance_requested(self, at_ms: float, comment: str, index: int) -> None:
+        """Check the rule `once` as a member knows a request of staff at an index of the log."""
+        known = self._request_index.setdefault(comment, index)
+        if known != index:
+            self._break("once", at_ms, f"{comment} is a request at {known} and at {index}")
+
+    def on_granted(self, at_ms: float, target: str, epoch: int) -> None:
+        """Take note of a grant."""
+        self._granted_at.setdefault((target, epoch), at_ms)
+
+    def on_grant_timed_out(self, at_ms: float, target: str, epoch: int) -> None:
+        """Check the rule `early` as a grant times out."""
+        lasted_ms = at_ms - self._granted_at.get((target, epoch), at_ms)
+        limit_ms = self._limits.grant_timeout_ms
+        if lasted_ms < limit_ms:
             self._break(
-                "early", at, f"{machine}'s turn lapses after {took:.0f} ms of {self._lapse:.0f}"
+                "early", at_ms, f"{target}'s turn lapses after {lasted_ms:.0f} ms of {limit_ms:.0f}"
             )
 
-    def leaves(self, at: float, ingress: str) -> None:
-        self._away.add(ingress)
-        if len(self._away) > 1:
-            self._break("ingresses", at, f"{', '.join(sorted(self._away))} are away in their turns")
-
-    def returns(self, ingress: str) -> None:
-        self._away.discard(ingress)
-
-    def ended(
-        self, at: float, orders: Mapping[str, bytes], holds: Mapping[str, Collection[str]], due: Collection[str],
-        waits: Collection[str],
-    ) -> None:  # fmt: skip
-        """`orders`, `holds`: of each member; `due`: what the order holds; `waits`: what staff still
-        wait for.
-        """
-        if len(set(orders.values())) > 1:
-            self._break("alike", at, f"the orders of {', '.join(orders)} differ")
-        for member, held in holds.items():
-            if set(held) != set(due):
+    def on_restart_begun(self, at_ms: float, ingress: str) -> None:
+        """Check the rule `ingresses` as an ingress shuts down for its own restart."""
+        self._restarting.add(ingress)
+        if len(self._restarting) > 1:
+            names = ", ".join(sorted(self._restarting))
+            self._break("ingresses", at_ms, f"{names} are away in their turns")
+
+    def on_started(self, ingress: str) -> None:
+        """Take note that an ingress runs again."""
+        self._restarting.discard(ingress)
+
+    def on_end(self, final: FinalState) -> None:
+        """Check the rules `alike` and `progress` at the end."""
+        if len(set(final.snapshots.values())) > 1:
+            names = ", ".join(final.snapshots)
+            self._break("alike", final.at_ms, f"the orders of {names} differ")
+        for member, drained in final.drained.items():
+            if set(drained) != set(final.expected):
+                expected = sorted(final.expected)
                 self._break(
-                    "alike", at, f"{member} holds {sorted(held)}, and {sorted(due)} are out"
+                    "alike",
+                    final.at_ms,
+                    f"{member} holds {sorted(drained)}, and {expected} are out",
                 )
-        if waits:
-            self._break("progress", at, f"{', '.join(sorted(waits))} came to no end")
+        if final.unfinished:
+            names = ", ".join(sorted(final.unfinished))
+            self._break("progress", final.at_ms, f"{names} came to no end")
--- a/dockthread/lab/maintenance/process_cluster.py
+++ b/dockthread/lab/maintenance/process_cluster.py
@@ -1,9 +1,8 @@
-"""Starts real ingresses that are one fleet, with every link between them led through a relay, and
-puts faults there.
+"""Starts real ingresses as one cluster, each link between them through a relay, and puts faults there.
 
-Each process is ended by its own id. Its configuration lists backends of the rig's choosing, which
-need not exist: what is rehearsed is how the ingresses settle among themselves. All on loopback,
-ports of the system's choosing.
+Each process is ended by its own id. Its configuration lists backends of the caller's choosing, which
+need not exist: what is rehearsed is how the ingresses agree among themselves. Everything is on
+loopback, at ports of the system's choosing.
 """
 
 from __future__ import annotations
@@ -15,179 +14,247 @@
 import socket
 import subprocess
 import sys
+from collections.abc import Mapping, Sequence
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from dockthread.config.platform_settings import Address
 from dockthread.lab.maintenance.relay import Relay
-from dockthread.maintenance.scheduler import HELD
+from dockthread.maintenance.transitions import DRAINED_STATES
 from dockthread.raft.storage import Store
 
 HOST = "127.0.0.1"
+NO_ANSWER = 0  # in place of a status, where the process does not answer
+OK = 200
+CALL_TIMEOUT_S = 6.0
+STATUS_TIMEOUT_S = 0.5  # of calls that only look
+MAX_SOCKETS = 512  # of each process
+
+
+class Link(NamedTuple):
+    """One direction between two ingresses."""
+
+    sender: str
+    receiver: str
 
 
 def reserve_port() -> socket.socket:
-    """A port that the system gives to nobody else while this is held, and that a process started
-    here may listen at: a port that was only found free was now and then taken by an outgoing
-    connection before the process came up.
+    """Bind a port that a process started here may listen at while the socket is held.
+
+    The system gives it to nobody else: a port that was only found free was now and then taken by an
+    outgoing connection before the process came up.
     """
-    one = socket.socket()
-    one.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    one.bind((HOST, 0))
-    return one
+    reservation = socket.socket()
+    reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reservation.bind((HOST, 0))
+    return reservation
 
 
 class ProcessCluster:
-    """`settings`: the platform's object, for all. `targets`: what discovery lists, in its own form.
-    `more`: further lines of the section `[fleet]`.
+    """Ingresses of one cluster, as processes.
+
+    Args:
+        folder: Where each process has a folder of its own.
+        size: Number of ingresses.
+        settings: The platform's settings, for all of them.
+        targets: What discovery lists, in its own form.
+        max_unavailable: Backends of one zone that may be unavailable at once.
+        more: Further lines of the section `[fleet]`.
+
+    Attributes:
+        folder: Where each process has a folder of its own.
+        names: Names of the ingresses.
+        client: Address of each ingress for requests.
+        admin: Address of each ingress's admin endpoint.
+        links: The relay of each direction between two ingresses.
+        processes: Processes that were started and not killed, by name.
     """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913  one argument for each part of the processes' configuration
         self,
         folder: Path,
         size: int,
-        settings: dict[str, Any],
-        targets: list[dict[str, Any]],
-        most_out: int = 1,
+        settings: Mapping[str, Any],
+        targets: Sequence[Mapping[str, Any]],
+        max_unavailable: int = 1,
         more: str = "",
     ) -> None:
-        self.folder, self.names = folder, [f"n{i}" for i in range(size)]
-        self._settings, self._targets, self._most_out, self._more = (
-            settings,
-            targets,
-            most_out,
-            more,
-        )
-        self._reserved: list[socket.socket] = []
-        self.listen = {name: self._address() for name in self.names}
-        self.client = {name: self._address() for name in self.names}
-        self.door = {name: self._address() for name in self.names}
+        self.folder = folder
+        self.names = [f"n{number}" for number in range(size)]
+        self._settings = settings
+        self._targets = targets
+        self._max_unavailable = max_unavailable
+        self._more = more
+        self._reservations: list[socket.socket] = []
+        self._peer = {name: self._reserve_address() for name in self.names}
+        self.client = {name: self._reserve_address() for name in self.names}
+        self.admin = {name: self._reserve_address() for name in self.names}
         self.links = {
-            (a, b): Relay(self.listen[b]) for a in self.names for b in self.names if a != b
+            Link(sender, receiver): Relay(self._peer[receiver])
+            for sender in self.names
+            for receiver in self.names
+            if sender != receiver
         }
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
 
-    def _address(self) -> Address:
-        self._reserved.append(reserve_port())
-        return Address(*self._reserved[-1].getsockname()[:2])
+    def _reserve_address(self) -> Address:
+        self._reservations.append(reserve_port())
+        return Address(*self._reservations[-1].getsockname()[:2])
 
     async def open(self) -> None:
+        """Open the links and start all ingresses."""
         for link in self.links.values():
             await link.open()
         for name in self.names:
             self.start(name)
 
     async def close(self) -> None:
+        """Kill all ingresses and close the links."""
         for name in list(self.processes):
             self.kill(name)
         for link in self.links.values():
             link.close()
-        for one in self._reserved:
-            one.close()
+        for reservation in self._reservations:
+            reservation.close()
+
+    def start(self, name: str, ini_text: str = "") -> None:
+        """Start an ingress with whatever its folder holds from before.
 
-    def start(self, name: str, file: str = "") -> None:
-        """With whatever its directory holds from before. `file`: the operator's, in place of the
-        rig's own.
+        Args:
+            name: The ingress.
+            ini_text: Text of the operator's INI file, in place of the cluster's own.
         """
         home = self.folder / name
         if not (home / "log").exists():
             Store(home / "log", name, make=True).close()
         (home / "tmp").mkdir(parents=True, exist_ok=True)
-        at = {
-            other: f"{HOST}:{self.links[name, other].port}" for other in self.names if other != name
+        ini = home / "dockthread.ini"
+        ini.write_text(ini_text or self._ini_text(name))
+        config = home / "config.json"
+        config.write_text(json.dumps(self._config(name)))
+        environment = {**os.environ, "NODE_CONFIG": str(config), "TMPDIR": str(home / "tmp")}
+        command = [sys.executable, "-m", "dockthread", "--config", str(ini), "serve"]
+        with (home / "out").open("ab") as out:
+            self.processes[name] = subprocess.Popen(
+                command, env=environment, stdout=out, stderr=out
+            )
+
+    def _ini_text(self, name: str) -> str:
+        addresses = {
+            link.receiver: f"{HOST}:{relay.port}"
+            for link, relay in self.links.items()
+            if link.sender == name
         }
-        at[name] = str(self.listen[name])
-        members = ", ".join(f"{other}={at[other]}" for other in self.names)
-        (home / "dockthread.ini").write_text(
-            file
-            or f"[fleet]\nlisten = {self.listen[name]}\nmembers = {members}\ndirectory = {home / 'log'}\n"
-            f"most_out = {self._most_out}\n{self._more}"
+        addresses[name] = str(self._peer[name])
+        members = ", ".join(f"{other}={addresses[other]}" for other in self.names)
+        return (
+            f"[fleet]\nlisten = {self._peer[name]}\nmembers = {members}\n"
+            f"directory = {self.folder / name / 'log'}\n"
+            f"most_out = {self._max_unavailable}\n{self._more}"
         )
-        known = {"rev": 1, "all": True, "targets": self._targets}
+
+    def _config(self, name: str) -> dict[str, object]:
         number = self.names.index(name)
-        settings = {**self._settings, "MyNumber": number, "ReplicasOfMe": len(self.names)}
-        config = {
+        return {
             "name": name,
             "listen": str(self.client[name]),
             "discovery": f"{HOST}:9",
-            "management": str(self.door[name]),
+            "management": str(self.admin[name]),
             "seed": f"{number + 1:x}",
-            "limits": {"sockets": 512},
-            "known": known,
-            "settings": settings,
+            "limits": {"sockets": MAX_SOCKETS},
+            "known": {"rev": 1, "all": True, "targets": self._targets},
+            "settings": {
+                **self._settings,
+                "MyNumber": number,
+                "ReplicasOfMe": len(self.names),
+            },
         }
-        (home / "config.json").write_text(json.dumps(config))
-        environ = {
-            **os.environ,
-            "NODE_CONFIG": str(home / "config.json"),
-            "TMPDIR": str(home / "tmp"),
-        }
-        command = [
-            sys.executable,
-            "-m",
-            "dockthread",
-            "--config",
-            str(home / "dockthread.ini"),
-            "serve",
-        ]
-        with (home / "out").open("ab") as out:
-            self.processes[name] = subprocess.Popen(command, env=environ, stdout=out, stderr=out)
 
     def signal(self, name: str, number: signal.Signals) -> None:
+        """Send a signal to an ingress."""
         self.processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
+        """Kill an ingress and wait for its end."""
         process = self.processes.pop(name)
         process.kill()
         process.wait()
 
     def cut(self, side: set[str], both: bool = True) -> None:
-        """Nothing passes from `side` to the others and, if `both`, back."""
-        for (a, b), link in self.links.items():
-            link.cut = (a in side and b not in side) or (both and b in side and a not in side)
+        """Cut the links from `side` to the others and, if `both`, back; all other links are healed."""
+        for link, relay in self.links.items():
+            is_outward = link.sender in side and link.receiver not in side
+            is_inward = link.receiver in side and link.sender not in side
+            relay.is_cut = is_outward or (both and is_inward)
 
     def heal(self) -> None:
-        for link in self.links.values():
-            link.cut, link.delay = False, 0.0
+        """End all cuts and delays."""
+        for relay in self.links.values():
+            relay.is_cut = False
+            relay.delay_ms = 0.0
+
+    def delay(self, delay_ms: float) -> None:
+        """Delay each piece on every link."""
+        for relay in self.links.values():
+            relay.delay_ms = delay_ms
 
     async def call(
-        self, name: str, method: str, path: str, body: Any = None, most: float = 6.0
+        self,
+        name: str,
+        method: str,
+        path: str,
+        body: object = None,
+        time_limit_s: float = CALL_TIMEOUT_S,
     ) -> tuple[int, Any]:
-        """Status and JSON of a management call; status 0 where the process does not answer in
-        `most` s.
+        """Call an ingress's admin endpoint.
+
+        Returns:
+            The status, and the JSON object or text of the answer; status 0 where the process does
+            not answer in time.
         """
+        data = json.dumps(body).encode() if body is not None else b""
+        head = f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(data)}\r\n\r\n"
+        address = self.admin[name]
         try:
-            async with asyncio.timeout(most):
-                reader, writer = await asyncio.open_connection(
-                    self.door[name].host, self.door[name].port
-                )
-                data = json.dumps(body).encode() if body is not None else b""
-                head = f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(data)}\r\n\r\n"
+            async with asyncio.timeout(time_limit_s):
+                reader, writer = await asyncio.open_connection(address.host, address.port)
                 writer.write(head.encode() + data)
                 answer = await reader.read()
                 writer.close()
         except (OSError, TimeoutError):
-            return 0, None
-        head_, _, text = answer.partition(b"\r\n\r\n")
-        if not head_:
-            return 0, None
-        status = int(head_.split()[1])
-        return status, json.loads(text) if status == 200 and text.startswith(
-            b"{"
-        ) else text.decode()
+            return NO_ANSWER, None
+        answer_head, _, text = answer.partition(b"\r\n\r\n")
+        if not answer_head:
+            return NO_ANSWER, None
+        status = int(answer_head.split()[1])
+        is_json = status == OK and text.startswith(b"{")
+        return status, json.loads(text) if is_json else text.decode()
+
+    async def look(self, name: str, path: str) -> Any:
+        """Return the JSON object of a call that only looks; None where there is no answer."""
+        status, content = await self.call(name, "GET", path, time_limit_s=STATUS_TIMEOUT_S)
+        return content if status == OK else None
 
     async def leader(self, among: list[str] | None = None) -> str:
-        """Whoever leads in the highest term that any of them knows; empty where none does."""
-        best, found = -1, ""
-        for name in among or [n for n in self.names if n in self.processes]:
-            status, said = await self.call(name, "GET", "/_fleet", most=0.5)
-            if status == 200 and said["role"] == "leader" and said["term"] > best:
-                best, found = said["term"], name
-        return found
-
-    async def away(self, name: str, states: tuple[str, ...] = HELD) -> set[str] | None:
-        """What one member takes for granted or out; None where it does not answer."""
-        status, said = await self.call(name, "GET", "/_work", most=0.5)
-        return (
-            {r["target"] for r in said["work"] if r["state"] in states} if status == 200 else None
-        )
+        """Return the leader of the highest term that any of them knows; empty where none leads."""
+        highest_term = -1
+        leader = ""
+        for name in among or [name for name in self.names if name in self.processes]:
+            status = await self.look(name, "/_fleet")
+            if status and status["role"] == "leader" and status["term"] > highest_term:
+                highest_term = status["term"]
+                leader = name
+        return leader
+
+    async def drained_targets(
+        self, name: str, states: Sequence[str] = DRAINED_STATES
+    ) -> set[str] | None:
+        """Return the targets whose requests are in some states, as one ingress knows them.
+
+        Returns:
+            Their names; None where the ingress does not answer.
+        """
+        listing = await self.look(name, "/_work")
+        if listing is None:
+            return None
+        return {request["target"] for request in listing["work"] if request["state"] in states}
--- a/dockthread/lab/maintenance/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -1,15 +1,18 @@
-"""Plays a scenario on real processes, with links that can be cut and staff who pull plugs, and
-judges what came of it.
-
-Staff ask one member, look at any that answers for their own request (by their word on it), pull the
-plug of a machine once it is out, say done after the work, and ask again whatever was not answered.
-A light load goes to each ingress meanwhile. Whoever ends in its own turn is started again, as a
-supervisor would. Rules, by name: `zone`: machines of a zone whose plug is pulled are never more
-than the file allows; `used`: nothing comes to a machine that is pulled, where every member that
-lives had said that it holds it; `ingresses`: one at a time is away in its own turn; `lost`: no
-request to an ingress that was never killed or held still fails, is lost or gets no answer in its
-time; `alike`: at the end all say the same; `progress`: at the end all that was asked for is over.
-Each process is ended by its own id.
+"""Plays a scenario on real processes, with links that can be cut and staff who switch backends off.
+
+Staff request maintenance at one member, look at any that answers for what became of their own
+request (by their comment on it), switch a backend off once it is unavailable, say done after the
+work, and make every call again that was not answered. A light load goes to each ingress meanwhile.
+An ingress that ends by itself is started again, as a supervisor would. The rules, by name:
+
+- `zone`: backends of a zone that are switched off are never more than allowed;
+- `used`: nothing comes to a backend that is switched off, where every living member has said that
+  it has drained it;
+- `ingresses`: one ingress at a time is away for its own restart;
+- `lost`: no request to an ingress that was never killed or stopped fails, is lost or gets no answer
+  in its time;
+- `alike`: at the end all members say the same;
+- `progress`: at the end every request of staff is finished.
 """
 
 from __future__ import annotations
@@ -18,20 +21,21 @@
 import json
 import signal
 import time
-from collections.abc import Awaitable
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
 
 from dockthread.lab.arrivals import Arrival
 from dockthread.lab.load import Load, Target
-from dockthread.lab.maintenance.process_cluster import HOST, ProcessCluster
-from dockthread.lab.maintenance.scenario import PlannedScenario, Step
+from dockthread.lab.maintenance.process_cluster import HOST, OK, ProcessCluster
+from dockthread.lab.maintenance.scenario import PlannedScenario, Step, StepVerb
 from dockthread.lab.maintenance.stand_in import StandInBackend
-from dockthread.lab.outcome import OUTCOMES
+from dockthread.lab.outcome import OUTCOMES, Outcome
 from dockthread.lab.raft.checker import Broken
+from dockthread.maintenance.transitions import FINAL_STATES, UNAVAILABLE_STATES
 
-SETTINGS: dict[str, Any] = {
+SETTINGS: Mapping[str, Any] = {
     "Classes": [
         {
             "Name": "status",
@@ -45,10 +49,21 @@
     "Models": ["type-a"],
     "Period": 4000,
 }
-MORE = "dead = 1500ms\nlapse = 15s\n"
-COMES_UP, CALM = 30.0, 30.0  # s until a leader stands; after the last step until all is over
-LOOK, AGAIN = 0.1, 2.0  # s between looks of staff; after which they ask once more
-OUT = ("out", "overdue")
+TIMEOUTS_INI = "dead = 1500ms\nlapse = 15s\n"  # further lines of `[fleet]`
+MS_PER_S = 1000.0
+ELECTION_LIMIT_S = 30.0  # until every member knows a leader
+CALM_LIMIT_S = 30.0  # after the last step, until every request is finished
+LOOK_INTERVAL_S = 0.1  # between looks of staff and of the supervisor
+RETRY_S = 2.0  # after which staff make a call again
+REQUEST_TIMEOUT_S = 4.0  # of the load's requests
+CUSTOMERS = 7  # of the load
+IDENTIFIERS_PER_INGRESS = 40  # bits of a request's identifier that are an ingress's own
+DETAIL_LENGTH = 600  # characters of a broken rule's detail
+SIGNALS = {
+    StepVerb.STOP: signal.SIGSTOP,
+    StepVerb.CONTINUE: signal.SIGCONT,
+    StepVerb.END: signal.SIGTERM,
+}
 
 
 class VoidRunError(Exception):
@@ -57,6 +72,15 @@
 
 @dataclass
 class RehearsalResult:
+    """What came of a run.
+
+    Attributes:
+        broken: Rules that were broken.
+        record: What happened, one line each, with the time in milliseconds.
+        served: Requests of the load that were served.
+        asked: Requests of the load.
+    """
+
     broken: list[Broken] = field(default_factory=list)
     record: list[str] = field(default_factory=list)
     served: int = 0
@@ -64,264 +88,280 @@
 
 
 class Rehearsal:
+    """One run of a scenario.
+
+    Args:
+        folder: Where the processes have their folders.
+        scenario: What is played.
+    """
+
     def __init__(self, folder: Path, scenario: PlannedScenario) -> None:
-        s = self._settings = scenario.settings
-        self._scenario, self._verdict, self._begun = scenario, RehearsalResult(), time.monotonic()
-        zones = [f"hall-{chr(97 + i)}" for i in range(s.zones)]
-        self._nodes = {
-            f"m{i}": StandInBackend(f"m{i}", zones[i % s.zones]) for i in range(s.machines)
+        self._settings = scenario.settings
+        self._scenario = scenario
+        self._result = RehearsalResult()
+        self._begun_at = time.monotonic()
+        self._folder = folder
+        self._zones = [f"hall-{chr(ord('a') + number)}" for number in range(self._settings.zones)]
+        self._backends = {
+            f"m{number}": StandInBackend(f"m{number}", self._zones[number % len(self._zones)])
+            for number in range(self._settings.machines)
         }
-        self._folder, self._zones = folder, zones
-        self._rig: ProcessCluster
-        self._hurt: set[str] = set()  # ingresses that were killed or held still
-        self._turned: set[str] = set()  # ingresses that went in their turn
-        self._down: set[str] = set()  # killed by the scenario, until it starts them
-        self._away: set[str] = set()  # ended in their own turns
+        self._cluster: ProcessCluster
+        self._tasks: list[asyncio.Task[Any]] = []
+        self._disturbed: set[str] = set()  # ingresses that were killed, stopped or told to end
+        self._restarted: set[str] = set()  # ingresses that ended by themselves
+        self._killed: set[str] = set()  # by the scenario, until it starts them
+        self._restarting: set[str] = set()  # ended by themselves and not ready yet
 
     async def play(self) -> RehearsalResult:
-        """Raises Void."""
-        for node in self._nodes.values():
-            await node.open()
-        targets = [node.listed() for node in self._nodes.values()]
-        settings = {**SETTINGS, "Azs": self._zones}
-        self._rig = ProcessCluster(
-            self._folder, self._scenario.ingresses, settings, targets, self._settings.most_out, MORE
+        """Play the scenario to its end.
+
+        Raises:
+            VoidRunError: The processes elected no leader.
+        """
+        for backend in self._backends.values():
+            await backend.open()
+        self._cluster = ProcessCluster(
+            self._folder,
+            self._scenario.ingresses,
+            {**SETTINGS, "Azs": self._zones},
+            [backend.listed() for backend in self._backends.values()],
+            self._settings.most_out,
+            TIMEOUTS_INI,
         )
-        tasks: list[asyncio.Task[Any]] = []
         try:
-            await self._rig.open()
-            await self._within(COMES_UP, self._all_follow())
-            self._begun = time.monotonic()
-            self._say("a leader stands")
-            loads = [
-                asyncio.create_task(self._load(name))
-                for name in self._rig.names
-                if self._settings.load
-            ]
-            tasks = [asyncio.create_task(self._supervise()), *loads]
-            staff = [asyncio.create_task(self._step(step)) for step in self._scenario.steps]
-            tasks += staff
-            await asyncio.gather(*staff)
-            await asyncio.gather(*loads)
-            await self._calm()
-            return self._verdict
+            await self._cluster.open()
+            await self._play_steps()
+            return self._result
         finally:
-            for task in tasks:
+            for task in self._tasks:
                 task.cancel()
-            await asyncio.gather(*tasks, return_exceptions=True)
-            await self._rig.close()
-            for node in self._nodes.values():
-                node.close()
+            await asyncio.gather(*self._tasks, return_exceptions=True)
+            await self._cluster.close()
+            for backend in self._backends.values():
+                backend.close()
 
-    async def _within(self, most: float, what: Awaitable[None]) -> None:
+    async def _play_steps(self) -> None:
         try:
-            await asyncio.wait_for(what, most)
+            await asyncio.wait_for(self._wait_for_leader(), ELECTION_LIMIT_S)
         except TimeoutError as error:
-            raise VoidRunError(f"the fleet has no leader after {most:.0f} s") from error
+            raise VoidRunError(f"the fleet has no leader after {ELECTION_LIMIT_S:.0f} s") from error
+        self._begun_at = time.monotonic()
+        self._note("a leader stands")
+        names = self._cluster.names if self._settings.load else []
+        loads = [asyncio.create_task(self._send_load(name)) for name in names]
+        supervisor = asyncio.create_task(self._supervise())
+        steps = [asyncio.create_task(self._play_step(step)) for step in self._scenario.steps]
+        self._tasks = [supervisor, *loads, *steps]
+        await asyncio.gather(*steps)
+        await asyncio.gather(*loads)
+        await self._check_end()
 
-    async def _all_follow(self) -> None:
+    async def _wait_for_leader(self) -> None:
         while True:
-            said = [
-                await self._rig.call(name, "GET", "/_fleet", most=0.5) for name in self._rig.names
-            ]
-            if all(status == 200 and one["leader"] for status, one in said):
+            states = [await self._cluster.look(name, "/_fleet") for name in self._cluster.names]
+            if all(state and state["leader"] for state in states):
                 return
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(LOOK_INTERVAL_S)
 
     @property
-    def _now(self) -> float:
-        return (time.monotonic() - self._begun) * 1000.0
+    def _now_ms(self) -> float:
+        return (time.monotonic() - self._begun_at) * MS_PER_S
 
-    def _say(self, text: str) -> None:
-        self._verdict.record.append(f"{self._now:8.0f} {text}")
+    def _note(self, text: str) -> None:
+        self._result.record.append(f"{self._now_ms:8.0f} {text}")
 
     def _break(self, rule: str, detail: str) -> None:
-        self._say(f"BROKEN {rule}: {detail}")
-        self._verdict.broken.append(Broken(rule, self._now, detail))
+        self._note(f"BROKEN {rule}: {detail}")
+        self._result.broken.append(Broken(rule, self._now_ms, detail))
 
     # Steps
 
-    async def _step(self, step: Step) -> None:
-        await asyncio.sleep(max(0.0, step.at - self._now) / 1000.0)
-        names = [name for word in step.words for name in await self._named(word)]
-        self._say(" ".join((step.verb, *names)))
+    async def _play_step(self, step: Step) -> None:
+        await asyncio.sleep(max(0.0, step.at_ms - self._now_ms) / MS_PER_S)
+        names = [name for operand in step.operands for name in await self._named(operand)]
+        self._note(" ".join((step.verb, *names)))
         match step.verb:
-            case "ask":
-                await asyncio.gather(*(self._staff(name) for name in names))
-            case "withdraw":
+            case StepVerb.ASK:
+                await asyncio.gather(*(self._request_maintenance(name) for name in names))
+            case StepVerb.WITHDRAW:
+                for name in names:
+                    await self._call(StepVerb.WITHDRAW, name, "")
+            case StepVerb.HEAL:
+                self._cluster.heal()
+            case StepVerb.CUT | StepVerb.CUT_FROM:
+                self._cluster.cut(set(names), both=step.verb is StepVerb.CUT)
+            case StepVerb.DELAY:
+                self._cluster.delay(float(step.operands[0]))
+            case StepVerb.FAIL | StepVerb.MEND:
                 for name in names:
-                    await self._call("withdraw", name, "")
-            case "heal":
-                self._rig.heal()
-            case "cut" | "cut-from":
-                self._rig.cut(set(names), both=step.verb == "cut")
-            case "delay":
-                for link in self._rig.links.values():
-                    link.delay = float(step.words[0])
-            case "fail" | "mend":
+                    self._backends[name].is_failing = step.verb is StepVerb.FAIL
+            case StepVerb.START:
                 for name in names:
-                    self._nodes[name].failing = step.verb == "fail"
+                    self._start(name)
             case _:
                 for name in names:
-                    self._signal(step.verb, name)
-
-    async def _named(self, word: str) -> list[str]:
-        if word == "all":
-            return list(self._rig.names)
-        if word not in ("leader", "follower"):
-            return [word]
-        leader = await self._rig.leader()
-        return (
-            [leader]
-            if word == "leader" and leader
-            else [n for n in self._rig.processes if n != leader][:1]
-        )
+                    self._disturb(step.verb, name)
+
+    async def _named(self, operand: str) -> list[str]:
+        """Return the targets that an operand stands for just now."""
+        if operand == "all":
+            return list(self._cluster.names)
+        if operand not in ("leader", "follower"):
+            return [operand]
+        leader = await self._cluster.leader()
+        if operand == "leader" and leader:
+            return [leader]
+        return [name for name in self._cluster.processes if name != leader][:1]
+
+    def _start(self, name: str) -> None:
+        if name in self._killed:
+            self._killed.discard(name)
+            self._cluster.start(name)
 
-    def _signal(self, verb: str, name: str) -> None:
-        rig = self._rig
-        if verb == "start":
-            if name in self._down:
-                self._down.discard(name)
-                rig.start(name)
-        elif name in rig.processes and name not in self._down:
-            self._hurt.add(name)
-            if verb == "kill":
-                self._down.add(name)
-                rig.kill(name)
-            else:
-                sent = {"stop": signal.SIGSTOP, "continue": signal.SIGCONT, "end": signal.SIGTERM}[
-                    verb
-                ]
-                rig.signal(name, sent)
+    def _disturb(self, verb: StepVerb, name: str) -> None:
+        """Kill an ingress that runs, or send it a signal."""
+        if name not in self._cluster.processes or name in self._killed:
+            return
+        self._disturbed.add(name)
+        if verb is StepVerb.KILL:
+            self._killed.add(name)
+            self._cluster.kill(name)
+        else:
+            self._cluster.signal(name, SIGNALS[verb])
 
     async def _supervise(self) -> None:
-        """Whoever has ended by itself is started again; in its own turn it is away until it is
-        ready.
-        """
+        """Start each ingress again that ends by itself; it is away until it is ready."""
         while True:
-            for name, process in list(self._rig.processes.items()):
-                if name not in self._down and process.poll() is not None:
-                    self._turned.add(name)
-                    self._away.add(name)
-                    self._say(f"{name} has ended with {process.returncode}")
-                    if len(self._away) > 1:
-                        self._break(
-                            "ingresses", f"{', '.join(sorted(self._away))} are away at once"
-                        )
-                    self._rig.start(name)
-            for name in list(self._away):
-                if (await self._rig.call(name, "GET", "/_ready", most=0.5))[0] == 200:
-                    self._away.discard(name)
-            await asyncio.sleep(LOOK)
+            for name, process in list(self._cluster.processes.items()):
+                if name not in self._killed and process.poll() is not None:
+                    self._restart(name, process.returncode)
+            for name in list(self._restarting):
+                status, _ = await self._cluster.call(name, "GET", "/_ready", time_limit_s=0.5)
+                if status == OK:
+                    self._restarting.discard(name)
+            await asyncio.sleep(LOOK_INTERVAL_S)
+
+    def _restart(self, name: str, exit_code: int) -> None:
+        self._restarted.add(name)
+        self._restarting.add(name)
+        self._note(f"{name} has ended with {exit_code}")
+        if len(self._restarting) > 1:
+            names = ", ".join(sorted(self._restarting))
+            self._break("ingresses", f"{names} are away at once")
+        self._cluster.start(name)
 
     # Staff
 
-    async def _call(self, do: str, target: str, why: str) -> bool:
-        """At the first member that says yes."""
-        for name in list(self._rig.processes):
-            status, _ = await self._rig.call(
-                name, "POST", f"/_work/{do}", {"target": target, "why": why}
-            )
-            if status == 200:
+    async def _call(self, call: str, target: str, comment: str) -> bool:
+        """Make a call at one member after another until one says yes."""
+        body = {"target": target, "why": comment}
+        for name in list(self._cluster.processes):
+            status, _ = await self._cluster.call(name, "POST", f"/_work/{call}", body)
+            if status == OK:
                 return True
         return False
 
-    async def _known(self, word: str) -> dict[str, Any] | None:
-        """The request with staff's word on it, as the first member that knows it has it."""
-        for name in list(self._rig.processes):
-            status, said = await self._rig.call(name, "GET", "/_work", most=0.5)
-            for request in [*said["work"], *said["over"]] if status == 200 else []:
-                if request["why"] == word:
+    async def _find_request(self, comment: str) -> Mapping[str, Any] | None:
+        """Return the request with staff's comment, as the first member that knows it has it."""
+        for name in list(self._cluster.processes):
+            listing = await self._cluster.look(name, "/_work")
+            for request in [*listing["work"], *listing["over"]] if listing else []:
+                if request["why"] == comment:
                     return dict(request)
         return None
 
-    async def _staff(self, target: str) -> None:
-        """From the wish to its end."""
-        word = f"{target}/{len(self._verdict.record)}"
-        asked, pulled = -1e18, False
-        while (known := await self._known(word)) is None or known["state"] not in (
-            "done",
-            "withdrawn",
-            "abandoned",
-        ):
-            if known is None and time.monotonic() - asked > AGAIN:
-                asked = time.monotonic()
-                await self._call("ask", target, word)
-            elif (
-                known is not None and target in self._nodes and not pulled and known["state"] in OUT
-            ):
-                pulled = True
-                await self._work_at(target, known["held"])
-            elif (
-                known is not None
-                and pulled
-                and known["state"] in OUT
-                and time.monotonic() - asked > AGAIN
-            ):
-                asked = time.monotonic()
-                await self._call("done", target, word)
-            await asyncio.sleep(LOOK)
-        self._say(f"{target} is {known['state']}")
-
-    async def _work_at(self, target: str, held: list[str]) -> None:
-        node = self._nodes[target]
-        away = [n for n in self._nodes.values() if n.pulled and n.zone == node.zone]
+    async def _request_maintenance(self, target: str) -> None:
+        """Play staff who want a target out of service, to the end of their request."""
+        comment = f"{target}/{len(self._result.record)}"
+        called_at: float | None = None
+        has_worked = False
+        while True:
+            request = await self._find_request(comment)
+            state = request["state"] if request is not None else ""
+            may_call = called_at is None or time.monotonic() - called_at > RETRY_S
+            is_unavailable = state in UNAVAILABLE_STATES
+            if state in FINAL_STATES:
+                self._note(f"{target} is {state}")
+                return
+            if request is None and may_call:
+                called_at = time.monotonic()
+                await self._call("ask", target, comment)
+            elif request is not None and is_unavailable and not has_worked:
+                if target in self._backends:
+                    has_worked = True
+                    await self._work_at(target, request["held"])
+            elif is_unavailable and has_worked and may_call:
+                called_at = time.monotonic()
+                await self._call("done", target, comment)
+            await asyncio.sleep(LOOK_INTERVAL_S)
+
+    async def _work_at(self, target: str, drained_by: Sequence[str]) -> None:
+        """Switch a backend off, work at it, and switch it on; check the rules `zone` and `used`."""
+        backend = self._backends[target]
+        away = [
+            other.uid
+            for other in self._backends.values()
+            if other.is_switched_off and other.zone == backend.zone
+        ]
         if len(away) >= self._settings.most_out:
-            self._break(
-                "zone", f"{target} of {node.zone} is out with {', '.join(n.uid for n in away)}"
-            )
-        node.pull()
-        before, alive = node.used, set(self._rig.processes) - self._down
-        self._say(f"{target} is pulled, held by {', '.join(held)}")
-        await asyncio.sleep(float(self._settings.work) / 1000.0)
-        if node.used > before and alive <= set(held):
-            self._break("used", f"{node.used - before} came to {target}, which all said they hold")
-        node.pulled = False
+            self._break("zone", f"{target} of {backend.zone} is out with {', '.join(away)}")
+        backend.switch_off()
+        used_before = backend.used_while_off_count
+        alive = set(self._cluster.processes) - self._killed
+        self._note(f"{target} is pulled, held by {', '.join(drained_by)}")
+        await asyncio.sleep(float(self._settings.work) / MS_PER_S)
+        used_count = backend.used_while_off_count - used_before
+        if used_count > 0 and alive <= set(drained_by):
+            self._break("used", f"{used_count} came to {target}, which all said they hold")
+        backend.switch_on()
 
     # The load, and the end
 
-    async def _load(self, name: str) -> None:
-        rate, lasts = self._settings.load, float(self._settings.lasts) / 1000.0
+    async def _send_load(self, name: str) -> None:
+        rate = self._settings.load
+        count = int(float(self._settings.lasts) / MS_PER_S * rate)
         arrivals = (
-            Arrival(i / rate, "status", "gross", 1 + i % 7, 1, 1, 0)
-            for i in range(int(lasts * rate))
+            Arrival(number / rate, "status", "gross", 1 + number % CUSTOMERS, 1, 1, 0)
+            for number in range(count)
         )
-        target = Target(HOST, self._rig.client[name].port, {"status": 4.0}, frozenset())
-        load = Load(target, 1 + (self._rig.names.index(name) << 40))
-        outcome = await load.run(arrivals)
-        self._verdict.asked += outcome.asked
-        self._verdict.served += outcome.total("served")
-        words = {word: outcome.total(word) for word in OUTCOMES if outcome.total(word)}
-        self._say(
-            f"requests to {name}: " + ", ".join(f"{many} {word}" for word, many in words.items())
-        )
-        # Whoever goes in its own turn takes no new connection for a while, and answers all that it
-        # took.
-        judged = ("failed", "lost", "late", *(() if name in self._turned else ("unsent",)))
-        bad = {word: words[word] for word in judged if word in words}
-        if bad and name not in self._hurt:
+        port = self._cluster.client[name].port
+        target = Target(HOST, port, {"status": REQUEST_TIMEOUT_S}, frozenset())
+        first_identifier = 1 + (self._cluster.names.index(name) << IDENTIFIERS_PER_INGRESS)
+        self._check_load(name, await Load(target, first_identifier).run(arrivals))
+
+    def _check_load(self, name: str, outcome: Outcome) -> None:
+        self._result.asked += outcome.asked
+        self._result.served += outcome.total("served")
+        totals = {word: outcome.total(word) for word in OUTCOMES if outcome.total(word)}
+        counts = ", ".join(f"{count} {word}" for word, count in totals.items())
+        self._note(f"requests to {name}: {counts}")
+        checked = ["failed", "lost", "late"]
+        # An ingress that restarts takes no new connection for a while, and answers all that it took.
+        if name not in self._restarted:
+            checked.append("unsent")
+        bad = {word: totals[word] for word in checked if word in totals}
+        if bad and name not in self._disturbed:
             self._break("lost", f"of {outcome.asked} requests to {name}: {json.dumps(bad)}")
 
-    async def _calm(self) -> None:
-        """All faults end; what was asked for comes to its end, and all say the same."""
-        self._rig.heal()
-        for name in list(self._rig.processes):
-            if name not in self._down:
-                self._rig.signal(name, signal.SIGCONT)
-        for name in list(self._down):
-            self._signal("start", name)
-        until, alike, said = time.monotonic() + CALM, False, []
-        while time.monotonic() < until:
-            said = [
-                await self._rig.call(name, "GET", "/_work", most=0.5) for name in self._rig.names
-            ]
-            alike = (
-                all(status == 200 for status, _ in said)
-                and len({json.dumps(one) for _, one in said}) == 1
-            )
-            if alike and not said[0][1]["work"]:
-                self._say("all is over, and all say the same")
+    async def _check_end(self) -> None:
+        """End all faults; check the rules `alike` and `progress`."""
+        self._cluster.heal()
+        for name in list(self._cluster.processes):
+            if name not in self._killed:
+                self._cluster.signal(name, signal.SIGCONT)
+        for name in list(self._killed):
+            self._start(name)
+        are_alike = False
+        listings: list[Any] = []
+        deadline = time.monotonic() + CALM_LIMIT_S
+        while time.monotonic() < deadline:
+            listings = [await self._cluster.look(name, "/_work") for name in self._cluster.names]
+            are_alike = None not in listings and len(set(map(json.dumps, listings))) == 1
+            if are_alike and not listings[0]["work"]:
+                self._note("all is over, and all say the same")
                 return
-            await asyncio.sleep(LOOK)
-        told = "; ".join(f"{name}: {one}" for name, one in zip(self._rig.names, said, strict=True))
-        self._break("progress" if alike else "alike", told[:600])
+            await asyncio.sleep(LOOK_INTERVAL_S)
+        names_and_listings = zip(self._cluster.names, listings, strict=True)
+        detail = "; ".join(f"{name}: {listing}" for name, listing in names_and_listings)
+        self._break("progress" if are_alike else "alike", detail[:DETAIL_LENGTH])
--- a/dockthread/lab/maintenance/seeded_defects.py
+++ b/dockthread/lab/maintenance/seeded_defects.py
@@ -1,5 +1,7 @@
-"""Planted bugs of the order of work, each of which its checker has to find. Never in the
-program.
+"""Seeded defects of planned maintenance, each of which the checker has to find.
+
+A simulation replaces the scheduler or the participant by one of these classes; the program never
+does. The keys of the tables are words of the command line.
 """
 
 from __future__ import annotations
@@ -9,105 +11,135 @@
 
 import msgspec
 
-from dockthread.maintenance.commands import LeaderReport, MaintenanceRequest
-from dockthread.maintenance.participant import (
-    ClusterView,
-    MaintenanceParticipant,
-    ParticipantActions,
+from dockthread.maintenance.commands import (
+    CommandAction,
+    LeaderReport,
+    MaintenanceRequest,
+    RequestState,
+    TargetKind,
 )
+from dockthread.maintenance.model import ClusterView
+from dockthread.maintenance.participant import MaintenanceParticipant, ParticipantActions
 from dockthread.maintenance.scheduler import MaintenanceScheduler
 
 
-class OutAtTheFirstWord(MaintenanceScheduler):
-    def _awaited(self, r: MaintenanceRequest) -> set[str]:
-        return set(r.held) if r.state == "draining" else super()._awaited(r)
+class UnavailableAfterFirstConfirmation(MaintenanceScheduler):
+    """Takes a backend for unavailable once the first member has drained it."""
 
+    def confirming_members(self, request: MaintenanceRequest) -> set[str]:
+        """Return who has drained it, in place of who has to."""
+        if request.state is RequestState.DRAINING:
+            return set(request.drained_by)
+        return super().confirming_members(request)
 
-class TickTwice(MaintenanceScheduler):
-    """A tick counts whatever its number."""
 
-    def _tick(self, t: LeaderReport) -> None:
-        super()._tick(msgspec.structs.replace(t, number=self.ticks + 1))
+class ReportAppliedTwice(MaintenanceScheduler):
+    """Applies a report whatever its number."""
 
+    def _apply_report(self, report: LeaderReport) -> None:
+        super()._apply_report(msgspec.structs.replace(report, number=self.report_count + 1))
 
-class WarmIsBack(MaintenanceScheduler):
-    def _settle(self, index: int) -> None:
-        for r in self.requests.values():
-            r.warm = 0.0
-        super()._settle(index)
 
+class WarmUpIgnored(MaintenanceScheduler):
+    """Takes a backend for warm as soon as it is back."""
 
-class SilentIsDead(MaintenanceScheduler):
-    def _awaited(self, r: MaintenanceRequest) -> set[str]:
-        return {m for m in super()._awaited(r) if not self.silent.get(m)}
+    def _advance(self, index: int) -> None:
+        for request in self.requests.values():
+            request.warm_up_ms = 0.0
+        super()._advance(index)
 
 
-class OneMoreOut(MaintenanceScheduler):
-    def most(self, zone: str, kind: str = "node") -> int:
-        return super().most(zone, kind) + 1
+class UnreachableCountsAsFailed(MaintenanceScheduler):
+    """Does not wait for a member that was unreachable for a moment."""
 
+    def confirming_members(self, request: MaintenanceRequest) -> set[str]:
+        """Leave out whoever is unreachable now."""
+        confirming = super().confirming_members(request)
+        return {member for member in confirming if not self.unreachable_ms.get(member)}
 
-class LeaderIsNotAsked(MaintenanceParticipant):
-    """The leader's ticks tell of all that passed since it started."""
 
-    def _lead(
-        self, now: float, around: ClusterView, pace: float, unlooked: bool, acts: ParticipantActions
-    ) -> None:
-        super()._lead(now, around, pace, unlooked, acts)
-        if acts.tick is not None:
-            acts.tick = msgspec.structs.replace(
-                acts.tick, tick=msgspec.structs.replace(acts.tick.tick, elapsed=now)
-            )
+class OneMoreUnavailable(MaintenanceScheduler):
+    """Grants one more of a zone than allowed."""
+
+    def max_unavailable(self, zone: str, kind: TargetKind = TargetKind.BACKEND) -> int:
+        """Return one more than allowed."""
+        return super().max_unavailable(zone, kind) + 1
+
+
+class ElapsedSinceStart(MaintenanceParticipant):
+    """Reports all the time since the leader started as elapsed."""
 
+    def _report(self, now: float, cluster: ClusterView, actions: ParticipantActions) -> None:
+        super()._report(now, cluster, actions)
+        if actions.report is not None:
+            report = msgspec.structs.replace(actions.report.report, elapsed_ms=now)
+            actions.report = msgspec.structs.replace(actions.report, report=report)
 
-class StartHoldsNothing(MaintenanceParticipant):
-    def begins(
-        self, state: bytes, commands: Iterable[tuple[int, bytes]], agreed: int, last: int, term: int
+
+class StartDrainsNothing(MaintenanceParticipant):
+    """Drains nothing at a start until it is told how far the log is committed."""
+
+    def recover(
+        self,
+        state: bytes,
+        entries: Iterable[tuple[int, bytes]],
+        committed: int,
+        last_index: int,
+        last_term: int,
     ) -> None:
-        """Waits until it is told how far the log is agreed."""
+        """Ignore what the disk holds."""
+
+
+class ConfirmsWhileBusy(MaintenanceParticipant):
+    """Says that it has drained a backend while its requests are in flight there."""
 
+    def update(self, now: float, cluster: ClusterView) -> ParticipantActions:
+        """Take every drained backend for idle."""
+        drained = self.drained | set(self.scheduler.drained_backends())
+        return super().update(now, replace(cluster, idle_backends=drained))
 
-class HeldWhileBusy(MaintenanceParticipant):
-    def turn(self, now: float, around: ClusterView) -> ParticipantActions:
-        return super().turn(now, replace(around, idle=self.holds | set(self.order.held())))
 
+class ReleasesOverdue(MaintenanceParticipant):
+    """Sends requests to a backend whose work takes longer than staff said."""
 
-class FreesWhatLapses(MaintenanceParticipant):
-    """Takes up again what is out for longer than was said."""
+    def update(self, now: float, cluster: ClusterView) -> ParticipantActions:
+        """Drop the overdue backends from what is drained."""
+        actions = super().update(now, cluster)
+        self.drained -= {
+            request.target
+            for request in self.scheduler.requests.values()
+            if request.state is RequestState.OVERDUE
+        }
+        return actions
 
-    def turn(self, now: float, around: ClusterView) -> ParticipantActions:
-        acts = super().turn(now, around)
-        self.holds -= {r.target for r in self.order.requests.values() if r.state == "overdue"}
-        return acts
 
+class RestartedInSameIncarnation(MaintenanceParticipant):
+    """Says that it has restarted when it is about to stop."""
 
-class BackInTheSameLife(MaintenanceParticipant):
-    def _myself(
+    def _handle_own_request(
         self,
         now: float,
-        state: str,
-        epoch: int,
-        life: str,
-        around: ClusterView,
-        acts: ParticipantActions,
+        request: MaintenanceRequest,
+        cluster: ClusterView,
+        actions: ParticipantActions,
     ) -> None:
-        super()._myself(now, state, epoch, life, around, acts)
-        if acts.stop:
-            self._say(now, acts, "back", self.me, epoch)
+        super()._handle_own_request(now, request, cluster, actions)
+        if actions.stop:
+            self._propose(now, actions, CommandAction.RESTARTED, request)
 
 
 SCHEDULERS: dict[str, type[MaintenanceScheduler]] = {
-    "out-at-the-first-word": OutAtTheFirstWord,
-    "tick-twice": TickTwice,
-    "warm-is-back": WarmIsBack,
-    "silent-is-dead": SilentIsDead,
-    "one-more-out": OneMoreOut,
+    "out-at-the-first-word": UnavailableAfterFirstConfirmation,
+    "tick-twice": ReportAppliedTwice,
+    "warm-is-back": WarmUpIgnored,
+    "silent-is-dead": UnreachableCountsAsFailed,
+    "one-more-out": OneMoreUnavailable,
 }
 PARTICIPANTS: dict[str, type[MaintenanceParticipant]] = {
-    "ticks-of-a-life": LeaderIsNotAsked,
-    "start-holds-nothing": StartHoldsNothing,
-    "held-while-busy": HeldWhileBusy,
-    "frees-what-is-overdue": FreesWhatLapses,
-    "back-in-the-same-life": BackInTheSameLife,
+    "ticks-of-a-life": ElapsedSinceStart,
+    "start-holds-nothing": StartDrainsNothing,
+    "held-while-busy": ConfirmsWhileBusy,
+    "frees-what-is-overdue": ReleasesOverdue,
+    "back-in-the-same-life": RestartedInSameIncarnation,
 }
 NAMES = (*SCHEDULERS, *PARTICIPANTS)
--- a/dockthread/lab/maintenance/simulation.py
+++ b/dockthread/lab/maintenance/simulation.py
@@ -1,320 +1,358 @@
-"""Turns of work on the simulated network: members with their part, machines, and staff who ask,
-pull plugs and say done.
-
-Beside the agreement's faults (world.py): machines that fail for a while, and zones that are
-pressed. Each member sends requests to machines that it does not hold; a request lasts some ms, now
-and then long. Staff ask at any member, look at any for what became of their own request (by their
-own word on it), pull the plug once it is out, and say done after the work; whatever is not answered
-they ask again under the same id. An ingress that ends in its own turn is started again. One seed,
-one course of events; times in ms.
+"""Planned maintenance on the simulated network: members with their participants, backends and staff.
+
+Beside the faults of the raft simulation there are backends that fail for a while, and zones that
+are overloaded. Each member sends requests to backends that it does not drain; a request lasts some
+milliseconds, now and then long. An ingress that shuts down for its own restart is started again.
+The seed decides everything: one seed, one course of events. Times are in milliseconds.
 """
 
 from __future__ import annotations
 
+from collections import Counter
 from dataclasses import dataclass, field
 
 import msgspec
 
-from dockthread.lab.maintenance.checker import MaintenanceChecker
+from dockthread.lab.maintenance.checker import FinalState, Limits, MaintenanceChecker
+from dockthread.lab.maintenance.reachability import Reachability
 from dockthread.lab.maintenance.seeded_defects import PARTICIPANTS, SCHEDULERS
+from dockthread.lab.maintenance.staff import STAFF_INTERVAL_MS, Staff
 from dockthread.lab.raft.checker import Broken
 from dockthread.lab.raft.simulation import FAULTY, Member, World
-from dockthread.maintenance.commands import INGRESS, MaintenanceCommand, MaintenanceRequest
-from dockthread.maintenance.participant import (
-    ClusterView,
-    MaintenanceOptions,
-    MaintenanceParticipant,
-    MemberObservation,
-    ZoneObservation,
-)
-from dockthread.maintenance.scheduler import HELD, MaintenanceScheduler
+from dockthread.maintenance.aggregation import MemberObservation, ZoneObservation
+from dockthread.maintenance.commands import MaintenanceCommand, MaintenanceRequest, RequestState
+from dockthread.maintenance.model import ClusterView, MaintenanceOptions
+from dockthread.maintenance.participant import MaintenanceParticipant
+from dockthread.maintenance.reasons import GRANT_TIMEOUT_PREFIX
+from dockthread.maintenance.scheduler import MaintenanceScheduler
+from dockthread.maintenance.transitions import REVOCABLE_STATES
 from dockthread.raft.actions import Role, Times
 from dockthread.raft.messages import COMMAND, Entry
 
-TERMS = MaintenanceOptions(bears=0.0, reserve=0.2, lapse=4_000.0, dead=2_000.0)
-# of a machine that comes back; in which all that was asked for has to come to its end
-WARM, CALM = 800.0, 40_000.0
-ZONES = {f"m{i}": "ab"[i % 2] for i in range(6)}
-# between turns of a part; requests of all members; wishes of staff
-LOOK, SEND, STAFF = 60.0, 25.0, 350.0
-AGAIN = 2_500.0  # after which staff ask once more
+OPTIONS = MaintenanceOptions(
+    backend_capacity=0.0, headroom=0.2, grant_timeout_ms=4_000.0, failure_timeout_ms=2_000.0
+)
+WARM_UP_MS = 800.0  # of a backend that comes back
+CALM_MS = 40_000.0  # after all faults, in which every request has to be finished
+BACKEND_COUNT = 6
+ZONE_NAMES = "ab"
+ZONE_OF = {f"m{index}": ZONE_NAMES[index % len(ZONE_NAMES)] for index in range(BACKEND_COUNT)}
+UPDATE_INTERVAL_MS = 60.0  # between updates of a participant
+SEND_INTERVAL_MS = 25.0  # mean time between requests of all members
+FIRST_FAULT_MS = 400.0
+SHORT_REQUEST_MS = 30.0  # mean time of most requests
+SHORT_FRACTION = 0.95  # of the requests
+LONG_REQUEST_MS = (200.0, 1_500.0)  # least and most time of the others
+RESTART_MS = (300.0, 1_500.0)  # least and most time until an ingress is started again
+FAILING_MS = (200.0, 4_000.0)  # least and most time for which a backend fails
+OVERLOAD_MS = (100.0, 1_500.0)  # least and most time for which zones are overloaded
 FAULTS = (
-    "cut", "one-way", "loss", "delay", "double", "crash", "crash-all", "stall", "torn", "compact", "hand", "fail",
+    "cut",
+    "one-way",
+    "loss",
+    "delay",
+    "double",
+    "crash",
+    "crash-all",
+    "stall",
+    "torn",
+    "compact",
+    "hand",
+    "fail",
     "press",
-)  # fmt: skip
-SLACK = 60.0  # by which times that are told on the way may differ
+)
+FAULT_FRACTION = 0.4  # of the faults that a seed turns on
+# Links on which members surely reach each other.
+CALM_LOSS = 0.1
+CALM_DELAY_MS = 50.0
+CLOCK_SLACK_MS = 60.0  # by which times may differ that are told on the way
 
 
 @dataclass(slots=True)
-class Own:
-    """What a member has beside its log, in one life."""
+class Incarnation:
+    """What a member has beside its log, in one life of its process."""
 
-    part: MaintenanceParticipant
-    out: dict[str, int] = field(default_factory=dict)  # own requests out, by machine
+    participant: MaintenanceParticipant
+    in_flight: Counter[str] = field(default_factory=Counter)  # own requests, by backend
 
 
-@dataclass(slots=True)
-class Wish:
-    """What one of staff wants: a machine out, work done there, and back."""
-
-    word: str
-    target: str
-    command: MaintenanceCommand
-    step: str = "ask"  # ask, look, work, done, over
-    asked: float = -1e18
-    regrets: bool = False  # takes it back as soon as it stands
+class MaintenanceSimulation(World):
+    """One seed's course of members, backends and staff.
 
+    Attributes:
+        maintenance_checker: Checks the rules of planned maintenance.
+        incarnations: The latest incarnation of each member.
+        failing: Backends that fail now.
+        is_overloaded: Zones are overloaded now.
+    """
 
-class MaintenanceSimulation(World):
     def __init__(
         self, seed: int, size: int, plant: str = "", faults: tuple[str, ...] | None = None
     ) -> None:
         super().__init__(seed, size, plant, faults)
-        drawn = tuple(f for f in FAULTS if self.rng.random() < 0.4)
+        drawn = tuple(fault for fault in FAULTS if self.rng.random() < FAULT_FRACTION)
         self.faults = drawn if faults is None else faults
-        self.turns = MaintenanceChecker(ZONES, 1, WARM, TERMS.dead - SLACK, TERMS.lapse - SLACK)
-        self.checker.once, self.turns.broken = False, self.checker.broken
-        self.own: dict[str, Own] = {}
-        self.wishes: list[Wish] = []
+        self.checker.once = False  # a command proposed again is known by its identifier
+        limits = Limits(
+            max_unavailable=1,
+            warm_up_ms=WARM_UP_MS,
+            failure_timeout_ms=OPTIONS.failure_timeout_ms - CLOCK_SLACK_MS,
+            grant_timeout_ms=OPTIONS.grant_timeout_ms - CLOCK_SLACK_MS,
+        )
+        self.maintenance_checker = MaintenanceChecker(ZONE_OF, limits, self.checker.broken)
+        self.incarnations: dict[str, Incarnation] = {}
         self.failing: set[str] = set()
-        self.pressed = False
-        self._words = 0
-        self._reach: dict[str, float] = {}  # when each member was last surely within reach
-        # how long it was not before, and until when
-        self._gaps: dict[str, tuple[float, float]] = {}
+        self.is_overloaded = False
+        self._staff = Staff(self, ZONE_OF, WARM_UP_MS, FAULTY)
+        self._reachability = Reachability(UPDATE_INTERVAL_MS, OPTIONS.failure_timeout_ms)
 
     def run(self) -> list[Broken]:
-        for what, pace in ((self._send_some, SEND), (self._staff, STAFF), (self._reached, LOOK)):
-            self.at(pace, what)
+        """Play the seed to its end, or to the first broken rule."""
+        self.at(SEND_INTERVAL_MS, self._send_request)
+        self.at(STAFF_INTERVAL_MS, self._staff.look)
+        self.at(UPDATE_INTERVAL_MS, self._look_who_is_reachable)
         for name in self.voters:
             self._start(self.members[name])
-        self.at(400.0, self._fault)
+        self.at(FIRST_FAULT_MS, self._fault)
         self._until(FAULTY)
         self._heal()
-        self.failing, self.pressed = set(), False
-        self._until(FAULTY + CALM)
-        up = {n: o for n, o in self.own.items() if self.members[n].core is not None}
-        orders = {n: o.part.order.snapshot() for n, o in up.items()}
-        due = next(iter(up.values())).part.order.held() if up else {}
-        waits = [w.target for w in self.wishes if w.step != "over"]
-        self.turns.ended(self.now, orders, {n: o.part.holds for n, o in up.items()}, due, waits)
+        self.failing = set()
+        self.is_overloaded = False
+        self._until(FAULTY + CALM_MS)
+        self.maintenance_checker.on_end(self._final_state())
         return self.checker.broken
 
+    def _final_state(self) -> FinalState:
+        running = {
+            name: incarnation.participant
+            for name, incarnation in self.incarnations.items()
+            if self.members[name].core is not None
+        }
+        first = next(iter(running.values()), None)
+        return FinalState(
+            at_ms=self.now,
+            snapshots={name: one.scheduler.snapshot() for name, one in running.items()},
+            drained={name: one.drained for name, one in running.items()},
+            expected=first.scheduler.drained_backends() if first is not None else {},
+            unfinished=self._staff.unfinished_targets(),
+        )
+
+    # What staff use
+
+    def random_member(self) -> Member | None:
+        """Return a running member; None where there is none, or the drawn one is stalled."""
+        member = self._some()
+        return None if member is None or member.stalled else member
+
+    def scheduler_of(self, member: Member) -> MaintenanceScheduler:
+        """Return the scheduler of a member."""
+        return self.incarnations[member.name].participant.scheduler
+
+    def in_flight_at(self, backend: str) -> dict[str, int]:
+        """Return the requests in flight at a backend, by member."""
+        return {name: one.in_flight[backend] for name, one in self.incarnations.items()}
+
+    def unreachable_ms(self) -> dict[str, float]:
+        """Return for how long of late each member was out of reach."""
+        return {name: self._reachability.unreachable_ms(self.now, name) for name in self.voters}
+
+    def note(self, text: str) -> None:
+        """Add a line to the record."""
+        self._note(text)
+
+    def propose_to_leader(self, member: Member, command: MaintenanceCommand) -> None:
+        """Send a command to whoever leads as far as a member knows; may be lost, late or doubled."""
+        if member.core is None or not member.core.leader:
+            return
+        leader = member.core.leader
+        if not self._arrives(member.name, leader):
+            return
+        data = msgspec.msgpack.encode(command)
+        for _ in range(1 + (self.rng.random() < self.double)):
+            self.at(self.rng.expovariate(1 / self.delay), self._propose_at, leader, data)
+
     # Members
 
     def _start(self, m: Member) -> None:
         if m.gone or m.core is not None:
             return
-        order = SCHEDULERS.get(self.plant, MaintenanceScheduler)()
-        part = PARTICIPANTS.get(self.plant, MaintenanceParticipant)(
-            m.name, f"{m.name}/{m.life + 1}", TERMS, self.now, order
+        scheduler = SCHEDULERS.get(self.plant, MaintenanceScheduler)()
+        participant = PARTICIPANTS.get(self.plant, MaintenanceParticipant)(
+            m.name, f"{m.name}/{m.life + 1}", OPTIONS, self.now, scheduler
         )
-        self.own[m.name] = Own(part)
-        part.begins(m.disk.state, *m.disk.told())
+        self.incarnations[m.name] = Incarnation(participant)
+        participant.recover(m.disk.state, *m.disk.told())
         super()._start(m)
-        self.turns.returns(m.name)
-        self._turn(m, m.life)
+        self.maintenance_checker.on_started(m.name)
+        self._update_regularly(m, m.life)
 
     def _applied(self, m: Member, index: int, entry: Entry) -> None:
         super()._applied(m, index, entry)
-        part = self.own[m.name].part
+        participant = self.incarnations[m.name].participant
         if entry.kind == COMMAND:
-            before = {r.target: (r.state, r.epoch) for r in part.order.requests.values()}
-            part.applied(self.now, index, entry.data)
-            for r in [*part.order.requests.values(), *part.order.over]:
-                self._seen(r, before.get(r.target))
-        part.came_to(index, entry.term)
-        self._do_turn(m)
-
-    def _seen(self, r: MaintenanceRequest, before: tuple[str, int] | None) -> None:
-        self.turns.request(self.now, r.why, r.since)
-        if r.state == "granted":
-            self.turns.granted(self.now, r.target, r.epoch)
-        lapsed = (
-            r.state == "waiting"
-            and r.why_back.startswith("its turn lapsed")
-            or r.state == "abandoned"
-        )
-        if lapsed and before is not None and before[0] in ("granted", "draining"):
-            self.turns.lapsed(self.now, r.target, before[1])
+            scheduler = participant.scheduler
+            before = {
+                request.target: (request.state, request.epoch)
+                for request in scheduler.requests.values()
+            }
+            participant.on_entry_applied(self.now, index, entry.data)
+            for request in [*scheduler.requests.values(), *scheduler.finished]:
+                self._check_request(request, before.get(request.target))
+        participant.on_log_advanced(index, entry.term)
+        self._update(m)
+
+    def _check_request(
+        self, request: MaintenanceRequest, before: tuple[RequestState, int] | None
+    ) -> None:
+        checker = self.maintenance_checker
+        checker.on_maintenance_requested(self.now, request.comment, request.requested_index)
+        if request.state is RequestState.GRANTED:
+            checker.on_granted(self.now, request.target, request.epoch)
+        if before is not None and _has_timed_out(request) and before[0] in REVOCABLE_STATES:
+            checker.on_grant_timed_out(self.now, request.target, before[1])
 
     def _restored(self, m: Member, index: int, state: bytes) -> None:
-        m.applied, m.seen = index, []
-        part = self.own[m.name].part
-        part.restored(state)
-        part.came_to(index, 0)
+        m.applied = index
+        m.seen = []
+        participant = self.incarnations[m.name].participant
+        participant.on_state_restored(state)
+        participant.on_log_advanced(index, 0)
         self.checker.reached(m.name, m.life, index)
 
     def _state(self, m: Member) -> bytes:
-        return self.own[m.name].part.order.snapshot()
+        return self.scheduler_of(m).snapshot()
 
-    def _turn(self, m: Member, life: int) -> None:
-        if m.core is not None and m.life == life:
-            self._do_turn(m)
-            self.at(LOOK, self._turn, m, life)
+    def _update_regularly(self, member: Member, life: int) -> None:
+        if member.core is not None and member.life == life:
+            self._update(member)
+            self.at(UPDATE_INTERVAL_MS, self._update_regularly, member, life)
 
-    def _do_turn(self, m: Member) -> None:
-        if m.core is None or m.stalled:
+    def _update(self, member: Member) -> None:
+        if member.core is None or member.stalled:
             return
-        own, core = self.own[m.name], m.core
-        idle = {t for t in own.part.holds if not own.out.get(t)}
-        heard = core.heard_within(Times().patience)
-        acts = own.part.turn(self.now, ClusterView(core.leader, self.voters, heard, idle))
-        if acts.show:
-            self._show(m, core.leader)
-        for command in acts.say:
-            self._ask_leader(m, command)
-        if acts.tick is not None:
-            self._do(m, core.propose(self.now, msgspec.msgpack.encode(acts.tick))[1])
-        if acts.hand_over and m.core is not None:
-            self._do(m, core.hand_over(self.now))
-        if acts.stop and m.core is not None:
-            self.turns.leaves(self.now, m.name)
-            self._kill(m)
-            self.at(self.rng.uniform(300, 1500), self._start, m)
-
-    def _travels(self, sender: str, to: str) -> bool:
-        return (sender, to) not in self.cuts and (sender == to or self.rng.random() >= self.loss)
-
-    def _show(self, m: Member, leader: str) -> None:
-        part = self.own[m.name].part
-        zones = []
-        for zone in sorted(set(part.asked_for().values())):
-            here = [t for t in ZONES if ZONES[t] == zone and t not in self.turns.pulled]
-            ready = tuple(t for t in here if t not in part.holds)
-            ailing = tuple(t for t in ready if t in self.failing)
-            zones.append(ZoneObservation(zone, ready, ailing, 0.0, self.pressed))
-        data = msgspec.msgpack.encode(
-            MemberObservation(tuple(zones), tuple(sorted(part.asked_for())), part.latest())
+        incarnation = self.incarnations[member.name]
+        core = member.core
+        cluster = ClusterView(
+            leader=core.leader,
+            members=self.voters,
+            reachable=core.heard_within(Times().patience),
+            idle_backends={
+                backend
+                for backend in incarnation.participant.drained
+                if not incarnation.in_flight[backend]
+            },
         )
-        if self._travels(m.name, leader):
-            self.at(self.rng.expovariate(1 / self.delay), self._shown, leader, m.name, data)
-
-    def _shown(self, leader: str, sender: str, data: bytes) -> None:
-        to = self.members[leader]
-        if to.core is not None and not to.stalled:
-            self.own[leader].part.shown(self.now, sender, data)
+        actions = incarnation.participant.update(self.now, cluster)
+        if actions.send_observation:
+            self._send_observation(member, core.leader)
+        for command in actions.propose:
+            self.propose_to_leader(member, command)
+        if actions.report is not None:
+            self._do(member, core.propose(self.now, msgspec.msgpack.encode(actions.report))[1])
+        if actions.transfer_leadership and member.core is not None:
+            self._do(member, core.hand_over(self.now))
+        if actions.stop and member.core is not None:
+            self.maintenance_checker.on_restart_begun(self.now, member.name)
+            self._kill(member)
+            self.at(self.rng.uniform(*RESTART_MS), self._start, member)
+
+    def _arrives(self, sender: str, receiver: str) -> bool:
+        """Draw whether a message arrives."""
+        if (sender, receiver) in self.cuts:
+            return False
+        return sender == receiver or self.rng.random() >= self.loss
+
+    def _send_observation(self, member: Member, leader: str) -> None:
+        participant = self.incarnations[member.name].participant
+        zone_by_backend = participant.zone_by_requested_backend()
+        observation = MemberObservation(
+            zones=tuple(
+                self._observe(participant, zone) for zone in sorted(set(zone_by_backend.values()))
+            ),
+            listed=tuple(sorted(zone_by_backend)),
+            latest_request_index=participant.latest_request_index(),
+        )
+        if self._arrives(member.name, leader):
+            data = msgspec.msgpack.encode(observation)
+            delay_ms = self.rng.expovariate(1 / self.delay)
+            self.at(delay_ms, self._receive_observation, leader, member.name, data)
+
+    def _observe(self, participant: MaintenanceParticipant, zone: str) -> ZoneObservation:
+        ready = tuple(
+            backend
+            for backend in ZONE_OF
+            if ZONE_OF[backend] == zone
+            and backend not in self.maintenance_checker.switched_off
+            and backend not in participant.drained
+        )
+        failing = tuple(backend for backend in ready if backend in self.failing)
+        return ZoneObservation(zone, ready, failing, 0.0, self.is_overloaded)
 
-    def _ask_leader(self, m: Member, command: MaintenanceCommand) -> None:
-        """Through whoever leads, as far as this member knows; may be lost, late or doubled."""
-        if m.core is None or not m.core.leader or not self._travels(m.name, m.core.leader):
-            return
-        data = msgspec.msgpack.encode(command)
-        for _ in range(1 + (self.rng.random() < self.double)):
-            self.at(self.rng.expovariate(1 / self.delay), self._propose_at, m.core.leader, data)
+    def _receive_observation(self, leader: str, sender: str, data: bytes) -> None:
+        receiver = self.members[leader]
+        if receiver.core is not None and not receiver.stalled:
+            self.incarnations[leader].participant.on_observation(self.now, sender, data)
 
     def _propose_at(self, leader: str, data: bytes) -> None:
-        to = self.members[leader]
-        if to.core is not None and not to.stalled and to.core.role is Role.LEADER:
-            self._do(to, to.core.propose(self.now, data)[1])
+        receiver = self.members[leader]
+        if receiver.core is None or receiver.stalled:
+            return
+        if receiver.core.role is Role.LEADER:
+            self._do(receiver, receiver.core.propose(self.now, data)[1])
 
     # Requests
 
-    def _send_some(self) -> None:
-        self.at(self.rng.uniform(0.5, 1.5) * SEND, self._send_some)
-        m = self._some()
-        if m is None or m.stalled:
+    def _send_request(self) -> None:
+        self.at(self.rng.uniform(0.5, 1.5) * SEND_INTERVAL_MS, self._send_request)
+        member = self.random_member()
+        if member is None:
+            return
+        incarnation = self.incarnations[member.name]
+        backend = self.rng.choice(sorted(ZONE_OF))
+        if backend in incarnation.participant.drained:
             return
-        own = self.own[m.name]
-        machine = self.rng.choice(sorted(ZONES))
-        if machine not in own.part.holds:
-            self.turns.used(self.now, m.name, machine)
-            own.out[machine] = own.out.get(machine, 0) + 1
-            took = (
-                self.rng.expovariate(1 / 30.0)
-                if self.rng.random() < 0.95
-                else self.rng.uniform(200, 1500)
-            )
-            self.at(took, self._ends, own, machine)
-
-    def _ends(self, own: Own, machine: str) -> None:
-        own.out[machine] -= 1
-
-    def _reached(self) -> None:
-        """Which members are surely within reach of each other now, for the checker's word on who
-        was left out.
-        """
-        self.at(LOOK, self._reached)
-        calm = not self.cuts and self.loss <= 0.1 and self.delay <= 50.0
-        leaders = {m.name for m, _ in self._leaders()}
-        for m in self.members.values():
-            if calm and m.core is not None and not m.stalled and m.core.leader in leaders:
-                gap = self.now - self._reach.get(m.name, 0.0)
-                if gap > 2 * LOOK:
-                    self._gaps[m.name] = (gap, self.now)
-                self._reach[m.name] = self.now
-
-    def _out_of_reach(self, name: str) -> float:
-        """For how many ms, now or until not long ago."""
-        gap, until = self._gaps.get(name, (0.0, -1e18))
-        return max(
-            self.now - self._reach.get(name, 0.0), gap if until > self.now - TERMS.dead else 0.0
+        self.maintenance_checker.on_request_sent(self.now, member.name, backend)
+        incarnation.in_flight[backend] += 1
+        is_short = self.rng.random() < SHORT_FRACTION
+        duration_ms = (
+            self.rng.expovariate(1 / SHORT_REQUEST_MS)
+            if is_short
+            else self.rng.uniform(*LONG_REQUEST_MS)
         )
+        self.at(duration_ms, incarnation.in_flight.subtract, [backend])
 
-    # Staff
-
-    def _staff(self) -> None:
-        self.at(self.rng.uniform(0.5, 1.5) * STAFF, self._staff)
-        wanting = [w for w in self.wishes if w.step != "over"]
-        if self.now < FAULTY and len(wanting) < 4:
-            free = sorted({*ZONES, *self.voters} - {w.target for w in wanting})
-            target = self.rng.choice(
-                free if self.rng.random() < 0.2 else [t for t in free if t in ZONES] or free
-            )
-            self._words += 1
-            word, kind = f"w{self._words}", "node" if target in ZONES else INGRESS
-            command = MaintenanceCommand(
-                "ask", target, ZONES.get(target, ""), word, "staff", self.rng.randrange(3), once=word, kind=kind,
-                length=self.rng.choice((0.0, 1_000.0)), warm=WARM if kind == "node" else 0.0,
-            )  # fmt: skip
-            self.wishes.append(Wish(word, target, command, regrets=self.rng.random() < 0.15))
-        for wish in wanting:
-            self._go_on_with(wish)
-
-    def _go_on_with(self, wish: Wish) -> None:
-        m = self._some()
-        if m is None or m.stalled:
+    def _look_who_is_reachable(self) -> None:
+        """Take note which members surely reach each other now."""
+        self.at(UPDATE_INTERVAL_MS, self._look_who_is_reachable)
+        if self.cuts or self.loss > CALM_LOSS or self.delay > CALM_DELAY_MS:
             return
-        order = self.own[m.name].part.order
-        if any(r.why == wish.word for r in order.over):
-            wish.step = "over"
-            return
-        mine = next((r for r in order.requests.values() if r.why == wish.word), None)
-        if wish.step == "ask" and mine is None and self.now - wish.asked >= AGAIN:
-            wish.asked = self.now
-            self._ask_leader(m, wish.command)
-        elif wish.step == "ask" and mine is not None and wish.regrets:
-            self._ask_leader(
-                m, MaintenanceCommand("withdraw", wish.target, once=f"{wish.word}/withdraw")
-            )
-        elif wish.step == "ask" and mine is not None and wish.target not in ZONES:
-            wish.step = "look"  # an ingress comes back by itself
-        elif wish.step == "ask" and mine is not None and mine.state in HELD[2:]:
-            busy = {n: o.out.get(wish.target, 0) for n, o in self.own.items()}
-            away = {n: self._out_of_reach(n) for n in self.voters}
-            self.turns.pull(self.now, wish.target, mine.held, self.voters, busy, away)
-            self._note(f"{wish.target} is pulled, held by {mine.held}")
-            wish.step = "work"
-            self.at(self.rng.uniform(300, 2500), self._worked, wish)
-        elif wish.step == "done" and self.now - wish.asked >= AGAIN:
-            wish.asked = self.now
-            self._ask_leader(m, MaintenanceCommand("done", wish.target, once=f"{wish.word}/done"))
-
-    def _worked(self, wish: Wish) -> None:
-        self.turns.back(self.now, wish.target)
-        self._note(f"{wish.target} is back")
-        wish.step, wish.asked = "done", -1e18
+        leaders = {member.name for member, _ in self._leaders()}
+        for member in self.members.values():
+            if member.core is None or member.stalled:
+                continue
+            if member.core.leader in leaders:
+                self._reachability.on_reached(self.now, member.name)
 
     def _client(self) -> None:
         """Staff are the clients here."""
 
-    # Faults of machines
+    # Faults of backends
 
     def _fail(self) -> None:
-        machine = self.rng.choice(sorted(ZONES))
-        self.failing.add(machine)
-        self.at(self.rng.uniform(200, 4000), self.failing.discard, machine)
+        backend = self.rng.choice(sorted(ZONE_OF))
+        self.failing.add(backend)
+        self.at(self.rng.uniform(*FAILING_MS), self.failing.discard, backend)
 
     def _press(self) -> None:
-        self.pressed = True
-        self.at(self.rng.uniform(100, 1500), setattr, self, "pressed", False)
+        self.is_overloaded = True
+        self.at(self.rng.uniform(*OVERLOAD_MS), self._end_overload)
+
+    def _end_overload(self) -> None:
+        self.is_overloaded = False
+
+
+def _has_timed_out(request: MaintenanceRequest) -> bool:
+    """Return whether the last grant of a request timed out."""
+    if request.state is RequestState.WAITING:
+        return request.revocation_reason.startswith(GRANT_TIMEOUT_PREFIX)
+    return request.state is RequestState.ABANDONED
--- a/dockthread/lab/maintenance/stand_in.py
+++ b/dockthread/lab/maintenance/stand_in.py
@@ -1,47 +1,74 @@
-"""A licence node's stand-in that can be pulled, made to fail, and counts what came meanwhile.
-RESP2, on loopback.
+"""A backend's stand-in that can be switched off or made to fail, and counts what came meanwhile.
+
+It speaks RESP2 on loopback.
 """
 
 from __future__ import annotations
 
 import asyncio
+from contextlib import suppress
 
 import hiredis
 
 from dockthread.config.platform_settings import Address
 
 HOST = "127.0.0.1"
+READ_BYTES = 65536
+WORK_S = 0.005  # for which each request takes
+FAILURE = b"-ERR ill\r\n"
+ANSWER = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
 
 class StandInBackend:
-    """`used`: connections and requests that came while the plug was pulled; they are broken off."""
+    """One backend.
+
+    Args:
+        uid: Its identifier.
+        zone: Its zone.
+        work_s: For how many seconds each request takes.
+
+    Attributes:
+        is_switched_off: Connections and requests are broken off, and counted.
+        is_failing: Requests are answered with an error.
+        served_count: Requests answered.
+        used_while_off_count: Connections and requests that came while it was switched off.
+        address: Where it listens, once it is open.
+    """
 
-    def __init__(self, uid: str, zone: str, work: float = 0.005) -> None:
-        self.uid, self.zone, self._work = uid, zone, work
-        self.pulled = self.failing = False
-        self.served = self.used = 0
-        self._open: set[asyncio.StreamWriter] = set()
+    def __init__(self, uid: str, zone: str, work_s: float = WORK_S) -> None:
+        self.uid = uid
+        self.zone = zone
+        self._work_s = work_s
+        self.is_switched_off = False
+        self.is_failing = False
+        self.served_count = 0
+        self.used_while_off_count = 0
+        self._connections: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
         self.address = Address(HOST, 0)
 
     async def open(self) -> None:
+        """Listen at a port of the system's choosing."""
         self._server = await asyncio.start_server(self._serve, HOST, 0)
         self.address = Address(*self._server.sockets[0].getsockname()[:2])
 
     def close(self) -> None:
+        """Stop listening and break all connections."""
         if self._server is not None:
             self._server.close()
-        for writer in list(self._open):
-            writer.transport.abort()
+        self._break_connections()
 
-    def pull(self) -> None:
-        """The plug is out: what stands breaks, what comes is counted."""
-        self.pulled = True
-        for writer in list(self._open):
-            writer.transport.abort()
+    def switch_off(self) -> None:
+        """Break all connections, and count what comes from now on."""
+        self.is_switched_off = True
+        self._break_connections()
+
+    def switch_on(self) -> None:
+        """Serve again."""
+        self.is_switched_off = False
 
     def listed(self) -> dict[str, object]:
-        """In discovery's words."""
+        """Return its entry of the endpoint list, as discovery words it."""
         return {
             "uid": self.uid,
             "endpoint": str(self.address),
@@ -50,27 +77,31 @@
             "boot_ms": 0,
         }
 
+    def _break_connections(self) -> None:
+        for writer in list(self._connections):
+            writer.transport.abort()
+
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.pulled:
-            self.used += 1
+        if self.is_switched_off:
+            self.used_while_off_count += 1
             writer.transport.abort()
             return
-        self._open.add(writer)
-        parser = hiredis.Reader()
+        self._connections.add(writer)
         try:
-            while data := await reader.read(65536):
-                parser.feed(data)
-                while parser.gets():
-                    if self.pulled:
-                        self.used += 1
-                        return
-                    await asyncio.sleep(self._work)
-                    self.served += 1
-                    writer.write(
-                        b"-ERR ill\r\n" if self.failing else b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
-                    )
-        except (OSError, hiredis.ProtocolError, asyncio.CancelledError):
-            pass
+            with suppress(OSError, hiredis.ProtocolError, asyncio.CancelledError):
+                await self._answer_all(reader, writer)
         finally:
-            self._open.discard(writer)
+            self._connections.discard(writer)
             writer.transport.abort()
+
+    async def _answer_all(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        parser = hiredis.Reader()
+        while data := await reader.read(READ_BYTES):
+            parser.feed(data)
+            while parser.gets():
+                if self.is_switched_off:
+                    self.used_while_off_count += 1
+                    return
+                await asyncio.sleep(self._work_s)
+                self.served_count += 1
+                writer.write(FAILURE if self.is_failing else ANSWER)
--- a/dockthread/maintenance/__init__.py
+++ b/dockthread/maintenance/__init__.py
@@ -1,1 +1,1 @@
-"""The order of work: which machine is taken out when, settled among the ingresses of a fleet."""
+"""Planned maintenance: the ingresses agree which backend or ingress is taken out of service when."""
--- /dev/null
+++ b/dockthread/maintenance/admin_commands.py
@@ -0,0 +1,198 @@
+"""Answers the admin endpoint's calls on planned maintenance: status, listing, request, done, withdraw."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import secrets
+from collections.abc import Mapping
+from contextlib import suppress
+from typing import TYPE_CHECKING, Any
+
+import msgspec
+
+from dockthread.admin.commands import Answer, Command, Verb
+from dockthread.maintenance.commands import (
+    CommandAction,
+    MaintenanceCommand,
+    MaintenanceRequest,
+    TargetKind,
+)
+from dockthread.maintenance.reasons import MS_PER_S, explain
+
+if TYPE_CHECKING:
+    from dockthread.maintenance.scheduler import MaintenanceScheduler
+    from dockthread.net.ingress import Ingress
+    from dockthread.raft.options import FleetOptions
+    from dockthread.raft.server import Member
+
+JSON = b"application/json"
+ACTIONS = {
+    Verb.WORK_ASK: CommandAction.REQUEST,
+    Verb.WORK_DONE: CommandAction.COMPLETE,
+    Verb.WORK_WITHDRAW: CommandAction.WITHDRAW,
+}
+EVALUATION_TIMEOUT_S = 2.0  # for which a call waits for its request to be evaluated
+EVALUATION_POLL_S = 0.01  # between looks whether it is
+INGRESS_WARM_UP_TIMEOUTS = 2.0  # election timeouts until a restarted ingress counts as there
+MAX_DURATION_S = 1e8  # of the work at a target
+COMMAND_ID_BYTES = 8  # random bytes of a command's identifier
+
+
+class CallError(Exception):
+    """A call that cannot be carried out.
+
+    Attributes:
+        answer: What the caller is told.
+    """
+
+    def __init__(self, status: int, text: str) -> None:
+        super().__init__(text)
+        self.answer = Answer(status, f"{text}\n".encode())
+
+
+def listing(scheduler: MaintenanceScheduler) -> dict[str, object]:
+    """Return the requests as the admin endpoint lists them, the oldest first."""
+    requests = sorted(scheduler.requests.values(), key=lambda request: request.requested_index)
+    return {
+        "work": [_listed(request, scheduler) for request in requests],
+        "over": [_listed(request, scheduler) for request in scheduler.finished],
+    }
+
+
+def _listed(request: MaintenanceRequest, scheduler: MaintenanceScheduler) -> dict[str, object]:
+    fields = {
+        field.encode_name: getattr(request, field.name) for field in msgspec.structs.fields(request)
+    }
+    return {**fields, "reason": explain(request, scheduler)}
+
+
+class MaintenanceAdmin:
+    """Answers the calls of one ingress.
+
+    Args:
+        ingress: Whose endpoint list and settings a request is checked against.
+        options: The cluster's settings.
+        member: Where commands are proposed.
+        scheduler: The replicated state machine.
+    """
+
+    def __init__(
+        self,
+        ingress: Ingress,
+        options: FleetOptions,
+        member: Member,
+        scheduler: MaintenanceScheduler,
+    ) -> None:
+        self._ingress = ingress
+        self._options = options
+        self._member = member
+        self._scheduler = scheduler
+
+    async def answer(self, call: Command) -> Answer:
+        """Carry a call out and answer it."""
+        if call.verb is Verb.FLEET:
+            return _json_answer(self._status())
+        if call.verb is Verb.WORK:
+            return _json_answer(listing(self._scheduler))
+        try:
+            return await self._propose(self._command(call))
+        except CallError as error:
+            return error.answer
+
+    def _status(self) -> dict[str, object]:
+        unreachable_ms = self._scheduler.unreachable_ms.items()
+        silent = {member: duration_ms for member, duration_ms in unreachable_ms if duration_ms}
+        return {**self._member.status(), "silent": silent}
+
+    async def _propose(self, command: MaintenanceCommand) -> Answer:
+        """Propose a command, and answer with the state of its target once it is applied.
+
+        Raises:
+            CallError: The command was not committed in time.
+        """
+        index = await self._member.propose(msgspec.msgpack.encode(command))
+        if not index:
+            raise CallError(
+                503, "no majority has agreed in time: ask again, the same request is not made twice"
+            )
+        if command.action is CommandAction.REQUEST:
+            await self._wait_for_evaluation(command.target)
+        request = self._scheduler.requests.get(command.target)
+        if request is not None:
+            state: str = request.state
+            reason = explain(request, self._scheduler)
+        else:
+            state = self._final_state(command.target)
+            reason = ""
+        return _json_answer(
+            {"target": command.target, "state": state, "reason": reason, "at": index}
+        )
+
+    def _final_state(self, target: str) -> str:
+        finished = (
+            request.state
+            for request in reversed(self._scheduler.finished)
+            if request.target == target
+        )
+        return next(finished, "unknown")
+
+    def _command(self, call: Command) -> MaintenanceCommand:
+        """Return the command that a call asks for.
+
+        Raises:
+            CallError: The target is not known, or the duration is no number of seconds.
+        """
+        action = ACTIONS[call.verb]
+        zone = self._ingress.destinations.zone_of(call.target)
+        if action is CommandAction.REQUEST:
+            if zone is None and call.target not in self._member.members:
+                raise CallError(404, f"no backend {call.target} here, and no ingress of this name")
+        elif call.target not in self._scheduler.requests:
+            raise CallError(404, f"no work on {call.target} is asked for")
+        is_backend = zone is not None
+        return MaintenanceCommand(
+            action=action,
+            target=call.target,
+            zone=zone or "",
+            comment=str(call.more.get("why", "")),
+            sender=self._ingress.config.name,
+            urgency=_urgency(call.more),
+            max_unavailable=self._options.most_out,
+            command_id=secrets.token_hex(COMMAND_ID_BYTES),
+            kind=TargetKind.BACKEND if is_backend else TargetKind.INGRESS,
+            duration_ms=_duration_ms(call.more),
+            warm_up_ms=self._warm_up_ms(is_backend),
+        )
+
+    def _warm_up_ms(self, is_backend: bool) -> float:
+        if is_backend:
+            return self._ingress.config.module.safety.cold_time * MS_PER_S
+        return INGRESS_WARM_UP_TIMEOUTS * self._options.patience
+
+    async def _wait_for_evaluation(self, target: str) -> None:
+        """Wait until a leader's report has seen a request, or for as long as staff would wait."""
+        with suppress(TimeoutError):
+            async with asyncio.timeout(EVALUATION_TIMEOUT_S):
+                while not self._is_evaluated(target):
+                    await asyncio.sleep(EVALUATION_POLL_S)
+
+    def _is_evaluated(self, target: str) -> bool:
+        request = self._scheduler.requests.get(target)
+        return request is None or request.is_evaluated
+
+
+def _urgency(body: Mapping[str, Any]) -> int:
+    urgency = body.get("urgency")
+    return urgency if isinstance(urgency, int) else 0
+
+
+def _duration_ms(body: Mapping[str, Any]) -> float:
+    duration_s = body.get("for", 0)
+    if not isinstance(duration_s, int | float) or not 0 <= duration_s < MAX_DURATION_S:
+        raise CallError(400, '"for" is no number of seconds')
+    return duration_s * MS_PER_S
+
+
+def _json_answer(content: dict[str, object]) -> Answer:
+    return Answer(200, json.dumps(content).encode() + b"\n", JSON)
--- /dev/null
+++ b/dockthread/maintenance/constraints.py
@@ -0,0 +1,83 @@
+"""The constraints that a grant has to meet; the first one that is not met is returned as a reason."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from dockthread.maintenance.commands import MaintenanceRequest, RequestState, TargetKind
+from dockthread.maintenance.reasons import (
+    BackendsFailing,
+    InsufficientCapacity,
+    MembersUnreachable,
+    NotEvaluated,
+    NotListed,
+    Obstacle,
+    Occupant,
+    ZoneAtLimit,
+    ZoneNotObserved,
+    ZoneOverloaded,
+)
+
+if TYPE_CHECKING:
+    from dockthread.maintenance.scheduler import MaintenanceScheduler
+
+
+def grant_obstacle(scheduler: MaintenanceScheduler, request: MaintenanceRequest) -> Obstacle | None:
+    """Return why a waiting request cannot be granted; None where it can."""
+    away = _away(scheduler, request)
+    if len(away) >= scheduler.max_unavailable(request.zone, request.kind):
+        is_ingress = request.kind is TargetKind.INGRESS
+        place = "ingresses" if is_ingress else request.zone or "no known zone"
+        return ZoneAtLimit(place, tuple(Occupant(one.target, one.state) for one in away))
+    if not request.is_evaluated:
+        return NotEvaluated()
+    if request.kind is TargetKind.INGRESS:
+        unreachable = _unreachable_members(scheduler, but=request.target)
+        return MembersUnreachable(unreachable) if unreachable else None
+    if request.target not in scheduler.last_report.listed_targets:
+        return NotListed()
+    return safety_obstacle(scheduler, request)
+
+
+def _away(scheduler: MaintenanceScheduler, request: MaintenanceRequest) -> list[MaintenanceRequest]:
+    """Return the requests of the same zone and kind whose targets are away, in the order of requests."""
+    return [
+        other
+        for other in scheduler.requests.values()
+        if other.zone == request.zone
+        and other.kind is request.kind
+        and other.state is not RequestState.WAITING
+    ]
+
+
+def _unreachable_members(scheduler: MaintenanceScheduler, but: str) -> tuple[str, ...]:
+    unreachable = (
+        member for member, unreachable_ms in scheduler.unreachable_ms.items() if unreachable_ms
+    )
+    return tuple(sorted(member for member in unreachable if member != but))
+
+
+def safety_obstacle(
+    scheduler: MaintenanceScheduler, request: MaintenanceRequest
+) -> Obstacle | None:
+    """Return why the zone of a backend cannot do without it; None where it can."""
+    zones = (zone for zone in scheduler.last_report.zones if zone.name == request.zone)
+    zone = next(zones, None)
+    if zone is None:
+        return ZoneNotObserved(request.zone)
+    away = {
+        other.target
+        for other in scheduler.requests.values()
+        if other.zone == request.zone and other.state is not RequestState.WAITING
+    }
+    failing = set(zone.failing) - away - {request.target}
+    if failing:
+        return BackendsFailing(tuple(sorted(failing)), request.zone)
+    if zone.is_overloaded:
+        return ZoneOverloaded(request.zone)
+    # A backend that is being drained is not counted as ready any more.
+    remaining = zone.ready - (request.state is RequestState.WAITING)
+    limit = 1 - scheduler.last_report.headroom
+    if zone.load >= 0 and zone.load > limit * remaining:
+        return InsufficientCapacity(request.zone, zone.load / max(remaining, 1), limit)
+    return None
--- /dev/null
+++ b/dockthread/maintenance/leader.py
@@ -0,0 +1,137 @@
+"""The reports that a leader proposes: when one is due, and what it says. Free of I/O."""
+
+from __future__ import annotations
+
+from dockthread.maintenance.aggregation import MemberObservation, combine_observations
+from dockthread.maintenance.commands import (
+    CommandAction,
+    LeaderReport,
+    MaintenanceCommand,
+    ZoneStatus,
+)
+from dockthread.maintenance.model import ClusterView, MaintenanceOptions
+from dockthread.maintenance.scheduler import MaintenanceScheduler
+from dockthread.maintenance.transitions import UNAVAILABLE_STATES
+
+REPORT_INTERVAL_MS = 500.0  # while a request waits or is on its way
+IDLE_REPORT_INTERVAL_MS = 5_000.0  # while all that is unavailable stays so
+# Least time between reports while a request has not been evaluated: staff wait for the answer.
+FIRST_REPORT_INTERVAL_MS = REPORT_INTERVAL_MS / 10
+OBSERVATION_VALIDITY_MS = 2.5 * REPORT_INTERVAL_MS  # for which an observation counts
+# For which the first report on a request waits until a majority has observed its zone.
+FIRST_REPORT_PATIENCE_MS = 2.0 * REPORT_INTERVAL_MS
+# A report moves the log's clock by at most so many intervals, however long ago the last one was.
+MAX_INTERVALS_PER_REPORT = 2
+NEVER_MS = -1e18  # a time before any other
+
+
+def report_interval_ms(scheduler: MaintenanceScheduler) -> float:
+    """Return the time between reports as the requests stand."""
+    return REPORT_INTERVAL_MS if has_active_requests(scheduler) else IDLE_REPORT_INTERVAL_MS
+
+
+def has_active_requests(scheduler: MaintenanceScheduler) -> bool:
+    """Whether a request waits or is on its way; else its target stays out until staff act."""
+    return any(request.state not in UNAVAILABLE_STATES for request in scheduler.requests.values())
+
+
+def has_unevaluated_requests(scheduler: MaintenanceScheduler) -> bool:
+    """Whether a request has not been seen by any report."""
+    return any(not request.is_evaluated for request in scheduler.requests.values())
+
+
+def latest_request_index(scheduler: MaintenanceScheduler) -> int:
+    """Return the log's index of the latest request; 0 where there is none."""
+    return max(
+        (request.requested_index for request in scheduler.requests.values()),
+        default=0,
+    )
+
+
+class LeaderReporter:
+    """Decides when a leader proposes its next report, and fills it in.
+
+    Args:
+        name: Name of this member.
+        options: Settings that reports carry.
+        now: Time in milliseconds.
+    """
+
+    def __init__(self, name: str, options: MaintenanceOptions, now: float) -> None:
+        self._name = name
+        self._options = options
+        self._observations: dict[str, tuple[float, MemberObservation]] = {}
+        # When the last report was applied, or this member became leader.
+        self._last_report_at = now
+        self._last_proposal_at = NEVER_MS
+        # Since when too few members have observed the latest request; None where enough have.
+        self._incomplete_since: float | None = None
+
+    def on_leadership_gained(self, now: float) -> None:
+        """Forget what another leadership observed, and count time from now on."""
+        self._last_report_at = now
+        self._observations = {}
+
+    def on_report_applied(self, now: float) -> None:
+        """Take note that a report has been applied."""
+        self._last_report_at = now
+
+    def on_observation(self, now: float, member: str, observation: MemberObservation) -> None:
+        """Take note of what a member observes."""
+        self._observations[member] = (now, observation)
+
+    def next_report(
+        self, now: float, cluster: ClusterView, scheduler: MaintenanceScheduler
+    ) -> MaintenanceCommand | None:
+        """Return the report to propose now; None where none is due."""
+        observations = self._recent_observations(now)
+        is_first = has_unevaluated_requests(scheduler)
+        interval_ms = report_interval_ms(scheduler)
+        self._track_completeness(now, cluster, scheduler, observations)
+        is_waiting = (
+            self._incomplete_since is not None
+            and now - self._incomplete_since < FIRST_REPORT_PATIENCE_MS
+        )
+        least_ms = FIRST_REPORT_INTERVAL_MS if is_first else interval_ms
+        if is_waiting or now - max(self._last_report_at, self._last_proposal_at) < least_ms:
+            return None
+        self._last_proposal_at = now
+        zones: tuple[ZoneStatus, ...] = ()
+        listed: tuple[str, ...] = ()
+        if 2 * len(observations) > len(cluster.members):
+            capacity = self._options.backend_capacity
+            zones, listed = combine_observations(observations, len(cluster.members), capacity)
+        report = LeaderReport(
+            number=scheduler.report_count + 1,
+            elapsed_ms=min(now - self._last_report_at, MAX_INTERVALS_PER_REPORT * interval_ms),
+            members=tuple(sorted(cluster.members)),
+            reachable=tuple(sorted({*cluster.reachable, self._name})),
+            zones=zones,
+            listed_targets=listed,
+            grant_timeout_ms=self._options.grant_timeout_ms,
+            failure_timeout_ms=self._options.failure_timeout_ms,
+            headroom=self._options.headroom,
+        )
+        return MaintenanceCommand(CommandAction.REPORT, sender=self._name, report=report)
+
+    def _recent_observations(self, now: float) -> dict[str, MemberObservation]:
+        return {
+            member: observation
+            for member, (received_at, observation) in self._observations.items()
+            if now - received_at <= OBSERVATION_VALIDITY_MS
+        }
+
+    def _track_completeness(
+        self,
+        now: float,
+        cluster: ClusterView,
+        scheduler: MaintenanceScheduler,
+        observations: dict[str, MemberObservation],
+    ) -> None:
+        latest = latest_request_index(scheduler)
+        current = sum(one.latest_request_index >= latest for one in observations.values())
+        is_complete = 2 * current > len(cluster.members)
+        if is_complete or not has_unevaluated_requests(scheduler):
+            self._incomplete_since = None
+        elif self._incomplete_since is None:
+            self._incomplete_since = now
--- a/dockthread/maintenance/observation.py
+++ b/dockthread/maintenance/observation.py
@@ -1,59 +1,87 @@
-"""What an ingress sees of a zone, read off its destination set and its module. Decides nothing."""
+"""What this ingress observes of backends and zones, read from its endpoint list and its policy."""
 
 from __future__ import annotations
 
-from collections.abc import Collection
-from typing import TYPE_CHECKING
+from collections.abc import Collection, Iterator, Mapping
+from typing import TYPE_CHECKING, NamedTuple
 
-from dockthread.maintenance.participant import MemberObservation, ZoneObservation
+from dockthread.maintenance.aggregation import MemberObservation, ZoneObservation
 from dockthread.policy.attempts import PRESSED
 
 if TYPE_CHECKING:
     from dockthread.net.ingress import Ingress
     from dockthread.policy.state import Worker
 
-AILING = 0.5  # decayed part of a node's outcomes that were failures
+FAILING_FRACTION = 0.5  # decayed fraction of a backend's outcomes that were failures
 
 
-def _listed(ingress: Ingress) -> list[tuple[str, Worker]]:
-    """Destinations that are active by discovery, held or not, with what the module knows of
-    each.
-    """
-    workers, destinations = ingress.gateway.workers, ingress.destinations.by_worker
-    return [(d.uid, workers[n]) for n, d in destinations.items() if d.active and n in workers]
+class ObservedBackend(NamedTuple):
+    """A listed backend, and what the policy knows of it."""
+
+    uid: str
+    policy_state: Worker
+
+    @property
+    def is_failing(self) -> bool:
+        """Whether it serves, and most of its requests fail."""
+        return self.policy_state.ready and self.policy_state.failed > FAILING_FRACTION
 
 
-def idle(ingress: Ingress, targets: Collection[str]) -> set[str]:
-    """Those of `targets` at which nothing of this ingress is out."""
-    workers, destinations = ingress.gateway.workers, ingress.destinations.by_worker
+def idle_backends(ingress: Ingress, backends: Collection[str]) -> set[str]:
+    """Return those of the backends at which this ingress has no request in flight."""
+    workers = ingress.gateway.workers
     busy = {
-        d.uid
-        for n, d in destinations.items()
-        if d.uid in targets and n in workers and workers[n].out
+        destination.uid
+        for number, destination in ingress.destinations.by_worker.items()
+        if destination.uid in backends and number in workers and workers[number].out
     }
-    return set(targets) - busy
+    return set(backends) - busy
 
 
-def view(ingress: Ingress, targets: dict[str, str], since: int) -> MemberObservation:
-    """`targets`: zone by node asked for; `since`: the latest request known. What is listed of them,
-    and how their zones stand.
+def observe(
+    ingress: Ingress, zone_by_backend: Mapping[str, str], latest_request_index: int
+) -> MemberObservation:
+    """Observe the zones in which maintenance of a backend is requested.
+
+    Args:
+        ingress: This ingress.
+        zone_by_backend: Zone of each requested backend.
+        latest_request_index: The log's index of the latest request known here.
     """
-    gateway, destinations = ingress.gateway, ingress.destinations
-    pressed = gateway.slow > PRESSED * gateway.tight
-    zones: dict[str, list[tuple[str, Worker]]] = {}
-    for uid, worker in _listed(ingress):
-        zones.setdefault(destinations.zone_of(uid) or "", []).append((uid, worker))
-    seen = tuple(
-        ZoneObservation(
-            zone,
-            tuple(uid for uid, w in nodes if w.ready),
-            tuple(uid for uid, w in nodes if w.ready and w.failed > AILING),
-            float(sum(w.out for _, w in nodes)),
-            pressed,
-        )
-        for zone in sorted(set(targets.values()))
-        if (nodes := zones.get(zone))
-    )
+    gateway = ingress.gateway
+    destinations = ingress.destinations
+    is_overloaded = gateway.slow > PRESSED * gateway.tight
+    by_zone: dict[str, list[ObservedBackend]] = {}
+    for backend in _active_backends(ingress):
+        by_zone.setdefault(destinations.zone_of(backend.uid) or "", []).append(backend)
     return MemberObservation(
-        seen, tuple(uid for uid in sorted(targets) if destinations.zone_of(uid) is not None), since
+        zones=tuple(
+            _observe_zone(zone, by_zone[zone], is_overloaded)
+            for zone in sorted(set(zone_by_backend.values()))
+            if zone in by_zone
+        ),
+        listed=tuple(
+            uid for uid in sorted(zone_by_backend) if destinations.zone_of(uid) is not None
+        ),
+        latest_request_index=latest_request_index,
+    )
+
+
+def _active_backends(ingress: Ingress) -> Iterator[ObservedBackend]:
+    """Yield the backends that are active by discovery, drained or not."""
+    workers = ingress.gateway.workers
+    for number, destination in ingress.destinations.by_worker.items():
+        if destination.active and number in workers:
+            yield ObservedBackend(destination.uid, workers[number])
+
+
+def _observe_zone(
+    zone: str, backends: list[ObservedBackend], is_overloaded: bool
+) -> ZoneObservation:
+    return ZoneObservation(
+        zone=zone,
+        ready=tuple(backend.uid for backend in backends if backend.policy_state.ready),
+        failing=tuple(backend.uid for backend in backends if backend.is_failing),
+        in_flight=float(sum(backend.policy_state.out for backend in backends)),
+        is_overloaded=is_overloaded,
     )
--- a/dockthread/maintenance/participant.py
+++ b/dockthread/maintenance/participant.py
@@ -1,309 +1,315 @@
-"""One ingress's part in the order of work, free of I/O: what it holds, says and shows; and, where
-it leads, its ticks.
+"""One ingress's part in planned maintenance, free of I/O: events in, actions out.
 
-Theory of operation. `turn` is called when the order has changed and now and then; it compares what
-the order wants with what this ingress does, and gives what is to be done. Nothing is remembered of
-what was said but when, so whatever is lost is said again:
+`update` compares what the replicated scheduler wants with what this ingress does, whenever the
+state has changed and from time to time, and returns what is to be done. Only the time of each
+proposal is remembered, so a lost one is proposed again:
 
-| the order has | this ingress | does |
+| the scheduler has | this ingress | does |
 | --- | --- | --- |
-| a node held | does not hold it | holds it |
-| a node held | holds it, and nothing of its own is out there | says `held` under its epoch |
-| a node not held | holds it | frees it, to come back cold |
-| a node returning | does not hold it | says `freed` |
-| this ingress granted or draining | leads | hands over |
-| the same | follows | says `held`, with its life |
-| this ingress out, under its own life | - | stops, gently |
-| this ingress out, under another life | serves | says `back` |
-| anything under way | has a leader | shows it what it sees |
-| anything under way | leads, and a majority has shown | proposes a tick |
-
-A start holds, before anything is agreed, whatever its log on disk holds at any place from the one
-up to which it is known to be agreed: a node that is out for work may be used by nobody, also not in
-the second until a leader says how far the log is agreed. What of it was let back meanwhile is freed
-once the log on disk is known to be agreed, or another stands in its place.
+| a backend drained | does not drain it | drains it |
+| a backend drained | drains it, and has nothing in flight there | proposes `DRAINED` under its epoch |
+| a backend not drained | drains it | releases it, to warm up |
+| a backend returning | does not drain it | proposes `RELEASED` |
+| this ingress granted or draining | leads | transfers leadership |
+| the same | follows | proposes `DRAINED`, with its incarnation |
+| this ingress unavailable, in its own incarnation | - | shuts down gracefully |
+| this ingress unavailable, in another incarnation | serves | proposes `RESTARTED` |
+| any request | knows a leader | sends it its observation |
+| any request | leads, and a majority has sent observations | proposes a report |
+
+A start drains, before anything is committed, whatever its log on disk holds drained at any index
+from the one up to which it is known to be committed: a backend at which staff work may be used by
+nobody, also not in the second until a leader says how far the log is committed. A backend released
+meanwhile is released here once the log on disk is known to be committed, or replaced.
 """
 
 from __future__ import annotations
 
-from collections.abc import Collection, Iterable, Mapping
+from collections.abc import Iterable
 from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from dockthread.maintenance.aggregation import decode_observation
+from dockthread.maintenance.commands import (
+    CommandAction,
+    MaintenanceCommand,
+    MaintenanceRequest,
+    RequestState,
+    TargetKind,
+)
+from dockthread.maintenance.leader import (
+    NEVER_MS,
+    REPORT_INTERVAL_MS,
+    LeaderReporter,
+    has_active_requests,
+    has_unevaluated_requests,
+    latest_request_index,
+    report_interval_ms,
+)
+from dockthread.maintenance.model import ClusterView, MaintenanceOptions
+from dockthread.maintenance.scheduler import MaintenanceScheduler
+from dockthread.maintenance.transitions import (
+    DRAINED_STATES,
+    REVOCABLE_STATES,
+    UNAVAILABLE_STATES,
+)
+
+PROPOSAL_RETRY_MS = 1_500.0  # after which a proposal without effect is made again
+# Between observations while a request has not been evaluated: staff wait for the answer.
+FIRST_OBSERVATION_INTERVAL_MS = REPORT_INTERVAL_MS / 5
 
-import msgspec
 
-from dockthread.maintenance.commands import INGRESS, LeaderReport, MaintenanceCommand, ZoneStatus
-from dockthread.maintenance.scheduler import HELD, TAKING, MaintenanceScheduler
-
-# ms between ticks: while something moves; while all that is out stays out
-TICK, SLOW_TICK = 500.0, 5_000.0
-SAY_AGAIN = 1_500.0  # ms after which what the order does not show yet is said once more
-FRESH = 2.5  # ticks for which what a member showed counts
-PATIENT = 2.0  # ticks for which a first look at a request waits for a majority's
-
-
-class ZoneObservation(msgspec.Struct, frozen=True, array_like=True):
-    """Of a zone, by one member: uids that serve, uids that fail by what it met, its own attempts
-    out there.
+@dataclass(slots=True)
+class ParticipantActions:
+    """What is to be done, in the order of the fields.
+
+    Attributes:
+        drain: Backends to which no new request is sent from now on.
+        release: Backends that take requests again, and warm up.
+        propose: Commands to propose to the cluster.
+        report: A report that this leader proposes by itself; None where none is due.
+        send_observation: The leader is to be sent what this ingress observes.
+        transfer_leadership: Another member is to lead.
+        stop: This ingress shuts down gracefully.
     """
 
-    zone: str
-    ready: tuple[str, ...]
-    ailing: tuple[str, ...]
-    out: float
-    pressed: bool
-
-
-class MemberObservation(msgspec.Struct, frozen=True, array_like=True):
-    """What one member shows of the zones in which something is asked for."""
-
-    zones: tuple[ZoneObservation, ...]
-    listed: tuple[str, ...]  # of the targets asked for, those that its list has
-    since: int = 0  # the log's index of the latest request that it knew
+    drain: list[str] = field(default_factory=list)
+    release: list[str] = field(default_factory=list)
+    propose: list[MaintenanceCommand] = field(default_factory=list)
+    report: MaintenanceCommand | None = None
+    send_observation: bool = False
+    transfer_leadership: bool = False
+    stop: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class MaintenanceOptions:
-    """From the operator's file. `bears`: requests that a node of weight 1 bears at once, 0 for not
-    known; `reserve`: part of what the rest bears that is to be left; `lapse`, `dead` in ms.
-    """
+class LogEnd:
+    """The last entry of the log on disk at a start."""
 
-    bears: float = 0.0
-    reserve: float = 0.2
-    lapse: float = 30_000.0
-    dead: float = 5_000.0
+    index: int = 0
+    term: int = 0
 
 
-@dataclass(frozen=True, slots=True)
-class ClusterView:
-    """How it stands just now. `leader`: empty for nobody; `heard`: who was heard of late, to a
-    leader; `idle`: of the nodes held, those that nothing of this ingress is out at; `serving`: it
-    takes requests.
-    """
+class ProposalKey(NamedTuple):
+    """What a proposal is about: the same one is not made again for a while."""
 
-    leader: str
-    members: Collection[str]
-    heard: Collection[str]
-    idle: Collection[str]
-    serving: bool = True
-
-
-@dataclass(slots=True)
-class ParticipantActions:
-    """What is to be done, in this order. `say`: to be agreed on; `tick`: by this leader alone."""
-
-    hold: list[str] = field(default_factory=list)
-    free: list[str] = field(default_factory=list)
-    say: list[MaintenanceCommand] = field(default_factory=list)
-    tick: MaintenanceCommand | None = None
-    show: bool = False
-    hand_over: bool = False
-    stop: bool = False
+    action: CommandAction
+    target: str
+    epoch: int
 
 
 class MaintenanceParticipant:
+    """One ingress's part: it follows the scheduler, and reports where it leads.
+
+    Args:
+        name: Name of this ingress.
+        incarnation: Differs in each life of the process.
+        options: Settings of the operator's INI file.
+        now: Time in milliseconds.
+        scheduler: The state machine; a new one where None.
+
+    Attributes:
+        name: Name of this ingress.
+        incarnation: Differs in each life of the process.
+        scheduler: The replicated state machine.
+        drained: Backends to which this ingress sends no new requests.
+    """
+
     def __init__(
         self,
-        me: str,
-        life: str,
-        terms: MaintenanceOptions,
+        name: str,
+        incarnation: str,
+        options: MaintenanceOptions,
         now: float,
-        order: MaintenanceScheduler | None = None,
+        scheduler: MaintenanceScheduler | None = None,
     ) -> None:
-        self.me, self.life, self.terms, self.order = (
-            me,
-            life,
-            terms,
-            order or MaintenanceScheduler(),
-        )
-        self.holds: set[str] = set()
-        # Held since a start, until the log on disk is known to be agreed.
-        self._before, self._end = set[str](), (0, 0)
-        self._said: dict[tuple[str, str, int], float] = {}
-        self._views: dict[str, tuple[float, MemberObservation]] = {}
-        self._shown = self._handed = -1e18
-        self._ticked = now  # when the last tick was applied, or this one came to lead
-        self._proposed = -1e18
-        # since when a majority has not shown what is wanted; under 0 where it has
-        self._short = -1.0
-        self._led = False
-
-    # What it hears
-
-    def begins(
-        self, state: bytes, commands: Iterable[tuple[int, bytes]], agreed: int, last: int, term: int
+        self.name = name
+        self.incarnation = incarnation
+        self.scheduler = scheduler or MaintenanceScheduler()
+        self.drained: set[str] = set()
+        # Drained since the start, until the log on disk is known to be committed.
+        self._drained_at_start: set[str] = set()
+        self._log_end = LogEnd()
+        self._proposed_at: dict[ProposalKey, float] = {}
+        self._last_observation_at = NEVER_MS
+        self._last_transfer_at = NEVER_MS
+        self._reporter = LeaderReporter(name, options, now)
+        self._is_leader = False
+
+    # Events
+
+    def recover(
+        self,
+        state: bytes,
+        entries: Iterable[tuple[int, bytes]],
+        committed: int,
+        last_index: int,
+        last_term: int,
     ) -> None:
-        """From the disk, before anything is agreed: `commands` with their places in the log, which
-        is known to be agreed up to `agreed` and ends with `last`, in `term`. Where it was agreed
-        further nobody knows yet, so whatever was held at any place from there on is held: what
-        stands behind may be replaced.
+        """Take over what the disk holds, before anything is known to be committed by this life.
+
+        Nobody knows yet how much further the log was committed, and what follows may be replaced:
+        so whatever was drained at any index from `committed` on is drained.
+
+        Args:
+            state: The snapshot.
+            entries: The commands after it, with their indexes.
+            committed: The index up to which the log is known to be committed.
+            last_index: The index of the last entry of the log.
+            last_term: The term of the last entry of the log.
         """
-        self._end = (last, term)
-        ahead = MaintenanceScheduler()
-        ahead.restore(state)
-        self._before = set(ahead.held())
-        for index, data in commands:
-            ahead.apply(index, data)
-            self._before = set(ahead.held()) | (self._before if index > agreed else set())
-
-    def applied(self, now: float, index: int, data: bytes) -> None:
-        ticks = self.order.ticks
-        self.order.apply(index, data)
-        if self.order.ticks != ticks:
-            self._ticked = now
-
-    def came_to(self, index: int, term: int) -> None:
-        """The log is agreed and applied up to here: beyond what the disk held at the start, or by a
-        later leader.
+        self._log_end = LogEnd(last_index, last_term)
+        scheduler = MaintenanceScheduler()
+        scheduler.restore(state)
+        self._drained_at_start = set(scheduler.drained_backends())
+        for index, data in entries:
+            scheduler.apply(index, data)
+            earlier = self._drained_at_start if index > committed else set()
+            self._drained_at_start = set(scheduler.drained_backends()) | earlier
+
+    def on_entry_applied(self, now: float, index: int, data: bytes) -> None:
+        """Apply a committed entry."""
+        report_count = self.scheduler.report_count
+        self.scheduler.apply(index, data)
+        if self.scheduler.report_count != report_count:
+            self._reporter.on_report_applied(now)
+
+    def on_log_advanced(self, index: int, term: int) -> None:
+        """Take note that the log is committed and applied up to an index.
+
+        Once that is beyond what the disk held at the start, or by a later leader, the state says by
+        itself what is drained.
         """
-        if index >= self._end[0] or term > self._end[1]:
-            self._before = set()
+        if index >= self._log_end.index or term > self._log_end.term:
+            self._drained_at_start = set()
 
-    def restored(self, state: bytes) -> None:
-        self.order.restore(state)
+    def on_state_restored(self, state: bytes) -> None:
+        """Replace the state by a snapshot."""
+        self.scheduler.restore(state)
 
-    def shown(self, now: float, member: str, data: bytes) -> None:
-        """Raises ValueError for what is no view."""
-        try:
-            self._views[member] = (now, msgspec.msgpack.decode(data, type=MemberObservation))
-        except msgspec.MsgspecError as error:
-            raise ValueError(f"no view of {member}: {error}") from error
+    def on_observation(self, now: float, member: str, data: bytes) -> None:
+        """Take note of what a member observes.
 
-    # What it does
+        Raises:
+            MalformedObservationError: The bytes are no observation.
+        """
+        self._reporter.on_observation(now, member, decode_observation(member, data))
+
+    def on_proposal_failed(self, command: MaintenanceCommand) -> None:
+        """Let a command that was not committed in time be proposed again at once."""
+        key = ProposalKey(command.action, command.target, command.epoch)
+        self._proposed_at.pop(key, None)
+
+    # What others ask
 
     @property
-    def moving(self) -> bool:
-        """Whether anything waits or is on its way; else all is quiet, or out until staff say
-        otherwise.
-        """
-        return any(r.state not in ("out", "overdue") for r in self.order.requests.values())
-
-    def asked_for(self) -> dict[str, str]:
-        """Zone by node asked for, of which a view is to tell."""
-        return {r.target: r.zone for r in self.order.requests.values() if r.kind != INGRESS}
-
-    def latest(self) -> int:
-        """The log's index of the latest request."""
-        return max((r.since for r in self.order.requests.values()), default=0)
-
-    def turn(self, now: float, around: ClusterView) -> ParticipantActions:
-        acts = ParticipantActions()
-        wanted = set(self.order.held()) | self._before
-        acts.hold, acts.free = sorted(wanted - self.holds), sorted(self.holds - wanted)
-        self.holds = wanted
-        for r in self.order.requests.values():
-            if r.kind == INGRESS:
-                if r.target == self.me:
-                    self._myself(now, r.state, r.epoch, r.life, around, acts)
-            elif r.state in HELD and self.me not in r.held:
-                if r.target in around.idle and r.target not in acts.hold:
-                    self._say(now, acts, "held", r.target, r.epoch)
-            elif r.state == "returning" and self.me not in r.freed:
-                self._say(now, acts, "freed", r.target, r.epoch)
-        leads = around.leader == self.me
-        if leads and not self._led:
-            self._ticked, self._views = now, {}
-        self._led = leads
-        if self.order.requests and around.leader:
-            pace = TICK if self.moving else SLOW_TICK
-            unlooked = any(not r.looked for r in self.order.requests.values())
-            if now - self._shown >= pace or unlooked and now - self._shown >= TICK / 5:
-                acts.show, self._shown = True, now
-            if leads:
-                self._lead(now, around, pace, unlooked, acts)
-        return acts
-
-    def _myself(
+    def has_active_requests(self) -> bool:
+        """Whether a request waits or is on its way; else its target stays out until staff act."""
+        return has_active_requests(self.scheduler)
+
+    def zone_by_requested_backend(self) -> dict[str, str]:
+        """Return the zone of each requested backend, which an observation has to cover."""
+        return {
+            request.target: request.zone
+            for request in self.scheduler.requests.values()
+            if request.kind is not TargetKind.INGRESS
+        }
+
+    def latest_request_index(self) -> int:
+        """Return the log's index of the latest request; 0 where there is none."""
+        return latest_request_index(self.scheduler)
+
+    # Actions
+
+    def update(self, now: float, cluster: ClusterView) -> ParticipantActions:
+        """Return what is to be done now; it counts as done."""
+        actions = ParticipantActions()
+        wanted = set(self.scheduler.drained_backends()) | self._drained_at_start
+        actions.drain = sorted(wanted - self.drained)
+        actions.release = sorted(self.drained - wanted)
+        self.drained = wanted
+        for request in self.scheduler.requests.values():
+            if request.kind is not TargetKind.INGRESS:
+                self._confirm_backend(now, request, cluster, actions)
+            elif request.target == self.name:
+                self._handle_own_request(now, request, cluster, actions)
+        is_leader = cluster.leader == self.name
+        if is_leader and not self._is_leader:
+            self._reporter.on_leadership_gained(now)
+        self._is_leader = is_leader
+        if self.scheduler.requests and cluster.leader:
+            if self._is_observation_due(now):
+                actions.send_observation = True
+                self._last_observation_at = now
+            if is_leader:
+                self._report(now, cluster, actions)
+        return actions
+
+    def _confirm_backend(
         self,
         now: float,
-        state: str,
-        epoch: int,
-        life: str,
-        around: ClusterView,
-        acts: ParticipantActions,
+        request: MaintenanceRequest,
+        cluster: ClusterView,
+        actions: ParticipantActions,
     ) -> None:
-        if state in TAKING:
-            if around.leader == self.me and len(around.members) > 1:
-                if now - self._handed >= TICK:
-                    acts.hand_over, self._handed = True, now
-            else:
-                self._say(now, acts, "held", self.me, epoch)
-        elif state in HELD and life == self.life:
-            acts.stop = True
-        elif state in HELD and around.serving:
-            self._say(now, acts, "back", self.me, epoch)
-
-    def _say(self, now: float, acts: ParticipantActions, do: str, target: str, epoch: int) -> None:
-        key = (do, target, epoch)
-        if now - self._said.get(key, -1e18) >= SAY_AGAIN:
-            self._said = {k: at for k, at in self._said.items() if now - at < SAY_AGAIN}
-            self._said[key] = now
-            acts.say.append(MaintenanceCommand(do, target, by=self.me, epoch=epoch, life=self.life))  # type: ignore[arg-type]
-
-    def unsaid(self, command: MaintenanceCommand) -> None:
-        """It was not agreed on in time: to be said again at once."""
-        self._said.pop((command.do, command.target, command.epoch), None)
-
-    # Where it leads
-
-    def _lead(
-        self, now: float, around: ClusterView, pace: float, unlooked: bool, acts: ParticipantActions
+        if request.state in DRAINED_STATES and self.name not in request.drained_by:
+            is_idle = request.target in cluster.idle_backends
+            if is_idle and request.target not in actions.drain:
+                self._propose(now, actions, CommandAction.DRAINED, request)
+        elif request.state is RequestState.RETURNING and self.name not in request.released_by:
+            self._propose(now, actions, CommandAction.RELEASED, request)
+
+    def _handle_own_request(
+        self,
+        now: float,
+        request: MaintenanceRequest,
+        cluster: ClusterView,
+        actions: ParticipantActions,
+    ) -> None:
+        if request.state in REVOCABLE_STATES:
+            if cluster.leader != self.name or len(cluster.members) <= 1:
+                self._propose(now, actions, CommandAction.DRAINED, request)
+            elif now - self._last_transfer_at >= REPORT_INTERVAL_MS:
+                actions.transfer_leadership = True
+                self._last_transfer_at = now
+        elif request.state in UNAVAILABLE_STATES:
+            if request.incarnation == self.incarnation:
+                actions.stop = True
+            elif cluster.is_serving:
+                self._propose(now, actions, CommandAction.RESTARTED, request)
+
+    def _propose(
+        self,
+        now: float,
+        actions: ParticipantActions,
+        action: CommandAction,
+        request: MaintenanceRequest,
     ) -> None:
-        views = {m: view for m, (at, view) in self._views.items() if now - at <= FRESH * TICK}
-        enough = 2 * len(views) > len(around.members)
-        current = 2 * sum(v.since >= self.latest() for v in views.values()) > len(around.members)
-        if current or not unlooked:
-            self._short = -1.0
-        elif self._short < 0:
-            self._short = now
-        waits = self._short >= 0 and now - self._short < PATIENT * TICK
-        least = TICK / 10 if unlooked else pace
-        if waits or now - self._ticked < least or now - self._proposed < least:
+        """Propose a command on a request, unless the same was proposed a short time ago."""
+        key = ProposalKey(action, request.target, request.epoch)
+        if now - self._proposed_at.get(key, NEVER_MS) < PROPOSAL_RETRY_MS:
             return
-        self._proposed = now
-        zones, seen = (
-            combine_observations(views, len(around.members), self.terms.bears)
-            if enough
-            else ((), ())
+        self._proposed_at = {
+            earlier: proposed_at
+            for earlier, proposed_at in self._proposed_at.items()
+            if now - proposed_at < PROPOSAL_RETRY_MS
+        }
+        self._proposed_at[key] = now
+        actions.propose.append(
+            MaintenanceCommand(
+                action,
+                request.target,
+                sender=self.name,
+                epoch=request.epoch,
+                incarnation=self.incarnation,
+            )
         )
-        alive = tuple(sorted({*around.heard, self.me}))
-        acts.tick = MaintenanceCommand("tick", by=self.me, tick=LeaderReport(
-            self.order.ticks + 1, min(now - self._ticked, 2 * pace), tuple(sorted(around.members)), alive,
-            zones, seen, self.terms.lapse, self.terms.dead, self.terms.reserve,
-        ))  # fmt: skip
-
-
-def combine_observations(
-    views: Mapping[str, MemberObservation], members: int, bears: float
-) -> tuple[tuple[ZoneStatus, ...], tuple[str, ...]]:
-    """What a majority sees. A node counts as ready where over half of the views have it so, as
-    failing where a third of the members met failures; a zone is pressed where a third of the views
-    say so. One member alone, which may be ill itself, calls nothing failing in a fleet of over
-    three.
-    """
-    some = max(1, (members + 1) // 3)
-
-    def by(count: float, names: Iterable[tuple[str, ...]]) -> list[str]:
-        counts: dict[str, int] = {}
-        for told in names:
-            for name in set(told):
-                counts[name] = counts.get(name, 0) + 1
-        return sorted(name for name, n in counts.items() if n >= count)
-
-    seen = by(members // 2 + 1, (v.listed for v in views.values()))
-    by_zone: dict[str, list[ZoneObservation]] = {}
-    for view in views.values():
-        for one in view.zones:
-            by_zone.setdefault(one.zone, []).append(one)
-    zones = []
-    for name, told in sorted(by_zone.items()):
-        if 2 * len(told) <= members:
-            continue
-        ready = len(by(members // 2 + 1, (s.ready for s in told)))
-        # who showed nothing is taken to send as much
-        out = sum(s.out for s in told) * members / len(told)
-        load = out / bears if bears else -1.0
-        pressed = sum(s.pressed for s in told) >= some
-        zones.append(
-            ZoneStatus(name, ready, tuple(by(some, (s.ailing for s in told))), load, pressed)
-        )
-    return tuple(zones), tuple(seen)
+
+    def _is_observation_due(self, now: float) -> bool:
+        age_ms = now - self._last_observation_at
+        if has_unevaluated_requests(self.scheduler) and age_ms >= FIRST_OBSERVATION_INTERVAL_MS:
+            return True
+        return age_ms >= report_interval_ms(self.scheduler)
+
+    def _report(self, now: float, cluster: ClusterView, actions: ParticipantActions) -> None:
+        actions.report = self._reporter.next_report(now, cluster, self.scheduler)
--- a/dockthread/maintenance/plan.py
+++ b/dockthread/maintenance/plan.py
@@ -1,88 +1,159 @@
-"""In what order a list of machines would go, offline: the order of work itself, told that all is
-well. No I/O.
+"""The order in which a list of backends would be granted, offline: the scheduler itself, where all is well.
 
-A list has a machine a line: its name, its zone, and, where it is more urgent than others, a number.
-`#` begins a comment.
+Free of I/O. A list has a backend a line: its name, its zone and, where it is more urgent than
+others, a number. `#` begins a comment.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 import msgspec
 
-from dockthread.maintenance.commands import LeaderReport, MaintenanceCommand, ZoneStatus
+from dockthread.maintenance.commands import (
+    CommandAction,
+    LeaderReport,
+    MaintenanceCommand,
+    ZoneStatus,
+)
+from dockthread.maintenance.reasons import explain
 from dockthread.maintenance.scheduler import MaintenanceScheduler
 
-ALONE = "staff"  # the one member of a fleet that is only thought of
+PLANNING_MEMBER = "staff"  # the one member of the fleet that a plan imagines
+PLANNING_INTERVAL_MS = 500.0  # between the reports that a plan imagines
+MAX_URGENCY = 100  # and the least is its negative
+MAX_FIELDS = 3  # of a line: name, zone, urgency
 
 
-@dataclass(frozen=True, slots=True)
-class MaintenanceRound:
-    """Who goes at the same time, and why each of the others waits then."""
+class PlanSyntaxError(ValueError):
+    """A line of a list cannot be read: says file, line, what is wrong and what would do."""
 
-    goes: tuple[str, ...]
-    waits: tuple[tuple[str, str], ...]
 
+class PlannedBackend(NamedTuple):
+    """One line of a list."""
 
-def read_plan(text: str, file: str) -> list[tuple[str, str, int]]:
-    """Name, zone and urgency of each. Raises ValueError with the line, what is wrong and what would
-    do.
+    name: str
+    zone: str
+    urgency: int
+
+
+class WaitingBackend(NamedTuple):
+    """A backend that is not granted in a round, and why."""
+
+    name: str
+    reason: str
+
+
+class MaintenanceRound(NamedTuple):
+    """Backends that are granted at the same time, and those that wait meanwhile."""
+
+    granted: tuple[str, ...]
+    waiting: tuple[WaitingBackend, ...]
+
+
+def read_plan(text: str, file: str) -> list[PlannedBackend]:
+    """Read a list of backends.
+
+    Args:
+        text: The list.
+        file: Its name, for errors.
+
+    Raises:
+        PlanSyntaxError: A line cannot be read, or names a backend again.
     """
-    found: dict[str, tuple[str, str, int]] = {}
+    found: dict[str, PlannedBackend] = {}
     for number, line in enumerate(text.splitlines(), 1):
-        words = line.partition("#")[0].split()
-        if not words:
+        fields = line.partition("#")[0].split()
+        if not fields:
             continue
-        try:
-            name, zone, urgency = words[0], words[1], int(words[2]) if len(words) > 2 else 0
-        except (IndexError, ValueError) as error:
-            raise ValueError(
-                f"{file}: line {number}: {line.strip()!r}; write MACHINE ZONE [URGENCY]"
-            ) from error
-        if len(words) > 3 or not -100 <= urgency <= 100:
-            raise ValueError(
-                f"{file}: line {number}: {line.strip()!r}; write MACHINE ZONE, a number of -100 to 100"
-            )
-        if name in found:
-            raise ValueError(f"{file}: line {number}: {name} stands twice; leave one")
-        found[name] = (name, zone, urgency)
+        place = f"{file}: line {number}"
+        backend = _read_line(fields, f"{place}: {line.strip()!r}")
+        if backend.name in found:
+            raise PlanSyntaxError(f"{place}: {backend.name} stands twice; leave one")
+        found[backend.name] = backend
     return list(found.values())
 
 
-def plan_rounds(machines: list[tuple[str, str, int]], most_out: int) -> list[MaintenanceRound]:
-    """All go, in as many rounds as it takes."""
-    order, index, planned = MaintenanceScheduler(), 0, list[MaintenanceRound]()
-    zones = tuple(
-        ZoneStatus(zone, len(machines)) for zone in sorted({zone for _, zone, _ in machines})
-    )
-    seen = tuple(name for name, _, _ in machines)
+def _read_line(fields: list[str], place: str) -> PlannedBackend:
+    try:
+        urgency = int(fields[2]) if len(fields) >= MAX_FIELDS else 0
+        backend = PlannedBackend(fields[0], fields[1], urgency)
+    except (IndexError, ValueError) as error:
+        raise PlanSyntaxError(f"{place}; write MACHINE ZONE [URGENCY]") from error
+    if len(fields) > MAX_FIELDS or not -MAX_URGENCY <= urgency <= MAX_URGENCY:
+        raise PlanSyntaxError(f"{place}; write MACHINE ZONE, a number of -100 to 100")
+    return backend
+
 
-    def tell(command: MaintenanceCommand) -> None:
-        nonlocal index
-        index += 1
-        order.apply(index, msgspec.msgpack.encode(command))
+def plan_rounds(backends: list[PlannedBackend], max_unavailable: int) -> list[MaintenanceRound]:
+    """Return the rounds in which all backends are granted.
 
-    def tick() -> None:
-        tell(
-            MaintenanceCommand(
-                "tick", tick=LeaderReport(order.ticks + 1, 500.0, (ALONE,), (ALONE,), zones, seen)
+    Args:
+        backends: What is to be planned.
+        max_unavailable: Backends of one zone that may be unavailable at once.
+    """
+    return _Planner(backends, max_unavailable).plan()
+
+
+class _Planner:
+    """A scheduler of a fleet with one member, where every zone is well."""
+
+    def __init__(self, backends: list[PlannedBackend], max_unavailable: int) -> None:
+        self._backends = backends
+        self._max_unavailable = max_unavailable
+        self._scheduler = MaintenanceScheduler()
+        self._index = 0
+
+    def plan(self) -> list[MaintenanceRound]:
+        """Return the rounds in which all backends are granted."""
+        for name, zone, urgency in self._backends:
+            self._apply(
+                MaintenanceCommand(
+                    CommandAction.REQUEST,
+                    name,
+                    zone,
+                    urgency=urgency,
+                    max_unavailable=self._max_unavailable,
+                )
             )
+        rounds: list[MaintenanceRound] = []
+        while self._scheduler.requests:
+            self._apply(MaintenanceCommand(CommandAction.REPORT, report=self._report()))
+            drained = self._scheduler.drained_backends()
+            if drained:  # the last report only ends what came back
+                rounds.append(MaintenanceRound(tuple(drained), self._waiting(drained)))
+            self._work_at(drained)
+        return rounds
+
+    def _apply(self, command: MaintenanceCommand) -> None:
+        self._index += 1
+        self._scheduler.apply(self._index, msgspec.msgpack.encode(command))
+
+    def _report(self) -> LeaderReport:
+        zones = sorted({backend.zone for backend in self._backends})
+        return LeaderReport(
+            number=self._scheduler.report_count + 1,
+            elapsed_ms=PLANNING_INTERVAL_MS,
+            members=(PLANNING_MEMBER,),
+            reachable=(PLANNING_MEMBER,),
+            zones=tuple(ZoneStatus(zone, len(self._backends)) for zone in zones),
+            listed_targets=tuple(backend.name for backend in self._backends),
         )
 
-    for name, zone, urgency in machines:
-        tell(MaintenanceCommand("ask", name, zone, urgency=urgency, most=most_out))
-    while order.requests:
-        tick()
-        held = order.held()
-        waits = tuple(
-            (r.target, order.reason(r)) for r in order.requests.values() if r.target not in held
+    def _waiting(self, drained: dict[str, int]) -> tuple[WaitingBackend, ...]:
+        return tuple(
+            WaitingBackend(request.target, explain(request, self._scheduler))
+            for request in self._scheduler.requests.values()
+            if request.target not in drained
         )
-        if held:  # the last tick only ends what came back
-            planned.append(MaintenanceRound(tuple(held), waits))
-        for name, epoch in held.items():
-            tell(MaintenanceCommand("held", name, by=ALONE, epoch=epoch))
-        for name, epoch in held.items():
-            tell(MaintenanceCommand("done", name))
-            tell(MaintenanceCommand("freed", name, by=ALONE, epoch=epoch))
-    return planned
+
+    def _work_at(self, drained: dict[str, int]) -> None:
+        for name, epoch in drained.items():
+            self._apply(_confirmation(CommandAction.DRAINED, name, epoch))
+        for name, epoch in drained.items():
+            self._apply(MaintenanceCommand(CommandAction.COMPLETE, name))
+            self._apply(_confirmation(CommandAction.RELEASED, name, epoch))
+
+
+def _confirmation(action: CommandAction, name: str, epoch: int) -> MaintenanceCommand:
+    return MaintenanceCommand(action, name, sender=PLANNING_MEMBER, epoch=epoch)
--- /dev/null
+++ b/dockthread/maintenance/reasons.py
@@ -0,0 +1,176 @@
+"""Words for staff: why a request waits, whom it waits for, why its grant was revoked.
+
+The scheduler decides and returns one of the types here; `str` words it. The texts are part of the
+replicated state and of the management endpoint's listing: members of two releases have to word a
+reason alike, so a text must not change.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from dockthread.maintenance.commands import MaintenanceRequest, RequestState
+from dockthread.maintenance.transitions import DRAINED_STATES, REVOCABLE_STATES
+
+if TYPE_CHECKING:
+    from dockthread.maintenance.scheduler import MaintenanceScheduler
+
+MS_PER_S = 1000.0
+GRANT_TIMEOUT_PREFIX = "its turn lapsed"  # how the text of `GrantTimedOut` begins
+
+
+@dataclass(frozen=True, slots=True)
+class Occupant:
+    """A target that is away, and so occupies one of the places of its zone."""
+
+    target: str
+    state: RequestState
+
+    def __str__(self) -> str:
+        return "out" if self.state in DRAINED_STATES else "coming back"
+
+
+@dataclass(frozen=True, slots=True)
+class ZoneAtLimit:
+    """As many targets of the place are away as may be at once."""
+
+    place: str
+    occupants: tuple[Occupant, ...]
+
+    def __str__(self) -> str:
+        away = _joined(f"{one.target} of {self.place} is {one}" for one in self.occupants)
+        return f"{away}, and {len(self.occupants)} may be"
+
+
+@dataclass(frozen=True, slots=True)
+class NotEvaluated:
+    """No report of a leader has come since the request."""
+
+    def __str__(self) -> str:
+        return "it is being looked at"
+
+
+@dataclass(frozen=True, slots=True)
+class MembersUnreachable:
+    """An ingress may restart only while all others are reachable, and some are not."""
+
+    members: tuple[str, ...]
+
+    def __str__(self) -> str:
+        return f"{_joined(self.members)} cannot be heard"
+
+
+@dataclass(frozen=True, slots=True)
+class NotListed:
+    """The endpoint list of too few members has the backend."""
+
+    def __str__(self) -> str:
+        return "fewer than half of the members see it"
+
+
+@dataclass(frozen=True, slots=True)
+class ZoneNotObserved:
+    """Too few members have reported on the zone."""
+
+    zone: str
+
+    def __str__(self) -> str:
+        return f"{self.zone or 'its zone'} is not seen by a majority"
+
+
+@dataclass(frozen=True, slots=True)
+class BackendsFailing:
+    """Other backends of the zone fail."""
+
+    backends: tuple[str, ...]
+    zone: str
+
+    def __str__(self) -> str:
+        return f"{_joined(self.backends)} of {self.zone} fails"
+
+
+@dataclass(frozen=True, slots=True)
+class ZoneOverloaded:
+    """Requests wait too long in the zone."""
+
+    zone: str
+
+    def __str__(self) -> str:
+        return f"requests wait too long in {self.zone}"
+
+
+@dataclass(frozen=True, slots=True)
+class InsufficientCapacity:
+    """The remaining backends would carry more than `limit`; both are fractions of capacity."""
+
+    zone: str
+    utilization: float
+    limit: float
+
+    def __str__(self) -> str:
+        return (
+            f"the rest of {self.zone} would carry {self.utilization:.2f} of what it bears,"
+            f" and {self.limit:.2f} is most"
+        )
+
+
+Obstacle = (
+    ZoneAtLimit
+    | NotEvaluated
+    | MembersUnreachable
+    | NotListed
+    | ZoneNotObserved
+    | BackendsFailing
+    | ZoneOverloaded
+    | InsufficientCapacity
+)
+
+
+@dataclass(frozen=True, slots=True)
+class GrantTimedOut:
+    """Some members did not drain the target in time."""
+
+    members: tuple[str, ...]
+
+    def __str__(self) -> str:
+        return (
+            f"{GRANT_TIMEOUT_PREFIX}, as {_joined(self.members)} did not say that it had drained it"
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class ZoneBecameUnsafe:
+    """Maintenance became unsafe for the zone before the target was drained."""
+
+    obstacle: Obstacle
+
+    def __str__(self) -> str:
+        return f"called back, as {self.obstacle}"
+
+
+Revocation = GrantTimedOut | ZoneBecameUnsafe
+
+
+def explain(request: MaintenanceRequest, scheduler: MaintenanceScheduler) -> str:
+    """Say why a request waits, or whom it waits for; empty where there is nothing to say."""
+    if request.state is RequestState.WAITING:
+        why = str(scheduler.obstacle(request) or "its turn comes with the next entry")
+        return f"{why} ({request.revocation_reason})" if request.revocation_reason else why
+    if request.state in REVOCABLE_STATES:
+        return _waiting_for(scheduler.confirming_members(request) - set(request.drained_by))
+    if request.state is RequestState.RETURNING:
+        return _waiting_for(scheduler.confirming_members(request) - set(request.released_by))
+    if request.state is RequestState.OVERDUE:
+        seconds = request.duration_ms / MS_PER_S
+        return f"it was to take {seconds:.0f} s; say `done` or `withdraw` when it can serve"
+    return ""
+
+
+def _waiting_for(members: Iterable[str]) -> str:
+    return f"waits for {_joined(sorted(members))}"
+
+
+def _joined(names: Iterable[str]) -> str:
+    return ", ".join(names) or "nobody"
--- a/dockthread/maintenance/scheduler.py
+++ b/dockthread/maintenance/scheduler.py
@@ -1,283 +1,359 @@
-"""The order of work, free of I/O: commands from the agreed log in, who is out now.
-
-Theory of operation. Every member applies the same commands in the same order, and so comes to the
-same order of work; nothing here looks at a clock, a file or the network. A request names a machine:
-a licence node, or an ingress. It waits until its turn can be had, is drained by each member that is
-not agreed dead, and is out once all of them have said so under the grant's epoch; on its way back
-it counts until it is warm again.
-
-| state | its turn can be had | all hold it | withdraw | done, back | lapse, recall | all freed it | warm |
-| --- | --- | --- | --- | --- | --- | --- | --- |
-| waiting | granted | - | withdrawn | - | - | - | - |
-| granted, draining | - | out | returning | returning | waiting; abandoned | - | - |
-| out, overdue | - | - | returning | returning | never | - | - |
-| returning | - | - | - | - | - | warming | - |
-| warming | - | - | - | - | - | - | done or withdrawn |
-
-`granted` becomes `draining` with the first that holds it, `out` becomes `overdue` when it takes
-longer than was said: it is told and stays out, as only staff know whether it can serve. Time is the
-log's own: each tick of a leader carries the ms since the tick before, never more than it saw pass,
-and is numbered, so that one proposed twice counts once. A state's time counts from the tick after
-it, a silence from the tick that first missed the member. So what lapses by this clock lapses late,
-by a tick or where leaders change, and never early.
-
-A turn can be had where a majority sees the machine, nothing else of its zone is failing or pressed,
-the rest can carry the load, and fewer of its zone are away than the least `most` that any request
-of it names: where files differ, the careful one holds. An ingress goes only where no other is
-silent or away. Among those that wait the more urgent goes first, then the older. A machine's name
-is the key: asked twice it is one request.
-
-A command that a member hands on again, as its leader died before it answered, carries the same
-`once` and is carried out once.
+"""The replicated maintenance scheduler: a state machine that grants maintenance requests.
+
+Every member applies the same commands of the replicated log in the same order and so holds the same
+state. Nothing here reads a clock, a file or the network, and nothing is random.
+
+A request names a target: a backend or an ingress. It waits until every constraint allows it, is
+drained by each member that has not failed, and is unavailable once all of them have said so under
+the epoch of the grant. On its way back it counts as away until it is warm again. `transitions.py`
+has the states.
+
+Time is the log's own: each report of a leader carries the milliseconds since the report before,
+never more than the leader saw pass, and is numbered, so that a report proposed twice counts once.
+The time of a state counts from the report after it, and the silence of a member from the report
+that first missed it. What times out by this clock may time out late, by a report or where leaders
+change, but never early.
+
+A request is granted where a majority lists the backend, no other backend of its zone fails, the
+zone is not overloaded, the rest can carry the load, and fewer targets of the zone are away than the
+least `max_unavailable` of its requests: where the members' settings differ, the strictest holds. An
+ingress is granted only while no other is silent or away. Among waiting requests the more urgent is
+granted first, then the older. The name of the target is the key: requested twice, it is one request.
+
+A command that a member proposes again, because its leader failed before it answered, carries the
+same `command_id` and is applied once.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from typing import NamedTuple
 
 import msgspec
 
 from dockthread.maintenance.commands import (
-    INGRESS,
+    CommandAction,
     LeaderReport,
     MaintenanceCommand,
     MaintenanceRequest,
+    MalformedCommandError,
+    RequestState,
+    TargetKind,
+    decode_command,
 )
+from dockthread.maintenance.constraints import grant_obstacle, safety_obstacle
+from dockthread.maintenance.reasons import (
+    GrantTimedOut,
+    Obstacle,
+    Revocation,
+    ZoneBecameUnsafe,
+)
+from dockthread.maintenance.transitions import (
+    DRAINED_STATES,
+    REVOCABLE_STATES,
+    TRANSITIONS,
+    UNAVAILABLE_STATES,
+    RequestEvent,
+)
+
+FINISHED_REQUESTS_KEPT = 64  # finished requests, for whoever lists them
+COMMAND_IDS_KEPT = 256  # identifiers of applied commands, to recognise one proposed again
+MAX_COMMENT_LENGTH = 200  # characters of staff's words
+MAX_GRANT_TIMEOUTS = 3  # grants that may time out before a request is abandoned
+NOT_TIMED_MS = -1.0  # time of a state after which no report has come yet
+# Silence of a member that a report misses for the first time: it may have been reachable until
+# just before, so this is the least value that differs from "reachable".
+FIRST_UNREACHABLE_MS = 0.001
+MAX_INGRESSES_UNAVAILABLE = 1  # two might be all of the ingresses that one customer's ring uses
+
 
-KEPT, SEEN = 64, 256  # requests that are over, for whoever looks; commands known again
-JUST_NOW = -1.0  # the log's time of a state that no tick has followed yet
-# ms of silence when a member is first missed: it may have been heard until just before
-MISSED = 0.001
-TRIES = 3  # grants that may lapse before a request is given up, and told
-HELD = ("granted", "draining", "out", "overdue")  # every member keeps its requests away from these
-TAKING = ("granted", "draining")  # may still be called back
-LEAVE = {"ask": "waiting", "done": "done", "withdraw": "withdrawn", "back": "done"}
+class SchedulerSnapshot(NamedTuple):
+    """The state as it is encoded; the order of the fields is its format."""
+
+    requests: list[MaintenanceRequest]
+    finished: list[MaintenanceRequest]
+    applied_command_ids: list[str]
+    clock_ms: float
+    report_count: int
+    unreachable_ms: dict[str, float]
+    last_report: LeaderReport
 
 
 class MaintenanceScheduler:
+    """State machine of maintenance requests, driven by the replicated log.
+
+    Attributes:
+        requests: Requests that are not finished, by target.
+        finished: The latest finished requests, the oldest first.
+        applied_command_ids: Identifiers of the latest commands.
+        clock_ms: The log's time.
+        report_count: Reports applied.
+        unreachable_ms: For each member, how long it has been unreachable; 0 where it is reachable.
+        last_report: The latest report applied.
+    """
+
     def __init__(self) -> None:
         self.requests: dict[str, MaintenanceRequest] = {}
-        self.over: list[MaintenanceRequest] = []
-        self.seen: list[str] = []  # the latest commands, which are not carried out twice
-        self.clock, self.ticks = 0.0, 0  # ms by all ticks; how many
-        self.silent: dict[str, float] = {}  # by member: ms without a word of it
-        self.last = LeaderReport()
-
-    @staticmethod
-    def read(data: bytes) -> MaintenanceCommand:
-        """Raises ValueError for what is no command."""
-        try:
-            return msgspec.msgpack.decode(data, type=MaintenanceCommand)
-        except msgspec.MsgspecError as error:
-            raise ValueError(f"no command of the order of work: {error}") from error
+        self.finished: list[MaintenanceRequest] = []
+        self.applied_command_ids: list[str] = []
+        self.clock_ms = 0.0
+        self.report_count = 0
+        self.unreachable_ms: dict[str, float] = {}
+        self.last_report = LeaderReport()
+
+    # Commands
 
     def apply(self, index: int, data: bytes) -> None:
-        """One command; what is none changes nothing, at every member alike."""
+        """Apply the entry at an index of the log; bytes that are no command change nothing."""
         try:
-            command = self.read(data)
-        except ValueError:
+            command = decode_command(data)
+        except MalformedCommandError:
             return
-        if command.once and command.once in self.seen:
-            return
-        self.seen = [*self.seen, command.once][-SEEN:] if command.once else self.seen
+        if command.command_id:
+            if command.command_id in self.applied_command_ids:
+                return
+            known = [*self.applied_command_ids, command.command_id]
+            self.applied_command_ids = known[-COMMAND_IDS_KEPT:]
         request = self.requests.get(command.target)
-        if command.do == "tick":
-            self._tick(command.tick)
-        elif command.do == "ask":
+        if command.action is CommandAction.REPORT:
+            self._apply_report(command.report)
+        elif command.action is CommandAction.REQUEST:
             if request is None:
-                c = command
-                self.requests[c.target] = MaintenanceRequest(
-                    c.target, c.zone, c.why[:200], c.by, c.urgency, max(1, c.most), index,
-                    kind=c.kind, length=c.length, warm=c.warm,
-                )  # fmt: skip
+                self.requests[command.target] = _new_request(command, index)
         elif request is not None:
-            self._about(request, command)
-        self._settle(index)
-
-    def _about(self, r: MaintenanceRequest, c: MaintenanceCommand) -> None:
-        current = c.epoch == r.epoch
-        if c.do == "held" and current and r.state in HELD:
-            r.held = tuple(sorted({*r.held, c.by}))
-            if r.state in TAKING:
-                r.state, r.life = "draining", c.life if r.kind == INGRESS else ""
-        elif c.do == "freed" and current and r.state == "returning":
-            r.freed = tuple(sorted({*r.freed, c.by}))
-        elif c.do == "withdraw" and r.state == "waiting":
-            self._end(r, "withdrawn")
-        elif c.do == "withdraw" and r.kind == INGRESS and r.state in HELD[2:]:
-            return  # too late: it is ending, and counts as away until it says that it is back
-        elif (
-            c.do in ("done", "withdraw")
-            and r.state in HELD
-            or c.do == "back"
-            and current
-            and r.state in HELD[2:]
-        ):
-            r.state, r.ends, r.freed = "returning", LEAVE[c.do], ()
-
-    def _end(self, r: MaintenanceRequest, state: str) -> None:
-        r.state = state
-        self.over = [*self.over, self.requests.pop(r.target)][-KEPT:]
-
-    def _tick(self, t: LeaderReport) -> None:
-        if t.number != self.ticks + 1:  # proposed by one that did not know of the latest
+            self._apply_to_request(request, command)
+        self._advance(index)
+
+    def _apply_to_request(self, request: MaintenanceRequest, command: MaintenanceCommand) -> None:
+        is_current = command.epoch == request.epoch
+        is_drained = request.state in DRAINED_STATES
+        match command.action:
+            case CommandAction.DRAINED if is_current and is_drained:
+                self._on_member_drained(request, command)
+            case CommandAction.RELEASED if is_current and request.state is RequestState.RETURNING:
+                request.released_by = tuple(sorted({*request.released_by, command.sender}))
+            case CommandAction.RESTARTED if is_current and request.state in UNAVAILABLE_STATES:
+                self._start_return(request, RequestState.DONE)
+            case CommandAction.COMPLETE if is_drained:
+                self._start_return(request, RequestState.DONE)
+            case CommandAction.WITHDRAW if request.state is RequestState.WAITING:
+                self._finish(request, RequestEvent.WITHDRAWN)
+            case CommandAction.WITHDRAW if is_drained and not _is_restarting(request):
+                self._start_return(request, RequestState.WITHDRAWN)
+            case _:
+                pass
+
+    def _on_member_drained(self, request: MaintenanceRequest, command: MaintenanceCommand) -> None:
+        request.drained_by = tuple(sorted({*request.drained_by, command.sender}))
+        if request.state in REVOCABLE_STATES:
+            _transition(request, RequestEvent.MEMBER_DRAINED)
+            is_ingress = request.kind is TargetKind.INGRESS
+            request.incarnation = command.incarnation if is_ingress else ""
+
+    def _start_return(self, request: MaintenanceRequest, final_state: RequestState) -> None:
+        _transition(request, RequestEvent.RETURN_STARTED)
+        request.final_state = final_state
+        request.released_by = ()
+
+    def _finish(self, request: MaintenanceRequest, event: RequestEvent) -> None:
+        _transition(request, event)
+        del self.requests[request.target]
+        self.finished = [*self.finished, request][-FINISHED_REQUESTS_KEPT:]
+
+    # Reports
+
+    def _apply_report(self, report: LeaderReport) -> None:
+        if report.number != self.report_count + 1:  # its leader did not know of the latest one
             return
-        self.ticks, self.clock, self.last = t.number, self.clock + max(0.0, t.elapsed), t
-        silent = {m: self.silent.get(m, 0.0) for m in t.members}
-        self.silent = {
-            m: 0.0 if m in t.alive else ms + t.elapsed if ms else MISSED for m, ms in silent.items()
+        self.report_count = report.number
+        self.clock_ms += max(0.0, report.elapsed_ms)
+        self.last_report = report
+        self.unreachable_ms = {
+            member: _unreachable_after(self.unreachable_ms.get(member, 0.0), report, member)
+            for member in report.members
         }
-        for r in list(self.requests.values()):
-            r.looked = True
-            # it came to its state after the tick before, nobody knows how long after
-            if r.at == JUST_NOW:
-                r.at = self.clock
-            if r.state in TAKING and (why := self._called_back(r)):
-                self._wait_again(r, why)
-            elif r.state == "out" and r.length and self.clock >= r.at + r.length:
-                r.state = "overdue"
-            elif r.state == "warming" and self.clock >= r.at + r.warm:
-                self._end(r, r.ends)
-
-    def _called_back(self, r: MaintenanceRequest) -> str:
-        if self.clock >= r.at + self.last.lapse:
-            missing = ", ".join(sorted(self._awaited(r) - set(r.held)))
-            r.tries += 1
-            return f"its turn lapsed, as {missing or 'nobody'} did not say that it had drained it"
-        why = self._unsafe(r) if r.kind != INGRESS else ""
-        return f"called back, as {why}" if why else ""
-
-    def _wait_again(self, r: MaintenanceRequest, why: str) -> None:
-        r.state, r.why_back, r.held, r.life = "waiting", why, (), ""
-        if r.tries >= TRIES:
-            self._end(r, "abandoned")
-
-    def _settle(self, index: int) -> None:
-        for r in list(self.requests.values()):
-            if r.state == "draining" and self._awaited(r) and self._awaited(r) <= set(r.held):
-                r.state, r.at = "out", JUST_NOW
-            elif r.state == "returning" and (r.kind == INGRESS or self._awaited(r) <= set(r.freed)):
-                r.state, r.at = "warming", JUST_NOW
-        for r in sorted(self.requests.values(), key=lambda r: (-r.urgency, r.since)):
-            if r.state == "waiting" and not self._hindered(r):
-                r.state, r.epoch, r.at, r.why_back, r.freed = "granted", index, JUST_NOW, "", ()
-
-    def _awaited(self, r: MaintenanceRequest) -> set[str]:
-        """Whose word is waited for: of an ingress its own, of a node that of all that are not
-        agreed dead.
+        for request in list(self.requests.values()):
+            request.is_evaluated = True
+            # The state began after the report before; how long after, nobody knows.
+            if request.state_since_ms == NOT_TIMED_MS:
+                request.state_since_ms = self.clock_ms
+            self._advance_by_time(request)
+
+    def _advance_by_time(self, request: MaintenanceRequest) -> None:
+        if request.state in REVOCABLE_STATES:
+            revocation = self._revocation(request)
+            if revocation is not None:
+                self._revoke(request, revocation)
+        elif request.state is RequestState.UNAVAILABLE:
+            if request.duration_ms and _has_lasted(request, self.clock_ms, request.duration_ms):
+                _transition(request, RequestEvent.DURATION_EXCEEDED)
+        elif request.state is RequestState.WARMING_UP and _has_lasted(
+            request, self.clock_ms, request.warm_up_ms
+        ):
+            self._finish(request, _warmed_up_event(request))
+
+    def _revocation(self, request: MaintenanceRequest) -> Revocation | None:
+        """Why the grant of a request has to be revoked; None where it stands."""
+        if _has_lasted(request, self.clock_ms, self.last_report.grant_timeout_ms):
+            missing = self.confirming_members(request) - set(request.drained_by)
+            return GrantTimedOut(tuple(sorted(missing)))
+        if request.kind is TargetKind.INGRESS:
+            return None
+        obstacle = safety_obstacle(self, request)
+        return None if obstacle is None else ZoneBecameUnsafe(obstacle)
+
+    def _revoke(self, request: MaintenanceRequest, revocation: Revocation) -> None:
+        _transition(request, RequestEvent.REVOKED)
+        request.revocation_reason = str(revocation)
+        request.drained_by = ()
+        request.incarnation = ""
+        if isinstance(revocation, GrantTimedOut):
+            request.timeout_count += 1
+        if request.timeout_count >= MAX_GRANT_TIMEOUTS:
+            self._finish(request, RequestEvent.ABANDONED)
+
+    # Progress after each command
+
+    def _advance(self, index: int) -> None:
+        """Complete what all awaited members have confirmed, then grant what may be granted."""
+        for request in list(self.requests.values()):
+            if request.state is RequestState.DRAINING and self._is_drained(request):
+                _transition(request, RequestEvent.ALL_DRAINED)
+                request.state_since_ms = NOT_TIMED_MS
+            elif request.state is RequestState.RETURNING and self._is_released(request):
+                _transition(request, RequestEvent.ALL_RELEASED)
+                request.state_since_ms = NOT_TIMED_MS
+        for request in sorted(self.requests.values(), key=_grant_order):
+            if request.state is RequestState.WAITING and self.obstacle(request) is None:
+                self._grant(request, index)
+
+    def _is_drained(self, request: MaintenanceRequest) -> bool:
+        confirming = self.confirming_members(request)
+        return bool(confirming) and confirming <= set(request.drained_by)
+
+    def _is_released(self, request: MaintenanceRequest) -> bool:
+        if request.kind is TargetKind.INGRESS:
+            return True
+        return self.confirming_members(request) <= set(request.released_by)
+
+    def _grant(self, request: MaintenanceRequest, index: int) -> None:
+        _transition(request, RequestEvent.GRANTED)
+        request.epoch = index
+        request.state_since_ms = NOT_TIMED_MS
+        request.revocation_reason = ""
+        request.released_by = ()
+
+    def confirming_members(self, request: MaintenanceRequest) -> set[str]:
+        """Members whose confirmation a request needs.
+
+        An ingress confirms its own restart; a backend is confirmed by each member that has not been
+        silent for the failure timeout.
         """
-        if r.kind == INGRESS:
-            return {r.target}
-        return {m for m, silence in self.silent.items() if silence < self.last.dead}
-
-    # Why a request waits
-
-    def _hindered(self, r: MaintenanceRequest) -> str:
-        """In words; empty where its turn can be had."""
-        away = [
-            o
-            for o in self.requests.values()
-            if o.zone == r.zone and o.kind == r.kind and o.state != "waiting"
-        ]
-        if len(away) >= self.most(r.zone, r.kind):
-            where = "ingresses" if r.kind == INGRESS else r.zone or "no known zone"
-            return f"{_listed(f'{o.target} of {where} is {_word(o)}' for o in away)}, and {len(away)} may be"
-        if not r.looked:
-            return "it is being looked at"
-        if r.kind == INGRESS:
-            quiet = sorted(m for m, silence in self.silent.items() if silence and m != r.target)
-            return f"{_listed(quiet)} cannot be heard" if quiet else ""
-        if r.target not in self.last.seen:
-            return "fewer than half of the members see it"
-        return self._unsafe(r)
-
-    def _unsafe(self, r: MaintenanceRequest) -> str:
-        zone = next((h for h in self.last.zones if h.name == r.zone), None)
-        if zone is None:
-            return f"{r.zone or 'its zone'} is not seen by a majority"
-        away = {
-            o.target for o in self.requests.values() if o.zone == r.zone and o.state != "waiting"
+        if request.kind is TargetKind.INGRESS:
+            return {request.target}
+        limit_ms = self.last_report.failure_timeout_ms
+        return {
+            member
+            for member, unreachable_ms in self.unreachable_ms.items()
+            if unreachable_ms < limit_ms
         }
-        if ailing := sorted(set(zone.ailing) - away - {r.target}):
-            return f"{_listed(ailing)} of {r.zone} fails"
-        if zone.pressed:
-            return f"requests wait too long in {r.zone}"
-        rest = zone.ready - (r.state == "waiting")  # what is on its way out is not ready any more
-        most = 1 - self.last.reserve
-        if zone.load >= 0 and zone.load > most * rest:
-            share = zone.load / max(rest, 1)
-            return f"the rest of {r.zone} would carry {share:.2f} of what it bears, and {most:.2f} is most"
-        return ""
-
-    def out(self, zone: str, kind: str = "node") -> int:
-        """Away from service: from the grant until it is warm again."""
-        return sum(
-            r.state != "waiting" and r.zone == zone and r.kind == kind
-            for r in self.requests.values()
-        )
 
-    def most(self, zone: str, kind: str = "node") -> int:
-        if kind == INGRESS:
-            return 1  # two might be all of a firm's set
-        return min(
-            (r.most for r in self.requests.values() if r.zone == zone and r.kind == kind), default=1
+    # Constraints
+
+    def obstacle(self, request: MaintenanceRequest) -> Obstacle | None:
+        """Return why a waiting request cannot be granted; None where it can."""
+        return grant_obstacle(self, request)
+
+    def max_unavailable(self, zone: str, kind: TargetKind = TargetKind.BACKEND) -> int:
+        """How many targets of a zone may be away at once: the least that its requests name."""
+        if kind is TargetKind.INGRESS:
+            return MAX_INGRESSES_UNAVAILABLE
+        limits = (
+            request.max_unavailable
+            for request in self.requests.values()
+            if request.zone == zone and request.kind is kind
         )
+        return min(limits, default=1)
 
-    def held(self) -> dict[str, int]:
-        """The nodes that every member keeps its requests away from, each with its grant's epoch."""
+    def drained_backends(self) -> dict[str, int]:
+        """Backends to which no member sends new requests, each with the epoch of its grant."""
         return {
-            r.target: r.epoch
-            for r in self.requests.values()
-            if r.state in HELD and r.kind != INGRESS
+            request.target: request.epoch
+            for request in self.requests.values()
+            if request.state in DRAINED_STATES and request.kind is not TargetKind.INGRESS
         }
 
-    def reason(self, request: MaintenanceRequest) -> str:
-        """Why it waits, in words; of one under way, whom it waits for."""
-        if request.state == "waiting":
-            why = self._hindered(request) or "its turn comes with the next entry"
-            return f"{why} ({request.why_back})" if request.why_back else why
-        if request.state in TAKING:
-            return f"waits for {_listed(sorted(self._awaited(request) - set(request.held)))}"
-        if request.state == "returning":
-            return f"waits for {_listed(sorted(self._awaited(request) - set(request.freed)))}"
-        if request.state == "overdue":
-            return f"it was to take {request.length / 1000:.0f} s; say `done` or `withdraw` when it can serve"
-        return ""
-
-    # As bytes
+    # Snapshots
 
     def snapshot(self) -> bytes:
-        whole = (
-            list(self.requests.values()),
-            self.over,
-            self.seen,
-            self.clock,
-            self.ticks,
-            self.silent,
-            self.last,
+        """Encode the complete state."""
+        return msgspec.msgpack.encode(
+            SchedulerSnapshot(
+                requests=list(self.requests.values()),
+                finished=self.finished,
+                applied_command_ids=self.applied_command_ids,
+                clock_ms=self.clock_ms,
+                report_count=self.report_count,
+                unreachable_ms=self.unreachable_ms,
+                last_report=self.last_report,
+            )
         )
-        return msgspec.msgpack.encode(whole)
 
     def restore(self, state: bytes) -> None:
-        kind = tuple[
-            list[MaintenanceRequest],
-            list[MaintenanceRequest],
-            list[str],
-            float,
-            int,
-            dict[str, float],
-            LeaderReport,
-        ]
+        """Replace the state by a snapshot; empty bytes stand for the state before any command.
+
+        Raises:
+            msgspec.MsgspecError: The bytes are no snapshot.
+        """
         state = state or MaintenanceScheduler().snapshot()
-        requests, self.over, self.seen, self.clock, self.ticks, self.silent, self.last = (
-            msgspec.msgpack.decode(state, type=kind)
-        )
-        self.requests = {r.target: r for r in requests}
+        snapshot = msgspec.msgpack.decode(state, type=SchedulerSnapshot)
+        self.requests = {request.target: request for request in snapshot.requests}
+        self.finished = snapshot.finished
+        self.applied_command_ids = snapshot.applied_command_ids
+        self.clock_ms = snapshot.clock_ms
+        self.report_count = snapshot.report_count
+        self.unreachable_ms = snapshot.unreachable_ms
+        self.last_report = snapshot.last_report
+
+
+def _transition(request: MaintenanceRequest, event: RequestEvent) -> None:
+    request.state = TRANSITIONS[request.state, event]
+
+
+def _new_request(command: MaintenanceCommand, index: int) -> MaintenanceRequest:
+    return MaintenanceRequest(
+        target=command.target,
+        zone=command.zone,
+        comment=command.comment[:MAX_COMMENT_LENGTH],
+        requested_by=command.sender,
+        urgency=command.urgency,
+        max_unavailable=max(1, command.max_unavailable),
+        requested_index=index,
+        kind=command.kind,
+        duration_ms=command.duration_ms,
+        warm_up_ms=command.warm_up_ms,
+    )
+
+
+def _has_lasted(request: MaintenanceRequest, clock_ms: float, duration_ms: float) -> bool:
+    return clock_ms >= request.state_since_ms + duration_ms
+
+
+def _unreachable_after(before_ms: float, report: LeaderReport, member: str) -> float:
+    """Return for how long a member has been unreachable by a report; 0 where it is reachable."""
+    if member in report.reachable:
+        return 0.0
+    return before_ms + report.elapsed_ms if before_ms else FIRST_UNREACHABLE_MS
+
+
+def _warmed_up_event(request: MaintenanceRequest) -> RequestEvent:
+    is_done = request.final_state == RequestState.DONE
+    return RequestEvent.WARMED_UP if is_done else RequestEvent.WARMED_UP_AFTER_WITHDRAWAL
 
 
-def _word(r: MaintenanceRequest) -> str:
-    return "out" if r.state in HELD else "coming back"
+def _is_restarting(request: MaintenanceRequest) -> bool:
+    """Return whether an ingress is about to end: it counts as away until it says that it is back."""
+    return request.kind is TargetKind.INGRESS and request.state in UNAVAILABLE_STATES
 
 
-def _listed(words: Iterable[str]) -> str:
-    return ", ".join(words) or "nobody"
+def _grant_order(request: MaintenanceRequest) -> tuple[int, int]:
+    return -request.urgency, request.requested_index
