--- a/dockthread/maintenance/service.py
+++ b/dockthread/maintenance/service.py
@@ -1,245 +1,219 @@
-"""The order of work in an ingress: the rim round its part (work/part.py), and the door's calls.
-Decides nothing.
+"""The I/O adapter round an ingress's participant: carries its actions out, and feeds it events.
+
+It decides nothing: `participant.py` does.
 """
 
 from __future__ import annotations
 
 import asyncio
-import json
 import secrets
+from collections.abc import Coroutine
 from contextlib import suppress
 from typing import TYPE_CHECKING, Any
 
 import msgspec
 from loguru import logger
 
-from dockthread.admin.commands import Answer, Command, Verb
-from dockthread.maintenance import commands, observation
-from dockthread.maintenance.participant import (
-    ClusterView,
-    MaintenanceOptions,
-    MaintenanceParticipant,
-    ParticipantActions,
-)
-from dockthread.maintenance.scheduler import MaintenanceScheduler
-from dockthread.raft.options import FleetOptions
+from dockthread.maintenance import observation
+from dockthread.maintenance.admin_commands import MaintenanceAdmin
+from dockthread.maintenance.model import ClusterView, MaintenanceOptions
+from dockthread.maintenance.participant import MaintenanceParticipant, ParticipantActions
 from dockthread.raft.server import Member
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from dockthread.admin.commands import Answer, Command
+    from dockthread.maintenance.commands import MaintenanceCommand
+    from dockthread.maintenance.scheduler import MaintenanceScheduler
     from dockthread.net.ingress import Ingress
+    from dockthread.raft.options import FleetOptions
 
-JSON = b"application/json"
-DOING = {Verb.WORK_ASK: "ask", Verb.WORK_DONE: "done", Verb.WORK_WITHDRAW: "withdraw"}
-# s between looks while something moves, and while all that is out stays out
-SOON, QUIET = 0.05, 1.0
-LOOKED = 2.0  # s that staff wait for a request to be looked at
-INGRESS_WARM = 2.0  # patiences until an ingress that is back counts as there
+ACTIVE_UPDATE_INTERVAL_S = 0.05  # between updates while a request waits or is on its way
+IDLE_UPDATE_INTERVAL_S = 1.0  # while all that is unavailable stays so
+FAILED_UPDATE_PAUSE_S = 1.0  # after an update that raised
+INCARNATION_BYTES = 8  # random bytes of an incarnation's name
+MEMBER_SEED_BITS = 32  # of the seed of the member's random numbers
 
 
 class MaintenanceService:
-    """One ingress's part. A node that is granted is held as one drained by hand is, under the rule
-    on drains. `stop`: ends the ingress gently, when its own turn has come.
+    """Planned maintenance in one ingress; it owns the ingress's member of the cluster.
+
+    A granted backend is drained as one that staff detach by hand, under the rule on drains.
+
+    Args:
+        ingress: Whose backends are drained.
+        options: The cluster's settings.
+        stop: Ends the ingress gracefully, when its own request is granted.
+
+    Raises OSError, ValueError or the storage's own error where the log's directory or the key cannot
+    be used.
+
+    Attributes:
+        participant: Decides what this ingress does.
+        member: The ingress's member of the cluster.
     """
 
     def __init__(self, ingress: Ingress, options: FleetOptions, stop: Callable[[], None]) -> None:
-        self._ingress, self._options, self._stop = ingress, options, stop
-        terms = MaintenanceOptions(
-            options.node_bears, *map(float, (options.reserve, options.lapse, options.dead))
+        self._ingress = ingress
+        self._stop = stop
+        self.participant = MaintenanceParticipant(
+            name=ingress.config.name,
+            incarnation=secrets.token_hex(INCARNATION_BYTES),
+            options=MaintenanceOptions(
+                backend_capacity=options.node_bears,
+                headroom=float(options.reserve),
+                grant_timeout_ms=float(options.lapse),
+                failure_timeout_ms=float(options.dead),
+            ),
+            now=ingress.clock.now(),
         )
-        now = ingress.clock.now()
-        self.part = MaintenanceParticipant(ingress.config.name, secrets.token_hex(8), terms, now)
         self.member = Member(
-            ingress.config.name, options, ingress.clock, secrets.randbits(32), self
+            ingress.config.name,
+            options,
+            ingress.clock,
+            secrets.randbits(MEMBER_SEED_BITS),
+            self,
         )
-        self._some, self._stopping = asyncio.Event(), False
+        self._admin = MaintenanceAdmin(ingress, options, self.member, self.scheduler)
+        self._wake = asyncio.Event()
+        self._is_stopping = False
         self._tasks: set[asyncio.Task[Any]] = set()
 
     @property
-    def order(self) -> MaintenanceScheduler:
-        return self.part.order
+    def scheduler(self) -> MaintenanceScheduler:
+        """The replicated state machine."""
+        return self.participant.scheduler
 
     async def open(self) -> None:
-        """Hold what the disk says is out, before the first request; then take part."""
+        """Drain what the disk says is unavailable, before the first request; then join."""
         stored = self.member.store.stored
-        self.part.begins(stored.state, *stored.told())
-        self._turn()
+        self.participant.recover(stored.state, *stored.told())
+        self._update()
         await self.member.open()
         self._spawn(self._run())
 
     async def close(self) -> None:
+        """Leave the cluster and end all tasks."""
         for task in list(self._tasks):
             task.cancel()
         await self.member.close()
 
     def leave(self) -> None:
-        """The end of this life has come: another is to lead while requests are answered here."""
+        """Let another member lead while the last requests are answered here."""
         self.member.hand_over()
 
-    # What its member tells (fleet/member.py, Owner)
+    async def answer(self, call: Command) -> Answer:
+        """Answer a call of the admin endpoint."""
+        return await self._admin.answer(call)
+
+    # Events of the member (`Owner` in dockthread/raft/server.py)
 
     def apply(self, index: int, data: bytes) -> None:
-        self.part.applied(self._ingress.clock.now(), index, data)
-        self._some.set()
+        """Apply a committed command."""
+        self.participant.on_entry_applied(self._ingress.clock.now(), index, data)
+        self._wake.set()
 
     def restore(self, index: int, state: bytes) -> None:
-        self.part.restored(state)
-        self._some.set()
+        """Replace the state by a snapshot, which stands for all commands up to `index`."""
+        self.participant.on_state_restored(state)
+        self._wake.set()
 
     def state(self) -> bytes:
-        return self.part.order.snapshot()
+        """Return a snapshot of the state."""
+        return self.scheduler.snapshot()
 
     def came_to(self, index: int, term: int) -> None:
-        self.part.came_to(index, term)
-        self._some.set()
+        """Take note that the log is committed and applied up to an index."""
+        self.participant.on_log_advanced(index, term)
+        self._wake.set()
 
     def shown(self, sender: str, data: bytes) -> None:
-        self.part.shown(self._ingress.clock.now(), sender, data)
-        self._some.set()
+        """Take note of what another member observes.
+
+        Raises:
+            MalformedObservationError: The bytes are no observation.
+        """
+        self.participant.on_observation(self._ingress.clock.now(), sender, data)
+        self._wake.set()
 
     def changed(self) -> None:
-        self._some.set()
+        """Take note that the leader has changed."""
+        self._wake.set()
 
-    # Its turns
+    # Updates
 
     async def _run(self) -> None:
         while True:
-            wait = (
-                SOON
-                if self.part.moving
-                else QUIET
-                if self.part.order.requests or self.part.holds
-                else None
-            )
             with suppress(TimeoutError):
-                await asyncio.wait_for(self._some.wait(), wait)
-            self._some.clear()
+                await asyncio.wait_for(self._wake.wait(), self._update_interval_s())
+            self._wake.clear()
             try:
-                self._turn()
-            except Exception:  # requests go on, and so does the next turn
-                logger.exception("work: a turn failed")
-                await asyncio.sleep(QUIET)
-
-    def _turn(self) -> None:
-        """Once for all entries that come at a time: what was out and came back long before a start
-        must not be taken for a machine that has just come back cold.
+                self._update()
+            except Exception:  # noqa: BLE001  requests go on, and so does the next update
+                logger.exception("maintenance: an update failed")
+                await asyncio.sleep(FAILED_UPDATE_PAUSE_S)
+
+    def _update_interval_s(self) -> float | None:
+        """Return the time until the next update without an event; None for no limit."""
+        if self.participant.has_active_requests:
+            return ACTIVE_UPDATE_INTERVAL_S
+        if self.scheduler.requests or self.participant.drained:
+            return IDLE_UPDATE_INTERVAL_S
+        return None
+
+    def _update(self) -> None:
+        """Update once for all entries applied at a time.
+
+        A backend that was unavailable and came back long before a start must not be taken for one
+        that comes back now, and has to warm up.
         """
-        ingress, member = self._ingress, self.member
-        around = ClusterView(
-            member.leader,
-            member.members,
-            member.heard(),
-            observation.idle(ingress, self.part.holds),
-            ingress.ready,
+        cluster = ClusterView(
+            leader=self.member.leader,
+            members=self.member.members,
+            reachable=self.member.heard(),
+            idle_backends=observation.idle_backends(self._ingress, self.participant.drained),
+            is_serving=self._ingress.ready,
         )
-        self._carry_out(self.part.turn(ingress.clock.now(), around))
-
-    def _carry_out(self, acts: ParticipantActions) -> None:
-        ingress = self._ingress
-        for target in acts.hold:
-            if not ingress.hold(target, True):  # not listed here yet: drained as soon as it is
-                ingress.destinations.held.add(target)
-            logger.info("work: {} is drained, its turn has come", target)
-        for target in acts.free:
-            ingress.hold(target, False)
-            logger.info("work: {} comes back", target)
-        if acts.show:
-            self.member.show(
-                msgspec.msgpack.encode(
-                    observation.view(ingress, self.part.asked_for(), self.part.latest())
-                )
-            )
-        for command in acts.say:
-            self._spawn(self._say(command))
-        if acts.tick is not None:
-            self.member.propose_here(msgspec.msgpack.encode(acts.tick))
-        if acts.hand_over:
+        self._carry_out(self.participant.update(self._ingress.clock.now(), cluster))
+
+    def _carry_out(self, actions: ParticipantActions) -> None:
+        for backend in actions.drain:
+            self._drain(backend)
+        for backend in actions.release:
+            self._ingress.hold(backend, False)
+            logger.info("maintenance: {} is released", backend)
+        if actions.send_observation:
+            self._send_observation()
+        for command in actions.propose:
+            self._spawn(self._propose(command))
+        if actions.report is not None:
+            self.member.propose_here(msgspec.msgpack.encode(actions.report))
+        if actions.transfer_leadership:
             self.member.hand_over()
-        if acts.stop and not self._stopping:
-            self._stopping = True  # once: the order says so until the next life
-            logger.info("work: the turn of this ingress has come: it ends gently")
+        if actions.stop and not self._is_stopping:
+            self._is_stopping = True  # once: the scheduler says so until the next incarnation
+            logger.info("maintenance: the restart of this ingress is granted: graceful shutdown")
             self._stop()
 
-    def _spawn(self, what: Any) -> None:
-        task = asyncio.get_running_loop().create_task(what)
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
+    def _drain(self, backend: str) -> None:
+        if not self._ingress.hold(backend, True):  # not listed yet: drained as soon as it is
+            self._ingress.destinations.held.add(backend)
+        logger.info("maintenance: {} is drained, its request is granted", backend)
 
-    async def _say(self, command: commands.MaintenanceCommand) -> None:
-        if not await self.member.propose(msgspec.msgpack.encode(command)):
-            self.part.unsaid(command)
-
-    # The management door
-
-    def listed(self) -> dict[str, Any]:
-        def plain(r: commands.MaintenanceRequest) -> dict[str, Any]:
-            told = msgspec.structs.asdict(r)
-            return {**told, "reason": self.order.reason(r)}
-
-        requests = sorted(self.order.requests.values(), key=lambda r: r.since)
-        return {"work": [plain(r) for r in requests], "over": [plain(r) for r in self.order.over]}
-
-    async def answer(self, command: Command) -> Answer:
-        """A call of the management door."""
-        if command.verb is Verb.FLEET:
-            silent = self.order.silent
-            said = {**self.member.status(), "silent": {m: ms for m, ms in silent.items() if ms}}
-            return Answer(200, json.dumps(said).encode() + b"\n", JSON)
-        if command.verb is Verb.WORK:
-            return Answer(200, json.dumps(self.listed()).encode() + b"\n", JSON)
-        told = self._command(command)
-        if isinstance(told, Answer):
-            return told
-        index = await self.member.propose(msgspec.msgpack.encode(told))
-        if not index:
-            return Answer(
-                503,
-                b"no majority has agreed in time: ask again, the same request is not made twice\n",
-            )
-        if told.do == "ask":
-            await self._looked(told.target)
-        request = self.order.requests.get(told.target)
-        over = next(
-            (r.state for r in reversed(self.order.over) if r.target == told.target), "unknown"
-        )
-        state, why = (request.state, self.order.reason(request)) if request else (over, "")
-        answer = {"target": told.target, "state": state, "reason": why, "at": index}
-        return Answer(200, json.dumps(answer).encode() + b"\n", JSON)
-
-    def _command(self, call: Command) -> commands.MaintenanceCommand | Answer:
-        """What is to be agreed on, or the answer that says why not."""
-        target, more, ask = call.target, call.more, call.verb is Verb.WORK_ASK
-        zone, ingress = self._ingress.destinations.zone_of(target), target in self.member.members
-        if ask and zone is None and not ingress:
-            return Answer(404, f"no backend {target} here, and no ingress of this name\n".encode())
-        if not ask and target not in self.order.requests:
-            return Answer(404, f"no work on {target} is asked for\n".encode())
-        length = more.get("for", 0)
-        if not isinstance(length, int | float) or not 0 <= length < 1e8:
-            return Answer(400, b'"for" is no number of seconds\n')
-        node = zone is not None
-        cold = self._ingress.config.module.safety.cold_time * 1000.0
-        warm = cold if node else INGRESS_WARM * self._options.patience
-        return commands.MaintenanceCommand(
-            DOING[call.verb],  # type: ignore[arg-type]
-            target,
-            zone or "",
-            str(more.get("why", "")),
-            self._ingress.config.name,
-            more["urgency"] if isinstance(more.get("urgency"), int) else 0,
-            self._options.most_out,
-            secrets.token_hex(8),
-            commands.NODE if node else commands.INGRESS,
-            length * 1000.0,
-            warm,
+    def _send_observation(self) -> None:
+        observed = observation.observe(
+            self._ingress,
+            self.participant.zone_by_requested_backend(),
+            self.participant.latest_request_index(),
         )
+        self.member.show(msgspec.msgpack.encode(observed))
 
-    async def _looked(self, target: str) -> None:
-        """Until the fleet has looked at a request, which takes a tick; or for as long as staff
-        would wait.
-        """
-        with suppress(TimeoutError):
-            async with asyncio.timeout(LOOKED):
-                while (r := self.order.requests.get(target)) is not None and not r.looked:
-                    await asyncio.sleep(0.01)
+    async def _propose(self, command: MaintenanceCommand) -> None:
+        if not await self.member.propose(msgspec.msgpack.encode(command)):
+            self.participant.on_proposal_failed(command)
+
+    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(work)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
--- a/tests/byte_cases.py
+++ b/tests/byte_cases.py
@@ -15,14 +15,17 @@
 
 from dockthread.control_plane import messages, publish_state_machine, snapshot_cache
 from dockthread.framing import HEAD
+from dockthread.maintenance.aggregation import MemberObservation, ZoneObservation
 from dockthread.maintenance.commands import (
-    INGRESS,
+    CommandAction,
     LeaderReport,
     MaintenanceCommand,
     MaintenanceRequest,
+    RequestState,
+    TargetKind,
     ZoneStatus,
+    decode_command,
 )
-from dockthread.maintenance.participant import MemberObservation, ZoneObservation
 from dockthread.maintenance.scheduler import MaintenanceScheduler
 from dockthread.policy import gossip_codec as gossip
 from dockthread.raft import messages as raft_messages
@@ -74,17 +77,33 @@
 
 
 def _encode_maintenance_state(fields: tuple[Any, ...]) -> bytes:
-    order = MaintenanceScheduler()
-    requests, order.over, order.seen, order.clock, order.ticks, order.silent, order.last = fields
-    order.requests = {request.target: request for request in requests}
-    return order.snapshot()
+    scheduler = MaintenanceScheduler()
+    (
+        requests,
+        scheduler.finished,
+        scheduler.applied_command_ids,
+        scheduler.clock_ms,
+        scheduler.report_count,
+        scheduler.unreachable_ms,
+        scheduler.last_report,
+    ) = fields
+    scheduler.requests = {request.target: request for request in requests}
+    return scheduler.snapshot()
 
 
 def _decode_maintenance_state(data: bytes) -> tuple[Any, ...]:
-    order = MaintenanceScheduler()
-    order.restore(data)
-    requests = list(order.requests.values())
-    return requests, order.over, order.seen, order.clock, order.ticks, order.silent, order.last
+    scheduler = MaintenanceScheduler()
+    scheduler.restore(data)
+    requests = list(scheduler.requests.values())
+    return (
+        requests,
+        scheduler.finished,
+        scheduler.applied_command_ids,
+        scheduler.clock_ms,
+        scheduler.report_count,
+        scheduler.unreachable_ms,
+        scheduler.last_report,
+    )
 
 
 def _encode_gossip(message: gossip.Message) -> bytes:
@@ -94,7 +113,7 @@
 RAFT_STREAM: Final = _raft_stream(KEY)
 DISTRIBUTION_STREAM: Final = _distribution_stream(KEY)
 CACHE_RECORD: Final = _record(snapshot_cache.Record)
-MAINTENANCE_COMMAND: Final = ByteCodec(msgspec.msgpack.encode, MaintenanceScheduler.read)
+MAINTENANCE_COMMAND: Final = ByteCodec(msgspec.msgpack.encode, decode_command)
 MAINTENANCE_STATE: Final = ByteCodec(_encode_maintenance_state, _decode_maintenance_state)
 GOSSIP: Final = ByteCodec(_encode_gossip, lambda data: gossip.unpack(data, PLANS))
 
@@ -220,23 +239,40 @@
 
 # Maintenance: commands of its log, its state, and what members show their leader
 
-ZONE: Final = ZoneStatus(name="z1", ready=5, ailing=("b3",), load=2.5, pressed=True)
+ZONE: Final = ZoneStatus(name="z1", ready=5, failing=("b3",), load=2.5, is_overloaded=True)
 TICK: Final = LeaderReport(
     number=9,
-    elapsed=500.5,
+    elapsed_ms=500.5,
     members=("n0", "n1", "n2"),
-    alive=("n0", "n1"),
+    reachable=("n0", "n1"),
     zones=(ZONE, ZoneStatus(name="z2", ready=0)),
-    seen=("b1",),
-    lapse=20_000.5,
-    dead=4_000.5,
-    reserve=0.25,
+    listed_targets=("b1",),
+    grant_timeout_ms=20_000.5,
+    failure_timeout_ms=4_000.5,
+    headroom=0.25,
 )
 REQUEST: Final = MaintenanceRequest(
-    target="b1", zone="z1", why="new disk", by="n0", urgency=-3, most=2, since=300, state="returning", epoch=301,
-    kind=INGRESS, length=60_000.5, warm=30_000.5, at=4_500.5, held=("n0", "n1"), freed=("n2",), ends="done", tries=1,
-    why_back="called back, as b2 of z1 fails", life="0123456789abcdef", looked=True,
-)  # fmt: skip
+    target="b1",
+    zone="z1",
+    comment="new disk",
+    requested_by="n0",
+    urgency=-3,
+    max_unavailable=2,
+    requested_index=300,
+    state=RequestState.RETURNING,
+    epoch=301,
+    kind=TargetKind.INGRESS,
+    duration_ms=60_000.5,
+    warm_up_ms=30_000.5,
+    state_since_ms=4_500.5,
+    drained_by=("n0", "n1"),
+    released_by=("n2",),
+    final_state="done",
+    timeout_count=1,
+    revocation_reason="called back, as b2 of z1 fails",
+    incarnation="0123456789abcdef",
+    is_evaluated=True,
+)
 STATES_UNDER_WAY: Final = (
     "waiting",
     "granted",
@@ -250,44 +286,71 @@
 
 
 def _requests(states: tuple[str, ...]) -> list[MaintenanceRequest]:
-    return [msgspec.structs.replace(REQUEST, target=f"b-{state}", state=state) for state in states]
+    return [
+        msgspec.structs.replace(REQUEST, target=f"b-{state}", state=RequestState(state))
+        for state in states
+    ]
 
 
 MAINTENANCE_CASES: Final = (
     Case(
         "maintenance.command",
         MaintenanceCommand(
-            do="ask", target="b1", zone="z1", why="new disk", by="n0", urgency=-3, most=2, once="89abcdef",
-            kind=INGRESS, length=60_000.5, warm=30_000.5, epoch=301, life="0123456789abcdef", tick=TICK,
+            action=CommandAction.REQUEST,
+            target="b1",
+            zone="z1",
+            comment="new disk",
+            sender="n0",
+            urgency=-3,
+            max_unavailable=2,
+            command_id="89abcdef",
+            kind=TargetKind.INGRESS,
+            duration_ms=60_000.5,
+            warm_up_ms=30_000.5,
+            epoch=301,
+            incarnation="0123456789abcdef",
+            report=TICK,
         ),
         MAINTENANCE_COMMAND,
     ),
-    Case("maintenance.command.ask", MaintenanceCommand(do="ask", target="b1"), MAINTENANCE_COMMAND),
+    Case(
+        "maintenance.command.ask",
+        MaintenanceCommand(action=CommandAction.REQUEST, target="b1"),
+        MAINTENANCE_COMMAND,
+    ),
     Case(
         "maintenance.command.withdraw",
-        MaintenanceCommand(do="withdraw", target="b1"),
+        MaintenanceCommand(action=CommandAction.WITHDRAW, target="b1"),
+        MAINTENANCE_COMMAND,
+    ),
+    Case(
+        "maintenance.command.done",
+        MaintenanceCommand(action=CommandAction.COMPLETE, target="b1"),
         MAINTENANCE_COMMAND,
     ),
-    Case("maintenance.command.done", MaintenanceCommand(do="done", target="b1"), MAINTENANCE_COMMAND),
     Case(
         "maintenance.command.held",
-        MaintenanceCommand(do="held", target="b1", by="n0", epoch=7),
+        MaintenanceCommand(action=CommandAction.DRAINED, target="b1", sender="n0", epoch=7),
         MAINTENANCE_COMMAND,
     ),
     Case(
         "maintenance.command.freed",
-        MaintenanceCommand(do="freed", target="b1", by="n0", epoch=7),
+        MaintenanceCommand(action=CommandAction.RELEASED, target="b1", sender="n0", epoch=7),
         MAINTENANCE_COMMAND,
     ),
     Case(
         "maintenance.command.back",
-        MaintenanceCommand(do="back", target="n0", by="n0", epoch=7),
+        MaintenanceCommand(action=CommandAction.RESTARTED, target="n0", sender="n0", epoch=7),
+        MAINTENANCE_COMMAND,
+    ),
+    Case(
+        "maintenance.command.tick",
+        MaintenanceCommand(action=CommandAction.REPORT, report=TICK),
         MAINTENANCE_COMMAND,
     ),
-    Case("maintenance.command.tick", MaintenanceCommand(do="tick", tick=TICK), MAINTENANCE_COMMAND),
     Case(
         "maintenance.command.tick.defaults",
-        MaintenanceCommand(do="tick", tick=LeaderReport()),
+        MaintenanceCommand(action=CommandAction.REPORT, report=LeaderReport()),
         MAINTENANCE_COMMAND,
     ),
     Case(
@@ -306,8 +369,23 @@
     Case(
         "maintenance.state.defaults",
         (
-            [MaintenanceRequest(target="b1", zone="z1", why="", by="", urgency=0, most=1, since=1)],
-            [], [], 0.0, 0, {}, LeaderReport(),
+            [
+                MaintenanceRequest(
+                    target="b1",
+                    zone="z1",
+                    comment="",
+                    requested_by="",
+                    urgency=0,
+                    max_unavailable=1,
+                    requested_index=1,
+                )
+            ],
+            [],
+            [],
+            0.0,
+            0,
+            {},
+            LeaderReport(),
         ),
         MAINTENANCE_STATE,
     ),
@@ -315,14 +393,26 @@
     Case(
         "maintenance.observation",
         MemberObservation(
-            zones=(ZoneObservation(zone="z1", ready=("b1", "b2"), ailing=("b2",), out=2.5, pressed=True),),
+            zones=(
+                ZoneObservation(
+                    zone="z1",
+                    ready=("b1", "b2"),
+                    failing=("b2",),
+                    in_flight=2.5,
+                    is_overloaded=True,
+                ),
+            ),
             listed=("b1",),
-            since=300,
+            latest_request_index=300,
         ),
         _record(MemberObservation),
     ),
-    Case("maintenance.observation.defaults", MemberObservation(zones=(), listed=()), _record(MemberObservation)),
-)  # fmt: skip
+    Case(
+        "maintenance.observation.defaults",
+        MemberObservation(zones=(), listed=()),
+        _record(MemberObservation),
+    ),
+)
 
 # The distribution: its stream, its log, its cache
 
--- a/tests/lab/test_rehearsal.py
+++ b/tests/lab/test_rehearsal.py
@@ -1,4 +1,4 @@
-"""Scenarios of real processes: read, proved, played, and judged by what machines saw."""
+"""Scenarios of real processes: read, checked, played, and checked by what backends saw."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
 from dockthread.lab.maintenance.scenario import (
     ScenarioError,
     Step,
+    StepVerb,
     parse_scenario,
     shipped_scenarios,
 )
@@ -48,25 +49,31 @@
         ("[scenarios]", "is no section"),
     ],
 )
-def test_a_scenario_that_cannot_be_is_refused_with_its_key(text: str, wrong: str) -> None:
+def test_a_scenario_that_is_wrong_is_rejected_with_its_key(text: str, wrong: str) -> None:
     with pytest.raises(ScenarioError, match=wrong.replace("(", r"\(")):
         parse_scenario(text, "f.ini")
 
 
-def test_steps_stand_in_time_and_drawn_faults_come_of_the_seed_and_end() -> None:
+def test_steps_are_in_order_of_time_and_drawn_faults_depend_on_the_seed_and_end() -> None:
     played = parse_scenario(SHORT, "f.ini")
-    assert [s.verb for s in played.steps] == ["ask", "kill", "start"] and played.ingresses == 3
-    assert played.steps[0] == Step(500.0, "ask", ("m0", "m1"))
+    assert [step.verb for step in played.steps] == [
+        "ask",
+        "kill",
+        "start",
+    ] and played.ingresses == 3
+    assert played.steps[0] == Step(500.0, StepVerb.ASK, ("m0", "m1"))
     drawn = "[faults]\nkinds = kill, stop, cut, delay\nevery = 1s\nuntil = 9s"
     first, again, other = (parse_scenario(drawn, "f.ini", 5, seed).steps for seed in (1, 1, 2))
     assert first == again != other
     for begins, ends in (("kill", "start"), ("stop", "continue")):
-        assert sum(s.verb == begins for s in first) == sum(s.verb == ends for s in first)
+        assert sum(step.verb == begins for step in first) == sum(
+            step.verb == ends for step in first
+        )
     for name, text in shipped_scenarios().items():
         assert name.startswith("work-") and parse_scenario(text, name).settings.about
 
 
-def test_a_short_scenario_is_played_on_processes_by_the_command(tmp_path: Path) -> None:
+def test_a_short_scenario_plays_on_processes_by_the_command(tmp_path: Path) -> None:
     (tmp_path / "short.ini").write_text(SHORT)
     played = CliRunner().invoke(lab, ["fleet", "run", str(tmp_path / "short.ini"), "--json"])
     assert played.exit_code == 0, played.output
@@ -81,28 +88,28 @@
     )
 
 
-def test_the_judge_sees_two_of_a_zone_and_what_comes_to_a_pulled_machine(tmp_path: Path) -> None:
+def test_two_switched_off_in_a_zone_and_a_request_to_one_break_rules(tmp_path: Path) -> None:
     async def scenario() -> None:
-        one = Rehearsal(tmp_path, parse_scenario(SHORT, "f.ini"))
-        one._rig = type("Rig", (), {"processes": {"n0": None, "n1": None}})()
-        for node in one._nodes.values():
-            await node.open()
-        first = asyncio.create_task(one._work_at("m0", ["n0", "n1"]))
+        rehearsal = Rehearsal(tmp_path, parse_scenario(SHORT, "f.ini"))
+        rehearsal._cluster = type("Cluster", (), {"processes": {"n0": None, "n1": None}})()
+        for backend in rehearsal._backends.values():
+            await backend.open()
+        first = asyncio.create_task(rehearsal._work_at("m0", ["n0", "n1"]))
         await asyncio.sleep(0.05)
-        await use(one._nodes["m0"])
-        # n1 had not said that it holds it: what comes is not judged
-        await one._work_at("m1", ["n0"])
+        await use(rehearsal._backends["m0"])
+        # n1 had not confirmed that it drained the backend: what comes is not checked
+        await rehearsal._work_at("m1", ["n0"])
         await first
-        assert sorted(b.rule for b in one._verdict.broken) == ["used", "zone"]
-        assert not any(node.pulled for node in one._nodes.values())
-        for node in one._nodes.values():
-            node.close()
+        assert sorted(one.rule for one in rehearsal._result.broken) == ["used", "zone"]
+        assert not any(backend.is_switched_off for backend in rehearsal._backends.values())
+        for backend in rehearsal._backends.values():
+            backend.close()
 
     asyncio.run(asyncio.wait_for(scenario(), 30))
 
 
-async def use(node: StandInBackend) -> None:
-    reader, writer = await asyncio.open_connection(node.address.host, node.address.port)
+async def use(backend: StandInBackend) -> None:
+    reader, writer = await asyncio.open_connection(backend.address.host, backend.address.port)
     try:
         assert await reader.read(1) == b""
     except ConnectionResetError:
--- /dev/null
+++ b/tests/maintenance/test_participant.py
@@ -0,0 +1,111 @@
+"""One ingress's part: what it drains, confirms and does for its own restart."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+import pytest
+
+from dockthread.maintenance.commands import (
+    CommandAction,
+    LeaderReport,
+    MaintenanceCommand,
+    TargetKind,
+    ZoneStatus,
+)
+from dockthread.maintenance.model import ClusterView, MaintenanceOptions
+from dockthread.maintenance.participant import MaintenanceParticipant, ParticipantActions
+
+MEMBERS = ("n0", "n1", "n2")
+
+
+def command(action: CommandAction, target: str = "", **fields: Any) -> bytes:
+    return msgspec.msgpack.encode(MaintenanceCommand(action, target, "a", **fields))
+
+
+def report(number: int, elapsed_ms: float = 500.0) -> bytes:
+    content = LeaderReport(
+        number, elapsed_ms, MEMBERS, MEMBERS, (ZoneStatus("a", 4),), ("x", "y"), 30_000.0, 5_000.0
+    )
+    return command(CommandAction.REPORT, report=content)
+
+
+def cluster(leader: str = "n0", idle: tuple[str, ...] = (), is_serving: bool = True) -> ClusterView:
+    return ClusterView(leader, MEMBERS, MEMBERS, idle, is_serving)
+
+
+def new_participant(name: str, incarnation: str = "life") -> MaintenanceParticipant:
+    return MaintenanceParticipant(name, incarnation, MaintenanceOptions(), 0.0)
+
+
+def drained_log(members: tuple[str, ...]) -> list[bytes]:
+    """The log of a backend `x` that these members have drained."""
+    confirmations = [
+        command(CommandAction.DRAINED, "x", sender=member, epoch=2) for member in members
+    ]
+    return [command(CommandAction.REQUEST, "x"), report(1), *confirmations]
+
+
+def proposals(actions: ParticipantActions) -> list[tuple[str, str]]:
+    return [(one.action, one.target) for one in actions.propose]
+
+
+def test_a_drained_backend_is_confirmed_once_idle_and_again_until_the_state_has_it() -> None:
+    participant = new_participant("n1")
+    for index, data in enumerate(drained_log(("n0",)), 1):
+        participant.on_entry_applied(0.0, index, data)
+    assert participant.update(0.0, cluster()).drain == ["x"]
+    assert participant.drained == {"x"}
+    assert proposals(participant.update(10.0, cluster())) == [], "a request is still in flight"
+    idle = cluster(idle=("x",))
+    assert proposals(participant.update(20.0, idle)) == [("held", "x")]
+    assert proposals(participant.update(30.0, idle)) == []
+    assert proposals(participant.update(1_600.0, idle)) == [("held", "x")], "it may be lost"
+
+
+def test_a_start_drains_all_that_may_be_unavailable_until_its_log_is_known_to_be_committed() -> (
+    None
+):
+    # The end of this log may be replaced: x may still be unavailable.
+    log = [*drained_log(MEMBERS), command(CommandAction.COMPLETE, "x"), report(2)]
+    entries = list(enumerate(log, 1))
+    participant = new_participant("n1", "again")
+    participant.recover(b"", entries, 5, 7, 1)
+    assert participant.update(0.0, cluster("")).drain == ["x"]
+    for index, data in entries:
+        participant.on_entry_applied(1.0, index, data)
+        participant.on_log_advanced(index, 1)
+    assert participant.update(2.0, cluster()).release == ["x"]
+    certain = new_participant("n1", "again")
+    certain.recover(b"", entries, 7, 7, 1)
+    assert certain.update(0.0, cluster("")).drain == [], "known to be committed to its end"
+
+
+@pytest.mark.parametrize(
+    ("leader", "incarnation", "state", "wanted"),
+    [
+        ("n1", "a", "granted", "hand over"),
+        ("n0", "a", "granted", "held"),
+        ("n0", "a", "out", "stop"),
+        ("n0", "b", "out", "back"),
+    ],
+)
+def test_an_ingress_does_one_thing_for_its_own_restart(
+    leader: str, incarnation: str, state: str, wanted: str
+) -> None:
+    participant = new_participant("n1", incarnation)
+    log = [command(CommandAction.REQUEST, "n1", kind=TargetKind.INGRESS), report(1)]
+    if state == "out":
+        drained = command(CommandAction.DRAINED, "n1", sender="n1", epoch=2, incarnation="a")
+        log.append(drained)
+    for index, data in enumerate(log, 1):
+        participant.on_entry_applied(0.0, index, data)
+    actions = participant.update(10.0, cluster(leader))
+    done = {
+        "hand over": actions.transfer_leadership,
+        "stop": actions.stop,
+        "held": proposals(actions) == [("held", "n1")],
+    }
+    assert done.get(wanted, proposals(actions) == [("back", "n1")])
+    assert sum([actions.transfer_leadership, actions.stop, bool(actions.propose)]) == 1
--- /dev/null
+++ b/tests/maintenance/test_process_maintenance.py
@@ -0,0 +1,142 @@
+"""Several processes as one cluster: what staff see, and restarts of ingresses."""
+
+from __future__ import annotations
+
+import asyncio
+import subprocess
+import sys
+from pathlib import Path
+from unittest.mock import ANY
+
+from dockthread.lab.maintenance.process_cluster import ProcessCluster
+from tests.maintenance.cluster_scenarios import (
+    GRANTED_STATES,
+    all_have_drained,
+    call_work,
+    every_member_knows_a_leader,
+    is_unavailable_at,
+    play,
+    state_of,
+    until,
+)
+
+
+def test_two_backends_requested_at_once_are_granted_one_after_the_other(tmp_path: Path) -> None:
+    async def scenario(cluster: ProcessCluster) -> None:
+        await until(lambda: every_member_knows_a_leader(cluster))
+        answers = await asyncio.gather(
+            call_work(cluster, "n0", "s-0"), call_work(cluster, "n1", "s-1")
+        )
+        assert {status for status, _ in answers} == {200}
+        states = {answer["target"]: answer["state"] for _, answer in answers}
+        assert sum(state in GRANTED_STATES for state in states.values()) == 1, states
+        first = next(uid for uid, state in states.items() if state in GRANTED_STATES)
+        second = next(uid for uid, state in states.items() if state == "waiting")
+        waits = next(answer for _, answer in answers if answer["target"] == second)
+        assert waits["reason"] == f"{first} of hall-a is out, and 1 may be"
+        await until(lambda: all_have_drained(cluster, first, cluster.names))
+        assert (await call_work(cluster, "n2", first, "done"))[0] == 200
+        await until(lambda: all_have_drained(cluster, second, cluster.names))
+        assert (await call_work(cluster, "n0", "no-such"))[0] == 404
+
+    play(tmp_path, scenario)
+
+
+def test_an_ingress_that_is_no_member_does_not_start(tmp_path: Path) -> None:
+    async def scenario(cluster: ProcessCluster) -> None:
+        cluster.kill("n2")
+        ini = cluster.folder / "n2" / "dockthread.ini"
+        cluster.start("n2", f"{ini.read_text()}".replace("n2=", "n9="))
+        assert await asyncio.to_thread(cluster.processes["n2"].wait, 30) == 2
+        assert (
+            b"members: n2, this ingress, is not among"
+            in (cluster.folder / "n2" / "out").read_bytes()
+        )
+
+    play(tmp_path, scenario)
+
+
+def test_the_commands_lead_staff_through_maintenance(tmp_path: Path) -> None:
+    async def scenario(cluster: ProcessCluster) -> None:
+        await until(lambda: every_member_knows_a_leader(cluster))
+        for words, answer in (
+            ("work ask s-0 --why fan --for 1h", "s-0  "),
+            ("work ask s-1", "s-1  waiting: s-0 of hall-a is out, and 1 may be"),
+            ("work list", "s-0  out (fan)\ns-1  waiting: s-0 of hall-a is out, and 1 may be"),
+            ("work withdraw s-1", "s-1  withdrawn"),
+            ("work done s-0", "s-0  returning"),
+        ):
+            if words == "work list":
+                await until(lambda: is_unavailable_at(cluster, "s-0", "n1"))
+            command = [
+                sys.executable,
+                "-m",
+                "dockthread",
+                *words.split(),
+                "--at",
+                str(cluster.admin["n1"]),
+            ]
+            done = await asyncio.to_thread(
+                subprocess.run, command, capture_output=True, text=True, timeout=30
+            )
+            assert done.returncode == 0 and done.stdout.startswith(answer), (
+                words,
+                done.stdout,
+                done.stderr,
+            )
+
+    play(tmp_path, scenario)
+
+
+def test_ingresses_restart_one_after_another_and_a_leader_transfers_leadership_first(
+    tmp_path: Path,
+) -> None:
+    async def scenario(cluster: ProcessCluster) -> None:
+        await until(lambda: every_member_knows_a_leader(cluster))
+        leader = await cluster.leader()
+        for name in cluster.names:
+            assert (await call_work(cluster, leader, name))[0] == 200
+        gone: list[str] = []
+
+        async def supervised() -> bool:
+            """Start each ingress that has ended again, as a supervisor would."""
+            ended = [
+                name for name, process in cluster.processes.items() if process.poll() is not None
+            ]
+            assert len(ended) <= 1, f"{ended} are away at once"
+            for name in ended:
+                assert cluster.processes[name].returncode == 0, "its turn ends it gently"
+                gone.append(name)
+                cluster.start(name)
+            states = [await state_of(cluster, cluster.names[0], name) for name in cluster.names]
+            return states == ["done"] * len(cluster.names)
+
+        await until(supervised, 90.0)
+        assert sorted(gone) == cluster.names
+
+    play(tmp_path, scenario, is_watched=False)
+
+
+def test_an_unavailable_backend_is_drained_from_the_start_also_in_a_minority(
+    tmp_path: Path,
+) -> None:
+    async def scenario(cluster: ProcessCluster) -> None:
+        await until(lambda: every_member_knows_a_leader(cluster))
+        assert (await call_work(cluster, "n0", "s-0"))[0] == 200
+        await until(lambda: is_unavailable_at(cluster, "s-0", "n1"))
+        for name in cluster.names:
+            cluster.kill(name)
+        cluster.start("n1")
+        await until(lambda: is_ready(cluster, "n1"))
+        log = (cluster.folder / "n1" / "out").read_bytes().rpartition(b"management door")[2]
+        assert log.index(b"s-0 is drained") < log.index(b"starting -> serving")
+        assert await cluster.call("n1", "POST", "/_backends/attach", {"target": "no-such"}) == (
+            404,
+            ANY,
+        )
+
+    play(tmp_path, scenario, is_watched=False)
+
+
+async def is_ready(cluster: ProcessCluster, name: str) -> bool:
+    return (await cluster.call(name, "GET", "/_ready", time_limit_s=0.5))[0] == 200
--- /dev/null
+++ b/tests/maintenance/test_scheduler_constraints.py
@@ -0,0 +1,80 @@
+"""The constraints of a grant: order, limits, reachable members, and the health of the zone."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from dockthread.maintenance.commands import ZoneStatus
+from tests.maintenance.scheduler_driver import (
+    DRAINED,
+    RELEASED,
+    REQUEST,
+    WITHDRAW,
+    SchedulerDriver,
+)
+
+
+def test_the_urgent_is_granted_first_then_the_older_and_zones_are_independent() -> None:
+    driver = SchedulerDriver()
+    requests: tuple[tuple[str, dict[str, Any]], ...] = (
+        ("x", {}),
+        ("old", {}),
+        ("hot", {"urgency": 5}),
+        ("other", {"zone": "b"}),
+    )
+    for target, fields in requests:
+        driver.apply(REQUEST, target, **fields)
+    driver.report()
+    assert set(driver.scheduler.drained_backends()) == {"hot", "other"}
+    assert driver.apply(WITHDRAW, "hot") == "returning"
+    assert driver.confirm(RELEASED, "hot") == "warming"
+    driver.report()
+    assert set(driver.scheduler.drained_backends()) == {"x", "other"}
+    assert driver.state("hot") == "withdrawn"
+
+
+def test_an_unreachable_member_is_waited_for_until_the_failure_timeout() -> None:
+    driver = SchedulerDriver()
+    driver.apply(REQUEST, "x")
+    driver.report()
+    # The first report that misses it counts nothing: it may have been reachable until just before.
+    for _ in range(10):
+        driver.report(reachable=("n0", "n1"))
+    assert driver.confirm(DRAINED, "x", ("n0", "n1")) == "draining"
+    driver.report(reachable=("n0", "n1"))
+    assert driver.state("x") == "out", "5 s of silence"
+
+
+@pytest.mark.parametrize(
+    ("observed", "why"),
+    [
+        ({"zones": (ZoneStatus("a", 6, ("z",)),)}, "z of a fails"),
+        ({"zones": (ZoneStatus("a", 6, is_overloaded=True),)}, "requests wait too long in a"),
+        (
+            {"zones": (ZoneStatus("a", 6, load=4.1),)},
+            "the rest of a would carry 0.82 of what it bears, and 0.80 is most",
+        ),
+        ({"zones": ()}, "a is not seen by a majority"),
+        ({"listed_targets": ()}, "fewer than half of the members see it"),
+    ],
+)
+def test_nothing_is_granted_in_an_unsafe_zone_and_a_grant_is_revoked_until_it_is_drained(
+    observed: dict[str, Any], why: str
+) -> None:
+    driver = SchedulerDriver()
+    driver.apply(REQUEST, "x")
+    driver.report(**observed)
+    assert (driver.state("x"), driver.reason("x")) == ("waiting", why)
+    driver.report()
+    assert driver.confirm(DRAINED, "x", ("n0",)) == "draining"
+    # It has to be listed only once; and while it is draining it is not ready any more.
+    if "listed_targets" not in observed and "4.1" not in str(observed):
+        driver.report(**observed)
+        assert driver.state("x") == "waiting"
+        assert f"called back, as {why}" in driver.reason("x")
+    driver.report()
+    assert driver.confirm(DRAINED, "x") == "out"
+    driver.report(**observed)
+    assert driver.state("x") == "out", "what is unavailable stays so"
--- /dev/null
+++ b/tests/raft/test_fleet_options.py
@@ -0,0 +1,38 @@
+"""The section `[fleet]` of the operator's INI file."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import pytest
+
+from dockthread.config.section_registry import read_text
+from dockthread.raft.options import FleetOptions
+
+
+@pytest.mark.parametrize(
+    ("text", "wrong"),
+    [
+        ("members = a=127.0.0.1:1", "listen: is missing"),
+        ("listen = nowhere", "listen: 'nowhere' is no address"),
+        ("listen = h:1\nmembers = a=h:1, b=h:2\ndirectory = d", "members: names 2"),
+        ("listen = h:1\nmembers = a=h:1, b, c=h:3\ndirectory = d", "members: 'b' is no member"),
+        ("listen = h:1\nmembers = a=h:1, a=h:2, c=h:3\ndirectory = d", "members: names one twice"),
+        ("listen = h:1\nmembers = a=h:1", "directory: is missing"),
+        (
+            "listen = h:1\nmembers = a=h:1\ndirectory = d\npatience = 200ms",
+            "patience: is under three beats",
+        ),
+        ("listen = h:1\nmembers = a=h:1\ndirectory = d\nmost_out = 0", "most_out: is under 1"),
+    ],
+)
+def test_a_fleet_that_cannot_be_is_refused_with_its_key(text: str, wrong: str) -> None:
+    problems = [str(p) for p in read_text(f"[fleet]\n{text}\n", "f.ini").errors]
+    assert any(wrong in problem for problem in problems), problems
+
+
+def test_without_the_section_there_is_no_fleet_and_a_short_key_is_refused(tmp_path: Path) -> None:
+    assert read_text("", "f.ini").one("fleet") == FleetOptions()
+    (tmp_path / "key").write_text("short")
+    with pytest.raises(ValueError, match="5 bytes; 16 to 64"):
+        FleetOptions(key_file=str(tmp_path / "key")).key()
--- a/tests/test_byte_compatibility.py
+++ b/tests/test_byte_compatibility.py
@@ -16,8 +16,7 @@
 from hashlib import blake2b
 from itertools import combinations
 from pathlib import Path
-from types import SimpleNamespace
-from typing import Any, Final, cast, get_args
+from typing import Any, Final, get_args
 
 import msgspec
 import pytest
@@ -34,9 +33,15 @@
 from dockthread.control_plane.update_assembler import Receiver
 from dockthread.daemon import Daemon
 from dockthread.framing import HEAD
-from dockthread.maintenance.commands import INGRESS, LeaderReport, MaintenanceCommand, ZoneStatus
+from dockthread.maintenance.admin_commands import listing
+from dockthread.maintenance.commands import (
+    CommandAction,
+    LeaderReport,
+    MaintenanceCommand,
+    TargetKind,
+    ZoneStatus,
+)
 from dockthread.maintenance.scheduler import MaintenanceScheduler
-from dockthread.maintenance.service import MaintenanceService
 from dockthread.raft import messages as raft_messages
 from dockthread.raft.actions import Keep, KeepState, Stored
 from dockthread.raft.log import Log
@@ -151,7 +156,7 @@
     """
     zone, sick = (
         ZoneStatus(name="z1", ready=4, load=1.0),
-        ZoneStatus(name="z1", ready=4, ailing=("b2",), load=1.0),
+        ZoneStatus(name="z1", ready=4, failing=("b2",), load=1.0),
     )
 
     def tick(
@@ -161,58 +166,73 @@
         seen = ("b1", "b3")
         told = LeaderReport(
             number=number,
-            elapsed=elapsed,
+            elapsed_ms=elapsed,
             members=members,
-            alive=members,
+            reachable=members,
             zones=zones,
-            seen=seen,
-            lapse=900.0,
+            listed_targets=seen,
+            grant_timeout_ms=900.0,
         )
-        return MaintenanceCommand(do="tick", tick=told)
+        return MaintenanceCommand(action=CommandAction.REPORT, report=told)
 
     return [
         MaintenanceCommand(
-            do="ask",
+            action=CommandAction.REQUEST,
+            target="b1",
+            zone="z1",
+            comment="new disk",
+            sender="n0",
+            duration_ms=700.0,
+            warm_up_ms=400.0,
+            command_id="aa",
+        ),
+        MaintenanceCommand(
+            action=CommandAction.REQUEST,
             target="b1",
             zone="z1",
-            why="new disk",
-            by="n0",
-            length=700.0,
-            warm=400.0,
-            once="aa",
+            comment="new disk",
+            sender="n0",
+            command_id="aa",
         ),
-        MaintenanceCommand(do="ask", target="b1", zone="z1", why="new disk", by="n0", once="aa"),
-        MaintenanceCommand(do="ask", target="b3", zone="z1", urgency=-1),
+        MaintenanceCommand(action=CommandAction.REQUEST, target="b3", zone="z1", urgency=-1),
         tick(1),
         tick(2, (sick,)),
         tick(3),
         tick(4, elapsed=300.0),
         tick(5, (sick,), elapsed=1_000.0),
         tick(6),
-        MaintenanceCommand(do="held", target="b1", by="n0", epoch=9),
-        MaintenanceCommand(do="held", target="b1", by="n1", epoch=9),
+        MaintenanceCommand(action=CommandAction.DRAINED, target="b1", sender="n0", epoch=9),
+        MaintenanceCommand(action=CommandAction.DRAINED, target="b1", sender="n1", epoch=9),
         tick(7),
         tick(8, elapsed=800.0),
-        MaintenanceCommand(do="done", target="b1"),
-        MaintenanceCommand(do="freed", target="b1", by="n1", epoch=9),
-        MaintenanceCommand(do="freed", target="b1", by="n0", epoch=9),
+        MaintenanceCommand(action=CommandAction.COMPLETE, target="b1"),
+        MaintenanceCommand(action=CommandAction.RELEASED, target="b1", sender="n1", epoch=9),
+        MaintenanceCommand(action=CommandAction.RELEASED, target="b1", sender="n0", epoch=9),
         tick(9),
-        MaintenanceCommand(do="withdraw", target="b3"),
+        MaintenanceCommand(action=CommandAction.WITHDRAW, target="b3"),
         tick(10),
-        MaintenanceCommand(do="ask", target="n1", kind=INGRESS, warm=100.0),
+        MaintenanceCommand(
+            action=CommandAction.REQUEST, target="n1", kind=TargetKind.INGRESS, warm_up_ms=100.0
+        ),
         tick(11),
-        MaintenanceCommand(do="held", target="n1", by="n1", epoch=20, life="0123456789abcdef"),
-        MaintenanceCommand(do="back", target="n1", by="n1", epoch=20),
+        MaintenanceCommand(
+            action=CommandAction.DRAINED,
+            target="n1",
+            sender="n1",
+            epoch=20,
+            incarnation="0123456789abcdef",
+        ),
+        MaintenanceCommand(action=CommandAction.RESTARTED, target="n1", sender="n1", epoch=20),
         tick(12),
     ]
 
 
 def maintenance_history() -> list[bytes]:
     """The states after each command of `maintenance_commands`, each with its length before it."""
-    order, states = MaintenanceScheduler(), list[bytes]()
+    scheduler, states = MaintenanceScheduler(), list[bytes]()
     for index, command in enumerate(maintenance_commands(), 1):
-        order.apply(index, msgspec.msgpack.encode(command))
-        state = order.snapshot()
+        scheduler.apply(index, msgspec.msgpack.encode(command))
+        state = scheduler.snapshot()
         states.append(len(state).to_bytes(4, "little") + state)
     return states
 
@@ -226,9 +246,9 @@
 
 def maintenance_listing() -> bytes:
     """The management endpoint's JSON of what is asked for; its keys are names of fields."""
-    order = MaintenanceScheduler()
-    order.restore(WRITTEN["maintenance.state"])
-    listed = MaintenanceService.listed(cast(MaintenanceService, SimpleNamespace(order=order)))
+    scheduler = MaintenanceScheduler()
+    scheduler.restore(WRITTEN["maintenance.state"])
+    listed = listing(scheduler)
     return json.dumps(listed, sort_keys=True).encode()
 
 
