--- a/dockthread/lab/maintenance/checker.py
+++ b/dockthread/lab/maintenance/checker.py
@@ -19,7 +19,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
-from dockthread.lab.raft.checker import Broken
+from dockthread.lab.raft.checker import RuleViolation
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,16 +85,18 @@
     Args:
         zone_of: Zone of each backend.
         limits: What the rules allow.
-        broken: Where broken rules are added.
+        violations: Where violations of rules are added.
 
     Attributes:
         switched_off: Backends that are switched off, each with the members that have drained it.
     """
 
-    def __init__(self, zone_of: Mapping[str, str], limits: Limits, broken: list[Broken]) -> None:
+    def __init__(
+        self, zone_of: Mapping[str, str], limits: Limits, violations: list[RuleViolation]
+    ) -> None:
         self._zone_of = zone_of
         self._limits = limits
-        self._broken = broken
+        self._violations = violations
         self.switched_off: dict[str, Collection[str]] = {}
         self._warm_at: dict[str, float] = {}  # by backend that has come back
         self._request_index: dict[str, int] = {}  # by staff's comment
@@ -102,7 +104,7 @@
         self._restarting: set[str] = set()
 
     def _break(self, rule: str, at_ms: float, detail: str) -> None:
-        self._broken.append(Broken(rule, at_ms, detail))
+        self._violations.append(RuleViolation(rule, at_ms, detail))
 
     def on_switched_off(self, event: SwitchOff) -> None:
         """Check the rules `zone`, `idle` and `dead` as staff switch a backend off."""
--- a/dockthread/lab/maintenance/process_cluster.py
+++ b/dockthread/lab/maintenance/process_cluster.py
@@ -21,7 +21,7 @@
 from dockthread.config.platform_settings import Address
 from dockthread.lab.maintenance.relay import Relay
 from dockthread.maintenance.transitions import DRAINED_STATES
-from dockthread.raft.storage import Store
+from dockthread.raft.storage import RaftStorage
 
 HOST = "127.0.0.1"
 NO_ANSWER = 0  # in place of a status, where the process does not answer
@@ -126,7 +126,7 @@
         """
         home = self.folder / name
         if not (home / "log").exists():
-            Store(home / "log", name, make=True).close()
+            RaftStorage(home / "log", name, create=True).close()
         (home / "tmp").mkdir(parents=True, exist_ok=True)
         ini = home / "dockthread.ini"
         ini.write_text(ini_text or self._ini_text(name))
--- a/dockthread/lab/maintenance/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -32,7 +32,7 @@
 from dockthread.lab.maintenance.scenario import PlannedScenario, Step, StepVerb
 from dockthread.lab.maintenance.stand_in import StandInBackend
 from dockthread.lab.outcome import OUTCOMES, Outcome
-from dockthread.lab.raft.checker import Broken
+from dockthread.lab.raft.checker import RuleViolation
 from dockthread.maintenance.transitions import FINAL_STATES, UNAVAILABLE_STATES
 
 SETTINGS: Mapping[str, Any] = {
@@ -81,7 +81,7 @@
         asked: Requests of the load.
     """
 
-    broken: list[Broken] = field(default_factory=list)
+    broken: list[RuleViolation] = field(default_factory=list)
     record: list[str] = field(default_factory=list)
     served: int = 0
     asked: int = 0
@@ -173,7 +173,7 @@
 
     def _break(self, rule: str, detail: str) -> None:
         self._note(f"BROKEN {rule}: {detail}")
-        self._result.broken.append(Broken(rule, self._now_ms, detail))
+        self._result.broken.append(RuleViolation(rule, self._now_ms, detail))
 
     # Steps
 
--- a/dockthread/lab/maintenance/simulation.py
+++ b/dockthread/lab/maintenance/simulation.py
@@ -17,8 +17,10 @@
 from dockthread.lab.maintenance.reachability import Reachability
 from dockthread.lab.maintenance.seeded_defects import PARTICIPANTS, SCHEDULERS
 from dockthread.lab.maintenance.staff import STAFF_INTERVAL_MS, Staff
-from dockthread.lab.raft.checker import Broken
-from dockthread.lab.raft.simulation import FAULTY, Member, World
+from dockthread.lab.raft.checker import RuleViolation
+from dockthread.lab.raft.cluster import SimulatedMember
+from dockthread.lab.raft.faults import FAULT_PHASE_MS, Fault
+from dockthread.lab.raft.simulation import RaftSimulation
 from dockthread.maintenance.aggregation import MemberObservation, ZoneObservation
 from dockthread.maintenance.commands import MaintenanceCommand, MaintenanceRequest, RequestState
 from dockthread.maintenance.model import ClusterView, MaintenanceOptions
@@ -26,8 +28,8 @@
 from dockthread.maintenance.reasons import GRANT_TIMEOUT_PREFIX
 from dockthread.maintenance.scheduler import MaintenanceScheduler
 from dockthread.maintenance.transitions import REVOCABLE_STATES
-from dockthread.raft.actions import Role, Times
-from dockthread.raft.messages import COMMAND, Entry
+from dockthread.raft.actions import RaftTiming, Role
+from dockthread.raft.messages import Entry, EntryKind
 
 OPTIONS = MaintenanceOptions(
     backend_capacity=0.0, headroom=0.2, grant_timeout_ms=4_000.0, failure_timeout_ms=2_000.0
@@ -46,20 +48,23 @@
 RESTART_MS = (300.0, 1_500.0)  # least and most time until an ingress is started again
 FAILING_MS = (200.0, 4_000.0)  # least and most time for which a backend fails
 OVERLOAD_MS = (100.0, 1_500.0)  # least and most time for which zones are overloaded
+BACKEND_FAILURE = "fail"  # a fault: a backend fails for a while
+OVERLOAD = "press"  # a fault: zones are overloaded for a while
+# Their order decides which random draw turns each on.
 FAULTS = (
-    "cut",
-    "one-way",
-    "loss",
-    "delay",
-    "double",
-    "crash",
-    "crash-all",
-    "stall",
-    "torn",
-    "compact",
-    "hand",
-    "fail",
-    "press",
+    Fault.CUT,
+    Fault.ONE_WAY_CUT,
+    Fault.LOSS,
+    Fault.DELAY,
+    Fault.DUPLICATION,
+    Fault.CRASH,
+    Fault.CRASH_ALL,
+    Fault.STALL,
+    Fault.TORN_WRITE,
+    Fault.COMPACTION,
+    Fault.LEADERSHIP_TRANSFER,
+    BACKEND_FAILURE,
+    OVERLOAD,
 )
 FAULT_FRACTION = 0.4  # of the faults that a seed turns on
 # Links on which members surely reach each other.
@@ -76,7 +81,7 @@
     in_flight: Counter[str] = field(default_factory=Counter)  # own requests, by backend
 
 
-class MaintenanceSimulation(World):
+class MaintenanceSimulation(RaftSimulation):
     """One seed's course of members, backends and staff.
 
     Attributes:
@@ -87,40 +92,43 @@
     """
 
     def __init__(
-        self, seed: int, size: int, plant: str = "", faults: tuple[str, ...] | None = None
+        self, seed: int, size: int, seeded_defect: str = "", faults: tuple[str, ...] | None = None
     ) -> None:
-        super().__init__(seed, size, plant, faults)
+        super().__init__(seed, size, seeded_defect, faults)
         drawn = tuple(fault for fault in FAULTS if self.rng.random() < FAULT_FRACTION)
         self.faults = drawn if faults is None else faults
-        self.checker.once = False  # a command proposed again is known by its identifier
+        # A command proposed again is known by its identifier.
+        self.checker.commands_are_unique = False
         limits = Limits(
             max_unavailable=1,
             warm_up_ms=WARM_UP_MS,
             failure_timeout_ms=OPTIONS.failure_timeout_ms - CLOCK_SLACK_MS,
             grant_timeout_ms=OPTIONS.grant_timeout_ms - CLOCK_SLACK_MS,
         )
-        self.maintenance_checker = MaintenanceChecker(ZONE_OF, limits, self.checker.broken)
+        self.maintenance_checker = MaintenanceChecker(ZONE_OF, limits, self.checker.violations)
         self.incarnations: dict[str, Incarnation] = {}
         self.failing: set[str] = set()
         self.is_overloaded = False
-        self._staff = Staff(self, ZONE_OF, WARM_UP_MS, FAULTY)
+        self.fault_injector.handlers[BACKEND_FAILURE] = self._fail_backend
+        self.fault_injector.handlers[OVERLOAD] = self._overload_zones
+        self._staff = Staff(self, ZONE_OF, WARM_UP_MS, FAULT_PHASE_MS)
         self._reachability = Reachability(UPDATE_INTERVAL_MS, OPTIONS.failure_timeout_ms)
 
-    def run(self) -> list[Broken]:
+    def run(self) -> list[RuleViolation]:
         """Play the seed to its end, or to the first broken rule."""
-        self.at(SEND_INTERVAL_MS, self._send_request)
-        self.at(STAFF_INTERVAL_MS, self._staff.look)
-        self.at(UPDATE_INTERVAL_MS, self._look_who_is_reachable)
+        self.schedule(SEND_INTERVAL_MS, self._send_request)
+        self.schedule(STAFF_INTERVAL_MS, self._staff.look)
+        self.schedule(UPDATE_INTERVAL_MS, self._look_who_is_reachable)
         for name in self.voters:
-            self._start(self.members[name])
-        self.at(FIRST_FAULT_MS, self._fault)
-        self._until(FAULTY)
-        self._heal()
+            self.start_member(self.members[name])
+        self.schedule(FIRST_FAULT_MS, self.fault_injector.inject)
+        self.run_until(FAULT_PHASE_MS)
+        self.fault_injector.end_all()
         self.failing = set()
         self.is_overloaded = False
-        self._until(FAULTY + CALM_MS)
+        self.run_until(FAULT_PHASE_MS + CALM_MS)
         self.maintenance_checker.on_end(self._final_state())
-        return self.checker.broken
+        return self.checker.violations
 
     def _final_state(self) -> FinalState:
         running = {
@@ -139,12 +147,12 @@
 
     # What staff use
 
-    def random_member(self) -> Member | None:
+    def random_member(self) -> SimulatedMember | None:
         """Return a running member; None where there is none, or the drawn one is stalled."""
-        member = self._some()
-        return None if member is None or member.stalled else member
+        member = self.random_running_member()
+        return None if member is None or member.is_stalled else member
 
-    def scheduler_of(self, member: Member) -> MaintenanceScheduler:
+    def scheduler_of(self, member: SimulatedMember) -> MaintenanceScheduler:
         """Return the scheduler of a member."""
         return self.incarnations[member.name].participant.scheduler
 
@@ -156,40 +164,40 @@
         """Return for how long of late each member was out of reach."""
         return {name: self._reachability.unreachable_ms(self.now, name) for name in self.voters}
 
-    def note(self, text: str) -> None:
-        """Add a line to the record."""
-        self._note(text)
-
-    def propose_to_leader(self, member: Member, command: MaintenanceCommand) -> None:
+    def propose_to_leader(self, member: SimulatedMember, command: MaintenanceCommand) -> None:
         """Send a command to whoever leads as far as a member knows; may be lost, late or doubled."""
-        if member.core is None or not member.core.leader:
+        if member.core is None or not member.core.leader_id:
             return
-        leader = member.core.leader
+        leader = member.core.leader_id
         if not self._arrives(member.name, leader):
             return
         data = msgspec.msgpack.encode(command)
-        for _ in range(1 + (self.rng.random() < self.double)):
-            self.at(self.rng.expovariate(1 / self.delay), self._propose_at, leader, data)
+        for _ in range(1 + (self.rng.random() < self.network.duplication_rate)):
+            self.schedule(
+                self.rng.expovariate(1 / self.network.mean_delay_ms), self._propose_at, leader, data
+            )
 
     # Members
 
-    def _start(self, m: Member) -> None:
-        if m.gone or m.core is not None:
+    def start_member(self, member: SimulatedMember) -> None:
+        """Start a member with a new participant, which recovers from its disk."""
+        if member.is_removed or member.core is not None:
             return
-        scheduler = SCHEDULERS.get(self.plant, MaintenanceScheduler)()
-        participant = PARTICIPANTS.get(self.plant, MaintenanceParticipant)(
-            m.name, f"{m.name}/{m.life + 1}", OPTIONS, self.now, scheduler
+        scheduler = SCHEDULERS.get(self.seeded_defect, MaintenanceScheduler)()
+        participant = PARTICIPANTS.get(self.seeded_defect, MaintenanceParticipant)(
+            member.name, f"{member.name}/{member.incarnation + 1}", OPTIONS, self.now, scheduler
         )
-        self.incarnations[m.name] = Incarnation(participant)
-        participant.recover(m.disk.state, *m.disk.told())
-        super()._start(m)
-        self.maintenance_checker.on_started(m.name)
-        self._update_regularly(m, m.life)
-
-    def _applied(self, m: Member, index: int, entry: Entry) -> None:
-        super()._applied(m, index, entry)
-        participant = self.incarnations[m.name].participant
-        if entry.kind == COMMAND:
+        self.incarnations[member.name] = Incarnation(participant)
+        participant.recover(member.disk.snapshot, *member.disk.command_replay())
+        super().start_member(member)
+        self.maintenance_checker.on_started(member.name)
+        self._update_regularly(member, member.incarnation)
+
+    def on_entry_applied(self, member: SimulatedMember, index: int, entry: Entry) -> None:
+        """Apply a committed entry to a member's participant, and check what it changed."""
+        super().on_entry_applied(member, index, entry)
+        participant = self.incarnations[member.name].participant
+        if entry.kind == EntryKind.COMMAND:
             scheduler = participant.scheduler
             before = {
                 request.target: (request.state, request.epoch)
@@ -199,7 +207,7 @@
             for request in [*scheduler.requests.values(), *scheduler.finished]:
                 self._check_request(request, before.get(request.target))
         participant.on_log_advanced(index, entry.term)
-        self._update(m)
+        self._update(member)
 
     def _check_request(
         self, request: MaintenanceRequest, before: tuple[RequestState, int] | None
@@ -211,31 +219,33 @@
         if before is not None and _has_timed_out(request) and before[0] in REVOCABLE_STATES:
             checker.on_grant_timed_out(self.now, request.target, before[1])
 
-    def _restored(self, m: Member, index: int, state: bytes) -> None:
-        m.applied = index
-        m.seen = []
-        participant = self.incarnations[m.name].participant
-        participant.on_state_restored(state)
+    def on_snapshot_restored(self, member: SimulatedMember, index: int, snapshot: bytes) -> None:
+        """Replace a member's state by a snapshot."""
+        member.applied_index = index
+        member.applied_commands = []
+        participant = self.incarnations[member.name].participant
+        participant.on_state_restored(snapshot)
         participant.on_log_advanced(index, 0)
-        self.checker.reached(m.name, m.life, index)
+        self.checker.restarted(member.name, member.incarnation, index)
 
-    def _state(self, m: Member) -> bytes:
-        return self.scheduler_of(m).snapshot()
+    def snapshot_of(self, member: SimulatedMember) -> bytes:
+        """Return a snapshot of a member's state."""
+        return self.scheduler_of(member).snapshot()
 
-    def _update_regularly(self, member: Member, life: int) -> None:
-        if member.core is not None and member.life == life:
+    def _update_regularly(self, member: SimulatedMember, number: int) -> None:
+        if member.core is not None and member.incarnation == number:
             self._update(member)
-            self.at(UPDATE_INTERVAL_MS, self._update_regularly, member, life)
+            self.schedule(UPDATE_INTERVAL_MS, self._update_regularly, member, number)
 
-    def _update(self, member: Member) -> None:
-        if member.core is None or member.stalled:
+    def _update(self, member: SimulatedMember) -> None:
+        if member.core is None or member.is_stalled:
             return
         incarnation = self.incarnations[member.name]
         core = member.core
         cluster = ClusterView(
-            leader=core.leader,
+            leader=core.leader_id,
             members=self.voters,
-            reachable=core.heard_within(Times().patience),
+            reachable=core.responded_within(RaftTiming().election_timeout_ms),
             idle_backends={
                 backend
                 for backend in incarnation.participant.drained
@@ -244,25 +254,27 @@
         )
         actions = incarnation.participant.update(self.now, cluster)
         if actions.send_observation:
-            self._send_observation(member, core.leader)
+            self._send_observation(member, core.leader_id)
         for command in actions.propose:
             self.propose_to_leader(member, command)
         if actions.report is not None:
-            self._do(member, core.propose(self.now, msgspec.msgpack.encode(actions.report))[1])
+            self.carry_out(
+                member, core.propose(self.now, msgspec.msgpack.encode(actions.report))[1]
+            )
         if actions.transfer_leadership and member.core is not None:
-            self._do(member, core.hand_over(self.now))
+            self.carry_out(member, core.transfer_leadership(self.now))
         if actions.stop and member.core is not None:
             self.maintenance_checker.on_restart_begun(self.now, member.name)
-            self._kill(member)
-            self.at(self.rng.uniform(*RESTART_MS), self._start, member)
+            self.kill_member(member)
+            self.schedule(self.rng.uniform(*RESTART_MS), self.start_member, member)
 
     def _arrives(self, sender: str, receiver: str) -> bool:
         """Draw whether a message arrives."""
-        if (sender, receiver) in self.cuts:
+        if (sender, receiver) in self.network.cuts:
             return False
-        return sender == receiver or self.rng.random() >= self.loss
+        return sender == receiver or self.rng.random() >= self.network.loss_rate
 
-    def _send_observation(self, member: Member, leader: str) -> None:
+    def _send_observation(self, member: SimulatedMember, leader: str) -> None:
         participant = self.incarnations[member.name].participant
         zone_by_backend = participant.zone_by_requested_backend()
         observation = MemberObservation(
@@ -274,8 +286,8 @@
         )
         if self._arrives(member.name, leader):
             data = msgspec.msgpack.encode(observation)
-            delay_ms = self.rng.expovariate(1 / self.delay)
-            self.at(delay_ms, self._receive_observation, leader, member.name, data)
+            delay_ms = self.rng.expovariate(1 / self.network.mean_delay_ms)
+            self.schedule(delay_ms, self._receive_observation, leader, member.name, data)
 
     def _observe(self, participant: MaintenanceParticipant, zone: str) -> ZoneObservation:
         ready = tuple(
@@ -290,20 +302,20 @@
 
     def _receive_observation(self, leader: str, sender: str, data: bytes) -> None:
         receiver = self.members[leader]
-        if receiver.core is not None and not receiver.stalled:
+        if receiver.core is not None and not receiver.is_stalled:
             self.incarnations[leader].participant.on_observation(self.now, sender, data)
 
     def _propose_at(self, leader: str, data: bytes) -> None:
         receiver = self.members[leader]
-        if receiver.core is None or receiver.stalled:
+        if receiver.core is None or receiver.is_stalled:
             return
         if receiver.core.role is Role.LEADER:
-            self._do(receiver, receiver.core.propose(self.now, data)[1])
+            self.carry_out(receiver, receiver.core.propose(self.now, data)[1])
 
     # Requests
 
     def _send_request(self) -> None:
-        self.at(self.rng.uniform(0.5, 1.5) * SEND_INTERVAL_MS, self._send_request)
+        self.schedule(self.rng.uniform(0.5, 1.5) * SEND_INTERVAL_MS, self._send_request)
         member = self.random_member()
         if member is None:
             return
@@ -319,33 +331,34 @@
             if is_short
             else self.rng.uniform(*LONG_REQUEST_MS)
         )
-        self.at(duration_ms, incarnation.in_flight.subtract, [backend])
+        self.schedule(duration_ms, incarnation.in_flight.subtract, [backend])
 
     def _look_who_is_reachable(self) -> None:
         """Take note which members surely reach each other now."""
-        self.at(UPDATE_INTERVAL_MS, self._look_who_is_reachable)
-        if self.cuts or self.loss > CALM_LOSS or self.delay > CALM_DELAY_MS:
+        self.schedule(UPDATE_INTERVAL_MS, self._look_who_is_reachable)
+        if (
+            self.network.cuts
+            or self.network.loss_rate > CALM_LOSS
+            or self.network.mean_delay_ms > CALM_DELAY_MS
+        ):
             return
-        leaders = {member.name for member, _ in self._leaders()}
+        leaders = {member.name for member, _ in self.running_leaders()}
         for member in self.members.values():
-            if member.core is None or member.stalled:
+            if member.core is None or member.is_stalled:
                 continue
-            if member.core.leader in leaders:
+            if member.core.leader_id in leaders:
                 self._reachability.on_reached(self.now, member.name)
 
-    def _client(self) -> None:
-        """Staff are the clients here."""
-
     # Faults of backends
 
-    def _fail(self) -> None:
+    def _fail_backend(self) -> None:
         backend = self.rng.choice(sorted(ZONE_OF))
         self.failing.add(backend)
-        self.at(self.rng.uniform(*FAILING_MS), self.failing.discard, backend)
+        self.schedule(self.rng.uniform(*FAILING_MS), self.failing.discard, backend)
 
-    def _press(self) -> None:
+    def _overload_zones(self) -> None:
         self.is_overloaded = True
-        self.at(self.rng.uniform(*OVERLOAD_MS), self._end_overload)
+        self.schedule(self.rng.uniform(*OVERLOAD_MS), self._end_overload)
 
     def _end_overload(self) -> None:
         self.is_overloaded = False
--- a/dockthread/lab/maintenance/staff.py
+++ b/dockthread/lab/maintenance/staff.py
@@ -21,7 +21,7 @@
 
 if TYPE_CHECKING:
     from dockthread.lab.maintenance.simulation import MaintenanceSimulation
-    from dockthread.lab.raft.simulation import Member
+    from dockthread.lab.raft.cluster import SimulatedMember
 
 STAFF_INTERVAL_MS = 350.0  # mean time between looks of staff
 RETRY_MS = 2_500.0  # after which staff make a call again
@@ -98,7 +98,7 @@
     def look(self) -> None:
         """Go on with every task, and now and then begin another."""
         simulation = self._simulation
-        simulation.at(simulation.rng.uniform(0.5, 1.5) * STAFF_INTERVAL_MS, self.look)
+        simulation.schedule(simulation.rng.uniform(0.5, 1.5) * STAFF_INTERVAL_MS, self.look)
         unfinished = self._unfinished()
         if simulation.now < self._until_ms and len(unfinished) < MAX_OPEN_TASKS:
             self._tasks.append(self._new_task({task.target for task in unfinished}))
@@ -147,14 +147,16 @@
         elif task.step is StaffStep.COMPLETE:
             self._call(member, task, _about(task, CommandAction.COMPLETE, "done"))
 
-    def _call(self, member: Member, task: StaffTask, command: MaintenanceCommand) -> None:
+    def _call(self, member: SimulatedMember, task: StaffTask, command: MaintenanceCommand) -> None:
         """Make a call, unless it was made a short time ago."""
         now = self._simulation.now
         if now - task.called_at >= RETRY_MS:
             task.called_at = now
             self._simulation.propose_to_leader(member, command)
 
-    def _follow(self, member: Member, task: StaffTask, request: MaintenanceRequest) -> None:
+    def _follow(
+        self, member: SimulatedMember, task: StaffTask, request: MaintenanceRequest
+    ) -> None:
         if task.is_regretted:
             withdrawal = _about(task, CommandAction.WITHDRAW, "withdraw")
             self._simulation.propose_to_leader(member, withdrawal)
@@ -175,14 +177,14 @@
                 unreachable_ms=simulation.unreachable_ms(),
             )
         )
-        simulation.note(f"{task.target} is pulled, held by {request.drained_by}")
+        simulation.record_event(f"{task.target} is pulled, held by {request.drained_by}")
         task.step = StaffStep.WORK
-        simulation.at(simulation.rng.uniform(*WORK_MS), self._switch_on, task)
+        simulation.schedule(simulation.rng.uniform(*WORK_MS), self._switch_on, task)
 
     def _switch_on(self, task: StaffTask) -> None:
         simulation = self._simulation
         simulation.maintenance_checker.on_switched_on(simulation.now, task.target)
-        simulation.note(f"{task.target} is back")
+        simulation.record_event(f"{task.target} is back")
         task.step = StaffStep.COMPLETE
         task.called_at = NEVER_MS
 
--- a/dockthread/lab/raft/seeded_defects.py
+++ b/dockthread/lab/raft/seeded_defects.py
@@ -1,112 +1,142 @@
-"""Planted bugs of the agreement, each of which the checker has to find: proof that it sees. Never
-in the program.
+"""Seeded defects of the Raft core and of what carries its actions out.
+
+The checker has to find each of them, which shows that it sees such faults. The program itself never
+loads this module. The names are words of the command line.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from typing import Final
+
+import msgspec
+
+from dockthread.raft.actions import Action, ReadIndexReady, Role
+from dockthread.raft.core import RaftCore
+from dockthread.raft.messages import AppendEntries, Message, VoteRequest, VoteResponse
 
-from dockthread.raft.actions import Action, ReadAt, Role
-from dockthread.raft.core import Agreement
-from dockthread.raft.messages import Append, Message, VoteAnswer, VoteAsk
 
+class VoteTwice(RaftCore):
+    """Votes again in a term in which it has voted for another member."""
 
-class VoteTwice(Agreement):
-    def _asked(self, m: VoteAsk) -> None:
-        if not m.pre and self.vote != self.me:
-            self.vote = ""
-        super()._asked(m)
+    def _handle_vote_request(self, request: VoteRequest) -> None:
+        if not request.pre_vote and self.voted_for != self.member_id:
+            self.voted_for = ""
+        super()._handle_vote_request(request)
 
 
-class VoteNotKept(Agreement):
-    def _asked(self, m: VoteAsk) -> None:
-        if m.pre or self.vote not in ("", m.sender) or not self._newer(m):
-            return super()._asked(m)
-        self.vote = m.sender
-        self._wait()
-        return self._send(m.sender, VoteAnswer(self.term, self.me, True))
+class VoteNotPersisted(RaftCore):
+    """Sends a vote that is not on disk."""
 
+    def _handle_vote_request(self, request: VoteRequest) -> None:
+        may_vote = self.voted_for in ("", request.sender)
+        if request.pre_vote or not may_vote or not self._is_log_up_to_date(request):
+            super()._handle_vote_request(request)
+            return
+        self.voted_for = request.sender
+        self._reset_election_timer()
+        self._send(request.sender, VoteResponse(self.term, self.member_id, True))
 
-class AnyLogLeads(Agreement):
-    def _newer(self, m: VoteAsk) -> bool:
+
+class AnyLogLeads(RaftCore):
+    """Votes for candidates whose log is older than its own."""
+
+    def _is_log_up_to_date(self, request: VoteRequest) -> bool:  # noqa: ARG002  the defect
         return True
 
 
-class SmallMajority(Agreement):
-    def majority(self, who: Iterable[str]) -> bool:
-        return 2 * len(set(who) & set(self.voters)) + 2 > len(self.voters)
+class SmallMajority(RaftCore):
+    """Takes one member less than a majority for a majority."""
+
+    def has_quorum(self, members: Iterable[str]) -> bool:
+        """Return whether these members and one more are a majority of the voters."""
+        return 2 * len(set(members) & set(self.voters)) + 2 > len(self.voters)
 
 
-class BeforeUnchecked(Agreement):
-    def _take_entries(self, m: Append) -> tuple[bool, int]:
-        if m.before <= self.log.last and m.before >= self.log.base:
-            m = Append(
-                m.term, m.sender, m.before, self.log.term_at(m.before), m.entries, m.commit, m.round
-            )
-        return super()._take_entries(m)
+class PreviousEntryUnchecked(RaftCore):
+    """Appends entries without comparing the term of the entry before them."""
 
+    def _accept_entries(self, message: AppendEntries) -> tuple[bool, int]:
+        if self.log.snapshot_index <= message.previous_index <= self.log.last_index:
+            own_term = self.log.term_at(message.previous_index)
+            message = msgspec.structs.replace(message, previous_term=own_term)
+        return super()._accept_entries(message)
 
-class ConflictKept(Agreement):
-    def _take_entries(self, m: Append) -> tuple[bool, int]:
-        if (
-            m.before > self.log.last
-            or m.before >= self.log.base
-            and self.log.term_at(m.before) != m.before_term
-        ):
-            return super()._take_entries(m)
-        end = m.before + len(m.entries)
-        if end > self.log.last:
-            self._append(m.entries[max(0, self.log.last - m.before) :])
-        self._commit_to(min(m.commit, end))
-        return True, end
 
+class ConflictKept(RaftCore):
+    """Keeps entries that conflict with the leader's, and appends only behind them."""
 
-class EpochUnchecked(Agreement):
-    def heard(self, now: float, m: Message) -> list[Action]:
-        if isinstance(m, Append) and m.term < self.term:
-            m = Append(self.term, m.sender, m.before, m.before_term, m.entries, m.commit, m.round)
-        return super().heard(now, m)
+    def _accept_entries(self, message: AppendEntries) -> tuple[bool, int]:
+        log = self.log
+        previous = message.previous_index
+        if previous > log.last_index:
+            return super()._accept_entries(message)
+        if previous >= log.snapshot_index and log.term_at(previous) != message.previous_term:
+            return super()._accept_entries(message)
+        match_index = previous + len(message.entries)
+        if match_index > log.last_index:
+            self._append_entries(message.entries[max(0, log.last_index - previous) :])
+        self._commit_up_to(min(message.commit_index, match_index))
+        return True, match_index
 
 
-class ReadAtOnce(Agreement):
-    def read(self, now: float, token: int) -> tuple[bool, list[Action]]:
+class TermUnchecked(RaftCore):
+    """Takes the entries of a leader of an older term for those of the current one."""
+
+    def step(self, now: float, message: Message) -> list[Action]:
+        """Handle a message of another member."""
+        if isinstance(message, AppendEntries) and message.term < self.term:
+            message = msgspec.structs.replace(message, term=self.term)
+        return super().step(now, message)
+
+
+class ReadAtOnce(RaftCore):
+    """Answers reads without confirming that it still leads."""
+
+    def read_index(self, now: float, token: int) -> tuple[bool, list[Action]]:  # noqa: ARG002  the defect
+        """Answer with the commit index as it is."""
         if self.role is not Role.LEADER:
             return False, []
-        return True, [ReadAt(token, self.commit)]
+        return True, [ReadIndexReady(token, self.commit_index)]
+
+
+class CommitTooFar(RaftCore):
+    """Commits entries that the leader has not confirmed to be equal to its own."""
 
+    def _accept_entries(self, message: AppendEntries) -> tuple[bool, int]:
+        success, match_index = super()._accept_entries(message)
+        self._commit_up_to(message.commit_index)
+        return success, match_index
 
-class CommitTooFar(Agreement):
-    def _take_entries(self, m: Append) -> tuple[bool, int]:
-        ok, match = super()._take_entries(m)
-        self._commit_to(m.commit)
-        return ok, match
 
+class ManyChangesAtOnce(RaftCore):
+    """Allows any change of voters at any time."""
 
-class ManyChangesAtOnce(Agreement):
-    def _may_change(self, voters: tuple[str, ...]) -> bool:
+    def _may_change_voters(self, voters: tuple[str, ...]) -> bool:  # noqa: ARG002  the defect
         return True
 
 
-class SnapshotTooOld(Agreement):
-    """Lets go of one entry more than its state holds."""
+class SnapshotTooOld(RaftCore):
+    """Drops one entry more than its snapshot holds."""
 
-    def compact(self, index: int, state: bytes) -> list[Action]:
-        return super().compact(index, state.rpartition(b"\x00")[0])
+    def compact(self, index: int, snapshot: bytes) -> list[Action]:
+        """Replace the entries up to `index` by a snapshot without the last command."""
+        return super().compact(index, snapshot.rpartition(b"\x00")[0])
 
 
-CORES: dict[str, type[Agreement]] = {
+DEFECTIVE_CORES: Final[dict[str, type[RaftCore]]] = {
     "vote-twice": VoteTwice,
-    "vote-not-kept": VoteNotKept,
+    "vote-not-kept": VoteNotPersisted,
     "any-log-leads": AnyLogLeads,
     "small-majority": SmallMajority,
-    "before-unchecked": BeforeUnchecked,
+    "before-unchecked": PreviousEntryUnchecked,
     "conflict-kept": ConflictKept,
-    "epoch-unchecked": EpochUnchecked,
+    "epoch-unchecked": TermUnchecked,
     "read-at-once": ReadAtOnce,
     "commit-too-far": CommitTooFar,
     "many-changes-at-once": ManyChangesAtOnce,
     "snapshot-too-old": SnapshotTooOld,
 }
-# Bugs of the rim: what is carried out wrongly round a core that is right.
-RIMS = ("fsync-left-out", "sent-before-kept", "same-name-without-memory")
-NAMES = (*CORES, *RIMS)
+# A right core whose actions the simulation carries out wrongly.
+ADAPTER_DEFECTS: Final = ("fsync-left-out", "sent-before-kept", "same-name-without-memory")
+NAMES: Final = (*DEFECTIVE_CORES, *ADAPTER_DEFECTS)
--- a/dockthread/maintenance/admin_commands.py
+++ b/dockthread/maintenance/admin_commands.py
@@ -24,7 +24,7 @@
     from dockthread.maintenance.scheduler import MaintenanceScheduler
     from dockthread.net.ingress import Ingress
     from dockthread.raft.options import FleetOptions
-    from dockthread.raft.server import Member
+    from dockthread.raft.server import RaftServer
 
 JSON = b"application/json"
 ACTIONS = {
@@ -81,7 +81,7 @@
         self,
         ingress: Ingress,
         options: FleetOptions,
-        member: Member,
+        member: RaftServer,
         scheduler: MaintenanceScheduler,
     ) -> None:
         self._ingress = ingress
@@ -158,7 +158,7 @@
             comment=str(call.more.get("why", "")),
             sender=self._ingress.config.name,
             urgency=_urgency(call.more),
-            max_unavailable=self._options.most_out,
+            max_unavailable=self._options.max_unavailable,
             command_id=secrets.token_hex(COMMAND_ID_BYTES),
             kind=TargetKind.BACKEND if is_backend else TargetKind.INGRESS,
             duration_ms=_duration_ms(call.more),
@@ -168,7 +168,7 @@
     def _warm_up_ms(self, is_backend: bool) -> float:
         if is_backend:
             return self._ingress.config.module.safety.cold_time * MS_PER_S
-        return INGRESS_WARM_UP_TIMEOUTS * self._options.patience
+        return INGRESS_WARM_UP_TIMEOUTS * self._options.election_timeout
 
     async def _wait_for_evaluation(self, target: str) -> None:
         """Wait until a leader's report has seen a request, or for as long as staff would wait."""
--- a/dockthread/maintenance/service.py
+++ b/dockthread/maintenance/service.py
@@ -18,7 +18,7 @@
 from dockthread.maintenance.admin_commands import MaintenanceAdmin
 from dockthread.maintenance.model import ClusterView, MaintenanceOptions
 from dockthread.maintenance.participant import MaintenanceParticipant, ParticipantActions
-from dockthread.raft.server import Member
+from dockthread.raft.server import RaftServer
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -46,7 +46,7 @@
         options: The cluster's settings.
         stop: Ends the ingress gracefully, when its own request is granted.
 
-    Raises OSError, ValueError or the storage's own error where the log's directory or the key cannot
+    Raises OSError, ValueError or RaftStorageError where the log's directory or the key cannot
     be used.
 
     Attributes:
@@ -61,14 +61,14 @@
             name=ingress.config.name,
             incarnation=secrets.token_hex(INCARNATION_BYTES),
             options=MaintenanceOptions(
-                backend_capacity=options.node_bears,
-                headroom=float(options.reserve),
-                grant_timeout_ms=float(options.lapse),
-                failure_timeout_ms=float(options.dead),
+                backend_capacity=options.node_capacity,
+                headroom=float(options.headroom),
+                grant_timeout_ms=float(options.grant_timeout),
+                failure_timeout_ms=float(options.failure_timeout),
             ),
             now=ingress.clock.now(),
         )
-        self.member = Member(
+        self.member = RaftServer(
             ingress.config.name,
             options,
             ingress.clock,
@@ -87,8 +87,8 @@
 
     async def open(self) -> None:
         """Drain what the disk says is unavailable, before the first request; then join."""
-        stored = self.member.store.stored
-        self.participant.recover(stored.state, *stored.told())
+        stored = self.member.storage.persistent_state
+        self.participant.recover(stored.snapshot, *stored.command_replay())
         self._update()
         await self.member.open()
         self._spawn(self._run())
@@ -101,13 +101,13 @@
 
     def leave(self) -> None:
         """Let another member lead while the last requests are answered here."""
-        self.member.hand_over()
+        self.member.transfer_leadership()
 
     async def answer(self, call: Command) -> Answer:
         """Answer a call of the admin endpoint."""
         return await self._admin.answer(call)
 
-    # Events of the member (`Owner` in dockthread/raft/server.py)
+    # Events of the member (`StateMachine` in dockthread/raft/server.py)
 
     def apply(self, index: int, data: bytes) -> None:
         """Apply a committed command."""
@@ -119,16 +119,16 @@
         self.participant.on_state_restored(state)
         self._wake.set()
 
-    def state(self) -> bytes:
+    def snapshot(self) -> bytes:
         """Return a snapshot of the state."""
         return self.scheduler.snapshot()
 
-    def came_to(self, index: int, term: int) -> None:
+    def on_applied(self, index: int, term: int) -> None:
         """Take note that the log is committed and applied up to an index."""
         self.participant.on_log_advanced(index, term)
         self._wake.set()
 
-    def shown(self, sender: str, data: bytes) -> None:
+    def on_status_report(self, sender: str, data: bytes) -> None:
         """Take note of what another member observes.
 
         Raises:
@@ -137,7 +137,7 @@
         self.participant.on_observation(self._ingress.clock.now(), sender, data)
         self._wake.set()
 
-    def changed(self) -> None:
+    def on_leader_changed(self) -> None:
         """Take note that the leader has changed."""
         self._wake.set()
 
@@ -169,9 +169,9 @@
         that comes back now, and has to warm up.
         """
         cluster = ClusterView(
-            leader=self.member.leader,
+            leader=self.member.leader_id,
             members=self.member.members,
-            reachable=self.member.heard(),
+            reachable=self.member.responsive_members(),
             idle_backends=observation.idle_backends(self._ingress, self.participant.drained),
             is_serving=self._ingress.ready,
         )
@@ -188,9 +188,9 @@
         for command in actions.propose:
             self._spawn(self._propose(command))
         if actions.report is not None:
-            self.member.propose_here(msgspec.msgpack.encode(actions.report))
+            self.member.propose_as_leader(msgspec.msgpack.encode(actions.report))
         if actions.transfer_leadership:
-            self.member.hand_over()
+            self.member.transfer_leadership()
         if actions.stop and not self._is_stopping:
             self._is_stopping = True  # once: the scheduler says so until the next incarnation
             logger.info("maintenance: the restart of this ingress is granted: graceful shutdown")
@@ -207,7 +207,7 @@
             self.participant.zone_by_requested_backend(),
             self.participant.latest_request_index(),
         )
-        self.member.show(msgspec.msgpack.encode(observed))
+        self.member.report_status(msgspec.msgpack.encode(observed))
 
     async def _propose(self, command: MaintenanceCommand) -> None:
         if not await self.member.propose(msgspec.msgpack.encode(command)):
--- a/tests/raft/test_fleet_options.py
+++ b/tests/raft/test_fleet_options.py
@@ -26,12 +26,14 @@
         ("listen = h:1\nmembers = a=h:1\ndirectory = d\nmost_out = 0", "most_out: is under 1"),
     ],
 )
-def test_a_fleet_that_cannot_be_is_refused_with_its_key(text: str, wrong: str) -> None:
+def test_a_wrong_section_is_rejected_with_its_key(text: str, wrong: str) -> None:
     problems = [str(p) for p in read_text(f"[fleet]\n{text}\n", "f.ini").errors]
     assert any(wrong in problem for problem in problems), problems
 
 
-def test_without_the_section_there_is_no_fleet_and_a_short_key_is_refused(tmp_path: Path) -> None:
+def test_without_the_section_there_is_no_cluster_and_a_short_key_is_rejected(
+    tmp_path: Path,
+) -> None:
     assert read_text("", "f.ini").one("fleet") == FleetOptions()
     (tmp_path / "key").write_text("short")
     with pytest.raises(ValueError, match="5 bytes; 16 to 64"):
