--- a/dockthread/cli/lab_fleet.py
+++ b/dockthread/cli/lab_fleet.py
@@ -126,13 +126,13 @@
         told = {"scenario": scenario, "ingresses": played.ingresses, "seed": seed, "broken": broken}
         click.echo(
             json.dumps(
-                {**told, "asked": verdict.asked, "served": verdict.served, "record": verdict.record}
+                {**told, "asked": verdict.sent, "served": verdict.served, "record": verdict.record}
             )
         )
     else:
         click.echo("\n".join(verdict.record))
         click.echo(
-            f"{scenario}: {verdict.served} of {verdict.asked} requests served, {len(broken)} rules broken"
+            f"{scenario}: {verdict.served} of {verdict.sent} requests served, {len(broken)} rules broken"
         )
     sys.exit(BROKE if broken else 0)
 
--- a/dockthread/lab/maintenance/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -78,13 +78,13 @@
         broken: Rules that were broken.
         record: What happened, one line each, with the time in milliseconds.
         served: Requests of the load that were served.
-        asked: Requests of the load.
+        sent: Requests of the load.
     """
 
     broken: list[RuleViolation] = field(default_factory=list)
     record: list[str] = field(default_factory=list)
     served: int = 0
-    asked: int = 0
+    sent: int = 0
 
 
 class Rehearsal:
@@ -331,7 +331,7 @@
         self._check_load(name, await Load(target, first_identifier).run(arrivals))
 
     def _check_load(self, name: str, outcome: Outcome) -> None:
-        self._result.asked += outcome.asked
+        self._result.sent += outcome.asked
         self._result.served += outcome.total("served")
         totals = {word: outcome.total(word) for word in OUTCOMES if outcome.total(word)}
         counts = ", ".join(f"{count} {word}" for word, count in totals.items())
--- a/dockthread/lab/maintenance/simulation.py
+++ b/dockthread/lab/maintenance/simulation.py
@@ -13,10 +13,12 @@
 
 import msgspec
 
+from dockthread.lab.maintenance.backend_faults import BACKEND_FAILURE, OVERLOAD, BackendFaults
 from dockthread.lab.maintenance.checker import FinalState, Limits, MaintenanceChecker
 from dockthread.lab.maintenance.reachability import Reachability
 from dockthread.lab.maintenance.seeded_defects import PARTICIPANTS, SCHEDULERS
 from dockthread.lab.maintenance.staff import STAFF_INTERVAL_MS, Staff
+from dockthread.lab.maintenance.traffic import SEND_INTERVAL_MS, Traffic
 from dockthread.lab.raft.checker import RuleViolation
 from dockthread.lab.raft.cluster import SimulatedMember
 from dockthread.lab.raft.faults import FAULT_PHASE_MS, Fault
@@ -40,16 +42,8 @@
 ZONE_NAMES = "ab"
 ZONE_OF = {f"m{index}": ZONE_NAMES[index % len(ZONE_NAMES)] for index in range(BACKEND_COUNT)}
 UPDATE_INTERVAL_MS = 60.0  # between updates of a participant
-SEND_INTERVAL_MS = 25.0  # mean time between requests of all members
 FIRST_FAULT_MS = 400.0
-SHORT_REQUEST_MS = 30.0  # mean time of most requests
-SHORT_FRACTION = 0.95  # of the requests
-LONG_REQUEST_MS = (200.0, 1_500.0)  # least and most time of the others
 RESTART_MS = (300.0, 1_500.0)  # least and most time until an ingress is started again
-FAILING_MS = (200.0, 4_000.0)  # least and most time for which a backend fails
-OVERLOAD_MS = (100.0, 1_500.0)  # least and most time for which zones are overloaded
-BACKEND_FAILURE = "fail"  # a fault: a backend fails for a while
-OVERLOAD = "press"  # a fault: zones are overloaded for a while
 # Their order decides which random draw turns each on.
 FAULTS = (
     Fault.CUT,
@@ -87,8 +81,7 @@
     Attributes:
         maintenance_checker: Checks the rules of planned maintenance.
         incarnations: The latest incarnation of each member.
-        failing: Backends that fail now.
-        is_overloaded: Zones are overloaded now.
+        backend_faults: Faults of backends and zones.
     """
 
     def __init__(
@@ -107,16 +100,15 @@
         )
         self.maintenance_checker = MaintenanceChecker(ZONE_OF, limits, self.checker.violations)
         self.incarnations: dict[str, Incarnation] = {}
-        self.failing: set[str] = set()
-        self.is_overloaded = False
-        self.fault_injector.handlers[BACKEND_FAILURE] = self._fail_backend
-        self.fault_injector.handlers[OVERLOAD] = self._overload_zones
+        self.backend_faults = BackendFaults(self, sorted(ZONE_OF))
+        self.fault_injector.handlers.update(self.backend_faults.handlers)
+        self._traffic = Traffic(self, sorted(ZONE_OF))
         self._staff = Staff(self, ZONE_OF, WARM_UP_MS, FAULT_PHASE_MS)
         self._reachability = Reachability(UPDATE_INTERVAL_MS, OPTIONS.failure_timeout_ms)
 
     def run(self) -> list[RuleViolation]:
         """Play the seed to its end, or to the first broken rule."""
-        self.schedule(SEND_INTERVAL_MS, self._send_request)
+        self.schedule(SEND_INTERVAL_MS, self._traffic.send_request)
         self.schedule(STAFF_INTERVAL_MS, self._staff.look)
         self.schedule(UPDATE_INTERVAL_MS, self._look_who_is_reachable)
         for name in self.voters:
@@ -124,8 +116,7 @@
         self.schedule(FIRST_FAULT_MS, self.fault_injector.inject)
         self.run_until(FAULT_PHASE_MS)
         self.fault_injector.end_all()
-        self.failing = set()
-        self.is_overloaded = False
+        self.backend_faults.end_all()
         self.run_until(FAULT_PHASE_MS + CALM_MS)
         self.maintenance_checker.on_end(self._final_state())
         return self.checker.violations
@@ -205,20 +196,12 @@
             }
             participant.on_entry_applied(self.now, index, entry.data)
             for request in [*scheduler.requests.values(), *scheduler.finished]:
-                self._check_request(request, before.get(request.target))
+                _check_request(
+                    self.maintenance_checker, self.now, request, before.get(request.target)
+                )
         participant.on_log_advanced(index, entry.term)
         self._update(member)
 
-    def _check_request(
-        self, request: MaintenanceRequest, before: tuple[RequestState, int] | None
-    ) -> None:
-        checker = self.maintenance_checker
-        checker.on_maintenance_requested(self.now, request.comment, request.requested_index)
-        if request.state is RequestState.GRANTED:
-            checker.on_granted(self.now, request.target, request.epoch)
-        if before is not None and _has_timed_out(request) and before[0] in REVOCABLE_STATES:
-            checker.on_grant_timed_out(self.now, request.target, before[1])
-
     def on_snapshot_restored(self, member: SimulatedMember, index: int, snapshot: bytes) -> None:
         """Replace a member's state by a snapshot."""
         member.applied_index = index
@@ -297,8 +280,8 @@
             and backend not in self.maintenance_checker.switched_off
             and backend not in participant.drained
         )
-        failing = tuple(backend for backend in ready if backend in self.failing)
-        return ZoneObservation(zone, ready, failing, 0.0, self.is_overloaded)
+        failing = tuple(backend for backend in ready if backend in self.backend_faults.failing)
+        return ZoneObservation(zone, ready, failing, 0.0, self.backend_faults.is_overloaded)
 
     def _receive_observation(self, leader: str, sender: str, data: bytes) -> None:
         receiver = self.members[leader]
@@ -312,26 +295,7 @@
         if receiver.core.role is Role.LEADER:
             self.carry_out(receiver, receiver.core.propose(self.now, data)[1])
 
-    # Requests
-
-    def _send_request(self) -> None:
-        self.schedule(self.rng.uniform(0.5, 1.5) * SEND_INTERVAL_MS, self._send_request)
-        member = self.random_member()
-        if member is None:
-            return
-        incarnation = self.incarnations[member.name]
-        backend = self.rng.choice(sorted(ZONE_OF))
-        if backend in incarnation.participant.drained:
-            return
-        self.maintenance_checker.on_request_sent(self.now, member.name, backend)
-        incarnation.in_flight[backend] += 1
-        is_short = self.rng.random() < SHORT_FRACTION
-        duration_ms = (
-            self.rng.expovariate(1 / SHORT_REQUEST_MS)
-            if is_short
-            else self.rng.uniform(*LONG_REQUEST_MS)
-        )
-        self.schedule(duration_ms, incarnation.in_flight.subtract, [backend])
+    # Reachability
 
     def _look_who_is_reachable(self) -> None:
         """Take note which members surely reach each other now."""
@@ -349,19 +313,19 @@
             if member.core.leader_id in leaders:
                 self._reachability.on_reached(self.now, member.name)
 
-    # Faults of backends
-
-    def _fail_backend(self) -> None:
-        backend = self.rng.choice(sorted(ZONE_OF))
-        self.failing.add(backend)
-        self.schedule(self.rng.uniform(*FAILING_MS), self.failing.discard, backend)
-
-    def _overload_zones(self) -> None:
-        self.is_overloaded = True
-        self.schedule(self.rng.uniform(*OVERLOAD_MS), self._end_overload)
 
-    def _end_overload(self) -> None:
-        self.is_overloaded = False
+def _check_request(
+    checker: MaintenanceChecker,
+    now: float,
+    request: MaintenanceRequest,
+    before: tuple[RequestState, int] | None,
+) -> None:
+    """Tell the checker of a request after an entry; `before` is its state and epoch before it."""
+    checker.on_maintenance_requested(now, request.comment, request.requested_index)
+    if request.state is RequestState.GRANTED:
+        checker.on_granted(now, request.target, request.epoch)
+    if before is not None and _has_timed_out(request) and before[0] in REVOCABLE_STATES:
+        checker.on_grant_timed_out(now, request.target, before[1])
 
 
 def _has_timed_out(request: MaintenanceRequest) -> bool:
--- a/dockthread/lab/maintenance/staff.py
+++ b/dockthread/lab/maintenance/staff.py
@@ -189,5 +189,5 @@
         task.called_at = NEVER_MS
 
 
-def _about(task: StaffTask, action: CommandAction, word: str) -> MaintenanceCommand:
-    return MaintenanceCommand(action, task.target, command_id=f"{task.comment}/{word}")
+def _about(task: StaffTask, action: CommandAction, suffix: str) -> MaintenanceCommand:
+    return MaintenanceCommand(action, task.target, command_id=f"{task.comment}/{suffix}")
--- a/dockthread/maintenance/service.py
+++ b/dockthread/maintenance/service.py
@@ -175,9 +175,9 @@
             idle_backends=observation.idle_backends(self._ingress, self.participant.drained),
             is_serving=self._ingress.ready,
         )
-        self._carry_out(self.participant.update(self._ingress.clock.now(), cluster))
+        self._execute(self.participant.update(self._ingress.clock.now(), cluster))
 
-    def _carry_out(self, actions: ParticipantActions) -> None:
+    def _execute(self, actions: ParticipantActions) -> None:
         for backend in actions.drain:
             self._drain(backend)
         for backend in actions.release:
