--- a/dockthread/control_plane/ingress.py
+++ b/dockthread/control_plane/ingress.py
@@ -146,7 +146,7 @@
         return ""
 
     def _move(self) -> None:
-        """As the configuration of a SIGHUP does (`Ingress.reconfigure`)."""
+        """As the configuration of a SIGHUP does (`Ingress.reload`)."""
         ingress = self._ingress
         config = self.layered(self._configured)
         ingress.config = replace(ingress.config, discovery=config.discovery, counter=config.counter)
--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -76,7 +76,7 @@
         self._asked_again = False
         self.applied = self.rejected = 0  # files read again at SIGHUP
         self._held_file = Path(os.environ.get("TMPDIR") or tempfile.gettempdir()) / HELD_FILE
-        self.ingress.destinations.held.update(_read_held(self._held_file))
+        self.ingress.endpoints.held.update(_read_held(self._held_file))
         if read is not None:
             self._apply(read)
 
@@ -93,9 +93,9 @@
                 classes=ingress.config.names.classes,
                 outcomes=ingress.traffic.outcomes,
                 tries=ingress.traffic.tries,
-                active=ingress.active,
-                pool_size=ingress.destinations.listed,
-                pool_ejected=ingress.destinations.avoided,
+                active=ingress.unanswered,
+                pool_size=ingress.endpoints.listed,
+                pool_ejected=ingress.endpoints.avoided,
                 config_applied=self.applied,
                 config_rejected=self.rejected,
             )
@@ -108,12 +108,12 @@
         return self._hold(target, False)
 
     def _hold(self, target: str, held: bool) -> bool:
-        if not self.ingress.hold(target, held):
+        if not self.ingress.set_drained(target, held):
             return False
         # For the process that takes over at an upgrade: it starts with what is held here.
         try:
             passing = self._held_file.with_suffix(".new")
-            passing.write_text(json.dumps(sorted(self.ingress.destinations.held)))
+            passing.write_text(json.dumps(sorted(self.ingress.endpoints.held)))
             os.replace(passing, self._held_file)
         except OSError as error:
             logger.warning(
@@ -264,7 +264,7 @@
         before = ingress.config.module, ingress.config.names
         if self._controlled is not None:
             config = self._controlled.layered(config)
-        ingress.reconfigure(config)
+        ingress.reload(config)
         if self._routes is not None:
             self._routes.set_settings(ingress.config.module, ingress.config.names)
         if read is not None:
--- a/dockthread/lab/scale/hollow.py
+++ b/dockthread/lab/scale/hollow.py
@@ -21,8 +21,8 @@
 from dockthread.lab.scale.witness import Row, Witness, table
 from dockthread.net.discovery_watch import Watch
 from dockthread.net.endpoint_list import DestinationSet
-from dockthread.net.ingress import HOUSEKEEPING, Ingress
-from dockthread.net.policy_host import Decider
+from dockthread.net.ingress import MAINTENANCE_INTERVAL_MS, Ingress
+from dockthread.net.policy_host import PolicyHost
 from dockthread.net.quota_counter import Counter
 from dockthread.net.timers import Timers
 from dockthread.policy import (
@@ -93,7 +93,7 @@
             shared.settings, ingress_number=number, zone=number % len(shared.names.zones)
         )
         self.gateway = PolicyEngine(module, number + 1, self.clock.now() / 1000.0)
-        self._decider = Decider(self.gateway, self.clock, lambda request: None)
+        self._policy_host = PolicyHost(self.gateway, self.clock, lambda request: None)
         self._timers = Timers(self.clock, module.clock_tick * 1000.0)
         self.destinations = DestinationSet(shared.names, self.clock)
         if (alter := alteration(plant)) is not None:
@@ -103,7 +103,7 @@
         self.watch = Watch(
             discovery, self.destinations, self.clock, self._listed, module, number + 1
         )
-        self._decider.carry_out = {
+        self._policy_host.action_handlers = {
             SetTimer: self._set_timer,
             PollEndpoints: lambda action: None,
         }
@@ -113,7 +113,11 @@
             f"n{number}", NOWHERE, discovery, number + 1, 1024, EMPTY, module, shared.names
         )
         self.counter = Counter(
-            None, self.clock, self._decider.tell, self._timers.at, timeout=COUNTER_TIMEOUT
+            None,
+            self.clock,
+            self._policy_host.dispatch,
+            self._timers.call_at,
+            timeout=COUNTER_TIMEOUT,
         )
         self.layers = Layers(Table(shared.names, module.zone, number + 1), module, shared.names)
         self._controlled: Controlled | None = None
@@ -126,7 +130,7 @@
         if self._controlled is not None and self._control_witness is not None:
             self._controlled.open()
             self._control_witness.observe(self._controlled, control_alteration(self._plant))
-        self.watch.begin(EMPTY, self._timers.at)
+        self.watch.begin(EMPTY, self._timers.call_at)
         self._housekeeping()
         self._watching = asyncio.get_running_loop().create_task(self.watch.run())
 
@@ -150,19 +154,19 @@
         return table(self.gateway, self.destinations)
 
     def _listed(self, listed: EndpointsListed) -> None:
-        self._decider.tell(listed)
+        self._policy_host.dispatch(listed)
         self.witness.heard(self.destinations.revision, self.gateway, listed)
 
     def _housekeeping(self) -> None:
         if self._stopped:
             return
-        self._timers.at(self.clock.now() + HOUSEKEEPING, self._housekeeping)
+        self._timers.call_at(self.clock.now() + MAINTENANCE_INTERVAL_MS, self._housekeeping)
         self.destinations.tidy()
         self.watch.check()
 
     def _set_timer(self, action: SetTimer) -> None:
-        self._timers.at(action.at * 1000.0, self._fired, action.token)
+        self._timers.call_at(action.at * 1000.0, self._fired, action.token)
 
     def _fired(self, token: int) -> None:
         if not self._stopped:
-            self._decider.tell(TimerFired(token))
+            self._policy_host.dispatch(TimerFired(token))
--- a/dockthread/lab/scale/real.py
+++ b/dockthread/lab/scale/real.py
@@ -29,7 +29,7 @@
         """From the ingress: a list was told to the module."""
         if what == "list":
             ingress = self._daemon.ingress
-            self._witness.heard(ingress.destinations.revision, ingress.gateway)
+            self._witness.heard(ingress.endpoints.revision, ingress.engine)
 
 
 class Real:
@@ -89,7 +89,7 @@
         """What the checker and the report need of this ingress."""
         ingress, number = self._daemon.ingress, self._witness.number
         found = findings(
-            [self._witness], {number: table(ingress.gateway, ingress.destinations)}, self._in_force
+            [self._witness], {number: table(ingress.engine, ingress.endpoints)}, self._in_force
         )
         found |= {"number": number, "reached": self._witness.reached, "reached_configuration": 0}
         routes: dict[int, list[Row]] = {}
--- a/dockthread/maintenance/observation.py
+++ b/dockthread/maintenance/observation.py
@@ -19,13 +19,13 @@
     """Destinations that are active by discovery, held or not, with what the module knows of
     each.
     """
-    workers, destinations = ingress.gateway.workers, ingress.destinations.by_worker
+    workers, destinations = ingress.engine.workers, ingress.endpoints.by_worker
     return [(d.uid, workers[n]) for n, d in destinations.items() if d.active and n in workers]
 
 
 def idle(ingress: Ingress, targets: Collection[str]) -> set[str]:
     """Those of `targets` at which nothing of this ingress is out."""
-    workers, destinations = ingress.gateway.workers, ingress.destinations.by_worker
+    workers, destinations = ingress.engine.workers, ingress.endpoints.by_worker
     busy = {
         d.uid
         for n, d in destinations.items()
@@ -38,7 +38,7 @@
     """`targets`: zone by node asked for; `since`: the latest request known. What is listed of them,
     and how their zones stand.
     """
-    gateway, destinations = ingress.gateway, ingress.destinations
+    gateway, destinations = ingress.engine, ingress.endpoints
     pressed = gateway.slow > PRESSED * gateway.tight
     zones: dict[str, list[tuple[str, Worker]]] = {}
     for uid, worker in _listed(ingress):
--- a/dockthread/maintenance/service.py
+++ b/dockthread/maintenance/service.py
@@ -133,11 +133,13 @@
     def _carry_out(self, acts: Acts) -> None:
         ingress = self._ingress
         for target in acts.hold:
-            if not ingress.hold(target, True):  # not listed here yet: drained as soon as it is
-                ingress.destinations.held.add(target)
+            if not ingress.set_drained(
+                target, True
+            ):  # not listed here yet: drained as soon as it is
+                ingress.endpoints.held.add(target)
             logger.info("work: {} is drained, its turn has come", target)
         for target in acts.free:
-            ingress.hold(target, False)
+            ingress.set_drained(target, False)
             logger.info("work: {} comes back", target)
         if acts.show:
             self.member.show(
@@ -205,7 +207,7 @@
     def _command(self, call: Command) -> commands.Command | Answer:
         """What is to be agreed on, or the answer that says why not."""
         target, more, ask = call.target, call.more, call.verb is Verb.WORK_ASK
-        zone, ingress = self._ingress.destinations.zone_of(target), target in self.member.members
+        zone, ingress = self._ingress.endpoints.zone_of(target), target in self.member.members
         if ask and zone is None and not ingress:
             return Answer(404, f"no backend {target} here, and no ingress of this name\n".encode())
         if not ask and target not in self.order.requests:
--- a/dockthread/net/inbound.py
+++ b/dockthread/net/client_connection.py
@@ -2,7 +2,7 @@
 
 Theory of operation. A connection is ended in one way, whoever ends it (`end`): the sending side is
 shut, so that the client reads all that was answered and then the end; what it still sends is read
-and dropped, and nothing of it is served, for `LINGER` and `MOST_IGNORED` bytes at the most; then
+and dropped, and nothing of it is served, for `CLOSE_TIMEOUT_MS` and `MAX_IGNORED_BYTES` bytes at the most; then
 the socket is closed. A close over unread bytes would reset the connection, and might take along an
 answer that the client has not read. Answers are written as they come; only what the system does not
 take at once waits for a task of its own, so the reader always reads: a client's close is seen at
@@ -26,9 +26,9 @@
 
 BUFFER = 8 * 1024
 MOST_UNSENT = 1024 * 1024  # bytes of answers that a client has not read
-LINGER = 1_000.0  # for a client to read the last answer before its connection is closed
+CLOSE_TIMEOUT_MS = 1_000.0  # for a client to read the last answer before its connection is closed
 # bytes read meanwhile; one that sends more is cut off, unless an answer is owed
-MOST_IGNORED = 64 * 1024
+MAX_IGNORED_BYTES = 64 * 1024
 TURN = 8  # commands of one connection that are taken before the others have theirs
 MOST_WAITING = 128  # commands of one connection without an answer
 MOST_BAD = 16  # commands of one connection that cannot be served
@@ -40,29 +40,29 @@
 DROPS = 64
 AHEAD = 64 * 1024  # bytes read while commands before them wait for their turn, for the same reason
 UNREAD = 5_000.0  # for a client to read an answer
-SILENCE = 1_500.0  # for a new connection to say something
+FIRST_COMMAND_TIMEOUT_MS = 1_500.0  # for a new connection to say something
 HEAD = 3_000.0  # for a command that has begun to be whole: a slow client takes 2 s for a head
 
 
 _dropped = bytearray(256 * 1024)  # where all that is read and dropped goes
 
 
-class Slot:
+class ResponseSlot:
     """The place of one command's answer among those of its connection."""
 
-    __slots__ = ("answer",)
+    __slots__ = ("response",)
 
     def __init__(self, answer: bytes | None = None) -> None:
-        self.answer = answer
+        self.response = answer
 
 
-class Host(Protocol):
+class ConnectionHost(Protocol):
     """What an inbound connection needs of its ingress."""
 
     clock: Clock
     vocabulary: resp.Vocabulary
     traffic: Traffic
-    loop_delay: LoopDelay
+    event_loop_lag: LoopDelay
 
     @property
     def ready(self) -> bool:
@@ -74,42 +74,44 @@
         """Whether no new request is taken any more."""
         ...
 
-    def is_open(self, wire_id: bytes) -> bool:
+    def is_in_flight(self, wire_id: bytes) -> bool:
         """Whether a request of this id is open."""
         ...
 
-    def arrived(self, connection: Inbound, ask: resp.Ask) -> Slot:
+    def accept(self, connection: ClientConnection, ask: resp.Ask) -> ResponseSlot:
         """A whole request was read; where its answer will stand."""
         ...
 
-    def answered_at_once(self, ask: resp.Ask, reason: str, answer: bytes) -> Slot:
+    def respond_without_policy(self, ask: resp.Ask, reason: str, answer: bytes) -> ResponseSlot:
         """A request that is answered without a decision."""
         ...
 
-    def client_gone(self, slot: Slot) -> None:
+    def on_client_disconnected(self, slot: ResponseSlot) -> None:
         """The client of a request has left."""
         ...
 
-    def closed(self, connection: Inbound) -> None:
+    def on_connection_closed(self, connection: ClientConnection) -> None:
         """The connection is closed."""
         ...
 
 
-class Inbound:
+class ClientConnection:
     """One client connection. Its task reads for as long as it stands, so that a close is seen at
     once.
     """
 
-    def __init__(self, host: Host, sock: socket.socket, came: float, surplus: bool = False) -> None:
+    def __init__(
+        self, host: ConnectionHost, sock: socket.socket, came: float, surplus: bool = False
+    ) -> None:
         self._host, self.sock = host, sock
         # the earliest at which what was read last can have come; its own coming, at first
-        self.since = came
+        self.earliest_arrival_ms = came
         self._seen, self._beat = (
             came,
-            host.loop_delay.last,
+            host.event_loop_lag.last,
         )  # when all that had come was read; the beat before the wait
         self._loop = asyncio.get_running_loop()
-        self._pending: deque[Slot] = deque()
+        self._pending: deque[ResponseSlot] = deque()
         self._unsent: list[bytes] = []
         self._unsent_bytes = 0
         self._writer: asyncio.Task[None] | None = None
@@ -121,22 +123,22 @@
         self._last = False  # no command after those pending is answered
         self._closed = False
         self.surplus = surplus  # over the budget of descriptors: told to come again, and closed
-        self.asked = 0  # whole commands it has sent
+        self.commands_read = 0  # whole commands it has sent
         # last read; the start of a command that is not whole
-        self.used = self.begun = host.clock.now()
+        self.last_read_ms = self.command_started_ms = host.clock.now()
         self.close_by: float | None = None
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._task: asyncio.Task[None] | None = self._loop.create_task(self._run())
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Nothing is owed to it. Half a command is no claim: else clients that never end one could
         hold all descriptors.
         """
         return not (self._pending or self._unsent or self._writer)
 
     @property
-    def half(self) -> bool:
+    def is_mid_command(self) -> bool:
         """Whether a command has begun and is not whole."""
         return not self._bounds.between and not self._last
 
@@ -147,35 +149,35 @@
         except OSError:
             return False
 
-    def check(self, now: float) -> None:
+    def enforce_timeouts(self, now: float) -> None:
         """End what does not come to an end by itself."""
         if self.close_by is not None:
             if self.close_by < now:
                 self.close()
         elif self._writer is not None and now - self._writing > UNREAD:
             self.close()
-        elif now - self.begun > (HEAD if (half := self.half) else SILENCE) * (
-            1 + ((half or not self.asked) and self.has_input())
-        ):
+        elif now - self.command_started_ms > (
+            HEAD if (half := self.is_mid_command) else FIRST_COMMAND_TIMEOUT_MS
+        ) * (1 + ((half or not self.commands_read) and self.has_input())):
             if half:
                 self._say_last(resp.TOO_SLOW)
                 self.flush()
-            elif not self.asked:
-                self.end()
+            elif not self.commands_read:
+                self.end_gracefully()
 
-    def end(self) -> None:
+    def end_gracefully(self) -> None:
         """Between requests an ingress may end a connection; with an answer owed it may not."""
-        if self._closed or not self.idle or self.ending:
+        if self._closed or not self.is_idle or self.is_ending:
             return
         self._last = True
-        self.close_by = self._host.clock.now() + LINGER
+        self.close_by = self._host.clock.now() + CLOSE_TIMEOUT_MS
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             self.close()
 
     @property
-    def ending(self) -> bool:
+    def is_ending(self) -> bool:
         """Whether its sending side is shut, and only the client's end is awaited."""
         return self.close_by is not None
 
@@ -196,9 +198,9 @@
         self.sock.close()
         pending, self._pending = self._pending, deque()
         for slot in pending:
-            if slot.answer is None:
-                self._host.client_gone(slot)
-        self._host.closed(self)
+            if slot.response is None:
+                self._host.on_client_disconnected(slot)
+        self._host.on_connection_closed(self)
 
     def flush(self) -> None:
         """Send every answer that has none missing before it. A connection that this finds broken
@@ -223,14 +225,14 @@
             self._writing = self._host.clock.now()
             self._writer = self._loop.create_task(self._write())
         elif not self._pending and (self._last or self._host.draining):
-            self.end()  # nothing is pending: this ends no request
+            self.end_gracefully()  # nothing is pending: this ends no request
 
     def _collect(self) -> bool:
         """Move the answers that may be sent to those unsent; False where there is nothing to
         send.
         """
         pending = self._pending
-        while pending and (answer := pending[0].answer) is not None:
+        while pending and (answer := pending[0].response) is not None:
             pending.popleft()
             self._unsent.append(answer)
             self._unsent_bytes += len(answer)
@@ -255,7 +257,7 @@
             return
         self._writer = None
         if not self._pending and (self._last or self._host.draining):
-            self.end()
+            self.end_gracefully()
 
     async def _run(self) -> None:
         buffer = bytearray(BUFFER)
@@ -267,13 +269,13 @@
                     self._ignored += size
                     if not self._drop():
                         break
-                    if self._ignored > MOST_IGNORED:
-                        if self.idle:
+                    if self._ignored > MAX_IGNORED_BYTES:
+                        if self.is_idle:
                             break
                         # An answer is owed: no close, but little work; where turns are long they
                         # are pause enough.
                         pause = PAUSE if self._ignored < FLOOD else LONG_PAUSE
-                        await asyncio.sleep(0.0 if self._host.loop_delay.slow else pause)
+                        await asyncio.sleep(0.0 if self._host.event_loop_lag.slow else pause)
                     continue
                 self._host.traffic.client_in += size
                 self._feed(bytes(buffer[:size]))
@@ -288,7 +290,7 @@
                         if not self._read_ahead():
                             self.close()
                             return
-                self._ahead, self._beat = 0, self._host.loop_delay.last
+                self._ahead, self._beat = 0, self._host.event_loop_lag.last
         except OSError:
             pass
         except Exception:
@@ -309,9 +311,9 @@
             return False
         self._ahead += len(data)
         self._host.traffic.client_in += len(data)
-        since = self.since  # of the commands that wait: these came no earlier
+        since = self.earliest_arrival_ms  # of the commands that wait: these came no earlier
         self._feed(data)
-        self.since = since
+        self.earliest_arrival_ms = since
         return bool(data)
 
     def _drop(self) -> bool:
@@ -329,15 +331,15 @@
         return True
 
     def _feed(self, data: bytes) -> None:
-        bounds, self.used = self._bounds, self._host.clock.now()
-        loop_delay = self._host.loop_delay
+        bounds, self.last_read_ms = self._bounds, self._host.clock.now()
+        loop_delay = self._host.event_loop_lag
         # It came while this waited to read, or before it did so, behind what was read before.
-        self.since = (
+        self.earliest_arrival_ms = (
             max(self._seen, loop_delay.since) if loop_delay.since >= self._beat else self._seen
         )
-        self._seen = self.used if len(data) < BUFFER else self.since
+        self._seen = self.last_read_ms if len(data) < BUFFER else self.earliest_arrival_ms
         if bounds.between:
-            self.begun = self.used
+            self.command_started_ms = self.last_read_ms
         self._reader.feed(data[: bounds.sound(data)])
 
     def _take(self) -> bool:
@@ -350,7 +352,10 @@
                     if self._bounds.broken:
                         self._say_last(resp.BAD_FRAMING)
                     return False
-                self.asked, self.begun = self.asked + 1, self.used
+                self.commands_read, self.command_started_ms = (
+                    self.commands_read + 1,
+                    self.last_read_ms,
+                )
                 self._command(message)
                 if self._bad >= MOST_BAD or len(self._pending) > MOST_WAITING:
                     self._say_last(resp.TOO_MANY)
@@ -360,12 +365,12 @@
 
     def _say_last(self, answer: bytes) -> None:
         self._last = True
-        self._pending.append(Slot(answer))
+        self._pending.append(ResponseSlot(answer))
 
-    def _refuse(self, answer: bytes) -> Slot:
+    def _refuse(self, answer: bytes) -> ResponseSlot:
         self._bad += 1
         self._host.traffic.spoilt += 1
-        return Slot(answer)
+        return ResponseSlot(answer)
 
     def _command(self, message: object) -> None:
         if not isinstance(message, list) or not all(type(part) is bytes for part in message):
@@ -378,26 +383,26 @@
         else:
             self._pending.append(self._plain(verb, message))
 
-    def _request(self, args: list[bytes]) -> Slot:
+    def _request(self, args: list[bytes]) -> ResponseSlot:
         try:
             ask = self._host.vocabulary.ask(args)
         except resp.BadCommand as error:
             return self._refuse(resp.error(str(error)))
         if self.surplus:
             self._last = True
-            return self._host.answered_at_once(ask, "surplus", resp.BUSY)
-        if self._host.is_open(ask.wire_id):
+            return self._host.respond_without_policy(ask, "surplus", resp.BUSY)
+        if self._host.is_in_flight(ask.wire_id):
             self._bad += 1
-            return self._host.answered_at_once(
+            return self._host.respond_without_policy(
                 ask, "duplicate", resp.error("this id is open already")
             )
-        return self._host.arrived(self, ask)
+        return self._host.accept(self, ask)
 
-    def _plain(self, verb: bytes, args: list[bytes]) -> Slot:
+    def _plain(self, verb: bytes, args: list[bytes]) -> ResponseSlot:
         if verb == b"PING":
             if not self._host.ready:
-                return Slot(resp.NOT_READY)
-            return Slot(resp.PONG if len(args) == 1 else resp.served(args[1]))
+                return ResponseSlot(resp.NOT_READY)
+            return ResponseSlot(resp.PONG if len(args) == 1 else resp.served(args[1]))
         if verb in (b"CLIENT", b"SELECT"):
-            return Slot(resp.OK)
+            return ResponseSlot(resp.OK)
         return self._refuse(resp.error("unknown command"))
--- a/dockthread/net/outbound.py
+++ b/dockthread/net/connection_pool.py
@@ -22,14 +22,25 @@
 WHOLE = 200.0  # for the rest of an answer that has begun: backends write one at once
 # for a second answer to show: it comes some milliseconds late, and would be taken for the next
 # call's
-QUIET = 20.0
+REUSE_DELAY_MS = 20.0
 
 
-class OutboundCall:
+class Attempt:
     """One attempt of one request, from the module's word to start it until its outcome is told."""
 
-    __slots__ = ("ask", "begun", "connection", "due", "number", "outcome", "request", "begin_by", "started", "worker",
-                 "written")  # fmt: skip
+    __slots__ = (
+        "backend",
+        "command",
+        "connection",
+        "deadline_ms",
+        "has_started",
+        "is_written",
+        "number",
+        "outcome",
+        "request_number",
+        "start_deadline_ms",
+        "started_ms",
+    )
 
     def __init__(
         self,
@@ -41,17 +52,17 @@
         due: float,
         begin_by: float = inf,
     ) -> None:
-        self.request, self.number, self.worker, self.ask = request, number, worker, ask
-        self.started, self.due = started, due
+        self.request_number, self.number, self.backend, self.command = request, number, worker, ask
+        self.started_ms, self.deadline_ms = started, due
         # the latest for its first byte, where it repeats what may have run
-        self.begin_by = begin_by
-        self.begun = False  # its first byte may have gone out: it counts as sent on
-        self.written = False  # its last byte has gone out: from here on it may run
+        self.start_deadline_ms = begin_by
+        self.has_started = False  # its first byte may have gone out: it counts as sent on
+        self.is_written = False  # its last byte has gone out: from here on it may run
         self.outcome: Outcome | None = None
-        self.connection: Connection | None = None
+        self.connection: BackendConnection | None = None
 
 
-class Connection:
+class BackendConnection:
     """One connection to a backend, and the task that carries its calls one after another.
 
     One call at a time: behind another it would wait for that one's answer, and giving it up means
@@ -70,7 +81,7 @@
         "wake",
     )
 
-    def __init__(self, destination: Destination, call: OutboundCall) -> None:
+    def __init__(self, destination: Destination, call: Attempt) -> None:
         self.destination, self.endpoint, self.born = (
             destination,
             destination.endpoint,
@@ -78,7 +89,7 @@
         )
         self.sock = self.endpoint.new_socket()
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.call: OutboundCall | None = call
+        self.call: Attempt | None = call
         self.up = False
         self.idle_since = 0.0
         self.wake: asyncio.Future[None] | None = None
@@ -103,7 +114,7 @@
         return True
 
 
-class Outbound:
+class ConnectionPool:
     """All outbound calls of an ingress. `ended` is told every call's outcome, exactly once."""
 
     def __init__(
@@ -111,7 +122,7 @@
         destinations: DestinationSet,
         clock: Clock,
         replies: resp.ReplyReader,
-        ended: Callable[[OutboundCall, resp.Reply], None],
+        ended: Callable[[Attempt, resp.Reply], None],
         at: Callable[..., None],
         *,
         most: int,
@@ -125,18 +136,18 @@
         self._ended, self._at, self._most = ended, at, most
         self._keep, self._connect_timeout = conn_idle * IDLE_CLOSE_FRACTION, connect_timeout
         self._loop = asyncio.get_running_loop()
-        self._connections: set[Connection] = set()
-        self._idle: dict[int, deque[Connection]] = {}  # by worker, the longest idle first
+        self._connections: set[BackendConnection] = set()
+        self._idle: dict[int, deque[BackendConnection]] = {}  # by worker, the longest idle first
 
     def __len__(self) -> int:
         return len(self._connections)
 
-    def start(self, call: OutboundCall) -> None:
+    def start(self, call: Attempt) -> None:
         """Put a call on the connection that was idle for the shortest time, but long enough, or on
         a new one.
         """
-        destination = self._destinations.by_worker[call.worker]
-        if (connection := self._rested(call.worker)) is not None:
+        destination = self._destinations.by_worker[call.backend]
+        if (connection := self._rested(call.backend)) is not None:
             connection.call, call.connection = call, connection
             if connection.wake is not None and not connection.wake.done():
                 connection.wake.set_result(None)
@@ -144,14 +155,14 @@
         # Descriptors are a hard limit of the machine: an idle connection elsewhere makes room, else
         # the call
         # ends unsent, which says nothing against the backend.
-        if len(self._connections) >= self._most and not self.shed():
+        if len(self._connections) >= self._most and not self.close_longest_idle():
             self._end(call, Outcome.NOT_SENT)
             return
         try:
-            connection = Connection(destination, call)
+            connection = BackendConnection(destination, call)
         except OSError as error:
             logger.warning("no socket for an outbound call: {}", error)
-            self.shed()
+            self.close_longest_idle()
             self._end(call, Outcome.NOT_SENT)
             return
         call.connection = connection
@@ -160,10 +171,10 @@
             self.observer.event("open", node=destination.uid, stand=len(self._connections))
         self._connections.add(connection)
         connection.task = self._loop.create_task(self._run(connection))
-        self._at(call.started + self._connect_timeout, self._connect_timed_out, connection, call)
+        self._at(call.started_ms + self._connect_timeout, self._connect_timed_out, connection, call)
 
-    def _rested(self, worker: int) -> Connection | None:
-        idle, latest = self._idle.get(worker), self._clock.now() - QUIET
+    def _rested(self, worker: int) -> BackendConnection | None:
+        idle, latest = self._idle.get(worker), self._clock.now() - REUSE_DELAY_MS
         place = len(idle) if idle else 0
         while idle and place:
             place -= 1
@@ -176,21 +187,23 @@
                 return connection
         return None
 
-    def give_up(self, call: OutboundCall, outcome: Outcome) -> None:
+    def end(self, call: Attempt, outcome: Outcome) -> None:
         """Stop waiting for a call: its connection closes, which tells the backend. One that was not
         begun cannot run.
         """
         if call.outcome is None:
             if call.connection is not None:
                 self._drop(call.connection)
-            self._end(call, outcome if call.begun or outcome in NEVER_RAN else Outcome.NOT_SENT)
+            self._end(
+                call, outcome if call.has_started or outcome in NEVER_RAN else Outcome.NOT_SENT
+            )
 
-    def forget(self, destination: Destination) -> None:
+    def close_idle_to(self, destination: Destination) -> None:
         """Close the idle connections to a destination that left, moved or restarted."""
         for connection in self._idle.pop(destination.worker, ()):
             self._drop(connection)
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Close connections well before the backend does: a call that crosses its close ends as a
         reset.
         """
@@ -202,7 +215,7 @@
             if not idle:
                 del self._idle[worker]
 
-    def shed(self) -> bool:
+    def close_longest_idle(self) -> bool:
         """Close the connection that has been idle longest; False where none is idle."""
         held = [idle for idle in self._idle.values() if idle]
         if not held:
@@ -215,7 +228,7 @@
         for connection in list(self._connections):
             self._drop(connection)
 
-    def _drop(self, connection: Connection) -> None:
+    def _drop(self, connection: BackendConnection) -> None:
         self._connections.discard(connection)
         if connection.task is not None:
             connection.task.cancel()
@@ -223,21 +236,21 @@
         connection.task = connection.wake = None
         connection.sock.close()
 
-    def _end(self, call: OutboundCall, outcome: Outcome) -> None:
+    def _end(self, call: Attempt, outcome: Outcome) -> None:
         self._tell(call, resp.Reply(outcome))
 
-    def _tell(self, call: OutboundCall, reply: resp.Reply) -> None:
+    def _tell(self, call: Attempt, reply: resp.Reply) -> None:
         if call.outcome is None:
             call.outcome, call.connection = reply.outcome, None
             self._ended(call, reply)
 
-    def _connect_timed_out(self, connection: Connection, call: OutboundCall) -> None:
+    def _connect_timed_out(self, connection: BackendConnection, call: Attempt) -> None:
         if not connection.up and call.outcome is None:
             if self.observer.tracing:
                 self.observer.event("connect", node=connection.destination.uid, end="timeout")
-            self.give_up(call, Outcome.UNREACHABLE)
+            self.end(call, Outcome.UNREACHABLE)
 
-    async def _run(self, connection: Connection) -> None:
+    async def _run(self, connection: BackendConnection) -> None:
         call = connection.call
         try:
             endpoint = connection.endpoint
@@ -259,26 +272,26 @@
             # Broken before the last byte was written: the backend cannot have begun it. After: it
             # may have.
             if call is not None:
-                self._end(call, Outcome.RESET if call.written else Outcome.UNREACHABLE)
+                self._end(call, Outcome.RESET if call.is_written else Outcome.UNREACHABLE)
         finally:
             self._connections.discard(connection)
             connection.sock.close()
 
-    async def _carry(self, connection: Connection, call: OutboundCall, buffer: bytearray) -> bool:
+    async def _carry(self, connection: BackendConnection, call: Attempt, buffer: bytearray) -> bool:
         """One call, and the wait for the next; False where the connection is of no more use."""
         now = self._clock.now()
-        left = call.due - now
+        left = call.deadline_ms - now
         # Just before the first byte: a drain may have been told while the connection came up,
         # another process may
         # stand in its place, and the time for a repeat may be over.
-        if left <= 0 or now > call.begin_by or not connection.current:
+        if left <= 0 or now > call.start_deadline_ms or not connection.current:
             self._end(call, Outcome.NOT_SENT)
             return False
-        command = call.ask.onward(left)
+        command = call.command.onward(left)
         self._traffic.node_out += len(command)
-        call.begun = True
+        call.has_started = True
         await self._loop.sock_sendall(connection.sock, command)
-        call.written = True
+        call.is_written = True
         self._traffic.tries += 1
         reply, last = await self._answer(connection, call, buffer)
         if last:
@@ -287,7 +300,7 @@
         connection.call, connection.idle_since = None, self._clock.now()
         wake = connection.wake = self._loop.create_future()
         if connection.current:
-            self._idle.setdefault(call.worker, deque()).append(connection)
+            self._idle.setdefault(call.backend, deque()).append(connection)
             self._tell(call, reply)
             await wake
             return True
@@ -295,7 +308,7 @@
         return False
 
     async def _answer(
-        self, connection: Connection, call: OutboundCall, buffer: bytearray
+        self, connection: BackendConnection, call: Attempt, buffer: bytearray
     ) -> tuple[resp.Reply, bool]:
         """What a backend says of a call, and whether the connection is of no more use after it.
 
@@ -322,13 +335,13 @@
                     not reply.known or bounds.broken or not bounds.between or reader.has_data(),
                 )
             if bounds.broken:
-                log = logger.bind(worker=call.worker, uid=connection.destination.uid)
+                log = logger.bind(worker=call.backend, uid=connection.destination.uid)
                 log.debug("{} says what cannot be read", connection.endpoint)
                 return resp.Reply(Outcome.ERROR), True
             if not begun:
                 begun = True
                 self._at(self._clock.now() + WHOLE, self._half_answered, connection, call)
 
-    def _half_answered(self, connection: Connection, call: OutboundCall) -> None:
+    def _half_answered(self, connection: BackendConnection, call: Attempt) -> None:
         if connection.call is call and call.connection is connection:
-            self.give_up(call, Outcome.ERROR)
+            self.end(call, Outcome.ERROR)
--- a/dockthread/net/lifecycle.py
+++ b/dockthread/net/lifecycle.py
@@ -19,7 +19,7 @@
     STOPPED = "stopped"
 
 
-NEXT = {
+TRANSITIONS = {
     Phase.STARTING: (Phase.SERVING, Phase.STOPPED),
     Phase.SERVING: (Phase.LINGERING, Phase.STOPPED),
     Phase.LINGERING: (Phase.DRAINING, Phase.STOPPED),
@@ -33,15 +33,15 @@
 
     def __init__(self) -> None:
         self.phase = Phase.STARTING
-        self.entered: Callable[[str], None] = lambda name: None
+        self.on_phase_entered: Callable[[str], None] = lambda name: None
 
     def enter(self, phase: Phase) -> None:
         """Go on to a phase. Raises RuntimeError where it may not follow."""
-        if phase not in NEXT[self.phase]:
+        if phase not in TRANSITIONS[self.phase]:
             raise RuntimeError(f"no way from {self.phase.value} to {phase.value}")
         logger.bind(phase=phase.value).info("{} -> {}", self.phase.value, phase.value)
         self.phase = phase
-        self.entered(phase.value)
+        self.on_phase_entered(phase.value)
 
     @property
     def ready(self) -> bool:
--- a/dockthread/net/listener.py
+++ b/dockthread/net/listener.py
@@ -13,8 +13,8 @@
 from loguru import logger
 
 from dockthread.config.platform_settings import Address
+from dockthread.net.client_connection import ClientConnection, ConnectionHost
 from dockthread.net.event_loop_lag import Backlog
-from dockthread.net.inbound import Host, Inbound
 
 BACKLOG = 1024
 # descriptors for all but connections: standard streams, the loop's own, listener, watch
@@ -31,29 +31,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Budget:
+class DescriptorBudget:
     """How an ingress's descriptors are dealt out: inbound connections, those over them, outbound
     ones.
     """
 
-    inbound: int
+    client: int
     surplus: int
-    outbound: int
+    backend: int
 
     @staticmethod
-    def of(sockets: int) -> Budget:
+    def of(sockets: int) -> DescriptorBudget:
         """The budget of an ingress that may hold so many descriptors."""
         surplus = min(SURPLUS, int(sockets * SURPLUS_PART))
         room = sockets - RESERVE - surplus
         clients = int(sockets * CLIENTS_PART)
         inbound = clients + int((room - clients) * OTHERS_PART)
-        return Budget(inbound, surplus, room - inbound)
+        return DescriptorBudget(inbound, surplus, room - inbound)
 
 
-class Outbounds(Protocol):
+class IdleConnections(Protocol):
     """What may close an idle outbound connection to make room; False where there is none."""
 
-    def shed(self) -> bool:
+    def close_longest_idle(self) -> bool:
         """Close one; whether there was one."""
         ...
 
@@ -61,10 +61,12 @@
 class Listener:
     """Inbound connections that stand, the listener before them, and their budget."""
 
-    def __init__(self, host: Host, budget: Budget, outbound: Outbounds) -> None:
+    def __init__(
+        self, host: ConnectionHost, budget: DescriptorBudget, outbound: IdleConnections
+    ) -> None:
         self._host, self.budget, self._outbound = host, budget, outbound
         self._loop = asyncio.get_running_loop()
-        self.inbound: set[Inbound] = set()
+        self.connections: set[ClientConnection] = set()
         self._backlog = Backlog()
         self._emptied = asyncio.Event()
 
@@ -92,9 +94,9 @@
         while True:
             # Past the surplus even a refusal would cost a descriptor that is not there: clients
             # queue.
-            while len(self.inbound) >= self.budget.inbound + self.budget.surplus and not self.shed(
-                True
-            ):
+            while len(
+                self.connections
+            ) >= self.budget.client + self.budget.surplus and not self.close_least_needed(True):
                 await asyncio.sleep(0.01)
             try:
                 sock, _ = await self._loop.sock_accept(self.socket)
@@ -103,7 +105,9 @@
                 await asyncio.sleep(0)
             except OSError as error:
                 # Out of descriptors the backlog keeps its clients until there is room again.
-                if error.errno in NO_ROOM and (self._outbound.shed() or self.shed()):
+                if error.errno in NO_ROOM and (
+                    self._outbound.close_longest_idle() or self.close_least_needed()
+                ):
                     continue
                 logger.warning("cannot accept: {}", error)
                 await asyncio.sleep(0.05)
@@ -111,7 +115,7 @@
     def empty_backlog(self, most: int = BACKLOG) -> None:
         """Take what waits to be accepted, `most` at the most."""
         for _ in range(most):
-            if len(self.inbound) >= self.budget.inbound + self.budget.surplus:
+            if len(self.connections) >= self.budget.client + self.budget.surplus:
                 break
             try:
                 sock, _ = self.socket.accept()
@@ -119,20 +123,22 @@
                 self._backlog.emptied()
                 return
             self._opened(sock)
-        self._backlog.not_emptied(self._host.loop_delay)
+        self._backlog.not_emptied(self._host.event_loop_lag)
 
     def _opened(self, sock: socket.socket) -> None:
         sock.setblocking(False)
         self._host.traffic.clients_opened += 1
-        surplus = len(self.inbound) >= self.budget.inbound and not self.shed()
+        surplus = len(self.connections) >= self.budget.client and not self.close_least_needed()
         try:
-            self.inbound.add(
-                Inbound(self._host, sock, self._backlog.came(self._host.loop_delay), surplus)
+            self.connections.add(
+                ClientConnection(
+                    self._host, sock, self._backlog.came(self._host.event_loop_lag), surplus
+                )
             )
         except OSError:  # gone before it was looked at
             sock.close()
 
-    def shed(self, surplus: bool = False) -> bool:
+    def close_least_needed(self, surplus: bool = False) -> bool:
         """Close the inbound connection that is missed least, and is owed nothing: none that has
         just come, as its request may be on its way or here unread. One that is ending goes first,
         one that asked once, if at all, before one that clients use; then the one idle for longest.
@@ -141,15 +147,19 @@
         now = self._host.clock.now()
         idle = [
             c
-            for c in self.inbound
-            if c.idle and now - c.used > FRESH and (surplus or not c.surplus)
+            for c in self.connections
+            if c.is_idle and now - c.last_read_ms > FRESH and (surplus or not c.surplus)
         ]
         idle.sort(
-            key=lambda connection: (not connection.ending, connection.asked > 1, connection.used)
+            key=lambda connection: (
+                not connection.is_ending,
+                connection.commands_read > 1,
+                connection.last_read_ms,
+            )
         )
         for connection in idle:
-            if connection.ending or not connection.has_input():
-                connection.end()
+            if connection.is_ending or not connection.has_input():
+                connection.end_gracefully()
                 connection.close()  # its descriptor is wanted now
                 return True
         return False
@@ -158,25 +168,29 @@
         """Where they are many, those that have been idle long make room before the budget is
         full.
         """
-        if len(self.inbound) > self.budget.inbound // 2:
-            for connection in list(self.inbound):
-                if connection.idle and now - connection.used > IDLE and not connection.has_input():
-                    connection.end()
+        if len(self.connections) > self.budget.client // 2:
+            for connection in list(self.connections):
+                if (
+                    connection.is_idle
+                    and now - connection.last_read_ms > IDLE
+                    and not connection.has_input()
+                ):
+                    connection.end_gracefully()
 
     def close_all(self) -> None:
         """Close every connection at once."""
-        for connection in list(self.inbound):
+        for connection in list(self.connections):
             connection.close()
 
-    def gone(self, connection: Inbound) -> None:
+    def on_closed(self, connection: ClientConnection) -> None:
         """A connection has closed."""
-        self.inbound.discard(connection)
-        if not self.inbound:
+        self.connections.discard(connection)
+        if not self.connections:
             self._emptied.set()
 
     async def empty(self) -> None:
         """Until the last connection has closed."""
-        while self.inbound:
+        while self.connections:
             # Cleared first: it is set whenever the last connection closes, which happens on any
             # quiet
             # day, and once let the ingress stop with requests unanswered.
--- a/dockthread/net/policy_host.py
+++ b/dockthread/net/policy_host.py
@@ -12,18 +12,18 @@
 from dockthread.policy import Event, PolicyEngine
 
 
-class Decider:
+class PolicyHost:
     """`carry_out`: by the type of an action, what does it. `abandon`: gives a request up after a
     fault.
     """
 
     def __init__(self, gateway: PolicyEngine, clock: Clock, abandon: Callable[[int], None]) -> None:
-        self.gateway, self._clock, self._abandon = gateway, clock, abandon
-        self.carry_out: dict[type, Callable[[Any], None]] = {}
+        self.engine, self._clock, self._abandon = gateway, clock, abandon
+        self.action_handlers: dict[type, Callable[[Any], None]] = {}
         self._events: deque[Event] = deque()
         self._telling = False
 
-    def tell(self, event: Event) -> None:
+    def dispatch(self, event: Event) -> None:
         """Events are told one after another: one that comes of carrying out an action waits for its
         turn.
         """
@@ -40,16 +40,16 @@
     def _decide(self, event: Event) -> None:
         broken = False
         try:
-            actions = self.gateway.handle(self._clock.now() / 1000.0, event)
+            actions = self.engine.handle(self._clock.now() / 1000.0, event)
         except Exception:
             logger.exception("the module failed on {!r}", event)
             # What it had decided until then stands in its memory, and so must be done; its own next
             # round
             # may be among it.
-            actions, broken = list(self.gateway.actions), True
+            actions, broken = list(self.engine.actions), True
         for action in actions:
             try:
-                self.carry_out[type(action)](action)
+                self.action_handlers[type(action)](action)
             except Exception:
                 logger.exception("{!r} could not be carried out", action)
                 self._abandon(getattr(action, "request", -1))
--- a/dockthread/net/request.py
+++ b/dockthread/net/request.py
@@ -5,51 +5,56 @@
 from typing import Any, Protocol
 
 from dockthread.net import resp
-from dockthread.net.inbound import Inbound, Slot
-from dockthread.net.outbound import OutboundCall
+from dockthread.net.client_connection import ClientConnection, ResponseSlot
+from dockthread.net.connection_pool import Attempt
 from dockthread.policy import Route
 
 
-class Request(Slot):
+class Request(ResponseSlot):
     """A request from its arrival until it is answered and no call of it is out."""
 
     __slots__ = (
-        "ask",
-        "calls",
+        "arrived_ms",
+        "attempts",
+        "attempts_in_flight",
+        "command",
         "connection",
-        "deadline",
-        "gone",
-        "guarded",
+        "deadline_ms",
+        "has_deadline_timer",
+        "is_abandoned",
         "number",
-        "out",
-        "taken",
     )
 
     def __init__(
-        self, number: int, connection: Inbound, ask: resp.Ask, deadline: float, left: float
+        self, number: int, connection: ClientConnection, ask: resp.Ask, deadline: float, left: float
     ) -> None:
         super().__init__()
-        self.taken = deadline - left
-        self.number, self.connection, self.ask, self.deadline = number, connection, ask, deadline
-        self.calls: list[OutboundCall] = []
-        self.out = 0
-        self.gone = self.guarded = False
+        self.arrived_ms = deadline - left
+        self.number, self.connection, self.command, self.deadline_ms = (
+            number,
+            connection,
+            ask,
+            deadline,
+        )
+        self.attempts: list[Attempt] = []
+        self.attempts_in_flight = 0
+        self.is_abandoned = self.has_deadline_timer = False
 
     @property
     def finished(self) -> bool:
         """Whether it has its answer, or nobody waits for one."""
-        return self.gone or self.answer is not None
+        return self.is_abandoned or self.response is not None
 
     @property
     def last_outcome(self) -> str:
         """Why the module gave the request up, as far as its calls tell."""
-        if not self.calls:
+        if not self.attempts:
             return "no-node"
-        outcome = self.calls[-1].outcome
+        outcome = self.attempts[-1].outcome
         return "time" if outcome is None else outcome.value
 
 
-class Bounds(Route, Protocol):
+class RouteBounds(Route, Protocol):
     """What a request's route adds for the ingress itself; in milliseconds, 0 for none."""
 
     @property
@@ -58,11 +63,11 @@
         ...
 
 
-class Routes(Protocol):
+class RouteLookup(Protocol):
     """Where a request's route is found; `spent` is what each has used, for whoever counts."""
 
     spent: dict[str, Any]
 
-    def bounds(self, ask: resp.Ask) -> Bounds | None:
+    def bounds(self, ask: resp.Ask) -> RouteBounds | None:
         """What the request's route adds; None where it has none."""
         ...
--- a/dockthread/net/timers.py
+++ b/dockthread/net/timers.py
@@ -25,7 +25,7 @@
     def __len__(self) -> int:
         return len(self._heap)
 
-    def at(self, due: float, then: Callable[..., None], *args: Any) -> None:
+    def call_at(self, due: float, then: Callable[..., None], *args: Any) -> None:
         """Call `then` with these arguments when it is `due`."""
         self._count += 1
         heappush(self._heap, (due, self._count, then, args))
@@ -40,9 +40,9 @@
         # alarm.
         tick, now = self._tick, self._clock.now()
         wait = max(1, ceil(ceil(max(now, self._armed) / tick) * tick - now)) / 1000.0
-        self._alarm = self._loop.call_later(wait, self.run)
+        self._alarm = self._loop.call_later(wait, self.run_due)
 
-    def run(self) -> None:
+    def run_due(self) -> None:
         """Call all that are due."""
         timers, now = self._heap, self._clock.now()
         self._armed = -inf  # nothing that is set meanwhile needs an alarm of its own
--- a/dockthread/telemetry/exporter.py
+++ b/dockthread/telemetry/exporter.py
@@ -144,7 +144,7 @@
         clock, interval = self._ingress.clock, self._options.interval
         unix = clock.now() + clock.unix_offset
         due = (floor(unix / interval) + 1) * interval - clock.unix_offset
-        self._ingress.at(due, self._due, self._round)
+        self._ingress.call_at(due, self._due, self._round)
 
     def _due(self, number: int) -> None:
         if number == self._round:
@@ -191,7 +191,7 @@
             return
         if now >= due:
             tally.loop_times.add((now - due) * 1000.0)
-            if self._ingress.gateway.mute > self._ingress.clock.now() / 1000.0:
+            if self._ingress.engine.mute > self._ingress.clock.now() / 1000.0:
                 tally.muted += SAMPLE * 1000.0
             due = now + SAMPLE
         self._sampler = self._loop.call_later(max(0.0, due - now), self._sample, due)
--- a/dockthread/telemetry/reading.py
+++ b/dockthread/telemetry/reading.py
@@ -132,10 +132,10 @@
         """Of the nodes that are listed, those with most calls out; the series of one that is gone
         end.
         """
-        gateway, now = self._ingress.gateway, self._ingress.clock.now() / 1000.0
+        gateway, now = self._ingress.engine, self._ingress.clock.now() / 1000.0
         listed = [
             d
-            for d in self._ingress.destinations.by_worker.values()
+            for d in self._ingress.endpoints.by_worker.values()
             if d.state is not BackendState.REMOVED
         ]
         seen = [(d.uid, gateway.workers[d.worker]) for d in listed if d.worker in gateway.workers]
@@ -152,15 +152,15 @@
 
     def _machine(self) -> Iterator[Point]:
         ingress, traffic, loop = self._ingress, self._ingress.traffic, self._tally.loop_times
-        yield Point(("connections", "clients"), GAUGE, ingress.clients)
-        yield Point(("connections", "nodes"), GAUGE, len(ingress.outbound))
+        yield Point(("connections", "clients"), GAUGE, ingress.client_connections)
+        yield Point(("connections", "nodes"), GAUGE, len(ingress.connection_pool))
         yield Point(("opened", "clients"), DERIVE, traffic.clients_opened)
         yield Point(("opened", "nodes"), DERIVE, traffic.nodes_opened)
         yield Point(("messages", "in"), DERIVE, traffic.messages_in)
         yield Point(("messages", "out"), DERIVE, traffic.messages_out)
         yield Point(("messages", "odd"), DERIVE, traffic.messages_odd)
         yield Point(("requests", "open"), GAUGE, len(ingress.requests))
-        yield Point(("requests", "bodies"), GAUGE, ingress.held)
+        yield Point(("requests", "bodies"), GAUGE, ingress.body_bytes)
         yield Point(("commands", "bad"), DERIVE, traffic.spoilt)
         for side, way, many in (
             ("clients", "in", traffic.client_in),
--- a/tests/admin/test_door.py
+++ b/tests/admin/test_door.py
@@ -101,14 +101,14 @@
 
     async def scenario() -> None:
         first = Daemon(config(known), None, None)
-        first.ingress._tell(first.ingress.destinations.apply(known))
+        first.ingress.dispatch(first.ingress.endpoints.apply(known))
         assert first.detach("s-0") and first.detach("s-0") and not first.detach("nobody")
         second = Daemon(config(known), None, None)  # an upgrade: the same $TMPDIR
-        listed = second.ingress.destinations.apply(known)
-        states = {second.ingress.destinations.uid(e.backend): e.state for e in listed.endpoints}
+        listed = second.ingress.endpoints.apply(known)
+        states = {second.ingress.endpoints.uid(e.backend): e.state for e in listed.endpoints}
         assert states == {"s-0": BackendState.DRAINING, "s-1": BackendState.READY}
-        assert second.attach("s-0") and not second.ingress.destinations.held
+        assert second.attach("s-0") and not second.ingress.endpoints.held
         third = Daemon(config(known), None, None)
-        assert not third.ingress.destinations.held
+        assert not third.ingress.endpoints.held
 
     run(scenario())
--- a/tests/admin/test_retune.py
+++ b/tests/admin/test_retune.py
@@ -59,10 +59,10 @@
             raw: dict[str, Any] = SETTINGS | {"Classes": [renew, SETTINGS["Classes"][1]]}
             assert "unknown class" in str(await client.call("renew"))
             read = replace(ingress.config.names, classes=("renew", "checkout"))
-            ingress.reconfigure(replace(ingress.config, module=_module(raw), names=read))
+            ingress.reload(replace(ingress.config, module=_module(raw), names=read))
             assert await client.call("renew") == b"value"
             assert await client.call("checkout") == b"value"
             assert "unknown class" in str(await client.call("status"))
-            assert ingress.gateway.s.classes[2].deadline == 2.0
+            assert ingress.engine.s.classes[2].deadline == 2.0
 
     run(scenario())
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -19,7 +19,7 @@
 
 from dockthread.clock import ManualClock
 from dockthread.config.quantities import Duration
-from dockthread.net import inbound, outbound, resp
+from dockthread.net import client_connection, connection_pool, resp
 from dockthread.net.ingress import Ingress
 from dockthread.net.lifecycle import Phase
 from dockthread.policy import (
@@ -66,8 +66,8 @@
 def drains(ingress: Ingress, clock: ManualClock) -> None:
     ingress.lifecycle.enter(Phase.LINGERING)
     ingress.lifecycle.enter(Phase.DRAINING)
-    for connection in list(ingress.listener.inbound):
-        connection.end()
+    for connection in list(ingress.listener.connections):
+        connection.end_gracefully()
 
 
 def makes_room(ingress: Ingress, clock: ManualClock) -> None:
@@ -76,9 +76,9 @@
 
 
 def is_silent(ingress: Ingress, clock: ManualClock) -> None:
-    for connection in list(ingress.listener.inbound):
-        connection.asked = 0
-        connection.check(clock.now() + inbound.SILENCE + 1)
+    for connection in list(ingress.listener.connections):
+        connection.commands_read = 0
+        connection.enforce_timeouts(clock.now() + client_connection.FIRST_COMMAND_TIMEOUT_MS + 1)
 
 
 @pytest.mark.parametrize(
@@ -94,14 +94,14 @@
         clock, backend = ManualClock(), Backend()
         async with serving(backend, clock=clock) as (ingress, usual, _):
             with resting(ingress) as sock:
-                await until(lambda: any(c.asked for c in ingress.listener.inbound))
+                await until(lambda: any(c.commands_read for c in ingress.listener.connections))
                 usual.writer.close()
-                await until(lambda: ingress.clients == 1)
+                await until(lambda: ingress.client_connections == 1)
                 clock.advance(5_000)
                 first, second = request(1), request(2)
                 if unread == b"half":  # it is read, and its rest comes after the end
                     sock.sendall(first[:30])
-                    await until(lambda: any(c.half for c in ingress.listener.inbound))
+                    await until(lambda: any(c.is_mid_command for c in ingress.listener.connections))
                     second = first[30:]
                 elif unread:  # in one step with the end: the ingress cannot have read it
                     sock.sendall(first)
@@ -111,11 +111,13 @@
                 sock.sendall(request(3))
                 assert await asyncio.to_thread(sock.recv, 100) == b"+PONG\r\n"
                 assert await asyncio.to_thread(sock.recv, 100) == b""  # an end, no reset
-                assert not ingress.requests and ingress.clients == 1
-                clock.advance(inbound.LINGER + 1)
-                for connection in list(ingress.listener.inbound):
-                    connection.check(clock.now())
-                assert ingress.clients == 0  # one that stays all the same is left with that
+                assert not ingress.requests and ingress.client_connections == 1
+                clock.advance(client_connection.CLOSE_TIMEOUT_MS + 1)
+                for connection in list(ingress.listener.connections):
+                    connection.enforce_timeouts(clock.now())
+                assert (
+                    ingress.client_connections == 0
+                )  # one that stays all the same is left with that
             assert not backend.seen
 
     run(scenario())
@@ -163,8 +165,8 @@
     run(scenario())
 
 
-def said(connection: inbound.Inbound, commands: int) -> bool:
-    return connection.asked >= commands
+def said(connection: client_connection.ClientConnection, commands: int) -> bool:
+    return connection.commands_read >= commands
 
 
 def test_a_client_that_reads_nothing_is_seen_to_leave_while_its_answers_wait() -> None:
@@ -172,8 +174,8 @@
         async with serving(Backend(hangs), clock=ManualClock()) as (ingress, client, _):
             asked = 0
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            await until(lambda: ingress.listener.inbound)
-            (connection,) = ingress.listener.inbound
+            await until(lambda: ingress.listener.connections)
+            (connection,) = ingress.listener.connections
             while connection._writer is None:  # one by one: more than it may leave unread ends it
                 client.writer.write(command(b"PING", b"x" * 60_000))
                 asked += 1
@@ -229,12 +231,12 @@
         async with serving(late, clock=clock) as (ingress, _, discovery):
             ended, call = collect(ingress), a_call(ingress)
             if happens is None:  # it would repeat what may have run, outside the window for that
-                call.begin_by = clock.now() + 100
-            ingress.outbound.start(call)
+                call.start_deadline_ms = clock.now() + 100
+            ingress.connection_pool.start(call)
             clock.advance(101)
             if happens is not None:
                 discovery.push(message(2, happens(late)))
-                await until(lambda: ingress.destinations.revision == 2)
+                await until(lambda: ingress.endpoints.revision == 2)
             await late.come_up()
             await until(lambda: ended or late.seen)
             assert [outcome for _, outcome in ended] == [Outcome.NOT_SENT] and not late.seen
@@ -254,11 +256,11 @@
             _,
         ):
             client.writer.write(request(1))
-            await until(lambda: len(ingress.outbound))
+            await until(lambda: len(ingress.connection_pool))
             client.writer.close()
-            await until(lambda: ingress.clients == 0)
+            await until(lambda: ingress.client_connections == 0)
             await late.come_up()
-            await until(lambda: late.seen or not len(ingress.outbound))
+            await until(lambda: late.seen or not len(ingress.connection_pool))
             assert not late.seen and not ingress.requests
 
     run(scenario())
@@ -276,9 +278,9 @@
         backend, clock = Backend(answers), ManualClock()
         async with serving(backend, clock=clock) as (_, client, _):
             assert await client.call() == b"val-1"
-            clock.advance(outbound.QUIET - 1)
+            clock.advance(connection_pool.REUSE_DELAY_MS - 1)
             assert await client.call() == b"val-2"
-            clock.advance(outbound.QUIET)
+            clock.advance(connection_pool.REUSE_DELAY_MS)
             # one of the two has rested, and is whole
             assert [await client.call(), backend.opened] == [b"val-3", 2]
 
@@ -305,23 +307,21 @@
 
         async def close() -> None:
             client.writer.close()
-            await until(lambda: ingress.clients == 0)
+            await until(lambda: ingress.client_connections == 0)
 
         async def signal() -> None:
             ingress.stop()
             await until(lambda: ingress.lifecycle.phase is Phase.LINGERING)
             while not ingress.draining:
                 clock.advance(50)
-                ingress.timers.run()
+                ingress.timers.run_due()
                 await asyncio.sleep(0.001)
 
         async def changes() -> None:
             leaving = target("s-0", backend.server.sockets[0].getsockname()[1], "leaving")
             discovery.push(message(2, leaving))
             await until(
-                lambda: (
-                    ingress.destinations.revision == 2 or ingress.lifecycle.phase is Phase.STOPPED
-                )
+                lambda: ingress.endpoints.revision == 2 or ingress.lifecycle.phase is Phase.STOPPED
             )
 
         steps = {"answer": answer, "close": close, "signal": signal, "list": changes}
@@ -357,7 +357,7 @@
                 sock.sendall(request(1) + request(2))
                 await until(lambda: len(ingress.requests) == 2)  # held: no list has been told yet
                 first, second = ingress.requests
-            events, decides = list[Event](), ingress.gateway.handle
+            events, decides = list[Event](), ingress.engine.handle
 
             def handle(now: float, event: Event) -> list[Action]:
                 events.append(event)
@@ -365,8 +365,8 @@
                     return decides(now, event)
                 return [Reject(first, 0.0), SendAttempt(second, 1, 4.0)]
 
-            ingress.gateway.handle = handle  # type: ignore[method-assign]
-            ingress._tell(TimerFired(0))  # in one step with the reset: nothing else has seen it
+            ingress.engine.handle = handle  # type: ignore[method-assign]
+            ingress.dispatch(TimerFired(0))  # in one step with the reset: nothing else has seen it
             await until(lambda: not ingress.requests)
             ends = [
                 e.outcome for e in events if isinstance(e, AttemptEnded) and e.request == second
@@ -472,7 +472,7 @@
             port = backend.server.sockets[0].getsockname()[1]
             if waits_for == "a worker":
                 discovery.push(message(2, target("s-0", port, "leaving")))
-                await until(lambda: ingress.destinations.revision == 2)
+                await until(lambda: ingress.endpoints.revision == 2)
             if waits_for == "a pause":
                 table = Table(ingress.config.names, ingress.config.module.zone, 1)
                 pause = RouteOptions(
--- a/tests/net/test_discovery_bounds.py
+++ b/tests/net/test_discovery_bounds.py
@@ -138,9 +138,9 @@
 
 async def time_goes(ingress: Ingress, clock: ManualClock, discovery: Failing) -> None:
     """One step of the clock; it stands while a call that this step began is dealt with."""
-    began, calls, known = ingress.watch._began, discovery.calls, ingress.destinations.revision
+    began, calls, known = ingress.watch._began, discovery.calls, ingress.endpoints.revision
     clock.advance(STEP)
-    ingress.timers.run()
+    ingress.timers.run_due()
     for _ in range(4):
         await asyncio.sleep(0)
     if ingress.watch._began > began and discovery.listens:
@@ -148,14 +148,14 @@
         await (
             asyncio.sleep(0.005)
             if discovery.down
-            else until(lambda: ingress.destinations.revision > known)
+            else until(lambda: ingress.endpoints.revision > known)
         )
 
 
 async def taken_after(ingress: Ingress, clock: ManualClock, discovery: Failing) -> float:
     """Ms on the clock until a newer list is taken."""
-    begun, known = clock.now(), ingress.destinations.revision
-    while ingress.destinations.revision == known:
+    begun, known = clock.now(), ingress.endpoints.revision
+    while ingress.endpoints.revision == known:
         assert clock.now() - begun < 20 * BOUND, "no list"
         await time_goes(ingress, clock, discovery)
     return clock.now() - begun
--- a/tests/net/test_program.py
+++ b/tests/net/test_program.py
@@ -204,11 +204,11 @@
             late = await Client.open(ingress.address.port)
             assert await late.call() == b"value"
             clock.advance(499)
-            ingress.timers.run()
+            ingress.timers.run_due()
             assert ingress.lifecycle.phase is Phase.LINGERING
             for _ in range(2):  # the end of lingering, and the last reads
                 clock.advance(21)
-                ingress.timers.run()
+                ingress.timers.run_due()
                 await until(lambda: ingress.timers)
                 await late.call() if ingress.lifecycle.ready else None
             # told at once that it is over
@@ -216,10 +216,10 @@
             with pytest.raises(ConnectionRefusedError):
                 await Client.open(ingress.address.port)
             late.writer.close()
-            await until(lambda: ingress.clients == 1)
+            await until(lambda: ingress.client_connections == 1)
             assert ingress.draining
             clock.advance(1_300)  # one that rests all the same is left with that
-            ingress.timers.run()
+            ingress.timers.run_due()
             await until(lambda: ingress.lifecycle.phase is Phase.STOPPED)
 
     run(scenario())
--- a/tests/net/test_rules_on_sockets.py
+++ b/tests/net/test_rules_on_sockets.py
@@ -10,10 +10,10 @@
 import pytest
 
 from dockthread.clock import Clock, ManualClock
-from dockthread.net import outbound, resp
-from dockthread.net.inbound import Inbound
+from dockthread.net import connection_pool, resp
+from dockthread.net.client_connection import ClientConnection
+from dockthread.net.connection_pool import Attempt
 from dockthread.net.ingress import Ingress
-from dockthread.net.outbound import OutboundCall
 from dockthread.policy import IDLE_CLOSE_FRACTION, Action, Event, Outcome, RequestArrived
 from tests.loopback import (
     FIRST_ID,
@@ -46,17 +46,17 @@
     return b"-ERR failed\r\n"
 
 
-def a_call(ingress: Ingress, worker: int = 1, ms: float = 4000.0) -> OutboundCall:
+def a_call(ingress: Ingress, worker: int = 1, ms: float = 4000.0) -> Attempt:
     terms = b"c=status,t=gross,d=4000"
     ask = ingress.vocabulary.ask([b"API.READ", KEY, b"%016x" % FIRST_ID, terms])
     now = ingress.clock.now()
-    return OutboundCall(0, 0, worker, ask, now, now + ms)
+    return Attempt(0, 0, worker, ask, now, now + ms)
 
 
-def collect(ingress: Ingress) -> list[tuple[OutboundCall, Outcome]]:
+def collect(ingress: Ingress) -> list[tuple[Attempt, Outcome]]:
     """Outcomes of calls that a test starts itself."""
-    ended = list[tuple[OutboundCall, Outcome]]()
-    ingress.outbound._ended = lambda call, reply: ended.append((call, reply.outcome))
+    ended = list[tuple[Attempt, Outcome]]()
+    ingress.connection_pool._ended = lambda call, reply: ended.append((call, reply.outcome))
     return ended
 
 
@@ -88,7 +88,7 @@
         async with serving(backend, clock=clock) as (_, client, _):
             for _ in range(5):
                 assert await client.call(d=3000, body=b"BO\r\nDY") == b"value"
-                clock.advance(outbound.QUIET)
+                clock.advance(connection_pool.REUSE_DELAY_MS)
             assert await client.call("checkout") == b"value"
         verb, customer, wire_id, terms, body = backend.seen[0]
         assert (verb, customer, wire_id, body) == (
@@ -151,10 +151,10 @@
         async with serving(backend, clock=clock) as (ingress, client, _):
             assert await client.call() == b"value"
             clock.advance(15_000 * IDLE_CLOSE_FRACTION - 1)
-            ingress.outbound.sweep()
-            assert len(ingress.outbound) == 1
+            ingress.connection_pool.close_expired()
+            assert len(ingress.connection_pool) == 1
             clock.advance(2)
-            ingress.outbound.sweep()
+            ingress.connection_pool.close_expired()
             await until(lambda: backend.closed == 1)
 
     run(scenario())
@@ -165,13 +165,13 @@
         drained, other = Backend(), Backend()
         async with serving(drained, other) as (ingress, client, discovery):
             ended = collect(ingress)
-            ingress.outbound.start(a_call(ingress))
-            ingress.destinations.apply(message(2, target("s-0", 1, "leaving")))
+            ingress.connection_pool.start(a_call(ingress))
+            ingress.endpoints.apply(message(2, target("s-0", 1, "leaving")))
             await until(lambda: ended)
             assert [outcome for _, outcome in ended] == [Outcome.NOT_SENT]
-            ingress.outbound._ended = ingress._call_ended
+            ingress.connection_pool._ended = ingress._call_ended
             discovery.push(message(3, target("s-0", 1, "left")))
-            await until(lambda: ingress.destinations.revision == 3)
+            await until(lambda: ingress.endpoints.revision == 3)
             for _ in range(10):
                 assert await client.call() == b"value"
             assert (len(drained.seen), len(other.seen)) == (0, 10)
@@ -199,7 +199,7 @@
             await until(lambda: backend.seen)
             # 8 ms earlier for the module's two ticks, and some for the way back
             clock.advance(1988)
-            ingress.timers.run()
+            ingress.timers.run_due()
             assert await client.answer() == "ERR failed"  # it may have run, so not -BUSY
             await until(lambda: backend.closed == 1 and not ingress.requests)
 
@@ -258,7 +258,7 @@
         clock = ManualClock()
         async with serving(Backend(), clock=clock) as (ingress, _, discovery):
             discovery.push(message(41, target("s-1", 1)))
-            await until(lambda: ingress.destinations.revision == 41)
+            await until(lambda: ingress.endpoints.revision == 41)
             clock.advance(3_000)
             ingress.watch.check()
             await asyncio.sleep(0)
@@ -290,7 +290,7 @@
             assert len(discovery.paths) == 1
             if answered:
                 discovery.push(message(41, target("s-1", 1)))
-                await until(lambda: ingress.destinations.revision == 41)
+                await until(lambda: ingress.endpoints.revision == 41)
                 assert len(discovery.paths) == 1
             clock.advance(501)
             ingress.watch.check()
@@ -306,17 +306,17 @@
     async def scenario() -> None:
         backend = Backend()
         async with serving(backend) as (ingress, client, _):
-            handle = ingress.gateway.handle
+            handle = ingress.engine.handle
 
             def faulty(now: float, event: Event) -> list[Action]:
                 if not isinstance(event, RequestArrived):
                     return handle(now, event)  # a round of housekeeping may come before the request
-                ingress.gateway.handle = handle  # type: ignore[method-assign]
+                ingress.engine.handle = handle  # type: ignore[method-assign]
                 if sent:
                     handle(now, event)  # its actions are lost with the exception, but for `actions`
                 raise RuntimeError("a fault made by a test")
 
-            ingress.gateway.handle = faulty  # type: ignore[method-assign]
+            ingress.engine.handle = faulty  # type: ignore[method-assign]
             assert await client.call(kind, d=LONG) == "ERR failed"  # never -BUSY: a call may be out
             assert await client.call(kind) == b"value"
             await until(lambda: not ingress.requests)
@@ -329,25 +329,25 @@
         busy, other, clock = Backend(hangs), Backend(), ManualClock()
         async with serving(busy, other, clock=clock, limits={"sockets": 80}) as (ingress, _, _):
             ended = collect(ingress)
-            most = ingress.outbound._most
-            ingress.outbound.start(a_call(ingress, worker=2))
+            most = ingress.connection_pool._most
+            ingress.connection_pool.start(a_call(ingress, worker=2))
             # its connection is idle now, and makes room for the last one
             await until(lambda: ended)
             for _ in range(most + 1):
-                ingress.outbound.start(a_call(ingress))
+                ingress.connection_pool.start(a_call(ingress))
             assert [outcome for _, outcome in ended[1:]] == [Outcome.NOT_SENT]
-            assert len(ingress.outbound) == most
+            assert len(ingress.connection_pool) == most
             # Over their budget clients still get an answer, and an idle one makes room before a
             # busy one.
             clients = list[Client]()
-            while len(ingress.listener.inbound) < ingress.budget.inbound:
-                standing = len(ingress.listener.inbound)
+            while len(ingress.listener.connections) < ingress.budget.client:
+                standing = len(ingress.listener.connections)
                 clients.append(await Client.open(ingress.address.port))
-                await until(lambda: len(ingress.listener.inbound) > standing)  # noqa: B023
+                await until(lambda: len(ingress.listener.connections) > standing)  # noqa: B023
                 clock.advance(1)
             clock.advance(200)
             clients += [await Client.open(ingress.address.port) for _ in range(4)]
-            await until(lambda: len(ingress.listener.inbound) == ingress.budget.inbound)
+            await until(lambda: len(ingress.listener.connections) == ingress.budget.client)
             assert sum([await c.answer() is None for c in clients[:3]]) == 3
             clients[-1].send(b"PING")
             assert await clients[-1].answer() == b"PONG"
@@ -358,8 +358,8 @@
 def test_with_every_descriptor_owed_an_answer_new_clients_are_told_to_come_again() -> None:
     async def scenario() -> None:
         async with serving(Backend(hangs), limits={"sockets": 80}) as (ingress, client, _):
-            ingress.outbound._most = 1_000
-            most, surplus = ingress.budget.inbound, ingress.budget.surplus
+            ingress.connection_pool._most = 1_000
+            most, surplus = ingress.budget.client, ingress.budget.surplus
             clients = [client, *[await Client.open(ingress.address.port) for _ in range(most - 1)]]
             for number, one in enumerate(clients):
                 one.asked += number
@@ -368,7 +368,7 @@
             late = [await Client.open(ingress.address.port) for _ in range(surplus + 3)]
             late[-1].asked += most
             assert await late[-1].call() == "BUSY"
-            assert len(ingress.listener.inbound) <= most + surplus
+            assert len(ingress.listener.connections) <= most + surplus
             clients[0].writer.close()
             await until(lambda: len(ingress.requests) < most)
             again = await Client.open(ingress.address.port)
@@ -386,20 +386,20 @@
             assert await usual.answer() == b"PONG"
             silent, half = [await Client.open(ingress.address.port) for _ in range(2)]
             half.writer.write(b"*4\r\n$8\r\nAPI.READ\r\n$16\r\n0000")
-            await until(lambda: any(c.half for c in ingress.listener.inbound))
+            await until(lambda: any(c.is_mid_command for c in ingress.listener.connections))
             clock.advance(1_400)
-            ingress._housekeeping()
-            assert len(ingress.listener.inbound) == 3
+            ingress._run_periodic_maintenance()
+            assert len(ingress.listener.connections) == 3
             clock.advance(200)
-            ingress._housekeeping()
+            ingress._run_periodic_maintenance()
             assert await silent.answer() is None
             silent.writer.close()
-            await until(lambda: len(ingress.listener.inbound) == 2)
+            await until(lambda: len(ingress.listener.connections) == 2)
             clock.advance(1_000)  # a head may take 2 s to come whole
-            ingress._housekeeping()
-            assert any(c.half for c in ingress.listener.inbound)
+            ingress._run_periodic_maintenance()
+            assert any(c.is_mid_command for c in ingress.listener.connections)
             clock.advance(500)
-            ingress._housekeeping()
+            ingress._run_periodic_maintenance()
             assert [await half.answer(), await half.answer()] == [
                 "ERR Protocol error: half a command",
                 None,
@@ -416,12 +416,12 @@
             assert [await usual.call() for _ in range(2)] == [b"value"] * 2
             others = [await Client.open(ingress.address.port)]
             others[0].writer.write(b"*1\r\n")
-            await until(lambda: any(c.half for c in ingress.listener.inbound))
+            await until(lambda: any(c.is_mid_command for c in ingress.listener.connections))
             clock.advance(1)
             others += [
-                await Client.open(ingress.address.port) for _ in range(ingress.budget.inbound - 2)
+                await Client.open(ingress.address.port) for _ in range(ingress.budget.client - 2)
             ]
-            await until(lambda: len(ingress.listener.inbound) == ingress.budget.inbound)
+            await until(lambda: len(ingress.listener.connections) == ingress.budget.client)
             clock.advance(200)
             others.append(await Client.open(ingress.address.port))
             assert await others[0].answer() is None  # half a command holds no descriptor
@@ -430,7 +430,7 @@
                 one.send(b"PING")
                 assert await one.answer() == b"PONG"
             clock.advance(2_001)  # many, and idle for long: they are not to fill the budget
-            ingress._housekeeping()
+            ingress._run_periodic_maintenance()
             assert [await one.answer() for one in others[1:]] == [None] * len(others[1:])
 
     run(scenario())
@@ -441,7 +441,7 @@
         clock = ManualClock()
         async with serving(Backend(), clock=clock, limits={"sockets": 80}) as (ingress, _, _):
             stayed = [
-                await Client.open(ingress.address.port) for _ in range(ingress.budget.inbound - 1)
+                await Client.open(ingress.address.port) for _ in range(ingress.budget.client - 1)
             ]
             for one in stayed:
                 one.send(b"PING")  # asks once, and keeps its connection
@@ -454,11 +454,11 @@
                 one.ask()
             assert [await one.answer() for one in new] == [b"value"] * 5
             clock.advance(200)
-            silent = next(iter(ingress.listener.inbound))
+            silent = next(iter(ingress.listener.connections))
             silent.sock = Unread(silent.sock)  # type: ignore[assignment]
-            while ingress.listener.shed():
+            while ingress.listener.close_least_needed():
                 pass
-            assert ingress.listener.inbound == {silent}  # what is here unread is a claim
+            assert ingress.listener.connections == {silent}  # what is here unread is a claim
 
     run(scenario())
 
@@ -502,7 +502,10 @@
 def test_closed_connections_wait_for_no_collection_of_garbage() -> None:
     async def scenario() -> None:
         def standing() -> int:
-            return sum(isinstance(o, (Inbound, outbound.Connection)) for o in gc.get_objects())
+            return sum(
+                isinstance(o, (ClientConnection, connection_pool.BackendConnection))
+                for o in gc.get_objects()
+            )
 
         clock = ManualClock()
         async with serving(Backend(hangs), clock=clock) as (ingress, client, _):
@@ -520,12 +523,14 @@
                     away.writer.close()
                     await until(lambda: not ingress.requests)
                     idle = await Client.open(ingress.address.port)
-                    await until(lambda: len(ingress.listener.inbound) == 2)
-                    next(c for c in ingress.listener.inbound if c.idle and not c.asked).close()
+                    await until(lambda: len(ingress.listener.connections) == 2)
+                    next(
+                        c for c in ingress.listener.connections if c.is_idle and not c.commands_read
+                    ).close()
                     assert await idle.answer() is None
-                await until(lambda: len(ingress.listener.inbound) == 1)
+                await until(lambda: len(ingress.listener.connections) == 1)
                 clock.advance(300)  # the timers of their connecting are over
-                ingress.timers.run()
+                ingress.timers.run_due()
                 # Each held 8 to 16 KiB and more until a collection, and those are far between.
                 assert standing() <= before + 2
             finally:
@@ -560,7 +565,7 @@
                 if backend.closed:
                     break
                 clock.advance(25)
-                ingress.timers.run()
+                ingress.timers.run_due()
                 await asyncio.sleep(0.005)
             assert await client.answer() == "ERR failed"
             assert len(backend.seen) == 1
@@ -596,12 +601,12 @@
                 for one in fill:
                     one.setblocking(False)
                     one.connect_ex(("127.0.0.1", port))
-                ingress.destinations.apply(message(2, target("s-9", port)))
+                ingress.endpoints.apply(message(2, target("s-9", port)))
                 ended = collect(ingress)
-                ingress.outbound.start(a_call(ingress, worker=2))
+                ingress.connection_pool.start(a_call(ingress, worker=2))
                 await until(lambda: ended)
                 assert [outcome for _, outcome in ended] == [Outcome.UNREACHABLE]
-                assert ended[0][0].started + 250 <= Clock().now()
+                assert ended[0][0].started_ms + 250 <= Clock().now()
                 for one in fill:
                     one.close()
 
@@ -614,12 +619,12 @@
         async with serving(backend) as (ingress, _, _):
             ended, calls = collect(ingress), [a_call(ingress) for _ in range(2)]
             for call in calls:
-                ingress.outbound.start(call)
+                ingress.connection_pool.start(call)
             await until(lambda: len(backend.seen) == 2)
-            ingress.outbound.give_up(calls[0], Outcome.TIMEOUT)
+            ingress.connection_pool.end(calls[0], Outcome.TIMEOUT)
             await until(lambda: backend.closed == 1)
             assert ended == [(calls[0], Outcome.TIMEOUT)]
-            assert (backend.opened, len(ingress.outbound)) == (2, 1)
+            assert (backend.opened, len(ingress.connection_pool)) == (2, 1)
 
     run(scenario())
 
--- a/tests/net/test_watch.py
+++ b/tests/net/test_watch.py
@@ -28,7 +28,7 @@
 
 
 def told(ingress: Ingress, revision: int) -> bool:
-    return ingress.destinations.revision == revision
+    return ingress.endpoints.revision == revision
 
 
 def said(ingress: Ingress, since: float) -> bool:
@@ -61,7 +61,7 @@
                 await until(lambda: ingress.ready)
             else:  # it is down, and has learnt nothing meanwhile: the old list has to serve
                 clock.advance(GRACE / 2)
-                ingress.timers.run()
+                ingress.timers.run_due()
                 assert ingress.ready
             assert [await client.answer() for _ in range(20)] == [b"value"] * 20
             assert bool(leaving.seen) is not answers
@@ -128,7 +128,7 @@
                 await asyncio.sleep(0)
                 assert len(discovery.paths) == 1 or second == 4
             clock.advance(GRACE / 2)  # and a pause: within 6 s all in all
-            ingress.timers.run()
+            ingress.timers.run_due()
             await until(lambda: len(discovery.paths) == 2)
             assert discovery.paths[-1].endswith(b"after=2")
 
@@ -156,7 +156,7 @@
                 ingress.watch.check()
                 await asyncio.sleep(0)
             await until(partial(told, ingress, 9))
-            assert (ingress.destinations.listed, len(discovery.paths)) == (12, 1)
+            assert (ingress.endpoints.listed, len(discovery.paths)) == (12, 1)
 
     run(scenario())
 
@@ -174,7 +174,7 @@
             first,
         ):
             clock.advance(GRACE / 2)  # the pause at a start
-            ingress.timers.run()
+            ingress.timers.run_due()
             await until(lambda: first.paths and bool(refuses) == (ingress.watch._failures > 0))
             ingress.watch.move(Address("127.0.0.1", await other.start()))
             await asyncio.wait_for(until(lambda: other.paths), 2)
--- a/tests/policy/test_list_size.py
+++ b/tests/policy/test_list_size.py
@@ -288,12 +288,14 @@
             port = int(backend.server.sockets[0].getsockname()[1])
             targets = [target(f"s-{n:021x}", port) for n in range(3 * PART)]
             discovery.push(message(2, *targets, full=True))
-            await until(lambda: ingress.destinations.revision == 2)
-            assert ingress.destinations.listed == 3 * PART
+            await until(lambda: ingress.endpoints.revision == 2)
+            assert ingress.endpoints.listed == 3 * PART
             assert [await client.call() for _ in range(5)] == [b"value"] * 5
-            assert ingress.outbound._idle
+            assert ingress.connection_pool._idle
             clock.advance(15_000 * IDLE_CLOSE_FRACTION + 1)
-            ingress.outbound.sweep()
-            assert not ingress.outbound._idle, "one place for each backend ever called would stay"
+            ingress.connection_pool.close_expired()
+            assert not ingress.connection_pool._idle, (
+                "one place for each backend ever called would stay"
+            )
 
     run(scenario())
--- a/tests/routes/test_routes_on_sockets.py
+++ b/tests/routes/test_routes_on_sockets.py
@@ -221,7 +221,7 @@
                 "no node of hall-b: the others serve"
             )
             moved = target("s-1", int(nodes[1].server.sockets[0].getsockname()[1]))
-            ingress._tell(ingress.destinations.apply(message(2, {**moved, "az": "hall-b"})))
+            ingress.dispatch(ingress.endpoints.apply(message(2, {**moved, "az": "hall-b"})))
             nodes[0].runs.clear()
             for _ in range(20):
                 await client.call()
@@ -254,7 +254,7 @@
             await until(lambda: spent.refused_limit == 1)
             assert len(spent.queue) == 2
             clock.advance(1001)  # the wait is over for the one that is left and for the dear one
-            ingress.timers.run()
+            ingress.timers.run_due()
             assert (await dear.answer()).startswith("BUSY")
             assert spent.refused_limit == 3
             gate.set()
@@ -332,7 +332,7 @@
                 await until(
                     lambda: sum(sum(n.runs.values()) for n in nodes) % 2 == 0 and ingress.requests
                 )
-                await until(lambda: sum(len(r.calls) for r in ingress.requests.values()) == 2)
+                await until(lambda: sum(len(r.attempts) for r in ingress.requests.values()) == 2)
                 gate.set()
                 assert await client.answer() == b"value"
                 await until(lambda: not ingress.requests)
@@ -374,8 +374,8 @@
                 held.append(one := socket.socket())
                 one.setblocking(False)
                 one.connect_ex(full.getsockname())
-            ingress._tell(
-                ingress.destinations.apply(message(2, target("full", full.getsockname()[1])))
+            ingress.dispatch(
+                ingress.endpoints.apply(message(2, target("full", full.getsockname()[1])))
             )
             got = [await client.call() for _ in range(20)]
             assert got == [b"value"] * 20
--- a/tests/telemetry/test_telemetry_on_sockets.py
+++ b/tests/telemetry/test_telemetry_on_sockets.py
@@ -365,13 +365,13 @@
             for _ in range(60):
                 await client.call()
                 clock.advance(1000)
-                ingress.timers.run()
+                ingress.timers.run_due()
                 await until(lambda: exporter._task.done())
                 assert sender.backlog.size <= sender.backlog.most
             assert sender.backlog.dropped and len(sender.backlog) > 5
             stand_in.behave()
             clock.advance(1000)
-            ingress.timers.run()
+            ingress.timers.run_due()
             name = ("status", "gross", "served")
             await until(lambda: totals(ledger, "plaintext").get(name) == 60)
             stamps = [at for _, at, _ in ledger.points("plaintext", series("plaintext", *name))]
@@ -393,7 +393,7 @@
                 tally.answered(0, 0, n, "refused", f"reason-{n}", 0.0, 1.0, False)
             for n in range(100):
                 targets = [target(f"s-{n}-{k}", 1 + k) for k in range(3)]
-                ingress._tell(ingress.destinations.apply(message(n + 2, *targets, full=True)))
+                ingress.dispatch(ingress.endpoints.apply(message(n + 2, *targets, full=True)))
             points = exporter._reader.points(1000.0)
             nodes = {p.path[1] for p in points if p.path[0] == "nodes"}
             assert nodes == {"s-99-0", "s-99-1", "s-99-2"}, "the series of a node that is gone end"
--- a/tests/test_byte_compatibility.py
+++ b/tests/test_byte_compatibility.py
@@ -356,7 +356,7 @@
     known = message(1, target("s-0", 9), target("s-1", 10), full=True)
 
     async def held_at_start() -> set[str]:
-        return Daemon(config(known), None, None).ingress.destinations.held
+        return Daemon(config(known), None, None).ingress.endpoints.held
 
     assert asyncio.run(held_at_start()) == {"s-0", "s-1"}
 
@@ -367,7 +367,7 @@
 
     async def detach() -> bytes:
         daemon = Daemon(config(known), None, None)
-        daemon.ingress._tell(daemon.ingress.destinations.apply(known))
+        daemon.ingress.dispatch(daemon.ingress.endpoints.apply(known))
         assert daemon.detach("s-1") and daemon.detach("s-0")
         return (folder / "dockthread-held.json").read_bytes()
 
