--- a/dockthread/maintenance/service.py
+++ b/dockthread/maintenance/service.py
@@ -15,10 +15,15 @@
 
 from dockthread.admin.commands import Answer, Command, Verb
 from dockthread.maintenance import commands, observation
-from dockthread.maintenance.participant import Acts, Around, Part, Terms
-from dockthread.maintenance.scheduler import Order
+from dockthread.maintenance.participant import (
+    ClusterView,
+    MaintenanceOptions,
+    MaintenanceParticipant,
+    ParticipantActions,
+)
+from dockthread.maintenance.scheduler import MaintenanceScheduler
 from dockthread.raft.options import FleetOptions
-from dockthread.raft.server import Member
+from dockthread.raft.server import RaftServer
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -33,32 +38,33 @@
 INGRESS_WARM = 2.0  # patiences until an ingress that is back counts as there
 
 
-class Work:
+class MaintenanceService:
     """One ingress's part. A node that is granted is held as one drained by hand is, under the rule
     on drains. `stop`: ends the ingress gently, when its own turn has come.
     """
 
     def __init__(self, ingress: Ingress, options: FleetOptions, stop: Callable[[], None]) -> None:
         self._ingress, self._options, self._stop = ingress, options, stop
-        terms = Terms(
-            options.node_bears, *map(float, (options.reserve, options.lapse, options.dead))
+        terms = MaintenanceOptions(
+            options.node_capacity,
+            *map(float, (options.headroom, options.grant_timeout, options.failure_timeout)),
         )
         now = ingress.clock.now()
-        self.part = Part(ingress.config.name, secrets.token_hex(8), terms, now)
-        self.member = Member(
+        self.part = MaintenanceParticipant(ingress.config.name, secrets.token_hex(8), terms, now)
+        self.member = RaftServer(
             ingress.config.name, options, ingress.clock, secrets.randbits(32), self
         )
         self._some, self._stopping = asyncio.Event(), False
         self._tasks: set[asyncio.Task[Any]] = set()
 
     @property
-    def order(self) -> Order:
+    def order(self) -> MaintenanceScheduler:
         return self.part.order
 
     async def open(self) -> None:
         """Hold what the disk says is out, before the first request; then take part."""
-        stored = self.member.store.stored
-        self.part.begins(stored.state, *stored.told())
+        stored = self.member.storage.persistent_state
+        self.part.begins(stored.snapshot, *stored.command_replay())
         self._turn()
         await self.member.open()
         self._spawn(self._run())
@@ -70,7 +76,7 @@
 
     def leave(self) -> None:
         """The end of this life has come: another is to lead while requests are answered here."""
-        self.member.hand_over()
+        self.member.transfer_leadership()
 
     # What its member tells (fleet/member.py, Owner)
 
@@ -82,18 +88,18 @@
         self.part.restored(state)
         self._some.set()
 
-    def state(self) -> bytes:
-        return self.part.order.packed()
+    def snapshot(self) -> bytes:
+        return self.part.order.snapshot()
 
-    def came_to(self, index: int, term: int) -> None:
+    def on_applied(self, index: int, term: int) -> None:
         self.part.came_to(index, term)
         self._some.set()
 
-    def shown(self, sender: str, data: bytes) -> None:
+    def on_status_report(self, sender: str, data: bytes) -> None:
         self.part.shown(self._ingress.clock.now(), sender, data)
         self._some.set()
 
-    def changed(self) -> None:
+    def on_leader_changed(self) -> None:
         self._some.set()
 
     # Its turns
@@ -121,16 +127,16 @@
         must not be taken for a machine that has just come back cold.
         """
         ingress, member = self._ingress, self.member
-        around = Around(
-            member.leader,
+        around = ClusterView(
+            member.leader_id,
             member.members,
-            member.heard(),
+            member.responsive_members(),
             observation.idle(ingress, self.part.holds),
             ingress.ready,
         )
         self._carry_out(self.part.turn(ingress.clock.now(), around))
 
-    def _carry_out(self, acts: Acts) -> None:
+    def _carry_out(self, acts: ParticipantActions) -> None:
         ingress = self._ingress
         for target in acts.hold:
             if not ingress.set_drained(
@@ -142,7 +148,7 @@
             ingress.set_drained(target, False)
             logger.info("work: {} comes back", target)
         if acts.show:
-            self.member.show(
+            self.member.report_status(
                 msgspec.msgpack.encode(
                     observation.view(ingress, self.part.asked_for(), self.part.latest())
                 )
@@ -150,9 +156,9 @@
         for command in acts.say:
             self._spawn(self._say(command))
         if acts.tick is not None:
-            self.member.propose_here(msgspec.msgpack.encode(acts.tick))
+            self.member.propose_as_leader(msgspec.msgpack.encode(acts.tick))
         if acts.hand_over:
-            self.member.hand_over()
+            self.member.transfer_leadership()
         if acts.stop and not self._stopping:
             self._stopping = True  # once: the order says so until the next life
             logger.info("work: the turn of this ingress has come: it ends gently")
@@ -163,14 +169,14 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _say(self, command: commands.Command) -> None:
+    async def _say(self, command: commands.MaintenanceCommand) -> None:
         if not await self.member.propose(msgspec.msgpack.encode(command)):
             self.part.unsaid(command)
 
     # The management door
 
     def listed(self) -> dict[str, Any]:
-        def plain(r: commands.Request) -> dict[str, Any]:
+        def plain(r: commands.MaintenanceRequest) -> dict[str, Any]:
             told = msgspec.structs.asdict(r)
             return {**told, "reason": self.order.reason(r)}
 
@@ -204,7 +210,7 @@
         answer = {"target": told.target, "state": state, "reason": why, "at": index}
         return Answer(200, json.dumps(answer).encode() + b"\n", JSON)
 
-    def _command(self, call: Command) -> commands.Command | Answer:
+    def _command(self, call: Command) -> commands.MaintenanceCommand | Answer:
         """What is to be agreed on, or the answer that says why not."""
         target, more, ask = call.target, call.more, call.verb is Verb.WORK_ASK
         zone, ingress = self._ingress.endpoints.zone_of(target), target in self.member.members
@@ -217,15 +223,15 @@
             return Answer(400, b'"for" is no number of seconds\n')
         node = zone is not None
         cold = self._ingress.config.module.safety.warm_up_time * 1000.0
-        warm = cold if node else INGRESS_WARM * self._options.patience
-        return commands.Command(
+        warm = cold if node else INGRESS_WARM * self._options.election_timeout
+        return commands.MaintenanceCommand(
             DOING[call.verb],  # type: ignore[arg-type]
             target,
             zone or "",
             str(more.get("why", "")),
             self._ingress.config.name,
             more["urgency"] if isinstance(more.get("urgency"), int) else 0,
-            self._options.most_out,
+            self._options.max_unavailable,
             secrets.token_hex(8),
             commands.NODE if node else commands.INGRESS,
             length * 1000.0,
--- a/dockthread/net/client_connection.py
+++ b/dockthread/net/client_connection.py
@@ -21,7 +21,7 @@
 
 from dockthread.clock import Clock
 from dockthread.net import resp
-from dockthread.net.event_loop_lag import LoopDelay
+from dockthread.net.event_loop_lag import EventLoopLagMonitor
 from dockthread.observer import Traffic
 
 BUFFER = 8 * 1024
@@ -60,9 +60,9 @@
     """What an inbound connection needs of its ingress."""
 
     clock: Clock
-    vocabulary: resp.Vocabulary
+    vocabulary: resp.RequestParser
     traffic: Traffic
-    event_loop_lag: LoopDelay
+    event_loop_lag: EventLoopLagMonitor
 
     @property
     def ready(self) -> bool:
@@ -78,11 +78,13 @@
         """Whether a request of this id is open."""
         ...
 
-    def accept(self, connection: ClientConnection, ask: resp.Ask) -> ResponseSlot:
+    def accept(self, connection: ClientConnection, ask: resp.RequestCommand) -> ResponseSlot:
         """A whole request was read; where its answer will stand."""
         ...
 
-    def respond_without_policy(self, ask: resp.Ask, reason: str, answer: bytes) -> ResponseSlot:
+    def respond_without_policy(
+        self, ask: resp.RequestCommand, reason: str, answer: bytes
+    ) -> ResponseSlot:
         """A request that is answered without a decision."""
         ...
 
@@ -116,7 +118,7 @@
         self._unsent_bytes = 0
         self._writer: asyncio.Task[None] | None = None
         self._writing = 0.0  # since when
-        self._reader, self._bounds = resp.reader(), resp.command_bounds()
+        self._reader, self._bounds = resp.new_parser(), resp.command_guard()
         self._bad = 0  # commands that could not be served
         self._ignored = 0  # bytes read after the last command
         self._ahead = 0  # bytes read while commands before them were waiting
@@ -160,7 +162,7 @@
             HEAD if (half := self.is_mid_command) else FIRST_COMMAND_TIMEOUT_MS
         ) * (1 + ((half or not self.commands_read) and self.has_input())):
             if half:
-                self._say_last(resp.TOO_SLOW)
+                self._say_last(resp.COMMAND_TIMEOUT)
                 self.flush()
             elif not self.commands_read:
                 self.end_gracefully()
@@ -350,7 +352,7 @@
                     return False
                 if (message := self._reader.gets()) is resp.INCOMPLETE:
                     if self._bounds.broken:
-                        self._say_last(resp.BAD_FRAMING)
+                        self._say_last(resp.PROTOCOL_ERROR)
                     return False
                 self.commands_read, self.command_started_ms = (
                     self.commands_read + 1,
@@ -358,9 +360,9 @@
                 )
                 self._command(message)
                 if self._bad >= MOST_BAD or len(self._pending) > MOST_WAITING:
-                    self._say_last(resp.TOO_MANY)
+                    self._say_last(resp.TOO_MANY_COMMANDS)
         except resp.ProtocolError:
-            self._say_last(resp.BAD_FRAMING)
+            self._say_last(resp.PROTOCOL_ERROR)
         return not self._last
 
     def _say_last(self, answer: bytes) -> None:
@@ -386,15 +388,15 @@
     def _request(self, args: list[bytes]) -> ResponseSlot:
         try:
             ask = self._host.vocabulary.ask(args)
-        except resp.BadCommand as error:
-            return self._refuse(resp.error(str(error)))
+        except resp.CommandError as error:
+            return self._refuse(resp.encode_error(str(error)))
         if self.surplus:
             self._last = True
             return self._host.respond_without_policy(ask, "surplus", resp.BUSY)
         if self._host.is_in_flight(ask.wire_id):
             self._bad += 1
             return self._host.respond_without_policy(
-                ask, "duplicate", resp.error("this id is open already")
+                ask, "duplicate", resp.encode_error("this id is open already")
             )
         return self._host.accept(self, ask)
 
@@ -402,7 +404,7 @@
         if verb == b"PING":
             if not self._host.ready:
                 return ResponseSlot(resp.NOT_READY)
-            return ResponseSlot(resp.PONG if len(args) == 1 else resp.served(args[1]))
+            return ResponseSlot(resp.PONG if len(args) == 1 else resp.encode_value(args[1]))
         if verb in (b"CLIENT", b"SELECT"):
             return ResponseSlot(resp.OK)
-        return self._refuse(resp.error("unknown command"))
+        return self._refuse(resp.encode_error("unknown command"))
--- a/dockthread/net/connection_pool.py
+++ b/dockthread/net/connection_pool.py
@@ -14,7 +14,7 @@
 
 from dockthread.clock import Clock
 from dockthread.net import resp
-from dockthread.net.endpoint_list import Destination, DestinationSet
+from dockthread.net.endpoint_list import BackendRecord, EndpointList
 from dockthread.observer import Observer, Traffic
 from dockthread.policy import IDLE_CLOSE_FRACTION, NEVER_RAN, Outcome
 
@@ -47,7 +47,7 @@
         request: int,
         number: int,
         worker: int,
-        ask: resp.Ask,
+        ask: resp.RequestCommand,
         started: float,
         due: float,
         begin_by: float = inf,
@@ -81,7 +81,7 @@
         "wake",
     )
 
-    def __init__(self, destination: Destination, call: Attempt) -> None:
+    def __init__(self, destination: BackendRecord, call: Attempt) -> None:
         self.destination, self.endpoint, self.born = (
             destination,
             destination.endpoint,
@@ -119,10 +119,10 @@
 
     def __init__(
         self,
-        destinations: DestinationSet,
+        destinations: EndpointList,
         clock: Clock,
-        replies: resp.ReplyReader,
-        ended: Callable[[Attempt, resp.Reply], None],
+        replies: resp.ReplyParser,
+        ended: Callable[[Attempt, resp.BackendReply], None],
         at: Callable[..., None],
         *,
         most: int,
@@ -198,7 +198,7 @@
                 call, outcome if call.has_started or outcome in NEVER_RAN else Outcome.NOT_SENT
             )
 
-    def close_idle_to(self, destination: Destination) -> None:
+    def close_idle_to(self, destination: BackendRecord) -> None:
         """Close the idle connections to a destination that left, moved or restarted."""
         for connection in self._idle.pop(destination.worker, ()):
             self._drop(connection)
@@ -237,9 +237,9 @@
         connection.sock.close()
 
     def _end(self, call: Attempt, outcome: Outcome) -> None:
-        self._tell(call, resp.Reply(outcome))
+        self._tell(call, resp.BackendReply(outcome))
 
-    def _tell(self, call: Attempt, reply: resp.Reply) -> None:
+    def _tell(self, call: Attempt, reply: resp.BackendReply) -> None:
         if call.outcome is None:
             call.outcome, call.connection = reply.outcome, None
             self._ended(call, reply)
@@ -309,25 +309,25 @@
 
     async def _answer(
         self, connection: BackendConnection, call: Attempt, buffer: bytearray
-    ) -> tuple[resp.Reply, bool]:
+    ) -> tuple[resp.BackendReply, bool]:
         """What a backend says of a call, and whether the connection is of no more use after it.
 
         A spoilt answer is an error, never a refusal: the request has run. What came behind a good
         one answers nothing, and whose would the next answer on that connection be?
         """
-        reader, bounds = resp.reader(), resp.reply_bounds()
+        reader, bounds = resp.new_parser(), resp.reply_guard()
         begun = False
         while True:
             size = await self._loop.sock_recv_into(connection.sock, buffer)
             if not size:
-                return resp.Reply(Outcome.RESET), True
+                return resp.BackendReply(Outcome.RESET), True
             self._traffic.node_in += size
             data = bytes(buffer[:size])
             reader.feed(data[: bounds.sound(data)])
             try:
                 message = reader.gets()
             except (resp.ProtocolError, UnicodeDecodeError):
-                return resp.Reply(Outcome.ERROR), True
+                return resp.BackendReply(Outcome.ERROR), True
             if message is not resp.INCOMPLETE:
                 reply = self._replies.reply(message)
                 return (
@@ -337,7 +337,7 @@
             if bounds.broken:
                 log = logger.bind(worker=call.backend, uid=connection.destination.uid)
                 log.debug("{} says what cannot be read", connection.endpoint)
-                return resp.Reply(Outcome.ERROR), True
+                return resp.BackendReply(Outcome.ERROR), True
             if not begun:
                 begun = True
                 self._at(self._clock.now() + WHOLE, self._half_answered, connection, call)
--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -10,18 +10,18 @@
 
 from dockthread.admin import reload
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Config
+from dockthread.config.ingress_config import Config
 from dockthread.net import resp
 from dockthread.net.client_connection import ClientConnection, ResponseSlot
 from dockthread.net.connection_pool import Attempt, ConnectionPool
-from dockthread.net.discovery_watch import Watch
-from dockthread.net.endpoint_list import DestinationSet
-from dockthread.net.event_loop_lag import PERIOD, LoopDelay
-from dockthread.net.gossip_transport import Peers
+from dockthread.net.discovery_watch import DiscoveryWatch
+from dockthread.net.endpoint_list import EndpointList
+from dockthread.net.event_loop_lag import HEARTBEAT_INTERVAL_MS, EventLoopLagMonitor
+from dockthread.net.gossip_transport import GossipTransport
 from dockthread.net.lifecycle import Lifecycle, Phase
 from dockthread.net.listener import DescriptorBudget, Listener
 from dockthread.net.policy_host import PolicyHost
-from dockthread.net.quota_counter import Counter
+from dockthread.net.quota_counter import QuotaCounterClient
 from dockthread.net.request import Request, RouteLookup
 from dockthread.net.timers import Timers
 from dockthread.observer import FAILED, REFUSED, SERVED, Observer, Traffic
@@ -61,7 +61,7 @@
         self.traffic.grow(len(config.names.classes))
         self._loop = asyncio.get_running_loop()
         module = config.module
-        self.vocabulary = resp.Vocabulary(
+        self.vocabulary = resp.RequestParser(
             config.names, module.classes, module.ingress_count, config.most_units
         )
         # Without a counter there is none to call, and without addresses nobody to tell, whatever is
@@ -88,15 +88,15 @@
         self.address = config.listen
         self._stop = asyncio.Event()
         self._beating: asyncio.TimerHandle | None = None
-        self.event_loop_lag = LoopDelay(clock.now())
+        self.event_loop_lag = EventLoopLagMonitor(clock.now())
         self.budget = DescriptorBudget.of(
             min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         )
-        self.endpoints = DestinationSet(config.names, clock)
+        self.endpoints = EndpointList(config.names, clock)
         self.connection_pool = ConnectionPool(
             self.endpoints,
             clock,
-            resp.ReplyReader(config.module.load_report_fields),
+            resp.ReplyParser(config.module.load_report_fields),
             self._call_ended,
             self.call_at,
             most=self.budget.backend,
@@ -106,13 +106,13 @@
         )
         self.endpoints.moved = self.connection_pool.close_idle_to
         self.listener = Listener(self, self.budget, self.connection_pool)
-        self.watch = Watch(
+        self.watch = DiscoveryWatch(
             config.discovery, self.endpoints, clock, self.dispatch, config.module, config.seed
         )
-        self.counter = Counter(
+        self.counter = QuotaCounterClient(
             config.counter, clock, self.dispatch, self.call_at, timeout=config.counter_timeout
         )
-        self.peers = Peers(
+        self.peers = GossipTransport(
             config.peers if tells else None, module.ingress_number, self.dispatch, self.traffic
         )
         self.observe(self.observer)
@@ -196,7 +196,7 @@
             module=module,
             names=retuned.names,
         )
-        self.vocabulary = resp.Vocabulary(
+        self.vocabulary = resp.RequestParser(
             retuned.names,
             module.classes,
             module.ingress_count,
@@ -252,7 +252,7 @@
 
     def _beat(self) -> None:
         self.event_loop_lag.beat(self.clock.now())
-        self._beating = self._loop.call_later(PERIOD / 1000.0, self._beat)
+        self._beating = self._loop.call_later(HEARTBEAT_INTERVAL_MS / 1000.0, self._beat)
 
     def _run_periodic_maintenance(self) -> None:
         now = self.clock.now()
@@ -289,13 +289,13 @@
             self.connection_pool.end(call, Outcome.CANCELLED)
         self.dispatch(ClientDisconnected(number))
 
-    def accept(self, connection: ClientConnection, ask: resp.Ask) -> ResponseSlot:
+    def accept(self, connection: ClientConnection, ask: resp.RequestCommand) -> ResponseSlot:
         held = self._held + ask.body_bytes
         if len(self.requests) >= self.config.most_open or held > self._most_held or self.draining:
             reason = (
                 "draining" if self.draining else "bodies" if held > self._most_held else "crowded"
             )
-            return self.respond_without_policy(ask, reason, resp.busy(self._advice))
+            return self.respond_without_policy(ask, reason, resp.encode_busy(self._advice))
         # The client counts from when it sent. The module answers two ticks before the end, and its
         # timer may
         # ring a tick late: without this some answers came after the client had given up.
@@ -303,7 +303,7 @@
         late = self.event_loop_lag.late(connection.earliest_arrival_ms, now)
         left = ask.time_left - min(WAY_BACK, ask.time_left / 10.0) - late
         if late and left < ask.time_left * LATE_PART:
-            return self.respond_without_policy(ask, "late", resp.busy(self._advice))
+            return self.respond_without_policy(ask, "late", resp.encode_busy(self._advice))
         self._numbers += 1
         route = self.routes.bounds(ask) if self.routes is not None else None
         if route is not None and route.timeout:
@@ -329,7 +329,9 @@
         )
         return request
 
-    def respond_without_policy(self, ask: resp.Ask, reason: str, answer: bytes) -> ResponseSlot:
+    def respond_without_policy(
+        self, ask: resp.RequestCommand, reason: str, answer: bytes
+    ) -> ResponseSlot:
         """The answer to a request that the module never hears of: there is no room for it, or it is
         open.
         """
@@ -360,7 +362,7 @@
     def _close_id(self, request: Request) -> None:
         self._open_ids.discard(request.command.wire_id)
 
-    def _call_ended(self, call: Attempt, reply: resp.Reply) -> None:
+    def _call_ended(self, call: Attempt, reply: resp.BackendReply) -> None:
         request = self.requests[call.request_number]
         request.attempts_in_flight -= 1
         first = reply.outcome is Outcome.OK and not request.finished
@@ -375,7 +377,7 @@
                 load=",".join(f"{figure:.4g}" for figure in reply.load) or "-",
             )
         if first:
-            self._answer(request, resp.served(reply.value), SERVED)
+            self._answer(request, resp.encode_value(reply.value), SERVED)
         self.dispatch(
             AttemptEnded(
                 call.request_number,
@@ -433,7 +435,7 @@
 
     def _refuse(self, action: Reject) -> None:
         if (request := self.requests.get(action.request)) and not request.finished:
-            answer = resp.busy(min(action.retry_after * 1000.0, self._advice))
+            answer = resp.encode_busy(min(action.retry_after * 1000.0, self._advice))
             self._answer(request, answer, REFUSED, action.reason or request.last_outcome)
 
     def _fail(self, action: Fail) -> None:
--- a/dockthread/net/listener.py
+++ b/dockthread/net/listener.py
@@ -12,9 +12,9 @@
 
 from loguru import logger
 
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.net.client_connection import ClientConnection, ConnectionHost
-from dockthread.net.event_loop_lag import Backlog
+from dockthread.net.event_loop_lag import AcceptBacklog
 
 BACKLOG = 1024
 # descriptors for all but connections: standard streams, the loop's own, listener, watch
@@ -67,7 +67,7 @@
         self._host, self.budget, self._outbound = host, budget, outbound
         self._loop = asyncio.get_running_loop()
         self.connections: set[ClientConnection] = set()
-        self._backlog = Backlog()
+        self._backlog = AcceptBacklog()
         self._emptied = asyncio.Event()
 
     def listen(self, name: str, address: Address, inherited: int | None) -> Address:
--- a/dockthread/net/request.py
+++ b/dockthread/net/request.py
@@ -26,7 +26,12 @@
     )
 
     def __init__(
-        self, number: int, connection: ClientConnection, ask: resp.Ask, deadline: float, left: float
+        self,
+        number: int,
+        connection: ClientConnection,
+        ask: resp.RequestCommand,
+        deadline: float,
+        left: float,
     ) -> None:
         super().__init__()
         self.arrived_ms = deadline - left
@@ -68,6 +73,6 @@
 
     spent: dict[str, Any]
 
-    def bounds(self, ask: resp.Ask) -> RouteBounds | None:
+    def bounds(self, ask: resp.RequestCommand) -> RouteBounds | None:
         """What the request's route adds; None where it has none."""
         ...
--- a/tests/maintenance/test_work.py
+++ b/tests/maintenance/test_work.py
@@ -16,18 +16,18 @@
 
 from dockthread.cli.work import fleet, work
 from dockthread.config.section_registry import read_text
-from dockthread.maintenance.commands import Command, Tick, Zone
-from dockthread.maintenance.scheduler import Order
-from dockthread.raft.actions import Keep, KeepState
-from dockthread.raft.messages import COMMAND, Entry
+from dockthread.maintenance.commands import LeaderReport, MaintenanceCommand, ZoneStatus
+from dockthread.maintenance.scheduler import MaintenanceScheduler
+from dockthread.raft.actions import PersistEntries, PersistSnapshot
+from dockthread.raft.messages import Entry, EntryKind
 from dockthread.raft.options import FleetOptions
-from dockthread.raft.storage import Lost, Store
+from dockthread.raft.storage import RaftStorage, RaftStorageError
 
 MEMBERS = ("n0", "n1", "n2")
 
 
 def said(do: str, target: str = "", zone: str = "a", **more: Any) -> bytes:
-    return msgspec.msgpack.encode(Command(do, target, zone, **more))  # type: ignore[arg-type]
+    return msgspec.msgpack.encode(MaintenanceCommand(do, target, zone, **more))  # type: ignore[arg-type]
 
 
 class Told:
@@ -36,7 +36,7 @@
     """
 
     def __init__(self) -> None:
-        self.order, self.index = Order(), 0
+        self.order, self.index = MaintenanceScheduler(), 0
 
     def do(self, do: str, target: str = "", zone: str = "a", **more: Any) -> str:
         self.index, self.said = self.index + 1, said(do, target, zone, **more)
@@ -44,7 +44,7 @@
         return self.state(target)
 
     def tick(self, elapsed: float = 500.0, alive: tuple[str, ...] = MEMBERS, **more: Any) -> None:
-        zones = (Zone("a", 6), Zone("b", 6))
+        zones = (ZoneStatus("a", 6), ZoneStatus("b", 6))
         known = {
             "zones": zones,
             "seen": tuple(self.order.requests),
@@ -52,7 +52,7 @@
             "dead": 5_000.0,
             **more,
         }
-        self.do("tick", tick=Tick(self.order.ticks + 1, elapsed, MEMBERS, alive, **known))
+        self.do("tick", tick=LeaderReport(self.order.ticks + 1, elapsed, MEMBERS, alive, **known))
 
     def state(self, target: str) -> str:
         request = self.order.requests.get(target)
@@ -138,10 +138,10 @@
 @pytest.mark.parametrize(
     ("zone", "why"),
     [
-        ({"zones": (Zone("a", 6, ("z",)),)}, "z of a fails"),
-        ({"zones": (Zone("a", 6, pressed=True),)}, "requests wait too long in a"),
+        ({"zones": (ZoneStatus("a", 6, ("z",)),)}, "z of a fails"),
+        ({"zones": (ZoneStatus("a", 6, pressed=True),)}, "requests wait too long in a"),
         (
-            {"zones": (Zone("a", 6, load=4.1),)},
+            {"zones": (ZoneStatus("a", 6, load=4.1),)},
             "the rest of a would carry 0.82 of what it bears, and 0.80 is most",
         ),
         ({"zones": ()}, "a is not seen by a majority"),
@@ -206,7 +206,7 @@
 def test_time_is_the_ticks_own_and_a_tick_proposed_twice_counts_once() -> None:
     told = Told()
     for number, clock in ((1, 500.0), (1, 500.0), (3, 500.0), (2, 1_000.0)):
-        told.do("tick", tick=Tick(number, 500.0, MEMBERS, MEMBERS))
+        told.do("tick", tick=LeaderReport(number, 500.0, MEMBERS, MEMBERS))
         assert told.order.clock == clock
 
 
@@ -216,7 +216,7 @@
     told.do("withdraw", "x")
     assert told.do("ask", "x", once="7f") == "withdrawn"
     other = Told()
-    other.order.restore(told.order.packed())
+    other.order.restore(told.order.snapshot())
     assert other.do("ask", "x", once="7f") == "withdrawn"
 
 
@@ -225,17 +225,17 @@
     for target in ("x", "x", "y"):
         told.do("ask", target)
     assert told.do("done", "y") == "waiting"
-    before = told.order.packed()
+    before = told.order.snapshot()
     told.order.apply(9, b"\xc1 rubbish")
     told.order.apply(9, msgspec.msgpack.encode(["explode", "x"]))
-    assert told.order.packed() == before and len(told.order.requests) == 2
+    assert told.order.snapshot() == before and len(told.order.requests) == 2
 
 
 @pytest.mark.parametrize("seed", range(200))
 def test_whatever_comes_no_zone_has_more_away_than_the_careful_say_and_all_members_agree(
     seed: int,
 ) -> None:
-    rng, told, other = random.Random(seed), Told(), Order()
+    rng, told, other = random.Random(seed), Told(), MaintenanceScheduler()
     away: set[str] = set()
     for step in range(150):
         target = f"m{rng.randrange(8)}"
@@ -265,10 +265,10 @@
             zone, most, by = "ab"[int(target[1:]) % 2], rng.randrange(1, 4), rng.choice(MEMBERS)
             told.do(do, target, zone, by=by, epoch=epoch, urgency=rng.randrange(3), most=most)
         if step == 75:  # one that comes back from a state goes on alike
-            other.restore(told.order.packed())
+            other.restore(told.order.snapshot())
         elif step > 75:
             other.apply(told.index, told.said)
-            assert other.packed() == told.order.packed()
+            assert other.snapshot() == told.order.snapshot()
         now = {r.target: r for r in told.order.requests.values() if r.state != "waiting"}
         for zone in "ab":
             in_zone = [r for r in told.order.requests.values() if r.zone == zone]
@@ -281,44 +281,58 @@
 
 
 def entries(*texts: str) -> tuple[Entry, ...]:
-    return tuple(Entry(1, COMMAND, text.encode()) for text in texts)
+    return tuple(Entry(1, EntryKind.COMMAND, text.encode()) for text in texts)
 
 
 def test_a_kill_at_every_byte_of_the_log_leaves_what_was_kept_before(tmp_path: Path) -> None:
-    store = Store(tmp_path / "whole", "n0", make=True)
+    store = RaftStorage(tmp_path / "whole", "n0", create=True)
     kept = [
-        Keep(1, "n1", 1, entries("a")),
-        Keep(1, "n1", 2, entries("b", "c")),
-        Keep(2, "", 2, entries("B")),
+        PersistEntries(1, "n1", 1, entries("a")),
+        PersistEntries(1, "n1", 2, entries("b", "c")),
+        PersistEntries(2, "", 2, entries("B")),
     ]
     known: list[tuple[int, str, list[Entry]]] = [(0, "", [])]
     ends = [0]
     for what in kept:
-        store.keep(what)
-        known.append((store.stored.term, store.stored.vote, list(store.stored.entries)))
+        store.persist(what)
+        known.append(
+            (
+                store.persistent_state.term,
+                store.persistent_state.voted_for,
+                list(store.persistent_state.entries),
+            )
+        )
         ends.append((tmp_path / "whole" / "log").stat().st_size)
     store.close()
     whole = (tmp_path / "whole" / "log").read_bytes()
     for cut in range(len(whole) + 1):
         (tmp_path / "whole" / "log").write_bytes(whole[:cut])
-        again = Store(tmp_path / "whole", "n0")
+        again = RaftStorage(tmp_path / "whole", "n0")
         last = max(i for i, end in enumerate(ends) if end <= cut)
-        assert (again.stored.term, again.stored.vote, again.stored.entries) == known[last]
+        assert (
+            again.persistent_state.term,
+            again.persistent_state.voted_for,
+            again.persistent_state.entries,
+        ) == known[last]
         again.close()
 
 
 def test_a_state_takes_the_place_of_entries(tmp_path: Path) -> None:
-    store = Store(tmp_path / "n", "n0", make=True)
-    store.keep(Keep(3, "n2", 1, entries("a", "b", "c")))
-    store.keep(KeepState(2, 1, ("n0", "n1"), b"ab", False))
-    store.keep(Keep(3, "n2", 4, entries("d")))
+    store = RaftStorage(tmp_path / "n", "n0", create=True)
+    store.persist(PersistEntries(3, "n2", 1, entries("a", "b", "c")))
+    store.persist(PersistSnapshot(2, 1, ("n0", "n1"), b"ab", False))
+    store.persist(PersistEntries(3, "n2", 4, entries("d")))
     store.close()
-    again = Store(tmp_path / "n", "n0")
-    assert (again.stored.base, again.stored.state, again.stored.term) == (2, b"ab", 3)
-    assert again.stored.entries == list(entries("c", "d"))
+    again = RaftStorage(tmp_path / "n", "n0")
+    assert (
+        again.persistent_state.snapshot_index,
+        again.persistent_state.snapshot,
+        again.persistent_state.term,
+    ) == (2, b"ab", 3)
+    assert again.persistent_state.entries == list(entries("c", "d"))
     size = (tmp_path / "n" / "log").stat().st_size
     for _ in range(50):
-        again.keep(KeepState(2, 1, ("n0", "n1"), b"ab", False))
+        again.persist(PersistSnapshot(2, 1, ("n0", "n1"), b"ab", False))
     assert (tmp_path / "n" / "log").stat().st_size <= size, (
         "what no longer counts does not fill the disk"
     )
@@ -328,33 +342,38 @@
 def test_a_kill_between_the_writes_of_a_state_harms_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    store = Store(tmp_path / "n", "n0", make=True)
-    store.keep(Keep(3, "n2", 1, entries("a", "b", "c")))
+    store = RaftStorage(tmp_path / "n", "n0", create=True)
+    store.persist(PersistEntries(3, "n2", 1, entries("a", "b", "c")))
     for step, base in ((0, 0), (1, 2)):
-        monkeypatch.setattr(Store, "_beside", killed_at(step, Store._beside))
+        monkeypatch.setattr(
+            RaftStorage, "_replace_file", killed_at(step, RaftStorage._replace_file)
+        )
         with pytest.raises(KeyboardInterrupt):
-            store.keep(KeepState(2, 1, ("n0",), b"ab", False))
+            store.persist(PersistSnapshot(2, 1, ("n0",), b"ab", False))
         monkeypatch.undo()
         store.close()
-        store = Store(tmp_path / "n", "n0")
-        assert store.stored.base == base
-        assert store.stored.entries == list(entries("a", "b", "c"))[base:]
-    store.keep(Keep(4, "", 4, entries("d")))
+        store = RaftStorage(tmp_path / "n", "n0")
+        assert store.persistent_state.snapshot_index == base
+        assert store.persistent_state.entries == list(entries("a", "b", "c"))[base:]
+    store.persist(PersistEntries(4, "", 4, entries("d")))
     store.close()
-    store = Store(tmp_path / "n", "n0")
-    assert (store.stored.term, store.stored.entries) == (4, list(entries("c", "d")))
+    store = RaftStorage(tmp_path / "n", "n0")
+    assert (store.persistent_state.term, store.persistent_state.entries) == (
+        4,
+        list(entries("c", "d")),
+    )
     store.close()
 
 
 def killed_at(
-    step: int, real: Callable[[Store, str, bytes], None]
-) -> Callable[[Store, str, bytes], None]:
+    step: int, real: Callable[[RaftStorage, str, bytes], None]
+) -> Callable[[RaftStorage, str, bytes], None]:
     """The store's write beside, but for a kill at the `step`-th: before the state's rename, or the
     log's.
     """
     calls = iter(range(9))
 
-    def beside(store: Store, name: str, body: bytes) -> None:
+    def beside(store: RaftStorage, name: str, body: bytes) -> None:
         if next(calls) == step:
             raise KeyboardInterrupt
         real(store, name, body)
@@ -363,20 +382,20 @@
 
 
 def test_what_lies_there_is_believed_only_whole(tmp_path: Path) -> None:
-    with pytest.raises(Lost, match="fleet init"):
-        Store(tmp_path / "none", "n0")
-    store = Store(tmp_path / "n", "n0", make=True)
-    store.keep(Keep(1, "n0", 1, entries("a")))
+    with pytest.raises(RaftStorageError, match="fleet init"):
+        RaftStorage(tmp_path / "none", "n0")
+    store = RaftStorage(tmp_path / "n", "n0", create=True)
+    store.persist(PersistEntries(1, "n0", 1, entries("a")))
     with pytest.raises(BlockingIOError):
-        Store(tmp_path / "n", "n0")  # another process has it
+        RaftStorage(tmp_path / "n", "n0")  # another process has it
     store.close()
     with pytest.raises(FileExistsError):
-        Store(tmp_path / "n", "n0", make=True)
+        RaftStorage(tmp_path / "n", "n0", create=True)
     data = bytearray((tmp_path / "n" / "log").read_bytes())
     data[-1] ^= 1
     (tmp_path / "n" / "log").write_bytes(data)
-    with pytest.raises(Lost, match="spoilt at byte 0"):
-        Store(tmp_path / "n", "n0")
+    with pytest.raises(RaftStorageError, match="spoilt at byte 0"):
+        RaftStorage(tmp_path / "n", "n0")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_byte_compatibility.py
+++ b/tests/test_byte_compatibility.py
@@ -23,24 +23,24 @@
 import pytest
 
 import dockthread
+from dockthread.config.address import Address
 from dockthread.config.ini_reader import Section
-from dockthread.config.platform_settings import Address
 from dockthread.config.quantities import Duration, Share
 from dockthread.control_plane import messages, snapshot_cache
-from dockthread.control_plane.encoded import FramesCache
-from dockthread.control_plane.publish_state_machine import Publishing
-from dockthread.control_plane.resource_schemas import VALIDATORS, address_of, route_of
+from dockthread.control_plane.encoded import EncodedFrameCache
+from dockthread.control_plane.publish_state_machine import PublishStateMachine
+from dockthread.control_plane.resource_schemas import VALIDATORS, parse_address, parse_route
 from dockthread.control_plane.resource_table import ResourceTable
-from dockthread.control_plane.update_assembler import Receiver
+from dockthread.control_plane.update_assembler import UpdateAssembler
 from dockthread.daemon import Daemon
-from dockthread.framing import HEAD
-from dockthread.maintenance.commands import INGRESS, Command, Tick, Zone
-from dockthread.maintenance.scheduler import Order
-from dockthread.maintenance.service import Work
+from dockthread.framing import FRAME_HEADER
+from dockthread.maintenance.commands import INGRESS, LeaderReport, MaintenanceCommand, ZoneStatus
+from dockthread.maintenance.scheduler import MaintenanceScheduler
+from dockthread.maintenance.service import MaintenanceService
 from dockthread.raft import messages as raft_messages
-from dockthread.raft.actions import Keep, KeepState, Stored
-from dockthread.raft.log import Log
-from dockthread.raft.storage import Store
+from dockthread.raft.actions import PersistEntries, PersistentState, PersistSnapshot
+from dockthread.raft.log import RaftLog
+from dockthread.raft.storage import RaftStorage
 from dockthread.routes.options import RouteOptions
 from tests import byte_cases
 from tests.byte_cases import CASES, Case
@@ -55,7 +55,7 @@
 UNIONS: Final = (
     (raft_messages.Frame, byte_cases.RAFT_STREAM),
     (messages.Message, byte_cases.DISTRIBUTION_STREAM),
-    (snapshot_cache.Record, byte_cases.CACHE_RECORD),
+    (snapshot_cache.CacheRecord, byte_cases.CACHE_RECORD),
 )
 
 
@@ -82,24 +82,39 @@
     return {path.name: path.read_bytes() for path in folder.iterdir() if path.name != "lock"}
 
 
-def written_raft_files(folder: Path) -> Iterator[tuple[str, dict[str, bytes], Stored]]:
+def written_raft_files(folder: Path) -> Iterator[tuple[str, dict[str, bytes], PersistentState]]:
     """A directory after it is made, after term, vote and entries, and after a snapshot; and what is
     stored then.
     """
-    store = Store(folder, "n1", make=True)
+    store = RaftStorage(folder, "n1", create=True)
     entries = byte_cases.ENTRIES
-    yield "made", raft_files(folder), Stored()
-    store.keep(Keep(term=4, vote="n0", start=1, entries=entries, commit=0))
-    store.keep(Keep(term=5, vote="n2", start=3, entries=(entries[0], entries[2]), commit=2))
-    stored = Stored(
-        term=5, vote="n2", entries=[entries[0], entries[1], entries[0], entries[2]], commit=2
+    yield "made", raft_files(folder), PersistentState()
+    store.persist(
+        PersistEntries(term=4, voted_for="n0", first_index=1, entries=entries, commit_index=0)
+    )
+    store.persist(
+        PersistEntries(
+            term=5, voted_for="n2", first_index=3, entries=(entries[0], entries[2]), commit_index=2
+        )
+    )
+    stored = PersistentState(
+        term=5,
+        voted_for="n2",
+        entries=[entries[0], entries[1], entries[0], entries[2]],
+        commit_index=2,
     )
     yield "records", raft_files(folder), stored
-    store.keep(
-        KeepState(base=3, base_term=2, voters=("n0", "n1", "n2"), state=b"state", whole=False)
+    store.persist(
+        PersistSnapshot(
+            index=3, term=2, voters=("n0", "n1", "n2"), snapshot=b"state", discards_log=False
+        )
+    )
+    store.persist(
+        PersistEntries(term=6, voted_for="n1", first_index=5, entries=(entries[1],), commit_index=4)
+    )
+    stored = PersistentState(
+        6, "n1", 3, 2, ("n0", "n1", "n2"), b"state", [entries[2], entries[1]], 4
     )
-    store.keep(Keep(term=6, vote="n1", start=5, entries=(entries[1],), commit=4))
-    stored = Stored(6, "n1", 3, 2, ("n0", "n1", "n2"), b"state", [entries[2], entries[1]], 4)
     yield "snapshot", raft_files(folder), stored
     store.close()
 
@@ -114,20 +129,22 @@
         folder.mkdir()
         for file, data in known.items():
             (folder / file.partition("/")[2]).write_bytes(data)
-        store = Store(folder, "n1")
-        assert (store.name, store.stored) == ("n1", expected)
+        store = RaftStorage(folder, "n1")
+        assert (store.name, store.persistent_state) == ("n1", expected)
         store.close()
 
 
 def test_voters_are_read_from_their_entry() -> None:
     entry = msgspec.msgpack.decode(WRITTEN["raft.entry.1"], type=raft_messages.Entry)
-    assert Log(Stored(entries=[entry]), ["n9"]).voters_at(1) == ("n0", "n1", "n2")
+    assert RaftLog(PersistentState(entries=[entry]), ["n9"]).voters_at(1) == ("n0", "n1", "n2")
 
 
 def snapshot_in_parts() -> list[bytes]:
     state = bytes(range(256)) * 2_100  # two full parts and one of 13,312 bytes
     return list(
-        raft_messages.cut(msgspec.structs.replace(byte_cases.SNAPSHOT, state=state), byte_cases.KEY)
+        raft_messages.split_snapshot(
+            msgspec.structs.replace(byte_cases.SNAPSHOT, snapshot=state), byte_cases.KEY
+        )
     )
 
 
@@ -136,28 +153,32 @@
     assert (
         blake2b(b"".join(frames)).digest() == WRITTEN["raft.stream.parts.blake2b"]
     )  # 540 KB themselves
-    assembly = raft_messages.Assembly()
+    assembly = raft_messages.SnapshotAssembler()
     for frame in frames:
-        part = raft_messages.unpack(frame[: HEAD.size], frame[HEAD.size :], byte_cases.KEY)
-        assert isinstance(part, raft_messages.Part)
+        part = raft_messages.unpack(
+            frame[: FRAME_HEADER.size], frame[FRAME_HEADER.size :], byte_cases.KEY
+        )
+        assert isinstance(part, raft_messages.SnapshotChunk)
         whole = assembly.add(part)
     assert whole is not None
-    assert whole.state == bytes(range(256)) * 2_100
+    assert whole.snapshot == bytes(range(256)) * 2_100
 
 
-def maintenance_commands() -> list[Command]:
+def maintenance_commands() -> list[MaintenanceCommand]:
     """A request that is granted, called back, granted, lapses, is carried out and warms up; one
     that is withdrawn; and an ingress that restarts.
     """
     zone, sick = (
-        Zone(name="z1", ready=4, load=1.0),
-        Zone(name="z1", ready=4, ailing=("b2",), load=1.0),
+        ZoneStatus(name="z1", ready=4, load=1.0),
+        ZoneStatus(name="z1", ready=4, ailing=("b2",), load=1.0),
     )
 
-    def tick(number: int, zones: tuple[Zone, ...] = (zone,), elapsed: float = 500.0) -> Command:
+    def tick(
+        number: int, zones: tuple[ZoneStatus, ...] = (zone,), elapsed: float = 500.0
+    ) -> MaintenanceCommand:
         members = ("n0", "n1")
         seen = ("b1", "b3")
-        told = Tick(
+        told = LeaderReport(
             number=number,
             elapsed=elapsed,
             members=members,
@@ -166,10 +187,10 @@
             seen=seen,
             lapse=900.0,
         )
-        return Command(do="tick", tick=told)
+        return MaintenanceCommand(do="tick", tick=told)
 
     return [
-        Command(
+        MaintenanceCommand(
             do="ask",
             target="b1",
             zone="z1",
@@ -179,38 +200,38 @@
             warm=400.0,
             once="aa",
         ),
-        Command(do="ask", target="b1", zone="z1", why="new disk", by="n0", once="aa"),
-        Command(do="ask", target="b3", zone="z1", urgency=-1),
+        MaintenanceCommand(do="ask", target="b1", zone="z1", why="new disk", by="n0", once="aa"),
+        MaintenanceCommand(do="ask", target="b3", zone="z1", urgency=-1),
         tick(1),
         tick(2, (sick,)),
         tick(3),
         tick(4, elapsed=300.0),
         tick(5, (sick,), elapsed=1_000.0),
         tick(6),
-        Command(do="held", target="b1", by="n0", epoch=9),
-        Command(do="held", target="b1", by="n1", epoch=9),
+        MaintenanceCommand(do="held", target="b1", by="n0", epoch=9),
+        MaintenanceCommand(do="held", target="b1", by="n1", epoch=9),
         tick(7),
         tick(8, elapsed=800.0),
-        Command(do="done", target="b1"),
-        Command(do="freed", target="b1", by="n1", epoch=9),
-        Command(do="freed", target="b1", by="n0", epoch=9),
+        MaintenanceCommand(do="done", target="b1"),
+        MaintenanceCommand(do="freed", target="b1", by="n1", epoch=9),
+        MaintenanceCommand(do="freed", target="b1", by="n0", epoch=9),
         tick(9),
-        Command(do="withdraw", target="b3"),
+        MaintenanceCommand(do="withdraw", target="b3"),
         tick(10),
-        Command(do="ask", target="n1", kind=INGRESS, warm=100.0),
+        MaintenanceCommand(do="ask", target="n1", kind=INGRESS, warm=100.0),
         tick(11),
-        Command(do="held", target="n1", by="n1", epoch=20, life="0123456789abcdef"),
-        Command(do="back", target="n1", by="n1", epoch=20),
+        MaintenanceCommand(do="held", target="n1", by="n1", epoch=20, life="0123456789abcdef"),
+        MaintenanceCommand(do="back", target="n1", by="n1", epoch=20),
         tick(12),
     ]
 
 
 def maintenance_history() -> list[bytes]:
     """The states after each command of `maintenance_commands`, each with its length before it."""
-    order, states = Order(), list[bytes]()
+    order, states = MaintenanceScheduler(), list[bytes]()
     for index, command in enumerate(maintenance_commands(), 1):
         order.apply(index, msgspec.msgpack.encode(command))
-        state = order.packed()
+        state = order.snapshot()
         states.append(len(state).to_bytes(4, "little") + state)
     return states
 
@@ -224,9 +245,9 @@
 
 def maintenance_listing() -> bytes:
     """The management endpoint's JSON of what is asked for; its keys are names of fields."""
-    order = Order()
+    order = MaintenanceScheduler()
     order.restore(WRITTEN["maintenance.state"])
-    listed = Work.listed(cast(Work, SimpleNamespace(order=order)))
+    listed = MaintenanceService.listed(cast(MaintenanceService, SimpleNamespace(order=order)))
     return json.dumps(listed, sort_keys=True).encode()
 
 
@@ -234,28 +255,32 @@
     assert maintenance_listing() == WRITTEN["maintenance.listing.json"]
 
 
-def published() -> tuple[list[bytes], Publishing]:
+def published() -> tuple[list[bytes], PublishStateMachine]:
     """Entries of the distribution's log, and the machine after them: changes accepted, refused and
     repeated.
     """
-    machine = Publishing(VALIDATORS, random.Random(7), most_tombstones=1)
+    machine = PublishStateMachine(VALIDATORS, random.Random(7), max_tombstones=1)
     changes = [
-        messages.Publish(token="t1", kind="route", name="slow", body=b'{"attempts": 2}'),
-        messages.Publish(
+        messages.PublishRequest(token="t1", kind="route", name="slow", body=b'{"attempts": 2}'),
+        messages.PublishRequest(
             token="t2", kind="route", name="slow", body=b'{"attempts": 3}', expected=7
         ),
-        messages.Publish(
+        messages.PublishRequest(
             token="t3", kind="address", name="counter", body=b'{"address": "h:1"}', expected=0
         ),
-        messages.Publish(token="t3", kind="address", name="counter", body=b'{"address": "h:2"}'),
-        messages.Publish(token="t4", kind="address", name="counter", body=None),
-        messages.Publish(token="t5", kind="route", name="none", body=None),
-        messages.Publish(token="t6", kind="route", name="", body=b"{}"),
-        messages.Publish(token="t7", kind="route", name="slow", body=None, expected=1),
-        messages.Publish(token="t8", kind="route", name="big", body=bytes(messages.MOST_BODY + 1)),
-        messages.Publish(token="t9", kind="route", name="fast", body=b'{"attempts": 1}'),
+        messages.PublishRequest(
+            token="t3", kind="address", name="counter", body=b'{"address": "h:2"}'
+        ),
+        messages.PublishRequest(token="t4", kind="address", name="counter", body=None),
+        messages.PublishRequest(token="t5", kind="route", name="none", body=None),
+        messages.PublishRequest(token="t6", kind="route", name="", body=b"{}"),
+        messages.PublishRequest(token="t7", kind="route", name="slow", body=None, expected=1),
+        messages.PublishRequest(
+            token="t8", kind="route", name="big", body=bytes(messages.MAX_BODY_BYTES + 1)
+        ),
+        messages.PublishRequest(token="t9", kind="route", name="fast", body=b'{"attempts": 1}'),
     ]
-    proposals = [machine.proposal(change) for change in changes]
+    proposals = [machine.encode_proposal(change) for change in changes]
     for index, proposal in enumerate(proposals, 1):
         machine.apply(index, proposal)
     return proposals, machine
@@ -265,10 +290,10 @@
     proposals, machine = published()
     assert proposals[0] == WRITTEN["distribution.log.first-proposal"]
     assert machine.state() == WRITTEN["distribution.log.history-state"]
-    restored = Publishing(VALIDATORS, random.Random(8), most_tombstones=1)
+    restored = PublishStateMachine(VALIDATORS, random.Random(8), max_tombstones=1)
     restored.restore(10, WRITTEN["distribution.log.history-state"])
     assert held(restored.table) == held(machine.table)
-    assert restored.answer("t2") == machine.answer("t2") is not None
+    assert restored.response_for("t2") == machine.response_for("t2") is not None
 
 
 def held(table: ResourceTable) -> tuple[object, ...]:
@@ -293,7 +318,7 @@
 
 def table_frames(part: int) -> list[bytes]:
     """Frames of a snapshot in parts of so many bytes, and of what lacks behind revision 12."""
-    frames = FramesCache(resource_table(), part, byte_cases.KEY)
+    frames = EncodedFrameCache(resource_table(), part, byte_cases.KEY)
     snapshot, found = frames.snapshot(), list[bytes]()
     while (frame := snapshot.frame(len(found))) is not None:
         found.append(frame)
@@ -305,10 +330,10 @@
     assert b"".join(snapshot) == WRITTEN["distribution.frames.snapshot"]
     assert delta == WRITTEN["distribution.frames.delta"]
     table = ResourceTable()
-    receiver = Receiver(table)
+    assembler = UpdateAssembler(table)
     for frame in snapshot:
         update = byte_cases.DISTRIBUTION_STREAM.decode(frame)
-        receiver.take(update)
+        assembler.add(update)
     assert held(table) == held(resource_table())
 
 
@@ -318,7 +343,7 @@
     """
     table = resource_table()
     kept = (messages.Resource(kind="route", name="r0", revision=10, body=b"{}"),)
-    file = snapshot_cache.Cache(directory, "in/1 a", 0.0)
+    file = snapshot_cache.SnapshotCache(directory, "in/1 a", 0.0)
     file.save(table, (), kept)
     change = messages.Resource(
         kind="address", name="counter", revision=26, body=b'{"address": "h:1"}'
@@ -334,19 +359,19 @@
     assert path == tmp_path / "in%2F1%20a.cache"
     assert path.read_bytes() == WRITTEN["distribution.cache.file"]
     path.write_bytes(WRITTEN["distribution.cache.file"])
-    found = snapshot_cache.read(path, "in/1 a")
+    found = snapshot_cache.read_snapshot(path, "in/1 a")
     table = resource_table()
     table.put(
         messages.Resource(kind="address", name="counter", revision=26, body=b'{"address": "h:1"}')
     )
     assert found is not None
-    assert (held(found.table), found.kept) == (held(table), ())
+    assert (held(found.table), found.last_good) == (held(table), ())
     first_commit = WRITTEN["distribution.cache.file.first-state"]
     path.write_bytes(first_commit)
-    found = snapshot_cache.read(path, "in/1 a")
+    found = snapshot_cache.read_snapshot(path, "in/1 a")
     assert found is not None
     kept = (messages.Resource(kind="route", name="r0", revision=10, body=b"{}"),)
-    assert (held(found.table), found.kept) == (held(resource_table()), kept)
+    assert (held(found.table), found.last_good) == (held(resource_table()), kept)
 
 
 def test_backends_held_by_hand(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -387,7 +412,7 @@
 
 def test_the_body_of_a_route() -> None:
     assert set(ROUTE_BODY) == {field.encode_name for field in msgspec.structs.fields(RouteOptions)}
-    assert route_of("slow", WRITTEN["distribution.resource.route"]) == RouteOptions(
+    assert parse_route("slow", WRITTEN["distribution.resource.route"]) == RouteOptions(
         classes=("cheap", "heavy"), plan=("basic",), verb=("read",), firm=("1f", "2a"), units="1..3", retry=True,
         hall=("h1",), timeout=Duration(2_000), attempt_timeout=Duration(500), attempts=3,
         retry_on=("error", "turned-away"), backoff=Duration(10), backoff_max=Duration(50), copies=True,
@@ -398,7 +423,7 @@
 
 @pytest.mark.parametrize("name", ["counter", "discovery"])
 def test_the_body_of_an_address(name: str) -> None:
-    assert address_of(name, WRITTEN["distribution.resource.address"]) == Address("h", 1)
+    assert parse_address(name, WRITTEN["distribution.resource.address"]) == Address("h", 1)
     assert set(VALIDATORS) == {"address", "route"}
 
 
