--- a/dockthread/control_plane/ingress.py
+++ b/dockthread/control_plane/ingress.py
@@ -155,5 +155,5 @@
         ingress = self._ingress
         config = self.with_published_addresses(self._configured)
         ingress.config = replace(ingress.config, discovery=config.discovery, counter=config.counter)
-        ingress.watch.move(config.discovery)
-        ingress.counter.move(config.counter)
+        ingress.watch.change_address(config.discovery)
+        ingress.counter.change_address(config.counter)
--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -78,7 +78,7 @@
         self._asked_again = False
         self.applied = self.rejected = 0  # files read again at SIGHUP
         self._held_file = Path(os.environ.get("TMPDIR") or tempfile.gettempdir()) / HELD_FILE
-        self.ingress.endpoints.held.update(_read_held(self._held_file))
+        self.ingress.endpoints.excluded_uids.update(_read_held(self._held_file))
         if read is not None:
             self._apply(read)
 
@@ -96,8 +96,8 @@
                 outcomes=ingress.traffic.outcomes,
                 tries=ingress.traffic.tries,
                 active=ingress.unanswered,
-                pool_size=ingress.endpoints.listed,
-                pool_ejected=ingress.endpoints.avoided,
+                pool_size=ingress.endpoints.listed_count,
+                pool_ejected=ingress.endpoints.excluded_count,
                 config_applied=self.applied,
                 config_rejected=self.rejected,
             )
@@ -115,7 +115,7 @@
         # For the process that takes over at an upgrade: it starts with what is held here.
         try:
             passing = self._held_file.with_suffix(".new")
-            passing.write_text(json.dumps(sorted(self.ingress.endpoints.held)))
+            passing.write_text(json.dumps(sorted(self.ingress.endpoints.excluded_uids)))
             os.replace(passing, self._held_file)
         except OSError as error:
             logger.warning(
--- a/dockthread/maintenance/service.py
+++ b/dockthread/maintenance/service.py
@@ -142,7 +142,7 @@
             if not ingress.set_drained(
                 target, True
             ):  # not listed here yet: drained as soon as it is
-                ingress.endpoints.held.add(target)
+                ingress.endpoints.excluded_uids.add(target)
             logger.info("work: {} is drained, its turn has come", target)
         for target in acts.free:
             ingress.set_drained(target, False)
--- a/dockthread/net/client_connection.py
+++ b/dockthread/net/client_connection.py
@@ -110,7 +110,7 @@
         self.earliest_arrival_ms = came
         self._seen, self._beat = (
             came,
-            host.event_loop_lag.last,
+            host.event_loop_lag.last_heartbeat_ms,
         )  # when all that had come was read; the beat before the wait
         self._loop = asyncio.get_running_loop()
         self._pending: deque[ResponseSlot] = deque()
@@ -142,7 +142,7 @@
     @property
     def is_mid_command(self) -> bool:
         """Whether a command has begun and is not whole."""
-        return not self._bounds.between and not self._last
+        return not self._bounds.is_between_messages and not self._last
 
     def has_input(self) -> bool:
         """Whether something has come that is not read yet."""
@@ -277,7 +277,7 @@
                         # An answer is owed: no close, but little work; where turns are long they
                         # are pause enough.
                         pause = PAUSE if self._ignored < FLOOD else LONG_PAUSE
-                        await asyncio.sleep(0.0 if self._host.event_loop_lag.slow else pause)
+                        await asyncio.sleep(0.0 if self._host.event_loop_lag.is_lagging else pause)
                     continue
                 self._host.traffic.client_in += size
                 self._feed(bytes(buffer[:size]))
@@ -292,7 +292,7 @@
                         if not self._read_ahead():
                             self.close()
                             return
-                self._ahead, self._beat = 0, self._host.event_loop_lag.last
+                self._ahead, self._beat = 0, self._host.event_loop_lag.last_heartbeat_ms
         except OSError:
             pass
         except Exception:
@@ -337,12 +337,14 @@
         loop_delay = self._host.event_loop_lag
         # It came while this waited to read, or before it did so, behind what was read before.
         self.earliest_arrival_ms = (
-            max(self._seen, loop_delay.since) if loop_delay.since >= self._beat else self._seen
+            max(self._seen, loop_delay.earliest_arrival_ms)
+            if loop_delay.earliest_arrival_ms >= self._beat
+            else self._seen
         )
         self._seen = self.last_read_ms if len(data) < BUFFER else self.earliest_arrival_ms
-        if bounds.between:
+        if bounds.is_between_messages:
             self.command_started_ms = self.last_read_ms
-        self._reader.feed(data[: bounds.sound(data)])
+        self._reader.feed(data[: bounds.count_safe_bytes(data)])
 
     def _take(self) -> bool:
         """Take a turn's commands from what was read; False once none is left."""
@@ -351,7 +353,7 @@
                 if self._last:
                     return False
                 if (message := self._reader.gets()) is resp.INCOMPLETE:
-                    if self._bounds.broken:
+                    if self._bounds.is_broken:
                         self._say_last(resp.PROTOCOL_ERROR)
                     return False
                 self.commands_read, self.command_started_ms = (
@@ -387,7 +389,7 @@
 
     def _request(self, args: list[bytes]) -> ResponseSlot:
         try:
-            ask = self._host.vocabulary.ask(args)
+            ask = self._host.vocabulary.parse(args)
         except resp.CommandError as error:
             return self._refuse(resp.encode_error(str(error)))
         if self.surplus:
--- a/dockthread/net/connection_pool.py
+++ b/dockthread/net/connection_pool.py
@@ -84,8 +84,8 @@
     def __init__(self, destination: BackendRecord, call: Attempt) -> None:
         self.destination, self.endpoint, self.born = (
             destination,
-            destination.endpoint,
-            destination.started,
+            destination.address,
+            destination.started_ms,
         )
         self.sock = self.endpoint.new_socket()
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -99,7 +99,7 @@
     def current(self) -> bool:
         """Whether it leads to the process that is listed now, and that may be sent to."""
         to = self.destination
-        return to.active and to.endpoint == self.endpoint and to.started == self.born
+        return to.is_ready and to.address == self.endpoint and to.started_ms == self.born
 
     def dead(self) -> bool:
         """Whether an idle connection was closed, or says something nobody asked for: either is
@@ -146,7 +146,7 @@
         """Put a call on the connection that was idle for the shortest time, but long enough, or on
         a new one.
         """
-        destination = self._destinations.by_worker[call.backend]
+        destination = self._destinations.by_number[call.backend]
         if (connection := self._rested(call.backend)) is not None:
             connection.call, call.connection = call, connection
             if connection.wake is not None and not connection.wake.done():
@@ -200,7 +200,7 @@
 
     def close_idle_to(self, destination: BackendRecord) -> None:
         """Close the idle connections to a destination that left, moved or restarted."""
-        for connection in self._idle.pop(destination.worker, ()):
+        for connection in self._idle.pop(destination.number, ()):
             self._drop(connection)
 
     def close_expired(self) -> None:
@@ -287,7 +287,7 @@
         if left <= 0 or now > call.start_deadline_ms or not connection.current:
             self._end(call, Outcome.NOT_SENT)
             return False
-        command = call.command.onward(left)
+        command = call.command.encode_for_backend(left)
         self._traffic.node_out += len(command)
         call.has_started = True
         await self._loop.sock_sendall(connection.sock, command)
@@ -323,18 +323,21 @@
                 return resp.BackendReply(Outcome.RESET), True
             self._traffic.node_in += size
             data = bytes(buffer[:size])
-            reader.feed(data[: bounds.sound(data)])
+            reader.feed(data[: bounds.count_safe_bytes(data)])
             try:
                 message = reader.gets()
             except (resp.ProtocolError, UnicodeDecodeError):
                 return resp.BackendReply(Outcome.ERROR), True
             if message is not resp.INCOMPLETE:
-                reply = self._replies.reply(message)
+                reply = self._replies.parse(message)
                 return (
                     reply,
-                    not reply.known or bounds.broken or not bounds.between or reader.has_data(),
+                    not reply.is_well_formed
+                    or bounds.is_broken
+                    or not bounds.is_between_messages
+                    or reader.has_data(),
                 )
-            if bounds.broken:
+            if bounds.is_broken:
                 log = logger.bind(worker=call.backend, uid=connection.destination.uid)
                 log.debug("{} says what cannot be read", connection.endpoint)
                 return resp.BackendReply(Outcome.ERROR), True
--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -104,7 +104,7 @@
             connect_timeout=config.connect_timeout,
             traffic=self.traffic,
         )
-        self.endpoints.moved = self.connection_pool.close_idle_to
+        self.endpoints.on_moved = self.connection_pool.close_idle_to
         self.listener = Listener(self, self.budget, self.connection_pool)
         self.watch = DiscoveryWatch(
             config.discovery, self.endpoints, clock, self.dispatch, config.module, config.seed
@@ -123,10 +123,10 @@
             Fail: self._fail,
             CancelAttempt: self._cancel,
             SetTimer: self._set_timer,
-            AddToCounter: lambda action: self.counter.call(
+            AddToCounter: lambda action: self.counter.add(
                 action.name, action.amount, action.lifetime * 1000.0
             ),
-            SendGossip: self.peers.tell,
+            SendGossip: self.peers.send,
             PollEndpoints: lambda action: None,  # the watch stands anyway
         }
 
@@ -134,7 +134,7 @@
 
     @property
     def ready(self) -> bool:
-        return self.lifecycle.ready and self.watch.informed
+        return self.lifecycle.ready and self.watch.has_list
 
     @property
     def draining(self) -> bool:
@@ -172,7 +172,7 @@
         """Leave a backend out by hand, under the rule on drains, or let it serve again, cold; the
         module hears it as a change of the list. False where no such backend is known.
         """
-        listed = self.endpoints.hold(uid, held, self.clock.now())
+        listed = self.endpoints.set_excluded(uid, held, self.clock.now())
         if listed is None:
             return False
         self.dispatch(listed)
@@ -204,14 +204,14 @@
             retuned.offered,
         )
         self.traffic.grow(len(retuned.names.classes))
-        self.watch.move(config.discovery)
-        self.counter.move(config.counter)
+        self.watch.change_address(config.discovery)
+        self.counter.change_address(config.counter)
 
     async def run(self) -> None:
         """Serve until told to stop, then answer all that was taken."""
         listener = self.listener
         self.address = listener.listen(self.config.name, self.config.listen, self.config.inherited)
-        self.watch.begin(self.config.known, self.call_at)
+        self.watch.start(self.config.known, self.call_at)
         for name, plan in zip(self.config.names.plans, self.config.module.plans, strict=True):
             self.observer.event(
                 "plan", name=name, rate=plan.rate, burst=plan.burst, ceiling=plan.ceiling_burst
@@ -251,16 +251,16 @@
             self.lifecycle.enter(Phase.STOPPED)
 
     def _beat(self) -> None:
-        self.event_loop_lag.beat(self.clock.now())
+        self.event_loop_lag.record_heartbeat(self.clock.now())
         self._beating = self._loop.call_later(HEARTBEAT_INTERVAL_MS / 1000.0, self._beat)
 
     def _run_periodic_maintenance(self) -> None:
         now = self.clock.now()
         self.call_at(now + MAINTENANCE_INTERVAL_MS, self._run_periodic_maintenance)
         self.connection_pool.close_expired()
-        self.endpoints.tidy()
-        self.watch.check()
-        self.counter.check()
+        self.endpoints.forget_expired()
+        self.watch.enforce_timeouts()
+        self.counter.enforce_timeouts()
         self.peers.open()
         # Few requests live that long: a timer for each from its start cost a wake-up for nothing.
         for request in self.requests.values():
@@ -300,9 +300,9 @@
         # timer may
         # ring a tick late: without this some answers came after the client had given up.
         now = self.clock.now()
-        late = self.event_loop_lag.late(connection.earliest_arrival_ms, now)
-        left = ask.time_left - min(WAY_BACK, ask.time_left / 10.0) - late
-        if late and left < ask.time_left * LATE_PART:
+        late = self.event_loop_lag.lag_ms(connection.earliest_arrival_ms, now)
+        left = ask.time_left_ms - min(WAY_BACK, ask.time_left_ms / 10.0) - late
+        if late and left < ask.time_left_ms * LATE_PART:
             return self.respond_without_policy(ask, "late", resp.encode_busy(self._advice))
         self._numbers += 1
         route = self.routes.bounds(ask) if self.routes is not None else None
@@ -371,10 +371,10 @@
         if self.observer.tracing:
             self.observer.event(
                 "ended",
-                node=self.endpoints.uid(call.backend),
+                node=self.endpoints.uid_of(call.backend),
                 outcome=reply.outcome.value.replace(" ", "-"),
                 took=round(self.clock.now() - call.started_ms, 1),
-                load=",".join(f"{figure:.4g}" for figure in reply.load) or "-",
+                load=",".join(f"{figure:.4g}" for figure in reply.load_report) or "-",
             )
         if first:
             self._answer(request, resp.encode_value(reply.value), SERVED)
@@ -387,8 +387,8 @@
                 request.finished,
                 (self.clock.now() - call.started_ms) / 1000.0,
                 reply.cost if first else 0.0,
-                reply.used,
-                reply.load,
+                reply.utilization,
+                reply.load_report,
             )
         )
         self._settle(request)
@@ -421,8 +421,8 @@
         request.attempts.append(call)
         request.attempts_in_flight += 1
         if self.observer.tracing:
-            age = self.endpoints.age(call.backend)
-            uid = self.endpoints.uid(call.backend)
+            age = self.endpoints.age_ms(call.backend)
+            uid = self.endpoints.uid_of(call.backend)
             self.observer.event(
                 "call", node=uid, number=call.number, kind=request.command.request_class, age=age
             )
--- a/dockthread/net/listener.py
+++ b/dockthread/net/listener.py
@@ -120,10 +120,10 @@
             try:
                 sock, _ = self.socket.accept()
             except (BlockingIOError, ConnectionAbortedError):
-                self._backlog.emptied()
+                self._backlog.mark_empty()
                 return
             self._opened(sock)
-        self._backlog.not_emptied(self._host.event_loop_lag)
+        self._backlog.mark_not_empty(self._host.event_loop_lag)
 
     def _opened(self, sock: socket.socket) -> None:
         sock.setblocking(False)
@@ -132,7 +132,10 @@
         try:
             self.connections.add(
                 ClientConnection(
-                    self._host, sock, self._backlog.came(self._host.event_loop_lag), surplus
+                    self._host,
+                    sock,
+                    self._backlog.earliest_arrival_ms(self._host.event_loop_lag),
+                    surplus,
                 )
             )
         except OSError:  # gone before it was looked at
