--- a/dockthread/net/client_connection.py
+++ b/dockthread/net/client_connection.py
@@ -60,7 +60,7 @@
     """What an inbound connection needs of its ingress."""
 
     clock: Clock
-    vocabulary: resp.RequestParser
+    request_parser: resp.RequestParser
     traffic: Traffic
     event_loop_lag: EventLoopLagMonitor
 
@@ -389,7 +389,7 @@
 
     def _request(self, args: list[bytes]) -> ResponseSlot:
         try:
-            ask = self._host.vocabulary.parse(args)
+            ask = self._host.request_parser.parse(args)
         except resp.CommandError as error:
             return self._refuse(resp.encode_error(str(error)))
         if self.surplus:
--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -61,7 +61,7 @@
         self.traffic.grow(len(config.names.classes))
         self._loop = asyncio.get_running_loop()
         module = config.module
-        self.vocabulary = resp.RequestParser(
+        self.request_parser = resp.RequestParser(
             config.names, module.classes, module.ingress_count, config.most_units
         )
         # Without a counter there is none to call, and without addresses nobody to tell, whatever is
@@ -196,7 +196,7 @@
             module=module,
             names=retuned.names,
         )
-        self.vocabulary = resp.RequestParser(
+        self.request_parser = resp.RequestParser(
             retuned.names,
             module.classes,
             module.ingress_count,
--- a/tests/net/test_rules_on_sockets.py
+++ b/tests/net/test_rules_on_sockets.py
@@ -48,7 +48,7 @@
 
 def a_call(ingress: Ingress, worker: int = 1, ms: float = 4000.0) -> Attempt:
     terms = b"c=status,t=gross,d=4000"
-    ask = ingress.vocabulary.parse([b"API.READ", KEY, b"%016x" % FIRST_ID, terms])
+    ask = ingress.request_parser.parse([b"API.READ", KEY, b"%016x" % FIRST_ID, terms])
     now = ingress.clock.now()
     return Attempt(0, 0, worker, ask, now, now + ms)
 
