--- a/dockthread/net/lifecycle.py
+++ b/dockthread/net/lifecycle.py
@@ -1,4 +1,4 @@
-"""The phases of an ingress, from start to exit, as the named states of one object."""
+"""The lifecycle of an ingress: its phases, from start to exit, and the transitions between them."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 
 
 class Phase(Enum):
-    """Where an ingress stands in its life."""
+    """One phase in the lifecycle of an ingress."""
 
     STARTING = "starting"  # configured, not yet listening
     SERVING = "serving"
-    # told to stop: the front still sends, so all is taken and served as before
+    # Told to stop: clients are still sent here by the front, so all is accepted and served as
+    # before.
     LINGERING = "lingering"
-    DRAINING = "draining"  # the listener is closed; what was taken is answered
+    DRAINING = "draining"  # the listener is closed; requests in flight are answered
     STOPPED = "stopped"
 
 
@@ -28,17 +29,28 @@
 }
 
 
+class LifecycleError(RuntimeError):
+    """A phase was to be entered that may not follow the present one."""
+
+
 class Lifecycle:
-    """The phase, and which may follow it. `entered` is told each one."""
+    """The present phase of an ingress.
+
+    `on_phase_entered` is called with the name of each phase that is entered.
+    """
 
     def __init__(self) -> None:
         self.phase = Phase.STARTING
         self.on_phase_entered: Callable[[str], None] = lambda name: None
 
     def enter(self, phase: Phase) -> None:
-        """Go on to a phase. Raises RuntimeError where it may not follow."""
+        """Enter a phase.
+
+        Raises:
+            LifecycleError: `TRANSITIONS` does not let the phase follow the present one.
+        """
         if phase not in TRANSITIONS[self.phase]:
-            raise RuntimeError(f"no way from {self.phase.value} to {phase.value}")
+            raise LifecycleError(f"no transition from {self.phase.value} to {phase.value}")
         logger.bind(phase=phase.value).info("{} -> {}", self.phase.value, phase.value)
         self.phase = phase
         self.on_phase_entered(phase.value)
@@ -50,5 +62,5 @@
 
     @property
     def draining(self) -> bool:
-        """Whether no new request is taken."""
+        """Whether no new request is accepted."""
         return self.phase in (Phase.DRAINING, Phase.STOPPED)
--- a/dockthread/net/policy_host.py
+++ b/dockthread/net/policy_host.py
@@ -1,4 +1,4 @@
-"""The one decision module in its place: events in their order, and what it decides carried out."""
+"""The policy engine's host: gives it one event at a time and has its actions carried out."""
 
 from __future__ import annotations
 
@@ -11,47 +11,57 @@
 from dockthread.clock import Clock
 from dockthread.policy import Event, PolicyEngine
 
+NO_REQUEST = -1  # the number that stands for no request: numbers count from 1
+
 
 class PolicyHost:
-    """`carry_out`: by the type of an action, what does it. `abandon`: gives a request up after a
-    fault.
+    """Runs the policy engine and contains its faults.
+
+    `action_handlers` gives, by the type of an action, the function that carries it out.
+    `abandon_request` is called with the number of a request that a fault leaves without a decision.
     """
 
-    def __init__(self, gateway: PolicyEngine, clock: Clock, abandon: Callable[[int], None]) -> None:
-        self.engine, self._clock, self._abandon = gateway, clock, abandon
+    def __init__(
+        self, engine: PolicyEngine, clock: Clock, abandon_request: Callable[[int], None]
+    ) -> None:
+        self.engine = engine
+        self._clock = clock
+        self._abandon_request = abandon_request
         self.action_handlers: dict[type, Callable[[Any], None]] = {}
         self._events: deque[Event] = deque()
-        self._telling = False
+        self._is_dispatching = False
 
     def dispatch(self, event: Event) -> None:
-        """Events are told one after another: one that comes of carrying out an action waits for its
-        turn.
+        """Have the policy engine handle an event, and carry out its actions.
+
+        An event that results from carrying out an action waits until that is done, so that the
+        engine sees events one after another.
         """
         self._events.append(event)
-        if self._telling:
+        if self._is_dispatching:
             return
-        self._telling = True
+        self._is_dispatching = True
         try:
             while self._events:
-                self._decide(self._events.popleft())
+                self._handle(self._events.popleft())
         finally:
-            self._telling = False
+            self._is_dispatching = False
 
-    def _decide(self, event: Event) -> None:
-        broken = False
+    def _handle(self, event: Event) -> None:
+        has_failed = False
         try:
             actions = self.engine.handle(self._clock.now() / 1000.0, event)
         except Exception:
-            logger.exception("the module failed on {!r}", event)
-            # What it had decided until then stands in its memory, and so must be done; its own next
-            # round
-            # may be among it.
-            actions, broken = list(self.engine.actions), True
+            logger.exception("the policy engine failed on {!r}", event)
+            # The engine's state already counts on the actions decided before the fault, and its
+            # own next timer may be among them.
+            actions = list(self.engine.actions)
+            has_failed = True
         for action in actions:
             try:
                 self.action_handlers[type(action)](action)
             except Exception:
                 logger.exception("{!r} could not be carried out", action)
-                self._abandon(getattr(action, "request", -1))
-        if broken:
-            self._abandon(getattr(event, "request", -1))
+                self._abandon_request(getattr(action, "request", NO_REQUEST))
+        if has_failed:
+            self._abandon_request(getattr(event, "request", NO_REQUEST))
