--- a/dockthread/control_plane/ingress.py
+++ b/dockthread/control_plane/ingress.py
@@ -167,7 +167,7 @@
         return ""
 
     def _use_addresses(self) -> None:
-        """Point the ingress to its addresses, as `Ingress.reconfigure` does on SIGHUP."""
+        """Point the ingress to its addresses, as `Ingress.reload` does on SIGHUP."""
         ingress = self._ingress
         config = self.with_published_addresses(self._configured)
         ingress.config = replace(ingress.config, discovery=config.discovery, counter=config.counter)
--- a/dockthread/maintenance/admin_commands.py
+++ b/dockthread/maintenance/admin_commands.py
@@ -144,7 +144,7 @@
             CallError: The target is not known, or the duration is no number of seconds.
         """
         action = ACTIONS[call.operation]
-        zone = self._ingress.destinations.zone_of(call.target)
+        zone = self._ingress.endpoints.zone_of(call.target)
         if action is CommandAction.REQUEST:
             if zone is None and call.target not in self._member.members:
                 raise CallError(404, f"no backend {call.target} here, and no ingress of this name")
--- a/dockthread/maintenance/observation.py
+++ b/dockthread/maintenance/observation.py
@@ -29,10 +29,10 @@
 
 def idle_backends(ingress: Ingress, backends: Collection[str]) -> set[str]:
     """Return those of the backends at which this ingress has no request in flight."""
-    workers = ingress.gateway.workers
+    workers = ingress.engine.workers
     busy = {
         destination.uid
-        for number, destination in ingress.destinations.by_number.items()
+        for number, destination in ingress.endpoints.by_number.items()
         if destination.uid in backends and number in workers and workers[number].out
     }
     return set(backends) - busy
@@ -48,8 +48,8 @@
         zone_by_backend: Zone of each requested backend.
         latest_request_index: The log's index of the latest request known here.
     """
-    gateway = ingress.gateway
-    destinations = ingress.destinations
+    gateway = ingress.engine
+    destinations = ingress.endpoints
     is_overloaded = gateway.slow > PRESSED * gateway.tight
     by_zone: dict[str, list[ObservedBackend]] = {}
     for backend in _active_backends(ingress):
@@ -69,8 +69,8 @@
 
 def _active_backends(ingress: Ingress) -> Iterator[ObservedBackend]:
     """Yield the backends that are active by discovery, drained or not."""
-    workers = ingress.gateway.workers
-    for number, destination in ingress.destinations.by_number.items():
+    workers = ingress.engine.workers
+    for number, destination in ingress.endpoints.by_number.items():
         if destination.is_ready and number in workers:
             yield ObservedBackend(destination.uid, workers[number])
 
--- a/dockthread/maintenance/service.py
+++ b/dockthread/maintenance/service.py
@@ -181,7 +181,7 @@
         for backend in actions.drain:
             self._drain(backend)
         for backend in actions.release:
-            self._ingress.hold(backend, False)
+            self._ingress.set_drained(backend, False)
             logger.info("maintenance: {} is released", backend)
         if actions.send_observation:
             self._send_observation()
@@ -197,8 +197,8 @@
             self._stop()
 
     def _drain(self, backend: str) -> None:
-        if not self._ingress.hold(backend, True):  # not listed yet: drained as soon as it is
-            self._ingress.destinations.excluded_uids.add(backend)
+        if not self._ingress.set_drained(backend, True):  # not listed yet: drained as soon as it is
+            self._ingress.endpoints.excluded_uids.add(backend)
         logger.info("maintenance: {} is drained, its request is granted", backend)
 
     def _send_observation(self) -> None:
--- a/dockthread/telemetry/reading.py
+++ b/dockthread/telemetry/reading.py
@@ -139,10 +139,10 @@
         """Of the nodes that are listed, those with most calls out; the series of one that is gone
         end.
         """
-        gateway, now = self._ingress.gateway, self._ingress.clock.now() / 1000.0
+        gateway, now = self._ingress.engine, self._ingress.clock.now() / 1000.0
         listed = [
             d
-            for d in self._ingress.destinations.by_number.values()
+            for d in self._ingress.endpoints.by_number.values()
             if d.state is not BackendState.REMOVED
         ]
         seen = [(d.uid, gateway.workers[d.number]) for d in listed if d.number in gateway.workers]
@@ -159,15 +159,15 @@
 
     def _machine(self) -> Iterator[Point]:
         ingress, traffic, loop = self._ingress, self._ingress.traffic, self._tally.loop_times
-        yield Point(("connections", "clients"), GAUGE, ingress.clients)
-        yield Point(("connections", "nodes"), GAUGE, len(ingress.outbound))
+        yield Point(("connections", "clients"), GAUGE, ingress.client_connections)
+        yield Point(("connections", "nodes"), GAUGE, len(ingress.connection_pool))
         yield Point(("opened", "clients"), DERIVE, traffic.client_connections_opened)
         yield Point(("opened", "nodes"), DERIVE, traffic.backend_connections_opened)
         yield Point(("messages", "in"), DERIVE, traffic.gossip_received)
         yield Point(("messages", "out"), DERIVE, traffic.gossip_sent)
         yield Point(("messages", "odd"), DERIVE, traffic.gossip_rejected)
         yield Point(("requests", "open"), GAUGE, len(ingress.requests))
-        yield Point(("requests", "bodies"), GAUGE, ingress.held)
+        yield Point(("requests", "bodies"), GAUGE, ingress.body_bytes)
         yield Point(("commands", "bad"), DERIVE, traffic.commands_rejected)
         for side, way, many in (
             ("clients", "in", traffic.client_bytes_in),
--- a/tests/policy/test_list_size.py
+++ b/tests/policy/test_list_size.py
@@ -298,12 +298,14 @@
             port = int(backend.server.sockets[0].getsockname()[1])
             targets = [target(f"s-{n:021x}", port) for n in range(3 * ENTRIES_PER_PART)]
             discovery.push(message(2, *targets, full=True))
-            await until(lambda: ingress.destinations.revision == 2)
-            assert ingress.destinations.listed_count == 3 * ENTRIES_PER_PART
+            await until(lambda: ingress.endpoints.revision == 2)
+            assert ingress.endpoints.listed_count == 3 * ENTRIES_PER_PART
             assert [await client.call() for _ in range(5)] == [b"value"] * 5
-            assert ingress.outbound._idle
+            assert ingress.connection_pool._idle
             clock.advance(15_000 * IDLE_CLOSE_FRACTION + 1)
-            ingress.outbound.sweep()
-            assert not ingress.outbound._idle, "one place for each backend ever called would stay"
+            ingress.connection_pool.close_expired()
+            assert not ingress.connection_pool._idle, (
+                "one place for each backend ever called would stay"
+            )
 
     run(scenario())
