--- a/dockthread/lab/control_plane/checker.py
+++ b/dockthread/lab/control_plane/checker.py
@@ -1,14 +1,18 @@
-"""Judges what a distribution did, from plain facts. Shares no code with what it judges.
-
-Rules, by name: `once`: a token has one outcome, each revision one token, and no revision is without
-one; `expected`: what was accepted replaced the revision that its publisher named; `no-older`: in
-one history a process never comes from a revision to an older one, neither its table nor a single
-resource, nor back to a history that it left; `in-force`: at the end of the bound an ingress has in
-force exactly what was last published, but for what it refused, where it may keep an older good one
-(of the history before, too) or none; `told`: what it refused is told by the server that serves it;
-`within`: a change is in force within the bound at every ingress that the faults leave alone;
-`budget`: parts of snapshots of one life of a server keep to its burst and its rate over any time;
-`progress`: what was asked for has an outcome at the end.
+"""Judges what a simulated control plane did. Shares no code with what it judges.
+
+The rules, by the names that a violation has:
+
+* `once`: a token has one outcome, each revision belongs to one token, and no revision to none.
+* `expected`: an accepted change replaced the revision that its publisher expected.
+* `no-older`: within one history neither a process's table nor any of its resources goes back to an
+  older revision, and no process returns to a history that it left.
+* `in-force`: at the end of the bound an ingress has applied exactly what was last published, except
+  for what it rejected: there it may have an older valid version (of the history before as well) or
+  none.
+* `told`: the server of an ingress knows what the ingress rejected.
+* `within`: a change is applied within the bound at every ingress that no fault concerns.
+* `budget`: the snapshot chunks that one incarnation of a server sends keep to its burst and rate.
+* `progress`: every published change has an outcome at the end.
 """
 
 from __future__ import annotations
@@ -16,60 +20,112 @@
 from bisect import bisect_left
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
-from typing import Protocol
+from typing import Final, NamedTuple, Protocol
 
+from dockthread.lab.control_plane.settings import INVALID_PREFIX
 from dockthread.lab.raft.checker import RuleViolation
 
-Key = tuple[str, str]
+MS_PER_SECOND: Final = 1_000.0
+SHOWN_ITEMS: Final = 5
+"""Items of a list that a violation names."""
+SHOWN_UNKNOWN: Final = 3
+"""Unknown resources that a violation names."""
 
 
-class Named(Protocol):
+class Key(NamedTuple):
+    """Kind and name of a resource."""
+
+    kind: str
+    name: str
+
+
+class AppliedResource(Protocol):
     """A resource as an ingress is given it."""
 
     @property
-    def kind(self) -> str: ...
+    def kind(self) -> str:
+        """Kind of the resource."""
+
     @property
-    def name(self) -> str: ...
+    def name(self) -> str:
+        """Name of the resource."""
+
     @property
-    def revision(self) -> int: ...
+    def revision(self) -> int:
+        """Revision of the resource."""
+
     @property
-    def body(self) -> bytes | None: ...
+    def body(self) -> bytes | None:
+        """Content; None where it was deleted."""
 
 
 @dataclass(slots=True)
-class Asked:
-    """A change as its publisher wants it; `revision` once it was told: 0 for refused."""
+class RequestedChange:
+    """A change as its publisher requested it.
+
+    Attributes:
+        kind: Kind of the resource.
+        name: Name of the resource.
+        body: Content; None deletes the resource.
+        expected: Revision that it replaces; -1 for any.
+        revision: Outcome: its revision, 0 for a rejection, None while it is not known.
+    """
 
     kind: str
     name: str
     body: bytes | None
     expected: int
     revision: int | None = None
-    told_at: float = 0.0
+
+    @property
+    def key(self) -> Key:
+        """Key of the resource."""
+        return Key(self.kind, self.name)
+
+    @property
+    def is_invalid(self) -> bool:
+        """Whether ingresses reject it."""
+        return self.body is not None and self.body.startswith(INVALID_PREFIX)
 
 
 @dataclass(slots=True)
-class Held:
-    """One process: what it came to."""
+class _ProcessState:
+    """How far a process has come.
+
+    Attributes:
+        epoch: History of its table.
+        revision: Revision of its table.
+        resources: Revisions of the applied resources.
+        left_epochs: Histories that it left.
+    """
 
     epoch: str = ""
     revision: int = 0
     resources: dict[Key, int] = field(default_factory=dict)
-    left: set[str] = field(default_factory=set)  # epochs
+    left_epochs: set[str] = field(default_factory=set)
 
 
 @dataclass(slots=True)
-class Bucket:
-    """What of a burst is used up."""
+class _Bucket:
+    """How much of a burst is used up."""
 
     at: float
     level: float = 0.0
 
 
+class _ServerIncarnation(NamedTuple):
+    name: str
+    incarnation: int
+
+
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """What an ingress had in force; `rejected`: what it refused, as the server that serves it
-    knows.
+class IngressObservation:
+    """What an ingress has applied.
+
+    Attributes:
+        name: Name of the ingress.
+        bodies: Applied content.
+        rejected: What it rejected, as its server knows.
     """
 
     name: str
@@ -77,182 +133,225 @@
     rejected: Collection[Key]
 
 
-def is_bad(change: Asked) -> bool:
-    """Whether ingresses refuse it."""
-    return change.body is not None and change.body.startswith(b"bad")
+class ConvergenceRange(NamedTuple):
+    """Which changes an ingress must and may have applied.
 
+    Attributes:
+        due: Changes up to this revision must be applied.
+        latest: Changes up to this revision may be.
+    """
 
-def worded(changes: list[Asked]) -> str:
-    """For a play."""
-    return " or ".join(f"revision {one.revision} is {one.body!r}" for one in changes)
+    due: int
+    latest: int
 
 
 class Checker:
-    """`burst` in bytes, `rate` in bytes a second, `part`: the most bytes of one part."""
+    """Collects facts and the violations that they show.
 
-    def __init__(self, burst: float, rate: float, part: float) -> None:
-        self._burst, self._rate, self._part = burst, rate / 1000.0, part
-        self.broken: list[RuleViolation] = []
-        self.asked: dict[str, Asked] = {}  # by token
-        self._token_of: dict[int, str] = {}  # by revision
-        self._good_before: dict[Key, set[bytes | None]] = {}  # bodies of the history before
-        self._held: dict[str, Held] = {}
-        self._buckets: dict[tuple[str, int], Bucket] = {}
+    `burst` is in bytes, `rate` in bytes a second, `chunk` the most bytes of one snapshot chunk.
+
+    Attributes:
+        violations: The rules that were broken.
+        requested: Requested changes by token.
+        snapshot_bytes: Bytes of all snapshot chunks.
+    """
+
+    def __init__(self, burst: float, rate: float, chunk: float) -> None:
+        self._burst = burst
+        self._rate = rate / MS_PER_SECOND
+        self._chunk = chunk
+        self.violations: list[RuleViolation] = []
+        self.requested: dict[str, RequestedChange] = {}
         self.snapshot_bytes = 0
-        self._revisions: list[int] = []
-        self._accepted_at: list[float] = []  # of these revisions, anywhere
+        self._token_of: dict[int, str] = {}  # by revision
+        self._earlier_valid: dict[Key, set[bytes | None]] = {}  # bodies of earlier histories
+        self._processes: dict[str, _ProcessState] = {}
+        self._buckets: dict[_ServerIncarnation, _Bucket] = {}
+        self._accepted_revisions: list[int] = []
+        self._accepted_at: list[float] = []  # of these revisions, by the first voter
 
-    def _break(self, rule: str, at: float, detail: str) -> None:
-        self.broken.append(RuleViolation(rule, at, detail))
+    def _report(self, rule: str, at: float, detail: str) -> None:
+        self.violations.append(RuleViolation(rule, at, detail))
 
     # Publishing
 
-    def ask(self, token: str, change: Asked) -> None:
-        self.asked.setdefault(token, change)
-
-    def told(self, at: float, token: str, revision: int) -> None:
-        """A publisher is answered: 0 for refused."""
-        asked = self.asked[token]
-        if asked.revision is not None and asked.revision != revision:
-            self._break("once", at, f"{token} is {asked.revision}, and then {revision}")
-        if asked.revision is None:
-            asked.revision, asked.told_at = revision, at
+    def on_request(self, token: str, change: RequestedChange) -> None:
+        """Record that a change is requested."""
+        self.requested.setdefault(token, change)
+
+    def on_response(self, at: float, token: str, revision: int) -> None:
+        """Record the outcome that a publisher received: a revision, or 0 for a rejection."""
+        change = self.requested[token]
+        if change.revision is not None and change.revision != revision:
+            self._report("once", at, f"{token} is {change.revision}, and then {revision}")
+        if change.revision is None:
+            change.revision = revision
         if revision > 0 and self._token_of.setdefault(revision, token) != token:
-            self._break(
-                "once", at, f"revision {revision} is of {self._token_of[revision]} and of {token}"
-            )
-
-    def began_anew(self) -> None:
-        """The voters lost all that was agreed on: what was accepted before counts no more."""
-        for key, changes in self.published().items():
-            self._good_before.setdefault(key, set()).update(
-                one.body for one in changes if not is_bad(one)
-            )
-        self.asked = {token: one for token, one in self.asked.items() if one.revision is None}
-        self._token_of, self._revisions, self._accepted_at = {}, [], []
-
-    def published(self) -> dict[Key, list[Asked]]:
-        """Accepted changes by resource, the oldest first."""
-        found: dict[Key, list[Asked]] = {}
+            other = self._token_of[revision]
+            self._report("once", at, f"revision {revision} is of {other} and of {token}")
+
+    def on_history_lost(self) -> None:
+        """Record that the voters lost the log: what was accepted before counts no more."""
+        for key, changes in self._accepted_changes().items():
+            bodies = {change.body for change in changes if not change.is_invalid}
+            self._earlier_valid.setdefault(key, set()).update(bodies)
+        self.requested = {
+            token: change for token, change in self.requested.items() if change.revision is None
+        }
+        self._token_of = {}
+        self._accepted_revisions = []
+        self._accepted_at = []
+
+    def _accepted_changes(self) -> dict[Key, list[RequestedChange]]:
+        """Return the accepted changes by resource, the oldest first."""
+        found: dict[Key, list[RequestedChange]] = {}
         for revision in sorted(self._token_of):
-            one = self.asked[self._token_of[revision]]
-            found.setdefault((one.kind, one.name), []).append(one)
+            change = self.requested[self._token_of[revision]]
+            found.setdefault(change.key, []).append(change)
         return found
 
-    def log_ended(self, at: float, last: int) -> None:
-        """`last`: revision of the voters, when nothing is under way."""
-        waiting = [token for token, one in self.asked.items() if one.revision is None]
+    def check_log(self, at: float, last_revision: int) -> None:
+        """Check the outcomes when no change is under way."""
+        waiting = [token for token, one in self.requested.items() if one.revision is None]
         if waiting:
-            self._break("progress", at, f"{', '.join(waiting[:5])} have no outcome")
+            shown = ", ".join(waiting[:SHOWN_ITEMS])
+            self._report("progress", at, f"{shown} have no outcome")
             return
-        if sorted(self._token_of) != list(range(1, last + 1)):
-            missing = [r for r in range(1, last + 1) if r not in self._token_of]
-            self._break(
+        revisions = range(1, last_revision + 1)
+        if sorted(self._token_of) != list(revisions):
+            missing = [revision for revision in revisions if revision not in self._token_of]
+            self._report(
                 "once",
                 at,
-                f"voters are at {last}, of {len(self._token_of)} known; nobody's: {missing[:5]}",
+                f"voters are at {last_revision}, of {len(self._token_of)} known; "
+                f"without a token: {missing[:SHOWN_ITEMS]}",
             )
-        for key, changes in self.published().items():
+        for key, changes in self._accepted_changes().items():
             self._check_expected(at, key, changes)
 
-    def _check_expected(self, at: float, key: Key, changes: list[Asked]) -> None:
-        there = 0
-        for one in changes:
-            if one.expected >= 0 and one.expected != there:
-                self._break(
-                    "expected", at, f"{key} at {there} was replaced by a change for {one.expected}"
-                )
-            there = 0 if one.body is None else one.revision or 0
+    def _check_expected(self, at: float, key: Key, changes: list[RequestedChange]) -> None:
+        current = 0
+        for change in changes:
+            if change.expected >= 0 and change.expected != current:
+                detail = f"{key} at {current} was replaced by a change for {change.expected}"
+                self._report("expected", at, detail)
+            current = 0 if change.body is None else change.revision or 0
 
     # Receiving
 
-    def started(self, name: str, epoch: str, revision: int, resources: Mapping[Key, int]) -> None:
-        """A process begins a life, with what its disk held."""
-        self._held[name] = Held(epoch, revision, dict(resources))
-
-    def table(self, at: float, name: str, epoch: str, revision: int) -> None:
-        """A process took a table up to there."""
-        held = self._held[name]
-        if held.epoch == epoch and revision < held.revision:
-            self._break("no-older", at, f"{name} came from revision {held.revision} to {revision}")
-        if epoch in held.left:
-            self._break("no-older", at, f"{name} came from history {held.epoch} back to {epoch}")
-        if held.epoch not in ("", epoch):
-            held.left.add(held.epoch)
-            held.resources.clear()
-        held.epoch, held.revision = epoch, revision
-
-    def in_force(self, at: float, name: str, resource: Named) -> None:
-        """An ingress puts a resource in force, or deletes it."""
-        held, key = self._held[name], (resource.kind, resource.name)
-        if resource.revision < held.resources.get(key, 0):
-            detail = f"{name} puts {key} of revision {resource.revision} over {held.resources[key]}"
-            self._break("no-older", at, detail)
-        held.resources[key] = resource.revision
-
-    def converged(self, at: float, seen: Seen, due: int, latest: int) -> None:
-        """What an ingress had in force at `at`, judged once all outcomes are known: every resource
-        as its last change up to revision `due` left it, or one of those behind it up to `latest`,
-        which were under way.
+    def on_started(
+        self, name: str, epoch: str, revision: int, resources: Mapping[Key, int]
+    ) -> None:
+        """Record that a process starts, with what its disk holds."""
+        self._processes[name] = _ProcessState(epoch, revision, dict(resources))
+
+    def on_table(self, at: float, name: str, epoch: str, revision: int) -> None:
+        """Record that a process received a table up to a revision."""
+        state = self._processes[name]
+        if state.epoch == epoch and revision < state.revision:
+            detail = f"{name} came from revision {state.revision} to {revision}"
+            self._report("no-older", at, detail)
+        if epoch in state.left_epochs:
+            detail = f"{name} came from history {state.epoch} back to {epoch}"
+            self._report("no-older", at, detail)
+        if state.epoch not in ("", epoch):
+            state.left_epochs.add(state.epoch)
+            state.resources.clear()
+        state.epoch = epoch
+        state.revision = revision
+
+    def on_resource_applied(self, at: float, name: str, resource: AppliedResource) -> None:
+        """Record that an ingress applies a resource, or deletes it."""
+        applied = self._processes[name].resources
+        key = Key(resource.kind, resource.name)
+        if resource.revision < applied.get(key, 0):
+            detail = f"{name} applies {key} of revision {resource.revision} over {applied[key]}"
+            self._report("no-older", at, detail)
+        applied[key] = resource.revision
+
+    def check_convergence(
+        self, at: float, observed: IngressObservation, expected: ConvergenceRange
+    ) -> None:
+        """Check what an ingress had applied at a time, once all outcomes are known.
+
+        Each resource is as its last change up to `expected.due` left it, or as one of those behind
+        it up to `expected.latest`, which were under way.
         """
-        published = self.published()
-        for key, changes in published.items():
-            known = [one for one in changes if (one.revision or 0) <= latest]
-            settled = [one for one in known if (one.revision or 0) <= due]
-            allowed = known[max(0, len(settled) - 1) :]
-            if settled and not any(self._left_by(one, known, seen, key) for one in allowed):
-                self._break(
-                    "in-force",
-                    at,
-                    f"{seen.name} has {seen.bodies.get(key)!r} as {key}: {worded(allowed)}",
-                )
-            if settled and settled == known and is_bad(known[-1]) and key not in seen.rejected:
-                self._break("told", at, f"{seen.name} refused {key}, and its server does not know")
-        unknown = [key for key in seen.bodies if key not in published]
+        accepted = self._accepted_changes()
+        for key, changes in accepted.items():
+            self._check_resource(at, observed, expected, key, changes)
+        unknown = [key for key in observed.bodies if key not in accepted]
         if unknown:
-            self._break("in-force", at, f"{seen.name} has {unknown[:3]}, which nobody published")
-
-    def _left_by(self, change: Asked, known: list[Asked], seen: Seen, key: Key) -> bool:
-        """Whether an ingress may have this after that change: of a bad one an older good one, or
-        none.
+            detail = f"{observed.name} has {unknown[:SHOWN_UNKNOWN]}, which nobody published"
+            self._report("in-force", at, detail)
+
+    def _check_resource(
+        self,
+        at: float,
+        observed: IngressObservation,
+        expected: ConvergenceRange,
+        key: Key,
+        changes: list[RequestedChange],
+    ) -> None:
+        known = [change for change in changes if (change.revision or 0) <= expected.latest]
+        settled = [change for change in known if (change.revision or 0) <= expected.due]
+        if not settled:
+            return
+        allowed = known[len(settled) - 1 :]
+        if not any(self._may_follow(change, known, observed, key) for change in allowed):
+            body = observed.bodies.get(key)
+            detail = f"{observed.name} has {body!r} as {key}: {_describe(allowed)}"
+            self._report("in-force", at, detail)
+        if settled == known and known[-1].is_invalid and key not in observed.rejected:
+            detail = f"{observed.name} rejected {key}, and its server does not know"
+            self._report("told", at, detail)
+
+    def _may_follow(
+        self,
+        change: RequestedChange,
+        known: list[RequestedChange],
+        observed: IngressObservation,
+        key: Key,
+    ) -> bool:
+        """Return whether an ingress may have this content after a change.
+
+        After an invalid one it may have an older valid version, or none.
         """
-        body = seen.bodies.get(key)
-        if not is_bad(change):
+        body = observed.bodies.get(key)
+        if not change.is_invalid:
             return body == change.body
-        good = {one.body for one in known if not is_bad(one)} | self._good_before.get(key, set())
-        return body is None or body in good
+        valid = {one.body for one in known if not one.is_invalid}
+        return body is None or body in valid | self._earlier_valid.get(key, set())
 
-    def accepted(self, at: float, revision: int) -> None:
-        """A voter applied a change: the first to come to that revision counts."""
-        if revision > (self._revisions[-1] if self._revisions else 0):
-            self._revisions.append(revision)
+    def on_accepted(self, at: float, revision: int) -> None:
+        """Record that a voter accepted a change; the first to reach a revision counts."""
+        if revision > (self._accepted_revisions[-1] if self._accepted_revisions else 0):
+            self._accepted_revisions.append(revision)
             self._accepted_at.append(at)
 
-    def has_all(self, at: float, name: str, revision: int, since: float) -> None:
-        """An ingress that was left alone has come to `revision`; it must have come to all accepted
-        before `since`.
-        """
+    def check_within_bound(self, at: float, name: str, revision: int, since: float) -> None:
+        """Check that an ingress at `revision` has every change accepted before `since`."""
         count = bisect_left(self._accepted_at, since)
-        if count and revision < self._revisions[count - 1]:
-            due = self._revisions[count - 1]
-            self._break(
-                "within",
-                at,
-                f"{name} is at {revision}, and {due} was accepted before {since:.0f} ms",
-            )
+        if count and revision < self._accepted_revisions[count - 1]:
+            due = self._accepted_revisions[count - 1]
+            detail = f"{name} is at {revision}, and {due} was accepted before {since:.0f} ms"
+            self._report("within", at, detail)
 
     # Cost
 
-    def snapshot_part(self, at: float, server: str, life: int, size: int) -> None:
-        """A server sends a part of a snapshot."""
-        bucket = self._buckets.setdefault((server, life), Bucket(at))
-        bucket.level = max(0.0, bucket.level - (at - bucket.at) * self._rate) + size
+    def on_snapshot_chunk(self, at: float, server: str, incarnation: int, size: int) -> None:
+        """Record that a server sends a chunk of a snapshot."""
+        bucket = self._buckets.setdefault(_ServerIncarnation(server, incarnation), _Bucket(at))
+        drained = (at - bucket.at) * self._rate
+        bucket.level = max(0.0, bucket.level - drained) + size
         bucket.at = at
         self.snapshot_bytes += size
-        most = self._burst + self._part
-        if bucket.level > most:
-            self._break(
-                "budget",
-                at,
-                f"{server} sent {bucket.level:.0f} bytes beyond its rate, {most:.0f} may be",
-            )
+        limit = self._burst + self._chunk
+        if bucket.level > limit:
+            detail = f"{server} sent {bucket.level:.0f} bytes beyond its rate, {limit:.0f} may be"
+            self._report("budget", at, detail)
+
+
+def _describe(changes: list[RequestedChange]) -> str:
+    """Return changes as text."""
+    return " or ".join(f"revision {change.revision} is {change.body!r}" for change in changes)
--- /dev/null
+++ b/dockthread/lab/control_plane/cluster.py
@@ -0,0 +1,60 @@
+"""All processes of a simulated control plane, spread over regions and zones."""
+
+from __future__ import annotations
+
+from typing import TypeVar
+
+from dockthread.lab.control_plane.distributor import Distributor
+from dockthread.lab.control_plane.environment import Environment
+from dockthread.lab.control_plane.ingress import Ingress
+from dockthread.lab.control_plane.nodes import SimulatedProcess
+from dockthread.lab.control_plane.voter import Voter
+
+ProcessT = TypeVar("ProcessT", bound=SimulatedProcess)
+
+
+class Cluster:
+    """One voter in each region, and distributors and ingresses in its zones.
+
+    Attributes:
+        voters: The voters.
+        distributors: The distributors.
+        ingresses: The ingresses.
+        processes: All of them, in this order.
+        histories: How many histories of revisions there were: one more for each log begun anew.
+    """
+
+    def __init__(self, environment: Environment) -> None:
+        self._environment = environment
+        settings = environment.settings
+        self.processes: list[SimulatedProcess] = []
+        self.histories = 1
+        self.voters = [self._place(Voter, f"v-{region}", region, 0) for region in settings.regions]
+        self.distributors = self._spread(Distributor, "d", settings.distributors)
+        self.ingresses = self._spread(Ingress, "i", settings.ingresses)
+        for ingress in self.ingresses:
+            ingress.has_cache = environment.rng.random() < 0.5
+        peers = {voter.name: voter for voter in self.voters}
+        for voter in self.voters:
+            voter.peers = peers
+        environment.voter_names = tuple(peers)
+        environment.distributors = self.distributors
+
+    def _place(self, process_type: type[ProcessT], name: str, region: str, number: int) -> ProcessT:
+        zone = f"{region}-{number % self._environment.settings.zones}"
+        process = process_type(self._environment, name, region, zone)
+        self.processes.append(process)
+        self._environment.processes[name] = process
+        return process
+
+    def _spread(self, process_type: type[ProcessT], prefix: str, count: int) -> list[ProcessT]:
+        """Place `count` processes in each region."""
+        return [
+            self._place(process_type, f"{prefix}-{region}-{number}", region, number)
+            for region in self._environment.settings.regions
+            for number in range(count)
+        ]
+
+    def revision(self) -> int:
+        """Return the latest revision that any voter accepted."""
+        return max(voter.state_machine.table.revision for voter in self.voters)
--- /dev/null
+++ b/dockthread/lab/control_plane/distributor.py
@@ -0,0 +1,76 @@
+"""A simulated distributor: receives from a voter and serves ingresses, without a disk."""
+
+from __future__ import annotations
+
+from dockthread.control_plane.resource_table import ResourceTable
+from dockthread.control_plane.subscriber_actions import ResourcesChanged
+from dockthread.lab.control_plane.network import Connection
+from dockthread.lab.control_plane.nodes import FanOutAdapter, ServingProcess, SubscriberAdapter
+
+
+class Distributor(ServingProcess):
+    """A distributor.
+
+    Attributes:
+        receiver: The I/O of its subscriber.
+    """
+
+    receiver: SubscriberAdapter
+
+    def initialize(self) -> None:
+        """Begin with an empty table."""
+        environment = self.environment
+        table = ResourceTable(max_tombstones=environment.settings.max_tombstones)
+        environment.checker.on_started(self.name, "", 0, {})
+        subscriber = environment.make_subscriber(self, environment.voter_servers(), table)
+        self.receiver = SubscriberAdapter(self, subscriber)
+        self.server = FanOutAdapter(self, environment.make_fan_out(table))
+
+    def next_timer_at(self) -> float:
+        """Return when `on_timer` is due."""
+        subscriber = self.receiver.subscriber
+        return min(subscriber.next_timer_at(), self.server.fan_out.next_timer_at())
+
+    def on_timer(self) -> None:
+        """Do what is due."""
+        now = self.environment.clock.now
+        if self.receiver.subscriber.next_timer_at() <= now:
+            self._on_changed(self.receiver.on_timer())
+        self.update_table_age()
+        if self.server.fan_out.next_timer_at() <= now:
+            self.server.on_timer()
+
+    def on_opened(self, connection: Connection) -> None:
+        """Subscribe at a voter."""
+        self._on_changed(self.receiver.on_opened(connection))
+        self.after_event()
+
+    def on_frame(self, connection: Connection, data: bytes) -> None:
+        """Handle a frame of a subscriber or of the voter."""
+        if self.server.owns(connection):
+            self.update_table_age()
+            self.server.on_frame(connection, data)
+        elif self.receiver.owns(connection):
+            self._on_changed(self.receiver.on_frame(connection, data))
+        self.after_event()
+
+    def on_broken(self, connection: Connection) -> None:
+        """Handle a broken connection of a subscriber or of the voter."""
+        if self.server.owns(connection):
+            self.server.on_broken(connection)
+        elif self.receiver.owns(connection):
+            self._on_changed(self.receiver.on_broken(connection))
+        self.after_event()
+
+    def update_table_age(self) -> None:
+        """Report the subscriber's age to the fan-out."""
+        now = self.environment.clock.now
+        self.server.fan_out.set_table_age(now, self.receiver.subscriber.age(now))
+
+    def _on_changed(self, batches: list[ResourcesChanged]) -> None:
+        """Acknowledge batches at once: a distributor applies nothing."""
+        now = self.environment.clock.now
+        for batch in batches:
+            self.environment.checker.on_table(now, self.name, batch.epoch, batch.revision)
+            actions = self.receiver.subscriber.on_applied(now, batch.batch)
+            self.receiver.execute(actions)
--- a/dockthread/lab/control_plane/faults.py
+++ b/dockthread/lab/control_plane/faults.py
@@ -1,190 +1,267 @@
-"""What goes wrong in a simulated distribution, drawn from its seed."""
+"""Faults of a simulated control plane, drawn from its seed."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import replace
 from itertools import combinations
-from typing import TYPE_CHECKING, Final
+from typing import Final, NamedTuple
 
-from dockthread.lab.control_plane.nodes import Process
+from dockthread.lab.control_plane.cluster import Cluster
+from dockthread.lab.control_plane.environment import Environment
+from dockthread.lab.control_plane.nodes import SimulatedProcess
+
+
+class Range(NamedTuple):
+    """Bounds of a time in ms."""
+
+    shortest: float
+    longest: float
 
-if TYPE_CHECKING:
-    from dockthread.lab.control_plane.simulation import World
 
 FAULTS: Final = (
-    "delay", "break", "kill", "stall", "wave", "zone", "regions", "distributors", "voters", "slow", "spoil", "rot",
-    "uplink", "history",
-)  # fmt: skip
-# one at a time
-SINGLE: Final = ("break", "kill", "stall", "wave", "zone", "voter", "slow", "uplink", "region")
-LAST_HISTORY: Final = 18_000.0  # ms into a play
-STALL: Final = (100.0, 12_000.0)  # ms for which a process is held still
-HOUR: Final = 3_600_000.0  # ms
-RESTART: Final = (50.0, 3_000.0)  # ms until a process that died is started
-UPLINK: Final = (2_000.0, 12_000.0)  # ms for which a distributor reaches no voter
-QUICK: Final = (50.0, 300.0)  # ms until all of a wave are started
-AWAY: Final = (500.0, 12_000.0)  # ms for which a zone or the links between regions are lost
-
-
-class Faults:
-    """Carries them out; `alone_at` tells from when on an ingress is left alone by them."""
-
-    def __init__(self, world: World) -> None:
-        self._world, self._rng = world, world.rng
-        self.alone_at: dict[str, float] = {}
-
-    def strike(self, kind: str) -> None:
-        """One fault, which ends by itself."""
-        self._world.note(f"fault {kind}")
-        getattr(self, f"_{kind}")()
+    "delay",
+    "break",
+    "kill",
+    "stall",
+    "wave",
+    "zone",
+    "regions",
+    "distributors",
+    "voters",
+    "slow",
+    "spoil",
+    "rot",
+    "uplink",
+    "history",
+)
+"""Faults of scenarios in which many strike at once; the order is part of what a seed means."""
+SINGLE_FAULTS: Final = (
+    "break",
+    "kill",
+    "stall",
+    "wave",
+    "zone",
+    "voter",
+    "slow",
+    "uplink",
+    "region",
+)
+"""Faults of the scenario in which one strikes at a time."""
+HOUR: Final = 3_600_000.0
+"""One hour in ms."""
+LAST_HISTORY: Final = 18_000.0
+"""Time of a run in ms after which no new history begins, so that changes can follow it."""
+STALL_TIME: Final = Range(100.0, 12_000.0)
+"""For how long a process is stalled."""
+RESTART_TIME: Final = Range(50.0, 3_000.0)
+"""After which a process that died is started."""
+QUICK_RESTART_TIME: Final = Range(50.0, 300.0)
+"""After which the processes of a quick wave are started."""
+UPLINK_TIME: Final = Range(2_000.0, 12_000.0)
+"""For how long a distributor reaches no voter."""
+OUTAGE_TIME: Final = Range(500.0, 12_000.0)
+"""For how long a zone, or the links between regions, are lost."""
+CORRUPTION_TIME: Final = 500.0
+"""For how long frames are corrupted, in ms."""
+CORRUPTION_RATE: Final = 0.02
+"""Probability that a frame is corrupted meanwhile."""
+MEAN_DELAYS: Final = (1.0, 5.0, 50.0)
+"""Mean delays of the network in ms."""
+WAVE_SHARES: Final = (0.1, 0.3, 1.0)
+"""Shares of the ingresses that a wave restarts."""
+MAX_BROKEN: Final = 5
+"""Connections that break at once."""
+VOTER_RESTART_SHARE: Final = 0.7
+"""Share of the voters that are restarted at once."""
+SLOWNESS: Final = Range(0.05, 0.8)
+"""Time in ms that each byte to a slow ingress takes."""
+
+
+class FaultInjector:
+    """Strikes a cluster with faults that end by themselves.
+
+    It has one short method for each kind of fault, named in one table, which is why it has more
+    than twenty.
+
+    Attributes:
+        unaffected_since: Until when a fault concerned a process itself, by its name.
+    """
+
+    def __init__(self, environment: Environment, cluster: Cluster) -> None:
+        self._environment = environment
+        self._network = environment.network
+        self._clock = environment.clock
+        self._rng = environment.rng
+        self._cluster = cluster
+        self.unaffected_since: dict[str, float] = {}
+        self._handlers: dict[str, Callable[[], None]] = {
+            "delay": self._change_delay,
+            "break": self._break_connections,
+            "kill": self._kill_one,
+            "stall": self._stall_one,
+            "wave": self._restart_ingresses,
+            "zone": self._lose_zone,
+            "regions": self._cut_some_regions,
+            "region": self._isolate_region,
+            "distributors": self._restart_distributors,
+            "voter": self._restart_one_voter,
+            "voters": self._restart_voters,
+            "slow": self._slow_ingress,
+            "spoil": self._corrupt_frames,
+            "rot": self._damage_cache,
+            "uplink": self._cut_uplink,
+            "history": self._lose_history,
+        }
+
+    def strike(self, fault: str) -> None:
+        """Begin a fault."""
+        self._environment.note(f"fault {fault}")
+        self._handlers[fault]()
 
     def heal(self) -> None:
-        """All faults end."""
-        world, network = self._world, self._world.network
-        network.cut_regions.clear()
-        network.cut_links.clear()
-        network.dark_zones.clear()
-        network.slow.clear()
-        for connection in network.connections.values():
-            connection.slow = 0.0
-        network.delay, network.spoil = 5.0, 0.0
-        for process in world.processes.values():
-            process.go_on(process.life)
+        """End all faults."""
+        self._network.heal()
+        for process in self._cluster.processes:
+            process.resume(process.incarnation)
             process.start()
 
-    def _touch(self, process: Process, until: float) -> None:
-        """The fault concerns this process itself until then."""
-        self.alone_at[process.name] = max(self.alone_at.get(process.name, 0.0), until)
+    def cut_regions_for_hour(self) -> None:
+        """Cut regions from each other for an hour."""
+        self._cut_regions(HOUR)
+
+    def _affect(self, process: SimulatedProcess, until: float) -> None:
+        """Record that a fault concerns a process itself until a time."""
+        previous = self.unaffected_since.get(process.name, 0.0)
+        self.unaffected_since[process.name] = max(previous, until)
 
-    def _restart(self, process: Process, within: tuple[float, float] = RESTART) -> None:
-        wait = self._rng.uniform(*within)
+    def _restart(self, process: SimulatedProcess, within: Range = RESTART_TIME) -> None:
+        delay = self._rng.uniform(*within)
         process.kill()
-        self._touch(process, self._world.clock.now + wait)
-        self._world.clock.after(wait, process.start)
+        self._affect(process, self._clock.now + delay)
+        self._clock.call_later(delay, process.start)
 
-    def _any(self) -> Process:
-        return self._rng.choice(list(self._world.processes.values()))
+    def _draw_process(self) -> SimulatedProcess:
+        return self._rng.choice(self._cluster.processes)
 
-    def _delay(self) -> None:
-        self._world.network.delay = self._rng.choice((1.0, 5.0, 50.0))
+    def _change_delay(self) -> None:
+        self._network.mean_delay = self._rng.choice(MEAN_DELAYS)
 
-    def _break(self) -> None:
-        for _ in range(self._rng.randrange(1, 6)):
-            self._world.network.break_some()
+    def _break_connections(self) -> None:
+        for _ in range(self._rng.randrange(1, MAX_BROKEN + 1)):
+            self._network.break_one()
 
-    def _kill(self) -> None:
-        self._restart(self._any())
+    def _kill_one(self) -> None:
+        self._restart(self._draw_process())
 
-    def _stall(self) -> None:
-        process, lasts = self._any(), self._rng.uniform(*STALL)
+    def _stall_one(self) -> None:
+        process = self._draw_process()
+        duration = self._rng.uniform(*STALL_TIME)
         process.stall()
-        self._touch(process, self._world.clock.now + lasts)
-        self._world.clock.after(lasts, process.go_on, process.life)
+        self._affect(process, self._clock.now + duration)
+        self._clock.call_later(duration, process.resume, process.incarnation)
 
-    def _wave(self) -> None:
-        """Many ingresses are restarted at once."""
-        share, within = self._rng.choice((0.1, 0.3, 1.0)), self._rng.choice((QUICK, RESTART))
-        for ingress in self._world.ingresses:
+    def _restart_ingresses(self) -> None:
+        """Restart many ingresses at once."""
+        share = self._rng.choice(WAVE_SHARES)
+        within = self._rng.choice((QUICK_RESTART_TIME, RESTART_TIME))
+        for ingress in self._cluster.ingresses:
             if self._rng.random() < share:
                 self._restart(ingress, within)
 
-    def _zone(self) -> None:
-        zone = self._rng.choice(
-            sorted({process.zone for process in self._world.processes.values()})
-        )
-        lasts, power = self._rng.uniform(*AWAY), self._rng.random() < 0.5
-        self._world.network.dark_zones.add(zone)
-        for process in self._world.processes.values():
-            if process.zone == zone:
-                self._touch(process, self._world.clock.now + lasts)
-                if power:
-                    process.kill()
-                    self._world.clock.after(lasts, process.start)
-        self._world.clock.after(lasts, self._world.network.dark_zones.discard, zone)
-
-    def _regions(self) -> None:
-        self._cut(self._rng.uniform(*AWAY))
-
-    def hour(self) -> None:
-        """Regions are cut for an hour."""
-        self._cut(HOUR)
-
-    def _cut(self, lasts: float) -> None:
-        pairs = [frozenset(pair) for pair in combinations(self._world.settings.regions, 2)]
+    def _lose_zone(self) -> None:
+        """Lose a zone: its network, and in half of the cases its power as well."""
+        zones = sorted({process.zone for process in self._cluster.processes})
+        zone = self._rng.choice(zones)
+        duration = self._rng.uniform(*OUTAGE_TIME)
+        loses_power = self._rng.random() < 0.5
+        self._network.dark_zones.add(zone)
+        for process in self._cluster.processes:
+            if process.zone != zone:
+                continue
+            self._affect(process, self._clock.now + duration)
+            if loses_power:
+                process.kill()
+                self._clock.call_later(duration, process.start)
+        self._clock.call_later(duration, self._network.dark_zones.discard, zone)
+
+    def _cut_some_regions(self) -> None:
+        self._cut_regions(self._rng.uniform(*OUTAGE_TIME))
+
+    def _cut_regions(self, duration: float) -> None:
+        """Cut some pairs of regions from each other."""
+        pairs = [frozenset(pair) for pair in combinations(self._environment.settings.regions, 2)]
         cut = set(self._rng.sample(pairs, self._rng.randrange(1, len(pairs) + 1)))
-        self._world.network.cut_regions |= cut
-        self._world.clock.after(lasts, self._world.network.cut_regions.difference_update, cut)
+        self._network.cut_regions |= cut
+        self._clock.call_later(duration, self._network.cut_regions.difference_update, cut)
 
-    def _distributors(self) -> None:
-        """All of them are lost."""
-        for distributor in self._world.distributors:
+    def _isolate_region(self) -> None:
+        """Cut one region from all others."""
+        regions = self._environment.settings.regions
+        region = self._rng.choice(regions)
+        duration = self._rng.uniform(*OUTAGE_TIME)
+        cut = {frozenset((region, other)) for other in regions if other != region}
+        self._network.cut_regions |= cut
+        self._clock.call_later(duration, self._network.cut_regions.difference_update, cut)
+        for process in self._cluster.processes:
+            if process.region == region:
+                self._affect(process, self._clock.now + duration)
+
+    def _restart_distributors(self) -> None:
+        for distributor in self._cluster.distributors:
             self._restart(distributor)
 
-    def _uplink(self) -> None:
-        """A distributor reaches no voter, and its ingresses reach it."""
-        distributor = self._rng.choice(self._world.distributors)
-        links = {frozenset((distributor.name, voter.name)) for voter in self._world.voters}
-        self._world.network.cut_links |= links
-        wait = self._rng.uniform(*UPLINK)
-        self._world.clock.after(wait, self._world.network.cut_links.difference_update, links)
-
-    def _region(self) -> None:
-        """One region is cut off from the others."""
-        region, lasts = self._rng.choice(self._world.settings.regions), self._rng.uniform(*AWAY)
-        cut = {
-            frozenset((region, other)) for other in self._world.settings.regions if other != region
-        }
-        self._world.network.cut_regions |= cut
-        self._world.clock.after(lasts, self._world.network.cut_regions.difference_update, cut)
-        for process in self._world.processes.values():
-            if process.region == region:
-                self._touch(process, self._world.clock.now + lasts)
+    def _cut_uplink(self) -> None:
+        """Cut a distributor from all voters; its ingresses reach it."""
+        distributor = self._rng.choice(self._cluster.distributors)
+        links = {frozenset((distributor.name, voter.name)) for voter in self._cluster.voters}
+        self._network.cut_links |= links
+        duration = self._rng.uniform(*UPLINK_TIME)
+        self._clock.call_later(duration, self._network.cut_links.difference_update, links)
 
-    def _voter(self) -> None:
-        self._restart(self._rng.choice(self._world.voters))
+    def _restart_one_voter(self) -> None:
+        self._restart(self._rng.choice(self._cluster.voters))
 
-    def _voters(self) -> None:
-        for voter in self._world.voters:
-            if self._rng.random() < 0.7:
+    def _restart_voters(self) -> None:
+        for voter in self._cluster.voters:
+            if self._rng.random() < VOTER_RESTART_SHARE:
                 self._restart(voter)
 
-    def _history(self) -> None:
-        """All voters lose their disks, and staff begin a new log. Once a play, with time left for
-        changes in it.
-        """
-        world = self._world
-        if world.histories > 1 or world.clock.now > LAST_HISTORY:
+    def _lose_history(self) -> None:
+        """Lose the disks of all voters, so that they begin a new log; once in a run."""
+        if self._cluster.histories > 1 or self._clock.now > LAST_HISTORY:
             return
-        world.histories += 1
-        world.checker.began_anew()
-        for voter in world.voters:
+        self._cluster.histories += 1
+        self._environment.checker.on_history_lost()
+        for voter in self._cluster.voters:
             voter.lose_disk()
             self._restart(voter)
 
-    def _slow(self) -> None:
-        ingress = self._rng.choice(self._world.ingresses)
-        self._world.network.slow[ingress.name] = self._rng.uniform(0.05, 0.8)
-        self._world.network.break_some()
-        self._touch(ingress, float("inf"))
+    def _slow_ingress(self) -> None:
+        ingress = self._rng.choice(self._cluster.ingresses)
+        self._network.slowness[ingress.name] = self._rng.uniform(*SLOWNESS)
+        self._network.break_one()
+        self._affect(ingress, float("inf"))
 
-    def _spoil(self) -> None:
-        self._world.network.spoil = 0.02
-        self._world.clock.after(500.0, setattr, self._world.network, "spoil", 0.0)
+    def _corrupt_frames(self) -> None:
+        self._network.corruption_rate = CORRUPTION_RATE
+        self._clock.call_later(CORRUPTION_TIME, self._network.stop_corruption)
 
-    def _rot(self) -> None:
-        """A copy on a disk is not what was written."""
-        ingress = self._rng.choice(self._world.ingresses)
+    def _damage_cache(self) -> None:
+        """Lose an entry of a cache, and restart its ingress."""
+        ingress = self._rng.choice(self._cluster.ingresses)
         cache = ingress.cache
         if cache is None or not cache.entries:
             return
-        lost = self._rng.choice(
-            [entry for entry in cache.entries if entry.revision < cache.revision] or [None]
-        )
+        older = [entry for entry in cache.entries if entry.revision < cache.revision]
+        lost = self._rng.choice(older or [None])
         if lost is None:
             return
-        entries = [entry for entry in cache.entries if entry is not lost]
-        in_force = {
-            key: held for key, held in cache.in_force.items() if key != (lost.kind, lost.name)
+        entries = tuple(entry for entry in cache.entries if entry is not lost)
+        applied = {
+            key: resource
+            for key, resource in cache.applied.items()
+            if key != (lost.kind, lost.name)
         }
-        ingress.cache = replace(cache, entries=tuple(entries), in_force=in_force)
+        ingress.cache = replace(cache, entries=entries, applied=applied)
         self._restart(ingress)
--- a/dockthread/lab/control_plane/ingress.py
+++ b/dockthread/lab/control_plane/ingress.py
@@ -1,6 +1,4 @@
-"""A hollow ingress: puts in force what it receives, refuses what is bad, and may keep a copy on its
-disk.
-"""
+"""A simulated ingress: applies what it receives, rejects what is invalid, may have a cache."""
 
 from __future__ import annotations
 
@@ -12,124 +10,164 @@
 from dockthread.control_plane.messages import Rejection, Resource
 from dockthread.control_plane.resource_table import ResourceTable
 from dockthread.control_plane.subscriber_actions import ResourcesChanged
+from dockthread.lab.control_plane.checker import Key
 from dockthread.lab.control_plane.network import Connection
-from dockthread.lab.control_plane.nodes import Process, ReceivingSide
+from dockthread.lab.control_plane.nodes import SimulatedProcess, SubscriberAdapter
+from dockthread.lab.control_plane.settings import INVALID_PREFIX
 
-SAVE_EVERY: Final = 1_500.0  # ms
-APPLY_MOST: Final = 60.0  # ms that the owner may take to put something in force
-BAD: Final = b"bad"  # a body that the owner refuses begins with it
-
-Key = tuple[str, str]
+SAVE_INTERVAL: Final = 1_500.0
+"""Time in ms between two writes of the cache."""
+MAX_APPLY_TIME: Final = 60.0
+"""Longest time in ms that applying a batch takes."""
 
 
 @dataclass(frozen=True, slots=True)
-class Cache:
-    """What is on its disk."""
+class DiskCache:
+    """What is on the disk of an ingress.
+
+    Attributes:
+        epoch: History of the table.
+        revision: Revision of the table.
+        horizon: Revision of the newest tombstone that was dropped.
+        entries: Live resources and tombstones.
+        applied: What was applied.
+        rejections: What was rejected.
+    """
 
     epoch: str
     revision: int
     horizon: int
     entries: tuple[Resource, ...]
-    in_force: dict[Key, Resource]
+    applied: dict[Key, Resource]
     rejections: tuple[Rejection, ...]
 
 
-class Ingress(Process):
-    """`cached`: it keeps a copy on its disk."""
+class Ingress(SimulatedProcess):
+    """An ingress.
 
-    cached = False
-    cache: Cache | None = None
-    in_force: dict[Key, Resource]
+    Attributes:
+        has_cache: Whether it writes a cache.
+        cache: What is on its disk.
+        applied: What it has applied.
+        revision: Revision that it has applied.
+        receiver: The I/O of its subscriber.
+    """
 
-    def begin(self) -> None:
-        table = ResourceTable(max_tombstones=self.world.settings.max_tombstones)
-        self.in_force, rejections = {}, tuple[Rejection, ...]()
-        self.revision = 0 if self.cache is None else self.cache.revision
-        self._queue: deque[ResourcesChanged] = deque()
+    has_cache = False
+    cache: DiskCache | None = None
+    applied: dict[Key, Resource]
+    revision: int
+    receiver: SubscriberAdapter
+
+    def initialize(self) -> None:
+        """Begin with what is on the disk."""
+        environment = self.environment
+        table = ResourceTable(max_tombstones=environment.settings.max_tombstones)
+        self.applied = {}
+        self.revision = 0
+        self._batches: deque[ResourcesChanged] = deque()
+        rejections: tuple[Rejection, ...] = ()
         if self.cache is not None:
-            table.load(
-                self.cache.epoch, self.cache.revision, self.cache.horizon, self.cache.entries
-            )
-            self.in_force, rejections = dict(self.cache.in_force), self.cache.rejections
-        # kept of before, maybe of another history
-        refused = {(one.kind, one.name) for one in rejections}
+            rejections = self._load(self.cache, table)
+        # A version that is applied in place of a rejected one may be of another history.
+        rejected = {Key(rejection.kind, rejection.name) for rejection in rejections}
         revisions = {
-            key: held.revision for key, held in self.in_force.items() if key not in refused
+            key: resource.revision for key, resource in self.applied.items() if key not in rejected
         }
-        self.world.checker.started(self.name, table.epoch, table.revision, revisions)
-        subscriber = self.world.make_subscriber(
-            self, self.world.distributor_servers(self), table, rejections
-        )
-        self.receiver = ReceivingSide(self, subscriber)
-        if self.cached:
-            self.world.clock.after(SAVE_EVERY, self._save, self.life)
+        environment.checker.on_started(self.name, table.epoch, table.revision, revisions)
+        servers = environment.distributor_servers(self.region)
+        subscriber = environment.make_subscriber(self, servers, table, rejections)
+        self.receiver = SubscriberAdapter(self, subscriber)
+        if self.has_cache:
+            environment.clock.call_later(SAVE_INTERVAL, self._save, self.incarnation)
+
+    def _load(self, cache: DiskCache, table: ResourceTable) -> tuple[Rejection, ...]:
+        """Load a cache and return its rejections."""
+        self.revision = cache.revision
+        self.applied = dict(cache.applied)
+        table.load(cache.epoch, cache.revision, cache.horizon, cache.entries)
+        return cache.rejections
 
     def next_timer_at(self) -> float:
+        """Return when `on_timer` is due."""
         return self.receiver.subscriber.next_timer_at()
 
     def on_timer(self) -> None:
-        self._took(self.receiver.on_timer())
-
-    def opened(self, connection: Connection) -> None:
-        self._took(self.receiver.opened(connection))
-        self.settle()
-
-    def frame(self, connection: Connection, data: bytes) -> None:
-        if self.receiver.has(connection):
-            self._took(self.receiver.frame(connection, data))
-        self.settle()
-
-    def broken(self, connection: Connection) -> None:
-        if self.receiver.has(connection):
-            self._took(self.receiver.broken(connection))
-        self.settle()
+        """Do what is due."""
+        self._enqueue(self.receiver.on_timer())
+
+    def on_opened(self, connection: Connection) -> None:
+        """Subscribe at a distributor."""
+        self._enqueue(self.receiver.on_opened(connection))
+        self.after_event()
+
+    def on_frame(self, connection: Connection, data: bytes) -> None:
+        """Handle a frame of the distributor."""
+        if self.receiver.owns(connection):
+            self._enqueue(self.receiver.on_frame(connection, data))
+        self.after_event()
+
+    def on_broken(self, connection: Connection) -> None:
+        """Handle a broken connection."""
+        if self.receiver.owns(connection):
+            self._enqueue(self.receiver.on_broken(connection))
+        self.after_event()
 
     def bodies(self) -> dict[Key, bytes]:
-        """What is in force."""
-        return {key: resource.body or b"" for key, resource in self.in_force.items()}
+        """Return the content that is applied."""
+        return {key: resource.body or b"" for key, resource in self.applied.items()}
 
-    def _took(self, batches: Sequence[ResourcesChanged]) -> None:
+    def _enqueue(self, batches: Sequence[ResourcesChanged]) -> None:
         for batch in batches:
-            self._queue.append(batch)
-            self.world.clock.after(self.world.rng.uniform(0.0, APPLY_MOST), self._apply, self.life)
+            self._batches.append(batch)
+            delay = self.environment.rng.uniform(0.0, MAX_APPLY_TIME)
+            self.environment.clock.call_later(delay, self._apply_next, self.incarnation)
 
-    def _apply(self, life: int) -> None:
-        """The oldest batch that waits."""
-        if not self.up or self.life != life:
+    def _apply_next(self, incarnation: int) -> None:
+        """Apply the oldest batch that waits."""
+        if not self.is_up or self.incarnation != incarnation:
             return
-        if self.stalled:
-            self.world.clock.after(APPLY_MOST, self._apply, life)
+        if self.is_stalled:
+            self.environment.clock.call_later(MAX_APPLY_TIME, self._apply_next, incarnation)
             return
-        batch, now, rejected = self._queue.popleft(), self.world.clock.now, []
+        batch = self._batches.popleft()
+        now = self.environment.clock.now
         self.revision = batch.revision
-        self.world.checker.table(now, self.name, batch.epoch, batch.revision)
+        self.environment.checker.on_table(now, self.name, batch.epoch, batch.revision)
+        rejections = []
         for resource in batch.resources:
-            if resource.body is not None and resource.body.startswith(BAD):
-                rejected.append(
+            if resource.body is not None and resource.body.startswith(INVALID_PREFIX):
+                rejections.append(
                     Rejection(resource.kind, resource.name, resource.revision, "its body is bad")
                 )
-                continue
-            self._put(now, resource)
-        self.receiver.do(self.receiver.subscriber.on_applied(now, batch.batch, rejected))
-        self.settle()
-
-    def _put(self, now: float, resource: Resource) -> None:
-        key = (resource.kind, resource.name)
-        self.world.checker.in_force(now, self.name, resource)
+            else:
+                self._apply(now, resource)
+        actions = self.receiver.subscriber.on_applied(now, batch.batch, rejections)
+        self.receiver.execute(actions)
+        self.after_event()
+
+    def _apply(self, now: float, resource: Resource) -> None:
+        key = Key(resource.kind, resource.name)
+        self.environment.checker.on_resource_applied(now, self.name, resource)
         if resource.body is None:
-            self.in_force.pop(key, None)
+            self.applied.pop(key, None)
         else:
-            self.in_force[key] = resource
+            self.applied[key] = resource
 
-    def _save(self, life: int) -> None:
-        if self.life != life or not self.up:
+    def _save(self, incarnation: int) -> None:
+        """Write the cache while the table is complete and applied."""
+        if self.incarnation != incarnation or not self.is_up:
             return
-        self.world.clock.after(SAVE_EVERY, self._save, life)
+        self.environment.clock.call_later(SAVE_INTERVAL, self._save, incarnation)
         subscriber = self.receiver.subscriber
         table = subscriber.table
-        if self.stalled or self._queue or not table.is_complete or not table.epoch:
+        if self.is_stalled or self._batches or not table.is_complete or not table.epoch:
             return
-        entries = tuple(table.entries())
-        rejections = subscriber.rejections
-        held = dict(self.in_force)
-        self.cache = Cache(table.epoch, table.revision, table.horizon, entries, held, rejections)
+        self.cache = DiskCache(
+            table.epoch,
+            table.revision,
+            table.horizon,
+            tuple(table.entries()),
+            dict(self.applied),
+            subscriber.rejections,
+        )
--- a/dockthread/lab/control_plane/nodes.py
+++ b/dockthread/lab/control_plane/nodes.py
@@ -1,327 +1,371 @@
-"""Simulated processes round the real cores: what the sockets do in the program, and nothing that
-decides.
+"""Simulated processes, and the I/O around the subscriber and the fan-out of each.
+
+They do what sockets and timers do in the program and decide nothing.
 """
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Final
+from abc import ABC, abstractmethod
+from typing import Final, NamedTuple
 
-from dockthread.control_plane import subscriber_actions as receiving
 from dockthread.control_plane.fanout import FanOut, UnexpectedMessageError
-from dockthread.control_plane.messages import Acknowledge, Heartbeat, Message, Subscribe, codec
-from dockthread.control_plane.resource_table import ResourceTable
+from dockthread.control_plane.messages import (
+    Acknowledge,
+    Heartbeat,
+    Message,
+    Subscribe,
+    Update,
+    codec,
+)
 from dockthread.control_plane.subscriber import Subscriber
+from dockthread.control_plane.subscriber_actions import (
+    Action,
+    Connect,
+    Disconnect,
+    ResourcesChanged,
+    Send,
+)
 from dockthread.framing import FRAME_HEADER, MalformedFrameError
+from dockthread.lab.control_plane.environment import Environment
 from dockthread.lab.control_plane.network import Connection
 
-if TYPE_CHECKING:
-    from dockthread.lab.control_plane.simulation import World
-
-LEAST_WAIT: Final = 1.0  # ms between two ticks of one process
-
-
-class Process:
-    """One process on a machine; `life` counts its starts."""
-
-    def __init__(self, world: World, name: str, region: str, zone: str) -> None:
-        self.world, self.name, self.region, self.zone = world, name, region, zone
-        self.life, self.up, self.stalled = 0, False, False
-        self._armed = float("inf")
+MIN_TIMER_DELAY: Final = 1.0
+"""Time in ms between two runs of a process's timer."""
+NO_TIMER: Final = float("inf")
+
+
+class SimulatedProcess(ABC):
+    """One process on a machine; it implements `network.Endpoint`.
+
+    Attributes:
+        environment: What all processes share.
+        name: Name of the process.
+        region: Region of its machine.
+        zone: Zone of its machine.
+        incarnation: How often it was started.
+        is_up: Whether it runs.
+        is_stalled: Whether it is held by SIGSTOP.
+    """
+
+    def __init__(self, environment: Environment, name: str, region: str, zone: str) -> None:
+        self.environment = environment
+        self.name = name
+        self.region = region
+        self.zone = zone
+        self.incarnation = 0
+        self.is_up = False
+        self.is_stalled = False
+        self._timer_at = NO_TIMER
 
     def start(self) -> None:
-        if not self.up:
-            self.life, self.up, self.stalled, self._armed = self.life + 1, True, False, float("inf")
-            self.world.note(f"{self.name} starts")
-            self.begin()
-            self.settle()
+        """Start the process unless it runs."""
+        if self.is_up:
+            return
+        self.incarnation += 1
+        self.is_up = True
+        self.is_stalled = False
+        self._timer_at = NO_TIMER
+        self.environment.note(f"{self.name} starts")
+        self.initialize()
+        self.after_event()
 
     def kill(self) -> None:
-        if self.up:
-            self.up = False
-            self.world.note(f"{self.name} dies")
-            self.world.network.died(self)
+        """End the process as SIGKILL does."""
+        if self.is_up:
+            self.is_up = False
+            self.environment.note(f"{self.name} dies")
+            self.environment.network.on_died(self)
 
     def stall(self) -> None:
-        self.stalled = True
-        self.world.note(f"{self.name} is held still")
-
-    def go_on(self, life: int) -> None:
-        if self.up and self.life == life and self.stalled:
-            self.stalled = False
-            self.world.note(f"{self.name} goes on")
-            self.settle()
-
-    def settle(self) -> None:
-        """After each event: what follows of it, and the alarm."""
-        if not self.up or self.stalled:
+        """Hold the process as SIGSTOP does."""
+        self.is_stalled = True
+        self.environment.note(f"{self.name} is stalled")
+
+    def resume(self, incarnation: int) -> None:
+        """Let a stalled process run on, if it is still this incarnation."""
+        if self.is_up and self.incarnation == incarnation and self.is_stalled:
+            self.is_stalled = False
+            self.environment.note(f"{self.name} runs on")
+            self.after_event()
+
+    def after_event(self) -> None:
+        """Send what may be sent now, and plan the timer."""
+        if not self.is_up or self.is_stalled:
             return
-        self.pump()
-        due = max(self.next_timer_at(), self.world.clock.now + LEAST_WAIT)
-        if due < self._armed:
-            self._armed = due
-            self.world.clock.after(due - self.world.clock.now, self._alarm, self.life, due)
-
-    def _alarm(self, life: int, at: float) -> None:
-        if not self.up or self.life != life or at != self._armed:
+        self.send_pending()
+        clock = self.environment.clock
+        due = max(self.next_timer_at(), clock.now + MIN_TIMER_DELAY)
+        if due < self._timer_at:
+            self._timer_at = due
+            clock.call_later(due - clock.now, self._on_timer_due, self.incarnation, due)
+
+    def _on_timer_due(self, incarnation: int, at: float) -> None:
+        if not self.is_up or self.incarnation != incarnation or at != self._timer_at:
             return
-        self._armed = float("inf")
-        if not self.stalled:
-            if self.next_timer_at() <= self.world.clock.now:
+        self._timer_at = NO_TIMER
+        if not self.is_stalled:
+            if self.next_timer_at() <= self.environment.clock.now:
                 self.on_timer()
-            self.settle()
+            self.after_event()
 
-    def begin(self) -> None:
-        """A new life: nothing but what is on disk is known."""
-        raise NotImplementedError
+    @abstractmethod
+    def initialize(self) -> None:
+        """Begin an incarnation that knows only what is on its disk."""
 
+    @abstractmethod
     def next_timer_at(self) -> float:
-        raise NotImplementedError
+        """Return when `on_timer` is due."""
 
+    @abstractmethod
     def on_timer(self) -> None:
-        raise NotImplementedError
+        """Do what is due."""
 
-    def pump(self) -> None:
-        """What may be sent now."""
+    def send_pending(self) -> None:  # noqa: B027  optional
+        """Send nothing; processes that serve override this."""
 
-    def accepted(self, connection: Connection) -> None:
-        """Nobody connects to it."""
+    def on_accepted(self, connection: Connection) -> None:  # noqa: B027  optional
+        """Do nothing: no process connects to this one."""
 
-    def opened(self, connection: Connection) -> None:
-        """It connects to nobody."""
+    def on_opened(self, connection: Connection) -> None:  # noqa: B027  optional
+        """Do nothing: this process connects to none."""
 
-    def frame(self, connection: Connection, data: bytes) -> None:
-        raise NotImplementedError
+    @abstractmethod
+    def on_frame(self, connection: Connection, data: bytes) -> None:
+        """Handle a frame."""
 
-    def broken(self, connection: Connection) -> None:
-        raise NotImplementedError
+    @abstractmethod
+    def on_broken(self, connection: Connection) -> None:
+        """Handle a broken connection."""
 
-    def room(self, connection: Connection) -> None:
-        """It has nothing that waits for room."""
+    def on_writable(self, connection: Connection) -> None:  # noqa: B027  optional
+        """Do nothing: nothing waits for capacity."""
 
 
-def unpacked(data: bytes) -> Message:
-    """Raises `MalformedFrameError`."""
-    head, body = data[: FRAME_HEADER.size], data[FRAME_HEADER.size :]
+def decode_frame(data: bytes) -> Message:
+    """Return the message of a frame.
+
+    Raises:
+        MalformedFrameError: The bytes are no frame.
+    """
+    head = data[: FRAME_HEADER.size]
+    body = data[FRAME_HEADER.size :]
     if codec.length(head) != len(body):
         raise MalformedFrameError("another length")
     return codec.unpack(head, body)
 
 
-class ServingSide:
-    """The rim of a `Fanout`."""
+class _ServedState(NamedTuple):
+    """State of a table when it was last served."""
+
+    epoch: str = ""
+    revision: int = 0
+    is_complete: bool = True
+
+
+class FanOutAdapter:
+    """The I/O of a `FanOut`.
+
+    Attributes:
+        fan_out: Decides what is sent.
+    """
 
-    def __init__(self, process: Process, fanout: FanOut) -> None:
-        self._process, self.fanout = process, fanout
-        self._numbers: dict[int, int] = {}  # by connection's place
-        self._connections: dict[int, Connection] = {}
-        self._count = 0
-        self._served: tuple[str, int, bool] = ("", 0, True)
-        self._snapshots: set[int] = set()  # connections to which parts of a snapshot are being sent
+    def __init__(self, process: SimulatedProcess, fan_out: FanOut) -> None:
+        self._process = process
+        self._environment = process.environment
+        self.fan_out = fan_out
+        self._numbers: dict[int, int] = {}  # by the connection's id
+        self._connections: dict[int, Connection] = {}  # by number
+        self._last_number = 0
+        self._served = _ServedState()
+        self._snapshots: set[int] = set()  # connections on which a snapshot is being sent
 
-    def has(self, connection: Connection) -> bool:
-        return connection.place in self._numbers
+    def owns(self, connection: Connection) -> bool:
+        """Return whether a connection was accepted here."""
+        return connection.connection_id in self._numbers
 
-    def accepted(self, connection: Connection) -> None:
-        self._count += 1
-        self._numbers[connection.place] = self._count
-        self._connections[self._count] = connection
+    def on_accepted(self, connection: Connection) -> None:  # noqa: B027  optional
+        """Number a connection."""
+        self._last_number += 1
+        self._numbers[connection.connection_id] = self._last_number
+        self._connections[self._last_number] = connection
 
-    def frame(self, connection: Connection, data: bytes) -> None:
-        number, world = self._numbers[connection.place], self._process.world
+    def on_frame(self, connection: Connection, data: bytes) -> None:
+        """Handle a frame; the connection is closed where it is malformed or unexpected."""
+        number = self._numbers[connection.connection_id]
         try:
-            message = unpacked(data)
-            if isinstance(message, Subscribe):
-                refused = self.fanout.subscribe(world.clock.now, number, message)
-                if refused is not None:
-                    world.network.send(connection, self._process, codec.pack(refused))
-                    self._close(number)
-            elif isinstance(message, Acknowledge | Heartbeat):
-                self.fanout.on_message(world.clock.now, number, message)
-            else:
-                raise UnexpectedMessageError(type(message).__name__)
+            self._handle(connection, number, decode_frame(data))
         except (MalformedFrameError, UnexpectedMessageError):
             self._close(number)
         else:
-            self.pump_one(connection)
+            self.send_to(connection)
+
+    def _handle(self, connection: Connection, number: int, message: Message) -> None:
+        now = self._environment.clock.now
+        if isinstance(message, Subscribe):
+            retry_later = self.fan_out.subscribe(now, number, message)
+            if retry_later is not None:
+                frame = codec.pack(retry_later)
+                self._environment.network.send(connection, self._process, frame)
+                self._close(number)
+        elif isinstance(message, Acknowledge | Heartbeat):
+            self.fan_out.on_message(now, number, message)
+        else:
+            raise UnexpectedMessageError(type(message).__name__)
 
-    def broken(self, connection: Connection) -> None:
-        number = self._numbers.pop(connection.place)
+    def on_broken(self, connection: Connection) -> None:
+        """Forget a connection."""
+        number = self._numbers.pop(connection.connection_id)
         del self._connections[number]
         self._snapshots.discard(number)
-        self.fanout.on_closed(self._process.world.clock.now, number)
+        self.fan_out.on_closed(self._environment.clock.now, number)
 
     def on_timer(self) -> None:
-        for overdue in self.fanout.on_timer(self._process.world.clock.now):
+        """Close overdue connections and send what is due."""
+        for overdue in self.fan_out.on_timer(self._environment.clock.now):
             self._close(overdue.connection)
-        for connection in list(self._connections.values()):
-            self.pump_one(connection)
-
-    def pump(self) -> None:
-        table = self.fanout.table
-        served = (table.epoch, table.revision, table.is_complete)
-        if served != self._served:
-            self._served = served
-            for connection in list(self._connections.values()):
-                self.pump_one(connection)
-
-    def pump_one(self, connection: Connection) -> None:
-        number, world = self._numbers.get(connection.place), self._process.world
+        self._send_to_all()
+
+    def send_pending(self) -> None:  # noqa: B027  optional
+        """Send where the table has changed."""
+        table = self.fan_out.table
+        state = _ServedState(table.epoch, table.revision, table.is_complete)
+        if state != self._served:
+            self._served = state
+            self._send_to_all()
+
+    def send_to(self, connection: Connection) -> None:
+        """Send frames while the connection has capacity."""
+        number = self._numbers.get(connection.connection_id)
         if number is None:
             return
-        while world.network.has_room(connection, self._process):
-            frame = self.fanout.next_frame(world.clock.now, number)
+        network = self._environment.network
+        while network.has_capacity(connection, self._process):
+            frame = self.fan_out.next_frame(self._environment.clock.now, number)
             if frame is None:
                 return
-            self._tell(number, frame)
-            world.network.send(connection, self._process, frame)
-
-    def _tell(self, number: int, frame: bytes) -> None:
-        """The checker counts what snapshots cost."""
-        message = unpacked(frame)
-        told = getattr(message, "resources", None)
-        if told is None:
+            self._report_snapshot(number, frame)
+            network.send(connection, self._process, frame)
+
+    def _send_to_all(self) -> None:
+        for connection in list(self._connections.values()):
+            self.send_to(connection)
+
+    def _report_snapshot(self, number: int, frame: bytes) -> None:
+        """Have the checker count what snapshots cost."""
+        message = decode_frame(frame)
+        if not isinstance(message, Update):
             return
-        if getattr(message, "snapshot", False):
+        if message.snapshot:
             self._snapshots.add(number)
         if number in self._snapshots:
-            now = self._process.world.clock.now
-            self._process.world.checker.snapshot_part(
-                now, self._process.name, self._process.life, len(frame)
+            self._environment.checker.on_snapshot_chunk(
+                self._environment.clock.now,
+                self._process.name,
+                self._process.incarnation,
+                len(frame),
             )
-        if getattr(message, "complete", False):
+        if message.complete:
             self._snapshots.discard(number)
 
     def _close(self, number: int) -> None:
         connection = self._connections[number]
-        self.broken(connection)
-        self._process.world.network.close(connection, self._process)
+        self.on_broken(connection)
+        self._environment.network.close(connection, self._process)
+
 
+class SubscriberAdapter:
+    """The I/O of a `Subscriber`; each method returns what has to be applied.
 
-class ReceivingSide:
-    """The rim of a `Subscriber`."""
+    Attributes:
+        subscriber: Decides what is received.
+    """
 
-    def __init__(self, process: Process, subscriber: Subscriber) -> None:
-        self._process, self.subscriber = process, subscriber
-        self._connections: dict[int, Connection] = {}
+    def __init__(self, process: SimulatedProcess, subscriber: Subscriber) -> None:
+        self._process = process
+        self._environment = process.environment
+        self.subscriber = subscriber
+        self._connections: dict[int, Connection] = {}  # by number
 
-    def has(self, connection: Connection) -> bool:
+    def owns(self, connection: Connection) -> bool:
+        """Return whether a connection was opened here."""
         return self._connections.get(connection.number) is connection
 
-    def opened(self, connection: Connection) -> list[receiving.ResourcesChanged]:
-        return self.do(
-            self.subscriber.on_connected(self._process.world.clock.now, connection.number)
-        )
+    def on_opened(self, connection: Connection) -> list[ResourcesChanged]:
+        """Handle that a connection is open."""
+        now = self._environment.clock.now
+        return self.execute(self.subscriber.on_connected(now, connection.number))
 
-    def frame(self, connection: Connection, data: bytes) -> list[receiving.ResourcesChanged]:
-        now = self._process.world.clock.now
+    def on_frame(self, connection: Connection, data: bytes) -> list[ResourcesChanged]:
+        """Handle a frame."""
+        now = self._environment.clock.now
         try:
-            message = unpacked(data)
+            message = decode_frame(data)
         except MalformedFrameError as error:
-            return self.do(self.subscriber.on_malformed(now, connection.number, str(error)))
-        return self.do(self.subscriber.on_message(now, connection.number, message))
+            actions = self.subscriber.on_malformed(now, connection.number, str(error))
+            return self.execute(actions)
+        return self.execute(self.subscriber.on_message(now, connection.number, message))
 
-    def broken(self, connection: Connection) -> list[receiving.ResourcesChanged]:
+    def on_broken(self, connection: Connection) -> list[ResourcesChanged]:
+        """Handle a broken connection."""
         del self._connections[connection.number]
-        return self.do(
-            self.subscriber.on_disconnected(self._process.world.clock.now, connection.number)
-        )
+        now = self._environment.clock.now
+        return self.execute(self.subscriber.on_disconnected(now, connection.number))
 
-    def on_timer(self) -> list[receiving.ResourcesChanged]:
-        return self.do(self.subscriber.on_timer(self._process.world.clock.now))
+    def on_timer(self) -> list[ResourcesChanged]:
+        """Do what is due."""
+        return self.execute(self.subscriber.on_timer(self._environment.clock.now))
 
-    def do(self, actions: list[receiving.Action]) -> list[receiving.ResourcesChanged]:
-        """Carry out what concerns connections; what changed is left to the caller."""
-        world, changed = self._process.world, []
+    def execute(self, actions: list[Action]) -> list[ResourcesChanged]:
+        """Carry out what concerns connections, and return what has to be applied."""
+        network = self._environment.network
+        changed = []
         for action in actions:
             match action:
-                case receiving.Connect(number, server):
-                    to = world.process(server)
-                    self._connections[number] = world.network.connect(self._process, to, number)
-                case receiving.Send(number, message):
-                    world.network.send(
-                        self._connections[number], self._process, codec.pack(message)
-                    )
-                case receiving.Disconnect(number, reason):
-                    world.note(
-                        f"{self._process.name} leaves {self._connections[number].server.name}: {reason}"
-                    )
-                    world.network.close(self._connections.pop(number), self._process)
-                case receiving.ResourcesChanged():
+                case Connect(number, server):
+                    endpoint = self._environment.processes[server]
+                    connection = network.connect(self._process, endpoint, number)
+                    self._connections[number] = connection
+                case Send(number, message):
+                    frame = codec.pack(message)
+                    network.send(self._connections[number], self._process, frame)
+                case Disconnect(number, reason):
+                    self._disconnect(number, reason)
+                case ResourcesChanged():
                     changed.append(action)
         return changed
 
+    def _disconnect(self, number: int, reason: str) -> None:
+        connection = self._connections.pop(number)
+        server = connection.server.name
+        self._environment.note(f"{self._process.name} leaves {server}: {reason}")
+        self._environment.network.close(connection, self._process)
 
-class ServingProcess(Process):
-    """A process with subscribers: a distributor or a voter."""
 
-    server: ServingSide
+class ServingProcess(SimulatedProcess):
+    """A process with subscribers: a distributor or a voter.
 
-    def _freshen(self) -> None:
-        """Tell the fan-out how old its table is."""
-        raise NotImplementedError
+    Attributes:
+        server: The I/O of its fan-out.
+    """
 
-    def pump(self) -> None:
-        self._freshen()
-        self.server.pump()
+    server: FanOutAdapter
 
-    def accepted(self, connection: Connection) -> None:
-        self.server.accepted(connection)
+    @abstractmethod
+    def update_table_age(self) -> None:
+        """Report to the fan-out how old its table is."""
 
-    def room(self, connection: Connection) -> None:
-        if self.server.has(connection):
-            self._freshen()
-            self.server.pump_one(connection)
-        self.settle()
+    def send_pending(self) -> None:  # noqa: B027  optional
+        """Send where the table has changed."""
+        self.update_table_age()
+        self.server.send_pending()
 
+    def on_accepted(self, connection: Connection) -> None:  # noqa: B027  optional
+        """Accept a connection of a subscriber."""
+        self.server.on_accepted(connection)
 
-class Distributor(ServingProcess):
-    """Receives from a voter and serves ingresses. Keeps nothing on disk."""
-
-    def begin(self) -> None:
-        world = self.world
-        table = ResourceTable(max_tombstones=world.settings.max_tombstones)
-        world.checker.started(self.name, "", 0, {})
-        self.receiver = ReceivingSide(
-            self, world.make_subscriber(self, world.voter_servers(), table)
-        )
-        self.server = ServingSide(self, world.make_fanout(self, table))
-
-    def next_timer_at(self) -> float:
-        return min(self.receiver.subscriber.next_timer_at(), self.server.fanout.next_timer_at())
-
-    def on_timer(self) -> None:
-        now = self.world.clock.now
-        if self.receiver.subscriber.next_timer_at() <= now:
-            self._took(self.receiver.on_timer())
-        self._freshen()
-        if self.server.fanout.next_timer_at() <= now:
-            self.server.on_timer()
-
-    def opened(self, connection: Connection) -> None:
-        self._took(self.receiver.opened(connection))
-        self.settle()
-
-    def frame(self, connection: Connection, data: bytes) -> None:
-        if self.server.has(connection):
-            self._freshen()
-            self.server.frame(connection, data)
-        elif self.receiver.has(connection):
-            self._took(self.receiver.frame(connection, data))
-        self.settle()
-
-    def broken(self, connection: Connection) -> None:
-        if self.server.has(connection):
-            self.server.broken(connection)
-        elif self.receiver.has(connection):
-            self._took(self.receiver.broken(connection))
-        self.settle()
-
-    def _freshen(self) -> None:
-        now = self.world.clock.now
-        self.server.fanout.set_table_age(now, self.receiver.subscriber.age(now))
-
-    def _took(self, changed: list[receiving.ResourcesChanged]) -> None:
-        subscriber = self.receiver.subscriber
-        for one in changed:
-            self.world.checker.table(self.world.clock.now, self.name, one.epoch, one.revision)
-            self.receiver.do(subscriber.on_applied(self.world.clock.now, one.batch))
+    def on_writable(self, connection: Connection) -> None:  # noqa: B027  optional
+        """Send more to a subscriber."""
+        if self.server.owns(connection):
+            self.update_table_age()
+            self.server.send_to(connection)
+        self.after_event()
--- a/dockthread/lab/control_plane/seeded_defects.py
+++ b/dockthread/lab/control_plane/seeded_defects.py
@@ -116,13 +116,13 @@
     assembler_type = RevertingAssembler
 
 
-class AppliesOlderSnapshots(Subscriber):
+class AppliesOutdatedSnapshots(Subscriber):
     """Applies a snapshot whatever its revision."""
 
     receiver_type = RevertingReceiver
 
 
-class ServesOlderSnapshots(FanOut):
+class ServesOutdatedSnapshots(FanOut):
     """Sends its own snapshot to a subscriber that holds a newer revision."""
 
     def subscribe(self, now: float, connection: int, message: Subscribe) -> RetryLater | None:
@@ -308,7 +308,9 @@
 SEEDED_DEFECTS: Final = {
     "cursor-of-the-name": SeededDefect(fan_out=ResumesFromSentCursor, subscriber=IgnoresDigests),
     "deletes-forgotten": SeededDefect(faults=("stall", "zone"), subscriber=IgnoresDeletions),
-    "older-applied": SeededDefect(subscriber=AppliesOlderSnapshots, fan_out=ServesOlderSnapshots),
+    "older-applied": SeededDefect(
+        subscriber=AppliesOutdatedSnapshots, fan_out=ServesOutdatedSnapshots
+    ),
     "digest-not-compared": SeededDefect(
         faults=("rot",), subscriber=IgnoresDigests, fan_out=IgnoresSubscribedDigest
     ),
--- a/dockthread/lab/control_plane/voter.py
+++ b/dockthread/lab/control_plane/voter.py
@@ -1,18 +1,20 @@
-"""A simulated voter: the agreed log with the real state machine on it, and its table served to
-distributors.
-"""
+"""A simulated voter: the replicated log with the real state machine, served to distributors."""
 
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import replace
 from typing import Final
 
-from dockthread.control_plane.messages import PublishRequest, PublishResponse
-from dockthread.control_plane.publish_state_machine import OUTCOME_UNKNOWN
-from dockthread.lab.control_plane.network import Connection
-from dockthread.lab.control_plane.nodes import ServingProcess, ServingSide
+from dockthread.control_plane.messages import AGE_UNKNOWN, PublishRequest, PublishResponse
+from dockthread.control_plane.publish_state_machine import (
+    OUTCOME_UNKNOWN,
+    REJECTED,
+    PublishStateMachine,
+)
+from dockthread.lab.control_plane.network import RETRY_INTERVAL, Connection
+from dockthread.lab.control_plane.nodes import FanOutAdapter, ServingProcess
 from dockthread.raft.actions import (
     Action,
     ApplyEntry,
@@ -26,88 +28,127 @@
 )
 from dockthread.raft.core import RaftCore
 from dockthread.raft.messages import AppendEntries, EntryKind
-from dockthread.raft.messages import Message as LogMessage
+from dockthread.raft.messages import Message as RaftMessage
+
+RAFT_TIMING: Final = RaftTiming(election_timeout_ms=600.0, heartbeat_interval_ms=200.0)
+MAX_LOG_ENTRIES: Final = 40
+"""Applied entries before a snapshot replaces them."""
 
-TIMES: Final = RaftTiming(election_timeout_ms=600.0, heartbeat_interval_ms=200.0)
-KEEP_ENTRIES: Final = 40  # applied entries before a state takes their place
 Reply = Callable[[PublishResponse], None]
 
 
 class Voter(ServingProcess):
-    """Its disk holds the log; writes take effect at once."""
-
-    def begin(self) -> None:
-        if self.life == 1:
+    """A voter whose writes to disk take effect at once.
+
+    Attributes:
+        peers: All voters by name, this one included.
+        disk: What is on its disk.
+        core: Its member of the replicated log.
+        state_machine: Accepted resources.
+    """
+
+    peers: Mapping[str, Voter]
+    disk: PersistentState
+    core: RaftCore
+    state_machine: PublishStateMachine
+
+    def initialize(self) -> None:
+        """Begin with what is on the disk."""
+        if self.incarnation == 1:
             self.disk = PersistentState()
-        world = self.world
+        environment = self.environment
         stored = replace(self.disk, entries=list(self.disk.entries))
-        rng = random.Random(world.rng.random())
-        self.core = RaftCore(self.name, world.voter_names, stored, TIMES, rng, world.clock.now)
-        self.publishing = world.make_publishing()
+        rng = random.Random(environment.rng.random())
+        self.core = RaftCore(
+            self.name, environment.voter_names, stored, RAFT_TIMING, rng, environment.clock.now
+        )
+        self.state_machine = environment.make_state_machine()
         if stored.snapshot_index:
-            self.publishing.restore(stored.snapshot_index, stored.snapshot)
-        self.server = ServingSide(self, world.make_fanout(self, self.publishing.table))
-        self._replies: dict[str, list[Reply]] = {}
-        self._current_at: float | None = None
+            self.state_machine.restore(stored.snapshot_index, stored.snapshot)
+        fan_out = environment.make_fan_out(self.state_machine.table)
+        self.server = FanOutAdapter(self, fan_out)
+        self._replies: dict[str, list[Reply]] = {}  # by token
+        self._complete_at: float | None = None  # when the table was last known to be complete
 
     def lose_disk(self) -> None:
+        """Die, and lose the disk."""
         self.kill()
         self.disk = PersistentState()
 
     def next_timer_at(self) -> float:
-        return min(self.core.next_deadline(), self.server.fanout.next_timer_at())
+        """Return when `on_timer` is due."""
+        return min(self.core.next_deadline(), self.server.fan_out.next_timer_at())
 
     def on_timer(self) -> None:
-        now = self.world.clock.now
+        """Do what is due."""
+        now = self.environment.clock.now
         if self.core.next_deadline() <= now:
-            self._do(self.core.tick(now))
-        self._freshen()
-        if self.server.fanout.next_timer_at() <= now:
+            self._execute(self.core.tick(now))
+        self.update_table_age()
+        if self.server.fan_out.next_timer_at() <= now:
             self.server.on_timer()
 
-    def frame(self, connection: Connection, data: bytes) -> None:
-        if self.server.has(connection):
-            self._freshen()
-            self.server.frame(connection, data)
-        self.settle()
-
-    def broken(self, connection: Connection) -> None:
-        if self.server.has(connection):
-            self.server.broken(connection)
-        self.settle()
-
-    def log_message(self, life: int, message: LogMessage) -> None:
-        """From another voter."""
-        if not self.up or self.life != life:
+    def on_frame(self, connection: Connection, data: bytes) -> None:
+        """Handle a frame of a subscriber."""
+        if self.server.owns(connection):
+            self.update_table_age()
+            self.server.on_frame(connection, data)
+        self.after_event()
+
+    def on_broken(self, connection: Connection) -> None:
+        """Handle a broken connection of a subscriber."""
+        if self.server.owns(connection):
+            self.server.on_broken(connection)
+        self.after_event()
+
+    def on_raft_message(self, incarnation: int, message: RaftMessage) -> None:
+        """Handle a message of another voter, sent to this incarnation."""
+        if not self.is_up or self.incarnation != incarnation:
             return
-        if self.stalled:
-            self.world.clock.after(self.world.again, self.log_message, life, message)
+        clock = self.environment.clock
+        if self.is_stalled:
+            clock.call_later(RETRY_INTERVAL, self.on_raft_message, incarnation, message)
             return
-        self._do(self.core.step(self.world.clock.now, message))
+        self._execute(self.core.step(clock.now, message))
         if isinstance(message, AppendEntries) and message.commit_index <= self.core.applied_index:
-            self._current_at = self.world.clock.now
-        self.settle()
-
-    def publish(self, message: PublishRequest, reply: Reply) -> None:
-        """A publisher asks; only a leader takes it."""
-        refused = self.publishing.rejection_reason(message)
-        if refused:
-            reply(PublishResponse(message.token, 0, refused))
+            self._complete_at = clock.now
+        self.after_event()
+
+    def publish(self, request: PublishRequest, reply: Reply) -> None:
+        """Take a change; only a leader proposes it."""
+        token = request.token
+        reason = self.state_machine.rejection_reason(request)
+        if reason:
+            reply(PublishResponse(token, REJECTED, reason))
             return
         if self.core.role is not Role.LEADER:
-            reply(PublishResponse(message.token, OUTCOME_UNKNOWN, "another leads"))
+            reply(PublishResponse(token, OUTCOME_UNKNOWN, "another leads"))
             return
-        index, actions = self.core.propose(
-            self.world.clock.now, self.publishing.encode_proposal(message)
-        )
+        proposal = self.state_machine.encode_proposal(request)
+        index, actions = self.core.propose(self.environment.clock.now, proposal)
         if index is None:
-            reply(PublishResponse(message.token, OUTCOME_UNKNOWN, "another is to lead"))
+            reply(PublishResponse(token, OUTCOME_UNKNOWN, "another is to lead"))
         else:
-            self._replies.setdefault(message.token, []).append(reply)
-        self._do(actions)
-        self.settle()
+            self._replies.setdefault(token, []).append(reply)
+        self._execute(actions)
+        self.after_event()
+
+    def update_table_age(self) -> None:
+        """Report to the fan-out how old the table is.
+
+        A leader that has committed an entry of its term knows it to be complete while a majority
+        responds.
+        """
+        now = self.environment.clock.now
+        core = self.core
+        if core.role is Role.LEADER and core.log.term_at(core.commit_index) == core.term:
+            responding = core.responded_within(RAFT_TIMING.election_timeout_ms) | {self.name}
+            if core.has_quorum(responding):
+                self._complete_at = now
+        age = AGE_UNKNOWN if self._complete_at is None else now - self._complete_at
+        self.server.fan_out.set_table_age(now, age)
 
-    def _do(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case PersistEntries():
@@ -115,29 +156,31 @@
                 case PersistSnapshot():
                     self.disk.persist_snapshot(action)
                 case SendMessage(to, message):
-                    self.world.send_log(self, to, message)
+                    self._send(to, message)
                 case ApplyEntry(index, entry):
                     if entry.kind == EntryKind.COMMAND:
                         self._apply(index, entry.data)
                 case RestoreSnapshot(index, state):
-                    self.publishing.restore(index, state)
-        if self.core.applied_index - self.core.log.snapshot_index > KEEP_ENTRIES:
-            self._do(self.core.compact(self.core.applied_index, self.publishing.state()))
+                    self.state_machine.restore(index, state)
+        applied_index = self.core.applied_index
+        if applied_index - self.core.log.snapshot_index > MAX_LOG_ENTRIES:
+            self._execute(self.core.compact(applied_index, self.state_machine.state()))
+
+    def _send(self, to: str, message: RaftMessage) -> None:
+        receiver = self.peers[to]
+        network = self.environment.network
+        if receiver.is_up and network.can_reach(self, receiver):
+            delay = network.latency(self, receiver)
+            self.environment.clock.call_later(
+                delay, receiver.on_raft_message, receiver.incarnation, message
+            )
 
     def _apply(self, index: int, data: bytes) -> None:
-        self.publishing.apply(index, data)
-        self.world.checker.accepted(self.world.clock.now, self.publishing.table.revision)
+        self.state_machine.apply(index, data)
+        revision = self.state_machine.table.revision
+        self.environment.checker.on_accepted(self.environment.clock.now, revision)
         for token in list(self._replies):
-            answer = self.publishing.response_for(token)
-            if answer is not None:
+            response = self.state_machine.response_for(token)
+            if response is not None:
                 for reply in self._replies.pop(token):
-                    reply(answer)
-
-    def _freshen(self) -> None:
-        now, core = self.world.clock.now, self.core
-        if core.role is Role.LEADER and core.log.term_at(core.commit_index) == core.term:
-            heard = core.responded_within(TIMES.election_timeout_ms) | {self.name}
-            if core.has_quorum(heard):
-                self._current_at = now
-        age = -1.0 if self._current_at is None else now - self._current_at
-        self.server.fanout.set_table_age(now, age)
+                    reply(response)
--- a/tests/lab/test_distribution_simulated.py
+++ b/tests/lab/test_distribution_simulated.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 
 from dockthread.cli.lab import lab
-from dockthread.lab.control_plane.checker import Asked, Checker
+from dockthread.lab.control_plane.checker import Checker, RequestedChange
 from dockthread.lab.control_plane.seeded_defects import SEEDED_DEFECTS
 from dockthread.lab.control_plane.seeds import play_seed
 from dockthread.lab.seeds import play_many
@@ -44,10 +44,10 @@
 
 
 def test_the_checker_sees_a_token_with_two_outcomes_and_a_budget_that_is_passed() -> None:
-    checker = Checker(burst=1_000.0, rate=100.0, part=100.0)
-    checker.ask("t1", Asked("route", "r1", b"one", -1))
-    checker.told(1.0, "t1", 1)
-    checker.told(2.0, "t1", 2)
+    checker = Checker(burst=1_000.0, rate=100.0, chunk=100.0)
+    checker.on_request("t1", RequestedChange("route", "r1", b"one", -1))
+    checker.on_response(1.0, "t1", 1)
+    checker.on_response(2.0, "t1", 2)
     for at in range(12):
-        checker.snapshot_part(float(at), "d1", 1, 100)
-    assert [one.rule for one in checker.broken] == ["once", "budget"]
+        checker.on_snapshot_chunk(float(at), "d1", 1, 100)
+    assert [one.rule for one in checker.violations] == ["once", "budget"]
