--- a/tests/control_plane/control_rig.py
+++ b/tests/control_plane/control_rig.py
@@ -1,4 +1,4 @@
-"""Voters, distributors and ingresses as real processes on loopback; each is ended by its own id."""
+"""Voters, distributors and ingresses as real processes on loopback; each is ended by its own process id."""
 
 from __future__ import annotations
 
@@ -25,8 +25,10 @@
 from tests.loopback import LIST, raw_config
 
 KEY = b"a key of 16 bytes or more"
-VOTERS, DISTRIBUTORS, INGRESSES = ("v0", "v1", "v2"), ("d0", "d1"), ("n0", "n1")
-MOST = 20.0  # s: a generous bound on any progress
+VOTERS = ("v0", "v1", "v2")
+DISTRIBUTORS = ("d0", "d1")
+INGRESSES = ("n0", "n1")
+TIMEOUT = 20.0  # s: a generous bound on any progress
 
 
 class ControlRig:
@@ -35,7 +37,7 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self._reserved = [reserved() for _ in range(8)]
-        ports = [Address(*one.getsockname()[:2]) for one in self._reserved]
+        ports = [Address(*listener.getsockname()[:2]) for listener in self._reserved]
         self.at = dict(zip((*VOTERS, *DISTRIBUTORS), ports, strict=False))
         self._fleet = dict(zip(VOTERS, ports[5:], strict=True))
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
@@ -51,17 +53,17 @@
 
     def start(self, *names: str) -> None:
         for name in names:
-            home = self.folder / name
-            home.mkdir(exist_ok=True)
-            (home / "control.ini").write_text(self._ini(name, home))
-            environ = {**os.environ, "TMPDIR": str(home)}
-            words = ["control", "serve", "--config", str(home / "control.ini")]
+            directory = self.folder / name
+            directory.mkdir(exist_ok=True)
+            (directory / "control.ini").write_text(self._ini(name, directory))
+            environ = {**os.environ, "TMPDIR": str(directory)}
+            arguments = ["control", "serve", "--config", str(directory / "control.ini")]
             if name in INGRESSES:
-                (home / "config.json").write_text(json.dumps(raw_config(LIST, 9, name=name)))
-                environ["NODE_CONFIG"] = str(home / "config.json")
-                words = ["serve", "--config", str(home / "control.ini")]
-            with (home / "out").open("ab") as out:
-                command = [sys.executable, "-m", "dockthread", *words]
+                (directory / "config.json").write_text(json.dumps(raw_config(LIST, 9, name=name)))
+                environ["NODE_CONFIG"] = str(directory / "config.json")
+                arguments = ["serve", "--config", str(directory / "control.ini")]
+            with (directory / "out").open("ab") as out:
+                command = [sys.executable, "-m", "dockthread", *arguments]
                 self.processes[name] = subprocess.Popen(
                     command, env=environ, stdout=out, stderr=out
                 )
@@ -71,20 +73,20 @@
             *(name for name in (*VOTERS, *DISTRIBUTORS, *INGRESSES) if name not in self.processes)
         )
 
-    def _ini(self, name: str, home: Path) -> str:
+    def _ini(self, name: str, directory: Path) -> str:
         near = self.distributors if name in INGRESSES else self.voters
         servers = f"servers = {', '.join(map(str, near))}\n"
         common = f"[control]\nkey_file = {self.folder / 'key'}\nheartbeat = 200ms\n"
-        cache = f"cache = {home}\ncache_interval = 100ms\n"
+        cache = f"cache = {directory}\ncache_interval = 100ms\n"
         if name in INGRESSES:
             return f"{common}{cache}{servers}role = ingress\nregion = r1\nzone = z{name[1]}\n"
         common += f"name = {name}\nlisten = {self.at[name]}\n"
         if name in DISTRIBUTORS:
             return f"{common}{cache}{servers}role = distributor\n"
-        if not (home / "log").exists():
-            RaftStorage(home / "log", name, create=True).close()
+        if not (directory / "log").exists():
+            RaftStorage(directory / "log", name, create=True).close()
         members = ", ".join(f"{other}={at}" for other, at in self._fleet.items())
-        fleet = f"[fleet]\nlisten = {self._fleet[name]}\nmembers = {members}\ndirectory = {home / 'log'}\n"
+        fleet = f"[fleet]\nlisten = {self._fleet[name]}\nmembers = {members}\ndirectory = {directory / 'log'}\n"
         return f"{common}role = voter\n{fleet}"
 
     def signal(self, name: str, number: signal.Signals) -> None:
@@ -98,47 +100,49 @@
 
     def close(self) -> None:
         self.kill(*self.processes)
-        for one in self._reserved:
-            one.close()
+        for listener in self._reserved:
+            listener.close()
 
     def out(self, name: str) -> str:
         return (self.folder / name / "out").read_text()
 
     def command(
-        self, words: str, servers: list[Address], body: str = ""
+        self, arguments: str, servers: list[Address], body: str = ""
     ) -> subprocess.CompletedProcess[str]:
-        """`dockthread control WORDS`, to its end."""
+        """Run `dockthread control ARGUMENTS` to its end."""
         at = ["--servers", ",".join(map(str, servers)), "--key-file", str(self.folder / "key")]
-        command = [sys.executable, "-m", "dockthread", "control", *words.split(), *at]
-        return subprocess.run(command, input=body, capture_output=True, text=True, timeout=MOST)
+        command = [sys.executable, "-m", "dockthread", "control", *arguments.split(), *at]
+        return subprocess.run(command, input=body, capture_output=True, text=True, timeout=TIMEOUT)
 
     def publish(self, kind: str, name: str, body: Any) -> PublishResponse:
-        """Raises AssertionError where it is not accepted."""
+        """Publish a resource, which has to be accepted."""
         data = None if body is None else json.dumps(body).encode()
-        answer = asyncio.run(
-            admin_client.publish(self.voters, admin_client.new_request(kind, name, data), KEY, MOST)
+        response = asyncio.run(
+            admin_client.publish(
+                self.voters, admin_client.new_request(kind, name, data), KEY, TIMEOUT
+            )
         )
-        assert answer.revision > 0, answer
-        return answer
+        assert response.revision > 0, response
+        return response
 
     def status(self, name: str) -> StatusResponse | None:
-        """None where it does not answer."""
+        """Return a server's status; None where it does not respond."""
         try:
-            answer = asyncio.run(
+            response = asyncio.run(
                 admin_client.send_request(self.at[name], StatusRequest(), KEY, 0.5)
             )
         except admin_client.NoResponseError:
             return None
-        assert isinstance(answer, StatusResponse)
-        return answer
+        assert isinstance(response, StatusResponse)
+        return response
 
-    def standing(self) -> dict[str, SubscriberStatus]:
-        """Of the ingresses that are connected, by all distributors that answer."""
-        told = [found for name in DISTRIBUTORS if (found := self.status(name)) is not None]
-        return {one.name: one for found in told for one in found.subscribers if one.connected}
+    def connected_subscribers(self) -> dict[str, SubscriberStatus]:
+        """Return the connected ingresses, by all distributors that respond."""
+        statuses = [found for name in DISTRIBUTORS if (found := self.status(name)) is not None]
+        return {one.name: one for found in statuses for one in found.subscribers if one.connected}
 
     def server_of(self, ingress: str) -> str:
-        """The distributor that an ingress receives from; empty for none."""
+        """Return the distributor that an ingress receives from; empty for none."""
         for name in DISTRIBUTORS:
             found = self.status(name) if name in self.processes else None
             if found is not None and any(
@@ -147,11 +151,11 @@
                 return name
         return ""
 
-    def in_force(self, revision: int) -> Callable[[], bool]:
-        """Whether every ingress has told that it has come so far."""
+    def has_applied(self, revision: int) -> Callable[[], bool]:
+        """Whether every ingress has statuses that it has come so far."""
 
         def reached() -> bool:
-            found = self.standing()
+            found = self.connected_subscribers()
             return len(found) == len(INGRESSES) and all(
                 one.revision >= revision for one in found.values()
             )
--- /dev/null
+++ b/tests/control_plane/local_server.py
@@ -0,0 +1,35 @@
+"""A control-plane server on loopback, for the tests of the control plane."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+from dockthread.clock import Clock
+from dockthread.config.platform_settings import Address
+from dockthread.control_plane.fanout import FanOutLimits
+from dockthread.control_plane.resource_table import ResourceTable
+from dockthread.control_plane.server import ControlPlaneServer, ServerSettings, TableSource
+from tests.loopback import run
+
+BUFFER = 16 << 10  # bytes that may wait in a connection
+CHUNK = 64 << 10  # bytes of resources in one frame
+
+
+def run_server(
+    scenario: Callable[[ControlPlaneServer, Address], Coroutine[Any, Any, None]],
+    connections: int = 4,
+) -> None:
+    """Run a scenario with a server that accepts so many connections."""
+
+    async def serve() -> None:
+        limits = FanOutLimits(chunk_bytes=CHUNK)
+        settings = ServerSettings("d", "distributor", connections, BUFFER, limits)
+        source = TableSource(ResourceTable("e"), lambda: 0.0)
+        server = ControlPlaneServer(settings, source, Clock(), random.Random(1))
+        at = await server.open(Address("127.0.0.1", 0))
+        await scenario(server, at)
+        await server.close()
+
+    run(serve())
--- a/tests/control_plane/test_control_options.py
+++ b/tests/control_plane/test_control_options.py
@@ -1,4 +1,4 @@
-"""The section `[control]`: what is refused, with file, section, key, fault and what would do."""
+"""The section `[control]`: what is rejected, with file, section, key, fault and what would do."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 VOTER = "role = voter\nname = v1\nlisten = 127.0.0.1:7000\n"
 FLEET = "[fleet]\nlisten = 127.0.0.1:1\nmembers = v1=127.0.0.1:1\ndirectory = /tmp\n"
 
-BAD = [
+FAULTY = [
     ("role = leader", "role: 'leader' is not one of ingress, distributor, voter"),
     ("servers = 127.0.0.1:7001", "role: is missing; write one of ingress, distributor, voter"),
     ("role = ingress", "servers: is missing; name those from which this ingress receives"),
@@ -57,20 +57,21 @@
 ]
 
 
-@pytest.mark.parametrize(("text", "said"), BAD)
-def test_a_bad_section_is_refused_with_its_reason(text: str, said: str) -> None:
+@pytest.mark.parametrize(("text", "reason"), FAULTY)
+def test_faulty_section_is_rejected_with_its_reason(text: str, reason: str) -> None:
     problems = read_text(f"[control]\n{text}\n", "my.ini").problems
-    assert any(str(p).startswith("my.ini: [control] ") and said in str(p) for p in problems), (
-        problems
-    )
+    assert any(
+        str(problem).startswith("my.ini: [control] ") and reason in str(problem)
+        for problem in problems
+    ), problems
 
 
 @pytest.mark.parametrize("text", ["", "[control]\n" + DISTRIBUTOR, "[control]\n" + VOTER + FLEET])
-def test_a_good_one_has_no_problem(text: str) -> None:
+def test_valid_section_has_no_problem(text: str) -> None:
     assert read_text(text, "my.ini").problems == []
 
 
-def test_it_is_off_where_it_is_absent() -> None:
+def test_no_other_module_is_loaded_where_the_section_is_absent() -> None:
     assert read_text("", "my.ini").one("control") == ControlOptions(role=None)
     code = "import sys, dockthread.daemon, dockthread.config.section_registry as s; s.read_text('', 'f')\n"
     code += "print([m for m in sys.modules if m.startswith('dockthread.control_plane.')])"
@@ -82,7 +83,7 @@
     )
 
 
-def test_a_key_is_refused_with_its_file_and_length(tmp_path: Path) -> None:
+def test_key_file_is_rejected_with_its_path_and_length(tmp_path: Path) -> None:
     (tmp_path / "key").write_bytes(b"short\n")
     with pytest.raises(ValueError, match="key holds 5 bytes; 16 to 64 would do"):
         read_key(str(tmp_path / "key"))
--- a/tests/control_plane/test_distribution_processes.py
+++ b/tests/control_plane/test_control_processes.py
@@ -15,13 +15,20 @@
 from dockthread.control_plane.messages import Acknowledge, PublishRequest, Update, codec
 from dockthread.control_plane.server import MAX_REQUEST_BYTES
 from dockthread.framing import FRAME_HEADER
-from tests.control_plane.control_rig import DISTRIBUTORS, INGRESSES, KEY, MOST, VOTERS, ControlRig
-
-
-def until(what: Callable[[], Any]) -> Any:
-    end = time.monotonic() + MOST
-    while not (found := what()):
-        assert time.monotonic() < end, "it has not come to that"
+from tests.control_plane.control_rig import (
+    DISTRIBUTORS,
+    INGRESSES,
+    KEY,
+    TIMEOUT,
+    VOTERS,
+    ControlRig,
+)
+
+
+def until(condition: Callable[[], Any]) -> Any:
+    end = time.monotonic() + TIMEOUT
+    while not (found := condition()):
+        assert time.monotonic() < end, "the condition was not met in time"
         time.sleep(0.02)
     return found
 
@@ -40,42 +47,45 @@
     """All processes there, and all ingresses with a new change in force."""
     running.start_missing()
     revision = running.publish("route", "first", {"firm": "1", "attempts": 2}).revision
-    until(running.in_force(revision))
+    until(running.has_applied(revision))
     return running
 
 
 @pytest.fixture
 def discovery() -> Iterator[socket.socket]:
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        listener.settimeout(MOST)
+        listener.settimeout(TIMEOUT)
         yield listener
 
 
-def moved_to(rig: ControlRig, discovery: socket.socket) -> int:
-    """Publishes where discovery lies; returns once each ingress has called it there."""
+def publish_discovery(rig: ControlRig, discovery: socket.socket) -> int:
+    """Publish discovery's address, and return once each ingress has connected to it."""
     at = f"127.0.0.1:{discovery.getsockname()[1]}"
     revision = rig.publish("address", "discovery", {"address": at}).revision
-    called(discovery, len(INGRESSES))
+    accept_calls(discovery, len(INGRESSES))
     return revision
 
 
-def called(discovery: socket.socket, times: int) -> None:
+def accept_calls(discovery: socket.socket, times: int) -> None:
     for _ in range(times):
         discovery.accept()[0].close()
 
 
-def test_a_change_published_by_command_is_in_force_everywhere_and_shown(rig: ControlRig) -> None:
+def test_change_published_by_command_is_applied_everywhere_and_shown(rig: ControlRig) -> None:
     done = rig.command("publish route a --body -", rig.voters, '{"firm": "b4d6", "timeout": "1s"}')
     assert done.returncode == 0 and done.stdout.startswith("route a: revision "), done
     revision = int(done.stdout.split()[-1])
-    until(rig.in_force(revision))
+    until(rig.has_applied(revision))
     until(
         lambda: all(
-            (s := rig.status(name)) and s.revision == revision for name in VOTERS + DISTRIBUTORS
+            (status := rig.status(name)) and status.revision == revision
+            for name in VOTERS + DISTRIBUTORS
         )
     )
     done = until(
-        lambda: (d := rig.command("status", rig.voters + rig.distributors)).returncode == 0 and d
+        lambda: (
+            (done := rig.command("status", rig.voters + rig.distributors)).returncode == 0 and done
+        )
     )
     assert "r1 z0: in force at 1 of 1\nr1 z1: in force at 1 of 1\n" in done.stdout
     done = rig.command("show route a", rig.distributors)
@@ -88,72 +98,72 @@
     )
 
 
-def test_a_bad_change_is_refused_with_its_reason_and_the_last_good_one_stays(
+def test_invalid_change_is_rejected_with_its_reason_and_the_last_good_one_stays(
     rig: ControlRig,
 ) -> None:
     good = rig.publish("route", "b", {"class": "status", "firm": "2", "timeout": "1s"}).revision
     bad = rig.publish("route", "b", {"class": "status", "firm": "2", "timeout": "5s"}).revision
-    until(rig.in_force(bad))
-    for one in rig.standing().values():
+    until(rig.has_applied(bad))
+    for one in rig.connected_subscribers().values():
         (rejection,) = one.rejected
         assert (rejection.name, rejection.revision, one.rejections) == ("b", bad, 1) and bad > good
         assert "5s outlasts the client's deadline for status, 4s" in rejection.reason
     done = rig.command("status", rig.distributors)
     assert done.returncode == 1 and "n0: refuses 1\n  route b of revision " in done.stdout
-    until(rig.in_force(rig.publish("route", "b", None).revision))
-    assert not any(one.rejections for one in rig.standing().values())
+    until(rig.has_applied(rig.publish("route", "b", None).revision))
+    assert not any(one.rejections for one in rig.connected_subscribers().values())
 
 
-def test_a_killed_distributor_costs_no_change_and_a_missing_one_is_named(rig: ControlRig) -> None:
+def test_killed_distributor_loses_no_change_and_is_named_by_status(rig: ControlRig) -> None:
     server = rig.server_of("n0")
     rig.kill(server)
-    until(rig.in_force(rig.publish("route", "c", {"firm": "3"}).revision))
+    until(rig.has_applied(rig.publish("route", "c", {"firm": "3"}).revision))
     done = rig.command("status", rig.distributors)
     assert done.returncode == 1 and f"not reached: {rig.at[server]}: " in done.stdout
 
 
-def test_a_distributor_stopped_while_it_sends_is_left_for_the_other(rig: ControlRig) -> None:
+def test_distributor_stopped_while_it_sends_is_left_for_the_other(rig: ControlRig) -> None:
     server = rig.server_of("n0")
-    body = {"firm": [f"{n:x}" for n in range(1000, 9000)]}  # 48 KB
+    body = {"firm": [f"{number:x}" for number in range(1000, 9000)]}  # 48 KB
     rig.publish("route", "large", body)
     rig.signal(server, signal.SIGSTOP)
     try:
         revision = rig.publish("route", "large", {**body, "attempts": 2}).revision
-        until(rig.in_force(revision))
+        until(rig.has_applied(revision))
         assert rig.server_of("n0") != server
     finally:
         rig.signal(server, signal.SIGCONT)
-    until(lambda: (s := rig.status(server)) and s.revision == revision)
+    until(lambda: (status := rig.status(server)) and status.revision == revision)
     rig.publish("route", "large", None)
 
 
-def test_with_all_distributors_lost_what_was_in_force_stays_and_they_catch_up(
+def test_applied_resources_stay_while_all_distributors_are_lost(
     rig: ControlRig, discovery: socket.socket
 ) -> None:
-    moved_to(rig, discovery)
+    publish_discovery(rig, discovery)
     rig.kill(*DISTRIBUTORS)
     revision = rig.publish("route", "d", {"firm": "4"}).revision
     assert rig.processes["n0"].poll() is None and rig.processes["n1"].poll() is None
     rig.start(*DISTRIBUTORS)
-    until(rig.in_force(revision))
+    until(rig.has_applied(revision))
 
 
-def test_an_ingress_starts_from_its_cache_with_every_server_down(
+def test_ingress_starts_from_its_cache_while_every_server_is_down(
     rig: ControlRig, discovery: socket.socket
 ) -> None:
-    revision = moved_to(rig, discovery)
-    until(rig.in_force(revision))
+    revision = publish_discovery(rig, discovery)
+    until(rig.has_applied(revision))
     rig.signal("n0", signal.SIGTERM)
-    assert rig.processes.pop("n0").wait(MOST) == 0
+    assert rig.processes.pop("n0").wait(TIMEOUT) == 0
     rig.kill("n1", *VOTERS, *DISTRIBUTORS)
     from_cache = rig.out("n0").count("from the cache")
     rig.start("n0")
     until(lambda: rig.out("n0").count("from the cache") > from_cache)
     discovery.setblocking(False)
-    with suppress(BlockingIOError):  # what the life before it left there
-        called(discovery, 1000)
-    discovery.settimeout(MOST)
-    called(discovery, 1)  # its own configuration names another address
+    with suppress(BlockingIOError):  # connections of the process before
+        accept_calls(discovery, 1000)
+    discovery.settimeout(TIMEOUT)
+    accept_calls(discovery, 1)  # its own configuration names another address
     rig.kill("n0")
     cache = rig.folder / "n0" / "n0.cache"
     data = bytearray(cache.read_bytes())
@@ -162,17 +172,17 @@
     rig.start("n0")
     until(lambda: rig.out("n0").count(f"{cache} is dropped: it has a wrong sum at byte ") == 1)
     rig.start_missing()
-    until(rig.in_force(revision))
+    until(rig.has_applied(revision))
 
 
-def frame(size: int, version: int = 1) -> bytes:
+def frame_head(size: int, version: int = 1) -> bytes:
     return FRAME_HEADER.pack(size, version, bytes(16))
 
 
 MALFORMED = {
     "no frame": b"GET / HTTP/1.1\r\nHost: control\r\n\r\n",
-    "too large": frame(MAX_REQUEST_BYTES + 1),
-    "another version": frame(3, 9) + b"abc",
+    "too large": frame_head(MAX_REQUEST_BYTES + 1),
+    "another version": frame_head(3, 9) + b"abc",
     "another key": codec.pack(PublishRequest("t", "route", "x", b"{}"), b"another key of 16 bytes"),
     "no message": codec.pack(PublishRequest("t", "route", "x", b"{}"), KEY)[:-1] + b"\x00",
     "of a server": codec.pack(Update("e", 1, ()), KEY),
@@ -180,11 +190,11 @@
 }
 
 
-@pytest.mark.parametrize("what", MALFORMED)
-def test_malformed_bytes_end_that_connection_alone(rig: ControlRig, what: str) -> None:
+@pytest.mark.parametrize("malformed", MALFORMED)
+def test_malformed_bytes_close_that_connection_alone(rig: ControlRig, malformed: str) -> None:
     for name in ("v0", "d0"):
-        with socket.create_connection((rig.at[name].host, rig.at[name].port), MOST) as one:
-            one.sendall(MALFORMED[what])
+        with socket.create_connection((rig.at[name].host, rig.at[name].port), TIMEOUT) as one:
+            one.sendall(MALFORMED[malformed])
             with suppress(ConnectionResetError):
                 assert one.recv(1) == b""
-    until(rig.in_force(rig.publish("route", "e", {"firm": "5"}).revision))
+    until(rig.has_applied(rig.publish("route", "e", {"firm": "5"}).revision))
--- /dev/null
+++ b/tests/control_plane/test_ingress_reload.py
@@ -0,0 +1,96 @@
+"""A reload of an ingress: its settings and file, and what was published."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from dockthread.config.platform_settings import Address, read_config
+from dockthread.config.section_registry import load
+from dockthread.control_plane.messages import Resource
+from dockthread.control_plane.server import ControlPlaneServer
+from dockthread.daemon import Daemon
+from dockthread.routes.bounds import Facts
+from tests.control_plane.local_server import run_server
+from tests.loopback import LIST, SETTINGS, raw_config, run, until
+
+
+def test_one_reload_brings_a_class_and_a_route_that_names_it(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    path, file = tmp_path / "config.json", tmp_path / "my.ini"
+    path.write_text(json.dumps(raw_config(LIST, 9)))
+    file.write_text("[route a]\nclass = status\n")
+    monkeypatch.setenv("NODE_CONFIG", str(path))
+    monkeypatch.setenv("TMPDIR", str(tmp_path))
+
+    async def scenario() -> None:
+        config = read_config({"NODE_CONFIG": str(path)})
+        daemon = Daemon(config, str(file), load(str(file), config.module, config.names))
+        new = {**SETTINGS["Classes"][0], "Name": "renew"}
+        path.write_text(
+            json.dumps(
+                raw_config(LIST, 9, settings={**SETTINGS, "Classes": [new, *SETTINGS["Classes"]]})
+            )
+        )
+        file.write_text("[route b]\nclass = renew\nattempts = 2\n")
+        daemon.reload()
+        await until(lambda: daemon.applied)
+        table = daemon._routes.table if daemon._routes is not None else None
+        number = daemon.ingress.config.names.classes.index("renew")
+        found = table.find(Facts(number, 0, False, 1, 1, False)) if table is not None else None
+        assert found is not None and found.rules.name == "b"
+
+    run(scenario())
+
+
+def test_published_routes_are_validated_again_by_the_settings_of_a_reload(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    path, file = tmp_path / "config.json", tmp_path / "my.ini"
+    monkeypatch.setenv("NODE_CONFIG", str(path))
+    monkeypatch.setenv("TMPDIR", str(tmp_path))
+    status, checkout = SETTINGS["Classes"]
+    renew = {**status, "Name": "renew"}
+
+    def configure(*classes: dict[str, Any]) -> None:
+        path.write_text(json.dumps(raw_config(LIST, 9, settings={**SETTINGS, "Classes": classes})))
+
+    async def scenario(server: ControlPlaneServer, at: Address) -> None:
+        configure(status, checkout)
+        file.write_text(
+            f"[route status twice]\nclass = status\n[control]\nrole = ingress\nservers = {at}\n"
+        )
+        for name, route_class in (("status twice", "status"), ("renew twice", "renew")):
+            body = json.dumps({"class": route_class, "copies": "yes"}).encode()
+            server.table.put(Resource("route", name, server.table.revision + 1, body))
+        config = read_config({"NODE_CONFIG": str(path)})
+        daemon = Daemon(config, str(file), load(str(file), config.module, config.names))
+        daemon._receive()
+        controlled, layers = daemon._controlled, daemon._routes
+        assert controlled is not None and layers is not None
+        subscriber = controlled.client.subscriber
+        await until(lambda: [one.name for one in subscriber.rejections] == ["renew twice"])
+        assert set(layers.published) == {"status twice"}
+
+        configure({**status, "Effect": "side_effect"}, checkout, renew)
+        daemon.reload()
+        await until(lambda: [one.name for one in subscriber.rejections] == ["status twice"])
+        assert set(layers.published) == {"renew twice"}, (
+            "a request that must not run twice is not hedged any more"
+        )
+        assert "would run a request twice" in subscriber.rejections[0].reason
+        names = daemon.ingress.config.names.classes
+        found = layers.table.find(Facts(names.index("status"), 0, False, 1, 1, False))
+        assert found is not None and not found.rules.copies, "the file's route holds in its place"
+        await until(
+            lambda: (
+                [one.name for one in server.status().subscribers[0].rejected] == ["status twice"]
+            )
+        )
+        await controlled.close()
+
+    run_server(scenario)
--- /dev/null
+++ b/tests/control_plane/test_snapshot_cache.py
@@ -0,0 +1,71 @@
+"""The file in which a subscriber keeps its last table."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import pytest
+from loguru import logger
+
+from dockthread.control_plane.messages import Resource
+from dockthread.control_plane.resource_table import ResourceTable
+from dockthread.control_plane.snapshot_cache import (
+    CorruptCacheError,
+    SnapshotCache,
+    read_snapshot,
+)
+from tests.control_plane.cache_files import write_cache
+from tests.loopback import run, until
+
+
+def test_bytes_behind_the_last_commit_are_ignored(tmp_path: Path) -> None:
+    table = write_cache(tmp_path, ["a", "b", "a"])
+    path = tmp_path / "n0.cache"
+    data = path.read_bytes()
+    for cut in range(1, 40):  # the last commit, at least in part
+        path.write_bytes(data[:-cut])
+        found = read_snapshot(path, "n0")
+        assert found is not None and found.table.revision == table.revision - 1
+        assert {resource.name for resource in found.table.live()} == {"a", "b"}
+    path.write_bytes(data)
+    found = read_snapshot(path, "n0")
+    assert found is not None and (found.table.revision, found.table.digest) == (3, table.digest)
+
+
+def test_any_other_damage_is_reported(tmp_path: Path) -> None:
+    write_cache(tmp_path, ["a", "b"])
+    path = tmp_path / "n0.cache"
+    data = path.read_bytes()
+    for at in range(len(data) // 2):
+        path.write_bytes(data[:at] + bytes([data[at] ^ 0x40]) + data[at + 1 :])
+        with pytest.raises(CorruptCacheError):
+            read_snapshot(path, "n0")
+    path.write_bytes(data)
+    with pytest.raises(CorruptCacheError, match="is not that of n1"):
+        read_snapshot(path, "n1")
+
+
+def test_directory_that_cannot_be_written_is_logged_once_and_written_later(
+    tmp_path: Path,
+) -> None:
+    lines: list[str] = []
+    sink = logger.add(lambda line: lines.append(str(line)), level="WARNING")
+    table, folder = ResourceTable("e"), tmp_path / "cache"
+    folder.write_text("in the way")
+
+    async def scenario() -> None:
+        cache = SnapshotCache(folder, "n0", 0.0)
+        for number in (1, 2, 3):
+            if number == 3:
+                folder.unlink()
+            resource = Resource("route", f"r{number}", number, b"x")
+            table.put(resource)
+            cache.save(table, [resource], ())
+            await until(lambda: cache._timer is None and cache._writing is None)
+        await cache.close()
+
+    run(scenario())
+    logger.remove(sink)
+    found = read_snapshot(folder / "n0.cache", "n0")
+    assert len(lines) == 1 and "cannot be written" in lines[0]
+    assert found is not None and found.table.digest == table.digest and len(found.table) == 3
--- a/tests/lab/test_distribution_simulated.py
+++ b/tests/lab/test_control_plane_simulation.py
@@ -1,6 +1,4 @@
-"""Whole distributions in simulated time: seeds of faults that break no rule, and planted bugs that
-are found.
-"""
+"""The control plane in simulated time: no rule is violated, and seeded defects are found."""
 
 from __future__ import annotations
 
@@ -15,27 +13,28 @@
 from dockthread.lab.control_plane.seeds import play_seed
 from dockthread.lab.seeds import play_many
 
-SEEDS_OF_A_PLANT = range(0, 4)
+SEEDS_OF_A_DEFECT = range(0, 4)
 
 
 @pytest.mark.parametrize(("scenario", "seeds"), [("drawn", range(0, 8)), ("single", range(0, 2))])
-def test_no_seed_breaks_a_rule(scenario: str, seeds: range) -> None:
+def test_no_seed_violates_a_rule(scenario: str, seeds: range) -> None:
     chunks = list(play_many(play_seed, scenario, seeds, 1))
     assert sum(chunk.played for chunk in chunks) == len(seeds)
     assert [found for chunk in chunks for found in chunk.found] == []
 
 
-@pytest.mark.parametrize("plant", SEEDED_DEFECTS)
-def test_a_planted_bug_is_found(plant: str) -> None:
+@pytest.mark.parametrize("defect", SEEDED_DEFECTS)
+def test_seeded_defect_is_found(defect: str) -> None:
     assert any(
-        play_seed(SEEDED_DEFECTS[plant].scenario, seed, plant).broken for seed in SEEDS_OF_A_PLANT
+        play_seed(SEEDED_DEFECTS[defect].scenario, seed, defect).broken
+        for seed in SEEDS_OF_A_DEFECT
     )
 
 
-def test_a_seed_gives_the_same_record_each_time_and_the_command_shows_it() -> None:
-    told = CliRunner().invoke(lab, ["distribution", "replay", "3", "--json"])
-    assert told.exit_code == 0
-    assert tuple(json.loads(told.output)["record"]) == play_seed("drawn", 3).record
+def test_replay_command_shows_the_same_record_for_a_seed_each_time() -> None:
+    replayed = CliRunner().invoke(lab, ["distribution", "replay", "3", "--json"])
+    assert replayed.exit_code == 0
+    assert tuple(json.loads(replayed.output)["record"]) == play_seed("drawn", 3).record
     found = CliRunner().invoke(
         lab, ["distribution", "seeds", "--seeds", "3..3", "--plant", "older-applied", "--json"]
     )
@@ -43,7 +42,7 @@
     assert CliRunner().invoke(lab, ["distribution", "seeds", "--plant", "nothing"]).exit_code == 2
 
 
-def test_the_checker_sees_a_token_with_two_outcomes_and_a_budget_that_is_passed() -> None:
+def test_checker_reports_two_outcomes_of_a_token_and_an_exceeded_budget() -> None:
     checker = Checker(burst=1_000.0, rate=100.0, chunk=100.0)
     checker.on_request("t1", RequestedChange("route", "r1", b"one", -1))
     checker.on_response(1.0, "t1", 1)
