--- a/dockthread/control_plane/__init__.py
+++ b/dockthread/control_plane/__init__.py
@@ -15,6 +15,6 @@
   ``applied_resources``: receive from one server at a time.
 
 Modules that do I/O: ``stream``, ``server``, ``client``, ``admin_client``, ``snapshot_cache``,
-``voter``, ``distributor``, ``ingress`` and ``process``. None but ``messages`` and ``options`` is
+``cache_file``, ``voter``, ``distributor``, ``ingress`` and ``process``. None but ``messages`` and ``options`` is
 loaded unless the operator's file has a section ``[control]``.
 """
--- a/dockthread/control_plane/batch_applier.py
+++ b/dockthread/control_plane/batch_applier.py
@@ -15,9 +15,10 @@
 
 from loguru import logger
 
+from dockthread.control_plane.cache_file import CachedSnapshot
 from dockthread.control_plane.messages import Rejection, Resource
 from dockthread.control_plane.resource_table import ResourceTable
-from dockthread.control_plane.snapshot_cache import CachedSnapshot, SnapshotCache
+from dockthread.control_plane.snapshot_cache import SnapshotCache
 from dockthread.control_plane.subscriber_actions import ResourcesChanged
 
 RESTORE_SLICE: Final = 1024
--- a/dockthread/control_plane/distributor.py
+++ b/dockthread/control_plane/distributor.py
@@ -15,11 +15,8 @@
 )
 from dockthread.control_plane.messages import Rejection, Resource
 from dockthread.control_plane.options import ControlOptions
-from dockthread.control_plane.server import (
-    ControlPlaneServer,
-    TableSource,
-    server_settings_from_options,
-)
+from dockthread.control_plane.server import ControlPlaneServer, TableSource
+from dockthread.control_plane.server_settings import server_settings_from_options
 from dockthread.framing import MessageCounts
 
 SLICE_RESOURCES: Final = 4096
--- a/dockthread/control_plane/process.py
+++ b/dockthread/control_plane/process.py
@@ -18,7 +18,7 @@
 from dockthread.config.section_registry import load
 from dockthread.control_plane.distributor import Distributor
 from dockthread.control_plane.options import ControlOptions
-from dockthread.control_plane.server import server_settings_from_options
+from dockthread.control_plane.server_settings import server_settings_from_options
 from dockthread.control_plane.voter import Voter
 from dockthread.logs.setup import set_up
 from dockthread.raft.options import FleetOptions
--- a/dockthread/control_plane/server.py
+++ b/dockthread/control_plane/server.py
@@ -12,7 +12,7 @@
 import asyncio
 import random
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from typing import Any, Final, Protocol
 
 import msgspec
@@ -20,7 +20,7 @@
 
 from dockthread.clock import Clock
 from dockthread.config.platform_settings import Address
-from dockthread.control_plane.fanout import FanOut, FanOutLimits, UnexpectedMessageError
+from dockthread.control_plane.fanout import FanOut, UnexpectedMessageError
 from dockthread.control_plane.listing import lookup_resources
 from dockthread.control_plane.messages import (
     MAX_MESSAGE_BYTES,
@@ -35,9 +35,9 @@
     Subscribe,
     codec,
 )
-from dockthread.control_plane.options import ControlOptions
 from dockthread.control_plane.publish_state_machine import OUTCOME_UNKNOWN
 from dockthread.control_plane.resource_table import ResourceTable
+from dockthread.control_plane.server_settings import ServerSettings
 from dockthread.control_plane.stream import FrameStream
 from dockthread.framing import MessageCounts
 
@@ -55,10 +55,6 @@
 """Time in s between two runs of the timer."""
 MALFORMED_LOG_INTERVAL: Final = 60_000.0
 """Time in ms between two log lines about malformed bytes."""
-REQUEST_CONNECTIONS: Final = 32
-"""Connections of publishers and operators, besides those of subscribers."""
-SNAPSHOT_BURST_SECONDS: Final = 2
-"""The burst of snapshots, in seconds of their rate."""
 MS_PER_SECOND: Final = 1_000.0
 
 
@@ -69,50 +65,6 @@
         """Have the voters agree on a change and return the outcome."""
 
 
-@dataclass(frozen=True, slots=True)
-class ServerSettings:
-    """Settings of a server.
-
-    Attributes:
-        name: Name of the server, unique among all.
-        role: `voter` or `distributor`.
-        connections: Connections accepted at once.
-        write_buffer: Bytes that may wait in one transport before its next frame is made.
-        fan_out: Limits of the fan-out to subscribers.
-        key: Key that tags all messages; empty for none.
-    """
-
-    name: str
-    role: str
-    connections: int = 512
-    write_buffer: int = 64 << 10
-    fan_out: FanOutLimits = field(default_factory=FanOutLimits)
-    key: bytes = b""
-
-
-def server_settings_from_options(options: ControlOptions) -> ServerSettings:
-    """Return the settings that the section `[control]` gives.
-
-    Raises:
-        KeyFileError: The file of the shared key cannot be read or has a wrong length.
-    """
-    rate = float(options.snapshot_rate)
-    fan_out = FanOutLimits(
-        options.max_connections,
-        snapshot_rate=rate,
-        snapshot_burst=SNAPSHOT_BURST_SECONDS * rate,
-        heartbeat_interval=float(options.heartbeat),
-    )
-    return ServerSettings(
-        options.name,
-        options.role or "",
-        options.max_connections + REQUEST_CONNECTIONS,
-        options.write_buffer,
-        fan_out,
-        options.key(),
-    )
-
-
 @dataclass(frozen=True, slots=True)
 class TableSource:
     """The table that a server serves.
--- a/dockthread/control_plane/voter.py
+++ b/dockthread/control_plane/voter.py
@@ -20,7 +20,8 @@
     PublishStateMachine,
 )
 from dockthread.control_plane.resource_schemas import VALIDATORS
-from dockthread.control_plane.server import ControlPlaneServer, ServerSettings, TableSource
+from dockthread.control_plane.server import ControlPlaneServer, TableSource
+from dockthread.control_plane.server_settings import ServerSettings
 from dockthread.framing import MessageCounts
 from dockthread.raft.options import FleetOptions
 from dockthread.raft.server import RaftServer
--- a/tests/byte_cases.py
+++ b/tests/byte_cases.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from dockthread.control_plane import messages, publish_state_machine, snapshot_cache
+from dockthread.control_plane import cache_file, messages, publish_state_machine
 from dockthread.framing import FRAME_HEADER
 from dockthread.maintenance.commands import INGRESS, Command, Request, Tick, Zone
 from dockthread.maintenance.participant import Seen, View
@@ -87,7 +87,7 @@
 
 RAFT_STREAM: Final = _raft_stream(KEY)
 DISTRIBUTION_STREAM: Final = _distribution_stream(KEY)
-CACHE_RECORD: Final = _record(snapshot_cache.CacheRecord)
+CACHE_RECORD: Final = _record(cache_file.CacheRecord)
 MAINTENANCE_COMMAND: Final = ByteCodec(msgspec.msgpack.encode, Order.read)
 MAINTENANCE_STATE: Final = ByteCodec(_encode_maintenance_state, _decode_maintenance_state)
 GOSSIP: Final = ByteCodec(_encode_gossip, lambda data: gossip.unpack(data, PLANS))
@@ -427,24 +427,22 @@
         ),
         _record(publish_state_machine.State),
     ),
-    Case(
-        "distribution.cache.head", snapshot_cache.CacheHeader(version=1, name="in-1"), CACHE_RECORD
-    ),
+    Case("distribution.cache.head", cache_file.CacheHeader(version=1, name="in-1"), CACHE_RECORD),
     Case(
         "distribution.cache.part",
-        snapshot_cache.CacheChunk(resources=(ROUTE, DELETED)),
+        cache_file.CacheChunk(resources=(ROUTE, DELETED)),
         CACHE_RECORD,
     ),
     Case(
         "distribution.cache.commit",
-        snapshot_cache.CacheCommit(
+        cache_file.CacheCommit(
             epoch="e1", revision=42, horizon=39, digest=DIGEST, last_good=(ROUTE,)
         ),
         CACHE_RECORD,
     ),
     Case(
         "distribution.cache.commit.defaults",
-        snapshot_cache.CacheCommit(epoch="e1", revision=42, horizon=39, digest=DIGEST),
+        cache_file.CacheCommit(epoch="e1", revision=42, horizon=39, digest=DIGEST),
         CACHE_RECORD,
     ),
 )
--- a/tests/control_plane/local_server.py
+++ b/tests/control_plane/local_server.py
@@ -10,7 +10,8 @@
 from dockthread.config.platform_settings import Address
 from dockthread.control_plane.fanout import FanOutLimits
 from dockthread.control_plane.resource_table import ResourceTable
-from dockthread.control_plane.server import ControlPlaneServer, ServerSettings, TableSource
+from dockthread.control_plane.server import ControlPlaneServer, TableSource
+from dockthread.control_plane.server_settings import ServerSettings
 from tests.loopback import run
 
 BUFFER = 16 << 10  # bytes that may wait in a connection
--- a/tests/control_plane/test_snapshot_cache.py
+++ b/tests/control_plane/test_snapshot_cache.py
@@ -7,13 +7,10 @@
 import pytest
 from loguru import logger
 
+from dockthread.control_plane.cache_file import CorruptCacheError, read_snapshot
 from dockthread.control_plane.messages import Resource
 from dockthread.control_plane.resource_table import ResourceTable
-from dockthread.control_plane.snapshot_cache import (
-    CorruptCacheError,
-    SnapshotCache,
-    read_snapshot,
-)
+from dockthread.control_plane.snapshot_cache import SnapshotCache
 from tests.control_plane.cache_files import write_cache
 from tests.loopback import run, until
 
--- a/tests/test_byte_compatibility.py
+++ b/tests/test_byte_compatibility.py
@@ -26,7 +26,7 @@
 from dockthread.config.ini_reader import Section
 from dockthread.config.platform_settings import Address
 from dockthread.config.quantities import Duration, Share
-from dockthread.control_plane import messages, snapshot_cache
+from dockthread.control_plane import cache_file, messages, snapshot_cache
 from dockthread.control_plane.encoded import EncodedFrameCache
 from dockthread.control_plane.publish_state_machine import PublishStateMachine
 from dockthread.control_plane.resource_schemas import VALIDATORS, parse_address, parse_route
@@ -55,7 +55,7 @@
 UNIONS: Final = (
     (raft_messages.Frame, byte_cases.RAFT_STREAM),
     (messages.Message, byte_cases.DISTRIBUTION_STREAM),
-    (snapshot_cache.CacheRecord, byte_cases.CACHE_RECORD),
+    (cache_file.CacheRecord, byte_cases.CACHE_RECORD),
 )
 
 
@@ -357,7 +357,7 @@
     assert path == tmp_path / "in%2F1%20a.cache"
     assert path.read_bytes() == WRITTEN["distribution.cache.file"]
     path.write_bytes(WRITTEN["distribution.cache.file"])
-    found = snapshot_cache.read_snapshot(path, "in/1 a")
+    found = cache_file.read_snapshot(path, "in/1 a")
     table = resource_table()
     table.put(
         messages.Resource(kind="address", name="counter", revision=26, body=b'{"address": "h:1"}')
@@ -366,7 +366,7 @@
     assert (held(found.table), found.last_good) == (held(table), ())
     first_commit = WRITTEN["distribution.cache.file.first-state"]
     path.write_bytes(first_commit)
-    found = snapshot_cache.read_snapshot(path, "in/1 a")
+    found = cache_file.read_snapshot(path, "in/1 a")
     assert found is not None
     kept = (messages.Resource(kind="route", name="r0", revision=10, body=b"{}"),)
     assert (held(found.table), found.last_good) == (held(resource_table()), kept)
