--- a/dockthread/cli/control.py
+++ b/dockthread/cli/control.py
@@ -15,7 +15,7 @@
 
 import click
 
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.control_plane import admin_client
 from dockthread.control_plane.messages import MAX_BODY_BYTES, Resource, SubscriberStatus
 from dockthread.control_plane.options import read_key
@@ -73,10 +73,10 @@
 
     Exit codes: 0 ended as told, 1 cannot listen, 2 a bad configuration.
     """
-    from dockthread.config.section_registry import where
+    from dockthread.config.section_registry import operator_file_path
     from dockthread.control_plane.process import serve as run
 
-    path = where(os.environ, file or ctx.find_root().obj)
+    path = operator_file_path(os.environ, file or ctx.find_root().obj)
     if path is None:
         raise click.UsageError("name the operator's file: --config FILE, or DOCKTHREAD_CONFIG")
     ctx.exit(run(path))
--- a/dockthread/cli/lab.py
+++ b/dockthread/cli/lab.py
@@ -10,15 +10,17 @@
 
 import click
 
-from dockthread import api
 from dockthread.cli.lab_distribution import distribution
 from dockthread.cli.lab_fleet import fleet
 from dockthread.cli.lab_scale import scale
-from dockthread.config.platform_settings import Address, SettingsError, read_for_check
+from dockthread.config.address import Address
+from dockthread.config.platform_settings import read_policy_settings_file
+from dockthread.errors import SettingsError
 from dockthread.lab.arrivals import Mix, read_trace, shape, weights, write_trace
 from dockthread.lab.load import Target
 from dockthread.lab.outcome import OUTCOMES, Outcome
 from dockthread.lab.processes import Plan, send, send_from_processes
+from dockthread.policy import Effect
 from dockthread.telemetry.options import host_port
 
 BAD_RUN, VOID = 1, 2
@@ -157,10 +159,10 @@
     """
     deadlines, writes = dict(deadline), frozenset(filter(None, write.split(",")))
     if settings:
-        told, names = read_for_check(settings)
+        told, names = read_policy_settings_file(settings)
         pairs = list(zip(names.classes, told.classes, strict=True))
         deadlines = {name: one.deadline for name, one in pairs}
-        writes = frozenset(name for name, one in pairs if one.effect is not api.Effect.SAFE)
+        writes = frozenset(name for name, one in pairs if one.effect is not Effect.SAFE)
     mix = Mix(classes, plans, firms, skew, units, gateways)
     plan = Plan(
         Target(where.host, where.port, deadlines, writes, connections), seed, rate, mix, trace
--- a/dockthread/cli/work.py
+++ b/dockthread/cli/work.py
@@ -142,19 +142,21 @@
     """Offline: in what order the machines of FILE would go, and why each waits. A line: MACHINE
     ZONE [URGENCY].
     """
-    from dockthread.maintenance.plan import read, rounds
+    from dockthread.maintenance.plan import plan_rounds, read_plan
 
     try:
-        planned = rounds(read(file.read_text(), str(file)), most_out)
+        planned = plan_rounds(read_plan(file.read_text(), str(file)), most_out)
     except (ValueError, OSError) as error:
         click.echo(str(error), err=True)
         sys.exit(1)
     if as_json:
-        click.echo(json.dumps([{"goes": r.goes, "waits": dict(r.waits)} for r in planned]))
+        click.echo(
+            json.dumps([{"goes": one.granted, "waits": dict(one.waiting)} for one in planned])
+        )
         return
     for number, one in enumerate(planned, 1):
-        click.echo(f"{number}. {', '.join(one.goes)}")
-        for name, why in one.waits:
+        click.echo(f"{number}. {', '.join(one.granted)}")
+        for name, why in one.waiting:
             click.echo(f"   {name} waits: {why}")
 
 
--- a/dockthread/control_plane/admin_client.py
+++ b/dockthread/control_plane/admin_client.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.control_plane.messages import (
     LookupRequest,
     LookupResponse,
--- a/dockthread/control_plane/client.py
+++ b/dockthread/control_plane/client.py
@@ -19,7 +19,7 @@
 from loguru import logger
 
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.control_plane.batch_applier import BatchApplier, ResourceApplier
 from dockthread.control_plane.messages import (
     MAX_MESSAGE_BYTES,
--- a/dockthread/control_plane/distributor.py
+++ b/dockthread/control_plane/distributor.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.control_plane.client import (
     ControlPlaneClient,
     cache_from_options,
--- a/dockthread/control_plane/ingress.py
+++ b/dockthread/control_plane/ingress.py
@@ -10,7 +10,8 @@
 
 from loguru import logger
 
-from dockthread.config.platform_settings import Address, Config
+from dockthread.config.address import Address
+from dockthread.config.ingress_config import IngressConfig
 from dockthread.control_plane.batch_applier import ResourceKey, key_of
 from dockthread.control_plane.client import (
     ControlPlaneClient,
@@ -72,7 +73,7 @@
         """Stop receiving, and write the cache."""
         await self.client.close()
 
-    def with_published_addresses(self, config: Config) -> Config:
+    def with_published_addresses(self, config: IngressConfig) -> IngressConfig:
         """Return a configuration that was read again, with the published addresses."""
         self._configured = config
         return replace(
@@ -166,9 +167,9 @@
         return ""
 
     def _use_addresses(self) -> None:
-        """Point the ingress to its addresses, as `Ingress.reconfigure` does on SIGHUP."""
+        """Point the ingress to its addresses, as `Ingress.reload` does on SIGHUP."""
         ingress = self._ingress
         config = self.with_published_addresses(self._configured)
         ingress.config = replace(ingress.config, discovery=config.discovery, counter=config.counter)
-        ingress.watch.move(config.discovery)
-        ingress.counter.move(config.counter)
+        ingress.watch.change_address(config.discovery)
+        ingress.counter.change_address(config.counter)
--- a/dockthread/control_plane/resource_schemas.py
+++ b/dockthread/control_plane/resource_schemas.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from dockthread.config.ini_reader import Problem, convert
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
+from dockthread.config.ini_reader import ConfigProblem, parse_value
 from dockthread.control_plane.publish_state_machine import Validator
 from dockthread.routes.options import RouteOptions
 from dockthread.telemetry.options import host_port
@@ -63,13 +63,13 @@
         field = _ROUTE_FIELDS[key]
         text = _ini_text(value)
         try:
-            values[field.name] = convert(text, field.type)
+            values[field.name] = parse_value(text, field.type)
         except (ValueError, msgspec.ValidationError) as error:
             shown = text[:SHOWN_VALUE_CHARACTERS]
             raise InvalidResourceError(f"{key}: {shown!r} {error}") from error
     route = RouteOptions(**values)
-    for key, wrong, would_do in route.faults():
-        problem = Problem("", "", key, wrong, would_do)
+    for found in route.problems():
+        problem = ConfigProblem("", "", found.key, found.reason, found.remedy)
         raise InvalidResourceError(str(problem).removeprefix(": "))
     return route
 
--- a/dockthread/control_plane/voter.py
+++ b/dockthread/control_plane/voter.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.control_plane.messages import PublishRequest, PublishResponse
 from dockthread.control_plane.publish_state_machine import (
     OUTCOME_UNKNOWN,
--- a/dockthread/lab/raft/seeds.py
+++ b/dockthread/lab/raft/seeds.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from dockthread.lab.maintenance.simulation import TurnsWorld
+from dockthread.lab.maintenance.simulation import MaintenanceSimulation
 from dockthread.lab.raft.faults import NETWORK_FAULTS, Fault
 from dockthread.lab.raft.simulation import RaftSimulation
 from dockthread.lab.seeds import PlayedSeed
@@ -56,14 +56,20 @@
     "work-agreement-crashes": Scenario("three voters killed at writes and votes", 3, CRASH_FAULTS),
     "work-agreement-moves": Scenario("voters replaced while members die", 3, MEMBERSHIP_FAULTS),
     "work-turns": Scenario(
-        "turns of work, a random part of all faults a seed", 3, None, TurnsWorld
+        "turns of work, a random part of all faults a seed", 3, None, MaintenanceSimulation
     ),
-    "work-turns-five": Scenario("turns of work with five members", 5, None, TurnsWorld),
+    "work-turns-five": Scenario("turns of work with five members", 5, None, MaintenanceSimulation),
     "work-turns-links": Scenario(
-        "turns of work over links that lose, delay and double", 3, LINK_FAULTS, TurnsWorld
+        "turns of work over links that lose, delay and double",
+        3,
+        LINK_FAULTS,
+        MaintenanceSimulation,
     ),
     "work-turns-crashes": Scenario(
-        "turns of work while members die and stall", 3, (*CRASH_FAULTS, "fail"), TurnsWorld
+        "turns of work while members die and stall",
+        3,
+        (*CRASH_FAULTS, "fail"),
+        MaintenanceSimulation,
     ),
 }
 
--- a/dockthread/lab/scale/hollow.py
+++ b/dockthread/lab/scale/hollow.py
@@ -14,19 +14,27 @@
 from typing import Any, Final, cast
 
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Address, Config, Names
+from dockthread.config.address import Address
+from dockthread.config.ingress_config import IngressConfig, Names
 from dockthread.control_plane.ingress import IngressResourceApplier
 from dockthread.lab.scale.control import ControlWitness, options_of
 from dockthread.lab.scale.planted_bugs import alteration, control_alteration
 from dockthread.lab.scale.witness import Row, Witness, table
-from dockthread.net.discovery_watch import Watch
-from dockthread.net.endpoint_list import DestinationSet
-from dockthread.net.ingress import HOUSEKEEPING, Ingress
-from dockthread.net.policy_host import Decider
-from dockthread.net.quota_counter import Counter
+from dockthread.net.discovery_watch import DiscoveryWatch
+from dockthread.net.endpoint_list import EndpointList
+from dockthread.net.ingress import MAINTENANCE_INTERVAL_MS, Ingress
+from dockthread.net.policy_host import PolicyHost
+from dockthread.net.quota_counter import QuotaCounterClient
 from dockthread.net.timers import Timers
-from dockthread.policy import api
-from dockthread.policy.engine import Gateway
+from dockthread.policy import (
+    EndpointListKind,
+    EndpointsListed,
+    PolicyEngine,
+    PolicySettings,
+    PollEndpoints,
+    SetTimer,
+    TimerFired,
+)
 from dockthread.routes.layers import Layers
 from dockthread.routes.table import Table
 
@@ -37,21 +45,21 @@
 Alteration = Callable[[Any], Any]
 
 
-class AlteredSet(DestinationSet):
+class AlteredSet(EndpointList):
     """A destination set with a planted bug before it."""
 
     alter: Alteration | None = None
 
-    def apply(self, message: Any, cached: bool = False) -> api.WorkersListed:
+    def apply(self, message: Any, cached: bool = False) -> EndpointsListed:
         """Take over a list, altered first."""
         if self.alter is not None and (message := self.alter(message)) is None:
-            return api.WorkersListed(api.ListKind.CHANGES, ())
+            return EndpointsListed(EndpointListKind.CHANGES, ())
         return super().apply(message, cached)
 
-    def parts(self, message: Any) -> Iterator[api.WorkersListed]:
+    def apply_in_parts(self, message: Any) -> Iterator[EndpointsListed]:
         """Take over a list in parts, altered first."""
         if self.alter is None or (message := self.alter(message)) is not None:
-            yield from super().parts(message)
+            yield from super().apply_in_parts(message)
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +68,7 @@
     with a cut.
     """
 
-    settings: api.Settings
+    settings: PolicySettings
     names: Names
     discovery: tuple[Address, Address]
     servers: tuple[Sequence[str], Sequence[str]] = ((), ())  # of configuration; empty for none
@@ -82,29 +90,35 @@
     ) -> None:
         self.witness, self._control_witness, number = witness, control, witness.number
         self.clock, self._plant = Clock(), plant
-        module = replace(shared.settings, number=number, zone=number % len(shared.names.zones))
-        self.gateway = Gateway(module, number + 1, self.clock.now() / 1000.0)
-        self._decider = Decider(self.gateway, self.clock, lambda request: None)
-        self._timers = Timers(self.clock, module.tick * 1000.0)
-        self.destinations = DestinationSet(shared.names, self.clock)
+        module = replace(
+            shared.settings, ingress_number=number, zone=number % len(shared.names.zones)
+        )
+        self.gateway = PolicyEngine(module, number + 1, self.clock.now() / 1000.0)
+        self._policy_host = PolicyHost(self.gateway, self.clock, lambda request: None)
+        self._timers = Timers(self.clock, module.clock_tick * 1000.0)
+        self.destinations = EndpointList(shared.names, self.clock)
         if (alter := alteration(plant)) is not None:
             self.destinations = AlteredSet(shared.names, self.clock)
             self.destinations.alter = alter
         discovery = shared.discovery[cut]
-        self.watch = Watch(
+        self.watch = DiscoveryWatch(
             discovery, self.destinations, self.clock, self._listed, module, number + 1
         )
-        self._decider.carry_out = {
-            api.SetTimer: self._set_timer,
-            api.AskForList: lambda action: None,
+        self._policy_host.action_handlers = {
+            SetTimer: self._set_timer,
+            PollEndpoints: lambda action: None,
         }
         self._watching: asyncio.Task[None] | None = None
         self._stopped = False
-        self.config = Config(
+        self.config = IngressConfig(
             f"n{number}", NOWHERE, discovery, number + 1, 1024, EMPTY, module, shared.names
         )
-        self.counter = Counter(
-            None, self.clock, self._decider.tell, self._timers.at, timeout=COUNTER_TIMEOUT
+        self.counter = QuotaCounterClient(
+            None,
+            self.clock,
+            self._policy_host.dispatch,
+            self._timers.call_at,
+            timeout=COUNTER_TIMEOUT,
         )
         self.layers = Layers(Table(shared.names, module.zone, number + 1), module, shared.names)
         self._controlled: IngressResourceApplier | None = None
@@ -117,7 +131,7 @@
         if self._controlled is not None and self._control_witness is not None:
             self._controlled.open()
             self._control_witness.observe(self._controlled, control_alteration(self._plant))
-        self.watch.begin(EMPTY, self._timers.at)
+        self.watch.start(EMPTY, self._timers.call_at)
         self._housekeeping()
         self._watching = asyncio.get_running_loop().create_task(self.watch.run())
 
@@ -140,20 +154,20 @@
         """The backends that it holds, for the checker."""
         return table(self.gateway, self.destinations)
 
-    def _listed(self, listed: api.WorkersListed) -> None:
-        self._decider.tell(listed)
+    def _listed(self, listed: EndpointsListed) -> None:
+        self._policy_host.dispatch(listed)
         self.witness.heard(self.destinations.revision, self.gateway, listed)
 
     def _housekeeping(self) -> None:
         if self._stopped:
             return
-        self._timers.at(self.clock.now() + HOUSEKEEPING, self._housekeeping)
-        self.destinations.tidy()
-        self.watch.check()
+        self._timers.call_at(self.clock.now() + MAINTENANCE_INTERVAL_MS, self._housekeeping)
+        self.destinations.forget_expired()
+        self.watch.enforce_timeouts()
 
-    def _set_timer(self, action: api.SetTimer) -> None:
-        self._timers.at(action.at * 1000.0, self._fired, action.token)
+    def _set_timer(self, action: SetTimer) -> None:
+        self._timers.call_at(action.at * 1000.0, self._fired, action.token)
 
     def _fired(self, token: int) -> None:
         if not self._stopped:
-            self._decider.tell(api.TimerFired(token))
+            self._policy_host.dispatch(TimerFired(token))
--- a/dockthread/lab/scale/server.py
+++ b/dockthread/lab/scale/server.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from dockthread.clock import Clock
-from dockthread.config.section_registry import load
+from dockthread.config.section_registry import load_operator_file
 from dockthread.control_plane.distributor import Distributor
 from dockthread.control_plane.server_settings import server_settings_from_options
 from dockthread.control_plane.voter import Voter
@@ -26,14 +26,14 @@
 
     async def begin(self, told: Words) -> Words:
         """Start, by the run's first words."""
-        read = load(told["file"])
-        options = read.one("control")
+        read = load_operator_file(told["file"])
+        options = read.section("control")
         rng = random.Random(secrets.randbits(64))
         part: Any
         if options.role == "distributor":
             part = Distributor(options, Clock(), rng)
         else:
-            part = Voter(server_settings_from_options(options), read.one("fleet"), Clock(), rng)
+            part = Voter(server_settings_from_options(options), read.section("fleet"), Clock(), rng)
         self._part = part
         self._port = (await part.open(options.listen_address())).port
         self._watching = asyncio.get_running_loop().create_task(self._lateness.watch())
--- a/dockthread/net/gossip_transport.py
+++ b/dockthread/net/gossip_transport.py
@@ -19,22 +19,22 @@
 
 from loguru import logger
 
-from dockthread.config.platform_settings import PeerAddresses
+from dockthread.config.ingress_config import PeerAddresses
 from dockthread.observer import Traffic
-from dockthread.policy.api import PeerSaid, Tell
-from dockthread.policy.gossip_codec import MOST_BYTES
+from dockthread.policy import GossipReceived, SendGossip
+from dockthread.policy.gossip_codec import MAX_MESSAGE_BYTES
 
-TURN = 64  # datagrams read in one turn of the loop
+MAX_DATAGRAMS_PER_TURN = 64  # datagrams read in one turn of the loop
 
 
-class Peers:
+class GossipTransport:
     """`told` gets each message of another ingress."""
 
     def __init__(
         self,
         addresses: PeerAddresses | None,
         number: int,
-        told: Callable[[PeerSaid], None],
+        told: Callable[[GossipReceived], None],
         traffic: Traffic,
     ) -> None:
         self._addresses, self._told, self._traffic = addresses, told, traffic
@@ -61,13 +61,13 @@
             return
         asyncio.get_running_loop().add_reader(self._sock.fileno(), self._read)
 
-    def tell(self, message: Tell) -> None:
+    def send(self, message: SendGossip) -> None:
         """Send to one, or by the address for all where there is one. What cannot go now is lost, as
         any may be.
         """
-        if self._sock is None or self._addresses is None or len(message.data) > MOST_BYTES:
+        if self._sock is None or self._addresses is None or len(message.data) > MAX_MESSAGE_BYTES:
             return
-        peers, everyone = self._addresses.peers, self._addresses.everyone
+        peers, everyone = self._addresses.peers, self._addresses.broadcast
         if message.peer is None:
             to = [everyone] if everyone is not None else [peers[n] for n in self._numbers.values()]
         else:
@@ -75,7 +75,7 @@
         for address in to:
             try:
                 self._sock.sendto(message.data, (address.host, address.port))
-                self._traffic.messages_out += 1
+                self._traffic.gossip_sent += 1
             except OSError as error:
                 logger.debug("a message to {} was not sent: {}", address, error)
 
@@ -88,19 +88,19 @@
             self._sock = None
 
     def _read(self) -> None:
-        for _ in range(TURN):
+        for _ in range(MAX_DATAGRAMS_PER_TURN):
             if self._sock is None:
                 return
             try:
-                data, sender = self._sock.recvfrom(MOST_BYTES + 1)
+                data, sender = self._sock.recvfrom(MAX_MESSAGE_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError as error:  # an earlier message found nobody
                 logger.debug("a message was not delivered: {}", error)
                 continue
             number = self._numbers.get((sender[0], sender[1]))
-            if number is None or len(data) > MOST_BYTES:
-                self._traffic.messages_odd += 1
+            if number is None or len(data) > MAX_MESSAGE_BYTES:
+                self._traffic.gossip_rejected += 1
                 continue
-            self._traffic.messages_in += 1
-            self._told(PeerSaid(number, data))
+            self._traffic.gossip_received += 1
+            self._told(GossipReceived(number, data))
--- a/dockthread/net/resp.py
+++ b/dockthread/net/resp.py
@@ -13,8 +13,8 @@
 
 import hiredis
 
-from dockthread import api
-from dockthread.config.platform_settings import Names
+from dockthread.config.ingress_config import Names
+from dockthread.policy import Effect, Outcome, RequestClass
 
 INCOMPLETE = object()  # what a reader gives while its next message is not whole
 MOST_VALUE = 64 * 1024  # bytes of a value, by the protocol
@@ -28,9 +28,9 @@
 PONG, OK, BUSY = b"+PONG\r\n", b"+OK\r\n", b"-BUSY\r\n"
 NOT_READY = b"-LOADING not ready to serve\r\n"
 FAILED = b"-ERR failed\r\n"
-BAD_FRAMING = b"-ERR Protocol error\r\n"
-TOO_SLOW = b"-ERR Protocol error: half a command\r\n"
-TOO_MANY = b"-ERR too many commands at once\r\n"
+PROTOCOL_ERROR = b"-ERR Protocol error\r\n"
+COMMAND_TIMEOUT = b"-ERR Protocol error: half a command\r\n"
+TOO_MANY_COMMANDS = b"-ERR too many commands at once\r\n"
 
 # A load report names its fields as the site does, the settings as the simulator's wire does.
 LOAD_WORDS = {
@@ -51,17 +51,17 @@
 ERROR_LINE = re.compile(rb"-[ -~]+\r\n")
 
 
-def reader() -> hiredis.Reader:
+def new_parser() -> hiredis.Reader:
     """A parser that tells what is not whole yet from null."""
     return hiredis.Reader(notEnoughData=INCOMPLETE)
 
 
-class Bounds:
+class FramingGuard:
     """Reads the headers of what is about to be fed to a reader, and lets none through that would
     have it allocate for a length that nobody means, or wait for an end that never comes.
     """
 
-    __slots__ = ("_bare", "_errors", "_least", "_left", "_line", "_parts", "_value", "broken")
+    __slots__ = ("_bare", "_errors", "_least", "_left", "_line", "_parts", "_value", "is_broken")
 
     def __init__(
         self, parts: range, null: bool = False, errors: bool = False, bare: bool = False
@@ -72,18 +72,18 @@
         self._left = 0  # parts of the present array that are still to come
         self._value = -1  # bytes of the present part that are; -1 between parts
         self._line = b""
-        self.broken = False
+        self.is_broken = False
 
     @property
-    def between(self) -> bool:
+    def is_between_messages(self) -> bool:
         """Whether the last message is whole and none has begun."""
         return not (self._left or self._line or self._value >= 0)
 
-    def sound(self, data: bytes) -> int:
+    def count_safe_bytes(self, data: bytes) -> int:
         """How many of these bytes may be fed; fewer than all, and nothing more ever, once it is
         `broken`.
         """
-        at, end = self._whole(data) if self.between else 0, len(data)
+        at, end = self._whole(data) if self.is_between_messages else 0, len(data)
         while at < end:
             if self._value > 0:
                 step = min(self._value, end - at)
@@ -93,7 +93,7 @@
             stop = data.find(b"\n", at) + 1
             line = self._line + data[at : stop or end]
             if not self._may_be(line, bool(stop)):
-                self.broken = True
+                self.is_broken = True
                 return at
             self._line = b"" if stop else line
             at = stop or end
@@ -151,74 +151,78 @@
         return self._least <= size <= MOST_VALUE
 
 
-def command_bounds() -> Bounds:
+def command_guard() -> FramingGuard:
     """Of clients' commands."""
-    return Bounds(range(1, MOST_PARTS + 1))
+    return FramingGuard(range(1, MOST_PARTS + 1))
 
 
-def reply_bounds() -> Bounds:
+def reply_guard() -> FramingGuard:
     """Of backends' replies."""
-    return Bounds(range(3, 4), null=True, errors=True)
+    return FramingGuard(range(3, 4), null=True, errors=True)
 
 
-def total_bounds() -> Bounds:
+def counter_reply_guard() -> FramingGuard:
     """Of the counter's replies."""
-    return Bounds(range(0), errors=True, bare=True)
+    return FramingGuard(range(0), errors=True, bare=True)
 
 
-class BadCommand(Exception):
+class CommandError(Exception):
     """A command that is whole but says nothing that can be served; the text is for the client."""
 
 
 @dataclass(slots=True)
-class Ask:
+class RequestCommand:
     """A request as its client worded it, ready to be worded again for a backend."""
 
-    args: list[bytes]
-    head: bytes  # of the terms, up to the figure of `d`
-    rest: bytes  # of the terms, from behind it
+    arguments: list[bytes]
+    terms_before_deadline: bytes  # of the terms, up to the figure of `d`
+    terms_after_deadline: bytes  # of the terms, from behind it
     request_class: int
     plan: int
     customer: int
-    time_left: float
+    time_left_ms: float
     units: float
     spread: int
     first: int
-    retry: bool = False  # the client marked it as one
+    is_retry: bool = False  # the client marked it as one
 
     @property
     def wire_id(self) -> bytes:
         """The request's id, as the client wrote it."""
-        return self.args[2]
+        return self.arguments[2]
 
     @property
     def body_bytes(self) -> int:
         """Bytes of the body."""
-        return sum(map(len, self.args[4:]))
+        return sum(map(len, self.arguments[4:]))
 
-    def onward(self, time_left: float) -> bytes:
+    def encode_for_backend(self, time_left: float) -> bytes:
         """The command for a backend. Only `d` may differ from the client's wording: in any other
         form a backend answers -SYNTAX.
         """
-        verb, customer, wire_id, _, *body = self.args
-        terms = b"%b%d%b" % (self.head, max(1, int(time_left)), self.rest)
-        return command(verb, customer, wire_id, terms, *body)
+        verb, customer, wire_id, _, *body = self.arguments
+        terms = b"%b%d%b" % (
+            self.terms_before_deadline,
+            max(1, int(time_left)),
+            self.terms_after_deadline,
+        )
+        return encode_command(verb, customer, wire_id, terms, *body)
 
 
-def command(*args: bytes) -> bytes:
+def encode_command(*args: bytes) -> bytes:
     """A command as an array of bulk strings."""
     parts = [b"*%d\r\n" % len(args)]
     parts += [b"$%d\r\n%b\r\n" % (len(arg), arg) for arg in args]
     return b"".join(parts)
 
 
-class Vocabulary:
+class RequestParser:
     """Reads requests by the names that the settings give to classes and plans."""
 
     def __init__(
         self,
         names: Names,
-        classes: tuple[api.RequestClass, ...],
+        classes: tuple[RequestClass, ...],
         gateways: int,
         most_units: int,
         offered: frozenset[str] | None = None,
@@ -230,29 +234,29 @@
             if offered is None or name in offered
         }
         self._plans = {name.encode(): number for number, name in enumerate(names.plans)}
-        safe = [c.effect is api.Effect.SAFE for c in classes]
+        safe = [c.effect is Effect.SAFE for c in classes]
         self._verbs = [b"API.READ" if s else b"API.WRITE" for s in safe]
         self._gateways, self._most_units = gateways, most_units
 
-    def ask(self, args: list[bytes]) -> Ask:
+    def parse(self, args: list[bytes]) -> RequestCommand:
         """A command's request. Raises BadCommand."""
         if len(args) not in (4, 5):
-            raise BadCommand("wrong number of arguments")
+            raise CommandError("wrong number of arguments")
         if not HEX.fullmatch(args[1]) or not HEX.fullmatch(args[2]):
-            raise BadCommand("a customer or an id is not 16 hex digits")
+            raise CommandError("a customer or an id is not 16 hex digits")
         customer, text = int(args[1], 16), args[3]
         pairs = text.split(b",")
         try:
             terms = dict(pair.split(b"=", 1) for pair in pairs)
             number, plan, time = self._classes[terms[b"c"]], self._plans[terms[b"t"]], terms[b"d"]
         except KeyError as error:
-            raise BadCommand("a term is missing, or names an unknown class or plan") from error
+            raise CommandError("a term is missing, or names an unknown class or plan") from error
         except ValueError as error:
-            raise BadCommand("a term cannot be read") from error
+            raise CommandError("a term cannot be read") from error
         if len(terms) < len(pairs):
-            raise BadCommand("a term stands twice")
+            raise CommandError("a term stands twice")
         if args[0].upper() != self._verbs[number]:
-            raise BadCommand("this class goes by the other command")
+            raise CommandError("this class goes by the other command")
         units, spread = self._whole(terms, b"units", b"1"), self._whole(terms, b"spread", b"1")
         first, left = (
             self._whole(terms, b"first", b"0"),
@@ -265,75 +269,79 @@
             and first < self._gateways
             and customer < LARGEST_KEY
         ):
-            raise BadCommand("a figure is out of range")
+            raise CommandError("a figure is out of range")
         at = 2 if text.startswith(b"d=") else text.index(b",d=") + 3
         end = text.find(b",", at)
         rest = text[end:] if end >= 0 else b""
         again = terms.get(b"r") == b"1"
-        return Ask(args, text[:at], rest, number, plan, customer, left, units, spread, first, again)
+        return RequestCommand(
+            args, text[:at], rest, number, plan, customer, left, units, spread, first, again
+        )
 
     @staticmethod
     def _whole(terms: dict[bytes, bytes], name: bytes, default: bytes) -> int:
         if not WHOLE.fullmatch(text := terms.get(name, default)):
-            raise BadCommand("a figure is not a whole number")
+            raise CommandError("a figure is not a whole number")
         return int(text)
 
 
-def busy(retry_after: float) -> bytes:
+def encode_busy(retry_after: float) -> bytes:
     """A fail-fast: `retry_after` in milliseconds, 0 for no advice."""
     return b"-BUSY %d\r\n" % round(retry_after) if retry_after >= 0.5 else BUSY
 
 
-def error(text: str) -> bytes:
+def encode_error(text: str) -> bytes:
     """An error line."""
     return b"-ERR %b\r\n" % text.encode()
 
 
-def served(value: bytes) -> bytes:
+def encode_value(value: bytes) -> bytes:
     """The answer that hands a value to the client."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
 @dataclass(slots=True)
-class Reply:
+class BackendReply:
     """What a backend said of one outbound call."""
 
-    outcome: api.Outcome
+    outcome: Outcome
     value: bytes = b""
-    used: float | None = None
+    utilization: float | None = None
     cost: float = 0.0
-    load: tuple[float, ...] = ()
-    known: bool = True  # its form is the protocol's, so the connection may carry another call
+    load_report: tuple[float, ...] = ()
+    is_well_formed: bool = (
+        True  # its form is the protocol's, so the connection may carry another call
+    )
 
 
-class ReplyReader:
+class ReplyParser:
     """Understands backends' replies; load reports are given in the order that the module knows."""
 
     def __init__(self, load_names: tuple[str, ...]) -> None:
         self._load = [LOAD_WORDS.get(name, name).encode() for name in load_names]
         self._wire = [name.encode() for name in load_names]
 
-    def reply(self, message: Any) -> Reply:
+    def parse(self, message: Any) -> BackendReply:
         """What a whole reply says."""
         if isinstance(message, list) and len(message) == 3 and type(message[0]) is bytes:
             value, use, load = message
             if len(value) <= MOST_VALUE and all(n is None or type(n) is bytes for n in (use, load)):
-                reply = Reply(api.Outcome.OK, value)
+                reply = BackendReply(Outcome.OK, value)
                 for note in (use, load):
                     if note:
                         self._note(reply, note)
                 return reply
         if isinstance(message, hiredis.ReplyError):
             kind, *notes = str(message).split(" ")
-            reply = Reply(api.Outcome.FULL if kind == "BUSY" else api.Outcome.ERROR)
-            reply.known = kind == "BUSY" or (kind == "ERR" and notes[:1] == ["failed"])
+            reply = BackendReply(Outcome.AT_CAPACITY if kind == "BUSY" else Outcome.ERROR)
+            reply.is_well_formed = kind == "BUSY" or (kind == "ERR" and notes[:1] == ["failed"])
             for note in notes:
                 self._note(reply, note.encode())
             return reply
         # nothing that a backend says of a request it served
-        return Reply(api.Outcome.ERROR, known=False)
+        return BackendReply(Outcome.ERROR, is_well_formed=False)
 
-    def _note(self, reply: Reply, text: bytes) -> None:
+    def _note(self, reply: BackendReply, text: bytes) -> None:
         """Figures on use, or a load report. What cannot be read, or cannot be true, is passed over:
         one nan would stay in every smoothed figure for good.
         """
@@ -346,31 +354,31 @@
         if not all(isfinite(figure) and 0 <= figure < MOST_FIGURE for figure in fields.values()):
             return
         if b"used" in fields:
-            reply.used = fields[b"used"] / 100.0
+            reply.utilization = fields[b"used"] / 100.0
         reply.cost = fields.get(b"cost", reply.cost)
         load = [
             fields.get(name, fields.get(wire))
             for name, wire in zip(self._load, self._wire, strict=True)
         ]
         if load and None not in load:
-            reply.load = tuple(figure for figure in load if figure is not None)
+            reply.load_report = tuple(figure for figure in load if figure is not None)
 
 
-def count(name: int, amount: float, life: float) -> bytes:
+def encode_counter_addition(name: int, amount: float, life: float) -> bytes:
     """A call to the counter; `life` in milliseconds."""
-    return command(b"CNT.ADD", b"%x" % name, b"%.6g" % amount, b"%d" % max(1, round(life)))
+    return encode_command(b"CNT.ADD", b"%x" % name, b"%.6g" % amount, b"%d" % max(1, round(life)))
 
 
-def counted(message: Any) -> tuple[api.Outcome, float]:
+def parse_counter_reply(message: Any) -> tuple[Outcome, float]:
     """What the counter says of a call, and the total. What cannot be read was added all the
     same.
     """
     if isinstance(message, hiredis.ReplyError):
         kind = str(message).split(" ")[0]
-        known = {"BUSY": api.Outcome.FULL, "ERR": api.Outcome.NOT_SENT}
-        return known.get(kind, api.Outcome.ERROR), 0.0
+        known = {"BUSY": Outcome.AT_CAPACITY, "ERR": Outcome.NOT_SENT}
+        return known.get(kind, Outcome.ERROR), 0.0
     try:
         total = float(message) if type(message) is bytes and NUMBER.fullmatch(message) else nan
     except ValueError:
         total = nan
-    return (api.Outcome.OK, total) if isfinite(total) else (api.Outcome.ERROR, 0.0)
+    return (Outcome.OK, total) if isfinite(total) else (Outcome.ERROR, 0.0)
--- a/dockthread/policy/state.py
+++ b/dockthread/policy/state.py
@@ -9,11 +9,21 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from dockthread.policy import api
-from dockthread.policy.backend_pool import Pool
-from dockthread.policy.gossip_codec import Report, whole, worker_code
-from dockthread.policy.latency_estimates import KindStats, Pace
-from dockthread.policy.token_bucket import QuotaStore
+from dockthread.policy.actions import Action, SetTimer
+from dockthread.policy.backend_pool import BackendPool
+from dockthread.policy.events import RequestArrived, TimerFired
+from dockthread.policy.gossip_codec import CustomerReport, backend_code, encode_units
+from dockthread.policy.latency_estimates import KindEstimates, RelativeLatency
+from dockthread.policy.model import (
+    IDLE_CLOSE_FRACTION,
+    BackendState,
+    Endpoint,
+    Outcome,
+    Plan,
+    PolicySettings,
+    RequestClass,
+)
+from dockthread.policy.token_bucket import QuotaBucket
 
 NEVER = -1e9  # a time long ago
 DOUBLE = 8  # bytes of a figure that is kept packed
@@ -35,15 +45,15 @@
     out: bool = True
     late: bool = False
     may_have_run: bool = True
-    outcome: api.Outcome | None = None
+    outcome: Outcome | None = None
 
 
 @dataclass(slots=True)
 class Call:
     """One request that is not finished."""
 
-    ask: api.RequestArrived
-    rules: api.RequestClass
+    ask: RequestArrived
+    rules: RequestClass
     deadline: float
     attempts: list[Attempt] = field(default_factory=list)
     timed: bool = False  # its deadline has a timer
@@ -63,19 +73,21 @@
         "others", "others_mean", "out", "place", "pool", "ready", "report_at", "spare", "spare_at",
     )  # fmt: skip
 
-    def __init__(self, entry: api.WorkerEntry, kind: KindStats, pool: Pool) -> None:
+    def __init__(self, entry: Endpoint, kind: KindEstimates, pool: BackendPool) -> None:
         self.kind = kind  # what is known of its kind
         self.pool, self.place = pool, -1
         self.entry, self.ready, self.out = entry, False, 0  # attempts out, late ones too
         self.gone = inf  # since when it is not listed
         self._report = b""
         self._clear()
-        self.fresh = bool(entry.started)  # it started not long ago: empty, until it says otherwise
+        self.fresh = bool(
+            entry.started_at
+        )  # it started not long ago: empty, until it says otherwise
 
     def _clear(self) -> None:
         self._failed, self.answered, self.full_for = 0.0, NEVER, 0.0
         self.full_until = NOT_FULL  # by plan
-        self._times: Pace | None = None
+        self._times: RelativeLatency | None = None
         # connections left idle by its answers, and when the last was
         self.spare, self.spare_at = 0, NEVER
         self.report_at = NEVER
@@ -84,7 +96,7 @@
     @property
     def code(self) -> bytes:
         """In messages."""
-        return worker_code(self.entry.worker)
+        return backend_code(self.entry.backend)
 
     @property
     def failed(self) -> float:
@@ -95,7 +107,7 @@
     def failed(self, part: float) -> None:
         self._failed = part
         if part and self.place >= 0:
-            self.pool.failing[self.entry.worker] = self
+            self.pool.failing[self.entry.backend] = self
 
     @property
     def report(self) -> tuple[float, ...]:
@@ -113,14 +125,16 @@
     @property
     def pace(self) -> float:
         """Answer time, in usual ones of its class."""
-        return self.kind.pace if self._times is None else self._times.estimate(self.kind)
+        return (
+            self.kind.relative_latency if self._times is None else self._times.estimate(self.kind)
+        )
 
     def took(self, pace: float) -> None:
         """An answer's time, in usual ones of its class."""
         if self._times is None:
-            self._times = Pace(self.pool.rounds)
-        self._times.answered(pace)
-        self.kind.answered(pace)
+            self._times = RelativeLatency(self.pool.decay_rounds)
+        self._times.add_sample(pace)
+        self.kind.add_latency(pace)
 
     def full(self, plan: int, until: float) -> None:
         """It has no room for a plan."""
@@ -136,14 +150,14 @@
             self.others = others
             # By time, not by report: where they are seldom, one says as much as many do.
             self.others_mean += (1 - 0.5 ** (gap / MEAN_HALF)) * (self.others - self.others_mean)
-            self.kind.reported(self.others)
+            self.kind.add_load(self.others)
 
     def load(self, now: float) -> float:
         """Requests there: the own ones out, and others by a report that says the less, the older it
         is.
         """
         if self.report_at == NEVER:  # else those not met yet would draw all
-            return self.out + (0.0 if self.fresh else self.kind.others)
+            return self.out + (0.0 if self.fresh else self.kind.remote_requests)
         weight: float = 0.5 ** ((now - self.report_at) / REPORT_HALF)
         return self.out + self.others_mean + weight * (self.others - self.others_mean)
 
@@ -164,9 +178,9 @@
 class Customer:
     """What is known of one customer here."""
 
-    def __init__(self, number: int, plan: api.Plan, now: float, born: float) -> None:
+    def __init__(self, number: int, plan: Plan, now: float, born: float) -> None:
         self.plan = number
-        self.store = QuotaStore(plan.rate, plan.burst, now)  # of its quota, as far as known here
+        self.store = QuotaBucket(plan.rate, plan.burst, now)  # of its quota, as far as known here
         self.ceiling, self.ceiling_at = 0.0, born
         self.first, self.spread, self.out = 0, 1, 0
         self.rate = 0.0  # of the arrivals here
@@ -189,28 +203,33 @@
         self.used, self.used_at = 0.0, NEVER
         self.waiting: list[int] = []  # requests held for the counter's answer
 
-    def spent_none(self, plan: api.Plan, now: float) -> bool:
+    def spent_none(self, plan: Plan, now: float) -> bool:
         """Whether a new one in its place would be known as much."""
-        idle, gap = now - self.store.at, now - self.ceiling_at
+        idle, gap = now - self.store.updated_at, now - self.ceiling_at
         if self.out or self.waiting or self.calling or idle * plan.rate < plan.burst:
             return False
         return plan.ceiling_rate * gap >= plan.ceiling_burst
 
-    def report_of(self, key: int, now: float) -> Report:
+    def report_of(self, key: int, now: float) -> CustomerReport:
         """Sums, not differences: what is lost is healed by the next report."""
-        return Report(
-            key, self.plan, self.out, whole(self.arrived), whole(self.spent), self.store.left(now)
+        return CustomerReport(
+            key,
+            self.plan,
+            self.out,
+            encode_units(self.arrived),
+            encode_units(self.spent),
+            self.store.level_at(now),
         )
 
 
 class Memory:
     """All that one gateway remembers, and its timers."""
 
-    def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
-        self.s, self.me, self.now, self.born = settings, settings.number, now, now
+    def __init__(self, settings: PolicySettings, seed: int, now: float) -> None:
+        self.s, self.me, self.now, self.born = settings, settings.ingress_number, now, now
         self.rng = random.Random(seed)
         self.started = False
-        self.actions: list[api.Action] = []
+        self.actions: list[Action] = []
         self.why = ""  # the last request was not let in, for whoever counts
         self.calls: dict[int, Call] = {}
         # requests whose answer has begun: the client's from then on
@@ -220,11 +239,13 @@
         self.held: dict[int, None] = {}  # requests for which there is no worker now
         self.owner: dict[tuple[int, int], int] = {}  # customers of the attempts out
         self.workers: dict[int, Worker] = {}
-        self.kinds: dict[int, KindStats] = {}  # by the number of the kind
+        self.kinds: dict[int, KindEstimates] = {}  # by the number of the kind
         self.codes: dict[bytes, Worker] = {}
-        self.kept = settings.conn_idle * api.IDLE_PART  # for which a connection may stand idle
+        self.kept = (
+            settings.conn_idle * IDLE_CLOSE_FRACTION
+        )  # for which a connection may stand idle
         self.leaving: dict[int, Worker] = {}  # those that are not listed any more
-        self.pool = Pool(self._share, self._warmth)
+        self.pool = BackendPool(self._share, self._warmth)
         # answer time of late; attempts out, not late; answers
         self.slow, self.out, self.done = 0.0, 0, 0.0
         self.tidied = now
@@ -246,32 +267,32 @@
     def _warmth(self, w: Worker) -> float:
         raise NotImplementedError
 
-    def known(self, entry: api.WorkerEntry) -> Worker:
+    def known(self, entry: Endpoint) -> Worker:
         """The worker of an entry, a new one for a number never listed before."""
-        if (w := self.workers.get(entry.worker)) is None:
-            kind = self.kinds.setdefault(entry.kind, KindStats())
-            w = self.workers[entry.worker] = Worker(entry, kind, self.pool)
+        if (w := self.workers.get(entry.backend)) is None:
+            kind = self.kinds.setdefault(entry.kind, KindEstimates())
+            w = self.workers[entry.backend] = Worker(entry, kind, self.pool)
             self.pool.add(w)
-            if self.s.may_tell:
+            if self.s.may_gossip:
                 self.codes[w.code] = w
         return w
 
-    def unlisted(self, entries: tuple[api.WorkerEntry, ...]) -> list[Worker]:
+    def unlisted(self, entries: tuple[Endpoint, ...]) -> list[Worker]:
         """Workers that a whole list leaves out."""
-        listed = {entry.worker for entry in entries}
+        listed = {entry.backend for entry in entries}
         return [w for number, w in self.workers.items() if number not in listed]
 
-    def relist(self, w: Worker, entry: api.WorkerEntry, state: api.WorkerState) -> None:
+    def relist(self, w: Worker, entry: Endpoint, state: BackendState) -> None:
         """What is listed of it, and whether it may be drawn from now on, and since when it is
         gone.
         """
-        if state is api.WorkerState.GONE:
+        if state is BackendState.REMOVED:
             w.gone = min(w.gone, self.now)
-            self.leaving[w.entry.worker] = w
+            self.leaving[w.entry.backend] = w
         elif w.gone != inf:
             w.gone = inf
-            del self.leaving[w.entry.worker]
-        self.pool.relist(w, entry, state is api.WorkerState.READY)
+            del self.leaving[w.entry.backend]
+        self.pool.update(w, entry, state is BackendState.READY)
 
     def no(self, why: str) -> bool:
         """Note why a request is not let in; False."""
@@ -293,15 +314,17 @@
             if self.now - w.gone > KEPT and not w.out:
                 del self.workers[number], self.leaving[number]
                 self.codes.pop(w.code, None)
-                self.pool.forget(w)
-        if not self.s.may_tell:
+                self.pool.remove(w)
+        if not self.s.may_gossip:
             plans = self.s.plans
             self.customers = {
                 k: c for k, c in self.customers.items() if not c.spent_none(plans[c.plan], self.now)
             }
         elif len(self.customers) > MANY:  # those long idle, with full stores, are as good as new
             kept = {
-                k: c for k, c in self.customers.items() if c.store.at > self.now - IDLE or c.out
+                k: c
+                for k, c in self.customers.items()
+                if c.store.updated_at > self.now - IDLE or c.out
             }
             self.customers, self.unsent = kept, {}
 
@@ -309,15 +332,15 @@
         """Call `then` at a time."""
         self.token = self.token % 0xFFFFFFFF + 1
         self.timers[self.token] = (then, about)
-        self.actions.append(api.SetTimer(at, self.token))
+        self.actions.append(SetTimer(at, self.token))
 
     def end_by(self, request: int, call: Call, then: Callable[..., None]) -> None:
         """A timer just before a call's deadline: one, however often it is asked for."""
         if not call.timed:
             call.timed = True
-            self.timer(call.deadline - 2 * self.s.tick, then, request)
+            self.timer(call.deadline - 2 * self.s.clock_tick, then, request)
 
-    def fired(self, event: api.TimerFired) -> None:
+    def fired(self, event: TimerFired) -> None:
         """A timer's time has come."""
         if timer := self.timers.pop(event.token, None):
             timer[0](*timer[1])
--- a/tests/admin/test_retune.py
+++ b/tests/admin/test_retune.py
@@ -7,15 +7,18 @@
 
 import pytest
 
-from dockthread import api
-from dockthread.admin.reload import merge
-from dockthread.config.platform_settings import Names, _module
+from dockthread.admin.reload import merge_settings
+from dockthread.config.ingress_config import Names
+from dockthread.config.platform_settings import _policy_settings
+from dockthread.policy import Effect, PolicySettings, RequestClass
 from tests.loopback import SETTINGS, Backend, run, serving
 
-STATUS = api.RequestClass(aim=1.5, deadline=4.0, effect=api.Effect.SAFE)
-CHECKOUT = api.RequestClass(aim=3.0, deadline=12.0, effect=api.Effect.UNSAFE)
-RENEW = api.RequestClass(aim=1.0, deadline=2.0, effect=api.Effect.KEYED)
-OLD = api.Settings(number=0, gateways=1, classes=(STATUS, CHECKOUT), plans=(), most_attempts=4)
+STATUS = RequestClass(latency_objective=1.5, deadline=4.0, effect=Effect.SAFE)
+CHECKOUT = RequestClass(latency_objective=3.0, deadline=12.0, effect=Effect.UNSAFE)
+RENEW = RequestClass(latency_objective=1.0, deadline=2.0, effect=Effect.KEYED)
+OLD = PolicySettings(
+    ingress_number=0, ingress_count=1, classes=(STATUS, CHECKOUT), plans=(), max_attempts=4
+)
 
 
 def names(*classes: str) -> Names:
@@ -28,21 +31,23 @@
         ((("status", STATUS), ("checkout", CHECKOUT)), ("status", "checkout"), {"status", "checkout"}),
         ((("checkout", CHECKOUT), ("renew", RENEW)), ("status", "checkout", "renew"), {"checkout", "renew"}),
         ((("renew", RENEW),), ("status", "checkout", "renew"), {"renew"}),
-        ((("status", replace(STATUS, effect=api.Effect.UNSAFE)),), ("status", "checkout"), {"status"}),
+        ((("status", replace(STATUS, effect=Effect.UNSAFE)),), ("status", "checkout"), {"status"}),
     ],
 )  # fmt: skip
 def test_classes_keep_their_numbers(
-    new: tuple[tuple[str, api.RequestClass], ...], module: tuple[str, ...], offered: set[str]
+    new: tuple[tuple[str, RequestClass], ...], module: tuple[str, ...], offered: set[str]
 ) -> None:
-    settings = replace(OLD, classes=tuple(rules for _, rules in new), most_attempts=2)
-    retuned = merge(OLD, names("status", "checkout"), settings, names(*(name for name, _ in new)))
-    assert retuned.names.classes == module
-    assert retuned.offered == offered
-    assert retuned.settings.most_attempts == 2
+    settings = replace(OLD, classes=tuple(rules for _, rules in new), max_attempts=2)
+    merged = merge_settings(
+        OLD, names("status", "checkout"), settings, names(*(name for name, _ in new))
+    )
+    assert merged.names.classes == module
+    assert merged.offered == offered
+    assert merged.settings.max_attempts == 2
     given = dict(new)
     for number, name in enumerate(module):
         expected = given.get(name, (STATUS, CHECKOUT)[number] if number < 2 else None)
-        assert retuned.settings.classes[number] == expected
+        assert merged.settings.classes[number] == expected
 
 
 def test_a_new_class_is_served_and_a_vanished_one_refused() -> None:
@@ -57,10 +62,12 @@
             raw: dict[str, Any] = SETTINGS | {"Classes": [renew, SETTINGS["Classes"][1]]}
             assert "unknown class" in str(await client.call("renew"))
             read = replace(ingress.config.names, classes=("renew", "checkout"))
-            ingress.reconfigure(replace(ingress.config, module=_module(raw), names=read))
+            ingress.reload(
+                replace(ingress.config, policy_settings=_policy_settings(raw), names=read)
+            )
             assert await client.call("renew") == b"value"
             assert await client.call("checkout") == b"value"
             assert "unknown class" in str(await client.call("status"))
-            assert ingress.gateway.s.classes[2].deadline == 2.0
+            assert ingress.engine.s.classes[2].deadline == 2.0
 
     run(scenario())
--- a/tests/control_plane/control_rig.py
+++ b/tests/control_plane/control_rig.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.control_plane import admin_client
 from dockthread.control_plane.messages import (
     PublishResponse,
@@ -20,7 +20,7 @@
     StatusResponse,
     SubscriberStatus,
 )
-from dockthread.lab.maintenance.rig import reserved
+from dockthread.lab.maintenance.process_cluster import reserve_port
 from dockthread.raft.storage import RaftStorage
 from tests.loopback import LIST, raw_config
 
@@ -36,7 +36,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self._reserved = [reserved() for _ in range(8)]
+        self._reserved = [reserve_port() for _ in range(8)]
         ports = [Address(*listener.getsockname()[:2]) for listener in self._reserved]
         self.at = dict(zip((*VOTERS, *DISTRIBUTORS), ports, strict=False))
         self._fleet = dict(zip(VOTERS, ports[5:], strict=True))
--- a/tests/control_plane/local_server.py
+++ b/tests/control_plane/local_server.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from dockthread.clock import Clock
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.control_plane.fanout import FanOutLimits
 from dockthread.control_plane.resource_table import ResourceTable
 from dockthread.control_plane.server import ControlPlaneServer, TableSource
--- a/tests/control_plane/test_ingress_reload.py
+++ b/tests/control_plane/test_ingress_reload.py
@@ -8,8 +8,9 @@
 
 import pytest
 
-from dockthread.config.platform_settings import Address, read_config
-from dockthread.config.section_registry import load
+from dockthread.config.address import Address
+from dockthread.config.platform_settings import read_config
+from dockthread.config.section_registry import load_operator_file
 from dockthread.control_plane.messages import Resource
 from dockthread.control_plane.server import ControlPlaneServer
 from dockthread.daemon import Daemon
@@ -29,7 +30,9 @@
 
     async def scenario() -> None:
         config = read_config({"NODE_CONFIG": str(path)})
-        daemon = Daemon(config, str(file), load(str(file), config.module, config.names))
+        daemon = Daemon(
+            config, str(file), load_operator_file(str(file), config.policy_settings, config.names)
+        )
         new = {**SETTINGS["Classes"][0], "Name": "renew"}
         path.write_text(
             json.dumps(
@@ -68,7 +71,9 @@
             body = json.dumps({"class": route_class, "copies": "yes"}).encode()
             server.table.put(Resource("route", name, server.table.revision + 1, body))
         config = read_config({"NODE_CONFIG": str(path)})
-        daemon = Daemon(config, str(file), load(str(file), config.module, config.names))
+        daemon = Daemon(
+            config, str(file), load_operator_file(str(file), config.policy_settings, config.names)
+        )
         daemon._receive()
         controlled, layers = daemon._controlled, daemon._routes
         assert controlled is not None and layers is not None
--- a/tests/control_plane/test_server.py
+++ b/tests/control_plane/test_server.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from dockthread.config.platform_settings import Address
+from dockthread.config.address import Address
 from dockthread.control_plane.messages import Resource, StatusRequest, Subscribe, Update, codec
 from dockthread.control_plane.server import MAX_REQUEST_BYTES, ControlPlaneServer
 from dockthread.framing import FRAME_HEADER
--- /dev/null
+++ b/tests/policy/test_load_balancer.py
@@ -0,0 +1,99 @@
+"""The choice of a backend by state, load reports and relative latency."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+
+from dockthread.policy import (
+    AttemptEnded,
+    BackendState,
+    EndpointListKind,
+    Outcome,
+)
+from dockthread.policy.load_reports import LoadReportReader
+from tests.policy.harness import (
+    LOAD_REPORT_SETTINGS,
+    SETTINGS,
+    UNSAFE,
+    IngressHarness,
+    answer_with_load,
+    endpoint,
+    requests_by_backend,
+)
+
+
+def test_draining_and_removed_backends_get_no_new_request() -> None:
+    ingress = IngressHarness()
+    ingress.list_endpoints(endpoint(0, BackendState.DRAINING), endpoint(1, BackendState.REMOVED))
+    assert {ingress.attempts[ingress.send_request()][0].backend for _ in range(20)} == {1002}
+    ingress.list_endpoints(endpoint(1), kind=EndpointListKind.FULL)
+    assert {ingress.attempts[ingress.send_request()][0].backend for _ in range(20)} == {1001}
+
+
+@pytest.mark.parametrize(
+    ("names", "report", "others"),
+    [
+        # less two out here, and the one that was answered
+        (("rif", "rate", "q"), (7.0, 30.0, 2.0), 4.0),
+        (("busy",), (0.9,), 0.9),  # the whole of its cores counts as one request
+        (("busy", "q"), (0.9, 4.0), 4.9),
+        (("rate",), (40.0,), 2.0),  # 40 a second at 0.1 s each are 4
+        (("lat_ms", "fail_rate"), (350.0, 0.0), 1.5),
+        (("q",), (5.0,), 5.0),
+        (("fail_rate",), (0.1,), None),
+        ((), (), None),
+    ],
+)
+def test_load_of_other_ingresses_is_read_from_any_load_report(
+    names: tuple[str, ...], report: tuple[float, ...], others: float | None
+) -> None:
+    told = LoadReportReader(names).remote_requests(report, 2, 0.1)
+    assert told == (others if others is None else pytest.approx(others))
+
+
+@pytest.mark.parametrize("names", [("busy",), ()])
+def test_balancing_by_cpu_use_alone_and_without_load_reports(names: tuple[str, ...]) -> None:
+    ingress = IngressHarness(replace(SETTINGS, load_report_fields=names))
+    use = {1000: 0.9, 1001: 0.3, 1002: 0.3}
+    sent = dict.fromkeys(use, 0)
+    for n in range(600):
+        ingress.run_until(ingress.now + 0.05)
+        request = ingress.send_request(UNSAFE)
+        backend = ingress.attempts[request][0].backend
+        sent[backend] += n >= 100
+        load = (use[backend] + n % 7 / 1000,) if names else ()
+        ingress.run_until(ingress.now + 0.05)
+        ingress.handle(AttemptEnded(request, 0, backend, Outcome.OK, True, 0.05, load_report=load))
+    if names:
+        assert sent[1000] < min(sent[1001], sent[1002]) / 2, "the busy one gets less"
+    assert all(sent.values()), "and each gets some"
+
+
+def test_requests_of_other_ingresses_count_as_load() -> None:
+    even = {1000: 0.1, 1001: 0.1}
+    sent = requests_by_backend(
+        IngressHarness(LOAD_REPORT_SETTINGS, backends=2), {1000: 12.0, 1001: 1.0}, even
+    )
+    assert sent[1001] > 5 * sent[1000]
+
+
+def test_a_slow_backend_gets_fewer_requests() -> None:
+    sent = requests_by_backend(
+        IngressHarness(LOAD_REPORT_SETTINGS, backends=2),
+        {1000: 3.0, 1001: 3.0},
+        {1000: 0.4, 1001: 0.1},
+    )
+    assert sent[1001] > 2 * sent[1000]
+
+
+def test_a_load_report_decays_to_the_mean() -> None:
+    ingress = IngressHarness(LOAD_REPORT_SETTINGS, backends=1)
+    backend = ingress.engine.workers[1000]
+    answer_with_load(ingress, ingress.send_request(), (5.0, 10.0, 0.0))
+    mean, then = backend.others_mean, ingress.now
+    assert backend.load(then) == pytest.approx(backend.others)
+    answer_with_load(ingress, ingress.send_request(), (5.0, 10.0, 0.0))  # the same again is no news
+    assert backend.report_at == then
+    assert backend.load(then + 10) == pytest.approx(mean, abs=0.01)
--- a/tests/routes/test_routes_file.py
+++ b/tests/routes/test_routes_file.py
@@ -8,10 +8,11 @@
 
 import pytest
 
-from dockthread import api
-from dockthread.config.ini_reader import Problem
-from dockthread.config.platform_settings import Names, SettingsError
-from dockthread.config.section_registry import read_text
+from dockthread.config.ingress_config import Names
+from dockthread.config.ini_reader import ConfigProblem
+from dockthread.config.section_registry import parse_operator_file
+from dockthread.errors import SettingsError
+from dockthread.policy import DeduplicationScope, Effect, Plan, PolicySettings, RequestClass
 from dockthread.routes.explain import explain, facts_of
 from dockthread.routes.worst import amplification
 
@@ -21,26 +22,32 @@
     ("hall-a", "hall-b"),
     ("type-a", "type-b"),
 )
-SETTINGS = api.Settings(
-    number=0,
-    gateways=3,
+SETTINGS = PolicySettings(
+    ingress_number=0,
+    ingress_count=3,
     classes=(
-        api.RequestClass(aim=1.5, deadline=4.0, effect=api.Effect.SAFE),
-        api.RequestClass(aim=3.0, deadline=12.0, worth=2.0, effect=api.Effect.UNSAFE),
-        api.RequestClass(
-            aim=1.0, deadline=8.0, effect=api.Effect.KEYED, group=api.Group.ZONE, window=2.0
+        RequestClass(latency_objective=1.5, deadline=4.0, effect=Effect.SAFE),
+        RequestClass(
+            latency_objective=3.0, deadline=12.0, priority_weight=2.0, effect=Effect.UNSAFE
+        ),
+        RequestClass(
+            latency_objective=1.0,
+            deadline=8.0,
+            effect=Effect.KEYED,
+            deduplication_scope=DeduplicationScope.ZONE,
+            deduplication_window=2.0,
         ),
     ),
-    plans=(api.Plan(rate=1.4, burst=5.0), api.Plan(rate=250.0, burst=500.0)),
-    most_attempts=4,
-    second_copies=True,
-    largest_units=1.0,
+    plans=(Plan(rate=1.4, burst=5.0), Plan(rate=250.0, burst=500.0)),
+    max_attempts=4,
+    may_hedge=True,
+    max_request_units=1.0,
 )
 STATUS, CHECKOUT, KEYED = ("class = " + name + "\n" for name in NAMES.classes)
 
 
-def problems(text: str, settings: api.Settings = SETTINGS) -> list[Problem]:
-    return read_text(text, "r.ini", settings, NAMES).problems
+def problems(text: str, settings: PolicySettings = SETTINGS) -> list[ConfigProblem]:
+    return parse_operator_file(text, "r.ini", settings, NAMES).problems
 
 
 # Keys of one route, and what its one line must say.
@@ -194,7 +201,7 @@
 
 @pytest.mark.parametrize(("keys", "expected"), BAD)
 def test_a_bad_route_is_refused_with_its_reason(keys: str, expected: str) -> None:
-    errors = [str(p) for p in problems(f"[route r]\n{keys}\n") if not p.warning]
+    errors = [str(p) for p in problems(f"[route r]\n{keys}\n") if not p.is_warning]
     assert any(expected in line and line.startswith("r.ini: [route r] ") for line in errors), errors
 
 
@@ -223,7 +230,7 @@
 )
 def test_routes_are_checked_against_each_other(text: str, expected: str) -> None:
     assert any(expected in str(p) for p in problems(text))
-    assert any(expected in str(p) for p in read_text(text, "r.ini").problems), (
+    assert any(expected in str(p) for p in parse_operator_file(text, "r.ini").problems), (
         "without settings, too"
     )
 
@@ -244,7 +251,7 @@
 
 
 def test_a_site_without_second_copies_or_with_fewer_attempts_is_kept_to() -> None:
-    lean = replace(SETTINGS, second_copies=False, most_attempts=2)
+    lean = replace(SETTINGS, may_hedge=False, max_attempts=2)
     found = [str(p) for p in problems(f"[route r]\n{STATUS}copies = yes\nattempts = 3\n", lean)]
     assert any("the site allows no second copies; no" in line for line in found)
     assert any("3 is more than the settings allow; 2 at most" in line for line in found)
@@ -254,12 +261,12 @@
     (warning,) = problems(
         f"[route r]\n{STATUS}timeout = 1s\nattempts = 2\nattempt_timeout = 700ms\n"
     )
-    assert warning.warning
+    assert warning.is_warning
     assert "2 attempts of 700ms = 1400ms outlasts timeout = 1s; attempt_timeout = 500ms" in str(
         warning
     )
     (warning,) = problems(f"[route r]\n{STATUS}retry_budget = 80%\n")
-    assert warning.warning and "nodes see 1.80 times the first tries" in str(warning)
+    assert warning.is_warning and "nodes see 1.80 times the first tries" in str(warning)
 
 
 def test_the_values_that_would_do_do() -> None:
@@ -277,7 +284,7 @@
 
 def test_explain_tells_the_route_the_timeline_and_the_worst_case() -> None:
     text = f"[route vip]\nfirm = b4d6\n[route s]\n{STATUS}attempts = 2\nattempt_timeout = 1s\nbackoff = 50ms\n"
-    routes = read_text(text, "r.ini", SETTINGS, NAMES).named("route")
+    routes = parse_operator_file(text, "r.ini", SETTINGS, NAMES).named_sections("route")
     lines = list(
         explain(routes, SETTINGS, NAMES, facts_of("c=seat-status,t=gross,units=2", SETTINGS, NAMES))
     )
--- a/tests/test_byte_compatibility.py
+++ b/tests/test_byte_compatibility.py
@@ -16,15 +16,14 @@
 from hashlib import blake2b
 from itertools import combinations
 from pathlib import Path
-from types import SimpleNamespace
-from typing import Any, Final, cast, get_args
+from typing import Any, Final, get_args
 
 import msgspec
 import pytest
 
 import dockthread
+from dockthread.config.address import Address
 from dockthread.config.ini_reader import Section
-from dockthread.config.platform_settings import Address
 from dockthread.config.quantities import Duration, Share
 from dockthread.control_plane import cache_file, messages, snapshot_cache
 from dockthread.control_plane.encoded import EncodedFrameCache
@@ -34,9 +33,15 @@
 from dockthread.control_plane.update_assembler import UpdateAssembler
 from dockthread.daemon import Daemon
 from dockthread.framing import FRAME_HEADER
-from dockthread.maintenance.commands import INGRESS, Command, Tick, Zone
-from dockthread.maintenance.scheduler import Order
-from dockthread.maintenance.service import Work
+from dockthread.maintenance.admin_commands import listing
+from dockthread.maintenance.commands import (
+    CommandAction,
+    LeaderReport,
+    MaintenanceCommand,
+    TargetKind,
+    ZoneStatus,
+)
+from dockthread.maintenance.scheduler import MaintenanceScheduler
 from dockthread.raft import messages as raft_messages
 from dockthread.raft.actions import PersistEntries, PersistentState, PersistSnapshot
 from dockthread.raft.log import RaftLog
@@ -164,72 +169,89 @@
     assert whole.snapshot == bytes(range(256)) * 2_100
 
 
-def maintenance_commands() -> list[Command]:
+def maintenance_commands() -> list[MaintenanceCommand]:
     """A request that is granted, called back, granted, lapses, is carried out and warms up; one
     that is withdrawn; and an ingress that restarts.
     """
     zone, sick = (
-        Zone(name="z1", ready=4, load=1.0),
-        Zone(name="z1", ready=4, ailing=("b2",), load=1.0),
+        ZoneStatus(name="z1", ready=4, load=1.0),
+        ZoneStatus(name="z1", ready=4, failing=("b2",), load=1.0),
     )
 
-    def tick(number: int, zones: tuple[Zone, ...] = (zone,), elapsed: float = 500.0) -> Command:
+    def tick(
+        number: int, zones: tuple[ZoneStatus, ...] = (zone,), elapsed: float = 500.0
+    ) -> MaintenanceCommand:
         members = ("n0", "n1")
         seen = ("b1", "b3")
-        told = Tick(
+        told = LeaderReport(
             number=number,
-            elapsed=elapsed,
+            elapsed_ms=elapsed,
             members=members,
-            alive=members,
+            reachable=members,
             zones=zones,
-            seen=seen,
-            lapse=900.0,
+            listed_targets=seen,
+            grant_timeout_ms=900.0,
         )
-        return Command(do="tick", tick=told)
+        return MaintenanceCommand(action=CommandAction.REPORT, report=told)
 
     return [
-        Command(
-            do="ask",
+        MaintenanceCommand(
+            action=CommandAction.REQUEST,
+            target="b1",
+            zone="z1",
+            comment="new disk",
+            sender="n0",
+            duration_ms=700.0,
+            warm_up_ms=400.0,
+            command_id="aa",
+        ),
+        MaintenanceCommand(
+            action=CommandAction.REQUEST,
             target="b1",
             zone="z1",
-            why="new disk",
-            by="n0",
-            length=700.0,
-            warm=400.0,
-            once="aa",
+            comment="new disk",
+            sender="n0",
+            command_id="aa",
         ),
-        Command(do="ask", target="b1", zone="z1", why="new disk", by="n0", once="aa"),
-        Command(do="ask", target="b3", zone="z1", urgency=-1),
+        MaintenanceCommand(action=CommandAction.REQUEST, target="b3", zone="z1", urgency=-1),
         tick(1),
         tick(2, (sick,)),
         tick(3),
         tick(4, elapsed=300.0),
         tick(5, (sick,), elapsed=1_000.0),
         tick(6),
-        Command(do="held", target="b1", by="n0", epoch=9),
-        Command(do="held", target="b1", by="n1", epoch=9),
+        MaintenanceCommand(action=CommandAction.DRAINED, target="b1", sender="n0", epoch=9),
+        MaintenanceCommand(action=CommandAction.DRAINED, target="b1", sender="n1", epoch=9),
         tick(7),
         tick(8, elapsed=800.0),
-        Command(do="done", target="b1"),
-        Command(do="freed", target="b1", by="n1", epoch=9),
-        Command(do="freed", target="b1", by="n0", epoch=9),
+        MaintenanceCommand(action=CommandAction.COMPLETE, target="b1"),
+        MaintenanceCommand(action=CommandAction.RELEASED, target="b1", sender="n1", epoch=9),
+        MaintenanceCommand(action=CommandAction.RELEASED, target="b1", sender="n0", epoch=9),
         tick(9),
-        Command(do="withdraw", target="b3"),
+        MaintenanceCommand(action=CommandAction.WITHDRAW, target="b3"),
         tick(10),
-        Command(do="ask", target="n1", kind=INGRESS, warm=100.0),
+        MaintenanceCommand(
+            action=CommandAction.REQUEST, target="n1", kind=TargetKind.INGRESS, warm_up_ms=100.0
+        ),
         tick(11),
-        Command(do="held", target="n1", by="n1", epoch=20, life="0123456789abcdef"),
-        Command(do="back", target="n1", by="n1", epoch=20),
+        MaintenanceCommand(
+            action=CommandAction.DRAINED,
+            target="n1",
+            sender="n1",
+            epoch=20,
+            incarnation="0123456789abcdef",
+        ),
+        MaintenanceCommand(action=CommandAction.RESTARTED, target="n1", sender="n1", epoch=20),
         tick(12),
     ]
 
 
 def maintenance_history() -> list[bytes]:
     """The states after each command of `maintenance_commands`, each with its length before it."""
-    order, states = Order(), list[bytes]()
+    scheduler, states = MaintenanceScheduler(), list[bytes]()
     for index, command in enumerate(maintenance_commands(), 1):
-        order.apply(index, msgspec.msgpack.encode(command))
-        state = order.packed()
+        scheduler.apply(index, msgspec.msgpack.encode(command))
+        state = scheduler.snapshot()
         states.append(len(state).to_bytes(4, "little") + state)
     return states
 
@@ -243,9 +265,9 @@
 
 def maintenance_listing() -> bytes:
     """The management endpoint's JSON of what is asked for; its keys are names of fields."""
-    order = Order()
-    order.restore(WRITTEN["maintenance.state"])
-    listed = Work.listed(cast(Work, SimpleNamespace(order=order)))
+    scheduler = MaintenanceScheduler()
+    scheduler.restore(WRITTEN["maintenance.state"])
+    listed = listing(scheduler)
     return json.dumps(listed, sort_keys=True).encode()
 
 
@@ -379,7 +401,7 @@
     known = message(1, target("s-0", 9), target("s-1", 10), full=True)
 
     async def held_at_start() -> set[str]:
-        return Daemon(config(known), None, None).ingress.destinations.held
+        return Daemon(config(known), None, None).ingress.endpoints.excluded_uids
 
     assert asyncio.run(held_at_start()) == {"s-0", "s-1"}
 
@@ -390,7 +412,7 @@
 
     async def detach() -> bytes:
         daemon = Daemon(config(known), None, None)
-        daemon.ingress._tell(daemon.ingress.destinations.apply(known))
+        daemon.ingress.dispatch(daemon.ingress.endpoints.apply(known))
         assert daemon.detach("s-1") and daemon.detach("s-0")
         return (folder / "dockthread-held.json").read_bytes()
 
