--- a/dockthread/lab/control_plane/checker.py
+++ b/dockthread/lab/control_plane/checker.py
@@ -20,6 +20,7 @@
 from bisect import bisect_left
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import Final, NamedTuple, Protocol
 
 from dockthread.lab.control_plane.settings import INVALID_PREFIX
@@ -32,6 +33,19 @@
 """Unknown resources that a violation names."""
 
 
+class Rule(StrEnum):
+    """Names of the rules, as they are reported."""
+
+    ONCE = "once"
+    EXPECTED = "expected"
+    NO_OLDER = "no-older"
+    IN_FORCE = "in-force"
+    TOLD = "told"
+    WITHIN = "within"
+    BUDGET = "budget"
+    PROGRESS = "progress"
+
+
 class Key(NamedTuple):
     """Kind and name of a resource."""
 
@@ -170,7 +184,7 @@
         self._accepted_revisions: list[int] = []
         self._accepted_at: list[float] = []  # of these revisions, by the first voter
 
-    def _report(self, rule: str, at: float, detail: str) -> None:
+    def _report(self, rule: Rule, at: float, detail: str) -> None:
         self.violations.append(RuleViolation(rule, at, detail))
 
     # Publishing
@@ -183,12 +197,12 @@
         """Record the outcome that a publisher received: a revision, or 0 for a rejection."""
         change = self.requested[token]
         if change.revision is not None and change.revision != revision:
-            self._report("once", at, f"{token} is {change.revision}, and then {revision}")
+            self._report(Rule.ONCE, at, f"{token} is {change.revision}, and then {revision}")
         if change.revision is None:
             change.revision = revision
         if revision > 0 and self._token_of.setdefault(revision, token) != token:
             other = self._token_of[revision]
-            self._report("once", at, f"revision {revision} is of {other} and of {token}")
+            self._report(Rule.ONCE, at, f"revision {revision} is of {other} and of {token}")
 
     def on_history_lost(self) -> None:
         """Record that the voters lost the log: what was accepted before counts no more."""
@@ -215,13 +229,13 @@
         waiting = [token for token, one in self.requested.items() if one.revision is None]
         if waiting:
             shown = ", ".join(waiting[:SHOWN_ITEMS])
-            self._report("progress", at, f"{shown} have no outcome")
+            self._report(Rule.PROGRESS, at, f"{shown} have no outcome")
             return
         revisions = range(1, last_revision + 1)
         if sorted(self._token_of) != list(revisions):
             missing = [revision for revision in revisions if revision not in self._token_of]
             self._report(
-                "once",
+                Rule.ONCE,
                 at,
                 f"voters are at {last_revision}, of {len(self._token_of)} known; "
                 f"without a token: {missing[:SHOWN_ITEMS]}",
@@ -234,7 +248,7 @@
         for change in changes:
             if change.expected >= 0 and change.expected != current:
                 detail = f"{key} at {current} was replaced by a change for {change.expected}"
-                self._report("expected", at, detail)
+                self._report(Rule.EXPECTED, at, detail)
             current = 0 if change.body is None else change.revision or 0
 
     # Receiving
@@ -250,10 +264,10 @@
         state = self._processes[name]
         if state.epoch == epoch and revision < state.revision:
             detail = f"{name} came from revision {state.revision} to {revision}"
-            self._report("no-older", at, detail)
+            self._report(Rule.NO_OLDER, at, detail)
         if epoch in state.left_epochs:
             detail = f"{name} came from history {state.epoch} back to {epoch}"
-            self._report("no-older", at, detail)
+            self._report(Rule.NO_OLDER, at, detail)
         if state.epoch not in ("", epoch):
             state.left_epochs.add(state.epoch)
             state.resources.clear()
@@ -266,7 +280,7 @@
         key = Key(resource.kind, resource.name)
         if resource.revision < applied.get(key, 0):
             detail = f"{name} applies {key} of revision {resource.revision} over {applied[key]}"
-            self._report("no-older", at, detail)
+            self._report(Rule.NO_OLDER, at, detail)
         applied[key] = resource.revision
 
     def check_convergence(
@@ -283,7 +297,7 @@
         unknown = [key for key in observed.bodies if key not in accepted]
         if unknown:
             detail = f"{observed.name} has {unknown[:SHOWN_UNKNOWN]}, which nobody published"
-            self._report("in-force", at, detail)
+            self._report(Rule.IN_FORCE, at, detail)
 
     def _check_resource(
         self,
@@ -301,10 +315,10 @@
         if not any(self._may_follow(change, known, observed, key) for change in allowed):
             body = observed.bodies.get(key)
             detail = f"{observed.name} has {body!r} as {key}: {_describe(allowed)}"
-            self._report("in-force", at, detail)
+            self._report(Rule.IN_FORCE, at, detail)
         if settled == known and known[-1].is_invalid and key not in observed.rejected:
             detail = f"{observed.name} rejected {key}, and its server does not know"
-            self._report("told", at, detail)
+            self._report(Rule.TOLD, at, detail)
 
     def _may_follow(
         self,
@@ -335,7 +349,7 @@
         if count and revision < self._accepted_revisions[count - 1]:
             due = self._accepted_revisions[count - 1]
             detail = f"{name} is at {revision}, and {due} was accepted before {since:.0f} ms"
-            self._report("within", at, detail)
+            self._report(Rule.WITHIN, at, detail)
 
     # Cost
 
@@ -349,7 +363,7 @@
         limit = self._burst + self._chunk
         if bucket.level > limit:
             detail = f"{server} sent {bucket.level:.0f} bytes beyond its rate, {limit:.0f} may be"
-            self._report("budget", at, detail)
+            self._report(Rule.BUDGET, at, detail)
 
 
 def _describe(changes: list[RequestedChange]) -> str:
