--- a/dockthread/control_plane/distributor.py
+++ b/dockthread/control_plane/distributor.py
@@ -38,7 +38,7 @@
         self._client = ControlPlaneClient(settings, self, clock, rng, cache)
         subscriber = self._client.subscriber
         source = TableSource(subscriber.table, lambda: subscriber.age(clock.now()))
-        server_settings = server_settings_from_options(options)
+        server_settings = server_settings_from_options(options, settings.key)
         self._server = ControlPlaneServer(server_settings, source, clock, rng)
 
     async def open(self, listen: Address) -> Address:
--- a/dockthread/control_plane/process.py
+++ b/dockthread/control_plane/process.py
@@ -57,7 +57,7 @@
     rng = random.Random(secrets.randbits(SEED_BITS))
     if control.role == "distributor":
         return Distributor(control, Clock(), rng)
-    return Voter(server_settings_from_options(control), fleet, Clock(), rng)
+    return Voter(server_settings_from_options(control, control.key()), fleet, Clock(), rng)
 
 
 async def _run(control: ControlOptions, fleet: FleetOptions) -> None:
--- a/dockthread/control_plane/server_settings.py
+++ b/dockthread/control_plane/server_settings.py
@@ -35,12 +35,8 @@
     key: bytes = b""
 
 
-def server_settings_from_options(options: ControlOptions) -> ServerSettings:
-    """Return the settings that the section `[control]` gives.
-
-    Raises:
-        KeyFileError: The file of the shared key cannot be read or has a wrong length.
-    """
+def server_settings_from_options(options: ControlOptions, key: bytes) -> ServerSettings:
+    """Return the settings that the section `[control]` gives, with the shared key of its file."""
     rate = float(options.snapshot_rate)
     fan_out = FanOutLimits(
         options.max_connections,
@@ -54,5 +50,5 @@
         options.max_connections + REQUEST_CONNECTIONS,
         options.write_buffer,
         fan_out,
-        options.key(),
+        key,
     )
--- a/dockthread/lab/scale/server.py
+++ b/dockthread/lab/scale/server.py
@@ -33,7 +33,12 @@
         if options.role == "distributor":
             part = Distributor(options, Clock(), rng)
         else:
-            part = Voter(server_settings_from_options(options), read.section("fleet"), Clock(), rng)
+            part = Voter(
+                server_settings_from_options(options, options.key()),
+                read.section("fleet"),
+                Clock(),
+                rng,
+            )
         self._part = part
         self._port = (await part.open(options.listen_address())).port
         self._watching = asyncio.get_running_loop().create_task(self._lateness.watch())
