--- a/dockthread/lab/raft/__init__.py
+++ b/dockthread/lab/raft/__init__.py
@@ -1,3 +1,1 @@
-"""The rehearsal kit's fleet: many members of an agreement under faults, in simulated time, and who
-judges them.
-"""
+"""The Raft cluster of the rehearsal kit: simulated members under faults, and their checker."""
--- a/dockthread/lab/raft/checker.py
+++ b/dockthread/lab/raft/checker.py
@@ -114,7 +114,7 @@
         """A member took over a snapshot whose content another checker judges."""
         self._applied[member, incarnation] = index
 
-    def applied(
+    def applied(  # noqa: PLR0913  one fact and its circumstances, from one caller
         self,
         at_ms: float,
         member: str,
--- a/dockthread/raft/server.py
+++ b/dockthread/raft/server.py
@@ -148,7 +148,8 @@
         if core.role is Role.LEADER:
             self.transfer_leadership()
             deadline = self._clock.now() + TRANSFER_TIMEOUT_MS
-            while core.role is Role.LEADER and self._clock.now() < deadline:
+            # The core has no events to wait for, and this is over in 300 ms.
+            while core.role is Role.LEADER and self._clock.now() < deadline:  # noqa: ASYNC110
                 await asyncio.sleep(TRANSFER_POLL_S)
         self._runner.stop()
         if self._server is not None:
@@ -172,7 +173,8 @@
         """
         try:
             async with asyncio.timeout(timeout_ms / 1000.0):
-                while not (index := await self._attempt_proposal(data)):
+                # A pause between attempts: nothing announces that the next would succeed.
+                while not (index := await self._attempt_proposal(data)):  # noqa: ASYNC110
                     await asyncio.sleep(PROPOSAL_RETRY_MS / 1000.0)
                 # The leader is ahead: a caller must find its command applied here.
                 if index > self._runner.applied_index:
--- /dev/null
+++ b/tests/raft/test_proposals.py
@@ -0,0 +1,47 @@
+"""Who waits for the outcome of a proposal, and when they learn it."""
+
+from __future__ import annotations
+
+import asyncio
+
+from dockthread.raft.proposals import UNKNOWN_INDEX, PendingProposals
+
+
+def test_proposal_is_committed_only_if_its_own_entry_is_at_the_index() -> None:
+    async def scenario() -> None:
+        proposals = PendingProposals()
+        own = proposals.await_commit(index=4, term=2)
+        replaced = proposals.await_commit(index=5, term=2)
+        proposals.on_committed(index=4, term=2)
+        proposals.on_committed(index=5, term=3)
+        assert (await own, await replaced) == (4, UNKNOWN_INDEX)
+
+    asyncio.run(scenario())
+
+
+def test_outcome_is_unknown_once_the_leader_that_was_asked_leads_no_more() -> None:
+    async def scenario() -> None:
+        proposals = PendingProposals()
+        local = proposals.await_commit(index=4, term=2)
+        token, forwarded = proposals.await_response()
+        proposals.on_role_changed(is_leader=True)
+        assert await forwarded == UNKNOWN_INDEX
+        assert not local.done(), "this member leads and will know"
+        proposals.on_role_changed(is_leader=False)
+        assert await local == UNKNOWN_INDEX
+        proposals.on_response(token, 7)
+        assert forwarded.result() == UNKNOWN_INDEX, "a late response changes nothing"
+
+    asyncio.run(scenario())
+
+
+def test_caller_waits_until_the_index_is_applied_here() -> None:
+    async def scenario() -> None:
+        proposals = PendingProposals()
+        early, late = proposals.await_applied(3), proposals.await_applied(5)
+        proposals.on_applied(4)
+        assert early.done() and not late.done()
+        proposals.on_applied(6)
+        assert late.done()
+
+    asyncio.run(scenario())
