--- a/benchmarks/list_size.py
+++ b/benchmarks/list_size.py
@@ -37,7 +37,8 @@
 from dockthread.clock import ManualClock
 from dockthread.config.ingress_config import Names
 from dockthread.net.discovery_watch import WatchResponseParser
-from dockthread.net.endpoint_list import DiscoveryError, EndpointList
+from dockthread.net.endpoint_list import EndpointList
+from dockthread.net.endpoint_list_codec import DiscoveryError
 from dockthread.policy import (
     Action,
     AttemptEnded,
@@ -131,7 +132,7 @@
     """
     text, parser, found = (
         json.dumps(whole_list(size)).encode(),
-        WatchResponseParser(destinations.read_entry),
+        WatchResponseParser(destinations.codec.decode_endpoint),
         list[Any](),
     )
     figures = {"list_kb": len(text) / 1000, "taken": 1.0, "parse_ms": 0.0, "parse_longest_ms": 0.0}
--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -25,7 +25,7 @@
 from dockthread.config.platform_settings import read_config, reread_config
 from dockthread.errors import SettingsError
 from dockthread.logs.setup import set_up
-from dockthread.net.endpoint_list import DiscoveryError
+from dockthread.net.endpoint_list_codec import DiscoveryError
 from dockthread.net.ingress import Ingress
 
 if TYPE_CHECKING:
--- a/dockthread/net/discovery_watch.py
+++ b/dockthread/net/discovery_watch.py
@@ -35,7 +35,8 @@
 
 from dockthread.clock import Clock
 from dockthread.config.address import Address
-from dockthread.net.endpoint_list import DiscoveryError, EndpointList
+from dockthread.net.endpoint_list import EndpointList
+from dockthread.net.endpoint_list_codec import DiscoveryError
 from dockthread.observer import Observer
 from dockthread.policy import EndpointsListed, PolicySettings
 from dockthread.policy.backoff import Backoff
@@ -310,7 +311,7 @@
             )
             await loop.sock_sendall(sock, head.encode())
             parser, buffer, entries_read = (
-                WatchResponseParser(self._destinations.read_entry),
+                WatchResponseParser(self._destinations.codec.decode_endpoint),
                 bytearray(65536),
                 0,
             )
--- /dev/null
+++ b/dockthread/net/endpoint_list_codec.py
@@ -0,0 +1,112 @@
+"""Discovery's JSON: reads endpoint lists and their changes into typed messages."""
+
+from __future__ import annotations
+
+from math import isfinite
+from typing import Any, NamedTuple
+
+from dockthread.clock import Clock
+from dockthread.config.address import Address
+from dockthread.config.ingress_config import Names
+from dockthread.errors import SettingsError
+from dockthread.policy import BackendState, Endpoint
+
+STATE_BY_NAME = {
+    "active": BackendState.READY,
+    "leaving": BackendState.DRAINING,
+    "left": BackendState.REMOVED,
+}
+
+
+class DiscoveryError(Exception):
+    """Discovery sent something that its protocol does not allow."""
+
+
+class ListedEndpoint(NamedTuple):
+    """One backend as discovery lists it, with the policy's numbers for its zone and its model."""
+
+    uid: str
+    address_text: str
+    state: BackendState
+    zone: int
+    kind: int
+    cell: int
+    weight: float
+    started_at: float  # seconds on the ingress's clock, 0 for long ago
+
+    def to_policy_endpoint(self, number: int) -> Endpoint:
+        """Return the endpoint for the policy, under the backend's number there."""
+        return Endpoint(
+            number, self.state, self.zone, self.kind, self.cell, self.weight, self.started_at
+        )
+
+
+class EndpointListUpdate(NamedTuple):
+    """A full endpoint list, or changes of it."""
+
+    revision: int
+    is_full: bool
+    endpoints: list[ListedEndpoint]
+
+
+class EndpointListCodec:
+    """Reads discovery's messages with the names that the settings give to zones and models.
+
+    A zone or model that the settings do not name gets the number behind the last one named.
+    """
+
+    def __init__(self, names: Names, clock: Clock) -> None:
+        self._zones = {name: number for number, name in enumerate(names.zones)}
+        self._kinds = {name: number for number, name in enumerate(names.kinds)}
+        self._clock = clock
+
+    def zone_name(self, zone: int) -> str:
+        """Return the name of a zone; empty for one that the settings do not name."""
+        return next((name for name, number in self._zones.items() if number == zone), "")
+
+    def decode_update(self, message: Any) -> EndpointListUpdate:
+        """Read a message, whose entries may have been read before.
+
+        Raises:
+            DiscoveryError: The message or one of its entries is malformed.
+        """
+        try:
+            endpoints = [
+                entry if isinstance(entry, ListedEndpoint) else self.decode_endpoint(entry)
+                for entry in message["targets"]
+            ]
+            return EndpointListUpdate(int(message["rev"]), bool(message["all"]), endpoints)
+        except (KeyError, TypeError, ValueError) as error:
+            raise DiscoveryError(f"not an endpoint list: {error!r}") from error
+
+    def decode_endpoint(self, entry: Any) -> ListedEndpoint:
+        """Read one entry of an endpoint list.
+
+        Raises:
+            DiscoveryError: The entry is malformed.
+        """
+        try:
+            return self._read_fields(entry)
+        except (KeyError, TypeError, ValueError, AttributeError, SettingsError) as error:
+            raise DiscoveryError(f"not an endpoint list: {error!r}") from error
+
+    def _read_fields(self, entry: Any) -> ListedEndpoint:
+        uid = entry["uid"]
+        weight = float(entry.get("capacity_hint", 1.0))
+        boot_ms = float(entry.get("boot_ms", 0))  # Unix time
+        if not isinstance(uid, str):
+            raise TypeError("a uid is not a string")
+        if not (isfinite(weight) and isfinite(boot_ms)):
+            raise ValueError("a figure is not finite")
+        address_text = entry["endpoint"]
+        Address.parse(address_text)  # raises where it is no address
+        return ListedEndpoint(
+            uid,
+            address_text,
+            STATE_BY_NAME[entry["state"]],
+            self._zones.get(entry.get("az", ""), len(self._zones)),
+            self._kinds.get(entry.get("model", ""), len(self._kinds)),
+            int(entry.get("pod_group", 0)),
+            1.0 if weight == 1.0 else weight,  # one object for all, which saves memory
+            self._clock.from_unix(boot_ms) / 1000.0 if boot_ms else 0.0,
+        )
--- a/tests/net/test_program.py
+++ b/tests/net/test_program.py
@@ -278,4 +278,4 @@
         timeout=60,
     )
     assert done.returncode != 0
-    assert "not a list of destinations" in done.stderr.splitlines()[-1]
+    assert "not an endpoint list" in done.stderr.splitlines()[-1]
--- a/tests/policy/test_list_size.py
+++ b/tests/policy/test_list_size.py
@@ -14,12 +14,8 @@
 
 from dockthread.clock import ManualClock
 from dockthread.net.discovery_watch import MAX_OBJECT_BYTES, MAX_UNREAD_BYTES, WatchResponseParser
-from dockthread.net.endpoint_list import (
-    ENTRIES_PER_PART,
-    DiscoveryError,
-    EndpointList,
-    ListedEndpoint,
-)
+from dockthread.net.endpoint_list import ENTRIES_PER_PART, EndpointList
+from dockthread.net.endpoint_list_codec import DiscoveryError, ListedEndpoint
 from dockthread.policy import (
     IDLE_CLOSE_FRACTION,
     BackendState,
@@ -183,7 +179,9 @@
 
 def test_a_whole_long_list_is_taken_in_parts_and_nothing_of_it_stays_unread() -> None:
     known = destinations()
-    (said,) = fed(WatchResponseParser(known.read_entry), json.dumps(whole_list(MANY)).encode())
+    (said,) = fed(
+        WatchResponseParser(known.codec.decode_endpoint), json.dumps(whole_list(MANY)).encode()
+    )
     assert sum(not isinstance(one, ListedEndpoint) for one in said["targets"]) <= 1, (
         "the last is read at the end"
     )
@@ -197,7 +195,7 @@
     text, known = json.dumps(whole_list(10_000)).encode(), destinations()
     cut = pieces(text)
     tracemalloc.start()
-    parser = WatchResponseParser(known.read_entry)
+    parser = WatchResponseParser(known.codec.decode_endpoint)
     (said,) = [one for piece in cut for one in parser.feed(piece)]
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
@@ -209,7 +207,7 @@
 def test_entries_are_read_alike_wherever_a_list_is_cut(size: int) -> None:
     first, second = whole_list(40), message(2, target("s-x", 1, "leaving"))
     text = json.dumps(first).encode() + b"\n" + json.dumps(second, indent=2).encode()
-    known, parser = destinations(), WatchResponseParser(destinations().read_entry)
+    known, parser = destinations(), WatchResponseParser(destinations().codec.decode_endpoint)
     found = [said for piece in pieces(text, size) for said in parser.feed(piece)]
     plain = destinations()
     assert [known.apply(said) for said in found] == [plain.apply(first), plain.apply(second)]
@@ -226,7 +224,7 @@
     said["targets"][place] |= bad
     known = destinations()
     with pytest.raises(DiscoveryError):
-        for one in fed(WatchResponseParser(known.read_entry), json.dumps(said).encode()):
+        for one in fed(WatchResponseParser(known.codec.decode_endpoint), json.dumps(said).encode()):
             told(known, one)
     assert (known.by_number, known.revision) == ({}, 0)
 
@@ -235,8 +233,8 @@
     entry_text = json.dumps(target("s" * 5_000, 6379)).encode()
     many = b'{"targets": [' + b", ".join([entry_text] * (MAX_OBJECT_BYTES // len(entry_text) + 20))
     with pytest.raises(DiscoveryError, match="does not end"):
-        fed(WatchResponseParser(destinations().read_entry), many)
-    parser, given = WatchResponseParser(destinations().read_entry), 0
+        fed(WatchResponseParser(destinations().codec.decode_endpoint), many)
+    parser, given = WatchResponseParser(destinations().codec.decode_endpoint), 0
     with pytest.raises(DiscoveryError, match="does not end"):
         for piece in pieces(
             b'{"targets": ['
