--- a/dockthread/lab/scale/hollow.py
+++ b/dockthread/lab/scale/hollow.py
@@ -15,15 +15,15 @@
 
 from dockthread.clock import Clock
 from dockthread.config.address import Address
-from dockthread.config.ingress_config import Config, Names
+from dockthread.config.ingress_config import IngressConfig, Names
 from dockthread.control_plane.ingress import IngressResourceApplier
 from dockthread.lab.scale.control import ControlWitness, options_of
 from dockthread.lab.scale.planted_bugs import alteration, control_alteration
 from dockthread.lab.scale.witness import Row, Witness, table
 from dockthread.net.discovery_watch import DiscoveryWatch
 from dockthread.net.endpoint_list import EndpointList
-from dockthread.net.ingress import HOUSEKEEPING, Ingress
-from dockthread.net.policy_host import Decider
+from dockthread.net.ingress import MAINTENANCE_INTERVAL_MS, Ingress
+from dockthread.net.policy_host import PolicyHost
 from dockthread.net.quota_counter import QuotaCounterClient
 from dockthread.net.timers import Timers
 from dockthread.policy import (
@@ -94,7 +94,7 @@
             shared.settings, ingress_number=number, zone=number % len(shared.names.zones)
         )
         self.gateway = PolicyEngine(module, number + 1, self.clock.now() / 1000.0)
-        self._decider = Decider(self.gateway, self.clock, lambda request: None)
+        self._policy_host = PolicyHost(self.gateway, self.clock, lambda request: None)
         self._timers = Timers(self.clock, module.clock_tick * 1000.0)
         self.destinations = EndpointList(shared.names, self.clock)
         if (alter := alteration(plant)) is not None:
@@ -104,17 +104,21 @@
         self.watch = DiscoveryWatch(
             discovery, self.destinations, self.clock, self._listed, module, number + 1
         )
-        self._decider.carry_out = {
+        self._policy_host.action_handlers = {
             SetTimer: self._set_timer,
             PollEndpoints: lambda action: None,
         }
         self._watching: asyncio.Task[None] | None = None
         self._stopped = False
-        self.config = Config(
+        self.config = IngressConfig(
             f"n{number}", NOWHERE, discovery, number + 1, 1024, EMPTY, module, shared.names
         )
         self.counter = QuotaCounterClient(
-            None, self.clock, self._decider.tell, self._timers.at, timeout=COUNTER_TIMEOUT
+            None,
+            self.clock,
+            self._policy_host.dispatch,
+            self._timers.call_at,
+            timeout=COUNTER_TIMEOUT,
         )
         self.layers = Layers(Table(shared.names, module.zone, number + 1), module, shared.names)
         self._controlled: IngressResourceApplier | None = None
@@ -127,7 +131,7 @@
         if self._controlled is not None and self._control_witness is not None:
             self._controlled.open()
             self._control_witness.observe(self._controlled, control_alteration(self._plant))
-        self.watch.start(EMPTY, self._timers.at)
+        self.watch.start(EMPTY, self._timers.call_at)
         self._housekeeping()
         self._watching = asyncio.get_running_loop().create_task(self.watch.run())
 
@@ -151,19 +155,19 @@
         return table(self.gateway, self.destinations)
 
     def _listed(self, listed: EndpointsListed) -> None:
-        self._decider.tell(listed)
+        self._policy_host.dispatch(listed)
         self.witness.heard(self.destinations.revision, self.gateway, listed)
 
     def _housekeeping(self) -> None:
         if self._stopped:
             return
-        self._timers.at(self.clock.now() + HOUSEKEEPING, self._housekeeping)
+        self._timers.call_at(self.clock.now() + MAINTENANCE_INTERVAL_MS, self._housekeeping)
         self.destinations.forget_expired()
         self.watch.enforce_timeouts()
 
     def _set_timer(self, action: SetTimer) -> None:
-        self._timers.at(action.at * 1000.0, self._fired, action.token)
+        self._timers.call_at(action.at * 1000.0, self._fired, action.token)
 
     def _fired(self, token: int) -> None:
         if not self._stopped:
-            self._decider.tell(TimerFired(token))
+            self._policy_host.dispatch(TimerFired(token))
--- a/dockthread/lab/scale/real.py
+++ b/dockthread/lab/scale/real.py
@@ -8,7 +8,7 @@
 import os
 
 from dockthread.config.platform_settings import read_config
-from dockthread.config.section_registry import load
+from dockthread.config.section_registry import load_operator_file
 from dockthread.control_plane.ingress import IngressResourceApplier
 from dockthread.daemon import Daemon
 from dockthread.lab.scale.channel import Words, serve_commands
@@ -29,7 +29,7 @@
         """From the ingress: a list was told to the module."""
         if what == "list":
             ingress = self._daemon.ingress
-            self._witness.heard(ingress.destinations.revision, ingress.gateway)
+            self._witness.heard(ingress.endpoints.revision, ingress.engine)
 
 
 class Real:
@@ -47,7 +47,11 @@
         self._witness = Witness(told["number"], self._in_force, told["reached"])
         self._witness.new_life(not told["reached"])
         config = read_config({**os.environ, "NODE_CONFIG": told["config"]})
-        read = load(told["ini"], config.module, config.names) if told["ini"] else None
+        read = (
+            load_operator_file(told["ini"], config.policy_settings, config.names)
+            if told["ini"]
+            else None
+        )
         self._daemon = Daemon(config, told["ini"] or None, read)
         ingress = self._daemon.ingress
         ingress.observe(ListObserver(self._daemon, self._witness))
@@ -89,7 +93,7 @@
         """What the checker and the report need of this ingress."""
         ingress, number = self._daemon.ingress, self._witness.number
         found = findings(
-            [self._witness], {number: table(ingress.gateway, ingress.destinations)}, self._in_force
+            [self._witness], {number: table(ingress.engine, ingress.endpoints)}, self._in_force
         )
         found |= {"number": number, "reached": self._witness.reached, "reached_configuration": 0}
         routes: dict[int, list[Row]] = {}
--- a/dockthread/net/gossip_transport.py
+++ b/dockthread/net/gossip_transport.py
@@ -22,7 +22,7 @@
 from dockthread.config.ingress_config import PeerAddresses
 from dockthread.observer import Traffic
 from dockthread.policy import GossipReceived, SendGossip
-from dockthread.policy.gossip_codec import MOST_BYTES
+from dockthread.policy.gossip_codec import MAX_MESSAGE_BYTES
 
 MAX_DATAGRAMS_PER_TURN = 64  # datagrams read in one turn of the loop
 
@@ -65,9 +65,9 @@
         """Send to one, or by the address for all where there is one. What cannot go now is lost, as
         any may be.
         """
-        if self._sock is None or self._addresses is None or len(message.data) > MOST_BYTES:
+        if self._sock is None or self._addresses is None or len(message.data) > MAX_MESSAGE_BYTES:
             return
-        peers, everyone = self._addresses.peers, self._addresses.everyone
+        peers, everyone = self._addresses.peers, self._addresses.broadcast
         if message.peer is None:
             to = [everyone] if everyone is not None else [peers[n] for n in self._numbers.values()]
         else:
@@ -75,7 +75,7 @@
         for address in to:
             try:
                 self._sock.sendto(message.data, (address.host, address.port))
-                self._traffic.messages_out += 1
+                self._traffic.gossip_sent += 1
             except OSError as error:
                 logger.debug("a message to {} was not sent: {}", address, error)
 
@@ -92,15 +92,15 @@
             if self._sock is None:
                 return
             try:
-                data, sender = self._sock.recvfrom(MOST_BYTES + 1)
+                data, sender = self._sock.recvfrom(MAX_MESSAGE_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError as error:  # an earlier message found nobody
                 logger.debug("a message was not delivered: {}", error)
                 continue
             number = self._numbers.get((sender[0], sender[1]))
-            if number is None or len(data) > MOST_BYTES:
-                self._traffic.messages_odd += 1
+            if number is None or len(data) > MAX_MESSAGE_BYTES:
+                self._traffic.gossip_rejected += 1
                 continue
-            self._traffic.messages_in += 1
+            self._traffic.gossip_received += 1
             self._told(GossipReceived(number, data))
