--- a/benchmarks/list_size.py
+++ b/benchmarks/list_size.py
@@ -36,9 +36,9 @@
 from benchmarks import rig
 from dockthread.clock import ManualClock
 from dockthread.config.ingress_config import Names
-from dockthread.net.discovery_watch import WatchResponseParser
 from dockthread.net.endpoint_list import EndpointList
 from dockthread.net.endpoint_list_codec import DiscoveryError
+from dockthread.net.watch_response_parser import WatchResponseParser
 from dockthread.policy import (
     Action,
     AttemptEnded,
--- a/dockthread/net/discovery_watch.py
+++ b/dockthread/net/discovery_watch.py
@@ -1,347 +1,299 @@
-"""The watch on discovery that keeps the destination set current.
+"""The watch on discovery that keeps the endpoint list current.
 
-Theory of operation. Whatever a call met, a change counts as told `BOUND` after discovery had it and
-could be reached, and a watch that has fallen silent is broken `BOUND` after its last word. So no
-pause and no silent call lasts longer than `WINDOW`, which leaves `ANSWER` for the call that brings
-the change, and pauses are drawn from all of it. A call that was never answered stays open through
-the pause that would follow it, and the next one goes at its end: giving it up early would be work
+Theory of operation. Whatever became of an attempt, a change counts as received
+`NOTIFICATION_BOUND_MS` after discovery had it and could be reached, and a watch that has fallen
+silent is replaced within the same time after its last bytes. So no delay and no unanswered attempt
+lasts longer than `MAX_WAIT_MS`, which leaves `ANSWER_ALLOWANCE_MS` for the attempt that brings the
+change, and delays are drawn from all of it. An attempt that was never answered stays open through
+the delay that would follow it, and the next one starts at its end: giving it up early would be work
 for nothing, and a service that answers in turn would answer nobody once that takes longer than all
 callers wait.
 
-Where lists are asked for, discovery is one service for all ingresses: there the pauses grow with
-the fleet, up to the window (module/backoff.py). One that takes connections and has served nothing
-for `OVERBOOKED` works on calls that were given up: as long as all come back within the window it
-would serve nobody, ever, so from then on the pauses grow with the fleet beyond it. One that cannot
-be reached is asked within the window: that costs nobody anything.
-
-Where lists are pushed, an agent on this machine answers each call at once and at no cost with what
-it has been sent, and what it has counts as told to this ingress, watch or not, from the first
-moment of a process. So no pause there is longer than half of a drain's grace: the first call goes
-at the start, and until it is answered, or that time is over, nothing is sent by the old list that
-lay in the configuration.
+Where ingresses poll, discovery is one service for all of them: the delays grow with their number,
+up to `MAX_WAIT_MS` (dockthread/policy/backoff.py). A service that accepts connections and has
+answered nothing for `OVERLOAD_AFTER_MS` works on attempts that were given up: as long as all come
+back within `MAX_WAIT_MS` it would never answer anybody, so from then on the delays grow beyond it.
+One that cannot be reached is called within `MAX_WAIT_MS`: that costs nobody anything.
+
+Where lists are pushed, an agent on this machine answers each attempt at once and at no cost with
+what it has received, and that counts as received by this ingress, watch or not, from the first
+moment of a process. So no delay there is longer than half of the drain grace: the first attempt
+starts at once, and until it is answered, or that time is over, nothing is sent by the cached list
+of the configuration.
 """
 
 from __future__ import annotations
 
 import asyncio
+import enum
 import random
-from collections.abc import Callable, Iterator
+import socket
+from collections.abc import Callable
+from dataclasses import dataclass
 from math import inf
 from typing import Any
 
-import httptools
-import ijson
 from loguru import logger
 
 from dockthread.clock import Clock
 from dockthread.config.address import Address
 from dockthread.net.endpoint_list import EndpointList
 from dockthread.net.endpoint_list_codec import DiscoveryError
+from dockthread.net.watch_response_parser import WatchResponseParser
 from dockthread.observer import Observer
 from dockthread.policy import EndpointsListed, PolicySettings
 from dockthread.policy.backoff import Backoff
 
-# in one list: twice the longest planned; a backend takes 178 bytes of it
-MAX_LISTED_BACKENDS, MAX_ENTRY_BYTES = 50_000, 400
-# bytes of one object of a watch, entries of a list among them
-MAX_OBJECT_BYTES = MAX_LISTED_BACKENDS * MAX_ENTRY_BYTES
-# bytes of one object in which no entry ended; parsed they may take ten times as much
-MAX_UNREAD_BYTES = 4 * 1024 * 1024
-# after discovery had a change and could be reached, or a watch fell silent, it counts as told
+# After discovery had a change and could be reached, or a watch fell silent, changes are known.
 NOTIFICATION_BOUND_MS = 6_000.0
-# of it, for the call that brings the change: found due in a round of housekeeping, made, answered
+# Of it, for the attempt that brings the change: found due by periodic maintenance, made, answered.
 ANSWER_ALLOWANCE_MS = 1_000.0
-MAX_WAIT_MS = (
-    NOTIFICATION_BOUND_MS - ANSWER_ALLOWANCE_MS
-)  # for a pause, or a call without an answer
-SILENCE_TIMEOUT_MS = 3_500.0  # a watch says something every 2 s; one silent for longer is dead
-PROGRESS_TIMEOUT_MS = (
-    4_000.0  # for an object that has begun to be whole, or for one more entry of a long list
-)
-# for the first word of a call, where lists are asked for: it may wait behind those of the fleet
+# For a delay, or for an attempt without an answer.
+MAX_WAIT_MS = NOTIFICATION_BOUND_MS - ANSWER_ALLOWANCE_MS
+# Between two parts of a watch; discovery sends a heartbeat every 2 s.
+SILENCE_TIMEOUT_MS = 3_500.0
+# For the rest of an object that has begun, or for one more entry of a long list.
+PROGRESS_TIMEOUT_MS = 4_000.0
+# For the first part of a body where ingresses poll: the attempt may wait behind those of others.
 FIRST_ANSWER_TIMEOUT_MS = 4_500.0
-MAX_RECONNECT_DELAY_MS = (
-    MAX_WAIT_MS - PROGRESS_TIMEOUT_MS
-)  # for the pause after a watch that was given up, at the most
-MIN_BACKOFF_LIMIT_MS = 100.0  # between calls on an agent that refuses them
-# for which a service that can be reached serves nothing: it has more callers than it can serve
+# For the delay after a watch that did not come to the end of an object.
+MAX_RECONNECT_DELAY_MS = MAX_WAIT_MS - PROGRESS_TIMEOUT_MS
+# The least bound on delays between attempts at an agent that rejects them.
+MIN_BACKOFF_LIMIT_MS = 100.0
+# Without any answer from a service that can be reached: it has more callers than it can answer.
 OVERLOAD_AFTER_MS = 20_000.0
 
+RECEIVE_BUFFER_BYTES = 64 * 1024
+MAX_EVENT_TEXT_CHARS = 60  # of an error's text in the observer's events
 
-class WatchResponseParser:
-    """Bytes of one watch's HTTP answer in, JSON objects out, however they are laid out and cut;
-    what is blank between them is a sign of life.
 
-    `read` takes the entries of an object's `targets` while the object still comes in, each in the
-    place of its members: of a long list these never stand in memory together, and to read them
-    holds the loop for no longer than one piece of it.
-    """
+class AttemptState(enum.Enum):
+    """How far an attempt has come; each state is entered from the one before it."""
 
-    def __init__(self, read: Callable[[Any], Any] | None = None) -> None:
-        self._parser = httptools.HttpResponseParser(self)
-        self._found = ijson.sendable_list()
-        self._json = ijson.items_coro(
-            self._found, "", multiple_values=True, use_float=True, map_type=self._new_members
-        )
-        self._read = read
-        # the present object's members, as far as they have come
-        self._outer: dict[str, Any] | None = None
-        self._wholes = 0  # objects found when it began
-        self._entries = 0  # of its targets that are read
-        self.entries_read = 0  # of all objects
-        self._size = 0  # bytes of the present object, and a little more
-        self._unread = 0  # of these, since an entry was read
-        self._failure: DiscoveryError | None = None
-        self.is_inside_object = False  # an object has begun and is not whole
-        self.has_body = False  # the answer is a watch, and has said something
-        self.is_complete = False
-
-    def feed(self, data: bytes | memoryview) -> Iterator[Any]:
-        """The objects that are whole now; then raises WatchError where the rest cannot be one."""
-        try:
-            self._parser.feed_data(data)
-        except httptools.HttpParserError as error:
-            self._failure = self._failure or DiscoveryError(
-                f"not an HTTP answer: {error.__context__ or error}"
-            )
-        found = list(self._found)
-        self._found.clear()
-        yield from found
-        if self._failure is not None:
-            raise self._failure
-
-    def _new_members(self) -> dict[str, Any]:
-        """For the parser: the members of an object that begins, an outermost one or one within."""
-        members: dict[str, Any] = {}
-        if self._outer is None or len(self._found) > self._wholes:
-            self._outer, self._wholes, self._entries = members, len(self._found), 0
-        return members
-
-    def _read_entries(self) -> None:
-        """Those that are whole: all but the last, which may not be."""
-        targets = self._outer.get("targets") if self._outer is not None else None
-        if self._read is None or not isinstance(targets, list) or len(targets) <= self._entries + 1:
-            return
-        whole = len(targets) - 1
-        targets[self._entries : whole] = map(self._read, targets[self._entries : whole])
-        self.entries_read += whole - self._entries
-        self._entries, self._unread = whole, 0
-
-    def on_headers_complete(self) -> None:
-        """From httptools: the head is whole."""
-        if (status := self._parser.get_status_code()) != 200:
-            self._failure = DiscoveryError(f"discovery answered {status}")
-
-    def on_body(self, body: bytes) -> None:
-        """From httptools: a part of the body came."""
-        if self._failure is not None:
-            return
-        self.has_body, before = True, len(self._found)
-        self._unread += len(body)
-        try:
-            self._json.send(body)
-            self._read_entries()
-        except DiscoveryError as error:
-            self._failure = error
-            return
-        except (ijson.JSONError, UnicodeDecodeError, RecursionError) as error:
-            self._failure = DiscoveryError(f"not JSON: {' '.join(str(error).split())[:100]}")
-            return
-        said = body.rstrip()
-        if len(self._found) > before:
-            self._size, self._unread, self.is_inside_object = 0, 0, not said.endswith(b"}")
-            self._outer = None if not self.is_inside_object else self._outer
-        elif said:
-            self._size, self.is_inside_object = self._size + len(body), True
-        if self._size > MAX_OBJECT_BYTES or self._unread > MAX_UNREAD_BYTES:
-            self._failure = DiscoveryError("an object does not end")
+    CONNECTING = enum.auto()
+    CONNECTED = enum.auto()  # the head of a response alone is no answer
+    STREAMING = enum.auto()  # a part of the body has arrived
 
-    def on_message_complete(self) -> None:
-        """From httptools: the answer has ended."""
-        self.is_complete = True
+
+@dataclass(slots=True)
+class WatchAttempt:
+    """One request for a watch; times in ms on the ingress's clock."""
+
+    started_ms: float
+    last_received_ms: float
+    last_progress_ms: float  # when no object was left incomplete, or one more entry was read
+    state: AttemptState = AttemptState.CONNECTING
+    is_address_outdated: bool = False
+    task: asyncio.Task[None] | None = None
+
+    @property
+    def is_streaming(self) -> bool:
+        """Whether the watch is established."""
+        return self.state is AttemptState.STREAMING
 
 
 class DiscoveryWatch:
-    """Holds a watch on discovery for as long as it runs; starts another whenever one ends or goes
-    silent.
+    """Holds a watch on discovery, and starts another whenever one ends or falls silent.
+
+    `on_endpoints` is called with each event for the policy.
     """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - only an ingress makes one, of parts that it holds
         self,
         address: Address,
-        destinations: EndpointList,
+        endpoints: EndpointList,
         clock: Clock,
-        told: Callable[[EndpointsListed], None],
+        on_endpoints: Callable[[EndpointsListed], None],
         settings: PolicySettings,
         seed: int,
     ) -> None:
-        self._pushed = not settings.must_poll_endpoints
-        self._hurry = settings.safety.drain_grace * 1000.0 / 2
-        self._patience = SILENCE_TIMEOUT_MS if self._pushed else FIRST_ANSWER_TIMEOUT_MS
-        longest = min(MAX_WAIT_MS, max(self._hurry, MIN_BACKOFF_LIMIT_MS)) if self._pushed else inf
+        self._address = address
+        self._endpoints = endpoints
+        self._clock = clock
+        self._on_endpoints = on_endpoints
+        self._is_pushed = not settings.must_poll_endpoints
+        self._half_drain_grace_ms = settings.safety.drain_grace * 1000.0 / 2
+        self._first_answer_timeout_ms = (
+            SILENCE_TIMEOUT_MS if self._is_pushed else FIRST_ANSWER_TIMEOUT_MS
+        )
+        max_delay = inf
+        if self._is_pushed:
+            max_delay = min(MAX_WAIT_MS, max(self._half_drain_grace_ms, MIN_BACKOFF_LIMIT_MS))
         self._backoff = Backoff(
             random.Random(seed),
             settings.ingress_count,
-            min(self._hurry, MAX_RECONNECT_DELAY_MS),
-            longest,
+            min(self._half_drain_grace_ms, MAX_RECONNECT_DELAY_MS),
+            max_delay,
         )
-        # the old list, while a newer one may come at once
+        # The configuration's list, while discovery may answer with a newer one at once.
         self._cached: EndpointsListed | None = None
-        self._address, self._destinations, self._clock, self._told = (
-            address,
-            destinations,
-            clock,
-            told,
-        )
-        # When the present call began; it last said something; and it left nothing half said.
-        self._began = self._heard = self._whole = clock.now()
-        self._attempt: asyncio.Task[None] | None = None
-        self._at: Callable[..., None] = lambda due, then: None
-        self._moved = False  # since the present call began
-        self._pause_over = asyncio.Event()
-        self._failures = 0
-        self._failing_since = clock.now()  # nothing was served
-        self._connected = False  # the present call, or the last one
-        self._stood = False  # the present watch has said something
-        # when one that has said nothing yet is, once it has been silent for long; 0 before
-        self._given_up = 0.0
+        self._call_at: Callable[..., None] = lambda _due, _then: None
+        self._attempt = self._new_attempt()
+        self._delay_over = asyncio.Event()
+        self._failures = 0  # attempts in a row that ended
+        self._failing_since_ms = clock.now()
+        # When an attempt without an answer is given up, once its time is over; 0 before. It is kept
+        # over the start of the next attempt.
+        self._give_up_at_ms = 0.0
         self.observer = Observer()
 
-    def start(self, known: Any, at: Callable[..., None]) -> None:
-        """Start from the list that lay in the configuration; `at` times what comes later. Raises
-        WatchError where the list is malformed.
+    def start(self, cached_list: Any, call_at: Callable[..., None]) -> None:
+        """Start from the configuration's list; `call_at` sets the timers of what comes later.
+
+        Raises:
+            DiscoveryError: The list is malformed.
         """
-        self._at = at
-        self._cached = self._destinations.apply(known, cached=True)
-        if self._pushed and self._hurry:
-            at(self._clock.now() + self._hurry, self._use_cached)
+        self._call_at = call_at
+        self._cached = self._endpoints.apply(cached_list, cached=True)
+        if self._is_pushed and self._half_drain_grace_ms:
+            call_at(self._clock.now() + self._half_drain_grace_ms, self._use_cached)
         else:
             self._use_cached()
 
     @property
     def has_list(self) -> bool:
-        """Whether there is a list to serve by."""
+        """Whether there is a list by which requests can be served."""
         return (
             self._cached is None
-            and bool(self._destinations.by_number)
-            and not self._destinations.is_partial
+            and bool(self._endpoints.by_number)
+            and not self._endpoints.is_partial
         )
 
     def _use_cached(self) -> None:
         cached, self._cached = self._cached, None
         if cached is not None:
-            self._told(cached)
+            self._on_endpoints(cached)
 
     def change_address(self, address: Address) -> None:
-        """Watch discovery at another address, and at once: the old one soon falls silent."""
-        if address != self._address:
-            self._address, self._moved = address, True
-            self._pause_over.set()
-            if self._attempt is not None:
-                self._attempt.cancel()
-
-    async def _pause(self, ms: float) -> None:
-        """Cut short by a move: the old address says nothing more."""
-        over = self._pause_over = asyncio.Event()
-        self._at(self._clock.now() + ms, over.set)
-        await over.wait()
+        """Watch discovery at another address, and at once: the old one may soon fall silent."""
+        if address == self._address:
+            return
+        self._address = address
+        self._attempt.is_address_outdated = True
+        self._delay_over.set()
+        if self._attempt.task is not None:
+            self._attempt.task.cancel()
 
     async def run(self) -> None:
-        """Hold a watch, one after another, for as long as it runs."""
-        if self._destinations.by_number and not self._pushed:  # what it knows serves meanwhile
-            await self._pause(self._backoff.initial_delay())
+        """Hold one watch after another until cancelled."""
+        if self._endpoints.by_number and not self._is_pushed:
+            # The cached list serves meanwhile.
+            await self._delay(self._backoff.initial_delay())
         while True:
-            self._began = self._heard = self._whole = self._clock.now()
-            self._stood = self._moved = self._connected = False
-            self.observer.event("watch", after=self._destinations.revision)
-            self._attempt = asyncio.create_task(self._watch())
-            (failure,) = await asyncio.gather(self._attempt, return_exceptions=True)
-            if self._moved:
-                self._given_up, self._failing_since = 0.0, self._clock.now()
+            self._attempt = attempt = self._new_attempt()
+            self.observer.event("watch", after=self._endpoints.revision)
+            attempt.task = asyncio.create_task(self._watch(attempt))
+            (failure,) = await asyncio.gather(attempt.task, return_exceptions=True)
+            is_delay_over = self._give_up_at_ms > 0
+            self._give_up_at_ms = 0.0
+            if attempt.is_address_outdated:
+                self._failing_since_ms = self._clock.now()
                 continue
-            waited, self._given_up = self._given_up > 0, 0.0
-            self._failures += 1
-            self.observer.event(
-                "watch-end", why=type(failure).__name__, text=str(failure).replace(" ", "_")[:60]
-            )
-            # One line for each loss of discovery, not one for each try.
-            log = logger.warning if self._failures == 1 else logger.debug
-            log(
-                "watch on discovery ended: {!r}; list at revision {}",
-                failure,
-                self._destinations.revision,
-            )
-            if not waited:
-                await self._pause(
-                    self._backoff.initial_delay() if self._stood else self._again(MAX_WAIT_MS)
-                )
+            self._on_attempt_ended(failure)
+            if is_delay_over:
+                continue
+            if attempt.is_streaming:
+                await self._delay(self._backoff.initial_delay())
+            else:
+                await self._delay(self._retry_delay(MAX_WAIT_MS))
 
     def enforce_timeouts(self) -> None:
-        """End a watch that has gone silent, or does not come to the end of an object: its machine
-        may have vanished, which TCP does not tell. A call that was never answered stays open for
-        the pause that would follow it, and the next one goes at its end.
+        """End a watch that has fallen silent, or does not come to the end of an object.
+
+        Its machine may have vanished, of which TCP gives no notice. An attempt that was never
+        answered stays open for the delay that would follow it.
         """
+        attempt = self._attempt
         now = self._clock.now()
-        if self._stood:
-            silent = (
-                now - self._heard > SILENCE_TIMEOUT_MS or now - self._whole > PROGRESS_TIMEOUT_MS
+        if attempt.is_streaming:
+            is_overdue = (
+                now - attempt.last_received_ms > SILENCE_TIMEOUT_MS
+                or now - attempt.last_progress_ms > PROGRESS_TIMEOUT_MS
             )
-        else:  # a head without a list is no answer
-            silent = now - self._began > self._patience
-        if self._attempt is None or not silent:
+        else:
+            is_overdue = now - attempt.started_ms > self._first_answer_timeout_ms
+        if attempt.task is None or not is_overdue:
             return
-        if not self._stood and not self._given_up:
-            self._given_up = now + self._again(self._began + MAX_WAIT_MS - now)
-        if now >= self._given_up:
-            self._attempt.cancel()
-
-    def _again(self, most: float) -> float:
-        """The pause after one more call that failed, `most` at the most where discovery may be free
-        to serve.
-        """
-        overbooked = self._connected and self._clock.now() - self._failing_since > OVERLOAD_AFTER_MS
-        return self._backoff.retry_delay(inf if overbooked else most)
+        if not attempt.is_streaming and not self._give_up_at_ms:
+            wait = attempt.started_ms + MAX_WAIT_MS - now
+            self._give_up_at_ms = now + self._retry_delay(wait)
+        if now >= self._give_up_at_ms:
+            attempt.task.cancel()
+
+    def _new_attempt(self) -> WatchAttempt:
+        now = self._clock.now()
+        return WatchAttempt(now, now, now)
+
+    def _on_attempt_ended(self, failure: BaseException | None) -> None:
+        self._failures += 1
+        text = str(failure).replace(" ", "_")[:MAX_EVENT_TEXT_CHARS]
+        self.observer.event("watch-end", why=type(failure).__name__, text=text)
+        # One warning for each loss of discovery, not one for each attempt.
+        log = logger.warning if self._failures == 1 else logger.debug
+        log(
+            "watch on discovery ended: {!r}; list at revision {}", failure, self._endpoints.revision
+        )
 
-    async def _watch(self) -> None:
+    async def _delay(self, delay_ms: float) -> None:
+        """Wait; cut short by a change of the address, as the old one says nothing of the new."""
+        over = self._delay_over = asyncio.Event()
+        self._call_at(self._clock.now() + delay_ms, over.set)
+        await over.wait()
+
+    def _retry_delay(self, max_delay_ms: float) -> float:
+        """Draw the delay after a failed attempt, unbounded where discovery is overloaded."""
+        is_overloaded = (
+            self._attempt.state is not AttemptState.CONNECTING
+            and self._clock.now() - self._failing_since_ms > OVERLOAD_AFTER_MS
+        )
+        return self._backoff.retry_delay(inf if is_overloaded else max_delay_ms)
+
+    async def _watch(self, attempt: WatchAttempt) -> None:
         loop = asyncio.get_running_loop()
         with self._address.new_socket() as sock:
             await loop.sock_connect(sock, (self._address.host, self._address.port))
-            self._connected = True
-            path = f"/discovery/hosts?watch=1&after={self._destinations.revision}"
+            attempt.state = AttemptState.CONNECTED
+            path = f"/discovery/hosts?watch=1&after={self._endpoints.revision}"
             head = (
                 f"GET {path} HTTP/1.1\r\nHost: {self._address}\r\nAccept: application/json\r\n\r\n"
             )
             await loop.sock_sendall(sock, head.encode())
-            parser, buffer, entries_read = (
-                WatchResponseParser(self._destinations.codec.decode_endpoint),
-                bytearray(65536),
-                0,
-            )
-            while not parser.is_complete:
-                size = await loop.sock_recv_into(sock, buffer)
-                if not size:
-                    raise DiscoveryError("discovery closed the connection")
-                self._heard = self._clock.now()
-                if parser.has_body:
-                    self._failing_since = self._heard
-                for message in parser.feed(memoryview(buffer)[:size]):
-                    for listed in self._destinations.apply_in_parts(message):
-                        self._use_cached()
-                        self._told(listed)
-                        # a long list comes in parts, and requests are answered between them
-                        await asyncio.sleep(0)
-                        self._heard = self._whole = self._clock.now()  # and they may take a while
-                    size = len(message["targets"])
-                    self.observer.event(
-                        "list", all=message.get("all"), size=size, rev=message["rev"]
-                    )
-                    if self._failures:
-                        logger.info("watch on discovery is back at {}", self._destinations.revision)
-                        self._failures = 0
-                if parser.has_body and not self._stood:
-                    self._stood, self._given_up = True, 0.0
-                    self._backoff.reset()
-                if not parser.is_inside_object or parser.entries_read > entries_read:
-                    self._whole, entries_read = self._heard, parser.entries_read
-                if parser.is_inside_object:
-                    await asyncio.sleep(0)  # the rest of a long list may be here already
+            await self._receive(attempt, sock)
+
+    async def _receive(self, attempt: WatchAttempt, sock: socket.socket) -> None:
+        loop = asyncio.get_running_loop()
+        parser = WatchResponseParser(self._endpoints.codec.decode_endpoint)
+        buffer = bytearray(RECEIVE_BUFFER_BYTES)
+        entries_read = 0
+        while not parser.is_complete:
+            size = await loop.sock_recv_into(sock, buffer)
+            if not size:
+                raise DiscoveryError("discovery closed the connection")
+            attempt.last_received_ms = self._clock.now()
+            if parser.has_body:
+                self._failing_since_ms = attempt.last_received_ms
+            for message in parser.feed(memoryview(buffer)[:size]):
+                await self._apply(attempt, message)
+            if parser.has_body and not attempt.is_streaming:
+                attempt.state = AttemptState.STREAMING
+                self._give_up_at_ms = 0.0
+                self._backoff.reset()
+            if not parser.is_inside_object or parser.entries_read > entries_read:
+                attempt.last_progress_ms = attempt.last_received_ms
+                entries_read = parser.entries_read
+            if parser.is_inside_object:
+                await asyncio.sleep(0)  # the rest of a long list may have arrived already
+
+    async def _apply(self, attempt: WatchAttempt, message: Any) -> None:
+        for event in self._endpoints.apply_in_parts(message):
+            self._use_cached()
+            self._on_endpoints(event)
+            # Requests are answered between the parts of a long list, which may take a while.
+            await asyncio.sleep(0)
+            attempt.last_received_ms = self._clock.now()
+            attempt.last_progress_ms = attempt.last_received_ms
+        size = len(message["targets"])
+        self.observer.event("list", all=message.get("all"), size=size, rev=message["rev"])
+        if self._failures:
+            logger.info("watch on discovery is back at {}", self._endpoints.revision)
+            self._failures = 0
--- a/tests/net/test_discovery_bounds.py
+++ b/tests/net/test_discovery_bounds.py
@@ -138,12 +138,16 @@
 
 async def time_goes(ingress: Ingress, clock: ManualClock, discovery: Failing) -> None:
     """One step of the clock; it stands while a call that this step began is dealt with."""
-    began, calls, known = ingress.watch._began, discovery.calls, ingress.endpoints.revision
+    began, calls, known = (
+        ingress.watch._attempt.started_ms,
+        discovery.calls,
+        ingress.endpoints.revision,
+    )
     clock.advance(STEP)
     ingress.timers.run_due()
     for _ in range(4):
         await asyncio.sleep(0)
-    if ingress.watch._began > began and discovery.listens:
+    if ingress.watch._attempt.started_ms > began and discovery.listens:
         await until(lambda: discovery.calls > calls)
         await (
             asyncio.sleep(0.005)
--- a/tests/net/test_parsers.py
+++ b/tests/net/test_parsers.py
@@ -18,9 +18,9 @@
 from dockthread.config.platform_settings import read_config
 from dockthread.errors import SettingsError
 from dockthread.net import resp
-from dockthread.net.discovery_watch import WatchResponseParser
 from dockthread.net.endpoint_list import EndpointList
 from dockthread.net.endpoint_list_codec import DiscoveryError
+from dockthread.net.watch_response_parser import WatchResponseParser
 from dockthread.policy import BackendState, EndpointListKind, Outcome
 from tests.loopback import FIRST_ID, KEY, SETTINGS, config, message, raw_config, target
 
--- a/tests/net/test_watch.py
+++ b/tests/net/test_watch.py
@@ -32,7 +32,7 @@
 
 
 def said(ingress: Ingress, since: float) -> bool:
-    return ingress.watch._heard > since
+    return ingress.watch._attempt.last_received_ms > since
 
 
 def port(backend: Backend) -> int:
@@ -120,7 +120,7 @@
             discovery.push(message(2, target("s-1", 1)))
             discovery.writers[-1].write(b'9\r\n{"rev":3,\r\n')
             for second in range(5):
-                heard = ingress.watch._heard
+                heard = ingress.watch._attempt.last_received_ms
                 clock.advance(1_000)
                 discovery.writers[-1].write(b"1\r\n\n\r\n")
                 await until(partial(said, ingress, heard))
@@ -149,7 +149,7 @@
                 b"]}",
             ]
             for piece in pieces:
-                heard = ingress.watch._heard
+                heard = ingress.watch._attempt.last_received_ms
                 clock.advance(1_000)
                 discovery.writers[-1].write(b"%x\r\n%s\r\n" % (len(piece), piece))
                 await until(partial(said, ingress, heard))
--- a/tests/policy/test_list_size.py
+++ b/tests/policy/test_list_size.py
@@ -13,9 +13,13 @@
 import pytest
 
 from dockthread.clock import ManualClock
-from dockthread.net.discovery_watch import MAX_OBJECT_BYTES, MAX_UNREAD_BYTES, WatchResponseParser
 from dockthread.net.endpoint_list import ENTRIES_PER_PART, EndpointList
 from dockthread.net.endpoint_list_codec import DiscoveryError, ListedEndpoint
+from dockthread.net.watch_response_parser import (
+    MAX_OBJECT_BYTES,
+    MAX_UNREAD_BYTES,
+    WatchResponseParser,
+)
 from dockthread.policy import (
     IDLE_CLOSE_FRACTION,
     BackendState,
