--- a/dockthread/net/quota_counter.py
+++ b/dockthread/net/quota_counter.py
@@ -1,5 +1,6 @@
-"""The counter: numbers that all ingresses share. Calls are written one behind another on one
-connection.
+"""The client of the quota counter, whose numbers all ingresses share.
+
+Additions are written one behind another on one connection, and answered in the same order.
 """
 
 from __future__ import annotations
@@ -9,6 +10,7 @@
 from collections import deque
 from collections.abc import Callable
 
+import hiredis
 from loguru import logger
 
 from dockthread.clock import Clock
@@ -18,183 +20,210 @@
 from dockthread.policy import CounterReplied, Outcome
 
 RECEIVE_BUFFER_BYTES = 4 * 1024
-MAX_IN_FLIGHT = 64  # calls without an answer; a line that long would not be answered in time
-# of a connection with a call out, after which it is given up; the next may be heard
+# Additions without a reply on a connection: more of them would not be answered in time.
+MAX_IN_FLIGHT = 64
+# Of a connection with additions in flight, which is closed then: the next may be answered.
 SILENCE_TIMEOUT_MS = 100.0
-RECONNECT_DELAY_MS = 250.0  # after a connection that never came up, before the next
+# After a connection that was never established, before the next.
+RECONNECT_DELAY_MS = 250.0
 
 
 class CounterAddition:
-    """One call that is out or not yet sent. `started`: ms, when it was asked for."""
+    """One addition, unsent or in flight; times in ms on the ingress's clock."""
+
+    __slots__ = ("amount", "is_ended", "lifetime_ms", "name", "started_ms")
 
-    __slots__ = ("amount", "life", "name", "started", "told")
+    def __init__(self, name: int, amount: float, lifetime_ms: float, started_ms: float) -> None:
+        self.name = name
+        self.amount = amount
+        self.lifetime_ms = lifetime_ms
+        self.started_ms = started_ms
+        self.is_ended = False  # its outcome was notified
 
-    def __init__(self, name: int, amount: float, life: float, started: float) -> None:
-        self.name, self.amount, self.life, self.started = name, amount, life, started
-        self.told = False
+    def encode(self) -> bytes:
+        """Return the command for the counter."""
+        return resp.encode_counter_addition(self.name, self.amount, self.lifetime_ms)
 
 
 class CounterConnection:
-    """One connection to the counter, and the calls on it in the order of their answers."""
+    """One connection to the counter, with its additions in the order of their replies."""
 
     def __init__(self, address: Address) -> None:
         self.sock = address.new_socket()
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.address = address
         self.unsent: deque[CounterAddition] = deque()
-        self.out: deque[CounterAddition] = deque()
-        self.up = False
-        self.heard = 0.0  # when it last said something
-        self.writing: asyncio.Task[None] | None = None
-        self.task: asyncio.Task[None] | None = None
+        self.in_flight: deque[CounterAddition] = deque()
+        self.is_established = False
+        self.last_received_ms = 0.0
+        self.reader_task: asyncio.Task[None] | None = None
+        self.writer_task: asyncio.Task[None] | None = None
+
+    def is_silent(self, now_ms: float) -> bool:
+        """Return whether the counter has kept additions waiting for too long."""
+        if not self.in_flight:
+            return False
+        waiting_since_ms = max(self.last_received_ms, self.in_flight[0].started_ms)
+        return now_ms - waiting_since_ms > SILENCE_TIMEOUT_MS
 
 
 class QuotaCounterClient:
-    """`told` gets each call's end, exactly once."""
+    """Adds to the counter's numbers; `on_ended` is called with each outcome, exactly once."""
 
     def __init__(
         self,
         address: Address | None,
         clock: Clock,
-        told: Callable[[CounterReplied], None],
-        at: Callable[..., None],
+        on_ended: Callable[[CounterReplied], None],
+        call_at: Callable[..., None],
         *,
         timeout: float,
     ) -> None:
         self.observer = Observer()
-        self._address, self._clock, self._told, self._at = address, clock, told, at
-        self._timeout = timeout
+        self._address = address
+        self._clock = clock
+        self._on_ended = on_ended
+        self._call_at = call_at
+        self._timeout_ms = timeout
         self._loop = asyncio.get_running_loop()
-        self._line: CounterConnection | None = None
-        self._lines: set[CounterConnection] = set()
-        self._not_before = 0.0
+        self._connection: CounterConnection | None = None  # for new additions
+        self._connections: set[CounterConnection] = set()
+        self._no_connection_before_ms = 0.0
 
     def change_address(self, address: Address | None) -> None:
-        """Call the counter at another address; what is out at the old one is still answered
-        there.
-        """
+        """Use a counter at another address; additions in flight are still answered by the old."""
         if address != self._address:
-            self._address, self._line, self._not_before = address, None, 0.0
+            self._address = address
+            self._connection = None
+            self._no_connection_before_ms = 0.0
 
-    def add(self, name: int, amount: float, life: float) -> None:
-        """Add to a number; `told` gets the end."""
+    def add(self, name: int, amount: float, lifetime_ms: float) -> None:
+        """Add to a number, which is forgotten when the lifetime of its first addition ends."""
         now = self._clock.now()
-        call = CounterAddition(name, amount, life, now)
-        line = self._line
-        if line is None:
-            if self._address is None or now < self._not_before:
-                self._end(call, Outcome.UNREACHABLE)
+        addition = CounterAddition(name, amount, lifetime_ms, now)
+        connection = self._connection
+        if connection is None:
+            connection = self._connect(now)
+            if connection is None:
+                self._end(addition, Outcome.UNREACHABLE)
                 return
-            try:
-                line = self._line = CounterConnection(self._address)
-            except OSError as error:
-                logger.debug("no socket for the counter: {}", error)
-                self._end(call, Outcome.UNREACHABLE)
-                return
-            self._lines.add(line)
-            line.task = self._loop.create_task(self._run(line))
-        elif len(line.out) + len(line.unsent) >= MAX_IN_FLIGHT:
-            self._end(call, Outcome.NOT_SENT)
+        elif len(connection.in_flight) + len(connection.unsent) >= MAX_IN_FLIGHT:
+            self._end(addition, Outcome.NOT_SENT)
             return
-        line.unsent.append(call)
-        if line.up and line.writing is None:
-            line.writing = self._loop.create_task(self._write(line))
-        self._at(now + self._timeout, self._overdue, line, call)
+        connection.unsent.append(addition)
+        if connection.is_established and connection.writer_task is None:
+            connection.writer_task = self._loop.create_task(self._write(connection))
+        self._call_at(now + self._timeout_ms, self._on_timeout, connection, addition)
 
     def close(self) -> None:
-        """End all connections; what is out ends as not heard of."""
-        for line in list(self._lines):
-            self._drop(line)
+        """Close all connections; additions without a reply end as reset or unreachable."""
+        for connection in list(self._connections):
+            self._drop(connection)
 
     def enforce_timeouts(self) -> None:
-        """Give up a connection whose counter has gone silent, and one to an old address once it is
-        done.
-        """
+        """Close silent connections, and those to an old address that have nothing in flight."""
         now = self._clock.now()
-        for line in list(self._lines):
-            done = not (line.out or line.unsent) and line is not self._line
-            if done or self._silent(line, now):
-                self._drop(line)
-
-    def _silent(self, line: CounterConnection, now: float) -> bool:
-        return bool(line.out) and now - max(line.heard, line.out[0].started) > SILENCE_TIMEOUT_MS
-
-    def _overdue(self, line: CounterConnection, call: CounterAddition) -> None:
-        if call.told:
+        for connection in list(self._connections):
+            has_work = bool(connection.in_flight or connection.unsent)
+            is_finished = not has_work and connection is not self._connection
+            if is_finished or connection.is_silent(now):
+                self._drop(connection)
+
+    def _connect(self, now_ms: float) -> CounterConnection | None:
+        if self._address is None or now_ms < self._no_connection_before_ms:
+            return None
+        try:
+            connection = CounterConnection(self._address)
+        except OSError as error:
+            logger.debug("no socket for the counter: {}", error)
+            return None
+        self._connection = connection
+        self._connections.add(connection)
+        connection.reader_task = self._loop.create_task(self._run(connection))
+        return connection
+
+    def _on_timeout(self, connection: CounterConnection, addition: CounterAddition) -> None:
+        if addition.is_ended:
             return
-        if call in line.unsent:
-            line.unsent.remove(call)
-            self._end(call, Outcome.UNREACHABLE)
-            if not line.up:
-                self._drop(line)
+        if addition in connection.unsent:
+            connection.unsent.remove(addition)
+            self._end(addition, Outcome.UNREACHABLE)
+            if not connection.is_established:
+                self._drop(connection)
         else:
-            # it keeps its place: the answer still comes, in its turn
-            self._end(call, Outcome.TIMEOUT)
-            if self._silent(line, self._clock.now()):
-                self._drop(line)
-
-    def _end(self, call: CounterAddition, outcome: Outcome, total: float = 0.0) -> None:
-        if not call.told:
-            call.told = True
-            self.observer.counter_call_ended(outcome, self._clock.now() - call.started)
-            self._told(CounterReplied(call.name, outcome, total))
-
-    def _drop(self, line: CounterConnection) -> None:
-        if line not in self._lines:
+            # It keeps its place in flight, as its reply still arrives in its turn.
+            self._end(addition, Outcome.TIMEOUT)
+            if connection.is_silent(self._clock.now()):
+                self._drop(connection)
+
+    def _end(self, addition: CounterAddition, outcome: Outcome, total: float = 0.0) -> None:
+        if addition.is_ended:
             return
-        self._lines.discard(line)
-        if self._line is line:
-            self._line = None
-            if not line.up:
-                self._not_before = self._clock.now() + RECONNECT_DELAY_MS
-        for task in (line.task, line.writing):
+        addition.is_ended = True
+        self.observer.counter_call_ended(outcome, self._clock.now() - addition.started_ms)
+        self._on_ended(CounterReplied(addition.name, outcome, total))
+
+    def _drop(self, connection: CounterConnection) -> None:
+        if connection not in self._connections:
+            return
+        self._connections.discard(connection)
+        if self._connection is connection:
+            self._connection = None
+            if not connection.is_established:
+                self._no_connection_before_ms = self._clock.now() + RECONNECT_DELAY_MS
+        for task in (connection.reader_task, connection.writer_task):
             if task is not None:
                 task.cancel()
-        line.task = line.writing = None
-        line.sock.close()
-        for call in line.out:  # written, and so perhaps added
-            self._end(call, Outcome.RESET)
-        for call in line.unsent:
-            self._end(call, Outcome.UNREACHABLE)
-
-    async def _write(self, line: CounterConnection) -> None:
+        connection.reader_task = None
+        connection.writer_task = None
+        connection.sock.close()
+        for addition in connection.in_flight:  # written, and so perhaps carried out
+            self._end(addition, Outcome.RESET)
+        for addition in connection.unsent:
+            self._end(addition, Outcome.UNREACHABLE)
+
+    async def _write(self, connection: CounterConnection) -> None:
         try:
-            while line.unsent:
-                calls = list(line.unsent)
-                line.unsent.clear()
-                line.out.extend(calls)
-                await self._loop.sock_sendall(
-                    line.sock,
-                    b"".join(resp.encode_counter_addition(c.name, c.amount, c.life) for c in calls),
-                )
-            line.writing = None
+            while connection.unsent:
+                additions = list(connection.unsent)
+                connection.unsent.clear()
+                connection.in_flight.extend(additions)
+                commands = b"".join(addition.encode() for addition in additions)
+                await self._loop.sock_sendall(connection.sock, commands)
+            connection.writer_task = None
         except OSError:
-            line.writing = None
-            self._drop(line)
-
-    async def _run(self, line: CounterConnection) -> None:
-        reader, bounds, buffer = (
-            resp.new_parser(),
-            resp.counter_reply_guard(),
-            bytearray(RECEIVE_BUFFER_BYTES),
-        )
+            connection.writer_task = None
+            self._drop(connection)
+
+    async def _run(self, connection: CounterConnection) -> None:
+        address = connection.address
         try:
-            await self._loop.sock_connect(line.sock, (line.address.host, line.address.port))
-            line.up = True
-            if line.unsent:
-                line.writing = self._loop.create_task(self._write(line))
-            while size := await self._loop.sock_recv_into(line.sock, buffer):
-                data, line.heard = bytes(buffer[:size]), self._clock.now()
-                reader.feed(data[: bounds.count_safe_bytes(data)])
-                while (message := reader.gets()) is not resp.INCOMPLETE:
-                    if not line.out:
-                        raise resp.ProtocolError("an answer to nothing")
-                    outcome, total = resp.parse_counter_reply(message)
-                    self._end(line.out.popleft(), outcome, total)
-                    if outcome is Outcome.ERROR:
-                        raise resp.ProtocolError("a total that cannot be read")
-                if bounds.is_broken:
-                    raise resp.ProtocolError("not a total")
+            await self._loop.sock_connect(connection.sock, (address.host, address.port))
+            connection.is_established = True
+            if connection.unsent:
+                connection.writer_task = self._loop.create_task(self._write(connection))
+            await self._receive(connection)
         except (OSError, resp.ProtocolError, UnicodeDecodeError) as error:
             logger.debug("the connection to the counter ended: {!r}", error)
-        self._drop(line)
+        self._drop(connection)
+
+    async def _receive(self, connection: CounterConnection) -> None:
+        parser = resp.new_parser()
+        guard = resp.counter_reply_guard()
+        buffer = bytearray(RECEIVE_BUFFER_BYTES)
+        while size := await self._loop.sock_recv_into(connection.sock, buffer):
+            data = bytes(buffer[:size])
+            connection.last_received_ms = self._clock.now()
+            parser.feed(data[: guard.count_safe_bytes(data)])
+            self._take_replies(connection, parser)
+            if guard.is_broken:
+                raise resp.ProtocolError("not a total")
+
+    def _take_replies(self, connection: CounterConnection, parser: hiredis.Reader) -> None:
+        while (message := parser.gets()) is not resp.INCOMPLETE:
+            if not connection.in_flight:
+                raise resp.ProtocolError("a reply to nothing")
+            reply = resp.parse_counter_reply(message)
+            self._end(connection.in_flight.popleft(), reply.outcome, reply.total)
+            if reply.outcome is Outcome.ERROR:
+                raise resp.ProtocolError("a total that cannot be read")
--- a/dockthread/net/resp/counter.py
+++ b/dockthread/net/resp/counter.py
@@ -23,7 +23,10 @@
 
 
 def encode_counter_addition(name: int, amount: float, lifetime_ms: float) -> bytes:
-    """Return the command that adds `amount` to a counter, which expires after `lifetime_ms`."""
+    """Return the command that adds `amount` to a number.
+
+    The counter forgets the number when the lifetime of its first addition is over.
+    """
     lifetime = b"%d" % max(1, round(lifetime_ms))
     return encode_command(b"CNT.ADD", b"%x" % name, b"%.6g" % amount, lifetime)
 
--- a/tests/net/test_counter.py
+++ b/tests/net/test_counter.py
@@ -89,7 +89,7 @@
         await until(lambda: told)
         assert told[0].outcome is Outcome.TIMEOUT
         gate.set()
-        count._timeout = 5_000.0
+        count._timeout_ms = 5_000.0
         count.add(2, 1.0, 60_000.0)
         await until(lambda: len(told) == 2)
         assert told[1] == CounterReplied(
@@ -111,7 +111,7 @@
         await until(lambda: len(told) == 2)
         assert (len(old.seen), len(new.seen)) == (1, 1)
         count.enforce_timeouts()  # nothing is out at the old one
-        assert len(count._lines) == 1
+        assert len(count._connections) == 1
         count.change_address(None)
         count.add(3, 1.0, 60_000.0)
         assert told[2].outcome is Outcome.UNREACHABLE
@@ -131,7 +131,7 @@
         count.add(1, 1.0, 60_000.0)
         await until(lambda: told)
         assert told[0].outcome is Outcome.TIMEOUT
-        numbers.answer, count._timeout = adds, 5_000.0
+        numbers.answer, count._timeout_ms = adds, 5_000.0
         count.add(2, 1.0, 60_000.0)
         await until(lambda: len(told) == 2)
         assert (told[1], numbers.opened) == (CounterReplied(2, Outcome.OK, 12.5), 2)
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -71,7 +71,7 @@
         assert (told, other._traffic.gossip_sent) == ([], 0)
         for _ in range(MAX_DATAGRAMS_PER_TURN + 20):
             other.send(SendGossip(b"m", 0))
-        here._read()
+        here._receive()
         assert len(told) == MAX_DATAGRAMS_PER_TURN, "requests have their turn before the rest"
         await until(lambda: len(told) == MAX_DATAGRAMS_PER_TURN + 20)
         here.close()
