--- a/tests/policy/test_list_size.py
+++ b/tests/policy/test_list_size.py
@@ -13,12 +13,12 @@
 import pytest
 
 from dockthread.clock import ManualClock
-from dockthread.net.discovery_watch import MAX_OBJECT_BYTES, MAX_UNREAD_BYTES, WatchResponseParser
-from dockthread.net.endpoint_list import (
-    ENTRIES_PER_PART,
-    DiscoveryError,
-    EndpointList,
-    ListedEndpoint,
+from dockthread.net.endpoint_list import ENTRIES_PER_PART, EndpointList
+from dockthread.net.endpoint_list_codec import DiscoveryError, ListedEndpoint
+from dockthread.net.watch_response_parser import (
+    MAX_OBJECT_BYTES,
+    MAX_UNREAD_BYTES,
+    WatchResponseParser,
 )
 from dockthread.policy import (
     IDLE_CLOSE_FRACTION,
@@ -188,7 +188,9 @@
 
 def test_a_long_full_list_is_applied_in_parts() -> None:
     known = destinations()
-    (said,) = fed(WatchResponseParser(known.read_entry), json.dumps(whole_list(MANY)).encode())
+    (said,) = fed(
+        WatchResponseParser(known.codec.decode_endpoint), json.dumps(whole_list(MANY)).encode()
+    )
     assert sum(not isinstance(one, ListedEndpoint) for one in said["targets"]) <= 1, (
         "the last is read at the end"
     )
@@ -204,7 +206,7 @@
     text, known = json.dumps(whole_list(10_000)).encode(), destinations()
     cut = pieces(text)
     tracemalloc.start()
-    parser = WatchResponseParser(known.read_entry)
+    parser = WatchResponseParser(known.codec.decode_endpoint)
     (said,) = [one for piece in cut for one in parser.feed(piece)]
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
@@ -216,7 +218,7 @@
 def test_endpoints_are_parsed_alike_wherever_the_stream_is_cut(size: int) -> None:
     first, second = whole_list(40), message(2, target("s-x", 1, "leaving"))
     text = json.dumps(first).encode() + b"\n" + json.dumps(second, indent=2).encode()
-    known, parser = destinations(), WatchResponseParser(destinations().read_entry)
+    known, parser = destinations(), WatchResponseParser(destinations().codec.decode_endpoint)
     found = [said for piece in pieces(text, size) for said in parser.feed(piece)]
     plain = destinations()
     assert [known.apply(said) for said in found] == [plain.apply(first), plain.apply(second)]
@@ -233,7 +235,7 @@
     said["targets"][place] |= bad
     known = destinations()
     with pytest.raises(DiscoveryError):
-        for one in fed(WatchResponseParser(known.read_entry), json.dumps(said).encode()):
+        for one in fed(WatchResponseParser(known.codec.decode_endpoint), json.dumps(said).encode()):
             told(known, one)
     assert (known.by_number, known.revision) == ({}, 0)
 
@@ -242,8 +244,8 @@
     entry_text = json.dumps(target("s" * 5_000, 6379)).encode()
     many = b'{"targets": [' + b", ".join([entry_text] * (MAX_OBJECT_BYTES // len(entry_text) + 20))
     with pytest.raises(DiscoveryError, match="does not end"):
-        fed(WatchResponseParser(destinations().read_entry), many)
-    parser, given = WatchResponseParser(destinations().read_entry), 0
+        fed(WatchResponseParser(destinations().codec.decode_endpoint), many)
+    parser, given = WatchResponseParser(destinations().codec.decode_endpoint), 0
     with pytest.raises(DiscoveryError, match="does not end"):
         for piece in pieces(
             b'{"targets": ['
