--- a/dockthread/admin/commands.py
+++ b/dockthread/admin/commands.py
@@ -1,35 +1,37 @@
-"""The management door's decisions, free of I/O: a call in, what to do and what to answer out.
-
-Theory of operation. One HTTP/1.1 call comes on each connection; the rim (ops/management.py) parses
-it with httptools and hands method, path and body here. `decide` finds the call in one table of
-paths: a path that is not there is 404, a method that the path does not take 405, a body that is not
-JSON with a string `target` 400. What is left is a `Command`, which the rim has the ingress carry
-out; whether an id is known is the ingress's to say, and an id that nobody has is owed a no (404).
-Nothing here blocks or waits, so each answer is due at once.
-
-| path                 | method | body                 | command     |
-| -------------------- | ------ | -------------------- | ----------- |
-| /_ready              | GET    | -                    | READY       |
-| /_vars               | GET    | -                    | VARS        |
-| /_backends/detach    | POST   | {"target": "ID"}     | DETACH ID   |
-| /_backends/attach    | POST   | {"target": "ID"}     | ATTACH ID   |
-| /_fleet, /_work      | GET    | -                    | FLEET, WORK |
-| /_work/ask           | POST   | {"target": "ID", "why": "...", "urgency": 0} | WORK_ASK |
-| /_work/done, /_work/withdraw | POST | {"target": "ID"} | WORK_DONE, WORK_WITHDRAW |
-
-The last two rows are there only where the operator's file has a fleet; else they are 404 as any
-other path.
+"""Requests and responses of the management server, without I/O.
+
+Each connection carries one HTTP/1.1 request. The server (`server.py`) parses it and gives method,
+path and body to `parse_request`, which looks the path up in one table. An unknown path is 404, a
+wrong method 405, and a body that is not JSON with a string `target` 400. What remains is a
+`Command`, which the ingress carries out: only the ingress knows whether an id exists, and an
+unknown one is 404.
+
+| path                         | method | body                                         |
+| ---------------------------- | ------ | -------------------------------------------- |
+| /_ready                      | GET    | -                                            |
+| /_vars                       | GET    | -                                            |
+| /_backends/detach            | POST   | {"target": "ID"}                             |
+| /_backends/attach            | POST   | {"target": "ID"}                             |
+| /_fleet, /_work              | GET    | -                                            |
+| /_work/ask                   | POST   | {"target": "ID", "why": "...", "urgency": 0} |
+| /_work/done, /_work/withdraw | POST   | {"target": "ID"}                             |
+
+The last three rows are served only where the operator's file has a fleet; otherwise they are 404
+as any other path.
 """
 
 from __future__ import annotations
 
 import json
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 from enum import Enum
 from typing import Any
 
 
 class Operation(Enum):
+    """What a request asks for."""
+
     READY = "ready"
     METRICS = "vars"
     DETACH = "detach"
@@ -41,6 +43,7 @@
     WITHDRAW_MAINTENANCE = "withdraw"
 
 
+# Operations whose body names a target.
 TARGETED = (
     Operation.DETACH,
     Operation.ATTACH,
@@ -48,6 +51,8 @@
     Operation.FINISH_MAINTENANCE,
     Operation.WITHDRAW_MAINTENANCE,
 )
+
+# Operations that all ingresses of the fleet have to agree on, or that tell of it.
 FLEET_OPERATIONS = (
     Operation.FLEET_STATUS,
     Operation.MAINTENANCE_STATUS,
@@ -59,83 +64,105 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
+    """A well-formed request.
+
+    Attributes:
+        operation: What it asks for.
+        target: The id that the body names; empty for operations without one.
+        body_fields: The whole body as decoded. The operation checks what it uses of it.
+    """
+
     operation: Operation
     target: str = ""
-    body_fields: dict[str, Any] = field(
-        default_factory=dict, compare=False
-    )  # whatever else the body said
+    body_fields: Mapping[str, Any] = field(default_factory=dict, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
+    """A response, before it is encoded."""
+
     status: int
     body: bytes
     content_type: bytes = b"text/plain; charset=utf-8"
 
 
-ROUTES: dict[bytes, tuple[bytes, Operation]] = {
-    b"/_ready": (b"GET", Operation.READY),
-    b"/_vars": (b"GET", Operation.METRICS),
-    b"/_backends/detach": (b"POST", Operation.DETACH),
-    b"/_backends/attach": (b"POST", Operation.ATTACH),
-    b"/_fleet": (b"GET", Operation.FLEET_STATUS),
-    b"/_work": (b"GET", Operation.MAINTENANCE_STATUS),
-    b"/_work/ask": (b"POST", Operation.REQUEST_MAINTENANCE),
-    b"/_work/done": (b"POST", Operation.FINISH_MAINTENANCE),
-    b"/_work/withdraw": (b"POST", Operation.WITHDRAW_MAINTENANCE),
+@dataclass(frozen=True, slots=True)
+class Route:
+    """The method that a path takes, and what it asks for."""
+
+    method: bytes
+    operation: Operation
+
+
+ROUTES: dict[bytes, Route] = {
+    b"/_ready": Route(b"GET", Operation.READY),
+    b"/_vars": Route(b"GET", Operation.METRICS),
+    b"/_backends/detach": Route(b"POST", Operation.DETACH),
+    b"/_backends/attach": Route(b"POST", Operation.ATTACH),
+    b"/_fleet": Route(b"GET", Operation.FLEET_STATUS),
+    b"/_work": Route(b"GET", Operation.MAINTENANCE_STATUS),
+    b"/_work/ask": Route(b"POST", Operation.REQUEST_MAINTENANCE),
+    b"/_work/done": Route(b"POST", Operation.FINISH_MAINTENANCE),
+    b"/_work/withdraw": Route(b"POST", Operation.WITHDRAW_MAINTENANCE),
 }
-REASONS = {
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
     405: b"Method Not Allowed",
     503: b"Unavailable",
 }
+NOT_FOUND = Response(404, b"no such call\n")
+MALFORMED_REQUEST = Response(400, b"not an HTTP call\n")
 
 
 def parse_request(method: bytes, path: bytes, body: bytes) -> Command | Response:
-    """A call's command, or the answer that refuses it. `path` may carry a query, which is not
-    looked at.
+    """Return the command of a request, or the response that rejects it.
+
+    A query behind the path is ignored.
     """
-    found = ROUTES.get(path.split(b"?", 1)[0])
-    if found is None:
-        return Response(404, b"no such call\n")
-    wanted, operation = found
-    if method != wanted and not (wanted == b"GET" and method == b"HEAD"):
-        return Response(405, b"this call goes by " + wanted + b"\n")
-    if operation not in TARGETED:
-        return Command(operation)
+    route = ROUTES.get(path.split(b"?", 1)[0])
+    if route is None:
+        return NOT_FOUND
+    if method != route.method and not (route.method == b"GET" and method == b"HEAD"):
+        return Response(405, b"this call goes by " + route.method + b"\n")
+    if route.operation not in TARGETED:
+        return Command(route.operation)
+    return _parse_targeted(route.operation, body)
+
+
+def _parse_targeted(operation: Operation, body: bytes) -> Command | Response:
     try:
-        said = json.loads(body)
+        body_fields = json.loads(body)
     except ValueError:
         return Response(400, b'the body is not JSON; {"target":"ID"} would do\n')
-    target = said.get("target") if isinstance(said, dict) else None
+    target = body_fields.get("target") if isinstance(body_fields, dict) else None
     if not isinstance(target, str) or not target:
         return Response(400, b'no target in the body; {"target":"ID"} would do\n')
-    return Command(operation, target, said)
+    return Command(operation, target, body_fields)
+
 
+def outcome_response(command: Command, succeeded: bool) -> Response:
+    """Return the response once the ingress has carried a command out.
 
-def outcome_response(command: Command, done: bool) -> Response:
-    """The answer once the ingress has tried: `done` is False where it knows no such id, or is not
-    ready.
+    `succeeded` is False where the ingress is not ready, or knows no such backend.
     """
     if command.operation is Operation.READY:
-        return Response(200, b"ready\n") if done else Response(503, b"not ready\n")
-    if done:
+        return Response(200, b"ready\n") if succeeded else Response(503, b"not ready\n")
+    if succeeded:
         return Response(200, b"ok\n")
     return Response(404, b"no backend " + command.target.encode() + b" here\n")
 
 
-def encode_response(answer: Response, head_only: bool = False) -> bytes:
-    """The answer on the wire; the connection closes behind it."""
-    reason = REASONS.get(answer.status, b"")
+def encode_response(response: Response, head_only: bool = False) -> bytes:
+    """Encode a response for the wire; the connection closes after it."""
     head = (
         b"HTTP/1.1 %d %b\r\nContent-Type: %b\r\nContent-Length: %d\r\nConnection: close\r\n\r\n"
         % (
-            answer.status,
-            reason,
-            answer.content_type,
-            len(answer.body),
+            response.status,
+            REASON_PHRASES.get(response.status, b""),
+            response.content_type,
+            len(response.body),
         )
     )
-    return head if head_only else head + answer.body
+    return head if head_only else head + response.body
--- /dev/null
+++ b/dockthread/admin/detached_backends.py
@@ -0,0 +1,40 @@
+"""The file of backends that were detached by hand, for the process that takes over at an upgrade.
+
+The file lies in the directory for temporary files. It holds a JSON list of backend ids.
+"""
+
+from __future__ import annotations
+
+import json
+import os
+import tempfile
+from collections.abc import Iterable
+from pathlib import Path
+
+from loguru import logger
+
+FILE_NAME = "dockthread-held.json"
+
+
+def detached_backends_path() -> Path:
+    """Return where the file is: in `$TMPDIR`, or the system's directory for temporary files."""
+    return Path(os.environ.get("TMPDIR") or tempfile.gettempdir()) / FILE_NAME
+
+
+def load_detached_backends(path: Path) -> list[str]:
+    """Return the ids that the last process left; none where the file is absent or broken."""
+    try:
+        ids = json.loads(path.read_bytes())
+    except (OSError, ValueError):
+        return []
+    return [each for each in ids if isinstance(each, str)] if isinstance(ids, list) else []
+
+
+def save_detached_backends(path: Path, ids: Iterable[str]) -> None:
+    """Write the ids, replacing the file in one step. A failure is logged."""
+    try:
+        new_path = path.with_suffix(".new")
+        new_path.write_text(json.dumps(sorted(ids)))
+        os.replace(new_path, path)
+    except OSError as error:
+        logger.warning("cannot save the backends detached by hand in {}: {}", path, error)
--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -1,27 +1,25 @@
-"""The daemon: one ingress from its configuration, with the operator's file where there is one.
+"""The daemon: one ingress with what runs beside it, from start to exit, with reloads at SIGHUP.
 
-What only an operator's file asks for is imported only where there is such a file.
+Beside the ingress there may be the management server, telemetry, routes, a part in the fleet, and
+a subscription to the control plane. Modules that only these need are imported when they are first
+needed, so an ingress without them neither waits for them at its start nor holds them in memory.
 """
 
 from __future__ import annotations
 
 import asyncio
 import gc
-import json
 import os
 import signal
 import sys
-import tempfile
 from contextlib import suppress
-from pathlib import Path
 from typing import TYPE_CHECKING
 
 import uvloop
 from loguru import logger
 
-from dockthread.admin.prometheus import MetricsSnapshot, render_metrics
+from dockthread.admin.ingress_admin import IngressAdmin
 from dockthread.clock import Clock
-from dockthread.config.ingress_config import IngressConfig
 from dockthread.config.platform_settings import read_config, reread_config
 from dockthread.errors import SettingsError
 from dockthread.logs.setup import set_up
@@ -29,310 +27,314 @@
 from dockthread.net.ingress import Ingress
 
 if TYPE_CHECKING:
-    from dockthread.admin import commands
+    from dockthread.admin.server import ManagementServer
+    from dockthread.config.ingress_config import IngressConfig
     from dockthread.config.ini_reader import OperatorConfig
     from dockthread.control_plane.ingress import Controlled
     from dockthread.control_plane.options import ControlOptions
     from dockthread.maintenance.service import Work
+    from dockthread.raft.options import FleetOptions
     from dockthread.routes.layers import Layers
+    from dockthread.routes.options import RouteOptions
     from dockthread.telemetry.exporter import Exporter
 
-OK, CANNOT_LISTEN, BAD_CONFIGURATION = 0, 1, 2  # exit codes
-# in $TMPDIR: the backends left out by hand, for the next process
-HELD_FILE = "dockthread-held.json"
+# Exit codes.
+OK = 0
+CANNOT_LISTEN = 1
+BAD_CONFIGURATION = 2
 
-
-def _read_held(path: Path) -> list[str]:
-    """What the process before left out by hand; nothing where it left no file, or a broken one."""
-    try:
-        held = json.loads(path.read_bytes())
-    except (OSError, ValueError):
-        return []
-    return [uid for uid in held if isinstance(uid, str)] if isinstance(held, list) else []
+# Allocations between two collections of the youngest generation. Requests leave no cycles behind,
+# so that collecting often would only cost time.
+GC_THRESHOLD = 20_000
 
 
 class Daemon:
-    """One ingress and what runs beside it. `file`: the operator's, or None."""
+    """One ingress and what runs beside it.
+
+    Attributes:
+        ingress: The ingress.
+        admin: What the management server does at the ingress.
+    """
 
     def __init__(
         self,
         config: IngressConfig,
-        file: str | None,
-        read: OperatorConfig | None,
+        operator_file: str | None,
+        operator_config: OperatorConfig | None,
         trace: bool = False,
     ) -> None:
-        self._file = file
+        """Set the ingress up; nothing is opened before `run`.
+
+        Args:
+            config: The platform's configuration.
+            operator_file: The path of the operator's file, where there is one.
+            operator_config: The contents of that file.
+            trace: Whether single events go to the log.
+
+        Raises:
+            SettingsError: The operator's file asks for what cannot be had.
+        """
+        self._operator_file = operator_file
         self.ingress = Ingress(config, Clock())
         if trace:
             from dockthread.logs.trace import Tracer
 
             self.ingress.observe(Tracer())
+        self.admin = IngressAdmin(self.ingress)
+        self._management_server: ManagementServer | None = None
         self._exporter: Exporter | None = None
-        self._no_part = ""
-        self._work: Work | None = None  # its part in a fleet, where the operator's file has one
-        self._fleet = read.named_sections("fleet")[""] if read is not None else None
-        self._control: ControlOptions | None = (
-            read.named_sections("control")[""] if read is not None else None
-        )
-        # what receives configuration, where the operator's file has it
+        self._maintenance: Work | None = None
         self._controlled: Controlled | None = None
+        self._fleet_options: FleetOptions | None = None
+        self._control_options: ControlOptions | None = None
         self._routes: Layers | None = None
-        self._applied: dict[str, object] = {}
+        self._file_routes: dict[str, RouteOptions] = {}
         self._reloading: asyncio.Task[None] | None = None
-        self._asked_again = False
-        self.applied = self.rejected = 0  # files read again at SIGHUP
-        self._held_file = Path(os.environ.get("TMPDIR") or tempfile.gettempdir()) / HELD_FILE
-        self.ingress.destinations.held.update(_read_held(self._held_file))
-        if read is not None:
-            self._apply(read)
-
-    # What the management door asks (ops/management.py)
-
-    @property
-    def ready(self) -> bool:
-        return self.ingress.ready
-
-    def figures(self) -> bytes:
-        ingress = self.ingress
-        return render_metrics(
-            MetricsSnapshot(
-                classes=ingress.config.names.classes,
-                outcomes=ingress.traffic.outcomes,
-                tries=ingress.traffic.attempts_sent,
-                active=ingress.active,
-                pool_size=ingress.destinations.listed,
-                pool_ejected=ingress.destinations.avoided,
-                config_applied=self.applied,
-                config_rejected=self.rejected,
-            )
-        )
+        self._reload_requested = False
+        if operator_config is not None:
+            self._fleet_options = operator_config.section("fleet")
+            self._control_options = operator_config.section("control")
+            self._apply_telemetry(operator_config)
+            self._apply_routes(operator_config)
 
     def detach(self, target: str) -> bool:
-        return self._hold(target, True)
+        """Drain a backend by hand; return False where it is not known."""
+        return self.admin.detach(target)
 
     def attach(self, target: str) -> bool:
-        return self._hold(target, False)
+        """Let a detached backend serve again; return False where it is not known."""
+        return self.admin.attach(target)
+
+    async def run(self) -> None:
+        """Serve until `stop`, then close everything.
 
-    def _hold(self, target: str, held: bool) -> bool:
-        if not self.ingress.hold(target, held):
-            return False
-        # For the process that takes over at an upgrade: it starts with what is held here.
+        Raises:
+            SettingsError: A part asked for in the operator's file cannot be had.
+            OSError: An address cannot be bound.
+        """
+        _tune_garbage_collector()
+        self._open_management_server()
+        await self._join_fleet()
+        self._receive()
         try:
-            passing = self._held_file.with_suffix(".new")
-            passing.write_text(json.dumps(sorted(self.ingress.destinations.held)))
-            os.replace(passing, self._held_file)
-        except OSError as error:
-            logger.warning(
-                "cannot keep the backends held by hand in {}: {}", self._held_file, error
-            )
-        logger.info("backend {} {} by hand", target, "detached" if held else "attached")
-        return True
-
-    async def fleet(self, command: commands.Command) -> commands.Response:
-        from dockthread.admin import commands
-
-        if self._work is None:
-            if self._no_part:
-                return commands.Response(503, f"{self._no_part}\n".encode())
-            return commands.Response(404, b"no such call\n")
-        return await self._work.answer(command)
-
-    def _apply(self, read: OperatorConfig) -> None:
-        """Raises SettingsError, and then nothing has changed."""
-        self._apply_telemetry(read)
-        self._apply_routes(read)
-
-    def _apply_routes(self, read: OperatorConfig) -> None:
-        routes, ingress = read.named_sections("route"), self.ingress
-        if self._routes is None and routes:
-            self._routes = self._layers()
-        if self._routes is not None and routes != self._applied:
-            self._routes.set_file(routes, ingress.clock.now() / 1000.0)
-            logger.info("routes: {}", ", ".join(routes) or "none")
-        self._applied = routes
+            await self.ingress.run()
+        finally:
+            if self._controlled is not None:
+                await self._controlled.close()
+            if self._maintenance is not None:
+                await self._maintenance.close()
+            if self._management_server is not None:
+                self._management_server.close()
+            if self._exporter is not None:
+                await self._exporter.farewell()
+
+    def stop(self) -> None:
+        """Start the graceful shutdown.
 
-    def _layers(self) -> Layers:
-        from dockthread.routes.layers import Layers
-        from dockthread.routes.table import Table
+        A leader of the fleet hands over first, because the last responses may take long.
+        """
+        if self._maintenance is not None:
+            self._maintenance.leave()
+        self.ingress.stop()
 
-        config = self.ingress.config
-        table = self.ingress.routes = Table(config.names, config.policy_settings.zone, config.seed)
-        return Layers(table, config.policy_settings, config.names)
+    def reload(self) -> None:
+        """Read both files again. Where either is bad, nothing changes.
+
+        A call that comes while files are being read has them read once more.
+        """
+        self._reload_requested = True
+        if self._reloading is None or self._reloading.done():
+            self._reloading = asyncio.get_running_loop().create_task(self._reload())
+
+    def _open_management_server(self) -> None:
+        if self.ingress.config.management is None:
+            return
+        from dockthread.admin.server import ManagementServer
+
+        self._management_server = ManagementServer(self.admin, self.ingress.config.management)
+        self._management_server.open()
+
+    async def _join_fleet(self) -> None:
+        """Take part in the fleet, where the operator's file has one.
+
+        An ingress whose storage is lost or broken serves requests without taking part.
+        """
+        if self._fleet_options is None or not self._fleet_options.listen:
+            return
+        from dockthread.maintenance.service import Work
+        from dockthread.raft.storage import Lost
+
+        try:
+            self._maintenance = Work(self.ingress, self._fleet_options, self.stop)
+            self.admin.fleet_handler = self._maintenance
+            await self._maintenance.open()
+        except Lost as error:
+            self.admin.fleet_error = f"no part in the fleet: {error}"
+            logger.error("{}", self.admin.fleet_error)
+        except ValueError as error:
+            raise SettingsError(str(error)) from error
 
     def _receive(self) -> None:
-        """Configuration, where [control] names servers: first what the cache holds. Raises
-        SettingsError.
+        """Subscribe to the control plane, where the operator's file names servers for it.
+
+        What the cache holds is applied first.
         """
-        options = self._control
+        options = self._control_options
         if options is None or options.role is None:
             return
         if options.role != "ingress":
-            wrong = f"{self._file}: [control] role: is {options.role}, and this is an ingress"
-            raise SettingsError(f"{wrong}; `dockthread control serve` runs it")
+            raise SettingsError(
+                f"is {options.role}, and this is an ingress",
+                file=self._operator_file or "",
+                section="control",
+                key="role",
+                remedy="`dockthread control serve` runs it",
+            )
         from dockthread.control_plane.ingress import Controlled
 
-        self._routes = self._routes or self._layers()
+        routes = self._installed_routes()
         try:
-            self._controlled = Controlled(self.ingress, self._routes, options)
+            self._controlled = Controlled(self.ingress, routes, options)
         except ValueError as error:
             raise SettingsError(str(error)) from error
         self._controlled.open()
 
-    def _apply_telemetry(self, read: OperatorConfig) -> None:
-        if self._exporter is None and not (
-            read.named_sections("graphite") or read.named_sections("collectd")
-        ):
-            return
+    def _apply_telemetry(self, operator_config: OperatorConfig) -> None:
+        """Apply the file's receivers; raises SettingsError, and then nothing has changed."""
         if self._exporter is None:
+            if not (
+                operator_config.named_sections("graphite")
+                or operator_config.named_sections("collectd")
+            ):
+                return
             from dockthread.telemetry.exporter import Exporter
 
             self._exporter = Exporter(self.ingress)
-        self._exporter.apply(read)
-
-    def stop(self) -> None:
-        """End gently; where it leads the fleet, another takes over first, as the last answers may
-        take long.
-        """
-        if self._work is not None:
-            self._work.leave()
-        self.ingress.stop()
+        self._exporter.apply(operator_config)
+
+    def _apply_routes(self, operator_config: OperatorConfig) -> None:
+        routes = operator_config.named_sections("route")
+        if routes:
+            self._installed_routes()
+        if self._routes is not None and routes != self._file_routes:
+            self._routes.set_file(routes, self.ingress.clock.now() / 1000.0)
+            logger.info("routes: {}", ", ".join(routes) or "none")
+        self._file_routes = routes
 
-    async def run(self) -> None:
-        gc.collect()
-        gc.freeze()  # what stands now stands for good: no collection need look at it again
-        # requests leave no cycles behind, so the rest need be looked at seldom
-        gc.set_threshold(20_000)
-        opened = None
-        if self.ingress.config.management is not None:
-            from dockthread.admin.server import ManagementServer
-
-            opened = ManagementServer(self, self.ingress.config.management)
-            opened.open()
-        if self._fleet is not None and self._fleet.listen:
-            from dockthread.maintenance.service import Work
-            from dockthread.raft.storage import Lost
+    def _installed_routes(self) -> Layers:
+        if self._routes is None:
+            from dockthread.routes.installation import install_routes
 
-            try:
-                self._work = Work(self.ingress, self._fleet, self.stop)
-                await self._work.open()
-            except Lost as error:  # requests are served all the same
-                self._no_part = f"no part in the fleet: {error}"
-                logger.error("{}", self._no_part)
-            except ValueError as error:
-                raise SettingsError(str(error)) from error
-        self._receive()
-        try:
-            await self.ingress.run()
-        finally:
-            if self._controlled is not None:
-                await self._controlled.close()
-            if self._work is not None:
-                await self._work.close()
-            if opened is not None:
-                opened.close()
-            if self._exporter is not None:
-                await self._exporter.farewell()
-
-    def reload(self) -> None:
-        """SIGHUP: read both files again. Where either is bad, nothing changes. One that comes while
-        files are being read has them read once more.
-        """
-        self._asked_again = True
-        if self._reloading is None or self._reloading.done():
-            self._reloading = asyncio.get_running_loop().create_task(self._reload())
+            self._routes = install_routes(self.ingress)
+        return self._routes
 
     async def _reload(self) -> None:
-        """A thousand routes take half a second to prove: that is done in a thread, and answers go
-        on.
-        """
-        while self._asked_again:
-            self._asked_again = False
+        while self._reload_requested:
+            self._reload_requested = False
             try:
-                config, read = reread_config(os.environ), None
-                if self._file is not None:
-                    from dockthread.config.section_registry import load_operator_file
-
-                    read = await asyncio.to_thread(
-                        load_operator_file, self._file, config.policy_settings, config.names
-                    )
-                    self._apply_telemetry(read)
+                config = reread_config(os.environ)
+                operator_config = await self._reread_operator_file(config)
+                if operator_config is not None:
+                    self._apply_telemetry(operator_config)
             except SettingsError as error:
-                self.rejected += 1
+                self.admin.reloads.rejected += 1
                 logger.warning("the old configuration stays: {}", error)
                 continue
-            self.applied += 1
-            self._take_over(config, read)
+            self.admin.reloads.applied += 1
+            self._apply_reloaded(config, operator_config)
             logger.info(
                 "configuration read again: discovery at {}, counter at {}",
                 config.discovery,
                 config.counter,
             )
 
-    def _take_over(self, config: IngressConfig, read: OperatorConfig | None) -> None:
-        """First the classes, which routes may name."""
+    async def _reread_operator_file(self, config: IngressConfig) -> OperatorConfig | None:
+        """Read the operator's file against the settings of `config`, where there is such a file.
+
+        Checking a thousand routes takes half a second, so it is done in a thread while the event
+        loop goes on serving.
+        """
+        if self._operator_file is None:
+            return None  # no thread for nothing
+        return await asyncio.to_thread(_load_operator_file, self._operator_file, config)
+
+    def _apply_reloaded(
+        self, config: IngressConfig, operator_config: OperatorConfig | None
+    ) -> None:
+        """Apply files that were read again: the classes first, because routes may name them."""
         ingress = self.ingress
-        before = ingress.config.policy_settings, ingress.config.names
+        settings_before = ingress.config.policy_settings
+        names_before = ingress.config.names
         if self._controlled is not None:
             config = self._controlled.layered(config)
         ingress.reconfigure(config)
+        settings = ingress.config.policy_settings
+        names = ingress.config.names
         if self._routes is not None:
-            self._routes.set_settings(ingress.config.policy_settings, ingress.config.names)
-        if read is not None:
-            self._apply_routes(read)
-        if (
-            self._controlled is not None
-            and (ingress.config.policy_settings, ingress.config.names) != before
-        ):
+            self._routes.set_settings(settings, names)
+        if operator_config is not None:
+            self._apply_routes(operator_config)
+        if self._controlled is not None and (settings, names) != (settings_before, names_before):
             self._controlled.settings_changed()
-        if read is not None:
-            for section, held in (("fleet", self._fleet), ("control", self._control)):
-                if read.named_sections(section)[""] != held:
-                    logger.warning("[{}] has changed: it holds from the next start on", section)
+        if operator_config is not None:
+            self._warn_of_restart_only(operator_config)
+
+    def _warn_of_restart_only(self, operator_config: OperatorConfig) -> None:
+        """Warn of changed sections that are read at the start only."""
+        in_effect = {"fleet": self._fleet_options, "control": self._control_options}
+        for name, options in in_effect.items():
+            if operator_config.section(name) != options:
+                logger.warning("[{}] has changed: it holds from the next start on", name)
+
 
+def _tune_garbage_collector() -> None:
+    """Spare the collector what the start has made, which stays for the life of the process."""
+    gc.collect()
+    gc.freeze()
+    gc.set_threshold(GC_THRESHOLD)
 
-async def _serve(
+
+async def _run_daemon(
     config: IngressConfig,
-    file: str | None,
-    read: OperatorConfig | None,
+    operator_file: str | None,
+    operator_config: OperatorConfig | None,
     trace: bool,
-    early: list[int],
+    early_hangups: list[int],
 ) -> None:
-    daemon = Daemon(config, file, read, trace)
+    """Run a daemon until a signal stops it."""
+    daemon = Daemon(config, operator_file, operator_config, trace)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, daemon.stop)
 
-    def hung_up(*_: object) -> None:
-        with suppress(RuntimeError):  # the loop may have ended just now
+    def on_hangup(*_: object) -> None:
+        with suppress(RuntimeError):  # the loop may have been closed just now
             loop.call_soon_threadsafe(daemon.reload)
 
-    # Not by the loop, whose end would give the signal its default back, and that is to kill.
-    signal.signal(signal.SIGHUP, hung_up)
-    if early:  # the files may have been read before it came
+    # Not a handler of the loop: its close would restore the default, by which SIGHUP kills.
+    signal.signal(signal.SIGHUP, on_hangup)
+    if early_hangups:  # the files may have been read before the signal came
         daemon.reload()
     await daemon.run()
 
 
-def serve(file: str | None = None) -> int:
-    """Serve until told to stop; the exit code. `file`: the operator's, before
-    `DOCKTHREAD_CONFIG`.
+def serve(operator_file: str | None = None) -> int:
+    """Serve until a signal stops the process, and return its exit code.
+
+    `operator_file` is the path of the operator's file; it wins over `DOCKTHREAD_CONFIG`.
     """
-    early = list[int]()  # one that comes before there is an ingress is heeded once there is
-    signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
+    early_hangups: list[int] = []  # those before there is a daemon are remembered for it
+    signal.signal(signal.SIGHUP, lambda number, _: early_hangups.append(number))
     try:
         config = read_config(os.environ)
-        file = file or os.environ.get("DOCKTHREAD_CONFIG") or None
-        read = None
-        if file is not None:
-            from dockthread.config.section_registry import load_operator_file
-
-            read = load_operator_file(file, config.policy_settings, config.names)
-        log = read.section("log") if read else None
-        level = os.environ.get("DOCKTHREAD_LOG") or (log.level if log else "INFO")
-        set_up(level.upper(), log, ingress=config.name)
+        operator_file = operator_file or os.environ.get("DOCKTHREAD_CONFIG") or None
+        operator_config = _load_operator_file(operator_file, config)
+        is_tracing = _set_up_log(config, operator_config)
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(_serve(config, file, read, level.upper() == "TRACE", early))
-        # the interpreter's end, too, gives defaults back
+            runner.run(
+                _run_daemon(config, operator_file, operator_config, is_tracing, early_hangups)
+            )
+        # The interpreter's exit, too, would restore the default.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
     except (SettingsError, WatchError) as error:
         print(f"dockthread: {error}", file=sys.stderr)
@@ -341,3 +343,28 @@
         print(f"dockthread: cannot listen: {error}", file=sys.stderr)
         return CANNOT_LISTEN
     return OK
+
+
+def _load_operator_file(operator_file: str | None, config: IngressConfig) -> OperatorConfig | None:
+    """Read the operator's file, where there is one.
+
+    Raises:
+        SettingsError: The file has an error.
+    """
+    if operator_file is None:
+        return None
+    from dockthread.config.section_registry import load_operator_file
+
+    return load_operator_file(operator_file, config.policy_settings, config.names)
+
+
+def _set_up_log(config: IngressConfig, operator_config: OperatorConfig | None) -> bool:
+    """Set the log up, and return whether its level is TRACE.
+
+    Raises:
+        SettingsError: The level is none, or the log's file cannot be written.
+    """
+    options = operator_config.section("log") if operator_config is not None else None
+    level = os.environ.get("DOCKTHREAD_LOG") or (options.level if options else "INFO")
+    set_up(level.upper(), options, ingress=config.name)
+    return bool(level.upper() == "TRACE")
--- a/tests/admin/test_door.py
+++ b/tests/admin/test_door.py
@@ -8,6 +8,7 @@
 import pytest
 
 from dockthread.admin import commands
+from dockthread.admin.ingress_admin import IngressAdmin
 from dockthread.admin.server import ManagementServer
 from dockthread.config.address import Address
 from dockthread.daemon import Daemon
@@ -63,10 +64,8 @@
 def test_the_door_answers_each_call_and_silent_callers_hold_up_nobody() -> None:
     async def scenario() -> None:
         async with serving(Backend()) as (ingress, client, _):
-            daemon = Daemon.__new__(Daemon)
-            daemon.ingress, daemon.applied, daemon.rejected = ingress, 0, 0
-            daemon._held_file = Path("/nonexistent/held.json")
-            opened = ManagementServer(daemon, Address("127.0.0.1", 0))
+            admin = IngressAdmin(ingress, Path("/nonexistent/held.json"))
+            opened = ManagementServer(admin, Address("127.0.0.1", 0))
             opened.open()
             port = opened.address.port
             silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(60)]
--- a/tests/control_plane/test_distribution_rim.py
+++ b/tests/control_plane/test_distribution_rim.py
@@ -229,7 +229,7 @@
         )
         file.write_text("[route b]\nclass = renew\nattempts = 2\n")
         daemon.reload()
-        await until(lambda: daemon.applied)
+        await until(lambda: daemon.admin.reloads.applied)
         table = daemon._routes.table if daemon._routes is not None else None
         number = daemon.ingress.config.names.classes.index("renew")
         found = table.find(Facts(number, 0, False, 1, 1, False)) if table is not None else None
