--- a/tests/policy/test_drill.py
+++ b/tests/policy/test_drill.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from dockthread import simulator_adapter
+from dockthread import simulator_adapter, simulator_wire
 from dockthread.policy import AttemptEnded, Outcome, SendAttempt, SendGossip, SetTimer
 
 CONF = {
@@ -25,10 +25,10 @@
 
 
 def frame(clock: int, records: list[bytes], tail: bytes = b"") -> bytes:
-    body = b"".join(r.ljust(simulator_adapter.RECORD, b"\0") for r in records) + tail
+    body = b"".join(r.ljust(simulator_wire.RECORD_BYTES, b"\0") for r in records) + tail
     return (
-        simulator_adapter.HEADER.pack(
-            clock, simulator_adapter.HEADER.size + len(body), len(records)
+        simulator_wire.FRAME_HEADER.pack(
+            clock, simulator_wire.FRAME_HEADER.size + len(body), len(records)
         )
         + body
     )
@@ -55,10 +55,12 @@
 def replies(data: bytes) -> list[list[bytes]]:
     found = []
     while data:
-        length, count = simulator_adapter.REPLY.unpack_from(data)
+        length, count = simulator_wire.REPLY_HEADER.unpack_from(data)
         found.append(
             [
-                data[8 + i * simulator_adapter.ACTION : 8 + (i + 1) * simulator_adapter.ACTION]
+                data[
+                    8 + i * simulator_wire.ACTION_BYTES : 8 + (i + 1) * simulator_wire.ACTION_BYTES
+                ]
                 for i in range(count)
             ]
         )
@@ -83,14 +85,14 @@
     sends = [a for a in actions if a[:2] == b"\1\0"]
     assert len(sends) == 1
     assert sends[0][6:16] == struct.pack("<I", 5) + WORKER
-    assert all(len(a) == simulator_adapter.ACTION for a in actions)
+    assert all(len(a) == simulator_wire.ACTION_BYTES for a in actions)
 
 
 def test_outcome_of_the_wire_page_is_read() -> None:
     record = bytes.fromhex(
         "020003000000c4913a5dc80003000144480000000a124a07431f5600" + "0152b81e3f" + "00" * 15
     )
-    event = simulator_adapter._ended(record, b"")
+    event = simulator_wire.decode_attempt_ended(record, b"")
     assert isinstance(event, AttemptEnded)
     assert (event.request, event.outcome, event.actual_units, event.is_final) == (
         0x5D3A91C4,
@@ -101,17 +103,17 @@
     assert event.duration == pytest.approx(0.018500)
     assert event.reported_usage == pytest.approx(0.85)
     assert list(event.load_report) == pytest.approx([0.62])
-    assert simulator_adapter.worker_fields(event.backend) == (WORKER[:4], 0x1F43)
+    assert simulator_wire.backend_address(event.backend) == (WORKER[:4], 0x1F43)
 
 
 def test_actions_of_the_wire_page_are_written() -> None:
-    worker = simulator_adapter.worker_id(WORKER[:4], 0x1F43)
-    send = simulator_adapter._write(3, SendAttempt(0x5D3A91C4, worker, 0.080000), bytearray())
+    worker = simulator_wire.backend_id(WORKER[:4], 0x1F43)
+    send = simulator_wire.encode_action(3, SendAttempt(0x5D3A91C4, worker, 0.080000), bytearray())
     assert send == bytes.fromhex("010003000000c4913a5d0a124a07431f80380100")
-    timer = simulator_adapter._write(3, SetTimer(8.911481, 77), bytearray())
+    timer = simulator_wire.encode_action(3, SetTimer(8.911481, 77), bytearray())
     assert timer == struct.pack("<HIQI", 5, 3, 8911481, 77)
     tail = bytearray(b"xx")
-    tell = simulator_adapter._write(3, SendGossip(b"hi p"), tail)
+    tell = simulator_wire.encode_action(3, SendGossip(b"hi p"), tail)
     assert tell == bytes.fromhex("080003000000ffffffff0200000004000000")
     assert tail == b"xxhi p"
 
@@ -133,7 +135,7 @@
         frame(1, [up(b"[]")], b"[]"),
         start() + frame(2_000_000, [struct.pack("<HI", 99, 3)]),
         start() + frame(2_000_000, [struct.pack("<HII", 3, 4, 1)]),
-        simulator_adapter.HEADER.pack(1, 20, 5),
+        simulator_wire.FRAME_HEADER.pack(1, 20, 5),
         frame(1, [up(b"x" * 50)]),
     ],
     ids=[
