--- a/dockthread/__main__.py
+++ b/dockthread/__main__.py
@@ -1,5 +1,6 @@
-"""`python -m dockthread` and the command `dockthread`. Without a word it serves, as the platform
-starts it.
+"""The entry point of `python -m dockthread` and of the command `dockthread`.
+
+Without arguments the daemon serves, as the platform starts it.
 """
 
 from __future__ import annotations
@@ -8,8 +9,9 @@
 
 
 def main() -> int:
-    """The exit code of the daemon, or of the command that is named."""
-    if len(sys.argv) < 2:  # the daemon does not pay for the command line
+    """Run the daemon, or the command that the arguments name, and return the exit code."""
+    if len(sys.argv) < 2:
+        # The daemon does not load the command line, which would only slow its start.
         from dockthread.daemon import serve
 
         return serve()
--- a/dockthread/admin/reload.py
+++ b/dockthread/admin/reload.py
@@ -1,36 +1,38 @@
-"""Settings taken over at SIGHUP, decided without I/O.
-
-Theory of operation. The module counts classes by number, and a request under way holds its class by
-that number and by the `RequestClass` it was given at its arrival. So numbers are never reused: a
-class of the new file that the old one had keeps its number and takes the new figures for what
-arrives from now on; a new class is given the next number; a class that the new file lacks stays in
-the module's list, for what is under way, but is no longer offered to clients. Of the rest only the
-attempts allowed are taken over, for they may shrink; a file's other keys hold from the next start
-on. A file that is broken in any part has been refused before it gets here (`settings.read_config`),
-so what arrives is whole.
-
-| old file     | new file     | the module's list         | offered |
-| ------------ | ------------ | ------------------------- | ------- |
-| class C at i | class C      | i, the new figures        | yes     |
-| class C at i | -            | i, the old figures        | no      |
-| -            | class C      | next number, new figures  | yes     |
+"""Which settings hold after SIGHUP, decided without I/O.
+
+The policy engine numbers classes, and a request in flight keeps its class by that number and by the
+`RequestClass` that it arrived with. So numbers are never reused:
+
+| old file     | new file     | the engine's list           | offered to clients |
+| ------------ | ------------ | --------------------------- | ------------------ |
+| class C at i | class C      | i, with the new values      | yes                |
+| class C at i | -            | i, with the old values      | no                 |
+| -            | class C      | next number, the new values | yes                |
+
+The new values hold for requests that arrive from now on. Of the other settings only the number of
+attempts is taken over, because it may have to shrink; the rest holds from the next start on.
+
+What arrives here is complete: the reader (`config/platform_settings.py`) has rejected a file that
+is broken in any part.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
-from typing import TYPE_CHECKING
 
 from dockthread.config.ingress_config import Names
 from dockthread.policy import PolicyEngine, PolicySettings
 
-if TYPE_CHECKING:
-    pass
-
 
 @dataclass(frozen=True, slots=True)
 class MergedSettings:
-    """The module's settings and names after a reload, and the classes that clients may ask for."""
+    """What holds after a reload.
+
+    Attributes:
+        settings: The policy engine's settings.
+        names: The names of its classes, with those that are not offered any more.
+        offered: The names of the classes that clients may ask for.
+    """
 
     settings: PolicySettings
     names: Names
@@ -40,14 +42,15 @@
 def merge_settings(
     old: PolicySettings, old_names: Names, new: PolicySettings, new_names: Names
 ) -> MergedSettings:
-    """`old`: what the module holds now; `new`: the file just read. Raises nothing."""
-    classes, names = list(old.classes), list(old_names.classes)
-    for name, rules in zip(new_names.classes, new.classes, strict=True):
+    """Merge the settings of a file that was just read into those that the policy engine has."""
+    classes = list(old.classes)
+    names = list(old_names.classes)
+    for name, request_class in zip(new_names.classes, new.classes, strict=True):
         if name in names:
-            classes[names.index(name)] = rules
+            classes[names.index(name)] = request_class
         else:
             names.append(name)
-            classes.append(rules)
+            classes.append(request_class)
     settings = replace(old, classes=tuple(classes), max_attempts=new.max_attempts)
     return MergedSettings(
         settings, replace(old_names, classes=tuple(names)), frozenset(new_names.classes)
@@ -55,9 +58,10 @@
 
 
 def retune(gateway: PolicyEngine, settings: PolicySettings) -> None:
-    """Give the module `settings` from `merge`. What its parts derived from the classes at their
-    start (attempts.py, admission.py, rules.py) is derived again from the longer list; what it has
-    learnt stays.
+    """Give the policy engine the settings of `merge_settings`.
+
+    What its parts derived from the classes at their start is derived again from the longer list.
+    What they have learnt stays.
     """
     classes = settings.classes
     gateway.s = settings
--- a/dockthread/errors.py
+++ b/dockthread/errors.py
@@ -21,7 +21,7 @@
         remedy: What would do instead.
     """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - each part is a field of its own
         self,
         reason: str,
         *,
