--- a/dockthread/admin/ingress_admin.py
+++ b/dockthread/admin/ingress_admin.py
@@ -17,7 +17,60 @@
 
 if TYPE_CHECKING:
     from dockthread.admin.commands import Command, Response
-    from dockthread.net.ingress import Ingress
+    from dockthread.config.ingress_config import IngressConfig
+    from dockthread.observer import Traffic
+
+
+class AdministeredEndpoints(Protocol):
+    """What the commands need of an ingress's endpoint list."""
+
+    @property
+    def held(self) -> set[str]:
+        """The ids of the backends that were detached by hand."""
+        ...
+
+    @property
+    def listed(self) -> int:
+        """How many backends discovery lists."""
+        ...
+
+    @property
+    def avoided(self) -> int:
+        """How many of them are left out now."""
+        ...
+
+
+class AdministeredIngress(Protocol):
+    """What the commands need of an ingress."""
+
+    @property
+    def ready(self) -> bool:
+        """Whether it serves and knows a backend."""
+        ...
+
+    @property
+    def active(self) -> int:
+        """How many requests were received and have no response yet."""
+        ...
+
+    @property
+    def config(self) -> IngressConfig:
+        """Its configuration."""
+        ...
+
+    @property
+    def traffic(self) -> Traffic:
+        """Its counts."""
+        ...
+
+    @property
+    def destinations(self) -> AdministeredEndpoints:
+        """Its endpoint list."""
+        ...
+
+    def hold(self, uid: str, held: bool) -> bool:
+        """Drain a backend, or let it serve again; return False where it is not known."""
+        ...
 
 
 class FleetCommandHandler(Protocol):
@@ -45,7 +98,7 @@
         fleet_error: Why this ingress takes no part in its fleet; empty where it does.
     """
 
-    def __init__(self, ingress: Ingress, detached_path: Path | None = None) -> None:
+    def __init__(self, ingress: AdministeredIngress, detached_path: Path | None = None) -> None:
         """Detach the backends that the last process left detached.
 
         `detached_path` replaces the file in which they are kept.
--- a/dockthread/admin/server.py
+++ b/dockthread/admin/server.py
@@ -1,4 +1,4 @@
-"""The management server: HTTP/1.1 on a socket, one request a connection.
+"""The server of the management endpoint: HTTP/1.1 on a socket, one request a connection.
 
 httptools parses the requests, and `commands.py` decides what they mean. Each connection has a task
 of its own, so a client that sends nothing, or half a request, delays nobody. It is closed after
@@ -122,7 +122,7 @@
         listener = self.address.listener(BACKLOG)
         self._listener = listener
         self.address = Address(*listener.getsockname()[:2])
-        logger.info("management server on {}", self.address)
+        logger.info("management endpoint on {}", self.address)
         self._accepting = asyncio.get_running_loop().create_task(self._accept(listener))
 
     def close(self) -> None:
@@ -140,7 +140,7 @@
             try:
                 connection, _ = await loop.sock_accept(listener)
             except OSError as error:
-                logger.warning("management server cannot accept: {}", error)
+                logger.warning("management endpoint cannot accept: {}", error)
                 await asyncio.sleep(ACCEPT_RETRY_DELAY)
                 continue
             if len(self._connections) >= MAX_CONNECTIONS:
@@ -160,7 +160,7 @@
         except (OSError, TimeoutError):
             pass  # the client is gone or silent: there is nobody to tell
         except Exception:  # noqa: BLE001 - a fault in one request must not end the ingress
-            logger.exception("a request to the management server failed")
+            logger.exception("a request to the management endpoint failed")
         finally:
             self._connections.pop(connection, None)
             connection.close()
--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -223,9 +223,10 @@
 
     def _installed_routes(self) -> Layers:
         if self._routes is None:
-            from dockthread.routes.installation import install_routes
+            from dockthread.routes.layers import Layers
 
-            self._routes = install_routes(self.ingress)
+            self._routes = Layers.for_config(self.ingress.config)
+            self.ingress.routes = self._routes.table
         return self._routes
 
     async def _reload(self) -> None:
--- a/dockthread/routes/layers.py
+++ b/dockthread/routes/layers.py
@@ -12,7 +12,7 @@
 
 from collections.abc import Mapping
 
-from dockthread.config.ingress_config import Names
+from dockthread.config.ingress_config import IngressConfig, Names
 from dockthread.policy import PolicySettings
 from dockthread.routes.check import SHADOWED, check_one
 from dockthread.routes.matcher import Numbers, Place, file_places, published_place
@@ -33,6 +33,12 @@
         self._everywhere: Ordered | None = None
         self.published: dict[str, RouteOptions] = {}
 
+    @classmethod
+    def for_config(cls, config: IngressConfig) -> Layers:
+        """Return the layers of a new, empty table for the ingress of a configuration."""
+        table = Table(config.names, config.policy_settings.zone, config.seed)
+        return cls(table, config.policy_settings, config.names)
+
     def set_file(self, routes: Mapping[str, RouteOptions], now: float) -> None:
         """Other routes in the file, proved among themselves. Those published stay over them."""
         before, self._file, self._places = self._places, routes, file_places(routes)
--- a/tests/maintenance/test_fleet_processes.py
+++ b/tests/maintenance/test_fleet_processes.py
@@ -339,7 +339,7 @@
             rig.kill(name)
         rig.start("n1")
         await until(lambda: ready(rig, "n1"))
-        log = (rig.folder / "n1" / "out").read_bytes().rpartition(b"management server")[2]
+        log = (rig.folder / "n1" / "out").read_bytes().rpartition(b"management endpoint")[2]
         assert log.index(b"s-0 is drained") < log.index(b"starting -> serving")
         assert await rig.call("n1", "POST", "/_backends/attach", {"target": "no-such"}) == (
             404,
