--- /dev/null
+++ b/tests/config/ingress_cluster.py
@@ -0,0 +1,216 @@
+"""Several policy engines with their backends, a quota counter and gossip between them, on one clock.
+
+Times are in seconds.
+"""
+
+from __future__ import annotations
+
+import heapq
+import random
+from collections import defaultdict
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass, replace
+
+from dockthread.policy import (
+    Action,
+    AddToCounter,
+    AttemptEnded,
+    BackendState,
+    CounterReplied,
+    Endpoint,
+    EndpointListKind,
+    EndpointsListed,
+    Event,
+    Fail,
+    GossipReceived,
+    Outcome,
+    PolicyEngine,
+    PolicySettings,
+    Reject,
+    RequestArrived,
+    SendAttempt,
+    SendGossip,
+    SetTimer,
+    TimerFired,
+)
+
+START = 1000.0
+BACKENDS = 6
+FIRST_BACKEND = 100
+CUSTOMER = 7
+MEAN_SERVICE_TIME = 0.06
+COUNTER_DELAY = 0.002
+GOSSIP_DELAYS = (0.001, 0.014)
+REPORTED_LOAD = 0.4
+
+# A backend reports a customer's use over this long, as it was this long ago.
+USAGE_WINDOW = 1.0
+USAGE_REPORT_AGE = 0.5
+
+
+@dataclass(frozen=True, slots=True)
+class RequestKey:
+    """A request of the cluster: the number of its ingress, and its own."""
+
+    ingress: int
+    request: int
+
+
+@dataclass(frozen=True, slots=True)
+class FirstAttempt:
+    """When the first attempt of a request was sent, and the request's units."""
+
+    sent_at: float
+    units: float
+
+
+class IngressCluster:
+    """Ingresses that serve one customer.
+
+    Attributes:
+        now: The time.
+        engines: The policy engines, by the number of their ingress.
+        attempted_backends: The backend of each attempt, in the order sent.
+        first_attempts: The first attempt of each request that was admitted.
+        answers: The final answers of each request; more than one would be an error.
+    """
+
+    def __init__(
+        self,
+        settings: PolicySettings,
+        seed: int,
+        gossip_loss: float = 0.06,
+        backends_answer: bool = True,
+    ) -> None:
+        self.now = START
+        self.random = random.Random(seed)
+        self.attempted_backends: list[int] = []
+        self.first_attempts: dict[RequestKey, FirstAttempt] = {}
+        self.answers: dict[RequestKey, list[str]] = {}
+        self._gossip_loss = gossip_loss
+        self._backends_answer = backends_answer
+        self._due: list[tuple[float, int, Callable[[], None]]] = []
+        self._last_number = 0  # of requests and of what is due
+        self._counter_totals: dict[int, float] = defaultdict(float)
+        self._units: dict[RequestKey, float] = {}
+        self.engines = [
+            PolicyEngine(replace(settings, ingress_number=number), seed * 31 + number, self.now)
+            for number in range(settings.ingress_count)
+        ]
+        endpoints = tuple(
+            Endpoint(FIRST_BACKEND + number, BackendState.READY, number % 2, 0, number % 2, 1.0)
+            for number in range(BACKENDS)
+        )
+        for ingress in range(settings.ingress_count):
+            self.handle(ingress, EndpointsListed(EndpointListKind.CACHED, endpoints))
+
+    def run_until(self, until: float) -> None:
+        """Let everything happen that is due up to a time."""
+        while self._due and self._due[0][0] <= until:
+            self.now, _, callback = heapq.heappop(self._due)
+            callback()
+        self.now = until
+
+    def handle(self, ingress: int, event: Event) -> None:
+        """Give an ingress an event and carry out what it asks for."""
+        for action in self.engines[ingress].handle(self.now, event):
+            self._carry_out(ingress, action)
+
+    def request(self, ingress: int, units: float, request_class: int, spread: int) -> None:
+        """Let a request arrive at an ingress; its customer uses `spread` ingresses."""
+        self._last_number += 1
+        key = RequestKey(ingress, self._last_number)
+        self.answers[key] = []
+        self._units[key] = units
+        deadline = 4 * self.engines[ingress].s.classes[request_class].latency_objective
+        arrived = RequestArrived(
+            key.request, request_class, 0, CUSTOMER, deadline, units, spread, 0
+        )
+        self.handle(ingress, arrived)
+
+    def admitted_units(self) -> float:
+        """Return the units of all requests that were sent on."""
+        return sum(first.units for first in self.first_attempts.values())
+
+    def _schedule(self, when: float, callback: Callable[[], None]) -> None:
+        self._last_number += 1
+        heapq.heappush(self._due, (when, self._last_number, callback))
+
+    def _carry_out(self, ingress: int, action: Action) -> None:
+        match action:
+            case SendAttempt(request, backend):
+                self._send_attempt(RequestKey(ingress, request), backend)
+            case Reject(request) | Fail(request):
+                self.answers[RequestKey(ingress, request)].append("no")
+            case SetTimer(at, token):
+                self._schedule(at, lambda: self.handle(ingress, TimerFired(token)))
+            case SendGossip(data, peer) if (
+                peer is not None and self.random.random() >= self._gossip_loss
+            ):
+                received = GossipReceived(ingress, data)
+                arrival = self.now + self.random.uniform(*GOSSIP_DELAYS)
+                self._schedule(arrival, lambda: self.handle(peer, received))
+            case AddToCounter(name, amount, _):
+                self._counter_totals[name] += amount
+                replied = CounterReplied(name, Outcome.OK, self._counter_totals[name])
+                self._schedule(self.now + COUNTER_DELAY, lambda: self.handle(ingress, replied))
+
+    def _send_attempt(self, key: RequestKey, backend: int) -> None:
+        self.attempted_backends.append(backend)
+        self.first_attempts.setdefault(key, FirstAttempt(self.now, self._units[key]))
+        duration = self.random.expovariate(1 / MEAN_SERVICE_TIME)
+        if self._backends_answer:
+            self._schedule(self.now + duration, lambda: self._answer(key, backend, duration))
+
+    def _answer(self, key: RequestKey, backend: int, duration: float) -> None:
+        answers = self.answers[key]
+        if not answers:
+            answers.append("served")
+        settings = self.engines[key.ingress].s
+        load = (REPORTED_LOAD,) * len(settings.load_report_fields)
+        ended = AttemptEnded(
+            key.request,
+            0,
+            backend,
+            Outcome.OK,
+            True,
+            duration,
+            reported_usage=self._reported_usage(settings),
+            load_report=load if settings.has_load_reports else (),
+        )
+        self.handle(key.ingress, ended)
+
+    def _reported_usage(self, settings: PolicySettings) -> float | None:
+        if not settings.usage_report_period:
+            return None
+        until = self.now - USAGE_REPORT_AGE
+        used = sum(
+            first.units
+            for first in self.first_attempts.values()
+            if until - USAGE_WINDOW < first.sent_at <= until
+        )
+        return used / max(settings.plans[0].rate, 1e-9)
+
+
+@dataclass(frozen=True, slots=True)
+class Demand:
+    """One request that a customer is about to send."""
+
+    ingress: int
+    units: float
+    request_class: int
+
+
+def demand(
+    cluster: IngressCluster, spread: int, quotas: float, duration: float
+) -> Iterator[Demand]:
+    """Yield requests of one customer at `quotas` times its quota, uneven over its ingresses."""
+    plan = cluster.engines[0].s.plans[0]
+    weights = [1.0 / (number + 1) for number in range(spread)]
+    rate = quotas * plan.rate / 2.0  # requests of 2 units on average
+    start = cluster.now
+    while cluster.now < start + duration:
+        cluster.run_until(cluster.now + cluster.random.expovariate(rate))
+        ingress = cluster.random.choices(range(spread), weights)[0]
+        units = cluster.random.choice([1.0, 2.0, 3.0])
+        yield Demand(ingress, units, cluster.random.randrange(3))
--- /dev/null
+++ b/tests/config/test_any_deployment.py
@@ -0,0 +1,216 @@
+"""What holds for any deployment: several ingresses together under one clock, over drawn settings."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+from hypothesis import HealthCheck, given, settings
+from hypothesis import strategies as st
+
+from dockthread.policy import (
+    AttemptEnded,
+    DeduplicationScope,
+    Effect,
+    Outcome,
+    Plan,
+    PolicySettings,
+    RequestClass,
+    SafetyLimits,
+)
+from tests.config.ingress_cluster import START, IngressCluster, RequestKey, demand
+
+DURATION = 24.0  # seconds of demand
+CLASSES = (
+    RequestClass(0.6, 2.0, priority_weight=1, effect=Effect.SAFE),
+    RequestClass(
+        0.6,
+        2.5,
+        priority_weight=3,
+        effect=Effect.KEYED,
+        deduplication_scope=DeduplicationScope.ZONE,
+        deduplication_window=2.5,
+    ),
+    RequestClass(0.6, 2.5, priority_weight=2, effect=Effect.UNSAFE),
+)
+LOAD_REPORT_FIELDS = ("rif", "busy", "rate", "lat_ms", "q", "fail_rate")
+MAX_LOAD_REPORT_FIELDS = 4
+
+
+def _draw_plan(rate: float, burst_seconds: float, has_ceiling: bool) -> Plan:
+    plan = Plan(rate=rate, burst=max(8.0, rate * burst_seconds), over_quota_cost=0.6)
+    if not has_ceiling:
+        return plan
+    return replace(
+        plan, ceiling_rate=2 * plan.rate, ceiling_burst=2 * plan.burst, ceiling_slack=4.0
+    )
+
+
+def _draw_settings(
+    ingress_count: int,
+    may_gossip: bool,
+    may_use_counter: bool,
+    has_usage_reports: bool,
+    plan: Plan,
+    load_report_fields: list[str],
+) -> PolicySettings:
+    return PolicySettings(
+        ingress_number=0,
+        ingress_count=ingress_count,
+        classes=CLASSES,
+        plans=(plan,),
+        max_attempts=3,
+        may_cancel=True,
+        safety=SafetyLimits(0.016, 0.25, 0.2, 16.0, 3.0, 2.0),
+        may_gossip=may_gossip,
+        may_use_counter=may_use_counter,
+        usage_report_period=1.0 if has_usage_reports else 0.0,
+        max_request_units=4,
+        load_report_fields=tuple(load_report_fields[:MAX_LOAD_REPORT_FIELDS]),
+        has_load_reports=bool(load_report_fields),
+        clock_tick=0.004,
+    )
+
+
+def deployments() -> st.SearchStrategy[PolicySettings]:
+    plans = st.builds(
+        _draw_plan,
+        st.sampled_from([4.0, 10.0, 30.0]),
+        st.sampled_from([1.0, 2.0, 4.0]),
+        st.booleans(),
+    )
+    return st.builds(
+        _draw_settings,
+        st.integers(1, 4),
+        st.booleans(),
+        st.booleans(),
+        st.booleans(),
+        plans,
+        st.lists(st.sampled_from(LOAD_REPORT_FIELDS), unique=True),
+    )
+
+
+@settings(
+    max_examples=40, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow]
+)
+@given(deployments(), st.integers(1, 1000))
+def test_admitted_units_stay_near_the_quota_and_each_request_has_one_answer_at_thrice_the_quota(
+    policy_settings: PolicySettings, seed: int
+) -> None:
+    """Demand three times the quota of one customer.
+
+    Where ingresses learn of each other's use, by gossip or the counter, they admit 0.7 to 1.25 of
+    the quota together. Otherwise they admit half of it at least: an even split strands the part of
+    the ingresses without demand.
+    """
+    cluster = IngressCluster(policy_settings, seed)
+    plan = policy_settings.plans[0]
+    spread = policy_settings.ingress_count
+    for wanted in demand(cluster, spread, 3.0, DURATION):
+        cluster.request(wanted.ingress, wanted.units, wanted.request_class, spread)
+    admitted = cluster.admitted_units()
+    quota = plan.burst + plan.rate * DURATION
+    use_is_shared = spread == 1 or policy_settings.may_gossip or policy_settings.may_use_counter
+    slack = policy_settings.max_request_units * spread
+    assert admitted <= 1.25 * quota + slack
+    assert admitted >= (0.7 if use_is_shared else 0.5) * quota - slack
+    cluster.run_until(cluster.now + 4.0)
+    assert all(len(answers) == 1 for answers in cluster.answers.values())
+
+
+@settings(
+    max_examples=25, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow]
+)
+@given(deployments(), st.integers(1, 1000))
+def test_admitted_units_never_exceed_a_ceiling_when_gossip_is_lost(
+    policy_settings: PolicySettings, seed: int
+) -> None:
+    ceiling_rate = 3.0
+    ceiling_burst = 24.0
+    plan = replace(
+        policy_settings.plans[0],
+        rate=60.0,  # so high that the ceiling binds before the quota
+        burst=200.0,
+        ceiling_rate=ceiling_rate,
+        ceiling_burst=ceiling_burst,
+        ceiling_slack=4.0,
+    )
+    cluster = IngressCluster(replace(policy_settings, plans=(plan,)), seed, gossip_loss=0.2)
+    spread = policy_settings.ingress_count
+    for wanted in demand(cluster, spread, 0.4, DURATION):
+        cluster.request(wanted.ingress, wanted.units, wanted.request_class, spread)
+    level = ceiling_burst
+    filled_at = START
+    for first in cluster.first_attempts.values():
+        refilled = level + ceiling_rate * (first.sent_at - filled_at)
+        level = min(ceiling_burst, refilled) - first.units
+        filled_at = first.sent_at
+        assert level >= -plan.ceiling_slack
+
+
+@pytest.mark.parametrize("may_gossip", [True, False])
+def test_a_plan_with_a_cap_and_a_rate_keeps_both(may_gossip: bool) -> None:
+    plan = Plan(rate=20.0, burst=40.0, max_in_flight=3)
+    policy_settings = PolicySettings(
+        0,
+        3,
+        CLASSES,
+        (plan,),
+        max_attempts=3,
+        may_gossip=may_gossip,
+        may_use_counter=True,
+        max_request_units=4,
+    )
+    cluster = IngressCluster(policy_settings, 4)
+    in_flight: list[int] = []
+    for wanted in demand(cluster, 3, 3.0, DURATION):
+        cluster.request(wanted.ingress, wanted.units, wanted.request_class, 3)
+        in_flight.append(
+            sum(
+                customer.out for engine in cluster.engines for customer in engine.customers.values()
+            )
+        )
+    above_cap = sum(count > plan.max_in_flight for count in in_flight) / len(in_flight)
+    assert cluster.admitted_units() <= 1.25 * (plan.burst + plan.rate * DURATION)
+    assert above_cap < (0.12 if may_gossip else 1.0), "gossip tells of attempts in flight"
+    assert max(in_flight) >= plan.max_in_flight, "the cap is used"
+
+
+def test_a_silent_backend_counts_as_failed_after_a_share_of_the_latency_objective() -> None:
+    """Before any answer only the objective says what is usual: 0.2 of it, give or take 0.1."""
+    for objective in (0.6, 1.5, 3.0):
+        classes = (RequestClass(objective, 4 * objective, effect=Effect.UNSAFE),)
+        policy_settings = PolicySettings(0, 1, classes, (Plan(),), may_cancel=True)
+        cluster = IngressCluster(policy_settings, 1, backends_answer=False)
+        cluster.request(0, 1.0, 0, 1)
+        backend = cluster.engines[0].workers[cluster.attempted_backends[0]]
+        cluster.run_until(START + 1.05 * objective)
+        assert backend.failed == 0.0
+        cluster.run_until(START + 1.15 * objective)
+        assert backend.failed > 0.4
+
+
+@pytest.mark.parametrize(("reset_after", "is_retried"), [(0.1, True), (2.4, True), (2.6, False)])
+def test_a_keyed_request_is_retried_only_in_its_zone_and_within_its_window(
+    reset_after: float, is_retried: bool
+) -> None:
+    keyed = RequestClass(
+        1.25,
+        5.0,
+        effect=Effect.KEYED,
+        deduplication_scope=DeduplicationScope.ZONE,
+        deduplication_window=2.5,
+    )
+    policy_settings = PolicySettings(0, 1, (keyed,), (Plan(),), max_attempts=3)
+    for seed in range(8):
+        cluster = IngressCluster(policy_settings, seed, backends_answer=False)
+        cluster.request(0, 1.0, 0, 1)
+        cluster.run_until(START + reset_after)
+        (key,) = cluster.answers
+        backend = cluster.attempted_backends[0]
+        reset = AttemptEnded(key.request, 0, backend, Outcome.RESET, False, reset_after)
+        cluster.handle(0, reset)
+        assert len(cluster.attempted_backends) == 1 + is_retried
+        zones = {attempted % 2 for attempted in cluster.attempted_backends}
+        assert len(zones) == 1, "the other zone does not know the key"
+        assert cluster.answers[RequestKey(0, key.request)] == ([] if is_retried else ["no"])
