--- a/tests/admin/test_door.py
+++ b/tests/admin/test_management_endpoint.py
@@ -1,4 +1,4 @@
-"""The management door: its table of calls, and a door on sockets before an ingress."""
+"""The management endpoint: its table of requests, and its server on sockets before an ingress."""
 
 from __future__ import annotations
 
@@ -33,26 +33,31 @@
         (b"POST", b"/_backends/attach", b'{"target":""}', 400),
     ],
 )  # fmt: skip
-def test_calls_are_read_by_one_table(
+def test_a_request_becomes_a_command_or_is_rejected_with_its_status(
     method: bytes, path: bytes, body: bytes, expected: object
 ) -> None:
-    decided = commands.parse_request(method, path, body)
+    parsed = commands.parse_request(method, path, body)
     if isinstance(expected, commands.Command):
-        assert decided == expected
+        assert parsed == expected
     else:
-        assert isinstance(decided, commands.Response)
-        assert decided.status == expected
+        assert isinstance(parsed, commands.Response)
+        assert parsed.status == expected
 
 
-async def call(port: int, wire: bytes) -> tuple[int, bytes]:
+async def send(port: int, request: bytes) -> tuple[int, bytes]:
+    """Return status and body of the response to a request."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    writer.write(wire)
-    said = await asyncio.wait_for(reader.read(), 2.0)
+    writer.write(request)
+    response = await asyncio.wait_for(reader.read(), 2.0)
     writer.close()
-    head, _, body = said.partition(b"\r\n\r\n")
+    head, _, body = response.partition(b"\r\n\r\n")
     return int(head.split()[1]), body
 
 
+def get(path: str) -> bytes:
+    return b"GET %b HTTP/1.1\r\nHost: x\r\n\r\n" % path.encode()
+
+
 def post(path: str, body: bytes) -> bytes:
     return b"POST %b HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%b" % (
         path.encode(),
@@ -61,38 +66,40 @@
     )
 
 
-def test_the_door_answers_each_call_and_silent_callers_hold_up_nobody() -> None:
+def test_each_request_is_answered_while_60_silent_clients_are_connected() -> None:
     async def scenario() -> None:
         async with serving(Backend()) as (ingress, client, _):
             admin = IngressAdmin(ingress, Path("/nonexistent/held.json"))
-            opened = ManagementServer(admin, Address("127.0.0.1", 0))
-            opened.open()
-            port = opened.address.port
+            server = ManagementServer(admin, Address("127.0.0.1", 0))
+            server.open()
+            port = server.address.port
             silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(60)]
             assert await client.call() == b"value"
-            assert await call(port, b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n") == (200, b"ready\n")
-            status, figures = await call(port, b"GET /_vars HTTP/1.1\r\nHost: x\r\n\r\n")
+            assert await send(port, get("/_ready")) == (200, b"ready\n")
+            status, metrics = await send(port, get("/_vars"))
             assert status == 200
-            assert b'app_ok{kind="status"} 1\n' in figures and b"app_tries 1\n" in figures
-            assert b"app_pool_size 1\n" in figures and b"app_pool_ejected 0\n" in figures
-            assert (await call(port, post("/_backends/detach", b'{"target":"s-0"}')))[0] == 200
-            assert (await call(port, post("/_backends/detach", b'{"target":"s-0"}')))[0] == 200
-            assert (await call(port, post("/_backends/detach", b'{"target":"nobody"}')))[0] == 404
-            _, figures = await call(port, b"GET /_vars HTTP/1.1\r\nHost: x\r\n\r\n")
-            assert b"app_pool_ejected 1\n" in figures
+            assert b'app_ok{kind="status"} 1\n' in metrics and b"app_tries 1\n" in metrics
+            assert b"app_pool_size 1\n" in metrics and b"app_pool_ejected 0\n" in metrics
+            detach = post("/_backends/detach", b'{"target":"s-0"}')
+            assert (await send(port, detach))[0] == 200
+            assert (await send(port, detach))[0] == 200
+            detach_unknown = post("/_backends/detach", b'{"target":"nobody"}')
+            assert (await send(port, detach_unknown))[0] == 404
+            _, metrics = await send(port, get("/_vars"))
+            assert b"app_pool_ejected 1\n" in metrics
             assert "BUSY" in str(await client.call())  # its only backend drains
-            assert (await call(port, post("/_backends/attach", b'{"target":"s-0"}')))[0] == 200
+            assert (await send(port, post("/_backends/attach", b'{"target":"s-0"}')))[0] == 200
             assert await client.call() == b"value"
-            assert (await call(port, b"DELETE /_vars HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 405
-            assert (await call(port, b"GET /x HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 404
+            assert (await send(port, b"DELETE /_vars HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 405
+            assert (await send(port, get("/x")))[0] == 404
             for _, writer in silent:
                 writer.close()
-            opened.close()
+            server.close()
 
     run(scenario())
 
 
-def test_backends_held_by_hand_pass_to_the_next_process(
+def test_detached_backends_stay_detached_in_the_next_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
@@ -104,7 +111,10 @@
         assert first.detach("s-0") and first.detach("s-0") and not first.detach("nobody")
         second = Daemon(config(known), None, None)  # an upgrade: the same $TMPDIR
         listed = second.ingress.endpoints.apply(known)
-        states = {second.ingress.endpoints.uid_of(e.backend): e.state for e in listed.endpoints}
+        states = {
+            second.ingress.endpoints.uid_of(endpoint.backend): endpoint.state
+            for endpoint in listed.endpoints
+        }
         assert states == {"s-0": BackendState.DRAINING, "s-1": BackendState.READY}
         assert second.attach("s-0") and not second.ingress.endpoints.excluded_uids
         third = Daemon(config(known), None, None)
--- a/tests/admin/test_retune.py
+++ b/tests/admin/test_reload.py
@@ -1,7 +1,8 @@
-"""Settings taken over at SIGHUP: the merge by itself, and an ingress on sockets that takes them."""
+"""Settings taken over at SIGHUP: the merge by itself, and an ingress on sockets that reloads."""
 
 from __future__ import annotations
 
+import json
 from dataclasses import replace
 from typing import Any
 
@@ -9,7 +10,7 @@
 
 from dockthread.admin.reload import merge_settings
 from dockthread.config.ingress_config import Names
-from dockthread.config.platform_settings import _policy_settings
+from dockthread.config.platform_settings import parse_policy_settings
 from dockthread.policy import Effect, PolicySettings, RequestClass
 from tests.loopback import SETTINGS, Backend, run, serving
 
@@ -26,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    ("new", "module", "offered"),
+    ("new", "kept_names", "offered"),
     [
         ((("status", STATUS), ("checkout", CHECKOUT)), ("status", "checkout"), {"status", "checkout"}),
         ((("checkout", CHECKOUT), ("renew", RENEW)), ("status", "checkout", "renew"), {"checkout", "renew"}),
@@ -34,23 +35,22 @@
         ((("status", replace(STATUS, effect=Effect.UNSAFE)),), ("status", "checkout"), {"status"}),
     ],
 )  # fmt: skip
-def test_classes_keep_their_numbers(
-    new: tuple[tuple[str, RequestClass], ...], module: tuple[str, ...], offered: set[str]
+def test_a_class_keeps_its_number_whatever_classes_the_new_file_has(
+    new: tuple[tuple[str, RequestClass], ...], kept_names: tuple[str, ...], offered: set[str]
 ) -> None:
-    settings = replace(OLD, classes=tuple(rules for _, rules in new), max_attempts=2)
-    merged = merge_settings(
-        OLD, names("status", "checkout"), settings, names(*(name for name, _ in new))
-    )
-    assert merged.names.classes == module
+    new_names = names(*(name for name, _ in new))
+    settings = replace(OLD, classes=tuple(each for _, each in new), max_attempts=2)
+    merged = merge_settings(OLD, names("status", "checkout"), settings, new_names)
+    assert merged.names.classes == kept_names
     assert merged.offered == offered
     assert merged.settings.max_attempts == 2
-    given = dict(new)
-    for number, name in enumerate(module):
-        expected = given.get(name, (STATUS, CHECKOUT)[number] if number < 2 else None)
+    new_classes = dict(new)
+    for number, name in enumerate(kept_names):
+        expected = new_classes.get(name, (STATUS, CHECKOUT)[number] if number < 2 else None)
         assert merged.settings.classes[number] == expected
 
 
-def test_a_new_class_is_served_and_a_vanished_one_refused() -> None:
+def test_after_a_reload_a_new_class_is_served_and_a_removed_one_is_rejected() -> None:
     async def scenario() -> None:
         async with serving(Backend()) as (ingress, client, _):
             renew = {
@@ -61,9 +61,13 @@
             }
             raw: dict[str, Any] = SETTINGS | {"Classes": [renew, SETTINGS["Classes"][1]]}
             assert "unknown class" in str(await client.call("renew"))
-            read = replace(ingress.config.names, classes=("renew", "checkout"))
+            reloaded_names = replace(ingress.config.names, classes=("renew", "checkout"))
             ingress.reload(
-                replace(ingress.config, policy_settings=_policy_settings(raw), names=read)
+                replace(
+                    ingress.config,
+                    policy_settings=parse_policy_settings(json.dumps(raw).encode()),
+                    names=reloaded_names,
+                )
             )
             assert await client.call("renew") == b"value"
             assert await client.call("checkout") == b"value"
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file: what is read, and each kind of fault with its one plain line."""
+"""The operator's file: what is read, and one plain line for each kind of problem."""
 
 from __future__ import annotations
 
@@ -6,7 +6,6 @@
 
 import pytest
 
-from dockthread.config.quantities import Duration, Size
 from dockthread.config.section_registry import (
     load_operator_file,
     parse_operator_file,
@@ -17,30 +16,7 @@
 GRAPHITE = "[graphite main]\naddress = 127.0.0.1:2003\n"
 
 
-@pytest.mark.parametrize(
-    ("text", "ms"),
-    [("250ms", 250), ("10s", 10_000), ("1.5 s", 1500), ("2min", 120_000), ("500us", 0.5)],
-)
-def test_durations(text: str, ms: float) -> None:
-    assert Duration.parse(text) == ms
-    assert Duration.parse(str(Duration.parse(text))) == ms  # what is shown can be read again
-
-
-@pytest.mark.parametrize("text", ["", "10", "s", "-1s", "1e3s", "10 parsecs", "1s 2s", "inf s"])
-def test_no_durations(text: str) -> None:
-    with pytest.raises(ValueError, match="not a duration"):
-        Duration.parse(text)
-
-
-@pytest.mark.parametrize(
-    ("text", "size"), [("64KiB", 65536), ("1MiB", 1 << 20), ("7B", 7), ("2kb", 2000)]
-)
-def test_sizes(text: str, size: int) -> None:
-    assert Size.parse(text) == size
-    assert Size.parse(str(Size.parse(text))) == size
-
-
-BAD = [
+PROBLEMS = [
     (
         "[telemetry]\nintervall = 1s",
         "[telemetry] intervall: is no key of this section; did you mean interval?",
@@ -103,14 +79,16 @@
 ]
 
 
-@pytest.mark.parametrize(("text", "expected"), BAD)
-def test_what_is_wrong_is_one_plain_line(text: str, expected: str) -> None:
-    problems = [str(p) for p in parse_operator_file(text, "my.ini").errors]
-    assert any(line.startswith("my.ini: ") and expected in line for line in problems), problems
-    assert all("\n" not in line for line in problems)
+@pytest.mark.parametrize(("text", "expected"), PROBLEMS)
+def test_each_kind_of_problem_is_reported_in_one_line(text: str, expected: str) -> None:
+    lines = [str(problem) for problem in parse_operator_file(text, "my.ini").errors]
+    assert any(line.startswith("my.ini: ") and expected in line for line in lines), lines
+    assert all("\n" not in line for line in lines)
 
 
-def test_all_faults_of_a_file_are_found_and_the_first_is_what_a_start_says(tmp_path: Path) -> None:
+def test_all_problems_are_found_and_a_load_raises_the_first_with_the_number_of_the_others(
+    tmp_path: Path,
+) -> None:
     path = tmp_path / "my.ini"
     path.write_text(
         "[telemetry]\ninterval = 1\nfirms = x\nfarewell = 1h\n[graphite a]\naddress = x\n[oops]\n"
@@ -120,12 +98,12 @@
         load_operator_file(str(path))
 
 
-def test_what_is_left_out_has_its_default_and_comments_are_passed_over() -> None:
-    found = parse_operator_file(
-        "# mine\n[graphite main]  ; the graphs\naddress = [::1]:2003  # v6\n", "my.ini"
-    )
-    assert not found.errors
-    graphite, telemetry = found.named_sections("graphite")["main"], found.section("telemetry")
+def test_keys_left_out_have_their_defaults_and_comments_are_ignored() -> None:
+    text = "# mine\n[graphite main]  ; the graphs\naddress = [::1]:2003  # v6\n"
+    config = parse_operator_file(text, "my.ini")
+    assert not config.errors
+    graphite = config.named_sections("graphite")["main"]
+    telemetry = config.section("telemetry")
     assert (graphite.address, graphite.protocol, graphite.prefix, graphite.tags) == (
         "[::1]:2003",
         "plaintext",
@@ -133,15 +111,35 @@
         False,
     )
     assert (telemetry.interval, telemetry.farewell, telemetry.queue) == (10_000.0, 500.0, None)
-    assert found.explicit_keys == {("graphite", "main"): {"address"}}
+    assert config.explicit_keys == {("graphite", "main"): {"address"}}
 
 
 @pytest.mark.parametrize(
-    ("data", "wrong"),
+    ("data", "reason"),
     [(b"\xff\xfe", "not UTF-8"), (None, "cannot be read"), (b"#" * (5 << 20), "larger")],
 )
-def test_no_file(tmp_path: Path, data: bytes | None, wrong: str) -> None:
+def test_a_file_that_cannot_be_read_has_one_problem(
+    tmp_path: Path, data: bytes | None, reason: str
+) -> None:
     path = tmp_path / "my.ini"
     if data is not None:
         path.write_bytes(data)
-    assert wrong in str(read_operator_file(str(path)).errors[0])
+    errors = read_operator_file(str(path)).errors
+    assert len(errors) == 1
+    assert reason in str(errors[0])
+
+
+def test_a_load_error_has_file_section_key_reason_and_remedy_as_fields(tmp_path: Path) -> None:
+    path = tmp_path / "my.ini"
+    path.write_text("[telemetry]\ninterval = 10ms\n")
+    with pytest.raises(SettingsError) as caught:
+        load_operator_file(str(path))
+    error = caught.value
+    assert error.file == str(path)
+    assert error.section == "telemetry"
+    assert error.key == "interval"
+    assert error.reason == "10ms is out of range"
+    assert error.remedy == "100ms to 1h would do"
+    assert str(error) == (
+        f"{path}: [telemetry] interval: 10ms is out of range; 100ms to 1h would do"
+    )
