--- a/tests/maintenance/test_process_maintenance.py
+++ b/tests/maintenance/test_process_maintenance.py
@@ -128,7 +128,7 @@
             cluster.kill(name)
         cluster.start("n1")
         await until(lambda: is_ready(cluster, "n1"))
-        log = (cluster.folder / "n1" / "out").read_bytes().rpartition(b"management door")[2]
+        log = (cluster.folder / "n1" / "out").read_bytes().rpartition(b"management endpoint")[2]
         assert log.index(b"s-0 is drained") < log.index(b"starting -> serving")
         assert await cluster.call("n1", "POST", "/_backends/attach", {"target": "no-such"}) == (
             404,
