--- a/dockthread/lab/scale/hollow.py
+++ b/dockthread/lab/scale/hollow.py
@@ -20,9 +20,10 @@
 from dockthread.lab.scale.control import ControlWitness, options_of
 from dockthread.lab.scale.planted_bugs import alteration, control_alteration
 from dockthread.lab.scale.witness import Row, Witness, table
+from dockthread.net.context import MAINTENANCE_INTERVAL_MS
 from dockthread.net.discovery_watch import DiscoveryWatch
 from dockthread.net.endpoint_list import EndpointList
-from dockthread.net.ingress import MAINTENANCE_INTERVAL_MS, Ingress
+from dockthread.net.ingress import Ingress
 from dockthread.net.policy_host import PolicyHost
 from dockthread.net.quota_counter import QuotaCounterClient
 from dockthread.net.timers import Timers
--- a/dockthread/net/__init__.py
+++ b/dockthread/net/__init__.py
@@ -1,1 +1,1 @@
-"""The ingress on real sockets: what stands round the decision module."""
+"""The ingress on real sockets: the I/O around the policy engine."""
--- /dev/null
+++ b/dockthread/net/action_executor.py
@@ -0,0 +1,134 @@
+"""Carries out the actions of the policy engine: attempts, responses, timers, quota and gossip."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from dockthread.net import resp
+from dockthread.net.attempt import Attempt
+from dockthread.net.connection_pool import ConnectionPool
+from dockthread.net.context import IngressContext
+from dockthread.net.gossip_transport import GossipTransport
+from dockthread.net.quota_counter import QuotaCounterClient
+from dockthread.net.request import Request
+from dockthread.net.requests_in_flight import RequestTable
+from dockthread.observer import FAILED, REFUSED, Observer
+from dockthread.policy import (
+    AddToCounter,
+    CancelAttempt,
+    Fail,
+    Outcome,
+    PollEndpoints,
+    Reject,
+    SendAttempt,
+    SendGossip,
+    SetTimer,
+    TimerFired,
+)
+
+# An attempt whose own deadline is that close to its request's needs no timer: the request ends its
+# attempts at its deadline.
+SAME_DEADLINE_MS = 1.0
+
+
+class ActionExecutor:
+    """Carries out each type of action; `handlers` gives the function for each."""
+
+    def __init__(
+        self,
+        context: IngressContext,
+        requests: RequestTable,
+        pool: ConnectionPool,
+        counter: QuotaCounterClient,
+        gossip: GossipTransport,
+    ) -> None:
+        self.observer = Observer()
+        self._clock = context.clock
+        self._call_at = context.timers.call_at
+        self._dispatch = context.dispatch
+        self._endpoints = context.endpoints
+        self._traffic = context.traffic
+        self._requests = requests
+        self._pool = pool
+        self._counter = counter
+        self._gossip = gossip
+
+    def handlers(self) -> dict[type, Callable[[Any], None]]:
+        """Return the function that carries out an action, by the type of the action."""
+        return {
+            SendAttempt: self._send_attempt,
+            Reject: self._reject,
+            Fail: self._fail,
+            CancelAttempt: self._cancel_attempt,
+            SetTimer: self._set_timer,
+            AddToCounter: self._add_to_counter,
+            SendGossip: self._gossip.send,
+            PollEndpoints: self._poll_endpoints,
+        }
+
+    def _send_attempt(self, action: SendAttempt) -> None:
+        request = self._requests.by_number[action.request]
+        now = self._clock.now()
+        deadline_ms = request.deadline_ms
+        if action.timeout > 0:
+            deadline_ms = min(deadline_ms, now + action.timeout * 1000.0)
+        attempt = Attempt(
+            request.number,
+            len(request.attempts),
+            action.backend,
+            request.command,
+            now,
+            deadline_ms,
+            action.start_deadline * 1000.0,
+        )
+        self._traffic.calls += 1
+        self._traffic.copies += request.attempts_in_flight > 0
+        request.attempts.append(attempt)
+        request.attempts_in_flight += 1
+        if self.observer.tracing:
+            self._trace_attempt_sent(request, attempt)
+        if deadline_ms < request.deadline_ms - SAME_DEADLINE_MS:
+            self._call_at(deadline_ms, self._pool.end, attempt, Outcome.TIMEOUT)
+        if request.is_finished:
+            self._pool.end(attempt, Outcome.NOT_SENT)
+        else:
+            self._pool.start(attempt)
+
+    def _trace_attempt_sent(self, request: Request, attempt: Attempt) -> None:
+        self.observer.event(
+            "call",
+            node=self._endpoints.uid_of(attempt.backend),
+            number=attempt.number,
+            kind=request.command.request_class,
+            age=self._endpoints.age_ms(attempt.backend),
+        )
+
+    def _reject(self, action: Reject) -> None:
+        request = self._requests.by_number.get(action.request)
+        if request is None or request.is_finished:
+            return
+        max_retry_after_ms = self._requests.limits.max_retry_after_ms
+        response = resp.encode_busy(min(action.retry_after * 1000.0, max_retry_after_ms))
+        reason = action.reason or request.last_outcome
+        self._requests.respond(request, response, REFUSED, reason)
+
+    def _fail(self, action: Fail) -> None:
+        request = self._requests.by_number.get(action.request)
+        if request is None or request.is_finished:
+            return
+        self._requests.respond(request, resp.FAILED, FAILED, request.last_outcome)
+
+    def _cancel_attempt(self, action: CancelAttempt) -> None:
+        request = self._requests.by_number.get(action.request)
+        if request is not None:
+            self._pool.end(request.attempts[action.attempt], Outcome.CANCELLED)
+
+    def _set_timer(self, action: SetTimer) -> None:
+        self._call_at(action.at * 1000.0, self._dispatch, TimerFired(action.token))
+
+    def _add_to_counter(self, action: AddToCounter) -> None:
+        self._counter.add(action.name, action.amount, action.lifetime * 1000.0)
+
+    def _poll_endpoints(self, action: PollEndpoints) -> None:
+        """Do nothing: the watch on discovery stays open and receives changes by itself."""
--- /dev/null
+++ b/dockthread/net/backend_connection.py
@@ -0,0 +1,75 @@
+"""One connection to a backend: its socket, its state, and whether it may carry an attempt."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from enum import Enum
+
+from dockthread.net.attempt import Attempt
+from dockthread.net.endpoint_list import BackendRecord
+
+
+class BackendConnectionState(Enum):
+    """The states of a connection: CONNECTING -> IN_USE, then IN_USE <-> IDLE until it closes."""
+
+    CONNECTING = "connecting"
+    IN_USE = "in use"
+    IDLE = "idle"
+
+
+class BackendConnection:
+    """One connection to a backend, and the task that carries its attempts one after another.
+
+    There is one attempt at a time: a second one would wait for the reply to the first, and to give
+    the first up means to close the connection, which would end the second with it.
+
+    The constructor raises OSError where the system has no socket to give.
+    """
+
+    __slots__ = (
+        "attempt",
+        "backend",
+        "backend_started_ms",
+        "endpoint",
+        "idle_since_ms",
+        "reused",
+        "sock",
+        "state",
+        "task",
+    )
+
+    def __init__(self, backend: BackendRecord, attempt: Attempt) -> None:
+        self.backend = backend
+        self.endpoint = backend.address
+        self.backend_started_ms = backend.started_ms
+        self.sock = self.endpoint.new_socket()
+        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        self.state = BackendConnectionState.CONNECTING
+        self.attempt: Attempt | None = attempt  # None while it is idle
+        self.idle_since_ms = 0.0
+        self.reused: asyncio.Future[None] | None = None  # done once an idle connection is reused
+        self.task: asyncio.Task[None] | None = None
+
+    @property
+    def is_current(self) -> bool:
+        """Whether it leads to the process that is listed now, and that one takes requests."""
+        backend = self.backend
+        return (
+            backend.is_ready
+            and backend.address == self.endpoint
+            and backend.started_ms == self.backend_started_ms
+        )
+
+    def is_broken(self) -> bool:
+        """Return whether an idle connection was closed, or has bytes that answer no request.
+
+        Either makes its socket readable.
+        """
+        try:
+            self.sock.recv(1, socket.MSG_PEEK)
+        except BlockingIOError:
+            return False
+        except OSError:
+            pass
+        return True
--- a/dockthread/net/client_connection.py
+++ b/dockthread/net/client_connection.py
@@ -1,12 +1,13 @@
-"""Inbound connections: clients' commands in, answers out in the order of the commands.
-
-Theory of operation. A connection is ended in one way, whoever ends it (`end`): the sending side is
-shut, so that the client reads all that was answered and then the end; what it still sends is read
-and dropped, and nothing of it is served, for `CLOSE_TIMEOUT_MS` and `MAX_IGNORED_BYTES` bytes at the most; then
-the socket is closed. A close over unread bytes would reset the connection, and might take along an
-answer that the client has not read. Answers are written as they come; only what the system does not
-take at once waits for a task of its own, so the reader always reads: a client's close is seen at
-once, whatever is owed to it.
+"""Client connections: commands in, responses out in the order of the commands.
+
+Theory of operation. A connection is ended in one way, whoever ends it (`end_gracefully`): its
+sending side is shut, so that the client reads all responses and then the end of the stream. What
+the client still sends is read and discarded, and nothing of it is served, for `CLOSE_TIMEOUT_MS`
+and `MAX_DISCARDED_BYTES` at the most; then the socket is closed. To close it over unread bytes
+would reset the connection, and might destroy a response that the client has not read.
+
+Responses are written at once; only what the system does not take waits for a task of its own, so
+that the reading task always reads, and a client's close is seen at once whatever is owed to it.
 """
 
 from __future__ import annotations
@@ -14,202 +15,205 @@
 import asyncio
 import socket
 from collections import deque
+from collections.abc import Callable
 from contextlib import suppress
-from typing import Protocol
+from enum import Enum
 
 from loguru import logger
 
-from dockthread.clock import Clock
 from dockthread.net import resp
-from dockthread.net.event_loop_lag import EventLoopLagMonitor
-from dockthread.observer import Traffic
-
-BUFFER = 8 * 1024
-MOST_UNSENT = 1024 * 1024  # bytes of answers that a client has not read
-CLOSE_TIMEOUT_MS = 1_000.0  # for a client to read the last answer before its connection is closed
-# bytes read meanwhile; one that sends more is cut off, unless an answer is owed
-MAX_IGNORED_BYTES = 64 * 1024
-TURN = 8  # commands of one connection that are taken before the others have theirs
-MOST_WAITING = 128  # commands of one connection without an answer
-MOST_BAD = 16  # commands of one connection that cannot be served
-# bytes behind the last command, read as they come: an end may stand behind them
-FLOOD = 4 * 1024 * 1024
-# s between reads of a client that sends on and on there; where it is a flood
-PAUSE, LONG_PAUSE = 0.01, 0.03
-# reads in a row there: 16 MiB, more than two systems hold, so that an end behind it is seen
-DROPS = 64
-AHEAD = 64 * 1024  # bytes read while commands before them wait for their turn, for the same reason
-UNREAD = 5_000.0  # for a client to read an answer
-FIRST_COMMAND_TIMEOUT_MS = 1_500.0  # for a new connection to say something
-HEAD = 3_000.0  # for a command that has begun to be whole: a slow client takes 2 s for a head
-
-
-_dropped = bytearray(256 * 1024)  # where all that is read and dropped goes
-
-
-class ResponseSlot:
-    """The place of one command's answer among those of its connection."""
-
-    __slots__ = ("response",)
-
-    def __init__(self, answer: bytes | None = None) -> None:
-        self.response = answer
+from dockthread.net.client_commands import CommandHandler
+from dockthread.net.connection_host import ConnectionHost, ResponseSlot
 
+READ_BYTES = 8 * 1024  # read from a client at once
+MAX_UNSENT_BYTES = 1024 * 1024  # of responses that a client has not read
+COMMANDS_PER_TURN = 8  # served of one connection before the others have their turn
+MAX_PENDING_COMMANDS = 128  # of one connection without a response
+MAX_INVALID_COMMANDS = 16  # of one connection
+# Read ahead of commands that wait for their turn, so that a close behind them is seen.
+MAX_READ_AHEAD_BYTES = 64 * 1024
 
-class ConnectionHost(Protocol):
-    """What an inbound connection needs of its ingress."""
+FIRST_COMMAND_TIMEOUT_MS = 1_500.0  # for a new connection to send a command
+# For a command that has begun to be complete: a slow client takes 2 s for the head of one.
+COMMAND_TIMEOUT_MS = 3_000.0
+WRITE_TIMEOUT_MS = 5_000.0  # for a client to read a response
 
-    clock: Clock
-    request_parser: resp.RequestParser
-    traffic: Traffic
-    event_loop_lag: EventLoopLagMonitor
+CLOSE_TIMEOUT_MS = 1_000.0  # for a client to read the last response before the socket is closed
+# Discarded after the last command; one that sends more is cut off, unless a response is pending.
+MAX_DISCARDED_BYTES = 64 * 1024
+# From here on discarded bytes are a flood. Less is read as it comes: a close may stand behind it.
+FLOOD_BYTES = 4 * 1024 * 1024
+DISCARD_PAUSE_S = 0.01  # between reads of a client that goes on sending
+FLOOD_PAUSE_S = 0.03  # the same, in a flood
+# Reads in a row of discarded bytes: 16 MiB, more than the buffers of two systems hold, so that a
+# close behind them is seen.
+MAX_DISCARDS_IN_A_ROW = 64
 
-    @property
-    def ready(self) -> bool:
-        """Whether requests are taken."""
-        ...
-
-    @property
-    def draining(self) -> bool:
-        """Whether no new request is taken any more."""
-        ...
-
-    def is_in_flight(self, wire_id: bytes) -> bool:
-        """Whether a request of this id is open."""
-        ...
-
-    def accept(self, connection: ClientConnection, ask: resp.RequestCommand) -> ResponseSlot:
-        """A whole request was read; where its answer will stand."""
-        ...
+_discarded = bytearray(256 * 1024)  # where discarded bytes go
 
-    def respond_without_policy(
-        self, ask: resp.RequestCommand, reason: str, answer: bytes
-    ) -> ResponseSlot:
-        """A request that is answered without a decision."""
-        ...
 
-    def on_client_disconnected(self, slot: ResponseSlot) -> None:
-        """The client of a request has left."""
-        ...
+class ClientConnectionState(Enum):
+    """The states of a client connection; each follows one above it."""
 
-    def on_connection_closed(self, connection: ClientConnection) -> None:
-        """The connection is closed."""
-        ...
+    OPEN = "open"  # commands are read and served
+    FINISHING = "finishing"  # pending responses are sent, no further command is served
+    HALF_CLOSED = "half closed"  # the sending side is shut, the client's close is awaited
+    CLOSED = "closed"
 
 
 class ClientConnection:
-    """One client connection. Its task reads for as long as it stands, so that a close is seen at
-    once.
+    """One client connection, and the task that reads from it as long as it is open.
+
+    `on_closed` is called once its socket is closed. Times are in milliseconds of the ingress's
+    clock. `earliest_arrival_ms` is the earliest at which
+    what was read last can have arrived, at first the earliest arrival of the connection itself.
+    `is_surplus` says that it is over the budget of descriptors, and is closed after a rejection.
     """
 
     def __init__(
-        self, host: ConnectionHost, sock: socket.socket, came: float, surplus: bool = False
+        self,
+        host: ConnectionHost,
+        sock: socket.socket,
+        on_closed: Callable[[ClientConnection], None],
+        earliest_arrival_ms: float,
+        is_surplus: bool = False,
     ) -> None:
-        self._host, self.sock = host, sock
-        # the earliest at which what was read last can have come; its own coming, at first
-        self.earliest_arrival_ms = came
-        self._seen, self._beat = (
-            came,
-            host.event_loop_lag.last_heartbeat_ms,
-        )  # when all that had come was read; the beat before the wait
+        self._host = host
+        self.sock = sock
+        self._on_closed = on_closed
         self._loop = asyncio.get_running_loop()
+        self._state = ClientConnectionState.OPEN
+        self._close_deadline_ms: float | None = None  # once it is half closed
+        self.is_surplus = is_surplus
+
+        self._parser = resp.new_parser()
+        self._guard = resp.command_guard()
+        self._commands = CommandHandler(host, is_surplus)
+        self.commands_read = 0
+        self._read_ahead_bytes = 0
+        self._discarded_bytes = 0
+        self.last_read_ms = host.clock.now()
+        self.command_started_ms = self.last_read_ms  # the last one begun, or the connection
+        self.earliest_arrival_ms = earliest_arrival_ms
+        self._all_read_ms = earliest_arrival_ms  # when all that had arrived was read
+        self._heartbeat_before_wait_ms = host.event_loop_lag.last_heartbeat_ms
+
         self._pending: deque[ResponseSlot] = deque()
         self._unsent: list[bytes] = []
         self._unsent_bytes = 0
         self._writer: asyncio.Task[None] | None = None
-        self._writing = 0.0  # since when
-        self._reader, self._bounds = resp.new_parser(), resp.command_guard()
-        self._bad = 0  # commands that could not be served
-        self._ignored = 0  # bytes read after the last command
-        self._ahead = 0  # bytes read while commands before them were waiting
-        self._last = False  # no command after those pending is answered
-        self._closed = False
-        self.surplus = surplus  # over the budget of descriptors: told to come again, and closed
-        self.commands_read = 0  # whole commands it has sent
-        # last read; the start of a command that is not whole
-        self.last_read_ms = self.command_started_ms = host.clock.now()
-        self.close_by: float | None = None
+        self._write_started_ms = 0.0
+
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._task: asyncio.Task[None] | None = self._loop.create_task(self._run())
+        self._reader: asyncio.Task[None] | None = self._loop.create_task(self._run())
 
     @property
     def is_idle(self) -> bool:
-        """Nothing is owed to it. Half a command is no claim: else clients that never end one could
-        hold all descriptors.
+        """Whether no response is pending or unsent.
+
+        An incomplete command does not count: else clients that never complete one could hold all
+        descriptors.
         """
         return not (self._pending or self._unsent or self._writer)
 
     @property
     def is_mid_command(self) -> bool:
-        """Whether a command has begun and is not whole."""
-        return not self._bounds.is_between_messages and not self._last
+        """Whether a command has begun that is not complete."""
+        is_open = self._state is ClientConnectionState.OPEN
+        return is_open and not self._guard.is_between_messages
+
+    @property
+    def is_ending(self) -> bool:
+        """Whether its sending side is shut, and only the client's close is awaited."""
+        return self._close_deadline_ms is not None
 
     def has_input(self) -> bool:
-        """Whether something has come that is not read yet."""
+        """Return whether bytes have arrived that are not read yet."""
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK))
         except OSError:
             return False
 
+    # Ending
+
     def enforce_timeouts(self, now: float) -> None:
-        """End what does not come to an end by itself."""
-        if self.close_by is not None:
-            if self.close_by < now:
+        """End the connection where its client has exceeded a timeout."""
+        if self._close_deadline_ms is not None:
+            if self._close_deadline_ms < now:
                 self.close()
-        elif self._writer is not None and now - self._writing > UNREAD:
+            return
+        if self._writer is not None and now - self._write_started_ms > WRITE_TIMEOUT_MS:
             self.close()
-        elif now - self.command_started_ms > (
-            HEAD if (half := self.is_mid_command) else FIRST_COMMAND_TIMEOUT_MS
-        ) * (1 + ((half or not self.commands_read) and self.has_input())):
-            if half:
-                self._say_last(resp.COMMAND_TIMEOUT)
-                self.flush()
-            elif not self.commands_read:
-                self.end_gracefully()
+            return
+        is_mid_command = self.is_mid_command
+        if self.commands_read and not is_mid_command:
+            return
+        timeout_ms = COMMAND_TIMEOUT_MS if is_mid_command else FIRST_COMMAND_TIMEOUT_MS
+        if self.has_input():  # the ingress is late: what is awaited may be there unread
+            timeout_ms *= 2
+        if now - self.command_started_ms <= timeout_ms:
+            return
+        if is_mid_command:
+            self._finish_with(resp.COMMAND_TIMEOUT)
+            self.flush()
+        else:
+            self.end_gracefully()
 
     def end_gracefully(self) -> None:
-        """Between requests an ingress may end a connection; with an answer owed it may not."""
-        if self._closed or not self.is_idle or self.is_ending:
+        """Shut the sending side, and await the client's close.
+
+        Does nothing while a response is pending: an ingress may end a connection only between
+        requests.
+        """
+        if self._state is ClientConnectionState.CLOSED or not self.is_idle or self.is_ending:
             return
-        self._last = True
-        self.close_by = self._host.clock.now() + CLOSE_TIMEOUT_MS
+        self._state = ClientConnectionState.HALF_CLOSED
+        self._close_deadline_ms = self._host.clock.now() + CLOSE_TIMEOUT_MS
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             self.close()
 
-    @property
-    def is_ending(self) -> bool:
-        """Whether its sending side is shut, and only the client's end is awaited."""
-        return self.close_by is not None
-
     def close(self) -> None:
-        """At once: the client has left, or has had its time."""
-        if self._closed:
+        """Close the socket at once: the client has left, or has exceeded a timeout."""
+        if self._state is ClientConnectionState.CLOSED:
             return
-        self._closed = True
-        with suppress(OSError):  # what has come meanwhile would make a reset of it
-            self.sock.recv_into(_dropped)
-        # A cancelled task keeps its traceback, that its frames, buffer and all, and those this
-        # connection:
-        # let go of here, they need not wait for a collection of garbage.
-        for task in (self._task, self._writer):
+        self._state = ClientConnectionState.CLOSED
+        with suppress(OSError):  # unread bytes would make a reset of the close
+            self.sock.recv_into(_discarded)
+        # A cancelled task refers to its traceback, that to its frames, and those to this connection
+        # and its buffer. Without these references they need not wait for the garbage collector.
+        for task in (self._reader, self._writer):
             if task is not None:
                 task.cancel()
-        self._task = self._writer = None
+        self._reader = None
+        self._writer = None
         self.sock.close()
-        pending, self._pending = self._pending, deque()
+        pending = self._pending
+        self._pending = deque()
         for slot in pending:
             if slot.response is None:
-                self._host.on_client_disconnected(slot)
-        self._host.on_connection_closed(self)
+                self._host.requests.on_client_disconnected(slot)
+        self._on_closed(self)
+
+    def _finish_with(self, response: bytes) -> None:
+        """Append a last response; no command after it is served."""
+        self._finish()
+        self._pending.append(ResponseSlot(response))
+
+    def _finish(self) -> None:
+        if self._state is ClientConnectionState.OPEN:
+            self._state = ClientConnectionState.FINISHING
+
+    # Writing
 
     def flush(self) -> None:
-        """Send every answer that has none missing before it. A connection that this finds broken
-        closes in a turn of its own: this may stand in the middle of a decision, and the close ends
-        requests that the rest of it is about.
+        """Send every response that has none missing before it.
+
+        A connection that this finds broken closes in a later turn of the loop: this may be called
+        in the middle of a decision, and closing ends requests that the rest of it is about.
         """
-        if not self._collect() or self._writer is not None:
+        if not self._collect_responses() or self._writer is not None:
             return
         data = b"".join(self._unsent)
         try:
@@ -224,27 +228,28 @@
         self._unsent.clear()
         if sent < len(data):
             self._unsent.append(data[sent:])
-            self._writing = self._host.clock.now()
+            self._write_started_ms = self._host.clock.now()
             self._writer = self._loop.create_task(self._write())
-        elif not self._pending and (self._last or self._host.draining):
-            self.end_gracefully()  # nothing is pending: this ends no request
+        elif not self._pending and (
+            self._state is not ClientConnectionState.OPEN or self._host.draining
+        ):
+            self.end_gracefully()  # nothing is pending, so this ends no request
 
-    def _collect(self) -> bool:
-        """Move the answers that may be sent to those unsent; False where there is nothing to
-        send.
-        """
+    def _collect_responses(self) -> bool:
+        """Move the responses that may be sent to the unsent ones; return whether there are any."""
         pending = self._pending
-        while pending and (answer := pending[0].response) is not None:
+        while pending and (response := pending[0].response) is not None:
             pending.popleft()
-            self._unsent.append(answer)
-            self._unsent_bytes += len(answer)
-        if self._unsent_bytes > MOST_UNSENT:
-            logger.debug("a client does not read its answers: connection closed")
+            self._unsent.append(response)
+            self._unsent_bytes += len(response)
+        if self._unsent_bytes > MAX_UNSENT_BYTES:
+            logger.debug("a client does not read its responses: connection closed")
             self._loop.call_soon(self.close)
             return False
         return bool(self._unsent)
 
     async def _write(self) -> None:
+        """Send what the system did not take at once."""
         try:
             while self._unsent:
                 data = b"".join(self._unsent)
@@ -252,161 +257,135 @@
                 self._host.traffic.client_out += len(data)
                 await self._loop.sock_sendall(self.sock, data)
                 self._unsent_bytes -= len(data)
-                self._writing = self._host.clock.now()
+                self._write_started_ms = self._host.clock.now()
         except OSError:
             self._writer = None
             self.close()
             return
         self._writer = None
-        if not self._pending and (self._last or self._host.draining):
+        is_open = self._state is ClientConnectionState.OPEN
+        if not self._pending and (not is_open or self._host.draining):
             self.end_gracefully()
 
+    # Reading
+
     async def _run(self) -> None:
-        buffer = bytearray(BUFFER)
+        """Read until the client closes the connection or has exceeded a limit."""
+        buffer = bytearray(READ_BYTES)
         try:
             while size := await self._loop.sock_recv_into(
-                self.sock, _dropped if self._last else buffer
+                self.sock, buffer if self._state is ClientConnectionState.OPEN else _discarded
             ):
-                if self._last:
-                    self._ignored += size
-                    if not self._drop():
+                if self._state is not ClientConnectionState.OPEN:
+                    if not await self._discard(size):
                         break
-                    if self._ignored > MAX_IGNORED_BYTES:
-                        if self.is_idle:
-                            break
-                        # An answer is owed: no close, but little work; where turns are long they
-                        # are pause enough.
-                        pause = PAUSE if self._ignored < FLOOD else LONG_PAUSE
-                        await asyncio.sleep(0.0 if self._host.event_loop_lag.is_lagging else pause)
                     continue
                 self._host.traffic.client_in += size
                 self._feed(bytes(buffer[:size]))
-                more = True
-                while more:
-                    more = self._take()
+                has_more = True
+                while has_more:
+                    has_more = self._serve_commands()
                     self.flush()
-                    if self._closed:
+                    if self._reader is None:  # closed meanwhile
                         return
-                    if more:
+                    if has_more:
                         await asyncio.sleep(0)
                         if not self._read_ahead():
                             self.close()
                             return
-                self._ahead, self._beat = 0, self._host.event_loop_lag.last_heartbeat_ms
+                self._read_ahead_bytes = 0
+                self._heartbeat_before_wait_ms = self._host.event_loop_lag.last_heartbeat_ms
         except OSError:
             pass
-        except Exception:
-            logger.exception("an inbound connection failed")
+        except Exception:  # noqa: BLE001 - a fault costs this connection, and no other
+            logger.exception("a client connection failed")
         self.close()
 
+    def _serve_commands(self) -> bool:
+        """Serve one turn's commands of what was read; return whether there may be more."""
+        try:
+            for _ in range(COMMANDS_PER_TURN):
+                if self._state is not ClientConnectionState.OPEN:
+                    return False
+                message = self._parser.gets()
+                if message is resp.INCOMPLETE:
+                    if self._guard.is_broken:
+                        self._finish_with(resp.PROTOCOL_ERROR)
+                    return False
+                self.commands_read += 1
+                self.command_started_ms = self.last_read_ms
+                self._pending.append(self._commands.handle(self, message))
+                if self._commands.is_last:
+                    self._finish()
+                is_abusive = self._commands.invalid_commands >= MAX_INVALID_COMMANDS
+                if is_abusive or len(self._pending) > MAX_PENDING_COMMANDS:
+                    self._finish_with(resp.TOO_MANY_COMMANDS)
+        except resp.ProtocolError:
+            self._finish_with(resp.PROTOCOL_ERROR)
+        return self._state is ClientConnectionState.OPEN
+
     def _read_ahead(self) -> bool:
-        """Between two turns: what has come, so that an end behind it is seen at once. False at an
-        end.
-        """
-        if self._ahead >= AHEAD:
+        """Read between two turns, so that a close is seen at once; return False at a close."""
+        if self._read_ahead_bytes >= MAX_READ_AHEAD_BYTES:
             return True
         try:
-            data = self.sock.recv(BUFFER)
+            data = self.sock.recv(READ_BYTES)
         except (BlockingIOError, InterruptedError):
             return True
         except OSError:
             return False
-        self._ahead += len(data)
+        self._read_ahead_bytes += len(data)
         self._host.traffic.client_in += len(data)
-        since = self.earliest_arrival_ms  # of the commands that wait: these came no earlier
+        # The commands that wait arrived before what was read now.
+        earliest_arrival_ms = self.earliest_arrival_ms
         self._feed(data)
-        self.earliest_arrival_ms = since
+        self.earliest_arrival_ms = earliest_arrival_ms
         return bool(data)
 
-    def _drop(self) -> bool:
-        """Read what lies there behind the last command; False at an end."""
-        for _ in range(DROPS):
+    def _feed(self, data: bytes) -> None:
+        """Give bytes to the parser, and work out when they can have arrived."""
+        self.last_read_ms = self._host.clock.now()
+        lag = self._host.event_loop_lag
+        # They arrived while this waited to read, or before that, behind what was read before.
+        self.earliest_arrival_ms = (
+            max(self._all_read_ms, lag.earliest_arrival_ms)
+            if lag.earliest_arrival_ms >= self._heartbeat_before_wait_ms
+            else self._all_read_ms
+        )
+        has_read_all = len(data) < READ_BYTES
+        self._all_read_ms = self.last_read_ms if has_read_all else self.earliest_arrival_ms
+        if self._guard.is_between_messages:
+            self.command_started_ms = self.last_read_ms
+        self._parser.feed(data[: self._guard.count_safe_bytes(data)])
+
+    async def _discard(self, size: int) -> bool:
+        """Discard what follows the last command, of which `size` bytes were read.
+
+        Returns False where the connection is to be closed.
+        """
+        self._discarded_bytes += size
+        if not self._discard_available():
+            return False
+        if self._discarded_bytes <= MAX_DISCARDED_BYTES:
+            return True
+        if self.is_idle:
+            return False
+        # A response is pending: the connection stays open, but may cost little work. Where the
+        # loop lags, its turns are pause enough.
+        pause_s = DISCARD_PAUSE_S if self._discarded_bytes < FLOOD_BYTES else FLOOD_PAUSE_S
+        await asyncio.sleep(0.0 if self._host.event_loop_lag.is_lagging else pause_s)
+        return True
+
+    def _discard_available(self) -> bool:
+        """Read and discard what has arrived; return False at a close."""
+        for _ in range(MAX_DISCARDS_IN_A_ROW):
             try:
-                size = self.sock.recv_into(_dropped)
+                size = self.sock.recv_into(_discarded)
             except (BlockingIOError, InterruptedError):
                 return True
             except OSError:
                 return False
             if not size:
                 return False
-            self._ignored += size
+            self._discarded_bytes += size
         return True
-
-    def _feed(self, data: bytes) -> None:
-        bounds, self.last_read_ms = self._bounds, self._host.clock.now()
-        loop_delay = self._host.event_loop_lag
-        # It came while this waited to read, or before it did so, behind what was read before.
-        self.earliest_arrival_ms = (
-            max(self._seen, loop_delay.earliest_arrival_ms)
-            if loop_delay.earliest_arrival_ms >= self._beat
-            else self._seen
-        )
-        self._seen = self.last_read_ms if len(data) < BUFFER else self.earliest_arrival_ms
-        if bounds.is_between_messages:
-            self.command_started_ms = self.last_read_ms
-        self._reader.feed(data[: bounds.count_safe_bytes(data)])
-
-    def _take(self) -> bool:
-        """Take a turn's commands from what was read; False once none is left."""
-        try:
-            for _ in range(TURN):
-                if self._last:
-                    return False
-                if (message := self._reader.gets()) is resp.INCOMPLETE:
-                    if self._bounds.is_broken:
-                        self._say_last(resp.PROTOCOL_ERROR)
-                    return False
-                self.commands_read, self.command_started_ms = (
-                    self.commands_read + 1,
-                    self.last_read_ms,
-                )
-                self._command(message)
-                if self._bad >= MOST_BAD or len(self._pending) > MOST_WAITING:
-                    self._say_last(resp.TOO_MANY_COMMANDS)
-        except resp.ProtocolError:
-            self._say_last(resp.PROTOCOL_ERROR)
-        return not self._last
-
-    def _say_last(self, answer: bytes) -> None:
-        self._last = True
-        self._pending.append(ResponseSlot(answer))
-
-    def _refuse(self, answer: bytes) -> ResponseSlot:
-        self._bad += 1
-        self._host.traffic.spoilt += 1
-        return ResponseSlot(answer)
-
-    def _command(self, message: object) -> None:
-        if not isinstance(message, list) or not all(type(part) is bytes for part in message):
-            raise resp.ProtocolError("a command is an array of bulk strings")
-        verb = message[0].upper()
-        if verb in (b"API.READ", b"API.WRITE"):
-            self._pending.append(self._request(message))
-        elif verb == b"QUIT":
-            self._say_last(resp.OK)
-        else:
-            self._pending.append(self._plain(verb, message))
-
-    def _request(self, args: list[bytes]) -> ResponseSlot:
-        try:
-            ask = self._host.request_parser.parse(args)
-        except resp.CommandError as error:
-            return self._refuse(resp.encode_error(str(error)))
-        if self.surplus:
-            self._last = True
-            return self._host.respond_without_policy(ask, "surplus", resp.BUSY)
-        if self._host.is_in_flight(ask.wire_id):
-            self._bad += 1
-            return self._host.respond_without_policy(
-                ask, "duplicate", resp.encode_error("this id is open already")
-            )
-        return self._host.accept(self, ask)
-
-    def _plain(self, verb: bytes, args: list[bytes]) -> ResponseSlot:
-        if verb == b"PING":
-            if not self._host.ready:
-                return ResponseSlot(resp.NOT_READY)
-            return ResponseSlot(resp.PONG if len(args) == 1 else resp.encode_value(args[1]))
-        if verb in (b"CLIENT", b"SELECT"):
-            return ResponseSlot(resp.OK)
-        return self._refuse(resp.encode_error("unknown command"))
--- a/dockthread/net/connection_pool.py
+++ b/dockthread/net/connection_pool.py
@@ -1,350 +1,292 @@
-"""Outbound calls: the connections to backends, one call at a time on each, kept by backend for
-reuse.
-"""
+"""The connection pool to backends: carries attempts, and keeps idle connections for reuse."""
 
 from __future__ import annotations
 
 import asyncio
-import socket
 from collections import deque
 from collections.abc import Callable
-from math import inf
+from dataclasses import dataclass
 
 from loguru import logger
 
-from dockthread.clock import Clock
 from dockthread.net import resp
-from dockthread.net.endpoint_list import BackendRecord, EndpointList
-from dockthread.observer import Observer, Traffic
+from dockthread.net.attempt import Attempt
+from dockthread.net.backend_connection import BackendConnection, BackendConnectionState
+from dockthread.net.context import IngressContext
+from dockthread.net.endpoint_list import BackendRecord
+from dockthread.observer import Observer
 from dockthread.policy import IDLE_CLOSE_FRACTION, NEVER_RAN, Outcome
 
-BUFFER = 16 * 1024
-WHOLE = 200.0  # for the rest of an answer that has begun: backends write one at once
-# for a second answer to show: it comes some milliseconds late, and would be taken for the next
-# call's
+READ_BYTES = 16 * 1024  # read from a backend at once
+# For the rest of a reply that has begun: backends write one at once.
+REPLY_COMPLETION_TIMEOUT_MS = 200.0
+# Before a connection is reused. A second reply to the last request comes some milliseconds late,
+# and would be taken for the reply to the next one.
 REUSE_DELAY_MS = 20.0
 
 
-class Attempt:
-    """One attempt of one request, from the module's word to start it until its outcome is told."""
+@dataclass(frozen=True, slots=True)
+class ConnectionPoolLimits:
+    """The limits of a connection pool.
 
-    __slots__ = (
-        "backend",
-        "command",
-        "connection",
-        "deadline_ms",
-        "has_started",
-        "is_written",
-        "number",
-        "outcome",
-        "request_number",
-        "start_deadline_ms",
-        "started_ms",
-    )
-
-    def __init__(
-        self,
-        request: int,
-        number: int,
-        worker: int,
-        ask: resp.RequestCommand,
-        started: float,
-        due: float,
-        begin_by: float = inf,
-    ) -> None:
-        self.request_number, self.number, self.backend, self.command = request, number, worker, ask
-        self.started_ms, self.deadline_ms = started, due
-        # the latest for its first byte, where it repeats what may have run
-        self.start_deadline_ms = begin_by
-        self.has_started = False  # its first byte may have gone out: it counts as sent on
-        self.is_written = False  # its last byte has gone out: from here on it may run
-        self.outcome: Outcome | None = None
-        self.connection: BackendConnection | None = None
-
-
-class BackendConnection:
-    """One connection to a backend, and the task that carries its calls one after another.
-
-    One call at a time: behind another it would wait for that one's answer, and giving it up means
-    closing the connection, which would take the other down with it.
+    `idle_timeout_ms` is the time after which backends close an idle connection; the pool closes
+    its own at `IDLE_CLOSE_FRACTION` of it.
     """
 
-    __slots__ = (
-        "born",
-        "call",
-        "destination",
-        "endpoint",
-        "idle_since",
-        "sock",
-        "task",
-        "up",
-        "wake",
-    )
-
-    def __init__(self, destination: BackendRecord, call: Attempt) -> None:
-        self.destination, self.endpoint, self.born = (
-            destination,
-            destination.address,
-            destination.started_ms,
-        )
-        self.sock = self.endpoint.new_socket()
-        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.call: Attempt | None = call
-        self.up = False
-        self.idle_since = 0.0
-        self.wake: asyncio.Future[None] | None = None
-        self.task: asyncio.Task[None] | None = None
-
-    @property
-    def current(self) -> bool:
-        """Whether it leads to the process that is listed now, and that may be sent to."""
-        to = self.destination
-        return to.is_ready and to.address == self.endpoint and to.started_ms == self.born
-
-    def dead(self) -> bool:
-        """Whether an idle connection was closed, or says something nobody asked for: either is
-        readable.
-        """
-        try:
-            self.sock.recv(1, socket.MSG_PEEK)
-        except BlockingIOError:
-            return False
-        except OSError:
-            pass
-        return True
+    max_connections: int
+    idle_timeout_ms: float
+    connect_timeout_ms: float
 
 
 class ConnectionPool:
-    """All outbound calls of an ingress. `ended` is told every call's outcome, exactly once."""
+    """Carries all attempts of an ingress. `on_ended` is called exactly once for each of them."""
 
     def __init__(
-        self,
-        destinations: EndpointList,
-        clock: Clock,
-        replies: resp.ReplyParser,
-        ended: Callable[[Attempt, resp.BackendReply], None],
-        at: Callable[..., None],
-        *,
-        most: int,
-        conn_idle: float,
-        connect_timeout: float,
-        traffic: Traffic | None = None,
+        self, context: IngressContext, reply_parser: resp.ReplyParser, limits: ConnectionPoolLimits
     ) -> None:
-        self._traffic = traffic or Traffic()
         self.observer = Observer()
-        self._destinations, self._clock, self._replies = destinations, clock, replies
-        self._ended, self._at, self._most = ended, at, most
-        self._keep, self._connect_timeout = conn_idle * IDLE_CLOSE_FRACTION, connect_timeout
+        self.on_ended: Callable[[Attempt, resp.BackendReply], None] = lambda _attempt, _reply: None
+        self._endpoints = context.endpoints
+        self._clock = context.clock
+        self._call_at = context.timers.call_at
+        self._traffic = context.traffic
+        self._reply_parser = reply_parser
+        self._max_connections = limits.max_connections
+        self._max_idle_ms = limits.idle_timeout_ms * IDLE_CLOSE_FRACTION
+        self._connect_timeout_ms = limits.connect_timeout_ms
         self._loop = asyncio.get_running_loop()
         self._connections: set[BackendConnection] = set()
-        self._idle: dict[int, deque[BackendConnection]] = {}  # by worker, the longest idle first
+        # By the backend's number; the one that has been idle longest comes first.
+        self._idle: dict[int, deque[BackendConnection]] = {}
 
     def __len__(self) -> int:
         return len(self._connections)
 
-    def start(self, call: Attempt) -> None:
-        """Put a call on the connection that was idle for the shortest time, but long enough, or on
-        a new one.
+    def start(self, attempt: Attempt) -> None:
+        """Start an attempt on an idle connection to its backend, or on a new one.
+
+        Of the idle ones that may be reused, the one that was idle for the shortest time is taken.
         """
-        destination = self._destinations.by_number[call.backend]
-        if (connection := self._rested(call.backend)) is not None:
-            connection.call, call.connection = call, connection
-            if connection.wake is not None and not connection.wake.done():
-                connection.wake.set_result(None)
+        backend = self._endpoints.by_number[attempt.backend]
+        connection = self._take_idle(attempt.backend)
+        if connection is not None:
+            connection.attempt = attempt
+            connection.state = BackendConnectionState.IN_USE
+            attempt.connection = connection
+            if connection.reused is not None and not connection.reused.done():
+                connection.reused.set_result(None)
             return
         # Descriptors are a hard limit of the machine: an idle connection elsewhere makes room, else
-        # the call
-        # ends unsent, which says nothing against the backend.
-        if len(self._connections) >= self._most and not self.close_longest_idle():
-            self._end(call, Outcome.NOT_SENT)
+        # the attempt ends unsent, which says nothing against the backend.
+        if len(self._connections) >= self._max_connections and not self.close_longest_idle():
+            self._finish(attempt, resp.BackendReply(Outcome.NOT_SENT))
             return
         try:
-            connection = BackendConnection(destination, call)
+            connection = BackendConnection(backend, attempt)
         except OSError as error:
-            logger.warning("no socket for an outbound call: {}", error)
+            logger.warning("no socket for a backend connection: {}", error)
             self.close_longest_idle()
-            self._end(call, Outcome.NOT_SENT)
+            self._finish(attempt, resp.BackendReply(Outcome.NOT_SENT))
             return
-        call.connection = connection
+        self._open(connection, attempt)
+
+    def _open(self, connection: BackendConnection, attempt: Attempt) -> None:
+        attempt.connection = connection
         self._traffic.nodes_opened += 1
         if self.observer.tracing:
-            self.observer.event("open", node=destination.uid, stand=len(self._connections))
+            uid = connection.backend.uid
+            self.observer.event("open", node=uid, stand=len(self._connections))
         self._connections.add(connection)
         connection.task = self._loop.create_task(self._run(connection))
-        self._at(call.started_ms + self._connect_timeout, self._connect_timed_out, connection, call)
-
-    def _rested(self, worker: int) -> BackendConnection | None:
-        idle, latest = self._idle.get(worker), self._clock.now() - REUSE_DELAY_MS
-        place = len(idle) if idle else 0
-        while idle and place:
-            place -= 1
-            connection = idle[place]
-            if not connection.current or connection.dead():
-                del idle[place]
-                self._drop(connection)
-            elif connection.idle_since <= latest:
-                del idle[place]
+        connect_by_ms = attempt.started_ms + self._connect_timeout_ms
+        self._call_at(connect_by_ms, self._on_connect_timeout, connection, attempt)
+
+    def _take_idle(self, backend: int) -> BackendConnection | None:
+        """Take the latest idle connection that may be reused; close broken ones on the way."""
+        idle = self._idle.get(backend)
+        latest_idle_since_ms = self._clock.now() - REUSE_DELAY_MS
+        position = len(idle) if idle else 0
+        while idle and position:
+            position -= 1
+            connection = idle[position]
+            if not connection.is_current or connection.is_broken():
+                del idle[position]
+                self._close_connection(connection)
+            elif connection.idle_since_ms <= latest_idle_since_ms:
+                del idle[position]
                 return connection
         return None
 
-    def end(self, call: Attempt, outcome: Outcome) -> None:
-        """Stop waiting for a call: its connection closes, which tells the backend. One that was not
-        begun cannot run.
+    def end(self, attempt: Attempt, outcome: Outcome) -> None:
+        """End an attempt that is in flight, and close its connection, which tells the backend.
+
+        An attempt whose first byte has not gone out cannot run: its outcome is then one that says
+        so, whatever `outcome` is.
         """
-        if call.outcome is None:
-            if call.connection is not None:
-                self._drop(call.connection)
-            self._end(
-                call, outcome if call.has_started or outcome in NEVER_RAN else Outcome.NOT_SENT
-            )
-
-    def close_idle_to(self, destination: BackendRecord) -> None:
-        """Close the idle connections to a destination that left, moved or restarted."""
-        for connection in self._idle.pop(destination.number, ()):
-            self._drop(connection)
+        if attempt.outcome is not None:
+            return
+        if attempt.connection is not None:
+            self._close_connection(attempt.connection)
+        is_true = attempt.has_started or outcome in NEVER_RAN
+        self._finish(attempt, resp.BackendReply(outcome if is_true else Outcome.NOT_SENT))
+
+    def close_idle_to(self, backend: BackendRecord) -> None:
+        """Close the idle connections to a backend that was removed, moved or restarted."""
+        for connection in self._idle.pop(backend.number, ()):
+            self._close_connection(connection)
 
     def close_expired(self) -> None:
-        """Close connections well before the backend does: a call that crosses its close ends as a
-        reset.
+        """Close idle connections well before their backend does.
+
+        An attempt that crosses the backend's close would end as a reset.
         """
-        oldest = self._clock.now() - self._keep
-        for worker, idle in list(self._idle.items()):
-            while idle and idle[0].idle_since < oldest:
-                self._drop(idle.popleft())
-            # else each backend ever sent to is looked at for ever, and takes 600 bytes
+        oldest_idle_since_ms = self._clock.now() - self._max_idle_ms
+        for backend, idle in list(self._idle.items()):
+            while idle and idle[0].idle_since_ms < oldest_idle_since_ms:
+                self._close_connection(idle.popleft())
+            # Else each backend ever used would be looked at for ever, and take 600 bytes.
             if not idle:
-                del self._idle[worker]
+                del self._idle[backend]
 
     def close_longest_idle(self) -> bool:
-        """Close the connection that has been idle longest; False where none is idle."""
-        held = [idle for idle in self._idle.values() if idle]
-        if not held:
+        """Close the connection that has been idle longest; return False where none is idle."""
+        candidates = [idle for idle in self._idle.values() if idle]
+        if not candidates:
             return False
-        self._drop(min(held, key=lambda idle: idle[0].idle_since).popleft())
+        longest_idle = min(candidates, key=lambda idle: idle[0].idle_since_ms)
+        self._close_connection(longest_idle.popleft())
         return True
 
     def close(self) -> None:
         """Close all connections."""
         for connection in list(self._connections):
-            self._drop(connection)
+            self._close_connection(connection)
 
-    def _drop(self, connection: BackendConnection) -> None:
+    def _close_connection(self, connection: BackendConnection) -> None:
         self._connections.discard(connection)
         if connection.task is not None:
             connection.task.cancel()
-        # a cancelled task holds on to the frames it ended in
-        connection.task = connection.wake = None
+        # A cancelled task refers to the frames it ended in, and those to this connection.
+        connection.task = None
+        connection.reused = None
         connection.sock.close()
 
-    def _end(self, call: Attempt, outcome: Outcome) -> None:
-        self._tell(call, resp.BackendReply(outcome))
-
-    def _tell(self, call: Attempt, reply: resp.BackendReply) -> None:
-        if call.outcome is None:
-            call.outcome, call.connection = reply.outcome, None
-            self._ended(call, reply)
+    def _finish(self, attempt: Attempt, reply: resp.BackendReply) -> None:
+        if attempt.outcome is None:
+            attempt.outcome = reply.outcome
+            attempt.connection = None
+            self.on_ended(attempt, reply)
 
-    def _connect_timed_out(self, connection: BackendConnection, call: Attempt) -> None:
-        if not connection.up and call.outcome is None:
+    def _on_connect_timeout(self, connection: BackendConnection, attempt: Attempt) -> None:
+        is_connecting = connection.state is BackendConnectionState.CONNECTING
+        if is_connecting and attempt.outcome is None:
             if self.observer.tracing:
-                self.observer.event("connect", node=connection.destination.uid, end="timeout")
-            self.end(call, Outcome.UNREACHABLE)
+                self.observer.event("connect", node=connection.backend.uid, end="timeout")
+            self.end(attempt, Outcome.UNREACHABLE)
 
     async def _run(self, connection: BackendConnection) -> None:
-        call = connection.call
+        """Connect, and carry one attempt after another until the connection is of no more use."""
+        attempt = connection.attempt
         try:
             endpoint = connection.endpoint
             await self._loop.sock_connect(connection.sock, (endpoint.host, endpoint.port))
-            connection.up = True
+            connection.state = BackendConnectionState.IN_USE
             if self.observer.tracing:
-                self.observer.event("connect", node=connection.destination.uid, end="up")
-            buffer = bytearray(BUFFER)
-            while call := connection.call:
-                if not await self._carry(connection, call, buffer):
+                self.observer.event("connect", node=connection.backend.uid, end="up")
+            buffer = bytearray(READ_BYTES)
+            while attempt := connection.attempt:
+                if not await self._exchange(connection, attempt, buffer):
                     break
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - any fault must end the attempt
             if not isinstance(error, OSError):
-                logger.exception("an outbound connection failed")
-            if self.observer.tracing and not connection.up:
-                self.observer.event(
-                    "connect", node=connection.destination.uid, end=type(error).__name__
-                )
-            # Broken before the last byte was written: the backend cannot have begun it. After: it
-            # may have.
-            if call is not None:
-                self._end(call, Outcome.RESET if call.is_written else Outcome.UNREACHABLE)
+                logger.exception("a backend connection failed")
+            is_connecting = connection.state is BackendConnectionState.CONNECTING
+            if self.observer.tracing and is_connecting:
+                uid = connection.backend.uid
+                self.observer.event("connect", node=uid, end=type(error).__name__)
+            # Where the connection broke before the last byte was written, the backend cannot have
+            # begun the request; after that, it may have.
+            if attempt is not None:
+                outcome = Outcome.RESET if attempt.is_written else Outcome.UNREACHABLE
+                self._finish(attempt, resp.BackendReply(outcome))
         finally:
             self._connections.discard(connection)
             connection.sock.close()
 
-    async def _carry(self, connection: BackendConnection, call: Attempt, buffer: bytearray) -> bool:
-        """One call, and the wait for the next; False where the connection is of no more use."""
+    async def _exchange(
+        self, connection: BackendConnection, attempt: Attempt, buffer: bytearray
+    ) -> bool:
+        """Carry one attempt and wait for the next one.
+
+        Returns False where the connection is of no more use.
+        """
         now = self._clock.now()
-        left = call.deadline_ms - now
-        # Just before the first byte: a drain may have been told while the connection came up,
-        # another process may
-        # stand in its place, and the time for a repeat may be over.
-        if left <= 0 or now > call.start_deadline_ms or not connection.current:
-            self._end(call, Outcome.NOT_SENT)
+        time_left_ms = attempt.deadline_ms - now
+        # Checked just before the first byte: while the connection came up, the backend may have
+        # begun to drain, another process may have taken its place, and the time for a repeat may
+        # have passed.
+        if time_left_ms <= 0 or now > attempt.start_deadline_ms or not connection.is_current:
+            self._finish(attempt, resp.BackendReply(Outcome.NOT_SENT))
             return False
-        command = call.command.encode_for_backend(left)
-        self._traffic.node_out += len(command)
-        call.has_started = True
-        await self._loop.sock_sendall(connection.sock, command)
-        call.is_written = True
+        data = attempt.command.encode_for_backend(time_left_ms)
+        self._traffic.node_out += len(data)
+        attempt.has_started = True
+        await self._loop.sock_sendall(connection.sock, data)
+        attempt.is_written = True
         self._traffic.tries += 1
-        reply, last = await self._answer(connection, call, buffer)
-        if last:
-            self._tell(call, reply)
+        reply, is_reusable = await self._read_reply(connection, attempt, buffer)
+        if not is_reusable:
+            self._finish(attempt, reply)
+            return False
+        connection.attempt = None
+        connection.idle_since_ms = self._clock.now()
+        connection.state = BackendConnectionState.IDLE
+        reused = connection.reused = self._loop.create_future()
+        if not connection.is_current:
+            self._finish(attempt, reply)
             return False
-        connection.call, connection.idle_since = None, self._clock.now()
-        wake = connection.wake = self._loop.create_future()
-        if connection.current:
-            self._idle.setdefault(call.backend, deque()).append(connection)
-            self._tell(call, reply)
-            await wake
-            return True
-        self._tell(call, reply)
-        return False
-
-    async def _answer(
-        self, connection: BackendConnection, call: Attempt, buffer: bytearray
+        self._idle.setdefault(attempt.backend, deque()).append(connection)
+        self._finish(attempt, reply)
+        await reused
+        return True
+
+    async def _read_reply(
+        self, connection: BackendConnection, attempt: Attempt, buffer: bytearray
     ) -> tuple[resp.BackendReply, bool]:
-        """What a backend says of a call, and whether the connection is of no more use after it.
+        """Read the reply to an attempt, and whether the connection may be reused after it.
 
-        A spoilt answer is an error, never a refusal: the request has run. What came behind a good
-        one answers nothing, and whose would the next answer on that connection be?
+        A malformed reply is an error, never a rejection: the request has run. After bytes that
+        follow a good reply, nothing would tell which request the next reply belongs to.
         """
-        reader, bounds = resp.new_parser(), resp.reply_guard()
-        begun = False
+        parser = resp.new_parser()
+        guard = resp.reply_guard()
+        has_begun = False
         while True:
             size = await self._loop.sock_recv_into(connection.sock, buffer)
             if not size:
-                return resp.BackendReply(Outcome.RESET), True
+                return resp.BackendReply(Outcome.RESET), False
             self._traffic.node_in += size
             data = bytes(buffer[:size])
-            reader.feed(data[: bounds.count_safe_bytes(data)])
+            parser.feed(data[: guard.count_safe_bytes(data)])
             try:
-                message = reader.gets()
+                message = parser.gets()
             except (resp.ProtocolError, UnicodeDecodeError):
-                return resp.BackendReply(Outcome.ERROR), True
+                return resp.BackendReply(Outcome.ERROR), False
             if message is not resp.INCOMPLETE:
-                reply = self._replies.parse(message)
-                return (
-                    reply,
-                    not reply.is_well_formed
-                    or bounds.is_broken
-                    or not bounds.is_between_messages
-                    or reader.has_data(),
+                reply = self._reply_parser.parse(message)
+                has_more = (
+                    guard.is_broken or not guard.is_between_messages or bool(parser.has_data())
                 )
-            if bounds.is_broken:
-                log = logger.bind(worker=call.backend, uid=connection.destination.uid)
-                log.debug("{} says what cannot be read", connection.endpoint)
-                return resp.BackendReply(Outcome.ERROR), True
-            if not begun:
-                begun = True
-                self._at(self._clock.now() + WHOLE, self._half_answered, connection, call)
-
-    def _half_answered(self, connection: BackendConnection, call: Attempt) -> None:
-        if connection.call is call and call.connection is connection:
-            self.end(call, Outcome.ERROR)
+                return reply, reply.is_well_formed and not has_more
+            if guard.is_broken:
+                log = logger.bind(worker=attempt.backend, uid=connection.backend.uid)
+                log.debug("the reply of {} is malformed", connection.endpoint)
+                return resp.BackendReply(Outcome.ERROR), False
+            if not has_begun:
+                has_begun = True
+                complete_by_ms = self._clock.now() + REPLY_COMPLETION_TIMEOUT_MS
+                self._call_at(complete_by_ms, self._on_reply_timeout, connection, attempt)
+
+    def _on_reply_timeout(self, connection: BackendConnection, attempt: Attempt) -> None:
+        if connection.attempt is attempt and attempt.connection is connection:
+            self.end(attempt, Outcome.ERROR)
--- a/dockthread/net/lifecycle.py
+++ b/dockthread/net/lifecycle.py
@@ -41,7 +41,7 @@
 
     def __init__(self) -> None:
         self.phase = Phase.STARTING
-        self.on_phase_entered: Callable[[str], None] = lambda name: None
+        self.on_phase_entered: Callable[[str], None] = lambda _name: None
 
     def enter(self, phase: Phase) -> None:
         """Enter a phase.
--- a/dockthread/net/policy_host.py
+++ b/dockthread/net/policy_host.py
@@ -51,7 +51,7 @@
         has_failed = False
         try:
             actions = self.engine.handle(self._clock.now() / 1000.0, event)
-        except Exception:
+        except Exception:  # noqa: BLE001 - a fault costs one request, and not the ingress
             logger.exception("the policy engine failed on {!r}", event)
             # The engine's state already counts on the actions decided before the fault, and its
             # own next timer may be among them.
@@ -60,7 +60,7 @@
         for action in actions:
             try:
                 self.action_handlers[type(action)](action)
-            except Exception:
+            except Exception:  # noqa: BLE001 - the same
                 logger.exception("{!r} could not be carried out", action)
                 self._abandon_request(getattr(action, "request", NO_REQUEST))
         if has_failed:
--- a/dockthread/net/request.py
+++ b/dockthread/net/request.py
@@ -2,16 +2,29 @@
 
 from __future__ import annotations
 
+from enum import Enum
 from typing import Any, Protocol
 
 from dockthread.net import resp
-from dockthread.net.client_connection import ClientConnection, ResponseSlot
-from dockthread.net.connection_pool import Attempt
+from dockthread.net.attempt import Attempt
+from dockthread.net.client_connection import ClientConnection
+from dockthread.net.connection_host import ResponseSlot
 from dockthread.policy import Route
 
 
+class RequestState(Enum):
+    """The states of a request: IN_FLIGHT -> ANSWERED, or IN_FLIGHT -> ABANDONED."""
+
+    IN_FLIGHT = "in flight"
+    ANSWERED = "answered"  # its response was given to its connection
+    ABANDONED = "abandoned"  # its client has disconnected before the response
+
+
 class Request(ResponseSlot):
-    """A request from its arrival until it is answered and no call of it is out."""
+    """A request, from its arrival until it is finished and has no attempt in flight.
+
+    Times are in milliseconds of the ingress's clock.
+    """
 
     __slots__ = (
         "arrived_ms",
@@ -21,38 +34,37 @@
         "connection",
         "deadline_ms",
         "has_deadline_timer",
-        "is_abandoned",
         "number",
+        "state",
     )
 
     def __init__(
         self,
         number: int,
         connection: ClientConnection,
-        ask: resp.RequestCommand,
-        deadline: float,
-        left: float,
+        command: resp.RequestCommand,
+        deadline_ms: float,
+        time_left_ms: float,
     ) -> None:
         super().__init__()
-        self.arrived_ms = deadline - left
-        self.number, self.connection, self.command, self.deadline_ms = (
-            number,
-            connection,
-            ask,
-            deadline,
-        )
+        self.number = number
+        self.connection = connection
+        self.command = command
+        self.arrived_ms = deadline_ms - time_left_ms
+        self.deadline_ms = deadline_ms
+        self.state = RequestState.IN_FLIGHT
         self.attempts: list[Attempt] = []
         self.attempts_in_flight = 0
-        self.is_abandoned = self.has_deadline_timer = False
+        self.has_deadline_timer = False
 
     @property
-    def finished(self) -> bool:
-        """Whether it has its answer, or nobody waits for one."""
-        return self.is_abandoned or self.response is not None
+    def is_finished(self) -> bool:
+        """Whether it has its response, or no client waits for one."""
+        return self.state is not RequestState.IN_FLIGHT
 
     @property
     def last_outcome(self) -> str:
-        """Why the module gave the request up, as far as its calls tell."""
+        """Why the policy engine gave the request up, as far as its attempts tell."""
         if not self.attempts:
             return "no-node"
         outcome = self.attempts[-1].outcome
@@ -60,19 +72,19 @@
 
 
 class RouteBounds(Route, Protocol):
-    """What a request's route adds for the ingress itself; in milliseconds, 0 for none."""
+    """What a request's route adds for the ingress itself."""
 
     @property
     def timeout(self) -> float:
-        """ms that the whole request may take."""
+        """Milliseconds that the whole request may take; 0 for no bound."""
         ...
 
 
 class RouteLookup(Protocol):
-    """Where a request's route is found; `spent` is what each has used, for whoever counts."""
+    """Finds the route of a request. `spent` is each route's use, for telemetry."""
 
     spent: dict[str, Any]
 
     def bounds(self, ask: resp.RequestCommand) -> RouteBounds | None:
-        """What the request's route adds; None where it has none."""
+        """Return what the request's route adds; None where it has no route."""
         ...
--- /dev/null
+++ b/dockthread/net/requests_in_flight.py
@@ -0,0 +1,285 @@
+"""Requests in flight: each from its arrival to its one final response, and its attempts."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from loguru import logger
+
+from dockthread.net import resp
+from dockthread.net.attempt import Attempt
+from dockthread.net.client_connection import ClientConnection
+from dockthread.net.connection_host import ResponseSlot
+from dockthread.net.connection_pool import ConnectionPool
+from dockthread.net.context import MAINTENANCE_INTERVAL_MS, IngressContext
+from dockthread.net.request import Request, RequestState, RouteLookup
+from dockthread.observer import FAILED, REFUSED, SERVED, Observer
+from dockthread.policy import AttemptEnded, ClientDisconnected, Outcome, RequestArrived
+
+# Of a request's time: its way here, the response's way back, and the lateness of a timer. The
+# client counts from when it sent, and the policy engine answers two clock ticks before the
+# deadline, one of which its timer may be late: without the transit time some responses came after
+# the client had given up.
+TRANSIT_TIME_MS = 5.0
+MIN_TIME_PER_TRANSIT = 10.0  # the transit time is a tenth of a request's time at the most
+# Of a request's time: one that was read so late that less is left is rejected at once, unsent and
+# so without effect.
+MIN_TIME_LEFT_SHARE = 0.1
+# Time left from which a request's deadline has a timer of its own, so that each round of
+# maintenance finds those whose deadline comes before the next but one.
+DEADLINE_TIMER_LEAD_MS = 2 * MAINTENANCE_INTERVAL_MS
+
+
+@dataclass(slots=True)
+class RequestLimits:
+    """What an ingress holds at the most: requests, and bytes of their bodies.
+
+    `max_retry_after_ms` is the longest wait that a rejection may advise.
+    """
+
+    max_requests: int
+    max_body_bytes: int
+    max_retry_after_ms: float
+
+
+class RequestTable:
+    """The requests in flight, by number, and those with an attempt still in flight."""
+
+    def __init__(
+        self, context: IngressContext, pool: ConnectionPool, limits: RequestLimits
+    ) -> None:
+        self.observer = Observer()
+        self.routes: RouteLookup | None = None
+        self.limits = limits
+        self.by_number: dict[int, Request] = {}
+        self.body_bytes = 0  # of all requests in `by_number`
+        self._last_number = 0
+        self._wire_ids_in_flight: set[bytes] = set()
+        self._clock = context.clock
+        self._call_at = context.timers.call_at
+        self._lifecycle = context.lifecycle
+        self._event_loop_lag = context.event_loop_lag
+        self._endpoints = context.endpoints
+        self._traffic = context.traffic
+        self._dispatch = context.dispatch
+        self._pool = pool
+
+    def __len__(self) -> int:
+        return len(self.by_number)
+
+    @property
+    def unanswered(self) -> int:
+        """How many requests have no response yet."""
+        return sum(not request.is_finished for request in self.by_number.values())
+
+    def is_in_flight(self, wire_id: bytes) -> bool:
+        """Return whether a request with this id, as clients write it, is in flight."""
+        return wire_id in self._wire_ids_in_flight
+
+    # Arrival
+
+    def accept(self, connection: ClientConnection, command: resp.RequestCommand) -> ResponseSlot:
+        """Take a request and let the policy engine decide on it, or reject it at once.
+
+        Returns the slot in which its response will stand.
+        """
+        body_bytes = self.body_bytes + command.body_bytes
+        is_full = len(self.by_number) >= self.limits.max_requests
+        if is_full or body_bytes > self.limits.max_body_bytes or self._lifecycle.draining:
+            return self._shed(command, body_bytes)
+        now = self._clock.now()
+        full_time_ms = command.time_left_ms
+        lag_ms = self._event_loop_lag.lag_ms(connection.earliest_arrival_ms, now)
+        transit_time_ms = min(TRANSIT_TIME_MS, full_time_ms / MIN_TIME_PER_TRANSIT)
+        time_left_ms = full_time_ms - transit_time_ms - lag_ms
+        if lag_ms and time_left_ms < full_time_ms * MIN_TIME_LEFT_SHARE:
+            return self._reject_at_once(command, "late")
+        self._last_number += 1
+        route = self.routes.bounds(command) if self.routes is not None else None
+        if route is not None and route.timeout:
+            time_left_ms = min(time_left_ms, route.timeout)
+        request = Request(self._last_number, connection, command, now + time_left_ms, time_left_ms)
+        self.by_number[request.number] = request
+        self._wire_ids_in_flight.add(command.wire_id)
+        self.body_bytes = body_bytes
+        if time_left_ms <= DEADLINE_TIMER_LEAD_MS:
+            self._start_deadline_timer(request)
+        self._dispatch(
+            RequestArrived(
+                request.number,
+                command.request_class,
+                command.plan,
+                command.customer,
+                time_left_ms / 1000.0,
+                command.units,
+                command.spread,
+                command.first,
+                route,
+            )
+        )
+        return request
+
+    def _shed(self, command: resp.RequestCommand, body_bytes: int) -> ResponseSlot:
+        """Reject a request for which the ingress has no capacity, or which came while draining."""
+        if self._lifecycle.draining:
+            return self._reject_at_once(command, "draining")
+        is_over_memory = body_bytes > self.limits.max_body_bytes
+        return self._reject_at_once(command, "bodies" if is_over_memory else "crowded")
+
+    def _reject_at_once(self, command: resp.RequestCommand, reason: str) -> ResponseSlot:
+        response = resp.encode_busy(self.limits.max_retry_after_ms)
+        return self.respond_without_policy(command, reason, response)
+
+    def respond_without_policy(
+        self, command: resp.RequestCommand, reason: str, response: bytes
+    ) -> ResponseSlot:
+        """Respond to a request that the policy engine does not see, and count it by `reason`.
+
+        A `-BUSY` counts as rejected, any other response as failed.
+        """
+        outcome = REFUSED if response.startswith(resp.BUSY[:5]) else FAILED
+        self._traffic.outcomes[outcome][command.request_class] += 1
+        self.observer.answered(
+            command.request_class,
+            command.plan,
+            command.customer,
+            outcome,
+            reason,
+            0.0,
+            command.units,
+            False,
+        )
+        return ResponseSlot(response)
+
+    # Response
+
+    def respond(self, request: Request, response: bytes, outcome: str, reason: str = "") -> None:
+        """Give a request in flight its one final response.
+
+        `outcome` is one of the observer's `SERVED`, `REFUSED` and `FAILED`; `reason` tells
+        telemetry why a request was not served.
+        """
+        request.response = response
+        request.state = RequestState.ANSWERED
+        command = request.command
+        self._traffic.outcomes[outcome][command.request_class] += 1
+        if self.observer.active:
+            self.observer.answered(
+                command.request_class,
+                command.plan,
+                command.customer,
+                outcome,
+                reason,
+                self._clock.now() - request.arrived_ms,
+                command.units,
+                bool(request.attempts),
+            )
+        self._wire_ids_in_flight.discard(command.wire_id)
+        request.connection.flush()
+        self._forget_if_done(request)
+
+    def on_attempt_ended(self, attempt: Attempt, reply: resp.BackendReply) -> None:
+        """Respond with the reply of an attempt that was served, and tell the policy engine."""
+        request = self.by_number[attempt.request_number]
+        request.attempts_in_flight -= 1
+        is_first_success = reply.outcome is Outcome.OK and not request.is_finished
+        if self.observer.active:
+            self.observer.call_ended(reply.outcome)
+        if self.observer.tracing:
+            self._trace_attempt_ended(attempt, reply)
+        if is_first_success:
+            self.respond(request, resp.encode_value(reply.value), SERVED)
+        self._dispatch(
+            AttemptEnded(
+                attempt.request_number,
+                attempt.number,
+                attempt.backend,
+                reply.outcome,
+                request.is_finished,
+                (self._clock.now() - attempt.started_ms) / 1000.0,
+                reply.cost if is_first_success else 0.0,
+                reply.utilization,
+                reply.load_report,
+            )
+        )
+        self._forget_if_done(request)
+
+    def _trace_attempt_ended(self, attempt: Attempt, reply: resp.BackendReply) -> None:
+        self.observer.event(
+            "ended",
+            node=self._endpoints.uid_of(attempt.backend),
+            outcome=reply.outcome.value.replace(" ", "-"),
+            took=round(self._clock.now() - attempt.started_ms, 1),
+            load=",".join(f"{figure:.4g}" for figure in reply.load_report) or "-",
+        )
+
+    def _forget_if_done(self, request: Request) -> None:
+        """Forget a request once it is finished and has no attempt in flight."""
+        if (
+            request.is_finished
+            and not request.attempts_in_flight
+            and request.number in self.by_number
+        ):
+            del self.by_number[request.number]
+            self.body_bytes -= request.command.body_bytes
+
+    # Requests that end without a reply
+
+    def on_client_disconnected(self, slot: ResponseSlot) -> None:
+        """Abandon the request of a client that has disconnected before its response."""
+        if not isinstance(slot, Request) or slot.is_finished:
+            return
+        request = slot
+        request.state = RequestState.ABANDONED
+        command = request.command
+        self.observer.gone(
+            command.request_class,
+            command.plan,
+            command.customer,
+            command.units,
+            bool(request.attempts),
+        )
+        self._dispatch(ClientDisconnected(request.number))
+        for attempt in request.attempts:  # one that has not started would start for no client
+            if not attempt.has_started:
+                self._pool.end(attempt, Outcome.NOT_SENT)
+        self._wire_ids_in_flight.discard(command.wire_id)
+        self._forget_if_done(request)
+
+    def abandon(self, number: int) -> None:
+        """Fail a request after a fault, and cancel its attempts.
+
+        The response is true whatever has run. Does nothing where no such request is in flight.
+        """
+        request = self.by_number.get(number)
+        if request is None or request.is_finished:
+            return
+        self.respond(request, resp.FAILED, FAILED, "fault")
+        for attempt in request.attempts:
+            self._pool.end(attempt, Outcome.CANCELLED)
+        self._dispatch(ClientDisconnected(number))
+
+    def start_deadline_timers(self, now: float) -> None:
+        """Start a timer for each request whose deadline is near.
+
+        Few requests live that long: a timer for each from its arrival cost a wake-up for nothing.
+        """
+        for request in self.by_number.values():
+            is_near = request.deadline_ms <= now + DEADLINE_TIMER_LEAD_MS
+            if is_near and not request.has_deadline_timer:
+                self._start_deadline_timer(request)
+
+    def _start_deadline_timer(self, request: Request) -> None:
+        request.has_deadline_timer = True
+        self._call_at(request.deadline_ms, self._on_deadline, request)
+
+    def _on_deadline(self, request: Request) -> None:
+        """End a request whose client has given up by now.
+
+        The policy engine has answered long before, unless it failed.
+        """
+        for attempt in request.attempts:
+            self._pool.end(attempt, Outcome.TIMEOUT)
+        if not request.is_finished:
+            logger.error("request {} was not answered by its deadline", request.number)
+            self.abandon(request.number)
--- a/dockthread/net/timers.py
+++ b/dockthread/net/timers.py
@@ -12,20 +12,20 @@
 
 from dockthread.clock import Clock
 
-MIN_TICK_MS = 1.0  # the resolution of the event loop's own timers
+MIN_RESOLUTION_MS = 1.0  # that of the event loop's own timers
 
 
 class Timers:
     """Callbacks in the order of their due times, in milliseconds of the ingress's clock.
 
-    The loop's timer rings at the end of a policy engine's tick, as in the simulator, so that the
-    callbacks of one tick share one wake-up.
+    The loop's timer rings at multiples of `resolution_ms`, the policy engine's clock tick, as in
+    the simulator, so that the callbacks due between two of them share one wake-up.
     """
 
-    def __init__(self, clock: Clock, tick_ms: float) -> None:
+    def __init__(self, clock: Clock, resolution_ms: float) -> None:
         self._loop = asyncio.get_running_loop()
         self._clock = clock
-        self._tick_ms = max(MIN_TICK_MS, tick_ms)
+        self._resolution_ms = max(MIN_RESOLUTION_MS, resolution_ms)
         # The sequence number keeps callbacks of the same due time in the order they were set.
         self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._sequence_number = 0
@@ -39,20 +39,26 @@
         """Call `callback` with `args` once the clock shows `due_ms`."""
         self._sequence_number += 1
         heappush(self._heap, (due_ms, self._sequence_number, callback, args))
-        # A callback due within a tick of the armed one is served by the same wake-up.
-        if due_ms < self._armed_for_ms - self._tick_ms:
+        # A callback due up to one interval before the armed one is served by the same wake-up.
+        if due_ms < self._armed_for_ms - self._resolution_ms:
             self._arm()
 
     def _arm(self) -> None:
         if self._loop_timer is not None:
             self._loop_timer.cancel()
         self._armed_for_ms = self._heap[0][0]
-        tick_ms = self._tick_ms
+        resolution_ms = self._resolution_ms
         now = self._clock.now()
-        end_of_tick_ms = ceil(max(now, self._armed_for_ms) / tick_ms) * tick_ms
-        delay_ms = max(1, ceil(end_of_tick_ms - now))
+        rings_at_ms = ceil(max(now, self._armed_for_ms) / resolution_ms) * resolution_ms
+        delay_ms = max(1, ceil(rings_at_ms - now))
         self._loop_timer = self._loop.call_later(delay_ms / 1000.0, self.run_due)
 
+    async def sleep(self, duration_ms: float) -> None:
+        """Sleep for a time by the ingress's clock."""
+        woken = self._loop.create_future()
+        self.call_at(self._clock.now() + duration_ms, woken.set_result, None)
+        await woken
+
     def run_due(self) -> None:
         """Call every callback that is due; one that raises is logged."""
         now = self._clock.now()
@@ -61,8 +67,7 @@
             _, _, callback, args = heappop(self._heap)
             try:
                 callback(*args)
-            except Exception:
-                # A fault in one callback must not keep the others from being called.
+            except Exception:  # noqa: BLE001 - a fault in one callback keeps no other from its call
                 logger.exception("a timer's callback failed")
         if self._heap:
             self._arm()
--- a/dockthread/telemetry/reading.py
+++ b/dockthread/telemetry/reading.py
@@ -160,7 +160,7 @@
         yield Point(("messages", "out"), DERIVE, traffic.messages_out)
         yield Point(("messages", "odd"), DERIVE, traffic.messages_odd)
         yield Point(("requests", "open"), GAUGE, len(ingress.requests))
-        yield Point(("requests", "bodies"), GAUGE, ingress.body_bytes)
+        yield Point(("requests", "bodies"), GAUGE, ingress.requests.body_bytes)
         yield Point(("commands", "bad"), DERIVE, traffic.spoilt)
         for side, way, many in (
             ("clients", "in", traffic.client_in),
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -356,7 +356,7 @@
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 sock.sendall(request(1) + request(2))
                 await until(lambda: len(ingress.requests) == 2)  # held: no list has been told yet
-                first, second = ingress.requests
+                first, second = ingress.requests.by_number
             events, decides = list[Event](), ingress.engine.handle
 
             def handle(now: float, event: Event) -> list[Action]:
--- a/tests/net/test_rules_on_sockets.py
+++ b/tests/net/test_rules_on_sockets.py
@@ -11,8 +11,9 @@
 
 from dockthread.clock import Clock, ManualClock
 from dockthread.net import connection_pool, resp
+from dockthread.net.attempt import Attempt
+from dockthread.net.backend_connection import BackendConnection
 from dockthread.net.client_connection import ClientConnection
-from dockthread.net.connection_pool import Attempt
 from dockthread.net.ingress import Ingress
 from dockthread.policy import IDLE_CLOSE_FRACTION, Action, Event, Outcome, RequestArrived
 from tests.loopback import (
@@ -56,7 +57,7 @@
 def collect(ingress: Ingress) -> list[tuple[Attempt, Outcome]]:
     """Outcomes of calls that a test starts itself."""
     ended = list[tuple[Attempt, Outcome]]()
-    ingress.connection_pool._ended = lambda call, reply: ended.append((call, reply.outcome))
+    ingress.connection_pool.on_ended = lambda call, reply: ended.append((call, reply.outcome))
     return ended
 
 
@@ -169,7 +170,7 @@
             ingress.endpoints.apply(message(2, target("s-0", 1, "leaving")))
             await until(lambda: ended)
             assert [outcome for _, outcome in ended] == [Outcome.NOT_SENT]
-            ingress.connection_pool._ended = ingress._call_ended
+            ingress.connection_pool.on_ended = ingress.requests.on_attempt_ended
             discovery.push(message(3, target("s-0", 1, "left")))
             await until(lambda: ingress.endpoints.revision == 3)
             for _ in range(10):
@@ -329,7 +330,7 @@
         busy, other, clock = Backend(hangs), Backend(), ManualClock()
         async with serving(busy, other, clock=clock, limits={"sockets": 80}) as (ingress, _, _):
             ended = collect(ingress)
-            most = ingress.connection_pool._most
+            most = ingress.connection_pool._max_connections
             ingress.connection_pool.start(a_call(ingress, worker=2))
             # its connection is idle now, and makes room for the last one
             await until(lambda: ended)
@@ -358,7 +359,7 @@
 def test_with_every_descriptor_owed_an_answer_new_clients_are_told_to_come_again() -> None:
     async def scenario() -> None:
         async with serving(Backend(hangs), limits={"sockets": 80}) as (ingress, client, _):
-            ingress.connection_pool._most = 1_000
+            ingress.connection_pool._max_connections = 1_000
             most, surplus = ingress.budget.client, ingress.budget.surplus
             clients = [client, *[await Client.open(ingress.address.port) for _ in range(most - 1)]]
             for number, one in enumerate(clients):
@@ -456,7 +457,7 @@
             clock.advance(200)
             silent = next(iter(ingress.listener.connections))
             silent.sock = Unread(silent.sock)  # type: ignore[assignment]
-            while ingress.listener.close_least_needed():
+            while ingress.listener.evict_idle():
                 pass
             assert ingress.listener.connections == {silent}  # what is here unread is a claim
 
@@ -503,8 +504,7 @@
     async def scenario() -> None:
         def standing() -> int:
             return sum(
-                isinstance(o, (ClientConnection, connection_pool.BackendConnection))
-                for o in gc.get_objects()
+                isinstance(o, (ClientConnection, BackendConnection)) for o in gc.get_objects()
             )
 
         clock = ManualClock()
--- a/tests/routes/test_routes_on_sockets.py
+++ b/tests/routes/test_routes_on_sockets.py
@@ -332,7 +332,9 @@
                 await until(
                     lambda: sum(sum(n.runs.values()) for n in nodes) % 2 == 0 and ingress.requests
                 )
-                await until(lambda: sum(len(r.attempts) for r in ingress.requests.values()) == 2)
+                await until(
+                    lambda: sum(len(r.attempts) for r in ingress.requests.by_number.values()) == 2
+                )
                 gate.set()
                 assert await client.answer() == b"value"
                 await until(lambda: not ingress.requests)
--- a/tests/telemetry/test_telemetry_on_sockets.py
+++ b/tests/telemetry/test_telemetry_on_sockets.py
@@ -420,7 +420,7 @@
             client.ask()
             client.asked -= 1
             client.ask()  # the same id, while the first is open
-            ingress._most_held = 1000
+            ingress.requests.limits.max_body_bytes = 1000
             client.ask(body=b"x" * 2000)
             leaver = await Client.open(ingress.address.port)
             leaver.asked += 100
