--- a/dockthread/lab/slow_start/restart_wave.py
+++ b/dockthread/lab/slow_start/restart_wave.py
@@ -112,7 +112,7 @@
         if wave.known:
             ingress.ready = self._hurry if wave.pushed else 0.0
         if wave.known and not wave.pushed:
-            ingress.started = ingress.backoff.soon()
+            ingress.started = ingress.backoff.initial_delay()
         self._at(ingress.started, self._call, ingress)
 
     def _call(self, ingress: Ingress) -> None:
@@ -162,7 +162,7 @@
         overbooked = (
             self.now - ingress.started > OVERLOAD_AFTER_MS
         )  # it takes connections, up or down
-        pause = ingress.backoff.again(inf if overbooked else most)
+        pause = ingress.backoff.retry_delay(inf if overbooked else most)
         ingress.paused += pause
         self._at(self.now + pause, self._again, ingress, ingress.call)
 
--- a/dockthread/net/action_executor.py
+++ b/dockthread/net/action_executor.py
@@ -13,7 +13,7 @@
 from dockthread.net.quota_counter import QuotaCounterClient
 from dockthread.net.request import Request
 from dockthread.net.requests_in_flight import RequestTable
-from dockthread.observer import FAILED, REFUSED, Observer
+from dockthread.observer import FAILED, REJECTED, Observer
 from dockthread.policy import (
     AddToCounter,
     CancelAttempt,
@@ -82,8 +82,8 @@
             deadline_ms,
             action.start_deadline * 1000.0,
         )
-        self._traffic.calls += 1
-        self._traffic.copies += request.attempts_in_flight > 0
+        self._traffic.attempts_started += 1
+        self._traffic.hedges_started += request.attempts_in_flight > 0
         request.attempts.append(attempt)
         request.attempts_in_flight += 1
         if self.observer.tracing:
@@ -111,7 +111,7 @@
         max_retry_after_ms = self._requests.limits.max_retry_after_ms
         response = resp.encode_busy(min(action.retry_after * 1000.0, max_retry_after_ms))
         reason = action.reason or request.last_outcome
-        self._requests.respond(request, response, REFUSED, reason)
+        self._requests.respond(request, response, REJECTED, reason)
 
     def _fail(self, action: Fail) -> None:
         request = self._requests.by_number.get(action.request)
--- a/dockthread/net/client_commands.py
+++ b/dockthread/net/client_commands.py
@@ -73,5 +73,5 @@
 
     def _reject_invalid(self, response: bytes) -> ResponseSlot:
         self.invalid_commands += 1
-        self._host.traffic.spoilt += 1
+        self._host.traffic.commands_rejected += 1
         return ResponseSlot(response)
--- a/dockthread/net/client_connection.py
+++ b/dockthread/net/client_connection.py
@@ -223,7 +223,7 @@
         except OSError:
             self._loop.call_soon(self.close)
             return
-        self._host.traffic.client_out += sent
+        self._host.traffic.client_bytes_out += sent
         self._unsent_bytes -= sent
         self._unsent.clear()
         if sent < len(data):
@@ -254,7 +254,7 @@
             while self._unsent:
                 data = b"".join(self._unsent)
                 self._unsent.clear()
-                self._host.traffic.client_out += len(data)
+                self._host.traffic.client_bytes_out += len(data)
                 await self._loop.sock_sendall(self.sock, data)
                 self._unsent_bytes -= len(data)
                 self._write_started_ms = self._host.clock.now()
@@ -280,7 +280,7 @@
                     if not await self._discard(size):
                         break
                     continue
-                self._host.traffic.client_in += size
+                self._host.traffic.client_bytes_in += size
                 self._feed(bytes(buffer[:size]))
                 has_more = True
                 while has_more:
@@ -335,7 +335,7 @@
         except OSError:
             return False
         self._read_ahead_bytes += len(data)
-        self._host.traffic.client_in += len(data)
+        self._host.traffic.client_bytes_in += len(data)
         # The commands that wait arrived before what was read now.
         earliest_arrival_ms = self.earliest_arrival_ms
         self._feed(data)
--- a/dockthread/net/connection_pool.py
+++ b/dockthread/net/connection_pool.py
@@ -92,7 +92,7 @@
 
     def _open(self, connection: BackendConnection, attempt: Attempt) -> None:
         attempt.connection = connection
-        self._traffic.nodes_opened += 1
+        self._traffic.backend_connections_opened += 1
         if self.observer.tracing:
             uid = connection.backend.uid
             self.observer.event("open", node=uid, stand=len(self._connections))
@@ -229,11 +229,11 @@
             self._finish(attempt, resp.BackendReply(Outcome.NOT_SENT))
             return False
         data = attempt.command.encode_for_backend(time_left_ms)
-        self._traffic.node_out += len(data)
+        self._traffic.backend_bytes_out += len(data)
         attempt.has_started = True
         await self._loop.sock_sendall(connection.sock, data)
         attempt.is_written = True
-        self._traffic.tries += 1
+        self._traffic.attempts_sent += 1
         reply, is_reusable = await self._read_reply(connection, attempt, buffer)
         if not is_reusable:
             self._finish(attempt, reply)
@@ -265,7 +265,7 @@
             size = await self._loop.sock_recv_into(connection.sock, buffer)
             if not size:
                 return resp.BackendReply(Outcome.RESET), False
-            self._traffic.node_in += size
+            self._traffic.backend_bytes_in += size
             data = bytes(buffer[:size])
             parser.feed(data[: guard.count_safe_bytes(data)])
             try:
--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -8,7 +8,7 @@
 
 from dockthread.admin import reload as settings_reload
 from dockthread.clock import Clock
-from dockthread.config.ingress_config import Config
+from dockthread.config.ingress_config import IngressConfig
 from dockthread.net import resp
 from dockthread.net.action_executor import ActionExecutor
 from dockthread.net.connection_pool import ConnectionPool, ConnectionPoolLimits
@@ -34,13 +34,13 @@
 BYTES_PER_MIB = 1024 * 1024
 
 
-def _policy_settings(config: Config, clock: Clock) -> PolicySettings:
+def _policy_settings(config: IngressConfig, clock: Clock) -> PolicySettings:
     """Return the settings of the policy engine, narrowed to what this ingress can do.
 
     Whatever the settings allow, there is no counter to add to without the address of one, and no
     gossip without the addresses of other ingresses.
     """
-    settings = config.module
+    settings = config.policy_settings
     return replace(
         settings,
         may_use_counter=settings.may_use_counter and config.counter is not None,
@@ -56,17 +56,22 @@
     except in the policy engine, where they are in seconds.
     """
 
-    def __init__(self, config: Config, clock: Clock, observer: Observer | None = None) -> None:
+    def __init__(
+        self, config: IngressConfig, clock: Clock, observer: Observer | None = None
+    ) -> None:
         self.config = config
         self.clock = clock
         self.address = config.listen  # with the actual port, once it listens
         self.lifecycle = Lifecycle()
         self.traffic = Traffic()
-        self.traffic.grow(len(config.names.classes))
+        self.traffic.ensure_classes(len(config.names.classes))
         self.request_parser = resp.RequestParser(
-            config.names, config.module.classes, config.module.ingress_count, config.most_units
+            config.names,
+            config.policy_settings.classes,
+            config.policy_settings.ingress_count,
+            config.max_request_units,
         )
-        self.timers = Timers(clock, config.module.clock_tick * 1000.0)
+        self.timers = Timers(clock, config.policy_settings.clock_tick * 1000.0)
         self.call_at = self.timers.call_at
         self.event_loop_lag = EventLoopLagMonitor(clock.now())
         self.endpoints = EndpointList(config.names, clock)
@@ -98,18 +103,20 @@
     def _assemble_request_path(self, context: IngressContext) -> None:
         """Make the parts between a client's command and a backend's reply."""
         config = self.config
-        descriptors = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+        descriptors = min(config.max_sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         self.budget = DescriptorBudget.of(descriptors)
         self.connection_pool = ConnectionPool(
             context,
-            resp.ReplyParser(config.module.load_report_fields),
-            ConnectionPoolLimits(self.budget.backend, config.conn_idle, config.connect_timeout),
+            resp.ReplyParser(config.policy_settings.load_report_fields),
+            ConnectionPoolLimits(
+                self.budget.backend, config.connection_idle_ms, config.connect_timeout_ms
+            ),
         )
         self.endpoints.on_moved = self.connection_pool.close_idle_to
         limits = RequestLimits(
-            max_requests=config.most_open,
+            max_requests=config.max_open_requests,
             max_body_bytes=int(config.memory_mb * BODY_MEMORY_SHARE * BYTES_PER_MIB),
-            max_retry_after_ms=config.module.max_retry_after * 1000.0,
+            max_retry_after_ms=config.policy_settings.max_retry_after * 1000.0,
         )
         self.requests = RequestTable(context, self.connection_pool, limits)
         self.connection_pool.on_ended = self.requests.on_attempt_ended
@@ -123,7 +130,7 @@
             self.endpoints,
             self.clock,
             self.dispatch,
-            config.module,
+            config.policy_settings,
             config.seed,
         )
         self.counter = QuotaCounterClient(
@@ -131,7 +138,7 @@
             self.clock,
             self.dispatch,
             self.call_at,
-            timeout=config.counter_timeout,
+            timeout=config.counter_timeout_ms,
         )
         self.peers = GossipTransport(
             config.peers if settings.may_gossip else None,
@@ -196,17 +203,19 @@
         self.dispatch(listed)
         return True
 
-    def reload(self, config: Config) -> None:
+    def reload(self, config: IngressConfig) -> None:
         """Apply what may change while it serves; see `dockthread.admin.reload`.
 
         This is the addresses of discovery and of the quota counter, the request classes and the
         number of attempts. A request in flight keeps the class it came with.
         """
         names = self.config.names
-        merged = settings_reload.merge(self.engine.s, names, config.module, config.names)
+        merged = settings_reload.merge_settings(
+            self.engine.s, names, config.policy_settings, config.names
+        )
         settings_reload.retune(self.engine, merged.settings)
         settings = replace(
-            self.config.module,
+            self.config.policy_settings,
             classes=merged.settings.classes,
             max_attempts=merged.settings.max_attempts,
         )
@@ -214,17 +223,17 @@
             self.config,
             discovery=config.discovery,
             counter=config.counter,
-            module=settings,
+            policy_settings=settings,
             names=merged.names,
         )
         self.request_parser = resp.RequestParser(
             merged.names,
             settings.classes,
             settings.ingress_count,
-            self.config.most_units,
+            self.config.max_request_units,
             merged.offered,
         )
-        self.traffic.grow(len(merged.names.classes))
+        self.traffic.ensure_classes(len(merged.names.classes))
         self.watch.change_address(config.discovery)
         self.counter.change_address(config.counter)
 
@@ -252,9 +261,11 @@
 
     def _start(self) -> None:
         config = self.config
-        self.address = self.listener.listen(config.name, config.listen, config.inherited)
-        self.watch.start(config.known, self.call_at)
-        for name, plan in zip(config.names.plans, config.module.plans, strict=True):
+        self.address = self.listener.listen(
+            config.name, config.listen, config.inherited_listener_fd
+        )
+        self.watch.start(config.known_endpoints, self.call_at)
+        for name, plan in zip(config.names.plans, config.policy_settings.plans, strict=True):
             self.observer.event(
                 "plan", name=name, rate=plan.rate, burst=plan.burst, ceiling=plan.ceiling_burst
             )
@@ -278,7 +289,9 @@
         self.listener.end_all()
         # By the longest deadline every request is answered; what is open after it is a connection
         # whose client does not read.
-        longest_deadline_ms = max(one.deadline for one in self.config.module.classes) * 1000.0
+        longest_deadline_ms = (
+            max(one.deadline for one in self.config.policy_settings.classes) * 1000.0
+        )
         close_at_ms = self.clock.now() + longest_deadline_ms + LINGER_MS
         self.call_at(close_at_ms, self.listener.close_all)
         await self.listener.wait_until_all_closed()
--- a/dockthread/net/listener.py
+++ b/dockthread/net/listener.py
@@ -109,7 +109,7 @@
 
     def _open(self, sock: socket.socket) -> None:
         sock.setblocking(False)
-        self._host.traffic.clients_opened += 1
+        self._host.traffic.client_connections_opened += 1
         is_surplus = len(self.connections) >= self.budget.client and not self.evict_idle()
         earliest_arrival_ms = self._backlog.earliest_arrival_ms(self._host.event_loop_lag)
         try:
--- a/dockthread/net/requests_in_flight.py
+++ b/dockthread/net/requests_in_flight.py
@@ -13,7 +13,7 @@
 from dockthread.net.connection_pool import ConnectionPool
 from dockthread.net.context import MAINTENANCE_INTERVAL_MS, IngressContext
 from dockthread.net.request import Request, RequestState, RouteLookup
-from dockthread.observer import FAILED, REFUSED, SERVED, Observer
+from dockthread.observer import FAILED, REJECTED, SERVED, Observer
 from dockthread.policy import AttemptEnded, ClientDisconnected, Outcome, RequestArrived
 
 # Of a request's time: its way here, the response's way back, and the lateness of a timer. The
@@ -137,9 +137,9 @@
 
         A `-BUSY` counts as rejected, any other response as failed.
         """
-        outcome = REFUSED if response.startswith(resp.BUSY[:5]) else FAILED
+        outcome = REJECTED if response.startswith(resp.BUSY[:5]) else FAILED
         self._traffic.outcomes[outcome][command.request_class] += 1
-        self.observer.answered(
+        self.observer.request_completed(
             command.request_class,
             command.plan,
             command.customer,
@@ -156,7 +156,7 @@
     def respond(self, request: Request, response: bytes, outcome: str, reason: str = "") -> None:
         """Give a request in flight its one final response.
 
-        `outcome` is one of the observer's `SERVED`, `REFUSED` and `FAILED`; `reason` tells
+        `outcome` is one of the observer's `SERVED`, `REJECTED` and `FAILED`; `reason` tells
         telemetry why a request was not served.
         """
         request.response = response
@@ -164,7 +164,7 @@
         command = request.command
         self._traffic.outcomes[outcome][command.request_class] += 1
         if self.observer.active:
-            self.observer.answered(
+            self.observer.request_completed(
                 command.request_class,
                 command.plan,
                 command.customer,
@@ -184,7 +184,7 @@
         request.attempts_in_flight -= 1
         is_first_success = reply.outcome is Outcome.OK and not request.is_finished
         if self.observer.active:
-            self.observer.call_ended(reply.outcome)
+            self.observer.attempt_ended(reply.outcome)
         if self.observer.tracing:
             self._trace_attempt_ended(attempt, reply)
         if is_first_success:
@@ -232,7 +232,7 @@
         request = slot
         request.state = RequestState.ABANDONED
         command = request.command
-        self.observer.gone(
+        self.observer.client_disconnected(
             command.request_class,
             command.plan,
             command.customer,
