--- /dev/null
+++ b/tests/net/support.py
@@ -0,0 +1,93 @@
+"""Helpers for tests of the ingress on sockets: backends' behaviours, attempts, client sockets."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import struct
+import time
+from collections.abc import Iterator
+from contextlib import contextmanager
+from typing import Any
+
+from dockthread.net.attempt import Attempt
+from dockthread.net.ingress import Ingress
+from dockthread.policy import Outcome
+from tests.loopback import FIRST_ID, KEY, SETTINGS
+from tests.loopback import command as encode_command
+
+# ms; a deadline that no test lives to see, so that only the rule under test can act
+UNREACHED_DEADLINE_MS = 600_000
+VALUE_REPLY = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
+
+
+async def never_replies(args: list[bytes]) -> bytes | None:
+    """Behave as a backend that hangs."""
+    await asyncio.Event().wait()
+    return None
+
+
+async def closes_connection(args: list[bytes]) -> bytes | None:
+    """Behave as a backend that closes the connection in place of a reply."""
+    return None
+
+
+async def replies_failed(args: list[bytes]) -> bytes | None:
+    """Behave as a backend that fails every request."""
+    return b"-ERR failed\r\n"
+
+
+def new_attempt(ingress: Ingress, backend: int = 1, timeout_ms: float = 4000.0) -> Attempt:
+    """Return an attempt that a test starts itself, at the backend of this number."""
+    terms = b"c=status,t=gross,d=4000"
+    command = ingress.request_parser.parse([b"API.READ", KEY, b"%016x" % FIRST_ID, terms])
+    now = ingress.clock.now()
+    return Attempt(0, 0, backend, command, now, now + timeout_ms)
+
+
+def collect_outcomes(ingress: Ingress) -> list[tuple[Attempt, Outcome]]:
+    """Collect the outcomes of attempts that a test starts itself, in the order of their ends."""
+    outcomes = list[tuple[Attempt, Outcome]]()
+    pool = ingress.connection_pool
+    pool.on_ended = lambda attempt, reply: outcomes.append((attempt, reply.outcome))
+    return outcomes
+
+
+def with_limits(**changes: Any) -> dict[str, Any]:
+    """Return the usual settings with other limits."""
+    return SETTINGS | {"Limits": SETTINGS["Limits"] | changes}
+
+
+@contextmanager
+def pinged_socket(ingress: Ingress) -> Iterator[socket.socket]:
+    """Open a blocking client socket and send a PING on it.
+
+    What it sends has arrived at the ingress as soon as the call returns.
+    """
+    with socket.create_connection(("127.0.0.1", ingress.address.port)) as sock:
+        sock.settimeout(10)
+        sock.sendall(encode_command(b"PING"))
+        yield sock
+
+
+@contextmanager
+def slowed_loop(seconds: float) -> Iterator[None]:
+    """Have each turn of the loop take that much longer."""
+    loop = asyncio.get_running_loop()
+    is_slowed = True
+
+    def block() -> None:
+        time.sleep(seconds)
+        if is_slowed:
+            loop.call_soon(block)
+
+    loop.call_soon(block)
+    try:
+        yield
+    finally:
+        is_slowed = False
+
+
+def reset_on_close(sock: socket.socket) -> None:
+    """Have the system reset the connection when the socket closes."""
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- /dev/null
+++ b/tests/net/test_backend_connections.py
@@ -0,0 +1,218 @@
+"""Backend connections: forwarded commands, reuse, idle timeout, malformed replies, connecting."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+import pytest
+
+from dockthread.clock import Clock, ManualClock
+from dockthread.net import connection_pool
+from dockthread.policy import IDLE_CLOSE_FRACTION, Outcome
+from tests.loopback import FIRST_ID, KEY, Backend, message, run, serves, serving, target, until
+from tests.net.support import (
+    UNREACHED_DEADLINE_MS,
+    VALUE_REPLY,
+    collect_outcomes,
+    never_replies,
+    new_attempt,
+)
+
+
+def test_forwarded_commands_keep_their_form_and_connections_are_reused() -> None:
+    async def scenario() -> None:
+        backend, clock = Backend(), ManualClock()
+        async with serving(backend, clock=clock) as (_, client, _):
+            for _ in range(5):
+                assert await client.call(d=3000, body=b"BO\r\nDY") == b"value"
+                clock.advance(connection_pool.REUSE_DELAY_MS)
+            assert await client.call("checkout") == b"value"
+        verb, customer, wire_id, terms, body = backend.seen[0]
+        assert (verb, customer, wire_id, body) == (
+            b"API.READ",
+            KEY,
+            b"%016x" % FIRST_ID,
+            b"BO\r\nDY",
+        )
+        head, left, rest = (
+            terms.partition(b"d=")[0],
+            terms.split(b"d=")[1].split(b",")[0],
+            terms.split(b",")[3:],
+        )
+        assert (head, rest) == (b"c=status,t=gross,", [b"units=2", b"spread=3", b"first=1"])
+        assert 0 < int(left) <= 3000
+        # Every connection was once closed after one attempt, as reader.len() counts bytes that were
+        # read already.
+        assert backend.opened == 1
+
+    run(scenario())
+
+
+def test_an_idle_connection_that_its_backend_closed_is_not_reused() -> None:
+    async def scenario() -> None:
+        backend = Backend()
+        async with serving(backend) as (_, client, _):
+            assert await client.call("checkout") == b"value"
+            backend.writers[0].close()
+            await backend.writers[0].wait_closed()
+            # A reset here would fail a checkout that never ran.
+            assert await client.call("checkout") == b"value"
+            assert (backend.opened, len(backend.seen)) == (2, 2)
+
+    run(scenario())
+
+
+def test_idle_connections_close_before_the_backend_would_close_them() -> None:
+    async def scenario() -> None:
+        backend, clock = Backend(), ManualClock()
+        async with serving(backend, clock=clock) as (ingress, client, _):
+            assert await client.call() == b"value"
+            clock.advance(15_000 * IDLE_CLOSE_FRACTION - 1)
+            ingress.connection_pool.close_expired()
+            assert len(ingress.connection_pool) == 1
+            clock.advance(2)
+            ingress.connection_pool.close_expired()
+            await until(lambda: backend.closed == 1)
+
+    run(scenario())
+
+
+def test_nothing_is_sent_to_a_backend_that_begins_to_drain_while_connecting() -> None:
+    async def scenario() -> None:
+        drained, other = Backend(), Backend()
+        async with serving(drained, other) as (ingress, client, discovery):
+            outcomes = collect_outcomes(ingress)
+            ingress.connection_pool.start(new_attempt(ingress))
+            ingress.endpoints.apply(message(2, target("s-0", 1, "leaving")))
+            await until(lambda: outcomes)
+            assert [outcome for _, outcome in outcomes] == [Outcome.NOT_SENT]
+            ingress.connection_pool.on_ended = ingress.requests.on_attempt_ended
+            discovery.push(message(3, target("s-0", 1, "left")))
+            await until(lambda: ingress.endpoints.revision == 3)
+            for _ in range(10):
+                assert await client.call() == b"value"
+            assert (len(drained.seen), len(other.seen)) == (0, 10)
+
+    run(scenario())
+
+
+@pytest.mark.parametrize(
+    "malformed",
+    [
+        b"*1000000000\r\n", b":5\r\n", b"x" * 40_000, b"*3\r\n$3000000000\r\nvv", b"\xff\xfe\r\n\r\n",
+        b"$-1\r\n", b"*1\r\n$5\r\nvalue\r\n", b"-\xff\r\n", b"*3\r\n$50\r\nvalue\r\n", b"-WHAT\r\n",
+    ],
+)  # fmt: skip
+def test_a_malformed_reply_counts_as_run_and_closes_its_connection(malformed: bytes) -> None:
+    async def scenario() -> None:
+        async def replies(args: list[bytes]) -> bytes | None:
+            return malformed
+
+        backend, clock = Backend(replies), ManualClock()
+        async with serving(backend, clock=clock) as (ingress, client, _):
+            client.ask("checkout", d=UNREACHED_DEADLINE_MS)
+            await until(lambda: backend.seen)
+            # The clock goes on in steps for the reply that is shorter than its header says: however
+            # late the timer for its rest is set, a later step passes it.
+            for _ in range(400):
+                if backend.closed:
+                    break
+                clock.advance(25)
+                ingress.timers.run_due()
+                await asyncio.sleep(0.005)
+            assert await client.answer() == "ERR failed"
+            assert len(backend.seen) == 1
+            backend.answer = serves
+            assert await client.call("checkout") == b"value"
+
+    run(scenario())
+
+
+@pytest.mark.parametrize("more", [b"noise", VALUE_REPLY, b"-BUSY\r\n", b"*3\r\n"])
+def test_bytes_behind_a_good_reply_are_not_taken_for_the_next_one(more: bytes) -> None:
+    async def scenario() -> None:
+        async def replies(args: list[bytes]) -> bytes | None:
+            return VALUE_REPLY + more
+
+        backend = Backend(replies)
+        async with serving(backend) as (_, client, _):
+            assert [await client.call() for _ in range(3)] == [b"value"] * 3
+            assert backend.opened == 3
+
+    run(scenario())
+
+
+def test_a_second_reply_closes_the_connection() -> None:
+    async def scenario() -> None:
+        async def replies_twice(args: list[bytes]) -> bytes | None:
+            return (await serves(args) or b"") * 2
+
+        backend = Backend(replies_twice)
+        async with serving(backend) as (_, client, _):
+            assert [await client.call() for _ in range(2)] == [b"value", b"value"]
+            assert backend.opened == 2
+
+    run(scenario())
+
+
+def test_a_second_reply_some_milliseconds_late_is_not_taken_for_the_next_one() -> None:
+    async def scenario() -> None:
+        async def replies(args: list[bytes]) -> bytes | None:
+            # The first connection repeats its reply while the second attempt is in flight.
+            if len(backend.seen) == 2:
+                backend.writers[0].write(VALUE_REPLY)
+                await asyncio.sleep(0.02)
+            return VALUE_REPLY.replace(b"value", b"val-%d" % len(backend.seen))
+
+        backend, clock = Backend(replies), ManualClock()
+        async with serving(backend, clock=clock) as (_, client, _):
+            assert await client.call() == b"val-1"
+            clock.advance(connection_pool.REUSE_DELAY_MS - 1)
+            assert await client.call() == b"val-2"
+            clock.advance(connection_pool.REUSE_DELAY_MS)
+            # One of the two connections has been idle long enough, and is not broken.
+            assert [await client.call(), backend.opened] == [b"val-3", 2]
+
+    run(scenario())
+
+
+def test_a_connect_timeout_ends_the_attempt_as_unreachable() -> None:
+    async def scenario() -> None:
+        async with serving(Backend()) as (ingress, _, _):
+            with socket.socket() as full:
+                full.bind(("127.0.0.1", 0))
+                full.listen(0)
+                port = full.getsockname()[1]
+                # The queue is full: a connection that is opened now does not come up.
+                queued = [socket.socket() for _ in range(4)]
+                for one in queued:
+                    one.setblocking(False)
+                    one.connect_ex(("127.0.0.1", port))
+                ingress.endpoints.apply(message(2, target("s-9", port)))
+                outcomes = collect_outcomes(ingress)
+                ingress.connection_pool.start(new_attempt(ingress, backend=2))
+                await until(lambda: outcomes)
+                assert [outcome for _, outcome in outcomes] == [Outcome.UNREACHABLE]
+                assert outcomes[0][0].started_ms + 250 <= Clock().now()
+                for one in queued:
+                    one.close()
+
+    run(scenario())
+
+
+def test_ending_an_attempt_closes_its_connection_and_no_other() -> None:
+    async def scenario() -> None:
+        backend = Backend(never_replies)
+        async with serving(backend) as (ingress, _, _):
+            outcomes = collect_outcomes(ingress)
+            attempts = [new_attempt(ingress) for _ in range(2)]
+            for attempt in attempts:
+                ingress.connection_pool.start(attempt)
+            await until(lambda: len(backend.seen) == 2)
+            ingress.connection_pool.end(attempts[0], Outcome.TIMEOUT)
+            await until(lambda: backend.closed == 1)
+            assert outcomes == [(attempts[0], Outcome.TIMEOUT)]
+            assert (backend.opened, len(ingress.connection_pool)) == (2, 1)
+
+    run(scenario())
--- /dev/null
+++ b/tests/net/test_closing_client_connections.py
@@ -0,0 +1,144 @@
+"""Client connections that close, by the ingress or by the client, while bytes are on their way."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from functools import partial
+
+import pytest
+
+from dockthread.clock import ManualClock
+from dockthread.net import client_connection
+from dockthread.net.ingress import Ingress
+from dockthread.net.lifecycle import Phase
+from tests.loopback import Backend, command, request, run, serving, until
+from tests.net.support import VALUE_REPLY, never_replies, pinged_socket
+
+
+def begin_draining(ingress: Ingress, clock: ManualClock) -> None:
+    ingress.lifecycle.enter(Phase.LINGERING)
+    ingress.lifecycle.enter(Phase.DRAINING)
+    for connection in list(ingress.listener.connections):
+        connection.end_gracefully()
+
+
+def close_for_room(ingress: Ingress, clock: ManualClock) -> None:
+    ingress.listener.budget = ingress.listener.budget.__class__(0, 0, 9)
+    ingress.listener.close_idle(clock.now())
+
+
+def time_out(ingress: Ingress, clock: ManualClock) -> None:
+    for connection in list(ingress.listener.connections):
+        connection.commands_read = 0
+        connection.enforce_timeouts(clock.now() + client_connection.FIRST_COMMAND_TIMEOUT_MS + 1)
+
+
+@pytest.mark.parametrize(
+    ("ends", "unread"),
+    [
+        (begin_draining, b"all"),
+        (begin_draining, b"half"),
+        (begin_draining, b""),
+        (close_for_room, b""),
+        (time_out, b""),
+    ],
+)
+def test_a_connection_that_the_ingress_ends_is_not_reset_and_serves_nothing_more(
+    ends: Callable[[Ingress, ManualClock], None], unread: bytes
+) -> None:
+    """A reset would destroy a response that the client has not read yet."""
+
+    async def scenario() -> None:
+        clock, backend = ManualClock(), Backend()
+        async with serving(backend, clock=clock) as (ingress, other_client, _):
+            with pinged_socket(ingress) as sock:
+                await until(lambda: any(c.commands_read for c in ingress.listener.connections))
+                other_client.writer.close()
+                await until(lambda: ingress.client_connections == 1)
+                clock.advance(5_000)
+                first, second = request(1), request(2)
+                if unread == b"half":  # read before the end, and its rest after it
+                    sock.sendall(first[:30])
+                    await until(lambda: any(c.is_mid_command for c in ingress.listener.connections))
+                    second = first[30:]
+                elif unread:  # in one step with the end: it cannot have been read
+                    sock.sendall(first)
+                ends(ingress, clock)
+                sock.sendall(second)
+                await asyncio.sleep(0.02)  # it is read and discarded
+                sock.sendall(request(3))
+                assert await asyncio.to_thread(sock.recv, 100) == b"+PONG\r\n"
+                assert await asyncio.to_thread(sock.recv, 100) == b""  # an end, no reset
+                assert not ingress.requests and ingress.client_connections == 1
+                clock.advance(client_connection.CLOSE_TIMEOUT_MS + 1)
+                for connection in list(ingress.listener.connections):
+                    connection.enforce_timeouts(clock.now())
+                # A client that does not close its side has the connection closed.
+                assert ingress.client_connections == 0
+            assert not backend.seen
+
+    run(scenario())
+
+
+@pytest.mark.parametrize("kind", ["status", "checkout"])
+def test_the_last_response_arrives_complete_while_the_client_goes_on_sending(kind: str) -> None:
+    async def scenario() -> None:
+        may_reply = asyncio.Event()
+
+        async def replies(args: list[bytes]) -> bytes | None:
+            await may_reply.wait()
+            return VALUE_REPLY
+
+        backend = Backend(replies)
+        async with serving(backend) as (ingress, client, _):
+            client.writer.write(request(1, kind))
+            await until(lambda: backend.seen)
+            ingress.lifecycle.enter(Phase.LINGERING)
+            ingress.lifecycle.enter(Phase.DRAINING)
+            # It arrives while draining: rejected, behind the response that is pending.
+            client.writer.write(request(2))
+            may_reply.set()
+            assert [await client.answer(), str(await client.answer())[:4]] == [b"value", "BUSY"]
+            client.writer.write(request(3))
+            assert await client.answer() is None
+            assert len(backend.seen) == 1
+
+    run(scenario())
+
+
+def test_the_disconnect_of_a_client_that_floods_is_seen_at_once() -> None:
+    """What follows the last command was once read in 8 KiB pieces, 50 ms apart: for seconds."""
+
+    async def scenario() -> None:
+        async with serving(wait=False, clock=ManualClock()) as (ingress, client, _):
+            client.writer.write(request(1) + command(b"QUIT") + b"x" * 1_000_000)
+            await until(lambda: ingress.requests)
+            await client.writer.drain()
+            client.writer.close()
+            await asyncio.wait_for(until(lambda: not ingress.requests), 3)
+
+    run(scenario())
+
+
+def has_read(connection: client_connection.ClientConnection, commands: int) -> bool:
+    return connection.commands_read >= commands
+
+
+def test_the_disconnect_of_a_client_that_reads_nothing_is_seen_at_once() -> None:
+    async def scenario() -> None:
+        async with serving(Backend(never_replies), clock=ManualClock()) as (ingress, client, _):
+            commands_sent = 0
+            client.writer.transport.pause_reading()  # type: ignore[attr-defined]
+            await until(lambda: ingress.listener.connections)
+            (connection,) = ingress.listener.connections
+            while connection._writer is None:  # one by one: too many unread bytes would close it
+                client.writer.write(command(b"PING", b"x" * 60_000))
+                commands_sent += 1
+                await until(partial(has_read, connection, commands_sent))
+            client.writer.write(request(1))
+            await until(lambda: ingress.requests)
+            client.writer.write_eof()  # it disconnects without a reset
+            await asyncio.wait_for(until(lambda: not ingress.requests), 3)
+
+    run(scenario())
--- /dev/null
+++ b/tests/net/test_descriptor_budget.py
@@ -0,0 +1,135 @@
+"""The budget of descriptors: which connections are closed or rejected once it is used up."""
+
+from __future__ import annotations
+
+import socket
+from typing import Any
+
+from dockthread.clock import ManualClock
+from dockthread.policy import Outcome
+from tests.loopback import Backend, Client, run, serving, until
+from tests.net.support import UNREACHED_DEADLINE_MS, collect_outcomes, never_replies, new_attempt
+
+
+def test_connections_stay_within_the_budget_of_descriptors() -> None:
+    async def scenario() -> None:
+        busy, other, clock = Backend(never_replies), Backend(), ManualClock()
+        async with serving(busy, other, clock=clock, limits={"sockets": 80}) as (ingress, _, _):
+            ended = collect_outcomes(ingress)
+            max_connections = ingress.connection_pool._max_connections
+            ingress.connection_pool.start(new_attempt(ingress, backend=2))
+            # Its connection is idle now, and is closed to make room for the last one.
+            await until(lambda: ended)
+            for _ in range(max_connections + 1):
+                ingress.connection_pool.start(new_attempt(ingress))
+            assert [outcome for _, outcome in ended[1:]] == [Outcome.NOT_SENT]
+            assert len(ingress.connection_pool) == max_connections
+            # Over their budget clients still get a response, and an idle one is closed before an
+            # active one.
+            clients = list[Client]()
+            while len(ingress.listener.connections) < ingress.budget.client:
+                open_connections = len(ingress.listener.connections)
+                clients.append(await Client.open(ingress.address.port))
+                await until(lambda: len(ingress.listener.connections) > open_connections)  # noqa: B023
+                clock.advance(1)
+            clock.advance(200)
+            clients += [await Client.open(ingress.address.port) for _ in range(4)]
+            await until(lambda: len(ingress.listener.connections) == ingress.budget.client)
+            assert sum([await c.answer() is None for c in clients[:3]]) == 3
+            clients[-1].send(b"PING")
+            assert await clients[-1].answer() == b"PONG"
+
+    run(scenario())
+
+
+def test_new_clients_are_rejected_as_busy_while_every_connection_awaits_a_response() -> None:
+    async def scenario() -> None:
+        async with serving(Backend(never_replies), limits={"sockets": 80}) as (ingress, client, _):
+            ingress.connection_pool._max_connections = 1_000
+            max_connections, surplus = ingress.budget.client, ingress.budget.surplus
+            clients = [
+                client,
+                *[await Client.open(ingress.address.port) for _ in range(max_connections - 1)],
+            ]
+            for number, one in enumerate(clients):
+                one.asked += number
+                one.ask(d=UNREACHED_DEADLINE_MS, key=b"%016x" % number)
+            await until(lambda: len(ingress.requests) == max_connections)
+            late = [await Client.open(ingress.address.port) for _ in range(surplus + 3)]
+            late[-1].asked += max_connections
+            assert await late[-1].call() == "BUSY"
+            assert len(ingress.listener.connections) <= max_connections + surplus
+            clients[0].writer.close()
+            await until(lambda: len(ingress.requests) < max_connections)
+            again = await Client.open(ingress.address.port)
+            again.send(b"PING")
+            assert await again.answer() == b"PONG"
+
+    run(scenario())
+
+
+def test_clients_without_requests_are_closed_first_to_make_room() -> None:
+    async def scenario() -> None:
+        clock = ManualClock()
+        async with serving(Backend(), clock=clock, limits={"sockets": 80}) as (ingress, active, _):
+            assert [await active.call() for _ in range(2)] == [b"value"] * 2
+            others = [await Client.open(ingress.address.port)]
+            others[0].writer.write(b"*1\r\n")
+            await until(lambda: any(c.is_mid_command for c in ingress.listener.connections))
+            clock.advance(1)
+            others += [
+                await Client.open(ingress.address.port) for _ in range(ingress.budget.client - 2)
+            ]
+            await until(lambda: len(ingress.listener.connections) == ingress.budget.client)
+            clock.advance(200)
+            others.append(await Client.open(ingress.address.port))
+            assert await others[0].answer() is None  # an incomplete command holds no descriptor
+            assert await active.call() == b"value"  # idle for longest, but it has sent requests
+            for one in others[1:]:
+                one.send(b"PING")
+                assert await one.answer() == b"PONG"
+            clock.advance(2_001)  # many, and beyond the idle timeout
+            ingress._run_periodic_maintenance()
+            assert [await one.answer() for one in others[1:]] == [None] * len(others[1:])
+
+    run(scenario())
+
+
+def test_connections_just_accepted_or_with_unread_input_are_not_closed_to_make_room() -> None:
+    async def scenario() -> None:
+        clock = ManualClock()
+        async with serving(Backend(), clock=clock, limits={"sockets": 80}) as (ingress, _, _):
+            idle_clients = [
+                await Client.open(ingress.address.port) for _ in range(ingress.budget.client - 1)
+            ]
+            for one in idle_clients:
+                one.send(b"PING")  # one command, and the connection stays open
+                assert await one.answer() == b"PONG"
+            clock.advance(200)
+            # The last of these once had the first one closed, whose request was not yet read.
+            new_clients = [await Client.open(ingress.address.port) for _ in range(5)]
+            for number, one in enumerate(new_clients):
+                one.asked += number
+                one.ask()
+            assert [await one.answer() for one in new_clients] == [b"value"] * 5
+            clock.advance(200)
+            silent = next(iter(ingress.listener.connections))
+            silent.sock = SocketWithInput(silent.sock)  # type: ignore[assignment]
+            while ingress.listener.evict_idle():
+                pass
+            assert ingress.listener.connections == {silent}  # unread input keeps it open
+
+    run(scenario())
+
+
+class SocketWithInput:
+    """A socket with something to read."""
+
+    def __init__(self, sock: socket.socket) -> None:
+        self._sock = sock
+
+    def recv(self, size: int, flags: int) -> bytes:
+        return b"*"
+
+    def __getattr__(self, name: str) -> Any:
+        return getattr(self._sock, name)
--- /dev/null
+++ b/tests/net/test_disconnected_clients.py
@@ -0,0 +1,147 @@
+"""Clients that disconnect: no attempt of theirs starts afterwards, even where the loop is slow."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import time
+from collections.abc import Callable
+from contextlib import suppress
+from typing import Any
+
+import pytest
+
+from dockthread.config.quantities import Duration
+from dockthread.net import resp
+from dockthread.routes.options import RouteOptions
+from dockthread.routes.table import Table
+from tests.loopback import SETTINGS, Backend, command, message, request, run, serving, target, until
+from tests.net.support import (
+    never_replies,
+    pinged_socket,
+    replies_failed,
+    reset_on_close,
+    slowed_loop,
+)
+
+
+def disconnect_after_a_pipeline(sock: socket.socket) -> None:
+    sock.sendall(b"".join(request(n) for n in range(1, 60)))
+
+
+def disconnect_after_a_flood(sock: socket.socket) -> None:
+    """The first attempt fails some time after the close, which follows all that this sends."""
+    sock.sendall(request(1) + command(b"QUIT") + b"x" * 9_000_000)
+
+
+def disconnect_after_one_request(sock: socket.socket) -> None:
+    sock.sendall(request(1))
+
+
+@pytest.mark.parametrize("slowed_by_s", [0.0, 0.05])
+@pytest.mark.parametrize("resets", [False, True])
+@pytest.mark.parametrize(
+    "disconnect",
+    [disconnect_after_one_request, disconnect_after_a_pipeline, disconnect_after_a_flood],
+)
+def test_no_attempt_starts_more_than_a_tenth_of_a_second_after_its_client_disconnected(
+    disconnect: Callable[[socket.socket], None],
+    resets: bool,
+    slowed_by_s: float,
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    started_at = list[float]()
+    encode_for_backend = resp.RequestCommand.encode_for_backend
+
+    def record_start(command: resp.RequestCommand, time_left_ms: float) -> bytes:
+        started_at.append(time.monotonic())
+        return encode_for_backend(command, time_left_ms)
+
+    async def fails_late(args: list[bytes]) -> bytes | None:
+        await asyncio.sleep(
+            max(0.0, disconnected_at[0] + 0.11 - time.monotonic()) if disconnected_at else 0.2
+        )
+        return b"-BUSY\r\n"
+
+    monkeypatch.setattr(resp.RequestCommand, "encode_for_backend", record_start)
+    disconnected_at = list[float]()
+
+    def client(port: int) -> None:
+        with socket.create_connection(("127.0.0.1", port)) as sock:
+            if resets:
+                reset_on_close(sock)
+            with suppress(ConnectionError):  # a flood may be cut off
+                disconnect(sock)
+        disconnected_at.append(time.monotonic())
+
+    async def scenario() -> None:
+        async with serving(*(Backend(fails_late) for _ in range(4))) as (ingress, _, _):
+            with slowed_loop(slowed_by_s):
+                await asyncio.to_thread(client, ingress.address.port)
+                await asyncio.sleep(0.5)
+            assert not [
+                at - disconnected_at[0] for at in started_at if at > disconnected_at[0] + 0.1
+            ]
+
+    run(scenario())
+
+
+@pytest.mark.parametrize("resets", [False, True])
+@pytest.mark.parametrize("waits_for", ["a backend", "the counter", "a backoff"])
+def test_a_waiting_request_is_not_forwarded_once_its_client_disconnected(
+    waits_for: str, resets: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """What the request waits for comes 0.1 s after the close, in a loop slowed by 50 ms a turn."""
+
+    async def scenario() -> None:
+        backend = Backend(replies_failed)
+        other = Backend(replies_failed)
+        counter = Backend(never_replies)
+        changes: dict[str, Any] = {"counter": f"127.0.0.1:{await counter.start()}"}
+        changes["settings"] = SETTINGS | {
+            "Packages": [{"Name": "gross", "Refill": 10.0, "PeakUnits": 3.0}],
+            "Domain": {
+                "Largest": 4,
+                "MayCount": waits_for == "the counter",
+                "CounterTimeout": 10_000_000,
+            },
+        }
+        backends = (backend, other) if waits_for == "a backoff" else (backend,)
+        async with serving(*backends, **changes) as (ingress, _, discovery):
+            port = backend.server.sockets[0].getsockname()[1]
+            if waits_for == "a backend":
+                discovery.push(message(2, target("s-0", port, "leaving")))
+                await until(lambda: ingress.endpoints.revision == 2)
+            if waits_for == "a backoff":
+                table = Table(ingress.config.names, ingress.config.policy_settings.zone, 1)
+                retry_after_backoff = RouteOptions(
+                    backoff=Duration(300), backoff_max=Duration(300), retry_floor=100.0
+                )
+                table.replace({"r": retry_after_backoff}, ingress.clock.now() / 1000.0)
+                ingress.routes = table
+                monkeypatch.setattr(table.spent["r"].rng, "uniform", lambda a, b: b)
+            with pinged_socket(ingress) as sock:
+                sock.sendall(request(1))
+                await until(
+                    lambda: (
+                        ingress.requests
+                        and (waits_for != "a backoff" or backend.seen or other.seen)
+                    )
+                )
+                await until(lambda: waits_for != "the counter" or counter.seen)
+                if resets:
+                    reset_on_close(sock)
+            before = ingress.traffic.attempts_started
+            with slowed_loop(0.05):
+                await asyncio.sleep(0.1)
+                if waits_for == "a backend":
+                    discovery.push(message(3, target("s-0", port)))
+                for writer in counter.writers:
+                    writer.write(b"$1\r\n2\r\n")
+                await asyncio.sleep(0.4)
+            assert (
+                ingress.traffic.attempts_started == before == (waits_for == "a backoff")
+                and not ingress.requests
+            )
+
+    run(scenario())
--- /dev/null
+++ b/tests/net/test_discovery_watch_silence.py
@@ -0,0 +1,56 @@
+"""The watch on discovery once discovery is silent: when a new call replaces the open one."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from dockthread.clock import ManualClock
+from tests.loopback import Backend, message, run, serving, target, until
+
+
+def test_a_silent_watch_is_called_again_after_the_last_revision() -> None:
+    async def scenario() -> None:
+        clock = ManualClock()
+        async with serving(Backend(), clock=clock) as (ingress, _, discovery):
+            discovery.push(message(41, target("s-1", 1)))
+            await until(lambda: ingress.endpoints.revision == 41)
+            clock.advance(3_000)
+            ingress.watch.enforce_timeouts()
+            await asyncio.sleep(0)
+            assert len(discovery.paths) == 1  # an empty line may arrive as late as that
+            clock.advance(1_000)
+            ingress.watch.enforce_timeouts()
+            await until(lambda: len(discovery.paths) == 2)
+            paths = [b"/discovery/hosts?watch=1&after=%d" % rev for rev in (1, 41)]
+            assert discovery.paths == paths
+
+    run(scenario())
+
+
+@pytest.mark.parametrize("answered", [True, False])
+def test_an_unanswered_call_to_discovery_stays_open_through_the_backoff_after_it(
+    answered: bool,
+) -> None:
+    """Discovery answers the calls that are open when it comes back; a new one would wait longer."""
+
+    async def scenario() -> None:
+        clock = ManualClock()
+        async with serving(Backend(), clock=clock) as (ingress, _, discovery):
+            # Silent for too long; the backoff is up to 500 ms for four ingresses.
+            clock.advance(3_600)
+            ingress.watch.enforce_timeouts()
+            await asyncio.sleep(0.02)
+            assert len(discovery.paths) == 1
+            if answered:
+                discovery.push(message(41, target("s-1", 1)))
+                await until(lambda: ingress.endpoints.revision == 41)
+                assert len(discovery.paths) == 1
+            clock.advance(501)
+            ingress.watch.enforce_timeouts()
+            await asyncio.sleep(0.02)
+            # The next call is sent at once.
+            await until(lambda: len(discovery.paths) == (1 if answered else 2))
+
+    run(scenario())
--- /dev/null
+++ b/tests/net/test_late_backend_connections.py
@@ -0,0 +1,95 @@
+"""Backend connections that come up backend: the backend or the client may have gone meanwhile."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+from typing import Any
+
+import pytest
+
+from dockthread.clock import ManualClock
+from dockthread.policy import Outcome
+from tests.loopback import Backend, message, request, run, serving, target, until
+from tests.net.support import collect_outcomes, new_attempt, with_limits
+
+
+class LateBackend(Backend):
+    """A backend whose queue of connections is full at first.
+
+    A connection to it comes up only once the system tries again.
+    """
+
+    async def start(self) -> int:
+        self.socket = socket.socket()
+        self.socket.bind(("127.0.0.1", 0))
+        self.socket.listen(0)
+        address = self.socket.getsockname()
+        self.queued = [socket.socket() for _ in range(4)]
+        for sock in self.queued:
+            sock.setblocking(False)
+            sock.connect_ex(address)
+        return int(address[1])
+
+    async def come_up(self) -> None:
+        for sock in self.queued:
+            sock.close()
+        self.server = await asyncio.start_server(self._serve, sock=self.socket)
+
+
+def moved(backend: LateBackend) -> dict[str, Any]:
+    return target("s-0", 9)
+
+
+def drained(backend: LateBackend) -> dict[str, Any]:
+    return target("s-0", backend.socket.getsockname()[1], "leaving")
+
+
+def restarted(backend: LateBackend) -> dict[str, Any]:
+    return target("s-0", backend.socket.getsockname()[1], boot_ms=5_000)
+
+
+@pytest.mark.parametrize("change", [moved, drained, restarted, None])
+def test_a_connection_that_comes_up_late_sends_nothing_to_a_backend_that_changed(
+    change: Callable[[LateBackend], dict[str, Any]] | None,
+) -> None:
+    async def scenario() -> None:
+        backend, clock = LateBackend(), ManualClock()
+        async with serving(backend, clock=clock) as (ingress, _, discovery):
+            outcomes = collect_outcomes(ingress)
+            attempt = new_attempt(ingress)
+            if (
+                change is None
+            ):  # it repeats an attempt that may have run, and is too backend for that
+                attempt.start_deadline_ms = clock.now() + 100
+            ingress.connection_pool.start(attempt)
+            clock.advance(101)
+            if change is not None:
+                discovery.push(message(2, change(backend)))
+                await until(lambda: ingress.endpoints.revision == 2)
+            await backend.come_up()
+            await until(lambda: outcomes or backend.seen)
+            assert [outcome for _, outcome in outcomes] == [Outcome.NOT_SENT] and not backend.seen
+
+    run(scenario())
+
+
+@pytest.mark.parametrize("cancels", [False, True])
+def test_a_request_whose_client_disconnected_while_connecting_is_not_forwarded(
+    cancels: bool,
+) -> None:
+    async def scenario() -> None:
+        backend = LateBackend()
+        async with serving(
+            backend, clock=ManualClock(), settings=with_limits(Cancelling=cancels)
+        ) as (ingress, client, _):
+            client.writer.write(request(1))
+            await until(lambda: len(ingress.connection_pool))
+            client.writer.close()
+            await until(lambda: ingress.client_connections == 0)
+            await backend.come_up()
+            await until(lambda: backend.seen or not len(ingress.connection_pool))
+            assert not backend.seen and not ingress.requests
+
+    run(scenario())
