--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,6 +1,4 @@
-"""The other parties of an ingress, on ephemeral loopback ports: backends, discovery and a
-client.
-"""
+"""The peers of an ingress on loopback ports: backends, discovery, a client, and the ingress itself."""
 
 from __future__ import annotations
 
@@ -48,24 +46,32 @@
     },
     "Stats": {"Names": ["rif", "rate", "q"], "Source": "inline"},
 }
-KEY, FIRST_ID = b"00000000b4d65521", 0x9B1F03AA5C7E2D41
+KEY = b"00000000b4d65521"  # the customer of a client's requests, as clients write it
+FIRST_ID = 0x9B1F03AA5C7E2D41  # of a client's requests; each next one is one higher
+SCENARIO_TIMEOUT_S = 30
+POLL_INTERVAL_S = 0.005
+READ_BYTES = 65536
 LIST: dict[str, Any] = {"rev": 1, "all": True, "targets": []}
 
 
 def run(scenario: Coroutine[Any, Any, None]) -> None:
+    """Run a test's scenario in an event loop of its own; it fails after `SCENARIO_TIMEOUT_S`."""
+
     async def bounded() -> None:
-        await asyncio.wait_for(scenario, 30)
+        await asyncio.wait_for(scenario, SCENARIO_TIMEOUT_S)
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(bounded())
 
 
 async def until(condition: Callable[[], object]) -> None:
+    """Wait until the condition holds."""
     while not condition():
-        await asyncio.sleep(0.005)
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
 def target(uid: str, port: int, state: str = "active", boot_ms: int = 0) -> dict[str, Any]:
+    """Return one backend as discovery lists it, under its key `targets`."""
     return {
         "uid": uid,
         "endpoint": f"127.0.0.1:{port}",
@@ -76,10 +82,12 @@
 
 
 def message(rev: int, *targets: dict[str, Any], full: bool = False) -> dict[str, Any]:
+    """Return an endpoint list, or changes to it, as discovery sends them."""
     return {"rev": rev, "all": full, "targets": list(targets)}
 
 
 def raw_config(known: dict[str, Any], discovery: int, **changes: Any) -> dict[str, Any]:
+    """Return the configuration of an ingress as the platform writes it, with `changes`."""
     raw = {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -90,6 +98,7 @@
 
 
 def config(known: dict[str, Any], discovery: int = 9, **changes: Any) -> IngressConfig:
+    """Return the configuration of an ingress, read from a file as at its start."""
     with TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(raw_config(known, discovery, **changes)))
@@ -97,7 +106,7 @@
 
 
 def command(*args: bytes) -> bytes:
-    """A command as clients write it."""
+    """Return a command as clients write it."""
     parts = [b"$%d\r\n%b\r\n" % (len(arg), arg) for arg in args]
     return b"*%d\r\n%b" % (len(args), b"".join(parts))
 
@@ -105,23 +114,29 @@
 def request(
     number: int, kind: str = "status", d: int = 4000, body: bytes | None = None, key: bytes = KEY
 ) -> bytes:
-    """A request as clients write it."""
+    """Return a request as clients write it; `d` is its deadline in milliseconds."""
     terms = b"c=%b,t=gross,d=%d,units=2,spread=3,first=1" % (kind.encode(), d)
     verb = b"API.READ" if kind == "status" else b"API.WRITE"
     return command(verb, key, b"%016x" % number, terms, *([body] if body is not None else []))
 
 
 async def serves(args: list[bytes]) -> bytes | None:
-    """What a backend does with a command: an answer, or None to break the connection."""
+    """Return a backend's reply to a command; None would close the connection."""
     return b"*3\r\n$5\r\nvalue\r\n$7\r\nused=37\r\n$24\r\ninflight=7,qps=2,queue=1\r\n"
 
 
 class Backend:
+    """A backend that replies by `answer`, and keeps the commands it has received in `seen`."""
+
     def __init__(self, answer: Callable[[list[bytes]], Awaitable[bytes | None]] = serves) -> None:
-        self.answer, self.seen, self.opened, self.closed = answer, list[list[bytes]](), 0, 0
+        self.answer = answer
+        self.seen: list[list[bytes]] = []
+        self.opened = 0  # connections, since the start
+        self.closed = 0
         self.writers: list[asyncio.StreamWriter] = []
 
     async def start(self) -> int:
+        """Listen; return the port."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         return int(self.server.sockets[0].getsockname()[1])
 
@@ -131,7 +146,7 @@
         parser = hiredis.Reader()
         answering: asyncio.Task[None] | None = None
         try:
-            while data := await reader.read(65536):
+            while data := await reader.read(READ_BYTES):
                 parser.feed(data)
                 while args := parser.gets():
                     self.seen.append(args)
@@ -152,8 +167,9 @@
 
 
 class Discovery:
-    """Keeps each watch open and says nothing of its own accord; ends so many first calls without an
-    answer.
+    """Discovery that keeps each watch open, and sends what a test pushes.
+
+    The first `refuses` calls are closed without a response.
     """
 
     def __init__(self, refuses: int = 0) -> None:
@@ -162,6 +178,7 @@
         self.writers: list[asyncio.StreamWriter] = []
 
     async def start(self) -> int:
+        """Listen; return the port."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         return int(self.server.sockets[0].getsockname()[1])
 
@@ -174,38 +191,48 @@
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.writers.append(writer)
 
-    def push(self, said: dict[str, Any]) -> None:
-        line = json.dumps(said).encode() + b"\n"
+    def push(self, event: dict[str, Any]) -> None:
+        """Send a watch event on the latest watch."""
+        line = json.dumps(event).encode() + b"\n"
         self.writers[-1].write(b"%x\r\n%b\r\n" % (len(line), line))
 
 
 class Client:
+    """A client on one connection; `asked` is the id of its next request."""
+
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer, self.parser = reader, writer, hiredis.Reader()
+        self.reader = reader
+        self.writer = writer
+        self.parser = hiredis.Reader()
         self.asked = FIRST_ID
 
     @classmethod
     async def open(cls, port: int) -> Client:
+        """Connect to an ingress at this port."""
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
     def send(self, *args: bytes) -> None:
+        """Send a command."""
         self.writer.write(command(*args))
 
     async def answer(self) -> Any:
-        """The next answer: a value, the text of an error, or None at the end of the connection."""
-        while (found := self.parser.gets()) is False:
-            if not (data := await self.reader.read(65536)):
+        """Return the next response: a value, the text of an error, or None at the stream's end."""
+        while (response := self.parser.gets()) is False:
+            data = await self.reader.read(READ_BYTES)
+            if not data:
                 return None
             self.parser.feed(data)
-        return str(found) if isinstance(found, hiredis.ReplyError) else found
+        return str(response) if isinstance(response, hiredis.ReplyError) else response
 
     def ask(
         self, kind: str = "status", d: int = 4000, body: bytes | None = None, key: bytes = KEY
     ) -> None:
+        """Send a request; `d` is its deadline in milliseconds."""
         self.writer.write(request(self.asked, kind, d, body, key))
         self.asked += 1
 
     async def call(self, kind: str = "status", **more: Any) -> Any:
+        """Send a request and return its response."""
         self.ask(kind, **more)
         return await self.answer()
 
@@ -218,14 +245,15 @@
     wait: bool = True,
     **changes: Any,
 ) -> AsyncIterator[tuple[Ingress, Client, Discovery]]:
-    """An ingress that serves (or has begun to, where none is to `wait` for that), a client
-    connected to it, and its discovery.
+    """Run an ingress with these backends; yield it, a client connected to it, and its discovery.
+
+    Without `wait` the ingress listens, but may have no endpoint list yet.
     """
     discovery = Discovery(refuses)
     targets = [target(f"s-{n}", await backend.start()) for n, backend in enumerate(backends)]
     known = message(1, *targets, full=True)
     ingress = Ingress(config(known, await discovery.start(), **changes), clock or Clock())
-    life = asyncio.create_task(ingress.run())
+    running = asyncio.create_task(ingress.run())
     await until(
         lambda: ingress.lifecycle.ready and (not wait or (ingress.ready and discovery.writers))
     )
@@ -233,5 +261,5 @@
     try:
         yield ingress, client, discovery
     finally:
-        life.cancel()
-        await asyncio.gather(life, return_exceptions=True)
+        running.cancel()
+        await asyncio.gather(running, return_exceptions=True)
