--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -49,6 +49,16 @@
     )
 
 
+def _request_parser(
+    config: IngressConfig, offered: frozenset[str] | None = None
+) -> resp.RequestParser:
+    """Return a parser of requests; `offered` names the classes that clients may use, if not all."""
+    settings = config.policy_settings
+    return resp.RequestParser(
+        config.names, settings.classes, settings.ingress_count, config.max_request_units, offered
+    )
+
+
 class Ingress:
     """One ingress: the policy engine, and the parts that bring it events and do its actions.
 
@@ -65,12 +75,7 @@
         self.lifecycle = Lifecycle()
         self.traffic = Traffic()
         self.traffic.ensure_classes(len(config.names.classes))
-        self.request_parser = resp.RequestParser(
-            config.names,
-            config.policy_settings.classes,
-            config.policy_settings.ingress_count,
-            config.max_request_units,
-        )
+        self.request_parser = _request_parser(config)
         self.timers = Timers(clock, config.policy_settings.clock_tick * 1000.0)
         self.call_at = self.timers.call_at
         self.event_loop_lag = EventLoopLagMonitor(clock.now())
@@ -226,13 +231,7 @@
             policy_settings=settings,
             names=merged.names,
         )
-        self.request_parser = resp.RequestParser(
-            merged.names,
-            settings.classes,
-            settings.ingress_count,
-            self.config.max_request_units,
-            merged.offered,
-        )
+        self.request_parser = _request_parser(self.config, merged.offered)
         self.traffic.ensure_classes(len(merged.names.classes))
         self.watch.change_address(config.discovery)
         self.counter.change_address(config.counter)
