--- a/dockthread/control_plane/options.py
+++ b/dockthread/control_plane/options.py
@@ -116,6 +116,9 @@
             yield KeyProblem(
                 "far_servers", "is set without servers", "name the near ones in servers"
             )
+        yield from self._server_problems()
+
+    def _server_problems(self) -> Iterable[KeyProblem]:
         named = (*self.servers, *self.far_servers)
         for key, servers in (("servers", self.servers), ("far_servers", self.far_servers)):
             for server in servers:
--- a/dockthread/control_plane/resource_schemas.py
+++ b/dockthread/control_plane/resource_schemas.py
@@ -120,7 +120,7 @@
     except (ValueError, RecursionError) as error:
         raise InvalidResourceError(f"is not JSON: {error}") from error
     if not isinstance(found, dict):
-        raise InvalidResourceError('is no JSON object, such as {"attempts": 2}')  # noqa: TRY004  of JSON
+        raise InvalidResourceError('is no JSON object, such as {"attempts": 2}')
     return found
 
 
--- a/dockthread/telemetry/reading.py
+++ b/dockthread/telemetry/reading.py
@@ -167,7 +167,7 @@
         yield Point(("messages", "out"), DERIVE, traffic.gossip_sent)
         yield Point(("messages", "odd"), DERIVE, traffic.gossip_rejected)
         yield Point(("requests", "open"), GAUGE, len(ingress.requests))
-        yield Point(("requests", "bodies"), GAUGE, ingress.body_bytes)
+        yield Point(("requests", "bodies"), GAUGE, ingress.requests.body_bytes)
         yield Point(("commands", "bad"), DERIVE, traffic.commands_rejected)
         for side, way, many in (
             ("clients", "in", traffic.client_bytes_in),
