--- a/benchmarks/list_size.py
+++ b/benchmarks/list_size.py
@@ -217,10 +217,12 @@
     before.
     """
     before = resident()
-    for number, worker in enumerate(module.gateway.workers.values()):
-        worker.took(1.0 + number / 1e6)
-        worker.hear((number % 9 + 0.5, number / 7, 1.25), number / 11, module.now + number / 1e6)
-        worker.answered = module.now + number / 1e6
+    for number, worker in enumerate(module.gateway.backends.by_number.values()):
+        worker.record_latency(1.0 + number / 1e6)
+        worker.record_report(
+            (number % 9 + 0.5, number / 7, 1.25), number / 11, module.now + number / 1e6
+        )
+        worker.last_response_at = module.now + number / 1e6
     return {"answered_mb": resident() - before}
 
 
--- a/dockthread/admin/reload.py
+++ b/dockthread/admin/reload.py
@@ -55,8 +55,4 @@
     start (attempts.py, admission.py, rules.py) is derived again from the longer list; what it has
     learnt stays.
     """
-    classes = settings.classes
-    gateway.s = settings
-    gateway.usual = [(c.latency_objective / 5, c.latency_objective / 10) for c in classes]
-    gateway.tight = min(c.latency_objective for c in classes)
-    gateway.dearest = max(c.priority_weight for c in classes)
+    gateway.apply_settings(settings)
--- a/dockthread/lab/scale/witness.py
+++ b/dockthread/lab/scale/witness.py
@@ -96,7 +96,8 @@
         self.come_to(revision)
 
     def _compare(self, worker: int, gateway: PolicyEngine) -> None:
-        weight = gateway.workers[worker].entry.weight if worker in gateway.workers else 0.0
+        held = gateway.backends.by_number.get(worker)
+        weight = 0.0 if held is None else held.entry.weight
         before = self._held.get(worker, 0.0)
         if weight < before:
             self.older.append([worker, before, weight])
@@ -107,9 +108,9 @@
     """What the module holds of the backends that are not gone, in the order of their uids."""
     return sorted(
         [known.uid, str(known.endpoint), held.ready, held.entry.weight]
-        for worker, held in gateway.workers.items()
+        for worker, held in gateway.backends.by_number.items()
         if held.entry.state is not BackendState.REMOVED
-        and held.gone == float("inf")
+        and held.removed_at == float("inf")
         and (known := destinations.by_worker.get(worker)) is not None
     )
 
--- a/dockthread/lab/slow_start/scenarios.py
+++ b/dockthread/lab/slow_start/scenarios.py
@@ -13,9 +13,9 @@
 
 from dockthread.lab.slow_start.checker import Fall
 from dockthread.lab.slow_start.simulation import AFTER, ALIKE, TWO_KINDS, ColdWorld, Kind, Scene
-from dockthread.policy import PolicyEngine, PolicySettings
-from dockthread.policy.slow_start import Ramp
-from dockthread.policy.state import Worker
+from dockthread.policy import PolicyEngine
+from dockthread.policy.backend import Backend
+from dockthread.policy.slow_start import RecoveryRamp, SlowStart
 
 SLOW = (Kind(2, 0.85),)
 BACKENDS = {3: 12, 30: 30, 200: 100}  # by the number of ingresses
@@ -95,24 +95,37 @@
         )
 
 
-class WarmthIgnored(PolicyEngine):
-    def _warmth(self, w: Worker) -> float:
+class IgnoredWarmUp(SlowStart):
+    """Weighs a backend that warms up like a warm one."""
+
+    def weight(self, backend: Backend) -> float:
         return 1.0
 
 
-class Unbounded(PolicyEngine):
-    """Cold ones alone get all that comes, and at once what was held."""
+class UnlimitedRamp(SlowStart):
+    """Sends all requests to a pool without a warm backend, and at once those that were held."""
 
-    def _ramp_left(self) -> float:
+    def attempts_available(self, total_weight: float) -> float:
         return inf
 
 
-class EachAsIfAlone(PolicyEngine):
-    """Each ingress takes what a fleet may send for its own part."""
+class RampOfOneIngress(SlowStart):
+    """Has each ingress take what the whole fleet may send."""
 
-    def __init__(self, settings: PolicySettings, seed: int, now: float) -> None:
-        super().__init__(settings, seed, now)
-        self.ramp = Ramp(settings.safety, 1, now)
+    def _new_ramp(self) -> RecoveryRamp:
+        return RecoveryRamp(self._context.settings.safety, 1, self._context.now)
+
+
+class WarmthIgnored(PolicyEngine):
+    slow_start_class = IgnoredWarmUp
+
+
+class Unbounded(PolicyEngine):
+    slow_start_class = UnlimitedRamp
+
+
+class EachAsIfAlone(PolicyEngine):
+    slow_start_class = RampOfOneIngress
 
 
 PLANTS: dict[str, Callable[..., PolicyEngine]] = {
--- a/dockthread/maintenance/observation.py
+++ b/dockthread/maintenance/observation.py
@@ -6,30 +6,29 @@
 from typing import TYPE_CHECKING
 
 from dockthread.maintenance.participant import Seen, View
-from dockthread.policy.attempts import PRESSED
 
 if TYPE_CHECKING:
     from dockthread.net.ingress import Ingress
-    from dockthread.policy.state import Worker
+    from dockthread.policy.backend import Backend
 
 AILING = 0.5  # decayed part of a node's outcomes that were failures
 
 
-def _listed(ingress: Ingress) -> list[tuple[str, Worker]]:
+def _listed(ingress: Ingress) -> list[tuple[str, Backend]]:
     """Destinations that are active by discovery, held or not, with what the module knows of
     each.
     """
-    workers, destinations = ingress.gateway.workers, ingress.destinations.by_worker
+    workers, destinations = ingress.gateway.backends.by_number, ingress.destinations.by_worker
     return [(d.uid, workers[n]) for n, d in destinations.items() if d.active and n in workers]
 
 
 def idle(ingress: Ingress, targets: Collection[str]) -> set[str]:
     """Those of `targets` at which nothing of this ingress is out."""
-    workers, destinations = ingress.gateway.workers, ingress.destinations.by_worker
+    workers, destinations = ingress.gateway.backends.by_number, ingress.destinations.by_worker
     busy = {
         d.uid
         for n, d in destinations.items()
-        if d.uid in targets and n in workers and workers[n].out
+        if d.uid in targets and n in workers and workers[n].in_flight
     }
     return set(targets) - busy
 
@@ -39,8 +38,8 @@
     and how their zones stand.
     """
     gateway, destinations = ingress.gateway, ingress.destinations
-    pressed = gateway.slow > PRESSED * gateway.tight
-    zones: dict[str, list[tuple[str, Worker]]] = {}
+    pressed = gateway.delay.is_pressed
+    zones: dict[str, list[tuple[str, Backend]]] = {}
     for uid, worker in _listed(ingress):
         zones.setdefault(destinations.zone_of(uid) or "", []).append((uid, worker))
     seen = tuple(
@@ -48,7 +47,7 @@
             zone,
             tuple(uid for uid, w in nodes if w.ready),
             tuple(uid for uid, w in nodes if w.ready and w.failed > AILING),
-            float(sum(w.out for _, w in nodes)),
+            float(sum(w.in_flight for _, w in nodes)),
             pressed,
         )
         for zone in sorted(set(targets.values()))
--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -179,7 +179,9 @@
         classes and the attempts allowed (dockthread/admin/reload.py). A request in flight keeps the
         class it came with.
         """
-        retuned = reload.merge(self.gateway.s, self.config.names, config.module, config.names)
+        retuned = reload.merge(
+            self.gateway.settings, self.config.names, config.module, config.names
+        )
         reload.retune(self.gateway, retuned.settings)
         settings = retuned.settings
         module = replace(
--- a/dockthread/policy/admission.py
+++ b/dockthread/policy/admission.py
@@ -1,237 +1,204 @@
-"""Admission: whether a customer's decayed unit rate, the counter and the ceiling let a request
-in.
-"""
+"""Admission control: whether a request is admitted, by quota, cap, queueing delay and ceiling."""
 
 from __future__ import annotations
 
-from dockthread.policy.actions import AddToCounter
-from dockthread.policy.attempts import PRESSED, Attempts
+from dockthread.policy.admission_probability import AdmissionProbability
+from dockthread.policy.attempts import AttemptManager
+from dockthread.policy.context import Context
+from dockthread.policy.customer import Customer
+from dockthread.policy.customer_registry import CustomerRegistry
 from dockthread.policy.events import CounterReplied, RequestArrived
-from dockthread.policy.model import NEVER_RAN, Outcome, Plan, PolicySettings, RequestClass
-from dockthread.policy.rate_sketch import Sketch
-from dockthread.policy.state import Call, Customer
-
-RESERVE, RESERVE_LOW = 0.15, 0.35  # of a store, for the dearest class; more for the cheapest
-TOLD_RESERVE, TOLD_LOW = 0.05, 0.2  # the same where messages tell what the others let in
-CAP_USE = 0.5  # of a cap on attempts out that is used on average: chance alone fills the rest
-EPOCH, LIFE = 40.0, 60.0  # s that a customer's number on the counter counts, and lives
-# of a burst: left, so that nobody is asked; not lifted yet; lifted twice
-CLEAR, LAG, BACK = 0.5, 0.5, 0.1
-TRIES, MUTE = 3, 0.3  # failed calls that mute the counter; s for which
-METER_FRESH = 2.5  # periods of the meter that its word counts
-CHEAP, DEAR = 0.6, 2.0  # of the bound on the wait: for the cheapest, for the dearest
-VALUE_STEP = 0.01  # weight of one more request's value in the usual one
-
-
-class Admission(Attempts):
-    """Lets requests in or refuses them."""
-
-    def __init__(self, settings: PolicySettings, seed: int, now: float) -> None:
-        super().__init__(settings, seed, now)
-        windows = [
-            p.burst / p.rate if p.rate > 0 else self.tight * bool(p.max_in_flight)
-            for p in settings.plans
-        ]
-        self.sketches = [Sketch(window, self.rng) if window else None for window in windows]
-        self.dearest = max(k.priority_weight for k in settings.classes)
-        # of a unit, usually
-        self.value = sum(k.priority_weight for k in settings.classes) / len(settings.classes)
-
-    def _arrived(self, ask: RequestArrived) -> None:
-        call = Call(ask, self.s.classes[ask.request_class], self.now + ask.remaining_time)
-        c, sketch = self._customer(ask.customer, ask.plan), self.sketches[ask.plan]
-        c.first, c.spread = (
-            ask.first_ingress % self.s.ingress_count,
-            min(max(1, ask.spread), self.s.ingress_count),
-        )
-        c.arrived += (units := self.s.plans[ask.plan].charged_units(ask.units))
+from dockthread.policy.gossip import GossipProtocol
+from dockthread.policy.model import Plan, RequestClass
+from dockthread.policy.pending_request import PendingRequest, PendingRequests
+from dockthread.policy.queueing_delay import PRESSED_FRACTION, QueueingDelayEstimator
+from dockthread.policy.quota_counter_sync import QuotaCounterSync
+from dockthread.policy.rejection import RejectionReason, reject
+from dockthread.policy.route_constraints import RouteConstraints
+
+# Factors of the bound on the expected wait: for requests of the least priority, and of the
+# highest.
+LOW_PRIORITY_FACTOR = 0.6
+HIGH_PRIORITY_FACTOR = 2.0
+# Weight of one more request's priority in the usual priority.
+PRIORITY_SMOOTHING = 0.01
+
+
+class AdmissionController:
+    """Admits or rejects requests, or has them wait for the counter or their route's limit.
+
+    Attributes:
+        probability: computes with which probability a quota lets a request pass.
+    """
+
+    __slots__ = (
+        "_attempts",
+        "_context",
+        "_counter",
+        "_customers",
+        "_delay",
+        "_gossip",
+        "_requests",
+        "_routes",
+        "_usual_priority",
+        "probability",
+    )
+
+    def __init__(  # noqa: PLR0913 - one for each part that admission depends on
+        self,
+        context: Context,
+        requests: PendingRequests,
+        customers: CustomerRegistry,
+        delay: QueueingDelayEstimator,
+        routes: RouteConstraints,
+        gossip: GossipProtocol,
+        counter: QuotaCounterSync,
+        probability: AdmissionProbability,
+        attempts: AttemptManager,
+    ) -> None:
+        self._context = context
+        self._requests = requests
+        self._customers = customers
+        self._delay = delay
+        self._routes = routes
+        self._gossip = gossip
+        self._counter = counter
+        self._attempts = attempts
+        self.probability = probability
+        weights = [one.priority_weight for one in context.settings.classes]
+        self._usual_priority = sum(weights) / len(weights)
+
+    def on_request_arrived(self, event: RequestArrived) -> None:
+        """Decide on a request, or have it wait for the counter."""
+        settings = self._context.settings
+        deadline = self._context.now + event.remaining_time
+        pending = PendingRequest(event, settings.classes[event.request_class], deadline)
+        customer = self._customers.get(event.customer, event.plan)
+        sketch = self._customers.sketches[event.plan]
+        customer.first_ingress = event.first_ingress % settings.ingress_count
+        customer.spread = min(max(1, event.spread), settings.ingress_count)
+        units = settings.plans[event.plan].charged_units(event.units)
+        customer.requested_units += units
         if sketch is not None:
-            c.rate = sketch.add(ask.customer, units, self.now)
-            if self._doubtful(ask, c, sketch):
-                self.calls[ask.request] = call
-                c.waiting.append(ask.request)
-                self.end_by(ask.request, call, self._close)  # the counter's answer may not come
-                if c.calling is None:
-                    self._call(ask.customer, c)
+            customer.arrival_rate = sketch.add(event.customer, units, self._context.now)
+            if self._counter.must_wait(event, customer, sketch):
+                self._wait_for_counter(pending, customer)
                 return
-        self._decide(ask, call, c)
-
-    def _decide(self, ask: RequestArrived, call: Call, c: Customer) -> None:
-        if not self._enters(ask, call):
-            return
-        admitted = self._admit(ask, call.rules, c)
-        self._report(ask.customer, c)
-        if not admitted:
-            self.calls.pop(ask.request, None)
-            self._leave(call)
-            self._refuse(ask.request, call.rules, self.why)
+        self.decide(pending, customer)
+
+    def _wait_for_counter(self, pending: PendingRequest, customer: Customer) -> None:
+        request = pending.event.request
+        self._requests.by_number[request] = pending
+        customer.waiting_requests.append(request)
+        # The counter's reply may not come.
+        self._attempts.close_before_deadline(request, pending)
+        if customer.counter_call is None:
+            self._counter.send(pending.event.customer, customer)
+
+    def on_counter_replied(self, event: CounterReplied) -> None:
+        """Take over the counter's reply, and decide the requests that waited for it."""
+        update = self._counter.on_reply(event)
+        if update is None:
             return
-        self.calls[ask.request] = call
-        self.end_by(ask.request, call, self._close)
-        self._try(ask.request, call)
-        if self._asks(c) and (sketch := self.sketches[ask.plan]) is not None:
-            c.own, c.own_at = sketch.decayed(c.own, ask.units, self.now - c.own_at), self.now
-            c.unsaid += ask.units
-            if c.calling is None and self.now >= self.mute:
-                self._call(ask.customer, c)
-
-    def _asks(self, c: Customer) -> bool:
-        """Whether the counter is to tell what the others let in: of a quota, where their messages
-        do not.
+        requests = self._requests.by_number
+        waiting = [requests[request] for request in update.waiting if request in requests]
+        for pending in waiting:
+            self.decide(pending, update.customer)
+        self._counter.after_decisions(update)
+
+    def decide_waiting(self, request: int) -> None:
+        """Decide on a request that is inside its route's concurrency limit now."""
+        pending = self._requests.by_number.get(request)
+        if pending is not None:
+            event = pending.event
+            self.decide(pending, self._customers.get(event.customer, event.plan))
+
+    def decide(self, pending: PendingRequest, customer: Customer) -> None:
+        """Admit a request and send its first attempt, or reject it.
+
+        One beyond its route's concurrency limit waits and is decided later.
         """
-        return self.s.may_use_counter and c.store.rate > 0 and not self._hears(c)
-
-    def _doubtful(self, ask: RequestArrived, c: Customer, sketch: Sketch) -> bool:
-        """Whether what the others let in decides: not within an even split, nor while the store
-        holds much, nor where it is too empty for this request whatever they did.
+        if not self._routes.enter(pending):
+            return
+        event = pending.event
+        reason = self._rejection_reason(pending, customer)
+        self._gossip.report(event.customer, customer)
+        if reason is not None:
+            self._requests.by_number.pop(event.request, None)
+            self._routes.leave(pending)
+            reject(self._context, event.request, pending.request_class, reason)
+            return
+        self._requests.by_number[event.request] = pending
+        self._attempts.close_before_deadline(event.request, pending)
+        self._attempts.send(event.request, pending)
+        self._counter.record_admission(event, customer)
+
+    def _rejection_reason(
+        self, pending: PendingRequest, customer: Customer
+    ) -> RejectionReason | None:
+        """Return why a request is rejected; charge the customer and return None if it is not."""
+        event, request_class = pending.event, pending.request_class
+        plan = self._context.settings.plans[event.plan]
+        sketch = self._customers.sketches[event.plan]
+        if sketch is not None:
+            drawn = self._context.rng.random()
+            if drawn >= self.probability.of_request(
+                plan.charged_units(event.units),
+                request_class.priority_weight,
+                customer,
+                plan,
+                sketch,
+            ):
+                return RejectionReason.QUOTA
+        if self._is_at_cap(customer):
+            return RejectionReason.CAP
+        if self._is_pressed(request_class, plan):
+            return RejectionReason.PRESSED
+        if plan.ceiling_rate and not self._is_below_ceiling(event.units, customer, plan):
+            return RejectionReason.CEILING
+        customer.quota.take(event.units)
+        customer.admitted_units += event.units
+        return None
+
+    def _is_at_cap(self, customer: Customer) -> bool:
+        """Return whether the cap on attempts in flight is reached.
+
+        It counts those here, and those that peers told of not long ago.
         """
-        plan = self.s.plans[ask.plan]
-        if self.now < self.mute or not self._asks(c):
-            return False
-        age, left = self.now - c.heard, c.store.level - ask.units
-        if left < 0 or age <= self.s.clock_tick:
+        cap = self._context.settings.plans[customer.plan_number].max_in_flight
+        if cap <= 0:
             return False
-        crowd = c.spread * ask.units > 2 * plan.burst  # where each lets in one unasked, all is gone
-        if not crowd and c.rate <= max(plan.rate / c.spread, ask.units / sketch.window):
-            return left < CLEAR * plan.burst
-        return crowd or age > sketch.window or left - c.rest * age < CLEAR * plan.burst
-
-    def _call(self, key: int, c: Customer) -> None:
-        clock = self.now + self.s.clock_offset
-        c.calling = (self.now - clock % EPOCH, c.unsaid, c.due)
-        name = key << 24 | int(clock / EPOCH) & 0xFFFFFF
-        self.actions.append(AddToCounter(name, round(c.unsaid + c.lift, 3), LIFE))
-        c.unsaid = c.due = c.lift = 0.0
-
-    def _counted(self, e: CounterReplied) -> None:
-        """The number is the customer's one store: units used since the epoch's start, and those
-        that ran over while it was full. What it lacks of these is added with the next units told,
-        or by itself: a lift.
+        since = self._context.now - self._delay.tightest_objective
+        elsewhere = sum(count for at, count in customer.peer_in_flight.values() if at > since)
+        return cap <= customer.in_flight + elsewhere
+
+    def _is_pressed(self, request_class: RequestClass, plan: Plan) -> bool:
+        """Return whether the expected wait is too long for a request of this priority.
+
+        It would be answered too late, or be in the way of requests of a higher priority. This
+        guards against queues of any cause.
         """
-        c = self.customers.get(e.name >> 24)
-        if c is None or c.calling is None:
-            return
-        (begun, units, lift), c.calling = c.calling, None
-        c, plan, sketch = (
-            self._customer(e.name >> 24, c.plan),
-            self.s.plans[c.plan],
-            self.sketches[c.plan],
+        priority = request_class.priority_weight * plan.priority_multiplier
+        self._usual_priority += PRIORITY_SMOOTHING * (priority - self._usual_priority)
+        relative_priority = priority / self._usual_priority
+        factor = min(HIGH_PRIORITY_FACTOR, max(LOW_PRIORITY_FACTOR, relative_priority))
+        longest = min(
+            HIGH_PRIORITY_FACTOR * request_class.latency_objective,
+            factor * self._delay.tightest_objective,
         )
-        assert sketch is not None
-        if e.outcome is Outcome.OK:
-            room = plan.rate * (self.now - begun) - (e.total - units - lift)
-            left, due = c.store.by_the_number(room, units)
-            c.rest = sketch.decayed(
-                c.rest, c.store.counter_told(left - c.unsaid), self.now - c.heard
-            )
-            c.due, c.lift, c.heard, self.failures = due * (not lift), due - lift, self.now, 0
-            # else it is others' use, and not their lift of the same
-            c.lift *= abs(c.lift) > abs(lift) / 2
-        else:
-            c.unsaid += units * (e.outcome in NEVER_RAN)
-            spoilt = e.outcome in (Outcome.ERROR, Outcome.RESET)  # and so a sign of life: ask again
-            self.failures += 1 - 0.75 * spoilt
-            # slow or gone: ask it again later, and share as if alone meanwhile
-            if self.failures >= TRIES:
-                self.mute = self.now + MUTE
-            elif spoilt and c.waiting:
-                self._call(e.name >> 24, c)
-                return
-        waiting, c.waiting = c.waiting, []
-        for call in [self.calls[r] for r in waiting if r in self.calls]:
-            self._decide(call.ask, call, c)
-        unlifted = abs(c.lift) > (BACK if lift else LAG) * plan.burst and (
-            lift or units or c.lift < 0
-        )
-        if e.outcome is Outcome.OK and c.calling is None and (c.unsaid or unlifted):
-            self._call(e.name >> 24, c)
-        c.due = c.lift = 0.0  # they hold for this moment
-
-    def _admit(self, ask: RequestArrived, rules: RequestClass, c: Customer) -> bool:
-        plan, sketch = self.s.plans[ask.plan], self.sketches[ask.plan]
-        units = plan.charged_units(ask.units)
-        if sketch and self.rng.random() >= self._chance(
-            units, rules.priority_weight, c, plan, sketch
-        ):
-            return self.no("quota")
-        if self._capped(c):
-            return self.no("cap")
-        # Answers take long: it would be late, or in the way of dearer ones. Against jams of any
-        # cause.
-        self.value += VALUE_STEP * (
-            (value := rules.priority_weight * plan.priority_multiplier) - self.value
-        )
-        part = min(DEAR, max(CHEAP, value / self.value))
-        if self._wait() > PRESSED * min(DEAR * rules.latency_objective, part * self.tight):
-            return self.no("pressed")
-        if plan.ceiling_rate:  # rule 5: an exact store of an even part, empty after a start
-            c.ceiling += plan.ceiling_rate / c.spread * (self.now - c.ceiling_at)
-            c.ceiling, c.ceiling_at = min(plan.ceiling_burst / c.spread, c.ceiling), self.now
-            if c.ceiling < ask.units:
-                return self.no("ceiling")
-            c.ceiling -= ask.units
-        c.store.take(ask.units)
-        c.spent += ask.units
-        return True
+        return self._delay.expected_delay() > PRESSED_FRACTION * longest
 
-    def _chance(self, units: float, worth: float, c: Customer, plan: Plan, sketch: Sketch) -> float:
-        """The chance to pass. Phi: the quota by this gateway's part of the arrivals where the
-        others tell of theirs; else by its part of what is let in, by the counter or else by the
-        meter; never less than an even split, which is all where nobody tells. Where the others' use
-        is known the store decides too.
-        """
-        rate, told, gap = self._rate(plan), self._hears(c), self.now - c.told_at
-        if told or (not self.s.may_use_counter and self._hears_any()):
-            if not plan.rate and told:
-                return 1.0  # only a cap on attempts out, and those are told
-            asked = sketch.decayed(c.asked, 0.0, gap)
-            phi = max(rate * c.rate / (c.rate + asked), rate / c.spread)
-            gone = c.spending * min(gap, self.turn)
-            return self._lean(units, worth, c, min(1.0, phi / c.rate), gone, told)
-        # one attempt at each is beyond the cap
-        crowd = 0 < plan.max_in_flight < c.spread and not plan.rate
-        phi = max(rate / c.spread, 0.0 if crowd else units / sketch.window)
-        if not self.s.may_use_counter or not plan.rate:
-            return min(1.0, phi / c.rate)
-        gap = self.now - c.heard
-        known = gap <= sketch.window
-        own = sketch.decayed(c.own, 0.0, self.now - c.own_at)
-        rest = c.rest if known else max(0.0, c.used * plan.rate - own)
-        if own and (known or self.now - c.used_at < METER_FRESH * self.s.usage_report_period):
-            phi = max(phi, plan.rate * own / (own + rest))
-        chance = min(1.0, phi / c.rate)
-        if known:
-            return self._lean(units, worth, c, chance, c.rest * gap, False)
-        return chance if c.store.level >= units else 0.0
-
-    def _lean(
-        self, units: float, worth: float, c: Customer, chance: float, gone: float, told: bool
-    ) -> float:
-        """Above phi: the design's chance at a reserve in the customer's store, rising to 1 over it
-        (what the store holds is inside the quota), to 0 under it. Cheaper classes leave more to the
-        others. `gone`: what the others will have taken since they were heard of.
-        """
-        if not self.s.plans[c.plan].rate:
-            return chance
-        low = 1 - worth / self.dearest
-        reserve = TOLD_RESERVE + TOLD_LOW * low if told else RESERVE + RESERVE_LOW * low
-        left = (c.store.level - gone - units) / self.s.plans[c.plan].burst / reserve
-        return chance * max(0.0, left) if left < 1 else chance + (1 - chance) * min(1.0, left - 1)
-
-    def _customer(self, key: int, number: int) -> Customer:
-        plan = self.s.plans[number]
-        if (c := self.customers.get(key)) is None:
-            c = self.customers[key] = Customer(number, plan, self.now, self.born)
-        c.store.fill(self.now)
-        return c
-
-    def _rate(self, plan: Plan) -> float:
-        """The quota, or what a cap on attempts out lets pass in the usual answer time (Little's
-        law).
-        """
-        return plan.rate or CAP_USE * plan.max_in_flight / self._usually()
+    def _is_below_ceiling(self, units: float, customer: Customer, plan: Plan) -> bool:
+        """Return whether the plan's ceiling lets a request pass, and take its units (rule 5).
 
-    def _capped(self, c: Customer) -> bool:
-        """Attempts out here and, by what was told not long ago, elsewhere."""
-        most, recent = self.s.plans[c.plan].max_in_flight, self.now - self.tight
-        return 0 < most <= c.out + sum(n for when, n in c.outs.values() if when > recent)
+        It is an exact token bucket with an even part of the ceiling, empty after a start.
+        """
+        now = self._context.now
+        elapsed = now - customer.ceiling_updated_at
+        customer.ceiling_tokens += plan.ceiling_rate / customer.spread * elapsed
+        customer.ceiling_tokens = min(plan.ceiling_burst / customer.spread, customer.ceiling_tokens)
+        customer.ceiling_updated_at = now
+        if customer.ceiling_tokens < units:
+            return False
+        customer.ceiling_tokens -= units
+        return True
--- /dev/null
+++ b/dockthread/policy/admission_probability.py
@@ -0,0 +1,160 @@
+"""The probability with which a request of a customer is admitted (rakelimit's algorithm).
+
+rakelimit (Cloudflare's rate limiter on count-min sketches) admits each request with the probability
+`quota / arrival rate`, so that what passes in sum is the quota. Here each ingress applies its share
+of the quota to its own arrivals, and leans the probability on the customer's token bucket where it
+knows what the other ingresses use.
+"""
+
+from __future__ import annotations
+
+from dockthread.policy.context import Context
+from dockthread.policy.customer import Customer
+from dockthread.policy.gossip import GossipProtocol
+from dockthread.policy.model import Plan, RequestClass
+from dockthread.policy.rate_sketch import Sketch
+from dockthread.policy.usual_latency import UsualLatencies
+
+# Reserve in the token bucket as a fraction of the burst: for the class of highest priority, and
+# what is added for a class of priority 0.
+RESERVE = 0.15
+LOW_PRIORITY_RESERVE = 0.35
+# The same where gossip tells what the others admit.
+GOSSIP_RESERVE = 0.05
+GOSSIP_LOW_PRIORITY_RESERVE = 0.2
+# Fraction of a cap on attempts in flight that is used on average: chance alone fills the rest.
+CAP_USE = 0.5
+# Periods of the usage report for which it counts.
+USAGE_REPORT_PERIODS = 2.5
+
+
+class AdmissionProbability:
+    """Computes admission probabilities.
+
+    Attributes:
+        highest_priority_weight: the largest priority weight of all classes.
+    """
+
+    __slots__ = ("_context", "_gossip", "_latencies", "highest_priority_weight")
+
+    def __init__(self, context: Context, gossip: GossipProtocol, latencies: UsualLatencies) -> None:
+        self._context = context
+        self._gossip = gossip
+        self._latencies = latencies
+        self.highest_priority_weight = 0.0
+        self.apply_classes(context.settings.classes)
+
+    def apply_classes(self, classes: tuple[RequestClass, ...]) -> None:
+        """Derive the highest priority weight from the classes in force."""
+        self.highest_priority_weight = max(
+            request_class.priority_weight for request_class in classes
+        )
+
+    def of_request(
+        self, units: float, priority_weight: float, customer: Customer, plan: Plan, sketch: Sketch
+    ) -> float:
+        """Return the probability with which a request of `units` is admitted.
+
+        This ingress's share of the quota is by its part of the arrivals, where the others tell of
+        theirs; else by its part of what is admitted, as the counter or else the usage report tells;
+        and never less than an even split, which is all where nobody tells. Where the others' use
+        is known, the token bucket decides too.
+        """
+        knows_peers = self._gossip.knows_peers_use(customer)
+        may_use_counter = self._context.settings.may_use_counter
+        if knows_peers or (not may_use_counter and self._gossip.hears_any_peer()):
+            return self._by_gossip(units, priority_weight, customer, plan, sketch, knows_peers)
+        # One attempt at each ingress of the set is beyond the cap.
+        is_crowded = 0 < plan.max_in_flight < customer.spread and not plan.rate
+        least_share = 0.0 if is_crowded else units / sketch.window
+        share = max(self._limit_rate(plan) / customer.spread, least_share)
+        if not may_use_counter or not plan.rate:
+            return min(1.0, share / customer.arrival_rate)
+        return self._by_counter(units, priority_weight, customer, plan, sketch, share)
+
+    def _by_gossip(
+        self,
+        units: float,
+        priority_weight: float,
+        customer: Customer,
+        plan: Plan,
+        sketch: Sketch,
+        knows_peers: bool,
+    ) -> float:
+        """Return the probability by the arrivals that the others tell of."""
+        if not plan.rate and knows_peers:
+            return 1.0  # there is only a cap on attempts in flight, and those are told
+        rate = self._limit_rate(plan)
+        gap = self._context.now - customer.gossip_at
+        peer_rate = sketch.decayed(customer.peer_arrival_rate, 0.0, gap)
+        part = rate * customer.arrival_rate / (customer.arrival_rate + peer_rate)
+        share = max(part, rate / customer.spread)
+        probability = min(1.0, share / customer.arrival_rate)
+        taken = customer.peer_admission_rate * min(gap, self._gossip.full_round_time)
+        return self._leaned(units, priority_weight, customer, probability, taken, knows_peers)
+
+    def _by_counter(
+        self,
+        units: float,
+        priority_weight: float,
+        customer: Customer,
+        plan: Plan,
+        sketch: Sketch,
+        share: float,
+    ) -> float:
+        """Return the probability by what the counter or the usage report tells."""
+        now = self._context.now
+        gap = now - customer.counter_at
+        is_counter_fresh = gap <= sketch.window
+        local_rate = sketch.decayed(customer.local_rate, 0.0, now - customer.local_rate_at)
+        if is_counter_fresh:
+            remote_rate = customer.remote_rate
+        else:
+            remote_rate = max(0.0, customer.reported_usage * plan.rate - local_rate)
+        if local_rate and (is_counter_fresh or self._is_usage_report_fresh(customer)):
+            share = max(share, plan.rate * local_rate / (local_rate + remote_rate))
+        probability = min(1.0, share / customer.arrival_rate)
+        if is_counter_fresh:
+            taken = customer.remote_rate * gap
+            return self._leaned(units, priority_weight, customer, probability, taken, False)
+        return probability if customer.quota.level >= units else 0.0
+
+    def _is_usage_report_fresh(self, customer: Customer) -> bool:
+        age = self._context.now - customer.reported_usage_at
+        return age < USAGE_REPORT_PERIODS * self._context.settings.usage_report_period
+
+    def _leaned(
+        self,
+        units: float,
+        priority_weight: float,
+        customer: Customer,
+        probability: float,
+        taken: float,
+        knows_peers: bool,
+    ) -> float:
+        """Lean a probability on the level of the customer's token bucket.
+
+        It holds at a reserve in the bucket, rises to 1 above it, as what the bucket holds is inside
+        the quota, and falls to 0 below it. Classes of less priority leave more to the others.
+        `taken` is what the others will have taken since they were heard of, in units.
+        """
+        plan = self._context.settings.plans[customer.plan_number]
+        if not plan.rate:
+            return probability
+        low = 1 - priority_weight / self.highest_priority_weight
+        if knows_peers:
+            reserve = GOSSIP_RESERVE + GOSSIP_LOW_PRIORITY_RESERVE * low
+        else:
+            reserve = RESERVE + LOW_PRIORITY_RESERVE * low
+        left = (customer.quota.level - taken - units) / plan.burst / reserve
+        if left < 1:
+            return probability * max(0.0, left)
+        return probability + (1 - probability) * min(1.0, left - 1)
+
+    def _limit_rate(self, plan: Plan) -> float:
+        """Return the plan's limit in units per second.
+
+        It is the quota, or by Little's law what a cap on attempts in flight lets pass in the usual
+        response time.
+        """
+        return plan.rate or CAP_USE * plan.max_in_flight / self._latencies.mean()
--- /dev/null
+++ b/dockthread/policy/attempt_outcomes.py
@@ -0,0 +1,131 @@
+"""What an ended attempt tells of its backend, its customer and the queueing delay."""
+
+from __future__ import annotations
+
+from dockthread.policy.backend import Backend
+from dockthread.policy.backend_registry import BackendRegistry
+from dockthread.policy.context import Context
+from dockthread.policy.customer import Customer
+from dockthread.policy.events import AttemptEnded
+from dockthread.policy.latency_estimates import MOST_PACE, Reports, scarcity
+from dockthread.policy.model import Outcome
+from dockthread.policy.pending_request import Attempt, PendingRequest
+from dockthread.policy.queueing_delay import QueueingDelayEstimator
+from dockthread.policy.slow_start import SlowStart
+from dockthread.policy.usual_latency import UsualLatencies
+
+# Weight of one more success or failure in a backend's failed fraction.
+FAILURE_WEIGHT = 0.25
+# Seconds for which a backend without capacity is not sent requests of the plan: the first time,
+# and at most, as the time doubles with each rejection in a row.
+FIRST_CAPACITY_BACKOFF = 0.2
+LONGEST_CAPACITY_BACKOFF = 3.0
+# The least mean success of ready backends that one backend is compared with.
+LEAST_MEAN_SUCCESS = 0.05
+# Outcomes that come from a live backend.
+RESPONDED = (Outcome.OK, Outcome.ERROR, Outcome.AT_CAPACITY)
+# Outcomes that count as the backend's failure.
+FAILURES = (Outcome.ERROR, Outcome.UNREACHABLE, Outcome.RESET)
+
+
+class AttemptOutcomes:
+    """Records how attempts ended.
+
+    Attributes:
+        load_reports: reads the load reports that come with responses.
+    """
+
+    __slots__ = (
+        "_backends",
+        "_context",
+        "_delay",
+        "_failure_weight",
+        "_latencies",
+        "_slow_start",
+        "load_reports",
+    )
+
+    def __init__(
+        self,
+        context: Context,
+        backends: BackendRegistry,
+        latencies: UsualLatencies,
+        delay: QueueingDelayEstimator,
+        slow_start: SlowStart,
+    ) -> None:
+        self._context = context
+        self._backends = backends
+        self._latencies = latencies
+        self._delay = delay
+        self._slow_start = slow_start
+        settings = context.settings
+        self.load_reports = Reports(settings.load_report_fields)
+        # More ingresses see fewer responses of a backend each, so one failure tells them more.
+        self._failure_weight = 1 - (1 - FAILURE_WEIGHT) ** scarcity(settings.ingress_count)
+
+    def record_load_report(self, event: AttemptEnded, backend: Backend) -> None:
+        """Take over the load report that came with a response.
+
+        Every response repeats the backend's last report; only another one is news.
+        """
+        report = event.load_report
+        if report and report != backend.report:
+            remote_requests = self.load_reports.others(
+                report, backend.in_flight, self._latencies.mean()
+            )
+            backend.record_report(report, remote_requests, self._context.now)
+
+    def record_outcome(self, event: AttemptEnded, backend: Backend, customer: Customer) -> None:
+        """Learn from an outcome about the backend and the queueing delay."""
+        outcome = event.outcome
+        if outcome in RESPONDED:
+            backend.last_response_at = self._context.now
+        if outcome is Outcome.OK:
+            self._record_success(event, backend)
+        elif outcome is Outcome.AT_CAPACITY:
+            self._record_at_capacity(backend, customer)
+        elif outcome in FAILURES:
+            backend.failed += self._failure_weight * (1 - backend.failed)
+
+    def record_latency(
+        self,
+        event: AttemptEnded,
+        pending: PendingRequest,
+        attempt: Attempt,
+        backend: Backend,
+    ) -> None:
+        """Learn from a response's time about its class and the backend's relative latency."""
+        request_class = pending.event.request_class
+        usual, _ = self._latencies.by_class[request_class]
+        relative_latency = event.duration / usual / attempt.concurrency
+        backend.record_latency(min(MOST_PACE, relative_latency))
+        self._latencies.record(request_class, event.duration)
+
+    def record_silence(self, backend: Backend) -> None:
+        """Count a response that is missing for very long as two failures."""
+        backend.failed += 2 * FAILURE_WEIGHT * (1 - backend.failed)
+
+    def _record_success(self, event: AttemptEnded, backend: Backend) -> None:
+        backend.failed -= FAILURE_WEIGHT * backend.failed
+        backend.capacity_backoff = 0.0
+        backend.add_idle_connection(self._context.now)
+        self._delay.record_completion()
+        self._slow_start.on_response(self._backends.pool.total)
+        self._delay.record_response(event.duration, self._relevance(backend))
+
+    def _record_at_capacity(self, backend: Backend, customer: Customer) -> None:
+        """Skip the backend for a while, for the customer's plan: others may find capacity."""
+        self._delay.record_at_capacity(self._relevance(backend))
+        backoff = min(2 * backend.capacity_backoff, LONGEST_CAPACITY_BACKOFF)
+        backend.capacity_backoff = max(FIRST_CAPACITY_BACKOFF, backoff)
+        until = self._context.now + backend.capacity_backoff
+        backend.mark_at_capacity(customer.plan_number, until)
+
+    def _relevance(self, backend: Backend) -> float:
+        """Return how much a backend's response says of what the next request meets, from 0 to 1.
+
+        A backend that fails more than the others is hardly drawn, so its slow responses must not
+        cause rejections of requests that the others have capacity for.
+        """
+        mean_success = max(LEAST_MEAN_SUCCESS, self._backends.pool.sound)
+        return min(1.0, ((1 - backend.failed) / mean_success) ** 2)
--- a/dockthread/policy/attempts.py
+++ b/dockthread/policy/attempts.py
@@ -1,231 +1,313 @@
-"""Attempts: when a request is tried, tried again, copied, given up; and the wait that these
-foretell.
-"""
+"""Attempts: when a request is sent, retried, hedged and given up."""
 
 from __future__ import annotations
 
-import math
-
-from dockthread.policy.actions import CancelAttempt, Fail, Reject, SendAttempt
+from dockthread.policy.actions import CancelAttempt, Fail, SendAttempt
+from dockthread.policy.attempt_outcomes import AttemptOutcomes
+from dockthread.policy.backend import Backend
+from dockthread.policy.backend_registry import BackendRegistry
+from dockthread.policy.context import Context
+from dockthread.policy.customer import Customer
+from dockthread.policy.customer_registry import CustomerRegistry
 from dockthread.policy.events import AttemptEnded
-from dockthread.policy.latency_estimates import MOST_PACE, Crowds, Reports, scarcity, smoothed
-from dockthread.policy.load_balancer import Choice
-from dockthread.policy.model import NEVER_RAN, Effect, Outcome, PolicySettings, RequestClass
-from dockthread.policy.state import Attempt, Call, Worker
-
-FAIL_STEP, SLOW_STEP, SMOOTH = 0.25, 0.12, 0.05  # weights of one more in smoothed figures
-LATEST = 1.5  # tight aims: the latest that one answer can tell of the moment
-SUSPECTED = 0.35  # failed part of a worker that asks for copies
-# s for which a worker that turned an attempt away is full; doubled, at most
-FULL_FOR, FULL_MOST = 0.2, 3.0
-LATE_DEVIATIONS = 4.0  # an answer missing for the usual time and so many usual deviations is late
-# after so many its worker is suspected: one usual answer in 2,000 takes longer
+from dockthread.policy.gossip import GossipProtocol
+from dockthread.policy.latency_estimates import Crowds
+from dockthread.policy.load_balancer import LoadBalancer
+from dockthread.policy.model import Effect, Outcome
+from dockthread.policy.pending_request import Attempt, PendingRequest, PendingRequests
+from dockthread.policy.queueing_delay import QueueingDelayEstimator
+from dockthread.policy.rejection import reject
+from dockthread.policy.route_constraints import RouteConstraints
+from dockthread.policy.slow_start import SlowStart
+from dockthread.policy.timers import TimerQueue
+from dockthread.policy.usual_latency import UsualLatencies
+
+# Failed fraction of a backend's outcomes from which its overdue attempts are hedged.
+SUSPECT_FAILED_FRACTION = 0.35
+# An attempt is overdue after the usual response time and so many of its deviations.
+OVERDUE_DEVIATIONS = 4.0
+# After so many its backend counts as silent: one usual response in 2,000 takes longer.
 SILENT_DEVIATIONS = 9.0
-# fall times over which answers are averaged; attempts out that say nothing
-DONE_OVER, MOST_CHANCE = 4.0, 5
-HALF = 0.45  # part of its time after which a request that no worker could be given ends
-PRESSED, ADVICE = 0.25, 0.25  # of an aim: expected wait that refuses the usual; wait advised then
-TIRED = 0.5  # of an aim: answer time of late from which nothing is tried again
-TICK = 0.25  # s between rounds of housekeeping
+# Part of its time after which a request is given up that could not be sent to any backend: its
+# client can still try elsewhere in the rest.
+HELD_TIME_FRACTION = 0.45
+# Fraction of the latency objective: nothing is retried while recent responses take longer.
+NO_RETRY_LATENCY_FRACTION = 0.5
+# A hedge is at most a request's second attempt.
+MOST_HEDGED_ATTEMPTS = 2
 
 
-class Attempts(Choice):
-    """Begins, repeats, copies and ends attempts."""
+class AttemptManager:
+    """Sends, retries, hedges and cancels attempts, and gives the final answer without a response.
 
-    def __init__(self, settings: PolicySettings, seed: int, now: float) -> None:
-        super().__init__(settings, seed, now)
-        self.reports, self.crowds = Reports(settings.load_report_fields), Crowds()
-        self.tight = min(k.latency_objective for k in settings.classes)
-        self.blame = 1 - (1 - FAIL_STEP) ** scarcity(settings.ingress_count)
+    Attributes:
+        held: requests for which there is no backend now. They are sent when the list changes or
+            at the next periodic maintenance.
+    """
 
-    def _survey(self) -> None:
-        self.pool.refresh()
-        for request in list(self.held):
-            call = self.calls[request]
-            # No worker yet: the client is told while half of its time is left to try elsewhere.
-            late = self.now > call.deadline - (1 - HALF) * call.ask.remaining_time
-            if not self._try(request, call) and late and call.ran() is None:
-                self._close(request)
-
-    def _try(self, request: int, call: Call) -> bool:
-        # if there is none: tried again at each tick and each change of the list
+    def __init__(  # noqa: PLR0913 - one for each part that attempts depend on
+        self,
+        context: Context,
+        timers: TimerQueue,
+        requests: PendingRequests,
+        customers: CustomerRegistry,
+        backends: BackendRegistry,
+        latencies: UsualLatencies,
+        delay: QueueingDelayEstimator,
+        slow_start: SlowStart,
+        routes: RouteConstraints,
+        balancer: LoadBalancer,
+        outcomes: AttemptOutcomes,
+        gossip: GossipProtocol,
+    ) -> None:
+        self._context = context
+        self._timers = timers
+        self._requests = requests
+        self._customers = customers
+        self._backends = backends
+        self._latencies = latencies
+        self._delay = delay
+        self._slow_start = slow_start
+        self._routes = routes
+        self._balancer = balancer
+        self._outcomes = outcomes
+        self._gossip = gossip
+        self._crowds = Crowds()
+        self.held: dict[int, None] = {}
+        # customers of the attempts in flight, by request and number of the attempt
+        self._customer_numbers: dict[tuple[int, int], int] = {}
+
+    # Sending
+
+    def send(self, request: int, pending: PendingRequest) -> bool:
+        """Send a request's next attempt; hold the request and return False without a backend."""
         self.held[request] = None
-        if (worker := self._choose(call)) is None:
+        backend = self._balancer.choose(pending)
+        if backend is None:
             return False
         del self.held[request]
-        crowd = self.crowds.met(worker.load(self.now))
-        self.carry(worker, 1)
-        self.ramp.left -= not self.pool.warm
-        worker.take_link(self.now - self.kept)
-        self.owner[request, len(call.attempts)] = call.ask.customer
-        call.attempts.append(Attempt(worker.entry.backend, self.now, crowd))
-        self._customer(call.ask.customer, call.ask.plan).out += 1  # forgotten if held for long
-        self.actions.append(SendAttempt(request, worker.entry.backend, *self._sent(request, call)))
-        usual, deviation = self.usual[call.ask.request_class]
-        late = self.now + usual + LATE_DEVIATIONS * deviation
-        self.timer(late, self._late, request, len(call.attempts) - 1)
+        self._add_attempt(request, pending, backend)
+        start_deadline = self._routes.start_deadline(pending)
+        number = len(pending.attempts) - 1
+        self._routes.on_attempt_sent(pending)
+        hedge_delay = self._routes.hedge_delay(pending)
+        if hedge_delay is not None:
+            hedge_at = self._context.now + hedge_delay
+            self._timers.set(hedge_at, self._on_hedge_delay_ended, request, number)
+        timeout = self._routes.attempt_timeout(pending)
+        self._context.actions.append(
+            SendAttempt(request, backend.entry.backend, timeout, start_deadline)
+        )
+        usual, deviation = self._latencies.by_class[pending.event.request_class]
+        overdue_at = self._context.now + usual + OVERDUE_DEVIATIONS * deviation
+        self._timers.set(overdue_at, self._on_overdue, request, number)
         return True
 
-    def _late(self, request: int, number: int) -> None:
-        """At a suspected worker what may be repeated is copied, or called back; others have some
-        time.
-        """
-        if (call := self._awaited(request, number)) is None:
+    def _add_attempt(self, request: int, pending: PendingRequest, backend: Backend) -> None:
+        """Add an attempt at a backend to all that counts it."""
+        now = self._context.now
+        event = pending.event
+        concurrency = self._crowds.met(backend.load(now))
+        backend.in_flight += 1
+        self._delay.in_flight += 1
+        if not self._backends.pool.warm:
+            self._slow_start.on_attempt_sent()
+        backend.take_idle_connection(self._balancer.idle_connections_since())
+        self._customer_numbers[request, len(pending.attempts)] = event.customer
+        pending.attempts.append(Attempt(backend.entry.backend, now, concurrency))
+        # The customer may have been forgotten, if the request was held for long.
+        self._customers.get(event.customer, event.plan).in_flight += 1
+
+    def reevaluate_held(self) -> None:
+        """Try again to send the held requests, and give up those held for too long."""
+        self._backends.pool.refresh()
+        for request in list(self.held):
+            pending = self._requests.by_number[request]
+            sendable_time = (1 - HELD_TIME_FRACTION) * pending.event.remaining_time
+            is_late = self._context.now > pending.deadline - sendable_time
+            if not self.send(request, pending) and is_late and pending.first_possible_run() is None:
+                self.close(request)
+
+    def close_before_deadline(self, request: int, pending: PendingRequest) -> None:
+        """Have a request closed just before its deadline, however often that is asked for."""
+        if not pending.has_deadline_timer:
+            pending.has_deadline_timer = True
+            self._timers.set(self._routes.answer_deadline(pending), self.close, request)
+
+    # Hedging
+
+    def _on_overdue(self, request: int, number: int) -> None:
+        """Hedge an overdue attempt at a suspected backend; others get some more time."""
+        pending = self._requests.awaiting_attempt(request, number)
+        if pending is None:
             return
-        attempt = call.attempts[number]
-        attempt.late = True
-        self.out -= 1  # lost, it says nothing of a jam; at its worker it is out all the same
-        usual, deviation = self.usual[call.ask.request_class]
-        self.timer(
-            attempt.sent + usual + SILENT_DEVIATIONS * deviation, self._silent, request, number
-        )
-        self._help(request, call, number)
+        attempt = pending.attempts[number]
+        attempt.is_overdue = True
+        # Likely lost, it says nothing of a queue. At its backend it stays in flight.
+        self._delay.in_flight -= 1
+        usual, deviation = self._latencies.by_class[pending.event.request_class]
+        silent_at = attempt.sent_at + usual + SILENT_DEVIATIONS * deviation
+        self._timers.set(silent_at, self._on_silent, request, number)
+        self._hedge_suspected(request, pending, number)
+
+    def _on_silent(self, request: int, number: int) -> None:
+        """Count a missing response against a backend that has responded to nothing since."""
+        pending = self._requests.awaiting_attempt(request, number)
+        if pending is None:
+            return
+        attempt = pending.attempts[number]
+        backend = self._backends.by_number[attempt.backend]
+        if backend.last_response_at < attempt.sent_at:
+            self._outcomes.record_silence(backend)
+            self._hedge_suspected(request, pending, number)
 
-    def _silent(self, request: int, number: int) -> None:
-        """Evidence against a worker that answered nothing since."""
-        if (call := self._awaited(request, number)) is None:
+    def _on_hedge_delay_ended(self, request: int, number: int) -> None:
+        """Hedge an attempt after the route's own delay."""
+        pending = self._requests.awaiting_attempt(request, number)
+        if pending is None:
             return
-        attempt = call.attempts[number]
-        w = self.workers[attempt.worker]
-        if w.answered < attempt.sent:
-            w.failed += 2 * FAIL_STEP * (1 - w.failed)
-            self._help(request, call, number)
-
-    def _help(self, request: int, call: Call, number: int) -> None:
-        w = self.workers[call.attempts[number].worker]
         if (
-            self._repeats(call)
-            and len(call.attempts) < 2
-            and w.failed >= SUSPECTED
-            and self._may_copy(call)
+            self._may_repeat(pending)
+            and self._context.settings.may_hedge
+            and self._routes.may_hedge(pending)
         ):
-            if self.s.may_hedge and not self._try(request, call):
-                del self.held[request]
-            elif self.s.may_cancel and not self.s.may_hedge:
-                self.actions.append(CancelAttempt(request, number))
-
-    def _ended(self, e: AttemptEnded) -> None:
-        owner, call = self.owner.pop((e.request, e.attempt), None), self.calls.get(e.request)
-        if owner is None:
+            self._send_hedge(request, pending)
+
+    def _hedge_suspected(self, request: int, pending: PendingRequest, number: int) -> None:
+        """Hedge an attempt at a suspected backend, or cancel it where hedging is not allowed."""
+        backend = self._backends.by_number[pending.attempts[number].backend]
+        if (
+            self._may_repeat(pending)
+            and len(pending.attempts) < MOST_HEDGED_ATTEMPTS
+            and backend.failed >= SUSPECT_FAILED_FRACTION
+            and self._routes.may_hedge(pending)
+        ):
+            if self._context.settings.may_hedge:
+                self._send_hedge(request, pending)
+            elif self._context.settings.may_cancel:
+                self._context.actions.append(CancelAttempt(request, number))
+
+    def _send_hedge(self, request: int, pending: PendingRequest) -> None:
+        """Send a hedge; without a backend for it the request is not held, as one is in flight."""
+        if not self.send(request, pending):
+            del self.held[request]
+
+    def _may_repeat(self, pending: PendingRequest) -> bool:
+        """Return whether another attempt may be sent while one is in flight.
+
+        The effect is asked each time, as a reload may have changed the class.
+        """
+        if self._routes.effect(pending) is Effect.UNSAFE:
+            return False
+        return len(pending.attempts) < self._context.settings.max_attempts
+
+    # Ends
+
+    def on_attempt_ended(self, event: AttemptEnded) -> None:
+        """Learn from an ended attempt, then finish, retry or close its request."""
+        number = self._customer_numbers.pop((event.request, event.attempt), None)
+        if number is None:
             return
-        c, w = self._customer(owner, self.customers[owner].plan), self.workers[e.backend]
-        c.out -= 1
-        if e.reported_usage is not None:
-            c.used, c.used_at = e.reported_usage, self.now
-        if self.s.plans[c.plan].max_in_flight:
-            self._report(owner, c)
-        self.carry(w, -1)
-        if call is not None and call.attempts[e.attempt].late:
-            self.out += 1  # taken off when it was late
-        # every answer repeats the last report; only another one is news
-        if e.load_report and e.load_report != w.report:
-            w.hear(
-                e.load_report, self.reports.others(e.load_report, w.out, self._usually()), self.now
-            )
-        w.answered = (
-            self.now
-            if e.outcome in (Outcome.OK, Outcome.ERROR, Outcome.AT_CAPACITY)
-            else w.answered
-        )
-        if e.outcome is Outcome.OK:
-            w.failed -= FAIL_STEP * w.failed
-            w.full_for, w.spare, w.spare_at = 0.0, w.spare + 1, self.now
-            self._borne()
-            step = SLOW_STEP * self._tells(w)
-            self.slow += step * (min(e.duration, LATEST * self.tight) - self.slow)
-        # to this plan: the others may find room; many: a jam without answers
-        elif e.outcome is Outcome.AT_CAPACITY:
-            self.slow += FAIL_STEP * self._tells(w) * (self.tight - self.slow)
-            w.full_for = max(FULL_FOR, min(2 * w.full_for, FULL_MOST))
-            w.full(c.plan, self.now + w.full_for)
-        elif e.outcome in (Outcome.ERROR, Outcome.UNREACHABLE, Outcome.RESET):
-            w.failed += self.blame * (1 - w.failed)
-        if call is None:
+        pending = self._requests.by_number.get(event.request)
+        customer = self._customers.get_known(number)
+        backend = self._backends.by_number[event.backend]
+        self._release(event, number, customer)
+        backend.in_flight -= 1
+        if pending is None or not pending.attempts[event.attempt].is_overdue:
+            # An overdue one was taken off when it became overdue.
+            self._delay.in_flight -= 1
+        self._outcomes.record_load_report(event, backend)
+        self._outcomes.record_outcome(event, backend, customer)
+        if pending is None:
             return
-        attempt = call.attempts[e.attempt]
-        attempt.out, attempt.may_have_run, attempt.outcome = (
-            False,
-            e.outcome not in NEVER_RAN,
-            e.outcome,
-        )
-        if call.ask.route is not None:
-            call.ask.route.ended(e.attempt, e.outcome, e.duration, self.now)
-        if e.outcome is Outcome.OK:
-            usual, deviation = self.usual[call.ask.request_class]
-            w.took(min(MOST_PACE, e.duration / usual / attempt.crowd))
-            self.usual[call.ask.request_class] = smoothed(usual, deviation, e.duration, SMOOTH)
-        if self.s.settles_units and e.actual_units:
-            more_units = e.actual_units - call.ask.units
-            c.store.take(more_units, below=True)
-            c.spent += more_units
-            self._report(owner, c)
-        if e.is_final:
-            self._finish(e.request)
-        elif not any(a.out for a in call.attempts):
-            pressed = (
-                self.slow > TIRED * call.rules.latency_objective
-                or self.now > call.deadline - 2 * self.s.clock_tick
-            )
-            more = not pressed and len(call.attempts) < self.s.max_attempts
-            pause = self._pause(call, e.outcome) if more else None
-            if pause:
-                self.timer(self.now + pause, self._again, e.request)
-                return
-            if pause is not None:
-                self._try(e.request, call)
-            if not any(a.out for a in call.attempts):
-                self._close(e.request)
-
-    def _tells(self, w: Worker) -> float:
-        """How much a worker's answer says of what the next request meets: one that is worse than
-        the others is hardly drawn, and its late answers must not refuse what the others have room
-        for.
-        """
-        return min(1.0, ((1 - w.failed) / max(0.05, self.pool.sound)) ** 2)
+        attempt = pending.attempts[event.attempt]
+        attempt.end(event.outcome)
+        self._routes.on_attempt_ended(pending, event)
+        if event.outcome is Outcome.OK:
+            self._outcomes.record_latency(event, pending, attempt, backend)
+        self._settle_units(event, pending, number, customer)
+        if event.is_final:
+            self.finish(event.request)
+        elif not pending.has_attempt_in_flight():
+            self._retry_or_close(event, pending)
 
-    def _repeats(self, call: Call) -> bool:
-        """Whether a second attempt may go while the first is out. A class may have been changed
-        meanwhile.
-        """
-        return self._effect(call) is not Effect.UNSAFE and len(call.attempts) < self.s.max_attempts
+    def _release(self, event: AttemptEnded, number: int, customer: Customer) -> None:
+        """Take an ended attempt off its customer, and take over the usage report with it."""
+        customer.in_flight -= 1
+        if event.reported_usage is not None:
+            customer.reported_usage = event.reported_usage
+            customer.reported_usage_at = self._context.now
+        if self._context.settings.plans[customer.plan_number].max_in_flight:
+            self._gossip.report(number, customer)
+
+    def _settle_units(
+        self, event: AttemptEnded, pending: PendingRequest, number: int, customer: Customer
+    ) -> None:
+        """Charge the units that a request really took instead of those announced."""
+        if self._context.settings.settles_units and event.actual_units:
+            difference = event.actual_units - pending.event.units
+            customer.quota.take(difference, below=True)
+            customer.admitted_units += difference
+            self._gossip.report(number, customer)
 
-    def _close(self, request: int) -> None:
-        """The final answer, a refusal only where it is known to be harmless (rule 2)."""
-        if (call := self.calls.get(request)) is None or request in self.streaming:
+    def _retry_or_close(self, event: AttemptEnded, pending: PendingRequest) -> None:
+        """Retry a request without an attempt in flight, or give its final answer."""
+        pause = self._retry_pause(event, pending)
+        if pause:
+            retry_at = self._context.now + pause
+            self._timers.set(retry_at, self._on_retry_pause_ended, event.request)
             return
-        if call.ran() is None or self._effect(call) is Effect.SAFE:
-            self._refuse(request, call.rules)
-        else:
-            self.actions.append(Fail(request))
-        self._finish(request)
+        if pause is not None:
+            self.send(event.request, pending)
+        if not pending.has_attempt_in_flight():
+            self.close(event.request)
 
-    def _refuse(self, request: int, rules: RequestClass, why: str = "") -> None:
-        """A client that waits past the aim comes back for nothing, and takes units from those in
-        time. Advice goes with every refusal: it is for whoever passes answers on to say whether
-        clients are handed it.
-        """
-        self.actions.append(
-            Reject(request, min(self.s.max_retry_after, ADVICE * rules.latency_objective), why)
-        )
+    def _retry_pause(self, event: AttemptEnded, pending: PendingRequest) -> float | None:
+        """Return the seconds to wait before a retry; None where there is to be none."""
+        objective = pending.request_class.latency_objective
+        if self._delay.smoothed_latency > NO_RETRY_LATENCY_FRACTION * objective:
+            return None
+        if self._context.now > self._routes.answer_deadline(pending):
+            return None
+        if len(pending.attempts) >= self._context.settings.max_attempts:
+            return None
+        return self._routes.retry_pause(pending, event.outcome)
+
+    def _on_retry_pause_ended(self, request: int) -> None:
+        """Retry after a pause, unless a reload has forbidden meanwhile what was allowed."""
+        pending = self._requests.by_number.get(request)
+        if pending is None or pending.has_attempt_in_flight():
+            return
+        if self._routes.still_allows_retry(pending):
+            self.send(request, pending)
+        if not pending.has_attempt_in_flight():
+            self.close(request)
 
-    def _finish(self, request: int) -> None:
+    def close(self, request: int) -> None:
+        """Give the final answer; it is a rejection only where a retry is harmless (rule 2)."""
+        pending = self._requests.by_number.get(request)
+        if pending is None or request in self._requests.streaming:
+            return
+        if pending.first_possible_run() is None or self._routes.effect(pending) is Effect.SAFE:
+            reject(self._context, request, pending.request_class)
+        else:
+            self._context.actions.append(Fail(request))
+        self.finish(request)
+
+    def finish(self, request: int) -> None:
+        """Forget a request that has its final answer, or whose client is gone."""
         self.held.pop(request, None)
-        if (call := self.calls.pop(request, None)) is None:
+        pending = self._requests.by_number.pop(request, None)
+        if pending is None:
             return
-        for number, a in enumerate(call.attempts):
-            if a.out and a.late:
-                self.out += 1  # its end will take it off
-            if a.out and self.s.may_cancel and request not in self.streaming:
-                self.actions.append(CancelAttempt(request, number))
-        self.streaming.discard(request)
-        self._leave(call)
-
-    def _wait(self) -> float:
-        """Expected wait by Little's law, of attempts out less what chance could put there: sees a
-        jam come. Or the answer time of late: sees work that was given up here and still waits at
-        the workers.
-        """
-        lag = self._usually()  # a start's first answers come so much later than its requests
-        over = min(DONE_OVER * self.s.safety.overload_time + TICK, self.now - self.born - lag)
-        few = self.out < MOST_CHANCE or not self.done or over < lag
-        return max(0.0 if few else (self.out - math.sqrt(self.out)) * over / self.done, self.slow)
+        may_cancel = self._context.settings.may_cancel
+        for number, attempt in enumerate(pending.attempts):
+            if not attempt.is_in_flight:
+                continue
+            if attempt.is_overdue:
+                # Its end will take it off again, as nothing is known of it then.
+                self._delay.in_flight += 1
+            if may_cancel and request not in self._requests.streaming:
+                self._context.actions.append(CancelAttempt(request, number))
+        self._requests.streaming.discard(request)
+        self._routes.leave(pending)
--- a/dockthread/policy/backend_pool.py
+++ b/dockthread/policy/backend_pool.py
@@ -24,7 +24,7 @@
 from dockthread.policy.model import BackendState, DeduplicationScope, Endpoint
 
 if TYPE_CHECKING:
-    from dockthread.policy.state import Worker
+    from dockthread.policy.backend import Backend
 
 SLOTS_PER_CHANGE = 1024  # places for each of which one change has all sums made anew, about 20 us
 FADED = 1e-18  # a failed part below this changes no sum with 1 in double precision: it is none
@@ -46,13 +46,13 @@
         """How many are ready."""
         ...
 
-    def __iter__(self) -> Iterator[Worker]: ...
+    def __iter__(self) -> Iterator[Backend]: ...
 
-    def draw(self, rng: random.Random, count: int) -> list[Worker]:
+    def draw(self, rng: random.Random, count: int) -> list[Backend]:
         """By their shares, as many or fewer."""
         ...
 
-    def some(self, rng: random.Random) -> Iterable[Worker]:
+    def some(self, rng: random.Random) -> Iterable[Backend]:
         """Evenly, some of many, and all of few."""
         ...
 
@@ -62,20 +62,20 @@
 
     __slots__ = ("_sums", "_workers")
 
-    def __init__(self, workers: list[Worker], share: Callable[[Worker], float]) -> None:
+    def __init__(self, workers: list[Backend], share: Callable[[Backend], float]) -> None:
         self._workers, self._sums = workers, list(accumulate(map(share, workers)))
 
     def __len__(self) -> int:
         return len(self._workers)
 
-    def __iter__(self) -> Iterator[Worker]:
+    def __iter__(self) -> Iterator[Backend]:
         return iter(self._workers)
 
-    def draw(self, rng: random.Random, count: int) -> list[Worker]:
+    def draw(self, rng: random.Random, count: int) -> list[Backend]:
         """By their shares."""
         return rng.choices(self._workers, cum_weights=self._sums, k=count)
 
-    def some(self, rng: random.Random) -> Iterable[Worker]:
+    def some(self, rng: random.Random) -> Iterable[Backend]:
         """All of them."""
         return self._workers
 
@@ -94,10 +94,10 @@
     def __len__(self) -> int:
         return len(self._pool)
 
-    def __iter__(self) -> Iterator[Worker]:
+    def __iter__(self) -> Iterator[Backend]:
         return (worker for worker in self._pool if self._fits(worker.entry))
 
-    def draw(self, rng: random.Random, count: int) -> list[Worker]:
+    def draw(self, rng: random.Random, count: int) -> list[Backend]:
         """Those that fit among some drawn from all; none where a few rounds of drawing find
         none.
         """
@@ -108,7 +108,7 @@
                 return drawn
         return []
 
-    def some(self, rng: random.Random) -> Iterable[Worker]:
+    def some(self, rng: random.Random) -> Iterable[Backend]:
         """Those that fit among some of all."""
         return [worker for worker in self._pool.some(rng) if self._fits(worker.entry)]
 
@@ -128,20 +128,22 @@
     warm.
     """
 
-    def __init__(self, share: Callable[[Worker], float], warmth: Callable[[Worker], float]) -> None:
+    def __init__(
+        self, share: Callable[[Backend], float], warmth: Callable[[Backend], float]
+    ) -> None:
         self._share, self._warmth = share, warmth
-        self._slots: list[Worker] = []
+        self._slots: list[Backend] = []
         self._shares = array("d")
         self._sums = array("d")
         # by zone and cell, all that are known
-        self._cells: dict[tuple[int, int], dict[int, Worker]] = {}
+        self._cells: dict[tuple[int, int], dict[int, Backend]] = {}
         self._parts: Counter[tuple[int, int]] = Counter()  # ready ones by zone and kind
         self._ready = self._vacant = 0
         self._weighed = 0  # since the sums were made
         self._due = False  # a round of housekeeping went by since
         self.rounds = Rounds()
-        self.failing: dict[int, Worker] = {}  # with failures that fade
-        self.cold: dict[int, Worker] = {}  # ready ones that warm up
+        self.failing: dict[int, Backend] = {}  # with failures that fade
+        self.cold: dict[int, Backend] = {}  # ready ones that warm up
         self._turn = 0  # the next of these to be weighed, where they are too many for a round
         self.sound = 1.0  # mean part of the ready ones' outcomes that were no failures
         self.warm = False  # whether a ready one is warm
@@ -151,7 +153,7 @@
     def __len__(self) -> int:
         return self._ready
 
-    def __iter__(self) -> Iterator[Worker]:
+    def __iter__(self) -> Iterator[Backend]:
         return (worker for worker in self._slots if worker.ready)
 
     @property
@@ -159,7 +161,7 @@
         """The shares of all that are ready, as they were summed up last."""
         return self._sums[-1] if self._sums else 0.0
 
-    def draw(self, rng: random.Random, count: int) -> list[Worker]:
+    def draw(self, rng: random.Random, count: int) -> list[Backend]:
         """By their shares as they were summed up last; of a long list `MOST_DRAWN` at the most."""
         if not self._sums or not self._sums[-1]:
             return []
@@ -167,7 +169,7 @@
             count = min(count, MOST_DRAWN)
         return rng.choices(self._slots, cum_weights=self._sums, k=count)
 
-    def some(self, rng: random.Random) -> Iterable[Worker]:
+    def some(self, rng: random.Random) -> Iterable[Backend]:
         """All of a short list; of a long one some, drawn evenly."""
         if self._ready <= SCANNED:
             return iter(self)
@@ -195,7 +197,7 @@
         )
         return Sifted(self, fits) if any(map(fits, parts)) else None
 
-    def add(self, worker: Worker) -> None:
+    def add(self, worker: Backend) -> None:
         """One that was not known before. It weighs nothing yet."""
         worker.place = len(self._slots)
         self._slots.append(worker)
@@ -205,14 +207,14 @@
             worker
         )
 
-    def forget(self, worker: Worker) -> None:
+    def forget(self, worker: Backend) -> None:
         """One that is not ready, and will not be again."""
         self.failing.pop(worker.entry.backend, None)
         self._leave_cell(worker)
         self._vacant += 1
         worker.place = -1
 
-    def relist(self, worker: Worker, entry: Endpoint, ready: bool) -> None:
+    def relist(self, worker: Backend, entry: Endpoint, ready: bool) -> None:
         """What is listed of it now, and whether it may be drawn."""
         old = worker.entry
         self._parts[old.zone, old.kind] -= worker.ready
@@ -224,7 +226,7 @@
         worker.entry, worker.ready = entry, ready
         self._weigh(worker)
 
-    def _leave_cell(self, worker: Worker) -> None:
+    def _leave_cell(self, worker: Backend) -> None:
         key = worker.entry.zone, worker.entry.cell
         del self._cells[key][worker.entry.backend]
         if not self._cells[key]:
@@ -258,7 +260,7 @@
         self.sound = (self._ready - failed) / max(1, self._ready)
         self.warm = self._ready > len(self.cold)
 
-    def _moving(self) -> list[Worker]:
+    def _moving(self) -> list[Backend]:
         """Those whose shares move by themselves; where these are too many, the next of them."""
         moving = list(self.failing.values())
         moving += [worker for number, worker in self.cold.items() if number not in self.failing]
@@ -268,7 +270,7 @@
         self._turn = at + MOST_WEIGHED
         return (moving + moving[:MOST_WEIGHED])[at : at + MOST_WEIGHED]
 
-    def _weigh(self, worker: Worker) -> None:
+    def _weigh(self, worker: Backend) -> None:
         """One with nothing that moves by itself is visited no more."""
         self.visits += 1
         number = worker.entry.backend
--- /dev/null
+++ b/dockthread/policy/backend_registry.py
@@ -0,0 +1,79 @@
+"""All backends that an ingress knows, listed or removed from the list not long ago."""
+
+from __future__ import annotations
+
+from math import inf
+
+from dockthread.policy.backend import Backend
+from dockthread.policy.backend_pool import Pool
+from dockthread.policy.context import Context
+from dockthread.policy.latency_estimates import KindStats
+from dockthread.policy.model import BackendState, Endpoint
+
+# Seconds for which a backend that is no longer listed is remembered: it may be listed again.
+DELISTED_RETENTION = 30.0
+
+
+class BackendRegistry:
+    """The known backends.
+
+    Attributes:
+        pool: the pool that attempts draw their backend from.
+        by_number: the backends by number.
+        by_code: with gossip, the backends by their code in messages.
+        delisted: those that are not listed any more, by number.
+    """
+
+    __slots__ = ("_context", "_kinds", "by_code", "by_number", "delisted", "pool")
+
+    def __init__(self, context: Context, pool: Pool) -> None:
+        self._context = context
+        self._kinds: dict[int, KindStats] = {}
+        self.pool = pool
+        self.by_number: dict[int, Backend] = {}
+        self.by_code: dict[bytes, Backend] = {}
+        self.delisted: dict[int, Backend] = {}
+
+    def update(self, entry: Endpoint) -> None:
+        """Take over a listed entry: its backend may be new, restarted or in another state."""
+        backend = self._get(entry)
+        if entry.started_at > backend.entry.started_at:
+            backend.reset_process()
+        self._relist(backend, entry, entry.state)
+
+    def remove_unlisted(self, entries: tuple[Endpoint, ...]) -> None:
+        """Mark the backends that a full list leaves out as removed."""
+        listed = {entry.backend for entry in entries}
+        unlisted = [backend for number, backend in self.by_number.items() if number not in listed]
+        for backend in unlisted:
+            self._relist(backend, backend.entry, BackendState.REMOVED)
+
+    def _get(self, entry: Endpoint) -> Backend:
+        """Return the backend of an entry; create one for a number never listed before."""
+        backend = self.by_number.get(entry.backend)
+        if backend is None:
+            kind = self._kinds.setdefault(entry.kind, KindStats())
+            backend = Backend(entry, kind, self.pool)
+            self.by_number[entry.backend] = backend
+            self.pool.add(backend)
+            if self._context.settings.may_gossip:
+                self.by_code[backend.code] = backend
+        return backend
+
+    def _relist(self, backend: Backend, entry: Endpoint, state: BackendState) -> None:
+        if state is BackendState.REMOVED:
+            backend.removed_at = min(backend.removed_at, self._context.now)
+            self.delisted[backend.entry.backend] = backend
+        elif backend.removed_at != inf:
+            backend.removed_at = inf
+            del self.delisted[backend.entry.backend]
+        self.pool.relist(backend, entry, state is BackendState.READY)
+
+    def expire(self) -> None:
+        """Forget backends that are delisted for long and have no attempt in flight."""
+        for number, backend in list(self.delisted.items()):
+            delisted_time = self._context.now - backend.removed_at
+            if delisted_time > DELISTED_RETENTION and not backend.in_flight:
+                del self.by_number[number], self.delisted[number]
+                self.by_code.pop(backend.code, None)
+                self.pool.forget(backend)
--- a/dockthread/policy/engine.py
+++ b/dockthread/policy/engine.py
@@ -1,8 +1,8 @@
-"""A gateway's decisions, joined: events in, actions out.
+"""The policy engine of one ingress: it takes events and returns actions.
 
-`Admission` asks whether the customer's decayed unit rate lets a request in (rakelimit), `Attempts`
-when it is tried, tried again, copied or given up, `Choice` where. Here: events by their kind, and
-housekeeping.
+The engine owns its parts and routes each event to one of them. `AdmissionController` decides
+whether a request is admitted, `AttemptManager` when it is sent, retried, hedged or given up, and
+`LoadBalancer` to which backend. The engine itself runs the periodic maintenance.
 """
 
 from __future__ import annotations
@@ -11,8 +11,15 @@
 from typing import Any
 
 from dockthread.policy.actions import Action, PollEndpoints
-from dockthread.policy.admission import Admission
-from dockthread.policy.attempts import DONE_OVER, TICK
+from dockthread.policy.admission import AdmissionController
+from dockthread.policy.admission_probability import AdmissionProbability
+from dockthread.policy.attempt_outcomes import AttemptOutcomes
+from dockthread.policy.attempts import AttemptManager
+from dockthread.policy.backend_pool import Pool
+from dockthread.policy.backend_registry import BackendRegistry
+from dockthread.policy.backend_weight import BackendWeights
+from dockthread.policy.context import Context
+from dockthread.policy.customer_registry import CustomerRegistry
 from dockthread.policy.events import (
     AttemptEnded,
     ClientDisconnected,
@@ -25,68 +32,235 @@
     ResponseStarted,
     TimerFired,
 )
+from dockthread.policy.gossip import GossipProtocol
 from dockthread.policy.latency_estimates import scarcity
-from dockthread.policy.model import BackendState, EndpointListKind, PolicySettings
+from dockthread.policy.load_balancer import LoadBalancer
+from dockthread.policy.model import EndpointListKind, PolicySettings
+from dockthread.policy.pending_request import PendingRequests
+from dockthread.policy.queueing_delay import MAINTENANCE_INTERVAL, QueueingDelayEstimator
+from dockthread.policy.quota_counter_sync import QuotaCounterSync
+from dockthread.policy.route_constraints import RouteConstraints
+from dockthread.policy.slow_start import SlowStart
+from dockthread.policy.timers import TimerQueue
+from dockthread.policy.usual_latency import UsualLatencies
 
-PACE_HALF = 15.0  # s in which what its answer times told counts half
-FADE_HALF = 5.0  # s in which evidence against a worker halves, so that it returns
+# Half-life in seconds of what response times told of a backend.
+LATENCY_HALF_LIFE = 15.0
+# Half-life in seconds of failures, so that a backend that recovered is sent requests again. It is
+# longer in a larger fleet, where each ingress sees fewer responses.
+FAILURE_HALF_LIFE = 5.0
+# Seconds between two rounds of forgetting backends and customers. Without it, a long day of ever
+# new ones fills the memory.
+EXPIRY_INTERVAL = 2.0
+# A failed poll of the endpoint list is repeated after the poll interval divided by this.
+POLL_RETRY_DIVISOR = 10
+# The number of different incarnations; gossip has one byte for it.
+INCARNATIONS = 256
 
 
-class PolicyEngine(Admission):
-    """One gateway's decision module."""
+class PolicyEngine:
+    """The decision module of one ingress, free of I/O.
+
+    A simulation with a seeded defect overrides the class of a part (`..._class`).
+
+    Attributes:
+        context: settings, clock, random source and actions, shared by all parts.
+        timers: the timers that are set.
+        requests: the requests without a final answer.
+        customers: the known customers.
+        backends: the known backends.
+        latencies: the usual response times.
+        delay: the expected wait.
+        slow_start: the weights of backends that warm up.
+        gossip: the messages from and to peers.
+        counter: the calls to the shared quota counter.
+        routes: the constraints of requests' routes.
+        balancer: the choice of backends.
+        outcomes: what ended attempts tell.
+        attempts: the attempts of admitted requests.
+        admission: the admission of requests.
+    """
+
+    attempts_class: type[AttemptManager] = AttemptManager
+    delay_class: type[QueueingDelayEstimator] = QueueingDelayEstimator
+    routes_class: type[RouteConstraints] = RouteConstraints
+    slow_start_class: type[SlowStart] = SlowStart
 
     def __init__(self, settings: PolicySettings, seed: int, now: float) -> None:
-        super().__init__(settings, seed, now)
-        self.fade = FADE_HALF * scarcity(settings.ingress_count)
-        self.handlers: dict[type, Callable[[Any], None]] = {
-            RequestArrived: self._arrived,
-            AttemptEnded: self._ended,
-            EndpointsListed: self._listed,
-            GossipReceived: self._said,
-            TimerFired: self.fired,
-            HealthCheckEnded: lambda e: None,
-            ResponseStarted: lambda e: self.streaming.add(e.request),
-            ClientDisconnected: lambda e: self._finish(e.request),
-            CounterReplied: self._counted,
+        """Create an engine that knows no backend.
+
+        Args:
+            settings: all that it is told before its first event.
+            seed: of its random source; the same seed and events give the same actions.
+            now: the current time in seconds on the engine's clock.
+        """
+        self.context = Context(settings, seed, now)
+        # It is drawn before the sketches draw, as a seed's decisions depend on the order.
+        incarnation = self.context.rng.randrange(INCARNATIONS)
+        self._build_state(settings)
+        self._build_protocols(incarnation)
+        self._build_decisions()
+        self._is_started = False
+        self._expired_at = now
+        self._failure_half_life = FAILURE_HALF_LIFE * scarcity(settings.ingress_count)
+        self._handlers = self._event_handlers()
+
+    def _build_state(self, settings: PolicySettings) -> None:
+        """Create the parts that hold what is known."""
+        context = self.context
+        self.timers = TimerQueue(context)
+        self.requests = PendingRequests()
+        self.latencies = UsualLatencies(settings.classes)
+        self.delay = self.delay_class(context, self.latencies)
+        self.customers = CustomerRegistry(context, self.delay.tightest_objective)
+        self.slow_start = self.slow_start_class(context, self.latencies)
+        self._weights = BackendWeights(context, self.slow_start)
+        pool = Pool(self._weights.weight, self.slow_start.weight)
+        self.backends = BackendRegistry(context, pool)
+
+    def _build_protocols(self, incarnation: int) -> None:
+        """Create the parts that learn of the other ingresses."""
+        self.gossip = GossipProtocol(
+            self.context, self.timers, self.customers, self.backends, incarnation
+        )
+        self.counter = QuotaCounterSync(self.context, self.customers, self.gossip)
+
+    def _build_decisions(self) -> None:
+        """Create the parts that decide on requests."""
+        context, pool = self.context, self.backends.pool
+        self.routes = self.routes_class(context, self.timers, self.requests, pool)
+        self.balancer = LoadBalancer(
+            context, self.backends, self._weights, self.slow_start, self.routes
+        )
+        self.outcomes = AttemptOutcomes(
+            context, self.backends, self.latencies, self.delay, self.slow_start
+        )
+        self.attempts = self.attempts_class(
+            context,
+            self.timers,
+            self.requests,
+            self.customers,
+            self.backends,
+            self.latencies,
+            self.delay,
+            self.slow_start,
+            self.routes,
+            self.balancer,
+            self.outcomes,
+            self.gossip,
+        )
+        self.admission = AdmissionController(
+            context,
+            self.requests,
+            self.customers,
+            self.delay,
+            self.routes,
+            self.gossip,
+            self.counter,
+            AdmissionProbability(context, self.gossip, self.latencies),
+            self.attempts,
+        )
+
+    def _event_handlers(self) -> dict[type, Callable[[Any], None]]:
+        return {
+            RequestArrived: self.admission.on_request_arrived,
+            AttemptEnded: self.attempts.on_attempt_ended,
+            EndpointsListed: self._on_endpoints_listed,
+            GossipReceived: self.gossip.on_gossip_received,
+            TimerFired: self.timers.on_timer_fired,
+            HealthCheckEnded: lambda event: None,
+            ResponseStarted: lambda event: self.requests.streaming.add(event.request),
+            ClientDisconnected: lambda event: self.attempts.finish(event.request),
+            CounterReplied: self.admission.on_counter_replied,
         }
 
+    @property
+    def settings(self) -> PolicySettings:
+        """The settings in force."""
+        return self.context.settings
+
+    @property
+    def actions(self) -> list[Action]:
+        """The actions of the last event, also where its handling raised an error."""
+        return self.context.actions
+
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event; the actions that follow, in their order. `now`: s on the module's
-        clock.
+        """Take one event.
+
+        Args:
+            now: the event's time in seconds on the engine's clock, which never goes back.
+            event: what happened.
+
+        Returns:
+            The actions that follow from it, in the order in which to carry them out.
+        """
+        context = self.context
+        context.now = now
+        context.actions = []
+        if not self._is_started:
+            self._start()
+        self._handlers[type(event)](event)
+        admitted = self.routes.admitted
+        while admitted:
+            self.admission.decide_waiting(admitted.popleft())
+        return context.actions
+
+    def apply_settings(self, settings: PolicySettings) -> None:
+        """Take over new settings, and derive again what the parts derived from the classes.
+
+        The new settings have the old ones' classes in the same places, and may have more. What
+        was learnt stays, except for the usual response times.
         """
-        self.now, self.actions = now, []
-        if not self.started:
-            self.started = True
-            self.timer(now + TICK * self.rng.uniform(0.5, 1), self._tick)
-            self.actions += [PollEndpoints()] * self.s.must_poll_endpoints
-            if self.s.may_gossip:
-                self._greet()
-        self.handlers[type(event)](event)
-        while self.entering:
-            if call := self.calls.get(self.entering.popleft()):
-                self._decide(call.ask, call, self._customer(call.ask.customer, call.ask.plan))
-        return self.actions
-
-    def _tick(self) -> None:
-        self.timer(self.now + TICK, self._tick)
-        self.done *= 1 - TICK / (DONE_OVER * self.s.safety.overload_time + TICK)
-        # it tells of the moment: a jam that is gone must not refuse
-        self.slow *= 0.5 ** (TICK / self.tight)
-        self.pool.fade(0.5 ** (TICK / self.fade), 0.5 ** (TICK / PACE_HALF))
-        self.tidy()
-        self._beats()
-        self._survey()
-
-    def _listed(self, e: EndpointsListed) -> None:
-        if e.kind is EndpointListKind.FAILED:
-            again = self.now + self.s.safety.poll_interval / 10
-            self.timer(again, lambda: self.actions.append(PollEndpoints()))
-        elif e.kind is not EndpointListKind.CHANGES:
-            for w in self.unlisted(e.endpoints):
-                self.relist(w, w.entry, BackendState.REMOVED)
-        for entry in e.endpoints:
-            w = self.known(entry)
-            if entry.started_at > w.entry.started_at:
-                w.renew()
-            self.relist(w, entry, entry.state)  # rule 3: nothing new from here on
-        self._survey()
+        self.context.settings = settings
+        self.latencies.reset(settings.classes)
+        self.delay.apply_classes(settings.classes)
+        self.admission.probability.apply_classes(settings.classes)
+
+    def _start(self) -> None:
+        """Begin the periodic maintenance, the watch of the endpoint list and the gossip."""
+        context = self.context
+        self._is_started = True
+        # The first interval is drawn, so that ingresses that start together don't keep step.
+        first_interval = MAINTENANCE_INTERVAL * context.rng.uniform(0.5, 1)
+        self.timers.set(context.now + first_interval, self.run_maintenance)
+        if context.settings.must_poll_endpoints:
+            context.actions.append(PollEndpoints())
+        if context.settings.may_gossip:
+            self.gossip.greet()
+
+    def run_maintenance(self) -> None:
+        """Decay estimates, forget what expired, send heartbeats and retry held requests."""
+        self.timers.set(self.context.now + MAINTENANCE_INTERVAL, self.run_maintenance)
+        self.delay.decay()
+        self.backends.pool.fade(
+            0.5 ** (MAINTENANCE_INTERVAL / self._failure_half_life),
+            0.5 ** (MAINTENANCE_INTERVAL / LATENCY_HALF_LIFE),
+        )
+        self._expire()
+        self.gossip.schedule_heartbeats()
+        self.attempts.reevaluate_held()
+
+    def _expire(self) -> None:
+        """Forget backends that are gone, and customers of whom nothing is known."""
+        if self.context.now - self._expired_at < EXPIRY_INTERVAL:
+            return
+        self._expired_at = self.context.now
+        self.backends.expire()
+        if self.customers.expire():
+            self.gossip.forget_news()
+
+    def _on_endpoints_listed(self, event: EndpointsListed) -> None:
+        """Take over the endpoint list or changes of it; poll again after a failed poll."""
+        if event.kind is EndpointListKind.FAILED:
+            poll_interval = self.context.settings.safety.poll_interval
+            self.timers.set(
+                self.context.now + poll_interval / POLL_RETRY_DIVISOR, self._poll_endpoints
+            )
+        elif event.kind is not EndpointListKind.CHANGES:
+            self.backends.remove_unlisted(event.endpoints)
+        for entry in event.endpoints:
+            self.backends.update(entry)  # rule 3: a removed backend gets no request from here on
+        self.attempts.reevaluate_held()
+
+    def _poll_endpoints(self) -> None:
+        self.context.actions.append(PollEndpoints())
--- a/dockthread/policy/gossip.py
+++ b/dockthread/policy/gossip.py
@@ -1,169 +1,317 @@
-"""What gateways tell each other: queues and batches of messages, and what was heard put into
-memory. Decides nothing.
-
-Theory of operation. Every gateway tells the others of a customer's set what it was asked for and
-let in, as sums since its start, and its attempts out. A customer of whom there is news is marked
-for each of the others. A round of messages, `(gateways - 1) / intake` seconds after the first mark,
-sends one message to each that has marks, so that a gateway takes in what the settings allow and the
-news is as fresh as that permits. What does not fit into a message, or into the stock of messages,
-waits; the customers with the emptiest stores go first. A gateway that has nothing to tell tells it
-after a beat, so that its silence means something. A mark of its life goes with every message:
-another mark means that it began anew and knows nothing, and it is told of the customers whose
-stores are not full.
+"""Gossip: what ingresses tell each other of customers and failing backends.
+
+Theory of operation. Every ingress tells the others of a customer's set what it was asked for and
+what it admitted, as sums since its start, and its attempts in flight. A customer of whom there is
+news is marked for each of the others. A round of messages, `(ingresses - 1) / intake` seconds after
+the first mark, sends one message to each that has marks, so that an ingress takes in what the
+settings allow and the news is as fresh as that permits. What does not fit into a message, or into
+the message budget, waits; the customers with the emptiest token buckets go first. An ingress that
+has nothing to tell sends a heartbeat after a while, so that its silence means something. Its
+incarnation goes with every message: another incarnation means that it restarted and knows nothing,
+and it is told of the customers whose token buckets are not full.
 """
 
 from __future__ import annotations
 
 from dockthread.policy import gossip_codec
 from dockthread.policy.actions import SendGossip
+from dockthread.policy.backend_registry import BackendRegistry
+from dockthread.policy.context import NEVER, Context
+from dockthread.policy.customer import Customer, PeerSums
+from dockthread.policy.customer_registry import CustomerRegistry
 from dockthread.policy.events import GossipReceived
-from dockthread.policy.model import PolicySettings
-from dockthread.policy.rate_sketch import Sketch
-from dockthread.policy.state import NEVER, Customer, Memory
-
-INTAKE_PART, STOCK = 0.8, 4  # part of an intake that all use; s of messages in stock
-ROUND_LEAST, ROUND_MOST = 0.02, 0.25  # s between the first news and its round of messages
-# s, or rounds of all, between messages; beats without one: silent
-BEAT, BEAT_ROUNDS, SILENT_BEATS = 0.5, 8, 3
-CLOSE = 0.25  # of a plan's window: the oldest news by which the others' use counts as known
-NOTED, MOST_TOLD = 0.4, 3  # failed part of a worker that is told; most told
-TRUST = 2.0  # s after its last answer here in which what others say of a worker counts for nothing
-SHORT = 0.9  # of a burst: what is left less than this of is told to one that began anew
-
-
-class Gossip(Memory):
-    """A gateway's messages to its peers, and theirs. The parts that decide stand in the classes
-    that follow it.
+from dockthread.policy.timers import TimerQueue
+
+# Fraction of the messages an ingress can take in that its peers send in sum.
+INTAKE_FRACTION = 0.8
+# Fewest messages a second that an ingress is taken to take in.
+LEAST_INTAKE_RATE = 1.0
+# The message budget holds what is sent in so many seconds.
+BUDGET_SECONDS = 4
+# Shortest and longest time in seconds between the first news and its round of messages.
+SHORTEST_ROUND = 0.02
+LONGEST_ROUND = 0.25
+# Shortest time in seconds between two messages to a peer that is told nothing else.
+SHORTEST_HEARTBEAT_INTERVAL = 0.5
+# The same in rounds in which each of the peers can be told once.
+HEARTBEAT_FULL_ROUNDS = 8
+# Heartbeats without a message after which a peer counts as silent.
+SILENT_HEARTBEATS = 3
+# The oldest news by which the peers' use counts as known, over the window of the plan's rates.
+FRESH_WINDOW_FRACTION = 0.25
+# Failed fraction of outcomes from which peers are told of a backend.
+SUSPECT_FAILED_FRACTION = 0.4
+# The most backends that one message tells of.
+MOST_SUSPECTS = 3
+# Seconds after a backend's last response here in which what peers say of it is ignored.
+OWN_EVIDENCE_TIME = 2.0
+# Fraction of the burst: a peer that restarted is told of customers that have less left.
+RESTART_REPORT_FRACTION = 0.9
+
+
+class GossipProtocol:
+    """Sends and receives this ingress's gossip.
+
+    Attributes:
+        full_round_time: seconds in which each of the peers can be told once.
+        last_received_at: by peer, when its last message came, in seconds.
     """
 
-    sketches: list[Sketch | None]
+    __slots__ = (
+        "_backends",
+        "_budget",
+        "_budget_updated_at",
+        "_context",
+        "_customers",
+        "_heartbeat_interval",
+        "_incarnation",
+        "_intake_rate",
+        "_is_round_scheduled",
+        "_last_sent_at",
+        "_own_number",
+        "_peer_incarnations",
+        "_round_interval",
+        "_timers",
+        "_unsent",
+        "full_round_time",
+        "last_received_at",
+    )
 
-    def __init__(self, settings: PolicySettings, seed: int, now: float) -> None:
-        super().__init__(settings, seed, now)
-        self.intake = INTAKE_PART * max(settings.gossip_intake_rate, 1.0)
-        self.stock = STOCK * self.intake
-        # s in which each of the others can be told once
-        self.turn = (settings.ingress_count - 1) / self.intake
-        self.round = min(ROUND_MOST, max(ROUND_LEAST, self.turn))
-        self.beat = max(BEAT, BEAT_ROUNDS * self.turn)
+    def __init__(
+        self,
+        context: Context,
+        timers: TimerQueue,
+        customers: CustomerRegistry,
+        backends: BackendRegistry,
+        incarnation: int,
+    ) -> None:
+        self._context = context
+        self._timers = timers
+        self._customers = customers
+        self._backends = backends
+        self._incarnation = incarnation
+        settings = context.settings
+        self._own_number = settings.ingress_number
+        self._intake_rate = INTAKE_FRACTION * max(settings.gossip_intake_rate, LEAST_INTAKE_RATE)
+        self._budget = BUDGET_SECONDS * self._intake_rate
+        self._budget_updated_at = context.now
+        self.full_round_time = (settings.ingress_count - 1) / self._intake_rate
+        self._round_interval = min(LONGEST_ROUND, max(SHORTEST_ROUND, self.full_round_time))
+        self._heartbeat_interval = max(
+            SHORTEST_HEARTBEAT_INTERVAL, HEARTBEAT_FULL_ROUNDS * self.full_round_time
+        )
+        self._is_round_scheduled = False
+        # by peer: the customers it is to be told of; a peer without any gets a heartbeat
+        self._unsent: dict[int, dict[int, None]] = {}
+        self.last_received_at: dict[int, float] = {}
+        self._last_sent_at: dict[int, float] = {}
+        self._peer_incarnations: dict[int, int] = {}
 
-    def _customer(self, key: int, number: int) -> Customer:
-        raise NotImplementedError
+    # What others ask
 
-    def _others(self, c: Customer) -> list[int]:
-        """The other gateways of a customer's set."""
-        ring = ((c.first + i) % self.s.ingress_count for i in range(c.spread))
-        return [p for p in ring if p != self.me]
+    def knows_peers_use(self, customer: Customer) -> bool:
+        """Return whether all that the other ingresses admit of a customer is known.
 
-    def _hears(self, c: Customer) -> bool:
-        """Whether all that the others let in is known: there are none, or each of them tells it by
-        messages, and soon enough for the plan's window.
+        It is where there are none, or where each of them tells it, and soon enough for the window
+        of the plan's rates.
         """
-        if c.spread == 1:
+        if customer.spread == 1:
             return True
-        sketch = self.sketches[c.plan]
-        if not self.s.may_gossip or sketch is None or self.turn > CLOSE * sketch.window:
+        sketch = self._customers.sketches[customer.plan_number]
+        if not self._context.settings.may_gossip or sketch is None:
             return False
-        since = self.now - SILENT_BEATS * self.beat
-        return all(self.heard.get(p, NEVER) > since for p in self._others(c))
-
-    def _hears_any(self) -> bool:
-        return self.s.may_gossip and any(
-            self.now - at <= SILENT_BEATS * self.beat for at in self.heard.values()
+        if self.full_round_time > FRESH_WINDOW_FRACTION * sketch.window:
+            return False
+        since = self._context.now - SILENT_HEARTBEATS * self._heartbeat_interval
+        return all(
+            self.last_received_at.get(peer, NEVER) > since for peer in self._peers_of(customer)
         )
 
-    def _greet(self) -> None:
-        """Each answers a greeting with the customers that are short."""
-        peers = [p for p in range(self.s.ingress_count) if p != self.me]
-        self.unsent = {p: {} for p in self.rng.sample(peers, len(peers))}
-        self._schedule_gossip()
-
-    def _beats(self) -> None:
-        """At each round of housekeeping: who was told nothing for long is told that all is well."""
-        if self.s.may_gossip:
-            for p in range(self.s.ingress_count):
-                if p != self.me and self.now - self.sent_at.get(p, NEVER) >= self.beat:
-                    self.unsent.setdefault(p, {})
-            if self.unsent:
-                self._schedule_gossip()
-
-    def _report(self, key: int, c: Customer) -> None:
-        """There is news of a customer: the others of its set are told with the next round."""
-        if self.s.may_gossip and c.spread > 1:
-            for peer in self._others(c):
-                self.unsent.setdefault(peer, {})[key] = None
-            self._schedule_gossip()
-
-    def _schedule_gossip(self) -> None:
-        if not self.gossip_due and self.s.may_gossip:
-            self.gossip_due = True
-            self.timer(self.now + self.round, self._send_gossip)
-
-    def _send_gossip(self) -> None:
-        """On average as many messages as this gateway could take in itself; news before beats."""
-        self.stock = min(
-            STOCK * self.intake, self.stock + self.intake * (self.now - self.gossiped_at)
-        )
-        self.gossip_due, self.gossiped_at = False, self.now
-        bad = [w for w in self.pool.failing.values() if w.failed > NOTED]
-        bad.sort(key=lambda w: w.place)  # as they were listed
-        suspects = [(w.code, w.failed) for w in self.rng.sample(bad, min(MOST_TOLD, len(bad)))]
-        for peer in sorted(self.unsent, key=lambda p: not self.unsent[p]):
-            notes = self.unsent[peer]
-            if self.stock < 1 or (not notes and self.stock < STOCK * self.intake / 2):
+    def hears_any_peer(self) -> bool:
+        """Return whether any peer has sent a message not long ago."""
+        if not self._context.settings.may_gossip:
+            return False
+        now, silence = self._context.now, SILENT_HEARTBEATS * self._heartbeat_interval
+        return any(now - at <= silence for at in self.last_received_at.values())
+
+    def _peers_of(self, customer: Customer) -> list[int]:
+        """Return the other ingresses of a customer's set."""
+        count = self._context.settings.ingress_count
+        ring = ((customer.first_ingress + step) % count for step in range(customer.spread))
+        return [peer for peer in ring if peer != self._own_number]
+
+    # News
+
+    def greet(self) -> None:
+        """Schedule a message to every peer at the start, so that each answers with what it knows.
+
+        The order is drawn, so that ingresses that start together don't all greet the same one.
+        """
+        count = self._context.settings.ingress_count
+        peers = [peer for peer in range(count) if peer != self._own_number]
+        self._unsent = {peer: {} for peer in self._context.rng.sample(peers, len(peers))}
+        self._schedule_round()
+
+    def schedule_heartbeats(self) -> None:
+        """Schedule a message to the peers that were sent none for long."""
+        if not self._context.settings.may_gossip:
+            return
+        now = self._context.now
+        for peer in range(self._context.settings.ingress_count):
+            if peer == self._own_number:
+                continue
+            if now - self._last_sent_at.get(peer, NEVER) >= self._heartbeat_interval:
+                self._unsent.setdefault(peer, {})
+        if self._unsent:
+            self._schedule_round()
+
+    def report(self, number: int, customer: Customer) -> None:
+        """Note news of a customer: the others of its set are told with the next round."""
+        if self._context.settings.may_gossip and customer.spread > 1:
+            for peer in self._peers_of(customer):
+                self._unsent.setdefault(peer, {})[number] = None
+            self._schedule_round()
+
+    def forget_news(self) -> None:
+        """Drop all news that are not sent, as some of their customers are forgotten."""
+        self._unsent = {}
+
+    # Sending
+
+    def _schedule_round(self) -> None:
+        if not self._is_round_scheduled and self._context.settings.may_gossip:
+            self._is_round_scheduled = True
+            round_at = self._context.now + self._round_interval
+            self._timers.set(round_at, self._send_round)
+
+    def _send_round(self) -> None:
+        """Send one message to each peer that has news, then heartbeats, as the budget allows.
+
+        The budget lets an ingress send on average as many messages as it could take in itself.
+        """
+        self._refill_budget()
+        self._is_round_scheduled = False
+        suspects = self._draw_suspects()
+        for peer in sorted(self._unsent, key=lambda peer: not self._unsent[peer]):
+            is_heartbeat = not self._unsent[peer]
+            half_budget = BUDGET_SECONDS * self._intake_rate / 2
+            if self._budget < 1 or (is_heartbeat and self._budget < half_budget):
                 break
-            keys = list(notes)
-            room = gossip_codec.room(len(suspects), keys)
-            if len(keys) > room:  # those whose quota is nearest to its end
-                keys = sorted(keys, key=lambda key: self.customers[key].store.left(self.now))[:room]
-            reports = [self.customers[key].report_of(key, self.now) for key in keys]
-            self.actions.append(SendGossip(gossip_codec.pack(self.life, suspects, reports), peer))
-            self.stock, self.sent_at[peer] = self.stock - 1, self.now
-            for key in keys:
-                del notes[key]
-            if not notes:
-                del self.unsent[peer]
-        if self.unsent:
-            self._schedule_gossip()
-
-    def _said(self, e: GossipReceived) -> None:
-        told = gossip_codec.unpack(e.data, len(self.s.plans))
-        if told is None or not 0 <= e.peer < self.s.ingress_count or e.peer == self.me:
+            self._send_to(peer, suspects)
+        if self._unsent:
+            self._schedule_round()
+
+    def _refill_budget(self) -> None:
+        elapsed = self._context.now - self._budget_updated_at
+        self._budget = min(
+            BUDGET_SECONDS * self._intake_rate, self._budget + self._intake_rate * elapsed
+        )
+        self._budget_updated_at = self._context.now
+
+    def _draw_suspects(self) -> list[tuple[bytes, float]]:
+        """Draw a few of the failing backends: their codes and failed fractions."""
+        failing = [
+            backend
+            for backend in self._backends.pool.failing.values()
+            if backend.failed > SUSPECT_FAILED_FRACTION
+        ]
+        failing.sort(key=lambda backend: backend.place)
+        drawn = self._context.rng.sample(failing, min(MOST_SUSPECTS, len(failing)))
+        return [(backend.code, backend.failed) for backend in drawn]
+
+    def _send_to(self, peer: int, suspects: list[tuple[bytes, float]]) -> None:
+        """Send a peer its news, as far as they fit into one message."""
+        now = self._context.now
+        customers = self._customers.by_number
+        unsent = self._unsent[peer]
+        numbers = list(unsent)
+        room = gossip_codec.room(len(suspects), numbers)
+        if len(numbers) > room:
+            # those whose quota is nearest to its end
+            numbers = sorted(numbers, key=lambda number: customers[number].quota.left(now))[:room]
+        reports = [customers[number].gossip_report(number, now) for number in numbers]
+        data = gossip_codec.pack(self._incarnation, suspects, reports)
+        self._context.actions.append(SendGossip(data, peer))
+        self._budget -= 1
+        self._last_sent_at[peer] = now
+        for number in numbers:
+            del unsent[number]
+        if not unsent:
+            del self._unsent[peer]
+
+    # Receiving
+
+    def on_gossip_received(self, event: GossipReceived) -> None:
+        """Take over a peer's message; ignore one that is garbled or from no peer."""
+        settings, peer = self._context.settings, event.peer
+        message = gossip_codec.unpack(event.data, len(settings.plans))
+        if message is None or not 0 <= peer < settings.ingress_count or peer == self._own_number:
+            return
+        self.last_received_at[peer] = self._context.now
+        for code, failed in message.suspects:
+            self._suspect(code, failed)
+        if self._peer_incarnations.get(peer) != message.life:
+            # It restarted, and has to know whose quota is used up.
+            self._peer_incarnations[peer] = message.life
+            self._report_all_to(peer)
+        for report in message.reports:
+            customer = self._customers.get(report.customer, report.plan)
+            self._take_over(peer, customer, report)
+
+    def _suspect(self, code: bytes, failed: float) -> None:
+        """Take over a peer's evidence against a backend, unless it responded here lately."""
+        backend = self._backends.by_code.get(code)
+        if backend is None:
             return
-        self.heard[e.peer] = self.now
-        for code, failed in told.suspects:
-            suspect = self.codes.get(code)
-            if suspect and self.now - suspect.answered > TRUST:
-                suspect.failed = max(suspect.failed, failed)
-        if self.lives.get(e.peer) != told.life:  # it started: it is to know whose quota is used up
-            self.lives[e.peer] = told.life
-            self._tell_short(e.peer)
-        for report in told.reports:
-            self._told(e.peer, self._customer(report.customer, report.plan), report)
-
-    def _tell_short(self, peer: int) -> None:
-        for key, c in self.customers.items():
-            in_set = (peer - c.first) % self.s.ingress_count < c.spread
-            if in_set and c.spread > 1 and c.store.left(self.now) < SHORT * c.store.burst:
-                self.unsent.setdefault(peer, {})[key] = None
-        self.unsent.setdefault(peer, {})
-        self._schedule_gossip()
-
-    def _told(self, peer: int, c: Customer, r: gossip_codec.Report) -> None:
-        life, arrived, spent = c.told.get(peer, (-1, 0, 0))
-        if life != self.lives[peer]:  # it counts from nothing
-            arrived = spent = 0
-        asked, used = gossip_codec.grown(r.arrived, arrived), gossip_codec.grown(r.spent, spent)
-        # one of us is new to it: the last request counts, and a start does not fill the store
-        if life < 0:
-            asked, used = min(asked, self.s.max_request_units), min(used, self.s.max_request_units)
-            c.store.at_most(r.left + used)
-        c.told[peer] = (self.lives[peer], r.arrived, r.spent)
-        if (sketch := self.sketches[c.plan]) is not None:
-            gap, c.told_at = self.now - c.told_at, self.now
-            c.store.messages_told(used, gap)
-            c.asked = sketch.decayed(c.asked, max(0.0, asked), gap)
-            c.spending = sketch.decayed(c.spending, max(0.0, used), gap)
-        c.outs.pop(peer, None)
-        if r.out:
-            c.outs[peer] = (self.now, r.out)
+        if self._context.now - backend.last_response_at > OWN_EVIDENCE_TIME:
+            backend.failed = max(backend.failed, failed)
+
+    def _report_all_to(self, peer: int) -> None:
+        """Tell a peer of all its customers whose token buckets are not full."""
+        count, now = self._context.settings.ingress_count, self._context.now
+        for number, customer in self._customers.by_number.items():
+            is_in_set = (peer - customer.first_ingress) % count < customer.spread
+            if not is_in_set or customer.spread <= 1:
+                continue
+            if customer.quota.left(now) < RESTART_REPORT_FRACTION * customer.quota.burst:
+                self._unsent.setdefault(peer, {})[number] = None
+        self._unsent.setdefault(peer, {})
+        self._schedule_round()
+
+    def _take_over(self, peer: int, customer: Customer, report: gossip_codec.Report) -> None:
+        """Take over what a peer tells of a customer."""
+        last = customer.peer_sums.get(peer)
+        incarnation = self._peer_incarnations[peer]
+        is_same_process = last is not None and last.incarnation == incarnation
+        # A new process counts from nothing.
+        last_requested = last.requested if last is not None and is_same_process else 0
+        last_admitted = last.admitted if last is not None and is_same_process else 0
+        requested = gossip_codec.grown(report.arrived, last_requested)
+        admitted = gossip_codec.grown(report.spent, last_admitted)
+        if last is None:
+            # One of both ingresses is new to the other: of sums since a start unknown the last
+            # request counts, and a start does not fill the token bucket.
+            largest = self._context.settings.max_request_units
+            requested = min(requested, largest)
+            admitted = min(admitted, largest)
+            customer.quota.at_most(report.left + admitted)
+        customer.peer_sums[peer] = PeerSums(incarnation, report.arrived, report.spent)
+        self._update_peer_rates(customer, requested, admitted)
+        customer.peer_in_flight.pop(peer, None)
+        if report.out:
+            customer.peer_in_flight[peer] = (self._context.now, report.out)
+
+    def _update_peer_rates(self, customer: Customer, requested: float, admitted: float) -> None:
+        """Add units that a peer was asked for and admitted since its last message."""
+        sketch = self._customers.sketches[customer.plan_number]
+        if sketch is None:
+            return
+        gap = self._context.now - customer.gossip_at
+        customer.gossip_at = self._context.now
+        customer.quota.messages_told(admitted, gap)
+        customer.peer_arrival_rate = sketch.decayed(
+            customer.peer_arrival_rate, max(0.0, requested), gap
+        )
+        customer.peer_admission_rate = sketch.decayed(
+            customer.peer_admission_rate, max(0.0, admitted), gap
+        )
--- a/dockthread/policy/load_balancer.py
+++ b/dockthread/policy/load_balancer.py
@@ -1,71 +1,180 @@
-"""Choice of the worker for an attempt: by chance, load and pace, with the guards for cold and full
-ones.
+"""Load balancing: the choice of the backend for an attempt.
+
+Of a few backends drawn by their weights the one with the least expected cost is chosen (power of
+several choices). A backend that warms up or is at capacity is guarded.
 """
 
 from __future__ import annotations
 
-from dockthread.policy.backend_pool import NOBODY
-from dockthread.policy.model import Effect
-from dockthread.policy.slow_start import Warming, cold_times
-from dockthread.policy.state import NEVER, Call, Worker
+from dockthread.policy.backend import Backend
+from dockthread.policy.backend_pool import NOBODY, Drawable
+from dockthread.policy.backend_registry import BackendRegistry
+from dockthread.policy.backend_weight import BackendWeights
+from dockthread.policy.context import NEVER, Context
+from dockthread.policy.model import IDLE_CLOSE_FRACTION, Effect
+from dockthread.policy.pending_request import Attempt, PendingRequest
+from dockthread.policy.route_constraints import RouteConstraints
+from dockthread.policy.slow_start import SlowStart, warming_multiple
+
+# Backends drawn by all ingresses together for one attempt, over the backends there are.
+CANDIDATES_PER_BACKEND = 4
+# The fewest backends drawn for one attempt.
+FEWEST_CANDIDATES = 2
+# The price of a new connection is worth this many usual response times.
+HANDSHAKE_RESPONSE_TIMES = 8.0
+# Expected costs that differ by less than this part are taken for alike: chance decides.
+COST_NOISE = 0.05
+
+
+class LoadBalancer:
+    """Chooses the backend of an attempt."""
+
+    __slots__ = (
+        "_backends",
+        "_context",
+        "_idle_connection_time",
+        "_pool",
+        "_routes",
+        "_slow_start",
+        "_weights",
+    )
+
+    def __init__(
+        self,
+        context: Context,
+        backends: BackendRegistry,
+        weights: BackendWeights,
+        slow_start: SlowStart,
+        routes: RouteConstraints,
+    ) -> None:
+        self._context = context
+        self._backends = backends
+        self._pool = backends.pool
+        self._weights = weights
+        self._slow_start = slow_start
+        self._routes = routes
+        self._idle_connection_time = context.settings.conn_idle * IDLE_CLOSE_FRACTION
+
+    def choose(self, pending: PendingRequest) -> Backend | None:
+        """Return the backend for a request's next attempt, or None where there is none for now.
+
+        Drawing by weight keeps ingresses from herding, and from overloading in sum a backend that
+        warms up (rule 4): of the backends drawn for a first attempt only as many may warm up as
+        such a backend can be sent times its capacity, even where the others are at capacity. A
+        pool in which all warm up is limited by `RecoveryRamp`.
+        """
+        pool = self._pool
+        if not pool.warm and self._slow_start.attempts_available(pool.total) < 1:
+            return None
+        possible_run = pending.first_possible_run()
+        used = {attempt.backend for attempt in pending.attempts}
+        candidates = self._routes.candidates(pending)
+        effect = Effect.SAFE if possible_run is None else self._routes.effect(pending)
+        if possible_run is not None and effect is not Effect.SAFE:
+            candidates = self._deduplicating(pending, possible_run, effect, candidates)
+        elif candidates:
+            backend = self._least_cost(pending, candidates, used)
+            if backend is not None:
+                return backend
+        return self._any_with_capacity(pending, possible_run, candidates, used)
+
+    def idle_connections_since(self) -> float:
+        """Return since when an idle connection may have stood without being closed, in seconds."""
+        return self._context.now - self._idle_connection_time
 
-# candidates a gateway; draws of the own zone; root of a bad one's share
-CHOICES, HOME, TRIALS = 4, 2.0, 0.1
-HANDSHAKE = 8.0  # requests' times that the price of a new connection is worth
-ABOUT = 0.05  # part by which believed costs may differ and be alike: within it, chance decides
+    def _deduplicating(
+        self,
+        pending: PendingRequest,
+        possible_run: Attempt,
+        effect: Effect,
+        candidates: Drawable,
+    ) -> Drawable:
+        """Return the backends that drop the repeat of what may have run; none if none does."""
+        is_repeatable = (
+            effect is Effect.KEYED
+            and self._context.now < self._routes.repeat_window_end(possible_run, pending)
+        )
+        if not is_repeatable:
+            return NOBODY
+        home = self._backends.by_number[possible_run.backend].entry
+        return self._routes.deduplicating(pending, home, candidates)
 
+    def _least_cost(
+        self, pending: PendingRequest, candidates: Drawable, used: set[int]
+    ) -> Backend | None:
+        """Return the backend of least cost among some that are drawn; None if none is usable."""
+        settings = self._context.settings
+        share = CANDIDATES_PER_BACKEND * len(candidates) // settings.ingress_count
+        drawn = candidates.draw(self._context.rng, max(FEWEST_CANDIDATES, share))
+        warming_allowed = 0 if pending.attempts else warming_multiple(settings.safety)
+        usable = [
+            backend
+            for position, backend in enumerate(drawn)
+            if self._is_usable(backend, pending, position < warming_allowed)
+        ]
+        unused = [backend for backend in usable if backend.entry.backend not in used]
+        return min(unused, key=self._cost) if unused else None
 
-class Choice(Warming):
-    """Chooses the worker of an attempt."""
+    def _any_with_capacity(
+        self,
+        pending: PendingRequest,
+        possible_run: Attempt | None,
+        candidates: Drawable,
+        used: set[int],
+    ) -> Backend | None:
+        """Draw from all backends with capacity, as the few that were drawn have none.
 
-    def _choose(self, call: Call) -> Worker | None:
-        """Drawn by their shares, so that gateways neither herd nor, in sum, push a cold worker over
-        (rule 4): of a first attempt's drawn only as many may be cold as times what it can do a cold
-        worker stands, less one that is kept for chance, whatever the others have no room for. Cold
-        ones alone: by `Ramp`.
+        It is by weight and not by cost: a backend that drains without notice is empty, and would
+        be chosen each time. When all are at capacity, only a first attempt is sent.
         """
-        if not self.pool.warm and self._ramp_left() < 1:
+        eligible = self._with_capacity(pending, candidates)
+        if not eligible and not pending.attempts:
+            eligible = list(candidates.some(self._context.rng))
+        unused = [backend for backend in eligible if backend.entry.backend not in used]
+        if not unused and possible_run is None:
+            unused = eligible
+        if not unused:
             return None
-        ran, used = call.ran(), {a.worker for a in call.attempts}
-        pool = self._subset(call, self.pool)
-        if ran is not None and (effect := self._effect(call)) is not Effect.SAFE:  # rule 2
-            repeats = effect is Effect.KEYED and self.now < self._repeat_ends(ran, call)
-            pool = self._near(call, pool, self.workers[ran.worker].entry) if repeats else NOBODY
-        elif pool:
-            count = max(2, CHOICES * len(pool) // self.s.ingress_count)
-            drawn = pool.draw(self.rng, count)
-            cold = 0 if call.attempts else cold_times(self.s.safety)
-            free = [w for i, w in enumerate(drawn) if self._fits(w, call, i < cold)]
-            if free := [w for w in free if w.entry.backend not in used]:
-                return min(free, key=self._cost)
-        # Full, or draining unannounced: its emptiness would draw all. When all are, only first
-        # attempts go.
-        roomy = self._roomy(call, pool)
-        ready = roomy if roomy or call.attempts else list(pool.some(self.rng))
-        ready = [w for w in ready if w.entry.backend not in used] or ([] if ran else ready)
-        return self.rng.choices(ready, [self._share(w) for w in ready])[0] if ready else None
-
-    def _cost(self, w: Worker) -> float:
-        """Time that one more there would take, by what is believed; among like ones chance
-        decides.
+        weights = [self._weights.weight(backend) for backend in unused]
+        return self._context.rng.choices(unused, weights)[0]
+
+    def _with_capacity(self, pending: PendingRequest, candidates: Drawable) -> list[Backend]:
+        """Return the backends with capacity, warm ones unless none is.
+
+        Of many, it returns those among some, unless none of these has capacity.
+        """
+        may_warm_up = not self._pool.warm
+        some = [
+            backend
+            for backend in candidates.some(self._context.rng)
+            if self._is_usable(backend, pending, may_warm_up)
+        ]
+        return some or [
+            backend for backend in candidates if self._is_usable(backend, pending, may_warm_up)
+        ]
+
+    def _cost(self, backend: Backend) -> float:
+        """Return the expected time that one more request would take; chance decides among equals.
+
+        It is in usual response times over the backend's weight.
         """
-        dearer = 1.0 if w.linked(self.now - self.kept) else 1 + HANDSHAKE * self.s.costs.handshake
+        if backend.has_idle_connection(self.idle_connections_since()):
+            connection_cost = 1.0
+        else:
+            handshake = self._context.settings.costs.handshake
+            connection_cost = 1 + HANDSHAKE_RESPONSE_TIMES * handshake
         return (
-            (w.load(self.now) + 1)
-            * w.pace
-            / self._sound(w)
-            * dearer
-            * self.rng.uniform(1, 1 + ABOUT)
+            (backend.load(self._context.now) + 1)
+            * backend.relative_latency
+            / self._weights.warm_weight(backend)
+            * connection_cost
+            * self._context.rng.uniform(1, 1 + COST_NOISE)
         )
 
-    def _fits(self, w: Worker, call: Call, cold: bool) -> bool:
-        if not w.ready or self.now < w.full_until.get(call.ask.plan, NEVER):
+    def _is_usable(self, backend: Backend, pending: PendingRequest, may_warm_up: bool) -> bool:
+        """Return whether a backend is ready, has capacity for the plan and is warm if it must."""
+        if not backend.ready:
             return False
-        return cold or self._warmth(w) >= 1.0
-
-    def _share(self, w: Worker) -> float:
-        return self._sound(w) * self._warmth(w)
-
-    def _sound(self, w: Worker) -> float:
-        near = HOME if w.entry.zone == self.s.zone and self.s.costs.cross_zone else 1.0
-        return near * max(w.entry.weight, 1e-6) * max(1 - w.failed, TRIALS) ** 2
+        if self._context.now < backend.at_capacity_until.get(pending.event.plan, NEVER):
+            return False
+        return may_warm_up or self._slow_start.weight(backend) >= 1.0
--- /dev/null
+++ b/dockthread/policy/pending_request.py
@@ -0,0 +1,87 @@
+"""Requests that have no final answer yet, and their attempts."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from dockthread.policy.events import RequestArrived
+from dockthread.policy.model import NEVER_RAN, Outcome, RequestClass
+
+
+@dataclass(slots=True)
+class Attempt:
+    """One attempt of a request at one backend.
+
+    Attributes:
+        backend: the backend's number.
+        sent_at: when it was sent, in seconds on the engine's clock.
+        concurrency: how crowded the backend was taken to be, 1 being as usual.
+        is_in_flight: whether it has not ended yet.
+        is_overdue: whether its answer is missing for much longer than usual.
+        may_have_run: whether the backend may have executed the request.
+        outcome: how it ended; None while it is in flight.
+    """
+
+    backend: int
+    sent_at: float
+    concurrency: float = 1.0
+    is_in_flight: bool = True
+    is_overdue: bool = False
+    may_have_run: bool = True
+    outcome: Outcome | None = None
+
+    def end(self, outcome: Outcome) -> None:
+        """Note how the attempt ended."""
+        self.is_in_flight = False
+        self.may_have_run = outcome not in NEVER_RAN
+        self.outcome = outcome
+
+
+@dataclass(slots=True)
+class PendingRequest:
+    """One request without a final answer.
+
+    Attributes:
+        event: the request as it arrived.
+        request_class: its class as it was at the arrival; a reload may change the class since.
+        deadline: when its client stops waiting, in seconds on the engine's clock.
+        attempts: its attempts in the order sent.
+        has_deadline_timer: whether a timer for its deadline is set.
+    """
+
+    event: RequestArrived
+    request_class: RequestClass
+    deadline: float
+    attempts: list[Attempt] = field(default_factory=list)
+    has_deadline_timer: bool = False
+
+    def first_possible_run(self) -> Attempt | None:
+        """Return the first attempt that a backend may have executed, or None."""
+        return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
+
+    def has_attempt_in_flight(self) -> bool:
+        """Return whether an attempt has not ended yet."""
+        return any(attempt.is_in_flight for attempt in self.attempts)
+
+
+class PendingRequests:
+    """All requests without a final answer.
+
+    Attributes:
+        by_number: the requests by their number.
+        streaming: numbers of the requests whose response has begun to pass on to the client. From
+            then on no other attempt can answer them.
+    """
+
+    __slots__ = ("by_number", "streaming")
+
+    def __init__(self) -> None:
+        self.by_number: dict[int, PendingRequest] = {}
+        self.streaming: set[int] = set()
+
+    def awaiting_attempt(self, request: int, number: int) -> PendingRequest | None:
+        """Return the request whose attempt is in flight with no response begun, or None."""
+        pending = self.by_number.get(request)
+        if pending is None or request in self.streaming:
+            return None
+        return pending if pending.attempts[number].is_in_flight else None
--- /dev/null
+++ b/dockthread/policy/queueing_delay.py
@@ -0,0 +1,106 @@
+"""The time that a request now admitted is expected to wait at the backends."""
+
+from __future__ import annotations
+
+import math
+
+from dockthread.policy.context import Context
+from dockthread.policy.model import RequestClass
+from dockthread.policy.usual_latency import UsualLatencies
+
+# Seconds between two rounds of the engine's periodic maintenance.
+MAINTENANCE_INTERVAL = 0.25
+# Completions are averaged over this many times the safety limits' `overload_time`.
+COMPLETIONS_OVERLOAD_TIMES = 4.0
+# Attempts in flight below which their number says nothing of a queue.
+FEWEST_IN_FLIGHT = 5
+# Weight of one more response in the smoothed latency.
+RESPONSE_WEIGHT = 0.12
+# Weight of one more rejection for lack of capacity in the smoothed latency.
+AT_CAPACITY_WEIGHT = 0.25
+# The longest response time that counts, in tightest latency objectives: a later one tells of the
+# time when its request was sent and not of now.
+LONGEST_COUNTED = 1.5
+# Fraction of a latency objective: an expected wait beyond it makes requests be rejected.
+PRESSED_FRACTION = 0.25
+
+
+class QueueingDelayEstimator:
+    """Estimates the wait from attempts in flight, completions and recent response times.
+
+    Attributes:
+        tightest_objective: the shortest latency objective of all classes, in seconds.
+        smoothed_latency: the recent response time in seconds. It decays, for it tells of the
+            moment: a queue that is gone must not cause rejections.
+        in_flight: attempts in flight that are not overdue.
+        completions: decayed number of responses.
+    """
+
+    __slots__ = (
+        "_context",
+        "_latencies",
+        "completions",
+        "in_flight",
+        "smoothed_latency",
+        "tightest_objective",
+    )
+
+    def __init__(self, context: Context, latencies: UsualLatencies) -> None:
+        self._context = context
+        self._latencies = latencies
+        self.tightest_objective = 0.0
+        self.apply_classes(context.settings.classes)
+        self.smoothed_latency = 0.0
+        self.in_flight = 0
+        self.completions = 0.0
+
+    def apply_classes(self, classes: tuple[RequestClass, ...]) -> None:
+        """Derive the tightest objective from the classes in force."""
+        self.tightest_objective = min(request_class.latency_objective for request_class in classes)
+
+    @property
+    def is_pressed(self) -> bool:
+        """Whether recent responses took so long that requests are rejected for it."""
+        return self.smoothed_latency > PRESSED_FRACTION * self.tightest_objective
+
+    def expected_delay(self) -> float:
+        """Return the expected wait in seconds.
+
+        It is the larger of two figures. By Little's law, the attempts in flight, less what chance
+        could have put there, over the rate of completions: it sees a queue build up. And the
+        smoothed latency: it sees work that was given up here and still waits at the backends.
+        """
+        # The first responses after a start come so much later than their requests.
+        lag = self._latencies.mean()
+        period = min(self._averaging_time(), self._context.now - self._context.started_at - lag)
+        in_flight = self.in_flight
+        if in_flight < FEWEST_IN_FLIGHT or not self.completions or period < lag:
+            queued = 0.0
+        else:
+            queued = (in_flight - math.sqrt(in_flight)) * period / self.completions
+        return max(queued, self.smoothed_latency)
+
+    def record_completion(self) -> None:
+        """Count a response."""
+        self.completions += 1
+
+    def record_response(self, duration: float, relevance: float) -> None:
+        """Learn from a response that took `duration` seconds; `relevance` is from 0 to 1."""
+        weight = RESPONSE_WEIGHT * relevance
+        counted = min(duration, LONGEST_COUNTED * self.tightest_objective)
+        self.smoothed_latency += weight * (counted - self.smoothed_latency)
+
+    def record_at_capacity(self, relevance: float) -> None:
+        """Learn from a backend without capacity: many of them are a queue without responses."""
+        weight = AT_CAPACITY_WEIGHT * relevance
+        self.smoothed_latency += weight * (self.tightest_objective - self.smoothed_latency)
+
+    def decay(self) -> None:
+        """Decay what is known by one round of periodic maintenance."""
+        self.completions *= 1 - MAINTENANCE_INTERVAL / self._averaging_time()
+        self.smoothed_latency *= 0.5 ** (MAINTENANCE_INTERVAL / self.tightest_objective)
+
+    def _averaging_time(self) -> float:
+        """Return the seconds over which completions are averaged."""
+        overload_time = self._context.settings.safety.overload_time
+        return COMPLETIONS_OVERLOAD_TIMES * overload_time + MAINTENANCE_INTERVAL
--- a/dockthread/policy/rate_sketch.py
+++ b/dockthread/policy/rate_sketch.py
@@ -5,7 +5,7 @@
 import math
 import random
 
-from dockthread.policy.state import NEVER
+from dockthread.policy.context import NEVER
 
 # five rows as in the paper; several times wider than the customers seen lately
 ROWS, CELLS = 5, 1024
--- a/dockthread/policy/route_constraints.py
+++ b/dockthread/policy/route_constraints.py
@@ -1,174 +1,196 @@
-"""Routes in the module: what a request's route allows is asked here, and held to. It narrows, and
-widens nothing.
+"""What a request's route and its class's effect allow: backends, attempts, pauses and hedges.
 
-A route comes with the request (`Route`), and knows no more of the module than the module of it.
+A route comes with the request (`Route`). It narrows what the settings allow and widens nothing.
+Without a route, every answer here is what the settings say.
 """
 
 from __future__ import annotations
 
+from collections import deque
 from math import inf
 
-from dockthread.policy.backend_pool import Drawable, Sifted
-from dockthread.policy.events import RequestArrived
-from dockthread.policy.gossip import Gossip
-from dockthread.policy.model import Effect, Endpoint, Outcome, RequestClass
-from dockthread.policy.state import Attempt, Call, Worker
+from dockthread.policy.backend_pool import Drawable, Pool, Sifted
+from dockthread.policy.context import Context
+from dockthread.policy.events import AttemptEnded
+from dockthread.policy.model import Effect, Endpoint, Outcome
+from dockthread.policy.pending_request import Attempt, PendingRequest, PendingRequests
+from dockthread.policy.rejection import RejectionReason, reject
+from dockthread.policy.timers import TimerQueue
 
-STRICTNESS = (Effect.SAFE, Effect.KEYED, Effect.UNSAFE)
+# Effects from the one that allows most to the one that allows least.
+EFFECTS_BY_STRICTNESS = (Effect.SAFE, Effect.KEYED, Effect.UNSAFE)
+# Ticks of the engine's clock before a deadline at which the final answer has to be given.
+DEADLINE_TICKS = 2
 
 
-class Routed(Gossip):
-    """What the parts that decide ask of a request's route. Without a route each answer is what it
-    was before.
+class RouteConstraints:
+    """Applies the constraints of requests' routes.
+
+    Attributes:
+        admitted: requests that waited for their route's concurrency limit and are inside it now.
+            The engine decides them at the end of the event.
     """
 
-    def _fits(self, w: Worker, call: Call, cold: bool) -> bool:
-        raise NotImplementedError
+    __slots__ = ("_context", "_pool", "_requests", "_timers", "admitted")
+
+    def __init__(
+        self, context: Context, timers: TimerQueue, requests: PendingRequests, pool: Pool
+    ) -> None:
+        self._context = context
+        self._timers = timers
+        self._requests = requests
+        self._pool = pool
+        self.admitted: deque[int] = deque()
 
-    def _try(self, request: int, call: Call) -> bool:
-        raise NotImplementedError
+    # Repeats (rule 2)
 
-    def _close(self, request: int) -> None:
-        raise NotImplementedError
+    def effect(self, pending: PendingRequest) -> Effect:
+        """Return the stricter of the class's effect at the arrival and by a reload since."""
+        current = self._context.settings.classes[pending.event.request_class].effect
+        return max(pending.request_class.effect, current, key=EFFECTS_BY_STRICTNESS.index)
 
-    def _refuse(self, request: int, rules: RequestClass, why: str = "") -> None:
-        raise NotImplementedError
+    def repeat_window_end(self, possible_run: Attempt, pending: PendingRequest) -> float:
+        """Return until when a request that may have run can be repeated, in seconds."""
+        window = pending.request_class.deduplication_window
+        return possible_run.sent_at + window - self._context.settings.clock_tick
 
-    def _effect(self, call: Call) -> Effect:
-        """The stricter of what its class was when it came, and what it is by a reload since."""
-        now = self.s.classes[call.ask.request_class].effect
-        return max(call.rules.effect, now, key=STRICTNESS.index)
+    def start_deadline(self, pending: PendingRequest) -> float:
+        """Return when the first byte of the attempt just added must be sent, in seconds."""
+        possible_run = pending.first_possible_run()
+        if (
+            possible_run is None
+            or possible_run is pending.attempts[-1]
+            or self.effect(pending) is Effect.SAFE
+        ):
+            return inf
+        return self.repeat_window_end(possible_run, pending)
 
-    def _repeat_ends(self, ran: Attempt, call: Call) -> float:
-        """The end of the window in which what may have run may be repeated."""
-        return ran.sent + call.rules.deduplication_window - self.s.clock_tick
+    # Backends
 
-    def _subset(self, call: Call, pool: Drawable) -> Drawable:
-        """The workers of the route's share; all of them where it has none that is ready."""
-        route = call.ask.route
+    def candidates(self, pending: PendingRequest) -> Drawable:
+        """Return the backends that the route allows; all where none of these is ready."""
+        route = pending.event.route
         if route is None or not route.narrow:
-            return pool
-        return self.pool.sifted(route.fits) or pool
+            return self._pool
+        return self._pool.sifted(route.fits) or self._pool
 
-    def _near(self, call: Call, pool: Drawable, home: Endpoint) -> Drawable:
-        """Those of a subset that drop the repeats of what ran at `home`."""
-        near, route = self.pool.near(home, call.rules.deduplication_scope), call.ask.route
-        return near if pool is self.pool or route is None else Sifted(near, route.fits)
+    def deduplicating(
+        self, pending: PendingRequest, home: Endpoint, candidates: Drawable
+    ) -> Drawable:
+        """Return the candidates that drop repeats of an attempt that may have run at `home`."""
+        near = self._pool.near(home, pending.request_class.deduplication_scope)
+        route = pending.event.route
+        if candidates is self._pool or route is None:
+            return near
+        return Sifted(near, route.fits)
 
-    def _roomy(self, call: Call, pool: Drawable) -> list[Worker]:
-        """Those that have room, warm ones unless none is. Of many, those among some, unless none of
-        these has any.
-        """
-        cold = not self.pool.warm
-        roomy = [w for w in pool.some(self.rng) if self._fits(w, call, cold)]
-        return roomy or [w for w in pool if self._fits(w, call, cold)]
+    # The route's concurrency limit
+
+    def enter(self, pending: PendingRequest) -> bool:
+        """Return whether a request is inside its route's concurrency limit.
 
-    def _enters(self, ask: RequestArrived, call: Call) -> bool:
-        """Whether a request is inside its route's limit. Else it waits, or it or a cheaper one is
-        refused.
+        Otherwise it waits in the route's queue, or it or a request of less priority is rejected.
         """
-        route = ask.route
+        event = pending.event
+        route = event.route
         if route is None or not route.waits:
             return True
-        worth = call.rules.priority_weight * self.s.plans[ask.plan].priority_multiplier * ask.units
-        inside, loser = route.enter(ask.request, worth, self.now)
-        if inside:
+        plan = self._context.settings.plans[event.plan]
+        priority = pending.request_class.priority_weight * plan.priority_multiplier * event.units
+        is_inside, rejected = route.enter(event.request, priority, self._context.now)
+        if is_inside:
             return True
-        self.calls[ask.request] = call
-        if loser != ask.request:
-            self.timer(self.now + route.queue_wait, self._waited, ask.request)
-        if loser is not None and (lost := self.calls.pop(loser, None)):
-            self._leave(lost)
-            self._refuse(loser, lost.rules, "limit")
+        self._requests.by_number[event.request] = pending
+        if rejected != event.request:
+            wait_ends_at = self._context.now + route.queue_wait
+            self._timers.set(wait_ends_at, self._on_queue_wait_ended, event.request)
+        if rejected is not None:
+            self._reject_queued(rejected)
         return False
 
-    def _waited(self, request: int) -> None:
-        """The stated wait in the queue is over."""
-        call = self.calls.get(request)
-        if (
-            call is not None
-            and (route := call.ask.route)
-            and route.waits
-            and request not in self.entering
-        ):
-            route.gave_up_waiting(request)
-            del self.calls[request]
-            self._leave(call)
-            self._refuse(request, call.rules, "limit")
-
-    def _leave(self, call: Call) -> None:
-        """Its place is free: who waited for it is let in at the end of this round."""
-        if (route := call.ask.route) is not None:
-            for request in route.leave(call.ask.request):
-                if (waiting := self.calls.get(request)) and (theirs := waiting.ask.route):
-                    theirs.admitted(self.now)
-                    self.entering.append(request)
-
-    def _sent(self, request: int, call: Call) -> tuple[float, float]:
-        """After a send: the attempt's own time-out, the latest for its first byte, and the timer of
-        its copy.
-        """
-        ran, begin_by = call.ran(), inf
-        if (
-            ran is not None
-            and ran is not call.attempts[-1]
-            and self._effect(call) is not Effect.SAFE
-        ):
-            begin_by = self._repeat_ends(ran, call)
-        left, number = max(call.deadline - self.now, 0.0), len(call.attempts) - 1
-        if (route := call.ask.route) is None:
-            return left, begin_by
-        route.sent(number, self.now)
-        if (after := route.copy_after()) is not None:
-            self.timer(self.now + after, self._copy, request, number)
-        return min(left, route.attempt_timeout or left), begin_by
-
-    def _awaited(self, request: int, number: int) -> Call | None:
-        """The call whose attempt is still out with nothing of an answer begun; None where none
-        waits for it.
-        """
-        call = self.calls.get(request)
-        return (
-            call if call and request not in self.streaming and call.attempts[number].out else None
-        )
-
-    def _copy(self, request: int, number: int) -> None:
-        """The route's own wait for a second copy is over."""
-        if (call := self._awaited(request, number)) is None:
+    def leave(self, pending: PendingRequest) -> None:
+        """Free a request's place in its route's limit for those that wait for it."""
+        route = pending.event.route
+        if route is None:
             return
-        if (
-            self._repeats(call)
-            and self.s.may_hedge
-            and self._may_copy(call)
-            and not self._try(request, call)
-        ):
-            del self.held[request]
-
-    def _repeats(self, call: Call) -> bool:
-        raise NotImplementedError
+        for request in route.leave(pending.event.request):
+            waiting = self._requests.by_number.get(request)
+            if waiting is not None and waiting.event.route is not None:
+                waiting.event.route.admitted(self._context.now)
+                self.admitted.append(request)
+
+    def _on_queue_wait_ended(self, request: int) -> None:
+        """Reject a request that has waited in its route's queue for as long as it may."""
+        pending = self._requests.by_number.get(request)
+        if pending is None:
+            return
+        route = pending.event.route
+        if route is None or not route.waits or request in self.admitted:
+            return
+        route.gave_up_waiting(request)
+        self._reject_queued(request)
+
+    def _reject_queued(self, request: int) -> None:
+        pending = self._requests.by_number.pop(request, None)
+        if pending is not None:
+            self.leave(pending)
+            reject(self._context, request, pending.request_class, RejectionReason.ROUTE_LIMIT)
+
+    # Attempts
+
+    def on_attempt_sent(self, pending: PendingRequest) -> None:
+        """Tell the route that the request's last attempt is being sent."""
+        route = pending.event.route
+        if route is not None:
+            route.sent(len(pending.attempts) - 1, self._context.now)
+
+    def hedge_delay(self, pending: PendingRequest) -> float | None:
+        """Return the seconds after which the route itself hedges an attempt, or None."""
+        route = pending.event.route
+        return None if route is None else route.copy_after()
+
+    def attempt_timeout(self, pending: PendingRequest) -> float:
+        """Return the seconds that the attempt being sent may take."""
+        remaining = max(pending.deadline - self._context.now, 0.0)
+        route = pending.event.route
+        if route is None:
+            return remaining
+        return min(remaining, route.attempt_timeout or remaining)
+
+    def may_hedge(self, pending: PendingRequest) -> bool:
+        """Return whether the route allows a hedge now. It draws on the route's budget."""
+        route = pending.event.route
+        return route is None or route.copy(len(pending.attempts), self._context.now)
+
+    def retry_pause(self, pending: PendingRequest, outcome: Outcome) -> float | None:
+        """Return the seconds to wait before a retry, or None where the route allows none.
+
+        It draws on the route's retry budget. A final answer is never delayed: where the pause
+        would end too close to the deadline, there is no retry.
+        """
+        route = pending.event.route
+        if route is None:
+            return 0.0
+        now = self._context.now
+        pause = route.again(len(pending.attempts), outcome, now)
+        if pause is None:
+            return None
+        return None if now + pause >= self.answer_deadline(pending) else pause
+
+    def still_allows_retry(self, pending: PendingRequest) -> bool:
+        """Return whether a retry that was allowed before a pause still is after a reload."""
+        route = pending.event.route
+        outcome = pending.attempts[-1].outcome
+        if outcome is None or route is None:
+            return True
+        return route.still(len(pending.attempts), outcome)
 
-    def _may_copy(self, call: Call) -> bool:
-        return call.ask.route is None or call.ask.route.copy(len(call.attempts), self.now)
+    def answer_deadline(self, pending: PendingRequest) -> float:
+        """Return the latest time for the final answer, just before the client stops waiting."""
+        return pending.deadline - DEADLINE_TICKS * self._context.settings.clock_tick
 
-    def _pause(self, call: Call, outcome: Outcome) -> float | None:
-        """The wait before the next attempt; None where the route has none."""
-        if call.ask.route is None:
-            return 0.0
-        pause = call.ask.route.again(len(call.attempts), outcome, self.now)
-        # A final answer is never delayed: where the wait would end too late, it comes now.
-        late = pause is not None and self.now + pause >= call.deadline - 2 * self.s.clock_tick
-        return None if late else pause
-
-    def _again(self, request: int) -> None:
-        """After a wait between attempts. A reload may have forbidden meanwhile what was allowed
-        before.
-        """
-        call = self.calls.get(request)
-        if call is None or any(a.out for a in call.attempts):
-            return
-        last: Attempt = call.attempts[-1]
-        route = call.ask.route
-        if last.outcome is None or route is None or route.still(len(call.attempts), last.outcome):
-            self._try(request, call)
-        if not any(a.out for a in call.attempts):
-            self._close(request)
+    def on_attempt_ended(self, pending: PendingRequest, event: AttemptEnded) -> None:
+        """Tell the route how an attempt ended."""
+        route = pending.event.route
+        if route is not None:
+            route.ended(event.attempt, event.outcome, event.duration, self._context.now)
--- a/dockthread/policy/slow_start.py
+++ b/dockthread/policy/slow_start.py
@@ -1,92 +1,132 @@
-"""What cold workers may be given, from what warm ones bore. Decides nothing.
-
-Theory of operation. Beside warm workers a cold one is drawn by its warmth, and so its load over
-what it can do is at most as many times a warm one's as candidates may be cold. In a pool without a
-warm worker nothing holds this: all that comes goes there, and at once what was held while there was
-none. What a worker can do is told nowhere; the answers that one bore in a second are no more than
-it could do then (`Ramp`). Each ingress counts its own: the sum over the fleet of what each allows
-is what the settings allow of what the fleet saw borne, whatever its size and how uneven the
-traffic. docs/design/fleet.md has the derivation.
+"""Slow start: what backends that warm up may be sent, as learnt from warm ones.
+
+Theory of operation. Beside warm backends, one that warms up is drawn by its slow-start weight, so
+that its load over its capacity is at most as many times a warm backend's as candidates may be
+warming up. In a pool without a warm backend nothing holds this: all requests go there, and at once
+those that were held while there was no backend. What a backend can serve is not known; what one
+served in a second is no more than it could serve (`RecoveryRamp`). Each ingress counts its own
+responses: the sum over the fleet of what each allows is what the settings allow of what the fleet
+saw served, whatever its size and however uneven the traffic. docs/design/fleet.md has the
+derivation.
 """
 
 from __future__ import annotations
 
 import math
 
-from dockthread.policy.model import PolicySettings, SafetyLimits
-from dockthread.policy.route_constraints import Routed
-from dockthread.policy.state import Worker
+from dockthread.policy.backend import Backend
+from dockthread.policy.context import Context
+from dockthread.policy.model import SafetyLimits
+from dockthread.policy.usual_latency import UsualLatencies
 
-BORNE_OVER = 4.0  # fall times over which what workers bore is averaged
+# Responses are averaged over this many times the safety limits' `overload_time`.
+RESPONSES_OVERLOAD_TIMES = 4.0
+# Shortest time in seconds that a backend's warm-up is taken to last, against a division by 0.
+SHORTEST_WARM_UP = 1e-6
 
 
-class Ramp:
-    """The tries that a pool of cold workers alone is given by one gateway: a store that fills at
-    `multiple - 1` times what the gateway saw borne by as much warmth, and holds what is left of the
-    multiple over a fall time. So no fall time sees more than `multiple` times that.
+class RecoveryRamp:
+    """The attempts that one ingress may send to a pool of which all backends warm up.
+
+    It is a token bucket. It fills at `overload_multiple - 1` times what the ingress saw served by
+    backends of the same summed weight, and holds the rest of the multiple over `overload_time`.
+    So no period of that length sees more than `overload_multiple` times what was served.
     """
 
-    def __init__(self, safety: SafetyLimits, gateways: int, now: float) -> None:
-        self._gateways, self._window = gateways, safety.overload_time
-        self._times = cold_times(safety)
-        # answers, and seconds of warmth in which they came; both decayed
-        self._answers = self._exposure = 0.0
-        self._shares, self._at = 0.0, now
-        self.left = 1.0
-
-    def answered(self, now: float, shares: float, usual: float) -> None:
-        """A worker answered; the other parameters as in `pass_time`."""
-        self.pass_time(now, shares, usual)
-        self._answers += 1
-
-    def pass_time(self, now: float, shares: float, usual: float) -> None:
-        """`shares`: of all ready workers, by warmth; `usual`: s that an answer takes."""
-        gap, self._at = now - self._at, now
-        kept = math.exp(-gap / (BORNE_OVER * self._window))
-        self._answers *= kept
-        self._exposure = kept * self._exposure + gap * self._shares
-        borne = self._shares * self.borne(usual)
-        self.left += gap * self._times * borne
-        self.left = min(self.left, max(1.0, self._window * borne))
-        self._shares = shares
-
-    def borne(self, usual: float) -> float:
-        """Answers to this gateway a second by a worker of full share: seen, and its part of what
-        any worker can do that works on one request at a time.
+    __slots__ = (
+        "_exposure",
+        "_ingress_count",
+        "_multiple",
+        "_responses",
+        "_total_weight",
+        "_updated_at",
+        "_window",
+        "available",
+    )
+
+    def __init__(self, safety: SafetyLimits, ingress_count: int, now: float) -> None:
+        self._ingress_count = ingress_count
+        self._window = safety.overload_time
+        self._multiple = warming_multiple(safety)
+        # decayed: responses, and the summed weights times the seconds in which they came
+        self._responses = 0.0
+        self._exposure = 0.0
+        self._total_weight = 0.0
+        self._updated_at = now
+        self.available = 1.0
+
+    def on_response(self, now: float, total_weight: float, usual_latency: float) -> None:
+        """Count a response; the parameters are those of `advance`."""
+        self.advance(now, total_weight, usual_latency)
+        self._responses += 1
+
+    def advance(self, now: float, total_weight: float, usual_latency: float) -> None:
+        """Refill the bucket up to now.
+
+        Args:
+            now: the current time in seconds.
+            total_weight: the summed weights of all ready backends from now on.
+            usual_latency: seconds that a response usually takes.
+        """
+        gap = now - self._updated_at
+        self._updated_at = now
+        remaining = math.exp(-gap / (RESPONSES_OVERLOAD_TIMES * self._window))
+        self._responses *= remaining
+        self._exposure = remaining * self._exposure + gap * self._total_weight
+        served = self._total_weight * self.served_rate(usual_latency)
+        self.available += gap * self._multiple * served
+        self.available = min(self.available, max(1.0, self._window * served))
+        self._total_weight = total_weight
+
+    def served_rate(self, usual_latency: float) -> float:
+        """Return the responses to this ingress per second and backend of weight 1.
+
+        It is what was seen, and at least this ingress's part of what any backend can serve that
+        works on one request at a time.
         """
-        seen = self._answers / self._exposure if self._exposure else 0.0
-        return max(seen, 1 / (self._gateways * usual))
+        seen = self._responses / self._exposure if self._exposure else 0.0
+        return max(seen, 1 / (self._ingress_count * usual_latency))
+
 
+def warming_multiple(safety: SafetyLimits) -> int:
+    """Return how many times its capacity a backend that warms up may be sent.
 
-def cold_times(safety: SafetyLimits) -> int:
-    """As many times what it can do a cold worker stands, less one that is kept for chance."""
+    It is what the settings allow less one, which is kept for chance.
+    """
     return max(1, int(safety.overload_multiple) - 1)
 
 
-class Warming(Routed):
-    """What the parts that decide ask of warmth."""
+class SlowStart:
+    """Weighs backends by how far they have warmed up, and limits a pool without a warm one."""
+
+    __slots__ = ("_context", "_latencies", "ramp")
+
+    def __init__(self, context: Context, latencies: UsualLatencies) -> None:
+        self._context = context
+        self._latencies = latencies
+        self.ramp = self._new_ramp()
 
-    def __init__(self, settings: PolicySettings, seed: int, now: float) -> None:
-        super().__init__(settings, seed, now)
-        # answer time and its deviation
-        self.usual = [(c.latency_objective / 5, c.latency_objective / 10) for c in settings.classes]
-        self.ramp = Ramp(settings.safety, settings.ingress_count, now)
+    def _new_ramp(self) -> RecoveryRamp:
+        settings = self._context.settings
+        return RecoveryRamp(settings.safety, settings.ingress_count, self._context.now)
 
-    def _usually(self) -> float:
-        """The usual answer time, of a class as of any other."""
-        return sum(usual for usual, _ in self.usual) / len(self.usual)
+    def weight(self, backend: Backend) -> float:
+        """Return the part of its capacity that a backend has now; 1 for a warm one."""
+        safety = self._context.settings.safety
+        started_at = backend.entry.started_at
+        age = max(0.0, self._context.now - started_at) if started_at else math.inf
+        cold = safety.cold_capacity
+        return min(1.0, cold + (1 - cold) * age / max(safety.warm_up_time, SHORTEST_WARM_UP))
 
-    def _warmth(self, w: Worker) -> float:
-        s = self.s.safety
-        age = max(0.0, self.now - w.entry.started_at) if w.entry.started_at else math.inf
-        return min(1.0, s.cold_capacity + (1 - s.cold_capacity) * age / max(s.warm_up_time, 1e-6))
+    def on_response(self, total_weight: float) -> None:
+        """Count a response; `total_weight` is the sum over all ready backends."""
+        self.ramp.on_response(self._context.now, total_weight, self._latencies.mean())
 
-    def _borne(self) -> None:
-        """A worker answered."""
-        self.done += 1
-        self.ramp.answered(self.now, self.pool.total, self._usually())
+    def attempts_available(self, total_weight: float) -> float:
+        """Return how many attempts a pool without a warm backend may be sent now."""
+        self.ramp.advance(self._context.now, total_weight, self._latencies.mean())
+        return self.ramp.available
 
-    def _ramp_left(self) -> float:
-        """Tries left for a pool of cold workers alone."""
-        self.ramp.pass_time(self.now, self.pool.total, self._usually())
-        return self.ramp.left
+    def on_attempt_sent(self) -> None:
+        """Count an attempt that was sent to a pool without a warm backend."""
+        self.ramp.available -= 1
--- /dev/null
+++ b/dockthread/policy/timers.py
@@ -0,0 +1,38 @@
+"""Timers: callbacks that the engine's host triggers by a token."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from dockthread.policy.actions import SetTimer
+from dockthread.policy.context import Context
+from dockthread.policy.events import TimerFired
+
+# Tokens are unsigned 32-bit integers from 1 on, and start again after the largest.
+LARGEST_TOKEN = 0xFFFFFFFF
+
+
+class TimerQueue:
+    """The timers that are set, by the token that their `TimerFired` event carries."""
+
+    __slots__ = ("_context", "_last_token", "pending")
+
+    def __init__(self, context: Context) -> None:
+        self._context = context
+        self._last_token = 0
+        # by token: the callback and its arguments
+        self.pending: dict[int, tuple[Callable[..., None], tuple[int, ...]]] = {}
+
+    def set(self, at: float, callback: Callable[..., None], *arguments: int) -> None:
+        """Have `callback(*arguments)` called at a time, in seconds on the engine's clock."""
+        token = self._last_token % LARGEST_TOKEN + 1
+        self._last_token = token
+        self.pending[token] = (callback, arguments)
+        self._context.actions.append(SetTimer(at, token))
+
+    def on_timer_fired(self, event: TimerFired) -> None:
+        """Call the callback of a timer whose time has come; ignore an unknown token."""
+        timer = self.pending.pop(event.token, None)
+        if timer is not None:
+            callback, arguments = timer
+            callback(*arguments)
--- /dev/null
+++ b/dockthread/policy/usual_latency.py
@@ -0,0 +1,41 @@
+"""The usual response time of each request class, learnt from this ingress's responses."""
+
+from __future__ import annotations
+
+from dockthread.policy.latency_estimates import smoothed
+from dockthread.policy.model import RequestClass
+
+# Weight of one more response in the usual time.
+SMOOTHING_FACTOR = 0.05
+# Before the first response: the latency objective over the usual time, and over its deviation.
+OBJECTIVE_OVER_USUAL = 5
+OBJECTIVE_OVER_DEVIATION = 10
+
+
+class UsualLatencies:
+    """The usual response time and its mean deviation by request class, in seconds."""
+
+    __slots__ = ("by_class",)
+
+    def __init__(self, classes: tuple[RequestClass, ...]) -> None:
+        self.by_class: list[tuple[float, float]] = []
+        self.reset(classes)
+
+    def reset(self, classes: tuple[RequestClass, ...]) -> None:
+        """Start again from the classes' latency objectives."""
+        self.by_class = [
+            (
+                request_class.latency_objective / OBJECTIVE_OVER_USUAL,
+                request_class.latency_objective / OBJECTIVE_OVER_DEVIATION,
+            )
+            for request_class in classes
+        ]
+
+    def mean(self) -> float:
+        """Return the mean of the classes' usual times, in seconds."""
+        return sum(usual for usual, _ in self.by_class) / len(self.by_class)
+
+    def record(self, request_class: int, duration: float) -> None:
+        """Learn from one response of a class that took `duration` seconds."""
+        usual, deviation = self.by_class[request_class]
+        self.by_class[request_class] = smoothed(usual, deviation, duration, SMOOTHING_FACTOR)
--- a/dockthread/routes/model.py
+++ b/dockthread/routes/model.py
@@ -163,8 +163,8 @@
             self.most = min(self.most, self._allowed())
         elif what == "unsafe":
             self.unsafe = True
-            classes = tuple(replace(c, effect=Effect.UNSAFE) for c in self.gateway.s.classes)
-            self.gateway.s = replace(self.gateway.s, classes=classes)
+            classes = tuple(replace(c, effect=Effect.UNSAFE) for c in self.gateway.settings.classes)
+            self.gateway.context.settings = replace(self.gateway.settings, classes=classes)
         else:
             self.gone = True
             self._tell(ClientDisconnected(REQUEST))
--- a/dockthread/telemetry/exporter.py
+++ b/dockthread/telemetry/exporter.py
@@ -191,7 +191,10 @@
             return
         if now >= due:
             tally.loop_times.add((now - due) * 1000.0)
-            if self._ingress.gateway.mute > self._ingress.clock.now() / 1000.0:
+            if (
+                self._ingress.gateway.counter.circuit_open_until
+                > self._ingress.clock.now() / 1000.0
+            ):
                 tally.muted += SAMPLE * 1000.0
             due = now + SAMPLE
         self._sampler = self._loop.call_later(max(0.0, due - now), self._sample, due)
--- a/dockthread/telemetry/reading.py
+++ b/dockthread/telemetry/reading.py
@@ -133,20 +133,21 @@
         end.
         """
         gateway, now = self._ingress.gateway, self._ingress.clock.now() / 1000.0
+        backends = gateway.backends.by_number
         listed = [
             d
             for d in self._ingress.destinations.by_worker.values()
             if d.state is not BackendState.REMOVED
         ]
-        seen = [(d.uid, gateway.workers[d.worker]) for d in listed if d.worker in gateway.workers]
-        seen.sort(key=lambda one: -one[1].out)
+        seen = [(d.uid, backends[d.worker]) for d in listed if d.worker in backends]
+        seen.sort(key=lambda one: -one[1].in_flight)
         for uid, worker in seen[: self._nodes]:
             path = ("nodes", part(uid))
-            yield Point((*path, "out"), GAUGE, worker.out)
+            yield Point((*path, "out"), GAUGE, worker.in_flight)
             yield Point((*path, "failed"), GAUGE, worker.failed)
-            full = any(until > now for until in worker.full_until.values())
+            full = any(until > now for until in worker.at_capacity_until.values())
             yield Point((*path, "skipped"), GAUGE, int(full or not worker.ready))
-            if worker.report and (at := gateway.reports.at.get("rif", -1)) >= 0:
+            if worker.report and (at := gateway.outcomes.load_reports.at.get("rif", -1)) >= 0:
                 yield Point((*path, "inflight"), GAUGE, worker.report[at])
                 yield Point((*path, "report_age"), GAUGE, (now - worker.report_at) * 1000.0)
 
--- a/tests/admin/test_retune.py
+++ b/tests/admin/test_retune.py
@@ -63,6 +63,6 @@
             assert await client.call("renew") == b"value"
             assert await client.call("checkout") == b"value"
             assert "unknown class" in str(await client.call("status"))
-            assert ingress.gateway.s.classes[2].deadline == 2.0
+            assert ingress.gateway.settings.classes[2].deadline == 2.0
 
     run(scenario())
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -107,7 +107,7 @@
                 self.at(self.now + 0.002, lambda: self.give(n, end))
 
     def send(self, n: int, request: int, worker: int) -> None:
-        s = self.gateways[n].s
+        s = self.gateways[n].settings
         self.tried.append(worker)
         self.sent.setdefault((n, request), (self.now, self.units[n, request]))
         took = self.rng.expovariate(1 / 0.06)
@@ -132,7 +132,7 @@
             self.at(self.now + took, answer)
 
     def ask(self, n: int, units: float, cls: int, spread: int) -> None:
-        self.count, s = self.count + 1, self.gateways[n].s
+        self.count, s = self.count + 1, self.gateways[n].settings
         key = (n, self.count)
         self.final[key], self.units[key] = [], units
         self.give(
@@ -195,7 +195,7 @@
 
 def demand(world: World, spread: int, times: float) -> Iterator[tuple[int, float, int]]:
     """Requests of one customer at `times` its quota, uneven over its gateways."""
-    plan = world.gateways[0].s.plans[0]
+    plan = world.gateways[0].settings.plans[0]
     weights = [1.0 / (n + 1) for n in range(spread)]
     rate, start = times * plan.rate / 2.0, world.now  # requests of 2 units on average
     while world.now < start + SECONDS:
@@ -266,7 +266,9 @@
     world, outs = World(s, 4), list[int]()
     for n, units, cls in demand(world, 3, 3.0):
         world.ask(n, units, cls, 3)
-        outs.append(sum(c.out for g in world.gateways for c in g.customers.values()))
+        outs.append(
+            sum(c.in_flight for g in world.gateways for c in g.customers.by_number.values())
+        )
     over = sum(out > plan.max_in_flight for out in outs) / len(outs)
     assert sum(u for _, u in world.sent.values()) <= 1.25 * (plan.burst + plan.rate * SECONDS)
     assert over < (0.12 if tell else 1.0), "attempts out are told"
@@ -304,7 +306,7 @@
         classes = (RequestClass(aim, 4 * aim, effect=Effect.UNSAFE),)
         world = World(PolicySettings(0, 1, classes, (Plan(),), may_cancel=True), 1, answers=False)
         world.ask(0, 1.0, 0, 1)
-        w = world.gateways[0].workers[world.tried[0]]
+        w = world.gateways[0].backends.by_number[world.tried[0]]
         world.run(1000.0 + 1.05 * aim)
         assert w.failed == 0.0
         world.run(1000.0 + 1.15 * aim)
--- a/tests/lab/test_cold_ramp.py
+++ b/tests/lab/test_cold_ramp.py
@@ -10,7 +10,7 @@
 from dockthread.lab.slow_start.scenarios import SLOW, Played, play
 from dockthread.lab.slow_start.simulation import TWO_KINDS, Scene
 from dockthread.policy import SafetyLimits
-from dockthread.policy.slow_start import Ramp
+from dockthread.policy.slow_start import RecoveryRamp
 from tests.policy.harness import BASE, OPEN, RATE, Drive, entry
 
 
@@ -117,7 +117,7 @@
     """
 
     def allowed(ingresses: int, shares: float) -> float:
-        ramp = Ramp(
+        ramp = RecoveryRamp(
             SafetyLimits(
                 cold_capacity=0.2, warm_up_time=10.0, overload_multiple=3.0, overload_time=3.0
             ),
@@ -126,14 +126,14 @@
         )
         for answer in range(1, 12_001):  # 60 s, 600 a second by 20 warm workers, dealt out evenly
             if answer % ingresses == 0:
-                ramp.answered(answer / 200, 20.0, 0.3)
+                ramp.on_response(answer / 200, 20.0, 0.3)
         given, now = 0, 60.0
-        ramp.pass_time(now, shares, 0.3)
+        ramp.advance(now, shares, 0.3)
         while now < 63.0:
             now += 0.001
-            ramp.pass_time(now, shares, 0.3)
-            while ramp.left >= 1:
-                ramp.left -= 1
+            ramp.advance(now, shares, 0.3)
+            while ramp.available >= 1:
+                ramp.available -= 1
                 given += 1
         return given * ingresses
 
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -11,7 +11,6 @@
     AttemptEnded,
     GossipReceived,
     Outcome,
-    attempts,
     gossip_codec,
 )
 from tests.policy.harness import BASE, CEILING, RATE, SAFE, SHARED, UNSAFE, Drive, heavy, report
@@ -47,7 +46,7 @@
     drive = Drive(replace(BASE, settles_units=True))
     request = drive.ask(UNSAFE, RATE, units=1.0)
     drive.end(request, 0, Outcome.OK, true_units=5.0)
-    assert drive.gateway.customers[7].store.level == pytest.approx(3.0)
+    assert drive.gateway.customers.by_number[7].quota.level == pytest.approx(3.0)
 
 
 def test_cap_on_attempts_out_counts_own_and_told() -> None:
@@ -73,13 +72,13 @@
     drive = Drive()
     requests = [drive.ask(SAFE) for _ in range(6)]
     ill = {drive.sent[requests[0]][0].backend}
-    for number, w in drive.gateway.workers.items():
+    for number, w in drive.gateway.backends.by_number.items():
         w.failed = 0.9 if all_ill or number in ill else 0.0
     drive.run(drive.now + 0.3)
     for request in requests:
         if drive.sent[request][0].backend in ill:
             drive.end(request, 0, Outcome.OK, took=3.0)
-    refuses = drive.gateway.slow > attempts.PRESSED * drive.gateway.tight
+    refuses = drive.gateway.delay.is_pressed
     assert refuses is all_ill, "where all are ill, it is a jam"
 
 
@@ -122,7 +121,7 @@
     for _ in range(60):
         drive.end(drive.ask(SAFE), 0, Outcome.OK)
         drive.end(drive.ask(UNSAFE), 0, Outcome.OK)
-    drive.gateway.slow = 0.4  # aims are 1 s
+    drive.gateway.delay.smoothed_latency = 0.4  # aims are 1 s
     assert not drive.let_in(drive.ask(SAFE))
     assert drive.let_in(drive.ask(UNSAFE))
 
@@ -137,7 +136,7 @@
 
 def test_slow_answers_are_forgotten_when_none_come() -> None:
     drive = Drive(workers=2)
-    drive.gateway.slow = 4.0
+    drive.gateway.delay.smoothed_latency = 4.0
     assert not drive.let_in(drive.ask(UNSAFE))
     drive.run(drive.now + 4.0)
     assert drive.let_in(drive.ask(UNSAFE))
@@ -146,13 +145,13 @@
 def test_a_start_does_not_fill_the_stores() -> None:
     drive = Drive()
     drive.give(GossipReceived(1, report(7, RATE, 500.0, 400.0, 1.0)))
-    assert drive.gateway._customer(7, RATE).store.level <= 1.0
+    assert drive.gateway.customers.get(7, RATE).quota.level <= 1.0
 
 
 def test_phi_follows_the_part_let_in_here_by_the_meter_where_the_counter_is_silent() -> None:
     def passed(used: float | None) -> int:
         drive, many = Drive(replace(SHARED, may_use_counter=True), seed=5), 0
-        drive.gateway.mute = math.inf
+        drive.gateway.counter.circuit_open_until = math.inf
         for _ in range(400):
             drive.run(drive.now + 0.6)
             if drive.let_in(request := drive.ask(plan=RATE, spread=2)):
--- a/tests/policy/test_engine.py
+++ b/tests/policy/test_engine.py
@@ -68,15 +68,18 @@
     for customer in range(500):
         drive.end(drive.ask(plan=RATE, customer=customer), 0, Outcome.OK)
     held = drive.ask(UNSAFE, plan=RATE, customer=1000)
-    worker = drive.gateway.workers[drive.sent[held][0].backend]
-    worker.failed, worker.full_until = 0.9, {RATE: math.inf}
+    worker = drive.gateway.backends.by_number[drive.sent[held][0].backend]
+    worker.failed, worker.at_capacity_until = 0.9, {RATE: math.inf}
     drive.listed(replace(worker.entry, started_at=drive.now))
-    assert (worker.failed, worker.full_until) == (0.0, {})
+    assert (worker.failed, worker.at_capacity_until) == (0.0, {})
     drive.listed(entry(50), kind=EndpointListKind.FULL)
     drive.run(drive.now + 40)
-    assert set(drive.gateway.workers) == {worker.entry.backend, 1050}  # one has a call out
-    assert set(drive.gateway.customers) == {1000}
+    assert set(drive.gateway.backends.by_number) == {
+        worker.entry.backend,
+        1050,
+    }  # one has a call out
+    assert set(drive.gateway.customers.by_number) == {1000}
     drive.end(held, 0, Outcome.OK)
     drive.run(drive.now + 10)
-    assert set(drive.gateway.workers) == {1050}
-    assert not drive.gateway.customers
+    assert set(drive.gateway.backends.by_number) == {1050}
+    assert not drive.gateway.customers.by_number
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -20,12 +20,12 @@
 def test_what_others_say_of_a_worker_counts_only_where_it_is_silent_here() -> None:
     drive = Drive()
     request = drive.ask(UNSAFE)
-    w = drive.gateway.workers[drive.sent[request][0].backend]
+    w = drive.gateway.backends.by_number[drive.sent[request][0].backend]
     drive.end(request, 0, Outcome.OK)
     said = GossipReceived(1, gossip_codec.pack(1, [(w.code, 0.8)], []))
     drive.give(said)
     assert w.failed == 0.0
-    drive.run(drive.now + gossip.TRUST + 0.1)
+    drive.run(drive.now + gossip.OWN_EVIDENCE_TIME + 0.1)
     drive.give(said)
     assert w.failed == pytest.approx(0.8, abs=0.01)
 
@@ -46,7 +46,7 @@
         drive.give(GossipReceived(1, head + form.pack(7, RATE, 0, 9, 9, bad)))
         drive.give(GossipReceived(1, head + form.pack(7, 200, 0, 9, 9, 1.0)))
     drive.give(GossipReceived(5, report(7, RATE, 9.0, 9.0, 0.0)))
-    assert 7 not in drive.gateway.customers
+    assert 7 not in drive.gateway.customers.by_number
 
 
 @pytest.mark.parametrize(("widest", "most"), [((1 << 32) - 1, 21), (1 << 32, 15)])
@@ -69,11 +69,11 @@
             drive.ask(SAFE, RATE, customer=key, spread=2)
         drive.run(drive.now + 1)
     exchange(drives)
-    assert any(drive.gateway.customers[key].told for drive in drives)
+    assert any(drive.gateway.customers.by_number[key].peer_sums for drive in drives)
 
 
 def test_suspicion_is_told() -> None:
     drive = Drive()
-    w = drive.gateway.workers[1001]
+    w = drive.gateway.backends.by_number[1001]
     drive.give(GossipReceived(1, gossip_codec.pack(1, [(w.code, 0.8)], [])))
     assert w.failed == pytest.approx(0.8, abs=0.01)
--- a/tests/policy/test_list_size.py
+++ b/tests/policy/test_list_size.py
@@ -45,17 +45,17 @@
 
 def test_a_change_costs_by_its_own_size() -> None:
     drive, drawn = long_list(), random.Random(3)
-    pool = drive.gateway.pool
+    pool = drive.gateway.backends.pool
     before = pool.visits
     for _ in range(200):
         drive.listed(entry(drawn.randrange(MANY), BackendState.DRAINING))
     assert pool.visits - before <= 3 * 200
-    assert len(pool) == sum(w.ready for w in drive.gateway.workers.values())
+    assert len(pool) == sum(w.ready for w in drive.gateway.backends.by_number.values())
 
 
 def test_housekeeping_visits_only_workers_whose_figures_move() -> None:
     drive = long_list()
-    pool = drive.gateway.pool
+    pool = drive.gateway.backends.pool
     before = pool.visits
     drive.run(drive.now + 10)
     assert pool.visits == before, "nothing moves"
@@ -76,7 +76,7 @@
 def test_where_all_warm_up_at_once_a_round_weighs_some_and_each_has_its_turn() -> None:
     drive = Drive(replace(BASE, ingress_count=400, may_gossip=False), workers=0)
     drive.listed(*(entry(n, started=drive.now) for n in range(MANY)), kind=EndpointListKind.FULL)
-    pool = drive.gateway.pool
+    pool = drive.gateway.backends.pool
     drive.run(drive.now + 1)
     assert not pool.warm
     before = pool.visits
@@ -89,25 +89,25 @@
 
 def test_a_lost_zone_is_drawn_from_no_more_and_forgotten() -> None:
     drive, lost = long_list(), range(0, MANY, 14)
-    pool = drive.gateway.pool
+    pool = drive.gateway.backends.pool
     for n in lost:
         drive.listed(entry(n, BackendState.REMOVED))
     gone = {1000 + n for n in lost}
     for _ in range(300):
         assert drive.sent[drive.ask(SAFE)][0].backend not in gone
     drive.run(drive.now + 40)
-    assert len(drive.gateway.workers) == len(pool) == MANY - len(lost)
-    assert not drive.gateway.leaving
+    assert len(drive.gateway.backends.by_number) == len(pool) == MANY - len(lost)
+    assert not drive.gateway.backends.delisted
 
 
 def test_sums_follow_the_shares_of_a_long_list() -> None:
     """A worker whose share has fallen is drawn the less from the next round of housekeeping on."""
     drive = long_list()
-    ill = list(drive.gateway.workers.values())[: MANY // 2]
+    ill = list(drive.gateway.backends.by_number.values())[: MANY // 2]
     for worker in ill:
         worker.failed = 0.9
     drive.run(drive.now + 0.3)
-    drawn = drive.gateway.pool.draw(random.Random(1), 20_000)
+    drawn = drive.gateway.backends.pool.draw(random.Random(1), 20_000)
     assert sum(w.failed > 0 for w in drawn) < 20_000 * 0.05
 
 
@@ -124,7 +124,9 @@
     for _ in range(20):
         request = drive.ask(KEYED)
         drive.end(request, 0, Outcome.RESET)
-        first, second = (drive.gateway.workers[send.backend].entry for send in drive.sent[request])
+        first, second = (
+            drive.gateway.backends.by_number[send.backend].entry for send in drive.sent[request]
+        )
         assert first.backend != second.backend
         assert group is DeduplicationScope.ALL or first.zone == second.zone
         assert group is not DeduplicationScope.CELL or first.cell == second.cell
@@ -132,7 +134,7 @@
 
 @pytest.mark.parametrize("count", [SCANNED, MANY])
 def test_the_part_of_a_list_that_a_route_allows(count: int) -> None:
-    pool = long_list(count).gateway.pool
+    pool = long_list(count).gateway.backends.pool
     part = pool.sifted(lambda e: e.zone == 1 and e.kind == 0)
     assert part is not None
     drawn = part.draw(random.Random(1), 200)
@@ -143,8 +145,8 @@
 
 def test_among_many_that_are_full_one_with_room_is_found() -> None:
     drive = long_list()
-    for worker in list(drive.gateway.workers.values())[1:]:
-        worker.full(0, drive.now + 60)
+    for worker in list(drive.gateway.backends.by_number.values())[1:]:
+        worker.mark_at_capacity(0, drive.now + 60)
     assert drive.sent[drive.ask(SAFE)][0].backend == 1000
 
 
@@ -154,8 +156,8 @@
         new = [entry(10_000 * (round_ + 1) + n) for n in range(3 * SLOTS_PER_CHANGE)]
         drive.listed(*new, kind=EndpointListKind.FULL)
         drive.run(drive.now + 40)
-    pool = drive.gateway.pool
-    assert len(drive.gateway.workers) == len(pool) == 3 * SLOTS_PER_CHANGE
+    pool = drive.gateway.backends.pool
+    assert len(drive.gateway.backends.by_number) == len(pool) == 3 * SLOTS_PER_CHANGE
     assert len(pool.draw(random.Random(1), 10)) == 10
     assert len(pool._slots) <= 2 * 3 * SLOTS_PER_CHANGE
 
@@ -271,12 +273,12 @@
     known, drive = destinations(), long_list(0)
     for part in known.parts(whole_list(2 * PART + 1)):
         drive.give(part)
-        assert set(drive.gateway.workers) == set(known.by_worker)
+        assert set(drive.gateway.backends.by_number) == set(known.by_worker)
     held = known.hold("s-" + "0" * 21, True, 0.0)
     assert held is not None
     drive.give(held)
     assert known.avoided == 1
-    assert len(drive.gateway.pool) == 2 * PART
+    assert len(drive.gateway.backends.pool) == 2 * PART
 
 
 def test_a_long_list_from_discovery_is_taken_and_served_by_and_what_left_costs_nothing_more() -> (
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -84,10 +84,10 @@
 
 def test_an_old_report_says_less_than_a_new_one() -> None:
     drive = Drive(REPORTS, workers=1)
-    worker = drive.gateway.workers[1000]
+    worker = drive.gateway.backends.by_number[1000]
     answered(drive, drive.ask(), (5.0, 10.0, 0.0))
-    mean, then = worker.others_mean, drive.now
-    assert worker.load(then) == pytest.approx(worker.others)
+    mean, then = worker.smoothed_remote_requests, drive.now
+    assert worker.load(then) == pytest.approx(worker.remote_requests)
     answered(drive, drive.ask(), (5.0, 10.0, 0.0))  # the same again is no news
     assert worker.report_at == then
     assert worker.load(then + 10) == pytest.approx(mean, abs=0.01)
--- a/tests/policy/test_many_ingresses.py
+++ b/tests/policy/test_many_ingresses.py
@@ -152,7 +152,7 @@
         number = 0
         while send := next((a for a in actions if isinstance(a, SendAttempt)), None):
             self.came[send.backend] += 1
-            link = (gateway.me, send.backend)
+            link = (gateway.settings.ingress_number, send.backend)
             self.opened += self.idle.get(link, 0.0) < self.now - 7.5
             self.idle[link] = self.now
             bad, took = send.backend in self.fails, self.takes.get(send.backend, 0.3)
@@ -175,8 +175,8 @@
                 self.ask(gateway)
             self.now += 0.15
             for gateway in self.gateways:
-                for token in list(gateway.timers):
-                    if gateway.timers[token][0] == gateway._tick:
+                for token in list(gateway.timers.pending):
+                    if gateway.timers.pending[token][0] == gateway.run_maintenance:
                         gateway.handle(self.now, TimerFired(token))
 
 
@@ -250,7 +250,7 @@
     def opened(price: float) -> int:
         pool = Pool(40, listed(60))
         for gateway in pool.gateways:
-            gateway.s = replace(gateway.s, costs=CostWeights(handshake=price))
+            gateway.context.settings = replace(gateway.settings, costs=CostWeights(handshake=price))
         pool.play(80)
         return pool.opened
 
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -27,7 +27,7 @@
     """
     drive = Drive(replace(BASE, may_hedge=False))
     request = drive.ask(UNSAFE)
-    w = drive.gateway.workers[drive.sent[request][0].backend]
+    w = drive.gateway.backends.by_number[drive.sent[request][0].backend]
     drive.run(drive.now + 0.2 + 8 * 0.1)
     assert w.failed == 0.0
     drive.run(drive.now + 0.2)
@@ -57,24 +57,24 @@
 def test_full_worker_is_busy_and_not_shunned() -> None:
     drive = Drive(workers=3)
     for _ in range(10):
-        drive.gateway.slow = 0.0  # not pressed
+        drive.gateway.delay.smoothed_latency = 0.0  # not pressed
         drive.end(drive.ask(SAFE), 0, Outcome.AT_CAPACITY)
-    assert all(w.failed == 0 for w in drive.gateway.workers.values())
+    assert all(w.failed == 0 for w in drive.gateway.backends.by_number.values())
 
 
 def test_full_for_one_plan_says_nothing_of_others() -> None:
     drive = Drive(workers=1)
     drive.end(drive.ask(SAFE, RATE), 0, Outcome.AT_CAPACITY)
     drive.listed(entry(0), entry(1))
-    w = drive.gateway.workers[1000]
-    assert w.full_until.keys() == {RATE}
+    w = drive.gateway.backends.by_number[1000]
+    assert w.at_capacity_until.keys() == {RATE}
 
 
 def test_a_late_attempt_is_still_out_at_its_worker() -> None:
     drive = Drive(workers=1)
     drive.ask(UNSAFE)
-    worker = drive.gateway.workers[1000]
+    worker = drive.gateway.backends.by_number[1000]
     drive.run(drive.now + 3)
-    assert (worker.out, drive.gateway.out) == (1, 0)
+    assert (worker.in_flight, drive.gateway.delay.in_flight) == (1, 0)
     drive.end(1, 0, Outcome.OK)
-    assert (worker.out, drive.gateway.out) == (0, 0)
+    assert (worker.in_flight, drive.gateway.delay.in_flight) == (0, 0)
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -48,7 +48,7 @@
         )
         self.due: list[tuple[float, int, str, Any]] = []
         self.held = dict.fromkeys(range(workers), 0)
-        self.waiting: dict[int, list[Any]] = {w: [] for w in range(workers)}
+        self.waiting_requests: dict[int, list[Any]] = {w: [] for w in range(workers)}
         self.asked, self.let_in, self.refused = asked, 0, 0
         for gateway in self.gateways:
             self.tell(gateway, EndpointsListed(EndpointListKind.FULL, tuple(entries(workers))))
@@ -69,7 +69,7 @@
                 if self.held[action.backend] <= CORES:
                     self.begin(job)
                 else:
-                    self.waiting[action.backend].append(job)
+                    self.waiting_requests[action.backend].append(job)
             elif isinstance(action, Reject):
                 self.refused += 1
 
@@ -89,8 +89,8 @@
             else:
                 gateway, request, worker, sent = what
                 self.held[worker] -= 1
-                if self.waiting[worker]:
-                    self.begin(self.waiting[worker].pop(0))
+                if self.waiting_requests[worker]:
+                    self.begin(self.waiting_requests[worker].pop(0))
                 load, ok = (float(self.held[worker]), 0.0, 0.0), Outcome.OK
                 self.tell(
                     gateway,
--- a/tests/policy/test_quota_counter_sync.py
+++ b/tests/policy/test_quota_counter_sync.py
@@ -9,7 +9,7 @@
     Outcome,
     Reject,
     RequestArrived,
-    admission,
+    quota_counter_sync,
 )
 from tests.policy.harness import RATE, SAFE, SHARED, Drive, counts, settle, spend, total
 
@@ -37,14 +37,14 @@
 def test_without_the_counters_word_all_is_decided_and_it_is_left_alone(outcome: Outcome) -> None:
     drive = Drive(SHARED)
     request, call = spend(drive)
-    drive.gateway.failures = admission.TRIES - 0.25
+    drive.gateway.counter.failures = quota_counter_sync.FAILURES_TO_OPEN - 0.25
     drive.give(CounterReplied(call.name, outcome))
     assert drive.let_in(request) or drive.final[request] == ["refused"]
     assert not counts([a for n in range(901, 920) for a in drive.give(
         RequestArrived(n, SAFE, RATE, 7, 4.0, 1.0, 2, 0))])  # fmt: skip
-    c = drive.gateway.customers[7]
+    c = drive.gateway.customers.by_number[7]
     # nothing was added: told next time
-    assert (c.unsaid >= call.amount) or outcome is not Outcome.AT_CAPACITY
+    assert (c.uncounted_units >= call.amount) or outcome is not Outcome.AT_CAPACITY
 
 
 def test_a_spoilt_answer_of_the_counter_is_asked_for_again_before_anything_is_decided() -> None:
@@ -70,11 +70,11 @@
     drive = Drive(SHARED)
     _, call = spend(drive)
     settle(drive, [call], 3.0)
-    c = drive.gateway.customers[7]
+    c = drive.gateway.customers.by_number[7]
     for others, left in ((8.0, 8.0), (40.0, 0.0)):
         drive.run(drive.now + 8)  # 16 units came in, and the store holds 8
-        drive.gateway._customer(7, RATE)
-        drive.gateway.actions = []
-        drive.gateway._call(7, c)
+        drive.gateway.customers.get(7, RATE)
+        drive.gateway.context.actions = []
+        drive.gateway.counter.send(7, c)
         settle(drive, counts(drive.gateway.actions), others)
-        assert c.store.level == pytest.approx(left, abs=1.5)
+        assert c.quota.level == pytest.approx(left, abs=1.5)
--- a/tests/policy/test_quota_of_many_ingresses.py
+++ b/tests/policy/test_quota_of_many_ingresses.py
@@ -24,22 +24,31 @@
     RequestArrived,
     RequestClass,
 )
+from dockthread.policy.attempts import AttemptManager
+from dockthread.policy.queueing_delay import QueueingDelayEstimator
 
 DAY = 25.0  # s
 SIZES = (1.0, 1.0, 1.0, 2.0, 2.0, 3.0, 4.0)  # units of a request
 TRIES, COME_AGAIN = 3, 0.6  # of a client's request; the chance that a refused one comes again
 
 
-class LetIn(PolicyEngine):
-    """Decides on admission alone: nodes have room for all."""
-
-    def _try(self, request: int, call: object) -> bool:
+class NoSends(AttemptManager):
+    def send(self, request: int, pending: object) -> bool:
         return True
 
-    def _wait(self) -> float:
+
+class NoDelay(QueueingDelayEstimator):
+    def expected_delay(self) -> float:
         return 0.0
 
 
+class LetIn(PolicyEngine):
+    """Decides on admission alone: nodes have room for all."""
+
+    attempts_class = NoSends
+    delay_class = NoDelay
+
+
 @dataclass(slots=True)
 class Ask:
     firm: int
@@ -137,7 +146,10 @@
         kind = self.rng.randrange(3)
         event = RequestArrived(request, kind, 0, ask.firm, 1.2, ask.units, firm.spread, firm.first)
         self.carry_out(number, gateway.handle(self.now, event))
-        if request in gateway.calls and request not in gateway.customers[ask.firm].waiting:
+        if (
+            request in gateway.requests.by_number
+            and request not in gateway.customers.by_number[ask.firm].waiting_requests
+        ):
             self.settle(ask, let_in=True)
 
     def carry_out(self, number: int, actions: list[Action]) -> None:
@@ -162,10 +174,14 @@
 
     def told(self, number: int, event: CounterReplied) -> None:
         gateway = self.gateways[number]
-        waited = [r for r in gateway.customers[event.name >> 24].waiting if r in gateway.calls]
+        waited = [
+            r
+            for r in gateway.customers.by_number[event.name >> 24].waiting_requests
+            if r in gateway.requests.by_number
+        ]
         self.carry_out(number, gateway.handle(self.now, event))
         for request in waited:
-            if request in gateway.calls:
+            if request in gateway.requests.by_number:
                 self.settle(self.asked[request], let_in=True)
 
     def settle(self, ask: Ask, *, let_in: bool) -> None:
@@ -261,7 +277,7 @@
     number.total += 100.0  # let in while the counter was silent
     number.settle(6.0, 0, number.ask(6.0, 0))
     number.settle(8.0, 0, number.ask(8.0, 0))
-    assert number.gateways[0].customers[7].store.level > 2.0, "it would be empty for 45 s"
+    assert number.gateways[0].customers.by_number[7].quota.level > 2.0, "it would be empty for 45 s"
     assert number.total < 2.0 * (17.0 + 8.0) + 8.0
 
 
@@ -291,8 +307,8 @@
             event = RequestArrived(request, 0, 0, 7, 2.0, units, len(self.gateways), 0)
             actions = gateway.handle(self.now, event)
             self.calls += sum(isinstance(a, AddToCounter) for a in actions)
-            if request in gateway.calls:
-                gateway.calls.pop(request)
+            if request in gateway.requests.by_number:
+                gateway.requests.by_number.pop(request)
                 self.let_in += 1
                 self.beyond += len(self.ends) >= self.cap
                 heappush(self.ends, self.now + self.rng.expovariate(1 / answer))
--- a/tests/policy/test_quota_over_gossip.py
+++ b/tests/policy/test_quota_over_gossip.py
@@ -88,7 +88,7 @@
 
 def test_a_silent_gateway_is_no_longer_taken_to_tell_all() -> None:
     drives = fleet(3)
-    c = drives[0].gateway._customer(11, RATE)
+    c = drives[0].gateway.customers.get(11, RATE)
     c.spread = 3
 
     def pass_time(until: float, heard: list[Drive]) -> None:
@@ -101,9 +101,9 @@
             exchange(drives)
 
     pass_time(drives[0].now + 5, drives)
-    assert drives[0].gateway._hears(c), "with nothing to tell, that is told"
+    assert drives[0].gateway.gossip.knows_peers_use(c), "with nothing to tell, that is told"
     pass_time(drives[0].now + 3, drives[:2])
-    assert not drives[0].gateway._hears(c)
+    assert not drives[0].gateway.gossip.knows_peers_use(c)
 
 
 def test_who_starts_again_is_told_whose_quota_is_used_up() -> None:
@@ -117,13 +117,13 @@
         for drive in drives:
             drive.run(drive.now + 0.05)
         exchange(drives)
-    assert again.gateway.customers[7].store.level < 0.75 * PLANS[RATE].burst
+    assert again.gateway.customers.by_number[7].quota.level < 0.75 * PLANS[RATE].burst
 
 
 def test_spending_told_is_taken_from_the_store_once() -> None:
     drive = Drive()
     for arrived in (1.0, 2.0, 2.0):
         drive.give(GossipReceived(1, report(7, RATE, arrived, arrived, 8.0 - arrived)))
-    assert drive.gateway.customers[7].store.level == pytest.approx(6.0)
+    assert drive.gateway.customers.by_number[7].quota.level == pytest.approx(6.0)
     drive.give(GossipReceived(1, report(7, RATE, 1.5, 1.5, 8.0, life=2)))  # it started again
-    assert drive.gateway.customers[7].store.level == pytest.approx(4.5)
+    assert drive.gateway.customers.by_number[7].quota.level == pytest.approx(4.5)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -19,7 +19,7 @@
     part = 0.3 / 1.3
     assert 0 < sum(drive.sent[r][0].backend == 1005 for r in sent) < 400 * part * 1.2
     for _ in range(50):
-        drive.gateway.slow = 0.0  # not pressed
+        drive.gateway.delay.smoothed_latency = 0.0  # not pressed
         r = drive.ask(UNSAFE)
         drive.end(r, 0, Outcome.AT_CAPACITY)
         assert all(send.backend != 1005 for send in drive.sent[r][1:])
