--- a/tests/routes/test_routes_parts.py
+++ b/tests/routes/test_routes_parts.py
@@ -29,7 +29,9 @@
     RequestArrived,
     RequestClass,
 )
-from dockthread.policy.route_constraints import Routed
+from dockthread.policy.attempts import AttemptManager
+from dockthread.policy.pending_request import PendingRequest
+from dockthread.policy.route_constraints import RouteConstraints
 from dockthread.routes import bounds as routes_bounds
 from dockthread.routes.bounds import Bounds, Facts, Rules, stricter
 from dockthread.routes.budget import SPAN, Budget
@@ -382,24 +384,29 @@
     assert explore(effect, tables, depth) >= least
 
 
+class EffectIgnored(RouteConstraints):
+    def effect(self, pending: PendingRequest) -> Effect:
+        return Effect.SAFE
+
+
 class CopiesAll(PolicyEngine):
     """Planted: the class is not asked."""
 
-    def _effect(self, call: object) -> Effect:
-        return Effect.SAFE
+    routes_class = EffectIgnored
+
+
+class FinishedKept(AttemptManager):
+    def finish(self, request: int) -> None:
+        pending = self._requests.by_number.get(request)
+        if pending is not None and len(pending.attempts) > 1:
+            return
+        super().finish(request)
 
 
 class Answers(PolicyEngine):
     """Planted: what ended is not forgotten."""
 
-    def _finish(self, request: int) -> None:
-        if (
-            request in self.calls
-            and self.calls[request].attempts
-            and len(self.calls[request].attempts) > 1
-        ):
-            return
-        super()._finish(request)
+    attempts_class = FinishedKept
 
 
 def test_a_copy_of_an_unsafe_class_is_found() -> None:
@@ -408,9 +415,12 @@
 
 
 def test_a_class_that_turns_unsafe_and_is_not_asked_again_is_found() -> None:
+    class EffectAtArrival(RouteConstraints):
+        def effect(self, pending: PendingRequest) -> Effect:
+            return pending.request_class.effect
+
     class Asks(PolicyEngine):
-        def _effect(self, call):  # type: ignore[no-untyped-def]
-            return call.rules.effect
+        routes_class = EffectAtArrival
 
     with pytest.raises(Broken, match="a second effect|a refusal of what may have run"):
         explore(Effect.SAFE, SAFE[:1], 3, make=lambda s: Asks(s, 1, 100.0))
@@ -448,7 +458,7 @@
 def test_a_place_in_the_limit_that_is_not_given_back_is_found(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Routed, "_leave", lambda self, call: None)
+    monkeypatch.setattr(RouteConstraints, "leave", lambda self, pending: None)
     with pytest.raises(Broken, match="believes a request is open"):
         explore(Effect.SAFE, LIMITED, 2)
 
