--- a/dockthread/policy/actions.py
+++ b/dockthread/policy/actions.py
@@ -1,4 +1,8 @@
-"""Actions: what the policy engine asks its host to carry out. Times are in seconds."""
+"""Actions: what the policy engine asks its host to carry out; times are in seconds.
+
+Requests and backends are named by number. A request's attempts are numbered from 0 in the order
+sent.
+"""
 
 from __future__ import annotations
 
@@ -8,9 +12,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Start the request's next attempt; attempts are numbered 0, 1, 2... in the order sent. One
-    whose first byte has not gone out at `begin_by`, as its connection comes up late, is not sent:
-    it would repeat what may have run outside the window for repeats.
+    """Send a request's next attempt.
+
+    An attempt whose first byte has not been sent by `start_deadline`, as its connection comes up
+    late, is not to be sent: it would repeat what may have run outside the deduplication window.
+
+    Attributes:
+        request: the request's number.
+        backend: the backend to send it to.
+        timeout: s that the attempt may take.
+        start_deadline: the latest time at which it may start, s on the engine's clock.
     """
 
     request: int
@@ -21,10 +32,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: turned away, harmless to try again, best after `retry_after` (0: no advice).
+    """Answer a request with a rejection, which promises that it did not run.
 
-    `reason`: what turned it away at its arrival (`quota`, `cap`, `pressed`, `ceiling`), or
-    empty.
+    Attributes:
+        request: the request's number.
+        retry_after: s after which a retry is advised; 0 for no advice.
+        reason: what rejected the request at its arrival (`quota`, `cap`, `pressed`, `ceiling`), or
+            empty.
     """
 
     request: int
@@ -34,14 +48,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, with no promise either way."""
+    """Answer a request with a failure, which promises nothing about whether it ran.
+
+    Attributes:
+        request: the request's number.
+    """
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Give up an attempt that is out."""
+    """Cancel an attempt in flight.
+
+    Attributes:
+        request: the request's number.
+        attempt: the attempt's number.
+    """
 
     request: int
     attempt: int
@@ -49,7 +72,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Tell `TimerFired` at a time on the module's clock."""
+    """Notify the engine by `TimerFired` at a time.
+
+    Attributes:
+        at: the time, s on the engine's clock.
+        token: the timer's token.
+    """
 
     at: float
     token: int
@@ -57,14 +85,23 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Ask a worker how it is, without a request."""
+    """Send a health check to a backend.
+
+    Attributes:
+        backend: the backend to check.
+    """
 
     backend: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """Send bytes (at most 256) to one peer, or to every one where `peer` is None."""
+    """Send a gossip message to a peer.
+
+    Attributes:
+        data: the message, of 256 bytes at the most.
+        peer: the number of the ingress to send it to; None for every peer.
+    """
 
     data: bytes
     peer: int | None = None
@@ -72,8 +109,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
-    """Add to a number that the counter keeps for all gateways. It starts at 0 and is forgotten when
-    the `life` of its first call is over. Each call is answered by one `Counted`.
+    """Add to a total of the shared counter; each call is answered by one `CounterReplied`.
+
+    A total starts at 0 with the first call for its name.
+
+    Attributes:
+        name: the name of the total.
+        amount: units to add; may be 0 to read the total, and below 0 to correct it.
+        lifetime: s after the first call at which the counter drops the total.
     """
 
     name: int
@@ -83,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PollEndpoints:
-    """Ask to be sent the list of workers and its changes."""
+    """Ask discovery for the endpoint list and its changes."""
 
 
 Action = (
--- a/dockthread/policy/backend_pool.py
+++ b/dockthread/policy/backend_pool.py
@@ -87,7 +87,7 @@
         """Draw `count` backends by their weights, with replacement."""
         return rng.choices(self._backends, cum_weights=self._cumulative_weights, k=count)
 
-    def sample(self, rng: random.Random) -> Iterable[Backend]:
+    def sample(self, _rng: random.Random) -> Iterable[Backend]:
         """Return all backends."""
         return self._backends
 
@@ -131,7 +131,7 @@
     return array("d", list(accumulate(weights.tolist())))
 
 
-NO_BACKENDS = BackendSubset([], lambda backend: 0.0)
+NO_BACKENDS = BackendSubset([], lambda _: 0.0)
 
 
 class BackendPool:
@@ -168,7 +168,7 @@
         self._vacant = 0  # slots of removed backends
         self._changes = 0  # weights that changed since the last sum
         self._is_round_due = False  # whether a round of maintenance went by since the last sum
-        self._next_turn = 0  # the next to be weighed, where too many change for one round
+        self._next_start = 0  # the next to be weighed, where too many change for one round
         self.decay_rounds = DecayRounds()
         self.failing: dict[int, Backend] = {}
         self.warming_up: dict[int, Backend] = {}
@@ -283,7 +283,7 @@
             backend.fade(failures, negligible)
 
     def refresh(self) -> None:
-        """Weigh changing backends again and sum the weights, if a round or enough changes are due."""
+        """Weigh changing backends and sum all weights, if a round or enough changes are due."""
         slots_in_use = len(self._slots) - self._vacant
         if not self._is_round_due and (self._changes + 1) * SLOTS_PER_RESUM <= slots_in_use:
             return
@@ -307,8 +307,8 @@
         ]
         if len(changing) <= MAX_WEIGHED_PER_ROUND:
             return changing
-        start = self._next_turn % len(changing)
-        self._next_turn = start + MAX_WEIGHED_PER_ROUND
+        start = self._next_start % len(changing)
+        self._next_start = start + MAX_WEIGHED_PER_ROUND
         wrapped = changing + changing[:MAX_WEIGHED_PER_ROUND]
         return wrapped[start : start + MAX_WEIGHED_PER_ROUND]
 
--- a/dockthread/policy/backoff.py
+++ b/dockthread/policy/backoff.py
@@ -14,14 +14,14 @@
 
 A start, and the loss of an established watch, cannot wait that long: changes that the service knows
 meanwhile count as received, and a draining backend may be sent to for only so long after that. The
-delay before these first calls is at most `max_initial_delay`, and the calls that the service rejects
-then are spread over the longer delays.
+delay before these first calls is at most `max_initial_delay`, and the calls that the service
+rejects then are spread over the longer delays.
 
 No delay is longer than `max_delay`: some time after the service can be reached again its changes
-count as received, whatever it could answer. Where the caps of many ingresses would lie beyond, these
-call at an even rate over that time, each of them once in half of it on average, and a service that
-cannot answer them all in it rejects the rest as before. Where each ingress calls an agent of its
-own, none waits for the others, and `max_delay` is shorter still.
+count as received, whatever it could answer. Where the caps of many ingresses would lie beyond,
+these call at an even rate over that time, each of them once in half of it on average, and a service
+that cannot answer them all in it rejects the rest as before. Where each ingress calls an agent of
+its own, none waits for the others, and `max_delay` is shorter still.
 """
 
 from __future__ import annotations
--- a/dockthread/policy/events.py
+++ b/dockthread/policy/events.py
@@ -1,4 +1,8 @@
-"""Events: what the policy engine is notified of. Times and durations are in seconds."""
+"""Events: what the policy engine is notified of; times and durations are in seconds.
+
+Requests, backends and customers are named by number. A request's attempts are numbered from 0 in
+the order sent.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointsListed:
-    """A list of workers, or changes of it."""
+    """A list of endpoints, or changes of it, was received.
+
+    Attributes:
+        kind: how the list is to be read.
+        endpoints: the listed endpoints.
+    """
 
     kind: EndpointListKind
     endpoints: tuple[Endpoint, ...]
@@ -18,7 +27,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A request has been read. `time_left`: s until its client waits no more."""
+    """A request was read from a client.
+
+    Attributes:
+        request: the request's number.
+        request_class: position of its class in the settings.
+        plan: position of its customer's plan in the settings.
+        customer: the customer's number.
+        remaining_time: s until the client no longer waits.
+        units: units that the request is expected to cost.
+        spread: how many ingresses the customer's requests are spread over.
+        first_ingress: the first of these; the others follow it in number.
+        route: limits beyond the deployment's own; None for none.
+    """
 
     request: int
     request_class: int
@@ -33,7 +54,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The answer of an attempt has begun to pass on to the client."""
+    """The response of an attempt began to be passed on to the client.
+
+    Attributes:
+        request: the request's number.
+        attempt: the attempt's number.
+        backend: the backend that responds.
+    """
 
     request: int
     attempt: int
@@ -42,9 +69,19 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """`finished`: the request has its final answer. `metered`: the customer's use by all gateways
-    over the meter's last period as a share of its limit, or None. `load` follows
-    Settings.load_names, or is empty.
+    """An attempt ended.
+
+    Attributes:
+        request: the request's number.
+        attempt: the attempt's number.
+        backend: the backend that it was sent to.
+        outcome: how it ended.
+        is_final: whether the request has its final answer now.
+        duration: s from sending the attempt to its end.
+        actual_units: units that the request cost; 0 where that is unknown.
+        reported_usage: usage of the customer at all ingresses over the last usage report period,
+            as a fraction of its limit; None where it was not reported.
+        load_report: the numbers that `PolicySettings.load_report_fields` names; empty for none.
     """
 
     request: int
@@ -60,21 +97,36 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has closed its connection."""
+    """A client closed its connection before the final answer.
+
+    Attributes:
+        request: the request's number.
+    """
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """The time of a `SetTimer` has come."""
+    """The time of a `SetTimer` action has come.
+
+    Attributes:
+        token: the timer's token.
+    """
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEnded:
-    """The end of a `Probe`."""
+    """A health check ended.
+
+    Attributes:
+        backend: the backend checked.
+        outcome: how the check ended.
+        duration: s from sending the check to its end.
+        load_report: as in `AttemptEnded`.
+    """
 
     backend: int
     outcome: Outcome
@@ -84,7 +136,12 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """A message of another gateway."""
+    """A gossip message of a peer was received.
+
+    Attributes:
+        peer: the number of the ingress that sent it.
+        data: the message as `gossip_codec` encodes it.
+    """
 
     peer: int
     data: bytes
@@ -92,8 +149,15 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterReplied:
-    """The end of a `Count`. OK: `total` is what the number is now. FULL, UNREACHABLE and NOT_SENT:
-    nothing was added. Anything else: the amount counts as added.
+    """A call of the shared counter ended.
+
+    With the outcome OK the amount was added; with one of `NEVER_RAN` it was not; with any other it
+    counts as added.
+
+    Attributes:
+        name: the name of the total.
+        outcome: how the call ended.
+        total: with OK, the total after the call, in units.
     """
 
     name: int
--- a/dockthread/policy/gossip_codec.py
+++ b/dockthread/policy/gossip_codec.py
@@ -2,7 +2,7 @@
 
 A message has a header, entries of suspected backends, and reports of customers:
 
-    header    version (1 byte), incarnation (1), number of suspects (1), whether reports are wide (1)
+    header    version (1 byte), incarnation (1), number of suspects (1), wide reports or not (1)
     suspect   backend's code (3 bytes), failure fraction in 1/255 (1)
     report    customer (4 bytes, or 8 if wide), plan (1), attempts in flight (1), sum of units
               requested (2), sum of units admitted (2), level of the token bucket (2, a float)
--- a/dockthread/policy/latency_estimates.py
+++ b/dockthread/policy/latency_estimates.py
@@ -51,7 +51,7 @@
         report_count: load reports so far.
     """
 
-    __slots__ = ("remote_requests", "relative_latency", "report_count", "sample_count")
+    __slots__ = ("relative_latency", "remote_requests", "report_count", "sample_count")
 
     def __init__(self) -> None:
         self.relative_latency = 1.0
--- a/dockthread/policy/load_reports.py
+++ b/dockthread/policy/load_reports.py
@@ -50,7 +50,11 @@
         Returns:
             A number of requests of at least 0; None where the report has no understood field.
         """
-        values = {name: report[i] for name, i in self.positions.items() if i < len(report)}
+        values = {
+            name: report[position]
+            for name, position in self.positions.items()
+            if position < len(report)
+        }
         if "rif" in values:
             return max(0.0, values["rif"] - in_flight - 1)
         queue = values.get("q", 0.0)
--- a/dockthread/policy/model.py
+++ b/dockthread/policy/model.py
@@ -1,7 +1,7 @@
 """Types that describe a deployment: request classes, plans, limits, costs and listed endpoints.
 
-Times and durations are in seconds on one monotonic clock. Backends and customers are plain integers
-that carry identity only; positions count from 0.
+Times and durations are in seconds on one monotonic clock, the engine's. Backends and customers are
+plain integers that carry identity only; positions in a tuple count from 0.
 """
 
 from __future__ import annotations
@@ -9,9 +9,17 @@
 from dataclasses import dataclass
 from enum import Enum
 
+# The fraction of `PolicySettings.conn_idle`, the latest at which a backend closes an idle
+# connection, after which an ingress closes it itself: a request must not meet the closing.
+IDLE_CLOSE_FRACTION = 0.5
+
 
 class Effect(Enum):
-    """What a request does to the world, and so how it may be repeated."""
+    """What a request changes, and so how it may be retried.
+
+    SAFE requests are idempotent, KEYED ones are idempotent with an idempotency key that backends
+    remember for a while, and UNSAFE ones are not idempotent.
+    """
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -19,7 +27,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which workers drop the repeats of a keyed request."""
+    """Which backends drop the duplicates of a keyed request: all, or those of one zone or cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -27,7 +35,7 @@
 
 
 class BackendState(Enum):
-    """Whether a worker takes requests, finishes those it has, or is gone."""
+    """Whether a backend takes requests, only finishes those that it has, or is gone."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -35,7 +43,11 @@
 
 
 class EndpointListKind(Enum):
-    """How a list of workers is to be read."""
+    """How a list of endpoints is to be read.
+
+    CHANGES lists what changed, FULL replaces everything listed before, CACHED is a list of an
+    earlier run, and FAILED says that there is no list.
+    """
 
     CHANGES = "changes"
     FULL = "full"
@@ -44,7 +56,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt ended. FULL, UNREACHABLE and NOT_SENT prove that it never ran."""
+    """How an attempt ended; those in `NEVER_RAN` prove that the backend did not run it."""
 
     OK = "ok"
     ERROR = "error"
@@ -55,16 +67,28 @@
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"
 
-    # counted by outcome on every call: Enum's own, in Python, costs five times as much
+    # Outcomes are counted on every attempt; Enum's own hash, in Python, costs five times as much.
     __hash__ = object.__hash__
 
 
+# The outcomes after which an attempt has certainly not run, so that any request may be retried.
 NEVER_RAN = (Outcome.AT_CAPACITY, Outcome.UNREACHABLE, Outcome.NOT_SENT)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What requests of one class are worth, and by when. Times in seconds."""
+    """What requests of one class are worth, and by when they need an answer.
+
+    Attributes:
+        latency_objective: s within which an answer has its full worth.
+        deadline: s after its arrival by which a request is to have its final answer.
+        priority_weight: worth of an answer, relative to other classes.
+        late_weight: worth of an answer after the objective; read, and not used.
+        effect: how a request of the class may be retried.
+        deduplication_scope: which backends drop duplicates of a keyed request.
+        deduplication_window: s for which these remember an idempotency key.
+        is_stream: whether an answer is passed on to the client while it arrives.
+    """
 
     latency_objective: float
     deadline: float
@@ -78,8 +102,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A quota of each customer of the plan, over all gateways together. 0 stands for 'no such
-    limit'.
+    """The quota of each customer of a plan, over all ingresses; 0 stands for "no such limit".
+
+    Attributes:
+        rate: refill of the customer's token bucket, units/s.
+        burst: size of the token bucket, units.
+        max_in_flight: attempts of a customer in flight at once.
+        priority_multiplier: factor on the priority weight of the customer's requests.
+        over_quota_weight: worth of an answer beyond the quota; read, and not used.
+        over_quota_cost: cost of an answer beyond the quota; read, and not used.
+        ceiling_rate: refill of a second bucket that is never exceeded, units/s.
+        ceiling_burst: size of the second bucket, units.
+        ceiling_slack: units by which the ceiling may be exceeded; read, and not used.
     """
 
     rate: float = 0.0
@@ -93,15 +127,23 @@
     ceiling_slack: float = 0.0
 
     def charged_units(self, units: float) -> float:
-        """What a request of these units counts as: one attempt, where there is no quota and only a
-        cap on them.
-        """
+        """Return what a request of `units` counts as: one where the plan only caps attempts."""
         return units if self.rate else 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class SafetyLimits:
-    """Figures of the rules. Times in seconds."""
+    """Limits that protect backends and clients.
+
+    Attributes:
+        answer_slack: s by which an answer may come after the deadline; read, and not used.
+        drain_grace: s for which attempts may still be sent to a backend that began to drain.
+        cold_capacity: fraction of its capacity that a backend has at its start.
+        warm_up_time: s after its start at which a backend has its full capacity.
+        overload_multiple: multiple of its capacity that overloads a backend.
+        overload_time: s for which a backend withstands that.
+        poll_interval: s within which a lost endpoint list is to be polled again.
+    """
 
     answer_slack: float = 0.0
     drain_grace: float = 0.0
@@ -114,23 +156,55 @@
 
 @dataclass(frozen=True, slots=True)
 class CostWeights:
-    """Costs, each as a share of the worth asked for."""
+    """Costs, each as a fraction of the worth of the request concerned.
+
+    Attributes:
+        cross_zone: cost of an attempt in another zone.
+        waste: cost of an attempt whose answer is not needed; read, and not used.
+        health_check: cost of a health check; read, and not used.
+        gossip: cost of a gossip message; read, and not used.
+        late_failure: cost of a request that fails late; read, and not used.
+        handshake: cost of a new connection to a backend.
+    """
 
     cross_zone: float = 0.0
     waste: float = 0.0
     health_check: float = 0.0
     gossip: float = 0.0
     late_failure: float = 0.0
-    handshake: float = 0.0  # of each new connection to a worker
-
-
-# of `Settings.conn_idle`, the latest at which a worker closes: when an ingress closes it itself
-IDLE_CLOSE_FRACTION = 0.5
+    handshake: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class PolicySettings:
-    """All that a gateway is told before its first event. Times in seconds."""
+    """All that an ingress's policy engine is given before its first event.
+
+    Attributes:
+        ingress_number: this ingress's number, from 0.
+        ingress_count: how many ingresses the deployment has.
+        classes: request classes, by position.
+        plans: customers' plans, by position.
+        zone: the zone of this ingress.
+        clock_tick: resolution of timers, s.
+        safety: limits that protect backends and clients.
+        costs: what attempts and messages cost.
+        max_attempts: attempts of a request at the most.
+        may_hedge: whether a second attempt may run beside a slow first one.
+        may_cancel: whether an attempt may be cancelled.
+        may_check_health: whether health checks may be sent; the engine sends none.
+        may_gossip: whether gossip may be sent to peers.
+        max_retry_after: longest advice to a rejected client when to retry, s.
+        gossip_intake_rate: messages/s that an ingress can take in.
+        max_request_units: units of the largest request.
+        settles_units: whether the actual units of a request are charged at its end.
+        usage_report_period: s over which reported usage is measured; 0 where none is reported.
+        may_use_counter: whether there is a counter that all ingresses share.
+        clock_offset: s to add to this ingress's clock to get the one that all ingresses share.
+        conn_idle: s after which a backend closes an idle connection.
+        load_report_fields: names of the numbers in a load report, in order.
+        has_load_reports: whether answers carry load reports.
+        must_poll_endpoints: whether the engine has to ask for the endpoint list.
+    """
 
     ingress_number: int
     ingress_count: int
@@ -151,10 +225,8 @@
     settles_units: bool = False
     usage_report_period: float = 0.0
     may_use_counter: bool = False
-    clock_offset: float = (
-        0.0  # of this gateway's clock: what makes it the one that all gateways read
-    )
-    conn_idle: float = 15.0  # after which a worker closes an idle connection
+    clock_offset: float = 0.0
+    conn_idle: float = 15.0
     load_report_fields: tuple[str, ...] = ()
     has_load_reports: bool = False
     must_poll_endpoints: bool = False
@@ -162,7 +234,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One worker as it is listed. `started`: s on the module's clock, 0 for long ago."""
+    """One backend as it is listed.
+
+    Attributes:
+        backend: the backend's number.
+        state: whether it may be sent requests.
+        zone: the zone that it is in.
+        kind: its hardware kind; backends of one kind are assumed alike at first.
+        cell: its cell, within which keyed requests may be deduplicated.
+        weight: its capacity relative to other backends.
+        started_at: when its process started, s on the engine's clock; 0 for long ago.
+    """
 
     backend: int
     state: BackendState
--- a/dockthread/policy/route.py
+++ b/dockthread/policy/route.py
@@ -67,7 +67,7 @@
         ...
 
     def hedge_delay(self) -> float | None:
-        """Return the time (s) after which an attempt may be hedged; None to leave it to the engine."""
+        """Return the time (s) after which to hedge an attempt; None to leave it to the engine."""
         ...
 
     def try_hedge(self, sent: int, now: float) -> bool:
