--- a/dockthread/policy/admission_probability.py
+++ b/dockthread/policy/admission_probability.py
@@ -12,7 +12,7 @@
 from dockthread.policy.customer import Customer
 from dockthread.policy.gossip import GossipProtocol
 from dockthread.policy.model import Plan, RequestClass
-from dockthread.policy.rate_sketch import Sketch
+from dockthread.policy.rate_sketch import RateSketch
 from dockthread.policy.usual_latency import UsualLatencies
 
 # Reserve in the token bucket as a fraction of the burst: for the class of highest priority, and
@@ -51,7 +51,12 @@
         )
 
     def of_request(
-        self, units: float, priority_weight: float, customer: Customer, plan: Plan, sketch: Sketch
+        self,
+        units: float,
+        priority_weight: float,
+        customer: Customer,
+        plan: Plan,
+        sketch: RateSketch,
     ) -> float:
         """Return the probability with which a request of `units` is admitted.
 
@@ -78,7 +83,7 @@
         priority_weight: float,
         customer: Customer,
         plan: Plan,
-        sketch: Sketch,
+        sketch: RateSketch,
         knows_peers: bool,
     ) -> float:
         """Return the probability by the arrivals that the others tell of."""
@@ -86,7 +91,7 @@
             return 1.0  # there is only a cap on attempts in flight, and those are told
         rate = self._limit_rate(plan)
         gap = self._context.now - customer.gossip_at
-        peer_rate = sketch.decayed(customer.peer_arrival_rate, 0.0, gap)
+        peer_rate = sketch.decayed_rate(customer.peer_arrival_rate, 0.0, gap)
         part = rate * customer.arrival_rate / (customer.arrival_rate + peer_rate)
         share = max(part, rate / customer.spread)
         probability = min(1.0, share / customer.arrival_rate)
@@ -99,14 +104,14 @@
         priority_weight: float,
         customer: Customer,
         plan: Plan,
-        sketch: Sketch,
+        sketch: RateSketch,
         share: float,
     ) -> float:
         """Return the probability by what the counter or the usage report tells."""
         now = self._context.now
         gap = now - customer.counter_at
         is_counter_fresh = gap <= sketch.window
-        local_rate = sketch.decayed(customer.local_rate, 0.0, now - customer.local_rate_at)
+        local_rate = sketch.decayed_rate(customer.local_rate, 0.0, now - customer.local_rate_at)
         if is_counter_fresh:
             remote_rate = customer.remote_rate
         else:
--- a/dockthread/policy/attempt_outcomes.py
+++ b/dockthread/policy/attempt_outcomes.py
@@ -7,7 +7,8 @@
 from dockthread.policy.context import Context
 from dockthread.policy.customer import Customer
 from dockthread.policy.events import AttemptEnded
-from dockthread.policy.latency_estimates import MOST_PACE, Reports, scarcity
+from dockthread.policy.latency_estimates import MAX_RELATIVE_LATENCY, sample_scarcity
+from dockthread.policy.load_reports import LoadReportReader
 from dockthread.policy.model import Outcome
 from dockthread.policy.pending_request import Attempt, PendingRequest
 from dockthread.policy.queueing_delay import QueueingDelayEstimator
@@ -59,9 +60,9 @@
         self._delay = delay
         self._slow_start = slow_start
         settings = context.settings
-        self.load_reports = Reports(settings.load_report_fields)
+        self.load_reports = LoadReportReader(settings.load_report_fields)
         # More ingresses see fewer responses of a backend each, so one failure tells them more.
-        self._failure_weight = 1 - (1 - FAILURE_WEIGHT) ** scarcity(settings.ingress_count)
+        self._failure_weight = 1 - (1 - FAILURE_WEIGHT) ** sample_scarcity(settings.ingress_count)
 
     def record_load_report(self, event: AttemptEnded, backend: Backend) -> None:
         """Take over the load report that came with a response.
@@ -70,7 +71,7 @@
         """
         report = event.load_report
         if report and report != backend.report:
-            remote_requests = self.load_reports.others(
+            remote_requests = self.load_reports.remote_requests(
                 report, backend.in_flight, self._latencies.mean()
             )
             backend.record_report(report, remote_requests, self._context.now)
@@ -98,7 +99,7 @@
         request_class = pending.event.request_class
         usual, _ = self._latencies.by_class[request_class]
         relative_latency = event.duration / usual / attempt.concurrency
-        backend.record_latency(min(MOST_PACE, relative_latency))
+        backend.record_latency(min(MAX_RELATIVE_LATENCY, relative_latency))
         self._latencies.record(request_class, event.duration)
 
     def record_silence(self, backend: Backend) -> None:
@@ -110,7 +111,7 @@
         backend.capacity_backoff = 0.0
         backend.add_idle_connection(self._context.now)
         self._delay.record_completion()
-        self._slow_start.on_response(self._backends.pool.total)
+        self._slow_start.on_response(self._backends.pool.total_weight)
         self._delay.record_response(event.duration, self._relevance(backend))
 
     def _record_at_capacity(self, backend: Backend, customer: Customer) -> None:
@@ -127,5 +128,5 @@
         A backend that fails more than the others is hardly drawn, so its slow responses must not
         cause rejections of requests that the others have capacity for.
         """
-        mean_success = max(LEAST_MEAN_SUCCESS, self._backends.pool.sound)
+        mean_success = max(LEAST_MEAN_SUCCESS, self._backends.pool.success_fraction)
         return min(1.0, ((1 - backend.failed) / mean_success) ** 2)
--- a/dockthread/policy/attempts.py
+++ b/dockthread/policy/attempts.py
@@ -11,7 +11,7 @@
 from dockthread.policy.customer_registry import CustomerRegistry
 from dockthread.policy.events import AttemptEnded
 from dockthread.policy.gossip import GossipProtocol
-from dockthread.policy.latency_estimates import Crowds
+from dockthread.policy.latency_estimates import ConcurrencyEstimate
 from dockthread.policy.load_balancer import LoadBalancer
 from dockthread.policy.model import Effect, Outcome
 from dockthread.policy.pending_request import Attempt, PendingRequest, PendingRequests
@@ -72,7 +72,7 @@
         self._balancer = balancer
         self._outcomes = outcomes
         self._gossip = gossip
-        self._crowds = Crowds()
+        self._concurrency = ConcurrencyEstimate()
         self.held: dict[int, None] = {}
         # customers of the attempts in flight, by request and number of the attempt
         self._customer_numbers: dict[tuple[int, int], int] = {}
@@ -107,10 +107,10 @@
         """Add an attempt at a backend to all that counts it."""
         now = self._context.now
         event = pending.event
-        concurrency = self._crowds.met(backend.load(now))
+        concurrency = self._concurrency.relative_concurrency(backend.load(now))
         backend.in_flight += 1
         self._delay.in_flight += 1
-        if not self._backends.pool.warm:
+        if not self._backends.pool.has_warm_backend:
             self._slow_start.on_attempt_sent()
         backend.take_idle_connection(self._balancer.idle_connections_since())
         self._customer_numbers[request, len(pending.attempts)] = event.customer
@@ -246,7 +246,7 @@
         """Charge the units that a request really took instead of those announced."""
         if self._context.settings.settles_units and event.actual_units:
             difference = event.actual_units - pending.event.units
-            customer.quota.take(difference, below=True)
+            customer.quota.take(difference, may_go_negative=True)
             customer.admitted_units += difference
             self._gossip.report(number, customer)
 
--- a/dockthread/policy/backend.py
+++ b/dockthread/policy/backend.py
@@ -5,10 +5,10 @@
 import struct
 from math import inf
 
-from dockthread.policy.backend_pool import Pool
+from dockthread.policy.backend_pool import BackendPool
 from dockthread.policy.context import NEVER
-from dockthread.policy.gossip_codec import worker_code
-from dockthread.policy.latency_estimates import KindStats, Pace
+from dockthread.policy.gossip_codec import backend_code
+from dockthread.policy.latency_estimates import KindEstimates, RelativeLatency
 from dockthread.policy.model import Endpoint
 
 # Bytes of one value of a load report, which is kept packed.
@@ -68,7 +68,7 @@
         "smoothed_remote_requests",
     )
 
-    def __init__(self, entry: Endpoint, kind: KindStats, pool: Pool) -> None:
+    def __init__(self, entry: Endpoint, kind: KindEstimates, pool: BackendPool) -> None:
         self.kind = kind
         self.pool = pool
         self.place = -1
@@ -86,7 +86,7 @@
         Its last load report stays, for comparison: an equal one of the new process is no news.
         """
         self._failed = 0.0
-        self._latency: Pace | None = None
+        self._latency: RelativeLatency | None = None
         self.last_response_at = NEVER
         self.capacity_backoff = 0.0
         self.at_capacity_until = NEVER_AT_CAPACITY
@@ -99,7 +99,7 @@
     @property
     def code(self) -> bytes:
         """The backend's identity in gossip messages."""
-        return worker_code(self.entry.backend)
+        return backend_code(self.entry.backend)
 
     @property
     def failed(self) -> float:
@@ -130,15 +130,15 @@
     def relative_latency(self) -> float:
         """The response time over what is usual for the request's class."""
         if self._latency is None:
-            return self.kind.pace
+            return self.kind.relative_latency
         return self._latency.estimate(self.kind)
 
     def record_latency(self, relative_latency: float) -> None:
         """Learn from one response's time over what is usual for its class."""
         if self._latency is None:
-            self._latency = Pace(self.pool.rounds)
-        self._latency.answered(relative_latency)
-        self.kind.answered(relative_latency)
+            self._latency = RelativeLatency(self.pool.decay_rounds)
+        self._latency.add_sample(relative_latency)
+        self.kind.add_latency(relative_latency)
 
     def mark_at_capacity(self, plan: int, until: float) -> None:
         """Note that the backend has no capacity for a plan until a time in seconds."""
@@ -168,7 +168,7 @@
         self.smoothed_remote_requests += weight * (
             self.remote_requests - self.smoothed_remote_requests
         )
-        self.kind.reported(self.remote_requests)
+        self.kind.add_load(self.remote_requests)
 
     def load(self, now: float) -> float:
         """Estimate the requests at the backend.
@@ -178,7 +178,7 @@
         """
         if self.report_at == NEVER:
             # The kind's mean: taken for empty, backends not met yet would draw all requests.
-            return self.in_flight + (0.0 if self.is_new_process else self.kind.others)
+            return self.in_flight + (0.0 if self.is_new_process else self.kind.remote_requests)
         weight: float = 0.5 ** ((now - self.report_at) / REPORT_HALF_LIFE)
         return (
             self.in_flight
--- a/dockthread/policy/backend_registry.py
+++ b/dockthread/policy/backend_registry.py
@@ -5,9 +5,9 @@
 from math import inf
 
 from dockthread.policy.backend import Backend
-from dockthread.policy.backend_pool import Pool
+from dockthread.policy.backend_pool import BackendPool
 from dockthread.policy.context import Context
-from dockthread.policy.latency_estimates import KindStats
+from dockthread.policy.latency_estimates import KindEstimates
 from dockthread.policy.model import BackendState, Endpoint
 
 # Seconds for which a backend that is no longer listed is remembered: it may be listed again.
@@ -26,9 +26,9 @@
 
     __slots__ = ("_context", "_kinds", "by_code", "by_number", "delisted", "pool")
 
-    def __init__(self, context: Context, pool: Pool) -> None:
+    def __init__(self, context: Context, pool: BackendPool) -> None:
         self._context = context
-        self._kinds: dict[int, KindStats] = {}
+        self._kinds: dict[int, KindEstimates] = {}
         self.pool = pool
         self.by_number: dict[int, Backend] = {}
         self.by_code: dict[bytes, Backend] = {}
@@ -52,7 +52,7 @@
         """Return the backend of an entry; create one for a number never listed before."""
         backend = self.by_number.get(entry.backend)
         if backend is None:
-            kind = self._kinds.setdefault(entry.kind, KindStats())
+            kind = self._kinds.setdefault(entry.kind, KindEstimates())
             backend = Backend(entry, kind, self.pool)
             self.by_number[entry.backend] = backend
             self.pool.add(backend)
@@ -67,7 +67,7 @@
         elif backend.removed_at != inf:
             backend.removed_at = inf
             del self.delisted[backend.entry.backend]
-        self.pool.relist(backend, entry, state is BackendState.READY)
+        self.pool.update(backend, entry, state is BackendState.READY)
 
     def expire(self) -> None:
         """Forget backends that are delisted for long and have no attempt in flight."""
@@ -76,4 +76,4 @@
             if delisted_time > DELISTED_RETENTION and not backend.in_flight:
                 del self.by_number[number], self.delisted[number]
                 self.by_code.pop(backend.code, None)
-                self.pool.forget(backend)
+                self.pool.remove(backend)
--- a/dockthread/policy/customer.py
+++ b/dockthread/policy/customer.py
@@ -5,9 +5,9 @@
 from typing import NamedTuple
 
 from dockthread.policy.context import NEVER
-from dockthread.policy.gossip_codec import Report, whole
+from dockthread.policy.gossip_codec import CustomerReport, encode_units
 from dockthread.policy.model import Plan
-from dockthread.policy.token_bucket import QuotaStore
+from dockthread.policy.token_bucket import QuotaBucket
 
 
 class CounterCall(NamedTuple):
@@ -74,7 +74,7 @@
 
     def __init__(self, plan_number: int, plan: Plan, now: float, started_at: float) -> None:
         self.plan_number = plan_number
-        self.quota = QuotaStore(plan.rate, plan.burst, now)
+        self.quota = QuotaBucket(plan.rate, plan.burst, now)
         self.ceiling_tokens = 0.0
         self.ceiling_updated_at = started_at
         self.first_ingress = 0
@@ -104,21 +104,21 @@
         """Return whether a new customer in its place would be known as much."""
         if self.in_flight or self.waiting_requests or self.counter_call:
             return False
-        idle_time = now - self.quota.at
+        idle_time = now - self.quota.updated_at
         if idle_time * plan.rate < plan.burst:
             return False
         return plan.ceiling_rate * (now - self.ceiling_updated_at) >= plan.ceiling_burst
 
-    def gossip_report(self, number: int, now: float) -> Report:
+    def gossip_report(self, number: int, now: float) -> CustomerReport:
         """Describe the customer for peers.
 
         It has sums and not differences: the next report heals the loss of one.
         """
-        return Report(
+        return CustomerReport(
             number,
             self.plan_number,
             self.in_flight,
-            whole(self.requested_units),
-            whole(self.admitted_units),
-            self.quota.left(now),
+            encode_units(self.requested_units),
+            encode_units(self.admitted_units),
+            self.quota.level_at(now),
         )
--- a/dockthread/policy/customer_registry.py
+++ b/dockthread/policy/customer_registry.py
@@ -5,7 +5,7 @@
 from dockthread.policy.context import Context
 from dockthread.policy.customer import Customer
 from dockthread.policy.model import PolicySettings
-from dockthread.policy.rate_sketch import Sketch
+from dockthread.policy.rate_sketch import RateSketch
 
 # With gossip, customers are forgotten only once there are more than these: peers may name them.
 GOSSIP_CUSTOMERS_KEPT = 4096
@@ -35,7 +35,7 @@
         self._context = context
         self.by_number: dict[int, Customer] = {}
         windows = rate_windows(context.settings, cap_window)
-        self.sketches = [Sketch(window, context.rng) if window else None for window in windows]
+        self.sketches = [RateSketch(window, context.rng) if window else None for window in windows]
 
     def get(self, number: int, plan_number: int) -> Customer:
         """Return a customer with its token bucket refilled; create one that is not known."""
@@ -45,7 +45,7 @@
             plan = context.settings.plans[plan_number]
             customer = Customer(plan_number, plan, context.now, context.started_at)
             self.by_number[number] = customer
-        customer.quota.fill(self._context.now)
+        customer.quota.refill(self._context.now)
         return customer
 
     def get_known(self, number: int) -> Customer:
@@ -55,7 +55,7 @@
             KeyError: the customer is not known.
         """
         customer = self.by_number[number]
-        customer.quota.fill(self._context.now)
+        customer.quota.refill(self._context.now)
         return customer
 
     def expire(self) -> bool:
@@ -77,7 +77,7 @@
         self.by_number = {
             number: customer
             for number, customer in self.by_number.items()
-            if customer.quota.at > now - GOSSIP_IDLE_TIME or customer.in_flight
+            if customer.quota.updated_at > now - GOSSIP_IDLE_TIME or customer.in_flight
         }
         return True
 
--- a/dockthread/policy/engine.py
+++ b/dockthread/policy/engine.py
@@ -15,7 +15,7 @@
 from dockthread.policy.admission_probability import AdmissionProbability
 from dockthread.policy.attempt_outcomes import AttemptOutcomes
 from dockthread.policy.attempts import AttemptManager
-from dockthread.policy.backend_pool import Pool
+from dockthread.policy.backend_pool import BackendPool
 from dockthread.policy.backend_registry import BackendRegistry
 from dockthread.policy.backend_weight import BackendWeights
 from dockthread.policy.context import Context
@@ -33,7 +33,7 @@
     TimerFired,
 )
 from dockthread.policy.gossip import GossipProtocol
-from dockthread.policy.latency_estimates import scarcity
+from dockthread.policy.latency_estimates import sample_scarcity
 from dockthread.policy.load_balancer import LoadBalancer
 from dockthread.policy.model import EndpointListKind, PolicySettings
 from dockthread.policy.pending_request import PendingRequests
@@ -102,7 +102,7 @@
         self._build_decisions()
         self._is_started = False
         self._expired_at = now
-        self._failure_half_life = FAILURE_HALF_LIFE * scarcity(settings.ingress_count)
+        self._failure_half_life = FAILURE_HALF_LIFE * sample_scarcity(settings.ingress_count)
         self._handlers = self._event_handlers()
 
     def _build_state(self, settings: PolicySettings) -> None:
@@ -115,7 +115,7 @@
         self.customers = CustomerRegistry(context, self.delay.tightest_objective)
         self.slow_start = self.slow_start_class(context, self.latencies)
         self._weights = BackendWeights(context, self.slow_start)
-        pool = Pool(self._weights.weight, self.slow_start.weight)
+        pool = BackendPool(self._weights.weight, self.slow_start.weight)
         self.backends = BackendRegistry(context, pool)
 
     def _build_protocols(self, incarnation: int) -> None:
@@ -232,7 +232,7 @@
         """Decay estimates, forget what expired, send heartbeats and retry held requests."""
         self.timers.set(self.context.now + MAINTENANCE_INTERVAL, self.run_maintenance)
         self.delay.decay()
-        self.backends.pool.fade(
+        self.backends.pool.decay(
             0.5 ** (MAINTENANCE_INTERVAL / self._failure_half_life),
             0.5 ** (MAINTENANCE_INTERVAL / LATENCY_HALF_LIFE),
         )
--- a/dockthread/policy/gossip.py
+++ b/dockthread/policy/gossip.py
@@ -225,12 +225,14 @@
         customers = self._customers.by_number
         unsent = self._unsent[peer]
         numbers = list(unsent)
-        room = gossip_codec.room(len(suspects), numbers)
+        room = gossip_codec.report_capacity(len(suspects), numbers)
         if len(numbers) > room:
             # those whose quota is nearest to its end
-            numbers = sorted(numbers, key=lambda number: customers[number].quota.left(now))[:room]
+            numbers = sorted(numbers, key=lambda number: customers[number].quota.level_at(now))[
+                :room
+            ]
         reports = [customers[number].gossip_report(number, now) for number in numbers]
-        data = gossip_codec.pack(self._incarnation, suspects, reports)
+        data = gossip_codec.encode_message(self._incarnation, suspects, reports)
         self._context.actions.append(SendGossip(data, peer))
         self._budget -= 1
         self._last_sent_at[peer] = now
@@ -244,15 +246,15 @@
     def on_gossip_received(self, event: GossipReceived) -> None:
         """Take over a peer's message; ignore one that is garbled or from no peer."""
         settings, peer = self._context.settings, event.peer
-        message = gossip_codec.unpack(event.data, len(settings.plans))
+        message = gossip_codec.decode_message(event.data, len(settings.plans))
         if message is None or not 0 <= peer < settings.ingress_count or peer == self._own_number:
             return
         self.last_received_at[peer] = self._context.now
         for code, failed in message.suspects:
             self._suspect(code, failed)
-        if self._peer_incarnations.get(peer) != message.life:
+        if self._peer_incarnations.get(peer) != message.incarnation:
             # It restarted, and has to know whose quota is used up.
-            self._peer_incarnations[peer] = message.life
+            self._peer_incarnations[peer] = message.incarnation
             self._report_all_to(peer)
         for report in message.reports:
             customer = self._customers.get(report.customer, report.plan)
@@ -273,12 +275,14 @@
             is_in_set = (peer - customer.first_ingress) % count < customer.spread
             if not is_in_set or customer.spread <= 1:
                 continue
-            if customer.quota.left(now) < RESTART_REPORT_FRACTION * customer.quota.burst:
+            if customer.quota.level_at(now) < RESTART_REPORT_FRACTION * customer.quota.burst:
                 self._unsent.setdefault(peer, {})[number] = None
         self._unsent.setdefault(peer, {})
         self._schedule_round()
 
-    def _take_over(self, peer: int, customer: Customer, report: gossip_codec.Report) -> None:
+    def _take_over(
+        self, peer: int, customer: Customer, report: gossip_codec.CustomerReport
+    ) -> None:
         """Take over what a peer tells of a customer."""
         last = customer.peer_sums.get(peer)
         incarnation = self._peer_incarnations[peer]
@@ -286,20 +290,20 @@
         # A new process counts from nothing.
         last_requested = last.requested if last is not None and is_same_process else 0
         last_admitted = last.admitted if last is not None and is_same_process else 0
-        requested = gossip_codec.grown(report.arrived, last_requested)
-        admitted = gossip_codec.grown(report.spent, last_admitted)
+        requested = gossip_codec.units_between(report.arrived_sum, last_requested)
+        admitted = gossip_codec.units_between(report.admitted_sum, last_admitted)
         if last is None:
             # One of both ingresses is new to the other: of sums since a start unknown the last
             # request counts, and a start does not fill the token bucket.
             largest = self._context.settings.max_request_units
             requested = min(requested, largest)
             admitted = min(admitted, largest)
-            customer.quota.at_most(report.left + admitted)
-        customer.peer_sums[peer] = PeerSums(incarnation, report.arrived, report.spent)
+            customer.quota.lower_to(report.bucket_level + admitted)
+        customer.peer_sums[peer] = PeerSums(incarnation, report.arrived_sum, report.admitted_sum)
         self._update_peer_rates(customer, requested, admitted)
         customer.peer_in_flight.pop(peer, None)
-        if report.out:
-            customer.peer_in_flight[peer] = (self._context.now, report.out)
+        if report.in_flight:
+            customer.peer_in_flight[peer] = (self._context.now, report.in_flight)
 
     def _update_peer_rates(self, customer: Customer, requested: float, admitted: float) -> None:
         """Add units that a peer was asked for and admitted since its last message."""
@@ -308,10 +312,10 @@
             return
         gap = self._context.now - customer.gossip_at
         customer.gossip_at = self._context.now
-        customer.quota.messages_told(admitted, gap)
-        customer.peer_arrival_rate = sketch.decayed(
+        customer.quota.apply_gossip(admitted, gap)
+        customer.peer_arrival_rate = sketch.decayed_rate(
             customer.peer_arrival_rate, max(0.0, requested), gap
         )
-        customer.peer_admission_rate = sketch.decayed(
+        customer.peer_admission_rate = sketch.decayed_rate(
             customer.peer_admission_rate, max(0.0, admitted), gap
         )
--- a/dockthread/policy/load_balancer.py
+++ b/dockthread/policy/load_balancer.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from dockthread.policy.backend import Backend
-from dockthread.policy.backend_pool import NOBODY, Drawable
+from dockthread.policy.backend_pool import NO_BACKENDS, DrawableBackends
 from dockthread.policy.backend_registry import BackendRegistry
 from dockthread.policy.backend_weight import BackendWeights
 from dockthread.policy.context import NEVER, Context
@@ -64,7 +64,7 @@
         pool in which all warm up is limited by `RecoveryRamp`.
         """
         pool = self._pool
-        if not pool.warm and self._slow_start.attempts_available(pool.total) < 1:
+        if not pool.has_warm_backend and self._slow_start.attempts_available(pool.total_weight) < 1:
             return None
         possible_run = pending.first_possible_run()
         used = {attempt.backend for attempt in pending.attempts}
@@ -87,20 +87,20 @@
         pending: PendingRequest,
         possible_run: Attempt,
         effect: Effect,
-        candidates: Drawable,
-    ) -> Drawable:
+        candidates: DrawableBackends,
+    ) -> DrawableBackends:
         """Return the backends that drop the repeat of what may have run; none if none does."""
         is_repeatable = (
             effect is Effect.KEYED
             and self._context.now < self._routes.repeat_window_end(possible_run, pending)
         )
         if not is_repeatable:
-            return NOBODY
+            return NO_BACKENDS
         home = self._backends.by_number[possible_run.backend].entry
         return self._routes.deduplicating(pending, home, candidates)
 
     def _least_cost(
-        self, pending: PendingRequest, candidates: Drawable, used: set[int]
+        self, pending: PendingRequest, candidates: DrawableBackends, used: set[int]
     ) -> Backend | None:
         """Return the backend of least cost among some that are drawn; None if none is usable."""
         settings = self._context.settings
@@ -119,7 +119,7 @@
         self,
         pending: PendingRequest,
         possible_run: Attempt | None,
-        candidates: Drawable,
+        candidates: DrawableBackends,
         used: set[int],
     ) -> Backend | None:
         """Draw from all backends with capacity, as the few that were drawn have none.
@@ -129,7 +129,7 @@
         """
         eligible = self._with_capacity(pending, candidates)
         if not eligible and not pending.attempts:
-            eligible = list(candidates.some(self._context.rng))
+            eligible = list(candidates.sample(self._context.rng))
         unused = [backend for backend in eligible if backend.entry.backend not in used]
         if not unused and possible_run is None:
             unused = eligible
@@ -138,15 +138,17 @@
         weights = [self._weights.weight(backend) for backend in unused]
         return self._context.rng.choices(unused, weights)[0]
 
-    def _with_capacity(self, pending: PendingRequest, candidates: Drawable) -> list[Backend]:
+    def _with_capacity(
+        self, pending: PendingRequest, candidates: DrawableBackends
+    ) -> list[Backend]:
         """Return the backends with capacity, warm ones unless none is.
 
         Of many, it returns those among some, unless none of these has capacity.
         """
-        may_warm_up = not self._pool.warm
+        may_warm_up = not self._pool.has_warm_backend
         some = [
             backend
-            for backend in candidates.some(self._context.rng)
+            for backend in candidates.sample(self._context.rng)
             if self._is_usable(backend, pending, may_warm_up)
         ]
         return some or [
--- a/dockthread/policy/quota_counter_sync.py
+++ b/dockthread/policy/quota_counter_sync.py
@@ -17,7 +17,7 @@
 from dockthread.policy.events import CounterReplied, RequestArrived
 from dockthread.policy.gossip import GossipProtocol
 from dockthread.policy.model import NEVER_RAN, Outcome
-from dockthread.policy.rate_sketch import Sketch
+from dockthread.policy.rate_sketch import RateSketch
 
 # Seconds for which a customer's number on the counter counts; and for which the counter keeps it.
 EPOCH = 40.0
@@ -79,7 +79,7 @@
         self.failures = 0.0
         self.circuit_open_until = NEVER
 
-    def must_wait(self, event: RequestArrived, customer: Customer, sketch: Sketch) -> bool:
+    def must_wait(self, event: RequestArrived, customer: Customer, sketch: RateSketch) -> bool:
         """Return whether a request has to wait for the counter, as the others' use decides on it.
 
         It need not within an even split of the quota, nor while the token bucket holds much, nor
@@ -107,7 +107,7 @@
         if not self._is_needed(customer) or sketch is None:
             return
         now = self._context.now
-        customer.local_rate = sketch.decayed(
+        customer.local_rate = sketch.decayed_rate(
             customer.local_rate, event.units, now - customer.local_rate_at
         )
         customer.local_rate_at = now
@@ -183,9 +183,9 @@
         assert sketch is not None
         filled = plan.rate * (now - call.epoch_started_at)
         room = filled - (total - call.units - call.correction)
-        left, lacking = customer.quota.by_the_number(room, call.units)
-        remote_units = customer.quota.counter_told(left - customer.uncounted_units)
-        customer.remote_rate = sketch.decayed(
+        left, lacking = customer.quota.counter_balance(room, call.units)
+        remote_units = customer.quota.apply_counter(left - customer.uncounted_units)
+        customer.remote_rate = sketch.decayed_rate(
             customer.remote_rate, remote_units, now - customer.counter_at
         )
         customer.pending_correction = lacking * (not call.correction)
--- a/dockthread/policy/route_constraints.py
+++ b/dockthread/policy/route_constraints.py
@@ -9,7 +9,7 @@
 from collections import deque
 from math import inf
 
-from dockthread.policy.backend_pool import Drawable, Pool, Sifted
+from dockthread.policy.backend_pool import BackendPool, DrawableBackends, FilteredPool
 from dockthread.policy.context import Context
 from dockthread.policy.events import AttemptEnded
 from dockthread.policy.model import Effect, Endpoint, Outcome
@@ -34,7 +34,7 @@
     __slots__ = ("_context", "_pool", "_requests", "_timers", "admitted")
 
     def __init__(
-        self, context: Context, timers: TimerQueue, requests: PendingRequests, pool: Pool
+        self, context: Context, timers: TimerQueue, requests: PendingRequests, pool: BackendPool
     ) -> None:
         self._context = context
         self._timers = timers
@@ -67,22 +67,22 @@
 
     # Backends
 
-    def candidates(self, pending: PendingRequest) -> Drawable:
+    def candidates(self, pending: PendingRequest) -> DrawableBackends:
         """Return the backends that the route allows; all where none of these is ready."""
         route = pending.event.route
-        if route is None or not route.narrow:
+        if route is None or not route.restricts_backends:
             return self._pool
-        return self._pool.sifted(route.fits) or self._pool
+        return self._pool.filtered(route.allows) or self._pool
 
     def deduplicating(
-        self, pending: PendingRequest, home: Endpoint, candidates: Drawable
-    ) -> Drawable:
+        self, pending: PendingRequest, home: Endpoint, candidates: DrawableBackends
+    ) -> DrawableBackends:
         """Return the candidates that drop repeats of an attempt that may have run at `home`."""
-        near = self._pool.near(home, pending.request_class.deduplication_scope)
+        near = self._pool.in_scope(home, pending.request_class.deduplication_scope)
         route = pending.event.route
         if candidates is self._pool or route is None:
             return near
-        return Sifted(near, route.fits)
+        return FilteredPool(near, route.allows)
 
     # The route's concurrency limit
 
@@ -93,7 +93,7 @@
         """
         event = pending.event
         route = event.route
-        if route is None or not route.waits:
+        if route is None or not route.is_queued:
             return True
         plan = self._context.settings.plans[event.plan]
         priority = pending.request_class.priority_weight * plan.priority_multiplier * event.units
@@ -102,7 +102,7 @@
             return True
         self._requests.by_number[event.request] = pending
         if rejected != event.request:
-            wait_ends_at = self._context.now + route.queue_wait
+            wait_ends_at = self._context.now + route.max_queue_wait
             self._timers.set(wait_ends_at, self._on_queue_wait_ended, event.request)
         if rejected is not None:
             self._reject_queued(rejected)
@@ -113,10 +113,10 @@
         route = pending.event.route
         if route is None:
             return
-        for request in route.leave(pending.event.request):
+        for request in route.release(pending.event.request):
             waiting = self._requests.by_number.get(request)
             if waiting is not None and waiting.event.route is not None:
-                waiting.event.route.admitted(self._context.now)
+                waiting.event.route.on_dequeued(self._context.now)
                 self.admitted.append(request)
 
     def _on_queue_wait_ended(self, request: int) -> None:
@@ -125,9 +125,9 @@
         if pending is None:
             return
         route = pending.event.route
-        if route is None or not route.waits or request in self.admitted:
+        if route is None or not route.is_queued or request in self.admitted:
             return
-        route.gave_up_waiting(request)
+        route.on_queue_timeout(request)
         self._reject_queued(request)
 
     def _reject_queued(self, request: int) -> None:
@@ -142,12 +142,12 @@
         """Tell the route that the request's last attempt is being sent."""
         route = pending.event.route
         if route is not None:
-            route.sent(len(pending.attempts) - 1, self._context.now)
+            route.on_attempt_sent(len(pending.attempts) - 1, self._context.now)
 
     def hedge_delay(self, pending: PendingRequest) -> float | None:
         """Return the seconds after which the route itself hedges an attempt, or None."""
         route = pending.event.route
-        return None if route is None else route.copy_after()
+        return None if route is None else route.hedge_delay()
 
     def attempt_timeout(self, pending: PendingRequest) -> float:
         """Return the seconds that the attempt being sent may take."""
@@ -160,7 +160,7 @@
     def may_hedge(self, pending: PendingRequest) -> bool:
         """Return whether the route allows a hedge now. It draws on the route's budget."""
         route = pending.event.route
-        return route is None or route.copy(len(pending.attempts), self._context.now)
+        return route is None or route.try_hedge(len(pending.attempts), self._context.now)
 
     def retry_pause(self, pending: PendingRequest, outcome: Outcome) -> float | None:
         """Return the seconds to wait before a retry, or None where the route allows none.
@@ -172,7 +172,7 @@
         if route is None:
             return 0.0
         now = self._context.now
-        pause = route.again(len(pending.attempts), outcome, now)
+        pause = route.retry_delay(len(pending.attempts), outcome, now)
         if pause is None:
             return None
         return None if now + pause >= self.answer_deadline(pending) else pause
@@ -183,7 +183,7 @@
         outcome = pending.attempts[-1].outcome
         if outcome is None or route is None:
             return True
-        return route.still(len(pending.attempts), outcome)
+        return route.may_still_retry(len(pending.attempts), outcome)
 
     def answer_deadline(self, pending: PendingRequest) -> float:
         """Return the latest time for the final answer, just before the client stops waiting."""
@@ -193,4 +193,4 @@
         """Tell the route how an attempt ended."""
         route = pending.event.route
         if route is not None:
-            route.ended(event.attempt, event.outcome, event.duration, self._context.now)
+            route.on_attempt_ended(event.attempt, event.outcome, event.duration, self._context.now)
--- a/dockthread/policy/usual_latency.py
+++ b/dockthread/policy/usual_latency.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dockthread.policy.latency_estimates import smoothed
+from dockthread.policy.latency_estimates import smooth_latency
 from dockthread.policy.model import RequestClass
 
 # Weight of one more response in the usual time.
@@ -38,4 +38,4 @@
     def record(self, request_class: int, duration: float) -> None:
         """Learn from one response of a class that took `duration` seconds."""
         usual, deviation = self.by_class[request_class]
-        self.by_class[request_class] = smoothed(usual, deviation, duration, SMOOTHING_FACTOR)
+        self.by_class[request_class] = smooth_latency(usual, deviation, duration, SMOOTHING_FACTOR)
