--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: frames both ways, what it skips, and what ends it."""
+"""The simulator adapter: its binary records both ways, and bad input, which ends it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from dockthread import simulator_adapter
 from dockthread.policy import AttemptEnded, Outcome, SendAttempt, SendGossip, SetTimer
 
-CONF = {
+SETTINGS = {
     "MyNumber": 0,
     "ReplicasOfMe": 1,
     "Classes": [{"Aim": 1000000, "HardLimit": 4000000, "Effect": "pure", "Group": "all", "New": 1}],
@@ -21,10 +21,10 @@
     "Period": 2000,
     "SomethingNew": {"a": 1},
 }
-WORKER = bytes.fromhex("0a124a07431f")
+BACKEND = bytes.fromhex("0a124a07431f")
 
 
-def frame(clock: int, records: list[bytes], tail: bytes = b"") -> bytes:
+def encode_batch(clock: int, records: list[bytes], tail: bytes = b"") -> bytes:
     body = b"".join(r.ljust(simulator_adapter.RECORD, b"\0") for r in records) + tail
     return (
         simulator_adapter.HEADER.pack(
@@ -34,25 +34,29 @@
     )
 
 
-def up(conf: bytes, offset: int = 0) -> bytes:
-    return struct.pack("<HIQII", 7, 3, 99, offset, len(conf))
+def start_record(settings: bytes, offset: int = 0) -> bytes:
+    return struct.pack("<HIQII", 7, 3, 99, offset, len(settings))
 
 
-def listed(offset: int) -> bytes:
+def endpoints_record(offset: int) -> bytes:
     return struct.pack("<HIBQII", 8, 3, 3, 1, offset, 1)
 
 
-def request(call: int) -> bytes:
+def request_record(call: int) -> bytes:
     return struct.pack("<HIIBIQIfffH", 6, 3, call, 0, 0, 77, 4000000, 1.0, 1.0, 0.0, 0)
 
 
-def start() -> bytes:
-    conf = json.dumps(CONF).encode()
-    line = WORKER + bytes([0, 0, 0, 0, 1]) + struct.pack("<fQ", 1.0, 0)
-    return frame(1_000_000, [up(conf), listed(len(conf)), request(5)], conf + line)
+def first_batch() -> bytes:
+    settings = json.dumps(SETTINGS).encode()
+    line = BACKEND + bytes([0, 0, 0, 0, 1]) + struct.pack("<fQ", 1.0, 0)
+    return encode_batch(
+        1_000_000,
+        [start_record(settings), endpoints_record(len(settings)), request_record(5)],
+        settings + line,
+    )
 
 
-def replies(data: bytes) -> list[list[bytes]]:
+def split_replies(data: bytes) -> list[list[bytes]]:
     found = []
     while data:
         length, count = simulator_adapter.REPLY.unpack_from(data)
@@ -66,10 +70,10 @@
     return found
 
 
-def serve(data: bytes) -> list[list[bytes]]:
+def run_adapter(data: bytes) -> list[list[bytes]]:
     sink = io.BytesIO()
     simulator_adapter.serve(io.BytesIO(data), sink)
-    return replies(sink.getvalue())
+    return split_replies(sink.getvalue())
 
 
 def test_empty_batch_gets_an_empty_reply() -> None:
@@ -79,10 +83,10 @@
 
 
 def test_request_is_sent_to_the_listed_backend() -> None:
-    (actions,) = serve(start())
+    (actions,) = run_adapter(first_batch())
     sends = [a for a in actions if a[:2] == b"\1\0"]
     assert len(sends) == 1
-    assert sends[0][6:16] == struct.pack("<I", 5) + WORKER
+    assert sends[0][6:16] == struct.pack("<I", 5) + BACKEND
     assert all(len(a) == simulator_adapter.ACTION for a in actions)
 
 
@@ -101,12 +105,12 @@
     assert event.duration == pytest.approx(0.018500)
     assert event.reported_usage == pytest.approx(0.85)
     assert list(event.load_report) == pytest.approx([0.62])
-    assert simulator_adapter.worker_fields(event.backend) == (WORKER[:4], 0x1F43)
+    assert simulator_adapter.worker_fields(event.backend) == (BACKEND[:4], 0x1F43)
 
 
 def test_actions_of_the_wire_specification_are_encoded() -> None:
-    worker = simulator_adapter.worker_id(WORKER[:4], 0x1F43)
-    send = simulator_adapter._write(3, SendAttempt(0x5D3A91C4, worker, 0.080000), bytearray())
+    backend = simulator_adapter.worker_id(BACKEND[:4], 0x1F43)
+    send = simulator_adapter._write(3, SendAttempt(0x5D3A91C4, backend, 0.080000), bytearray())
     assert send == bytes.fromhex("010003000000c4913a5d0a124a07431f80380100")
     timer = simulator_adapter._write(3, SetTimer(8.911481, 77), bytearray())
     assert timer == struct.pack("<HIQI", 5, 3, 8911481, 77)
@@ -117,24 +121,28 @@
 
 
 def test_kill_and_restart_in_one_batch() -> None:
-    conf = json.dumps(CONF).encode()
+    settings = json.dumps(SETTINGS).encode()
     kill = struct.pack("<HI", 11, 3)
-    again = frame(2_000_000, [kill, up(conf)], conf)
-    adapter_replies = serve(start() + again + frame(3_000_000, [request(6)]))
+    again = encode_batch(2_000_000, [kill, start_record(settings)], settings)
+    adapter_replies = run_adapter(
+        first_batch() + again + encode_batch(3_000_000, [request_record(6)])
+    )
     assert adapter_replies[1] == []
-    assert not [a for a in adapter_replies[2] if a[:2] == b"\1\0"]  # its list went with it
+    assert not [
+        a for a in adapter_replies[2] if a[:2] == b"\1\0"
+    ]  # its endpoint list is lost with it
 
 
 @pytest.mark.parametrize(
     "data",
     [
-        start()[:-1],
-        frame(1, [up(b"{not json")], b"{not json"),
-        frame(1, [up(b"[]")], b"[]"),
-        start() + frame(2_000_000, [struct.pack("<HI", 99, 3)]),
-        start() + frame(2_000_000, [struct.pack("<HII", 3, 4, 1)]),
+        first_batch()[:-1],
+        encode_batch(1, [start_record(b"{not json")], b"{not json"),
+        encode_batch(1, [start_record(b"[]")], b"[]"),
+        first_batch() + encode_batch(2_000_000, [struct.pack("<HI", 99, 3)]),
+        first_batch() + encode_batch(2_000_000, [struct.pack("<HII", 3, 4, 1)]),
         simulator_adapter.HEADER.pack(1, 20, 5),
-        frame(1, [up(b"x" * 50)]),
+        encode_batch(1, [start_record(b"x" * 50)]),
     ],
     ids=[
         "truncated",
@@ -156,11 +164,13 @@
     )
     assert done.returncode == 1
     assert len(done.stderr.decode().splitlines()) == 1
-    replies(done.stdout)
+    split_replies(done.stdout)
 
 
 def test_replies_do_not_depend_on_the_hash_seed() -> None:
-    data = start() + b"".join(frame(1_100_000 + i * 1000, [request(10 + i)]) for i in range(60))
+    data = first_batch() + b"".join(
+        encode_batch(1_100_000 + i * 1000, [request_record(10 + i)]) for i in range(60)
+    )
     outs = [
         subprocess.run(
             [sys.executable, "-m", "dockthread.simulator_adapter"],
@@ -173,4 +183,4 @@
         for seed in ("1", "2")
     ]
     assert outs[0] == outs[1]
-    assert len(replies(outs[0])) == 61
+    assert len(split_replies(outs[0])) == 61
