--- a/tests/policy/test_token_bucket.py
+++ b/tests/policy/test_token_bucket.py
@@ -8,25 +8,26 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "left"),
+    ("reported", "expected_level"),
     [
-        ([("messages", 3.0)], 5.0),
+        ([("gossip", 3.0)], 5.0),
         ([("counter", 3.0)], 5.0),
-        ([("messages", 3.0), ("counter", 3.0)], 5.0),
-        ([("counter", 3.0), ("messages", 3.0)], 5.0),
-        ([("messages", 1.0), ("counter", 3.0), ("messages", 2.0), ("counter", 1.0)], 4.0),
-        ([("messages", 2.0), ("messages", 2.0), ("counter", 3.0), ("counter", 1.0)], 4.0),
-        ([("messages", 50.0), ("counter", 50.0)], 0.0),
+        ([("gossip", 3.0), ("counter", 3.0)], 5.0),
+        ([("counter", 3.0), ("gossip", 3.0)], 5.0),
+        ([("gossip", 1.0), ("counter", 3.0), ("gossip", 2.0), ("counter", 1.0)], 4.0),
+        ([("gossip", 2.0), ("gossip", 2.0), ("counter", 3.0), ("counter", 1.0)], 4.0),
+        ([("gossip", 50.0), ("counter", 50.0)], 0.0),
     ],
 )
 def test_usage_reported_by_gossip_and_counter_is_taken_once(
-    told: list[tuple[str, float]], left: float
+    reported: list[tuple[str, float]], expected_level: float
 ) -> None:
-    store, by_the_counter = QuotaBucket(2.0, 8.0, 0.0), 0.0
-    for source, units in told:
-        if source == "messages":
-            store.apply_gossip(units, 0.0)
+    bucket = QuotaBucket(rate=2.0, burst=8.0, now=0.0)
+    counter_total = 0.0
+    for source, units in reported:
+        if source == "gossip":
+            bucket.apply_gossip(units, since=0.0)
         else:
-            by_the_counter += units
-            store.apply_counter(8.0 - by_the_counter)
-    assert store.level == pytest.approx(left)
+            counter_total += units
+            bucket.apply_counter(8.0 - counter_total)
+    assert bucket.level == pytest.approx(expected_level)
