--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -66,8 +66,8 @@
         assert first.backend != second.backend
         assert first.start_deadline == math.inf
         assert second.start_deadline == pytest.approx(ingress.now + 3.0 - SETTINGS.clock_tick)
-    ingress.end_attempt(again := ingress.send_request(SAFE), 0, Outcome.ERROR)
-    assert [send.start_deadline for send in ingress.attempts[again]] == [math.inf] * 2
+    ingress.end_attempt(retried := ingress.send_request(SAFE), 0, Outcome.ERROR)
+    assert [send.start_deadline for send in ingress.attempts[retried]] == [math.inf] * 2
     late = ingress.send_request(KEYED)
     ingress.now += 3.0
     ingress.end_attempt(late, 0, Outcome.ERROR)
@@ -80,45 +80,57 @@
     st.booleans(),
 )
 def test_each_request_gets_one_answer_in_time_and_no_effect_twice(
-    steps: list[tuple[int, int, float]], copies: bool
+    steps: list[tuple[int, int, float]], may_hedge: bool
 ) -> None:
-    ingress = IngressHarness(replace(SETTINGS, may_hedge=copies), backends=4)
-    asked: dict[int, tuple[int, float]] = {}
+    ingress = IngressHarness(replace(SETTINGS, may_hedge=may_hedge), backends=4)
+    arrived: dict[int, tuple[int, float]] = {}
     ended: dict[int, dict[int, Outcome]] = {}
     outcomes = (Outcome.OK, Outcome.ERROR, Outcome.AT_CAPACITY, Outcome.UNREACHABLE)
-    for what, which, pause in steps:
+    for action, choice, pause in steps:
         ingress.run_until(ingress.now + pause)
-        every = [(r, n) for r, sends in ingress.attempts.items() for n in range(len(sends))]
-        out = [(r, n) for r, n in every if n not in ended.get(r, {})]
-        for request, number in [x for x in out if x in ingress.cancelled]:
+        sent = [
+            (request, number)
+            for request, sends in ingress.attempts.items()
+            for number in range(len(sends))
+        ]
+        in_flight = [
+            (request, number) for request, number in sent if number not in ended.get(request, {})
+        ]
+        for request, number in [attempt for attempt in in_flight if attempt in ingress.cancelled]:
             ended.setdefault(request, {})[number] = Outcome.CANCELLED
             ingress.end_attempt(request, number, Outcome.CANCELLED)
-        out = [(r, n) for r, n in out if n not in ended.get(r, {})]
-        if what < 2 or not out:
-            request = ingress.send_request(which)
-            asked[request] = (which, ingress.now + 4.0)
+        in_flight = [
+            (request, number)
+            for request, number in in_flight
+            if number not in ended.get(request, {})
+        ]
+        if action < 2 or not in_flight:
+            request = ingress.send_request(choice)
+            arrived[request] = (choice, ingress.now + 4.0)
         else:
-            request, number = out[which % len(out)]
-            outcome = outcomes[what - 1]
+            request, number = in_flight[choice % len(in_flight)]
+            outcome = outcomes[action - 1]
             ended.setdefault(request, {})[number] = outcome
             if outcome is Outcome.OK and ingress.answers.get(request):
                 outcome = Outcome.CANCELLED
             ingress.end_attempt(request, number, outcome)
-        for request, (cls, _) in asked.items():
+        for request, (request_class, _) in arrived.items():
             sends = ingress.attempts.get(request, [])
-            gone = ended.get(request, {})
-            unproven = [n for n in range(len(sends)) if gone.get(n) not in NEVER_RAN]
+            outcome_of = ended.get(request, {})
+            may_have_run = [
+                number for number in range(len(sends)) if outcome_of.get(number) not in NEVER_RAN
+            ]
             assert len(ingress.answers.get(request, [])) <= 1
-            if cls == UNSAFE:
-                assert len(unproven) <= 1
-                assert all(n == len(sends) - 1 for n in unproven)
-                assert not (unproven and ingress.answers.get(request) == ["refused"])
-            if cls == KEYED and unproven:
+            if request_class == UNSAFE:
+                assert len(may_have_run) <= 1
+                assert all(number == len(sends) - 1 for number in may_have_run)
+                assert not (may_have_run and ingress.answers.get(request) == ["refused"])
+            if request_class == KEYED and may_have_run:
                 assert ingress.answers.get(request) != ["refused"]
-            if not copies:
-                assert sum(n not in gone for n in range(len(sends))) <= 1
+            if not may_hedge:
+                assert sum(number not in outcome_of for number in range(len(sends))) <= 1
     ingress.run_until(ingress.now + 5)
-    assert all(len(ingress.answers.get(r, [])) == 1 for r in asked)
+    assert all(len(ingress.answers.get(request, [])) == 1 for request in arrived)
 
 
 def test_no_attempt_is_sent_after_the_client_disconnected() -> None:
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -33,9 +33,9 @@
 
 
 @pytest.mark.parametrize(
-    ("names", "report", "others"),
+    ("names", "report", "expected"),
     [
-        # less two out here, and the one that was answered
+        # Less two in flight here and the one that was answered.
         (("rif", "rate", "q"), (7.0, 30.0, 2.0), 4.0),
         (("busy",), (0.9,), 0.9),  # the whole of its cores counts as one request
         (("busy", "q"), (0.9, 4.0), 4.9),
@@ -47,10 +47,10 @@
     ],
 )
 def test_load_of_other_ingresses_is_read_from_any_load_report(
-    names: tuple[str, ...], report: tuple[float, ...], others: float | None
+    names: tuple[str, ...], report: tuple[float, ...], expected: float | None
 ) -> None:
-    told = LoadReportReader(names).remote_requests(report, 2, 0.1)
-    assert told == (others if others is None else pytest.approx(others))
+    remote_requests = LoadReportReader(names).remote_requests(report, 2, 0.1)
+    assert remote_requests == (expected if expected is None else pytest.approx(expected))
 
 
 @pytest.mark.parametrize("names", [("busy",), ()])
@@ -58,12 +58,12 @@
     ingress = IngressHarness(replace(SETTINGS, load_report_fields=names))
     use = {1000: 0.9, 1001: 0.3, 1002: 0.3}
     sent = dict.fromkeys(use, 0)
-    for n in range(600):
+    for number in range(600):
         ingress.run_until(ingress.now + 0.05)
         request = ingress.send_request(UNSAFE)
         backend = ingress.attempts[request][0].backend
-        sent[backend] += n >= 100
-        load = (use[backend] + n % 7 / 1000,) if names else ()
+        sent[backend] += number >= 100
+        load = (use[backend] + number % 7 / 1000,) if names else ()
         ingress.run_until(ingress.now + 0.05)
         ingress.handle(AttemptEnded(request, 0, backend, Outcome.OK, True, 0.05, load_report=load))
     if names:
@@ -72,9 +72,9 @@
 
 
 def test_requests_of_other_ingresses_count_as_load() -> None:
-    even = {1000: 0.1, 1001: 0.1}
+    durations = {1000: 0.1, 1001: 0.1}
     sent = requests_by_backend(
-        IngressHarness(LOAD_REPORT_SETTINGS, backends=2), {1000: 12.0, 1001: 1.0}, even
+        IngressHarness(LOAD_REPORT_SETTINGS, backends=2), {1000: 12.0, 1001: 1.0}, durations
     )
     assert sent[1001] > 5 * sent[1000]
 
--- a/tests/policy/test_many_ingresses.py
+++ b/tests/policy/test_many_ingresses.py
@@ -42,7 +42,9 @@
 MAX_QUEUED_CALLS = 24
 
 
-def discovery_calls(fleet: int, *, all_fail: bool, until: float) -> tuple[list[float], list[float]]:
+def discovery_calls(
+    ingress_count: int, *, all_fail: bool, until: float
+) -> tuple[list[float], list[float]]:
     """Simulate ingresses that all lose discovery at 0 ms and poll a service that works in turn.
 
     The service also works on calls whose caller has timed out.
@@ -50,38 +52,40 @@
     Returns:
         Times (ms) at which calls were made, and at which calls were answered.
     """
-    ingresses = [Backoff(random.Random(seed), fleet) for seed in range(fleet)]
+    ingresses = [Backoff(random.Random(seed), ingress_count) for seed in range(ingress_count)]
     due: list[tuple[float, int]] = []
     for number, backoff in enumerate(ingresses):
         heappush(due, (backoff.initial_delay(), number))
     calls: list[float] = []
-    served: list[float] = []
-    free = 0.0
+    answered_at: list[float] = []
+    free_at = 0.0  # when the service has worked off its queue
     while due and due[0][0] < until:
         now, number = heappop(due)
         calls.append(now)
-        full = free - now > MAX_QUEUED_CALLS * SERVICE_TIME_MS
-        if not full:
-            free = max(free, now) + SERVICE_TIME_MS
-        if all_fail or full:
+        is_full = free_at - now > MAX_QUEUED_CALLS * SERVICE_TIME_MS
+        if not is_full:
+            free_at = max(free_at, now) + SERVICE_TIME_MS
+        if all_fail or is_full:
             heappush(due, (now + 4.0 + ingresses[number].retry_delay(), number))
-        elif free - now > CALL_TIMEOUT_MS:
+        elif free_at - now > CALL_TIMEOUT_MS:
             heappush(due, (now + CALL_TIMEOUT_MS + ingresses[number].retry_delay(), number))
         else:
-            served.append(free)
-    return calls, served
+            answered_at.append(free_at)
+    return calls, answered_at
 
 
 def max_calls_within(times: list[float], window: float) -> int:
     return max(sum(1 for t in times if at <= t < at + window) for at in times)
 
 
-@pytest.mark.parametrize("fleet", [4, 40, 120])
-def test_polls_are_spread_out_after_all_ingresses_lose_discovery_at_once(fleet: int) -> None:
-    calls, _ = discovery_calls(fleet, all_fail=True, until=40_000.0)
+@pytest.mark.parametrize("ingress_count", [4, 40, 120])
+def test_polls_are_spread_out_after_all_ingresses_lose_discovery_at_once(
+    ingress_count: int,
+) -> None:
+    calls, _ = discovery_calls(ingress_count, all_fail=True, until=40_000.0)
     # With a fixed pause of 250 ms all of them would fall into each such window.
     assert max_calls_within([t for t in calls if t > 510.0], 250.0) <= 10
-    assert all(t <= 500.0 for t in calls[:fleet]), (
+    assert all(t <= 500.0 for t in calls[:ingress_count]), (
         "the loss itself is asked about before a drain's grace is over"
     )
     assert len([t for t in calls if t >= 10_000.0]) <= 30 * 1000.0 / FIRST_CAP_PER_INGRESS_MS
@@ -94,12 +98,12 @@
 
 
 def test_backoff_grows_to_its_cap_and_resets() -> None:
-    def ends(backoff: Backoff, times: int = 400) -> float:
+    def longest_delay(backoff: Backoff, times: int = 400) -> float:
         return max(backoff.retry_delay() for _ in range(times))
 
     backoff = Backoff(random.Random(1), 4)
     assert backoff.first_cap == 500.0
-    assert 1_900.0 < ends(backoff) <= 2_000.0
+    assert 1_900.0 < longest_delay(backoff) <= 2_000.0
     backoff.reset()
     assert backoff.retry_delay() <= 500.0
 
@@ -129,19 +133,20 @@
 class IngressFleet:
     """Many ingresses over backends that answer at once, after simulated response times (s)."""
 
-    def __init__(self, engines: int, entries: list[Endpoint]) -> None:
+    def __init__(self, ingress_count: int, endpoints: list[Endpoint]) -> None:
         self.now = 1_000.0
         self.requests = 0
-        self.requests_by_backend = dict.fromkeys((entry.backend for entry in entries), 0)
+        self.requests_by_backend = dict.fromkeys((endpoint.backend for endpoint in endpoints), 0)
         self.response_times: dict[int, float] = {}
         self.failing_backends: set[int] = set()
-        # by ingress and backend, when its connection was used last
+        # By ingress and backend, when its connection was used last.
         self.last_used: dict[tuple[int, int], float] = {}
         self.connections_opened = 0
         self.engines = [
-            PolicyEngine(fleet_settings(engines, n), n, self.now) for n in range(engines)
+            PolicyEngine(fleet_settings(ingress_count, number), number, self.now)
+            for number in range(ingress_count)
         ]
-        self.broadcast(EndpointsListed(EndpointListKind.FULL, tuple(entries)))
+        self.broadcast(EndpointsListed(EndpointListKind.FULL, tuple(endpoints)))
 
     def broadcast(self, event: Event) -> None:
         for engine in self.engines:
@@ -154,24 +159,23 @@
         number = 0
         while send := next((a for a in actions if isinstance(a, SendAttempt)), None):
             self.requests_by_backend[send.backend] += 1
-            link = (engine.settings.ingress_number, send.backend)
-            self.connections_opened += self.last_used.get(link, 0.0) < self.now - 7.5
-            self.last_used[link] = self.now
-            bad, took = (
-                send.backend in self.failing_backends,
-                self.response_times.get(send.backend, 0.3),
-            )
-            outcome = Outcome.ERROR if bad else Outcome.OK
+            connection = (engine.settings.ingress_number, send.backend)
+            self.connections_opened += self.last_used.get(connection, 0.0) < self.now - 7.5
+            self.last_used[connection] = self.now
+            has_failed = send.backend in self.failing_backends
+            duration = self.response_times.get(send.backend, 0.3)
+            outcome = Outcome.ERROR if has_failed else Outcome.OK
             ended = AttemptEnded(
                 send.request,
                 number,
                 send.backend,
                 outcome,
-                not bad,
-                took,
-                load_report=() if bad else (2.0, 5.0, 0.0),
+                not has_failed,
+                duration,
+                load_report=() if has_failed else (2.0, 5.0, 0.0),
             )
-            actions, number = engine.handle(self.now, ended), number + 1
+            actions = engine.handle(self.now, ended)
+            number += 1
 
     def run_rounds(self, rounds: int) -> None:
         """Send one request per ingress each 0.15 s, as forty do that share some 270 requests/s."""
@@ -186,45 +190,47 @@
 
 
 def ready_endpoints(
-    count: int, kinds: int = 1, started: float = 0.0, first: int = 0
+    count: int, kinds: int = 1, started_at: float = 0.0, first: int = 0
 ) -> list[Endpoint]:
-    ready = BackendState.READY
-    return [Endpoint(first + i, ready, kind=i % kinds, started_at=started) for i in range(count)]
+    return [
+        Endpoint(first + i, BackendState.READY, kind=i % kinds, started_at=started_at)
+        for i in range(count)
+    ]
 
 
 def test_a_backend_that_fails_fast_costs_many_ingresses_few_requests() -> None:
-    pool = IngressFleet(40, ready_endpoints(60))
-    pool.failing_backends = {0, 1, 2, 3, 4, 5}
-    pool.run_rounds(160)
-    bad = sum(pool.requests_by_backend[backend] for backend in pool.failing_backends) / sum(
-        pool.requests_by_backend.values()
+    fleet = IngressFleet(40, ready_endpoints(60))
+    fleet.failing_backends = {0, 1, 2, 3, 4, 5}
+    fleet.run_rounds(160)
+    bad = sum(fleet.requests_by_backend[backend] for backend in fleet.failing_backends) / sum(
+        fleet.requests_by_backend.values()
     )
     assert bad < 0.1, "with the weight and the time that suit three ingresses it is 0.19"
 
 
 def test_latency_of_a_kind_is_assumed_for_its_backends_without_samples() -> None:
-    pool = IngressFleet(40, ready_endpoints(60, kinds=2))
-    pool.response_times = {backend: 0.2 if backend % 2 == 0 else 0.8 for backend in range(60)}
-    pool.run_rounds(20)  # three meetings in ten with each backend, at each ingress
-    slow = sum(n for backend, n in pool.requests_by_backend.items() if backend % 2) / sum(
-        pool.requests_by_backend.values()
+    fleet = IngressFleet(40, ready_endpoints(60, kinds=2))
+    fleet.response_times = {backend: 0.2 if backend % 2 == 0 else 0.8 for backend in range(60)}
+    fleet.run_rounds(20)  # each ingress meets each backend three times in ten
+    slow = sum(n for backend, n in fleet.requests_by_backend.items() if backend % 2) / sum(
+        fleet.requests_by_backend.values()
     )
     assert slow < 0.3
 
 
 def test_new_backends_count_as_idle_and_are_used_by_slow_start_weight() -> None:
-    pool = IngressFleet(40, ready_endpoints(30))
-    pool.run_rounds(20)
-    before = sum(pool.requests_by_backend.values())
-    new = ready_endpoints(30, started=pool.now, first=100)
-    pool.requests_by_backend.update(dict.fromkeys((e.backend for e in new), 0))
-    pool.broadcast(EndpointsListed(EndpointListKind.CHANGES, tuple(new)))
-    pool.run_rounds(20)
-    part = sum(n for backend, n in pool.requests_by_backend.items() if backend >= 100) / (
-        sum(pool.requests_by_backend.values()) - before
+    fleet = IngressFleet(40, ready_endpoints(30))
+    fleet.run_rounds(20)
+    before = sum(fleet.requests_by_backend.values())
+    new = ready_endpoints(30, started_at=fleet.now, first=100)
+    fleet.requests_by_backend.update(dict.fromkeys((endpoint.backend for endpoint in new), 0))
+    fleet.broadcast(EndpointsListed(EndpointListKind.CHANGES, tuple(new)))
+    fleet.run_rounds(20)
+    part = sum(n for backend, n in fleet.requests_by_backend.items() if backend >= 100) / (
+        sum(fleet.requests_by_backend.values()) - before
     )
-    # At a warmth of 0.22 to 0.37 a fair part is 0.23; twice as much is short of the three times
-    # that they stand.
+    # At slow-start weights of 0.22 to 0.37 a fair part is 0.23; twice as much is short of the
+    # three times that overload them.
     assert 0.2 < part < 0.46, "by the square of their warmth, and as busy as the rest, 0.03"
 
 
@@ -264,11 +270,11 @@
 
 def test_handshake_cost_favours_idle_connections() -> None:
     def connections_opened(price: float) -> int:
-        pool = IngressFleet(40, ready_endpoints(60))
-        for engine in pool.engines:
+        fleet = IngressFleet(40, ready_endpoints(60))
+        for engine in fleet.engines:
             engine.context.settings = replace(engine.settings, costs=CostWeights(handshake=price))
-        pool.run_rounds(80)
-        return pool.connections_opened
+        fleet.run_rounds(80)
+        return fleet.connections_opened
 
     assert connections_opened(0.08) < 0.8 * connections_opened(0.0)
 
--- a/tests/policy/test_quota_counter_sync.py
+++ b/tests/policy/test_quota_counter_sync.py
@@ -23,14 +23,14 @@
 )
 
 
-@pytest.mark.parametrize(("others", "let_in"), [(0.0, True), (50.0, False)])
-def test_counter_total_decides_beyond_an_even_split(others: float, let_in: bool) -> None:
+@pytest.mark.parametrize(("others", "is_admitted"), [(0.0, True), (50.0, False)])
+def test_counter_total_decides_beyond_an_even_split(others: float, is_admitted: bool) -> None:
     ingress = IngressHarness(COUNTER_SETTINGS)
     request, call = request_beyond_even_split(ingress)
     assert not ingress.answers.get(request)  # it waits, and no longer than the counter may take
     ingress.handle(counter_reply(ingress, call, others))
-    assert ingress.is_admitted(request) is let_in
-    assert ingress.answers.get(request) == (None if let_in else ["refused"])
+    assert ingress.is_admitted(request) is is_admitted
+    assert ingress.answers.get(request) == (None if is_admitted else ["refused"])
 
 
 def test_an_empty_token_bucket_rejects_without_a_counter_call() -> None:
@@ -39,7 +39,7 @@
     ingress.handle(CounterReplied(call.name, Outcome.OK, 1000.0))
     actions = ingress.handle(RequestArrived(900, SAFE, RATE_PLAN, 7, 4.0, 1.0, 2, 0))
     assert not counter_calls(actions)
-    assert any(isinstance(a, Reject) for a in actions)
+    assert any(isinstance(action, Reject) for action in actions)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.AT_CAPACITY, Outcome.ERROR])
@@ -51,18 +51,23 @@
     ingress.engine.counter.failures = quota_counter_sync.FAILURES_TO_OPEN - 0.25
     ingress.handle(CounterReplied(call.name, outcome))
     assert ingress.is_admitted(request) or ingress.answers[request] == ["refused"]
-    assert not counter_calls([a for n in range(901, 920) for a in ingress.handle(
-        RequestArrived(n, SAFE, RATE_PLAN, 7, 4.0, 1.0, 2, 0))])  # fmt: skip
-    c = ingress.engine.customers.by_number[7]
-    # nothing was added: told next time
-    assert (c.uncounted_units >= call.amount) or outcome is not Outcome.AT_CAPACITY
+    assert not counter_calls(
+        [
+            action
+            for number in range(901, 920)
+            for action in ingress.handle(RequestArrived(number, SAFE, RATE_PLAN, 7, 4.0, 1.0, 2, 0))
+        ]
+    )
+    customer = ingress.engine.customers.by_number[7]
+    # With AT_CAPACITY nothing was added, so the amount goes with the next call.
+    assert (customer.uncounted_units >= call.amount) or outcome is not Outcome.AT_CAPACITY
 
 
 def test_a_garbled_counter_reply_is_requested_again_before_any_decision() -> None:
     ingress = IngressHarness(COUNTER_SETTINGS)
     request, call = request_beyond_even_split(ingress)
     again = counter_calls(ingress.handle(CounterReplied(call.name, Outcome.ERROR)))
-    assert [c.amount for c in again] == [0.0]  # what the first one added is not added twice
+    assert [call.amount for call in again] == [0.0]  # what the first one added is not added twice
     assert not ingress.answers.get(request)
     ingress.handle(CounterReplied(call.name, Outcome.OK, 1000.0))
     assert ingress.answers[request] == ["refused"]
@@ -70,8 +75,9 @@
 
 def test_a_request_that_waits_for_the_counter_is_answered_before_its_deadline() -> None:
     ingress = IngressHarness(COUNTER_SETTINGS)
-    request_beyond_even_split(ingress)  # a call is out, and its answer does not come
-    ingress.last_request, ingress.now = ingress.last_request + 1, ingress.now + 0.01
+    request_beyond_even_split(ingress)  # a call whose reply does not come
+    ingress.last_request += 1
+    ingress.now += 0.01
     ingress.handle(RequestArrived(ingress.last_request, SAFE, RATE_PLAN, 7, 0.03, 1.0, 2, 0))
     ingress.run_until(ingress.now + 0.03)
     assert ingress.answers[ingress.last_request] == ["refused"]
@@ -81,11 +87,11 @@
     ingress = IngressHarness(COUNTER_SETTINGS)
     _, call = request_beyond_even_split(ingress)
     answer_counter_calls(ingress, [call], 3.0)
-    c = ingress.engine.customers.by_number[7]
+    customer = ingress.engine.customers.by_number[7]
     for others, left in ((8.0, 8.0), (40.0, 0.0)):
-        ingress.run_until(ingress.now + 8)  # 16 units came in, and the store holds 8
+        ingress.run_until(ingress.now + 8)  # 16 units came in, and the bucket holds 8
         ingress.engine.customers.get(7, RATE_PLAN)
         ingress.engine.context.actions = []
-        ingress.engine.counter.send(7, c)
+        ingress.engine.counter.send(7, customer)
         answer_counter_calls(ingress, counter_calls(ingress.engine.actions), others)
-        assert c.quota.level == pytest.approx(left, abs=1.5)
+        assert customer.quota.level == pytest.approx(left, abs=1.5)
--- a/tests/policy/test_quota_of_many_ingresses.py
+++ b/tests/policy/test_quota_of_many_ingresses.py
@@ -135,71 +135,83 @@
         )
         self.send_request(ClientRequest(number, self.rng.choice(REQUEST_UNITS)))
 
-    def send_request(self, ask: ClientRequest) -> None:
-        customer = self.customers[ask.customer]
+    def send_request(self, client_request: ClientRequest) -> None:
+        customer = self.customers[client_request.customer]
         number = (customer.first + self.rng.randrange(customer.spread)) % len(self.engines)
         self.next += 1
         request, engine = self.next, self.engines[number]
-        self.client_requests[request] = ask
-        kind = self.rng.randrange(3)
+        self.client_requests[request] = client_request
+        request_class = self.rng.randrange(3)
         event = RequestArrived(
-            request, kind, 0, ask.customer, 1.2, ask.units, customer.spread, customer.first
+            request,
+            request_class,
+            0,
+            client_request.customer,
+            1.2,
+            client_request.units,
+            customer.spread,
+            customer.first,
         )
-        self.carry_out(number, engine.handle(self.now, event))
+        self.carry_out_actions(number, engine.handle(self.now, event))
         if (
             request in engine.requests.by_number
-            and request not in engine.customers.by_number[ask.customer].waiting_requests
+            and request not in engine.customers.by_number[client_request.customer].waiting_requests
         ):
-            self.settle(ask, let_in=True)
+            self.settle(client_request, let_in=True)
 
-    def carry_out(self, number: int, actions: list[Action]) -> None:
+    def carry_out_actions(self, number: int, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, AddToCounter):
                 self.calls += 1
                 self.schedule(self.rng.uniform(0.002, 0.012), self.add_to_counter, number, action)
             elif isinstance(action, Reject):
-                ask = self.client_requests[action.request]
-                self.settle(ask, let_in=False)
-                if ask.number < CLIENT_ATTEMPTS - 1 and self.rng.random() < CLIENT_RETRY_CHANCE:
+                client_request = self.client_requests[action.request]
+                self.settle(client_request, let_in=False)
+                if (
+                    client_request.number < CLIENT_ATTEMPTS - 1
+                    and self.rng.random() < CLIENT_RETRY_CHANCE
+                ):
                     self.schedule(
                         self.rng.uniform(0.03, 0.25),
                         self.send_request,
-                        ClientRequest(ask.customer, ask.units, ask.number + 1),
+                        ClientRequest(
+                            client_request.customer, client_request.units, client_request.number + 1
+                        ),
                     )
 
     def add_to_counter(self, number: int, call: AddToCounter) -> None:
         self.counter_totals[call.name] += call.amount
-        counter_replied = CounterReplied(call.name, Outcome.OK, self.counter_totals[call.name])
-        self.schedule(self.rng.uniform(0.002, 0.012), self.counter_replied, number, counter_replied)
+        reply = CounterReplied(call.name, Outcome.OK, self.counter_totals[call.name])
+        self.schedule(self.rng.uniform(0.002, 0.012), self.counter_replied, number, reply)
 
     def counter_replied(self, number: int, event: CounterReplied) -> None:
         engine = self.engines[number]
-        waited = [
-            r
-            for r in engine.customers.by_number[event.name >> 24].waiting_requests
-            if r in engine.requests.by_number
+        waiting = [
+            request
+            for request in engine.customers.by_number[event.name >> 24].waiting_requests
+            if request in engine.requests.by_number
         ]
-        self.carry_out(number, engine.handle(self.now, event))
-        for request in waited:
+        self.carry_out_actions(number, engine.handle(self.now, event))
+        for request in waiting:
             if request in engine.requests.by_number:
                 self.settle(self.client_requests[request], let_in=True)
 
-    def settle(self, ask: ClientRequest, *, let_in: bool) -> None:
-        customer = self.customers[ask.customer]
+    def settle(self, client_request: ClientRequest, *, let_in: bool) -> None:
+        customer = self.customers[client_request.customer]
         customer.level = min(
             self.plan.burst, customer.level + self.plan.rate * (self.now - customer.at)
         )
         customer.at = self.now
         if let_in:
-            self.units["let in"] += ask.units
-            if customer.level >= ask.units:
-                customer.level -= ask.units
+            self.units["let in"] += client_request.units
+            if customer.level >= client_request.units:
+                customer.level -= client_request.units
             else:
-                self.units["beyond"] += ask.units
+                self.units["beyond"] += client_request.units
         else:
-            self.units["refused"] += ask.units
+            self.units["refused"] += client_request.units
             if customer.level >= self.plan.burst / 2:
-                self.units["refused with room"] += ask.units
+                self.units["refused with room"] += client_request.units
 
 
 PLANS = [
@@ -247,41 +259,42 @@
         self.total = 0.0
         self.request = 0
 
-    def ask(self, now: float, number: int) -> list[AddToCounter]:
+    def send_request(self, now: float, number: int) -> list[AddToCounter]:
         self.request += 1
         event = RequestArrived(self.request, 0, 0, 7, 1.2, 1.0, 2, 0)
         return [a for a in self.engines[number].handle(now, event) if isinstance(a, AddToCounter)]
 
-    def answer(self, now: float, number: int, call: AddToCounter) -> list[AddToCounter]:
+    def answer_call(self, now: float, number: int, call: AddToCounter) -> list[AddToCounter]:
         self.total += call.amount
-        counter_replied = CounterReplied(call.name, Outcome.OK, self.total)
-        return [
-            a
-            for a in self.engines[number].handle(now, counter_replied)
-            if isinstance(a, AddToCounter)
-        ]
+        reply = CounterReplied(call.name, Outcome.OK, self.total)
+        return [a for a in self.engines[number].handle(now, reply) if isinstance(a, AddToCounter)]
 
-    def settle(self, now: float, number: int, calls: list[AddToCounter]) -> None:
+    def answer_all_calls(self, now: float, number: int, calls: list[AddToCounter]) -> None:
         while calls:
-            calls += self.answer(now, number, calls.pop(0))
+            calls += self.answer_call(now, number, calls.pop(0))
 
 
 def test_counter_correction_by_two_ingresses_at_once_is_applied_once() -> None:
     pair = TwoIngressesWithCounter(Plan(rate=2.0, burst=8.0))
-    (first,), (second,) = pair.ask(1.0, 0), pair.ask(1.0, 1)
-    (lift,), (again,) = pair.answer(1.0, 0, first), pair.answer(1.0, 1, second)
-    assert lift.amount > 30.0 and again.amount > 30.0, "18 s of the epoch ran over"
-    pair.settle(1.0, 0, [lift])
-    pair.settle(1.0, 1, [again])
+    (first,), (second,) = pair.send_request(1.0, 0), pair.send_request(1.0, 1)
+    (correction,), (second_correction,) = (
+        pair.answer_call(1.0, 0, first),
+        pair.answer_call(1.0, 1, second),
+    )
+    assert correction.amount > 30.0 and second_correction.amount > 30.0, (
+        "18 s of the epoch ran over"
+    )
+    pair.answer_all_calls(1.0, 0, [correction])
+    pair.answer_all_calls(1.0, 1, [second_correction])
     assert pair.total == pytest.approx(2.0 * 18.0 + 2.0, abs=1.5)
 
 
 def test_usage_beyond_the_quota_takes_nothing_from_later_refill() -> None:
     pair = TwoIngressesWithCounter(Plan(rate=2.0, burst=8.0))
-    pair.settle(1.0, 0, pair.ask(1.0, 0))
-    pair.total += 100.0  # let in while the counter was silent
-    pair.settle(6.0, 0, pair.ask(6.0, 0))
-    pair.settle(8.0, 0, pair.ask(8.0, 0))
+    pair.answer_all_calls(1.0, 0, pair.send_request(1.0, 0))
+    pair.total += 100.0  # admitted while the counter did not reply
+    pair.answer_all_calls(6.0, 0, pair.send_request(6.0, 0))
+    pair.answer_all_calls(8.0, 0, pair.send_request(8.0, 0))
     assert pair.engines[0].customers.by_number[7].quota.level > 2.0, "it would be empty for 45 s"
     assert pair.total < 2.0 * (17.0 + 8.0) + 8.0
 
@@ -309,9 +322,7 @@
         self.calls = 0
 
     def play(self, demand: float, answer: float, units: float) -> None:
-        """Let requests come `demand` times as often as keeps the cap full; each takes `answer` s on
-        average.
-        """
+        """Send requests `demand` times as often as keeps the cap full; each takes `answer` s."""
         request = 0
         while self.now < 60.0:
             self.now += self.rng.expovariate(demand * self.cap / answer)
--- a/tests/policy/test_quota_over_gossip.py
+++ b/tests/policy/test_quota_over_gossip.py
@@ -47,25 +47,32 @@
 def test_usage_is_counted_once_with_gossip_and_counter_and_the_quota_held_by_either_alone(
     down: frozenset[str],
 ) -> None:
-    """Three ingresses under one clock, of a customer that asks four times its quota: what each
-    source tells is the same use, and taken off twice it would halve the quota (so it was where both
-    were allowed).
+    """A customer sends four times its quota to three ingresses under one clock.
+
+    Gossip and the counter report the same usage. Taken off twice, it would halve the quota, as it
+    did once where both were allowed.
     """
-    ingresses, total, rng = make_ingresses(3, may_use_counter=True), 0.0, random.Random(8)
-    passed, calls, start, names = 0, 0, ingresses[0].now, dict[int, float]()
+    ingresses = make_ingresses(3, may_use_counter=True)
+    rng = random.Random(8)
+    start = ingresses[0].now
+    admitted = 0
+    calls = 0
+    totals: dict[int, float] = {}
 
     def answer(ingress: IngressHarness, actions: list[Action]) -> None:
-        nonlocal calls, total
+        nonlocal calls
         for action in actions:
             if isinstance(action, AddToCounter):
                 calls += 1
                 if "counter" in down:
                     answer(ingress, ingress.handle(CounterReplied(action.name, Outcome.TIMEOUT)))
                 else:
-                    names[action.name] = names.get(action.name, 0.0) + action.amount
+                    totals[action.name] = totals.get(action.name, 0.0) + action.amount
                     answer(
                         ingress,
-                        ingress.handle(CounterReplied(action.name, Outcome.OK, names[action.name])),
+                        ingress.handle(
+                            CounterReplied(action.name, Outcome.OK, totals[action.name])
+                        ),
                     )
 
     while ingresses[0].now < start + 90:
@@ -85,9 +92,9 @@
             ),
         )
         if ingress.is_admitted(ingress.last_request):
-            passed += 1
+            admitted += 1
             ingress.end_attempt(ingress.last_request, 0, Outcome.OK)
-    assert passed / 90 == pytest.approx(2.0, rel=0.2)
+    assert admitted / 90 == pytest.approx(2.0, rel=0.2)
     assert calls < 10 if "messages" not in down else calls > 50, (
         "the counter is asked where messages fail only"
     )
@@ -95,36 +102,38 @@
 
 def test_a_silent_peer_is_no_longer_trusted_to_report_all_usage() -> None:
     ingresses = make_ingresses(3)
-    c = ingresses[0].engine.customers.get(11, RATE_PLAN)
-    c.spread = 3
+    customer = ingresses[0].engine.customers.get(11, RATE_PLAN)
+    customer.spread = 3
 
-    def pass_time(until: float, heard: list[IngressHarness]) -> None:
+    def run_with_senders(until: float, senders: list[IngressHarness]) -> None:
         while ingresses[0].now < until:
             for ingress in ingresses:
                 ingress.run_until(ingress.now + 0.1)
             for ingress in ingresses:
-                if ingress not in heard:
+                if ingress not in senders:
                     ingress.sent_gossip.clear()
             exchange_gossip(ingresses)
 
-    pass_time(ingresses[0].now + 5, ingresses)
-    assert ingresses[0].engine.gossip.knows_peers_use(c), "with nothing to tell, that is told"
-    pass_time(ingresses[0].now + 3, ingresses[:2])
-    assert not ingresses[0].engine.gossip.knows_peers_use(c)
+    run_with_senders(ingresses[0].now + 5, ingresses)
+    assert ingresses[0].engine.gossip.knows_peers_use(customer), (
+        "with nothing to tell, that is told"
+    )
+    run_with_senders(ingresses[0].now + 3, ingresses[:2])
+    assert not ingresses[0].engine.gossip.knows_peers_use(customer)
 
 
 def test_a_restarted_ingress_learns_which_quotas_are_used_up() -> None:
     ingresses = make_ingresses(8)
     admitted_rate_of_all(ingresses, 20, 8.0)
-    new = 3
-    again = IngressHarness(replace(SETTINGS, ingress_count=8, ingress_number=new), seed=99)
-    again.now = ingresses[0].now
-    ingresses[new] = again
+    number = 3
+    restarted = IngressHarness(replace(SETTINGS, ingress_count=8, ingress_number=number), seed=99)
+    restarted.now = ingresses[0].now
+    ingresses[number] = restarted
     for _ in range(10):
         for ingress in ingresses:
             ingress.run_until(ingress.now + 0.05)
         exchange_gossip(ingresses)
-    assert again.engine.customers.by_number[7].quota.level < 0.75 * PLANS[RATE_PLAN].burst
+    assert restarted.engine.customers.by_number[7].quota.level < 0.75 * PLANS[RATE_PLAN].burst
 
 
 def test_usage_in_gossip_is_taken_from_the_token_bucket_once() -> None:
@@ -134,7 +143,6 @@
             GossipReceived(1, customer_gossip(7, RATE_PLAN, arrived, arrived, 8.0 - arrived))
         )
     assert ingress.engine.customers.by_number[7].quota.level == pytest.approx(6.0)
-    ingress.handle(
-        GossipReceived(1, customer_gossip(7, RATE_PLAN, 1.5, 1.5, 8.0, incarnation=2))
-    )  # it started again
+    # The peer has restarted, so its sums begin at 0 again.
+    ingress.handle(GossipReceived(1, customer_gossip(7, RATE_PLAN, 1.5, 1.5, 8.0, incarnation=2)))
     assert ingress.engine.customers.by_number[7].quota.level == pytest.approx(4.5)
