--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -216,7 +216,7 @@
         """
         names = self.config.names
         merged = settings_reload.merge_settings(
-            self.engine.s, names, config.policy_settings, config.names
+            self.engine.settings, names, config.policy_settings, config.names
         )
         settings_reload.retune(self.engine, merged.settings)
         settings = replace(
--- a/tests/policy/test_engine.py
+++ b/tests/policy/test_engine.py
@@ -75,15 +75,18 @@
     for customer in range(500):
         ingress.end_attempt(ingress.send_request(plan=RATE_PLAN, customer=customer), 0, Outcome.OK)
     held = ingress.send_request(UNSAFE, plan=RATE_PLAN, customer=1000)
-    backend = ingress.engine.workers[ingress.attempts[held][0].backend]
-    backend.failed, backend.full_until = 0.9, {RATE_PLAN: math.inf}
+    backend = ingress.engine.backends.by_number[ingress.attempts[held][0].backend]
+    backend.failed, backend.at_capacity_until = 0.9, {RATE_PLAN: math.inf}
     ingress.list_endpoints(replace(backend.entry, started_at=ingress.now))
-    assert (backend.failed, backend.full_until) == (0.0, {})
+    assert (backend.failed, backend.at_capacity_until) == (0.0, {})
     ingress.list_endpoints(endpoint(50), kind=EndpointListKind.FULL)
     ingress.run_until(ingress.now + 40)
-    assert set(ingress.engine.workers) == {backend.entry.backend, 1050}  # one has a call out
-    assert set(ingress.engine.customers) == {1000}
+    assert set(ingress.engine.backends.by_number) == {
+        backend.entry.backend,
+        1050,
+    }  # one has a call out
+    assert set(ingress.engine.customers.by_number) == {1000}
     ingress.end_attempt(held, 0, Outcome.OK)
     ingress.run_until(ingress.now + 10)
-    assert set(ingress.engine.workers) == {1050}
-    assert not ingress.engine.customers
+    assert set(ingress.engine.backends.by_number) == {1050}
+    assert not ingress.engine.customers.by_number
--- a/tests/policy/test_list_size.py
+++ b/tests/policy/test_list_size.py
@@ -51,17 +51,17 @@
 
 def test_cost_of_a_change_does_not_depend_on_the_list_length() -> None:
     ingress, drawn = long_list(), random.Random(3)
-    pool = ingress.engine.pool
+    pool = ingress.engine.backends.pool
     before = pool.visits
     for _ in range(200):
         ingress.list_endpoints(endpoint(drawn.randrange(MANY), BackendState.DRAINING))
     assert pool.visits - before <= 3 * 200
-    assert len(pool) == sum(backend.ready for backend in ingress.engine.workers.values())
+    assert len(pool) == sum(backend.ready for backend in ingress.engine.backends.by_number.values())
 
 
 def test_maintenance_visits_only_backends_whose_weight_moves() -> None:
     ingress = long_list()
-    pool = ingress.engine.pool
+    pool = ingress.engine.backends.pool
     before = pool.visits
     ingress.run_until(ingress.now + 10)
     assert pool.visits == before, "nothing moves"
@@ -84,7 +84,7 @@
     ingress.list_endpoints(
         *(endpoint(n, started=ingress.now) for n in range(MANY)), kind=EndpointListKind.FULL
     )
-    pool = ingress.engine.pool
+    pool = ingress.engine.backends.pool
     ingress.run_until(ingress.now + 1)
     assert not pool.has_warm_backend
     before = pool.visits
@@ -97,25 +97,25 @@
 
 def test_backends_of_a_lost_zone_are_not_drawn_and_expire() -> None:
     ingress, lost = long_list(), range(0, MANY, 14)
-    pool = ingress.engine.pool
+    pool = ingress.engine.backends.pool
     for n in lost:
         ingress.list_endpoints(endpoint(n, BackendState.REMOVED))
     gone = {1000 + n for n in lost}
     for _ in range(300):
         assert ingress.attempts[ingress.send_request(SAFE)][0].backend not in gone
     ingress.run_until(ingress.now + 40)
-    assert len(ingress.engine.workers) == len(pool) == MANY - len(lost)
-    assert not ingress.engine.leaving
+    assert len(ingress.engine.backends.by_number) == len(pool) == MANY - len(lost)
+    assert not ingress.engine.backends.delisted
 
 
 def test_cumulative_weights_follow_the_weights_of_a_long_list() -> None:
     """A backend whose share has fallen is drawn the less from the next round of housekeeping on."""
     ingress = long_list()
-    ill = list(ingress.engine.workers.values())[: MANY // 2]
+    ill = list(ingress.engine.backends.by_number.values())[: MANY // 2]
     for backend in ill:
         backend.failed = 0.9
     ingress.run_until(ingress.now + 0.3)
-    drawn = ingress.engine.pool.draw(random.Random(1), 20_000)
+    drawn = ingress.engine.backends.pool.draw(random.Random(1), 20_000)
     assert sum(backend.failed > 0 for backend in drawn) < 20_000 * 0.05
 
 
@@ -133,7 +133,8 @@
         request = ingress.send_request(KEYED)
         ingress.end_attempt(request, 0, Outcome.RESET)
         first, second = (
-            ingress.engine.workers[send.backend].entry for send in ingress.attempts[request]
+            ingress.engine.backends.by_number[send.backend].entry
+            for send in ingress.attempts[request]
         )
         assert first.backend != second.backend
         assert group is DeduplicationScope.ALL or first.zone == second.zone
@@ -142,7 +143,7 @@
 
 @pytest.mark.parametrize("count", [SHORT_LIST, MANY])
 def test_a_filtered_pool_draws_only_matching_backends(count: int) -> None:
-    pool = long_list(count).engine.pool
+    pool = long_list(count).engine.backends.pool
     part = pool.filtered(lambda e: e.zone == 1 and e.kind == 0)
     assert part is not None
     drawn = part.draw(random.Random(1), 200)
@@ -153,8 +154,8 @@
 
 def test_the_one_backend_with_capacity_among_many_is_found() -> None:
     ingress = long_list()
-    for backend in list(ingress.engine.workers.values())[1:]:
-        backend.full(0, ingress.now + 60)
+    for backend in list(ingress.engine.backends.by_number.values())[1:]:
+        backend.mark_at_capacity(0, ingress.now + 60)
     assert ingress.attempts[ingress.send_request(SAFE)][0].backend == 1000
 
 
@@ -164,8 +165,8 @@
         new = [endpoint(10_000 * (round_ + 1) + n) for n in range(3 * SLOTS_PER_RESUM)]
         ingress.list_endpoints(*new, kind=EndpointListKind.FULL)
         ingress.run_until(ingress.now + 40)
-    pool = ingress.engine.pool
-    assert len(ingress.engine.workers) == len(pool) == 3 * SLOTS_PER_RESUM
+    pool = ingress.engine.backends.pool
+    assert len(ingress.engine.backends.by_number) == len(pool) == 3 * SLOTS_PER_RESUM
     assert len(pool.draw(random.Random(1), 10)) == 10
     assert len(pool._slots) <= 2 * 3 * SLOTS_PER_RESUM
 
@@ -285,12 +286,12 @@
     known, ingress = destinations(), long_list(0)
     for part in known.apply_in_parts(whole_list(2 * ENTRIES_PER_PART + 1)):
         ingress.handle(part)
-        assert set(ingress.engine.workers) == set(known.by_number)
+        assert set(ingress.engine.backends.by_number) == set(known.by_number)
     held = known.set_excluded("s-" + "0" * 21, True, 0.0)
     assert held is not None
     ingress.handle(held)
     assert known.excluded_count == 1
-    assert len(ingress.engine.pool) == 2 * ENTRIES_PER_PART
+    assert len(ingress.engine.backends.pool) == 2 * ENTRIES_PER_PART
 
 
 def test_a_long_list_from_discovery_is_used_and_idle_connections_are_released() -> None:
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -35,7 +35,7 @@
     """
     ingress = IngressHarness(replace(SETTINGS, may_hedge=False))
     request = ingress.send_request(UNSAFE)
-    backend = ingress.engine.workers[ingress.attempts[request][0].backend]
+    backend = ingress.engine.backends.by_number[ingress.attempts[request][0].backend]
     ingress.run_until(ingress.now + 0.2 + 8 * 0.1)
     assert backend.failed == 0.0
     ingress.run_until(ingress.now + 0.2)
@@ -65,24 +65,24 @@
 def test_backend_at_capacity_does_not_count_as_failing() -> None:
     ingress = IngressHarness(backends=3)
     for _ in range(10):
-        ingress.engine.slow = 0.0  # not pressed
+        ingress.engine.delay.smoothed_latency = 0.0  # not pressed
         ingress.end_attempt(ingress.send_request(SAFE), 0, Outcome.AT_CAPACITY)
-    assert all(backend.failed == 0 for backend in ingress.engine.workers.values())
+    assert all(backend.failed == 0 for backend in ingress.engine.backends.by_number.values())
 
 
 def test_at_capacity_for_one_plan_says_nothing_about_others() -> None:
     ingress = IngressHarness(backends=1)
     ingress.end_attempt(ingress.send_request(SAFE, RATE_PLAN), 0, Outcome.AT_CAPACITY)
     ingress.list_endpoints(endpoint(0), endpoint(1))
-    backend = ingress.engine.workers[1000]
-    assert backend.full_until.keys() == {RATE_PLAN}
+    backend = ingress.engine.backends.by_number[1000]
+    assert backend.at_capacity_until.keys() == {RATE_PLAN}
 
 
 def test_a_late_attempt_stays_in_flight_at_its_backend() -> None:
     ingress = IngressHarness(backends=1)
     ingress.send_request(UNSAFE)
-    backend = ingress.engine.workers[1000]
+    backend = ingress.engine.backends.by_number[1000]
     ingress.run_until(ingress.now + 3)
-    assert (backend.out, ingress.engine.out) == (1, 0)
+    assert (backend.in_flight, ingress.engine.delay.in_flight) == (1, 0)
     ingress.end_attempt(1, 0, Outcome.OK)
-    assert (backend.out, ingress.engine.out) == (0, 0)
+    assert (backend.in_flight, ingress.engine.delay.in_flight) == (0, 0)
