--- a/dockthread/admin/reload.py
+++ b/dockthread/admin/reload.py
@@ -51,8 +51,5 @@
 
 
 def retune(gateway: PolicyEngine, settings: PolicySettings) -> None:
-    """Give the module `settings` from `merge`. What its parts derived from the classes at their
-    start (attempts.py, admission.py, rules.py) is derived again from the longer list; what it has
-    learnt stays.
-    """
+    """Give the engine `settings` from `merge`; what it has learnt stays, but the usual latencies."""
     gateway.apply_settings(settings)
--- a/dockthread/lab/scale/witness.py
+++ b/dockthread/lab/scale/witness.py
@@ -97,7 +97,7 @@
 
     def _compare(self, worker: int, gateway: PolicyEngine) -> None:
         held = gateway.backends.by_number.get(worker)
-        weight = 0.0 if held is None else held.entry.weight
+        weight = 0.0 if held is None else held.endpoint.weight
         before = self._held.get(worker, 0.0)
         if weight < before:
             self.older.append([worker, before, weight])
@@ -107,9 +107,9 @@
 def table(gateway: PolicyEngine, destinations: DestinationSet) -> list[Row]:
     """What the module holds of the backends that are not gone, in the order of their uids."""
     return sorted(
-        [known.uid, str(known.endpoint), held.ready, held.entry.weight]
+        [known.uid, str(known.endpoint), held.is_ready, held.endpoint.weight]
         for worker, held in gateway.backends.by_number.items()
-        if held.entry.state is not BackendState.REMOVED
+        if held.endpoint.state is not BackendState.REMOVED
         and held.removed_at == float("inf")
         and (known := destinations.by_worker.get(worker)) is not None
     )
--- a/dockthread/maintenance/observation.py
+++ b/dockthread/maintenance/observation.py
@@ -45,8 +45,8 @@
     seen = tuple(
         Seen(
             zone,
-            tuple(uid for uid, w in nodes if w.ready),
-            tuple(uid for uid, w in nodes if w.ready and w.failed > AILING),
+            tuple(uid for uid, w in nodes if w.is_ready),
+            tuple(uid for uid, w in nodes if w.is_ready and w.failure_fraction > AILING),
             float(sum(w.in_flight for _, w in nodes)),
             pressed,
         )
--- a/dockthread/policy/admission_probability.py
+++ b/dockthread/policy/admission_probability.py
@@ -67,7 +67,7 @@
         """
         knows_peers = self._gossip.knows_peers_use(customer)
         may_use_counter = self._context.settings.may_use_counter
-        if knows_peers or (not may_use_counter and self._gossip.hears_any_peer()):
+        if knows_peers or (not may_use_counter and self._gossip.has_recent_message()):
             return self._by_gossip(units, priority_weight, customer, plan, sketch, knows_peers)
         # One attempt at each ingress of the set is beyond the cap.
         is_crowded = 0 < plan.max_in_flight < customer.spread and not plan.rate
--- a/dockthread/policy/attempt_outcomes.py
+++ b/dockthread/policy/attempt_outcomes.py
@@ -15,7 +15,7 @@
 from dockthread.policy.slow_start import SlowStart
 from dockthread.policy.usual_latency import UsualLatencies
 
-# Weight of one more success or failure in a backend's failed fraction.
+# Weight of one more success or failure in a backend's failure fraction.
 FAILURE_WEIGHT = 0.25
 # Seconds for which a backend without capacity is not sent requests of the plan: the first time,
 # and at most, as the time doubles with each rejection in a row.
@@ -86,7 +86,7 @@
         elif outcome is Outcome.AT_CAPACITY:
             self._record_at_capacity(backend, customer)
         elif outcome in FAILURES:
-            backend.failed += self._failure_weight * (1 - backend.failed)
+            backend.failure_fraction += self._failure_weight * (1 - backend.failure_fraction)
 
     def record_latency(
         self,
@@ -104,10 +104,10 @@
 
     def record_silence(self, backend: Backend) -> None:
         """Count a response that is missing for very long as two failures."""
-        backend.failed += 2 * FAILURE_WEIGHT * (1 - backend.failed)
+        backend.failure_fraction += 2 * FAILURE_WEIGHT * (1 - backend.failure_fraction)
 
     def _record_success(self, event: AttemptEnded, backend: Backend) -> None:
-        backend.failed -= FAILURE_WEIGHT * backend.failed
+        backend.failure_fraction -= FAILURE_WEIGHT * backend.failure_fraction
         backend.capacity_backoff = 0.0
         backend.add_idle_connection(self._context.now)
         self._delay.record_completion()
@@ -129,4 +129,4 @@
         cause rejections of requests that the others have capacity for.
         """
         mean_success = max(LEAST_MEAN_SUCCESS, self._backends.pool.success_fraction)
-        return min(1.0, ((1 - backend.failed) / mean_success) ** 2)
+        return min(1.0, ((1 - backend.failure_fraction) / mean_success) ** 2)
--- a/dockthread/policy/attempts.py
+++ b/dockthread/policy/attempts.py
@@ -22,8 +22,8 @@
 from dockthread.policy.timers import TimerQueue
 from dockthread.policy.usual_latency import UsualLatencies
 
-# Failed fraction of a backend's outcomes from which its overdue attempts are hedged.
-SUSPECT_FAILED_FRACTION = 0.35
+# Failure fraction of a backend's outcomes from which its overdue attempts are hedged.
+SUSPECT_FAILURE_FRACTION = 0.35
 # An attempt is overdue after the usual response time and so many of its deviations.
 OVERDUE_DEVIATIONS = 4.0
 # After so many its backend counts as silent: one usual response in 2,000 takes longer.
@@ -41,8 +41,8 @@
     """Sends, retries, hedges and cancels attempts, and gives the final answer without a response.
 
     Attributes:
-        held: requests for which there is no backend now. They are sent when the list changes or
-            at the next periodic maintenance.
+        awaiting_backend: requests for which there is no backend now, in the order in which they
+            became so. They are tried again when the list changes and at each maintenance.
     """
 
     def __init__(  # noqa: PLR0913 - one for each part that attempts depend on
@@ -73,19 +73,19 @@
         self._outcomes = outcomes
         self._gossip = gossip
         self._concurrency = ConcurrencyEstimate()
-        self.held: dict[int, None] = {}
+        self.awaiting_backend: dict[int, None] = {}
         # customers of the attempts in flight, by request and number of the attempt
         self._customer_numbers: dict[tuple[int, int], int] = {}
 
     # Sending
 
     def send(self, request: int, pending: PendingRequest) -> bool:
-        """Send a request's next attempt; hold the request and return False without a backend."""
-        self.held[request] = None
+        """Send a request's next attempt; without a backend have it wait and return False."""
+        self.awaiting_backend[request] = None
         backend = self._balancer.choose(pending)
         if backend is None:
             return False
-        del self.held[request]
+        del self.awaiting_backend[request]
         self._add_attempt(request, pending, backend)
         start_deadline = self._routes.start_deadline(pending)
         number = len(pending.attempts) - 1
@@ -96,7 +96,7 @@
             self._timers.set(hedge_at, self._on_hedge_delay_ended, request, number)
         timeout = self._routes.attempt_timeout(pending)
         self._context.actions.append(
-            SendAttempt(request, backend.entry.backend, timeout, start_deadline)
+            SendAttempt(request, backend.endpoint.backend, timeout, start_deadline)
         )
         usual, deviation = self._latencies.by_class[pending.event.request_class]
         overdue_at = self._context.now + usual + OVERDUE_DEVIATIONS * deviation
@@ -114,14 +114,14 @@
             self._slow_start.on_attempt_sent()
         backend.take_idle_connection(self._balancer.idle_connections_since())
         self._customer_numbers[request, len(pending.attempts)] = event.customer
-        pending.attempts.append(Attempt(backend.entry.backend, now, concurrency))
-        # The customer may have been forgotten, if the request was held for long.
+        pending.attempts.append(Attempt(backend.endpoint.backend, now, concurrency))
+        # The customer may have been forgotten, if the request waited for long.
         self._customers.get(event.customer, event.plan).in_flight += 1
 
-    def reevaluate_held(self) -> None:
-        """Try again to send the held requests, and give up those held for too long."""
+    def send_awaiting_backend(self) -> None:
+        """Try to send the requests without a backend again; give up those that waited too long."""
         self._backends.pool.refresh()
-        for request in list(self.held):
+        for request in list(self.awaiting_backend):
             pending = self._requests.by_number[request]
             sendable_time = (1 - HELD_TIME_FRACTION) * pending.event.remaining_time
             is_late = self._context.now > pending.deadline - sendable_time
@@ -179,7 +179,7 @@
         if (
             self._may_repeat(pending)
             and len(pending.attempts) < MOST_HEDGED_ATTEMPTS
-            and backend.failed >= SUSPECT_FAILED_FRACTION
+            and backend.failure_fraction >= SUSPECT_FAILURE_FRACTION
             and self._routes.may_hedge(pending)
         ):
             if self._context.settings.may_hedge:
@@ -188,9 +188,9 @@
                 self._context.actions.append(CancelAttempt(request, number))
 
     def _send_hedge(self, request: int, pending: PendingRequest) -> None:
-        """Send a hedge; without a backend for it the request is not held, as one is in flight."""
+        """Send a hedge; without a backend for it the request does not wait, as one is in flight."""
         if not self.send(request, pending):
-            del self.held[request]
+            del self.awaiting_backend[request]
 
     def _may_repeat(self, pending: PendingRequest) -> bool:
         """Return whether another attempt may be sent while one is in flight.
@@ -225,7 +225,7 @@
         self._routes.on_attempt_ended(pending, event)
         if event.outcome is Outcome.OK:
             self._outcomes.record_latency(event, pending, attempt, backend)
-        self._settle_units(event, pending, number, customer)
+        self._charge_actual_units(event, pending, number, customer)
         if event.is_final:
             self.finish(event.request)
         elif not pending.has_attempt_in_flight():
@@ -240,7 +240,7 @@
         if self._context.settings.plans[customer.plan_number].max_in_flight:
             self._gossip.report(number, customer)
 
-    def _settle_units(
+    def _charge_actual_units(
         self, event: AttemptEnded, pending: PendingRequest, number: int, customer: Customer
     ) -> None:
         """Charge the units that a request really took instead of those announced."""
@@ -296,7 +296,7 @@
 
     def finish(self, request: int) -> None:
         """Forget a request that has its final answer, or whose client is gone."""
-        self.held.pop(request, None)
+        self.awaiting_backend.pop(request, None)
         pending = self._requests.by_number.pop(request, None)
         if pending is None:
             return
--- a/dockthread/policy/backend.py
+++ b/dockthread/policy/backend.py
@@ -30,9 +30,9 @@
     Attributes:
         kind: the statistics of the backend's kind.
         pool: the pool that the backend is drawn from.
-        place: the backend's position in the pool; -1 once it is forgotten.
-        entry: the backend as it is listed.
-        ready: whether the list lets attempts be sent there.
+        slot: the backend's position in the pool; -1 once it is forgotten.
+        endpoint: the backend as it is listed.
+        is_ready: whether the list lets attempts be sent there.
         in_flight: attempts of this ingress in flight there, overdue ones included.
         removed_at: since when the backend is not listed, in seconds; infinite while it is.
         last_response_at: when a response last proved it alive, in seconds.
@@ -47,45 +47,45 @@
     """
 
     __slots__ = (
-        "_failed",
+        "_failure_fraction",
         "_latency",
         "_report",
         "at_capacity_until",
         "capacity_backoff",
-        "entry",
+        "endpoint",
         "idle_connections",
         "in_flight",
         "is_new_process",
         "kind",
         "last_idle_at",
         "last_response_at",
-        "place",
+        "slot",
         "pool",
-        "ready",
+        "is_ready",
         "remote_requests",
         "removed_at",
         "report_at",
         "smoothed_remote_requests",
     )
 
-    def __init__(self, entry: Endpoint, kind: KindEstimates, pool: BackendPool) -> None:
+    def __init__(self, endpoint: Endpoint, kind: KindEstimates, pool: BackendPool) -> None:
         self.kind = kind
         self.pool = pool
-        self.place = -1
-        self.entry = entry
-        self.ready = False
+        self.slot = -1
+        self.endpoint = endpoint
+        self.is_ready = False
         self.in_flight = 0
         self.removed_at = inf
         self._report = b""
         self._forget_process()
-        self.is_new_process = bool(entry.started_at)
+        self.is_new_process = bool(endpoint.started_at)
 
     def _forget_process(self) -> None:
         """Set what is known of the backend's process to nothing.
 
         Its last load report stays, for comparison: an equal one of the new process is no news.
         """
-        self._failed = 0.0
+        self._failure_fraction = 0.0
         self._latency: RelativeLatency | None = None
         self.last_response_at = NEVER
         self.capacity_backoff = 0.0
@@ -99,18 +99,18 @@
     @property
     def code(self) -> bytes:
         """The backend's identity in gossip messages."""
-        return backend_code(self.entry.backend)
+        return backend_code(self.endpoint.backend)
 
     @property
-    def failed(self) -> float:
+    def failure_fraction(self) -> float:
         """The decayed fraction of outcomes that were failures or missing, here or at a peer."""
-        return self._failed
+        return self._failure_fraction
 
-    @failed.setter
-    def failed(self, fraction: float) -> None:
-        self._failed = fraction
-        if fraction and self.place >= 0:
-            self.pool.failing[self.entry.backend] = self
+    @failure_fraction.setter
+    def failure_fraction(self, fraction: float) -> None:
+        self._failure_fraction = fraction
+        if fraction and self.slot >= 0:
+            self.pool.failing[self.endpoint.backend] = self
 
     @property
     def report(self) -> tuple[float, ...]:
@@ -120,11 +120,11 @@
         """
         return struct.unpack(f"{len(self._report) // DOUBLE_SIZE}d", self._report)
 
-    def fade(self, part: float, least: float) -> None:
-        """Multiply the failed fraction by `part`, and set it to 0 below `least`."""
-        self._failed *= part
-        if self._failed < least:
-            self._failed = 0.0
+    def decay_failures(self, remaining: float, negligible: float) -> None:
+        """Multiply the failure fraction by `remaining`, and set it to 0 below `negligible`."""
+        self._failure_fraction *= remaining
+        if self._failure_fraction < negligible:
+            self._failure_fraction = 0.0
 
     @property
     def relative_latency(self) -> float:
--- a/dockthread/policy/backend_pool.py
+++ b/dockthread/policy/backend_pool.py
@@ -109,13 +109,15 @@
         return len(self._pool)
 
     def __iter__(self) -> Iterator[Backend]:
-        return (backend for backend in self._pool if self._matches(backend.entry))
+        return (backend for backend in self._pool if self._matches(backend.endpoint))
 
     def draw(self, rng: random.Random, count: int) -> list[Backend]:
         """Return the matching ones among `count` drawn from all; none after a few vain draws."""
         for _ in range(DRAW_ATTEMPTS):
             drawn = [
-                backend for backend in self._pool.draw(rng, count) if self._matches(backend.entry)
+                backend
+                for backend in self._pool.draw(rng, count)
+                if self._matches(backend.endpoint)
             ]
             if drawn:
                 return drawn
@@ -123,7 +125,7 @@
 
     def sample(self, rng: random.Random) -> Iterable[Backend]:
         """Return the matching ones among a sample of all."""
-        return [backend for backend in self._pool.sample(rng) if self._matches(backend.entry)]
+        return [backend for backend in self._pool.sample(rng) if self._matches(backend.endpoint)]
 
 
 def _cumulative(weights: array[float]) -> array[float]:
@@ -180,7 +182,7 @@
         return self._ready
 
     def __iter__(self) -> Iterator[Backend]:
-        return (backend for backend in self._slots if backend.ready)
+        return (backend for backend in self._slots if backend.is_ready)
 
     @property
     def total_weight(self) -> float:
@@ -203,7 +205,7 @@
         if self._ready <= SHORT_LIST:
             return iter(self)
         drawn = rng.choices(self._slots, k=SAMPLE_SIZE)
-        return (backend for backend in drawn if backend.ready)
+        return (backend for backend in drawn if backend.is_ready)
 
     def in_scope(self, home: Endpoint, scope: DeduplicationScope) -> DrawableBackends:
         """Return the backends that share a deduplication scope with the endpoint `home`."""
@@ -211,8 +213,8 @@
             return self
         if scope is DeduplicationScope.CELL:
             cell = self._cells.get((home.zone, home.cell), {})
-            ready = (backend for backend in cell.values() if backend.ready)
-            return BackendSubset(sorted(ready, key=lambda backend: backend.place), self._weight)
+            ready = (backend for backend in cell.values() if backend.is_ready)
+            return BackendSubset(sorted(ready, key=lambda backend: backend.slot), self._weight)
         zone = home.zone
         return FilteredPool(self, lambda endpoint: endpoint.zone == zone)
 
@@ -223,7 +225,7 @@
             matches: a filter that looks at an endpoint's zone and kind only.
         """
         if self._ready <= SHORT_LIST:
-            matching = [backend for backend in self if matches(backend.entry)]
+            matching = [backend for backend in self if matches(backend.endpoint)]
             return BackendSubset(matching, self._weight) if matching else None
         examples = (
             Endpoint(0, BackendState.READY, *zone_and_kind)
@@ -234,37 +236,37 @@
 
     def add(self, backend: Backend) -> None:
         """Add a backend that was not known before, with the weight 0."""
-        backend.place = len(self._slots)
+        backend.slot = len(self._slots)
         self._slots.append(backend)
         self._weights.append(0.0)
         last_sum = self._cumulative_weights[-1] if self._cumulative_weights else 0.0
         self._cumulative_weights.append(last_sum)
-        entry = backend.entry
-        self._cells.setdefault((entry.zone, entry.cell), {})[entry.backend] = backend
+        endpoint = backend.endpoint
+        self._cells.setdefault((endpoint.zone, endpoint.cell), {})[endpoint.backend] = backend
 
     def remove(self, backend: Backend) -> None:
         """Remove a backend that is not ready; its slot stays vacant until slots are compacted."""
-        self.failing.pop(backend.entry.backend, None)
+        self.failing.pop(backend.endpoint.backend, None)
         self._remove_from_cell(backend)
         self._vacant += 1
-        backend.place = -1
+        backend.slot = -1
 
-    def update(self, backend: Backend, entry: Endpoint, ready: bool) -> None:
+    def update(self, backend: Backend, endpoint: Endpoint, ready: bool) -> None:
         """Take over what is listed of a backend, and whether it may be drawn from now on."""
-        old = backend.entry
-        self._ready_by_zone_and_kind[old.zone, old.kind] -= backend.ready
-        self._ready_by_zone_and_kind[entry.zone, entry.kind] += ready
-        self._ready += ready - backend.ready
-        if (old.zone, old.cell) != (entry.zone, entry.cell):
+        old = backend.endpoint
+        self._ready_by_zone_and_kind[old.zone, old.kind] -= backend.is_ready
+        self._ready_by_zone_and_kind[endpoint.zone, endpoint.kind] += ready
+        self._ready += ready - backend.is_ready
+        if (old.zone, old.cell) != (endpoint.zone, endpoint.cell):
             self._remove_from_cell(backend)
-            self._cells.setdefault((entry.zone, entry.cell), {})[entry.backend] = backend
-        backend.entry = entry
-        backend.ready = ready
+            self._cells.setdefault((endpoint.zone, endpoint.cell), {})[endpoint.backend] = backend
+        backend.endpoint = endpoint
+        backend.is_ready = ready
         self._weigh(backend)
 
     def _remove_from_cell(self, backend: Backend) -> None:
-        key = backend.entry.zone, backend.entry.cell
-        del self._cells[key][backend.entry.backend]
+        key = backend.endpoint.zone, backend.endpoint.cell
+        del self._cells[key][backend.endpoint.backend]
         if not self._cells[key]:
             del self._cells[key]
 
@@ -280,7 +282,7 @@
         is_short = len(self._slots) <= SHORT_LIST
         negligible = NEGLIGIBLE_FAILURE if is_short else NEGLIGIBLE_FAILURE_LONG_LIST
         for backend in self.failing.values():
-            backend.fade(failures, negligible)
+            backend.decay_failures(failures, negligible)
 
     def refresh(self) -> None:
         """Weigh changing backends and sum all weights, if a round or enough changes are due."""
@@ -295,7 +297,9 @@
         if self._changes:
             self._changes = 0
             self._cumulative_weights = _cumulative(self._weights)
-        failed = sum(backend.failed for backend in self.failing.values() if backend.ready)
+        failed = sum(
+            backend.failure_fraction for backend in self.failing.values() if backend.is_ready
+        )
         self.success_fraction = (self._ready - failed) / max(1, self._ready)
         self.has_warm_backend = self._ready > len(self.warming_up)
 
@@ -315,23 +319,23 @@
     def _weigh(self, backend: Backend) -> None:
         """Set a backend's weight, and drop it from those that are weighed again if it is steady."""
         self.visits += 1
-        number = backend.entry.backend
-        weight = self._weight(backend) if backend.ready else 0.0
-        if backend.ready and self._slow_start_weight(backend) < 1.0:
+        number = backend.endpoint.backend
+        weight = self._weight(backend) if backend.is_ready else 0.0
+        if backend.is_ready and self._slow_start_weight(backend) < 1.0:
             self.warming_up[number] = backend
         else:
             self.warming_up.pop(number, None)
-        if not backend.failed:
+        if not backend.failure_fraction:
             self.failing.pop(number, None)
-        if weight != self._weights[backend.place]:
-            self._weights[backend.place] = weight
+        if weight != self._weights[backend.slot]:
+            self._weights[backend.slot] = weight
             self._changes += 1
 
     def _compact_slots(self) -> None:
         """Close the gaps that removed backends left, keeping the order."""
-        self._slots = [backend for backend in self._slots if backend.place >= 0]
-        self._weights = array("d", [self._weights[backend.place] for backend in self._slots])
+        self._slots = [backend for backend in self._slots if backend.slot >= 0]
+        self._weights = array("d", [self._weights[backend.slot] for backend in self._slots])
         for slot, backend in enumerate(self._slots):
-            backend.place = slot
+            backend.slot = slot
         self._vacant = 0
         self._cumulative_weights = _cumulative(self._weights)
--- a/dockthread/policy/backend_registry.py
+++ b/dockthread/policy/backend_registry.py
@@ -34,40 +34,40 @@
         self.by_code: dict[bytes, Backend] = {}
         self.delisted: dict[int, Backend] = {}
 
-    def update(self, entry: Endpoint) -> None:
+    def update(self, endpoint: Endpoint) -> None:
         """Take over a listed entry: its backend may be new, restarted or in another state."""
-        backend = self._get(entry)
-        if entry.started_at > backend.entry.started_at:
+        backend = self._get(endpoint)
+        if endpoint.started_at > backend.endpoint.started_at:
             backend.reset_process()
-        self._relist(backend, entry, entry.state)
+        self._relist(backend, endpoint, endpoint.state)
 
-    def remove_unlisted(self, entries: tuple[Endpoint, ...]) -> None:
+    def remove_unlisted(self, endpoints: tuple[Endpoint, ...]) -> None:
         """Mark the backends that a full list leaves out as removed."""
-        listed = {entry.backend for entry in entries}
+        listed = {endpoint.backend for endpoint in endpoints}
         unlisted = [backend for number, backend in self.by_number.items() if number not in listed]
         for backend in unlisted:
-            self._relist(backend, backend.entry, BackendState.REMOVED)
+            self._relist(backend, backend.endpoint, BackendState.REMOVED)
 
-    def _get(self, entry: Endpoint) -> Backend:
+    def _get(self, endpoint: Endpoint) -> Backend:
         """Return the backend of an entry; create one for a number never listed before."""
-        backend = self.by_number.get(entry.backend)
+        backend = self.by_number.get(endpoint.backend)
         if backend is None:
-            kind = self._kinds.setdefault(entry.kind, KindEstimates())
-            backend = Backend(entry, kind, self.pool)
-            self.by_number[entry.backend] = backend
+            kind = self._kinds.setdefault(endpoint.kind, KindEstimates())
+            backend = Backend(endpoint, kind, self.pool)
+            self.by_number[endpoint.backend] = backend
             self.pool.add(backend)
             if self._context.settings.may_gossip:
                 self.by_code[backend.code] = backend
         return backend
 
-    def _relist(self, backend: Backend, entry: Endpoint, state: BackendState) -> None:
+    def _relist(self, backend: Backend, endpoint: Endpoint, state: BackendState) -> None:
         if state is BackendState.REMOVED:
             backend.removed_at = min(backend.removed_at, self._context.now)
-            self.delisted[backend.entry.backend] = backend
+            self.delisted[backend.endpoint.backend] = backend
         elif backend.removed_at != inf:
             backend.removed_at = inf
-            del self.delisted[backend.entry.backend]
-        self.pool.update(backend, entry, state is BackendState.READY)
+            del self.delisted[backend.endpoint.backend]
+        self.pool.update(backend, endpoint, state is BackendState.READY)
 
     def expire(self) -> None:
         """Forget backends that are delisted for long and have no attempt in flight."""
--- a/dockthread/policy/backend_weight.py
+++ b/dockthread/policy/backend_weight.py
@@ -30,9 +30,13 @@
 
     def warm_weight(self, backend: Backend) -> float:
         """Return the weight that a backend would have if it was warm."""
-        entry = backend.entry
+        endpoint = backend.endpoint
         settings = self._context.settings
-        is_preferred = entry.zone == settings.zone and settings.costs.cross_zone
+        is_preferred = endpoint.zone == settings.zone and settings.costs.cross_zone
         zone_weight = OWN_ZONE_WEIGHT if is_preferred else 1.0
-        listed_weight = max(entry.weight, LEAST_LISTED_WEIGHT)
-        return zone_weight * listed_weight * max(1 - backend.failed, LEAST_SUCCESS_FRACTION) ** 2
+        listed_weight = max(endpoint.weight, LEAST_LISTED_WEIGHT)
+        return (
+            zone_weight
+            * listed_weight
+            * max(1 - backend.failure_fraction, LEAST_SUCCESS_FRACTION) ** 2
+        )
--- a/dockthread/policy/engine.py
+++ b/dockthread/policy/engine.py
@@ -229,7 +229,7 @@
             self.gossip.greet()
 
     def run_maintenance(self) -> None:
-        """Decay estimates, forget what expired, send heartbeats and retry held requests."""
+        """Decay estimates, forget what expired, send heartbeats and try waiting requests."""
         self.timers.set(self.context.now + MAINTENANCE_INTERVAL, self.run_maintenance)
         self.delay.decay()
         self.backends.pool.decay(
@@ -238,16 +238,16 @@
         )
         self._expire()
         self.gossip.schedule_heartbeats()
-        self.attempts.reevaluate_held()
+        self.attempts.send_awaiting_backend()
 
     def _expire(self) -> None:
-        """Forget backends that are gone, and customers of whom nothing is known."""
+        """Forget delisted backends, and customers of whom a new one would be known as much."""
         if self.context.now - self._expired_at < EXPIRY_INTERVAL:
             return
         self._expired_at = self.context.now
         self.backends.expire()
         if self.customers.expire():
-            self.gossip.forget_news()
+            self.gossip.drop_unsent()
 
     def _on_endpoints_listed(self, event: EndpointsListed) -> None:
         """Take over the endpoint list or changes of it; poll again after a failed poll."""
@@ -258,9 +258,9 @@
             )
         elif event.kind is not EndpointListKind.CHANGES:
             self.backends.remove_unlisted(event.endpoints)
-        for entry in event.endpoints:
-            self.backends.update(entry)  # rule 3: a removed backend gets no request from here on
-        self.attempts.reevaluate_held()
+        for endpoint in event.endpoints:
+            self.backends.update(endpoint)  # rule 3: a removed backend gets no request from here on
+        self.attempts.send_awaiting_backend()
 
     def _poll_endpoints(self) -> None:
         self.context.actions.append(PollEndpoints())
--- a/dockthread/policy/gossip.py
+++ b/dockthread/policy/gossip.py
@@ -39,8 +39,8 @@
 SILENT_HEARTBEATS = 3
 # The oldest news by which the peers' use counts as known, over the window of the plan's rates.
 FRESH_WINDOW_FRACTION = 0.25
-# Failed fraction of outcomes from which peers are told of a backend.
-SUSPECT_FAILED_FRACTION = 0.4
+# Failure fraction of outcomes from which peers are told of a backend.
+SUSPECT_FAILURE_FRACTION = 0.4
 # The most backends that one message tells of.
 MOST_SUSPECTS = 3
 # Seconds after a backend's last response here in which what peers say of it is ignored.
@@ -127,7 +127,7 @@
             self.last_received_at.get(peer, NEVER) > since for peer in self._peers_of(customer)
         )
 
-    def hears_any_peer(self) -> bool:
+    def has_recent_message(self) -> bool:
         """Return whether any peer has sent a message not long ago."""
         if not self._context.settings.may_gossip:
             return False
@@ -172,7 +172,7 @@
                 self._unsent.setdefault(peer, {})[number] = None
             self._schedule_round()
 
-    def forget_news(self) -> None:
+    def drop_unsent(self) -> None:
         """Drop all news that are not sent, as some of their customers are forgotten."""
         self._unsent = {}
 
@@ -209,15 +209,15 @@
         self._budget_updated_at = self._context.now
 
     def _draw_suspects(self) -> list[tuple[bytes, float]]:
-        """Draw a few of the failing backends: their codes and failed fractions."""
+        """Draw a few of the failing backends: their codes and failure fractions."""
         failing = [
             backend
             for backend in self._backends.pool.failing.values()
-            if backend.failed > SUSPECT_FAILED_FRACTION
+            if backend.failure_fraction > SUSPECT_FAILURE_FRACTION
         ]
-        failing.sort(key=lambda backend: backend.place)
+        failing.sort(key=lambda backend: backend.slot)
         drawn = self._context.rng.sample(failing, min(MOST_SUSPECTS, len(failing)))
-        return [(backend.code, backend.failed) for backend in drawn]
+        return [(backend.code, backend.failure_fraction) for backend in drawn]
 
     def _send_to(self, peer: int, suspects: list[tuple[bytes, float]]) -> None:
         """Send a peer its news, as far as they fit into one message."""
@@ -250,8 +250,8 @@
         if message is None or not 0 <= peer < settings.ingress_count or peer == self._own_number:
             return
         self.last_received_at[peer] = self._context.now
-        for code, failed in message.suspects:
-            self._suspect(code, failed)
+        for code, failure_fraction in message.suspects:
+            self._suspect(code, failure_fraction)
         if self._peer_incarnations.get(peer) != message.incarnation:
             # It restarted, and has to know whose quota is used up.
             self._peer_incarnations[peer] = message.incarnation
@@ -260,13 +260,13 @@
             customer = self._customers.get(report.customer, report.plan)
             self._take_over(peer, customer, report)
 
-    def _suspect(self, code: bytes, failed: float) -> None:
+    def _suspect(self, code: bytes, failure_fraction: float) -> None:
         """Take over a peer's evidence against a backend, unless it responded here lately."""
         backend = self._backends.by_code.get(code)
         if backend is None:
             return
         if self._context.now - backend.last_response_at > OWN_EVIDENCE_TIME:
-            backend.failed = max(backend.failed, failed)
+            backend.failure_fraction = max(backend.failure_fraction, failure_fraction)
 
     def _report_all_to(self, peer: int) -> None:
         """Tell a peer of all its customers whose token buckets are not full."""
--- a/dockthread/policy/load_balancer.py
+++ b/dockthread/policy/load_balancer.py
@@ -73,7 +73,7 @@
         if possible_run is not None and effect is not Effect.SAFE:
             candidates = self._deduplicating(pending, possible_run, effect, candidates)
         elif candidates:
-            backend = self._least_cost(pending, candidates, used)
+            backend = self._cheapest(pending, candidates, used)
             if backend is not None:
                 return backend
         return self._any_with_capacity(pending, possible_run, candidates, used)
@@ -96,10 +96,10 @@
         )
         if not is_repeatable:
             return NO_BACKENDS
-        home = self._backends.by_number[possible_run.backend].entry
+        home = self._backends.by_number[possible_run.backend].endpoint
         return self._routes.deduplicating(pending, home, candidates)
 
-    def _least_cost(
+    def _cheapest(
         self, pending: PendingRequest, candidates: DrawableBackends, used: set[int]
     ) -> Backend | None:
         """Return the backend of least cost among some that are drawn; None if none is usable."""
@@ -112,7 +112,7 @@
             for position, backend in enumerate(drawn)
             if self._is_usable(backend, pending, position < warming_allowed)
         ]
-        unused = [backend for backend in usable if backend.entry.backend not in used]
+        unused = [backend for backend in usable if backend.endpoint.backend not in used]
         return min(unused, key=self._cost) if unused else None
 
     def _any_with_capacity(
@@ -130,7 +130,7 @@
         eligible = self._with_capacity(pending, candidates)
         if not eligible and not pending.attempts:
             eligible = list(candidates.sample(self._context.rng))
-        unused = [backend for backend in eligible if backend.entry.backend not in used]
+        unused = [backend for backend in eligible if backend.endpoint.backend not in used]
         if not unused and possible_run is None:
             unused = eligible
         if not unused:
@@ -175,7 +175,7 @@
 
     def _is_usable(self, backend: Backend, pending: PendingRequest, may_warm_up: bool) -> bool:
         """Return whether a backend is ready, has capacity for the plan and is warm if it must."""
-        if not backend.ready:
+        if not backend.is_ready:
             return False
         if self._context.now < backend.at_capacity_until.get(pending.event.plan, NEVER):
             return False
--- a/dockthread/policy/slow_start.py
+++ b/dockthread/policy/slow_start.py
@@ -3,7 +3,7 @@
 Theory of operation. Beside warm backends, one that warms up is drawn by its slow-start weight, so
 that its load over its capacity is at most as many times a warm backend's as candidates may be
 warming up. In a pool without a warm backend nothing holds this: all requests go there, and at once
-those that were held while there was no backend. What a backend can serve is not known; what one
+those that waited while there was no backend. What a backend can serve is not known; what one
 served in a second is no more than it could serve (`RecoveryRamp`). Each ingress counts its own
 responses: the sum over the fleet of what each allows is what the settings allow of what the fleet
 saw served, whatever its size and however uneven the traffic. docs/design/fleet.md has the
@@ -113,7 +113,7 @@
     def weight(self, backend: Backend) -> float:
         """Return the part of its capacity that a backend has now; 1 for a warm one."""
         safety = self._context.settings.safety
-        started_at = backend.entry.started_at
+        started_at = backend.endpoint.started_at
         age = max(0.0, self._context.now - started_at) if started_at else math.inf
         cold = safety.cold_capacity
         return min(1.0, cold + (1 - cold) * age / max(safety.warm_up_time, SHORTEST_WARM_UP))
--- a/dockthread/telemetry/reading.py
+++ b/dockthread/telemetry/reading.py
@@ -144,9 +144,9 @@
         for uid, worker in seen[: self._nodes]:
             path = ("nodes", part(uid))
             yield Point((*path, "out"), GAUGE, worker.in_flight)
-            yield Point((*path, "failed"), GAUGE, worker.failed)
+            yield Point((*path, "failed"), GAUGE, worker.failure_fraction)
             full = any(until > now for until in worker.at_capacity_until.values())
-            yield Point((*path, "skipped"), GAUGE, int(full or not worker.ready))
+            yield Point((*path, "skipped"), GAUGE, int(full or not worker.is_ready))
             if (
                 worker.report
                 and (at := gateway.outcomes.load_reports.positions.get("rif", -1)) >= 0
--- a/tests/config/test_deployments.py
+++ b/tests/config/test_deployments.py
@@ -308,9 +308,9 @@
         world.ask(0, 1.0, 0, 1)
         w = world.gateways[0].backends.by_number[world.tried[0]]
         world.run(1000.0 + 1.05 * aim)
-        assert w.failed == 0.0
+        assert w.failure_fraction == 0.0
         world.run(1000.0 + 1.15 * aim)
-        assert w.failed > 0.4
+        assert w.failure_fraction > 0.4
 
 
 @pytest.mark.parametrize(("after", "again"), [(0.1, True), (2.4, True), (2.6, False)])
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -92,7 +92,7 @@
     requests = [ingress.send_request(SAFE) for _ in range(6)]
     ill = {ingress.attempts[requests[0]][0].backend}
     for number, backend in ingress.engine.backends.by_number.items():
-        backend.failed = 0.9 if all_ill or number in ill else 0.0
+        backend.failure_fraction = 0.9 if all_ill or number in ill else 0.0
     ingress.run_until(ingress.now + 0.3)
     for request in requests:
         if ingress.attempts[request][0].backend in ill:
--- a/tests/policy/test_engine.py
+++ b/tests/policy/test_engine.py
@@ -76,13 +76,13 @@
         ingress.end_attempt(ingress.send_request(plan=RATE_PLAN, customer=customer), 0, Outcome.OK)
     held = ingress.send_request(UNSAFE, plan=RATE_PLAN, customer=1000)
     backend = ingress.engine.backends.by_number[ingress.attempts[held][0].backend]
-    backend.failed, backend.at_capacity_until = 0.9, {RATE_PLAN: math.inf}
-    ingress.list_endpoints(replace(backend.entry, started_at=ingress.now))
-    assert (backend.failed, backend.at_capacity_until) == (0.0, {})
+    backend.failure_fraction, backend.at_capacity_until = 0.9, {RATE_PLAN: math.inf}
+    ingress.list_endpoints(replace(backend.endpoint, started_at=ingress.now))
+    assert (backend.failure_fraction, backend.at_capacity_until) == (0.0, {})
     ingress.list_endpoints(endpoint(50), kind=EndpointListKind.FULL)
     ingress.run_until(ingress.now + 40)
     assert set(ingress.engine.backends.by_number) == {
-        backend.entry.backend,
+        backend.endpoint.backend,
         1050,
     }  # one has a call out
     assert set(ingress.engine.customers.by_number) == {1000}
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -32,10 +32,10 @@
     ingress.end_attempt(request, 0, Outcome.OK)
     said = GossipReceived(1, gossip_codec.encode_message(1, [(backend.code, 0.8)], []))
     ingress.handle(said)
-    assert backend.failed == 0.0
+    assert backend.failure_fraction == 0.0
     ingress.run_until(ingress.now + gossip.OWN_EVIDENCE_TIME + 0.1)
     ingress.handle(said)
-    assert backend.failed == pytest.approx(0.8, abs=0.01)
+    assert backend.failure_fraction == pytest.approx(0.8, abs=0.01)
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -90,4 +90,4 @@
     ingress = IngressHarness()
     backend = ingress.engine.backends.by_number[1001]
     ingress.handle(GossipReceived(1, gossip_codec.encode_message(1, [(backend.code, 0.8)], [])))
-    assert backend.failed == pytest.approx(0.8, abs=0.01)
+    assert backend.failure_fraction == pytest.approx(0.8, abs=0.01)
--- a/tests/policy/test_list_size.py
+++ b/tests/policy/test_list_size.py
@@ -51,7 +51,9 @@
     for _ in range(200):
         ingress.list_endpoints(endpoint(drawn.randrange(MANY), BackendState.DRAINING))
     assert pool.visits - before <= 3 * 200
-    assert len(pool) == sum(backend.ready for backend in ingress.engine.backends.by_number.values())
+    assert len(pool) == sum(
+        backend.is_ready for backend in ingress.engine.backends.by_number.values()
+    )
 
 
 def test_maintenance_visits_only_backends_whose_weight_moves() -> None:
@@ -87,7 +89,7 @@
     assert 0 < pool.visits - before <= 5 * MAX_WEIGHED_PER_ROUND
     ingress.run_until(ingress.now + 10 + MANY / MAX_WEIGHED_PER_ROUND * 0.25)
     assert pool.has_warm_backend and not pool.warming_up
-    assert len({backend.place for backend in pool.draw(random.Random(1), 64)}) > 50
+    assert len({backend.slot for backend in pool.draw(random.Random(1), 64)}) > 50
 
 
 def test_backends_of_a_lost_zone_are_not_drawn_and_expire() -> None:
@@ -108,10 +110,10 @@
     ingress = long_list()
     ill = list(ingress.engine.backends.by_number.values())[: MANY // 2]
     for backend in ill:
-        backend.failed = 0.9
+        backend.failure_fraction = 0.9
     ingress.run_until(ingress.now + 0.3)
     drawn = ingress.engine.backends.pool.draw(random.Random(1), 20_000)
-    assert sum(backend.failed > 0 for backend in drawn) < 20_000 * 0.05
+    assert sum(backend.failure_fraction > 0 for backend in drawn) < 20_000 * 0.05
 
 
 @pytest.mark.parametrize(
@@ -128,7 +130,7 @@
         request = ingress.send_request(KEYED)
         ingress.end_attempt(request, 0, Outcome.RESET)
         first, second = (
-            ingress.engine.backends.by_number[send.backend].entry
+            ingress.engine.backends.by_number[send.backend].endpoint
             for send in ingress.attempts[request]
         )
         assert first.backend != second.backend
@@ -142,8 +144,10 @@
     part = pool.filtered(lambda e: e.zone == 1 and e.kind == 0)
     assert part is not None
     drawn = part.draw(random.Random(1), 200)
-    assert drawn and {(backend.entry.zone, backend.entry.kind) for backend in drawn} == {(1, 0)}
-    assert {(backend.entry.zone, backend.entry.kind) for backend in part} == {(1, 0)}
+    assert drawn and {(backend.endpoint.zone, backend.endpoint.kind) for backend in drawn} == {
+        (1, 0)
+    }
+    assert {(backend.endpoint.zone, backend.endpoint.kind) for backend in part} == {(1, 0)}
     assert pool.filtered(lambda e: e.zone == 7) is None
 
 
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -37,9 +37,9 @@
     request = ingress.send_request(UNSAFE)
     backend = ingress.engine.backends.by_number[ingress.attempts[request][0].backend]
     ingress.run_until(ingress.now + 0.2 + 8 * 0.1)
-    assert backend.failed == 0.0
+    assert backend.failure_fraction == 0.0
     ingress.run_until(ingress.now + 0.2)
-    assert backend.failed > 0.4, "silent by now"
+    assert backend.failure_fraction > 0.4, "silent by now"
 
 
 def test_failing_backend_is_avoided_and_recovers() -> None:
@@ -67,7 +67,9 @@
     for _ in range(10):
         ingress.engine.delay.smoothed_latency = 0.0  # not pressed
         ingress.end_attempt(ingress.send_request(SAFE), 0, Outcome.AT_CAPACITY)
-    assert all(backend.failed == 0 for backend in ingress.engine.backends.by_number.values())
+    assert all(
+        backend.failure_fraction == 0 for backend in ingress.engine.backends.by_number.values()
+    )
 
 
 def test_at_capacity_for_one_plan_says_nothing_about_others() -> None:
