--- a/dockthread/control_plane/distributor.py
+++ b/dockthread/control_plane/distributor.py
@@ -15,11 +15,8 @@
 )
 from dockthread.control_plane.messages import Rejection, Resource
 from dockthread.control_plane.options import ControlOptions
-from dockthread.control_plane.server import (
-    ControlPlaneServer,
-    TableSource,
-    server_settings_from_options,
-)
+from dockthread.control_plane.server import ControlPlaneServer, TableSource
+from dockthread.control_plane.server_settings import server_settings_from_options
 from dockthread.framing import MessageCounts
 
 SLICE_RESOURCES: Final = 4096
@@ -41,7 +38,7 @@
         self._client = ControlPlaneClient(settings, self, clock, rng, cache)
         subscriber = self._client.subscriber
         source = TableSource(subscriber.table, lambda: subscriber.age(clock.now()))
-        server_settings = server_settings_from_options(options)
+        server_settings = server_settings_from_options(options, settings.key)
         self._server = ControlPlaneServer(server_settings, source, clock, rng)
 
     async def open(self, listen: Address) -> Address:
--- a/dockthread/control_plane/process.py
+++ b/dockthread/control_plane/process.py
@@ -18,7 +18,7 @@
 from dockthread.config.section_registry import load_operator_file
 from dockthread.control_plane.distributor import Distributor
 from dockthread.control_plane.options import ControlOptions
-from dockthread.control_plane.server import server_settings_from_options
+from dockthread.control_plane.server_settings import server_settings_from_options
 from dockthread.control_plane.voter import Voter
 from dockthread.errors import SettingsError
 from dockthread.logs.setup import set_up
@@ -57,7 +57,7 @@
     rng = random.Random(secrets.randbits(SEED_BITS))
     if control.role == "distributor":
         return Distributor(control, Clock(), rng)
-    return Voter(server_settings_from_options(control), fleet, Clock(), rng)
+    return Voter(server_settings_from_options(control, control.key()), fleet, Clock(), rng)
 
 
 async def _run(control: ControlOptions, fleet: FleetOptions) -> None:
