--- a/dockthread/net/quota_counter.py
+++ b/dockthread/net/quota_counter.py
@@ -59,7 +59,7 @@
         self.reader_task: asyncio.Task[None] | None = None
         self.writer_task: asyncio.Task[None] | None = None
 
-    def is_silent(self, now_ms: float) -> bool:
+    def is_unresponsive(self, now_ms: float) -> bool:
         """Return whether the counter has kept additions waiting for too long."""
         if not self.in_flight:
             return False
@@ -126,7 +126,7 @@
         for connection in list(self._connections):
             has_work = bool(connection.in_flight or connection.unsent)
             is_finished = not has_work and connection is not self._connection
-            if is_finished or connection.is_silent(now):
+            if is_finished or connection.is_unresponsive(now):
                 self._drop(connection)
 
     def _connect(self, now_ms: float) -> CounterConnection | None:
@@ -153,7 +153,7 @@
         else:
             # It keeps its place in flight, as its reply still arrives in its turn.
             self._end(addition, Outcome.TIMEOUT)
-            if connection.is_silent(self._clock.now()):
+            if connection.is_unresponsive(self._clock.now()):
                 self._drop(connection)
 
     def _end(self, addition: CounterAddition, outcome: Outcome, total: float = 0.0) -> None:
--- a/dockthread/net/watch_response_parser.py
+++ b/dockthread/net/watch_response_parser.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator
-from typing import Any
+from typing import Any, TypeAlias
 
 import httptools
 import ijson
@@ -18,6 +18,8 @@
 
 HTTP_OK = 200
 
+JsonObject: TypeAlias = dict[str, Any]  # as ijson builds it, before its entries are read
+
 
 class WatchResponseParser:
     """Parses one watch's response, however its objects are laid out and cut into pieces.
@@ -34,7 +36,7 @@
             self._found, "", multiple_values=True, use_float=True, map_type=self._new_members
         )
         self._read_entry = read_entry
-        self._members: dict[str, Any] | None = None  # of the current outermost object, so far
+        self._members: JsonObject | None = None  # of the current outermost object, so far
         self._found_before = 0  # complete objects when the current one began
         self._object_entries = 0  # entries of the current object that were read
         self.entries_read = 0  # of all objects
@@ -63,9 +65,9 @@
         if self._failure is not None:
             raise self._failure
 
-    def _new_members(self) -> dict[str, Any]:
+    def _new_members(self) -> JsonObject:
         """Return a new object for ijson, and note whether it is an outermost one."""
-        members: dict[str, Any] = {}
+        members: JsonObject = {}
         if self._members is None or len(self._found) > self._found_before:
             self._members = members
             self._found_before = len(self._found)
--- /dev/null
+++ b/tests/config/test_ingress_config.py
@@ -0,0 +1,50 @@
+"""The configuration of an ingress: errors in its file, and the environment."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from dockthread.config.address import Address
+from dockthread.config.platform_settings import read_config
+from dockthread.errors import SettingsError
+from tests.loopback import SETTINGS, message, raw_config
+
+
+@pytest.mark.parametrize(
+    ("changes", "expected_text"),
+    [
+        ({"settings": None}, "not an object"), ({"listen": "nowhere"}, "not an address"),
+        ({"limits": {"sockets": 8}}, "limits.sockets"), ({"seed": "xyz"}, "base 16"),
+        ({"settings": SETTINGS | {"Classes": [{"Name": "a"}]}}, "Aim"),
+        ({"listen": "127.0.0.1:70000"}, "not an address"),
+        ({"settings": SETTINGS | {"Classes": [SETTINGS["Classes"][0] | {"HardLimit": 0}]}}, r"\[0\].HardLimit"),
+        ({"settings": SETTINGS | {"Classes": [SETTINGS["Classes"][1] | {"Aim": -5}]}}, r"Classes\[0\].Aim is -5"),
+        ({"settings": SETTINGS | {"Limits": SETTINGS["Limits"] | {"SendCap": 0}}}, "SendCap is 0"),
+        ({"settings": SETTINGS | {"Classes": []}}, "Classes is empty"),
+    ],
+)  # fmt: skip
+def test_a_bad_configuration_raises_an_error_of_one_line(
+    changes: dict[str, Any], expected_text: str, tmp_path: Path
+) -> None:
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps({**raw_config(message(1, full=True), 9), **changes}))
+    with pytest.raises(SettingsError, match=expected_text) as caught:
+        read_config({"NODE_CONFIG": str(path)})
+    assert len(str(caught.value).splitlines()) == 1
+
+
+def test_the_environment_overrides_the_file(tmp_path: Path) -> None:
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(raw_config(message(1, full=True), 9)))
+    environ = {"NODE_CONFIG": str(path), "NODE_NAME": "n7", "NODE_LISTEN": "[::1]:5"}
+    read = read_config(environ)
+    assert (read.name, read.listen, read.seed, read.connection_idle_ms) == (
+        "n7",
+        Address("::1", 5),
+        0x8C1F,
+        15_000.0,
+    )
--- /dev/null
+++ b/tests/net/discovery_responses.py
@@ -0,0 +1,10 @@
+"""Responses of discovery, as the tests send them: HTTP with a chunked body."""
+
+from __future__ import annotations
+
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+
+
+def chunked(*pieces: bytes) -> list[bytes]:
+    """Return each piece as a chunk of the body."""
+    return [b"%x\r\n%b\r\n" % (len(piece), piece) for piece in pieces]
--- a/tests/net/test_discovery_bounds.py
+++ b/tests/net/test_discovery_notification_bound.py
@@ -36,7 +36,7 @@
     target,
     until,
 )
-from tests.net.test_program import program
+from tests.test_daemon import program
 
 BOUND, STEP = 6_000.0, 250.0  # ms
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- /dev/null
+++ b/tests/net/test_endpoint_list.py
@@ -0,0 +1,118 @@
+"""The endpoint list: numbers of backends, restarts, older lists, malformed lists and expiry."""
+
+from __future__ import annotations
+
+import math
+from typing import Any
+
+import pytest
+
+from dockthread.clock import ManualClock
+from dockthread.config.address import Address
+from dockthread.config.ingress_config import Names
+from dockthread.net.endpoint_list import EndpointList
+from dockthread.net.endpoint_list_codec import DiscoveryError
+from dockthread.policy import BackendState, EndpointListKind
+from tests.loopback import message, target
+
+
+def new_endpoint_list(clock: ManualClock | None = None) -> EndpointList:
+    return EndpointList(Names((), (), ("hall-a",), ()), clock or ManualClock())
+
+
+def test_a_uid_keeps_its_number_and_an_unchanged_boot_time_is_no_restart() -> None:
+    clock = ManualClock(now=5_000.0, unix=1_700_000_000_000.0)
+    endpoints, moved_numbers = new_endpoint_list(clock), list[int]()
+    endpoints.on_moved = lambda record: moved_numbers.append(record.number)
+    first_event = endpoints.apply(
+        message(1, target("a", 1), target("b", 2, boot_ms=1_700_000_000_000), full=True)
+    )
+    assert [(one.backend, one.started_at) for one in first_event.endpoints] == [(1, 0.0), (2, 5.0)]
+    clock.advance(60_000)  # the same boot_ms, received again, must read as the same start
+    second_event = endpoints.apply(message(2, target("b", 2, boot_ms=1_700_000_000_000)))
+    assert (second_event.kind, second_event.endpoints[0].started_at, moved_numbers) == (
+        EndpointListKind.CHANGES,
+        5.0,
+        [],
+    )
+    endpoints.apply(message(3, target("b", 9, boot_ms=1_700_000_001_000)))
+    assert (endpoints.by_number[2].address, moved_numbers) == (Address("127.0.0.1", 9), [2])
+    endpoints.apply(message(4, target("b", 9), full=True))
+    assert (endpoints.is_ready(1), endpoints.is_ready(2), endpoints.revision) == (False, True, 4)
+
+
+@pytest.mark.parametrize(
+    "update",
+    [
+        [], {"rev": 1}, message(1) | {"targets": [{}]}, message(1, target("a", 1) | {"state": "new"}),
+        message(1, target("a", 1) | {"endpoint": "nowhere"}), message(1, target("a", 1) | {"uid": 7}),
+        message(1, target("a", 1) | {"boot_ms": "x"}), message(1, target("a", 1) | {"boot_ms": math.nan}),
+    ],
+)  # fmt: skip
+def test_a_malformed_list_raises_and_changes_nothing(update: Any) -> None:
+    endpoints = new_endpoint_list()
+    with pytest.raises(DiscoveryError):
+        endpoints.apply(update)
+    assert (endpoints.by_number, endpoints.revision) == ({}, 0)
+
+
+DRAINING, REMOVED = BackendState.DRAINING, BackendState.REMOVED
+
+
+@pytest.mark.parametrize(
+    ("first_update", "late_update", "state"),
+    [
+        # (revision, state, boot_ms) received first, then in a list of mostly an older revision; the
+        # state that results
+        ((5, "leaving", 0), (4, "active", 0), DRAINING),  # announced as draining: it stays so
+        ((5, "left", 0), (4, "active", 0), REMOVED),
+        ((5, "active", 0), (4, "leaving", 0), DRAINING),  # an older list may remove it
+        # a process that started later
+        ((5, "left", 0), (4, "active", 1_700_000_001_000), BackendState.READY),
+        ((5, "leaving", 0), (6, "active", 0), BackendState.READY),
+        ((5, "leaving", 0), (5, "active", 0), BackendState.READY),
+    ],
+)
+@pytest.mark.parametrize("full", [False, True])
+def test_an_older_list_does_not_bring_back_a_draining_or_removed_backend(
+    first_update: tuple[int, str, int],
+    late_update: tuple[int, str, int],
+    state: BackendState,
+    full: bool,
+) -> None:
+    endpoints = new_endpoint_list(ManualClock(now=5_000.0, unix=1_700_000_000_000.0))
+    for revision, state_name, boot_ms in (first_update, late_update):
+        entries = endpoints.apply(
+            message(revision, target("a", 1, state_name, boot_ms), full=full)
+        ).endpoints
+    assert (endpoints.by_number[1].state, entries[0].state) == (state, state)
+    assert endpoints.revision == late_update[0]
+
+
+def test_a_backend_left_out_of_a_full_list_is_not_brought_back_by_inclusion_or_an_older_list() -> (
+    None
+):
+    endpoints = new_endpoint_list()
+    endpoints.apply(message(5, target("a", 1), target("b", 2), full=True))
+    endpoints.apply(message(6, target("b", 2), full=True))
+    assert [entry.state for entry in endpoints.apply(message(4, target("a", 1))).endpoints] == [
+        REMOVED
+    ]
+    endpoints.set_excluded("a", True, 0.0)
+    listed = endpoints.set_excluded("a", False, 0.0)
+    assert listed is not None
+    assert [entry.state for entry in listed.endpoints] == [REMOVED]
+
+
+def test_backends_removed_long_ago_are_forgotten_and_their_numbers_not_reused() -> None:
+    clock = ManualClock()
+    endpoints = new_endpoint_list(clock)
+    endpoints.apply(message(1, target("a", 1), target("b", 2), full=True))
+    endpoints.apply(message(2, target("a", 1, "left")))
+    clock.advance(60_001)
+    endpoints.forget_expired()
+    second_event = endpoints.apply(message(3, target("a", 1)))
+    assert ([one.backend for one in second_event.endpoints], sorted(endpoints.by_number)) == (
+        [3],
+        [2, 3],
+    )
--- /dev/null
+++ b/tests/net/test_watch_response_parser.py
@@ -0,0 +1,83 @@
+"""The response of a watch: objects read as they arrive, however they are laid out and cut."""
+
+from __future__ import annotations
+
+import json
+import time
+from typing import Any
+
+import pytest
+
+from dockthread.net.endpoint_list_codec import DiscoveryError
+from dockthread.net.watch_response_parser import WatchResponseParser
+from tests.loopback import message, target
+from tests.net.discovery_responses import RESPONSE_HEAD, chunked
+
+
+@pytest.mark.parametrize(
+    ("pieces", "found"),
+    [
+        ([RESPONSE_HEAD + b'8\r\n{"a":1}\n\r\n'], [{"a": 1}]),
+        ([RESPONSE_HEAD, b"4\r\n", b'{"a"', b"\r\n4\r\n:1}\n\r\n1\r\n\n\r\n"], [{"a": 1}]),
+        ([RESPONSE_HEAD + b"1\r\n\n\r\n1\r\n\n\r\n"], []),
+        ([RESPONSE_HEAD + b"6\r\n{}\n[]\n\r\n3\r\n{}\n\r\n"], [{}, [], {}]),
+        ([b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"], DiscoveryError),
+        ([b"+PONG\r\n"], DiscoveryError),
+        ([RESPONSE_HEAD + b"3\r\n{]\n\r\n"], DiscoveryError),
+    ],
+)
+def test_objects_are_parsed_when_complete_and_other_responses_raise(
+    pieces: list[bytes], found: Any
+) -> None:
+    parser = WatchResponseParser()
+    if found is DiscoveryError:
+        with pytest.raises(DiscoveryError):
+            [sent for piece in pieces for sent in parser.feed(piece)]
+    else:
+        assert [sent for piece in pieces for sent in parser.feed(piece)] == found
+
+
+@pytest.mark.parametrize("indent", [None, 1, 4])
+def test_lists_are_parsed_however_laid_out_and_wherever_cut(indent: int | None) -> None:
+    sent = [message(number, target('s-ü{["', 6379), full=number == 1) for number in (1, 2)]
+    text = b"\n\n".join(json.dumps(one, indent=indent, ensure_ascii=False).encode() for one in sent)
+    for cut in range(1, len(text)):
+        parser, found = WatchResponseParser(), list[Any]()
+        for piece in (RESPONSE_HEAD, *chunked(text[:cut], text[cut:])):
+            found += parser.feed(piece)
+        assert found == sent
+        assert not parser.is_inside_object
+    parser, found = WatchResponseParser(), []
+    for piece in (
+        RESPONSE_HEAD,
+        *chunked(*(text[at : at + 1] for at in range(len(text)))),
+    ):
+        before = len(found)
+        found += parser.feed(piece)
+        # An object is yielded with its last byte, not with the next one's first.
+        assert len(found) == before or piece[3:4] == b"}"
+    assert found == sent
+
+
+def test_complete_objects_are_yielded_before_an_error_and_no_object_is_endless() -> None:
+    parser, found = WatchResponseParser(), list[Any]()
+    with pytest.raises(DiscoveryError, match="not JSON"):
+        for piece in (RESPONSE_HEAD, *chunked(b'{"rev": 1}\n}')):
+            for sent in parser.feed(piece):
+                found.append(sent)
+    assert found == [{"rev": 1}]
+    parser = WatchResponseParser()
+    with pytest.raises(DiscoveryError, match="does not end"):
+        for piece in (RESPONSE_HEAD, *chunked(b'{"a": [', *[b"1, " * 10_000] * 200)):
+            list(parser.feed(piece))
+
+
+def test_parsing_a_list_byte_by_byte_takes_linear_time() -> None:
+    targets = [target(f"s-{number}", 6379) for number in range(3_000)]
+    text = json.dumps(message(1, *targets, full=True), indent=2).encode()
+    parser, began = WatchResponseParser(), time.monotonic()
+    pieces = (RESPONSE_HEAD, *chunked(*(text[at : at + 1] for at in range(len(text)))))
+    found = [sent for piece in pieces for sent in parser.feed(piece)]
+    assert len(found[0]["targets"]) == 3_000
+    # half a second; reading all again with each byte takes minutes
+    assert time.monotonic() - began < 20
--- a/tests/policy/test_list_size.py
+++ b/tests/policy/test_list_size.py
@@ -31,7 +31,8 @@
 )
 from dockthread.policy.backend_pool import MAX_WEIGHED_PER_ROUND, SHORT_LIST, SLOTS_PER_RESUM
 from tests.loopback import Backend, message, run, serving, target, until
-from tests.net.test_parsers import HEAD, chunks, destinations
+from tests.net.discovery_responses import RESPONSE_HEAD, chunked
+from tests.net.test_endpoint_list import new_endpoint_list
 from tests.policy.harness import KEYED, SAFE, SETTINGS, IngressHarness
 
 MANY = 24_000
@@ -171,7 +172,7 @@
 
 
 def pieces(text: bytes, size: int = 65_536) -> list[bytes]:
-    return [HEAD, *chunks(*(text[at : at + size] for at in range(0, len(text), size)))]
+    return [RESPONSE_HEAD, *chunked(*(text[at : at + size] for at in range(0, len(text), size)))]
 
 
 def whole_list(count: int, revision: int = 1) -> dict[str, Any]:
@@ -187,7 +188,7 @@
 
 
 def test_a_long_full_list_is_applied_in_parts() -> None:
-    known = destinations()
+    known = new_endpoint_list()
     (said,) = fed(
         WatchResponseParser(known.codec.decode_endpoint), json.dumps(whole_list(MANY)).encode()
     )
@@ -203,7 +204,7 @@
 
 
 def test_a_long_list_is_never_held_in_memory_as_parsed_objects() -> None:
-    text, known = json.dumps(whole_list(10_000)).encode(), destinations()
+    text, known = json.dumps(whole_list(10_000)).encode(), new_endpoint_list()
     cut = pieces(text)
     tracemalloc.start()
     parser = WatchResponseParser(known.codec.decode_endpoint)
@@ -218,9 +219,12 @@
 def test_endpoints_are_parsed_alike_wherever_the_stream_is_cut(size: int) -> None:
     first, second = whole_list(40), message(2, target("s-x", 1, "leaving"))
     text = json.dumps(first).encode() + b"\n" + json.dumps(second, indent=2).encode()
-    known, parser = destinations(), WatchResponseParser(destinations().codec.decode_endpoint)
+    known, parser = (
+        new_endpoint_list(),
+        WatchResponseParser(new_endpoint_list().codec.decode_endpoint),
+    )
     found = [said for piece in pieces(text, size) for said in parser.feed(piece)]
-    plain = destinations()
+    plain = new_endpoint_list()
     assert [known.apply(said) for said in found] == [plain.apply(first), plain.apply(second)]
 
 
@@ -233,7 +237,7 @@
 ) -> None:
     said = whole_list(10_000)
     said["targets"][place] |= bad
-    known = destinations()
+    known = new_endpoint_list()
     with pytest.raises(DiscoveryError):
         for one in fed(WatchResponseParser(known.codec.decode_endpoint), json.dumps(said).encode()):
             told(known, one)
@@ -244,8 +248,8 @@
     entry_text = json.dumps(target("s" * 5_000, 6379)).encode()
     many = b'{"targets": [' + b", ".join([entry_text] * (MAX_OBJECT_BYTES // len(entry_text) + 20))
     with pytest.raises(DiscoveryError, match="does not end"):
-        fed(WatchResponseParser(destinations().codec.decode_endpoint), many)
-    parser, given = WatchResponseParser(destinations().codec.decode_endpoint), 0
+        fed(WatchResponseParser(new_endpoint_list().codec.decode_endpoint), many)
+    parser, given = WatchResponseParser(new_endpoint_list().codec.decode_endpoint), 0
     with pytest.raises(DiscoveryError, match="does not end"):
         for piece in pieces(
             b'{"targets": ['
@@ -259,7 +263,7 @@
 
 
 def test_endpoints_missing_from_a_long_list_are_removed_at_its_end() -> None:
-    known, moved = destinations(), list[str]()
+    known, moved = new_endpoint_list(), list[str]()
     told(known, whole_list(ENTRIES_PER_PART + 2))
     known.on_moved = lambda destination: moved.append(destination.uid)
     shorter = whole_list(ENTRIES_PER_PART + 2, revision=2)
@@ -272,7 +276,7 @@
 
 
 def test_a_long_list_that_was_abandoned_halfway_is_polled_again() -> None:
-    known = destinations()
+    known = new_endpoint_list()
     parts = known.apply_in_parts(whole_list(3 * ENTRIES_PER_PART))
     next(parts)
     del parts
@@ -282,7 +286,7 @@
 
 
 def test_engine_and_endpoint_list_agree_between_the_parts() -> None:
-    known, ingress = destinations(), long_list(0)
+    known, ingress = new_endpoint_list(), long_list(0)
     for part in known.apply_in_parts(whole_list(2 * ENTRIES_PER_PART + 1)):
         ingress.handle(part)
         assert set(ingress.engine.workers) == set(known.by_number)
--- a/tests/routes/test_routes_on_sockets.py
+++ b/tests/routes/test_routes_on_sockets.py
@@ -33,7 +33,7 @@
     target,
     until,
 )
-from tests.net.test_program import program, ready
+from tests.test_daemon import program, ready
 
 ROOT = Path(__file__).parents[2]
 OK = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$24\r\ninflight=7,qps=2,queue=1\r\n"
--- a/tests/net/test_program.py
+++ b/tests/test_daemon.py
@@ -32,7 +32,7 @@
     until,
 )
 
-ROOT = Path(__file__).parents[2]
+ROOT = Path(__file__).parent.parent
 CONFIG = ROOT / "example" / "config.json"
 
 
