--- a/tests/net/test_discovery_watch.py
+++ b/tests/net/test_discovery_watch.py
@@ -1,6 +1,4 @@
-"""The watch on discovery over real sockets: from a process's first moment, through losses, silence
-and moves.
-"""
+"""The watch on discovery over real sockets: start, losses, silence and changes of address."""
 
 from __future__ import annotations
 
@@ -16,36 +14,38 @@
 from dockthread.net.ingress import Ingress
 from tests.loopback import SETTINGS, Backend, Discovery, message, run, serving, target, until
 
-GRACE = 1_000.0  # ms that a drain may be sent to after it was told
+DRAIN_GRACE_MS = 1_000.0  # for which a draining backend may be sent requests
 
 
-def settings(**more: Any) -> dict[str, Any]:
-    return {"settings": SETTINGS | {"Safety": {"StopSendingWithin": GRACE * 1_000}} | more}
+def watch_settings(**more: Any) -> dict[str, Any]:
+    return {"settings": SETTINGS | {"Safety": {"StopSendingWithin": DRAIN_GRACE_MS * 1_000}} | more}
 
 
-def answered(discovery: Discovery, calls: int) -> bool:
+def has_answered(discovery: Discovery, calls: int) -> bool:
     return len(discovery.writers) >= calls
 
 
-def told(ingress: Ingress, revision: int) -> bool:
+def has_revision(ingress: Ingress, revision: int) -> bool:
     return ingress.endpoints.revision == revision
 
 
-def said(ingress: Ingress, since: float) -> bool:
+def has_received(ingress: Ingress, since: float) -> bool:
     return ingress.watch._attempt.last_received_ms > since
 
 
-def port(backend: Backend) -> int:
+def port_of(backend: Backend) -> int:
     return int(backend.server.sockets[0].getsockname()[1])
 
 
-@pytest.mark.parametrize("answers", [True, False])
-def test_nothing_is_sent_by_an_old_list_before_the_agent_had_time_to_answer(answers: bool) -> None:
-    """What the agent has counts as told from the first moment of a process."""
+@pytest.mark.parametrize("agent_answers", [True, False])
+def test_nothing_is_sent_by_a_cached_list_before_the_agent_had_time_to_answer(
+    agent_answers: bool,
+) -> None:
+    """What the agent has counts as received from the first moment of a process."""
 
     async def scenario() -> None:
-        clock, leaving, stays = ManualClock(), Backend(), Backend()
-        async with serving(leaving, stays, clock=clock, wait=False, **settings()) as (
+        clock, draining, ready = ManualClock(), Backend(), Backend()
+        async with serving(draining, ready, clock=clock, wait=False, **watch_settings()) as (
             ingress,
             client,
             discovery,
@@ -55,49 +55,54 @@
             for _ in range(20):
                 client.ask()
             await until(lambda: len(ingress.requests) == 20)
-            assert (leaving.seen, stays.seen) == ([], [])
-            if answers:
-                discovery.push(message(2, target("s-0", port(leaving), "leaving")))
+            assert (draining.seen, ready.seen) == ([], [])
+            if agent_answers:
+                discovery.push(message(2, target("s-0", port_of(draining), "leaving")))
                 await until(lambda: ingress.ready)
-            else:  # it is down, and has learnt nothing meanwhile: the old list has to serve
-                clock.advance(GRACE / 2)
+            else:  # it is down and has received nothing meanwhile: the cached list has to serve
+                clock.advance(DRAIN_GRACE_MS / 2)
                 ingress.timers.run_due()
                 assert ingress.ready
             assert [await client.answer() for _ in range(20)] == [b"value"] * 20
-            assert bool(leaving.seen) is not answers
+            assert bool(draining.seen) is not agent_answers
 
     run(scenario())
 
 
-@pytest.mark.parametrize("lists", [False, True])
-def test_an_agent_that_ends_calls_is_called_again_within_half_a_grace_however_large_the_fleet(
-    lists: bool,
+@pytest.mark.parametrize("agent_sends_lists", [False, True])
+def test_an_agent_that_ends_attempts_is_called_within_half_a_drain_grace_by_any_number_of_ingresses(
+    agent_sends_lists: bool,
 ) -> None:
-    """What it has counts as told, watch or not. Each pause was drawn from 25 s, then 50 s, with 200
-    ingresses.
+    """What it has counts as received, watch or not.
+
+    Each delay was once drawn from 25 s, then 50 s, with 200 ingresses.
     """
 
     async def scenario() -> None:
-        changes = settings(ReplicasOfMe=200, Safety={"StopSendingWithin": 400_000})
-        async with serving(Backend(), refuses=0 if lists else 12, wait=False, **changes) as (
+        changes = watch_settings(ReplicasOfMe=200, Safety={"StopSendingWithin": 400_000})
+        async with serving(
+            Backend(), refuses=0 if agent_sends_lists else 12, wait=False, **changes
+        ) as (
             ingress,
             _,
             discovery,
         ):
-            for n in range(12 * lists):
-                await until(partial(answered, discovery, n + 1))
-                discovery.push(message(2 + n, target("s-0", 9)))
-                await until(partial(told, ingress, 2 + n))
+            for number in range(12 * agent_sends_lists):
+                await until(partial(has_answered, discovery, number + 1))
+                discovery.push(message(2 + number, target("s-0", 9)))
+                await until(partial(has_revision, ingress, 2 + number))
                 discovery.writers[-1].close()
             await asyncio.wait_for(until(lambda: len(discovery.paths) == 13), 20)
 
     run(scenario())
 
 
-def test_an_agent_that_never_answers_is_called_anew_before_what_it_has_counts_as_told() -> None:
+def test_an_attempt_without_an_answer_is_replaced_before_the_agents_changes_count_as_received() -> (
+    None
+):
     async def scenario() -> None:
         clock = ManualClock()
-        changes = settings(ReplicasOfMe=200)
+        changes = watch_settings(ReplicasOfMe=200)
         async with serving(Backend(), clock=clock, wait=False, **changes) as (
             ingress,
             _,
@@ -105,29 +110,29 @@
         ):
             await until(lambda: discovery.writers)
             clock.advance(3_600)
-            ingress.watch.enforce_timeouts()  # silent for too long; half a grace more at the most
-            clock.advance(GRACE / 2)
+            ingress.watch.enforce_timeouts()  # silent for too long; half a drain grace more at the most
+            clock.advance(DRAIN_GRACE_MS / 2)
             ingress.watch.enforce_timeouts()
             await until(lambda: len(discovery.paths) == 2)
 
     run(scenario())
 
 
-def test_a_watch_that_says_half_an_object_and_signs_of_life_is_begun_again() -> None:
+def test_a_watch_with_an_incomplete_object_and_heartbeats_is_replaced() -> None:
     async def scenario() -> None:
         clock = ManualClock()
         async with serving(Backend(), clock=clock) as (ingress, _, discovery):
             discovery.push(message(2, target("s-1", 1)))
             discovery.writers[-1].write(b'9\r\n{"rev":3,\r\n')
             for second in range(5):
-                heard = ingress.watch._attempt.last_received_ms
+                last_received = ingress.watch._attempt.last_received_ms
                 clock.advance(1_000)
                 discovery.writers[-1].write(b"1\r\n\n\r\n")
-                await until(partial(said, ingress, heard))
+                await until(partial(has_received, ingress, last_received))
                 ingress.watch.enforce_timeouts()
                 await asyncio.sleep(0)
                 assert len(discovery.paths) == 1 or second == 4
-            clock.advance(GRACE / 2)  # and a pause: within 6 s all in all
+            clock.advance(DRAIN_GRACE_MS / 2)  # and a delay: within 6 s in all
             ingress.timers.run_due()
             await until(lambda: len(discovery.paths) == 2)
             assert discovery.paths[-1].endswith(b"after=2")
@@ -135,48 +140,56 @@
     run(scenario())
 
 
-def test_a_long_list_that_comes_slowly_but_entry_by_entry_is_waited_for() -> None:
-    """Given up after 4 s it would begin anew each time, and never be taken."""
+def test_a_long_list_that_arrives_slowly_but_entry_by_entry_is_received() -> None:
+    """Given up after 4 s it would start anew each time, and never be received."""
 
     async def scenario() -> None:
         clock = ManualClock()
         async with serving(Backend(), clock=clock) as (ingress, _, discovery):
             await until(lambda: discovery.writers)
-            entries = [json.dumps(target(f"s-{n}", 1 + n)).encode() for n in range(12)]
+            entries = [
+                json.dumps(target(f"s-{number}", 1 + number)).encode() for number in range(12)
+            ]
             pieces = [
                 b'{"rev":9,"all":true,"targets":[' + entries[0],
                 *(b"," + entry for entry in entries[1:]),
                 b"]}",
             ]
             for piece in pieces:
-                heard = ingress.watch._attempt.last_received_ms
+                last_received = ingress.watch._attempt.last_received_ms
                 clock.advance(1_000)
                 discovery.writers[-1].write(b"%x\r\n%s\r\n" % (len(piece), piece))
-                await until(partial(said, ingress, heard))
+                await until(partial(has_received, ingress, last_received))
                 ingress.watch.enforce_timeouts()
                 await asyncio.sleep(0)
-            await until(partial(told, ingress, 9))
+            await until(partial(has_revision, ingress, 9))
             assert (ingress.endpoints.listed_count, len(discovery.paths)) == (12, 1)
 
     run(scenario())
 
 
-@pytest.mark.parametrize("refuses", [0, 1_000_000])
-def test_a_move_that_comes_on_an_unanswered_call_or_in_a_pause_is_followed_at_once(
-    refuses: int,
+@pytest.mark.parametrize("rejected_attempts", [0, 1_000_000])
+def test_a_change_of_address_during_an_unanswered_attempt_or_a_delay_takes_effect_at_once(
+    rejected_attempts: int,
 ) -> None:
     async def scenario() -> None:
-        clock, other = ManualClock(), Discovery()
-        asks = settings(ReplicasOfMe=200, Discovery="subscribe")  # a pause of up to 25 s
-        async with serving(Backend(), clock=clock, refuses=refuses, wait=False, **asks) as (
+        clock, new_discovery = ManualClock(), Discovery()
+        polling = watch_settings(ReplicasOfMe=200, Discovery="subscribe")  # a delay of up to 25 s
+        async with serving(
+            Backend(), clock=clock, refuses=rejected_attempts, wait=False, **polling
+        ) as (
             ingress,
             _,
-            first,
+            old_discovery,
         ):
-            clock.advance(GRACE / 2)  # the pause at a start
+            clock.advance(DRAIN_GRACE_MS / 2)  # the delay at a start
             ingress.timers.run_due()
-            await until(lambda: first.paths and bool(refuses) == (ingress.watch._failures > 0))
-            ingress.watch.change_address(Address("127.0.0.1", await other.start()))
-            await asyncio.wait_for(until(lambda: other.paths), 2)
+            await until(
+                lambda: (
+                    old_discovery.paths and bool(rejected_attempts) == (ingress.watch._failures > 0)
+                )
+            )
+            ingress.watch.change_address(Address("127.0.0.1", await new_discovery.start()))
+            await asyncio.wait_for(until(lambda: new_discovery.paths), 2)
 
     run(scenario())
--- a/tests/net/test_gossip_transport.py
+++ b/tests/net/test_gossip_transport.py
@@ -1,4 +1,4 @@
-"""Messages between ingresses on real loopback sockets, and the keys that name their addresses."""
+"""Gossip between ingresses on real loopback sockets, and the keys that name their addresses."""
 
 from __future__ import annotations
 
@@ -19,129 +19,141 @@
 from tests.loopback import SETTINGS, Backend, Client, config, run, serving, until
 
 
-def addresses(count: int) -> tuple[Address, ...]:
-    """Free UDP ports; another process could take one meanwhile, on a port that nobody else asks
-    for.
-    """
-    held = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
-    for sock in held:
+def free_addresses(count: int) -> tuple[Address, ...]:
+    """Return free UDP addresses; no other process is expected to take one meanwhile."""
+    sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
+    for sock in sockets:
         sock.bind(("127.0.0.1", 0))
-    found = tuple(Address(*sock.getsockname()[:2]) for sock in held)
-    for sock in held:
+    found = tuple(Address(*sock.getsockname()[:2]) for sock in sockets)
+    for sock in sockets:
         sock.close()
     return found
 
 
-def peers(all_of: tuple[Address, ...], number: int, told: list[GossipReceived]) -> GossipTransport:
-    made = GossipTransport(PeerAddresses(all_of[number], all_of), number, told.append, Traffic())
-    made.open()
-    return made
+def open_transport(
+    all_addresses: tuple[Address, ...], number: int, received: list[GossipReceived]
+) -> GossipTransport:
+    opened = GossipTransport(
+        PeerAddresses(all_addresses[number], all_addresses), number, received.append, Traffic()
+    )
+    opened.open()
+    return opened
 
 
-def test_a_message_reaches_the_one_it_is_for_or_all_and_says_who_sent_it() -> None:
+def test_a_message_reaches_its_peer_or_all_with_the_number_of_its_sender() -> None:
     async def scenario() -> None:
-        where, told = addresses(3), [list[GossipReceived]() for _ in range(3)]
-        three = [peers(where, n, told[n]) for n in range(3)]
-        three[0].send(SendGossip(b"to one", 2))
-        await until(lambda: told[2])
-        assert told == [[], [], [GossipReceived(0, b"to one")]]
-        three[1].send(SendGossip(b"to all"))
-        await until(lambda: told[0] and len(told[2]) == 2)
-        assert (told[0], told[1], told[2][1]) == (
+        peer_addresses, received = free_addresses(3), [list[GossipReceived]() for _ in range(3)]
+        transports = [
+            open_transport(peer_addresses, number, received[number]) for number in range(3)
+        ]
+        transports[0].send(SendGossip(b"to one", 2))
+        await until(lambda: received[2])
+        assert received == [[], [], [GossipReceived(0, b"to one")]]
+        transports[1].send(SendGossip(b"to all"))
+        await until(lambda: received[0] and len(received[2]) == 2)
+        assert (received[0], received[1], received[2][1]) == (
             [GossipReceived(1, b"to all")],
             [],
             GossipReceived(1, b"to all"),
         )
-        for one in three:
+        for one in transports:
             one.close()
 
     run(scenario())
 
 
-def test_strangers_and_long_messages_are_passed_over_and_a_flood_is_read_in_turns() -> None:
+def test_unknown_senders_and_long_messages_are_rejected_and_a_flood_is_read_in_turns() -> None:
     async def scenario() -> None:
-        where, told, mine = addresses(2), list[GossipReceived](), list[GossipReceived]()
-        here, other = peers(where, 0, told), peers(where, 1, mine)
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-            stranger.sendto(b"hello", (where[0].host, where[0].port))
+        peer_addresses = free_addresses(2)
+        received, received_by_other = list[GossipReceived](), list[GossipReceived]()
+        transport = open_transport(peer_addresses, 0, received)
+        other_transport = open_transport(peer_addresses, 1, received_by_other)
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown_sender:
+            unknown_sender.sendto(b"hello", (peer_addresses[0].host, peer_addresses[0].port))
         too_long = b"x" * (gossip_codec.MAX_MESSAGE_BYTES + 1)
-        other._sock.sendto(too_long, (where[0].host, where[0].port))  # type: ignore[union-attr]
-        await until(lambda: here._traffic.gossip_rejected == 2)
-        other.send(SendGossip(too_long, 0))  # it would void the run
-        assert (told, other._traffic.gossip_sent) == ([], 0)
+        other_transport._sock.sendto(too_long, (peer_addresses[0].host, peer_addresses[0].port))  # type: ignore[union-attr]
+        await until(lambda: transport._traffic.gossip_rejected == 2)
+        other_transport.send(SendGossip(too_long, 0))  # it would void the run
+        assert (received, other_transport._traffic.gossip_sent) == ([], 0)
         for _ in range(MAX_DATAGRAMS_PER_TURN + 20):
-            other.send(SendGossip(b"m", 0))
-        here._receive()
-        assert len(told) == MAX_DATAGRAMS_PER_TURN, "requests have their turn before the rest"
-        await until(lambda: len(told) == MAX_DATAGRAMS_PER_TURN + 20)
-        here.close()
-        other.close()
+            other_transport.send(SendGossip(b"m", 0))
+        transport._receive()
+        assert len(received) == MAX_DATAGRAMS_PER_TURN, "requests have their turn before the rest"
+        await until(lambda: len(received) == MAX_DATAGRAMS_PER_TURN + 20)
+        transport.close()
+        other_transport.close()
 
     run(scenario())
 
 
-def test_the_address_is_taken_over_once_the_process_before_lets_go() -> None:
+def test_the_address_is_taken_over_once_the_process_before_releases_it() -> None:
     async def scenario() -> None:
-        where, old_told, told = addresses(2), list[GossipReceived](), list[GossipReceived]()
-        old, new = peers(where, 0, old_told), peers(where, 0, told)
-        other = peers(where, 1, [])
-        new.send(SendGossip(b"from nowhere", 1))  # lost: it has no address to come from
-        other.send(SendGossip(b"one", 0))
-        await until(lambda: old_told)
-        old.close()
-        old.open()  # for good
-        new.open()
-        other.send(SendGossip(b"two", 0))
-        await until(lambda: told)
-        assert [m.data for m in old_told + told] == [b"one", b"two"]
-        for one in (new, other):
+        peer_addresses = free_addresses(2)
+        received_by_old, received = list[GossipReceived](), list[GossipReceived]()
+        old_transport = open_transport(peer_addresses, 0, received_by_old)
+        new_transport = open_transport(peer_addresses, 0, received)
+        other_transport = open_transport(peer_addresses, 1, [])
+        new_transport.send(
+            SendGossip(b"from nowhere", 1)
+        )  # lost: it has no address to be sent from
+        other_transport.send(SendGossip(b"one", 0))
+        await until(lambda: received_by_old)
+        old_transport.close()
+        old_transport.open()  # without effect: it is closed for good
+        new_transport.open()
+        other_transport.send(SendGossip(b"two", 0))
+        await until(lambda: received)
+        assert [one.data for one in received_by_old + received] == [b"one", b"two"]
+        for one in (new_transport, other_transport):
             one.close()
 
     run(scenario())
 
 
-def shared(number: int, where: tuple[Address, ...]) -> dict[str, Any]:
+def sharing_quota(number: int, peer_addresses: tuple[Address, ...]) -> dict[str, Any]:
     settings = {
         **SETTINGS,
         "MyNumber": number,
-        "ReplicasOfMe": len(where),
+        "ReplicasOfMe": len(peer_addresses),
         "Limits": {**SETTINGS["Limits"], "Peers": True},
         "Domain": {"Largest": 4, "PeerInPerS": 60},
         "Packages": [{"Name": "gross", "Refill": 0.001, "PeakUnits": 40.0}],
     }
     return {
         "settings": settings,
-        "peers": [str(a) for a in where],
-        "peer_listen": str(where[number]),
+        "peers": [str(address) for address in peer_addresses],
+        "peer_listen": str(peer_addresses[number]),
     }
 
 
-def test_three_ingresses_keep_one_quota_between_them_by_messages_alone() -> None:
+def test_three_ingresses_share_one_quota_by_gossip_alone() -> None:
     async def scenario() -> None:
-        where = addresses(3)
+        peer_addresses = free_addresses(3)
         async with AsyncExitStack() as stack:
-            made = [
-                await stack.enter_async_context(serving(Backend(), **shared(number, where)))
+            opened = [
+                await stack.enter_async_context(
+                    serving(Backend(), **sharing_quota(number, peer_addresses))
+                )
                 for number in range(3)
             ]
-            ingresses: list[Ingress] = [ingress for ingress, _, _ in made]
-            clients: list[Client] = [client for _, client, _ in made]
-            await until(lambda: all(i.traffic.gossip_received for i in ingresses))
+            ingresses: list[Ingress] = [ingress for ingress, _, _ in opened]
+            clients: list[Client] = [client for _, client, _ in opened]
+            await until(lambda: all(one.traffic.gossip_received for one in ingresses))
             served = 0
-            for turn in range(60):  # 2 units each of a store that holds 40 and is not filled
-                answer = await clients[turn % 3].call("status")
+            for attempt in range(60):  # 2 units each of a bucket that holds 40 and is not refilled
+                answer = await clients[attempt % 3].call("status")
                 served += not isinstance(answer, str)
-                await asyncio.sleep(0.06)  # for the news to go round
+                await asyncio.sleep(0.06)  # for the gossip to reach all
             assert 15 <= served <= 21
 
     run(scenario())
 
 
 @pytest.mark.parametrize(
-    ("changes", "known"),
+    ("changes", "expected"),
     [
         ({}, None),
-        ({"peers": ["127.0.0.1:1"] * 4}, None),  # nowhere to listen
+        ({"peers": ["127.0.0.1:1"] * 4}, None),  # no address to listen at
         ({"peer_listen": "127.0.0.1:1", "peers": ["127.0.0.1:1"] * 4}, 4),
         ({"peer_listen": "127.0.0.1:1", "peers": ["127.0.0.1:1"] * 3}, "peers is"),
         ({"peer_listen": "127.0.0.1:1", "peers": "127.0.0.1:1"}, "peers is"),
@@ -152,10 +164,12 @@
         ),
     ],
 )
-def test_addresses_of_peers_in_the_configuration(changes: dict[str, Any], known: object) -> None:
-    if isinstance(known, str):
-        with pytest.raises(SettingsError, match=known):
+def test_peer_addresses_are_read_from_the_configuration_or_rejected(
+    changes: dict[str, Any], expected: object
+) -> None:
+    if isinstance(expected, str):
+        with pytest.raises(SettingsError, match=expected):
             config({"rev": 0, "all": True, "targets": []}, **changes)
         return
     found = config({"rev": 0, "all": True, "targets": []}, **changes).peers
-    assert (found and len(found.peers)) == known
+    assert (found and len(found.peers)) == expected
--- a/tests/net/test_quota_counter.py
+++ b/tests/net/test_quota_counter.py
@@ -1,4 +1,4 @@
-"""The counter's part: calls in a row on one connection, each told its end exactly once."""
+"""The quota counter's client: additions in order on one connection, each ended exactly once."""
 
 from __future__ import annotations
 
@@ -14,39 +14,42 @@
 from tests.loopback import Backend, run, until
 
 
-async def adds(args: list[bytes]) -> bytes:
+async def reply_with_total(args: list[bytes]) -> bytes:
     return b"$4\r\n12.5\r\n"
 
 
-def counter(
+def new_client(
     port: int | None, timeout: float = 5_000.0
 ) -> tuple[QuotaCounterClient, list[CounterReplied]]:
-    told, loop = list[CounterReplied](), asyncio.get_running_loop()
+    replies, loop = list[CounterReplied](), asyncio.get_running_loop()
     clock = Clock()
 
-    def timer(due: float, then: Callable[..., None], *args: object) -> None:
+    def call_at(due: float, then: Callable[..., None], *args: object) -> None:
         loop.call_later((due - clock.now()) / 1000, then, *args)
 
-    at = None if port is None else Address("127.0.0.1", port)
-    return QuotaCounterClient(at, clock, told.append, timer, timeout=timeout), told
+    address = None if port is None else Address("127.0.0.1", port)
+    return QuotaCounterClient(address, clock, replies.append, call_at, timeout=timeout), replies
 
 
-def test_calls_share_a_connection_and_are_told_in_turn() -> None:
+def test_additions_share_a_connection_and_are_answered_in_their_order() -> None:
     async def scenario() -> None:
-        numbers = Backend(adds)
-        count, told = counter(await numbers.start())
+        counter_server = Backend(reply_with_total)
+        client, replies = new_client(await counter_server.start())
         for name in (1, 2, 3):
-            count.add(name, 2.5, 60_000.0)
-        await until(lambda: len(told) == 3)
-        assert told == [CounterReplied(name, Outcome.OK, 12.5) for name in (1, 2, 3)]
-        assert (numbers.opened, numbers.seen[0]) == (1, [b"CNT.ADD", b"1", b"2.5", b"60000"])
-        count.close()
+            client.add(name, 2.5, 60_000.0)
+        await until(lambda: len(replies) == 3)
+        assert replies == [CounterReplied(name, Outcome.OK, 12.5) for name in (1, 2, 3)]
+        assert (counter_server.opened, counter_server.seen[0]) == (
+            1,
+            [b"CNT.ADD", b"1", b"2.5", b"60000"],
+        )
+        client.close()
 
     run(scenario())
 
 
 @pytest.mark.parametrize(
-    ("said", "outcome", "opened"),
+    ("reply", "outcome", "connections"),
     [
         (b"-BUSY\r\n", Outcome.AT_CAPACITY, 1),
         (b"$5\r\nnoise\r\n", Outcome.ERROR, 2),
@@ -54,87 +57,87 @@
         (None, Outcome.RESET, 2),
     ],
 )
-def test_what_is_no_total_may_have_been_added_and_ends_its_connection(
-    said: bytes | None, outcome: Outcome, opened: int
+def test_the_form_of_a_reply_decides_its_outcome_and_whether_the_connection_is_replaced(
+    reply: bytes | None, outcome: Outcome, connections: int
 ) -> None:
     async def scenario() -> None:
         async def answers(args: list[bytes]) -> bytes | None:
-            return said
+            return reply
 
-        numbers = Backend(answers)
-        count, told = counter(await numbers.start())
-        count.add(1, 1.0, 60_000.0)
-        await until(lambda: told)
+        counter_server = Backend(answers)
+        client, replies = new_client(await counter_server.start())
+        client.add(1, 1.0, 60_000.0)
+        await until(lambda: replies)
         await asyncio.sleep(0)
-        numbers.answer = adds
-        count.add(2, 1.0, 60_000.0)
-        await until(lambda: len(told) == 2)
-        assert [t.outcome for t in told] == [outcome, Outcome.OK]
-        assert numbers.opened == opened
-        count.close()
+        counter_server.answer = reply_with_total
+        client.add(2, 1.0, 60_000.0)
+        await until(lambda: len(replies) == 2)
+        assert [one.outcome for one in replies] == [outcome, Outcome.OK]
+        assert counter_server.opened == connections
+        client.close()
 
     run(scenario())
 
 
-def test_a_late_answer_keeps_its_turn_and_says_nothing_more() -> None:
+def test_a_reply_after_the_timeout_is_not_taken_for_the_next_addition() -> None:
     async def scenario() -> None:
-        gate = asyncio.Event()
+        may_reply = asyncio.Event()
 
-        async def late(args: list[bytes]) -> bytes:
-            await gate.wait()
+        async def reply_late(args: list[bytes]) -> bytes:
+            await may_reply.wait()
             return b"$1\r\n%b\r\n" % args[1]
 
-        count, told = counter(await Backend(late).start(), timeout=20.0)
-        count.add(1, 1.0, 60_000.0)
-        await until(lambda: told)
-        assert told[0].outcome is Outcome.TIMEOUT
-        gate.set()
-        count._timeout_ms = 5_000.0
-        count.add(2, 1.0, 60_000.0)
-        await until(lambda: len(told) == 2)
-        assert told[1] == CounterReplied(
+        client, replies = new_client(await Backend(reply_late).start(), timeout=20.0)
+        client.add(1, 1.0, 60_000.0)
+        await until(lambda: replies)
+        assert replies[0].outcome is Outcome.TIMEOUT
+        may_reply.set()
+        client._timeout_ms = 5_000.0
+        client.add(2, 1.0, 60_000.0)
+        await until(lambda: len(replies) == 2)
+        assert replies[1] == CounterReplied(
             2, Outcome.OK, 2.0
         )  # not the 1 that was meant for the first
-        count.close()
+        client.close()
 
     run(scenario())
 
 
-def test_it_moves_at_once_and_does_without_an_address() -> None:
+def test_an_address_changes_at_once_and_without_one_the_counter_is_unreachable() -> None:
     async def scenario() -> None:
-        old, new = Backend(adds), Backend(adds)
-        count, told = counter(await old.start())
-        count.add(1, 1.0, 60_000.0)
-        await until(lambda: told)
-        count.change_address(Address("127.0.0.1", await new.start()))
-        count.add(2, 1.0, 60_000.0)
-        await until(lambda: len(told) == 2)
-        assert (len(old.seen), len(new.seen)) == (1, 1)
-        count.enforce_timeouts()  # nothing is out at the old one
-        assert len(count._connections) == 1
-        count.change_address(None)
-        count.add(3, 1.0, 60_000.0)
-        assert told[2].outcome is Outcome.UNREACHABLE
-        count.close()
+        old_server, new_server = Backend(reply_with_total), Backend(reply_with_total)
+        client, replies = new_client(await old_server.start())
+        client.add(1, 1.0, 60_000.0)
+        await until(lambda: replies)
+        client.change_address(Address("127.0.0.1", await new_server.start()))
+        client.add(2, 1.0, 60_000.0)
+        await until(lambda: len(replies) == 2)
+        assert (len(old_server.seen), len(new_server.seen)) == (1, 1)
+        client.enforce_timeouts()  # nothing is in flight at the old one
+        assert len(client._connections) == 1
+        client.change_address(None)
+        client.add(3, 1.0, 60_000.0)
+        assert replies[2].outcome is Outcome.UNREACHABLE
+        client.close()
 
     run(scenario())
 
 
-def test_a_connection_that_falls_silent_is_left_for_another() -> None:
+def test_a_silent_connection_is_replaced_by_another() -> None:
     async def scenario() -> None:
-        async def silent(args: list[bytes]) -> bytes:
+        async def never_reply(args: list[bytes]) -> bytes:
             await asyncio.Event().wait()
             return b""
 
-        numbers = Backend(silent)
-        count, told = counter(await numbers.start(), timeout=150.0)
-        count.add(1, 1.0, 60_000.0)
-        await until(lambda: told)
-        assert told[0].outcome is Outcome.TIMEOUT
-        numbers.answer, count._timeout_ms = adds, 5_000.0
-        count.add(2, 1.0, 60_000.0)
-        await until(lambda: len(told) == 2)
-        assert (told[1], numbers.opened) == (CounterReplied(2, Outcome.OK, 12.5), 2)
-        count.close()
+        counter_server = Backend(never_reply)
+        client, replies = new_client(await counter_server.start(), timeout=150.0)
+        client.add(1, 1.0, 60_000.0)
+        await until(lambda: replies)
+        assert replies[0].outcome is Outcome.TIMEOUT
+        counter_server.answer, client._timeout_ms = reply_with_total, 5_000.0
+        client.add(2, 1.0, 60_000.0)
+        await until(lambda: len(replies) == 2)
+        assert (replies[1], counter_server.opened) == (CounterReplied(2, Outcome.OK, 12.5), 2)
+        client.close()
 
     run(scenario())
