--- /dev/null
+++ b/tests/net/test_discovery_processes.py
@@ -0,0 +1,176 @@
+"""Processes under a limit of descriptors, and many processes started at once."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import resource
+import signal
+import socket
+from contextlib import ExitStack
+from pathlib import Path
+
+import pytest
+
+from tests.loopback import (
+    LIST,
+    SETTINGS,
+    Backend,
+    Client,
+    message,
+    raw_config,
+    run,
+    target,
+    until,
+)
+from tests.net.failing_discovery import (
+    FailingDiscovery,
+    OverloadedDiscovery,
+    failing_discovery,
+)
+from tests.test_daemon import start_program
+
+BOUND_S = 6.0
+SOCKETS = 96
+
+
+@pytest.mark.parametrize("is_polling", [False, True], ids=["pushed", "polled"])
+def test_a_watch_opens_while_idle_clients_use_up_the_descriptors(
+    is_polling: bool, tmp_path: Path
+) -> None:
+    """A real process under its limit; discovery fails meanwhile, comes back, and changes its address."""
+
+    async def scenario() -> None:
+        old, new, path = failing_discovery("closes"), FailingDiscovery(), tmp_path / "config.json"
+        ports = [await old.start(), await new.start()]
+        settings = SETTINGS | ({"Discovery": "subscribe"} if is_polling else {})
+        limits, endpoint_list = {"sockets": SOCKETS}, message(1, target("s-0", 9), full=True)
+        texts = [
+            json.dumps(raw_config(endpoint_list, port, limits=limits, settings=settings))
+            for port in ports
+        ]
+        path.write_text(texts[0])
+        with start_program(
+            "-m", "dockthread", address_label="listens on", NODE_CONFIG=str(path)
+        ) as (
+            process,
+            address,
+        ):
+            resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
+            client_address = ("127.0.0.1", int(address.rsplit(":")[-1]))
+            idle_clients = [socket.create_connection(client_address) for _ in range(2 * SOCKETS)]
+            await until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) > SOCKETS // 2)
+            await until(lambda: old.attempts > 3)
+            old.failure = None
+            await asyncio.wait_for(until(lambda: old.writers), BOUND_S)
+            path.write_text(texts[1])
+            process.send_signal(signal.SIGHUP)
+            await asyncio.wait_for(until(lambda: new.writers), BOUND_S)
+            for sock in idle_clients:
+                sock.close()
+
+    run(scenario())
+
+
+def test_backends_and_the_counter_are_called_while_idle_clients_use_up_the_descriptors(
+    tmp_path: Path,
+) -> None:
+    async def reply_with_total(args: list[bytes]) -> bytes:
+        return b"$1\r\n1\r\n"
+
+    async def scenario() -> None:
+        backend, counter_server, discovery = (
+            Backend(),
+            Backend(reply_with_total),
+            FailingDiscovery(),
+        )
+        endpoint_list = message(1, target("s-0", await backend.start()), full=True)
+        counter = f"127.0.0.1:{await counter_server.start()}"
+        discovery.failure = "hangs"
+        settings = SETTINGS | {"Domain": {**SETTINGS["Domain"], "MayCount": True}}
+        raw = raw_config(
+            endpoint_list,
+            await discovery.start(),
+            limits={"sockets": SOCKETS},
+            settings=settings,
+            counter=counter,
+        )
+        (tmp_path / "config.json").write_text(json.dumps(raw))
+        with start_program(
+            "-m",
+            "dockthread",
+            address_label="listens on",
+            NODE_CONFIG=str(tmp_path / "config.json"),
+        ) as (
+            process,
+            address,
+        ):
+            resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
+            port = int(address.rsplit(":")[-1])
+            idle_clients = [
+                socket.create_connection(("127.0.0.1", port)) for _ in range(2 * SOCKETS)
+            ]
+            await until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) > SOCKETS // 2)
+            client = await Client.open(port)
+            assert await asyncio.wait_for(client.call(), 4) == b"value"
+            await until(lambda: counter_server.seen)
+            assert [command[0] for command in counter_server.seen] == [b"CNT.ADD"] * len(
+                counter_server.seen
+            )
+            for sock in idle_clients:
+                sock.close()
+
+    run(scenario())
+
+
+def test_nine_in_ten_processes_started_at_once_are_ready_in_time(tmp_path: Path) -> None:
+    """They start without a list, and discovery rejects attempts.
+
+    Ten have to be ready in 6 s; `STARTED=30` starts thirty, in the 10 s that the page allows.
+    """
+    process_count = int(os.environ.get("STARTED", "10"))
+
+    async def time_until_ready(address: str, began: float) -> float:
+        client = await Client.open(int(address.rsplit(":")[-1]))
+        answer = b""
+        while answer != b"PONG":
+            client.send(b"PING")
+            answer = await client.answer()
+            await asyncio.sleep(0.05)
+        return asyncio.get_running_loop().time() - began
+
+    async def scenario() -> None:
+        discovery, path = OverloadedDiscovery(), tmp_path / "config.json"
+        port, began = await discovery.start(), asyncio.get_running_loop().time()
+        with ExitStack() as started:
+            addresses = []
+            for number in range(process_count):
+                process_settings = SETTINGS | {
+                    "ReplicasOfMe": process_count,
+                    "MyNumber": number,
+                    "Discovery": "subscribe",
+                }
+                path = tmp_path / f"{number}.json"
+                path.write_text(
+                    json.dumps(
+                        raw_config(LIST, port, settings=process_settings, seed=f"{number:x}")
+                    )
+                )
+                one = start_program(
+                    "-m", "dockthread", address_label="listens on", NODE_CONFIG=str(path)
+                )
+                addresses.append(asyncio.to_thread(started.enter_context, one))
+            found = await asyncio.gather(*addresses)
+            times = sorted(
+                await asyncio.gather(*(time_until_ready(address, began) for _, address in found))
+            )
+        print(
+            f"ready after {times[0]:.1f} to {times[-1]:.1f} s, {discovery.rejected} attempts rejected"
+        )
+        assert (
+            times[int(0.9 * process_count) - 1] <= (6.0 if process_count <= 10 else 10.0)
+            and discovery.rejected
+        )
+
+    run(scenario())
--- a/tests/routes/test_routes_on_sockets.py
+++ b/tests/routes/test_routes_on_sockets.py
@@ -33,7 +33,7 @@
     target,
     until,
 )
-from tests.test_daemon import program, ready
+from tests.test_daemon import start_program, wait_until_ready
 
 ROOT = Path(__file__).parents[2]
 OK = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$24\r\ninflight=7,qps=2,queue=1\r\n"
@@ -474,8 +474,11 @@
         )
         write("pure", text)
         environ = {"NODE_CONFIG": str(path), "DOCKTHREAD_CONFIG": str(ini)}
-        with program("-m", "dockthread", says="listens on", **environ) as (process, address):
-            await ready(address)
+        with start_program("-m", "dockthread", address_label="listens on", **environ) as (
+            process,
+            address,
+        ):
+            await wait_until_ready(address)
             others = [await Client.open(int(address.rsplit(":")[-1])) for _ in range(4)]
             for n, one in enumerate(others):
                 one.asked += (n + 1) * 1000
@@ -564,8 +567,11 @@
         assert await process.wait() == 2
         assert said.count("\n") == 1 and "[route c] retry_on: timeout would repeat" in said
         path.write_text(C + "attempts = 1\n")
-        with program("-m", "dockthread", says="listens on", **environ) as (daemon, address):
-            await ready(address)
+        with start_program("-m", "dockthread", address_label="listens on", **environ) as (
+            daemon,
+            address,
+        ):
+            await wait_until_ready(address)
             path.write_text(C + "copies = yes\n")
             daemon.send_signal(signal.SIGHUP)
             assert daemon.stdout is not None
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""The program as it is started: spoken to over sockets, stopped by signal, and misconfigured."""
+"""The daemon as a process: its sockets, signals, phases and rejected configurations."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
 
 
 @contextmanager
-def program(
-    *command: str, says: str, **environ: str
+def start_program(
+    *command: str, address_label: str, **environ: str
 ) -> Iterator[tuple[subprocess.Popen[str], str]]:
-    """A process, once it has printed the line that holds its address, and that address."""
+    """Start a process; yield it with the address that it prints behind `address_label`."""
     with subprocess.Popen(
         [sys.executable, *command],
         cwd=ROOT,
@@ -52,32 +52,32 @@
         try:
             assert process.stdout is not None
             for line in process.stdout:
-                if found := re.search(rf"{says} (\S+)", line):
-                    yield process, found[1]
+                if match := re.search(rf"{address_label} (\S+)", line):
+                    yield process, match[1]
                     break
             else:
-                raise AssertionError(f"{command} ended without a word")
+                raise AssertionError(f"{command} ended without an address")
         finally:
             process.kill()
 
 
 @contextmanager
-def example(work_ms: int) -> Iterator[tuple[subprocess.Popen[str], str]]:
-    """The example as its README starts it, but for its ports."""
+def running_example(work_ms: int) -> Iterator[tuple[subprocess.Popen[str], str]]:
+    """Start the example as its README does, but for its ports."""
     toy = ("example/toy_server.py", "--discovery", "127.0.0.1:0", "--work-ms", str(work_ms))
-    with program(*toy, says="discovery at") as (_, discovery):
+    with start_program(*toy, address_label="discovery at") as (_, discovery):
         environ = {
             "NODE_CONFIG": str(CONFIG),
             "NODE_LISTEN": "127.0.0.1:0",
             "NODE_DISCOVERY": discovery,
         }
-        with program("-m", "dockthread", says="listens on", **environ) as found:
-            run(ready(found[1]))
-            yield found
+        with start_program("-m", "dockthread", address_label="listens on", **environ) as match:
+            run(wait_until_ready(match[1]))
+            yield match
 
 
-async def ready(address: str) -> None:
-    """Until it is ready to serve: here it has to hear the destination set from discovery first."""
+async def wait_until_ready(address: str) -> None:
+    """Wait until the daemon has received an endpoint list and is ready to serve."""
     client = await Client.open(int(address.rsplit(":")[-1]))
     answer = b""
     while answer != b"PONG":
@@ -86,8 +86,8 @@
         assert answer in (b"PONG", "LOADING not ready to serve")
 
 
-def test_the_example_serves_a_newcomer() -> None:
-    with example(work_ms=5) as (_, address):
+def test_the_example_serves_requests_as_its_readme_says() -> None:
+    with running_example(work_ms=5) as (_, address):
         done = subprocess.run(
             [sys.executable, "example/ask.py", address],
             cwd=ROOT,
@@ -101,16 +101,18 @@
     assert [bool(re.search("says yes to", line)) for line in lines[1:]] == [True] * 4
 
 
-@pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_a_signal_ends_it_once_all_that_was_taken_is_answered(number: signal.Signals) -> None:
-    with example(work_ms=1500) as (process, address):
+@pytest.mark.parametrize("signal_number", [signal.SIGTERM, signal.SIGINT])
+def test_a_signal_stops_the_daemon_once_all_accepted_requests_are_answered(
+    signal_number: signal.Signals,
+) -> None:
+    with running_example(work_ms=1500) as (process, address):
 
         async def scenario() -> None:
             client = await Client.open(int(address.rsplit(":")[-1]))
             terms = b"c=seat-checkout,t=klein,d=9000"
             client.send(b"API.WRITE", KEY, b"%016x" % FIRST_ID, terms)
-            client.send(b"PING")  # answered behind it
-            process.send_signal(number)
+            client.send(b"PING")  # answered after the request
+            process.send_signal(signal_number)
             assert (await client.answer()).endswith(b"says yes to %016x" % FIRST_ID)
             assert await client.answer() == b"PONG"
             assert await client.answer() is None
@@ -122,26 +124,37 @@
     assert phases == ["serving", "lingering", "draining", "stopped"]
 
 
-def test_sighup_moves_the_watch_in_any_phase_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_changes_the_watched_address_in_any_phase_and_a_bad_file_changes_nothing(
+    tmp_path: Path,
+) -> None:
     async def scenario() -> None:
-        old, new, path = Discovery(), Discovery(), tmp_path / "config.json"
-        known, at_old = message(7, target("a", 1), full=True), f"127.0.0.1:{await old.start()}"
-        told = raw_config(known, await new.start())
-        path.write_text(json.dumps(told))
-        environ = {"NODE_CONFIG": str(path), "NODE_DISCOVERY": at_old}
-        with program("-m", "dockthread", says="listens on", **environ) as (process, address):
-            await until(lambda: old.paths)
-            assert process.stdout is not None and not new.paths
+        old_discovery, new_discovery, path = Discovery(), Discovery(), tmp_path / "config.json"
+        endpoint_list, old_address = (
+            message(7, target("a", 1), full=True),
+            f"127.0.0.1:{await old_discovery.start()}",
+        )
+        new_config = raw_config(endpoint_list, await new_discovery.start())
+        path.write_text(json.dumps(new_config))
+        environ = {"NODE_CONFIG": str(path), "NODE_DISCOVERY": old_address}
+        with start_program("-m", "dockthread", address_label="listens on", **environ) as (
+            process,
+            address,
+        ):
+            await until(lambda: old_discovery.paths)
+            assert process.stdout is not None and not new_discovery.paths
             path.write_text("{")
             process.send_signal(signal.SIGHUP)
             while "old configuration stays" not in await asyncio.to_thread(process.stdout.readline):
                 assert process.poll() is None
-            path.write_text(json.dumps(told))
+            path.write_text(json.dumps(new_config))
             process.send_signal(signal.SIGHUP)
-            # The environment still names the old address, and may not win.
-            await until(lambda: new.paths)
-            assert (new.paths, len(old.paths)) == ([b"/discovery/hosts?watch=1&after=7"], 1)
-            await ready(address)
+            # The environment still names the old address, and must not override the file.
+            await until(lambda: new_discovery.paths)
+            assert (new_discovery.paths, len(old_discovery.paths)) == (
+                [b"/discovery/hosts?watch=1&after=7"],
+                1,
+            )
+            await wait_until_ready(address)
             process.send_signal(signal.SIGTERM)
             while process.poll() is None:
                 process.send_signal(signal.SIGHUP)
@@ -151,36 +164,40 @@
     run(scenario())
 
 
-def test_a_sighup_that_comes_while_it_starts_is_heeded_once_it_serves(tmp_path: Path) -> None:
-    """Its configuration may have been read before: it is a pipe here, and read when this test
-    writes to it.
+def test_a_sighup_during_the_start_takes_effect_once_the_daemon_serves(tmp_path: Path) -> None:
+    """The configuration may have been read before the signal.
+
+    Here it is a pipe, which is read when the test writes to it.
     """
 
     async def scenario() -> None:
-        old, new, path = Discovery(), Discovery(), tmp_path / "config.json"
-        known = message(7, target("a", 1), full=True)
-        texts = [json.dumps(raw_config(known, await discovery.start())) for discovery in (old, new)]
-
-        async def opened() -> int:
+        old_discovery, new_discovery, path = Discovery(), Discovery(), tmp_path / "config.json"
+        endpoint_list = message(7, target("a", 1), full=True)
+        texts = [
+            json.dumps(raw_config(endpoint_list, await discovery.start()))
+            for discovery in (old_discovery, new_discovery)
+        ]
+
+        async def open_pipe_for_reader() -> int:
             os.mkfifo(path)
             while True:
                 try:
                     pipe = os.open(path, os.O_WRONLY | os.O_NONBLOCK)
-                except OSError:  # nobody reads it yet
+                except OSError:  # no process reads it yet
                     await asyncio.sleep(0.01)
                     continue
-                os.unlink(path)  # whoever reads it once more waits for the next one
+                os.unlink(path)  # the next read waits for the next pipe
                 return pipe
 
         environ = os.environ | {"NODE_CONFIG": str(path)}
-        first = asyncio.create_task(opened())
+        first = asyncio.create_task(open_pipe_for_reader())
         await until(path.exists)
         with subprocess.Popen(
             [sys.executable, "-m", "dockthread"], cwd=ROOT, env=environ
         ) as process:
             try:
                 pipe = await first
-                second = asyncio.create_task(opened())
+                second = asyncio.create_task(open_pipe_for_reader())
                 await until(path.exists)
                 process.send_signal(signal.SIGHUP)
                 os.write(pipe, texts[0].encode())
@@ -188,21 +205,21 @@
                 pipe = await second
                 os.write(pipe, texts[1].encode())
                 os.close(pipe)
-                await until(lambda: new.paths)
+                await until(lambda: new_discovery.paths)
             finally:
                 process.kill()
 
     run(scenario())
 
 
-def test_while_lingering_it_takes_new_connections_and_then_closes_idle_ones() -> None:
+def test_a_lingering_ingress_accepts_connections_and_then_closes_idle_ones() -> None:
     async def scenario() -> None:
         backend, clock = Backend(serves), ManualClock()
         async with serving(backend, clock=clock) as (ingress, client, _):
             ingress.stop()
             await until(lambda: ingress.lifecycle.phase is Phase.LINGERING)
-            late = await Client.open(ingress.address.port)
-            assert await late.call() == b"value"
+            late_client = await Client.open(ingress.address.port)
+            assert await late_client.call() == b"value"
             clock.advance(499)
             ingress.timers.run_due()
             assert ingress.lifecycle.phase is Phase.LINGERING
@@ -210,15 +227,15 @@
                 clock.advance(21)
                 ingress.timers.run_due()
                 await until(lambda: ingress.timers)
-                await late.call() if ingress.lifecycle.ready else None
-            # told at once that it is over
-            assert [await late.answer(), await client.answer()] == [None, None]
+                await late_client.call() if ingress.lifecycle.ready else None
+            # the end of the connection follows at once
+            assert [await late_client.answer(), await client.answer()] == [None, None]
             with pytest.raises(ConnectionRefusedError):
                 await Client.open(ingress.address.port)
-            late.writer.close()
+            late_client.writer.close()
             await until(lambda: ingress.client_connections == 1)
             assert ingress.draining
-            clock.advance(1_300)  # one that rests all the same is left with that
+            clock.advance(1_300)  # a client that stays is disconnected then
             ingress.timers.run_due()
             await until(lambda: ingress.lifecycle.phase is Phase.STOPPED)
 
@@ -226,13 +243,16 @@
 
 
 @pytest.mark.parametrize(
-    ("start", "to"), [(Phase.STARTING, Phase.DRAINING), (Phase.DRAINING, Phase.SERVING)]
+    ("start_phase", "target_phase"),
+    [(Phase.STARTING, Phase.DRAINING), (Phase.DRAINING, Phase.SERVING)],
 )
-def test_phases_have_no_short_cuts_and_no_way_back(start: Phase, to: Phase) -> None:
+def test_a_phase_cannot_be_skipped_or_entered_again(
+    start_phase: Phase, target_phase: Phase
+) -> None:
     lifecycle = Lifecycle()
-    lifecycle.phase = start
+    lifecycle.phase = start_phase
     with pytest.raises(RuntimeError):
-        lifecycle.enter(to)
+        lifecycle.enter(target_phase)
 
 
 @pytest.mark.parametrize(
@@ -246,7 +266,7 @@
         {"DOCKTHREAD_LOG": "loud"},
     ],
 )
-def test_a_bad_configuration_ends_it_with_one_plain_line(environ: dict[str, str]) -> None:
+def test_a_bad_configuration_stops_the_start_with_one_line(environ: dict[str, str]) -> None:
     done = subprocess.run(
         [sys.executable, "-m", "dockthread"],
         cwd=ROOT,
@@ -261,7 +281,7 @@
     assert done.stderr.startswith("dockthread: ")
 
 
-def test_a_malformed_known_list_ends_it_with_one_plain_line(tmp_path: Path) -> None:
+def test_a_malformed_cached_list_stops_the_start_with_one_line(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(
         json.dumps(
