--- a/tests/config/test_any_deployment.py
+++ b/tests/config/test_any_deployment.py
@@ -167,7 +167,9 @@
         cluster.request(wanted.ingress, wanted.units, wanted.request_class, 3)
         in_flight.append(
             sum(
-                customer.out for engine in cluster.engines for customer in engine.customers.values()
+                customer.in_flight
+                for engine in cluster.engines
+                for customer in engine.customers.by_number.values()
             )
         )
     above_cap = sum(count > plan.max_in_flight for count in in_flight) / len(in_flight)
@@ -183,7 +185,7 @@
         policy_settings = PolicySettings(0, 1, classes, (Plan(),), may_cancel=True)
         cluster = IngressCluster(policy_settings, 1, backends_answer=False)
         cluster.request(0, 1.0, 0, 1)
-        backend = cluster.engines[0].workers[cluster.attempted_backends[0]]
+        backend = cluster.engines[0].backends.by_number[cluster.attempted_backends[0]]
         cluster.run_until(START + 1.05 * objective)
         assert backend.failed == 0.0
         cluster.run_until(START + 1.15 * objective)
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -28,12 +28,12 @@
 def test_gossip_about_a_backend_counts_only_without_recent_responses_here() -> None:
     ingress = IngressHarness()
     request = ingress.send_request(UNSAFE)
-    backend = ingress.engine.workers[ingress.attempts[request][0].backend]
+    backend = ingress.engine.backends.by_number[ingress.attempts[request][0].backend]
     ingress.end_attempt(request, 0, Outcome.OK)
     said = GossipReceived(1, gossip_codec.encode_message(1, [(backend.code, 0.8)], []))
     ingress.handle(said)
     assert backend.failed == 0.0
-    ingress.run_until(ingress.now + gossip.TRUST + 0.1)
+    ingress.run_until(ingress.now + gossip.OWN_EVIDENCE_TIME + 0.1)
     ingress.handle(said)
     assert backend.failed == pytest.approx(0.8, abs=0.01)
 
@@ -56,7 +56,7 @@
         ingress.handle(GossipReceived(1, head + form.pack(7, RATE_PLAN, 0, 9, 9, bad)))
         ingress.handle(GossipReceived(1, head + form.pack(7, 200, 0, 9, 9, 1.0)))
     ingress.handle(GossipReceived(5, customer_gossip(7, RATE_PLAN, 9.0, 9.0, 0.0)))
-    assert 7 not in ingress.engine.customers
+    assert 7 not in ingress.engine.customers.by_number
 
 
 @pytest.mark.parametrize(("widest", "most"), [((1 << 32) - 1, 21), (1 << 32, 15)])
@@ -83,11 +83,11 @@
             ingress.send_request(SAFE, RATE_PLAN, customer=key, spread=2)
         ingress.run_until(ingress.now + 1)
     exchange_gossip(ingresses)
-    assert any(ingress.engine.customers[key].told for ingress in ingresses)
+    assert any(ingress.engine.customers.by_number[key].peer_sums for ingress in ingresses)
 
 
 def test_suspected_backend_in_gossip_is_believed() -> None:
     ingress = IngressHarness()
-    backend = ingress.engine.workers[1001]
+    backend = ingress.engine.backends.by_number[1001]
     ingress.handle(GossipReceived(1, gossip_codec.encode_message(1, [(backend.code, 0.8)], [])))
     assert backend.failed == pytest.approx(0.8, abs=0.01)
