--- a/dockthread/control_plane/admin_client.py
+++ b/dockthread/control_plane/admin_client.py
@@ -22,6 +22,7 @@
     codec,
 )
 from dockthread.control_plane.publish_state_machine import ANY_REVISION, OUTCOME_UNKNOWN
+from dockthread.errors import DockthreadError
 from dockthread.framing import FRAME_HEADER, MalformedFrameError
 
 REQUEST_TIMEOUT: Final = 5.0
@@ -36,7 +37,7 @@
 """Random bytes of a change's token."""
 
 
-class NoResponseError(Exception):
+class NoResponseError(DockthreadError):
     """A server did not respond as expected; the text says why."""
 
 
--- a/dockthread/control_plane/fanout.py
+++ b/dockthread/control_plane/fanout.py
@@ -43,6 +43,7 @@
 )
 from dockthread.control_plane.resource_table import ResourceTable
 from dockthread.control_plane.subscriber_records import DepartedSubscribers, SubscriberRecord
+from dockthread.errors import DockthreadError
 
 NEVER_SENT: Final = -1e18
 """Time in ms of a heartbeat that was never sent: the next one is due at once."""
@@ -81,7 +82,7 @@
     retry_after_max: float = 60_000.0
 
 
-class UnexpectedMessageError(Exception):
+class UnexpectedMessageError(DockthreadError):
     """A subscriber sent what it must not send there; the caller closes its connection."""
 
 
--- a/dockthread/control_plane/options.py
+++ b/dockthread/control_plane/options.py
@@ -15,6 +15,7 @@
 from dockthread.config.ini_reader import KeyProblem, Section
 from dockthread.config.quantities import Duration, Size
 from dockthread.control_plane.messages import MAX_NAME_BYTES
+from dockthread.errors import DockthreadError
 from dockthread.telemetry.options import host_port
 
 MIN_KEY_BYTES: Final = 16
@@ -40,7 +41,7 @@
 ROLES: Final = "ingress, distributor, voter"
 
 
-class KeyFileError(ValueError):
+class KeyFileError(DockthreadError, ValueError):
     """The file of the shared key cannot be read or has a wrong length."""
 
 
--- a/dockthread/control_plane/process.py
+++ b/dockthread/control_plane/process.py
@@ -86,7 +86,13 @@
     log = sections.section("log")
     if control.role not in ("voter", "distributor"):
         role = control.role or "missing"
-        raise SettingsError(f"{file}: [control] role: is {role}; voter or distributor would do")
+        raise SettingsError(
+            f"is {role}",
+            file=file,
+            section="control",
+            key="role",
+            remedy="voter or distributor would do",
+        )
     level = os.environ.get("DOCKTHREAD_LOG") or log.level
     set_up(level.upper(), log, ingress=control.name)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/dockthread/control_plane/resource_schemas.py
+++ b/dockthread/control_plane/resource_schemas.py
@@ -17,6 +17,7 @@
 from dockthread.config.address import Address
 from dockthread.config.ini_reader import ConfigProblem, parse_value
 from dockthread.control_plane.publish_state_machine import Validator
+from dockthread.errors import DockthreadError
 from dockthread.routes.options import RouteOptions
 from dockthread.telemetry.options import host_port
 
@@ -41,7 +42,7 @@
 _ROUTE_FIELDS: Final = {field.encode_name: field for field in msgspec.structs.fields(RouteOptions)}
 
 
-class InvalidResourceError(ValueError):
+class InvalidResourceError(DockthreadError, ValueError):
     """A body does not have the form of its kind; the text is the reason of the rejection."""
 
 
--- a/dockthread/control_plane/resource_table.py
+++ b/dockthread/control_plane/resource_table.py
@@ -26,12 +26,13 @@
     split_key,
     unpack,
 )
+from dockthread.errors import DockthreadError
 
 MAX_TOMBSTONES: Final = 8192
 """Tombstones that a table keeps: most of a day of changes."""
 
 
-class OutOfOrderError(ValueError):
+class OutOfOrderError(DockthreadError, ValueError):
     """A resource is not newer than the table that it was to go into."""
 
 
--- a/dockthread/control_plane/snapshot_cache.py
+++ b/dockthread/control_plane/snapshot_cache.py
@@ -33,6 +33,7 @@
 from dockthread.control_plane.frozen_table import FrozenTable
 from dockthread.control_plane.messages import Resource
 from dockthread.control_plane.resource_table import OutOfOrderError, ResourceTable
+from dockthread.errors import DockthreadError
 
 VERSION: Final = 1
 """Version of the file's format."""
@@ -93,7 +94,7 @@
 _decoder: msgspec.msgpack.Decoder[CacheRecord] = msgspec.msgpack.Decoder(CacheRecord)
 
 
-class CorruptCacheError(Exception):
+class CorruptCacheError(DockthreadError):
     """A file holds no table of this format; the text says why."""
 
 
--- a/dockthread/control_plane/update_assembler.py
+++ b/dockthread/control_plane/update_assembler.py
@@ -13,13 +13,14 @@
 
 from dockthread.control_plane.messages import MAX_BODY_BYTES, MAX_NAME_BYTES, Resource, Update
 from dockthread.control_plane.resource_table import ResourceTable
+from dockthread.errors import DockthreadError
 
 
-class InvalidUpdateError(Exception):
+class InvalidUpdateError(DockthreadError):
     """An update that its sender should not have sent; nothing of it was taken."""
 
 
-class DigestMismatchError(Exception):
+class DigestMismatchError(DockthreadError):
     """After a complete update the digest differs from the sender's.
 
     A snapshot was discarded; a delta was put, and `changed` names what it changed.
--- a/dockthread/framing.py
+++ b/dockthread/framing.py
@@ -15,13 +15,15 @@
 
 import msgspec
 
+from dockthread.errors import DockthreadError
+
 TAG_BYTES: Final = 16
 FRAME_HEADER: Final = struct.Struct(f"<IB{TAG_BYTES}s")  # length, version, tag
 
 MessageT = TypeVar("MessageT")
 
 
-class MalformedFrameError(Exception):
+class MalformedFrameError(DockthreadError):
     """Bytes that are not a frame of this version with a valid tag."""
 
 
--- a/dockthread/lab/maintenance/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -26,6 +26,7 @@
 from pathlib import Path
 from typing import Any
 
+from dockthread.errors import DockthreadError
 from dockthread.lab.arrivals import Arrival
 from dockthread.lab.load import Load, Target
 from dockthread.lab.maintenance.process_cluster import HOST, OK, ProcessCluster
@@ -66,7 +67,7 @@
 }
 
 
-class VoidRunError(Exception):
+class VoidRunError(DockthreadError):
     """The run says nothing: it could not be set up, or the tool itself fell behind."""
 
 
--- a/dockthread/lab/maintenance/scenario.py
+++ b/dockthread/lab/maintenance/scenario.py
@@ -32,6 +32,7 @@
 
 from dockthread.config.ini_reader import KeyProblem, Section, SectionKind, read_sections
 from dockthread.config.quantities import Duration
+from dockthread.errors import DockthreadError
 
 CLUSTER_SIZES = (1, 3, 5, 7)
 MAX_BACKENDS = 32
@@ -194,7 +195,7 @@
     steps: tuple[Step, ...]
 
 
-class ScenarioError(Exception):
+class ScenarioError(DockthreadError):
     """What is wrong with a scenario, one line for each fault."""
 
 
--- a/dockthread/lab/scale/channel.py
+++ b/dockthread/lab/scale/channel.py
@@ -13,6 +13,8 @@
 from pathlib import Path
 from typing import Any, Final
 
+from dockthread.errors import DockthreadError
+
 # bytes of one answer: the tables of all ingresses of a process, where none agree
 MOST_LINE: Final = 512 << 20
 ANSWER_WITHIN: Final = 60.0  # s
@@ -22,7 +24,7 @@
 Command = Callable[[Words], Awaitable[Words]]
 
 
-class ProcessError(Exception):
+class ProcessError(DockthreadError):
     """A process of the run did not start, ended, or did not answer."""
 
 
--- a/dockthread/lab/scale/fit.py
+++ b/dockthread/lab/scale/fit.py
@@ -12,6 +12,8 @@
 from dataclasses import dataclass
 from typing import Any, Final
 
+from dockthread.errors import DockthreadError
+
 LEAST_SIZES: Final = 4  # different sizes, below which no line is drawn
 FITS: Final = (
     # root mean square of the residuals, as a part of the figures' mean, above which a line does not
@@ -62,7 +64,7 @@
 )
 
 
-class FitError(ValueError):
+class FitError(DockthreadError, ValueError):
     """Reports that no line can be drawn through."""
 
 
--- a/dockthread/lab/scale/plan.py
+++ b/dockthread/lab/scale/plan.py
@@ -7,6 +7,8 @@
 from dataclasses import asdict, dataclass
 from typing import Any, Final
 
+from dockthread.errors import DockthreadError
+
 FAULTS: Final = ("none", "restart-wave", "zone", "cut")
 ZONES: Final = 14
 REGIONS: Final = 4
@@ -21,7 +23,7 @@
 LOST_ZONE: Final = ZONES - 1
 
 
-class PlanError(ValueError):
+class PlanError(DockthreadError, ValueError):
     """A run that cannot be played as asked."""
 
 
--- a/dockthread/lab/scale/usage.py
+++ b/dockthread/lab/scale/usage.py
@@ -12,6 +12,8 @@
 from pathlib import Path
 from typing import Any, Final
 
+from dockthread.errors import DockthreadError
+
 TCP_INFO: Final = 11  # of the options of IPPROTO_TCP
 BYTES_AT: Final = 120  # offset of tcpi_bytes_acked in struct tcp_info; tcpi_bytes_received follows
 INFO_SIZE: Final = 192
@@ -19,7 +21,7 @@
 MEGABYTE: Final = 1 << 20
 
 
-class Gone(Exception):
+class Gone(DockthreadError):
     """The process has ended."""
 
 
--- a/dockthread/logs/setup.py
+++ b/dockthread/logs/setup.py
@@ -37,9 +37,12 @@
         else:
             logger.add(sink, level=level, format=LINE)
     except ValueError as error:
-        raise SettingsError(f"DOCKTHREAD_LOG: {error}") from error
+        raise SettingsError(
+            str(error), key="DOCKTHREAD_LOG", text=f"DOCKTHREAD_LOG: {error}"
+        ) from error
     except OSError as error:
-        raise SettingsError(f"[log] target: cannot write {target}: {error.strerror}") from error
+        reason = f"cannot write {target}: {error.strerror}"
+        raise SettingsError(reason, section="log", key="target") from error
 
 
 def as_json(record: Any) -> str:
--- a/dockthread/maintenance/admin_commands.py
+++ b/dockthread/maintenance/admin_commands.py
@@ -12,6 +12,7 @@
 import msgspec
 
 from dockthread.admin.commands import Command, Operation, Response
+from dockthread.errors import DockthreadError
 from dockthread.maintenance.commands import (
     CommandAction,
     MaintenanceCommand,
@@ -39,7 +40,7 @@
 COMMAND_ID_BYTES = 8  # random bytes of a command's identifier
 
 
-class CallError(Exception):
+class CallError(DockthreadError):
     """A call that cannot be carried out.
 
     Attributes:
--- a/dockthread/maintenance/aggregation.py
+++ b/dockthread/maintenance/aggregation.py
@@ -7,6 +7,7 @@
 
 import msgspec
 
+from dockthread.errors import DockthreadError
 from dockthread.maintenance.commands import ZoneStatus
 
 UNKNOWN_LOAD = -1.0  # where the capacity of a backend is not known
@@ -44,7 +45,7 @@
     latest_request_index: int = 0
 
 
-class MalformedObservationError(ValueError):
+class MalformedObservationError(DockthreadError, ValueError):
     """A message of another member is no observation."""
 
 
--- a/dockthread/maintenance/commands.py
+++ b/dockthread/maintenance/commands.py
@@ -10,6 +10,8 @@
 
 import msgspec
 
+from dockthread.errors import DockthreadError
+
 DEFAULT_GRANT_TIMEOUT_MS = 30_000.0  # how long a granted request may take to drain
 DEFAULT_FAILURE_TIMEOUT_MS = 5_000.0  # silence after which a member counts as failed
 DEFAULT_HEADROOM = 0.2  # fraction of a zone's remaining capacity that is to stay unused
@@ -180,7 +182,7 @@
     is_evaluated: bool = msgspec.field(default=False, name="looked")
 
 
-class MalformedCommandError(ValueError):
+class MalformedCommandError(DockthreadError, ValueError):
     """An entry of the log is no maintenance command."""
 
 
--- a/dockthread/maintenance/plan.py
+++ b/dockthread/maintenance/plan.py
@@ -10,6 +10,7 @@
 
 import msgspec
 
+from dockthread.errors import DockthreadError
 from dockthread.maintenance.commands import (
     CommandAction,
     LeaderReport,
@@ -25,7 +26,7 @@
 MAX_FIELDS = 3  # of a line: name, zone, urgency
 
 
-class PlanSyntaxError(ValueError):
+class PlanSyntaxError(DockthreadError, ValueError):
     """A line of a list cannot be read: says file, line, what is wrong and what would do."""
 
 
--- a/dockthread/net/endpoint_list.py
+++ b/dockthread/net/endpoint_list.py
@@ -10,7 +10,7 @@
 from dockthread.clock import Clock
 from dockthread.config.address import Address
 from dockthread.config.ingress_config import Names
-from dockthread.errors import SettingsError
+from dockthread.errors import DockthreadError, SettingsError
 from dockthread.policy import BackendState, Endpoint, EndpointListKind, EndpointsListed
 
 STATE_BY_NAME = {
@@ -24,7 +24,7 @@
 )
 
 
-class DiscoveryError(Exception):
+class DiscoveryError(DockthreadError):
     """Discovery said something that is not on the protocol's page."""
 
 
--- a/dockthread/net/lifecycle.py
+++ b/dockthread/net/lifecycle.py
@@ -7,6 +7,8 @@
 
 from loguru import logger
 
+from dockthread.errors import DockthreadError
+
 
 class Phase(Enum):
     """One phase in the lifecycle of an ingress."""
@@ -29,7 +31,7 @@
 }
 
 
-class LifecycleError(RuntimeError):
+class LifecycleError(DockthreadError, RuntimeError):
     """A phase was to be entered that may not follow the present one."""
 
 
--- a/dockthread/net/resp.py
+++ b/dockthread/net/resp.py
@@ -14,6 +14,7 @@
 import hiredis
 
 from dockthread.config.ingress_config import Names
+from dockthread.errors import DockthreadError
 from dockthread.policy import Effect, Outcome, RequestClass
 
 INCOMPLETE = object()  # what a reader gives while its next message is not whole
@@ -166,7 +167,7 @@
     return FramingGuard(range(0), errors=True, bare=True)
 
 
-class CommandError(Exception):
+class CommandError(DockthreadError):
     """A command that is whole but says nothing that can be served; the text is for the client."""
 
 
--- a/dockthread/raft/storage.py
+++ b/dockthread/raft/storage.py
@@ -24,6 +24,7 @@
 
 import msgspec
 
+from dockthread.errors import DockthreadError
 from dockthread.raft.actions import PersistEntries, PersistentState, PersistSnapshot
 from dockthread.raft.messages import MAX_SNAPSHOT_BYTES, Entry
 
@@ -35,7 +36,7 @@
 ADVICE_AFTER_LOSS: Final = "give the ingress a new name and `dockthread fleet init` a new folder"
 
 
-class RaftStorageError(Exception):
+class RaftStorageError(DockthreadError):
     """The directory does not hold what was written; names the file and what to do."""
 
 
--- a/dockthread/routes/model.py
+++ b/dockthread/routes/model.py
@@ -22,6 +22,7 @@
 from dataclasses import dataclass, field, replace
 
 from dockthread.config.ingress_config import Names
+from dockthread.errors import DockthreadError
 from dockthread.policy import (
     NEVER_RAN,
     AttemptEnded,
@@ -65,7 +66,7 @@
 Step = tuple[str, int]  # what happens, and to which attempt or table
 
 
-class Broken(Exception):
+class Broken(DockthreadError):
     """A rule is broken; the path that broke it is its story."""
 
     def __init__(self, rule: str, path: Sequence[Step]) -> None:
--- a/dockthread/telemetry/collectd.py
+++ b/dockthread/telemetry/collectd.py
@@ -20,6 +20,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from dockthread.errors import DockthreadError
 from dockthread.telemetry.catalogue import DERIVE, GAUGE, Point
 
 PACKET = 1452  # bytes at most, collectd's default
@@ -35,7 +36,7 @@
 HASH, SUM, IV = 32, 20, 16
 
 
-class PacketError(Exception):
+class PacketError(DockthreadError):
     """Bytes that are no sound packet, or are not signed or encrypted as they should be."""
 
 
--- a/dockthread/telemetry/receiver/decode.py
+++ b/dockthread/telemetry/receiver/decode.py
@@ -10,10 +10,12 @@
 from math import isfinite
 from typing import Any
 
+from dockthread.errors import DockthreadError
+
 MOST_LINE, MOST_PICKLE = 16 * 1024, 1024 * 1024
 
 
-class DecodeError(Exception):
+class DecodeError(DockthreadError):
     """Bytes that carbon would not take."""
 
 
--- a/dockthread/telemetry/receivers.py
+++ b/dockthread/telemetry/receivers.py
@@ -54,11 +54,15 @@
         try:
             seal, room = collectd.sealing(options.security, options.user, options.password())
         except OSError as error:
-            wrong = f"[collectd] password_file: {options.password_file} cannot be read: {error.strerror}"
-            raise SettingsError(wrong) from error
+            reason = f"{options.password_file} cannot be read: {error.strerror}"
+            raise SettingsError(reason, section="collectd", key="password_file") from error
         except ImportError as error:
-            wrong = "[collectd] security: encrypt needs the `cryptography` package"
-            raise SettingsError(f"{wrong}; install the extra `collectd`, or write sign") from error
+            raise SettingsError(
+                "encrypt needs the `cryptography` package",
+                section="collectd",
+                key="security",
+                remedy="install the extra `collectd`, or write sign",
+            ) from error
         self._wording = collectd.Wording(
             part(ingress), options.plugin, interval / 1000.0, seal, room
         )
