--- a/dockthread/lab/scale/server.py
+++ b/dockthread/lab/scale/server.py
@@ -12,7 +12,7 @@
 from dockthread.clock import Clock
 from dockthread.config.section_registry import load_operator_file
 from dockthread.control_plane.distributor import Distributor
-from dockthread.control_plane.server import server_settings_from_options
+from dockthread.control_plane.server_settings import server_settings_from_options
 from dockthread.control_plane.voter import Voter
 from dockthread.lab.scale.channel import Words, serve_commands
 from dockthread.lab.scale.usage import Lateness, traffic
@@ -33,7 +33,12 @@
         if options.role == "distributor":
             part = Distributor(options, Clock(), rng)
         else:
-            part = Voter(server_settings_from_options(options), read.section("fleet"), Clock(), rng)
+            part = Voter(
+                server_settings_from_options(options, options.key()),
+                read.section("fleet"),
+                Clock(),
+                rng,
+            )
         self._part = part
         self._port = (await part.open(options.listen_address())).port
         self._watching = asyncio.get_running_loop().create_task(self._lateness.watch())
--- a/tests/net/test_parsers.py
+++ b/tests/net/test_parsers.py
@@ -18,15 +18,16 @@
 from dockthread.config.platform_settings import read_config
 from dockthread.errors import SettingsError
 from dockthread.net import resp
-from dockthread.net.discovery_watch import WatchResponseParser
-from dockthread.net.endpoint_list import DiscoveryError, EndpointList
+from dockthread.net.endpoint_list import EndpointList
+from dockthread.net.endpoint_list_codec import DiscoveryError
+from dockthread.net.watch_response_parser import WatchResponseParser
 from dockthread.policy import BackendState, EndpointListKind, Outcome
 from tests.loopback import FIRST_ID, KEY, SETTINGS, config, message, raw_config, target
 
 KNOWN = message(1, full=True)
 CONFIG = config(KNOWN)
 VOCABULARY = resp.RequestParser(
-    CONFIG.names, CONFIG.policy_settings.classes, gateways=4, most_units=4
+    CONFIG.names, CONFIG.policy_settings.classes, ingress_count=4, max_units=4
 )
 ID = b"%016x" % FIRST_ID
 TERMS = b"c=status,t=gross,d=480,units=2,spread=3,first=1"
