--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -53,7 +53,9 @@
 
     Attributes:
         ingress: The ingress.
-        admin: What the management server does at the ingress.
+        admin: What the management endpoint does at the ingress.
+        routes: The routes in effect, once there is one.
+        resource_applier: What applies resources of the control plane, where it is subscribed to.
     """
 
     def __init__(
@@ -84,10 +86,10 @@
         self._management_server: ManagementServer | None = None
         self._exporter: Exporter | None = None
         self._maintenance: MaintenanceService | None = None
-        self._controlled: IngressResourceApplier | None = None
+        self.resource_applier: IngressResourceApplier | None = None
         self._fleet_options: FleetOptions | None = None
         self._control_options: ControlOptions | None = None
-        self._routes: Layers | None = None
+        self.routes: Layers | None = None
         self._file_routes: dict[str, RouteOptions] = {}
         self._reloading: asyncio.Task[None] | None = None
         self._reload_requested = False
@@ -115,12 +117,12 @@
         _tune_garbage_collector()
         self._open_management_server()
         await self._join_fleet()
-        self._receive()
+        self.subscribe_to_control_plane()
         try:
             await self.ingress.run()
         finally:
-            if self._controlled is not None:
-                await self._controlled.close()
+            if self.resource_applier is not None:
+                await self.resource_applier.close()
             if self._maintenance is not None:
                 await self._maintenance.close()
             if self._management_server is not None:
@@ -146,6 +148,34 @@
         if self._reloading is None or self._reloading.done():
             self._reloading = asyncio.get_running_loop().create_task(self._reload())
 
+    def subscribe_to_control_plane(self) -> None:
+        """Subscribe to the control plane, where the operator's file names servers for it.
+
+        What the cache holds is applied first.
+
+        Raises:
+            SettingsError: The section is of another program, or its key cannot be used.
+        """
+        options = self._control_options
+        if options is None or options.role is None:
+            return
+        if options.role != "ingress":
+            raise SettingsError(
+                f"is {options.role}, and this is an ingress",
+                file=self._operator_file or "",
+                section="control",
+                key="role",
+                remedy="`dockthread control serve` runs it",
+            )
+        from dockthread.control_plane.ingress import IngressResourceApplier
+
+        routes = self._installed_routes()
+        try:
+            self.resource_applier = IngressResourceApplier(self.ingress, routes, options)
+        except ValueError as error:
+            raise SettingsError(str(error)) from error
+        self.resource_applier.open()
+
     def _open_management_server(self) -> None:
         if self.ingress.config.management is None:
             return
@@ -174,31 +204,6 @@
         except ValueError as error:
             raise SettingsError(str(error)) from error
 
-    def _receive(self) -> None:
-        """Subscribe to the control plane, where the operator's file names servers for it.
-
-        What the cache holds is applied first.
-        """
-        options = self._control_options
-        if options is None or options.role is None:
-            return
-        if options.role != "ingress":
-            raise SettingsError(
-                f"is {options.role}, and this is an ingress",
-                file=self._operator_file or "",
-                section="control",
-                key="role",
-                remedy="`dockthread control serve` runs it",
-            )
-        from dockthread.control_plane.ingress import IngressResourceApplier
-
-        routes = self._installed_routes()
-        try:
-            self._controlled = IngressResourceApplier(self.ingress, routes, options)
-        except ValueError as error:
-            raise SettingsError(str(error)) from error
-        self._controlled.open()
-
     def _apply_telemetry(self, operator_config: OperatorConfig) -> None:
         """Apply the file's receivers; raises SettingsError, and then nothing has changed."""
         if self._exporter is None:
@@ -216,18 +221,18 @@
         routes = operator_config.named_sections("route")
         if routes:
             self._installed_routes()
-        if self._routes is not None and routes != self._file_routes:
-            self._routes.set_file(routes, self.ingress.clock.now() / 1000.0)
+        if self.routes is not None and routes != self._file_routes:
+            self.routes.set_file(routes, self.ingress.clock.now() / 1000.0)
             logger.info("routes: {}", ", ".join(routes) or "none")
         self._file_routes = routes
 
     def _installed_routes(self) -> Layers:
-        if self._routes is None:
+        if self.routes is None:
             from dockthread.routes.layers import Layers
 
-            self._routes = Layers.for_config(self.ingress.config)
-            self.ingress.routes = self._routes.table
-        return self._routes
+            self.routes = Layers.for_config(self.ingress.config)
+            self.ingress.routes = self.routes.table
+        return self.routes
 
     async def _reload(self) -> None:
         while self._reload_requested:
@@ -266,17 +271,20 @@
         ingress = self.ingress
         settings_before = ingress.config.policy_settings
         names_before = ingress.config.names
-        if self._controlled is not None:
-            config = self._controlled.with_published_addresses(config)
+        if self.resource_applier is not None:
+            config = self.resource_applier.with_published_addresses(config)
         ingress.reload(config)
         settings = ingress.config.policy_settings
         names = ingress.config.names
-        if self._routes is not None:
-            self._routes.set_settings(settings, names)
+        if self.routes is not None:
+            self.routes.set_settings(settings, names)
         if operator_config is not None:
             self._apply_routes(operator_config)
-        if self._controlled is not None and (settings, names) != (settings_before, names_before):
-            self._controlled.on_settings_changed()
+        if self.resource_applier is not None and (settings, names) != (
+            settings_before,
+            names_before,
+        ):
+            self.resource_applier.on_settings_changed()
         if operator_config is not None:
             self._warn_of_restart_only(operator_config)
 
--- a/dockthread/lab/scale/real.py
+++ b/dockthread/lab/scale/real.py
@@ -62,7 +62,7 @@
         ]
         while not ingress.lifecycle.ready and not self._tasks[0].done():
             await asyncio.sleep(0)
-            if self._control is None and (controlled := self._daemon._controlled) is not None:
+            if self._control is None and (controlled := self._daemon.resource_applier) is not None:
                 self._controlled = controlled
                 self._control = ControlWitness(
                     told["number"], self._control_in_force, told["reached_configuration"]
@@ -100,7 +100,7 @@
         controls = [self._control] if self._control is not None else []
         for control in controls:
             found["reached_configuration"] = control.reached
-            routes[number] = rows(self._daemon._routes) if self._daemon._routes is not None else []
+            routes[number] = rows(self._daemon.routes) if self._daemon.routes is not None else []
         return {**found, "configuration": findings(controls, routes, self._control_in_force)}
 
 
--- a/tests/control_plane/test_ingress_reload.py
+++ b/tests/control_plane/test_ingress_reload.py
@@ -42,7 +42,7 @@
         file.write_text("[route b]\nclass = renew\nattempts = 2\n")
         daemon.reload()
         await until(lambda: daemon.admin.reloads.applied)
-        table = daemon._routes.table if daemon._routes is not None else None
+        table = daemon.routes.table if daemon.routes is not None else None
         number = daemon.ingress.config.names.classes.index("renew")
         found = table.find(Facts(number, 0, False, 1, 1, False)) if table is not None else None
         assert found is not None and found.rules.name == "b"
@@ -74,8 +74,8 @@
         daemon = Daemon(
             config, str(file), load_operator_file(str(file), config.policy_settings, config.names)
         )
-        daemon._receive()
-        controlled, layers = daemon._controlled, daemon._routes
+        daemon.subscribe_to_control_plane()
+        controlled, layers = daemon.resource_applier, daemon.routes
         assert controlled is not None and layers is not None
         subscriber = controlled.client.subscriber
         await until(lambda: [one.name for one in subscriber.rejections] == ["renew twice"])
