--- a/dockthread/admin/reload.py
+++ b/dockthread/admin/reload.py
@@ -63,8 +63,4 @@
     What its parts derived from the classes at their start is derived again from the longer list.
     What they have learnt stays.
     """
-    classes = settings.classes
-    gateway.s = settings
-    gateway.usual = [(c.latency_objective / 5, c.latency_objective / 10) for c in classes]
-    gateway.tight = min(c.latency_objective for c in classes)
-    gateway.dearest = max(c.priority_weight for c in classes)
+    gateway.apply_settings(settings)
--- a/dockthread/maintenance/observation.py
+++ b/dockthread/maintenance/observation.py
@@ -6,11 +6,10 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from dockthread.maintenance.aggregation import MemberObservation, ZoneObservation
-from dockthread.policy.attempts import PRESSED
 
 if TYPE_CHECKING:
     from dockthread.net.ingress import Ingress
-    from dockthread.policy.state import Worker
+    from dockthread.policy.backend import Backend
 
 FAILING_FRACTION = 0.5  # decayed fraction of a backend's outcomes that were failures
 
@@ -19,7 +18,7 @@
     """A listed backend, and what the policy knows of it."""
 
     uid: str
-    policy_state: Worker
+    policy_state: Backend
 
     @property
     def is_failing(self) -> bool:
@@ -29,11 +28,11 @@
 
 def idle_backends(ingress: Ingress, backends: Collection[str]) -> set[str]:
     """Return those of the backends at which this ingress has no request in flight."""
-    workers = ingress.engine.workers
+    workers = ingress.engine.backends.by_number
     busy = {
         destination.uid
         for number, destination in ingress.endpoints.by_number.items()
-        if destination.uid in backends and number in workers and workers[number].out
+        if destination.uid in backends and number in workers and workers[number].in_flight
     }
     return set(backends) - busy
 
@@ -50,7 +49,7 @@
     """
     gateway = ingress.engine
     destinations = ingress.endpoints
-    is_overloaded = gateway.slow > PRESSED * gateway.tight
+    is_overloaded = gateway.delay.is_pressed
     by_zone: dict[str, list[ObservedBackend]] = {}
     for backend in _active_backends(ingress):
         by_zone.setdefault(destinations.zone_of(backend.uid) or "", []).append(backend)
@@ -69,7 +68,7 @@
 
 def _active_backends(ingress: Ingress) -> Iterator[ObservedBackend]:
     """Yield the backends that are active by discovery, drained or not."""
-    workers = ingress.engine.workers
+    workers = ingress.engine.backends.by_number
     for number, destination in ingress.endpoints.by_number.items():
         if destination.is_ready and number in workers:
             yield ObservedBackend(destination.uid, workers[number])
@@ -82,6 +81,6 @@
         zone=zone,
         ready=tuple(backend.uid for backend in backends if backend.policy_state.ready),
         failing=tuple(backend.uid for backend in backends if backend.is_failing),
-        in_flight=float(sum(backend.policy_state.out for backend in backends)),
+        in_flight=float(sum(backend.policy_state.in_flight for backend in backends)),
         is_overloaded=is_overloaded,
     )
--- a/dockthread/policy/rate_sketch.py
+++ b/dockthread/policy/rate_sketch.py
@@ -10,7 +10,7 @@
 import math
 import random
 
-from dockthread.policy.state import NEVER
+from dockthread.policy.context import NEVER
 
 # Independent hash rows, as many as in rakelimit.
 ROWS = 5
--- a/tests/admin/test_reload.py
+++ b/tests/admin/test_reload.py
@@ -72,6 +72,6 @@
             assert await client.call("renew") == b"value"
             assert await client.call("checkout") == b"value"
             assert "unknown class" in str(await client.call("status"))
-            assert ingress.engine.s.classes[2].deadline == 2.0
+            assert ingress.engine.settings.classes[2].deadline == 2.0
 
     run(scenario())
--- a/tests/config/ingress_cluster.py
+++ b/tests/config/ingress_cluster.py
@@ -122,7 +122,7 @@
         key = RequestKey(ingress, self._last_number)
         self.answers[key] = []
         self._units[key] = units
-        deadline = 4 * self.engines[ingress].s.classes[request_class].latency_objective
+        deadline = 4 * self.engines[ingress].settings.classes[request_class].latency_objective
         arrived = RequestArrived(
             key.request, request_class, 0, CUSTOMER, deadline, units, spread, 0
         )
@@ -166,7 +166,7 @@
         answers = self.answers[key]
         if not answers:
             answers.append("served")
-        settings = self.engines[key.ingress].s
+        settings = self.engines[key.ingress].settings
         load = (REPORTED_LOAD,) * len(settings.load_report_fields)
         ended = AttemptEnded(
             key.request,
@@ -205,7 +205,7 @@
     cluster: IngressCluster, spread: int, quotas: float, duration: float
 ) -> Iterator[Demand]:
     """Yield requests of one customer at `quotas` times its quota, uneven over its ingresses."""
-    plan = cluster.engines[0].s.plans[0]
+    plan = cluster.engines[0].settings.plans[0]
     weights = [1.0 / (number + 1) for number in range(spread)]
     rate = quotas * plan.rate / 2.0  # requests of 2 units on average
     start = cluster.now
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -11,8 +11,8 @@
     AttemptEnded,
     GossipReceived,
     Outcome,
-    attempts,
     gossip_codec,
+    queueing_delay,
 )
 from tests.policy.harness import (
     CEILING_PLAN,
@@ -57,7 +57,7 @@
     ingress = IngressHarness(replace(SETTINGS, settles_units=True))
     request = ingress.send_request(UNSAFE, RATE_PLAN, units=1.0)
     ingress.end_attempt(request, 0, Outcome.OK, actual_units=5.0)
-    assert ingress.engine.customers[7].store.level == pytest.approx(3.0)
+    assert ingress.engine.customers.by_number[7].quota.level == pytest.approx(3.0)
 
 
 def test_in_flight_cap_rejects_the_request_beyond_it() -> None:
@@ -91,13 +91,15 @@
     ingress = IngressHarness()
     requests = [ingress.send_request(SAFE) for _ in range(6)]
     ill = {ingress.attempts[requests[0]][0].backend}
-    for number, backend in ingress.engine.workers.items():
+    for number, backend in ingress.engine.backends.by_number.items():
         backend.failed = 0.9 if all_ill or number in ill else 0.0
     ingress.run_until(ingress.now + 0.3)
     for request in requests:
         if ingress.attempts[request][0].backend in ill:
             ingress.end_attempt(request, 0, Outcome.OK, duration=3.0)
-    refuses = ingress.engine.slow > attempts.PRESSED * ingress.engine.tight
+    delay = ingress.engine.delay
+    refuses = delay.smoothed_latency > queueing_delay.PRESSED_FRACTION * delay.tightest_objective
+    assert delay.is_pressed is refuses
     assert refuses is all_ill, "where all are ill, it is a jam"
 
 
@@ -143,7 +145,7 @@
     for _ in range(60):
         ingress.end_attempt(ingress.send_request(SAFE), 0, Outcome.OK)
         ingress.end_attempt(ingress.send_request(UNSAFE), 0, Outcome.OK)
-    ingress.engine.slow = 0.4  # aims are 1 s
+    ingress.engine.delay.smoothed_latency = 0.4  # aims are 1 s
     assert not ingress.is_admitted(ingress.send_request(SAFE))
     assert ingress.is_admitted(ingress.send_request(UNSAFE))
 
@@ -158,7 +160,7 @@
 
 def test_measured_slowness_decays_without_new_responses() -> None:
     ingress = IngressHarness(backends=2)
-    ingress.engine.slow = 4.0
+    ingress.engine.delay.smoothed_latency = 4.0
     assert not ingress.is_admitted(ingress.send_request(UNSAFE))
     ingress.run_until(ingress.now + 4.0)
     assert ingress.is_admitted(ingress.send_request(UNSAFE))
@@ -167,13 +169,13 @@
 def test_token_bucket_after_a_restart_is_not_full_where_a_peer_saw_it_empty() -> None:
     ingress = IngressHarness()
     ingress.handle(GossipReceived(1, customer_gossip(7, RATE_PLAN, 500.0, 400.0, 1.0)))
-    assert ingress.engine._customer(7, RATE_PLAN).store.level <= 1.0
+    assert ingress.engine.customers.get(7, RATE_PLAN).quota.level <= 1.0
 
 
 def test_local_part_of_the_quota_follows_usage_reports_while_the_counter_is_silent() -> None:
     def passed(used: float | None) -> int:
         ingress, many = IngressHarness(replace(COUNTER_SETTINGS, may_use_counter=True), seed=5), 0
-        ingress.engine.mute = math.inf
+        ingress.engine.counter.circuit_open_until = math.inf
         for _ in range(400):
             ingress.run_until(ingress.now + 0.6)
             if ingress.is_admitted(request := ingress.send_request(plan=RATE_PLAN, spread=2)):
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -21,7 +21,7 @@
         0 < sum(ingress.attempts[request][0].backend == 1005 for request in sent) < 400 * part * 1.2
     )
     for _ in range(50):
-        ingress.engine.slow = 0.0  # no overload
+        ingress.engine.delay.smoothed_latency = 0.0  # no overload
         request = ingress.send_request(UNSAFE)
         ingress.end_attempt(request, 0, Outcome.AT_CAPACITY)
         assert all(send.backend != 1005 for send in ingress.attempts[request][1:])
