--- a/dockthread/net/endpoint_list_codec.py
+++ b/dockthread/net/endpoint_list_codec.py
@@ -8,7 +8,7 @@
 from dockthread.clock import Clock
 from dockthread.config.address import Address
 from dockthread.config.ingress_config import Names
-from dockthread.errors import SettingsError
+from dockthread.errors import DockthreadError, SettingsError
 from dockthread.policy import BackendState, Endpoint
 
 STATE_BY_NAME = {
@@ -18,7 +18,7 @@
 }
 
 
-class DiscoveryError(Exception):
+class DiscoveryError(DockthreadError):
     """Discovery sent something that its protocol does not allow."""
 
 
--- a/dockthread/net/resp/commands.py
+++ b/dockthread/net/resp/commands.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass
 
 from dockthread.config.ingress_config import Names
+from dockthread.errors import DockthreadError
 from dockthread.policy import Effect, RequestClass
 
 CUSTOMER_LIMIT = 1 << 33  # customers' numbers are below it
@@ -16,7 +17,7 @@
 _DURATION = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
 
 
-class CommandError(Exception):
+class CommandError(DockthreadError):
     """A complete command that cannot be served; the text is sent to the client."""
 
 
