--- a/benchmarks/kept.py
+++ b/benchmarks/kept.py
@@ -27,7 +27,7 @@
     ("dockthread/net/", ("sockets", "days", "fleet")),
     ("dockthread/admin/", ("sockets", "days", "fleet")),
     ("dockthread/config/platform_settings.py", ("module", "sockets", "days", "fleet")),
-    ("dockthread/config/section_registry.py", ("module", "sockets", "days", "fleet")),
+    ("dockthread/section_registry.py", ("module", "sockets", "days", "fleet")),
     ("dockthread/config/", ("sockets", "days", "fleet")),
     ("dockthread/logs/", ("sockets", "days", "fleet")),
     ("dockthread/daemon.py", ("sockets", "days", "fleet")),
--- a/dockthread/cli/control.py
+++ b/dockthread/cli/control.py
@@ -15,11 +15,10 @@
 
 import click
 
-from dockthread.config.address import Address
+from dockthread.config.address import Address, host_port
 from dockthread.control_plane import admin_client
 from dockthread.control_plane.messages import MAX_BODY_BYTES, Resource, SubscriberStatus
 from dockthread.control_plane.options import read_key
-from dockthread.telemetry.options import host_port
 
 MOST_SHOWN = 20  # of those that lag, without --json
 
@@ -73,8 +72,8 @@
 
     Exit codes: 0 ended as told, 1 cannot listen, 2 a bad configuration.
     """
-    from dockthread.config.section_registry import operator_file_path
-    from dockthread.control_plane.process import serve as run
+    from dockthread.control_plane_daemon import serve as run
+    from dockthread.section_registry import operator_file_path
 
     path = operator_file_path(os.environ, file or ctx.find_root().obj)
     if path is None:
--- a/dockthread/cli/files.py
+++ b/dockthread/cli/files.py
@@ -10,14 +10,14 @@
 
 from dockthread.config.ini_reader import OperatorConfig
 from dockthread.config.platform_settings import read_config, read_policy_settings_file
-from dockthread.config.section_registry import (
+from dockthread.errors import SettingsError
+from dockthread.section_registry import (
     SECTION_KINDS,
     load_operator_file,
     operator_file_path,
     parse_operator_file,
     read_operator_file,
 )
-from dockthread.errors import SettingsError
 
 
 @click.command()
--- a/dockthread/cli/lab.py
+++ b/dockthread/cli/lab.py
@@ -13,7 +13,7 @@
 from dockthread.cli.lab_distribution import distribution
 from dockthread.cli.lab_fleet import fleet
 from dockthread.cli.lab_scale import scale
-from dockthread.config.address import Address
+from dockthread.config.address import Address, host_port
 from dockthread.config.platform_settings import read_policy_settings_file
 from dockthread.errors import SettingsError
 from dockthread.lab.arrivals import Mix, read_trace, shape, weights, write_trace
@@ -21,7 +21,6 @@
 from dockthread.lab.outcome import OUTCOMES, Outcome
 from dockthread.lab.processes import Plan, send, send_from_processes
 from dockthread.policy import Effect
-from dockthread.telemetry.options import host_port
 
 BAD_RUN, VOID = 1, 2
 CLASSES = "seat-status:3,seat-checkout:1"
--- a/dockthread/cli/work.py
+++ b/dockthread/cli/work.py
@@ -12,8 +12,8 @@
 
 import click
 
+from dockthread.config.address import host_port
 from dockthread.config.quantities import Duration
-from dockthread.telemetry.options import host_port
 
 PATIENCE = 10.0  # s for an answer
 
--- a/dockthread/config/address.py
+++ b/dockthread/config/address.py
@@ -58,3 +58,14 @@
 
     def __str__(self) -> str:
         return f"[{self.host}]:{self.port}" if ":" in self.host else f"{self.host}:{self.port}"
+
+
+def host_port(text: str) -> tuple[str, int] | None:
+    """Return the parts of `HOST:PORT` or `[V6]:PORT`; None for text that is neither."""
+    try:
+        address = Address.parse(text)
+    except SettingsError:
+        return None
+    if not address.port or any(character.isspace() for character in address.host):
+        return None
+    return address.host, address.port
--- a/dockthread/control_plane/options.py
+++ b/dockthread/control_plane/options.py
@@ -11,12 +11,11 @@
 
 import msgspec
 
-from dockthread.config.address import Address
+from dockthread.config.address import Address, host_port
 from dockthread.config.ini_reader import KeyProblem, Section
 from dockthread.config.quantities import Duration, Size
 from dockthread.control_plane.messages import MAX_NAME_BYTES
 from dockthread.errors import DockthreadError
-from dockthread.telemetry.options import host_port
 
 MIN_KEY_BYTES: Final = 16
 """Bytes of the shared key; fewer could be guessed."""
--- a/dockthread/control_plane/resource_schemas.py
+++ b/dockthread/control_plane/resource_schemas.py
@@ -14,12 +14,11 @@
 
 import msgspec
 
-from dockthread.config.address import Address
+from dockthread.config.address import Address, host_port
 from dockthread.config.ini_reader import ConfigProblem, parse_value
 from dockthread.control_plane.publish_state_machine import Validator
 from dockthread.errors import DockthreadError
 from dockthread.routes.options import RouteOptions
-from dockthread.telemetry.options import host_port
 
 ROUTE: Final = "route"
 """Kind of a route."""
--- a/dockthread/control_plane/process.py
+++ b/dockthread/control_plane_daemon.py
@@ -15,7 +15,6 @@
 
 from dockthread.clock import Clock
 from dockthread.config.address import Address
-from dockthread.config.section_registry import load_operator_file
 from dockthread.control_plane.distributor import Distributor
 from dockthread.control_plane.options import ControlOptions
 from dockthread.control_plane.server_settings import server_settings_from_options
@@ -24,6 +23,7 @@
 from dockthread.logs.setup import set_up
 from dockthread.raft.options import FleetOptions
 from dockthread.raft.storage import RaftStorageError
+from dockthread.section_registry import load_operator_file
 
 EXIT_OK: Final = 0
 EXIT_CANNOT_LISTEN: Final = 1
--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -362,7 +362,7 @@
     """
     if operator_file is None:
         return None
-    from dockthread.config.section_registry import load_operator_file
+    from dockthread.section_registry import load_operator_file
 
     return load_operator_file(operator_file, config.policy_settings, config.names)
 
--- a/dockthread/lab/control_plane/nodes.py
+++ b/dockthread/lab/control_plane/nodes.py
@@ -183,7 +183,7 @@
         """Return whether a connection was accepted here."""
         return connection.connection_id in self._numbers
 
-    def on_accepted(self, connection: Connection) -> None:  # noqa: B027  optional
+    def on_accepted(self, connection: Connection) -> None:
         """Number a connection."""
         self._last_number += 1
         self._numbers[connection.connection_id] = self._last_number
@@ -225,7 +225,7 @@
             self._close(overdue.connection)
         self._send_to_all()
 
-    def send_pending(self) -> None:  # noqa: B027  optional
+    def send_pending(self) -> None:
         """Send where the table has changed."""
         table = self.fan_out.table
         state = _ServedState(table.epoch, table.revision, table.is_complete)
@@ -354,16 +354,16 @@
     def update_table_age(self) -> None:
         """Report to the fan-out how old its table is."""
 
-    def send_pending(self) -> None:  # noqa: B027  optional
+    def send_pending(self) -> None:
         """Send where the table has changed."""
         self.update_table_age()
         self.server.send_pending()
 
-    def on_accepted(self, connection: Connection) -> None:  # noqa: B027  optional
+    def on_accepted(self, connection: Connection) -> None:
         """Accept a connection of a subscriber."""
         self.server.on_accepted(connection)
 
-    def on_writable(self, connection: Connection) -> None:  # noqa: B027  optional
+    def on_writable(self, connection: Connection) -> None:
         """Send more to a subscriber."""
         if self.server.owns(connection):
             self.update_table_age()
--- a/dockthread/lab/maintenance/backend_faults.py
+++ b/dockthread/lab/maintenance/backend_faults.py
@@ -3,10 +3,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
-from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:
-    from dockthread.lab.maintenance.simulation import MaintenanceSimulation
+from dockthread.lab.maintenance.environment import SimulationEnvironment
 
 BACKEND_FAILURE = "fail"  # a fault: a backend fails for a while
 OVERLOAD = "press"  # a fault: zones are overloaded for a while
@@ -27,7 +25,7 @@
         is_overloaded: Zones are overloaded now.
     """
 
-    def __init__(self, simulation: MaintenanceSimulation, backends: Sequence[str]) -> None:
+    def __init__(self, simulation: SimulationEnvironment, backends: Sequence[str]) -> None:
         self._simulation = simulation
         self._backends = backends
         self.handlers: dict[str, Callable[[], None]] = {
--- a/dockthread/lab/maintenance/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -178,7 +178,7 @@
 
     # Steps
 
-    async def _play_step(self, step: Step) -> None:
+    async def _play_step(self, step: Step) -> None:  # noqa: C901  one branch for each verb
         await asyncio.sleep(max(0.0, step.at_ms - self._now_ms) / MS_PER_S)
         names = [name for operand in step.operands for name in await self._named(operand)]
         self._note(" ".join((step.verb, *names)))
--- a/dockthread/lab/maintenance/scenario.py
+++ b/dockthread/lab/maintenance/scenario.py
@@ -1,5 +1,6 @@
-"""Scenarios of real processes, as INI: who there is, and what staff and faults do when. Free of I/O
-but for the scenarios that come with the program.
+"""Scenarios of real processes, as INI: who takes part, and what staff and faults do when.
+
+The only I/O is reading the scenarios that come with the program.
 
     [scenario]
     about = the leader dies between grant and drain
--- a/dockthread/lab/maintenance/staff.py
+++ b/dockthread/lab/maintenance/staff.py
@@ -11,6 +11,7 @@
 from typing import TYPE_CHECKING
 
 from dockthread.lab.maintenance.checker import SwitchOff
+from dockthread.lab.maintenance.environment import SimulationEnvironment
 from dockthread.maintenance.commands import (
     CommandAction,
     MaintenanceCommand,
@@ -20,7 +21,6 @@
 from dockthread.maintenance.transitions import UNAVAILABLE_STATES
 
 if TYPE_CHECKING:
-    from dockthread.lab.maintenance.simulation import MaintenanceSimulation
     from dockthread.lab.raft.cluster import SimulatedMember
 
 STAFF_INTERVAL_MS = 350.0  # mean time between looks of staff
@@ -77,7 +77,7 @@
 
     def __init__(
         self,
-        simulation: MaintenanceSimulation,
+        simulation: SimulationEnvironment,
         zone_of: dict[str, str],
         warm_up_ms: float,
         until_ms: float,
--- a/dockthread/lab/maintenance/traffic.py
+++ b/dockthread/lab/maintenance/traffic.py
@@ -3,10 +3,8 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:
-    from dockthread.lab.maintenance.simulation import MaintenanceSimulation
+from dockthread.lab.maintenance.environment import SimulationEnvironment
 
 SEND_INTERVAL_MS = 25.0  # mean time between requests of all members
 SHORT_REQUEST_MS = 30.0  # mean time of most requests
@@ -22,7 +20,7 @@
         backends: Where they go.
     """
 
-    def __init__(self, simulation: MaintenanceSimulation, backends: Sequence[str]) -> None:
+    def __init__(self, simulation: SimulationEnvironment, backends: Sequence[str]) -> None:
         self._simulation = simulation
         self._backends = backends
 
--- a/dockthread/lab/scale/real.py
+++ b/dockthread/lab/scale/real.py
@@ -8,7 +8,6 @@
 import os
 
 from dockthread.config.platform_settings import read_config
-from dockthread.config.section_registry import load_operator_file
 from dockthread.control_plane.ingress import IngressResourceApplier
 from dockthread.daemon import Daemon
 from dockthread.lab.scale.channel import Words, serve_commands
@@ -17,6 +16,7 @@
 from dockthread.lab.scale.usage import Lateness, traffic
 from dockthread.lab.scale.witness import InForce, Row, Witness, findings, table
 from dockthread.observer import Observer
+from dockthread.section_registry import load_operator_file
 
 
 class ListObserver(Observer):
--- a/dockthread/lab/scale/server.py
+++ b/dockthread/lab/scale/server.py
@@ -10,12 +10,12 @@
 from typing import Any
 
 from dockthread.clock import Clock
-from dockthread.config.section_registry import load_operator_file
 from dockthread.control_plane.distributor import Distributor
 from dockthread.control_plane.server_settings import server_settings_from_options
 from dockthread.control_plane.voter import Voter
 from dockthread.lab.scale.channel import Words, serve_commands
 from dockthread.lab.scale.usage import Lateness, traffic
+from dockthread.section_registry import load_operator_file
 
 
 class ControlServer:
--- a/dockthread/maintenance/constraints.py
+++ b/dockthread/maintenance/constraints.py
@@ -2,9 +2,15 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from collections.abc import Mapping
+from typing import Protocol
 
-from dockthread.maintenance.commands import MaintenanceRequest, RequestState, TargetKind
+from dockthread.maintenance.commands import (
+    LeaderReport,
+    MaintenanceRequest,
+    RequestState,
+    TargetKind,
+)
 from dockthread.maintenance.reasons import (
     BackendsFailing,
     InsufficientCapacity,
@@ -18,11 +24,31 @@
     ZoneOverloaded,
 )
 
-if TYPE_CHECKING:
-    from dockthread.maintenance.scheduler import MaintenanceScheduler
+
+class SchedulerState(Protocol):
+    """What the constraints look at; the scheduler has it."""
+
+    @property
+    def requests(self) -> Mapping[str, MaintenanceRequest]:
+        """The requests that are not finished, by target."""
+        ...
+
+    @property
+    def unreachable_ms(self) -> Mapping[str, float]:
+        """For each member, how long it has been unreachable; 0 where it is reachable."""
+        ...
+
+    @property
+    def last_report(self) -> LeaderReport:
+        """The latest report applied."""
+        ...
+
+    def max_unavailable(self, zone: str, kind: TargetKind) -> int:
+        """Return how many targets of a zone and kind may be away at once."""
+        ...
 
 
-def grant_obstacle(scheduler: MaintenanceScheduler, request: MaintenanceRequest) -> Obstacle | None:
+def grant_obstacle(scheduler: SchedulerState, request: MaintenanceRequest) -> Obstacle | None:
     """Return why a waiting request cannot be granted; None where it can."""
     away = _away(scheduler, request)
     if len(away) >= scheduler.max_unavailable(request.zone, request.kind):
@@ -39,7 +65,7 @@
     return safety_obstacle(scheduler, request)
 
 
-def _away(scheduler: MaintenanceScheduler, request: MaintenanceRequest) -> list[MaintenanceRequest]:
+def _away(scheduler: SchedulerState, request: MaintenanceRequest) -> list[MaintenanceRequest]:
     """Return the requests of the same zone and kind whose targets are away, in the order of requests."""
     return [
         other
@@ -50,16 +76,14 @@
     ]
 
 
-def _unreachable_members(scheduler: MaintenanceScheduler, but: str) -> tuple[str, ...]:
+def _unreachable_members(scheduler: SchedulerState, but: str) -> tuple[str, ...]:
     unreachable = (
         member for member, unreachable_ms in scheduler.unreachable_ms.items() if unreachable_ms
     )
     return tuple(sorted(member for member in unreachable if member != but))
 
 
-def safety_obstacle(
-    scheduler: MaintenanceScheduler, request: MaintenanceRequest
-) -> Obstacle | None:
+def safety_obstacle(scheduler: SchedulerState, request: MaintenanceRequest) -> Obstacle | None:
     """Return why the zone of a backend cannot do without it; None where it can."""
     zones = (zone for zone in scheduler.last_report.zones if zone.name == request.zone)
     zone = next(zones, None)
--- a/dockthread/maintenance/reasons.py
+++ b/dockthread/maintenance/reasons.py
@@ -9,14 +9,11 @@
 
 from collections.abc import Iterable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from dockthread.maintenance.commands import MaintenanceRequest, RequestState
 from dockthread.maintenance.transitions import DRAINED_STATES, REVOCABLE_STATES
 
-if TYPE_CHECKING:
-    from dockthread.maintenance.scheduler import MaintenanceScheduler
-
 MS_PER_S = 1000.0
 GRANT_TIMEOUT_PREFIX = "its turn lapsed"  # how the text of `GrantTimedOut` begins
 
@@ -153,7 +150,19 @@
 Revocation = GrantTimedOut | ZoneBecameUnsafe
 
 
-def explain(request: MaintenanceRequest, scheduler: MaintenanceScheduler) -> str:
+class RequestStatus(Protocol):
+    """What an explanation looks at; the scheduler has it."""
+
+    def obstacle(self, request: MaintenanceRequest) -> Obstacle | None:
+        """Return why a waiting request is not granted; None where nothing stands against it."""
+        ...
+
+    def confirming_members(self, request: MaintenanceRequest) -> set[str]:
+        """Return the members whose confirmation a request needs."""
+        ...
+
+
+def explain(request: MaintenanceRequest, scheduler: RequestStatus) -> str:
     """Say why a request waits, or whom it waits for; empty where there is nothing to say."""
     if request.state is RequestState.WAITING:
         why = str(scheduler.obstacle(request) or "its turn comes with the next entry")
--- a/dockthread/net/action_executor.py
+++ b/dockthread/net/action_executor.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from dockthread.net import resp
-from dockthread.net.attempt import Attempt
+from dockthread.net.backend_connection import Attempt
 from dockthread.net.connection_pool import ConnectionPool
 from dockthread.net.context import IngressContext
 from dockthread.net.gossip_transport import GossipTransport
--- a/dockthread/net/client_commands.py
+++ b/dockthread/net/client_commands.py
@@ -2,13 +2,8 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from dockthread.net import resp
-from dockthread.net.connection_host import ConnectionHost, ResponseSlot
-
-if TYPE_CHECKING:
-    from dockthread.net.client_connection import ClientConnection
+from dockthread.net.connection_host import ConnectionHost, RequestSource, ResponseSlot
 
 REQUEST_VERBS = (b"API.READ", b"API.WRITE")
 # Client libraries send these after connecting; their arguments change nothing here.
@@ -30,7 +25,7 @@
         self.invalid_commands = 0  # commands that could not be served
         self.is_last = False  # no command after the last one handled is to be served
 
-    def handle(self, connection: ClientConnection, message: object) -> ResponseSlot:
+    def handle(self, connection: RequestSource, message: object) -> ResponseSlot:
         """Handle a complete command, and return the slot of its response.
 
         Raises:
@@ -46,7 +41,7 @@
             return ResponseSlot(resp.OK)
         return self._handle_other(verb, message)
 
-    def _handle_request(self, connection: ClientConnection, arguments: list[bytes]) -> ResponseSlot:
+    def _handle_request(self, connection: RequestSource, arguments: list[bytes]) -> ResponseSlot:
         host = self._host
         try:
             command = host.request_parser.parse(arguments)
--- a/dockthread/net/connection_host.py
+++ b/dockthread/net/connection_host.py
@@ -2,16 +2,13 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 from dockthread.clock import Clock
 from dockthread.net import resp
 from dockthread.net.event_loop_lag import EventLoopLagMonitor
 from dockthread.observer import Traffic
 
-if TYPE_CHECKING:
-    from dockthread.net.client_connection import ClientConnection
-
 
 class ResponseSlot:
     """The place of one command's response, in the order of its connection's commands.
@@ -25,6 +22,16 @@
         self.response = response
 
 
+class RequestSource(Protocol):
+    """The connection that a request came on, as the handler of requests sees it."""
+
+    earliest_arrival_ms: float
+
+    def flush(self) -> None:
+        """Send the responses that are known and due."""
+        ...
+
+
 class RequestHandler(Protocol):
     """Takes the requests that client connections read."""
 
@@ -32,7 +39,7 @@
         """Return whether a request with this id is in flight."""
         ...
 
-    def accept(self, connection: ClientConnection, command: resp.RequestCommand) -> ResponseSlot:
+    def accept(self, connection: RequestSource, command: resp.RequestCommand) -> ResponseSlot:
         """Take a request; return the slot in which its response will stand."""
         ...
 
--- a/dockthread/net/connection_pool.py
+++ b/dockthread/net/connection_pool.py
@@ -10,8 +10,7 @@
 from loguru import logger
 
 from dockthread.net import resp
-from dockthread.net.attempt import Attempt
-from dockthread.net.backend_connection import BackendConnection, BackendConnectionState
+from dockthread.net.backend_connection import Attempt, BackendConnection, BackendConnectionState
 from dockthread.net.context import IngressContext
 from dockthread.net.endpoint_list import BackendRecord
 from dockthread.observer import Observer
--- a/dockthread/net/request.py
+++ b/dockthread/net/request.py
@@ -6,9 +6,8 @@
 from typing import Any, Protocol
 
 from dockthread.net import resp
-from dockthread.net.attempt import Attempt
-from dockthread.net.client_connection import ClientConnection
-from dockthread.net.connection_host import ResponseSlot
+from dockthread.net.backend_connection import Attempt
+from dockthread.net.connection_host import RequestSource, ResponseSlot
 from dockthread.policy import Route
 
 
@@ -41,7 +40,7 @@
     def __init__(
         self,
         number: int,
-        connection: ClientConnection,
+        connection: RequestSource,
         command: resp.RequestCommand,
         deadline_ms: float,
         time_left_ms: float,
--- a/dockthread/net/requests_in_flight.py
+++ b/dockthread/net/requests_in_flight.py
@@ -7,9 +7,8 @@
 from loguru import logger
 
 from dockthread.net import resp
-from dockthread.net.attempt import Attempt
-from dockthread.net.client_connection import ClientConnection
-from dockthread.net.connection_host import ResponseSlot
+from dockthread.net.backend_connection import Attempt
+from dockthread.net.connection_host import RequestSource, ResponseSlot
 from dockthread.net.connection_pool import ConnectionPool
 from dockthread.net.context import MAINTENANCE_INTERVAL_MS, IngressContext
 from dockthread.net.request import Request, RequestState, RouteLookup
@@ -78,7 +77,7 @@
 
     # Arrival
 
-    def accept(self, connection: ClientConnection, command: resp.RequestCommand) -> ResponseSlot:
+    def accept(self, connection: RequestSource, command: resp.RequestCommand) -> ResponseSlot:
         """Take a request and let the policy engine decide on it, or reject it at once.
 
         Returns the slot in which its response will stand.
--- a/dockthread/policy/backend.py
+++ b/dockthread/policy/backend.py
@@ -4,11 +4,11 @@
 
 import struct
 from math import inf
+from typing import Protocol
 
-from dockthread.policy.backend_pool import BackendPool
 from dockthread.policy.context import NEVER
 from dockthread.policy.gossip_codec import backend_code
-from dockthread.policy.latency_estimates import KindEstimates, RelativeLatency
+from dockthread.policy.latency_estimates import DecayRounds, KindEstimates, RelativeLatency
 from dockthread.policy.model import Endpoint
 
 # Bytes of one value of a load report, which is kept packed.
@@ -22,6 +22,13 @@
 NEVER_AT_CAPACITY: dict[int, float] = {}
 
 
+class OwningPool(Protocol):
+    """What a backend needs of the pool that it is drawn from."""
+
+    decay_rounds: DecayRounds
+    failing: dict[int, Backend]
+
+
 class Backend:
     """One listed backend.
 
@@ -68,7 +75,7 @@
         "smoothed_remote_requests",
     )
 
-    def __init__(self, endpoint: Endpoint, kind: KindEstimates, pool: BackendPool) -> None:
+    def __init__(self, endpoint: Endpoint, kind: KindEstimates, pool: OwningPool) -> None:
         self.kind = kind
         self.pool = pool
         self.slot = -1
--- a/dockthread/raft/options.py
+++ b/dockthread/raft/options.py
@@ -12,10 +12,9 @@
 
 import msgspec
 
-from dockthread.config.address import Address
+from dockthread.config.address import Address, host_port
 from dockthread.config.ini_reader import KeyProblem, Section
 from dockthread.config.quantities import Duration, Share
-from dockthread.telemetry.options import host_port
 
 MIN_KEY_BYTES: Final = 16
 MAX_KEY_BYTES: Final = 64  # as BLAKE2 takes
--- a/dockthread/telemetry/options.py
+++ b/dockthread/telemetry/options.py
@@ -5,10 +5,9 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, Literal
 
-from dockthread.config.address import Address
+from dockthread.config.address import host_port
 from dockthread.config.ini_reader import KeyProblem, Section
 from dockthread.config.quantities import Duration, Size
-from dockthread.errors import SettingsError
 
 LEAST_INTERVAL, MOST_INTERVAL = Duration(100), Duration(3_600_000)
 LEAST_QUEUE = Size(16 * 1024)
@@ -113,17 +112,6 @@
             return file.read(4096).split(b"\n")[0].rstrip(b"\r")
 
 
-def host_port(text: str) -> tuple[str, int] | None:
-    """`HOST:PORT` or `[V6]:PORT`; None for what is neither."""
-    try:
-        found = Address.parse(text)
-    except SettingsError:
-        return None
-    if not found.port or any(c.isspace() for c in found.host):
-        return None
-    return found.host, found.port
-
-
 def _address_problems(text: str, unix: bool) -> Iterable[KeyProblem]:
     if unix and text.startswith("unix:"):
         if not text[5:].startswith("/") or len(text[5:].encode()) > 107:
--- a/dockthread/telemetry/receivers.py
+++ b/dockthread/telemetry/receivers.py
@@ -11,13 +11,14 @@
 
 from loguru import logger
 
+from dockthread.config.address import host_port
 from dockthread.errors import SettingsError
 from dockthread.telemetry import collectd, graphite, putval
 from dockthread.telemetry.backlog import Backlog, Report
 from dockthread.telemetry.catalogue import Point, part
 from dockthread.telemetry.collectd import OKAY
 from dockthread.telemetry.links import Datagrams, Link, Stream, UnixCommands
-from dockthread.telemetry.options import CollectdOptions, GraphiteOptions, host_port
+from dockthread.telemetry.options import CollectdOptions, GraphiteOptions
 from dockthread.telemetry.sender import Action, Do, Event, Phase, Sender
 
 SLICE = 64  # points worded in one turn of the loop
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from dockthread.config.section_registry import parse_operator_file
+from dockthread.section_registry import parse_operator_file
 
 ROOT = Path(__file__).parents[2]
 
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from dockthread.config.section_registry import (
+from dockthread.errors import SettingsError
+from dockthread.section_registry import (
     load_operator_file,
     parse_operator_file,
     read_operator_file,
 )
-from dockthread.errors import SettingsError
 
 GRAPHITE = "[graphite main]\naddress = 127.0.0.1:2003\n"
 
--- a/tests/control_plane/test_control_options.py
+++ b/tests/control_plane/test_control_options.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from dockthread.config.section_registry import parse_operator_file
 from dockthread.control_plane.options import ControlOptions, read_key
+from dockthread.section_registry import parse_operator_file
 
 DISTRIBUTOR = "role = distributor\nname = d1\nlisten = 127.0.0.1:7000\nservers = 127.0.0.1:7001\n"
 VOTER = "role = voter\nname = v1\nlisten = 127.0.0.1:7000\n"
@@ -73,7 +73,7 @@
 
 def test_no_other_module_is_loaded_where_the_section_is_absent() -> None:
     assert parse_operator_file("", "my.ini").section("control") == ControlOptions(role=None)
-    code = "import sys, dockthread.daemon, dockthread.config.section_registry as s; s.parse_operator_file('', 'f')\n"
+    code = "import sys, dockthread.daemon, dockthread.section_registry as s; s.parse_operator_file('', 'f')\n"
     code += "print([m for m in sys.modules if m.startswith('dockthread.control_plane.')])"
     done = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True, timeout=30
--- a/tests/control_plane/test_ingress_reload.py
+++ b/tests/control_plane/test_ingress_reload.py
@@ -10,11 +10,11 @@
 
 from dockthread.config.address import Address
 from dockthread.config.platform_settings import read_config
-from dockthread.config.section_registry import load_operator_file
 from dockthread.control_plane.messages import Resource
 from dockthread.control_plane.server import ControlPlaneServer
 from dockthread.daemon import Daemon
 from dockthread.routes.bounds import Facts
+from dockthread.section_registry import load_operator_file
 from tests.control_plane.local_server import run_server
 from tests.loopback import LIST, SETTINGS, raw_config, run, until
 
--- a/tests/net/support.py
+++ b/tests/net/support.py
@@ -10,7 +10,7 @@
 from contextlib import contextmanager
 from typing import Any
 
-from dockthread.net.attempt import Attempt
+from dockthread.net.backend_connection import Attempt
 from dockthread.net.ingress import Ingress
 from dockthread.policy import Outcome
 from tests.loopback import FIRST_ID, KEY, SETTINGS
--- a/tests/raft/test_fleet_options.py
+++ b/tests/raft/test_fleet_options.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from dockthread.config.section_registry import parse_operator_file
 from dockthread.raft.options import FleetOptions
+from dockthread.section_registry import parse_operator_file
 
 
 @pytest.mark.parametrize(
--- a/tests/routes/test_routes_file.py
+++ b/tests/routes/test_routes_file.py
@@ -10,11 +10,11 @@
 
 from dockthread.config.ingress_config import Names
 from dockthread.config.ini_reader import ConfigProblem
-from dockthread.config.section_registry import parse_operator_file
 from dockthread.errors import SettingsError
 from dockthread.policy import DeduplicationScope, Effect, Plan, PolicySettings, RequestClass
 from dockthread.routes.explain import explain, facts_of
 from dockthread.routes.worst import amplification
+from dockthread.section_registry import parse_operator_file
 
 NAMES = Names(
     ("seat-status", "seat-checkout", "keyed"),
--- a/tests/routes/test_routes_on_sockets.py
+++ b/tests/routes/test_routes_on_sockets.py
@@ -17,9 +17,9 @@
 import pytest
 
 from dockthread.clock import ManualClock
-from dockthread.config.section_registry import parse_operator_file
 from dockthread.net.ingress import Ingress
 from dockthread.routes.table import Table
+from dockthread.section_registry import parse_operator_file
 from tests.loopback import (
     KEY,
     SETTINGS,
--- a/tests/telemetry/test_telemetry_on_sockets.py
+++ b/tests/telemetry/test_telemetry_on_sockets.py
@@ -20,7 +20,7 @@
 import pytest
 
 from dockthread.clock import Clock, ManualClock
-from dockthread.config.section_registry import parse_operator_file
+from dockthread.section_registry import parse_operator_file
 from dockthread.telemetry.catalogue import Point
 from dockthread.telemetry.collectd import Opener, Wording, sealing
 from dockthread.telemetry.exporter import Exporter
