--- a/dockthread/admin/reload.py
+++ b/dockthread/admin/reload.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass, replace
 
 from dockthread.config.ingress_config import Names
-from dockthread.policy import PolicyEngine, PolicySettings
+from dockthread.policy import PolicySettings
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,12 +55,3 @@
     return MergedSettings(
         settings, replace(old_names, classes=tuple(names)), frozenset(new_names.classes)
     )
-
-
-def retune(gateway: PolicyEngine, settings: PolicySettings) -> None:
-    """Give the policy engine the settings of `merge_settings`.
-
-    What its parts derived from the classes at their start is derived again from the longer list.
-    What they have learnt stays.
-    """
-    gateway.apply_settings(settings)
--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -218,7 +218,7 @@
         merged = settings_reload.merge_settings(
             self.engine.settings, names, config.policy_settings, config.names
         )
-        settings_reload.retune(self.engine, merged.settings)
+        self.engine.apply_settings(merged.settings)
         settings = replace(
             self.config.policy_settings,
             classes=merged.settings.classes,
