--- a/dockthread/routes/options.py
+++ b/dockthread/routes/options.py
@@ -78,6 +78,7 @@
     def problems(self) -> Iterable[KeyProblem]:
         yield from self._match_problems()
         yield from self._time_problems()
+        yield from self._retry_problems()
         yield from self._copy_problems()
         yield from self._limit_problems()
 
@@ -107,6 +108,8 @@
                 f"{self.attempt_timeout} is longer than the whole timeout",
                 f"{self.timeout}",
             )
+
+    def _retry_problems(self) -> Iterable[KeyProblem]:
         if self.attempts is not None and self.attempts < 1:
             yield KeyProblem(
                 "attempts", f"{self.attempts} would never send a request on", "1 is the least"
--- a/dockthread/telemetry/exporter.py
+++ b/dockthread/telemetry/exporter.py
@@ -64,23 +64,7 @@
             **read.named_sections("graphite"),
             **read.named_sections("collectd"),
         }
-        room = options.queue or max(
-            LEAST_ROOM, self._ingress.config.memory_mb * (1 << 20) // MEMORY_PART
-        )
-        fresh = {
-            name: Receiver(
-                name,
-                its,
-                self._ingress.config.name,
-                options.interval,
-                int(room),
-                self._ingress.config.seed + n,
-            )
-            for n, (name, its) in enumerate(named.items())
-            if name not in self.receivers
-            or self.receivers[name].options != its
-            or self._options.interval != options.interval
-        }
+        fresh = self._changed_receivers(named, options)
         gone = [r for name, r in self.receivers.items() if name not in named or name in fresh]
         self.receivers = {name: fresh.get(name) or self.receivers[name] for name in named}
         self._options = options
@@ -97,6 +81,27 @@
             self._report()
             self._schedule()
 
+    def _changed_receivers(
+        self, named: Mapping[str, Options], options: TelemetryOptions
+    ) -> dict[str, Receiver]:
+        """Return a new receiver for each that is new or has other options than before."""
+        config = self._ingress.config
+        queue_bytes = options.queue or max(LEAST_ROOM, config.memory_mb * (1 << 20) // MEMORY_PART)
+        return {
+            name: Receiver(
+                name,
+                receiver_options,
+                config.name,
+                options.interval,
+                int(queue_bytes),
+                config.seed + number,
+            )
+            for number, (name, receiver_options) in enumerate(named.items())
+            if name not in self.receivers
+            or self.receivers[name].options != receiver_options
+            or self._options.interval != options.interval
+        }
+
     def _begin_life(self) -> None:
         ingress, options = self._ingress, self._options
         module, names = ingress.config.policy_settings, ingress.config.names
