--- a/dockthread/lab/slow_start/scenarios.py
+++ b/dockthread/lab/slow_start/scenarios.py
@@ -117,14 +117,20 @@
 
 
 class WarmthIgnored(PolicyEngine):
+    """Seeded defect: backends that warm up count as warm."""
+
     slow_start_class = IgnoredWarmUp
 
 
 class Unbounded(PolicyEngine):
+    """Seeded defect: a pool without a warm backend gets every request."""
+
     slow_start_class = UnlimitedRamp
 
 
 class EachAsIfAlone(PolicyEngine):
+    """Seeded defect: each ingress takes the whole fleet's part."""
+
     slow_start_class = RampOfOneIngress
 
 
--- a/dockthread/policy/load_balancer.py
+++ b/dockthread/policy/load_balancer.py
@@ -160,17 +160,18 @@
 
         It is in usual response times over the backend's weight.
         """
-        if backend.has_idle_connection(self.idle_connections_since()):
+        context = self._context
+        now = context.now
+        if backend.has_idle_connection(now - self._idle_connection_time):
             connection_cost = 1.0
         else:
-            handshake = self._context.settings.costs.handshake
-            connection_cost = 1 + HANDSHAKE_RESPONSE_TIMES * handshake
+            connection_cost = 1 + HANDSHAKE_RESPONSE_TIMES * context.settings.costs.handshake
         return (
-            (backend.load(self._context.now) + 1)
+            (backend.load(now) + 1)
             * backend.relative_latency
             / self._weights.warm_weight(backend)
             * connection_cost
-            * self._context.rng.uniform(1, 1 + COST_NOISE)
+            * context.rng.uniform(1, 1 + COST_NOISE)
         )
 
     def _is_usable(self, backend: Backend, pending: PendingRequest, may_warm_up: bool) -> bool:
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -12,6 +12,7 @@
     EndpointListKind,
     Outcome,
 )
+from dockthread.policy.context import NEVER
 from dockthread.policy.load_reports import LoadReportReader
 from tests.policy.harness import (
     LOAD_REPORT_SETTINGS,
@@ -97,3 +98,15 @@
     answer_with_load(ingress, ingress.send_request(), (5.0, 10.0, 0.0))  # the same again is no news
     assert backend.report_at == then
     assert backend.load(then + 10) == pytest.approx(mean, abs=0.01)
+
+
+def test_only_another_load_report_counts_after_a_restart() -> None:
+    ingress = IngressHarness(LOAD_REPORT_SETTINGS, backends=1)
+    backend = ingress.engine.backends.by_number[1000]
+    answer_with_load(ingress, ingress.send_request(), (5.0, 10.0, 0.0))
+    ingress.run_until(ingress.now + 1.0)
+    ingress.list_endpoints(replace(backend.endpoint, started_at=ingress.now))
+    answer_with_load(ingress, ingress.send_request(), (5.0, 10.0, 0.0))
+    assert (backend.report_at, backend.load(ingress.now)) == (NEVER, 0.0)
+    answer_with_load(ingress, ingress.send_request(), (6.0, 10.0, 0.0))
+    assert backend.report_at == ingress.now
