--- a/dockthread/maintenance/observation.py
+++ b/dockthread/maintenance/observation.py
@@ -23,7 +23,7 @@
     @property
     def is_failing(self) -> bool:
         """Whether it serves, and most of its requests fail."""
-        return self.policy_state.ready and self.policy_state.failed > FAILING_FRACTION
+        return self.policy_state.is_ready and self.policy_state.failure_fraction > FAILING_FRACTION
 
 
 def idle_backends(ingress: Ingress, backends: Collection[str]) -> set[str]:
@@ -79,7 +79,7 @@
 ) -> ZoneObservation:
     return ZoneObservation(
         zone=zone,
-        ready=tuple(backend.uid for backend in backends if backend.policy_state.ready),
+        ready=tuple(backend.uid for backend in backends if backend.policy_state.is_ready),
         failing=tuple(backend.uid for backend in backends if backend.is_failing),
         in_flight=float(sum(backend.policy_state.in_flight for backend in backends)),
         is_overloaded=is_overloaded,
