--- a/dockthread/logs/__init__.py
+++ b/dockthread/logs/__init__.py
@@ -1,1 +1,1 @@
-"""The log: its options, and how it is set up."""
+"""The log: its options, its set-up, and single events at TRACE."""
--- a/dockthread/logs/setup.py
+++ b/dockthread/logs/setup.py
@@ -1,6 +1,4 @@
-"""Sets the log up: text for a person, or JSON lines for a collector, with the same fields bound in
-both.
-"""
+"""Sets the log up: text for people, or JSON lines for a collector."""
 
 from __future__ import annotations
 
@@ -20,9 +18,12 @@
 
 
 def set_up(level: str, options: LogOptions | None = None, **fields: str) -> None:
-    """Replace every sink by the one that the options name. `fields` are bound to every line; text
-    lines show them only where a line binds more of its own. Raises SettingsError for a level or a
-    target that is none.
+    """Replace every sink by the one that the options name.
+
+    `fields` are bound to every line; JSON shows them, text does not.
+
+    Raises:
+        SettingsError: The level is unknown, or the target cannot be opened.
     """
     form, target = (options.form, options.target) if options else ("text", "stderr")
     sink: Any = target if target not in STREAMS else getattr(sys, target)
@@ -30,7 +31,7 @@
     logger.configure(extra=fields)
     try:
         if form == "json":
-            stream: TextIO = sink if target in STREAMS else open(target, "a", buffering=1)  # noqa: SIM115
+            stream: TextIO = sink if target in STREAMS else open(target, "a", buffering=1)  # noqa: SIM115  open to the end
             logger.add(
                 lambda message: print(as_json(message.record), file=stream, flush=True), level=level
             )
@@ -46,20 +47,26 @@
 
 
 def as_json(record: Any) -> str:
-    """One record as a line: time, level, message, the fields bound, and a fault's kind and
-    place.
+    """Return a record as one line of JSON.
+
+    It has time, level, message, module and the bound fields; for an exception also its type, its
+    text, and the file and line that raised it.
     """
-    said: dict[str, Any] = {
+    line: dict[str, Any] = {
         "time": record["time"].isoformat(timespec="milliseconds"),
         "level": record["level"].name,
         "message": record["message"],
         "module": record["name"],
         **record["extra"],
     }
-    if (fault := record["exception"]) is not None:
-        said["exception"] = f"{fault.type.__name__}: {fault.value}" if fault.type else ""
-        if (place := fault.traceback) is not None:
-            while place.tb_next is not None:
-                place = place.tb_next
-            said["at"] = f"{place.tb_frame.f_code.co_filename}:{place.tb_lineno}"
-    return json.dumps(said, default=str)
+    exception = record["exception"]
+    if exception is not None:
+        line["exception"] = (
+            f"{exception.type.__name__}: {exception.value}" if exception.type else ""
+        )
+        frame = exception.traceback
+        if frame is not None:
+            while frame.tb_next is not None:
+                frame = frame.tb_next
+            line["at"] = f"{frame.tb_frame.f_code.co_filename}:{frame.tb_lineno}"
+    return json.dumps(line, default=str)
--- a/dockthread/logs/trace.py
+++ b/dockthread/logs/trace.py
@@ -1,4 +1,4 @@
-"""Single events in the log, at TRACE: what `benchmarks/fleet_count.py` counts across a fleet."""
+"""Single events in the log at TRACE, which `benchmarks/fleet_count.py` counts over all ingresses."""
 
 from __future__ import annotations
 
@@ -9,18 +9,21 @@
 
 
 class Tracer(Observer):
-    """One line an event, `trace WHAT KEY=VALUE ...`; times in milliseconds. It is set up only where
-    the log takes TRACE, and gives way to telemetry's own observer where receivers are named.
+    """Logs one line for each event: `trace EVENT KEY=VALUE ...`, times in milliseconds.
+
+    It is set up only where the log's level is TRACE, and telemetry's observer replaces it where
+    receivers are configured. The keys are read by `benchmarks/fleet_count.py`.
     """
 
     active = tracing = True
 
     def event(self, what: str, **figures: object) -> None:
+        """Log an event with its figures."""
         logger.trace(
             "trace {}", " ".join([what, *(f"{key}={figure}" for key, figure in figures.items())])
         )
 
-    def request_completed(
+    def request_completed(  # noqa: PLR0913  the observer's interface
         self,
         request_class: int,
         plan: int,
@@ -31,6 +34,7 @@
         units: float,
         was_forwarded: bool,
     ) -> None:
+        """Log the response to a request."""
         self.event(
             "answer",
             kind=request_class,
@@ -46,10 +50,13 @@
     def client_disconnected(
         self, request_class: int, plan: int, customer: int, units: float, was_forwarded: bool
     ) -> None:
+        """Log a request whose client disconnected before the response."""
         self.request_completed(request_class, plan, customer, "gone", "", 0.0, units, was_forwarded)
 
     def counter_call_ended(self, outcome: Outcome, duration_ms: float) -> None:
+        """Log the end of a call to the quota counter."""
         self.event("count", outcome=outcome.value.replace(" ", "-"), took=round(duration_ms, 1))
 
     def phase(self, name: str) -> None:
+        """Log the phase of the life cycle that begins."""
         self.event("phase", name=name)
--- a/dockthread/maintenance/admin_commands.py
+++ b/dockthread/maintenance/admin_commands.py
@@ -44,7 +44,7 @@
     """A call that cannot be carried out.
 
     Attributes:
-        answer: What the caller is told.
+        answer: The text for the caller.
     """
 
     def __init__(self, status: int, text: str) -> None:
--- a/dockthread/maintenance/observation.py
+++ b/dockthread/maintenance/observation.py
@@ -28,11 +28,11 @@
 
 def idle_backends(ingress: Ingress, backends: Collection[str]) -> set[str]:
     """Return those of the backends at which this ingress has no request in flight."""
-    workers = ingress.engine.backends.by_number
+    known = ingress.engine.backends.by_number
     busy = {
-        destination.uid
-        for number, destination in ingress.endpoints.by_number.items()
-        if destination.uid in backends and number in workers and workers[number].in_flight
+        listed.uid
+        for number, listed in ingress.endpoints.by_number.items()
+        if listed.uid in backends and number in known and known[number].in_flight
     }
     return set(backends) - busy
 
@@ -47,31 +47,28 @@
         zone_by_backend: Zone of each requested backend.
         latest_request_index: The log's index of the latest request known here.
     """
-    gateway = ingress.engine
-    destinations = ingress.endpoints
-    is_overloaded = gateway.delay.is_pressed
+    endpoints = ingress.endpoints
+    is_overloaded = ingress.engine.delay.is_pressed
     by_zone: dict[str, list[ObservedBackend]] = {}
     for backend in _active_backends(ingress):
-        by_zone.setdefault(destinations.zone_of(backend.uid) or "", []).append(backend)
+        by_zone.setdefault(endpoints.zone_of(backend.uid) or "", []).append(backend)
     return MemberObservation(
         zones=tuple(
             _observe_zone(zone, by_zone[zone], is_overloaded)
             for zone in sorted(set(zone_by_backend.values()))
             if zone in by_zone
         ),
-        listed=tuple(
-            uid for uid in sorted(zone_by_backend) if destinations.zone_of(uid) is not None
-        ),
+        listed=tuple(uid for uid in sorted(zone_by_backend) if endpoints.zone_of(uid) is not None),
         latest_request_index=latest_request_index,
     )
 
 
 def _active_backends(ingress: Ingress) -> Iterator[ObservedBackend]:
     """Yield the backends that are active by discovery, drained or not."""
-    workers = ingress.engine.backends.by_number
-    for number, destination in ingress.endpoints.by_number.items():
-        if destination.is_ready and number in workers:
-            yield ObservedBackend(destination.uid, workers[number])
+    known = ingress.engine.backends.by_number
+    for number, listed in ingress.endpoints.by_number.items():
+        if listed.is_ready and number in known:
+            yield ObservedBackend(listed.uid, known[number])
 
 
 def _observe_zone(
--- a/dockthread/net/lifecycle.py
+++ b/dockthread/net/lifecycle.py
@@ -15,7 +15,7 @@
 
     STARTING = "starting"  # configured, not yet listening
     SERVING = "serving"
-    # Told to stop: clients are still sent here by the front, so all is accepted and served as
+    # Asked to stop: clients are still sent here by the front, so all is accepted and served as
     # before.
     LINGERING = "lingering"
     DRAINING = "draining"  # the listener is closed; requests in flight are answered
--- a/dockthread/policy/admission.py
+++ b/dockthread/policy/admission.py
@@ -163,7 +163,7 @@
     def _is_at_cap(self, customer: Customer) -> bool:
         """Return whether the cap on attempts in flight is reached.
 
-        It counts those here, and those that peers told of not long ago.
+        It counts those here, and those that peers reported not long ago.
         """
         cap = self._context.settings.plans[customer.plan_number].max_in_flight
         if cap <= 0:
--- a/dockthread/policy/admission_probability.py
+++ b/dockthread/policy/admission_probability.py
@@ -88,7 +88,7 @@
     ) -> float:
         """Return the probability by the arrivals that the others tell of."""
         if not plan.rate and knows_peers:
-            return 1.0  # there is only a cap on attempts in flight, and those are told
+            return 1.0  # there is only a cap on attempts in flight, and peers report those
         rate = self._limit_rate(plan)
         gap = self._context.now - customer.gossip_at
         peer_rate = sketch.decayed_rate(customer.peer_arrival_rate, 0.0, gap)
--- a/dockthread/policy/customer.py
+++ b/dockthread/policy/customer.py
@@ -65,7 +65,7 @@
         pending_correction: what the counter's number lacks at this moment, in units, as long as no
             call has taken it along.
         counter_correction: what the next call adds to the number for that, or takes back.
-        counter_at: when the counter last told its number, in seconds.
+        counter_at: when the counter's number was last received, in seconds.
         remote_rate: the decayed rate of units that the others admit, by the counter.
         reported_usage: the last usage report, as a fraction of the quota.
         reported_usage_at: when it arrived, in seconds.
--- a/dockthread/policy/engine.py
+++ b/dockthread/policy/engine.py
@@ -44,7 +44,7 @@
 from dockthread.policy.timers import TimerQueue
 from dockthread.policy.usual_latency import UsualLatencies
 
-# Half-life in seconds of what response times told of a backend.
+# Half-life in seconds of what response times say of a backend.
 LATENCY_HALF_LIFE = 15.0
 # Half-life in seconds of failures, so that a backend that recovered is sent requests again. It is
 # longer in a larger fleet, where each ingress sees fewer responses.
@@ -90,7 +90,7 @@
         """Create an engine that knows no backend.
 
         Args:
-            settings: all that it is told before its first event.
+            settings: all that it knows before its first event.
             seed: of its random source; the same seed and events give the same actions.
             now: the current time in seconds on the engine's clock.
         """
--- a/dockthread/policy/gossip.py
+++ b/dockthread/policy/gossip.py
@@ -8,7 +8,7 @@
 the message budget, waits; the customers with the emptiest token buckets go first. An ingress that
 has nothing to tell sends a heartbeat after a while, so that its silence means something. Its
 incarnation goes with every message: another incarnation means that it restarted and knows nothing,
-and it is told of the customers whose token buckets are not full.
+and it is sent the customers whose token buckets are not full.
 """
 
 from __future__ import annotations
@@ -31,21 +31,21 @@
 # Shortest and longest time in seconds between the first news and its round of messages.
 SHORTEST_ROUND = 0.02
 LONGEST_ROUND = 0.25
-# Shortest time in seconds between two messages to a peer that is told nothing else.
+# Shortest time in seconds between two messages to a peer to which there is nothing else to send.
 SHORTEST_HEARTBEAT_INTERVAL = 0.5
-# The same in rounds in which each of the peers can be told once.
+# The same in rounds in which each of the peers can be sent one message.
 HEARTBEAT_FULL_ROUNDS = 8
 # Heartbeats without a message after which a peer counts as silent.
 SILENT_HEARTBEATS = 3
 # The oldest news by which the peers' use counts as known, over the window of the plan's rates.
 FRESH_WINDOW_FRACTION = 0.25
-# Failure fraction of outcomes from which peers are told of a backend.
+# Failure fraction of outcomes from which a backend is reported to peers.
 SUSPECT_FAILURE_FRACTION = 0.4
 # The most backends that one message tells of.
 MOST_SUSPECTS = 3
 # Seconds after a backend's last response here in which what peers say of it is ignored.
 OWN_EVIDENCE_TIME = 2.0
-# Fraction of the burst: a peer that restarted is told of customers that have less left.
+# Fraction of the burst: a peer that restarted is sent the customers that have less left.
 RESTART_REPORT_FRACTION = 0.9
 
 
@@ -53,7 +53,7 @@
     """Sends and receives this ingress's gossip.
 
     Attributes:
-        full_round_time: seconds in which each of the peers can be told once.
+        full_round_time: seconds in which each of the peers can be sent one message.
         last_received_at: by peer, when its last message came, in seconds.
     """
 
@@ -101,7 +101,7 @@
             SHORTEST_HEARTBEAT_INTERVAL, HEARTBEAT_FULL_ROUNDS * self.full_round_time
         )
         self._is_round_scheduled = False
-        # by peer: the customers it is to be told of; a peer without any gets a heartbeat
+        # by peer: the customers to report to it; a peer without any gets a heartbeat
         self._unsent: dict[int, dict[int, None]] = {}
         self.last_received_at: dict[int, float] = {}
         self._last_sent_at: dict[int, float] = {}
@@ -166,7 +166,7 @@
             self._schedule_round()
 
     def report(self, number: int, customer: Customer) -> None:
-        """Note news of a customer: the others of its set are told with the next round."""
+        """Note news of a customer: the others of its set are sent it with the next round."""
         if self._context.settings.may_gossip and customer.spread > 1:
             for peer in self._peers_of(customer):
                 self._unsent.setdefault(peer, {})[number] = None
--- a/dockthread/policy/latency_estimates.py
+++ b/dockthread/policy/latency_estimates.py
@@ -4,7 +4,7 @@
 forty ingresses, a hundred with three. A value that is smoothed with a small step would hardly leave
 its start. So the estimate of one backend is drawn towards the mean of its kind by a fixed number of
 imaginary samples (shrinkage, as in empirical Bayes estimation), and counts alone once it has many
-samples. The load that a report told of decays to the kind's mean and not to zero: a backend without
+samples. The load of a report decays to the kind's mean and not to zero: a backend without
 a recent report counts as loaded as the others, where an idle one would attract every request.
 
 Latencies are relative to the usual latency of the request's class, so 1.0 is as usual.
--- a/dockthread/raft/core.py
+++ b/dockthread/raft/core.py
@@ -272,7 +272,7 @@
     def _ignores(self, message: Message) -> bool:
         """Return whether it is a request for a vote while a leader is heard.
 
-        Only a candidate that the leader itself told to campaign is considered then.
+        Only a candidate that the leader itself asked to campaign is considered then.
         """
         if not isinstance(message, VoteRequest) or message.leadership_transfer:
             return False
--- a/dockthread/raft/messages.py
+++ b/dockthread/raft/messages.py
@@ -60,7 +60,7 @@
         last_index: of the candidate's last entry.
         last_term: of the candidate's last entry.
         pre_vote: the candidate only asks whether it would receive the vote.
-        leadership_transfer: the leader itself told the candidate to campaign.
+        leadership_transfer: the leader itself asked the candidate to campaign.
     """
 
     term: int
--- a/dockthread/raft/runner.py
+++ b/dockthread/raft/runner.py
@@ -39,7 +39,7 @@
 
 
 class StateMachine(Protocol):
-    """What the log is for: it applies commands, and is told of the member's state."""
+    """What the log is for: it applies commands, and is notified of the member's state."""
 
     def apply(self, index: int, data: bytes) -> None:
         """Apply a committed command; each comes once in the life of a process, in order."""
