--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -45,10 +45,10 @@
 from dockthread.config.ini_reader import SectionKind, read_sections
 from dockthread.control_plane.resource_schemas import parse_route
 from dockthread.policy import Effect, Plan, PolicySettings, RequestClass
-from dockthread.routes.bounds import Facts
 from dockthread.routes.check import check
 from dockthread.routes.layers import Layers
 from dockthread.routes.options import RouteOptions
+from dockthread.routes.rules import RequestAttributes
 from dockthread.routes.table import Table
 
 STATUS = "class = seat-status\nattempts = 3\nbackoff = 20ms\n"
@@ -121,7 +121,10 @@
             begun = time.perf_counter()
             table.replace(made, 0.0)
             built = time.perf_counter() - begun
-            facts = [Facts(0, n % 3, False, 7_000_000 + n, 1_000_000, False) for n in range(1000)]
+            facts = [
+                RequestAttributes(0, n % 3, False, 7_000_000 + n, 1_000_000, False)
+                for n in range(1000)
+            ]
             for one in facts:
                 table.find(one)
             begun = time.process_time()
@@ -251,7 +254,7 @@
             text, "f", {"route": SectionKind(RouteOptions, named=True)}
         ).named_sections("route")
         parsed = time.perf_counter()
-        assert not check("f", found, SETTINGS, NAMES)
+        assert not check(found, SETTINGS, NAMES)
         proved = time.perf_counter()
         table = Table(NAMES, 0, 1)
         table.replace(found, 0.0)
@@ -264,7 +267,7 @@
         for name, route in found.items():
             layers.put(name, route, 0.0)
         for units in range(64):  # lists of combinations that a site has met
-            layers.table.find(Facts(0, 0, False, 1, units, False))
+            layers.table.find(RequestAttributes(0, 0, False, 1, units, False))
         for kind, body in (
             ("by firm", {"firm": "186a0", "attempts": 3}),
             ("broad", {"class": "seat-status", "plan": "klein"}),
@@ -278,9 +281,9 @@
                 )
                 times.append((time.perf_counter() - begun) * 1e3)
                 assert not refused or kind == "broad", refused
-                layers.table.find(Facts(0, 0, False, 1, 1, False))
+                layers.table.find(RequestAttributes(0, 0, False, 1, 1, False))
             print(f"{count:>5} routes, one {kind}: read, proved and put, ms: median {statistics.median(times):.3f}, "
-                  f"most {max(times):.3f}{'; refused: ' + refused if refused else ''}")  # fmt: skip
+                  f"most {max(times):.3f}{f'; refused: {refused}' if refused else ''}")  # fmt: skip
 
 
 async def _load(ingress: Daemon, seconds: float) -> Result:
--- a/dockthread/cli/files.py
+++ b/dockthread/cli/files.py
@@ -50,10 +50,10 @@
     click.echo(f"{file}: good")
     if explain and told is not None and names is not None:
         from dockthread.routes.explain import explain as explained
-        from dockthread.routes.explain import facts_of
+        from dockthread.routes.explain import parse_request
 
         for line in explained(
-            found.named_sections("route"), told, names, facts_of(explain, told, names)
+            found.named_sections("route"), told, names, parse_request(explain, told, names)
         ):
             click.echo(line)
 
--- a/dockthread/control_plane/ingress.py
+++ b/dockthread/control_plane/ingress.py
@@ -153,7 +153,9 @@
         if resource.body is None:
             self._layers.remove(resource.name, now)
             return ""
-        return self._layers.put(resource.name, parse_route(resource.name, resource.body), now)
+        route = parse_route(resource.name, resource.body)
+        refusal = self._layers.put(resource.name, route, now)
+        return str(refusal) if refusal is not None else ""
 
     def _apply_address(self, resource: Resource) -> str:
         if resource.body is None:
--- a/dockthread/routes/bounds.py
+++ b/dockthread/routes/bounds.py
@@ -1,335 +1,253 @@
-"""What a route allows one request: given to the module with it, asked by it, and never wider than
-the rules.
+"""The bounds of one request: implements the policy engine's `Route` protocol.
 
-Theory of operation. The module decides; before it tries again, copies or lets in, it asks the
-bounds, which can only say no, or later. A request keeps the bounds with which it came until its
-final answer. When the table changes meanwhile (`Table.replace`), the next question finds that out:
-the request is matched anew, and of both routes the stricter holds from then on. So nothing has to
-walk over the requests in flight, and no reload can widen what one of them may do.
+The engine decides. Before it retries, hedges or admits a request it asks the request's bounds,
+which can only say no, or later. A request keeps the bounds with which it arrived until its final
+answer. Where the table has changed since (`Table.replace`), the next question finds that out: the
+request is matched again, and from then on the stricter of both routes applies. So a reload does not
+walk over the requests in flight, and cannot widen what one of them may do.
 
-Times are in seconds, as the module's.
+Times are in seconds, as the engine's.
 """
 
 from __future__ import annotations
 
-import random
-from dataclasses import dataclass
-from typing import NamedTuple, Protocol
-
-from ddsketch import LogCollapsingLowestDenseDDSketch
+from typing import Protocol
 
 from dockthread.policy import Endpoint, Outcome
-from dockthread.routes.budget import Budget
-from dockthread.routes.limit import Limit, Queue
-
-WORDS = {
-    "error": Outcome.ERROR,
-    "reset": Outcome.RESET,
-    "timeout": Outcome.TIMEOUT,
-    "turned-away": Outcome.AT_CAPACITY,
-    "unreachable": Outcome.UNREACHABLE,
-}
-BACKOFF_MAX = 1.0  # s
-RELEARN = 2000  # answers after which the older half of what the percentile rests on is let go
-ENOUGH = 50  # answers before a percentile says anything
-UNSENT = Outcome.NOT_SENT  # never left: trying again costs nobody anything
-
-
-@dataclass(frozen=True, slots=True)
-class Rules:
-    """The figures of one route, effective for all requests that take it. Shapes: seconds, parts,
-    numbers.
-    """
-
-    name: str
-    timeout: float = 0.0  # 0: none
-    attempt_timeout: float = 0.0
-    attempts: int = 0  # 0: as the settings say
-    retry_on: frozenset[Outcome] | None = None  # None: all that the class allows
-    backoff: float = 0.0
-    backoff_max: float = BACKOFF_MAX
-    copies: bool | None = None  # None: as the settings say
-    copy_fixed: float = 0.0
-    copy_percentile: float = 0.0
-    copy_share: float = 1.0
-    queue_wait: float = 0.0
-    zones: frozenset[int] = frozenset()
-    kinds: frozenset[int] = frozenset()
-
-
-class Spent:
-    """What a route's requests share, kept by the route's name over reloads."""
+from dockthread.routes.rules import RequestAttributes, Rules, stricter
+from dockthread.routes.usage import RouteUsage
 
-    __slots__ = (
-        "_seen", "_times", "attempts", "budget", "copies", "copies_won", "copy_budget", "limit", "open", "queue",
-        "queue_wait", "queued", "refused_budget", "refused_limit", "requests", "rng",
-    )  # fmt: skip
+MAX_BACKOFF_DOUBLINGS = 30  # beyond it any wait is over every maximum
 
-    def __init__(
-        self, budget: Budget | None, limit: Limit, queue: int, now: float, rng: random.Random
-    ) -> None:
-        self.budget, self.limit, self.queue, self.rng = budget, limit, Queue(queue), rng
-        self.copy_budget = Budget(1.0, 0.0, now)
-        self.open = self.requests = self.attempts = self.copies = self.copies_won = 0
-        self.queued = self.refused_limit = self.refused_budget = 0
-        self.queue_wait = 0.0  # s, added up
-        # The present one and the one before it; made with the first answer, as most of many routes
-        # rest.
-        self._times: list[LogCollapsingLowestDenseDDSketch] = []
-        self._seen = 0
-
-    @staticmethod
-    def _sketch() -> LogCollapsingLowestDenseDDSketch:
-        return LogCollapsingLowestDenseDDSketch(0.02, 256)
-
-    def took(self, seconds: float) -> None:
-        if not self._times:
-            self._times = [self._sketch(), self._sketch()]
-        self._times[0].add(seconds)
-        self._seen += 1
-        if self._seen % RELEARN == 0:
-            self._times = [self._sketch(), self._times[0]]
-
-    def percentile(self, part: float) -> float | None:
-        if self._seen < ENOUGH:
-            return None
-        # Early in a period the one before it knows more.
-        known = self._times[0] if self._times[0].count >= ENOUGH else self._times[1]
-        value = known.get_quantile_value(part)
-        return float(value) if value is not None else None
 
+class RuleSource(Protocol):
+    """What bounds ask of the table that they came from.
 
-class Rulebook(Protocol):
-    """What bounds ask of the table that they came from. `generation` grows with each change of it;
-    `dropped`: limits that no route has any more and that may still be held.
+    Attributes:
+        generation: A number that grows with each change of the table.
     """
 
     generation: int
 
     @property
-    def dropped(self) -> object: ...
-    def rules_for(self, facts: Facts) -> Rules: ...
-    def forget_idle(self) -> None: ...
+    def dropped(self) -> object:
+        """Routes that are gone and may still have open requests; true where there are any."""
+        ...
+
+    def rules_for(self, request: RequestAttributes) -> Rules:
+        """Return the rules that such a request would get now."""
+        ...
+
+    def forget_idle(self) -> None:
+        """Drop the state of the routes that are gone and have no open request."""
+        ...
 
 
 class Bounds:
-    """One request's, from its arrival to its final answer."""
+    """The bounds of one request, from its arrival to its final answer.
+
+    It has a method for each question of the `Route` protocol, hence more than twenty.
+    """
 
     __slots__ = (
-        "_copied",
-        "_entered",
-        "_facts",
         "_generation",
+        "_hedge_numbers",
+        "_is_inside",
+        "_queued_at",
+        "_request",
         "_rules",
-        "_since",
-        "_spent",
         "_table",
+        "_usage",
     )
 
-    def __init__(self, table: Rulebook, facts: Facts, rules: Rules, spent: Spent) -> None:
-        self._table, self._facts, self._rules, self._spent = table, facts, rules, spent
+    def __init__(
+        self, table: RuleSource, request: RequestAttributes, rules: Rules, usage: RouteUsage
+    ) -> None:
+        self._table = table
+        self._request = request
+        self._rules = rules
+        self._usage = usage
         self._generation = table.generation
-        self._entered = False
-        self._since = 0.0
-        self._copied: tuple[int, ...] = ()  # attempts that were copies
-        spent.open += 1
-        spent.requests += 1
+        self._is_inside = False
+        self._queued_at = 0.0
+        self._hedge_numbers: tuple[int, ...] = ()
+        usage.open += 1
+        usage.requests += 1
 
     @property
     def name(self) -> str:
+        """The name of the route."""
         return self._rules.name
 
     @property
     def rules(self) -> Rules:
-        """As they hold now: the stricter of the route with which it came and the present one."""
+        """The stricter of the rules at the request's arrival and those since."""
         if self._generation != self._table.generation:
             self._generation = self._table.generation
-            self._rules = stricter(self._rules, self._table.rules_for(self._facts))
+            self._rules = stricter(self._rules, self._table.rules_for(self._request))
         return self._rules
 
     @property
     def timeout(self) -> float:
-        """In milliseconds, for the ingress."""
+        """The time (ms) for the request, as the ingress counts it; 0 sets no bound."""
         return self._rules.timeout * 1000.0
 
-    # What the module asks
-
     @property
     def attempt_timeout(self) -> float:
+        """The time (s) that one attempt may take; 0 sets no bound."""
         return self.rules.attempt_timeout
 
     @property
     def restricts_backends(self) -> bool:
+        """Whether the request may go to some backends only."""
         return bool(self._rules.zones or self._rules.kinds)
 
-    def allows(self, entry: Endpoint) -> bool:
+    def allows(self, endpoint: Endpoint) -> bool:
+        """Return whether the request may go to this backend."""
         rules = self._rules
-        return (not rules.zones or entry.zone in rules.zones) and (
-            not rules.kinds or entry.kind in rules.kinds
+        return (not rules.zones or endpoint.zone in rules.zones) and (
+            not rules.kinds or endpoint.kind in rules.kinds
         )
 
-    def enter(self, request: int, worth: float, now: float) -> tuple[bool, int | None]:
-        """Whether the request is inside the route's limit; if not, who is refused for it: itself,
-        another that waits, or nobody.
+    def enter(self, request: int, priority_weight: float, now: float) -> tuple[bool, int | None]:
+        """Let the request inside the concurrency limit, or queue it.
+
+        Returns:
+            Whether it is inside; and, if not, the request to reject for it: itself, another one
+            that waits, or None.
         """
-        spent = self._spent
-        if spent.limit.room:
-            spent.limit.inside += 1
-            self._entered = True
+        usage = self._usage
+        if usage.limit.has_capacity:
+            usage.limit.inside += 1
+            self._is_inside = True
             return True, None
-        self._since = now
-        loser = spent.queue.put(request, worth)
-        if loser is not None:
-            spent.refused_limit += 1
-        if loser != request:
-            spent.queued += 1
-        return False, loser
+        self._queued_at = now
+        rejected = usage.queue.put(request, priority_weight)
+        if rejected is not None:
+            usage.refused_limit += 1
+        if rejected != request:
+            usage.queued += 1
+        return False, rejected
 
     @property
     def max_queue_wait(self) -> float:
+        """The time (s) for which the request may wait for the concurrency limit."""
         return self._rules.queue_wait
 
     def on_dequeued(self, now: float) -> None:
-        """Taken from the queue."""
-        self._entered = True
-        self._spent.queue_wait += now - self._since
+        """Note that the request was taken from the queue and is inside the limit."""
+        self._is_inside = True
+        self._usage.queue_wait += now - self._queued_at
 
     def on_queue_timeout(self, request: int) -> None:
-        self._spent.queue.leave(request)
-        self._spent.refused_limit += 1
+        """Take the request out of the queue, as it has waited for `max_queue_wait`."""
+        self._usage.queue.remove(request)
+        self._usage.refused_limit += 1
 
     @property
     def is_queued(self) -> bool:
-        return not self._entered
+        """Whether the request is not yet inside the concurrency limit."""
+        return not self._is_inside
 
     def release(self, request: int) -> list[int]:
-        """The request is finished; who goes inside in its place."""
-        spent = self._spent
-        spent.open -= 1
+        """Finish the request and return the queued requests that are inside in its place."""
+        usage = self._usage
+        usage.open -= 1
         if self._table.dropped:
             self._table.forget_idle()
-        if not self._entered:
-            spent.queue.leave(request)
+        if not self._is_inside:
+            usage.queue.remove(request)
             return []
-        spent.limit.inside -= 1
-        found: list[int] = []
-        while spent.queue and spent.limit.room and (following := spent.queue.take()) is not None:
-            spent.limit.inside += 1
-            found.append(following)
-        return found
+        usage.limit.inside -= 1
+        admitted: list[int] = []
+        while usage.queue and usage.limit.has_capacity:
+            following = usage.queue.pop()
+            if following is None:
+                break
+            usage.limit.inside += 1
+            admitted.append(following)
+        return admitted
 
     def on_attempt_sent(self, number: int, now: float) -> None:
-        """An attempt was sent."""
-        self._spent.attempts += 1
-        if number == 0:
-            if self._rules.copy_share < 1.0:
-                self._spent.copy_budget.first(now)
-            if self._spent.budget is not None:
-                self._spent.budget.first(now)
+        """Note that an attempt was sent; the first one fills the budgets."""
+        usage = self._usage
+        usage.attempts += 1
+        if number > 0:
+            return
+        if self._rules.hedge_share < 1.0:
+            usage.copy_budget.on_first_attempt(now)
+        if usage.budget is not None:
+            usage.budget.on_first_attempt(now)
 
     def hedge_delay(self) -> float | None:
-        """When an attempt may get a second copy, where this route says so itself."""
+        """Return the time (s) after which to hedge an attempt; None to leave it to the engine."""
         rules = self.rules
-        if not rules.copies:
+        if not rules.hedging:
             return None
-        if rules.copy_percentile:
-            return self._spent.percentile(rules.copy_percentile)
-        return rules.copy_fixed or None
+        if rules.hedge_percentile:
+            return self._usage.percentile(rules.hedge_percentile)
+        return rules.fixed_hedge_delay or None
 
     def try_hedge(self, sent: int, now: float) -> bool:
-        """Whether a second copy may go now. Draws on the budget where it may."""
+        """Return whether a hedged attempt may go now, after `sent` attempts; draw on the budget."""
         rules = self.rules
-        if rules.copies is False or (rules.attempts and sent >= rules.attempts):
+        usage = self._usage
+        if rules.hedging is False or (rules.attempts and sent >= rules.attempts):
             return False
-        if rules.copies and rules.copy_share < 1.0 and not self._spent.copy_budget.draw(now):
-            self._spent.refused_budget += 1
+        is_share_bounded = rules.hedging and rules.hedge_share < 1.0
+        if is_share_bounded and not usage.copy_budget.try_draw(now):
+            usage.refused_budget += 1
             return False
-        if not self._draw(now):
+        if not self._try_draw(now):
             return False
-        self._copied = (*self._copied, sent)
-        self._spent.copies += 1
+        self._hedge_numbers = (*self._hedge_numbers, sent)
+        usage.copies += 1
         return True
 
     def retry_delay(self, sent: int, outcome: Outcome, now: float) -> float | None:
-        """The wait before the next attempt, or None where there is to be none. Draws on the
-        budget.
+        """Return the time (s) to wait before the next attempt and draw on the retry budget.
+
+        The wait is drawn from a span that doubles with each attempt (full jitter). An attempt that
+        was never sent costs no budget, as no backend saw it.
+
+        Returns:
+            None where there is to be no further attempt.
         """
         rules = self.rules
         if rules.attempts and sent >= rules.attempts:
             return None
-        if outcome is not UNSENT:
+        if outcome is not Outcome.NOT_SENT:
             if rules.retry_on is not None and outcome not in rules.retry_on:
                 return None
-            if not self._draw(now):
+            if not self._try_draw(now):
                 return None
         if not rules.backoff:
             return 0.0
-        span = min(rules.backoff_max, rules.backoff * 2.0 ** min(sent - 1, 30))
-        return self._spent.rng.uniform(0.0, span)
+        doublings = min(sent - 1, MAX_BACKOFF_DOUBLINGS)
+        span = min(rules.max_backoff, rules.backoff * 2.0**doublings)
+        return self._usage.rng.uniform(0.0, span)
 
     def may_still_retry(self, sent: int, outcome: Outcome) -> bool:
-        """After a wait: whether what was allowed before it still is."""
+        """Return whether the retry that `retry_delay` allowed is still allowed after the wait."""
         rules = self.rules
         if rules.attempts and sent >= rules.attempts:
             return False
-        return rules.retry_on is None or outcome in rules.retry_on or outcome is UNSENT
+        return rules.retry_on is None or outcome in rules.retry_on or outcome is Outcome.NOT_SENT
 
-    def on_attempt_ended(self, number: int, outcome: Outcome, took: float, now: float) -> None:
-        spent = self._spent
+    def on_attempt_ended(self, number: int, outcome: Outcome, duration: float, now: float) -> None:
+        """Note how an attempt ended and its duration (s)."""
+        usage = self._usage
         if outcome is Outcome.OK:
-            if self._rules.copy_percentile:
-                spent.took(took)
-            spent.limit.answered(took, now)
-            spent.copies_won += number in self._copied
+            if self._rules.hedge_percentile:
+                usage.note_answer_time(duration)
+            usage.limit.on_answer(duration, now)
+            usage.copies_won += number in self._hedge_numbers
         elif outcome in (Outcome.AT_CAPACITY, Outcome.TIMEOUT):
-            spent.limit.pushed_back(now)
+            usage.limit.on_overload(now)
 
-    def _draw(self, now: float) -> bool:
-        budget = self._spent.budget
-        if budget is None or budget.draw(now):
+    def _try_draw(self, now: float) -> bool:
+        budget = self._usage.budget
+        if budget is None or budget.try_draw(now):
             return True
-        self._spent.refused_budget += 1
+        self._usage.refused_budget += 1
         return False
-
-
-class Facts(NamedTuple):
-    """What of a request routes can match."""
-
-    request_class: int
-    plan: int
-    write: bool
-    firm: int
-    units: int
-    retry: bool
-
-
-def stricter(one: Rules, other: Rules) -> Rules:
-    """Rules that allow what both allow, under the first one's name. The whole time stays: its
-    client counts on it.
-    """
-    if one == other:
-        return one
-
-    def least(a: float, b: float) -> float:
-        return min(a, b) if a and b else a or b
-
-    both = one.retry_on if other.retry_on is None else other.retry_on
-    if one.retry_on is not None and other.retry_on is not None:
-        both = one.retry_on & other.retry_on
-    copies = False if False in (one.copies, other.copies) else one.copies and other.copies
-    return Rules(
-        name=one.name,
-        timeout=one.timeout,
-        attempt_timeout=least(one.attempt_timeout, other.attempt_timeout),
-        attempts=int(least(one.attempts, other.attempts)),
-        retry_on=both,
-        backoff=max(one.backoff, other.backoff),
-        backoff_max=max(one.backoff_max, other.backoff_max),
-        copies=copies,
-        copy_fixed=max(one.copy_fixed, other.copy_fixed),
-        copy_percentile=max(one.copy_percentile, other.copy_percentile),
-        copy_share=min(one.copy_share, other.copy_share),
-        queue_wait=one.queue_wait,
-        zones=one.zones,
-        kinds=one.kinds,
-    )
--- /dev/null
+++ b/dockthread/routes/class_proof.py
@@ -0,0 +1,260 @@
+"""Proves one route against the settings, for each request class whose requests it can take."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from dockthread.config.ingress_config import Names
+from dockthread.config.quantities import Duration
+from dockthread.policy import DeduplicationScope, Effect, Outcome, PolicySettings, RequestClass
+from dockthread.routes.findings import Finding, ProofRule
+from dockthread.routes.matcher import NameNumbers, rules_from_options
+from dockthread.routes.options import MIN_TIMEOUT, RouteOptions
+from dockthread.routes.retry_budget import DEFAULT_RATIO
+from dockthread.routes.rules import OUTCOMES_BY_NAME
+from dockthread.routes.worst_case import TIME_TOLERANCE, WorstCase, amplification, worst_case
+
+NEVER_RAN = frozenset((Outcome.AT_CAPACITY, Outcome.UNREACHABLE))  # after these nothing has run
+# A limit below this part of what one customer may need is an error; above it, only a warning.
+ERROR_PART = 0.5
+# Of a class's latency objective: an answer's usual time, as the policy engine assumes before it has
+# seen any.
+USUAL_LATENCY_PART = 0.2
+MAX_AMPLIFICATION = 1.5  # attempts for each first attempt; more is worth a warning
+
+
+class ClassProof:
+    """The proof of one route whose names are all known to the settings."""
+
+    def __init__(
+        self, name: str, route: RouteOptions, settings: PolicySettings, names: Names
+    ) -> None:
+        numbers = NameNumbers(names)
+        self._name = name
+        self._route = route
+        self._settings = settings
+        self._names = names
+        self._rules = rules_from_options(name, route, numbers.zones, numbers.kinds)
+
+    def findings(self) -> Iterator[Finding]:
+        """Yield all that is wrong with the route."""
+        route = self._route
+        matched = list(self._matched_classes())
+        if not matched:
+            yield self._finding(
+                "verb",
+                ProofRule.MATCHES_A_CLASS,
+                f"{', '.join(route.verb)} goes with none of {', '.join(route.classes)}",
+                "leave verb out",
+            )
+            return
+        yield from self._against_site()
+        for class_name, request_class in matched:
+            yield from self._effect_findings(class_name, request_class)
+            case = worst_case(self._rules, request_class, self._settings)
+            yield from self._time_findings(class_name, request_class, case)
+            yield from self._limit_findings(class_name, request_class)
+        yield from self._amplification_findings()
+
+    def _finding(
+        self, key: str, rule: ProofRule, counterexample: str, remedy: str, is_warning: bool = False
+    ) -> Finding:
+        return Finding(self._name, key, rule, counterexample, remedy, is_warning)
+
+    def _matched_classes(self) -> Iterator[tuple[str, RequestClass]]:
+        """Yield the classes whose requests the route can take, by class and by verb."""
+        route = self._route
+        for name, request_class in zip(self._names.classes, self._settings.classes, strict=True):
+            verb = "read" if request_class.effect is Effect.SAFE else "write"
+            has_class = not route.classes or name in route.classes
+            if has_class and (not route.verb or verb in route.verb):
+                yield name, request_class
+
+    def _against_site(self) -> Iterator[Finding]:
+        route = self._route
+        max_attempts = self._settings.max_attempts
+        if (route.attempts or 0) > max_attempts:
+            yield self._finding(
+                "attempts",
+                ProofRule.ATTEMPT_LIMIT,
+                f"{route.attempts} is more than the settings allow",
+                f"{max_attempts} at most",
+            )
+        if route.copies and not self._settings.may_hedge:
+            yield self._finding(
+                "copies",
+                ProofRule.HEDGING_ALLOWED,
+                "yes, but the site allows no second copies",
+                "no",
+            )
+
+    def _effect_findings(self, class_name: str, request_class: RequestClass) -> Iterator[Finding]:
+        if request_class.effect is Effect.UNSAFE:
+            yield from self._unsafe_findings(class_name)
+        elif request_class.effect is not Effect.SAFE:
+            yield from self._keyed_findings(class_name, request_class)
+
+    def _unsafe_findings(self, class_name: str) -> Iterator[Finding]:
+        route = self._route
+        reason = f"{class_name} must never run twice"
+        may_have_run = [
+            word for word in route.retry_on or () if OUTCOMES_BY_NAME[word] not in NEVER_RAN
+        ]
+        if may_have_run:
+            yield self._finding(
+                "retry_on",
+                ProofRule.NO_SECOND_EFFECT,
+                f"{', '.join(may_have_run)} would repeat a request that may have run: {reason}",
+                "turned-away, unreachable, or match safe classes only",
+            )
+        if route.copies:
+            yield self._finding(
+                "copies",
+                ProofRule.NO_SECOND_EFFECT,
+                f"yes would run a request twice: {reason}",
+                "no",
+            )
+
+    def _keyed_findings(self, class_name: str, request_class: RequestClass) -> Iterator[Finding]:
+        route = self._route
+        reason = f"{class_name} is safe to repeat only by its key"
+        window = request_class.deduplication_window
+        attempts = route.attempts or 1
+        span = attempts * (route.attempt_timeout or 0.0) / 1000.0
+        if window and span > window:
+            repeats = f"{route.attempts} attempts of {route.attempt_timeout}"
+            yield self._finding(
+                "attempts",
+                ProofRule.DEDUPLICATION_WINDOW,
+                f"{repeats} pass the window of {Duration(window * 1000)}: {reason}",
+                f"attempt_timeout = {_whole_milliseconds(window / attempts)}",
+            )
+        scope = request_class.deduplication_scope
+        if scope is not DeduplicationScope.ALL and route.nodes:
+            yield self._finding(
+                "nodes",
+                ProofRule.DEDUPLICATION_SCOPE,
+                f"may leave the group ({scope.value}) in which repeats are dropped: {reason}",
+                "leave nodes out",
+            )
+
+    def _time_findings(
+        self, class_name: str, request_class: RequestClass, case: WorstCase
+    ) -> Iterator[Finding]:
+        """Yield what is wrong with the times; the sums only where each time is right by itself."""
+        route = self._route
+        beyond_deadline = self._beyond_deadline(class_name, request_class)
+        if beyond_deadline is not None:
+            yield beyond_deadline
+            return
+        if route.queue_wait is not None and route.queue_wait >= case.time_limit * 1000.0:
+            yield self._finding(
+                "queue_wait",
+                ProofRule.QUEUE_LEAVES_TIME,
+                f"{route.queue_wait} leaves {class_name} no time",
+                f"below {Duration(case.time_limit * 1000)}",
+            )
+            return
+        hedge_delay = route.fixed_copy
+        if hedge_delay is not None and hedge_delay >= case.attempt_timeout * 1000.0:
+            yield self._finding(
+                "copy_after",
+                ProofRule.HEDGE_BEFORE_TIMEOUT,
+                f"{hedge_delay} is later than {class_name} waits",
+                f"below {Duration(case.attempt_timeout * 1000)}",
+            )
+        if case.exceeds_time_limit:
+            yield self._worst_case_finding(class_name, request_class, case)
+
+    def _beyond_deadline(self, class_name: str, request_class: RequestClass) -> Finding | None:
+        deadline = Duration(request_class.deadline * 1000.0)
+        for key in ("timeout", "attempt_timeout"):
+            value = getattr(self._route, key)
+            if value is not None and value > deadline:
+                return self._finding(
+                    key,
+                    ProofRule.WITHIN_DEADLINE,
+                    f"{value} outlasts the client's deadline for {class_name}, {deadline}",
+                    f"{deadline} at most",
+                )
+        return None
+
+    def _worst_case_finding(
+        self, class_name: str, request_class: RequestClass, case: WorstCase
+    ) -> Finding:
+        """Return that the worst case is too long; a warning where only the route's time is over."""
+        route = self._route
+        is_beyond_deadline = case.total > request_class.deadline + TIME_TOLERANCE
+        bound = f"timeout = {route.timeout}"
+        if is_beyond_deadline:
+            deadline = Duration(request_class.deadline * 1000.0)
+            bound = f"the client's deadline for {class_name}, {deadline}"
+        total = Duration(round(case.total * 1000.0, 3))
+        return self._finding(
+            "attempts" if route.attempts else "attempt_timeout",
+            ProofRule.WORST_CASE_IN_TIME,
+            f"{_sum_of_times(case)} = {total} outlasts {bound}",
+            _shorter_attempts(case),
+            is_warning=not is_beyond_deadline,
+        )
+
+    def _limit_findings(self, class_name: str, request_class: RequestClass) -> Iterator[Finding]:
+        """Yield a limit under which one customer within its quota is not served (Little's law)."""
+        route = self._route
+        limit = route.limit_max if route.adaptive else route.fixed_limit
+        if limit is None:
+            return
+        settings = self._settings
+        latency = USUAL_LATENCY_PART * request_class.latency_objective
+        for name, plan in zip(self._names.plans, settings.plans, strict=True):
+            if route.plan and name not in route.plan:
+                continue
+            needed = plan.rate / settings.max_request_units * latency / settings.ingress_count
+            if plan.rate and limit < needed:
+                rate = f"{limit / latency:.3g} {class_name} a second"
+                yield self._finding(
+                    "limit_max" if route.adaptive else "limit",
+                    ProofRule.LIMIT_SERVES_QUOTA,
+                    f"{limit} at once serves {rate}; one firm of {name} alone may ask more",
+                    f"{int(needed) + 1} at least",
+                    is_warning=limit >= ERROR_PART * needed,
+                )
+                return
+
+    def _amplification_findings(self) -> Iterator[Finding]:
+        route = self._route
+        max_attempts = self._settings.max_attempts
+        attempts = min(route.attempts or max_attempts, max_attempts)
+        ratio = DEFAULT_RATIO if route.retry_budget is None else float(route.retry_budget)
+        factor = amplification(ratio, attempts)
+        if factor > MAX_AMPLIFICATION:
+            yield self._finding(
+                "retry_budget",
+                ProofRule.BOUNDED_AMPLIFICATION,
+                f"in the worst case nodes see {factor:.2f} times the first tries",
+                "0.2 is usual",
+                is_warning=True,
+            )
+
+
+def _sum_of_times(case: WorstCase) -> str:
+    terms = [f"{case.attempts} attempts of {Duration(case.attempt_timeout * 1000)}"]
+    if case.backoffs:
+        terms.append(f"{Duration(round(sum(case.backoffs) * 1000, 3))} of waits")
+    if case.queue_wait:
+        terms.append(f"{Duration(case.queue_wait * 1000)} in the queue")
+    return " + ".join(terms)
+
+
+def _shorter_attempts(case: WorstCase) -> str:
+    """Return a setting with which the worst case ends in time."""
+    time_left = case.time_limit - case.queue_wait - sum(case.backoffs)
+    attempt_timeout = time_left / case.attempts
+    if attempt_timeout > MIN_TIMEOUT / 1000.0:
+        return f"attempt_timeout = {_whole_milliseconds(attempt_timeout)}"
+    return f"attempts = {max(1, case.attempts - 1)}"
+
+
+def _whole_milliseconds(seconds: float) -> Duration:
+    """Return the time rounded down, so that what is proposed does."""
+    return Duration(float(int(seconds * 1000.0)))
--- a/dockthread/routes/explain.py
+++ b/dockthread/routes/explain.py
@@ -1,5 +1,6 @@
-"""Which route a request takes and why, its attempts over time, and its worst case: `check
---explain`.
+"""Explains the route of one request, for `check --explain`.
+
+It tells which route the request takes and why, its attempts over time, and its worst case.
 """
 
 from __future__ import annotations
@@ -10,26 +11,30 @@
 from dockthread.config.quantities import Duration
 from dockthread.errors import SettingsError
 from dockthread.policy import Effect, PolicySettings
-from dockthread.routes.bounds import Facts, Rules
-from dockthread.routes.budget import PART
+from dockthread.routes.matcher import Matcher
 from dockthread.routes.options import RouteOptions
-from dockthread.routes.table import Table
-from dockthread.routes.worst import amplification, worst
+from dockthread.routes.retry_budget import DEFAULT_RATIO
+from dockthread.routes.rules import RequestAttributes, Rules
+from dockthread.routes.table import DEFAULT, Table
+from dockthread.routes.worst_case import WorstCase, amplification, worst_case
+
 
+def parse_request(text: str, settings: PolicySettings, names: Names) -> RequestAttributes:
+    """Read a request from text such as `c=seat-status,t=gross,units=2,firm=b4d6,r=1`.
 
-def facts_of(text: str, settings: PolicySettings, names: Names) -> Facts:
-    """From `c=seat-status,t=gross,units=2,firm=b4d6,r=1`. Raises SettingsError."""
+    Raises:
+        SettingsError: The text is no request of a known class and plan.
+    """
     try:
         terms = dict(pair.split("=", 1) for pair in text.replace(" ", "").split(","))
-        number, plan = names.classes.index(terms["c"]), names.plans.index(terms["t"])
-        write = settings.classes[number].effect is not Effect.SAFE
-        return Facts(
-            number,
-            plan,
-            write,
-            int(terms.get("firm", "0"), 16),
-            int(terms.get("units", "1")),
-            terms.get("r") == "1",
+        request_class = names.classes.index(terms["c"])
+        return RequestAttributes(
+            request_class=request_class,
+            plan=names.plans.index(terms["t"]),
+            is_write=settings.classes[request_class].effect is not Effect.SAFE,
+            customer=int(terms.get("firm", "0"), 16),
+            units=int(terms.get("units", "1")),
+            is_retry=terms.get("r") == "1",
         )
     except (KeyError, ValueError) as error:
         known = f"classes: {', '.join(names.classes)}; plans: {', '.join(names.plans)}"
@@ -39,50 +44,82 @@
 
 
 def explain(
-    routes: Mapping[str, RouteOptions], settings: PolicySettings, names: Names, facts: Facts
+    routes: Mapping[str, RouteOptions],
+    settings: PolicySettings,
+    names: Names,
+    request: RequestAttributes,
 ) -> Iterator[str]:
+    """Yield the lines that explain the route of a request."""
     table = Table(names, settings.zone, 1)
     table.replace(routes, 0.0)
-    one = table.find(facts)
-    kind, of = names.classes[facts.request_class], settings.classes[facts.request_class]
-    if one is None:
+    matcher = table.find(request)
+    yield from _route_lines(table, matcher, request)
+    rules = Rules(DEFAULT) if matcher is None else matcher.rules
+    retry_budget = None if matcher is None else routes[rules.name].retry_budget
+    budget_ratio = DEFAULT_RATIO if retry_budget is None else float(retry_budget)
+    request_class = settings.classes[request.request_class]
+    case = worst_case(rules, request_class, settings)
+    time_limit = Duration(case.time_limit * 1000.0)
+    deadline = f"deadline for {names.classes[request.request_class]}"
+    yield (
+        f"whole time: {time_limit} "
+        f"(the client's {deadline} is {Duration(request_class.deadline * 1000)})"
+    )
+    yield from _timeline(case)
+    if rules.hedging:
+        yield f"copy: after {_hedge_delay(rules)}"
+    if request_class.effect is not Effect.SAFE:
+        effect = request_class.effect.value
+        yield f"effect: {effect}; only outcomes that prove it never ran are tried again"
+    factor = amplification(budget_ratio, case.attempts)
+    yield (
+        f"worst case: {_duration(case.total)} of {time_limit}, {case.attempts} attempts, "
+        f"{factor:.2f} times the load at length"
+    )
+
+
+def _route_lines(
+    table: Table, matcher: Matcher | None, request: RequestAttributes
+) -> Iterator[str]:
+    """Yield the route, and for each one before it why it does not match."""
+    if matcher is None:
         yield "route: none matches; what the class and the settings say holds"
-        rules, share = Rules("default"), None
-    else:
-        yield f"route: {one.rules.name}"
-        for earlier in table.before(one):
-            yield f"  not {earlier.rules.name}: {', '.join(earlier.misses(facts))}"
-        rules, share = one.rules, routes[one.rules.name].retry_budget
-    case = worst(rules, of, settings)
-    whole = Duration(case.whole * 1000.0)
-    yield f"whole time: {whole} (the client's deadline for {kind} is {Duration(of.deadline * 1000)})"
-    at = case.queue
-    if case.queue:
-        yield f"  0ms to {_ms(at)}: in the queue"
+        return
+    yield f"route: {matcher.rules.name}"
+    for earlier in table.before(matcher):
+        yield f"  not {earlier.rules.name}: {', '.join(earlier.mismatched_keys(request))}"
+
+
+def _timeline(case: WorstCase) -> Iterator[str]:
+    """Yield the wait in the queue, the attempts and the backoffs, each at its latest."""
+    start = case.queue_wait
+    if case.queue_wait:
+        yield f"  0ms to {_duration(start)}: in the queue"
+    if not case.is_bounded:
+        end = min(start + case.attempt_timeout, case.time_limit)
+        yield f"  {_duration(start)} to {_duration(end)}: attempt 1"
+        if case.attempts > 1:
+            more = f"{case.attempts - 1} more within the same time"
+            yield f"  up to {more}, each after the one before has ended"
+        return
     for number in range(case.attempts):
-        end = at + case.each
-        late = " at the latest" if case.bounded else ""
-        yield f"  {_ms(at)} to {_ms(min(end, case.whole))}: attempt {number + 1}{late}"
-        if not case.bounded:
-            if case.attempts > 1:
-                yield f"  up to {case.attempts - 1} more within the same time, each after the one before has ended"
-            break
-        at = end
-        if number < len(case.waits):
-            yield f"  {_ms(at)} to {_ms(at + case.waits[number])}: wait, drawn from 0 up to this"
-            at += case.waits[number]
-    if rules.copies:
-        when = (
-            f"p{rules.copy_percentile * 100:g} of this route's answer times"
-            if rules.copy_percentile
-            else ""
-        )
-        yield f"copy: after {when or (_ms(rules.copy_fixed) if rules.copy_fixed else 'the usual time')}"
-    if of.effect is not Effect.SAFE:
-        yield f"effect: {of.effect.value}; only outcomes that prove it never ran are tried again"
-    times = amplification(PART if share is None else float(share), case.attempts)
-    yield f"worst case: {_ms(case.total)} of {whole}, {case.attempts} attempts, {times:.2f} times the load at length"
+        end = start + case.attempt_timeout
+        shown_end = _duration(min(end, case.time_limit))
+        yield f"  {_duration(start)} to {shown_end}: attempt {number + 1} at the latest"
+        start = end
+        if number < len(case.backoffs):
+            end = start + case.backoffs[number]
+            yield f"  {_duration(start)} to {_duration(end)}: wait, drawn from 0 up to this"
+            start = end
+
+
+def _hedge_delay(rules: Rules) -> str:
+    if rules.hedge_percentile:
+        return f"p{rules.hedge_percentile * 100:g} of this route's answer times"
+    if rules.fixed_hedge_delay:
+        return str(_duration(rules.fixed_hedge_delay))
+    return "the usual time"
 
 
-def _ms(seconds: float) -> Duration:
+def _duration(seconds: float) -> Duration:
     return Duration(round(seconds * 1000.0, 3))
--- /dev/null
+++ b/dockthread/routes/findings.py
@@ -0,0 +1,65 @@
+"""What the proof of the routes finds: which rule a route breaks, by what, and what would do."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+from dockthread.config.ini_reader import ConfigProblem
+
+
+class ProofRule(Enum):
+    """The rules that the proof holds routes to."""
+
+    KNOWN_NAMES = "each name is one of the settings"
+    MATCHES_A_CLASS = "some request class can take the route"
+    REACHABLE = "no earlier route takes all its requests"
+    LEAVES_REQUESTS = "it leaves requests to each later route"
+    ATTEMPT_LIMIT = "no more attempts than the settings allow"
+    HEDGING_ALLOWED = "no hedging where the settings forbid it"
+    NO_SECOND_EFFECT = "nothing repeats a request that may have run and must not run twice"
+    DEDUPLICATION_WINDOW = "all attempts end in the time in which repeats are dropped"
+    DEDUPLICATION_SCOPE = "all attempts stay where repeats are dropped"
+    WITHIN_DEADLINE = "no time is longer than the client's deadline"
+    QUEUE_LEAVES_TIME = "the wait in the queue leaves time for an attempt"
+    HEDGE_BEFORE_TIMEOUT = "a hedge goes before the attempt times out"
+    WORST_CASE_IN_TIME = "the worst case ends in time"
+    LIMIT_SERVES_QUOTA = "the limit serves a customer within its quota"
+    BOUNDED_AMPLIFICATION = "the worst case does not multiply the load"
+
+
+@dataclass(frozen=True, slots=True)
+class Finding:
+    """One rule that one route breaks; its text is one plain line.
+
+    Attributes:
+        route: The route's name.
+        key: The key of the route's section; empty where the route as a whole is wrong.
+        rule: The rule that is broken.
+        counterexample: The value and the case that break it.
+        remedy: The nearest value that would do.
+        is_warning: Whether the route can be used all the same.
+    """
+
+    route: str
+    key: str
+    rule: ProofRule
+    counterexample: str
+    remedy: str
+    is_warning: bool = False
+
+    def __str__(self) -> str:
+        return str(self.problem("")).removeprefix(": ")
+
+    def problem(self, file: str) -> ConfigProblem:
+        """Return the finding as a problem of the operator's file of that name."""
+        section = f"route {self.route}"
+        return ConfigProblem(
+            file, section, self.key, self.counterexample, self.remedy, self.is_warning
+        )
+
+
+def shadowed_finding(route: str, shadowed_by: str, remedy: str) -> Finding:
+    """Return the finding that a route can never match, as an earlier one takes all its requests."""
+    counterexample = f"can never match: [route {shadowed_by}] before it takes all its requests"
+    return Finding(route, "", ProofRule.REACHABLE, counterexample, remedy)
--- a/dockthread/routes/matcher.py
+++ b/dockthread/routes/matcher.py
@@ -1,152 +1,164 @@
-"""One route as matching sees it: which requests it takes, at which place among the others, and with
-which rules.
-"""
+"""One route compiled for matching: which requests it takes, its position, and its rules."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
-from typing import Any, Final
+from typing import Any
 
 from dockthread.config.ingress_config import Names
-from dockthread.routes.bounds import BACKOFF_MAX, WORDS, Facts, Rules
 from dockthread.routes.options import RouteOptions
-
-Place = tuple[int, int, str]
-"""Where a route stands among the others: its layer, its number there, its name."""
-
-PUBLISHED_LAYER: Final = 0  # routes that were published, by name
-FILE_LAYER: Final = 1  # those of the operator's file, and published ones of the same names
-
-
-def published_place(name: str) -> Place:
-    return PUBLISHED_LAYER, 0, name
-
-
-def file_places(names: Iterable[str]) -> dict[str, Place]:
-    """In the file's order."""
-    return {name: (FILE_LAYER, number, name) for number, name in enumerate(names)}
+from dockthread.routes.position import Position
+from dockthread.routes.rules import DEFAULT_MAX_BACKOFF, OUTCOMES_BY_NAME, RequestAttributes, Rules
 
 
 @dataclass(frozen=True, slots=True)
 class Matcher:
-    """One route as the index sees it. Empty sets match all."""
-
-    place: Place
+    """Which requests one route takes; an empty set or None matches all.
+
+    Attributes:
+        position: Where the route stands among the others.
+        rules: The limits that it sets for the requests that it takes.
+        classes: Numbers of the request classes.
+        plans: Numbers of the customers' plans.
+        writes: Whether the request is a write; both values may be in the set.
+        customers: Numbers of the customers.
+        units: How many units the request may cost.
+        retry: Whether the client marked the request as a retry.
+        zones: Names of the zones whose ingresses have the route.
+    """
+
+    position: Position
     rules: Rules
     classes: frozenset[int]
     plans: frozenset[int]
-    write: frozenset[bool]
-    firms: frozenset[int]
+    writes: frozenset[bool]
+    customers: frozenset[int]
     units: range | None
     retry: bool | None
-    halls: frozenset[str] = frozenset()  # at whose ingresses it holds; empty: everywhere
+    zones: frozenset[str] = frozenset()
 
-    def suits(self, facts: Facts) -> bool:
+    def matches_except_customer(self, request: RequestAttributes) -> bool:
+        """Return whether the request fits in all but the customer."""
         return (
-            (not self.classes or facts.request_class in self.classes)
-            and (not self.plans or facts.plan in self.plans)
-            and (not self.write or facts.write in self.write)
-            and (self.retry is None or facts.retry == self.retry)
-            and (self.units is None or facts.units in self.units)
+            (not self.classes or request.request_class in self.classes)
+            and (not self.plans or request.plan in self.plans)
+            and (not self.writes or request.is_write in self.writes)
+            and (self.retry is None or request.is_retry == self.retry)
+            and (self.units is None or request.units in self.units)
         )
 
-    def fits(self, facts: Facts) -> bool:
-        """Of one that suits: whether the firm is right too."""
-        return not self.firms or facts.firm in self.firms
-
-    def misses(self, facts: Facts) -> list[str]:
-        """Which of its keys the request does not fit."""
-        return [
-            key
-            for key, right in {
-                "class": not self.classes or facts.request_class in self.classes,
-                "plan": not self.plans or facts.plan in self.plans,
-                "verb": not self.write or facts.write in self.write,
-                "retry": self.retry is None or facts.retry == self.retry,
-                "firm": not self.firms or facts.firm in self.firms,
-                "units": self.units is None or facts.units in self.units,
-            }.items()
-            if not right
-        ]
+    def matches_customer(self, request: RequestAttributes) -> bool:
+        """Return whether the request's customer fits."""
+        return not self.customers or request.customer in self.customers
+
+    def mismatched_keys(self, request: RequestAttributes) -> list[str]:
+        """Return the keys of the route, as the operator's file has them, that do not fit."""
+        fits_by_key = {
+            "class": not self.classes or request.request_class in self.classes,
+            "plan": not self.plans or request.plan in self.plans,
+            "verb": not self.writes or request.is_write in self.writes,
+            "retry": self.retry is None or request.is_retry == self.retry,
+            "firm": self.matches_customer(request),
+            "units": self.units is None or request.units in self.units,
+        }
+        return [key for key, fits in fits_by_key.items() if not fits]
 
     def covers(self, other: Matcher) -> bool:
-        """Whether every request that the other matches is matched by this one."""
+        """Return whether this one matches every request that the other matches, zones apart."""
         return (
-            _within(self.classes, other.classes)
-            and _within(self.plans, other.plans)
-            and _within(self.write, other.write)
-            and _within(self.firms, other.firms)
+            _includes(self.classes, other.classes)
+            and _includes(self.plans, other.plans)
+            and _includes(self.writes, other.writes)
+            and _includes(self.customers, other.customers)
             and (self.retry is None or self.retry == other.retry)
-            and (
-                self.units is None
-                or (
-                    other.units is not None
-                    and other.units[0] in self.units
-                    and other.units[-1] in self.units
-                )
-            )
+            and self._covers_units(other)
         )
 
+    def _covers_units(self, other: Matcher) -> bool:
+        if self.units is None:
+            return True
+        if other.units is None:
+            return False
+        return other.units[0] in self.units and other.units[-1] in self.units
+
 
-def _within(wide: frozenset[int], narrow: frozenset[int]) -> bool:
+def _includes(wide: frozenset[int], narrow: frozenset[int]) -> bool:
     return not wide or (bool(narrow) and narrow <= wide)
 
 
-class Numbers:
-    """The numbers by which the module counts the settings' names."""
+class NameNumbers:
+    """The numbers by which the policy engine knows the names of the settings."""
 
     def __init__(self, names: Names) -> None:
-        def numbered(known: Iterable[str]) -> dict[str, int]:
-            return {name: number for number, name in enumerate(known)}
-
-        self.classes, self.plans = numbered(names.classes), numbered(names.plans)
-        self.zones, self.kinds = numbered(names.zones), numbered(names.kinds)
-        # by key: one for all routes alike in it
-        self._sets: dict[tuple[str, frozenset[Any]], frozenset[Any]] = {}
-
-    def holds(self, o: RouteOptions, zone: int) -> bool:
-        """Whether a route holds at the ingresses of a hall."""
-        return not o.hall or zone in {self.zones[hall] for hall in o.hall}
-
-    def matcher(self, name: str, o: RouteOptions, place: Place) -> Matcher:
-        """Raises KeyError for a name that the settings do not know (`check` says so first)."""
+        self.classes = _numbered(names.classes)
+        self.plans = _numbered(names.plans)
+        self.zones = _numbered(names.zones)
+        self.kinds = _numbered(names.kinds)
+        # Equal sets of the same key are one object, as thousands of routes may be alike in it.
+        self._shared_sets: dict[tuple[str, frozenset[Any]], frozenset[Any]] = {}
+
+    def is_in_zone(self, options: RouteOptions, zone: int) -> bool:
+        """Return whether the ingresses of a zone have the route."""
+        return not options.hall or zone in {self.zones[name] for name in options.hall}
+
+    def matcher(self, name: str, options: RouteOptions, position: Position) -> Matcher:
+        """Compile a route.
+
+        Raises:
+            KeyError: The settings do not know a name. `check` finds this before.
+        """
         return Matcher(
-            place=place,
-            rules=rules_of(name, o, self.zones, self.kinds),
-            classes=self._shared("class", (self.classes[c] for c in o.classes)),
-            plans=self._shared("plan", (self.plans[p] for p in o.plan)),
-            write=self._shared("verb", (v == "write" for v in o.verb)),
-            firms=o.firms,
-            units=o.unit_range,
-            retry=o.retry,
-            halls=self._shared("hall", o.hall),
+            position=position,
+            rules=rules_from_options(name, options, self.zones, self.kinds),
+            classes=self._shared("class", (self.classes[known] for known in options.classes)),
+            plans=self._shared("plan", (self.plans[known] for known in options.plan)),
+            writes=self._shared("verb", (verb == "write" for verb in options.verb)),
+            customers=options.firms,
+            units=options.unit_range,
+            retry=options.retry,
+            zones=self._shared("hall", options.hall),
         )
 
     def _shared(self, key: str, members: Iterable[Any]) -> frozenset[Any]:
         found = frozenset(members)
-        return self._sets.setdefault((key, found), found)
+        return self._shared_sets.setdefault((key, found), found)
+
 
+def _numbered(names: Iterable[str]) -> dict[str, int]:
+    return {name: number for number, name in enumerate(names)}
 
-def rules_of(
-    name: str, o: RouteOptions, zones: Mapping[str, int], kinds: Mapping[str, int]
+
+def rules_from_options(
+    name: str, options: RouteOptions, zones: Mapping[str, int], kinds: Mapping[str, int]
 ) -> Rules:
-    def seconds(value: float | None) -> float:
-        return (value or 0.0) / 1000.0
+    """Return the rules that the section of a route sets, with times in seconds.
 
+    A name in `nodes` that is both a zone and a kind of backend means the zone.
+    """
+    backoff = _seconds(options.backoff)
+    retry_on = options.retry_on
     return Rules(
         name=name,
-        timeout=seconds(o.timeout),
-        attempt_timeout=seconds(o.attempt_timeout),
-        attempts=o.attempts or 0,
-        retry_on=None if o.retry_on is None else frozenset(WORDS[w] for w in o.retry_on),
-        backoff=seconds(o.backoff),
-        backoff_max=seconds(o.backoff_max) or max(BACKOFF_MAX, seconds(o.backoff)),
-        copies=o.copies,
-        copy_fixed=seconds(o.fixed_copy),
-        copy_percentile=o.percentile or 0.0,
-        copy_share=1.0 if o.copy_share is None else float(o.copy_share),
-        queue_wait=seconds(o.queue_wait),
-        zones=frozenset(zones[n] for n in o.nodes if n in zones),
-        kinds=frozenset(kinds[n] for n in o.nodes if n in kinds and n not in zones),
+        timeout=_seconds(options.timeout),
+        attempt_timeout=_seconds(options.attempt_timeout),
+        attempts=options.attempts or 0,
+        retry_on=None
+        if retry_on is None
+        else frozenset(OUTCOMES_BY_NAME[word] for word in retry_on),
+        backoff=backoff,
+        max_backoff=_seconds(options.backoff_max) or max(DEFAULT_MAX_BACKOFF, backoff),
+        hedging=options.copies,
+        fixed_hedge_delay=_seconds(options.fixed_copy),
+        hedge_percentile=options.percentile or 0.0,
+        hedge_share=1.0 if options.copy_share is None else float(options.copy_share),
+        queue_wait=_seconds(options.queue_wait),
+        zones=frozenset(zones[node] for node in options.nodes if node in zones),
+        kinds=frozenset(
+            kinds[node] for node in options.nodes if node in kinds and node not in zones
+        ),
     )
+
+
+def _seconds(milliseconds: float | None) -> float:
+    return (milliseconds or 0.0) / 1000.0
--- a/dockthread/routes/options.py
+++ b/dockthread/routes/options.py
@@ -1,4 +1,4 @@
-"""The section `[route NAME]` of the operator's file. Order in the file is order of matching."""
+"""The section `[route NAME]` of the operator's file; routes are matched in the file's order."""
 
 from __future__ import annotations
 
@@ -11,16 +11,27 @@
 from dockthread.config.ini_reader import KeyProblem, Section
 from dockthread.config.quantities import Duration, Share
 
-FIRM = re.compile(r"[0-9a-fA-F]{1,16}")
-UNITS = re.compile(r"([0-9]{1,6})(?:\.\.([0-9]{1,6}))?")
-PERCENTILE = re.compile(r"p([1-9][0-9]?(?:\.[0-9])?)")
-LEAST_TIME = 5.0  # ms: the way to a node of the farthest hall and back, and its connection's
-LARGEST_FIRM = 1 << 33
-Word = Literal["error", "reset", "timeout", "turned-away", "unreachable"]
+CUSTOMER_PATTERN = re.compile(r"[0-9a-fA-F]{1,16}")
+UNITS_PATTERN = re.compile(r"([0-9]{1,6})(?:\.\.([0-9]{1,6}))?")
+PERCENTILE_PATTERN = re.compile(r"p([1-9][0-9]?(?:\.[0-9])?)")
+SHOWN_LENGTH = 40  # characters of a wrong value in a message
+MIN_TIMEOUT = 5.0  # ms: the round trip to a backend of the farthest zone, and its connection's
+CUSTOMERS_END = 1 << 33  # customer numbers are below this
+MAX_RETRY_FLOOR = 1000  # retries a second
+MAX_RETRY_BUDGET = 1  # retries for each first attempt: more would be most of the load
+MAX_HEDGE_SHARE = 0.5  # of the requests
+MAX_LIMIT = 100_000  # requests at once
+MAX_QUEUE = 10_000  # requests that wait
+ADAPTIVE = "adaptive"
+OutcomeName = Literal["error", "reset", "timeout", "turned-away", "unreachable"]
 
 
 class RouteOptions(Section, frozen=True, kw_only=True):
-    """What is left out matches all, and leaves what the class and the settings say."""
+    """The keys of a route: what it matches, and how it bounds what it matches.
+
+    A key of the first group that is left out matches all; one of the second group leaves what the
+    request's class and the settings say. `class` is the only key whose field has another name.
+    """
 
     classes: tuple[str, ...] = msgspec.field(default=(), name="class")
     plan: tuple[str, ...] = ()
@@ -33,7 +44,7 @@
     timeout: Duration | None = None
     attempt_timeout: Duration | None = None
     attempts: int | None = None
-    retry_on: tuple[Word, ...] | None = None
+    retry_on: tuple[OutcomeName, ...] | None = None
     backoff: Duration | None = None
     backoff_max: Duration | None = None
     copies: bool | None = None
@@ -50,171 +61,173 @@
 
     @property
     def unit_range(self) -> range | None:
-        found = UNITS.fullmatch(self.units) if self.units else None
-        return range(int(found[1]), int(found[2] or found[1]) + 1) if found else None
+        """The units that a request may cost; None where `units` is left out or malformed."""
+        found = UNITS_PATTERN.fullmatch(self.units) if self.units else None
+        if found is None:
+            return None
+        first = int(found[1])
+        last = int(found[2] or found[1])
+        return range(first, last + 1)
 
     @property
     def firms(self) -> frozenset[int]:
+        """The numbers of the customers that `firm` names."""
         return frozenset(int(firm, 16) for firm in self.firm)
 
     @property
     def fixed_copy(self) -> Duration | None:
-        """None where the copy waits for a percentile, or there is no wait."""
+        """The fixed time after which to hedge; None where it is a percentile or left out."""
         return Duration.parse(self.copy_after) if self.copy_after and not self.percentile else None
 
     @property
     def percentile(self) -> float | None:
-        found = PERCENTILE.fullmatch(self.copy_after or "")
+        """The quantile (0 to 1) of answer times after which to hedge; None where it is fixed."""
+        found = PERCENTILE_PATTERN.fullmatch(self.copy_after or "")
         return float(found[1]) / 100.0 if found else None
 
     @property
     def adaptive(self) -> bool:
-        return self.limit == "adaptive"
+        """Whether the concurrency limit adapts to the answer times."""
+        return self.limit == ADAPTIVE
 
     @property
     def fixed_limit(self) -> int | None:
+        """The concurrency limit; None where it is adaptive or left out."""
         return int(self.limit) if self.limit is not None and not self.adaptive else None
 
     def problems(self) -> Iterable[KeyProblem]:
+        """Yield what the section alone shows to be wrong."""
         yield from self._match_problems()
         yield from self._time_problems()
-        yield from self._retry_problems()
-        yield from self._copy_problems()
+        yield from self._attempt_problems()
+        yield from self._retry_budget_problems()
+        yield from self._hedge_problems()
         yield from self._limit_problems()
 
     def _match_problems(self) -> Iterable[KeyProblem]:
         for firm in self.firm:
-            if not FIRM.fullmatch(firm) or int(firm, 16) >= LARGEST_FIRM:
-                yield KeyProblem(
-                    "firm", f"{firm[:40]!r} is no firm", "hex digits of a number below 2^33"
-                )
+            if not CUSTOMER_PATTERN.fullmatch(firm) or int(firm, 16) >= CUSTOMERS_END:
+                reason = f"{firm[:SHOWN_LENGTH]!r} is no firm"
+                yield KeyProblem("firm", reason, "hex digits of a number below 2^33")
         if self.units is not None and not self.unit_range:
-            yield KeyProblem(
-                "units", f"{self.units[:40]!r} is no number of units", "write 2, or 1..3"
-            )
+            reason = f"{self.units[:SHOWN_LENGTH]!r} is no number of units"
+            yield KeyProblem("units", reason, "write 2, or 1..3")
 
     def _time_problems(self) -> Iterable[KeyProblem]:
         for key in ("timeout", "attempt_timeout"):
             value = getattr(self, key)
-            if value is not None and value < LEAST_TIME:
-                yield KeyProblem(
-                    key,
-                    f"{value} is under the network's round trip",
-                    f"{LEAST_TIME:g}ms is the least",
-                )
+            if value is not None and value < MIN_TIMEOUT:
+                yield _shorter_than_round_trip(key, value)
         if self.timeout and self.attempt_timeout and self.attempt_timeout > self.timeout:
-            yield KeyProblem(
-                "attempt_timeout",
-                f"{self.attempt_timeout} is longer than the whole timeout",
-                f"{self.timeout}",
-            )
+            reason = f"{self.attempt_timeout} is longer than the whole timeout"
+            yield KeyProblem("attempt_timeout", reason, f"{self.timeout}")
 
-    def _retry_problems(self) -> Iterable[KeyProblem]:
+    def _attempt_problems(self) -> Iterable[KeyProblem]:
         if self.attempts is not None and self.attempts < 1:
-            yield KeyProblem(
-                "attempts", f"{self.attempts} would never send a request on", "1 is the least"
-            )
+            reason = f"{self.attempts} would never send a request on"
+            yield KeyProblem("attempts", reason, "1 is the least")
         if self.backoff_max is not None and self.backoff is None:
-            yield KeyProblem(
-                "backoff_max", "bounds a wait that is not there", "set backoff, or leave it out"
-            )
+            reason = "bounds a wait that is not there"
+            yield KeyProblem("backoff_max", reason, "set backoff, or leave it out")
         if self.backoff and self.backoff_max is not None and self.backoff_max < self.backoff:
-            yield KeyProblem(
-                "backoff_max", f"{self.backoff_max} is under backoff", f"{self.backoff} at least"
-            )
+            reason = f"{self.backoff_max} is under backoff"
+            yield KeyProblem("backoff_max", reason, f"{self.backoff} at least")
         if self.attempts == 1 and self.retry_on:
-            yield KeyProblem(
-                "retry_on",
-                "names outcomes, but attempts = 1 never tries again",
-                "raise attempts, or leave it out",
-            )
-        if self.retry_floor is not None and not 0 <= self.retry_floor <= 1000:
-            yield KeyProblem(
-                "retry_floor", f"{self.retry_floor:g} is out of range", "0 to 1000 a second"
-            )
-        if self.retry_budget is not None and self.retry_budget > 1:
-            wrong = f"{self.retry_budget} lets retries alone exceed the fleet: {1 + self.retry_budget:g} times"
-            yield KeyProblem("retry_budget", wrong, "1 at most; 0.2 is usual")
-        starved = self.retry_budget is not None and not self.retry_budget and not self.retry_floor
-        if starved and (self.attempts or 0) > 1:
-            yield KeyProblem(
-                "retry_budget",
-                "0 with no retry_floor starves attempts above 1",
-                "0.2, or attempts = 1",
-            )
-
-    def _copy_problems(self) -> Iterable[KeyProblem]:
+            reason = "names outcomes, but attempts = 1 never tries again"
+            yield KeyProblem("retry_on", reason, "raise attempts, or leave it out")
+
+    def _retry_budget_problems(self) -> Iterable[KeyProblem]:
+        budget = self.retry_budget
+        floor = self.retry_floor
+        if floor is not None and not 0 <= floor <= MAX_RETRY_FLOOR:
+            yield KeyProblem("retry_floor", f"{floor:g} is out of range", "0 to 1000 a second")
+        if budget is not None and budget > MAX_RETRY_BUDGET:
+            reason = f"{budget} lets retries alone exceed the fleet: {1 + budget:g} times"
+            yield KeyProblem("retry_budget", reason, "1 at most; 0.2 is usual")
+        allows_no_retry = budget is not None and not budget and not floor
+        if allows_no_retry and (self.attempts or 0) > 1:
+            reason = "0 with no retry_floor starves attempts above 1"
+            yield KeyProblem("retry_budget", reason, "0.2, or attempts = 1")
+
+    def _hedge_problems(self) -> Iterable[KeyProblem]:
         if self.copy_after is not None and self.percentile is None:
-            try:
-                after = Duration.parse(self.copy_after)
-            except ValueError:
-                yield KeyProblem(
-                    "copy_after",
-                    f"{self.copy_after[:40]!r} is no wait",
-                    "a duration such as 300ms, or p95",
-                )
+            wrong_delay = self._hedge_delay_problem(self.copy_after)
+            if wrong_delay is not None:
+                yield wrong_delay
                 return
-            for key in ("attempt_timeout", "timeout"):
-                whole = getattr(self, key)
-                if whole is not None and after >= whole:
-                    yield KeyProblem(
-                        "copy_after", f"{after} is later than {key} = {whole}", f"below {whole}"
-                    )
-                    return
-            if after < LEAST_TIME:
-                yield KeyProblem(
-                    "copy_after",
-                    f"{after} is under the network's round trip",
-                    f"{LEAST_TIME:g}ms is the least",
-                )
+            hedge_delay = Duration.parse(self.copy_after)
+            if hedge_delay < MIN_TIMEOUT:
+                yield _shorter_than_round_trip("copy_after", hedge_delay)
         for key in ("copy_after", "copy_share"):
             if getattr(self, key) is not None and not self.copies:
                 yield KeyProblem(
                     key, "is set, but copies = no", "set copies = yes, or leave it out"
                 )
-        if self.copy_share is not None and not 0 < self.copy_share <= 0.5:
-            yield KeyProblem(
-                "copy_share",
-                f"{self.copy_share} is out of range",
-                "above 0, 0.5 at most; 0.05 is usual",
-            )
+        if self.copy_share is not None and not 0 < self.copy_share <= MAX_HEDGE_SHARE:
+            reason = f"{self.copy_share} is out of range"
+            yield KeyProblem("copy_share", reason, "above 0, 0.5 at most; 0.05 is usual")
         if self.copies and self.attempts == 1:
-            yield KeyProblem(
-                "copies", "yes needs a second attempt, but attempts = 1", "attempts = 2 at least"
-            )
+            reason = "yes needs a second attempt, but attempts = 1"
+            yield KeyProblem("copies", reason, "attempts = 2 at least")
+
+    def _hedge_delay_problem(self, text: str) -> KeyProblem | None:
+        """Return why the text is no delay before which an attempt still waits."""
+        try:
+            hedge_delay = Duration.parse(text)
+        except ValueError:
+            reason = f"{text[:SHOWN_LENGTH]!r} is no wait"
+            return KeyProblem("copy_after", reason, "a duration such as 300ms, or p95")
+        for key in ("attempt_timeout", "timeout"):
+            timeout = getattr(self, key)
+            if timeout is not None and hedge_delay >= timeout:
+                reason = f"{hedge_delay} is later than {key} = {timeout}"
+                return KeyProblem("copy_after", reason, f"below {timeout}")
+        return None
 
     def _limit_problems(self) -> Iterable[KeyProblem]:
         if self.limit is not None and not self.adaptive:
-            if not self.limit.isdecimal() or not 1 <= int(self.limit) <= 100_000:
-                yield KeyProblem(
-                    "limit", f"{self.limit[:40]!r} is no limit", "1 to 100000, or adaptive"
-                )
+            if not self.limit.isdecimal() or not 1 <= int(self.limit) <= MAX_LIMIT:
+                reason = f"{self.limit[:SHOWN_LENGTH]!r} is no limit"
+                yield KeyProblem("limit", reason, "1 to 100000, or adaptive")
                 return
-            for key in ("limit_min", "limit_max"):
-                if getattr(self, key) is not None:
-                    yield KeyProblem(
-                        key,
-                        "bounds an adaptive limit, and limit is fixed",
-                        "limit = adaptive, or leave it out",
-                    )
-        if self.limit is None:
-            for key in ("limit_min", "limit_max", "queue", "queue_wait"):
-                if getattr(self, key) is not None:
-                    yield KeyProblem(key, "needs a limit", "set limit")
-        least, most = self.limit_min, self.limit_max
-        if least is not None and least < 1:
-            yield KeyProblem("limit_min", f"{least} would shut the route", "1 is the least")
-        if least is not None and most is not None and least > most:
-            yield KeyProblem(
-                "limit_max", f"{most} is under limit_min = {least}", f"{least} at least"
+            yield from self._set_keys_problems(
+                ("limit_min", "limit_max"),
+                "bounds an adaptive limit, and limit is fixed",
+                "limit = adaptive, or leave it out",
             )
-        if self.queue is not None and not 0 <= self.queue <= 10_000:
+        if self.limit is None:
+            keys = ("limit_min", "limit_max", "queue", "queue_wait")
+            yield from self._set_keys_problems(keys, "needs a limit", "set limit")
+        yield from self._limit_range_problems()
+        yield from self._queue_problems()
+
+    def _set_keys_problems(
+        self, keys: Iterable[str], reason: str, remedy: str
+    ) -> Iterable[KeyProblem]:
+        """Yield the same problem for each of the keys that is set."""
+        for key in keys:
+            if getattr(self, key) is not None:
+                yield KeyProblem(key, reason, remedy)
+
+    def _limit_range_problems(self) -> Iterable[KeyProblem]:
+        minimum = self.limit_min
+        maximum = self.limit_max
+        if minimum is not None and minimum < 1:
+            yield KeyProblem("limit_min", f"{minimum} would shut the route", "1 is the least")
+        if minimum is not None and maximum is not None and minimum > maximum:
+            reason = f"{maximum} is under limit_min = {minimum}"
+            yield KeyProblem("limit_max", reason, f"{minimum} at least")
+
+    def _queue_problems(self) -> Iterable[KeyProblem]:
+        if self.queue is not None and not 0 <= self.queue <= MAX_QUEUE:
             yield KeyProblem("queue", f"{self.queue} is out of range", "0 to 10000")
         if self.queue_wait is not None and not self.queue:
-            yield KeyProblem(
-                "queue_wait",
-                "is the wait in a queue that is not there",
-                "set queue, or leave it out",
-            )
+            reason = "is the wait in a queue that is not there"
+            yield KeyProblem("queue_wait", reason, "set queue, or leave it out")
         if self.queue and self.queue_wait is None:
             yield KeyProblem("queue", "needs a stated wait", "set queue_wait")
+
+
+def _shorter_than_round_trip(key: str, value: Duration) -> KeyProblem:
+    reason = f"{value} is under the network's round trip"
+    return KeyProblem(key, reason, f"{MIN_TIMEOUT:g}ms is the least")
--- a/dockthread/routes/ordered.py
+++ b/dockthread/routes/ordered.py
@@ -1,85 +1,116 @@
-"""Routes in their order, found by name and by firm: what one route's proof and one route's change
-have to look at.
+"""The order of routes: keeps matchers sorted by position and indexed by name and by customer.
+
+No other module sorts routes. The proof of one route and the change of one route look only at the
+routes that may overlap it, which the index by customer gives.
 """
 
 from __future__ import annotations
 
-from bisect import insort
+from bisect import bisect_left, insort
 from collections.abc import Iterable
 from itertools import chain
 
-from dockthread.routes.matcher import Matcher, Place
-
+from dockthread.routes.matcher import Matcher
+from dockthread.routes.position import Position
 
-def _place(one: Matcher) -> Place:
-    return one.place
 
+class OrderedRoutes:
+    """Matchers in the order of their positions.
 
-class Ordered:
-    """Matchers by their place. Each list is in that order."""
+    Attributes:
+        matchers: All of them.
+        by_name: Each by its route's name.
+        by_customer: For each customer that a route names, the routes that name it.
+        for_any_customer: The routes that name no customer.
+    """
 
     def __init__(self) -> None:
+        self.matchers: list[Matcher] = []
         self.by_name: dict[str, Matcher] = {}
-        self.by_firm: dict[int, list[Matcher]] = {}
-        self.broad: list[Matcher] = []  # those that name no firm
-
-    def put(self, one: Matcher) -> None:
-        """In place of the one of its name, if there is one."""
-        self.remove(one.rules.name)
-        self.by_name[one.rules.name] = one
-        for firm in one.firms:
-            insort(self.by_firm.setdefault(firm, []), one, key=_place)
-        if not one.firms:
-            insort(self.broad, one, key=_place)
+        self.by_customer: dict[int, list[Matcher]] = {}
+        self.for_any_customer: list[Matcher] = []
+
+    def put(self, matcher: Matcher) -> None:
+        """Add a matcher in place of the one with the same name, if there is one."""
+        self.remove(matcher.rules.name)
+        self.by_name[matcher.rules.name] = matcher
+        insort(self.matchers, matcher, key=_position)
+        for customer in matcher.customers:
+            insort(self.by_customer.setdefault(customer, []), matcher, key=_position)
+        if not matcher.customers:
+            insort(self.for_any_customer, matcher, key=_position)
 
     def remove(self, name: str) -> Matcher | None:
-        """The one that was there."""
-        one = self.by_name.pop(name, None)
-        if one is None:
+        """Remove the matcher of that name and return it; None where there is none."""
+        matcher = self.by_name.pop(name, None)
+        if matcher is None:
             return None
-        for firm in one.firms:
-            named = self.by_firm[firm]
-            named.remove(one)
-            if not named:
-                del self.by_firm[firm]
-        if not one.firms:
-            self.broad.remove(one)
-        return one
-
-    def first_covering(self, one: Matcher) -> Matcher | None:
-        """The first before it that takes all its requests. Only one that names no firm, or the same
-        ones, can.
+        del self.matchers[self._index(matcher)]
+        for customer in matcher.customers:
+            naming = self.by_customer[customer]
+            naming.remove(matcher)
+            if not naming:
+                del self.by_customer[customer]
+        if not matcher.customers:
+            self.for_any_customer.remove(matcher)
+        return matcher
+
+    def before(self, matcher: Matcher) -> list[Matcher]:
+        """Return the matchers that stand before `matcher`."""
+        return self.matchers[: self._index(matcher)]
+
+    def first_covering(self, matcher: Matcher) -> Matcher | None:
+        """Return the first earlier matcher that takes all requests of `matcher`.
+
+        Only a matcher that names no customer, or names the same ones, can do so.
         """
-        named = self.by_firm.get(min(one.firms), []) if one.firms else []
-        earlier = (other for other in chain(self.broad, named) if other.place < one.place)
-        return min((other for other in earlier if covers(other, one)), key=_place, default=None)
-
-    def first_covered(self, one: Matcher) -> Matcher | None:
-        """The first behind it whose requests it takes all. One that names no firm is held against
-        all behind it.
+        naming: list[Matcher] = []
+        if matcher.customers:
+            naming = self.by_customer.get(min(matcher.customers), [])
+        others = chain(self.for_any_customer, naming)
+        earlier = (other for other in others if other.position < matcher.position)
+        covering = (other for other in earlier if _covers_everywhere(other, matcher))
+        return min(covering, key=_position, default=None)
+
+    def first_covered(self, matcher: Matcher) -> Matcher | None:
+        """Return the first later matcher whose requests `matcher` takes all.
+
+        A matcher that names no customer is compared with all later ones.
         """
         others: Iterable[Matcher] = self.by_name.values()
-        if one.firms:
-            others = chain.from_iterable(self.by_firm.get(firm, ()) for firm in one.firms)
-        later = (other for other in others if other.place > one.place)
-        return min((other for other in later if covers(one, other)), key=_place, default=None)
+        if matcher.customers:
+            others = chain.from_iterable(
+                self.by_customer.get(customer, ()) for customer in matcher.customers
+            )
+        later = (other for other in others if other.position > matcher.position)
+        covered = (other for other in later if _covers_everywhere(matcher, other))
+        return min(covered, key=_position, default=None)
 
+    def _index(self, matcher: Matcher) -> int:
+        return bisect_left(self.matchers, matcher.position, key=_position)
 
-def covers(earlier: Matcher, later: Matcher) -> bool:
-    """Whether all requests of the later are taken by the earlier, at every ingress at which the
-    later holds.
+
+def shadowed_routes(matchers: Iterable[Matcher]) -> Iterable[tuple[str, str]]:
+    """Yield the name of each route that can never match, with the name of the route that shadows it.
+
+    Args:
+        matchers: The matchers in their order.
     """
-    theirs, mine = earlier.halls, later.halls
-    return earlier.covers(later) and (not theirs or (bool(mine) and mine <= theirs))
+    before = OrderedRoutes()
+    for matcher in matchers:
+        if (earlier := before.first_covering(matcher)) is not None:
+            yield matcher.rules.name, earlier.rules.name
+        before.put(matcher)
 
 
-def shadows(found: Iterable[Matcher]) -> Iterable[tuple[str, str]]:
-    """Yield each route that can never match, with the route that shadows it.
+def _covers_everywhere(earlier: Matcher, later: Matcher) -> bool:
+    """Return whether `earlier` takes all requests of `later` at each ingress that has `later`."""
+    if not earlier.covers(later):
+        return False
+    if not earlier.zones:
+        return True
+    return bool(later.zones) and later.zones <= earlier.zones
 
-    `found` lists the matchers in their order.
-    """
-    before = Ordered()
-    for one in found:
-        if (earlier := before.first_covering(one)) is not None:
-            yield one.rules.name, earlier.rules.name
-        before.put(one)
+
+def _position(matcher: Matcher) -> Position:
+    return matcher.position
--- a/dockthread/section_registry.py
+++ b/dockthread/section_registry.py
@@ -59,7 +59,8 @@
     only against each other. `file` is the name that problems show.
     """
     config = read_sections(text, file, SECTION_KINDS)
-    config.problems += check(file, config.named_sections("route"), settings, names)
+    findings = check(config.named_sections("route"), settings, names)
+    config.problems += [finding.problem(file) for finding in findings]
     config.problems += _receiver_problems(file, config)
     config.problems += _control_problems(file, config)
     return config
--- a/tests/control_plane/test_ingress_reload.py
+++ b/tests/control_plane/test_ingress_reload.py
@@ -13,7 +13,7 @@
 from dockthread.control_plane.messages import Resource
 from dockthread.control_plane.server import ControlPlaneServer
 from dockthread.daemon import Daemon
-from dockthread.routes.bounds import Facts
+from dockthread.routes.rules import RequestAttributes
 from dockthread.section_registry import load_operator_file
 from tests.control_plane.local_server import run_server
 from tests.loopback import LIST, SETTINGS, raw_config, run, until
@@ -44,7 +44,11 @@
         await until(lambda: daemon.admin.reloads.applied)
         table = daemon.routes.table if daemon.routes is not None else None
         number = daemon.ingress.config.names.classes.index("renew")
-        found = table.find(Facts(number, 0, False, 1, 1, False)) if table is not None else None
+        found = (
+            table.find(RequestAttributes(number, 0, False, 1, 1, False))
+            if table is not None
+            else None
+        )
         assert found is not None and found.rules.name == "b"
 
     run(scenario())
@@ -89,8 +93,8 @@
         )
         assert "would run a request twice" in subscriber.rejections[0].reason
         names = daemon.ingress.config.names.classes
-        found = layers.table.find(Facts(names.index("status"), 0, False, 1, 1, False))
-        assert found is not None and not found.rules.copies, "the file's route holds in its place"
+        found = layers.table.find(RequestAttributes(names.index("status"), 0, False, 1, 1, False))
+        assert found is not None and not found.rules.hedging, "the file's route holds in its place"
         await until(
             lambda: (
                 [one.name for one in server.status().subscribers[0].rejected] == ["status twice"]
--- a/tests/routes/test_routes_file.py
+++ b/tests/routes/test_routes_file.py
@@ -12,8 +12,8 @@
 from dockthread.config.ini_reader import ConfigProblem
 from dockthread.errors import SettingsError
 from dockthread.policy import DeduplicationScope, Effect, Plan, PolicySettings, RequestClass
-from dockthread.routes.explain import explain, facts_of
-from dockthread.routes.worst import amplification
+from dockthread.routes.explain import explain, parse_request
+from dockthread.routes.worst_case import amplification
 from dockthread.section_registry import parse_operator_file
 
 NAMES = Names(
@@ -286,16 +286,20 @@
     text = f"[route vip]\nfirm = b4d6\n[route s]\n{STATUS}attempts = 2\nattempt_timeout = 1s\nbackoff = 50ms\n"
     routes = parse_operator_file(text, "r.ini", SETTINGS, NAMES).named_sections("route")
     lines = list(
-        explain(routes, SETTINGS, NAMES, facts_of("c=seat-status,t=gross,units=2", SETTINGS, NAMES))
+        explain(
+            routes, SETTINGS, NAMES, parse_request("c=seat-status,t=gross,units=2", SETTINGS, NAMES)
+        )
     )
     assert lines[:2] == ["route: s", "  not vip: firm"]
     assert "  1050ms to 2050ms: attempt 2 at the latest" in lines
     assert lines[-1].startswith("worst case: 2050ms of 4s, 2 attempts, 1.20 times")
     assert list(
-        explain(routes, SETTINGS, NAMES, facts_of("c=keyed,t=klein,firm=b4d6", SETTINGS, NAMES))
+        explain(
+            routes, SETTINGS, NAMES, parse_request("c=keyed,t=klein,firm=b4d6", SETTINGS, NAMES)
+        )
     )[0] == ("route: vip")
     with pytest.raises(SettingsError, match="is no request"):
-        facts_of("c=nothing,t=gross", SETTINGS, NAMES)
+        parse_request("c=nothing,t=gross", SETTINGS, NAMES)
 
 
 @pytest.mark.parametrize(
--- a/tests/routes/test_routes_parts.py
+++ b/tests/routes/test_routes_parts.py
@@ -33,15 +33,18 @@
 from dockthread.policy.pending_request import PendingRequest
 from dockthread.policy.route_constraints import RouteConstraints
 from dockthread.routes import bounds as routes_bounds
-from dockthread.routes.bounds import Bounds, Facts, Rules, stricter
-from dockthread.routes.budget import SPAN, Budget
+from dockthread.routes.bounds import Bounds
 from dockthread.routes.check import check_one
+from dockthread.routes.concurrency_limit import ConcurrencyLimit
 from dockthread.routes.layers import Layers
-from dockthread.routes.limit import Limit, Queue
-from dockthread.routes.matcher import Numbers, file_places
-from dockthread.routes.model import Broken, explore
+from dockthread.routes.matcher import NameNumbers
+from dockthread.routes.model_checker import InvariantError, explore
 from dockthread.routes.options import RouteOptions
+from dockthread.routes.position import file_positions
+from dockthread.routes.retry_budget import DEPOSIT_SPAN, RetryBudget
+from dockthread.routes.rules import RequestAttributes, Rules, stricter
 from dockthread.routes.table import Table
+from dockthread.routes.wait_queue import WaitQueue
 
 NAMES = Names(("a", "b"), ("k", "g"), ("hall-a",), ("type-a",))
 
@@ -70,7 +73,7 @@
     table = Table(NAMES, 0, 1)
     table.replace(drawn, 0.0)
     for _ in range(5):
-        facts = Facts(
+        facts = RequestAttributes(
             data.draw(st.integers(0, 1)),
             data.draw(st.integers(0, 1)),
             data.draw(st.booleans()),
@@ -78,7 +81,14 @@
             data.draw(st.integers(1, 4)),
             data.draw(st.booleans()),
         )
-        scan = next((m for m in table._matchers if m.suits(facts) and m.fits(facts)), None)
+        scan = next(
+            (
+                m
+                for m in table.matchers
+                if m.matches_except_customer(facts) and m.matches_customer(facts)
+            ),
+            None,
+        )
         assert table.find(facts) is scan
 
 
@@ -99,7 +109,7 @@
     layers = Layers(table, settings, NAMES)
     layers.set_file(file, 0.0)
     asked = [
-        Facts(c, p, w, f, 1 + f % 2, w)
+        RequestAttributes(c, p, w, f, 1 + f % 2, w)
         for c in (0, 1)
         for p in (0, 1)
         for w in (True, False)
@@ -135,8 +145,8 @@
 
 def shadows_of(routes: dict[str, RouteOptions]) -> list[tuple[str, str]]:
     """Every pair of which one leaves the other without requests."""
-    places = file_places(routes)
-    numbers = Numbers(NAMES)
+    places = file_positions(routes)
+    numbers = NameNumbers(NAMES)
     found = [numbers.matcher(name, o, places[name]) for name, o in routes.items()]
     return [
         (b.rules.name, a.rules.name)
@@ -157,7 +167,7 @@
 def test_what_was_spent_carries_over_by_name_and_a_route_that_is_gone_drains() -> None:
     table = Table(NAMES, 0, 1)
     table.replace({"x": RouteOptions(limit="5"), "y": RouteOptions()}, 0.0)
-    facts = Facts(0, 0, False, 1, 1, False)
+    facts = RequestAttributes(0, 0, False, 1, 1, False)
     one = Bounds(table, facts, table.rules_for(facts), table.spent["x"])
     assert one.enter(1, 1.0, 0.0) == (True, None)
     kept = table.spent["x"]
@@ -181,37 +191,42 @@
 def test_a_budget_never_gives_more_than_its_bound(
     part: float, floor: float, story: list[tuple[float, int]]
 ) -> None:
-    budget, now = Budget(part, floor, 0.0), 0.0
+    budget, now = RetryBudget(part, floor, 0.0), 0.0
     for firsts, (gap, draws) in enumerate(story, 1):
         now += gap
-        budget.first(now)
+        budget.on_first_attempt(now)
         for _ in range(draws):
-            budget.draw(now)
+            budget.try_draw(now)
         assert budget.left >= 0
         assert (
             budget.drawn
-            <= part * firsts + floor * now + max(2.0 * bool(part or floor), floor * SPAN) + 1e-6
+            <= part * firsts
+            + floor * now
+            + max(2.0 * bool(part or floor), floor * DEPOSIT_SPAN)
+            + 1e-6
         )
 
 
 def test_a_quiet_hour_does_not_pay_for_a_storm() -> None:
-    budget = Budget(0.2, 1.0, 0.0)
-    drawn = sum(budget.draw(3600.0) for _ in range(1000))
-    assert drawn <= SPAN
+    budget = RetryBudget(0.2, 1.0, 0.0)
+    drawn = sum(budget.try_draw(3600.0) for _ in range(1000))
+    assert drawn <= DEPOSIT_SPAN
 
 
 def test_a_budget_in_steady_load_allows_its_part() -> None:
-    budget, allowed = Budget(0.2, 0.0, 0.0), -2
+    budget, allowed = RetryBudget(0.2, 0.0, 0.0), -2
     for n in range(10_000):
-        budget.first(n / 100)
-        allowed += budget.draw(n / 100)
+        budget.on_first_attempt(n / 100)
+        allowed += budget.try_draw(n / 100)
     assert allowed / 10_000 == pytest.approx(0.2, abs=0.01)
 
 
 # Limits
 
 
-def played(limit: Limit, capacity: float, seconds: float, now: float, base: float = 0.1) -> float:
+def played(
+    limit: ConcurrencyLimit, capacity: float, seconds: float, now: float, base: float = 0.1
+) -> float:
     """Closed loop: as many requests as the limit lets in; beyond the capacity they only take
     longer.
     """
@@ -221,13 +236,13 @@
         took = base * max(1.0, at_once / capacity)
         limit.inside = at_once
         for _ in range(at_once):
-            limit.answered(took, now)
+            limit.on_answer(took, now)
         now += took
     return now
 
 
 def test_an_adaptive_limit_finds_a_capacity_that_halves_and_comes_back_within_seconds() -> None:
-    limit = Limit(None, 4, 400, adaptive=True)
+    limit = ConcurrencyLimit(None, 4, 400, adaptive=True)
     now = played(limit, 80, 20, 0.0)
     before = limit.limit
     assert 60 <= before <= 200
@@ -240,20 +255,20 @@
 
 @given(st.lists(st.tuples(st.sampled_from(["ok", "full"]), st.floats(0.001, 30.0)), max_size=300))
 def test_an_adaptive_limit_never_leaves_its_bounds(story: list[tuple[str, float]]) -> None:
-    limit, now = Limit(None, 7, 50, adaptive=True), 0.0
+    limit, now = ConcurrencyLimit(None, 7, 50, adaptive=True), 0.0
     for what, took in story:
         now += took
         limit.inside = 50
-        limit.answered(took, now) if what == "ok" else limit.pushed_back(now)
+        limit.on_answer(took, now) if what == "ok" else limit.on_overload(now)
         assert 7 <= limit.limit <= 50
 
 
 def test_an_idle_limit_does_not_grow() -> None:
-    limit = Limit(None, 4, 400, adaptive=True)
+    limit = ConcurrencyLimit(None, 4, 400, adaptive=True)
     before = limit.limit
     for n in range(1000):
         limit.inside = 1
-        limit.answered(0.1, n / 10)
+        limit.on_answer(0.1, n / 10)
     assert limit.limit == before
 
 
@@ -261,7 +276,7 @@
 def test_a_queue_is_bounded_and_gives_the_dearest_first(
     story: list[tuple[int, bool]], most: int
 ) -> None:
-    queue, inside, lost = Queue(most), dict[int, int](), 0
+    queue, inside, lost = WaitQueue(most), dict[int, int](), 0
     for request, (worth, leaves) in enumerate(story):
         loser = queue.put(request, float(worth))
         inside[request] = worth
@@ -270,11 +285,11 @@
             del inside[loser]
             lost += 1
         if leaves and inside:
-            queue.leave(request)
+            queue.remove(request)
             inside.pop(request, None)
         assert len(queue) == len(inside) <= most
     taken = []
-    while (one := queue.take()) is not None:
+    while (one := queue.pop()) is not None:
         taken.append(one)
     assert sorted(taken) == sorted(inside)
     assert all((inside[a], -a) >= (inside[b], -b) for a, b in pairwise(taken))
@@ -290,15 +305,17 @@
     retry_on=st.sampled_from(
         [None, frozenset(), frozenset({Outcome.AT_CAPACITY}), frozenset(list(Outcome)[1:3])]
     ),
-    copies=st.sampled_from([None, True, False]),
-    copy_share=st.sampled_from([0.05, 1.0]),
+    hedging=st.sampled_from([None, True, False]),
+    hedge_share=st.sampled_from([0.05, 1.0]),
 )
 
 
 def table_with(rules: Rules) -> tuple[Table, Bounds]:
     table = Table(NAMES, 0, 1)
     table.replace({"r": RouteOptions()}, 0.0)
-    return table, Bounds(table, Facts(0, 0, False, 1, 1, False), rules, table.spent["r"])
+    return table, Bounds(
+        table, RequestAttributes(0, 0, False, 1, 1, False), rules, table.spent["r"]
+    )
 
 
 @given(RULES, RULES, st.integers(1, 4), st.sampled_from(list(Outcome)))
@@ -316,7 +333,7 @@
 def test_a_reload_narrows_a_request_in_flight_and_never_widens_it() -> None:
     table = Table(NAMES, 0, 1)
     table.replace({"r": RouteOptions(attempts=2)}, 0.0)
-    facts = Facts(0, 0, False, 1, 1, False)
+    facts = RequestAttributes(0, 0, False, 1, 1, False)
     bounds = Bounds(table, facts, table.rules_for(facts), table.spent["r"])
     table.replace({"r": RouteOptions(attempts=4)}, 1.0)
     assert bounds.retry_delay(2, Outcome.AT_CAPACITY, 1.0) is None, (
@@ -335,7 +352,7 @@
         {"r": RouteOptions(backoff=Duration(100), backoff_max=Duration(300), retry_floor=100.0)},
         0.0,
     )
-    facts = Facts(0, 0, False, 1, 1, False)
+    facts = RequestAttributes(0, 0, False, 1, 1, False)
     bounds = Bounds(table, facts, table.rules_for(facts), table.spent["r"])
     for sent, span in ((1, 0.1), (2, 0.2), (3, 0.3)):
         waits = [bounds.retry_delay(sent, Outcome.ERROR, now * 10.0) for now in range(200)]
@@ -412,8 +429,8 @@
 
 
 def test_a_copy_of_an_unsafe_class_is_found() -> None:
-    with pytest.raises(Broken, match="a second effect|a refusal of what may have run"):
-        explore(Effect.UNSAFE, SAFE, 3, make=lambda s: CopiesAll(s, 1, 100.0))
+    with pytest.raises(InvariantError, match="a second effect|a refusal of what may have run"):
+        explore(Effect.UNSAFE, SAFE, 3, make_engine=lambda s: CopiesAll(s, 1, 100.0))
 
 
 def test_a_class_that_turns_unsafe_and_is_not_asked_again_is_found() -> None:
@@ -424,13 +441,13 @@
     class Asks(PolicyEngine):
         routes_class = EffectAtArrival
 
-    with pytest.raises(Broken, match="a second effect|a refusal of what may have run"):
-        explore(Effect.SAFE, SAFE[:1], 3, make=lambda s: Asks(s, 1, 100.0))
+    with pytest.raises(InvariantError, match="a second effect|a refusal of what may have run"):
+        explore(Effect.SAFE, SAFE[:1], 3, make_engine=lambda s: Asks(s, 1, 100.0))
 
 
 def test_a_request_that_keeps_the_old_generation_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(routes_bounds, "stricter", lambda one, other: one)
-    with pytest.raises(Broken, match="attempt 2 of 1"):
+    with pytest.raises(InvariantError, match="attempt 2 of 1"):
         explore(Effect.SAFE, SAFE, 3)
 
 
@@ -438,30 +455,30 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(Bounds, "may_still_retry", lambda self, sent, outcome: True)
-    with pytest.raises(Broken, match="attempt 3 of 2"):
+    with pytest.raises(InvariantError, match="attempt 3 of 2"):
         explore(Effect.SAFE, PAUSES, 5)
 
 
 def test_a_budget_that_is_overdrawn_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    def draw(self: Budget, now: float) -> bool:
+    def draw(self: RetryBudget, now: float) -> bool:
         self.left -= 1.0
         return True
 
-    monkeypatch.setattr(Budget, "draw", draw)
-    with pytest.raises(Broken, match="a budget below zero"):
+    monkeypatch.setattr(RetryBudget, "try_draw", draw)
+    with pytest.raises(InvariantError, match="a budget below zero"):
         explore(Effect.SAFE, [{"r": RouteOptions(retry_floor=0.0, retry_budget=Share(0.01))}], 3)
 
 
 def test_an_answer_that_is_not_forgotten_is_found() -> None:
-    with pytest.raises(Broken, match="a second answer|a send after the end|believes"):
-        explore(Effect.SAFE, SAFE, 4, make=lambda s: Answers(s, 1, 100.0))
+    with pytest.raises(InvariantError, match="a second answer|a send after the end|believes"):
+        explore(Effect.SAFE, SAFE, 4, make_engine=lambda s: Answers(s, 1, 100.0))
 
 
 def test_a_place_in_the_limit_that_is_not_given_back_is_found(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(RouteConstraints, "leave", lambda self, pending: None)
-    with pytest.raises(Broken, match="believes a request is open"):
+    with pytest.raises(InvariantError, match="believes a request is open"):
         explore(Effect.SAFE, LIMITED, 2)
 
 
@@ -477,7 +494,7 @@
     )
     gateway = PolicyEngine(settings, 1, 0.0)
     gateway.handle(0.0, EndpointsListed(EndpointListKind.FULL, (Endpoint(1, BackendState.READY),)))
-    facts, soon = Facts(0, 0, False, 1, 1, False), 0
+    facts, soon = RequestAttributes(0, 0, False, 1, 1, False), 0
     for n in range(1, 50):
         bounds = Bounds(table, facts, table.rules_for(facts), table.spent["r"])
         at = n * 100.0
@@ -492,7 +509,7 @@
     def waits() -> list[float | None]:
         table = Table(NAMES, 0, 5)
         table.replace({"r": RouteOptions(backoff=Duration(100), retry_floor=100.0)}, 0.0)
-        facts = Facts(0, 0, False, 1, 1, False)
+        facts = RequestAttributes(0, 0, False, 1, 1, False)
         bounds = Bounds(table, facts, table.rules_for(facts), table.spent["r"])
         return [bounds.retry_delay(1, Outcome.ERROR, float(n)) for n in range(5)]
 
