--- a/dockthread/telemetry/catalogue.py
+++ b/dockthread/telemetry/catalogue.py
@@ -17,8 +17,8 @@
 UNSAFE = re.compile(r"[^A-Za-z0-9_-]+")
 MOST_PART = 64  # characters of one part of a path
 LIFE = ("life",)
-# ms, upper ends of the counted steps
-TIME_STEPS = (5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000)
+# Milliseconds: upper bounds of the buckets of latencies.
+BUCKET_BOUNDS_MS = (5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000)
 
 
 class Point(NamedTuple):
@@ -104,7 +104,7 @@
 )  # fmt: skip
 
 
-def part(text: str) -> str:
+def path_part(text: str) -> str:
     """A name as one part of a path: what would break one is `_`, and a mark keeps unlike names
     apart.
 
--- a/dockthread/telemetry/exporter.py
+++ b/dockthread/telemetry/exporter.py
@@ -17,11 +17,11 @@
 from loguru import logger
 
 from dockthread.observer import Observer
+from dockthread.telemetry.metrics_reader import MetricsReader
 from dockthread.telemetry.options import CollectdOptions, GraphiteOptions, TelemetryOptions
-from dockthread.telemetry.reading import Reader
 from dockthread.telemetry.receivers import Receiver
-from dockthread.telemetry.stamps import Stamps
 from dockthread.telemetry.tally import Tally
+from dockthread.telemetry.timestamps import TimestampSource
 
 if TYPE_CHECKING:
     from dockthread.config.ini_reader import OperatorConfig
@@ -44,8 +44,8 @@
         self.receivers: dict[str, Receiver] = {}
         self._leaving: set[asyncio.Task[None]] = set()
         self._tally: Tally | None = None
-        self._reader: Reader | None = None
-        self._stamps: Stamps | None = None
+        self._reader: MetricsReader | None = None
+        self._timestamps: TimestampSource | None = None
         self._reported = 0.0  # when, on the ingress's clock
         self._round = 0  # of the timers: those of an earlier round no longer count
         self._task: asyncio.Task[None] | None = None
@@ -108,10 +108,10 @@
         self._tally = tally = Tally(module.classes, len(names.plans), options.firms)
         now = ingress.clock.now()
         unix = now + ingress.clock.unix_offset
-        self._stamps = Stamps(unix / 1000.0, now / 1000.0)
-        self._reader = Reader(ingress, tally, unix, options.nodes, options.firms)
+        self._timestamps = TimestampSource(unix / 1000.0, now / 1000.0)
+        self._reader = MetricsReader(ingress, tally, unix, options.nodes, options.firms)
         self._reported = now
-        tally.noted = self._phase
+        tally.on_phase = self._phase
         ingress.observe(tally)
         logger.info(
             "telemetry to {}",
@@ -163,16 +163,16 @@
         """Read now, word later. One report at a time: a loop that is so late skips one."""
         if self._task is not None and not self._task.done():
             return
-        reader, tally, stamps = self._reader, self._tally, self._stamps
-        if reader is None or tally is None or stamps is None:
+        reader, tally, timestamps = self._reader, self._tally, self._timestamps
+        if reader is None or tally is None or timestamps is None:
             return
         now = self._ingress.clock.now()
         points = reader.points(
             now - self._reported, [(n, r.sender) for n, r in self.receivers.items()]
         )
-        tally.begin()
+        tally.begin_interval()
         self._reported = now
-        stamp, second = stamps.next(*self._times())
+        stamp, second = timestamps.next(*self._times())
         receivers = list(self.receivers.values())
 
         async def word() -> None:
@@ -186,9 +186,9 @@
         return clock.unix() / 1000.0, clock.now() / 1000.0
 
     def _phase(self, name: str) -> None:
-        if self._stamps is None:
+        if self._timestamps is None:
             return
-        stamp, _ = self._stamps.next(*self._times())
+        stamp, _ = self._timestamps.next(*self._times())
         for receiver in self.receivers.values():
             receiver.note(f"{self._ingress.config.name} is {name}", stamp)
 
@@ -198,9 +198,9 @@
         if tally is None:
             return
         if now >= due:
-            tally.loop_times.add((now - due) * 1000.0)
+            tally.event_loop_lags.add((now - due) * 1000.0)
             if self._ingress.engine.counter.circuit_open_until > self._ingress.clock.now() / 1000.0:
-                tally.muted += SAMPLE * 1000.0
+                tally.circuit_open_ms += SAMPLE * 1000.0
             due = now + SAMPLE
         self._sampler = self._loop.call_later(max(0.0, due - now), self._sample, due)
 
--- /dev/null
+++ b/dockthread/telemetry/metrics_reader.py
@@ -0,0 +1,249 @@
+"""Reads an ingress and its counts at one moment, as the points of one report.
+
+Reading changes nothing and decides nothing. Names of metrics and their meaning are in `catalogue`;
+some of them use former terms, which stay because dashboards depend on them.
+"""
+
+from __future__ import annotations
+
+import gc
+from collections.abc import Iterable, Iterator
+from itertools import accumulate
+from math import isfinite
+from time import process_time
+from typing import TYPE_CHECKING
+
+from dockthread.policy import BackendState, Outcome
+from dockthread.telemetry import process_metrics
+from dockthread.telemetry.catalogue import (
+    BUCKET_BOUNDS_MS,
+    DERIVE,
+    GAUGE,
+    LIFE,
+    Point,
+    path_part,
+)
+from dockthread.telemetry.tally import Tally
+
+if TYPE_CHECKING:
+    from dockthread.net.ingress import Ingress
+    from dockthread.telemetry.sender import Sender
+
+# Value of the metric `phase` by the name of the phase.
+PHASE_NUMBERS = {"starting": 1, "serving": 2, "lingering": 3, "draining": 4, "stopped": 5}
+# Routes that are reported at most, so that a report stays bounded.
+MAX_REPORTED_ROUTES = 50
+# Quantiles of latencies by the last part of the metric's path.
+LATENCY_QUANTILES = {"p50": 0.5, "p95": 0.95, "p99": 0.99}
+# Seconds of the shortest interval over which rates are taken.
+MIN_INTERVAL_SECONDS = 0.001
+# The outcomes of attempts as parts of a path.
+OUTCOME_PARTS = {outcome: path_part(outcome.value.replace(" ", "-")) for outcome in Outcome}
+# The load report's field with the requests in flight at the backend.
+REQUESTS_IN_FLIGHT = "rif"
+
+
+class MetricsReader:
+    """Reads the points of one life of an ingress.
+
+    Attributes:
+        life: The start of the life in Unix milliseconds.
+    """
+
+    def __init__(
+        self,
+        ingress: Ingress,
+        tally: Tally,
+        life: float,
+        reported_backends: int,
+        reported_customers: int,
+    ) -> None:
+        self.life = int(life)
+        self._ingress = ingress
+        self._tally = tally
+        self._reported_backends = reported_backends
+        self._reported_customers = reported_customers
+        # The ingress counts these since its own start, and a life may begin later.
+        self._attempts_before = ingress.traffic.attempts_started
+        self._hedges_before = ingress.traffic.hedges_started
+        names = ingress.config.names
+        self._classes = [path_part(name) for name in names.classes]
+        self._plans = [path_part(name) for name in names.plans]
+
+    def points(self, elapsed_ms: float, senders: Iterable[tuple[str, Sender]] = ()) -> list[Point]:
+        """Return all points of this moment.
+
+        The point `life` is the first: by it a receiver knows to which life the counts belong.
+
+        Args:
+            elapsed_ms: The interval that ends now, over which rates by customer are taken.
+            senders: Names and senders of the receivers.
+        """
+        self._tally.flush()
+        return [
+            Point(LIFE, GAUGE, self.life),
+            Point(("phase",), GAUGE, PHASE_NUMBERS[self._ingress.lifecycle.phase.value]),
+            *self._answers(),
+            *self._latencies(),
+            *self._attempts(),
+            *self._counter(),
+            *self._quotas(),
+            *self._customers(elapsed_ms),
+            *self._routes(),
+            *self._backends(),
+            *self._connections(),
+            *self._requests(),
+            *self._process(),
+            *self._receivers(senders),
+        ]
+
+    def _answers(self) -> Iterator[Point]:
+        classes = self._classes
+        plans = self._plans
+        for (request_class, plan, outcome), count in self._tally.answers.items():
+            yield Point(("answers", classes[request_class], plans[plan], outcome), DERIVE, count)
+        for key, count in self._tally.reasons.items():
+            reason = path_part(key.reason.replace(" ", "-"))
+            path = ("why", classes[key.request_class], plans[key.plan], key.outcome, reason)
+            yield Point(path, DERIVE, count)
+        for (request_class, plan), count in self._tally.disconnected.items():
+            yield Point(("gone", classes[request_class], plans[plan]), DERIVE, count)
+
+    def _latencies(self) -> Iterator[Point]:
+        tally = self._tally
+        for name, late, latencies in zip(self._classes, tally.late, tally.latencies, strict=True):
+            yield Point(("late", name), DERIVE, late)
+            for label, fraction in LATENCY_QUANTILES.items():
+                yield Point(("time", name, label), GAUGE, latencies.quantile(fraction))
+            yield Point(("time", name, "max"), GAUGE, latencies.longest)
+            yield Point(("time", name, "sum"), DERIVE, round(latencies.sum))
+            # The last bucket, beyond all bounds, has no point of its own.
+            cumulative = accumulate(latencies.buckets)
+            for bound_ms, count in zip(BUCKET_BOUNDS_MS, cumulative, strict=False):
+                yield Point(("time", name, f"le_{bound_ms}"), DERIVE, count)
+
+    def _attempts(self) -> Iterator[Point]:
+        traffic = self._ingress.traffic
+        attempts = traffic.attempts_started - self._attempts_before
+        hedges = traffic.hedges_started - self._hedges_before
+        yield Point(("attempts", "started"), DERIVE, attempts)
+        yield Point(("attempts", "copies"), DERIVE, hedges)
+        for outcome, label in OUTCOME_PARTS.items():
+            yield Point(("attempts", label), DERIVE, self._tally.attempts[outcome])
+            if self._ingress.config.counter is not None:
+                count = self._tally.counter_calls[outcome]
+                yield Point(("counter", "calls", label), DERIVE, count)
+
+    def _counter(self) -> Iterator[Point]:
+        if self._ingress.config.counter is None:
+            return
+        latencies = self._tally.counter_latencies
+        yield Point(("counter", "p50"), GAUGE, latencies.quantile(0.5))
+        yield Point(("counter", "p99"), GAUGE, latencies.quantile(0.99))
+        yield Point(("counter", "muted"), DERIVE, round(self._tally.circuit_open_ms))
+
+    def _quotas(self) -> Iterator[Point]:
+        tally = self._tally
+        for plan, name in enumerate(self._plans):
+            yield Point(("quota", name, "asked"), DERIVE, round(tally.units_requested[plan]))
+            yield Point(("quota", name, "sent_on"), DERIVE, round(tally.units_forwarded[plan]))
+            yield Point(("quota", name, "refused"), DERIVE, round(tally.units_rejected[plan]))
+
+    def _customers(self, elapsed_ms: float) -> Iterator[Point]:
+        """Yield the rates of the customers that requested most in the interval."""
+        heavy_hitters = self._tally.heavy_hitters
+        seconds = max(elapsed_ms / 1000.0, MIN_INTERVAL_SECONDS)
+        yield Point(("firms_seen",), GAUGE, len(heavy_hitters.usage))
+        for (plan, customer), usage in heavy_hitters.top(self._reported_customers):
+            path = ("firms", self._plans[plan], f"{customer:x}")
+            yield Point((*path, "asked"), GAUGE, usage.requested / seconds)
+            yield Point((*path, "sent_on"), GAUGE, usage.forwarded / seconds)
+            yield Point((*path, "refused"), GAUGE, usage.rejected / seconds)
+
+    def _routes(self) -> Iterator[Point]:
+        if (routes := self._ingress.routes) is None:
+            return
+        for name, spent in list(routes.spent.items())[:MAX_REPORTED_ROUTES]:
+            path = ("routes", path_part(name))
+            yield Point((*path, "requests"), DERIVE, spent.requests)
+            yield Point((*path, "attempts"), DERIVE, spent.attempts)
+            yield Point((*path, "copies"), DERIVE, spent.copies)
+            yield Point((*path, "copies_won"), DERIVE, spent.copies_won)
+            yield Point((*path, "queued"), DERIVE, spent.queued)
+            yield Point((*path, "refused_limit"), DERIVE, spent.refused_limit)
+            yield Point((*path, "refused_budget"), DERIVE, spent.refused_budget)
+            yield Point((*path, "queue_wait"), DERIVE, round(spent.queue_wait * 1000.0))
+            yield Point((*path, "open"), GAUGE, spent.open)
+            yield Point((*path, "inside"), GAUGE, spent.limit.inside)
+            yield Point((*path, "queue"), GAUGE, len(spent.queue))
+            if isfinite(spent.limit.limit):
+                yield Point((*path, "limit"), GAUGE, spent.limit.limit)
+            if spent.budget is not None:
+                yield Point((*path, "budget"), GAUGE, spent.budget.left)
+
+    def _backends(self) -> Iterator[Point]:
+        """Yield the listed backends with most attempts in flight.
+
+        The series of a backend that left the endpoint list end.
+        """
+        engine = self._ingress.engine
+        now = self._ingress.clock.now() / 1000.0
+        known = engine.backends.by_number
+        listed = [
+            (endpoint.uid, known[endpoint.number])
+            for endpoint in self._ingress.endpoints.by_number.values()
+            if endpoint.state is not BackendState.REMOVED and endpoint.number in known
+        ]
+        listed.sort(key=lambda entry: -entry[1].in_flight)
+        in_flight_position = engine.outcomes.load_reports.positions.get(REQUESTS_IN_FLIGHT, -1)
+        for uid, backend in listed[: self._reported_backends]:
+            path = ("nodes", path_part(uid))
+            is_full = any(until > now for until in backend.at_capacity_until.values())
+            yield Point((*path, "out"), GAUGE, backend.in_flight)
+            yield Point((*path, "failed"), GAUGE, backend.failure_fraction)
+            yield Point((*path, "skipped"), GAUGE, int(is_full or not backend.is_ready))
+            if backend.report and in_flight_position >= 0:
+                age_ms = (now - backend.report_at) * 1000.0
+                yield Point((*path, "inflight"), GAUGE, backend.report[in_flight_position])
+                yield Point((*path, "report_age"), GAUGE, age_ms)
+
+    def _connections(self) -> Iterator[Point]:
+        traffic = self._ingress.traffic
+        yield Point(("connections", "clients"), GAUGE, self._ingress.client_connections)
+        yield Point(("connections", "nodes"), GAUGE, len(self._ingress.connection_pool))
+        yield Point(("opened", "clients"), DERIVE, traffic.client_connections_opened)
+        yield Point(("opened", "nodes"), DERIVE, traffic.backend_connections_opened)
+        yield Point(("messages", "in"), DERIVE, traffic.gossip_received)
+        yield Point(("messages", "out"), DERIVE, traffic.gossip_sent)
+        yield Point(("messages", "odd"), DERIVE, traffic.gossip_rejected)
+
+    def _requests(self) -> Iterator[Point]:
+        traffic = self._ingress.traffic
+        yield Point(("requests", "open"), GAUGE, len(self._ingress.requests))
+        yield Point(("requests", "bodies"), GAUGE, self._ingress.requests.body_bytes)
+        yield Point(("commands", "bad"), DERIVE, traffic.commands_rejected)
+        yield Point(("bytes", "clients", "in"), DERIVE, traffic.client_bytes_in)
+        yield Point(("bytes", "clients", "out"), DERIVE, traffic.client_bytes_out)
+        yield Point(("bytes", "nodes", "in"), DERIVE, traffic.backend_bytes_in)
+        yield Point(("bytes", "nodes", "out"), DERIVE, traffic.backend_bytes_out)
+
+    def _process(self) -> Iterator[Point]:
+        lags = self._tally.event_loop_lags
+        yield Point(("loop", "p50"), GAUGE, lags.quantile(0.5))
+        yield Point(("loop", "p99"), GAUGE, lags.quantile(0.99))
+        yield Point(("loop", "max"), GAUGE, lags.longest)
+        yield Point(("cpu", "used"), DERIVE, round(process_time() * 1000.0))
+        yield Point(("memory", "resident"), GAUGE, process_metrics.resident_bytes())
+        yield Point(("descriptors", "open"), GAUGE, process_metrics.open_descriptors())
+        yield Point(("descriptors", "limit"), GAUGE, process_metrics.max_descriptors())
+        for number, generation in enumerate(gc.get_stats()):
+            yield Point(("garbage", str(number)), DERIVE, generation["collections"])
+
+    @staticmethod
+    def _receivers(senders: Iterable[tuple[str, Sender]]) -> Iterator[Point]:
+        for name, sender in senders:
+            path = ("telemetry", path_part(name))
+            yield Point((*path, "sent"), DERIVE, sender.sent)
+            yield Point((*path, "dropped"), DERIVE, sender.delivery_queue.dropped)
+            yield Point((*path, "queued"), GAUGE, sender.delivery_queue.size)
+            yield Point((*path, "lost"), DERIVE, sender.lost)
--- a/dockthread/telemetry/receivers.py
+++ b/dockthread/telemetry/receivers.py
@@ -14,12 +14,12 @@
 from dockthread.config.address import host_port
 from dockthread.errors import SettingsError
 from dockthread.telemetry import collectd, graphite, putval
-from dockthread.telemetry.backlog import Backlog, Report
-from dockthread.telemetry.catalogue import Point, part
+from dockthread.telemetry.catalogue import Point, path_part
 from dockthread.telemetry.collectd import OKAY
-from dockthread.telemetry.links import Datagrams, Link, Stream, UnixCommands
+from dockthread.telemetry.connections import Datagrams, Link, Stream, UnixCommands
+from dockthread.telemetry.delivery_queue import DeliveryQueue, Report
 from dockthread.telemetry.options import CollectdOptions, GraphiteOptions
-from dockthread.telemetry.sender import Action, Do, Event, Phase, Sender
+from dockthread.telemetry.sender import Action, ActionKind, Event, Sender, SenderState
 
 SLICE = 64  # points worded in one turn of the loop
 STALLED = 10.0  # s in which a receiver has to take a report, or a connection to come up
@@ -39,7 +39,7 @@
 
 class GraphiteWords(Words):
     def __init__(self, options: GraphiteOptions, ingress: str) -> None:
-        self._options, self._ingress = options, part(ingress)
+        self._options, self._ingress = options, path_part(ingress)
         self._write = graphite.pickled if options.protocol == "pickle" else graphite.plaintext
 
     def chunks(self, points: Sequence[Point], stamp: float, second: int) -> Iterator[bytes]:
@@ -65,7 +65,7 @@
                 remedy="install the extra `collectd`, or write sign",
             ) from error
         self._wording = collectd.Wording(
-            part(ingress), options.plugin, interval / 1000.0, seal, room
+            path_part(ingress), options.plugin, interval / 1000.0, seal, room
         )
 
     def chunks(self, points: Sequence[Point], stamp: float, second: int) -> Iterator[bytes]:
@@ -79,7 +79,11 @@
     notifies = True
 
     def __init__(self, options: CollectdOptions, ingress: str, interval: float) -> None:
-        self._host, self._plugin, self._interval = part(ingress), options.plugin, interval / 1000.0
+        self._host, self._plugin, self._interval = (
+            path_part(ingress),
+            options.plugin,
+            interval / 1000.0,
+        )
 
     def chunks(self, points: Sequence[Point], stamp: float, second: int) -> Iterator[bytes]:
         yield b"".join(
@@ -126,9 +130,9 @@
         self.name, self.options = name, options
         self._words = words_of(options, ingress, interval)
         self._link = link_of(options)
-        self.sender = Sender(Backlog(room), random.Random(seed))
+        self.sender = Sender(DeliveryQueue(room), random.Random(seed))
         self._wake = asyncio.Event()
-        self._next = Action(Do.NOTHING)
+        self._next = Action(ActionKind.NOTHING)
         self._task: asyncio.Task[None] | None = None
         self._told = False  # that it is lost; once for each loss
 
@@ -149,17 +153,17 @@
             self._queue(Report(stamp, (self._words.note(text, severity, stamp),)))
 
     def _queue(self, report: Report) -> None:
-        self._act(self.sender.queue(report))
+        self._act(self.sender.enqueue(report))
 
     def _act(self, action: Action) -> None:
-        if action.do is not Do.NOTHING:
+        if action.kind is not ActionKind.NOTHING:
             self._next = action
             self._wake.set()
 
     async def leave(self) -> None:
         """Send what waits, and end. The caller bounds the time."""
-        self._act(self.sender.leave())
-        if self._task is not None and self.sender.phase is not Phase.ENDED:
+        self._act(self.sender.drain())
+        if self._task is not None and self.sender.state is not SenderState.ENDED:
             await asyncio.wait([self._task])
 
     def stop(self) -> None:
@@ -168,24 +172,24 @@
         self._link.close()
 
     async def _run(self) -> None:
-        while self.sender.phase is not Phase.ENDED:
+        while self.sender.state is not SenderState.ENDED:
             await self._wake.wait()
             action = self._take()
-            while action.do is not Do.NOTHING:
+            while action.kind is not ActionKind.NOTHING:
                 action = await self._carry_out(action)
 
     def _take(self) -> Action:
         self._wake.clear()
-        action, self._next = self._next, Action(Do.NOTHING)
+        action, self._next = self._next, Action(ActionKind.NOTHING)
         return action
 
     async def _carry_out(self, action: Action) -> Action:
         sender = self.sender
-        if action.do is Do.PAUSE:
+        if action.kind is ActionKind.BACK_OFF:
             with suppress(TimeoutError):
-                await asyncio.wait_for(self._wake.wait(), action.pause / 1000.0)
+                await asyncio.wait_for(self._wake.wait(), action.backoff_ms / 1000.0)
             # In a pause the sender has another action only where it is to leave, and then at once.
-            return self._take() if self._wake.is_set() else sender.handle(Event.DUE)
+            return self._take() if self._wake.is_set() else sender.handle(Event.BACKOFF_ELAPSED)
         try:
             async with asyncio.timeout(STALLED):
                 event = await self._do(action)
@@ -193,23 +197,23 @@
             self._link.close()
             self._say_lost(error)
             return sender.handle(Event.FAILED)
-        if event is Event.HANDED and self._told:
+        if event is Event.DELIVERED and self._told:
             self._told = False
             logger.bind(receiver=self.name).info("receiver {} takes reports again", self.name)
         return sender.handle(event)
 
     async def _do(self, action: Action) -> Event:
-        if action.do is Do.CONNECT:
+        if action.kind is ActionKind.CONNECT:
             await self._link.open()
             return Event.CONNECTED
-        if action.do is Do.CLOSE:
+        if action.kind is ActionKind.CLOSE:
             await self._link.finish()
             self._link.close()
             return Event.CLOSED
         assert action.report is not None
         await self._link.send(action.report.chunks)
-        self.sender.backlog.handed(action.report)
-        return Event.HANDED
+        self.sender.delivery_queue.mark_delivered(action.report)
+        return Event.DELIVERED
 
     def _say_lost(self, error: OSError) -> None:
         """One line for each loss, not one for each try."""
--- a/dockthread/telemetry/tally.py
+++ b/dockthread/telemetry/tally.py
@@ -1,119 +1,112 @@
-"""The sums of one life. Adding is all that happens on a request's path; reading them is
-`reading`'s.
+"""The counts of one life of an ingress, from the start of telemetry to its end.
+
+Adding to a count is all that happens on a request's path; `reading` turns the counts into points.
 """
 
 from __future__ import annotations
 
-from bisect import bisect_left
 from collections import Counter
 from collections.abc import Callable
-
-from ddsketch import LogCollapsingLowestDenseDDSketch
+from typing import NamedTuple, TypeAlias
 
 from dockthread.observer import OUTCOMES, REJECTED, SERVED, Observer
 from dockthread.policy import Outcome, RequestClass
-from dockthread.telemetry.busiest import REFUSED as FIRM_REFUSED
-from dockthread.telemetry.busiest import SENT_ON, Busiest
-from dockthread.telemetry.catalogue import TIME_STEPS
+from dockthread.telemetry.heavy_hitters import HeavyHitters
+from dockthread.telemetry.latency_histogram import LatencyHistogram
 
-ACCURACY, BINS = 0.01, 512  # of the sketches of times: relative error, and bins at most
-FOLD = 64  # times that wait to be folded
-PLACES = 8  # in the table of firms, for each that is reported
-MOST_REASONS = 32  # by class, plan and outcome; a word beyond these is counted as `other`
+# Completed requests that wait before they are counted in one loop, which is cheaper.
+BATCH_SIZE = 64
+# Entries of the table of heavy hitters for each customer that is reported.
+ENTRIES_PER_REPORTED_CUSTOMER = 8
+# Reasons by class, plan and outcome; a further one is counted under `OTHER_REASON`.
+MAX_REASONS = 32
+OTHER_REASON = "other"
 
 
-class Times:
-    """Times of one kind over one interval, and their steps over the life; in milliseconds.
+# Class, plan and outcome; class and plan. Plain tuples, because one is made for every request and a
+# named tuple takes several times as long to make.
+AnswerKey: TypeAlias = tuple[int, int, str]
+ClassAndPlan: TypeAlias = tuple[int, int]
+# The arguments of `request_completed`, as a plain tuple for the same reason.
+_CompletedRequest: TypeAlias = tuple[int, int, int, str, str, float, float, bool]
 
-    They wait in a short list, and are folded into sketch and steps `FOLD` at once.
-    """
 
-    __slots__ = ("_longest", "_pending", "_sketch", "_steps", "_sum")
-
-    def __init__(self) -> None:
-        self._steps = [0] * (len(TIME_STEPS) + 1)
-        self._sum = 0.0
-        self._pending: list[float] = []
-        self.begin()
-
-    def begin(self) -> None:
-        """A new interval."""
-        self.fold()
-        self._sketch = LogCollapsingLowestDenseDDSketch(ACCURACY, BINS)
-        self._longest = 0.0
-
-    def add(self, duration_ms: float) -> None:
-        self._pending.append(duration_ms)
-        if len(self._pending) >= FOLD:
-            self.fold()
-
-    def fold(self) -> None:
-        pending, steps = self._pending, self._steps
-        if not pending:
-            return
-        add = self._sketch.add
-        for duration_ms in pending:
-            add(duration_ms)
-            steps[bisect_left(TIME_STEPS, duration_ms)] += 1
-        self._sum += sum(pending)
-        self._longest = max(self._longest, *pending)
-        pending.clear()
-
-    def quantile(self, part: float) -> float:
-        """0 where nothing was added."""
-        self.fold()
-        return min(float(self._sketch.get_quantile_value(part) or 0.0), self._longest)
-
-    @property
-    def longest(self) -> float:
-        self.fold()
-        return self._longest
-
-    @property
-    def sum(self) -> float:
-        """Over the life."""
-        self.fold()
-        return self._sum
-
-    @property
-    def steps(self) -> list[int]:
-        """By the upper ends in `TIME_STEPS`, and beyond, over the life."""
-        self.fold()
-        return self._steps
+class ReasonKey(NamedTuple):
+    """Policy engine's numbers of class and plan, an outcome and its reason."""
+
+    request_class: int
+    plan: int
+    outcome: str
+    reason: str
 
 
 class Tally(Observer):
-    """All counts by the module's numbers for classes and plans."""
+    """All counts of one life.
+
+    Lists are indexed by the policy engine's numbers of classes or plans.
+
+    Attributes:
+        answers: Completed requests.
+        reasons: Rejected and failed requests by reason.
+        disconnected: Requests whose client disconnected before the response.
+        late: Served requests that took longer than their class's latency objective.
+        latencies: Latencies of served requests, by class.
+        units_requested: Units of all completed or abandoned requests, by plan.
+        units_forwarded: Units of those that were forwarded, by plan.
+        units_rejected: Units of those that were rejected, by plan.
+        attempts: Attempts ended.
+        counter_calls: Calls to the quota counter.
+        counter_latencies: Latencies of these calls.
+        event_loop_lags: Delays of the event loop.
+        circuit_open_ms: Time in which the quota counter was not called.
+        heavy_hitters: The customers that requested most in the current interval.
+        on_phase: Called with the name of each phase that the ingress enters.
+    """
 
     active = True
 
-    def __init__(self, classes: tuple[RequestClass, ...], plans: int, firms: int) -> None:
-        self.aims = [c.latency_objective * 1000.0 for c in classes]
-        pairs = [(c, p) for c in range(len(classes)) for p in range(plans)]
-        self.answers = {(c, p, outcome): 0 for c, p in pairs for outcome in OUTCOMES}
-        self.gone_away = dict.fromkeys(pairs, 0)
-        self.why: Counter[tuple[int, int, str, str]] = Counter()
+    def __init__(
+        self, classes: tuple[RequestClass, ...], plan_count: int, reported_customers: int
+    ) -> None:
+        pairs: list[ClassAndPlan] = [
+            (request_class, plan)
+            for request_class in range(len(classes))
+            for plan in range(plan_count)
+        ]
+        self.answers: dict[AnswerKey, int] = {
+            (*pair, outcome): 0 for pair in pairs for outcome in OUTCOMES
+        }
+        self.reasons: Counter[ReasonKey] = Counter()
+        self.disconnected = dict.fromkeys(pairs, 0)
         self.late = [0] * len(classes)
-        self.times = [Times() for _ in classes]
-        self.asked, self.units_on, self.units_refused = ([0.0] * plans for _ in range(3))
-        self.ended: Counter[Outcome] = Counter()
-        self.counter: Counter[Outcome] = Counter()
-        self.counter_times = Times()
-        self.loop_times = Times()
-        self.muted = 0.0
-        self._firms = firms
-        self.busiest = Busiest(firms * PLACES)
-        self._pending: list[tuple[int, int, int, str, str, float, float, bool]] = []
-        self.noted: Callable[[str], None] = lambda name: None
-
-    def begin(self) -> None:
-        """A new interval: what holds for one only starts again."""
-        self.fold()
-        for times in (*self.times, self.counter_times, self.loop_times):
-            times.begin()
-        self.busiest = Busiest(self._firms * PLACES)
-
-    def request_completed(
+        self.latencies = [LatencyHistogram() for _ in classes]
+        self.units_requested = [0.0] * plan_count
+        self.units_forwarded = [0.0] * plan_count
+        self.units_rejected = [0.0] * plan_count
+        self.attempts: Counter[Outcome] = Counter()
+        self.counter_calls: Counter[Outcome] = Counter()
+        self.counter_latencies = LatencyHistogram()
+        self.event_loop_lags = LatencyHistogram()
+        self.circuit_open_ms = 0.0
+        self.on_phase: Callable[[str], None] = lambda name: None
+        self._objectives_ms = [
+            request_class.latency_objective * 1000.0 for request_class in classes
+        ]
+        self._reported_customers = reported_customers
+        self.heavy_hitters = self._empty_heavy_hitters()
+        self._pending: list[_CompletedRequest] = []
+
+    def _empty_heavy_hitters(self) -> HeavyHitters:
+        return HeavyHitters(self._reported_customers * ENTRIES_PER_REPORTED_CUSTOMER)
+
+    def begin_interval(self) -> None:
+        """Start a new interval: reset what is kept for one interval only."""
+        self.flush()
+        for histogram in (*self.latencies, self.counter_latencies, self.event_loop_lags):
+            histogram.begin_interval()
+        self.heavy_hitters = self._empty_heavy_hitters()
+
+    def request_completed(  # noqa: PLR0913 - the observer's interface
         self,
         request_class: int,
         plan: int,
@@ -124,17 +117,19 @@
         units: float,
         was_forwarded: bool,
     ) -> None:
+        """Keep a completed request until `BATCH_SIZE` of them are counted together."""
         self._pending.append(
             (request_class, plan, customer, outcome, reason, duration_ms, units, was_forwarded)
         )
-        if len(self._pending) >= FOLD:
-            self.fold()
+        if len(self._pending) >= BATCH_SIZE:
+            self.flush()
+
+    def flush(self) -> None:
+        """Count the completed requests that wait.
 
-    def fold(self) -> None:
-        """Add up the answers that wait: in one warm loop each costs a third of what it costs
-        alone.
+        In one loop, whose code stays in the processor's cache, a request costs a third of what it
+        costs alone.
         """
-        answers, late, times, aims = self.answers, self.late, self.times, self.aims
         for (
             request_class,
             plan,
@@ -145,46 +140,47 @@
             units,
             was_forwarded,
         ) in self._pending:
-            answers[request_class, plan, outcome] += 1
-            self._units(plan, customer, units, was_forwarded)
+            self.answers[request_class, plan, outcome] += 1
+            self._add_units(plan, customer, units, was_forwarded)
             if outcome == SERVED:
-                times[request_class].add(duration_ms)
-                late[request_class] += duration_ms > aims[request_class]
-            else:
-                self._unserved(request_class, plan, customer, outcome, reason, units)
+                self.latencies[request_class].add(duration_ms)
+                self.late[request_class] += duration_ms > self._objectives_ms[request_class]
+                continue
+            self._add_reason(ReasonKey(request_class, plan, outcome, reason))
+            if outcome == REJECTED:
+                self.units_rejected[plan] += units
+                self.heavy_hitters.add_rejected(plan, customer, units)
         self._pending.clear()
 
-    def _unserved(
-        self, request_class: int, plan: int, customer: int, outcome: str, reason: str, units: float
-    ) -> None:
-        key = (request_class, plan, outcome, reason)
-        if key not in self.why and len(self.why) >= MOST_REASONS * len(self.answers):
-            key = (request_class, plan, outcome, "other")
-        self.why[key] += 1
-        if outcome == REJECTED:
-            self.units_refused[plan] += units
-            self.busiest.add(FIRM_REFUSED, plan, customer, units)
-
-    def _units(self, plan: int, customer: int, units: float, was_forwarded: bool) -> None:
-        self.asked[plan] += units
-        if self._firms:
-            self.busiest.ask(plan, customer, units)
+    def _add_reason(self, key: ReasonKey) -> None:
+        if key not in self.reasons and len(self.reasons) >= MAX_REASONS * len(self.answers):
+            key = key._replace(reason=OTHER_REASON)
+        self.reasons[key] += 1
+
+    def _add_units(self, plan: int, customer: int, units: float, was_forwarded: bool) -> None:
+        self.units_requested[plan] += units
+        if self._reported_customers:
+            self.heavy_hitters.add_requested(plan, customer, units)
         if was_forwarded:
-            self.units_on[plan] += units
-            self.busiest.add(SENT_ON, plan, customer, units)
+            self.units_forwarded[plan] += units
+            self.heavy_hitters.add_forwarded(plan, customer, units)
 
     def client_disconnected(
         self, request_class: int, plan: int, customer: int, units: float, was_forwarded: bool
     ) -> None:
-        self.gone_away[request_class, plan] += 1
-        self._units(plan, customer, units, was_forwarded)
+        """Count a client that closed its connection before its response."""
+        self.disconnected[request_class, plan] += 1
+        self._add_units(plan, customer, units, was_forwarded)
 
     def attempt_ended(self, outcome: Outcome) -> None:
-        self.ended[outcome] += 1
+        """Count an attempt at a backend that ended."""
+        self.attempts[outcome] += 1
 
     def counter_call_ended(self, outcome: Outcome, duration_ms: float) -> None:
-        self.counter[outcome] += 1
-        self.counter_times.add(duration_ms)
+        """Count a call to the quota counter that ended."""
+        self.counter_calls[outcome] += 1
+        self.counter_latencies.add(duration_ms)
 
     def phase(self, name: str) -> None:
-        self.noted(name)
+        """Pass on the phase that the ingress entered."""
+        self.on_phase(name)
--- a/tests/telemetry/test_telemetry_on_sockets.py
+++ b/tests/telemetry/test_telemetry_on_sockets.py
@@ -359,7 +359,7 @@
             ingress, exporter, client, stand_in, ledger,
         ):  # fmt: skip
             sender = exporter.receivers["plaintext"].sender
-            sender.backlog.most = 200_000
+            sender.delivery_queue.max_size = 200_000
             await until(lambda: sender.sent)
             stand_in.misbehave("refuse")
             for _ in range(60):
@@ -367,8 +367,8 @@
                 clock.advance(1000)
                 ingress.timers.run_due()
                 await until(lambda: exporter._task.done())
-                assert sender.backlog.size <= sender.backlog.most
-            assert sender.backlog.dropped and len(sender.backlog) > 5
+                assert sender.delivery_queue.size <= sender.delivery_queue.max_size
+            assert sender.delivery_queue.dropped and len(sender.delivery_queue) > 5
             stand_in.behave()
             clock.advance(1000)
             ingress.timers.run_due()
@@ -398,7 +398,7 @@
             nodes = {p.path[1] for p in points if p.path[0] == "nodes"}
             assert nodes == {"s-99-0", "s-99-1", "s-99-2"}, "the series of a node that is gone end"
             assert len({p.path[2] for p in points if p.path[0] == "firms"}) == 20
-            assert len(tally.busiest.firms) <= 160
+            assert len(tally.heavy_hitters.usage) <= 160
             assert len(points) < 800
 
     run(scenario())
@@ -427,20 +427,24 @@
             leaver.ask()
             await until(lambda: len(ingress.requests) == 2)
             leaver.writer.close()
-            await until(lambda: tally.gone_away[0, 0])
+            await until(lambda: tally.disconnected[0, 0])
             gate.set()
             assert [await client.answer() for _ in range(3)] == [
                 b"value",
                 "ERR this id is open already",
                 "BUSY 500",
             ]
-            tally.fold()
-            assert dict(tally.why) == {
+            tally.flush()
+            assert dict(tally.reasons) == {
                 (0, 0, "failed", "duplicate"): 1,
                 (0, 0, "refused", "bodies"): 1,
             }
             assert [tally.answers[0, 0, o] for o in ("served", "refused", "failed")] == [1, 1, 1]
-            assert (tally.asked, tally.units_on, tally.units_refused) == ([8.0], [4.0], [2.0])
+            assert (tally.units_requested, tally.units_forwarded, tally.units_rejected) == (
+                [8.0],
+                [4.0],
+                [2.0],
+            )
             await exporter.farewell()
 
     run(scenario())
--- a/tests/telemetry/test_telemetry_parts.py
+++ b/tests/telemetry/test_telemetry_parts.py
@@ -15,16 +15,16 @@
 
 from dockthread.policy import Outcome
 from dockthread.telemetry import collectd, graphite, putval
-from dockthread.telemetry.backlog import Backlog, Report
-from dockthread.telemetry.busiest import ASKED, ERROR, Busiest
-from dockthread.telemetry.catalogue import DERIVE, GAUGE, METRICS, Point, part
+from dockthread.telemetry.catalogue import DERIVE, GAUGE, METRICS, Point, path_part
 from dockthread.telemetry.collectd import Opener, PacketError, Wording, sealing
+from dockthread.telemetry.delivery_queue import DeliveryQueue, Report
+from dockthread.telemetry.heavy_hitters import HeavyHitters
+from dockthread.telemetry.latency_histogram import LatencyHistogram
 from dockthread.telemetry.receiver.decode import DecodeError, Got, Lines, Pickles
 from dockthread.telemetry.receiver.ledger import Ledger
 from dockthread.telemetry.receiver.stand_in import Span
-from dockthread.telemetry.sender import TABLE, Action, Do, Event, Phase, Sender
-from dockthread.telemetry.stamps import Stamps
-from dockthread.telemetry.tally import Times
+from dockthread.telemetry.sender import TRANSITIONS, Action, ActionKind, Event, Sender, SenderState
+from dockthread.telemetry.timestamps import TimestampSource
 
 POINTS = [
     Point(("life",), GAUGE, 1_700_000_000_123.0),
@@ -39,16 +39,16 @@
     "name", ["a.b", "a b", "a\nb", "", ".", "ü", "a/b", "x" * 65536, "a;b=c", "\ud800"]
 )
 def test_a_name_that_would_break_a_path_is_one_bounded_part(name: str) -> None:
-    found = part(name)
+    found = path_part(name)
     assert 0 < len(found) <= 64
     assert found.replace("-", "").replace("_", "").isalnum()
-    assert found != part(name + "x"), "unlike names stay apart"
-    assert part(found) == found
+    assert found != path_part(name + "x"), "unlike names stay apart"
+    assert path_part(found) == found
 
 
 @given(st.text(max_size=80), st.text(max_size=80))
 def test_unlike_names_never_share_a_part(one: str, other: str) -> None:
-    assert (part(one) == part(other)) == (one == other)
+    assert (path_part(one) == path_part(other)) == (one == other)
 
 
 def test_every_path_of_the_catalogue_is_listed_once() -> None:
@@ -221,107 +221,114 @@
 
 @given(st.lists(st.integers(1, 400), max_size=60))
 def test_a_queue_is_bounded_and_keeps_order_and_the_newest(sizes: list[int]) -> None:
-    backlog = Backlog(1000)
+    delivery_queue = DeliveryQueue(1000)
     for n, size in enumerate(sizes):
-        backlog.put(report(float(n), size))
-        waiting = list(backlog._waiting)
-        assert backlog.size == sum(r.size for r in waiting) <= 1000
+        delivery_queue.enqueue(report(float(n), size))
+        waiting = list(delivery_queue._waiting)
+        assert delivery_queue.size == sum(r.size for r in waiting) <= 1000
         assert [r.seconds for r in waiting] == sorted(r.seconds for r in waiting)
         assert waiting[-1].seconds == n
-        assert len(waiting) + backlog.dropped == n + 1
+        assert len(waiting) + delivery_queue.dropped == n + 1
 
 
 def test_the_older_half_becomes_coarse_before_anything_goes_whole() -> None:
-    backlog = Backlog(800)
+    delivery_queue = DeliveryQueue(800)
     for n in range(9):
-        backlog.put(report(float(n)))
-    assert [r.seconds for r in backlog._waiting] == [1, 2, 3, 4, 5, 6, 7, 8]
+        delivery_queue.enqueue(report(float(n)))
+    assert [r.seconds for r in delivery_queue._waiting] == [1, 2, 3, 4, 5, 6, 7, 8]
     for n in range(9, 12):
-        backlog.put(report(float(n)))
-    assert [r.seconds for r in backlog._waiting] == [4, 5, 6, 7, 8, 9, 10, 11]
+        delivery_queue.enqueue(report(float(n)))
+    assert [r.seconds for r in delivery_queue._waiting] == [4, 5, 6, 7, 8, 9, 10, 11]
 
 
 def test_what_a_broken_connection_may_have_swallowed_goes_once_more_in_order() -> None:
-    backlog = Backlog(10_000)
+    delivery_queue = DeliveryQueue(10_000)
     for n in range(4):
-        backlog.put(report(float(n)))
+        delivery_queue.enqueue(report(float(n)))
     for _ in range(3):
-        first = backlog.first()
+        first = delivery_queue.peek()
         assert first is not None
-        backlog.handed(first)
-    backlog.again()
-    assert [r.seconds for r in backlog._waiting] == [1, 2, 3]
-    assert backlog.size == 300
+        delivery_queue.mark_delivered(first)
+    delivery_queue.requeue_delivered()
+    assert [r.seconds for r in delivery_queue._waiting] == [1, 2, 3]
+    assert delivery_queue.size == 300
 
 
 def drive(*events: Event) -> tuple[Sender, list[Action]]:
-    sender = Sender(Backlog(10_000), random.Random(1))
-    actions = [sender.queue(report(1.0))]
+    sender = Sender(DeliveryQueue(10_000), random.Random(1))
+    actions = [sender.enqueue(report(1.0))]
     for event in events:
-        if event is Event.HANDED:
-            first = sender.backlog.first()
+        if event is Event.DELIVERED:
+            first = sender.delivery_queue.peek()
             assert first is not None
-            sender.backlog.handed(first)
+            sender.delivery_queue.mark_delivered(first)
         actions.append(sender.handle(event))
     return sender, actions
 
 
 def test_a_sender_connects_sends_and_rests() -> None:
-    sender, actions = drive(Event.CONNECTED, Event.HANDED)
-    assert [a.do for a in actions] == [Do.CONNECT, Do.SEND, Do.NOTHING]
-    assert (sender.phase, sender.sent) == (Phase.UP, 1)
+    sender, actions = drive(Event.CONNECTED, Event.DELIVERED)
+    assert [a.kind for a in actions] == [ActionKind.CONNECT, ActionKind.SEND, ActionKind.NOTHING]
+    assert (sender.state, sender.sent) == (SenderState.IDLE, 1)
 
 
 def test_pauses_grow_to_a_bound_with_jitter_and_end_with_a_success() -> None:
-    failing = [Event.FAILED, Event.DUE] * 12
+    failing = [Event.FAILED, Event.BACKOFF_ELAPSED] * 12
     sender, actions = drive(*failing)
-    pauses = [a.pause for a in actions if a.do is Do.PAUSE]
+    pauses = [a.backoff_ms for a in actions if a.kind is ActionKind.BACK_OFF]
     assert all(0.1 * 250 * 2**n <= p <= 250 * 2**n for n, p in enumerate(pauses[:6]))
     assert max(pauses) <= 15_000.0
     assert len(set(pauses)) == 12
     sender.handle(Event.CONNECTED)
-    first = sender.backlog.first()
+    first = sender.delivery_queue.peek()
     assert first is not None
-    sender.backlog.handed(first)
-    sender.handle(Event.HANDED)
+    sender.delivery_queue.mark_delivered(first)
+    sender.handle(Event.DELIVERED)
     assert sender.failures == 0
 
 
 @pytest.mark.parametrize(
-    ("events", "dos"),
+    ("events", "kinds"),
     [
-        ((), [Do.NOTHING]),  # connecting: goes on, then sends, then closes
-        ((Event.CONNECTED, Event.HANDED), [Do.CLOSE]),
-        ((Event.FAILED,), [Do.CONNECT]),  # a pause is cut short
+        ((), [ActionKind.NOTHING]),  # connecting: goes on, then sends, then closes
+        ((Event.CONNECTED, Event.DELIVERED), [ActionKind.CLOSE]),
+        ((Event.FAILED,), [ActionKind.CONNECT]),  # a pause is cut short
     ],
 )
-def test_leaving_sends_what_waits_and_then_ends(events: tuple[Event, ...], dos: list[Do]) -> None:
+def test_leaving_sends_what_waits_and_then_ends(
+    events: tuple[Event, ...], kinds: list[ActionKind]
+) -> None:
     sender, _ = drive(*events)
-    assert [sender.leave().do] == dos
-    if sender.phase is Phase.CLOSING:
-        assert sender.handle(Event.FAILED).do is Do.PAUSE, (
+    assert [sender.drain().kind] == kinds
+    if sender.state is SenderState.CLOSING:
+        assert sender.handle(Event.FAILED).kind is ActionKind.BACK_OFF, (
             "broken at the end: the last reports go once more"
         )
-        assert len(sender.backlog) == 1
+        assert len(sender.delivery_queue) == 1
 
 
 def test_the_table_leads_out_of_every_phase_but_the_last() -> None:
-    after = {phase for phase, _ in TABLE}
-    assert after == set(Phase) - {Phase.ENDED}
-    for phase in (Phase.CONNECTING, Phase.SENDING, Phase.UP, Phase.CLOSING):
-        assert (phase, Event.FAILED) in TABLE
+    after = {phase for phase, _ in TRANSITIONS}
+    assert after == set(SenderState) - {SenderState.ENDED}
+    for phase in (
+        SenderState.CONNECTING,
+        SenderState.SENDING,
+        SenderState.IDLE,
+        SenderState.CLOSING,
+    ):
+        assert (phase, Event.FAILED) in TRANSITIONS
 
 
 # Stamps
 
 
 def test_a_lifes_zeros_fall_on_a_later_second_than_the_life_before() -> None:
-    old = Stamps(100.2, 0.0)
+    old = TimestampSource(100.2, 0.0)
     old.next(100.2, 0.0)
     last, second = old.next(107.9, 7.7)
     assert (last, second) == (107.9, 107)
-    assert Stamps(108.1, 0.0).next(108.1, 0.0)[1] == 109
-    assert Stamps(107.92, 0.0).next(107.92, 0.0)[1] > second
+    assert TimestampSource(108.1, 0.0).next(108.1, 0.0)[1] == 109
+    assert TimestampSource(107.92, 0.0).next(107.92, 0.0)[1] > second
     assert old.next(109.98, 9.78)[1] == 110, (
         "a report on a full second is not stamped with the one before"
     )
@@ -330,7 +337,7 @@
 @given(st.lists(st.tuples(st.floats(-5000, 5000), st.floats(0, 20)), max_size=30))
 def test_no_step_of_the_clock_takes_a_point_back(steps: list[tuple[float, float]]) -> None:
     unix = monotonic = 1_000_000.0
-    stamps, last = Stamps(unix, monotonic), (0.0, 0)
+    stamps, last = TimestampSource(unix, monotonic), (0.0, 0)
     for step, passed in steps:
         unix, monotonic = unix + step + passed, monotonic + passed
         stamp = stamps.next(unix, monotonic)
@@ -340,7 +347,7 @@
 
 
 def test_after_a_step_back_stamps_go_on_slowly_until_the_clock_has_caught_up() -> None:
-    stamps = Stamps(1000.0, 0.0)
+    stamps = TimestampSource(1000.0, 0.0)
     stamps.next(1000.0, 0.0)
     assert stamps.next(980.0, 10.0)[0] == pytest.approx(1005.0, abs=0.01)  # 30 s behind
     assert stamps.next(1040.0, 70.0)[0] == 1040.0
@@ -354,27 +361,27 @@
     asks: list[tuple[int, int]],
 ) -> None:
     true: dict[int, int] = {}
-    busiest = Busiest(8)
+    heavy_hitters = HeavyHitters(8)
     for firm, units in asks:
-        busiest.ask(0, firm, units)
+        heavy_hitters.add_requested(0, firm, units)
         true[firm] = true.get(firm, 0) + units
-    assert len(busiest.firms) <= 8
-    for (_, firm), figures in busiest.firms.items():
-        assert true[firm] <= figures[ASKED] <= true[firm] + figures[ERROR]
+    assert len(heavy_hitters.usage) <= 8
+    for (_, firm), usage in heavy_hitters.usage.items():
+        assert true[firm] <= usage.requested <= true[firm] + usage.error
     for firm, units in true.items():
         if units > sum(true.values()) / 8:
-            assert (0, firm) in busiest.firms
+            assert (0, firm) in heavy_hitters.usage
 
 
 def test_times_are_right_to_a_hundredth_and_steps_hold_over_intervals() -> None:
-    times = Times()
+    histogram = LatencyHistogram()
     for n in range(1, 1001):
-        times.add(float(n))
-    assert times.quantile(0.5) == pytest.approx(500, rel=0.011)
-    assert times.quantile(0.99) == pytest.approx(990, rel=0.011)
-    times.begin()
-    assert (times.quantile(0.5), times.longest) == (0.0, 0.0)
-    assert times.steps[:3] == [5, 5, 10], "up to 5, 10 and 20 ms, over the life"
+        histogram.add(float(n))
+    assert histogram.quantile(0.5) == pytest.approx(500, rel=0.011)
+    assert histogram.quantile(0.99) == pytest.approx(990, rel=0.011)
+    histogram.begin_interval()
+    assert (histogram.quantile(0.5), histogram.longest) == (0.0, 0.0)
+    assert histogram.buckets[:3] == [5, 5, 10], "up to 5, 10 and 20 ms, over the life"
 
 
 # The stand-in's ledger
@@ -410,4 +417,4 @@
 
 
 def test_every_outcome_of_a_call_has_a_word_of_its_own() -> None:
-    assert len({part(o.value.replace(" ", "-")) for o in Outcome}) == len(Outcome)
+    assert len({path_part(o.value.replace(" ", "-")) for o in Outcome}) == len(Outcome)
