--- a/benchmarks/telemetry.py
+++ b/benchmarks/telemetry.py
@@ -119,7 +119,8 @@
     """
     from dockthread.telemetry.catalogue import DERIVE, GAUGE, Point
     from dockthread.telemetry.options import CollectdOptions, GraphiteOptions
-    from dockthread.telemetry.receivers import words_of
+    from dockthread.telemetry.report_encoders import report_encoder
+    from dockthread.telemetry.timestamps import Timestamp
 
     report = [
         Point(("answers", "seat-status", f"plan-{n % 3}", "served"), DERIVE, n * 1000)
@@ -136,10 +137,11 @@
         "putval": CollectdOptions(address="unix:/x"),
     }
     for name, options in kinds.items():
-        words = words_of(options, "n0", 10_000.0)
+        encoder = report_encoder(options, "n0", 10_000.0)
+        timestamp = Timestamp(1_700_000_000.0, 1_700_000_000)
         begun, size, rounds = time.process_time(), 0, 200
         for _ in range(rounds):
-            size = sum(map(len, words.chunks(report, 1_700_000_000.0, 1_700_000_000)))
+            size = sum(map(len, encoder.encode(report, timestamp)))
         spent = (time.process_time() - begun) / rounds
         pace = len(report) / spent
         print(
--- a/dockthread/telemetry/__init__.py
+++ b/dockthread/telemetry/__init__.py
@@ -1,6 +1,11 @@
-"""Telemetry: what an ingress counts, and how Graphite and collectd hear of it.
+"""Telemetry: what an ingress counts, and how it is reported to Graphite and collectd.
 
-`catalogue` says what there is; `tally` adds up on the request's path; `reading` turns sums into
-points; `graphite`, `collectd` and `putval` word them; `backlog` and `sender` decide what goes when;
-`links` and `exporter` do the I/O; `receiver` is the stand-in for the other end.
+* `catalogue` lists the metrics.
+* `tally` counts on a request's path, with `latency_histogram` and `heavy_hitters`.
+* `metrics_reader` and `process_metrics` read the counts as points, at a moment of `timestamps`.
+* `report_encoders` encode points, by `graphite`, `collectd` and `putval`.
+* `delivery_queue` and `sender` decide what a receiver is sent, and when.
+* `report_delivery` and `connections` send it.
+* `exporter` runs all of these beside an ingress, by the `options` of the operator's file.
+* `receiver` is a stand-in for Graphite and collectd.
 """
--- a/dockthread/telemetry/catalogue.py
+++ b/dockthread/telemetry/catalogue.py
@@ -1,8 +1,11 @@
-"""Every metric: its path, kind, unit and meaning. What is not listed here cannot be sent.
+"""The catalogue of metrics: path, kind, unit and meaning of each; nothing else is sent.
 
-A path is a tuple of parts; `{class}` and the like stand for names. `derive` is a count that only
-grows within a life; `gauge` is a figure that holds at its moment. The kinds are collectd's, from
+A path is a tuple of parts; `{class}` and the like stand for names. A `derive` is a count that only
+grows within a life of an ingress; a `gauge` is a value at its moment. The kinds are collectd's, of
 its standard types.db.
+
+Paths and meanings are shown by `dockthread metrics list` and used by dashboards, so they keep some
+terms that the code no longer uses.
 """
 
 from __future__ import annotations
@@ -12,23 +15,48 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-DERIVE, GAUGE = "derive", "gauge"
-PLAIN = re.compile(r"[A-Za-z0-9_-]{1,64}")
-UNSAFE = re.compile(r"[^A-Za-z0-9_-]+")
-MOST_PART = 64  # characters of one part of a path
+DERIVE = "derive"
+GAUGE = "gauge"
+
+# Characters of one part of a path.
+MAX_PART_LENGTH = 64
+# Bytes of the hash at the end of a part that was changed; it is written in hexadecimal.
+PART_HASH_BYTES = 4
+# Characters of that hash, with the dash before it.
+PART_SUFFIX_LENGTH = 1 + 2 * PART_HASH_BYTES
+SAFE_PART = re.compile(r"[A-Za-z0-9_-]{1,64}")
+UNSAFE_CHARACTERS = re.compile(r"[^A-Za-z0-9_-]+")
+
+# The path of the first point of each report.
 LIFE = ("life",)
 # Milliseconds: upper bounds of the buckets of latencies.
 BUCKET_BOUNDS_MS = (5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000)
 
 
 class Point(NamedTuple):
+    """One value of a metric at the moment of its report.
+
+    Attributes:
+        path: The parts of the metric's path, with names in place of `{class}` and the like.
+        kind: `DERIVE` or `GAUGE`.
+        value: The value; whole for a `DERIVE`.
+    """
+
     path: tuple[str, ...]
     kind: str
     value: float
 
+    @property
+    def value_text(self) -> str:
+        """The value in decimal: whole numbers exactly, others to seven digits."""
+        whole = int(self.value)
+        return str(whole) if self.value == whole else f"{self.value:.7g}"
+
 
 @dataclass(frozen=True, slots=True)
 class Metric:
+    """A metric as an operator sees it."""
+
     path: str
     kind: str
     unit: str
@@ -104,13 +132,15 @@
 )  # fmt: skip
 
 
-def path_part(text: str) -> str:
-    """A name as one part of a path: what would break one is `_`, and a mark keeps unlike names
-    apart.
+def path_part(name: str) -> str:
+    """Return a name as one part of a path.
 
-    Plain names stay as they are. The mark is 8 hex digits of BLAKE2s over the whole name.
+    A name of safe characters stays as it is. In any other the unsafe characters become `_`, and a
+    hash of the whole name (BLAKE2s) is appended, so that different names have different parts.
     """
-    if PLAIN.fullmatch(text):
-        return text
-    mark = hashlib.blake2s(text.encode("utf-8", "surrogatepass"), digest_size=4).hexdigest()
-    return f"{UNSAFE.sub('_', text[:MOST_PART])[: MOST_PART - 9]}-{mark}"
+    if SAFE_PART.fullmatch(name):
+        return name
+    encoded = name.encode("utf-8", "surrogatepass")
+    digest = hashlib.blake2s(encoded, digest_size=PART_HASH_BYTES).hexdigest()
+    safe = UNSAFE_CHARACTERS.sub("_", name[:MAX_PART_LENGTH])
+    return f"{safe[: MAX_PART_LENGTH - PART_SUFFIX_LENGTH]}-{digest}"
--- /dev/null
+++ b/dockthread/telemetry/collectd/packet_encoder.py
@@ -0,0 +1,133 @@
+"""Encode points and notifications as packets."""
+
+from __future__ import annotations
+
+import hashlib
+import struct
+from collections.abc import Iterator
+from typing import NamedTuple
+
+from dockthread.telemetry.catalogue import GAUGE, Point
+from dockthread.telemetry.collectd.parts import (
+    NUMBER_PART,
+    PART_HEADER,
+    TIME_UNITS_PER_SECOND,
+    PartType,
+    ValueKind,
+)
+from dockthread.telemetry.collectd.security import PacketSealer
+
+# Characters of a type instance: the limit of collectd before version 5.5 and of many programs that
+# read its data.
+MAX_NAME_LENGTH = 63
+# Bytes of the hash at the end of a name that was shortened; it is written in hexadecimal.
+NAME_HASH_BYTES = 4
+# Characters of that hash, with the dash before it.
+NAME_SUFFIX_LENGTH = 1 + 2 * NAME_HASH_BYTES
+# Bytes of a string's text; its NUL makes 128, collectd's own limit.
+MAX_STRING_BYTES = 127
+# Type, length, number of values and kind of the value, which go before a single value.
+SINGLE_VALUE_HEADER = struct.Struct("!HHHB")
+# Bytes of a part with a single value.
+SINGLE_VALUE_BYTES = SINGLE_VALUE_HEADER.size + 8
+
+
+class SeriesName(NamedTuple):
+    """The two parts of collectd's identifier that a point's path becomes."""
+
+    plugin_instance: str
+    type_instance: str
+
+
+def series_name(path: tuple[str, ...]) -> SeriesName:
+    """Return the name of a path.
+
+    A type instance that is too long ends in a hash, so that different paths have different names.
+    """
+    if len(path) > 1:
+        plugin_instance = path[0]
+        type_instance = ".".join(path[1:])
+    else:
+        plugin_instance = ""
+        type_instance = path[0]
+    if len(type_instance) > MAX_NAME_LENGTH:
+        digest = hashlib.blake2s(type_instance.encode(), digest_size=NAME_HASH_BYTES).hexdigest()
+        type_instance = f"{type_instance[: MAX_NAME_LENGTH - NAME_SUFFIX_LENGTH]}-{digest}"
+    return SeriesName(plugin_instance, type_instance)
+
+
+class PacketEncoder:
+    """Encodes the reports and notifications of one host."""
+
+    def __init__(
+        self, host: str, plugin: str, interval_seconds: float, sealer: PacketSealer
+    ) -> None:
+        self._host = host
+        self._plugin = plugin
+        self._interval_seconds = interval_seconds
+        self._sealer = sealer
+
+    def packets(self, points: list[Point], seconds: float) -> Iterator[bytes]:
+        """Yield packets with all points at a moment in Unix seconds, each as full as it can be."""
+        header = self._report_header(seconds)
+        packet = bytearray(header)
+        plugin_instance = ""
+        kind = ""
+        for point in points:
+            name = series_name(point.path)
+            value = _string_part(PartType.TYPE_INSTANCE, name.type_instance) + _value_part(point)
+            # Plugin instance and type hold until they change, or until the packet ends.
+            changes = b""
+            if name.plugin_instance != plugin_instance:
+                changes += _string_part(PartType.PLUGIN_INSTANCE, name.plugin_instance)
+            if point.kind != kind:
+                changes += _string_part(PartType.TYPE, point.kind)
+            if len(packet) + len(changes) + len(value) > self._sealer.capacity:
+                yield self._sealer.seal(bytes(packet))
+                packet = bytearray(header)
+                changes = _string_part(PartType.PLUGIN_INSTANCE, name.plugin_instance)
+                changes += _string_part(PartType.TYPE, point.kind)
+            packet += changes + value
+            plugin_instance = name.plugin_instance
+            kind = point.kind
+        if len(packet) > len(header):
+            yield self._sealer.seal(bytes(packet))
+
+    def _report_header(self, seconds: float) -> bytes:
+        return (
+            _string_part(PartType.HOST, self._host)
+            + _time_part(PartType.TIME_HIGH_RESOLUTION, seconds)
+            + _time_part(PartType.INTERVAL_HIGH_RESOLUTION, self._interval_seconds)
+            + _string_part(PartType.PLUGIN, self._plugin)
+        )
+
+    def notification(self, text: str, severity: int, seconds: float) -> bytes:
+        """Return the packet of a notification at a moment in Unix seconds."""
+        return self._sealer.seal(
+            _time_part(PartType.TIME_HIGH_RESOLUTION, seconds)
+            + _number_part(PartType.SEVERITY, severity)
+            + _string_part(PartType.HOST, self._host)
+            + _string_part(PartType.PLUGIN, self._plugin)
+            + _string_part(PartType.MESSAGE, text)
+        )
+
+
+def _string_part(part_type: PartType, text: str) -> bytes:
+    payload = text.encode()[:MAX_STRING_BYTES] + b"\0"
+    return PART_HEADER.pack(part_type, PART_HEADER.size + len(payload)) + payload
+
+
+def _number_part(part_type: PartType, number: int) -> bytes:
+    return NUMBER_PART.pack(part_type, NUMBER_PART.size, number)
+
+
+def _time_part(part_type: PartType, seconds: float) -> bytes:
+    return _number_part(part_type, round(seconds * TIME_UNITS_PER_SECOND))
+
+
+def _value_part(point: Point) -> bytes:
+    kind = ValueKind.GAUGE if point.kind == GAUGE else ValueKind.DERIVE
+    header = SINGLE_VALUE_HEADER.pack(PartType.VALUES, SINGLE_VALUE_BYTES, 1, kind)
+    if kind is ValueKind.GAUGE:
+        return header + struct.pack("<d", point.value)
+    return header + struct.pack("!q", int(point.value))
--- a/dockthread/telemetry/exporter.py
+++ b/dockthread/telemetry/exporter.py
@@ -1,9 +1,8 @@
-"""Runs telemetry beside an ingress: a report each interval, the receivers' tasks, the last words of
-a life.
+"""Run telemetry beside an ingress: a report each interval, and one last report at the end.
 
-It counts only while there is a receiver. A life begins with the first one, at the start or by a
-reload, and with explicit zeros. The last report is made after the last answer, and has `farewell`
-to go out.
+Counting happens only while there is a receiver. A life begins with the first receiver, at the start
+of the ingress or by a reload, and its first report holds explicit zeros. The last report is made
+after the last response, and has the time `farewell` of the operator's file to be delivered.
 """
 
 from __future__ import annotations
@@ -18,204 +17,237 @@
 
 from dockthread.observer import Observer
 from dockthread.telemetry.metrics_reader import MetricsReader
-from dockthread.telemetry.options import CollectdOptions, GraphiteOptions, TelemetryOptions
-from dockthread.telemetry.receivers import Receiver
+from dockthread.telemetry.options import TelemetryOptions
+from dockthread.telemetry.report_delivery import Receiver, ReceiverSettings
+from dockthread.telemetry.report_encoders import ReceiverOptions
 from dockthread.telemetry.tally import Tally
-from dockthread.telemetry.timestamps import TimestampSource
+from dockthread.telemetry.timestamps import Timestamp, TimestampSource
 
 if TYPE_CHECKING:
     from dockthread.config.ini_reader import OperatorConfig
     from dockthread.net.ingress import Ingress
 
-SAMPLE = 0.1  # s between looks at the loop's delay and at the counter's mute
-MEMORY_PART = 64  # of the ingress's memory, one part for a receiver's queue
-LEAST_ROOM = 64 * 1024
-
-Options = GraphiteOptions | CollectdOptions
+# Seconds between two samples of the event loop's lag and of the counter's circuit.
+SAMPLE_SECONDS = 0.1
+# One part in so many of the ingress's memory is a receiver's queue, unless the file says otherwise.
+MEMORY_PARTS = 64
+# Bytes of the smallest such queue.
+MIN_QUEUE_BYTES = 64 * 1024
+BYTES_PER_MEBIBYTE = 1 << 20
 
 
 class Exporter:
-    """All of it is used from the ingress's loop."""
+    """Counts, reads and reports; all of it is used from the ingress's event loop.
+
+    Attributes:
+        receivers: The receivers of the operator's file, by name.
+    """
 
     def __init__(self, ingress: Ingress) -> None:
+        self.receivers: dict[str, Receiver] = {}
         self._ingress = ingress
         self._loop = asyncio.get_running_loop()
         self._options = TelemetryOptions()
-        self.receivers: dict[str, Receiver] = {}
-        self._leaving: set[asyncio.Task[None]] = set()
+        self._drains: set[asyncio.Task[None]] = set()
         self._tally: Tally | None = None
         self._reader: MetricsReader | None = None
         self._timestamps: TimestampSource | None = None
-        self._reported = 0.0  # when, on the ingress's clock
-        self._round = 0  # of the timers: those of an earlier round no longer count
-        self._task: asyncio.Task[None] | None = None
+        self._reported_at_ms = 0.0  # of the ingress's clock
+        self._schedule_number = 0  # timers of an earlier schedule are ignored
+        self._report_task: asyncio.Task[None] | None = None
         self._sampler: asyncio.TimerHandle | None = None
 
     @property
     def tally(self) -> Tally | None:
+        """The counts of the present life, or None while there is no receiver."""
         return self._tally
 
-    def apply(self, read: OperatorConfig) -> None:
-        """Take over the file's receivers and figures. Raises SettingsError, and then all stays as
-        it was.
+    def apply(self, operator_config: OperatorConfig) -> None:
+        """Take over the file's receivers and options.
+
+        Raises:
+            SettingsError: if a receiver cannot be made; then everything stays as it was.
         """
-        options: TelemetryOptions = read.section("telemetry")
-        named: Mapping[str, Options] = {
-            **read.named_sections("graphite"),
-            **read.named_sections("collectd"),
+        options: TelemetryOptions = operator_config.section("telemetry")
+        named: Mapping[str, ReceiverOptions] = {
+            **operator_config.named_sections("graphite"),
+            **operator_config.named_sections("collectd"),
         }
-        fresh = self._changed_receivers(named, options)
-        gone = [r for name, r in self.receivers.items() if name not in named or name in fresh]
-        self.receivers = {name: fresh.get(name) or self.receivers[name] for name in named}
+        changed = self._changed_receivers(named, options)
+        removed = [
+            receiver
+            for name, receiver in self.receivers.items()
+            if name not in named or name in changed
+        ]
+        self.receivers = {name: changed.get(name) or self.receivers[name] for name in named}
         self._options = options
-        for receiver in gone:
-            self._let_go(receiver)
-        for receiver in fresh.values():
+        for receiver in removed:
+            self._drain_in_background(receiver)
+        for receiver in changed.values():
             receiver.start()
         if not self.receivers:
             self._end_life()
         elif self._tally is None:
             self._begin_life()
-        elif fresh:
-            self._round += 1
+        elif changed:
+            self._schedule_number += 1
             self._report()
             self._schedule()
 
     def _changed_receivers(
-        self, named: Mapping[str, Options], options: TelemetryOptions
+        self, named: Mapping[str, ReceiverOptions], options: TelemetryOptions
     ) -> dict[str, Receiver]:
         """Return a new receiver for each that is new or has other options than before."""
         config = self._ingress.config
-        queue_bytes = options.queue or max(LEAST_ROOM, config.memory_mb * (1 << 20) // MEMORY_PART)
-        return {
-            name: Receiver(
-                name,
-                receiver_options,
-                config.name,
-                options.interval,
-                int(queue_bytes),
-                config.seed + number,
+        memory_share = config.memory_mb * BYTES_PER_MEBIBYTE // MEMORY_PARTS
+        queue_bytes = int(options.queue or max(MIN_QUEUE_BYTES, memory_share))
+        interval_changed = self._options.interval != options.interval
+        changed = {}
+        for number, (name, receiver_options) in enumerate(named.items()):
+            present = self.receivers.get(name)
+            if present and present.options == receiver_options and not interval_changed:
+                continue
+            settings = ReceiverSettings(
+                name=name,
+                options=receiver_options,
+                ingress=config.name,
+                interval_ms=options.interval,
+                queue_bytes=queue_bytes,
+                seed=config.seed + number,
             )
-            for number, (name, receiver_options) in enumerate(named.items())
-            if name not in self.receivers
-            or self.receivers[name].options != receiver_options
-            or self._options.interval != options.interval
-        }
+            changed[name] = Receiver(settings)
+        return changed
 
     def _begin_life(self) -> None:
-        ingress, options = self._ingress, self._options
-        module, names = ingress.config.policy_settings, ingress.config.names
-        self._tally = tally = Tally(module.classes, len(names.plans), options.firms)
-        now = ingress.clock.now()
-        unix = now + ingress.clock.unix_offset
-        self._timestamps = TimestampSource(unix / 1000.0, now / 1000.0)
-        self._reader = MetricsReader(ingress, tally, unix, options.nodes, options.firms)
-        self._reported = now
-        tally.on_phase = self._phase
-        ingress.observe(tally)
+        ingress = self._ingress
+        options = self._options
+        classes = ingress.config.policy_settings.classes
+        self._tally = Tally(classes, len(ingress.config.names.plans), options.firms)
+        now_ms = ingress.clock.now()
+        unix_ms = now_ms + ingress.clock.unix_offset
+        self._timestamps = TimestampSource(unix_ms / 1000.0, now_ms / 1000.0)
+        self._reader = MetricsReader(ingress, self._tally, unix_ms, options.nodes, options.firms)
+        self._reported_at_ms = now_ms
+        self._tally.on_phase = self._notify_phase
+        ingress.observe(self._tally)
         logger.info(
             "telemetry to {}",
-            ", ".join(f"{n} at {r.options.address}" for n, r in self.receivers.items()),
+            ", ".join(
+                f"{name} at {receiver.options.address}" for name, receiver in self.receivers.items()
+            ),
         )
         self._report()  # the zeros of this life
         self._schedule()
-        self._sample(time.monotonic() + SAMPLE)
+        self._sample(time.monotonic() + SAMPLE_SECONDS)
 
     def _end_life(self) -> None:
-        self._round += 1
+        self._schedule_number += 1
         self._tally = None
         if self._sampler is not None:
             self._sampler.cancel()
         self._ingress.observe(Observer())
 
-    def _let_go(self, receiver: Receiver) -> None:
-        task = self._loop.create_task(self._bounded_leave([receiver]))
-        self._leaving.add(task)
-        task.add_done_callback(self._leaving.discard)
-
-    async def _bounded_leave(self, receivers: list[Receiver]) -> None:
-        leaves = [self._loop.create_task(receiver.leave()) for receiver in receivers]
-        if leaves:
-            await asyncio.wait(leaves, timeout=self._options.farewell / 1000.0)
-        for leave in leaves:
-            leave.cancel()
+    def _drain_in_background(self, receiver: Receiver) -> None:
+        task = self._loop.create_task(self._drain([receiver]))
+        self._drains.add(task)
+        task.add_done_callback(self._drains.discard)
+
+    async def _drain(self, receivers: list[Receiver]) -> None:
+        """Drain receivers within `farewell`, and stop them."""
+        drains = [self._loop.create_task(receiver.drain()) for receiver in receivers]
+        if drains:
+            await asyncio.wait(drains, timeout=self._options.farewell / 1000.0)
+        for drain in drains:
+            drain.cancel()
         for receiver in receivers:
             receiver.stop()
 
-    # Reports
-
     def _schedule(self) -> None:
-        """The next report is due at a multiple of the interval in Unix time: so all ingresses'
-        points fall on the same seconds, and Graphite can add them up.
+        """Schedule the next report at a multiple of the interval in Unix time.
+
+        So the points of all ingresses fall on the same seconds, and Graphite can add them up.
         """
-        self._round += 1
-        clock, interval = self._ingress.clock, self._options.interval
-        unix = clock.now() + clock.unix_offset
-        due = (floor(unix / interval) + 1) * interval - clock.unix_offset
-        self._ingress.call_at(due, self._due, self._round)
-
-    def _due(self, number: int) -> None:
-        if number == self._round:
+        self._schedule_number += 1
+        clock = self._ingress.clock
+        interval_ms = self._options.interval
+        unix_ms = clock.now() + clock.unix_offset
+        due_unix_ms = (floor(unix_ms / interval_ms) + 1) * interval_ms
+        self._ingress.call_at(
+            due_unix_ms - clock.unix_offset, self._on_report_due, self._schedule_number
+        )
+
+    def _on_report_due(self, schedule_number: int) -> None:
+        if schedule_number == self._schedule_number:
             self._schedule()
             self._report()
 
     def _report(self) -> None:
-        """Read now, word later. One report at a time: a loop that is so late skips one."""
-        if self._task is not None and not self._task.done():
+        """Read the points now, and encode them in a task.
+
+        One report is encoded at a time: while the last one still is, this one is skipped.
+        """
+        if self._report_task is not None and not self._report_task.done():
             return
-        reader, tally, timestamps = self._reader, self._tally, self._timestamps
-        if reader is None or tally is None or timestamps is None:
+        if self._reader is None or self._tally is None or self._timestamps is None:
             return
-        now = self._ingress.clock.now()
-        points = reader.points(
-            now - self._reported, [(n, r.sender) for n, r in self.receivers.items()]
-        )
-        tally.begin_interval()
-        self._reported = now
-        stamp, second = timestamps.next(*self._times())
+        now_ms = self._ingress.clock.now()
+        senders = [(name, receiver.sender) for name, receiver in self.receivers.items()]
+        points = self._reader.points(now_ms - self._reported_at_ms, senders)
+        self._tally.begin_interval()
+        self._reported_at_ms = now_ms
+        timestamp = self._next_timestamp(self._timestamps)
         receivers = list(self.receivers.values())
 
-        async def word() -> None:
+        async def encode() -> None:
             for receiver in receivers:
-                await receiver.report(points, stamp, second)
+                await receiver.report(points, timestamp)
 
-        self._task = self._loop.create_task(word())
+        self._report_task = self._loop.create_task(encode())
 
-    def _times(self) -> tuple[float, float]:
+    def _next_timestamp(self, timestamps: TimestampSource) -> Timestamp:
         clock = self._ingress.clock
-        return clock.unix() / 1000.0, clock.now() / 1000.0
+        return timestamps.next(clock.unix() / 1000.0, clock.now() / 1000.0)
 
-    def _phase(self, name: str) -> None:
+    def _notify_phase(self, name: str) -> None:
         if self._timestamps is None:
             return
-        stamp, _ = self._timestamps.next(*self._times())
+        timestamp = self._next_timestamp(self._timestamps)
         for receiver in self.receivers.values():
-            receiver.note(f"{self._ingress.config.name} is {name}", stamp)
+            receiver.notify(f"{self._ingress.config.name} is {name}", timestamp.seconds)
 
     def _sample(self, due: float) -> None:
-        """How late the loop is, by how late this is."""
-        tally, now = self._tally, time.monotonic()
+        """Sample the event loop's lag, by how late this call is, and the counter's circuit.
+
+        Args:
+            due: When this call was due, in seconds of the monotonic clock.
+        """
+        tally = self._tally
         if tally is None:
             return
+        now = time.monotonic()
         if now >= due:
             tally.event_loop_lags.add((now - due) * 1000.0)
-            if self._ingress.engine.counter.circuit_open_until > self._ingress.clock.now() / 1000.0:
-                tally.circuit_open_ms += SAMPLE * 1000.0
-            due = now + SAMPLE
+            open_until = self._ingress.engine.counter.circuit_open_until
+            if open_until > self._ingress.clock.now() / 1000.0:
+                tally.circuit_open_ms += SAMPLE_SECONDS * 1000.0
+            due = now + SAMPLE_SECONDS
         self._sampler = self._loop.call_later(max(0.0, due - now), self._sample, due)
 
     async def farewell(self) -> None:
-        """The last values, after the last answer, within `farewell` in all."""
+        """Report the last values after the last response, and drain the receivers.
+
+        The report may take the time `farewell` to encode, and the drain as long again.
+        """
         if self._tally is None:
             return
         try:
             async with asyncio.timeout(self._options.farewell / 1000.0):
-                if self._task is not None:
-                    await self._task
+                if self._report_task is not None:
+                    await self._report_task
                 self._report()
-                if self._task is not None:
-                    await self._task
+                if self._report_task is not None:
+                    await self._report_task
         except TimeoutError:
             pass
-        await self._bounded_leave(list(self.receivers.values()))
+        await self._drain(list(self.receivers.values()))
         self._end_life()
--- a/dockthread/telemetry/graphite.py
+++ b/dockthread/telemetry/graphite.py
@@ -1,9 +1,8 @@
-"""Words points for Graphite's carbon: the plaintext and the pickle protocol, over dotted paths or
-with tags.
+"""Encode points for Graphite's carbon, as plain text or as pickles.
 
-Source: Graphite's documentation, "Feeding In Your Data". Plaintext is `PATH VALUE SECONDS` a line;
-pickle is a 4-byte big-endian length and a pickled list of `(path, (seconds, value))`, protocol 2,
-at most 1 MiB by carbon's default.
+Source: Graphite's documentation, "Feeding In Your Data". Plain text is a line `PATH VALUE SECONDS`
+for each point. A pickle is preceded by its length (four bytes, big-endian) and holds a list of
+`(path, (seconds, value))` in protocol 2; carbon takes 1 MiB by default.
 """
 
 from __future__ import annotations
@@ -15,8 +14,13 @@
 
 from dockthread.telemetry.catalogue import Point
 
-PICKLED = 256  # points in one pickle: far below the length that carbon takes
-TAGS = {
+# Points in one pickle, which stays far below the length that carbon takes.
+POINTS_PER_PICKLE = 256
+PICKLE_PROTOCOL = 2
+# The length before each pickle.
+PICKLE_HEADER = struct.Struct("!I")
+# Names of the tags for a path's parts behind the first, by the first.
+TAG_NAMES = {
     "answers": ("class", "plan", "outcome"),
     "why": ("class", "plan", "outcome", "reason"),
     "late": ("class",),
@@ -35,35 +39,39 @@
 
 
 def series(prefix: str, ingress: str, path: tuple[str, ...], tags: bool) -> str:
-    """`PREFIX.INGRESS.a.b.c`, or `PREFIX.a;ingress=INGRESS;...` with the parts behind the first as
-    tags.
+    """Return the name of a path's series.
+
+    Without tags it is `PREFIX.INGRESS.a.b.c`. With tags it is `PREFIX.a;ingress=INGRESS;...`, where
+    the parts behind the first are values of tags.
     """
     if not tags:
         return ".".join((prefix, ingress, *path))
-    names = TAGS.get(path[0], ())
+    names = TAG_NAMES.get(path[0], ())
     if len(names) != len(path) - 1:
         return ";".join((".".join((prefix, *path)), f"ingress={ingress}"))
     pairs = [f"{name}={value}" for name, value in zip(names, path[1:], strict=True)]
     return ";".join((f"{prefix}.{path[0]}", f"ingress={ingress}", *pairs))
 
 
-def figure(value: float) -> str:
-    """Whole numbers exactly, others to seven digits."""
-    return str(int(value)) if value == int(value) else f"{value:.7g}"
-
-
 def plaintext(named: Sequence[tuple[str, Point]], seconds: int) -> bytes:
-    return "".join(f"{name} {figure(point.value)} {seconds}\n" for name, point in named).encode()
+    """Encode points, each with the name of its series, as lines."""
+    return "".join(f"{name} {point.value_text} {seconds}\n" for name, point in named).encode()
 
 
 def pickled(named: Sequence[tuple[str, Point]], seconds: int) -> bytes:
-    """One frame for each `PICKLED` points."""
-    out = BytesIO()
-    for at in range(0, len(named), PICKLED):
+    """Encode points, each with the name of its series, as pickles of `POINTS_PER_PICKLE`."""
+    output = BytesIO()
+    for start in range(0, len(named), POINTS_PER_PICKLE):
         rows = [
-            (name, (seconds, int(p.value) if p.value == int(p.value) else p.value))
-            for name, p in named[at : at + PICKLED]
+            (name, (seconds, _whole_if_possible(point.value)))
+            for name, point in named[start : start + POINTS_PER_PICKLE]
         ]
-        data = dumps(rows, 2)
-        out.write(struct.pack("!I", len(data)) + data)
-    return out.getvalue()
+        data = dumps(rows, PICKLE_PROTOCOL)
+        output.write(PICKLE_HEADER.pack(len(data)) + data)
+    return output.getvalue()
+
+
+def _whole_if_possible(value: float) -> float:
+    """Return a whole number as an int, whose pickle is shorter and exact."""
+    whole = int(value)
+    return whole if value == whole else value
--- a/dockthread/telemetry/putval.py
+++ b/dockthread/telemetry/putval.py
@@ -1,7 +1,7 @@
-"""Collectd's plain text protocol, as its unixsock plugin speaks it: PUTVAL and PUTNOTIF.
+"""Commands of collectd's unixsock plugin, PUTVAL and PUTNOTIF, both ways.
 
-Source: collectd-unixsock(5). Each command is a line, and is answered by `STATUS TEXT`, where a
-status below 0 is an error and any other the number of lines that follow.
+Source: collectd-unixsock(5). Each command is a line. The answer is `STATUS TEXT`, where a status
+below 0 is an error, and any other is the number of lines that follow.
 """
 
 from __future__ import annotations
@@ -11,86 +11,133 @@
 from dataclasses import dataclass
 
 from dockthread.telemetry.catalogue import Point
-from dockthread.telemetry.collectd import Told, name_of
-from dockthread.telemetry.graphite import figure
-
-STATUS = re.compile(rb"(-?[0-9]{1,9}) [^\n]*\n")
-SEVERITIES = {1: "failure", 2: "warning", 4: "okay"}
-MOST_LINE = 64 * 1024
-
-
-def identifier(host: str, plugin: str, point: Point) -> str:
-    first, rest = name_of(point.path)
-    return f"{host}/{plugin}{'-' + first if first else ''}/{point.kind}-{rest}"
-
-
-def putval(host: str, plugin: str, point: Point, seconds: float, interval: float) -> bytes:
-    name = identifier(host, plugin, point)
-    return f'PUTVAL "{name}" interval={interval:g} {seconds:.3f}:{figure(point.value)}\n'.encode()
+from dockthread.telemetry.collectd import CollectdItem, Severity, series_name
+
+ANSWER = re.compile(rb"(-?[0-9]{1,9}) [^\n]*\n")
+SEVERITY_NAMES = {
+    Severity.FAILURE: "failure",
+    Severity.WARNING: "warning",
+    Severity.OKAY: "okay",
+}
+SEVERITIES_BY_NAME = {name: severity for severity, name in SEVERITY_NAMES.items()}
+# Bytes of a line, of a command or an answer, that does not end.
+MAX_LINE_BYTES = 64 * 1024
+# Seconds of the interval of values whose command names none; collectd's default.
+DEFAULT_INTERVAL_SECONDS = 10.0
+# Characters of an unknown command that the answer repeats.
+MAX_REPEATED_COMMAND = 32
+# Words of the shortest PUTVAL: the command, an identifier and a value.
+MIN_PUTVAL_WORDS = 3
+
+
+def _identifier(host: str, plugin: str, point: Point) -> str:
+    name = series_name(point.path)
+    plugin_name = f"{plugin}-{name.plugin_instance}" if name.plugin_instance else plugin
+    return f"{host}/{plugin_name}/{point.kind}-{name.type_instance}"
+
+
+def putval(host: str, plugin: str, point: Point, seconds: float, interval_seconds: float) -> bytes:
+    """Return the command for a point at a moment in Unix seconds."""
+    identifier = _identifier(host, plugin, point)
+    value = f"{seconds:.3f}:{point.value_text}"
+    return f'PUTVAL "{identifier}" interval={interval_seconds:g} {value}\n'.encode()
 
 
 def putnotif(host: str, plugin: str, text: str, severity: int, seconds: float) -> bytes:
-    words = f"severity={SEVERITIES[severity]} time={seconds:.3f} host={host} plugin={plugin}"
-    return f'PUTNOTIF message="{text}" {words}\n'.encode()
+    """Return the command for a notification at a moment in Unix seconds."""
+    severity_name = SEVERITY_NAMES[Severity(severity)]
+    options = f"severity={severity_name} time={seconds:.3f} host={host} plugin={plugin}"
+    return f'PUTNOTIF message="{text}" {options}\n'.encode()
 
 
 @dataclass(slots=True)
 class Answers:
-    """Counts the answers in what a collectd says; `refused` are those below 0."""
+    """Counts the answers in a stream of bytes from collectd.
+
+    Attributes:
+        unread: The beginning of an answer that is not complete.
+        seen: Answers read.
+        refused: Those of them that are errors.
+    """
 
-    rest: bytes = b""
+    unread: bytes = b""
     seen: int = 0
     refused: int = 0
 
     def feed(self, data: bytes) -> None:
-        """Raises ValueError for what is no answer."""
-        self.rest += data
-        while (end := self.rest.find(b"\n")) >= 0:
-            line, self.rest = self.rest[: end + 1], self.rest[end + 1 :]
-            if (found := STATUS.fullmatch(line)) is None:
+        """Read the answers in the next bytes.
+
+        Raises:
+            ValueError: if they are not answers.
+        """
+        self.unread += data
+        while (end := self.unread.find(b"\n")) >= 0:
+            line = self.unread[: end + 1]
+            self.unread = self.unread[end + 1 :]
+            answer = ANSWER.fullmatch(line)
+            if answer is None:
                 raise ValueError("not an answer of collectd's")
             self.seen += 1
-            self.refused += int(found[1]) < 0
-        if len(self.rest) > MOST_LINE:
+            self.refused += int(answer[1]) < 0
+        if len(self.unread) > MAX_LINE_BYTES:
             raise ValueError("a line does not end")
 
 
-def parse(line: str) -> list[Told]:
-    """What one command tells. Raises ValueError with a text fit for the answer."""
+def parse(line: str) -> list[CollectdItem]:
+    """Return the values, or the notification, of one command.
+
+    Raises:
+        ValueError: if the command cannot be read; its text is fit for the answer.
+    """
     words = shlex.split(line)
-    verb = words[0].upper() if words else ""
-    if verb == "PUTNOTIF":
-        pairs = dict(word.split("=", 1) for word in words[1:])
-        severity = {name: n for n, name in SEVERITIES.items()}.get(pairs.get("severity", ""), 0)
-        if not severity or "message" not in pairs:
-            raise ValueError("a notification needs a severity and a message")
-        time = float(pairs.get("time", "0"))
-        return [
-            Told(
-                host=pairs.get("host", ""),
-                plugin=pairs.get("plugin", ""),
-                seconds=time,
-                message=pairs["message"],
-                severity=severity,
-            )
-        ]
-    if verb != "PUTVAL":
-        raise ValueError(f"Unknown command: {verb[:32]}")
-    if len(words) < 3 or words[1].count("/") != 2:
+    command = words[0].upper() if words else ""
+    if command == "PUTNOTIF":
+        return [_parse_putnotif(words[1:])]
+    if command == "PUTVAL":
+        return _parse_putval(words)
+    raise ValueError(f"Unknown command: {command[:MAX_REPEATED_COMMAND]}")
+
+
+def _parse_putnotif(words: list[str]) -> CollectdItem:
+    options = dict(word.split("=", 1) for word in words)
+    severity = SEVERITIES_BY_NAME.get(options.get("severity", ""))
+    if severity is None or "message" not in options:
+        raise ValueError("a notification needs a severity and a message")
+    return CollectdItem(
+        host=options.get("host", ""),
+        plugin=options.get("plugin", ""),
+        seconds=float(options.get("time", "0")),
+        message=options["message"],
+        severity=severity,
+    )
+
+
+def _parse_putval(words: list[str]) -> list[CollectdItem]:
+    if len(words) < MIN_PUTVAL_WORDS or words[1].count("/") != 2:
         raise ValueError("Cannot parse identifier")
-    host, plugin, kind = words[1].split("/")
-    plugin, _, instance = plugin.partition("-")
-    kind, _, rest = kind.partition("-")
-    found, interval = [], 10.0
+    host, plugin_name, type_name = words[1].split("/")
+    plugin, _, plugin_instance = plugin_name.partition("-")
+    type_, _, type_instance = type_name.partition("-")
+    interval = DEFAULT_INTERVAL_SECONDS
+    items = []
     for word in words[2:]:
         if "=" in word:
             key, _, text = word.partition("=")
             interval = float(text) if key == "interval" else interval
             continue
-        moment, _, value = word.partition(":")
+        seconds, _, value = word.partition(":")
         if not value:
             raise ValueError("No values")
-        found.append(
-            Told(host, plugin, instance, kind, rest, float(moment), interval, kind, float(value))
+        item = CollectdItem(
+            host=host,
+            plugin=plugin,
+            plugin_instance=plugin_instance,
+            type=type_,
+            type_instance=type_instance,
+            seconds=float(seconds),
+            interval=interval,
+            kind=type_,
+            value=float(value),
         )
-    return found
+        items.append(item)
+    return items
--- a/dockthread/telemetry/receiver/__init__.py
+++ b/dockthread/telemetry/receiver/__init__.py
@@ -1,3 +1,5 @@
-"""The stand-in for Graphite and collectd: listens, decodes every protocol, keeps what came, and can
-misbehave.
+"""The stand-in for Graphite and collectd, for tests and trials.
+
+`stand_in` listens and can misbehave, `decode` and `command_server` decode what arrives, and
+`ledger` keeps it.
 """
--- /dev/null
+++ b/dockthread/telemetry/receiver/command_server.py
@@ -0,0 +1,39 @@
+"""Collectd's side of a connection to its unixsock plugin."""
+
+from __future__ import annotations
+
+from dockthread.telemetry import putval
+from dockthread.telemetry.receiver.decode import DecodeError
+from dockthread.telemetry.receiver.ledger import Ledger
+
+
+class CommandServer:
+    """Reads the commands of one connection into the ledger, and answers them."""
+
+    def __init__(self, ledger: Ledger, source: str) -> None:
+        """Serve a connection whose values the ledger keeps under the name of a source."""
+        self._ledger = ledger
+        self._source = source
+        self._unread = b""
+
+    def feed(self, data: bytes) -> bytes:
+        """Return the answers to the commands that end in the next bytes.
+
+        Raises:
+            DecodeError: if a command does not end.
+        """
+        *lines, self._unread = (self._unread + data).split(b"\n")
+        if len(self._unread) > putval.MAX_LINE_BYTES:
+            raise DecodeError("a line does not end")
+        return "".join(map(self._answer, lines)).encode()
+
+    def _answer(self, line: bytes) -> str:
+        try:
+            items = putval.parse(line.decode())
+        except ValueError as error:
+            self._ledger.add_fault(self._source, "a command that cannot be read")
+            return f"-1 {error}\n"
+        self._ledger.add_collectd(self._source, items)
+        count = sum(not item.message for item in items)
+        plural = "" if count == 1 else "s"
+        return f"0 Success: {count} value{plural} has been dispatched.\n"
--- a/dockthread/telemetry/receiver/ledger.py
+++ b/dockthread/telemetry/receiver/ledger.py
@@ -1,7 +1,7 @@
-"""Keeps what came, in SQLite, and adds up counts over lives.
+"""Keep the points that arrived, in SQLite, and add up counts over lives.
 
-A series is one over all lives of its ingress; its values fall into lives by the `life` that its
-ingress last said: on the same stream for Graphite, at the same moment for collectd. The total of a
+A series is one over all lives of its ingress. Its values belong to the life that the ingress
+reported last: on the same stream for Graphite, at the same moment for collectd. The total of a
 count is the sum, over lives, of the value with the latest time in each.
 """
 
@@ -11,10 +11,12 @@
 from collections import Counter
 from collections.abc import Iterable
 from dataclasses import dataclass
+from typing import NamedTuple
 
-from dockthread.telemetry.collectd import Told
-from dockthread.telemetry.receiver.decode import Got
+from dockthread.telemetry.collectd import CollectdItem
+from dockthread.telemetry.receiver.decode import ReceivedPoint
 
+# Tables of the file, in which `life` is the start of a life in Unix milliseconds.
 SCHEMA = """
 create table if not exists points
   (id integer primary key, source text, series text, life integer, seconds real, value real);
@@ -22,99 +24,141 @@
 create table if not exists notes (seconds real, host text, severity integer, message text);
 create table if not exists faults (source text, kind text, many integer, primary key (source, kind));
 """
-LAST = """
+# The value with the latest time, by source, series and life.
+LAST_VALUES = """
 select source, series, life, value from (
   select source, series, life, value,
     row_number() over (partition by source, series, life order by seconds desc, id desc) as place
   from points) where place = 1
 """
-BACK = """
+# How often a value of a series is below the one before it in the same life.
+DECREASES = """
 select count(*) from (
   select value - lag(value) over (partition by source, series, life order by seconds, id) as step
   from points where source = ? and series = ?) where step < 0
 """
 
 
+# The tag with the name of the ingress, and the last part of the path of the point `life`.
+INGRESS_TAG = "ingress="
+LIFE = "life"
+# Milliseconds by which rounding may put a collectd time before the start of its life.
+LIFE_TOLERANCE_MS = 1.0
+# The life of a point that arrived before any point `life`.
+UNKNOWN_LIFE = 0
+
+
 @dataclass(frozen=True, slots=True)
 class Total:
+    """The total of a series over all lives.
+
+    Attributes:
+        source: The protocol by which it arrived.
+        series: The name of the series.
+        value: The sum of the last value of each life.
+        lives: The number of lives.
+    """
+
     source: str
     series: str
     value: float
     lives: int
 
 
-def owner(series: str) -> str:
-    """Whose series it may be: the tag, or all but the last part of a path."""
+class _Row(NamedTuple):
+    """A row of the table `points` without its id."""
+
+    source: str
+    series: str
+    life: int
+    seconds: float
+    value: float
+
+
+def _ingress_tag(series: str) -> str:
+    """Return the tag that names the ingress, or empty for a series without it."""
     for tag in series.split(";")[1:]:
-        if tag.startswith("ingress="):
+        if tag.startswith(INGRESS_TAG):
             return tag
     return ""
 
 
 class Ledger:
-    """`path`: a file, or `:memory:`. `seen` counts points by source."""
+    """The points, notifications and faults that a stand-in received.
+
+    Attributes:
+        seen: The number of points, by source.
+    """
 
     def __init__(self, path: str = ":memory:") -> None:
+        """Open a file of SQLite, or keep all in memory."""
+        self.seen: Counter[str] = Counter()
         self._db = sqlite3.connect(path, isolation_level=None)
         self._db.execute("pragma synchronous = off")
         self._db.executescript(SCHEMA)
-        self._lives: dict[tuple[str, str], int] = {}
-        self._moments: dict[tuple[str, float], int] = {}
-        self._starts: dict[str, list[int]] = {}
-        self.seen: Counter[str] = Counter()
+        # For Graphite: the present life, by source and the ingress's tag or path.
+        self._present_lives: dict[tuple[str, str], int] = {}
+        # For collectd: the life, by host and moment; and all lives, by host.
+        self._lives_by_moment: dict[tuple[str, float], int] = {}
+        self._lives_by_host: dict[str, list[int]] = {}
 
     def close(self) -> None:
+        """Close the file."""
         self._db.close()
 
-    def graphite(self, source: str, points: Iterable[Got]) -> None:
+    def add_graphite(self, source: str, points: Iterable[ReceivedPoint]) -> None:
+        """Keep points in the order in which they arrived on a stream."""
         rows = []
-        for got in points:
-            path = got.series.split(";")[0]
-            if path.endswith(".life"):
-                whose = owner(got.series) or path[: -len("life")]
-                self._lives[source, whose] = int(got.value)
-            rows.append(
-                (source, got.series, self._life_of(source, got.series), got.seconds, got.value)
-            )
-        self._add(source, rows)
-
-    def _life_of(self, source: str, series: str) -> int:
-        if whose := owner(series):
-            return self._lives.get((source, whose), 0)
-        at = series.rfind(".")
-        while at > 0:
-            if (life := self._lives.get((source, series[: at + 1]))) is not None:
+        for point in points:
+            path = point.series.split(";")[0]
+            if path.endswith(f".{LIFE}"):
+                ingress = _ingress_tag(point.series) or path.removesuffix(LIFE)
+                self._present_lives[source, ingress] = int(point.value)
+            life = self._graphite_life(source, point.series)
+            rows.append(_Row(source, point.series, life, point.seconds, point.value))
+        self._add_rows(source, rows)
+
+    def _graphite_life(self, source: str, series: str) -> int:
+        if ingress := _ingress_tag(series):
+            return self._present_lives.get((source, ingress), UNKNOWN_LIFE)
+        # Without tags the path begins with the ingress's, but does not say how long that is.
+        end = series.rfind(".")
+        while end > 0:
+            life = self._present_lives.get((source, series[: end + 1]))
+            if life is not None:
                 return life
-            at = series.rfind(".", 0, at)
-        return 0
+            end = series.rfind(".", 0, end)
+        return UNKNOWN_LIFE
 
-    def collectd(self, source: str, told: Iterable[Told]) -> None:
+    def add_collectd(self, source: str, items: Iterable[CollectdItem]) -> None:
+        """Keep values and notifications."""
         rows = []
-        for one in told:
-            if one.message:
-                note = (one.seconds, one.host, one.severity, one.message)
+        for item in items:
+            if item.message:
+                note = (item.seconds, item.host, item.severity, item.message)
                 self._db.execute("insert into notes values (?, ?, ?, ?)", note)
                 continue
-            if one.type_instance == "life" and not one.plugin_instance:
-                self._moments[one.host, one.seconds] = life = int(one.value)
-                self._starts.setdefault(one.host, []).append(life)
-            rows.append(
-                (source, f"{one.host}/{one.name}", self._life_at(one), one.seconds, one.value)
-            )
-        self._add(source, rows)
-
-    def _life_at(self, one: Told) -> int:
-        """Said at that moment; or, where that packet was lost, the latest life that had begun by
-        then.
+            if item.type_instance == LIFE and not item.plugin_instance:
+                life = int(item.value)
+                self._lives_by_moment[item.host, item.seconds] = life
+                self._lives_by_host.setdefault(item.host, []).append(life)
+            series = f"{item.host}/{item.name}"
+            rows.append(_Row(source, series, self._collectd_life(item), item.seconds, item.value))
+        self._add_rows(source, rows)
+
+    def _collectd_life(self, item: CollectdItem) -> int:
+        """Return the life reported at the item's moment.
+
+        If that packet was lost, it is the latest life that had begun by then.
         """
-        if (life := self._moments.get((one.host, one.seconds))) is not None:
+        life = self._lives_by_moment.get((item.host, item.seconds))
+        if life is not None:
             return life
-        begun = [
-            start for start in self._starts.get(one.host, ()) if start <= one.seconds * 1000.0 + 1.0
-        ]
-        return max(begun, default=0)
+        latest = item.seconds * 1000.0 + LIFE_TOLERANCE_MS
+        begun = [life for life in self._lives_by_host.get(item.host, ()) if life <= latest]
+        return max(begun, default=UNKNOWN_LIFE)
 
-    def _add(self, source: str, rows: list[tuple[str, str, int, float, float]]) -> None:
+    def _add_rows(self, source: str, rows: list[_Row]) -> None:
         self.seen[source] += len(rows)
         self._db.execute("begin")
         self._db.executemany(
@@ -122,39 +166,45 @@
         )
         self._db.execute("commit")
 
-    def fault(self, source: str, kind: str) -> None:
+    def add_fault(self, source: str, kind: str) -> None:
+        """Count a fault of what arrived."""
         self._db.execute(
             "insert into faults values (?, ?, 1) on conflict do update set many = many + 1",
             (source, kind),
         )
 
     def faults(self) -> dict[tuple[str, str], int]:
-        return {
-            (source, kind): many for source, kind, many in self._db.execute("select * from faults")
-        }
+        """Return how often each fault happened, by source and kind."""
+        rows = self._db.execute("select source, kind, many from faults")
+        return {(source, kind): count for source, kind, count in rows}
 
     def notes(self) -> list[tuple[float, str, int, str]]:
+        """Return Unix seconds, host, severity and text of each notification, in order of time."""
         return list(self._db.execute("select * from notes order by seconds"))
 
     def totals(self, containing: str = "") -> list[Total]:
-        """Sums over lives, by source and series."""
-        sums: dict[tuple[str, str], list[float]] = {}
-        for source, series, _, value in self._db.execute(LAST):
+        """Return totals by source and series, of the series whose name contains a text."""
+        values_by_series: dict[tuple[str, str], list[float]] = {}
+        for source, series, _, value in self._db.execute(LAST_VALUES):
             if containing in series:
-                sums.setdefault((source, series), []).append(value)
-        return [Total(*key, sum(values), len(values)) for key, values in sorted(sums.items())]
+                values_by_series.setdefault((source, series), []).append(value)
+        return [
+            Total(source, series, sum(values), len(values))
+            for (source, series), values in sorted(values_by_series.items())
+        ]
 
     def steps_back(self, source: str, series: str) -> int:
-        """How often a value fell within one life: never, for a count."""
-        return int(self._db.execute(BACK, (source, series)).fetchone()[0])
+        """Return how often a value decreased within one life, which no count may do."""
+        return int(self._db.execute(DECREASES, (source, series)).fetchone()[0])
 
     def points(self, source: str, series: str) -> list[tuple[int, float, float]]:
-        """Life, seconds and value, in the order in which they came."""
+        """Return life, Unix seconds and value of each point, in the order of arrival."""
         query = (
             "select life, seconds, value from points where source = ? and series = ? order by id"
         )
         return list(self._db.execute(query, (source, series)))
 
     def series(self, source: str) -> list[str]:
+        """Return the names of all series of a source."""
         query = "select distinct series from points where source = ?"
         return sorted(row[0] for row in self._db.execute(query, (source,)))
--- a/dockthread/telemetry/receiver/stand_in.py
+++ b/dockthread/telemetry/receiver/stand_in.py
@@ -1,9 +1,10 @@
-"""Listens as carbon and collectd do, on loopback, and misbehaves as told.
+"""Listen as carbon and collectd do, and misbehave on demand.
 
-How it can misbehave:
-  refuse   the ports are closed and the connections reset
-  vanish   nothing is read and nothing answered; what came meanwhile is lost, and connections reset at the end
-  unread   connections are taken and never read; what came is read at the end
+How the stand-in can misbehave:
+  refuse   its ports are closed, and all connections reset
+  vanish   nothing is read or answered; what arrived meanwhile is lost, and all connections are
+           reset at the end
+  unread   connections are accepted and not read; what arrived is read at the end
   slow     1 KiB is read at a time, ten times a second
   reset    each connection is reset in the middle of what it sends
 """
@@ -18,21 +19,59 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from dockthread.telemetry import putval
 from dockthread.telemetry.collectd import Opener, PacketError
-from dockthread.telemetry.receiver.decode import DecodeError, Got, Lines, Pickles
+from dockthread.telemetry.receiver.command_server import CommandServer
+from dockthread.telemetry.receiver.decode import (
+    DecodeError,
+    PickleDecoder,
+    PlaintextDecoder,
+    ReceivedPoint,
+)
 from dockthread.telemetry.receiver.ledger import Ledger
 
-KINDS = ("refuse", "vanish", "unread", "slow", "reset")
-PIECE, SLOW_PIECE, SLOW_PAUSE = 64 * 1024, 1024, 0.1
-RESET_AFTER = 700  # bytes of a connection, within a report and most often within a line
-LOOK = 0.01  # s between looks at whether it may read again
-PLAINTEXT, PICKLE, COLLECTD, UNIX = "plaintext", "pickle", "collectd", "putval"
+REFUSE = "refuse"
+VANISH = "vanish"
+UNREAD = "unread"
+SLOW = "slow"
+RESET = "reset"
+KINDS = (REFUSE, VANISH, UNREAD, SLOW, RESET)
+
+# The protocols, which name the listeners, and the sources in the ledger.
+PLAINTEXT = "plaintext"
+PICKLE = "pickle"
+COLLECTD = "collectd"
+UNIX = "putval"
+
+# Bytes read at once.
+READ_BYTES = 64 * 1024
+# Bytes read at once while slow, and the seconds between two reads.
+SLOW_READ_BYTES = 1024
+SLOW_PAUSE_SECONDS = 0.1
+# Seconds between two packets while slow.
+SLOW_PACKET_PAUSE_SECONDS = 0.01
+# Bytes of a connection before its reset: within a report, and most often within a line.
+RESET_AFTER_BYTES = 700
+# Seconds between two looks at whether reading is allowed again.
+POLL_SECONDS = 0.01
+# Connections that wait to be accepted.
+LISTEN_BACKLOG = 64
+# Bytes of the kernel's buffer of packets.
+PACKET_BUFFER_BYTES = 1 << 20
+# SO_LINGER on, with 0 seconds: closing a socket resets its connection.
+LINGER_RESET = struct.pack("ii", 1, 0)
+
+StreamDecoder = PlaintextDecoder | PickleDecoder | CommandServer
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """Misbehaviour of one kind, from `start` for `length`, in seconds after the start."""
+    """A time of misbehaviour.
+
+    Attributes:
+        kind: One of `KINDS`.
+        start: Seconds after the start of the stand-in.
+        length: Its duration in seconds.
+    """
 
     kind: str
     start: float
@@ -40,11 +79,15 @@
 
     @classmethod
     def parse(cls, text: str) -> Span:
-        """`vanish@10s+60s`. Raises ValueError."""
+        """Return the span of a text such as `vanish@10s+60s`.
+
+        Raises:
+            ValueError: if the text is not a span.
+        """
         from dockthread.config.quantities import Duration
 
-        kind, at, rest = text.partition("@")
-        start, plus, length = rest.partition("+")
+        kind, at, times = text.partition("@")
+        start, plus, length = times.partition("+")
         if kind not in KINDS or not at or not plus:
             raise ValueError(
                 f"{text!r} is not KIND@START+LENGTH, with KIND one of {', '.join(KINDS)}"
@@ -53,48 +96,48 @@
 
 
 class StandIn:
-    """`addresses`, by protocol, once started: what to write into an operator's file."""
+    """The stand-in receiver.
+
+    Attributes:
+        ledger: Keeps what arrives.
+        addresses: Where it listens, by protocol, as written into an operator's file.
+        kind: How it misbehaves now, one of `KINDS`, or empty.
+    """
 
     def __init__(self, ledger: Ledger, opener: Opener | None = None) -> None:
-        self.ledger, self._opener = ledger, opener or Opener()
+        self.ledger = ledger
         self.addresses: dict[str, str] = {}
         self.kind = ""
+        self._opener = opener or Opener()
         self._listeners: dict[str, socket.socket] = {}
-        self._wanted: dict[str, str] = {}
-        self._connections: dict[socket.socket, asyncio.Task[None]] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
+        self._connections: dict[socket.socket, asyncio.Task[None]] = {}
 
     async def start(self, **wanted: str) -> None:
-        """`plaintext`, `pickle`, `collectd` as HOST:PORT (port 0: any), `putval` as a path."""
+        """Listen for each protocol: at HOST:PORT (port 0: any), or at a path for `putval`."""
         for protocol, address in wanted.items():
-            self._open(protocol, address)
+            self._listen(protocol, address)
 
-    def _open(self, protocol: str, address: str) -> None:
+    def _listen(self, protocol: str, address: str) -> None:
         if protocol == UNIX:
-            Path(address).unlink(missing_ok=True)
-            sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-            sock.bind(address)
+            listener = _unix_listener(address)
             self.addresses[protocol] = address
         else:
-            host, _, port = address.rpartition(":")
-            kind = socket.SOCK_DGRAM if protocol == COLLECTD else socket.SOCK_STREAM
-            family = socket.AF_INET6 if ":" in host else socket.AF_INET
-            sock = socket.socket(family, kind | socket.SOCK_NONBLOCK)
-            if kind == socket.SOCK_STREAM:
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            sock.bind((host.strip("[]"), int(port)))
-            self.addresses[protocol] = f"{host}:{sock.getsockname()[1]}"
-        if protocol != COLLECTD:
-            sock.listen(64)
-        self._listeners[protocol] = sock
-        loop = asyncio.get_running_loop()
-        serving = self._packets(sock) if protocol == COLLECTD else self._accept(protocol, sock)
-        self._tasks[protocol] = loop.create_task(serving)
+            listener = _ip_listener(address, is_datagram=protocol == COLLECTD)
+            host, _, _ = address.rpartition(":")
+            self.addresses[protocol] = f"{host}:{listener.getsockname()[1]}"
+        if protocol == COLLECTD:
+            serving = self._serve_packets(listener)
+        else:
+            listener.listen(LISTEN_BACKLOG)
+            serving = self._accept(protocol, listener)
+        self._listeners[protocol] = listener
+        self._tasks[protocol] = asyncio.get_running_loop().create_task(serving)
 
     async def play(self, spans: Iterable[Span]) -> None:
         """Misbehave as the spans say, one after another."""
         now = 0.0
-        for span in sorted(spans, key=lambda s: s.start):
+        for span in sorted(spans, key=lambda span: span.start):
             await asyncio.sleep(max(0.0, span.start - now))
             self.misbehave(span.kind)
             await asyncio.sleep(span.length)
@@ -102,133 +145,148 @@
             now = span.start + span.length
 
     def misbehave(self, kind: str) -> None:
+        """Begin to misbehave in one of the ways in `KINDS`."""
         self.kind = kind
-        if kind == "refuse":
-            for protocol in list(self._listeners):
-                self._tasks.pop(protocol).cancel()
-                self._listeners.pop(protocol).close()
-                if protocol == UNIX:
-                    Path(self.addresses[UNIX]).unlink(missing_ok=True)
-            self._reset_all()
+        if kind != REFUSE:
+            return
+        for protocol in list(self._listeners):
+            self._tasks.pop(protocol).cancel()
+            self._listeners.pop(protocol).close()
+            if protocol == UNIX:
+                Path(self.addresses[UNIX]).unlink(missing_ok=True)
+        self._reset_all()
 
     def behave(self) -> None:
-        kind, self.kind = self.kind, ""
-        if kind == "refuse":
+        """End the present misbehaviour."""
+        kind = self.kind
+        self.kind = ""
+        if kind == REFUSE:
             for protocol, address in self.addresses.items():
-                self._open(protocol, address)
-        elif kind == "vanish":
+                self._listen(protocol, address)
+        elif kind == VANISH:
             self._reset_all()
-            if COLLECTD in self._listeners:
-                with suppress(BlockingIOError):
-                    while self._listeners[COLLECTD].recv(PIECE):
-                        pass
+            self._discard_packets()
+
+    def _discard_packets(self) -> None:
+        if COLLECTD in self._listeners:
+            with suppress(BlockingIOError):
+                while self._listeners[COLLECTD].recv(READ_BYTES):
+                    pass
 
     def stop(self) -> None:
+        """Close all listeners, and reset all connections."""
         for task in self._tasks.values():
             task.cancel()
-        for sock in self._listeners.values():
-            sock.close()
+        for listener in self._listeners.values():
+            listener.close()
         self._reset_all()
 
     def _reset_all(self) -> None:
-        for sock, task in list(self._connections.items()):
+        for connection, task in list(self._connections.items()):
             task.cancel()
-            self._reset(sock)
+            self._reset(connection)
 
-    def _reset(self, sock: socket.socket) -> None:
-        self._connections.pop(sock, None)
+    def _reset(self, connection: socket.socket) -> None:
+        self._connections.pop(connection, None)
         with suppress(OSError):
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        sock.close()
+            connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+        connection.close()
 
     async def _accept(self, protocol: str, listener: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            sock, _ = await loop.sock_accept(listener)
-            sock.setblocking(False)
-            self._connections[sock] = loop.create_task(self._serve(protocol, sock))
+            connection, _ = await loop.sock_accept(listener)
+            connection.setblocking(False)
+            self._connections[connection] = loop.create_task(self._serve(protocol, connection))
 
-    async def _readable(self) -> None:
-        while self.kind in ("vanish", "unread"):
-            await asyncio.sleep(LOOK)
+    @property
+    def _is_reading(self) -> bool:
+        return self.kind not in (VANISH, UNREAD)
 
-    async def _serve(self, protocol: str, sock: socket.socket) -> None:
-        loop = asyncio.get_running_loop()
-        source: Lines | Pickles | Commands
-        source = (
-            Commands(self) if protocol == UNIX else Lines() if protocol == PLAINTEXT else Pickles()
-        )
-        read = 0
+    async def _wait_until_reading(self) -> None:
+        while not self._is_reading:  # noqa: ASYNC110 - polled, so that the times stay as they were
+            await asyncio.sleep(POLL_SECONDS)
+
+    async def _serve(self, protocol: str, connection: socket.socket) -> None:
         try:
-            while True:
-                await self._readable()
-                slow = self.kind == "slow"
-                data = await loop.sock_recv(sock, SLOW_PIECE if slow else PIECE)
-                if self.kind in ("vanish", "unread"):
-                    await self._readable()
-                if not data:
-                    break
-                read += len(data)
-                if self.kind == "reset" and read > RESET_AFTER:
-                    data = data[:RESET_AFTER]
-                if isinstance(source, Commands):
-                    await loop.sock_sendall(sock, source.feed(data))
-                else:
-                    self.ledger.graphite(protocol, self._sound(source, data))
-                if self.kind == "reset" and read > RESET_AFTER:
-                    self.ledger.fault(protocol, "reset")
-                    self._reset(sock)
-                    return
-                if slow:
-                    await asyncio.sleep(SLOW_PAUSE)
+            await self._read_stream(protocol, connection)
         except (DecodeError, OSError) as error:
-            self.ledger.fault(protocol, str(error))
-        self._connections.pop(sock, None)
-        sock.close()
-
-    def _sound(self, source: Lines | Pickles, data: bytes) -> list[Got]:
-        spoilt = source.spoilt
-        points = list(source.feed(data))
-        for _ in range(source.spoilt - spoilt):
-            self.ledger.fault(PLAINTEXT, "a line that cannot be read")
+            self.ledger.add_fault(protocol, str(error))
+        self._connections.pop(connection, None)
+        connection.close()
+
+    async def _read_stream(self, protocol: str, connection: socket.socket) -> None:
+        """Read until the sender's end, or until the connection is to be reset."""
+        loop = asyncio.get_running_loop()
+        decoder = self._stream_decoder(protocol)
+        bytes_read = 0
+        while True:
+            await self._wait_until_reading()
+            is_slow = self.kind == SLOW
+            data = await loop.sock_recv(connection, SLOW_READ_BYTES if is_slow else READ_BYTES)
+            # The misbehaviour may have begun while the read waited.
+            await self._wait_until_reading()
+            if not data:
+                return
+            bytes_read += len(data)
+            must_reset = self.kind == RESET and bytes_read > RESET_AFTER_BYTES
+            if must_reset:
+                data = data[:RESET_AFTER_BYTES]
+            if isinstance(decoder, CommandServer):
+                await loop.sock_sendall(connection, decoder.feed(data))
+            else:
+                self.ledger.add_graphite(protocol, self._decode(decoder, data))
+            if must_reset:
+                self.ledger.add_fault(protocol, "reset")
+                self._reset(connection)
+                return
+            if is_slow:
+                await asyncio.sleep(SLOW_PAUSE_SECONDS)
+
+    def _stream_decoder(self, protocol: str) -> StreamDecoder:
+        if protocol == UNIX:
+            return CommandServer(self.ledger, UNIX)
+        return PlaintextDecoder() if protocol == PLAINTEXT else PickleDecoder()
+
+    def _decode(
+        self, decoder: PlaintextDecoder | PickleDecoder, data: bytes
+    ) -> list[ReceivedPoint]:
+        """Return the points in the data, and count the lines that cannot be read."""
+        invalid_before = decoder.invalid_lines
+        points = list(decoder.feed(data))
+        for _ in range(decoder.invalid_lines - invalid_before):
+            self.ledger.add_fault(PLAINTEXT, "a line that cannot be read")
         return points
 
-    async def _packets(self, sock: socket.socket) -> None:
+    async def _serve_packets(self, listener: socket.socket) -> None:
         loop = asyncio.get_running_loop()
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, PACKET_BUFFER_BYTES)
         while True:
-            await self._readable()
-            packet = await loop.sock_recv(sock, PIECE)
-            if self.kind in ("vanish", "unread"):
+            await self._wait_until_reading()
+            packet = await loop.sock_recv(listener, READ_BYTES)
+            if not self._is_reading:
                 continue
             try:
-                self.ledger.collectd(COLLECTD, self._opener.read(packet))
+                self.ledger.add_collectd(COLLECTD, self._opener.read(packet))
             except PacketError as error:
-                self.ledger.fault(COLLECTD, str(error))
-            if self.kind == "slow":
-                await asyncio.sleep(SLOW_PAUSE / 10)
+                self.ledger.add_fault(COLLECTD, str(error))
+            if self.kind == SLOW:
+                await asyncio.sleep(SLOW_PACKET_PAUSE_SECONDS)
 
 
-class Commands:
-    """The unixsock plugin's side of one connection."""
+def _unix_listener(path: str) -> socket.socket:
+    Path(path).unlink(missing_ok=True)
+    listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
+    listener.bind(path)
+    return listener
 
-    def __init__(self, stand_in: StandIn) -> None:
-        self._ledger, self._rest = stand_in.ledger, b""
 
-    def feed(self, data: bytes) -> bytes:
-        """The answers to the commands that are whole."""
-        *lines, self._rest = (self._rest + data).split(b"\n")
-        if len(self._rest) > putval.MOST_LINE:
-            raise DecodeError("a line does not end")
-        answers = []
-        for line in lines:
-            try:
-                told = putval.parse(line.decode())
-            except ValueError as error:
-                self._ledger.fault(UNIX, "a command that cannot be read")
-                answers.append(f"-1 {error}\n")
-                continue
-            self._ledger.collectd(UNIX, told)
-            values = sum(not one.message for one in told)
-            answers.append(f"0 Success: {values} value{'s' * (values != 1)} has been dispatched.\n")
-        return "".join(answers).encode()
+def _ip_listener(address: str, is_datagram: bool) -> socket.socket:
+    host, _, port = address.rpartition(":")
+    family = socket.AF_INET6 if ":" in host else socket.AF_INET
+    kind = socket.SOCK_DGRAM if is_datagram else socket.SOCK_STREAM
+    listener = socket.socket(family, kind | socket.SOCK_NONBLOCK)
+    if not is_datagram:
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listener.bind((host.strip("[]"), int(port)))
+    return listener
--- /dev/null
+++ b/dockthread/telemetry/report_delivery.py
@@ -0,0 +1,177 @@
+"""Deliver reports to one receiver of the operator's file, in a task of its own.
+
+The sender decides what is sent and when; here its actions are carried out. No request ever waits
+for a receiver.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from contextlib import suppress
+from dataclasses import dataclass
+
+from loguru import logger
+
+from dockthread.telemetry.catalogue import Point
+from dockthread.telemetry.collectd import Severity
+from dockthread.telemetry.connections import receiver_connection
+from dockthread.telemetry.delivery_queue import DeliveryQueue, Report
+from dockthread.telemetry.report_encoders import ReceiverOptions, report_encoder
+from dockthread.telemetry.sender import Action, ActionKind, Event, Sender, SenderState
+from dockthread.telemetry.timestamps import Timestamp
+
+# Points encoded in one turn of the event loop.
+POINTS_PER_TURN = 64
+# Seconds in which a report must be taken or a connection established.
+STALL_TIMEOUT_SECONDS = 10.0
+
+NO_ACTION = Action(ActionKind.NOTHING)
+
+
+@dataclass(frozen=True, slots=True)
+class ReceiverSettings:
+    """What a receiver is made from.
+
+    Attributes:
+        name: The name of its section.
+        options: The keys of its section.
+        ingress: The name of this ingress.
+        interval_ms: The time between two reports.
+        queue_bytes: The most bytes that wait for it.
+        seed: Seed of the jitter between attempts to connect.
+    """
+
+    name: str
+    options: ReceiverOptions
+    ingress: str
+    interval_ms: float
+    queue_bytes: int
+    seed: int
+
+
+class Receiver:
+    """One receiver; its task runs from `start` until it is drained or stopped.
+
+    Attributes:
+        name: The name of its section.
+        options: The keys of its section.
+        sender: Decides what is sent, and when.
+    """
+
+    def __init__(self, settings: ReceiverSettings) -> None:
+        """Prepare the receiver.
+
+        Raises:
+            SettingsError: if a password cannot be read or a package is missing.
+        """
+        self.name = settings.name
+        self.options = settings.options
+        self._encoder = report_encoder(settings.options, settings.ingress, settings.interval_ms)
+        self._connection = receiver_connection(settings.options)
+        queue = DeliveryQueue(settings.queue_bytes)
+        self.sender = Sender(queue, random.Random(settings.seed))
+        self._wake = asyncio.Event()
+        self._next_action = NO_ACTION
+        self._task: asyncio.Task[None] | None = None
+        self._loss_was_logged = False
+
+    def start(self) -> None:
+        """Start the task."""
+        self._task = asyncio.get_running_loop().create_task(self._run())
+
+    async def report(self, points: list[Point], timestamp: Timestamp) -> None:
+        """Encode a report, a slice in each turn of the event loop, and queue it."""
+        chunks: list[bytes] = []
+        for start in range(0, len(points), POINTS_PER_TURN):
+            chunks += self._encoder.encode(points[start : start + POINTS_PER_TURN], timestamp)
+            await asyncio.sleep(0)
+        self._enqueue(Report(timestamp.seconds, tuple(chunks)))
+
+    def notify(self, text: str, seconds: float, severity: Severity = Severity.OKAY) -> None:
+        """Queue a notification, if the receiver takes them."""
+        if self._encoder.supports_notifications:
+            chunk = self._encoder.encode_notification(text, severity, seconds)
+            self._enqueue(Report(seconds, (chunk,)))
+
+    def _enqueue(self, report: Report) -> None:
+        self._schedule(self.sender.enqueue(report))
+
+    def _schedule(self, action: Action) -> None:
+        if action.kind is not ActionKind.NOTHING:
+            self._next_action = action
+            self._wake.set()
+
+    async def drain(self) -> None:
+        """Send what is queued, and end. The caller bounds the time."""
+        self._schedule(self.sender.drain())
+        if self._task is not None and self.sender.state is not SenderState.ENDED:
+            await asyncio.wait([self._task])
+
+    def stop(self) -> None:
+        """End at once, and close the connection."""
+        if self._task is not None:
+            self._task.cancel()
+        self._connection.close()
+
+    async def _run(self) -> None:
+        while self.sender.state is not SenderState.ENDED:
+            await self._wake.wait()
+            action = self._take_action()
+            while action.kind is not ActionKind.NOTHING:
+                action = await self._carry_out(action)
+
+    def _take_action(self) -> Action:
+        self._wake.clear()
+        action = self._next_action
+        self._next_action = NO_ACTION
+        return action
+
+    async def _carry_out(self, action: Action) -> Action:
+        """Carry out an action and return the one that follows."""
+        if action.kind is ActionKind.BACK_OFF:
+            return await self._back_off(action.backoff_ms)
+        try:
+            async with asyncio.timeout(STALL_TIMEOUT_SECONDS):
+                event = await self._perform(action)
+        except OSError as error:
+            self._connection.close()
+            self._log_loss(error)
+            return self.sender.handle(Event.FAILED)
+        if event is Event.DELIVERED and self._loss_was_logged:
+            self._loss_was_logged = False
+            logger.bind(receiver=self.name).info("receiver {} takes reports again", self.name)
+        return self.sender.handle(event)
+
+    async def _back_off(self, backoff_ms: float) -> Action:
+        with suppress(TimeoutError):
+            await asyncio.wait_for(self._wake.wait(), backoff_ms / 1000.0)
+        # While it backs off, the sender has another action only for a drain, which begins at once.
+        if self._wake.is_set():
+            return self._take_action()
+        return self.sender.handle(Event.BACKOFF_ELAPSED)
+
+    async def _perform(self, action: Action) -> Event:
+        """Do the I/O of an action and return what came of it.
+
+        Raises:
+            OSError: if the receiver cannot be reached, closed the connection or does not read.
+        """
+        if action.kind is ActionKind.CONNECT:
+            await self._connection.open()
+            return Event.CONNECTED
+        if action.kind is ActionKind.CLOSE:
+            await self._connection.finish()
+            self._connection.close()
+            return Event.CLOSED
+        assert action.report is not None, "SEND has a report"
+        await self._connection.send(action.report.chunks)
+        self.sender.delivery_queue.mark_delivered(action.report)
+        return Event.DELIVERED
+
+    def _log_loss(self, error: OSError) -> None:
+        """Warn once for each loss, not for each failed attempt."""
+        bound = logger.bind(receiver=self.name)
+        log = bound.debug if self._loss_was_logged else bound.warning
+        self._loss_was_logged = True
+        log("receiver {} is lost: {}; reports wait", self.name, error or type(error).__name__)
--- a/dockthread/telemetry/tally.py
+++ b/dockthread/telemetry/tally.py
@@ -88,7 +88,7 @@
         self.counter_latencies = LatencyHistogram()
         self.event_loop_lags = LatencyHistogram()
         self.circuit_open_ms = 0.0
-        self.on_phase: Callable[[str], None] = lambda name: None
+        self.on_phase: Callable[[str], None] = lambda _name: None
         self._objectives_ms = [
             request_class.latency_objective * 1000.0 for request_class in classes
         ]
--- a/tests/telemetry/test_telemetry_on_sockets.py
+++ b/tests/telemetry/test_telemetry_on_sockets.py
@@ -22,7 +22,7 @@
 from dockthread.clock import Clock, ManualClock
 from dockthread.section_registry import parse_operator_file
 from dockthread.telemetry.catalogue import Point
-from dockthread.telemetry.collectd import Opener, Wording, sealing
+from dockthread.telemetry.collectd import Opener, PacketEncoder, packet_sealer
 from dockthread.telemetry.exporter import Exporter
 from dockthread.telemetry.receiver.ledger import Ledger
 from dockthread.telemetry.receiver.stand_in import StandIn
@@ -317,7 +317,7 @@
             await until(lambda: totals(two, "plaintext").get(("status", "gross", "served")) == 8)
             await until(lambda: totals(two, "pickle").get(("status", "gross", "served")) == 8)
             exporter.apply(parse_operator_file("", "test"))
-            await until(lambda: not exporter._leaving)
+            await until(lambda: not exporter._drains)
             assert exporter.tally is None and not ingress.observer.active
             seen = two.seen["plaintext"]
             await client.call()
@@ -366,7 +366,7 @@
                 await client.call()
                 clock.advance(1000)
                 ingress.timers.run_due()
-                await until(lambda: exporter._task.done())
+                await until(lambda: exporter._report_task.done())
                 assert sender.delivery_queue.size <= sender.delivery_queue.max_size
             assert sender.delivery_queue.dropped and len(sender.delivery_queue) > 5
             stand_in.behave()
@@ -460,8 +460,8 @@
             ]
 
             def send(security: str, password: bytes, cut: int = 0) -> None:
-                seal, room = sealing(security, "ops", password)
-                (packet,) = Wording("n0", "dockthread", 1.0, seal, room).packets(points, 9.0)
+                sealer = packet_sealer(security, "ops", password)
+                (packet,) = PacketEncoder("n0", "dockthread", 1.0, sealer).packets(points, 9.0)
                 with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
                     sock.sendto(packet[: len(packet) - cut], (host, int(port)))
 
--- a/tests/telemetry/test_telemetry_parts.py
+++ b/tests/telemetry/test_telemetry_parts.py
@@ -16,11 +16,16 @@
 from dockthread.policy import Outcome
 from dockthread.telemetry import collectd, graphite, putval
 from dockthread.telemetry.catalogue import DERIVE, GAUGE, METRICS, Point, path_part
-from dockthread.telemetry.collectd import Opener, PacketError, Wording, sealing
+from dockthread.telemetry.collectd import Opener, PacketEncoder, PacketError, packet_sealer
 from dockthread.telemetry.delivery_queue import DeliveryQueue, Report
 from dockthread.telemetry.heavy_hitters import HeavyHitters
 from dockthread.telemetry.latency_histogram import LatencyHistogram
-from dockthread.telemetry.receiver.decode import DecodeError, Got, Lines, Pickles
+from dockthread.telemetry.receiver.decode import (
+    DecodeError,
+    PickleDecoder,
+    PlaintextDecoder,
+    ReceivedPoint,
+)
 from dockthread.telemetry.receiver.ledger import Ledger
 from dockthread.telemetry.receiver.stand_in import Span
 from dockthread.telemetry.sender import TRANSITIONS, Action, ActionKind, Event, Sender, SenderState
@@ -66,7 +71,7 @@
         b"a.b.n0.answers.seat-status.gross.served 12345678901 1700000001\n"
         b"a.b.n0.loop.p99 0.25 1700000001\n"
     )
-    assert list(Lines().feed(text))[1] == Got(
+    assert list(PlaintextDecoder().feed(text))[1] == ReceivedPoint(
         "a.b.n0.answers.seat-status.gross.served", 1_700_000_001, 12345678901
     )
 
@@ -84,16 +89,16 @@
     (size,) = struct.unpack_from("!I", data)
     assert pickle.loads(data[4 : 4 + size])[3] == ("s3", (7, 3))
     assert data[4:6] == b"\x80\x02"
-    reader, found = Pickles(), list[Got]()
+    reader, found = PickleDecoder(), list[ReceivedPoint]()
     for at in range(0, len(data), 100):  # in pieces
         found += reader.feed(data[at : at + 100])
-    assert found == [Got(f"s{n}", 7.0, float(n)) for n in range(600)]
+    assert found == [ReceivedPoint(f"s{n}", 7.0, float(n)) for n in range(600)]
 
 
 def test_a_spoilt_line_is_counted_and_the_rest_goes_on() -> None:
-    lines = Lines()
+    lines = PlaintextDecoder()
     assert [g.series for g in lines.feed(b"a 1 2\nnonsense\nb nan 2\nc 1 2\nd 1")] == ["a", "c"]
-    assert lines.spoilt == 2
+    assert lines.invalid_lines == 2
     assert [g.series for g in lines.feed(b" 2\n")] == ["d"]
 
 
@@ -102,7 +107,7 @@
 )
 def test_a_pickle_that_is_no_list_of_points_is_refused(rows: bytes) -> None:
     with pytest.raises(DecodeError):
-        list(Pickles().feed(struct.pack("!I", len(rows)) + rows))
+        list(PickleDecoder().feed(struct.pack("!I", len(rows)) + rows))
 
 
 # Collectd
@@ -111,8 +116,8 @@
 
 
 def packets(security: str, points: list[Point], password: bytes = b"secret") -> list[bytes]:
-    seal, room = sealing(security, "ops", password)
-    return list(Wording("n0", "dockthread", 10.0, seal, room).packets(points, 1_700_000_000.5))
+    sealer = packet_sealer(security, "ops", password)
+    return list(PacketEncoder("n0", "dockthread", 10.0, sealer).packets(points, 1_700_000_000.5))
 
 
 @pytest.mark.parametrize("security", SECURITIES)
@@ -123,8 +128,8 @@
     ]
     sent = packets(security, points)
     assert len(sent) > 5
-    assert max(map(len, sent)) <= collectd.PACKET
-    assert min(map(len, sent[:-1])) > collectd.PACKET - 120, "packets are filled"
+    assert max(map(len, sent)) <= collectd.MAX_PACKET_BYTES
+    assert min(map(len, sent[:-1])) > collectd.MAX_PACKET_BYTES - 120, "packets are filled"
     told = [one for packet in sent for one in Opener(security, {"ops": b"secret"}).read(packet)]
     assert [(t.kind, t.value) for t in told] == [(p.kind, p.value) for p in points]
     assert {(t.host, t.seconds, t.interval) for t in told} == {("n0", 1_700_000_000.5, 10.0)}
@@ -208,8 +213,8 @@
 
 def test_a_long_type_instance_keeps_its_difference() -> None:
     long = ("why", "c" * 60, "p" * 60)
-    assert len(collectd.name_of((*long, "a"))[1]) == 63
-    assert collectd.name_of((*long, "a")) != collectd.name_of((*long, "b"))
+    assert len(collectd.series_name((*long, "a")).type_instance) == 63
+    assert collectd.series_name((*long, "a")) != collectd.series_name((*long, "b"))
 
 
 # The queue and the sender
@@ -392,7 +397,10 @@
     a = "p.n0.answers.c.p.served"
 
     def say(life: int, seconds: float, value: float) -> None:
-        ledger.graphite("plaintext", [Got("p.n0.life", seconds, life), Got(a, seconds, value)])
+        ledger.add_graphite(
+            "plaintext",
+            [ReceivedPoint("p.n0.life", seconds, life), ReceivedPoint(a, seconds, value)],
+        )
 
     say(1000, 1, 0)
     say(1000, 2, 5)
@@ -400,7 +408,10 @@
     say(1000, 2, 5)  # sent again
     say(4000, 4, 0)
     say(4000, 5, 2)
-    ledger.graphite("plaintext", [Got("p.n1.life", 5, 7), Got("p.n1.answers.c.p.served", 5, 3)])
+    ledger.add_graphite(
+        "plaintext",
+        [ReceivedPoint("p.n1.life", 5, 7), ReceivedPoint("p.n1.answers.c.p.served", 5, 3)],
+    )
     assert {t.series: (t.value, t.lives) for t in ledger.totals("answers")} == {
         a: (11.0, 2),
         "p.n1.answers.c.p.served": (3.0, 1),
