--- a/dockthread/cli/__init__.py
+++ b/dockthread/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line, on click. The daemon without a word never imports it."""
+"""The command line, on click. An ingress that is started without a command never imports it."""
--- a/dockthread/cli/completion.py
+++ b/dockthread/cli/completion.py
@@ -1,4 +1,4 @@
-"""`dockthread completion`."""
+"""The command `dockthread completion`, which prints a shell's completion script."""
 
 from __future__ import annotations
 
@@ -11,6 +11,8 @@
 @click.pass_context
 def completion(ctx: click.Context, shell: str) -> None:
     """Print the completion script of a shell: eval "$(dockthread completion bash)"."""
-    found = get_completion_class(shell)
-    assert found is not None, "click has all three"
-    click.echo(found(ctx.find_root().command, {}, "dockthread", "_DOCKTHREAD_COMPLETE").source())
+    completion_class = get_completion_class(shell)
+    assert completion_class is not None, "click supports all three shells"
+    root_command = ctx.find_root().command
+    script = completion_class(root_command, {}, "dockthread", "_DOCKTHREAD_COMPLETE")
+    click.echo(script.source())
--- a/dockthread/cli/files.py
+++ b/dockthread/cli/files.py
@@ -1,24 +1,27 @@
-"""`dockthread check` and `dockthread config show`."""
+"""The commands `dockthread check` and `dockthread config show`, which read the two files."""
 
 from __future__ import annotations
 
 import os
-from typing import Any
+from collections.abc import Iterator
+from typing import Final
 
 import click
-import msgspec
 
+from dockthread.cli.effective_settings import operator_lines, platform_lines
+from dockthread.cli.options import config_option
 from dockthread.config.ini_reader import OperatorConfig
-from dockthread.config.platform_settings import read_config, read_policy_settings_file
-from dockthread.errors import SettingsError
+from dockthread.config.platform_settings import read_policy_settings_file
 from dockthread.section_registry import (
-    SECTION_KINDS,
     load_operator_file,
     operator_file_path,
     parse_operator_file,
     read_operator_file,
 )
 
+EXIT_INVALID_FILE: Final = 2
+"""Exit code where the operator's file would be rejected."""
+
 
 @click.command()
 @click.argument("file", metavar="FILE")
@@ -41,88 +44,44 @@
     settings = settings or os.environ.get("NODE_CONFIG")
     if explain and not settings:
         raise click.UsageError("--explain needs --settings, or NODE_CONFIG")
-    told, names = read_policy_settings_file(settings) if settings else (None, None)
-    found = read_operator_file(file, told, names)
-    for problem in found.problems:
-        click.echo(f"{'warning: ' * problem.is_warning}{problem}")
-    if found.errors:
-        ctx.exit(2)
+    policy_settings, names = read_policy_settings_file(settings) if settings else (None, None)
+    operator_config = read_operator_file(file, policy_settings, names)
+    for line in _problem_lines(operator_config):
+        click.echo(line)
+    if operator_config.errors:
+        ctx.exit(EXIT_INVALID_FILE)
     click.echo(f"{file}: good")
-    if explain and told is not None and names is not None:
-        from dockthread.routes.explain import explain as explained
+    if explain and policy_settings is not None and names is not None:
+        from dockthread.routes.explain import explain as explain_route
         from dockthread.routes.explain import facts_of
 
-        for line in explained(
-            found.named_sections("route"), told, names, facts_of(explain, told, names)
-        ):
+        routes = operator_config.named_sections("route")
+        facts = facts_of(explain, policy_settings, names)
+        for line in explain_route(routes, policy_settings, names, facts):
             click.echo(line)
 
 
+def _problem_lines(operator_config: OperatorConfig) -> Iterator[str]:
+    """Yield one line for each problem of an operator's file."""
+    for problem in operator_config.problems:
+        yield f"warning: {problem}" if problem.is_warning else str(problem)
+
+
 @click.group()
 def config() -> None:
     """What holds."""
 
 
-@config.command()
-@click.option(
-    "--config", "file", metavar="FILE", help="The operator's file, before DOCKTHREAD_CONFIG."
-)
+@config.command("show")
+@config_option
 @click.pass_context
-def show(ctx: click.Context, file: str | None) -> None:
+def print_config(ctx: click.Context, file: str | None) -> None:
     """Show every key that holds, and where it comes from. The text is itself a good operator's
     file.
-    """
+    """  # noqa: D205  shown as the help text
     path = operator_file_path(os.environ, file or ctx.find_root().obj)
-    found = load_operator_file(path) if path else parse_operator_file("", "no file")
-    for line in lines(found, path):
+    operator_config = load_operator_file(path) if path else parse_operator_file("", "no file")
+    for line in operator_lines(operator_config, path):
         click.echo(line)
-    for line in platform():
+    for line in platform_lines():
         click.echo(line)
-
-
-def lines(found: OperatorConfig, path: str | None) -> list[str]:
-    out = []
-    for kind in SECTION_KINDS:
-        for name, section in found.named_sections(kind).items():
-            out.append(f"[{kind}{' ' * bool(name)}{name}]")
-            given = found.explicit_keys.get((kind, name), set())
-            for field in msgspec.structs.fields(section):
-                value = getattr(section, field.name)
-                source = path if field.encode_name in given else "default"
-                if value is None:
-                    out.append(f"# {field.encode_name} is not set  # {source}")
-                else:
-                    out.append(f"{field.encode_name} = {worded(value)}  # {source}")
-            out.append("")
-    return out
-
-
-def worded(value: Any) -> str:
-    if isinstance(value, bool):
-        return "yes" if value else "no"
-    if isinstance(value, tuple):
-        return ", ".join(map(worded, value))
-    return str(value)
-
-
-def platform() -> list[str]:
-    """What the platform's JSON says of the ingress itself, as comments."""
-    if not os.environ.get("NODE_CONFIG"):
-        return ["# NODE_CONFIG is not set: the platform's part is not known here"]
-    try:
-        told = read_config(os.environ)
-    except SettingsError as error:
-        return [f"# the platform's part cannot be read: {error}"]
-    rows = {
-        "name": (told.name, "NODE_NAME"),
-        "listen": (told.listen, "NODE_LISTEN"),
-        "discovery": (told.discovery, "NODE_DISCOVERY"),
-        "counter": (told.counter or "none", ""),
-        "memory_mb": (f"{told.memory_mb:g}", ""),
-        "sockets": (told.max_sockets, ""),
-    }
-    out = ["# the platform's part"]
-    for key, (value, variable) in rows.items():
-        source = variable if variable and os.environ.get(variable) else os.environ["NODE_CONFIG"]
-        out.append(f"# {key} = {value}  # {source}")
-    return out
--- a/dockthread/cli/main.py
+++ b/dockthread/cli/main.py
@@ -1,72 +1,99 @@
-"""`dockthread`: serves, checks files, shows what holds, lists metrics, plays the receivers."""
+"""The command `dockthread`: its own options, the table of subcommands, and its exit code."""
 
 from __future__ import annotations
 
 import os
 import sys
+from dataclasses import dataclass
 from importlib import import_module, metadata
+from typing import Final
 
 import click
 
+from dockthread.cli.options import config_option
 from dockthread.errors import SettingsError
 
-LAZY = {
-    "serve": ("dockthread.cli.daemon", "serve"),
-    "check": ("dockthread.cli.files", "check"),
-    "config": ("dockthread.cli.files", "config"),
-    "metrics": ("dockthread.cli.metrics", "metrics"),
-    "work": ("dockthread.cli.work", "work"),
-    "fleet": ("dockthread.cli.work", "fleet"),
-    "control": ("dockthread.cli.control", "control"),
-    "lab": ("dockthread.cli.lab", "lab"),
-    "completion": ("dockthread.cli.completion", "completion"),
-}
-BAD = 2
 
+@dataclass(frozen=True, slots=True)
+class CommandLocation:
+    """Where a subcommand is defined.
+
+    Attributes:
+        module: Full name of the module.
+        attribute: Name of the click command in it.
+    """
 
-class Lazy(click.Group):
-    """Imports a subcommand only when it is asked for: `serve` must not pay for the others."""
+    module: str
+    attribute: str
 
-    def list_commands(self, ctx: click.Context) -> list[str]:
-        return list(LAZY)
 
-    def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        if cmd_name not in LAZY:
+COMMAND_LOCATIONS: Final = {
+    "serve": CommandLocation("dockthread.cli.daemon", "serve"),
+    "check": CommandLocation("dockthread.cli.files", "check"),
+    "config": CommandLocation("dockthread.cli.files", "config"),
+    "metrics": CommandLocation("dockthread.cli.metrics", "metrics"),
+    "work": CommandLocation("dockthread.cli.work", "work"),
+    "fleet": CommandLocation("dockthread.cli.work", "fleet"),
+    "control": CommandLocation("dockthread.cli.control", "control"),
+    "lab": CommandLocation("dockthread.cli.lab", "lab"),
+    "completion": CommandLocation("dockthread.cli.completion", "completion"),
+}
+"""The subcommands, in the order in which the help lists them."""
+EXIT_ABORTED: Final = 1
+"""Exit code where the user interrupted a command."""
+EXIT_INVALID_INPUT: Final = 2
+"""Exit code where the arguments or a configuration file are wrong."""
+
+
+class LazyGroup(click.Group):
+    """A group that imports a subcommand only when it is used, so that `serve` starts fast."""
+
+    def list_commands(self, ctx: click.Context) -> list[str]:  # noqa: ARG002  of click's interface
+        """Return the names of the subcommands."""
+        return list(COMMAND_LOCATIONS)
+
+    def get_command(
+        self,
+        ctx: click.Context,  # noqa: ARG002  of click's interface
+        cmd_name: str,
+    ) -> click.Command | None:
+        """Import and return a subcommand; None where there is none of that name."""
+        location = COMMAND_LOCATIONS.get(cmd_name)
+        if location is None:
             return None
-        module, name = LAZY[cmd_name]
-        command = getattr(import_module(module), name)
+        command = getattr(import_module(location.module), location.attribute)
         assert isinstance(command, click.Command)
         return command
 
 
-def version() -> str:
+def installed_version() -> str:
+    """Return the version of the installed package, or that none is installed."""
     try:
         return metadata.version("dockthread")
     except metadata.PackageNotFoundError:
         return "not installed"
 
 
-def show_version(ctx: click.Context, _: click.Parameter, wanted: bool) -> None:
-    if wanted:
-        click.echo(f"dockthread {version()}")
-        ctx.exit()
+def print_version(context: click.Context, _parameter: click.Parameter, is_given: bool) -> None:
+    """Print the version and end the program, where `--version` is given."""
+    if is_given:
+        click.echo(f"dockthread {installed_version()}")
+        context.exit()
 
 
 @click.group(
-    cls=Lazy,
+    cls=LazyGroup,
     invoke_without_command=True,
     context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100},
     epilog="Exit codes: 0 done, 1 cannot listen or a run failed, 2 bad words or a bad file.",
 )
-@click.option(
-    "--config", "file", metavar="FILE", help="The operator's file, before DOCKTHREAD_CONFIG."
-)
+@config_option
 @click.option(
     "--version",
     is_flag=True,
     expose_value=False,
     is_eager=True,
-    callback=show_version,
+    callback=print_version,
     help="Show the version.",
 )
 @click.pass_context
@@ -82,7 +109,7 @@
       dockthread config show --config my.ini   what would hold, and where it comes from
       dockthread metrics receive           a stand-in Graphite and collectd on loopback
       NODE_CONFIG=node.json dockthread serve --config my.ini
-    """
+    """  # noqa: D301  click needs the backspace character itself
     ctx.obj = file
     if ctx.invoked_subcommand is None:
         from dockthread.daemon import serve
@@ -90,21 +117,25 @@
         ctx.exit(serve(file))
 
 
-def run(words: list[str]) -> int:
-    """The exit code. Errors a person meets are one plain line on standard error."""
+def run(arguments: list[str]) -> int:
+    """Run the command line and return its exit code.
+
+    An error that users cause themselves is printed as one line on standard error.
+    """
     try:
-        code = cli.main(args=words, prog_name="dockthread", standalone_mode=False)
+        code = cli.main(args=arguments, prog_name="dockthread", standalone_mode=False)
         return code if isinstance(code, int) else 0
-    except click.exceptions.Exit as left:
-        return left.exit_code
+    except click.exceptions.Exit as requested_exit:
+        return requested_exit.exit_code
     except click.exceptions.Abort:
-        return 1
+        return EXIT_ABORTED
     except click.ClickException as error:
         error.show()
-        return BAD
+        return EXIT_INVALID_INPUT
     except SettingsError as error:
         print(f"dockthread: {error}", file=sys.stderr)
-        return BAD
+        return EXIT_INVALID_INPUT
     except BrokenPipeError:
+        # The reader of the output has ended; without this, Python would fail to flush at its end.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return 0
--- /dev/null
+++ b/dockthread/cli/options.py
@@ -0,0 +1,59 @@
+"""Options of the command line that several command groups share, and parsers of their values."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any, TypeVar
+
+import click
+
+from dockthread.config.address import Address, host_port
+from dockthread.errors import SettingsError
+
+Value = TypeVar("Value")
+OptionCallback = Callable[[click.Context, click.Parameter, Any], Any]
+"""What click calls with the text of an option; `Any`, as an option that is not given has None."""
+
+config_option = click.option(
+    "--config", "file", metavar="FILE", help="The operator's file, before DOCKTHREAD_CONFIG."
+)
+
+
+def json_option(help_text: str) -> Callable[[Callable[..., Any]], Callable[..., Any]]:
+    """Return the option `--json` with its help text."""
+    return click.option("--json", "as_json", is_flag=True, help=help_text)
+
+
+def parse_with(parse: Callable[[str], Value]) -> OptionCallback:
+    """Return a click callback that parses a text, and leaves an option that is not given at None.
+
+    The parser raises ValueError or SettingsError for a text that it rejects; click then ends the
+    command with that error's text.
+    """
+
+    def parse_option(
+        _context: click.Context, _parameter: click.Parameter, text: str | None
+    ) -> Value | None:
+        """Return the parsed value, or raise click.BadParameter."""
+        try:
+            return None if text is None else parse(text)
+        except (ValueError, SettingsError) as error:
+            raise click.BadParameter(str(error)) from error
+
+    return parse_option
+
+
+def parse_address(text: str, expected: str = "HOST:PORT") -> Address:
+    """Return the address that a text names.
+
+    Args:
+        text: The address, such as `127.0.0.1:8080`.
+        expected: What the error says that the user should write.
+
+    Raises:
+        ValueError: The text is no address.
+    """
+    found = host_port(text)
+    if found is None:
+        raise ValueError(f"{text!r} is no address: write {expected}")
+    return Address(*found)
