--- a/dockthread/cli/main.py
+++ b/dockthread/cli/main.py
@@ -33,7 +33,7 @@
     "config": CommandLocation("dockthread.cli.files", "config"),
     "metrics": CommandLocation("dockthread.cli.metrics", "metrics"),
     "work": CommandLocation("dockthread.cli.work", "work"),
-    "fleet": CommandLocation("dockthread.cli.work", "fleet"),
+    "fleet": CommandLocation("dockthread.cli.fleet", "fleet"),
     "control": CommandLocation("dockthread.cli.control", "control"),
     "lab": CommandLocation("dockthread.cli.lab", "lab"),
     "completion": CommandLocation("dockthread.cli.completion", "completion"),
--- a/dockthread/cli/work.py
+++ b/dockthread/cli/work.py
@@ -1,73 +1,67 @@
-"""`dockthread work` and `dockthread fleet`: asks one ingress's management door, for all of them.
+"""The commands `dockthread work`: requests for maintenance, and the offline plan of a list.
 
-Exit codes: 0 done; 1 the ingress says no, or cannot be reached; 2 the words are wrong."""
+Exit codes: 0 done; 1 the ingress rejects the request or cannot be reached; 2 wrong arguments.
+"""
 
 from __future__ import annotations
 
-import http.client
-import json
-import sys
+from collections.abc import Iterator, Sequence
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Final, NotRequired, TypedDict
 
 import click
 
-from dockthread.config.address import host_port
+from dockthread.cli.admin_request import endpoint_option, send_admin_request_or_exit
+from dockthread.cli.options import json_option, parse_with
+from dockthread.cli.output import JsonObject, exit_with_error, print_result
+from dockthread.config.address import Address
 from dockthread.config.quantities import Duration
 
-PATIENCE = 10.0  # s for an answer
+if TYPE_CHECKING:
+    from dockthread.maintenance.plan import MaintenanceRound
 
+MS_PER_S: Final = 1000.0
+"""Milliseconds in a second."""
 
-def door_of(ctx: click.Context, param: click.Parameter, value: str) -> tuple[str, int]:
-    found = host_port(value)
-    if found is None:
-        raise click.BadParameter(f"{value!r} is no address: write HOST:PORT of a management door")
-    return found
+response_json_option = json_option("As the ingress says it.")
 
 
-def length_of(ctx: click.Context, param: click.Parameter, value: str | None) -> float:
-    """Seconds; 0 where nothing was said."""
-    try:
-        return Duration.parse(value) / 1000.0 if value else 0.0
-    except ValueError as error:
-        raise click.BadParameter(f"{value!r} {error}") from error
+class ListedRequest(TypedDict):
+    """What the text shows of a maintenance request in the JSON of the management endpoint.
 
+    Attributes:
+        target: The backend or ingress to be taken out of service.
+        state: State of the request.
+        why: Comment of whoever made the request.
+        reason: Why the request is in this state.
+    """
 
-at_option = click.option(
-    "--at", required=True, callback=door_of, metavar="HOST:PORT", help="A management door."
-)
-json_option = click.option("--json", "as_json", is_flag=True, help="As the ingress says it.")
+    target: str
+    state: str
+    why: NotRequired[str]
+    reason: NotRequired[str]
 
 
-def call(at: tuple[str, int], method: str, path: str, body: dict[str, Any] | None = None) -> Any:
-    """The answer's JSON; ends the command with 1 and one line where there is none."""
-    connection = http.client.HTTPConnection(*at, timeout=PATIENCE)
+def _parse_duration_s(text: str) -> float:
+    """Return a duration in s, 0 for an empty text; raises ValueError."""
+    if not text:
+        return 0.0
     try:
-        connection.request(method, path, json.dumps(body) if body is not None else None)
-        answer = connection.getresponse()
-        text = answer.read().decode(errors="replace")
-    except (OSError, http.client.HTTPException) as error:
-        click.echo(f"{at[0]}:{at[1]}: {error}", err=True)
-        sys.exit(1)
-    finally:
-        connection.close()
-    if answer.status != 200:
-        said = "this ingress is in no fleet" if text.startswith("no such call") else text.strip()
-        click.echo(f"{at[0]}:{at[1]}: {said}", err=True)
-        sys.exit(1)
-    return json.loads(text)
-
-
-def told(request: dict[str, Any]) -> str:
-    why = f" ({request['why']})" if request.get("why") else ""
+        return Duration.parse(text) / MS_PER_S
+    except ValueError as error:
+        raise ValueError(f"{text!r} {error}") from error
+
+
+def _request_line(request: ListedRequest) -> str:
     reason = f": {request['reason']}" if request.get("reason") else ""
-    return f"{request['target']}  {request['state']}{reason}{why}"
+    comment = f" ({request['why']})" if request.get("why") else ""
+    return f"{request['target']}  {request['state']}{reason}{comment}"
 
 
-def said(do: str, body: dict[str, Any], at: tuple[str, int], as_json: bool) -> None:
-    """Have the fleet agree on it, and show what came of it."""
-    answer = call(at, "POST", f"/_work/{do}", body)
-    click.echo(json.dumps(answer) if as_json else told(answer))
+def _propose(command: str, body: JsonObject, endpoint: Address, as_json: bool) -> None:
+    """Have the ingresses agree on a maintenance command, and print the request's new state."""
+    response = send_admin_request_or_exit(endpoint, "POST", f"/_work/{command}", body)
+    print_result(as_json, response, (_request_line(request) for request in [response]))
 
 
 @click.group()
@@ -77,7 +71,7 @@
 
 @work.command()
 @click.argument("target")
-@click.option("--why", default="", help="For whoever looks.")
+@click.option("--why", "comment", default="", help="For whoever looks.")
 @click.option(
     "--urgency",
     default=0,
@@ -87,112 +81,86 @@
 )
 @click.option(
     "--for",
-    "length",
-    callback=length_of,
+    "duration_s",
+    callback=parse_with(_parse_duration_s),
     metavar="TIME",
     help="How long it is to take, such as 2h.",
 )
-@at_option
-@json_option
-def ask(
-    target: str, why: str, urgency: int, length: float, at: tuple[str, int], as_json: bool
+@endpoint_option
+@response_json_option
+def ask(  # noqa: PLR0913  one for each option
+    target: str,
+    comment: str,
+    urgency: int,
+    duration_s: float | None,
+    endpoint: Address,
+    as_json: bool,
 ) -> None:
     """Ask for the turn of a licence node or of an ingress. Asked twice it is one request."""
-    said("ask", {"target": target, "why": why, "urgency": urgency, "for": length}, at, as_json)
+    body: JsonObject = {
+        "target": target,
+        "why": comment,
+        "urgency": urgency,
+        "for": duration_s or 0.0,
+    }
+    _propose("ask", body, endpoint, as_json)
 
 
 @work.command()
 @click.argument("target")
-@at_option
-@json_option
-def done(target: str, at: tuple[str, int], as_json: bool) -> None:
+@endpoint_option
+@response_json_option
+def done(target: str, endpoint: Address, as_json: bool) -> None:
     """The work is done: the machine comes back, cold."""
-    said("done", {"target": target}, at, as_json)
+    _propose("done", {"target": target}, endpoint, as_json)
 
 
 @work.command()
 @click.argument("target")
-@at_option
-@json_option
-def withdraw(target: str, at: tuple[str, int], as_json: bool) -> None:
+@endpoint_option
+@response_json_option
+def withdraw(target: str, endpoint: Address, as_json: bool) -> None:
     """Take a request back; a machine that is out comes back."""
-    said("withdraw", {"target": target}, at, as_json)
+    _propose("withdraw", {"target": target}, endpoint, as_json)
 
 
 @work.command("list")
-@at_option
-@json_option
-def list_(at: tuple[str, int], as_json: bool) -> None:
+@endpoint_option
+@response_json_option
+def list_requests(endpoint: Address, as_json: bool) -> None:
     """What is asked for, granted, and lately over."""
-    listed = call(at, "GET", "/_work")
-    if as_json:
-        click.echo(json.dumps(listed))
-        return
-    for request in [*listed["work"], *listed["over"]]:
-        click.echo(told(request))
+    listing = send_admin_request_or_exit(endpoint, "GET", "/_work")
+    lines = (_request_line(request) for key in ("work", "over") for request in listing[key])
+    print_result(as_json, listing, lines)
 
 
 @work.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @click.option(
-    "--most-out", default=1, show_default=True, type=click.IntRange(1), help="Of one zone at once."
+    "--most-out",
+    "max_unavailable",
+    default=1,
+    show_default=True,
+    type=click.IntRange(1),
+    help="Of one zone at once.",
 )
-@json_option
-def plan(file: Path, most_out: int, as_json: bool) -> None:
+@response_json_option
+def plan(file: Path, max_unavailable: int, as_json: bool) -> None:
     """Offline: in what order the machines of FILE would go, and why each waits. A line: MACHINE
     ZONE [URGENCY].
-    """
+    """  # noqa: D205  shown as the help text
     from dockthread.maintenance.plan import plan_rounds, read_plan
 
     try:
-        planned = plan_rounds(read_plan(file.read_text(), str(file)), most_out)
+        rounds = plan_rounds(read_plan(file.read_text(), str(file)), max_unavailable)
     except (ValueError, OSError) as error:
-        click.echo(str(error), err=True)
-        sys.exit(1)
-    if as_json:
-        click.echo(
-            json.dumps([{"goes": one.granted, "waits": dict(one.waiting)} for one in planned])
-        )
-        return
-    for number, one in enumerate(planned, 1):
-        click.echo(f"{number}. {', '.join(one.granted)}")
-        for name, why in one.waiting:
-            click.echo(f"   {name} waits: {why}")
+        exit_with_error(str(error))
+    content = [{"goes": one.granted, "waits": dict(one.waiting)} for one in rounds]
+    print_result(as_json, content, _plan_lines(rounds))
 
 
-@click.group()
-def fleet() -> None:
-    """The ingresses among themselves."""
-
-
-@fleet.command()
-@click.argument("folder", type=click.Path(path_type=Path))
-@click.option("--name", required=True, help="The ingress that the folder is for.")
-def init(folder: Path, name: str) -> None:
-    """Make the folder of a member that never had one. One that lost its folder needs a new name."""
-    from dockthread.raft.storage import RaftStorage, RaftStorageError
-
-    try:
-        RaftStorage(folder, name, create=True).close()
-    except (OSError, RaftStorageError) as error:
-        click.echo(f"{folder}: {error}", err=True)
-        sys.exit(1)
-    click.echo(f"{folder} is the folder of {name}")
-
-
-@fleet.command()
-@at_option
-@json_option
-def status(at: tuple[str, int], as_json: bool) -> None:
-    """What one member knows: its role, the term, who leads, the voters, how far the log is."""
-    state = call(at, "GET", "/_fleet")
-    if as_json:
-        click.echo(json.dumps(state))
-        return
-    click.echo(
-        f"{state['name']} is {state['role']} in term {state['term']}, led by {state['leader'] or 'nobody'}"
-    )
-    click.echo(f"voters: {', '.join(state['voters'])}")
-    click.echo(
-        f"log: {state['last']} entries, {state['commit']} agreed, {state['applied']} applied"
-    )
+def _plan_lines(rounds: Sequence[MaintenanceRound]) -> Iterator[str]:
+    for number, planned_round in enumerate(rounds, 1):
+        yield f"{number}. {', '.join(planned_round.granted)}"
+        for backend in planned_round.waiting:
+            yield f"   {backend.name} waits: {backend.reason}"
--- a/tests/maintenance/test_work_commands.py
+++ b/tests/maintenance/test_work_commands.py
@@ -8,7 +8,8 @@
 import pytest
 from click.testing import CliRunner
 
-from dockthread.cli.work import fleet, work
+from dockthread.cli.fleet import fleet
+from dockthread.cli.work import work
 
 
 def test_each_command_says_what_went_wrong(tmp_path: Path) -> None:
