--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -10,23 +10,55 @@
 import sys
 from statistics import median
 
-from dockthread.lab.slow_start.scenarios import COLD, PLANTS, Played, many
+from dockthread.lab.slow_start.scenario import COLD_FRACTIONS, Scenario
+from dockthread.lab.slow_start.seeded_defects import DEFECTIVE_ENGINES
+from dockthread.lab.slow_start.seeds import SeedResult, play_seeds
 
+MAX_SHOWN = 10  # seeds with an overload that are printed one by one
 
-def line(name: str, played: list[Played]) -> str:
-    broken = sum(bool(one.breaks) for one in played)
-    fallen = sum(bool(one.falls) for one in played)
-    backends = sum(one.cold for one in played)
-    falls = sum(len(one.falls) for one in played)
-    fullest, used = [one.fullest for one in played], [one.used for one in played]
-    served = [one.in_time / one.could for one in played]
+
+def summary_line(name: str, results: list[SeedResult]) -> str:
+    """One line of the table: these seeds together."""
+    violating = sum(bool(result.violations) for result in results)
+    overloaded = sum(bool(result.overloads) for result in results)
+    backends = sum(result.cold_count for result in results)
+    overloads = sum(len(result.overloads) for result in results)
+    peak_loads = [result.peak_load for result in results]
+    used = [result.used_capacity for result in results]
+    served = [result.in_time / result.achievable for result in results]
     return (
-        f"{name:>5} {len(played):>6} {broken:>6} {fallen:>6} {backends:>9} {falls:>6} {max(fullest):>8.2f}"
-        f" {median(fullest):>7.2f} {min(used):>6.2f} {median(used):>7.2f} {min(served):>7.2f} {median(served):>7.2f}"
+        f"{name:>5} {len(results):>6} {violating:>6} {overloaded:>6} {backends:>9} {overloads:>6}"
+        f" {max(peak_loads):>8.2f} {median(peak_loads):>7.2f}"
+        f" {min(used):>6.2f} {median(used):>7.2f} {min(served):>7.2f} {median(served):>7.2f}"
     )
 
 
-def main() -> int:
+def scenario_text(scenario: Scenario) -> str:
+    """A scenario in the printed form, whose names are older than those of the code."""
+    kinds = [f"Kind(cores={kind.cores}, speed={kind.speed})" for kind in scenario.kinds]
+    kinds_text = f"({', '.join(kinds)}{',' if len(kinds) == 1 else ''})"
+    return (
+        f"Scene(ingresses={scenario.ingress_count}, backends={scenario.backend_count},"
+        f" cold={scenario.cold_fraction}, load={scenario.load}, burst={scenario.burst_factor},"
+        f" restarted={scenario.is_restart}, gone_for={scenario.downtime},"
+        f" aim={scenario.latency_objective}, late={scenario.late_fraction},"
+        f" late_by={scenario.notification_delay}, uneven={scenario.traffic_deviation},"
+        f" seen={scenario.has_load_reports}, kinds={kinds_text})"
+    )
+
+
+def overload_line(result: SeedResult) -> str:
+    """One line on a seed that has an overload."""
+    overload = result.overloads[0]
+    return (
+        f"seed {result.seed}: {len(result.violations)} of {result.cold_count} fell,"
+        f" one got {overload.work:.1f} where {overload.allowed_work:.1f} are allowed,"
+        f" {overload.notified_share:.0%} from those told; {scenario_text(result.scenario)}"
+    )
+
+
+def parse_options() -> argparse.Namespace:
+    """Read the command line."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -37,29 +69,33 @@
         "--cold", type=float, help="part of the backends that starts cold; drawn by default"
     )
     parser.add_argument(
-        "--plant", choices=sorted(PLANTS), default="", help="a fault in the deciding core"
+        "--plant",
+        choices=sorted(["", *DEFECTIVE_ENGINES]),
+        default="",
+        help="a fault in the deciding core",
     )
     parser.add_argument("--jobs", type=int, default=2)
-    options = parser.parse_args()
+    return parser.parse_args()
+
+
+def main() -> int:
+    """Run the seeds, print the table, and return 1 if a seed violates the rule."""
+    options = parse_options()
     seeds = range(options.from_seed, options.from_seed + options.seeds)
-    played = many(seeds, options.ingresses, options.cold, options.plant, options.jobs)
+    results = play_seeds(seeds, options.ingresses, options.cold, options.plant, options.jobs)
     print(
         "                 broke           cold          fullest of N     cold used       in time of could"
     )
     print(
         " cold  seeds   rule   fell  backends  falls     most  median  least  median   least  median"
     )
-    for part in COLD:
-        if some := [one for one in played if one.scene.cold == part]:
-            print(line(f"{part:.1f}", some))
-    print(line("all", played))
-    for one in [one for one in played if one.falls][:10]:
-        fall = one.falls[0]
-        print(
-            f"seed {one.seed}: {len(one.breaks)} of {one.cold} fell, one got {fall.came:.1f} where"
-            f" {fall.allowed:.1f} are allowed, {fall.told:.0%} from those told; {one.scene}"
-        )
-    return int(any(one.breaks for one in played))
+    for fraction in COLD_FRACTIONS:
+        if matching := [result for result in results if result.scenario.cold_fraction == fraction]:
+            print(summary_line(f"{fraction:.1f}", matching))
+    print(summary_line("all", results))
+    for result in [result for result in results if result.overloads][:MAX_SHOWN]:
+        print(overload_line(result))
+    return int(any(result.violations for result in results))
 
 
 if __name__ == "__main__":
--- a/benchmarks/restart_wave.py
+++ b/benchmarks/restart_wave.py
@@ -7,35 +7,66 @@
 
 import argparse
 import sys
+from collections.abc import Iterator
+from itertools import product
 from statistics import median
 
-from dockthread.lab.slow_start.restart_wave import Passed, Wave, waves
+from dockthread.lab.slow_start.restart_wave import RestartWave, WaveResult, play_waves
 
 HEAD = " size of    lists  old list  discovery      ready in 6 s   ready in 10 s   listed in 10 s   last   calls  first  paused"
-CASES = ((200, 200), (200, 140), (200, 20), (30, 30))  # of the fleet, restarted at once
+SIZES = ((200, 200), (200, 140), (200, 20), (30, 30))  # of the fleet, restarted at once
 
 
-def line(wave: Wave, passed: list[Passed]) -> str:
-    def least(parts: list[float]) -> str:
-        return f"{min(parts):.2f} {median(parts):.2f}"
+def least_and_median(fractions: list[float]) -> str:
+    """The least and the median of the seeds' fractions."""
+    return f"{min(fractions):.2f} {median(fractions):.2f}"
 
-    ingresses = [ingress for one in passed for ingress in one.ingresses]
-    last = median(max(ingress.listed for ingress in one.ingresses) / 1000.0 for one in passed)
-    state = (
-        "silent" if wave.silent else f"down {wave.down / 1000.0:.0f} s" if wave.down else "refuses"
+
+def discovery_text(wave: RestartWave) -> str:
+    """How discovery behaves, in a word."""
+    if wave.is_silent:
+        return "silent"
+    return f"down {wave.outage_ms / 1000.0:.0f} s" if wave.outage_ms else "refuses"
+
+
+def table_line(wave: RestartWave, results: list[WaveResult]) -> str:
+    """One line of the table: a wave over all seeds."""
+    ingresses = [ingress for result in results for ingress in result.ingresses]
+    last_listed = median(
+        max(ingress.listed_at_ms for ingress in result.ingresses) / 1000.0 for result in results
     )
+    mode = "pushed" if wave.is_list_pushed else "asked"
+    ready_in_6 = least_and_median([result.ready_within(6_000.0) for result in results])
+    ready_in_10 = least_and_median([result.ready_within(10_000.0) for result in results])
+    listed_in_10 = least_and_median([result.listed_within(10_000.0) for result in results])
+    polls = sum(result.poll_count for result in results) / len(ingresses)
+    first_poll = median(ingress.first_poll_at_ms for ingress in ingresses) / 1000.0
+    backoff = median(ingress.backoff_ms for ingress in ingresses) / 1000.0
     return (
-        f"{wave.restarted:>4}/{wave.fleet:<3} {'pushed' if wave.pushed else 'asked':>7} {str(wave.known):>9}  {state:<10}"
-        f"  {least([one.ready_within(6_000.0) for one in passed]):>13}"
-        f"  {least([one.ready_within(10_000.0) for one in passed]):>14}"
-        f"  {least([one.listed_within(10_000.0) for one in passed]):>15}"
-        f" {last:>6.1f} {sum(one.calls for one in passed) / len(ingresses):>7.2f}"
-        f" {median(ingress.started for ingress in ingresses) / 1000.0:>6.2f}"
-        f" {median(ingress.paused for ingress in ingresses) / 1000.0:>7.2f}"
+        f"{wave.restarted_count:>4}/{wave.fleet_size:<3} {mode:>7} {wave.has_known_list!s:>9}"
+        f"  {discovery_text(wave):<10}  {ready_in_6:>13}  {ready_in_10:>14}  {listed_in_10:>15}"
+        f" {last_listed:>6.1f} {polls:>7.2f} {first_poll:>6.2f} {backoff:>7.2f}"
     )
 
 
+def waves_of(fleet_size: int, restarted_count: int) -> Iterator[RestartWave]:
+    """The waves that the table has of one size."""
+    for is_list_pushed, has_known_list in product((True, False), repeat=2):
+        for outage_ms, is_silent in ((0.0, False), (0.0, True), (4_000.0, False)):
+            if is_list_pushed and is_silent:
+                continue  # an agent is silent only while discovery is down
+            yield RestartWave(
+                fleet_size,
+                restarted_count,
+                is_list_pushed,
+                has_known_list,
+                outage_ms,
+                is_silent=is_silent,
+            )
+
+
 def main() -> int:
+    """Run all waves and print the table."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -48,13 +79,10 @@
         "first, paused: s, median over the processes of the first call's delay and of all its pauses."
     )
     print(HEAD)
-    for fleet, restarted in CASES:
-        for pushed, known in ((True, True), (True, False), (False, True), (False, False)):
-            for down, silent in ((0.0, False), (0.0, True), (4_000.0, False)):
-                if pushed and silent:
-                    continue  # an agent is silent only while discovery is down
-                wave = Wave(fleet, restarted, pushed, known, down, silent=silent)
-                print(line(wave, waves(range(1, options.seeds + 1), wave)), flush=True)
+    for fleet_size, restarted_count in SIZES:
+        for wave in waves_of(fleet_size, restarted_count):
+            results = play_waves(range(1, options.seeds + 1), wave)
+            print(table_line(wave, results), flush=True)
     return 0
 
 
--- a/dockthread/lab/raft/network.py
+++ b/dockthread/lab/raft/network.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from dockthread.lab.raft.event_queue import EventQueue
+from dockthread.lab.event_queue import EventQueue
 from dockthread.raft.messages import Message
 
 DEFAULT_MEAN_DELAY_MS: Final = 5.0
--- a/dockthread/lab/raft/simulation.py
+++ b/dockthread/lab/raft/simulation.py
@@ -11,10 +11,10 @@
 from dataclasses import replace
 from typing import Final
 
+from dockthread.lab.event_queue import EventQueue
 from dockthread.lab.raft.checker import RaftChecker, RuleViolation
 from dockthread.lab.raft.client import MEAN_REQUEST_INTERVAL_MS, SimulatedClient
 from dockthread.lab.raft.cluster import SimulatedMember
-from dockthread.lab.raft.event_queue import EventQueue
 from dockthread.lab.raft.faults import (
     FAULT_PHASE_MS,
     FAULTS,
--- a/dockthread/lab/slow_start/__init__.py
+++ b/dockthread/lab/slow_start/__init__.py
@@ -1,1 +1,1 @@
-"""The slow-start laboratory: a simulated fleet's warm-up and restarts."""
+"""The slow-start laboratory: simulated backends that warm up, and waves of restarted ingresses."""
--- /dev/null
+++ b/dockthread/lab/slow_start/seeds.py
@@ -0,0 +1,92 @@
+"""Seeds of the simulated slow start: the run of one, many over processes, and what they gave."""
+
+from __future__ import annotations
+
+import multiprocessing
+from concurrent.futures import ProcessPoolExecutor
+from dataclasses import dataclass
+
+from dockthread.lab.slow_start.checker import Overload
+from dockthread.lab.slow_start.scenario import Scenario, draw_scenario
+from dockthread.lab.slow_start.seeded_defects import DEFECTIVE_ENGINES
+from dockthread.lab.slow_start.simulation import OBSERVED_TIME, SlowStartSimulation
+from dockthread.policy import PolicyEngine
+
+
+@dataclass(frozen=True, slots=True)
+class SeedResult:
+    """What one seed of a scenario gave.
+
+    Attributes:
+        seed: the seed.
+        scenario: the scenario.
+        cold_count: backends that started cold.
+        overloads: those that the checker found.
+        peak_load: the most work that any backend was sent in the checker's time, divided by N.
+        used_capacity: work that the cold backends served, divided by what they could serve.
+        in_time: the fraction of the requests that were answered in time.
+        achievable: the largest `in_time` that the capacity of all backends allows.
+    """
+
+    seed: int
+    scenario: Scenario
+    cold_count: int
+    overloads: tuple[Overload, ...]
+    peak_load: float
+    used_capacity: float
+    in_time: float
+    achievable: float
+
+    @property
+    def violations(self) -> list[Overload]:
+        """The overloads that violate the checker's rule."""
+        return [overload for overload in self.overloads if overload.violates_rule]
+
+
+def play_seed(seed: int, scenario: Scenario, seeded_defect: str = "") -> SeedResult:
+    """Run one seed of a scenario, with a seeded defect or without.
+
+    Raises:
+        KeyError: there is no seeded defect of this name.
+    """
+    engine_class = DEFECTIVE_ENGINES[seeded_defect] if seeded_defect else PolicyEngine
+    simulation = SlowStartSimulation(seed, scenario, engine_class=engine_class)
+    checker = simulation.play()
+    mean_capacity = (checker.least_capacity(0.0) + checker.least_capacity(OBSERVED_TIME)) / 2
+    warm_up_seconds = mean_capacity * OBSERVED_TIME
+    cold_capacity = sum(backend.kind.capacity for backend in simulation.cold_backends)
+    cold_work = cold_capacity * warm_up_seconds
+    warm_work = (simulation.capacity - cold_capacity) * OBSERVED_TIME
+    arrived = max(1, simulation.counts.arrived)
+    return SeedResult(
+        seed,
+        scenario,
+        len(simulation.cold_backends),
+        tuple(checker.overloads),
+        max(backend.peak_load for backend in checker.backends.values()),
+        sum(backend.served_work for backend in simulation.cold_backends) / cold_work,
+        simulation.counts.in_time / arrived,
+        min(1.0, (cold_work + warm_work) / arrived),
+    )
+
+
+def _draw_and_play(
+    seed: int, ingress_count: int, cold_fraction: float | None, seeded_defect: str
+) -> SeedResult:
+    return play_seed(seed, draw_scenario(seed, ingress_count, cold_fraction), seeded_defect)
+
+
+def play_seeds(
+    seeds: range, ingress_count: int, cold_fraction: float | None, seeded_defect: str, jobs: int
+) -> list[SeedResult]:
+    """Draw a scenario for each seed and run it, over so many processes, in the seeds' order."""
+    count = len(seeds)
+    with ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
+        results = pool.map(
+            _draw_and_play,
+            seeds,
+            [ingress_count] * count,
+            [cold_fraction] * count,
+            [seeded_defect] * count,
+        )
+        return list(results)
--- a/dockthread/lab/slow_start/simulation.py
+++ b/dockthread/lab/slow_start/simulation.py
@@ -1,21 +1,20 @@
-"""A fleet of deciding cores before backends that start cold, simulated: no sockets, no clock but
-its own.
+"""Simulates a fleet of policy engines before backends that start cold, without sockets.
 
-Each backend is a queue before some cores, and works as slowly while cold as the settings allow.
-Each ingress is a `Gateway` with a random source of its own; what it sends is worked off in turn,
-what finds the waiting room full is turned away. Traffic is dealt out unevenly; some ingresses are
-told of a start late.
+Each ingress is a `PolicyEngine` with a random source of its own. Its attempts take `TRAVEL_TIME` to
+a `SimulatedBackend`, which warms up as slowly as the limits allow. Some ingresses get more traffic
+than others, and some are notified late of the start. All times are in seconds.
 """
 
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
 from dataclasses import dataclass
-from heapq import heappop, heappush
-from typing import Any
+from typing import Final
 
-from dockthread.lab.slow_start.checker import ColdChecker, Terms
+from dockthread.lab.event_queue import EventQueue
+from dockthread.lab.slow_start.checker import SlowStartChecker, WarmUpLimits
+from dockthread.lab.slow_start.scenario import MEAN_WORK, Scenario
+from dockthread.lab.slow_start.simulated_backend import SimulatedBackend
 from dockthread.policy import (
     AttemptEnded,
     BackendState,
@@ -38,301 +37,311 @@
     TimerFired,
 )
 
-MEAN_WORK = 0.25  # s of one core of usual speed
-TRAVEL = 0.002  # s from an ingress to a backend, or back
-WARM_UP, AFTER = 10.0, 16.0  # s before the cold ones start, and from then on
-START = 1_000.0  # the clock's first moment
-ROOM = 24  # requests for each core, waiting ones too
-DEADLINES = 3.0  # a request's deadline, in aims
-
-
-@dataclass(frozen=True, slots=True)
-class Kind:
-    cores: int
-    speed: float
-
-    @property
-    def capacity(self) -> float:
-        """Requests of mean work in a second, once warm."""
-        return self.cores * self.speed / MEAN_WORK
-
-
-ALIKE = (Kind(4, 1.15),)
-TWO_KINDS = (Kind(4, 1.5), Kind(3, 0.95))
-
-
-@dataclass(frozen=True, slots=True)
-class Scene:
-    """`load`: traffic over what all backends bear once warm; `burst`: its factor from the start of
-    the cold ones on; `cold`: the part of the backends that starts cold; `restarted`: these served
-    before, under the same number, and were gone for `gone_for` seconds; `aim`: the time in which an
-    answer is wanted; `late`, `late_by`: the part of the ingresses that hears of it late, and how
-    late; `uneven`: the deviation of an ingress's traffic over its mean; `seen`: whether answers
-    hold load reports.
-    """
-
-    ingresses: int
-    backends: int
-    cold: float = 0.3
-    load: float = 0.6
-    burst: float = 1.0
-    restarted: bool = False
-    gone_for: float = 0.0
-    aim: float = 2.5
-    late: float = 0.0
-    late_by: float = 4.0
-    uneven: float = 0.8
-    seen: bool = True
-    kinds: tuple[Kind, ...] = ALIKE
+# Seconds from an ingress to a backend, or back.
+TRAVEL_TIME: Final = 0.002
+# The clock at the begin of a run.
+BEGIN: Final = 1_000.0
+# Seconds from the begin to the start of the cold backends.
+LEAD_TIME: Final = 10.0
+# Seconds from the start of the cold backends to the end of the run.
+OBSERVED_TIME: Final = 16.0
+# A request's deadline, in latency objectives.
+DEADLINE_OBJECTIVES: Final = 3.0
+# The customer of all requests.
+CUSTOMER: Final = 7
+# Bound of the seeds of the engines' random sources.
+ENGINE_SEEDS: Final = 1 << 30
 
 
 @dataclass(slots=True)
-class Backend:
-    number: int
-    kind: Kind
-    free: list[float]  # by core: when it is done with what it has
-    held: int = 0
-    life: int = 0  # which of its processes runs
-    up: bool = True
-    served: float = 0.0  # requests of mean work, from the start of the cold ones on
-
+class SimulatedRequest:
+    """A request of a client.
+
+    Attributes:
+        arrived_at: when it came to its ingress.
+        work: seconds that a core of speed 1 needs for it.
+        is_counted: it came after the start of the cold backends.
+        attempt_count: attempts that were sent.
+        is_answered: it has its final answer.
+    """
 
-@dataclass(slots=True)
-class Request:
-    came: float
+    arrived_at: float
     work: float
-    judged: bool  # whether it came after the cold ones had started
-    attempts: int = 0
-    over: bool = False
+    is_counted: bool
+    attempt_count: int = 0
+    is_answered: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Trip:
-    """One attempt on its way."""
+class Attempt:
+    """One attempt in flight: `number` counts those of its request from 0."""
 
     ingress: int
     request: int
     number: int
-    backend: Backend
-    sent: float
+    backend: SimulatedBackend
+    sent_at: float
 
 
 @dataclass(slots=True)
-class Count:
-    """Of the requests that came after the cold ones had started."""
+class RequestCounts:
+    """Requests that came after the start of the cold backends, by what became of them."""
 
-    came: int = 0
+    arrived: int = 0
     in_time: int = 0
     late: int = 0
-    refused: int = 0
+    rejected: int = 0
+
 
+class SlowStartSimulation:
+    """One run of a scenario; the same seed gives the same run.
+
+    Attributes:
+        scenario: the scenario.
+        checker: judges what the backends are sent.
+        counts: what became of the requests.
+        backends: all backends, by number.
+        cold_backends: those that start cold.
+        capacity: requests of mean work in a second that all backends serve once warm.
+    """
 
-class ColdWorld:
     def __init__(
         self,
         seed: int,
-        scene: Scene,
-        terms: Terms | None = None,
-        gateway: Callable[..., PolicyEngine] = PolicyEngine,
+        scenario: Scenario,
+        limits: WarmUpLimits | None = None,
+        engine_class: type[PolicyEngine] = PolicyEngine,
     ) -> None:
-        self.scene, self.terms = scene, terms or Terms()
-        self.rng = random.Random(seed)
-        self.checker, self.count = ColdChecker(self.terms), Count()
-        self.now, self.start = START, START + WARM_UP
-        self._queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._order = self._numbers = 0
-        self.requests: dict[int, Request] = {}
-        self.backends = self._backends()
-        self.cold = [b for b in self.backends.values() if self.rng.random() < scene.cold] or [
-            self.backends[1]
+        self.scenario = scenario
+        self.checker = SlowStartChecker(limits or WarmUpLimits())
+        self.counts = RequestCounts()
+        self._events = EventQueue(BEGIN)
+        self._cold_start_at = BEGIN + LEAD_TIME
+        self._requests: dict[int, SimulatedRequest] = {}
+        self.backends = self._create_backends()
+        self.capacity = sum(backend.kind.capacity for backend in self.backends.values())
+        # The order of the draws is part of a seed.
+        self._rng = random.Random(seed)
+        self.cold_backends = self._draw_cold_backends()
+        self._engines = [
+            engine_class(self._settings(number), self._rng.randrange(ENGINE_SEEDS), BEGIN)
+            for number in range(scenario.ingress_count)
         ]
-        self.gateways = [
-            gateway(self._settings(n), self.rng.randrange(1 << 30), START)
-            for n in range(scene.ingresses)
+        self._traffic_weights = self._draw_traffic_weights()
+        self._notified_at = self._draw_notification_times()
+
+    def _create_backends(self) -> dict[int, SimulatedBackend]:
+        kinds = self.scenario.kinds
+        backends = {}
+        for index in range(self.scenario.backend_count):
+            kind = kinds[index % len(kinds)]
+            backends[index + 1] = SimulatedBackend(index + 1, kind, [BEGIN] * kind.cores)
+        return backends
+
+    def _draw_cold_backends(self) -> list[SimulatedBackend]:
+        drawn = [
+            backend
+            for backend in self.backends.values()
+            if self._rng.random() < self.scenario.cold_fraction
         ]
-        shape = 1 / scene.uneven**2
-        self.parts = [self.rng.gammavariate(shape, 1 / shape) for _ in self.gateways]
-        self.capacity = sum(b.kind.capacity for b in self.backends.values())
-        self.told_at = self._told_at()
-
-    def _backends(self) -> dict[int, Backend]:
-        kinds = [self.scene.kinds[n % len(self.scene.kinds)] for n in range(self.scene.backends)]
-        return {n: Backend(n, kind, [START] * kind.cores) for n, kind in enumerate(kinds, 1)}
-
-    def _settings(self, number: int) -> PolicySettings:
-        terms = self.terms
+        return drawn or [self.backends[1]]
+
+    def _draw_traffic_weights(self) -> list[float]:
+        """Draw each ingress's traffic from a gamma distribution of mean 1."""
+        shape = 1 / self.scenario.traffic_deviation**2
+        return [self._rng.gammavariate(shape, 1 / shape) for _ in self._engines]
+
+    def _draw_notification_times(self) -> list[float]:
+        """Draw when each ingress is notified of the start of the cold backends."""
+        times = []
+        for _ in self._engines:
+            is_late = self._rng.random() < self.scenario.late_fraction
+            times.append(self._cold_start_at + self.scenario.notification_delay * is_late)
+        return times
+
+    def _settings(self, ingress_number: int) -> PolicySettings:
+        limits = self.checker.limits
+        scenario = self.scenario
+        request_class = RequestClass(
+            latency_objective=scenario.latency_objective,
+            deadline=DEADLINE_OBJECTIVES * scenario.latency_objective,
+            effect=Effect.SAFE,
+        )
         safety = SafetyLimits(
             drain_grace=1.0,
-            cold_capacity=terms.share,
-            warm_up_time=terms.warm_after,
-            overload_multiple=terms.multiple,
-            overload_time=terms.window,
+            cold_capacity=limits.cold_capacity,
+            warm_up_time=limits.warm_up_time,
+            overload_multiple=limits.overload_multiple,
+            overload_time=limits.overload_time,
         )
         return PolicySettings(
-            ingress_number=number,
-            ingress_count=self.scene.ingresses,
-            classes=(
-                RequestClass(
-                    latency_objective=self.scene.aim,
-                    deadline=DEADLINES * self.scene.aim,
-                    effect=Effect.SAFE,
-                ),
-            ),
+            ingress_number=ingress_number,
+            ingress_count=scenario.ingress_count,
+            classes=(request_class,),
             plans=(Plan(),),
             clock_tick=0.004,
             safety=safety,
             max_attempts=3,
-            load_report_fields=("rif", "rate", "q") if self.scene.seen else (),
-            has_load_reports=self.scene.seen,
+            load_report_fields=("rif", "rate", "q") if scenario.has_load_reports else (),
+            has_load_reports=scenario.has_load_reports,
         )
 
-    def _told_at(self) -> list[float]:
-        late = self.scene.late
-        return [self.start + self.scene.late_by * (self.rng.random() < late) for _ in self.gateways]
-
-    # The clock
-
-    def _at(self, when: float, then: Callable[..., None], *about: Any) -> None:
-        self._order += 1
-        heappush(self._queue, (when, self._order, then, about))
-
-    def play(self) -> ColdChecker:
-        cold = {b.number for b in self.cold}
-        first = [b for b in self.backends.values() if self.scene.restarted or b.number not in cold]
-        listed = tuple(self._entry(b, 0.0) for b in first)
-        for number in range(len(self.gateways)):
-            self._at(START, self._tell, number, EndpointsListed(EndpointListKind.FULL, listed))
-        if self.scene.restarted:
-            self._at(self.start - self.scene.gone_for, self._go)
-        self._at(self.start, self._cold_start)
-        self._at(START, self._arrive)
-        while self._queue:
-            self.now, _, then, about = heappop(self._queue)
-            if self.now > self.start + AFTER:
-                break
-            then(*about)
+    def play(self) -> SlowStartChecker:
+        """Run to the end and return the checker."""
+        cold_numbers = {backend.number for backend in self.cold_backends}
+        listed = tuple(
+            self._endpoint(backend, 0.0)
+            for backend in self.backends.values()
+            if self.scenario.is_restart or backend.number not in cold_numbers
+        )
+        self._notify_all_at(BEGIN, EndpointsListed(EndpointListKind.FULL, listed))
+        if self.scenario.is_restart:
+            self._events.schedule_at(
+                self._cold_start_at - self.scenario.downtime, self._stop_cold_backends
+            )
+        self._events.schedule_at(self._cold_start_at, self._start_cold_backends)
+        self._events.schedule_at(BEGIN, self._on_request_due)
+        self._events.run_until(self._cold_start_at + OBSERVED_TIME)
         return self.checker
 
     # Discovery
 
-    def _entry(
-        self, backend: Backend, started: float, state: BackendState = BackendState.READY
+    def _endpoint(
+        self,
+        backend: SimulatedBackend,
+        started_at: float,
+        state: BackendState = BackendState.READY,
     ) -> Endpoint:
-        return Endpoint(
-            backend.number, state, kind=self.scene.kinds.index(backend.kind), started_at=started
-        )
+        kind = self.scenario.kinds.index(backend.kind)
+        return Endpoint(backend.number, state, kind=kind, started_at=started_at)
 
-    def _go(self) -> None:
-        for backend in self.cold:
-            backend.up = False
-        if not self.scene.gone_for:
-            return
-        listed = tuple(self._entry(b, 0.0, BackendState.REMOVED) for b in self.cold)
-        for number in range(len(self.gateways)):
-            self._at(
-                self.now, self._tell, number, EndpointsListed(EndpointListKind.CHANGES, listed)
-            )
+    def _notify_all_at(self, time: float, event: EndpointsListed) -> None:
+        for ingress in range(len(self._engines)):
+            self._events.schedule_at(time, self._dispatch, ingress, event)
 
-    def _cold_start(self) -> None:
-        for backend in self.cold:
-            backend.free, backend.held = [self.now] * backend.kind.cores, 0
-            backend.up, backend.life = True, backend.life + 1
-            self.checker.starts(backend.number, self.now, backend.kind.capacity)
-        listed = tuple(self._entry(b, self.start) for b in self.cold)
-        for number, told_at in enumerate(self.told_at):
-            self._at(told_at, self._tell, number, EndpointsListed(EndpointListKind.CHANGES, listed))
-
-    # Traffic
-
-    def _arrive(self) -> None:
-        judged = self.now >= self.start
-        rate = self.scene.load * self.capacity * (self.scene.burst if judged else 1.0)
-        self._at(self.now + self.rng.expovariate(rate), self._arrive)
-        (ingress,) = self.rng.choices(range(len(self.gateways)), self.parts)
-        self._numbers += 1
-        self.requests[self._numbers] = Request(
-            self.now, self.rng.expovariate(1 / MEAN_WORK), judged
+    def _stop_cold_backends(self) -> None:
+        for backend in self.cold_backends:
+            backend.is_up = False
+        if not self.scenario.downtime:
+            return
+        listed = tuple(
+            self._endpoint(backend, 0.0, BackendState.REMOVED) for backend in self.cold_backends
         )
-        self.count.came += judged
-        self._tell(ingress, RequestArrived(self._numbers, 0, 0, 7, DEADLINES * self.scene.aim))
-
-    def _tell(self, ingress: int, event: Event) -> None:
-        for action in self.gateways[ingress].handle(self.now, event):
+        self._notify_all_at(self._events.now, EndpointsListed(EndpointListKind.CHANGES, listed))
+
+    def _start_cold_backends(self) -> None:
+        now = self._events.now
+        for backend in self.cold_backends:
+            backend.restart(now)
+            self.checker.backend_started(backend.number, now, backend.kind.capacity)
+        listed = tuple(
+            self._endpoint(backend, self._cold_start_at) for backend in self.cold_backends
+        )
+        event = EndpointsListed(EndpointListKind.CHANGES, listed)
+        for ingress, notified_at in enumerate(self._notified_at):
+            self._events.schedule_at(notified_at, self._dispatch, ingress, event)
+
+    # Requests
+
+    def _on_request_due(self) -> None:
+        now = self._events.now
+        is_counted = now >= self._cold_start_at
+        burst_factor = self.scenario.burst_factor if is_counted else 1.0
+        rate = self.scenario.load * self.capacity * burst_factor
+        self._events.schedule_at(now + self._rng.expovariate(rate), self._on_request_due)
+        (ingress,) = self._rng.choices(range(len(self._engines)), self._traffic_weights)
+        number = len(self._requests) + 1
+        work = self._rng.expovariate(1 / MEAN_WORK)
+        self._requests[number] = SimulatedRequest(now, work, is_counted)
+        self.counts.arrived += is_counted
+        deadline = DEADLINE_OBJECTIVES * self.scenario.latency_objective
+        self._dispatch(ingress, RequestArrived(number, 0, 0, CUSTOMER, deadline))
+
+    def _dispatch(self, ingress: int, event: Event) -> None:
+        """Pass an event to an ingress's engine and carry out its actions."""
+        for action in self._engines[ingress].handle(self._events.now, event):
             match action:
                 case SendAttempt():
                     self._send(ingress, action)
                 case SetTimer():
-                    self._at(action.at, self._tell, ingress, TimerFired(action.token))
+                    timer = TimerFired(action.token)
+                    self._events.schedule_at(action.at, self._dispatch, ingress, timer)
                 case Reject() | Fail():
-                    request = self.requests[action.request]
-                    self.count.refused += request.judged and not request.over
-                    request.over = True
-
-    # Backends
-
-    def _send(self, ingress: int, send: SendAttempt) -> None:
-        request = self.requests[send.request]
-        trip = Trip(ingress, send.request, request.attempts, self.backends[send.backend], self.now)
-        request.attempts += 1
-        self._at(self.now + TRAVEL, self._reach, trip)
-        self._at(self.now + send.timeout, self._time_out, trip)
-
-    def _reach(self, trip: Trip) -> None:
-        backend, work = trip.backend, self.requests[trip.request].work
-        if not backend.up:
-            self._end(trip, Outcome.UNREACHABLE)
+                    request = self._requests[action.request]
+                    self.counts.rejected += request.is_counted and not request.is_answered
+                    request.is_answered = True
+
+    def _send(self, ingress: int, action: SendAttempt) -> None:
+        now = self._events.now
+        request = self._requests[action.request]
+        backend = self.backends[action.backend]
+        attempt = Attempt(ingress, action.request, request.attempt_count, backend, now)
+        request.attempt_count += 1
+        self._events.schedule_at(now + TRAVEL_TIME, self._on_attempt_received, attempt)
+        self._events.schedule_at(now + action.timeout, self._on_attempt_timeout, attempt)
+
+    # Attempts at backends
+
+    def _on_attempt_received(self, attempt: Attempt) -> None:
+        now = self._events.now
+        backend = attempt.backend
+        work = self._requests[attempt.request].work
+        if not backend.is_up:
+            self._respond(attempt, Outcome.UNREACHABLE)
             return
-        self.checker.came(
-            backend.number, self.now, work / MEAN_WORK, self.now >= self.told_at[trip.ingress]
-        )
-        if backend.held >= ROOM * backend.kind.cores:
-            self._end(trip, Outcome.AT_CAPACITY)
+        was_sender_notified = now >= self._notified_at[attempt.ingress]
+        self.checker.request_arrived(backend.number, now, work / MEAN_WORK, was_sender_notified)
+        if backend.is_at_capacity:
+            self._respond(attempt, Outcome.AT_CAPACITY)
             return
-        backend.held += 1
-        core = min(range(backend.kind.cores), key=backend.free.__getitem__)
-        begin = max(self.now, backend.free[core])
-        backend.free[core] = begin + work / (backend.kind.speed * self._warmth(backend, begin))
-        self._at(backend.free[core], self._done, trip, backend.life)
-
-    def _warmth(self, backend: Backend, at: float) -> float:
-        cold = self.checker.backends.get(backend.number)
-        return 1.0 if cold is None else self.checker.least_capacity(at - cold.started)
-
-    def _done(self, trip: Trip, life: int) -> None:
-        backend = trip.backend
-        if life != backend.life or not backend.up:
-            self._end(trip, Outcome.RESET)
+        served_at = backend.enqueue(now, work, lambda time: self._capacity_at(backend, time))
+        self._events.schedule_at(served_at, self._on_attempt_served, attempt, backend.incarnation)
+
+    def _capacity_at(self, backend: SimulatedBackend, time: float) -> float:
+        """Return the fraction of its capacity that a backend has at a time."""
+        warming = self.checker.backends.get(backend.number)
+        if warming is None:
+            return 1.0
+        return self.checker.least_capacity(time - warming.started_at)
+
+    def _on_attempt_served(self, attempt: Attempt, incarnation: int) -> None:
+        backend = attempt.backend
+        if incarnation != backend.incarnation or not backend.is_up:
+            self._respond(attempt, Outcome.RESET)
             return
-        backend.held -= 1
-        if self.now >= self.start:
-            backend.served += self.requests[trip.request].work / MEAN_WORK
-        self._end(trip, Outcome.OK)
-
-    def _end(self, trip: Trip, outcome: Outcome) -> None:
-        self._at(self.now + TRAVEL, self._ended, trip, outcome, self._report(trip.backend))
-
-    def _report(self, backend: Backend) -> tuple[float, ...]:
-        if not self.scene.seen:
-            return ()
-        queue = max(0, backend.held - backend.kind.cores)
-        return float(backend.held), backend.kind.capacity, float(queue)
-
-    def _ended(self, trip: Trip, outcome: Outcome, report: tuple[float, ...]) -> None:
-        request = self.requests[trip.request]
-        if outcome is Outcome.OK and not request.over:
-            request.over = True
-            in_time = self.now - request.came <= self.scene.aim
-            self.count.in_time += request.judged and in_time
-            self.count.late += request.judged and not in_time
-        took, worker = self.now - trip.sent, trip.backend.number
-        ended = AttemptEnded(
-            trip.request, trip.number, worker, outcome, request.over, took, load_report=report
+        backend.in_flight -= 1
+        if self._events.now >= self._cold_start_at:
+            backend.served_work += self._requests[attempt.request].work / MEAN_WORK
+        self._respond(attempt, Outcome.OK)
+
+    def _respond(self, attempt: Attempt, outcome: Outcome) -> None:
+        load_report = attempt.backend.load_report() if self.scenario.has_load_reports else ()
+        self._events.schedule_at(
+            self._events.now + TRAVEL_TIME, self._on_attempt_ended, attempt, outcome, load_report
         )
-        self._tell(trip.ingress, ended)
-
-    def _time_out(self, trip: Trip) -> None:
-        """An attempt that is still out when its ingress stops waiting ends; at its backend it goes
-        on.
-        """
-        if not self.requests[trip.request].over:
-            self._ended(trip, Outcome.TIMEOUT, ())
+
+    def _on_attempt_ended(
+        self, attempt: Attempt, outcome: Outcome, load_report: tuple[float, ...]
+    ) -> None:
+        now = self._events.now
+        request = self._requests[attempt.request]
+        if outcome is Outcome.OK and not request.is_answered:
+            request.is_answered = True
+            is_in_time = now - request.arrived_at <= self.scenario.latency_objective
+            self.counts.in_time += request.is_counted and is_in_time
+            self.counts.late += request.is_counted and not is_in_time
+        event = AttemptEnded(
+            attempt.request,
+            attempt.number,
+            attempt.backend.number,
+            outcome,
+            request.is_answered,
+            now - attempt.sent_at,
+            load_report=load_report,
+        )
+        self._dispatch(attempt.ingress, event)
+
+    def _on_attempt_timeout(self, attempt: Attempt) -> None:
+        """End an attempt that its ingress no longer waits for; its backend works on."""
+        if not self._requests[attempt.request].is_answered:
+            self._on_attempt_ended(attempt, Outcome.TIMEOUT, ())
--- a/tests/lab/test_restart_wave.py
+++ b/tests/lab/test_restart_wave.py
@@ -1,17 +1,23 @@
-"""Two hundred ingresses that start at once: how many are ready in time, by their pauses."""
+"""Ingresses that restart all at once: how many are ready in time, by their backoff."""
 
 from __future__ import annotations
 
 from math import inf
 from statistics import median
-from typing import Any
+from typing import Any, NamedTuple
 
 import pytest
 
 from dockthread.clock import ManualClock
 from dockthread.config.address import Address
 from dockthread.config.ingress_config import Names
-from dockthread.lab.slow_start.restart_wave import Passed, Restarts, Wave, waves
+from dockthread.lab.slow_start.restart_wave import (
+    RestartedIngress,
+    RestartWave,
+    RestartWaveSimulation,
+    WaveResult,
+    play_waves,
+)
 from dockthread.net.discovery_watch import DiscoveryWatch
 from dockthread.net.endpoint_list import EndpointList
 from dockthread.policy import PolicySettings, RequestClass, SafetyLimits
@@ -21,71 +27,80 @@
 TARGET = {"uid": "s-1", "endpoint": "127.0.0.1:1", "state": "active", "az": "a", "model": "m"}
 
 
-def ready_within(ms: float, passed: list[Passed]) -> float:
-    return median(one.ready_within(ms) for one in passed)
+def median_ready_within(limit_ms: float, results: list[WaveResult]) -> float:
+    return median(result.ready_within(limit_ms) for result in results)
 
 
-@pytest.mark.parametrize("down", [0.0, 4_000.0, 20_000.0])
-@pytest.mark.parametrize("pushed", [True, False])
-def test_two_hundred_that_hold_an_old_list_are_ready_whatever_discovery_does(
-    pushed: bool, down: float
+def median_listed_within(limit_ms: float, results: list[WaveResult]) -> float:
+    return median(result.listed_within(limit_ms) for result in results)
+
+
+@pytest.mark.parametrize("outage_ms", [0.0, 4_000.0, 20_000.0])
+@pytest.mark.parametrize("is_list_pushed", [True, False])
+def test_ingresses_with_a_known_list_are_ready_in_a_second_whatever_discovery_does(
+    is_list_pushed: bool, outage_ms: float
 ) -> None:
-    for passed in waves(SEEDS, Wave(pushed=pushed, down=down)):
-        assert passed.ready_within(1_000.0) == 1.0
+    wave = RestartWave(is_list_pushed=is_list_pushed, outage_ms=outage_ms)
+    for result in play_waves(SEEDS, wave):
+        assert result.ready_within(1_000.0) == 1.0
 
 
-def test_two_hundred_without_a_list_are_ready_as_soon_as_their_agents_speak() -> None:
-    for passed in waves(SEEDS, Wave(pushed=True, known=False, down=4_000.0)):
-        assert passed.ready_within(6_000.0) == 1.0
+def test_ingresses_without_a_list_are_ready_once_their_agents_respond() -> None:
+    wave = RestartWave(is_list_pushed=True, has_known_list=False, outage_ms=4_000.0)
+    for result in play_waves(SEEDS, wave):
+        assert result.ready_within(6_000.0) == 1.0
 
 
-@pytest.mark.parametrize("silent", [True, False])
-def test_thirty_without_a_list_get_theirs_in_turn_from_a_discovery_that_works_in_vain_too(
-    silent: bool,
+@pytest.mark.parametrize("is_silent", [True, False])
+def test_thirty_ingresses_without_a_list_are_ready_in_ten_seconds_before_one_discovery(
+    is_silent: bool,
 ) -> None:
-    passed = waves(SEEDS, Wave(30, 30, known=False, silent=silent))
-    assert ready_within(10_000.0, passed) >= 0.9
+    results = play_waves(SEEDS, RestartWave(30, 30, has_known_list=False, is_silent=is_silent))
+    assert median_ready_within(10_000.0, results) >= 0.9
 
 
-def test_two_hundred_without_a_list_are_no_more_than_discovery_serves_and_ask_it_seldom() -> None:
-    """Nine in ten cannot be ready in 10 s where one in 0.13 s is served: that would be 77 of 200 at
-    the most.
-    """
-    for passed in waves(SEEDS, Wave(known=False)):
-        assert passed.ready_within(10_000.0) <= 77 / 200
-        assert passed.calls <= 10 * 200, (
-            "calls are priced over the whole fleet: in a minute ten each, at the most"
-        )
+def test_two_hundred_ingresses_without_a_list_get_what_discovery_can_serve_and_poll_seldom() -> (
+    None
+):
+    """Nine in ten cannot be ready in 10 s: one in 0.13 s is 77 of 200 at the most."""
+    for result in play_waves(SEEDS, RestartWave(has_known_list=False)):
+        assert result.ready_within(10_000.0) <= 77 / 200
+        assert result.poll_count <= 10 * 200, "in a minute ten polls of each, at the most"
 
 
-@pytest.mark.parametrize("down", [0.0, 8_000.0])
-def test_a_discovery_with_more_callers_than_it_can_serve_is_not_kept_from_serving_for_ever(
-    down: float,
+@pytest.mark.parametrize("outage_ms", [0.0, 8_000.0])
+def test_discovery_with_more_callers_than_it_can_serve_serves_some_in_the_end(
+    outage_ms: float,
 ) -> None:
-    """All that come back within 6 s, call after call, would have it work on calls that were given
-    up alone.
-    """
-    passed = waves(SEEDS, Wave(restarted=140, down=down))
-    assert median(one.listed_within(20_000.0) for one in passed) < 0.2
-    assert median(one.listed_within(59_000.0) for one in passed) > 0.1, (
+    """If all polled again within 6 s, discovery would work on abandoned polls only."""
+    results = play_waves(SEEDS, RestartWave(restarted_count=140, outage_ms=outage_ms))
+    assert median_listed_within(20_000.0, results) < 0.2
+    assert median_listed_within(59_000.0, results) > 0.1, (
         "0.0 or 0.07 where all come back within 6 s"
     )
 
 
-class Impatient(Backoff):
-    def retry_delay(self, most: float = inf) -> float:
+class FixedShortBackoff(Backoff):
+    """Seeded defect: a delay that neither grows nor varies."""
+
+    def retry_delay(self, max_delay: float = inf) -> float:
         return 250.0
 
 
-def test_a_fixed_short_pause_is_found_by_its_calls() -> None:
-    passed = Restarts(1, Wave(known=False), Impatient).play()
-    assert passed.calls > 40 * 200
+def test_fixed_short_backoff_shows_in_the_number_of_polls() -> None:
+    wave = RestartWave(has_known_list=False)
+    result = RestartWaveSimulation(1, wave, FixedShortBackoff).play()
+    assert result.poll_count > 40 * 200
+
 
+class StartedWatch(NamedTuple):
+    """The program's own watch, started at 0 with a known list, and the timers that it set."""
 
-def begun(pushed: bool, targets: list[dict[str, str]]) -> tuple[DiscoveryWatch, list[float]]:
-    """The program's own watch, begun at 0 with a list of its configuration, and the timers that it
-    set.
-    """
+    watch: DiscoveryWatch
+    timers: list[float]
+
+
+def start_watch(is_list_pushed: bool, known_targets: list[dict[str, str]]) -> StartedWatch:
     clock = ManualClock(0.0, 1_700_000_000_000.0)
     settings = PolicySettings(
         ingress_number=0,
@@ -93,35 +108,48 @@
         classes=(RequestClass(latency_objective=1.0, deadline=2.0),),
         plans=(),
         safety=SafetyLimits(drain_grace=1.0),
-        must_poll_endpoints=not pushed,
+        must_poll_endpoints=not is_list_pushed,
     )
-    destinations = EndpointList(Names((), (), ("a",), ("m",)), clock)
+    endpoint_list = EndpointList(Names((), (), ("a",), ("m",)), clock)
     watch = DiscoveryWatch(
-        Address.parse("127.0.0.1:1"), destinations, clock, lambda listed: None, settings, 1
+        Address.parse("127.0.0.1:1"), endpoint_list, clock, lambda listed: None, settings, 1
     )
     timers: list[float] = []
 
-    def at(when: float, then: Any) -> None:
-        timers.append(when)
-        if when < inf:
-            then()
+    def call_at(time: float, callback: Any) -> None:
+        timers.append(time)
+        if time < inf:
+            callback()
 
-    watch.start({"rev": 1, "all": True, "targets": targets}, at)
-    return watch, timers
+    watch.start({"rev": 1, "all": True, "targets": known_targets}, call_at)
+    return StartedWatch(watch, timers)
 
 
-@pytest.mark.parametrize("pushed", [True, False])
-def test_the_simulation_holds_a_process_for_ready_when_its_watch_does(pushed: bool) -> None:
-    watch, timers = begun(pushed, [TARGET])
-    assert watch.has_list
-    (ingress,) = Restarts(1, Wave(1, 1, pushed=pushed, down=9_000.0)).play().ingresses
-    assert ingress.ready == (timers[0] if pushed else 0.0)
-    assert not begun(pushed, [])[0].has_list
-    (ingress,) = Restarts(1, Wave(1, 1, pushed=pushed, known=False, down=9_000.0)).play().ingresses
-    assert ingress.ready > 9_000.0
+def play_one_ingress(is_list_pushed: bool, has_known_list: bool) -> RestartedIngress:
+    wave = RestartWave(
+        1, 1, is_list_pushed=is_list_pushed, has_known_list=has_known_list, outage_ms=9_000.0
+    )
+    (ingress,) = RestartWaveSimulation(1, wave).play().ingresses
+    return ingress
 
 
-def test_pauses_of_one_seed_are_the_same_each_time() -> None:
-    first, second = (Restarts(3, Wave(known=False)).play() for _ in range(2))
-    assert [one.ready for one in first.ingresses] == [one.ready for one in second.ingresses]
-    assert len({one.paused for one in first.ingresses}) > 100, "no two draw alike"
+@pytest.mark.parametrize("is_list_pushed", [True, False])
+def test_simulated_ingress_is_ready_when_the_discovery_watch_has_a_list(
+    is_list_pushed: bool,
+) -> None:
+    started = start_watch(is_list_pushed, [TARGET])
+    assert started.watch.has_list
+    ingress = play_one_ingress(is_list_pushed, has_known_list=True)
+    assert ingress.ready_at_ms == (started.timers[0] if is_list_pushed else 0.0)
+    assert not start_watch(is_list_pushed, []).watch.has_list
+    ingress = play_one_ingress(is_list_pushed, has_known_list=False)
+    assert ingress.ready_at_ms > 9_000.0
+
+
+def test_one_seed_gives_the_same_backoffs_each_time() -> None:
+    wave = RestartWave(has_known_list=False)
+    first, second = (RestartWaveSimulation(3, wave).play() for _ in range(2))
+    assert [ingress.ready_at_ms for ingress in first.ingresses] == [
+        ingress.ready_at_ms for ingress in second.ingresses
+    ]
+    assert len({ingress.backoff_ms for ingress in first.ingresses}) > 100, "no two draw alike"
