--- a/dockthread/routes/bounds.py
+++ b/dockthread/routes/bounds.py
@@ -46,7 +46,7 @@
 class Bounds:
     """The bounds of one request, from its arrival to its final answer.
 
-    It has a method for each question of the `Route` protocol, hence more than twenty.
+    Its public members are those of the `Route` protocol, and the name and time for the ingress.
     """
 
     __slots__ = (
--- /dev/null
+++ b/tests/routes/test_bounds.py
@@ -0,0 +1,122 @@
+"""The bounds of one request: the stricter of two rules, reloads, and waits between attempts."""
+
+from __future__ import annotations
+
+import random
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from dockthread.config.quantities import Duration
+from dockthread.policy import (
+    AttemptEnded,
+    BackendState,
+    Effect,
+    Endpoint,
+    EndpointListKind,
+    EndpointsListed,
+    Outcome,
+    Plan,
+    PolicyEngine,
+    PolicySettings,
+    Reject,
+    RequestArrived,
+    RequestClass,
+)
+from dockthread.routes.bounds import Bounds
+from dockthread.routes.options import RouteOptions
+from dockthread.routes.rules import Rules, stricter
+from tests.routes.tables import READ, bounds_of, table_of
+
+RULES = st.builds(
+    Rules,
+    name=st.just("r"),
+    attempt_timeout=st.sampled_from([0.0, 0.5, 1.0]),
+    attempts=st.integers(0, 4),
+    retry_on=st.sampled_from(
+        [None, frozenset(), frozenset({Outcome.AT_CAPACITY}), frozenset(list(Outcome)[1:3])]
+    ),
+    hedging=st.sampled_from([None, True, False]),
+    hedge_share=st.sampled_from([0.05, 1.0]),
+)
+
+
+def bounds_under(rules: Rules) -> Bounds:
+    table = table_of({"r": RouteOptions()})
+    return Bounds(table, READ, rules, table.spent["r"])
+
+
+@given(RULES, RULES, st.integers(1, 4), st.sampled_from(list(Outcome)))
+def test_the_stricter_of_two_rules_allows_only_what_both_allow(
+    first: Rules, second: Rules, sent: int, outcome: Outcome
+) -> None:
+    both = bounds_under(stricter(first, second))
+    if both.may_still_retry(sent, outcome):
+        assert bounds_under(first).may_still_retry(sent, outcome)
+        assert bounds_under(second).may_still_retry(sent, outcome)
+    if both.try_hedge(sent, 0.0):
+        assert bounds_under(first).try_hedge(sent, 0.0)
+        assert bounds_under(second).try_hedge(sent, 0.0)
+
+
+def test_a_reload_narrows_a_request_in_flight_and_never_widens_it() -> None:
+    table = table_of({"r": RouteOptions(attempts=2)})
+    bounds = bounds_of(table, "r")
+    table.replace({"r": RouteOptions(attempts=4)}, 1.0)
+    assert bounds.retry_delay(2, Outcome.AT_CAPACITY, 1.0) is None, (
+        "the new route allows more, but not to this request"
+    )
+    assert bounds.retry_delay(1, Outcome.AT_CAPACITY, 1.0) == 0.0
+    table.replace({"r": RouteOptions(attempts=1)}, 2.0)
+    assert bounds.retry_delay(1, Outcome.AT_CAPACITY, 2.0) is None
+    table.replace({}, 3.0)
+    assert bounds.retry_delay(1, Outcome.AT_CAPACITY, 3.0) is None, "a bound once met stays"
+
+
+def test_waits_between_attempts_are_drawn_from_a_doubling_span() -> None:
+    route = RouteOptions(backoff=Duration(100), backoff_max=Duration(300), retry_floor=100.0)
+    bounds = bounds_of(table_of({"r": route}), "r")
+    for sent, span in ((1, 0.1), (2, 0.2), (3, 0.3)):
+        drawn = [bounds.retry_delay(sent, Outcome.ERROR, number * 10.0) for number in range(200)]
+        waits = [wait for wait in drawn if wait is not None]
+        assert len(waits) == 200
+        assert max(waits) <= span
+        assert max(waits) > 0.9 * span
+        assert min(waits) < 0.1 * span
+
+
+def test_a_wait_that_would_end_after_the_deadline_does_not_delay_the_final_answer() -> None:
+    table = table_of({"r": RouteOptions(backoff=Duration(60_000), backoff_max=Duration(60_000))})
+    request_class = RequestClass(latency_objective=1.5, deadline=4.0, effect=Effect.SAFE)
+    settings = PolicySettings(
+        ingress_number=0,
+        ingress_count=1,
+        classes=(request_class,),
+        plans=(Plan(),),
+        max_attempts=4,
+    )
+    engine = PolicyEngine(settings, 1, 0.0)
+    ready = (Endpoint(1, BackendState.READY),)
+    engine.handle(0.0, EndpointsListed(EndpointListKind.FULL, ready))
+    rejected_at_once = 0
+    for number in range(1, 50):
+        arrival = number * 100.0
+        bounds = bounds_of(table, "r")
+        engine.handle(arrival, RequestArrived(number, 0, 0, 1, 4.0, route=bounds))
+        ended = AttemptEnded(number, 0, 1, Outcome.ERROR, False, 0.1)
+        actions = engine.handle(arrival + 0.1, ended)
+        if any(isinstance(action, Reject) for action in actions):
+            rejected_at_once += 1
+    assert rejected_at_once > 40  # 56 of 60 waits would end after the deadline
+
+
+def test_waits_come_from_the_tables_own_seed_and_repeat() -> None:
+    def waits() -> list[float | None]:
+        table = table_of({"r": RouteOptions(backoff=Duration(100), retry_floor=100.0)}, seed=5)
+        bounds = bounds_of(table, "r")
+        return [bounds.retry_delay(1, Outcome.ERROR, float(number)) for number in range(5)]
+
+    random.seed(1)
+    first = waits()
+    random.seed(2)
+    assert waits() == first
--- /dev/null
+++ b/tests/routes/test_concurrency_limit.py
@@ -0,0 +1,62 @@
+"""Adaptive concurrency limits: how they follow a capacity, and their bounds."""
+
+from __future__ import annotations
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from dockthread.routes.concurrency_limit import ConcurrencyLimit
+
+ANSWER_TIME = 0.1  # s, below the capacity
+
+
+def run_closed_loop(limit: ConcurrencyLimit, capacity: float, seconds: float, now: float) -> float:
+    """Keep as many requests in flight as the limit allows and return the time at the end.
+
+    Beyond the capacity requests only take longer.
+    """
+    end = now + seconds
+    while now < end:
+        in_flight = int(limit.limit)
+        duration = ANSWER_TIME * max(1.0, in_flight / capacity)
+        limit.inside = in_flight
+        for _ in range(in_flight):
+            limit.on_answer(duration, now)
+        now += duration
+    return now
+
+
+def test_an_adaptive_limit_follows_a_capacity_that_halves_and_returns_within_seconds() -> None:
+    limit = ConcurrencyLimit(None, 4, 400, adaptive=True)
+    now = run_closed_loop(limit, 80, 20, 0.0)
+    at_full_capacity = limit.limit
+    assert 60 <= at_full_capacity <= 200
+    now = run_closed_loop(limit, 40, 5, now)
+    assert limit.limit < 0.75 * at_full_capacity
+    run_closed_loop(limit, 80, 10, now)
+    assert limit.limit > 0.85 * at_full_capacity
+
+
+@given(st.lists(st.tuples(st.booleans(), st.floats(0.001, 30.0)), max_size=300))
+def test_an_adaptive_limit_never_leaves_its_minimum_and_maximum(
+    attempts: list[tuple[bool, float]],
+) -> None:
+    limit = ConcurrencyLimit(None, 7, 50, adaptive=True)
+    now = 0.0
+    for succeeded, duration in attempts:
+        now += duration
+        limit.inside = 50
+        if succeeded:
+            limit.on_answer(duration, now)
+        else:
+            limit.on_overload(now)
+        assert 7 <= limit.limit <= 50
+
+
+def test_an_adaptive_limit_does_not_grow_while_little_of_it_is_used() -> None:
+    limit = ConcurrencyLimit(None, 4, 400, adaptive=True)
+    before = limit.limit
+    for number in range(1000):
+        limit.inside = 1
+        limit.on_answer(0.1, number / 10)
+    assert limit.limit == before
--- a/tests/routes/test_routes_file.py
+++ b/tests/routes/test_refused_keys.py
@@ -1,57 +1,13 @@
-"""Routes in the operator's file: bad ones refused with their reason, good ones taken, and the worst
-case's sums.
-"""
+"""Routes of the operator's file that are refused, each with its reason and what would do."""
 
 from __future__ import annotations
 
-from dataclasses import replace
-
 import pytest
 
-from dockthread.config.ingress_config import Names
-from dockthread.config.ini_reader import ConfigProblem
-from dockthread.errors import SettingsError
-from dockthread.policy import DeduplicationScope, Effect, Plan, PolicySettings, RequestClass
-from dockthread.routes.explain import explain, parse_request
-from dockthread.routes.worst_case import amplification
-from dockthread.section_registry import parse_operator_file
-
-NAMES = Names(
-    ("seat-status", "seat-checkout", "keyed"),
-    ("klein", "gross"),
-    ("hall-a", "hall-b"),
-    ("type-a", "type-b"),
-)
-SETTINGS = PolicySettings(
-    ingress_number=0,
-    ingress_count=3,
-    classes=(
-        RequestClass(latency_objective=1.5, deadline=4.0, effect=Effect.SAFE),
-        RequestClass(
-            latency_objective=3.0, deadline=12.0, priority_weight=2.0, effect=Effect.UNSAFE
-        ),
-        RequestClass(
-            latency_objective=1.0,
-            deadline=8.0,
-            effect=Effect.KEYED,
-            deduplication_scope=DeduplicationScope.ZONE,
-            deduplication_window=2.0,
-        ),
-    ),
-    plans=(Plan(rate=1.4, burst=5.0), Plan(rate=250.0, burst=500.0)),
-    max_attempts=4,
-    may_hedge=True,
-    max_request_units=1.0,
-)
-STATUS, CHECKOUT, KEYED = ("class = " + name + "\n" for name in NAMES.classes)
-
-
-def problems(text: str, settings: PolicySettings = SETTINGS) -> list[ConfigProblem]:
-    return parse_operator_file(text, "r.ini", settings, NAMES).problems
-
+from tests.routes.site_settings import CHECKOUT, KEYED, STATUS, problems
 
 # Keys of one route, and what its one line must say.
-BAD = [
+REFUSED = [
     # unsafe classes
     (CHECKOUT + "retry_on = timeout", "retry_on: timeout would repeat a request that may have run"),
     (CHECKOUT + "retry_on = reset, unreachable", "reset would repeat"),
@@ -119,7 +75,7 @@
         STATUS + "copies = yes\ncopy_after = 1ms",
         "copy_after: 1ms is under the network's round trip",
     ),
-    # copies
+    # hedges
     (
         STATUS + "copies = yes\ncopy_after = 4s",
         "copy_after: 4s is later than seat-status waits; below 4s",
@@ -143,7 +99,7 @@
     (STATUS + "attempts = many", "attempts: 'many' is not right"),
     (STATUS + "attempts = 1\nretry_on = error", "retry_on: names outcomes, but attempts = 1"),
     (STATUS + "retry_on = errors", "'errors' is not one of error, reset, timeout"),
-    # waits and budgets
+    # backoff and budgets
     (STATUS + "backoff = 10", "backoff: '10' is not a duration"),
     (STATUS + "backoff_max = 1s", "backoff_max: bounds a wait that is not there"),
     (STATUS + "backoff = 1s\nbackoff_max = 500ms", "backoff_max: 500ms is under backoff"),
@@ -199,111 +155,9 @@
 ]
 
 
-@pytest.mark.parametrize(("keys", "expected"), BAD)
-def test_a_bad_route_is_refused_with_its_reason(keys: str, expected: str) -> None:
-    errors = [str(p) for p in problems(f"[route r]\n{keys}\n") if not p.is_warning]
+@pytest.mark.parametrize(("keys", "expected"), REFUSED)
+def test_a_route_that_breaks_a_rule_is_refused_with_its_reason(keys: str, expected: str) -> None:
+    errors = [
+        str(problem) for problem in problems(f"[route r]\n{keys}\n") if not problem.is_warning
+    ]
     assert any(expected in line and line.startswith("r.ini: [route r] ") for line in errors), errors
-
-
-@pytest.mark.parametrize(
-    ("text", "expected"),
-    [
-        (
-            "[route a]\n[route b]\nplan = gross",
-            "[route b] can never match: [route a] before it takes all",
-        ),
-        (
-            "[route a]\nclass = seat-status\n[route b]\nclass = seat-status\nfirm = 1,2",
-            "[route b] can never match: [route a]",
-        ),
-        (
-            "[route a]\nunits = 1..4\n[route b]\nunits = 2..3\nretry = yes",
-            "[route b] can never match: [route a]",
-        ),
-        (
-            "[route a]\nfirm = 1,2,3\n[route b]\nfirm = 2\nverb = read",
-            "[route b] can never match: [route a]",
-        ),
-        ("[route a]\nplan = gross\n[route a]\nplan = klein", "[route a] stands twice (line 3)"),
-        ("[route]\nplan = gross", "[route] needs a name"),
-    ],
-)
-def test_routes_are_checked_against_each_other(text: str, expected: str) -> None:
-    assert any(expected in str(p) for p in problems(text))
-    assert any(expected in str(p) for p in parse_operator_file(text, "r.ini").problems), (
-        "without settings, too"
-    )
-
-
-@pytest.mark.parametrize(
-    "text",
-    [
-        "[route a]\nplan = gross\n[route b]\n",
-        "[route a]\nunits = 1..2\n[route b]\nunits = 2..3",
-        "[route a]\nfirm = 1\n[route b]\nfirm = 1, 2",
-        "[route a]\nretry = yes\n[route b]\nretry = no",
-        "[route a]\nverb = read\n[route b]\nclass = seat-status, seat-checkout",
-        "[route a]\nhall = hall-b\n[route default]\n",
-    ],
-)
-def test_routes_that_both_can_match_stand(text: str) -> None:
-    assert not problems(text)
-
-
-def test_a_site_without_second_copies_or_with_fewer_attempts_is_kept_to() -> None:
-    lean = replace(SETTINGS, may_hedge=False, max_attempts=2)
-    found = [str(p) for p in problems(f"[route r]\n{STATUS}copies = yes\nattempts = 3\n", lean)]
-    assert any("the site allows no second copies; no" in line for line in found)
-    assert any("3 is more than the settings allow; 2 at most" in line for line in found)
-
-
-def test_what_goes_beyond_its_own_timeout_or_multiplies_the_load_is_warned_of() -> None:
-    (warning,) = problems(
-        f"[route r]\n{STATUS}timeout = 1s\nattempts = 2\nattempt_timeout = 700ms\n"
-    )
-    assert warning.is_warning
-    assert "2 attempts of 700ms = 1400ms outlasts timeout = 1s; attempt_timeout = 500ms" in str(
-        warning
-    )
-    (warning,) = problems(f"[route r]\n{STATUS}retry_budget = 80%\n")
-    assert warning.is_warning and "nodes see 1.80 times the first tries" in str(warning)
-
-
-def test_the_values_that_would_do_do() -> None:
-    """What a refusal of the arithmetic proposes is itself accepted."""
-    for keys, would_do in (
-        ("attempts = 3\nattempt_timeout = 2s", "attempts = 3\nattempt_timeout = 1333ms"),
-        ("attempts = 2\nattempt_timeout = 2s\nbackoff = 100ms",
-         "attempts = 2\nattempt_timeout = 1950ms\nbackoff = 100ms"),
-    ):  # fmt: skip
-        assert would_do.split("attempt_timeout")[1].split("\n")[0] in str(
-            problems(f"[route r]\n{STATUS}{keys}\n")[0]
-        )
-        assert not problems(f"[route r]\n{STATUS}{would_do}\n")
-
-
-def test_explain_tells_the_route_the_timeline_and_the_worst_case() -> None:
-    text = f"[route vip]\nfirm = b4d6\n[route s]\n{STATUS}attempts = 2\nattempt_timeout = 1s\nbackoff = 50ms\n"
-    routes = parse_operator_file(text, "r.ini", SETTINGS, NAMES).named_sections("route")
-    lines = list(
-        explain(
-            routes, SETTINGS, NAMES, parse_request("c=seat-status,t=gross,units=2", SETTINGS, NAMES)
-        )
-    )
-    assert lines[:2] == ["route: s", "  not vip: firm"]
-    assert "  1050ms to 2050ms: attempt 2 at the latest" in lines
-    assert lines[-1].startswith("worst case: 2050ms of 4s, 2 attempts, 1.20 times")
-    assert list(
-        explain(
-            routes, SETTINGS, NAMES, parse_request("c=keyed,t=klein,firm=b4d6", SETTINGS, NAMES)
-        )
-    )[0] == ("route: vip")
-    with pytest.raises(SettingsError, match="is no request"):
-        parse_request("c=nothing,t=gross", SETTINGS, NAMES)
-
-
-@pytest.mark.parametrize(
-    ("budget", "attempts", "times"), [(0.2, 4, 1.2), (1.0, 4, 2.0), (0.5, 1, 1.0), (0, 4, 1)]
-)
-def test_amplification(budget: float, attempts: int, times: float) -> None:
-    assert amplification(budget, attempts) == times
--- /dev/null
+++ b/tests/routes/test_retry_budget.py
@@ -0,0 +1,47 @@
+"""Retry budgets: the bound on the retries, in steady load and after a quiet time."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from dockthread.routes.retry_budget import DEPOSIT_SPAN, RetryBudget
+
+TOLERANCE = 1e-6  # tokens: sums of floating-point numbers
+
+
+@given(
+    st.floats(0, 1),
+    st.floats(0, 5),
+    st.lists(st.tuples(st.floats(0, 3), st.integers(0, 4)), max_size=80),
+)
+def test_a_budget_never_gives_more_than_its_bound(
+    ratio: float, floor: float, gaps_and_draws: list[tuple[float, int]]
+) -> None:
+    budget = RetryBudget(ratio, floor, 0.0)
+    now = 0.0
+    initially = max(2.0 * bool(ratio or floor), floor * DEPOSIT_SPAN)
+    for first_attempts, (gap, draws) in enumerate(gaps_and_draws, 1):
+        now += gap
+        budget.on_first_attempt(now)
+        for _ in range(draws):
+            budget.try_draw(now)
+        assert budget.left >= 0
+        assert budget.drawn <= ratio * first_attempts + floor * now + initially + TOLERANCE
+
+
+def test_a_quiet_hour_does_not_pay_for_a_storm() -> None:
+    budget = RetryBudget(0.2, 1.0, 0.0)
+    drawn = sum(budget.try_draw(3600.0) for _ in range(1000))
+    assert drawn <= DEPOSIT_SPAN
+
+
+def test_a_budget_in_steady_load_allows_its_ratio() -> None:
+    budget = RetryBudget(0.2, 0.0, 0.0)
+    drawn = -2  # the tokens with which it starts
+    for number in range(10_000):
+        now = number / 100
+        budget.on_first_attempt(now)
+        drawn += budget.try_draw(now)
+    assert drawn / 10_000 == pytest.approx(0.2, abs=0.01)
--- /dev/null
+++ b/tests/routes/test_table.py
@@ -0,0 +1,47 @@
+"""The table of routes: its index, and what is kept when routes are replaced."""
+
+from __future__ import annotations
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from dockthread.routes.options import RouteOptions
+from dockthread.routes.rules import RequestAttributes
+from tests.routes.tables import bounds_of, route_options, table_of
+
+
+@given(st.data())
+def test_the_index_finds_what_a_scan_finds(data: st.DataObject) -> None:
+    count = data.draw(st.integers(0, 8))
+    table = table_of({f"r{number}": data.draw(route_options()) for number in range(count)})
+    for _ in range(5):
+        request = RequestAttributes(
+            request_class=data.draw(st.integers(0, 1)),
+            plan=data.draw(st.integers(0, 1)),
+            is_write=data.draw(st.booleans()),
+            customer=data.draw(st.integers(1, 4)),
+            units=data.draw(st.integers(1, 4)),
+            is_retry=data.draw(st.booleans()),
+        )
+        matching = (
+            matcher
+            for matcher in table.matchers
+            if matcher.matches_except_customer(request) and matcher.matches_customer(request)
+        )
+        assert table.find(request) is next(matching, None)
+
+
+def test_usage_carries_over_by_name_and_is_dropped_with_the_last_request() -> None:
+    table = table_of({"x": RouteOptions(limit="5"), "y": RouteOptions()})
+    bounds = bounds_of(table, "x")
+    assert bounds.enter(1, 1.0, 0.0) == (True, None)
+    usage = table.spent["x"]
+    table.replace({"x": RouteOptions(limit="9")}, 1.0)
+    assert table.spent["x"] is usage
+    assert usage.limit.limit == 9
+    assert usage.limit.inside == 1
+    assert "y" not in table.spent, "a route without open requests is dropped at once"
+    table.replace({}, 2.0)
+    assert "x" in table.spent, "a route with an open request is kept"
+    bounds.release(1)
+    assert "x" not in table.spent
--- /dev/null
+++ b/tests/routes/test_wait_queue.py
@@ -0,0 +1,35 @@
+"""The queue of requests that wait for a concurrency limit."""
+
+from __future__ import annotations
+
+from itertools import pairwise
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from dockthread.routes.wait_queue import WaitQueue
+
+
+@given(st.lists(st.tuples(st.integers(1, 5), st.booleans()), max_size=60), st.integers(0, 6))
+def test_a_queue_is_bounded_and_gives_the_greatest_weight_first(
+    weights_and_leaves: list[tuple[int, bool]], max_length: int
+) -> None:
+    queue = WaitQueue(max_length)
+    waiting: dict[int, int] = {}
+    for request, (weight, leaves) in enumerate(weights_and_leaves):
+        rejected = queue.put(request, float(weight))
+        waiting[request] = weight
+        if rejected is not None:
+            assert waiting[rejected] == min(waiting.values()), "one of the least weight is rejected"
+            del waiting[rejected]
+        if leaves and waiting:
+            queue.remove(request)
+            waiting.pop(request, None)
+        assert len(queue) == len(waiting) <= max_length
+    taken = []
+    while (request_taken := queue.pop()) is not None:
+        taken.append(request_taken)
+    assert sorted(taken) == sorted(waiting)
+    assert all(
+        (waiting[first], -first) >= (waiting[second], -second) for first, second in pairwise(taken)
+    )
