--- /dev/null
+++ b/tests/routes/routed_ingress.py
@@ -0,0 +1,106 @@
+"""An ingress on loopback that obeys the routes of a file, and backends that count requests."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import Counter
+from collections.abc import AsyncIterator, Awaitable, Callable
+from contextlib import asynccontextmanager
+from typing import Any
+
+from dockthread.net.ingress import Ingress
+from dockthread.routes.table import Table
+from dockthread.routes.usage import RouteUsage
+from dockthread.section_registry import parse_operator_file
+from tests.loopback import Backend, Client, serving
+
+OK = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$24\r\ninflight=7,qps=2,queue=1\r\n"
+BUSY = b"-BUSY\r\n"
+ERROR = b"-ERR failed\r\n"
+STATUS = "[route s]\nclass = status\n"
+CHECKOUT = "[route c]\nclass = checkout\n"
+RETRY_FLOOR = "retry_floor = 100\n"  # so that the budget does not decide
+
+# How a backend answers the arguments of a request; None closes the connection.
+Answer = Callable[[list[bytes]], Awaitable[bytes | None]]
+
+
+class CountingBackend(Backend):
+    """Counts how often each request arrives, by the request's id."""
+
+    def __init__(self, answer: Answer) -> None:
+        super().__init__(answer)
+        self.arrivals: Counter[bytes] = Counter()
+
+    async def _answer(self, args: list[bytes], writer: asyncio.StreamWriter) -> None:
+        self.arrivals[args[2]] += 1
+        await super()._answer(args, writer)
+
+    @property
+    def attempts(self) -> int:
+        """How many attempts arrived."""
+        return self.arrivals.total()
+
+
+def attempts_at(backends: list[CountingBackend]) -> int:
+    """Return how many attempts arrived at all backends."""
+    return sum(backend.attempts for backend in backends)
+
+
+def put_in_force(ingress: Ingress, text: str) -> Table:
+    """Have an ingress obey the routes of a file."""
+    read = parse_operator_file(text, "test", ingress.config.policy_settings, ingress.config.names)
+    assert not read.errors, read.errors
+    table = ingress.routes
+    if not isinstance(table, Table):
+        table = Table(ingress.config.names, 0, 1)
+        ingress.routes = table
+    table.replace(read.named_sections("route"), ingress.clock.now() / 1000.0)
+    return table
+
+
+def usage_of(ingress: Ingress, name: str) -> RouteUsage:
+    """Return what a route of the ingress has used."""
+    assert isinstance(ingress.routes, Table)
+    return ingress.routes.spent[name]
+
+
+@asynccontextmanager
+async def routed_ingress(
+    text: str, *answers: Answer, **changes: Any
+) -> AsyncIterator[tuple[Ingress, Client, list[CountingBackend]]]:
+    """Serve with the routes of a file and one backend for each answer."""
+    backends = [CountingBackend(answer) for answer in answers]
+    async with serving(*backends, **changes) as (ingress, client, _):
+        put_in_force(ingress, text)
+        yield ingress, client, backends
+
+
+def answers_with(reply: bytes) -> Answer:
+    """Return an answer that is always the same."""
+
+    async def answer(args: list[bytes]) -> bytes | None:
+        return reply
+
+    return answer
+
+
+async def closes_connection(args: list[bytes]) -> bytes | None:
+    """Close the connection in place of an answer."""
+    return None
+
+
+async def never_answers(args: list[bytes]) -> bytes | None:
+    """Wait for ever."""
+    await asyncio.Event().wait()
+    return None
+
+
+def answers_after(seconds: float, reply: bytes = OK) -> Answer:
+    """Return an answer that takes its time."""
+
+    async def answer(args: list[bytes]) -> bytes | None:
+        await asyncio.sleep(seconds)
+        return reply
+
+    return answer
--- /dev/null
+++ b/tests/routes/test_limits_in_service.py
@@ -0,0 +1,115 @@
+"""Concurrency limits and retry budgets of routes in service."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from dockthread.clock import ManualClock
+from tests.loopback import SETTINGS, Client, run, until
+from tests.routes.routed_ingress import (
+    BUSY,
+    ERROR,
+    OK,
+    STATUS,
+    answers_after,
+    answers_with,
+    attempts_at,
+    routed_ingress,
+    usage_of,
+)
+
+PLANS = [{"Name": "gross", "Refill": 1.0, "PeakUnits": 1000.0}]
+
+
+def test_a_request_beyond_the_limit_waits_by_weight_and_no_longer_than_stated() -> None:
+    async def scenario() -> None:
+        gate = asyncio.Event()
+
+        async def answers_at_the_gate(args: list[bytes]) -> bytes | None:
+            await gate.wait()
+            return OK
+
+        text = "[route all]\nlimit = 2\nqueue = 2\nqueue_wait = 1s\n"
+        clock = ManualClock()
+        status, checkout = SETTINGS["Classes"]
+        settings = {
+            **SETTINGS,
+            "Classes": [dict(status, Points=1), dict(checkout, Points=5)],
+            "Packages": PLANS,
+        }
+        async with routed_ingress(text, answers_at_the_gate, clock=clock, settings=settings) as (
+            ingress,
+            client,
+            backends,
+        ):
+            usage = usage_of(ingress, "all")
+            for _ in range(4):
+                client.ask()  # two are inside, two in the queue
+            await until(lambda: len(usage.queue) == 2)
+            weighty_client = await Client.open(ingress.address.port)
+            weighty_client.asked += 1000
+            # It takes the place of one of less weight, which is rejected at once.
+            weighty_client.ask("checkout")
+            await until(lambda: usage.refused_limit == 1)
+            assert len(usage.queue) == 2
+            clock.advance(1001)  # the wait is over for the two that are queued
+            ingress.timers.run_due()
+            assert (await weighty_client.answer()).startswith("BUSY")
+            assert usage.refused_limit == 3
+            gate.set()
+            replies = [await client.answer() for _ in range(4)]
+            shown = [reply if isinstance(reply, bytes) else reply[:4] for reply in replies]
+            assert shown == [b"value", b"value", "BUSY", "BUSY"]
+            assert backends[0].attempts == 2
+
+    run(scenario())
+
+
+def test_a_finished_request_gives_its_place_in_the_limit_to_a_queued_one() -> None:
+    async def scenario() -> None:
+        text = "[route all]\nlimit = 1\nqueue = 20\nqueue_wait = 3s\nplan = gross\n"
+        settings = {**SETTINGS, "Packages": PLANS}
+        async with routed_ingress(text, answers_after(0.01), settings=settings) as (
+            ingress,
+            client,
+            _,
+        ):
+            for _ in range(15):
+                client.ask()
+            assert [await client.answer() for _ in range(15)] == [b"value"] * 15
+            usage = usage_of(ingress, "all")
+            assert (usage.queued, usage.limit.inside, len(usage.queue)) == (14, 0, 0)
+
+    run(scenario())
+
+
+@pytest.mark.parametrize(("reply", "least_first_attempts"), [(BUSY, 0), (ERROR, 300)])
+def test_the_load_stays_within_the_budget_where_all_backends_reject_or_fail(
+    reply: bytes, least_first_attempts: int
+) -> None:
+    """Where all reject, the policy engine itself soon forwards little.
+
+    After errors only the budget holds the load.
+    """
+
+    async def scenario() -> None:
+        text = STATUS + "attempts = 4\nretry_budget = 20%\nretry_floor = 1\n"
+        async with routed_ingress(text, *[answers_with(reply)] * 3) as (ingress, client, backends):
+            started_at = asyncio.get_running_loop().time()
+            for _ in range(400):
+                assert str(await client.call()).startswith("BUSY")
+            elapsed = asyncio.get_running_loop().time() - started_at
+            attempts = attempts_at(backends)
+            first_attempts = len({number for backend in backends for number in backend.arrivals})
+            assert first_attempts > least_first_attempts
+            initial_tokens = 10  # what 10 s of the floor put in
+            allowed = first_attempts + 0.2 * first_attempts + 1.0 * elapsed + initial_tokens
+            assert attempts <= allowed
+            budget = usage_of(ingress, "s").budget
+            assert budget is not None
+            assert 0 < attempts - first_attempts <= budget.drawn
+            assert budget.refused or reply is BUSY
+
+    run(scenario())
