--- a/benchmarks/fleet_idle.py
+++ b/benchmarks/fleet_idle.py
@@ -17,7 +17,7 @@
 from tempfile import TemporaryDirectory
 
 from dockthread.lab.arrivals import Arrival
-from dockthread.lab.load import Load, Target
+from dockthread.lab.load import LoadGenerator, LoadTarget
 from dockthread.lab.maintenance.process_cluster import HOST, ProcessCluster
 from dockthread.lab.maintenance.rehearsal import SETTINGS
 from dockthread.lab.maintenance.stand_in import StandInBackend
@@ -60,8 +60,8 @@
             for i in range(int(seconds * rate))
         ]
         loads = [
-            Load(
-                Target(HOST, rig.client[name].port, {"status": 4.0}, frozenset()), 1 + (n << 40)
+            LoadGenerator(
+                LoadTarget(HOST, rig.client[name].port, {"status": 4.0}, frozenset()), 1 + (n << 40)
             ).run(arrivals)
             for n, name in enumerate(rig.names)
         ]
--- a/dockthread/cli/lab.py
+++ b/dockthread/cli/lab.py
@@ -16,10 +16,16 @@
 from dockthread.config.address import Address, host_port
 from dockthread.config.platform_settings import read_policy_settings_file
 from dockthread.errors import SettingsError
-from dockthread.lab.arrivals import Mix, read_trace, shape, weights, write_trace
-from dockthread.lab.load import Target
-from dockthread.lab.outcome import OUTCOMES, Outcome
-from dockthread.lab.processes import Plan, send, send_from_processes
+from dockthread.lab.arrivals import (
+    RequestMix,
+    parse_rate_shape,
+    parse_weights,
+    read_trace,
+    write_trace,
+)
+from dockthread.lab.load import LoadTarget
+from dockthread.lab.load_result import ANSWERED, LoadResult, RequestOutcome
+from dockthread.lab.processes import LoadPlan, send_from_processes, send_share
 from dockthread.policy import Effect
 
 BAD_RUN, VOID = 1, 2
@@ -62,7 +68,7 @@
     "--rate",
     default="140@10s",
     show_default=True,
-    callback=parsed(shape),
+    callback=parsed(parse_rate_shape),
     help="Or 100>300@30s,300@1min.",
 )
 @click.option(
@@ -75,13 +81,15 @@
     type=click.Path(dir_okay=False, path_type=Path),
     help="Write the arrivals as a trace.",
 )
-@click.option("--class", "classes", default=CLASSES, show_default=True, callback=parsed(weights))
+@click.option(
+    "--class", "classes", default=CLASSES, show_default=True, callback=parsed(parse_weights)
+)
 @click.option(
     "--plan",
     "plans",
     default="klein:2,mittel:1,gross:1",
     show_default=True,
-    callback=parsed(weights),
+    callback=parsed(parse_weights),
 )
 @click.option(
     "--firms",
@@ -109,7 +117,7 @@
     "--deadline",
     default=DEADLINES,
     show_default=True,
-    callback=parsed(weights),
+    callback=parsed(parse_weights),
     help="Seconds by class.",
 )
 @click.option(
@@ -162,9 +170,9 @@
         pairs = list(zip(names.classes, told.classes, strict=True))
         deadlines = {name: one.deadline for name, one in pairs}
         writes = frozenset(name for name, one in pairs if one.effect is not Effect.SAFE)
-    mix = Mix(classes, plans, firms, skew, units, gateways)
-    plan = Plan(
-        Target(where.host, where.port, deadlines, writes, connections), seed, rate, mix, trace
+    mix = RequestMix(classes, plans, firms, skew, units, gateways)
+    plan = LoadPlan(
+        LoadTarget(where.host, where.port, deadlines, writes, connections), seed, rate, mix, trace
     )
     try:
         named = (
@@ -180,19 +188,21 @@
         )
     if record:
         click.echo(f"{write_trace(record, plan.arrivals())} arrivals written to {record}", err=True)
-    outcome = _send(plan, processes, sum(piece.requests for piece in rate) if not trace else None)
+    result = _send(
+        plan, processes, sum(segment.expected_requests for segment in rate) if not trace else None
+    )
     if as_json:
-        click.echo(json.dumps(outcome.summary()))
+        click.echo(json.dumps(result.summary()))
     else:
-        for line in lines(outcome):
+        for line in lines(result):
             click.echo(line)
-    if outcome.void:
+    if result.void_reason:
         ctx.exit(VOID)
-    if not any(outcome.total(word) for word in ("served", "refused", "failed")):
+    if not any(result.total(outcome) for outcome in ANSWERED):
         ctx.exit(BAD_RUN)
 
 
-def _send(plan: Plan, processes: int, expected: float | None) -> Outcome:
+def _send(plan: LoadPlan, processes: int, expected: float | None) -> LoadResult:
     if processes > 1:
         return send_from_processes(plan, processes)
     from rich.console import Console
@@ -208,13 +218,15 @@
                 shown = time.monotonic()
                 bar.update(task, completed=asked)
 
-        return asyncio.run(send(plan, 0, 1, progress))
+        return asyncio.run(send_share(plan, 0, 1, progress))
 
 
-def lines(outcome: Outcome) -> list[str]:
-    found = outcome.summary()
+def lines(result: LoadResult) -> list[str]:
+    found = result.summary()
     counts = ", ".join(
-        f"{found['outcomes'][word]} {word}" for word in OUTCOMES if found["outcomes"][word]
+        f"{found['outcomes'][outcome]} {outcome}"
+        for outcome in RequestOutcome
+        if found["outcomes"][outcome]
     )
     out = [
         f"{found['asked']} requests in {found['seconds']:g} s over {found['connections']} connections: {counts}"
--- a/dockthread/lab/load.py
+++ b/dockthread/lab/load.py
@@ -1,9 +1,8 @@
-"""Sends arrivals when they are due, whatever came of those before: an open loop. RESP2, as clients
-of the protocol.
+"""Sends arrivals when they are due, whatever became of those before: an open-loop load generator.
 
-A request goes out on a connection that waits for nothing, or on a new one, up to a bound; beyond
-it, it waits for a connection, and its time runs on. A client gives up at its deadline and closes
-the connection, as the protocol has it.
+It speaks RESP2 as clients do. A request is sent by an idle connection, or by a new one up to a
+bound; beyond that it waits for a connection while its latency runs on. A client gives up at its
+deadline and closes the connection. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -13,188 +12,264 @@
 from collections import deque
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
+from typing import Final
 
 import hiredis
 
+from dockthread.clock import MILLISECONDS
 from dockthread.lab.arrivals import Arrival
-from dockthread.lab.outcome import Outcome
+from dockthread.lab.load_result import LoadResult, RequestOutcome
 
-INCOMPLETE = object()
-AFTER = 0.5  # s after the last deadline in which what is on its way may still come
-AHEAD = 0.0005  # s before a start in which waiting on the loop is no longer worth it
+# What the parser returns until a reply is complete.
+INCOMPLETE: Final = object()
+# Seconds after the last deadline in which responses that are on their way may still come.
+RESPONSE_ALLOWANCE: Final = 0.5
+# Seconds before a start for which waiting on the event loop is no longer worth it.
+MIN_SLEEP: Final = 0.0005
+# Seconds between two looks at whether the last responses have come.
+DRAIN_POLL_INTERVAL: Final = 0.005
+# Requests after which progress is reported and the event loop gets its turn.
+PROGRESS_INTERVAL: Final = 64
 
 
 @dataclass(frozen=True, slots=True)
-class Target:
-    """`deadlines` by class, in seconds; classes in `writes` go by API.WRITE."""
+class LoadTarget:
+    """Where a load goes.
+
+    Attributes:
+        host: the address to connect to.
+        port: its port.
+        deadlines: seconds until a client gives up, by request class.
+        write_classes: request classes that are sent by `API.WRITE`.
+        max_connections: connections that may be open at once.
+    """
 
     host: str
     port: int
     deadlines: dict[str, float]
-    writes: frozenset[str]
-    most_connections: int = 1000
+    write_classes: frozenset[str]
+    max_connections: int = 1000
+
+
+@dataclass(frozen=True, slots=True)
+class PendingArrival:
+    """A request that has to be sent, and when it was due by `time.perf_counter`."""
+
+    arrival: Arrival
+    due: float
+
+
+@dataclass(frozen=True, slots=True)
+class InFlightRequest:
+    """A request that was sent, and the timer of its deadline."""
 
+    pending: PendingArrival
+    deadline_timer: asyncio.TimerHandle
 
-class Client(asyncio.Protocol):
-    """One connection: one request at a time on it, so that a deadline closes nothing but its
-    own.
+
+class ClientConnection(asyncio.Protocol):
+    """One connection, with one request at a time, so that a deadline closes only its own request.
+
+    Attributes:
+        transport: asyncio's transport, from `connection_made` on.
     """
 
-    def __init__(self, lost: Callable[[Client], None]) -> None:
-        self._lost = lost
-        self.reader = hiredis.Reader(notEnoughData=INCOMPLETE)
-        self.answered: Callable[[object], None] | None = None
+    transport: asyncio.Transport
+
+    def __init__(
+        self,
+        on_response: Callable[[ClientConnection, object], None],
+        on_lost: Callable[[ClientConnection], None],
+    ) -> None:
+        self._on_response = on_response
+        self._on_lost = on_lost
+        self._reader = hiredis.Reader(notEnoughData=INCOMPLETE)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """From asyncio: the connection is open."""
-        self.transport: asyncio.Transport = transport  # type: ignore[assignment]  # uvloop has a class of its own
+        """Keep the transport."""
+        self.transport = transport  # type: ignore[assignment]  # uvloop has a class of its own
 
     def data_received(self, data: bytes) -> None:
-        """From asyncio: bytes came; one that cannot be parsed ends the connection."""
-        self.reader.feed(data)
+        """Pass on a complete reply; bytes that cannot be parsed end the connection."""
+        self._reader.feed(data)
         try:
-            answer = self.reader.gets()
+            response = self._reader.gets()
         except hiredis.ProtocolError:
             self.transport.abort()
             return
-        if answer is not INCOMPLETE and self.answered is not None:
-            answered, self.answered = self.answered, None
-            answered(answer)
-
-    def connection_lost(self, error: Exception | None) -> None:
-        """From asyncio: the connection is gone."""
-        self._lost(self)
-
-
-def word_of(answer: object) -> str:
-    """Served, refused or failed, by the protocol's table."""
-    if isinstance(answer, hiredis.ReplyError):
-        return "refused" if str(answer).split(" ")[0] == "BUSY" else "failed"
-    if isinstance(answer, list):
-        answer = answer[0] if answer else None
-    return "served" if isinstance(answer, bytes) else "failed"
-
-
-def command(one: Arrival, target: Target, number: int) -> bytes:
-    """A request as clients write it."""
-    verb = b"API.WRITE" if one.request_class in target.writes else b"API.READ"
-    left = target.deadlines[one.request_class] * 1000.0
-    terms = f"c={one.request_class},t={one.plan},d={left:.0f},units={one.units},spread={one.spread},first={one.first}"
-    args = (verb, b"%016x" % one.firm, b"%016x" % number, terms.encode())
+        if response is not INCOMPLETE:
+            self._on_response(self, response)
+
+    def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002  asyncio's interface
+        """Report the end of the connection."""
+        self._on_lost(self)
+
+
+def classify_response(response: object) -> RequestOutcome:
+    """Return what a response means by the protocol."""
+    if isinstance(response, hiredis.ReplyError):
+        is_rejected = str(response).split(" ")[0] == "BUSY"
+        return RequestOutcome.REJECTED if is_rejected else RequestOutcome.FAILED
+    if isinstance(response, list):
+        response = response[0] if response else None
+    return RequestOutcome.SERVED if isinstance(response, bytes) else RequestOutcome.FAILED
+
+
+def encode_request(arrival: Arrival, target: LoadTarget, request_id: int) -> bytes:
+    """Encode a request as clients do."""
+    verb = b"API.WRITE" if arrival.request_class in target.write_classes else b"API.READ"
+    deadline_ms = target.deadlines[arrival.request_class] * MILLISECONDS
+    terms = (
+        f"c={arrival.request_class},t={arrival.plan},d={deadline_ms:.0f},units={arrival.units}"
+        f",spread={arrival.spread},first={arrival.first_ingress}"
+    )
+    args = (verb, b"%016x" % arrival.customer, b"%016x" % request_id, terms.encode())
     return b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(arg), arg) for arg in args)
 
 
-class Load:
-    """`first_id`: the number of the first request; each takes the next `step`, so that processes
-    never share one.
-    """
-
-    def __init__(self, target: Target, first_id: int, step: int = 1) -> None:
-        self._target, self._id, self._step = target, first_id, step
+class LoadGenerator:
+    """Sends one load to one target."""
+
+    def __init__(
+        self,
+        target: LoadTarget,
+        request_id_base: int,
+        request_id_step: int = 1,
+        on_progress: Callable[[int], None] | None = None,
+    ) -> None:
+        """Prepare a load; call it in a running event loop.
+
+        Args:
+            target: where it goes.
+            request_id_base: the number of the first request, less one step.
+            request_id_step: what each request's number grows by, so that processes never share one.
+            on_progress: is called now and then with the number of requests that were started.
+        """
+        self._target = target
+        self._request_id = request_id_base
+        self._request_id_step = request_id_step
+        self._on_progress = on_progress or (lambda _request_count: None)
         self._loop = asyncio.get_running_loop()
-        self.outcome = Outcome()
-        self._free: list[Client] = []
-        self._open: set[Client] = set()
-        self._opening = 0
-        self._waiting: deque[tuple[Arrival, float]] = deque()
-        self._out = 0
-        self._busy: dict[Client, Callable[[str], None]] = {}
-        self.progress: Callable[[int], None] = lambda asked: None
-
-    async def run(self, arrivals: Iterable[Arrival]) -> Outcome:
-        """Send all in their time and wait for the last answers; what became of them."""
-        begun, cpu = time.perf_counter(), time.process_time()
-        last = 0.0
-        for one in arrivals:
-            due = begun + one.at
-            while (wait := due - time.perf_counter()) > AHEAD:
-                await asyncio.sleep(wait)
-            self.outcome.started(time.perf_counter() - due)
-            last = max(last, due + self._target.deadlines[one.request_class])
-            self._start(one, due)
-            if not self.outcome.asked % 64:
-                self.progress(self.outcome.asked)
+        self._result = LoadResult()
+        self._idle: list[ClientConnection] = []
+        self._open: set[ClientConnection] = set()
+        self._opening_count = 0
+        self._connect_tasks: set[asyncio.Task[None]] = set()
+        self._waiting: deque[PendingArrival] = deque()
+        self._in_flight: dict[ClientConnection, InFlightRequest] = {}
+
+    async def run(self, arrivals: Iterable[Arrival]) -> LoadResult:
+        """Send all requests in their time, wait for the last responses and return the result."""
+        begun_at = time.perf_counter()
+        cpu_at_begin = time.process_time()
+        last_deadline = await self._send_all(arrivals, begun_at)
+        await self._drain(last_deadline + RESPONSE_ALLOWANCE)
+        self._result.seconds = time.perf_counter() - begun_at
+        self._result.cpu_seconds = time.process_time() - cpu_at_begin
+        self._on_progress(self._result.request_count)
+        return self._result
+
+    async def _send_all(self, arrivals: Iterable[Arrival], begun_at: float) -> float:
+        """Start each request in its time and return the latest deadline of all."""
+        last_deadline = 0.0
+        for arrival in arrivals:
+            due = begun_at + arrival.at
+            while (remaining := due - time.perf_counter()) > MIN_SLEEP:  # noqa: ASYNC110  a sleep may end early
+                await asyncio.sleep(remaining)
+            self._result.record_start(time.perf_counter() - due)
+            last_deadline = max(last_deadline, due + self._deadline_of(arrival))
+            self._start(PendingArrival(arrival, due))
+            if self._result.request_count % PROGRESS_INTERVAL == 0:
+                self._on_progress(self._result.request_count)
                 await asyncio.sleep(0)
-        while (self._out or self._waiting) and time.perf_counter() < last + AFTER:
-            await asyncio.sleep(0.005)
-        for client in list(self._open):
-            client.transport.abort()
+        return last_deadline
+
+    async def _drain(self, until: float) -> None:
+        """Wait for the last responses, then close all connections."""
+        while (self._in_flight or self._waiting) and time.perf_counter() < until:  # noqa: ASYNC110  it ends by time, too
+            await asyncio.sleep(DRAIN_POLL_INTERVAL)
+        for connection in list(self._open):
+            connection.transport.abort()
         await asyncio.sleep(0)
-        for one, _ in self._waiting:
-            self.outcome.note(one.request_class, "late", None)
-        self.outcome.seconds, self.outcome.cpu = (
-            time.perf_counter() - begun,
-            time.process_time() - cpu,
-        )
-        self.progress(self.outcome.asked)
-        return self.outcome
-
-    def _start(self, one: Arrival, due: float) -> None:
-        while self._free:
-            client = self._free.pop()
-            if not client.transport.is_closing():
-                self._send(client, one, due)
+        for pending in self._waiting:
+            self._result.record_outcome(pending.arrival.request_class, RequestOutcome.LATE)
+
+    def _deadline_of(self, arrival: Arrival) -> float:
+        return self._target.deadlines[arrival.request_class]
+
+    def _start(self, pending: PendingArrival) -> None:
+        while self._idle:
+            connection = self._idle.pop()
+            if not connection.transport.is_closing():
+                self._send(connection, pending)
                 return
-        self._waiting.append((one, due))
-        if len(self._open) + self._opening < self._target.most_connections:
-            self._opening += 1
-            self._loop.create_task(self._connect())
+        self._waiting.append(pending)
+        if len(self._open) + self._opening_count < self._target.max_connections:
+            self._opening_count += 1
+            task = self._loop.create_task(self._connect())
+            self._connect_tasks.add(task)
+            task.add_done_callback(self._connect_tasks.discard)
 
     async def _connect(self) -> None:
-        target = self._target
         try:
-            _, client = await self._loop.create_connection(
-                lambda: Client(self._lost), target.host, target.port
+            _, connection = await self._loop.create_connection(
+                lambda: ClientConnection(self._on_response, self._on_lost),
+                self._target.host,
+                self._target.port,
             )
         except OSError:
-            self._opening -= 1
+            self._opening_count -= 1
             if self._waiting:
-                one, _ = self._waiting.popleft()
-                self.outcome.note(one.request_class, "unsent", None)
+                pending = self._waiting.popleft()
+                self._result.record_outcome(pending.arrival.request_class, RequestOutcome.UNSENT)
             return
-        self._opening -= 1
-        self._open.add(client)
-        self.outcome.connections += 1
-        self._next(client)
+        self._opening_count -= 1
+        self._open.add(connection)
+        self._result.connection_count += 1
+        self._send_next(connection)
 
-    def _next(self, client: Client) -> None:
-        """A connection is free: the longest waiting goes, unless its client has given up by now."""
+    def _send_next(self, connection: ClientConnection) -> None:
+        """Send the request that has waited longest and is not past its deadline, if there is one."""
         now = time.perf_counter()
         while self._waiting:
-            one, due = self._waiting.popleft()
-            if now - due < self._target.deadlines[one.request_class]:
-                self._send(client, one, due)
+            pending = self._waiting.popleft()
+            if now - pending.due < self._deadline_of(pending.arrival):
+                self._send(connection, pending)
                 return
-            self.outcome.note(one.request_class, "late", None)
-        self._free.append(client)
-
-    def _send(self, client: Client, one: Arrival, due: float) -> None:
-        self._id += self._step
-        self._out += 1
-        left = due + self._target.deadlines[one.request_class] - time.perf_counter()
-        alarm = self._loop.call_later(max(0.0, left), self._gave_up, client)
-
-        def ended(word: str, seconds: float | None = None) -> None:
-            alarm.cancel()
-            self._out -= 1
-            self._busy.pop(client, None)
-            self.outcome.note(one.request_class, word, seconds)
-
-        def answered(answer: object) -> None:
-            ended(word_of(answer), time.perf_counter() - due)
-            self._next(client)
-
-        client.answered = answered
-        self._busy[client] = ended
-        client.transport.write(command(one, self._target, self._id))
-
-    def _gave_up(self, client: Client) -> None:
-        if (ended := self._busy.get(client)) is not None:
-            client.answered = None
-            ended("late")
-            client.transport.abort()
-
-    def _lost(self, client: Client) -> None:
-        self._open.discard(client)
-        if (ended := self._busy.get(client)) is not None:
-            ended("lost")
+            self._result.record_outcome(pending.arrival.request_class, RequestOutcome.LATE)
+        self._idle.append(connection)
+
+    def _send(self, connection: ClientConnection, pending: PendingArrival) -> None:
+        self._request_id += self._request_id_step
+        deadline = pending.due + self._deadline_of(pending.arrival)
+        remaining = max(0.0, deadline - time.perf_counter())
+        timer = self._loop.call_later(remaining, self._on_deadline, connection)
+        self._in_flight[connection] = InFlightRequest(pending, timer)
+        connection.transport.write(encode_request(pending.arrival, self._target, self._request_id))
+
+    def _end(
+        self, connection: ClientConnection, outcome: RequestOutcome, latency: float | None = None
+    ) -> None:
+        """Count the connection's request, if it has one in flight, as ended."""
+        request = self._in_flight.pop(connection, None)
+        if request is not None:
+            request.deadline_timer.cancel()
+            request_class = request.pending.arrival.request_class
+            self._result.record_outcome(request_class, outcome, latency)
+
+    def _on_response(self, connection: ClientConnection, response: object) -> None:
+        request = self._in_flight.get(connection)
+        if request is None:
+            return  # its client has given up
+        latency = time.perf_counter() - request.pending.due
+        self._end(connection, classify_response(response), latency)
+        self._send_next(connection)
+
+    def _on_deadline(self, connection: ClientConnection) -> None:
+        if connection in self._in_flight:
+            self._end(connection, RequestOutcome.LATE)
+            connection.transport.abort()
+
+    def _on_lost(self, connection: ClientConnection) -> None:
+        self._open.discard(connection)
+        self._end(connection, RequestOutcome.LOST)
--- /dev/null
+++ b/dockthread/lab/load_result.py
@@ -0,0 +1,175 @@
+"""What became of a load's requests: counts and latencies, which are summed over processes.
+
+Latencies are kept in HdrHistogram (Gil Tene), in microseconds. They run from the intended start of
+each request, so that a stall of the server, or of the load generator, is in the latency of every
+request that it touched.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import dataclass, field
+from enum import StrEnum
+from typing import Any, Final, TypeAlias
+
+from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
+
+# Shortest and longest time of a histogram, in microseconds; the longest is 5 min.
+MIN_RECORDED_US: Final = 1
+MAX_RECORDED_US: Final = 300_000_000
+# Decimal digits to which a histogram keeps a time.
+SIGNIFICANT_DIGITS: Final = 3
+MICROSECONDS: Final = 1e6  # in a second
+# Seconds; with a 99th percentile of the starts' lateness above it a run says nothing.
+MAX_START_LATENESS: Final = 0.010
+# Percentiles of a summary, by their keys.
+PERCENTILES: Final = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p99.9": 99.9, "max": 100.0}
+
+# The JSON object of a summary, or of a result on its way between processes.
+JsonObject: TypeAlias = dict[str, Any]
+
+
+class RequestOutcome(StrEnum):
+    """What became of a request, by the words of the summary.
+
+    `LOST`: the connection ended before the response. `LATE`: no response came within the client's
+    deadline. `UNSENT`: no connection could be opened.
+    """
+
+    SERVED = "served"
+    REJECTED = "refused"
+    FAILED = "failed"
+    LOST = "lost"
+    LATE = "late"
+    UNSENT = "unsent"
+
+
+# Outcomes of requests that got a response.
+ANSWERED: Final = (RequestOutcome.SERVED, RequestOutcome.REJECTED, RequestOutcome.FAILED)
+
+
+def new_histogram() -> Any:
+    """Return an empty histogram of times in microseconds."""
+    return HdrHistogram(MIN_RECORDED_US, MAX_RECORDED_US, SIGNIFICANT_DIGITS)
+
+
+def _record(histogram: Any, seconds: float) -> None:
+    microseconds = int(seconds * MICROSECONDS)
+    histogram.record_value(min(MAX_RECORDED_US, max(MIN_RECORDED_US, microseconds)))
+
+
+def _percentiles_ms(histogram: Any) -> dict[str, float]:
+    return {
+        key: round(histogram.get_value_at_percentile(percentile) / 1000.0, 3)
+        for key, percentile in PERCENTILES.items()
+    }
+
+
+@dataclass
+class LoadResult:
+    """What became of the requests of one load, or of several that were merged.
+
+    Attributes:
+        counts: requests by class and outcome.
+        latencies: histograms of the answered requests, by class.
+        start_lateness: histogram of how long after their time requests were started.
+        request_count: requests that were started.
+        seconds: how long the load lasted.
+        connection_count: connections that were opened.
+        cpu_seconds: CPU time of the load generator.
+    """
+
+    counts: Counter[tuple[str, str]] = field(default_factory=Counter)
+    latencies: dict[str, Any] = field(default_factory=dict)
+    start_lateness: Any = field(default_factory=new_histogram)
+    request_count: int = 0
+    seconds: float = 0.0
+    connection_count: int = 0
+    cpu_seconds: float = 0.0
+
+    def record_outcome(
+        self, request_class: str, outcome: RequestOutcome, latency: float | None = None
+    ) -> None:
+        """Count a request that has ended; `latency` in seconds, None if no response came."""
+        self.counts[request_class, outcome.value] += 1
+        if latency is not None:
+            _record(self._latencies_of(request_class), latency)
+
+    def record_start(self, lateness: float) -> None:
+        """Count a request that was started so many seconds after its time."""
+        self.request_count += 1
+        _record(self.start_lateness, lateness)
+
+    def _latencies_of(self, request_class: str) -> Any:
+        # Not by setdefault: a histogram is too large to create one for each request.
+        if request_class not in self.latencies:
+            self.latencies[request_class] = new_histogram()
+        return self.latencies[request_class]
+
+    @property
+    def void_reason(self) -> str:
+        """Why the run says nothing of the server; empty if it does say something."""
+        lateness = self.start_lateness.get_value_at_percentile(99.0) / MICROSECONDS
+        if self.request_count and lateness > MAX_START_LATENESS:
+            return (
+                "the tool itself fell behind:"
+                f" one start in a hundred was {lateness * 1e3:.0f} ms late or more"
+            )
+        return ""
+
+    def total(self, outcome: str) -> int:
+        """Return how many requests of all classes had this outcome."""
+        return sum(count for (_, counted), count in self.counts.items() if counted == outcome)
+
+    def to_json(self) -> JsonObject:
+        """Return a JSON object from which another process merges this result."""
+        return {
+            "counts": [[*key, count] for key, count in self.counts.items()],
+            "times": {
+                name: histogram.encode().decode() for name, histogram in self.latencies.items()
+            },
+            "lateness": self.start_lateness.encode().decode(),
+            "asked": self.request_count,
+            "seconds": self.seconds,
+            "connections": self.connection_count,
+            "cpu": self.cpu_seconds,
+        }
+
+    def merge(self, encoded: JsonObject) -> None:
+        """Add the result of another process, as `to_json` gave it."""
+        for name, outcome, count in encoded["counts"]:
+            self.counts[name, outcome] += count
+        for name, text in encoded["times"].items():
+            self._latencies_of(name).decode_and_add(text.encode())
+        self.start_lateness.decode_and_add(encoded["lateness"].encode())
+        self.request_count += encoded["asked"]
+        self.seconds = max(self.seconds, encoded["seconds"])
+        self.connection_count += encoded["connections"]
+        self.cpu_seconds += encoded["cpu"]
+
+    def summary(self) -> JsonObject:
+        """Return the JSON object that is shown to users; latencies in milliseconds."""
+        request_classes = sorted({name for name, _ in self.counts})
+        return {
+            "asked": self.request_count,
+            "seconds": round(self.seconds, 3),
+            "outcomes": {outcome.value: self.total(outcome) for outcome in RequestOutcome},
+            "by_class": {name: self._outcomes_of(name) for name in request_classes},
+            "times_ms": {
+                name: _percentiles_ms(histogram)
+                for name, histogram in sorted(self.latencies.items())
+            },
+            "start_lateness_ms": _percentiles_ms(self.start_lateness),
+            "connections": self.connection_count,
+            "tool_cpu_us_per_request": round(
+                self.cpu_seconds / max(1, self.request_count) * MICROSECONDS, 1
+            ),
+            "void": self.void_reason,
+        }
+
+    def _outcomes_of(self, request_class: str) -> dict[str, int]:
+        return {
+            outcome.value: self.counts[request_class, outcome.value]
+            for outcome in RequestOutcome
+            if self.counts[request_class, outcome.value]
+        }
--- a/dockthread/lab/maintenance/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -28,11 +28,11 @@
 
 from dockthread.errors import DockthreadError
 from dockthread.lab.arrivals import Arrival
-from dockthread.lab.load import Load, Target
+from dockthread.lab.load import LoadGenerator, LoadTarget
+from dockthread.lab.load_result import LoadResult, RequestOutcome
 from dockthread.lab.maintenance.process_cluster import HOST, OK, ProcessCluster
 from dockthread.lab.maintenance.scenario import PlannedScenario, Step, StepVerb
 from dockthread.lab.maintenance.stand_in import StandInBackend
-from dockthread.lab.outcome import OUTCOMES, Outcome
 from dockthread.lab.raft.checker import RuleViolation
 from dockthread.maintenance.transitions import FINAL_STATES, UNAVAILABLE_STATES
 
@@ -327,23 +327,25 @@
             for number in range(count)
         )
         port = self._cluster.client[name].port
-        target = Target(HOST, port, {"status": REQUEST_TIMEOUT_S}, frozenset())
+        target = LoadTarget(HOST, port, {"status": REQUEST_TIMEOUT_S}, frozenset())
         first_identifier = 1 + (self._cluster.names.index(name) << IDENTIFIERS_PER_INGRESS)
-        self._check_load(name, await Load(target, first_identifier).run(arrivals))
+        self._check_load(name, await LoadGenerator(target, first_identifier).run(arrivals))
 
-    def _check_load(self, name: str, outcome: Outcome) -> None:
-        self._result.sent += outcome.asked
-        self._result.served += outcome.total("served")
-        totals = {word: outcome.total(word) for word in OUTCOMES if outcome.total(word)}
-        counts = ", ".join(f"{count} {word}" for word, count in totals.items())
+    def _check_load(self, name: str, result: LoadResult) -> None:
+        self._result.sent += result.request_count
+        self._result.served += result.total(RequestOutcome.SERVED)
+        totals = {
+            outcome: result.total(outcome) for outcome in RequestOutcome if result.total(outcome)
+        }
+        counts = ", ".join(f"{count} {outcome}" for outcome, count in totals.items())
         self._note(f"requests to {name}: {counts}")
-        checked = ["failed", "lost", "late"]
+        checked = [RequestOutcome.FAILED, RequestOutcome.LOST, RequestOutcome.LATE]
         # An ingress that restarts takes no new connection for a while, and answers all that it took.
         if name not in self._restarted:
-            checked.append("unsent")
-        bad = {word: totals[word] for word in checked if word in totals}
+            checked.append(RequestOutcome.UNSENT)
+        bad = {outcome: totals[outcome] for outcome in checked if outcome in totals}
         if bad and name not in self._disturbed:
-            self._break("lost", f"of {outcome.asked} requests to {name}: {json.dumps(bad)}")
+            self._break("lost", f"of {result.request_count} requests to {name}: {json.dumps(bad)}")
 
     async def _check_end(self) -> None:
         """End all faults; check the rules `alike` and `progress`."""
--- a/dockthread/lab/scale/load.py
+++ b/dockthread/lab/scale/load.py
@@ -6,14 +6,14 @@
 
 import asyncio
 
-from dockthread.lab.arrivals import Mix, shape
-from dockthread.lab.load import Target
-from dockthread.lab.outcome import Outcome
-from dockthread.lab.processes import Plan, send
+from dockthread.lab.arrivals import RequestMix, parse_rate_shape
+from dockthread.lab.load import LoadTarget
+from dockthread.lab.load_result import LoadResult
+from dockthread.lab.processes import LoadPlan, send_share
 from dockthread.lab.scale.channel import Words, serve_commands
 
 DEADLINES = {"seat-status": 4.0, "seat-checkout": 12.0}
-MIX = Mix(
+MIX = RequestMix(
     tuple((name, 1.0) for name in DEADLINES), (("klein", 2.0), ("mittel", 1.0), ("gross", 1.0))
 )
 HOST = "127.0.0.1"
@@ -28,21 +28,21 @@
         return {}
 
     async def send(self, told: Words) -> Words:
-        """So many seconds of load to each port; the outcomes of all together, packed."""
-        pieces = shape(f"{self._rate:g}@{told['seconds']:g}s")
+        """So many seconds of load to each port; the results of all together, as JSON."""
+        segments = parse_rate_shape(f"{self._rate:g}@{told['seconds']:g}s")
         plans = [
-            Plan(
-                Target(HOST, port, DEADLINES, frozenset({"seat-checkout"})),
+            LoadPlan(
+                LoadTarget(HOST, port, DEADLINES, frozenset({"seat-checkout"})),
                 self._seed + n,
-                pieces,
+                segments,
                 MIX,
             )
             for n, port in enumerate(told["ports"])
         ]
-        total = Outcome()
-        for one in await asyncio.gather(*(send(plan, 0, 1) for plan in plans)):
-            total.add(one.packed())
-        return total.packed()
+        total = LoadResult()
+        for result in await asyncio.gather(*(send_share(plan, 0, 1) for plan in plans)):
+            total.merge(result.to_json())
+        return total.to_json()
 
 
 async def play() -> None:
--- a/dockthread/lab/scale/report.py
+++ b/dockthread/lab/scale/report.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any, Final
 
-from dockthread.lab.outcome import Outcome, histogram
+from dockthread.lab.load_result import ANSWERED, LoadResult, RequestOutcome, new_histogram
 from dockthread.lab.scale.checker import MOST_NAMED, judge, published, published_routes
 from dockthread.lab.scale.plan import REGIONS, ZONES
 from dockthread.lab.scale.run import Run, Window
@@ -189,22 +189,20 @@
     for window in (run.quiet, run.busy):
         if window.load is None:
             return {}
-        outcome, times = Outcome(), histogram()
-        outcome.add(window.load)
-        for one in outcome.times.values():
-            times.add(one)
+        result, times = LoadResult(), new_histogram()
+        result.merge(window.load)
+        for latencies in result.latencies.values():
+            times.add(latencies)
         marks = {"p50_ms": 50.0, "p99_ms": 99.0, "max_ms": 100.0}
         found[window.name] = {
             name: round(times.get_value_at_percentile(at) / 1000.0, 3) for name, at in marks.items()
         }
         found[window.name] |= {
-            "requests": outcome.asked,
-            "served": outcome.total("served"),
-            "void": outcome.void,
+            "requests": result.request_count,
+            "served": result.total(RequestOutcome.SERVED),
+            "void": result.void_reason,
         }
-        found[window.name]["answered"] = sum(
-            outcome.total(word) for word in ("served", "refused", "failed")
-        )
+        found[window.name]["answered"] = sum(result.total(outcome) for outcome in ANSWERED)
     found["added_p99_ms"] = round(found["busy"]["p99_ms"] - found["quiet"]["p99_ms"], 3)
     return found
 
--- a/tests/lab/test_lab_load.py
+++ b/tests/lab/test_lab_load.py
@@ -1,4 +1,4 @@
-"""The load tool: arrivals from a seed, an open loop that hides no stall, and runs that are void."""
+"""The load generator: arrivals from a seed, an open loop that hides no stall, and void runs."""
 
 from __future__ import annotations
 
@@ -13,122 +13,152 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dockthread.lab.arrivals import Arrival, Mix, drawn, read_trace, shape, weights, write_trace
-from dockthread.lab.load import Load, Target, word_of
-from dockthread.lab.outcome import Outcome
+from dockthread.lab.arrivals import (
+    TRACE_COLUMNS,
+    Arrival,
+    RateShapeError,
+    RequestMix,
+    TraceError,
+    WeightsError,
+    draw_arrivals,
+    parse_rate_shape,
+    parse_weights,
+    read_trace,
+    write_trace,
+)
+from dockthread.lab.load import LoadGenerator, LoadTarget, classify_response
+from dockthread.lab.load_result import LoadResult, RequestOutcome
 from tests.loopback import Backend, run
 
 ROOT = Path(__file__).parents[2]
-MIX = Mix(
-    (("seat-status", 3.0), ("seat-checkout", 1.0)), (("klein", 2.0), ("gross", 1.0)), firms=50
+MIX = RequestMix(
+    (("seat-status", 3.0), ("seat-checkout", 1.0)),
+    (("klein", 2.0), ("gross", 1.0)),
+    customer_count=50,
 )
 DEADLINES = {"seat-status": 4.0, "seat-checkout": 12.0}
+VALUE = b"$5\r\nvalue\r\n"
 
 
 @pytest.mark.parametrize(
     "text", ["", "140", "140@", "x@1s", "1>@1s", "0@1s", "-1@1s", "140@1", "2e5@1s", "1e5@1h"]
 )
-def test_no_shape(text: str) -> None:
-    with pytest.raises(ValueError):
-        shape(text)
+def test_text_that_is_no_rate_shape_is_rejected(text: str) -> None:
+    with pytest.raises(RateShapeError):
+        parse_rate_shape(text)
 
 
 @pytest.mark.parametrize("text", ["a:0", "a:x", ":1", ""])
-def test_no_weights(text: str) -> None:
-    with pytest.raises(ValueError):
-        weights(text)
+def test_text_that_is_no_list_of_weights_is_rejected(text: str) -> None:
+    with pytest.raises(WeightsError):
+        parse_weights(text)
 
 
 @given(st.floats(1, 500), st.floats(1, 500), st.integers(0, 9))
 def test_arrivals_come_in_order_and_in_number_as_the_shape_says(
-    begin: float, end: float, seed: int
+    begin_rate: float, end_rate: float, seed: int
 ) -> None:
-    pieces = shape(f"{begin}>{end}@10s,{end}@5s")
-    times = [one.at for one in drawn(pieces, MIX, seed)]
-    expected = sum(piece.requests for piece in pieces)
+    segments = parse_rate_shape(f"{begin_rate}>{end_rate}@10s,{end_rate}@5s")
+    times = [arrival.at for arrival in draw_arrivals(segments, MIX, seed)]
+    expected = sum(segment.expected_requests for segment in segments)
     assert times == sorted(times)
     assert not times or times[-1] <= 15.0
     assert abs(len(times) - expected) <= 6 * expected**0.5 + 6
 
 
-def test_a_ramp_puts_three_quarters_into_its_second_half() -> None:
-    times = [one.at for one in drawn(shape("0>2000@10s"), MIX, 1)]
+def test_rate_that_rises_from_zero_puts_three_quarters_into_its_second_half() -> None:
+    segments = parse_rate_shape("0>2000@10s")
+    times = [arrival.at for arrival in draw_arrivals(segments, MIX, 1)]
     assert sum(at > 5 for at in times) / len(times) == pytest.approx(0.75, abs=0.02)
 
 
-def test_a_seed_repeats_and_another_mix_keeps_the_times() -> None:
-    pieces = shape("100@5s")
-    one = list(drawn(pieces, MIX, 7))
-    assert one == list(drawn(pieces, MIX, 7)) != list(drawn(pieces, MIX, 8))
-    other = list(drawn(pieces, Mix((("seat-status", 1.0),), (("gross", 1.0),)), 7))
-    assert [a.at for a in other] == [a.at for a in one]
+def test_seed_repeats_its_arrivals_and_another_mix_keeps_the_times() -> None:
+    segments = parse_rate_shape("100@5s")
+    arrivals = list(draw_arrivals(segments, MIX, 7))
+    assert arrivals == list(draw_arrivals(segments, MIX, 7))
+    assert arrivals != list(draw_arrivals(segments, MIX, 8))
+    other_mix = RequestMix((("seat-status", 1.0),), (("gross", 1.0),))
+    others = list(draw_arrivals(segments, other_mix, 7))
+    assert [arrival.at for arrival in others] == [arrival.at for arrival in arrivals]
 
 
-def test_a_trace_is_read_as_written_and_a_bad_one_names_its_line(tmp_path: Path) -> None:
+def test_trace_is_read_as_written(tmp_path: Path) -> None:
     path = tmp_path / "t.csv"
-    arrivals = list(drawn(shape("50@2s"), MIX, 3))
+    arrivals = list(draw_arrivals(parse_rate_shape("50@2s"), MIX, 3))
     assert write_trace(path, arrivals) == len(arrivals)
+    assert path.read_text().startswith("at,request_class,plan,firm,units,spread,first\n")
     found = list(read_trace(path))
-    assert [a[1:] for a in found] == [a[1:] for a in arrivals]
-    assert all(abs(a.at - b.at) < 1e-6 for a, b in zip(found, arrivals, strict=True))
-    for line, wrong in (
+    assert [arrival[1:] for arrival in found] == [arrival[1:] for arrival in arrivals]
+    assert all(
+        abs(read.at - written.at) < 1e-6 for read, written in zip(found, arrivals, strict=True)
+    )
+
+
+@pytest.mark.parametrize(
+    ("line", "message"),
+    [
         ("x,a,b,1,1,1,0", "line 3 is no arrival"),
         ("0.5,a,b,1,1,1,0", "line 3 goes back in time"),
-    ):
-        path.write_text(f"{','.join(Arrival._fields)}\n1.0,a,b,1,1,1,0\n{line}\n")
-        with pytest.raises(ValueError, match=wrong):
-            list(read_trace(path))
+    ],
+)
+def test_bad_line_of_a_trace_is_named(tmp_path: Path, line: str, message: str) -> None:
+    path = tmp_path / "t.csv"
+    path.write_text(f"{','.join(TRACE_COLUMNS)}\n1.0,a,b,1,1,1,0\n{line}\n")
+    with pytest.raises(TraceError, match=message):
+        list(read_trace(path))
 
 
-def steady(rate: float, seconds: float) -> list[Arrival]:
+def arrivals_at_rate(rate: float, seconds: float) -> list[Arrival]:
     return [
-        Arrival(n / rate, "seat-status", "gross", 1 + n % 5, 1, 1, 0)
-        for n in range(int(rate * seconds))
+        Arrival(number / rate, "seat-status", "gross", 1 + number % 5, 1, 1, 0)
+        for number in range(int(rate * seconds))
     ]
 
 
-def test_a_stall_is_in_the_time_of_every_request_it_touched() -> None:
-    """A closed loop would see one slow answer; the open one sees all that were due while the server
-    stood.
-    """
+def target_at(port: int) -> LoadTarget:
+    return LoadTarget("127.0.0.1", port, DEADLINES, frozenset())
+
+
+def test_stall_is_in_the_latency_of_every_request_that_it_touched() -> None:
+    """A closed loop would see one slow response; the open one sees all that were due in the stall."""
 
     async def scenario() -> None:
         begun: list[float] = []
 
-        async def stalls(args: list[bytes]) -> bytes | None:
+        async def stall(args: list[bytes]) -> bytes | None:
             now = asyncio.get_running_loop().time()
             begun.append(now)
             stall_end = begun[0] + 0.9
             if 0.3 < now - begun[0] < 0.9:
                 await asyncio.sleep(stall_end - now)
-            return b"$5\r\nvalue\r\n"
+            return VALUE
 
-        port = await Backend(stalls).start()
-        target = Target("127.0.0.1", port, DEADLINES, frozenset())
-        outcome = await Load(target, 1).run(steady(100, 1.5))
-        found = outcome.summary()
-        assert found["outcomes"]["served"] == 150
+        port = await Backend(stall).start()
+        result = await LoadGenerator(target_at(port), 1).run(arrivals_at_rate(100, 1.5))
+        summary = result.summary()
+        assert summary["outcomes"]["served"] == 150
         # 60 of 150 were due in the 600 ms, and waited 300 ms on average.
-        assert found["times_ms"]["seat-status"]["p90"] > 350
-        assert found["times_ms"]["seat-status"]["max"] > 550
+        assert summary["times_ms"]["seat-status"]["p90"] > 350
+        assert summary["times_ms"]["seat-status"]["max"] > 550
 
     run(scenario())
 
 
 def test_every_request_has_one_outcome() -> None:
-    async def scenario() -> None:
-        async def odd(args: list[bytes]) -> bytes | None:
-            return {
-                0: b"$5\r\nvalue\r\n", 1: b"-BUSY 250\r\n", 2: b"-ERR failed\r\n", 3: None, 4: b"*1\r\n$1\r\nv\r\n",
-            }.get(int(args[1], 16) - 1) or (None if args[1].endswith(b"4") else b"$-1\r\n")  # fmt: skip
-
-        port = await Backend(odd).start()
-        target = Target("127.0.0.1", port, DEADLINES, frozenset())
-        outcome = await Load(target, 1).run(steady(200, 0.5))
-        counts = {
-            word: outcome.total(word)
-            for word in ("served", "refused", "failed", "lost", "late", "unsent")
+    async def respond_by_customer(args: list[bytes]) -> bytes | None:
+        responses = {
+            1: VALUE,
+            2: b"-BUSY 250\r\n",
+            3: b"-ERR failed\r\n",
+            4: None,
+            5: b"*1\r\n$1\r\nv\r\n",
         }
+        return responses[int(args[1], 16)]
+
+    async def scenario() -> None:
+        port = await Backend(respond_by_customer).start()
+        result = await LoadGenerator(target_at(port), 1).run(arrivals_at_rate(200, 0.5))
+        counts = {outcome.value: result.total(outcome) for outcome in RequestOutcome}
         assert counts == {
             "served": 40,
             "refused": 20,
@@ -141,62 +171,60 @@
     run(scenario())
 
 
-def test_what_does_not_come_in_time_is_late_and_its_connection_closed() -> None:
+def test_request_without_a_response_in_time_is_late_and_its_connection_is_closed() -> None:
     async def scenario() -> None:
-        async def hangs(args: list[bytes]) -> bytes | None:
+        async def hang(args: list[bytes]) -> bytes | None:
             await asyncio.Event().wait()
             return None
 
-        backend = Backend(hangs)
-        target = Target(
-            "127.0.0.1",
-            await backend.start(),
-            {"seat-status": 0.2},
-            frozenset(),
-            most_connections=4,
-        )
-        outcome = await Load(target, 1).run(steady(40, 0.5))
-        assert outcome.total("late") == 20, "those that waited for a connection, too"
+        backend = Backend(hang)
+        port = await backend.start()
+        target = LoadTarget("127.0.0.1", port, {"seat-status": 0.2}, frozenset(), max_connections=4)
+        result = await LoadGenerator(target, 1).run(arrivals_at_rate(40, 0.5))
+        assert result.total(RequestOutcome.LATE) == 20, "those that waited for a connection, too"
         await asyncio.sleep(0.05)
         assert backend.closed == backend.opened
 
     run(scenario())
 
 
-def test_where_nobody_listens_all_is_unsent() -> None:
+def test_requests_are_unsent_where_nothing_listens() -> None:
     async def scenario() -> None:
-        outcome = await Load(Target("127.0.0.1", 1, DEADLINES, frozenset()), 1).run(
-            steady(100, 0.2)
-        )
-        assert outcome.total("unsent") == 20
+        result = await LoadGenerator(target_at(1), 1).run(arrivals_at_rate(100, 0.2))
+        assert result.total(RequestOutcome.UNSENT) == 20
 
     run(scenario())
 
 
-def test_a_run_in_which_the_tool_fell_behind_is_void() -> None:
-    good, bad = Outcome(), Outcome()
-    for n in range(1000):
-        good.started(0.0002)
-        bad.started(0.05 if n % 20 == 0 else 0.0002)
-    assert not good.void
-    assert "the tool itself fell behind" in bad.void
-
-
-def test_outcomes_add_up_over_processes() -> None:
-    one, other, total = Outcome(), Outcome(), Outcome()
-    for n, part in enumerate((one, other)):
-        for k in range(100):
-            part.started(0.001)
-            part.note("c", "served", 0.001 * (k + 1) + n)
-        part.seconds = 1.0 + n
-        total.add(json.loads(json.dumps(part.packed())))
-    assert (total.asked, total.total("served"), total.seconds) == (200, 200, 2.0)
+def test_run_is_void_if_one_start_in_a_hundred_was_late() -> None:
+    punctual = LoadResult()
+    late = LoadResult()
+    for number in range(1000):
+        punctual.record_start(0.0002)
+        late.record_start(0.05 if number % 20 == 0 else 0.0002)
+    assert not punctual.void_reason
+    assert "the tool itself fell behind" in late.void_reason
+
+
+def test_results_of_processes_are_merged() -> None:
+    total = LoadResult()
+    for part_number in range(2):
+        part = LoadResult()
+        for number in range(100):
+            part.record_start(0.001)
+            latency = 0.001 * (number + 1) + part_number
+            part.record_outcome("c", RequestOutcome.SERVED, latency)
+        part.seconds = 1.0 + part_number
+        total.merge(json.loads(json.dumps(part.to_json())))
+    assert total.request_count == 200
+    assert total.total(RequestOutcome.SERVED) == 200
+    assert total.seconds == 2.0
     assert total.summary()["times_ms"]["c"]["max"] == pytest.approx(1100, rel=0.002)
     assert total.summary()["times_ms"]["c"]["p50"] == pytest.approx(100, rel=0.02)
 
 
 @pytest.mark.parametrize(
-    ("answer", "word"),
+    ("response", "outcome"),
     [
         (b"v", "served"),
         ([b"v", None], "served"),
@@ -206,40 +234,45 @@
         (7, "failed"),
     ],
 )
-def test_the_protocols_table_of_answers(answer: Any, word: str) -> None:
-    assert word_of(answer) == word
+def test_response_is_classified_by_the_protocol(response: Any, outcome: str) -> None:
+    assert classify_response(response) == outcome
+
 
+def test_load_command_sends_from_two_processes(tmp_path: Path) -> None:
+    trace = tmp_path / "t.csv"
 
-def test_the_command_from_two_processes(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async def serves(args: list[bytes]) -> bytes | None:
-            return b"$5\r\nvalue\r\n"
+        async def serve(args: list[bytes]) -> bytes | None:
+            return VALUE
 
-        backend = Backend(serves)
+        backend = Backend(serve)
         port = await backend.start()
+        options = ["--rate", "100@1s", "--json", "--processes", "2", "--record", str(trace)]
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "dockthread", "lab", "load", f"127.0.0.1:{port}", "--rate", "100@1s", "--json",
-            "--processes", "2", "--record", str(tmp_path / "t.csv"), cwd=ROOT, stdout=asyncio.subprocess.PIPE,
+            *(sys.executable, "-m", "dockthread", "lab", "load", f"127.0.0.1:{port}", *options),
+            cwd=ROOT,
+            stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.DEVNULL,
-        )  # fmt: skip
-        said, _ = await process.communicate()
-        found = json.loads(said)
-        assert process.returncode in (0, 2)  # 2: this machine was too busy
-        assert (
-            found["outcomes"]["served"]
-            == found["asked"]
-            == len(list(read_trace(tmp_path / "t.csv")))
         )
-        ids = [args[2] for args in backend.seen]
-        assert len(set(ids)) == len(ids), "no id twice"
+        stdout, _ = await process.communicate()
+        summary = json.loads(stdout)
+        assert process.returncode in (0, 2)  # 2: this machine was too busy
+        arrival_count = len(list(read_trace(trace)))
+        assert summary["outcomes"]["served"] == summary["asked"] == arrival_count
+        request_ids = [args[2] for args in backend.seen]
+        assert len(set(request_ids)) == len(request_ids), "no request id twice"
 
     run(scenario())
 
 
-def test_bad_words_are_named() -> None:
-    done = subprocess.run(
-        [sys.executable, "-m", "dockthread", "lab", "load", "nowhere"], cwd=ROOT, capture_output=True, text=True,
-        check=False, timeout=60,
-    )  # fmt: skip
-    assert done.returncode == 2
-    assert "'nowhere' is no address: write HOST:PORT" in done.stderr
+def test_load_command_names_a_bad_address() -> None:
+    completed = subprocess.run(
+        [sys.executable, "-m", "dockthread", "lab", "load", "nowhere"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=False,
+        timeout=60,
+    )
+    assert completed.returncode == 2
+    assert "'nowhere' is no address: write HOST:PORT" in completed.stderr
