--- a/dockthread/cli/lab_distribution.py
+++ b/dockthread/cli/lab_distribution.py
@@ -10,7 +10,7 @@
 from dockthread.cli.lab_seeds import jobs_option, json_option, seeds_option, show_replay, show_seeds
 from dockthread.lab.control_plane.seeded_defects import NAMES, SEEDED_DEFECTS
 from dockthread.lab.control_plane.seeds import SCENARIOS, play_seed
-from dockthread.lab.seeds import play_many
+from dockthread.lab.seeds import play_seeds
 
 
 @click.group("distribution")
@@ -62,7 +62,7 @@
     """Play many seeds; each one that breaks a rule is named. With a planted bug the first that
     finds it ends it.
     """
-    show_seeds(scenario, play_many(play_seed, scenario, seeds, jobs, plant), plant, as_json)
+    show_seeds(scenario, play_seeds(play_seed, scenario, seeds, jobs, plant), plant, as_json)
 
 
 @distribution.command()
--- a/dockthread/cli/lab_fleet.py
+++ b/dockthread/cli/lab_fleet.py
@@ -25,7 +25,7 @@
 from dockthread.lab.maintenance.scenario import ScenarioError, parse_scenario, shipped_scenarios
 from dockthread.lab.raft.seeded_defects import NAMES as AGREEMENT
 from dockthread.lab.raft.seeds import SCENARIOS, play_seed
-from dockthread.lab.seeds import play_many
+from dockthread.lab.seeds import play_seeds
 
 VOID = 2  # exit code
 CHUNK = 25  # seeds that a process plays before it tells
@@ -75,7 +75,7 @@
     finds it ends it.
     """
     plant = planted(plant)
-    show_seeds(scenario, play_many(play_seed, scenario, seeds, jobs, plant, CHUNK), plant, as_json)
+    show_seeds(scenario, play_seeds(play_seed, scenario, seeds, jobs, plant, CHUNK), plant, as_json)
 
 
 @fleet.command()
--- a/dockthread/cli/lab_seeds.py
+++ b/dockthread/cli/lab_seeds.py
@@ -11,7 +11,7 @@
 import click
 
 from dockthread.lab.raft.checker import RuleViolation
-from dockthread.lab.seeds import Chunk, Found, PlayedSeed
+from dockthread.lab.seeds import PlayedSeed, SeedChunk, ViolatingSeed
 
 BROKE = 1  # exit code: a rule broke; with a planted bug, it was found
 LONGEST = 1_000_000  # seeds in one run
@@ -48,25 +48,25 @@
 )
 
 
-def show_seeds(scenario: str, chunks: Iterable[Chunk], plant: str, as_json: bool) -> None:
+def show_seeds(scenario: str, chunks: Iterable[SeedChunk], plant: str, as_json: bool) -> None:
     """Play on to the end, or with a planted bug to the first seed that finds it; show that, and end
     the program.
     """
     played = 0
-    found: list[Found] = []
+    found: list[ViolatingSeed] = []
     for chunk in chunks:
-        played += chunk.played
-        found += chunk.found
+        played += chunk.seed_count
+        found += chunk.violating_seeds
         if plant and found:
             break
     if as_json:
-        broken = [{"seed": one.seed, **worded(one.broken)} for one in found]
+        broken = [{"seed": one.seed, **worded(one.violation)} for one in found]
         click.echo(
             json.dumps({"scenario": scenario, "plant": plant, "played": played, "broken": broken})
         )
     else:
         for one in found:
-            click.echo(f"seed {one.seed}: {line_of(one.broken)}")
+            click.echo(f"seed {one.seed}: {line_of(one.violation)}")
         click.echo(f"{played} seeds of {scenario}, {len(found)} broke a rule")
     sys.exit(BROKE if found else 0)
 
@@ -75,10 +75,12 @@
     """Show one seed's course, line by line, and end the program."""
     if as_json:
         click.echo(
-            json.dumps({"record": played.record, "broken": [worded(one) for one in played.broken]})
+            json.dumps(
+                {"record": played.record, "broken": [worded(one) for one in played.violations]}
+            )
         )
     else:
         click.echo(
-            "\n".join([*played.record, *(f"BROKEN {line_of(one)}" for one in played.broken)])
+            "\n".join([*played.record, *(f"BROKEN {line_of(one)}" for one in played.violations)])
         )
-    sys.exit(BROKE if played.broken else 0)
+    sys.exit(BROKE if played.violations else 0)
--- a/tests/lab/test_control_plane_simulation.py
+++ b/tests/lab/test_control_plane_simulation.py
@@ -11,22 +11,22 @@
 from dockthread.lab.control_plane.checker import Checker, RequestedChange
 from dockthread.lab.control_plane.seeded_defects import SEEDED_DEFECTS
 from dockthread.lab.control_plane.seeds import play_seed
-from dockthread.lab.seeds import play_many
+from dockthread.lab.seeds import play_seeds
 
 SEEDS_OF_A_DEFECT = range(0, 4)
 
 
 @pytest.mark.parametrize(("scenario", "seeds"), [("drawn", range(0, 8)), ("single", range(0, 2))])
 def test_no_seed_violates_a_rule(scenario: str, seeds: range) -> None:
-    chunks = list(play_many(play_seed, scenario, seeds, 1))
-    assert sum(chunk.played for chunk in chunks) == len(seeds)
-    assert [found for chunk in chunks for found in chunk.found] == []
+    chunks = list(play_seeds(play_seed, scenario, seeds, 1))
+    assert sum(chunk.seed_count for chunk in chunks) == len(seeds)
+    assert [found for chunk in chunks for found in chunk.violating_seeds] == []
 
 
 @pytest.mark.parametrize("defect", SEEDED_DEFECTS)
 def test_seeded_defect_is_found(defect: str) -> None:
     assert any(
-        play_seed(SEEDED_DEFECTS[defect].scenario, seed, defect).broken
+        play_seed(SEEDED_DEFECTS[defect].scenario, seed, defect).violations
         for seed in SEEDS_OF_A_DEFECT
     )
 
--- a/tests/lab/test_maintenance_simulation.py
+++ b/tests/lab/test_maintenance_simulation.py
@@ -25,8 +25,8 @@
 @pytest.mark.parametrize("defect", NAMES)
 def test_each_seeded_defect_is_found_and_its_seed_holds_without_it(defect: str) -> None:
     name, seed = FOUND[defect]
-    assert play_seed(name, seed, defect).broken
-    assert not play_seed(name, seed).broken
+    assert play_seed(name, seed, defect).violations
+    assert not play_seed(name, seed).violations
 
 
 def test_a_seed_gives_the_same_record_each_time() -> None:
--- a/tests/raft/test_simulation.py
+++ b/tests/raft/test_simulation.py
@@ -10,7 +10,7 @@
 from dockthread.cli.lab import lab
 from dockthread.lab.raft.seeded_defects import NAMES
 from dockthread.lab.raft.seeds import SCENARIOS, play_seed
-from dockthread.lab.seeds import play_many
+from dockthread.lab.seeds import play_seeds
 
 # defects that few seeds find: a scenario and a seed that does
 RARE_DEFECTS = {
@@ -28,14 +28,14 @@
 
 @pytest.mark.parametrize("name", list(SCENARIOS))
 def test_no_rule_is_violated_in_some_seeds_of_each_scenario(name: str) -> None:
-    for chunk in play_many(play_seed, name, range(20 if "turns" in name else 60), jobs=1):
-        assert not chunk.found
+    for chunk in play_seeds(play_seed, name, range(20 if "turns" in name else 60), jobs=1):
+        assert not chunk.violating_seeds
 
 
 @pytest.mark.parametrize("defect", NAMES)
 def test_seeded_defect_is_found(defect: str) -> None:
     runs = RARE_DEFECTS.get(defect, COMMON_RUNS)
-    assert any(play_seed(name, seed, defect).broken for name, seed in runs)
+    assert any(play_seed(name, seed, defect).violations for name, seed in runs)
 
 
 def test_replay_of_a_seed_prints_the_same_record_each_time() -> None:
