--- a/dockthread/telemetry/collectd/packet_encoder.py
+++ b/dockthread/telemetry/collectd/packet_encoder.py
@@ -112,22 +112,24 @@
         )
 
 
-def _string_part(part_type: PartType, text: str) -> bytes:
+def _string_part(part_type: int, text: str) -> bytes:
     payload = text.encode()[:MAX_STRING_BYTES] + b"\0"
     return PART_HEADER.pack(part_type, PART_HEADER.size + len(payload)) + payload
 
 
-def _number_part(part_type: PartType, number: int) -> bytes:
+def _number_part(part_type: int, number: int) -> bytes:
     return NUMBER_PART.pack(part_type, NUMBER_PART.size, number)
 
 
-def _time_part(part_type: PartType, seconds: float) -> bytes:
+def _time_part(part_type: int, seconds: float) -> bytes:
     return _number_part(part_type, round(seconds * TIME_UNITS_PER_SECOND))
 
 
 def _value_part(point: Point) -> bytes:
-    kind = ValueKind.GAUGE if point.kind == GAUGE else ValueKind.DERIVE
-    header = SINGLE_VALUE_HEADER.pack(PartType.VALUES, SINGLE_VALUE_BYTES, 1, kind)
-    if kind is ValueKind.GAUGE:
-        return header + struct.pack("<d", point.value)
-    return header + struct.pack("!q", int(point.value))
+    if point.kind == GAUGE:
+        kind = ValueKind.GAUGE
+        value = struct.pack("<d", point.value)
+    else:
+        kind = ValueKind.DERIVE
+        value = struct.pack("!q", int(point.value))
+    return SINGLE_VALUE_HEADER.pack(PartType.VALUES, SINGLE_VALUE_BYTES, 1, kind) + value
--- a/dockthread/telemetry/collectd/parts.py
+++ b/dockthread/telemetry/collectd/parts.py
@@ -34,8 +34,12 @@
 ENCRYPTION_HEADER = struct.Struct("!HHH")
 
 
-class PartType(IntEnum):
-    """The types of parts that are read or written; others are skipped."""
+class PartType:
+    """The types of parts that are read or written; others are skipped.
+
+    They are plain integers and not an enum, because an encoder looks up several of them for each
+    point on the event loop, and an enum's members cost several times as much.
+    """
 
     HOST = 0x0000
     TIME = 0x0001
@@ -53,8 +57,8 @@
     ENCRYPTION = 0x0210
 
 
-class ValueKind(IntEnum):
-    """The codes of the kinds of values."""
+class ValueKind:
+    """The codes of the kinds of values; plain integers, like `PartType`."""
 
     COUNTER = 0
     GAUGE = 1
--- a/dockthread/telemetry/heavy_hitters.py
+++ b/dockthread/telemetry/heavy_hitters.py
@@ -13,11 +13,13 @@
 
 from dataclasses import dataclass
 from heapq import heapify, heapreplace, nlargest
-from typing import NamedTuple, TypeAlias
+from typing import TypeAlias
 
 # The policy engine's number of a plan, and a customer of that plan. A plain tuple, because one is
 # made for every request and a named tuple takes several times as long to make.
 CustomerKey: TypeAlias = tuple[int, int]
+# A heap entry: a customer's requested units at the time at which it was last looked at.
+_LowerBound: TypeAlias = tuple[float, CustomerKey]
 
 
 @dataclass(slots=True)
@@ -37,13 +39,6 @@
     error: float = 0.0
 
 
-class _LowerBound(NamedTuple):
-    """A heap entry: a customer's requested units at the time at which it was last looked at."""
-
-    requested: float
-    key: CustomerKey
-
-
 class HeavyHitters:
     """Usage of the customers that request most.
 
@@ -75,7 +70,7 @@
         """Give the smallest entry's place to a new customer, with its units as the error."""
         if self._lower_bounds is None:
             self._lower_bounds = [
-                _LowerBound(usage.requested, present) for present, usage in self.usage.items()
+                (usage.requested, present) for present, usage in self.usage.items()
             ]
             heapify(self._lower_bounds)
         heap = self._lower_bounds
@@ -86,10 +81,10 @@
             requested = self.usage[smallest].requested
             if requested <= bound:
                 break
-            heapreplace(heap, _LowerBound(requested, smallest))
+            heapreplace(heap, (requested, smallest))
         del self.usage[smallest]
-        self.usage[key] = CustomerUsage(requested + units, error=requested)
-        heapreplace(heap, _LowerBound(requested + units, key))
+        self.usage[key] = CustomerUsage(requested + units, 0.0, 0.0, requested)
+        heapreplace(heap, (requested + units, key))
 
     def add_forwarded(self, plan: int, customer: int, units: float) -> None:
         """Add forwarded units, if the customer has an entry."""
--- a/dockthread/telemetry/tally.py
+++ b/dockthread/telemetry/tally.py
@@ -130,6 +130,11 @@
         In one loop, whose code stays in the processor's cache, a request costs a third of what it
         costs alone.
         """
+        # Bound to locals, because this loop runs for every request.
+        answers = self.answers
+        latencies = self.latencies
+        late = self.late
+        objectives_ms = self._objectives_ms
         for (
             request_class,
             plan,
@@ -140,11 +145,11 @@
             units,
             was_forwarded,
         ) in self._pending:
-            self.answers[request_class, plan, outcome] += 1
+            answers[request_class, plan, outcome] += 1
             self._add_units(plan, customer, units, was_forwarded)
             if outcome == SERVED:
-                self.latencies[request_class].add(duration_ms)
-                self.late[request_class] += duration_ms > self._objectives_ms[request_class]
+                latencies[request_class].add(duration_ms)
+                late[request_class] += duration_ms > objectives_ms[request_class]
                 continue
             self._add_reason(ReasonKey(request_class, plan, outcome, reason))
             if outcome == REJECTED:
