--- /dev/null
+++ b/tests/telemetry/samples.py
@@ -0,0 +1,17 @@
+"""Points and reports that several telemetry tests use."""
+
+from __future__ import annotations
+
+from dockthread.telemetry.catalogue import DERIVE, GAUGE, Point
+from dockthread.telemetry.delivery_queue import Report
+
+POINTS = [
+    Point(("life",), GAUGE, 1_700_000_000_123.0),
+    Point(("answers", "seat-status", "gross", "served"), DERIVE, 12345678901),
+    Point(("loop", "p99"), GAUGE, 0.25),
+]
+
+
+def report(seconds: float, size: int = 100) -> Report:
+    """Return a report of one chunk."""
+    return Report(seconds, (b"x" * size,))
--- /dev/null
+++ b/tests/telemetry/support.py
@@ -0,0 +1,205 @@
+"""Load, programs and receivers for the tests of telemetry over sockets."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import sys
+import time
+from collections import Counter
+from collections.abc import AsyncIterator, Callable
+from contextlib import asynccontextmanager, suppress
+from itertools import product
+from pathlib import Path
+from typing import Any
+
+from dockthread.clock import Clock
+from dockthread.section_registry import parse_operator_file
+from dockthread.telemetry.collectd import Opener
+from dockthread.telemetry.exporter import Exporter
+from dockthread.telemetry.receiver.ledger import Ledger
+from dockthread.telemetry.receiver.stand_in import StandIn
+from tests.loopback import (
+    SETTINGS,
+    Backend,
+    Client,
+    Discovery,
+    message,
+    raw_config,
+    serving,
+    target,
+)
+
+ROOT = Path(__file__).parents[2]
+PROTOCOLS = ("plaintext", "pickle", "collectd", "putval")
+PASSWORD = b"a password of the test's own"
+# A quota so small that some are refused: all three outcomes come up.
+PLANS = [
+    {"Name": "gross", "Refill": 1000.0, "PeakUnits": 1000.0},
+    {"Name": "klein", "Refill": 1.0, "PeakUnits": 4.0},
+]
+
+AnswerCounts = Counter[tuple[str, str, str]]
+
+
+def operator_file(stand_in: StandIn, folder: Path, interval: str = "200ms", **more: str) -> str:
+    """Return a file with every address of the stand-in; `more` are keys of `[telemetry]`."""
+    addresses = stand_in.addresses
+    parts = [f"[telemetry]\ninterval = {interval}\n"]
+    parts += [f"{key} = {value}\n" for key, value in more.items()]
+    for protocol in ("plaintext", "pickle"):
+        if protocol in addresses:
+            parts.append(
+                f"[graphite {protocol}]\naddress = {addresses[protocol]}\nprotocol = {protocol}\n"
+            )
+    if "collectd" in addresses:
+        (folder / "password").write_bytes(PASSWORD + b"\n")
+        sealed = f"security = encrypt\nuser = ops\npassword_file = {folder / 'password'}\n"
+        parts.append(f"[collectd packets]\naddress = {addresses['collectd']}\n{sealed}")
+    if "putval" in addresses:
+        parts.append(f"[collectd lines]\naddress = unix:{addresses['putval']}\n")
+    return "".join(parts)
+
+
+@asynccontextmanager
+async def running_stand_in(folder: Path, *protocols: str) -> AsyncIterator[tuple[StandIn, Ledger]]:
+    """Run a stand-in on the loopback for the protocols."""
+    ledger = Ledger()
+    stand_in = StandIn(ledger, Opener("encrypt", {"ops": PASSWORD}))
+    wanted = {name: "127.0.0.1:0" for name in protocols if name != "putval"}
+    if "putval" in protocols:
+        wanted["putval"] = str(folder / "s")
+    await stand_in.start(**wanted)
+    try:
+        yield stand_in, ledger
+    finally:
+        stand_in.stop()
+        ledger.close()
+
+
+def series_name(protocol: str, kind: str, plan: str, outcome: str) -> str:
+    """Return the name of the series that counts answers, as a receiver of the protocol has it."""
+    if protocol in ("plaintext", "pickle"):
+        return f"dockthread.n0.answers.{kind}.{plan}.{outcome}"
+    return f"n0/dockthread-answers/derive-{kind}.{plan}.{outcome}"
+
+
+def answer_totals(ledger: Ledger, protocol: str) -> dict[tuple[str, str, str], float]:
+    """Return the receiver's counts of answers by class, plan and outcome."""
+    values = {total.series: total.value for total in ledger.totals() if total.source == protocol}
+    keys = product(("status", "checkout"), ("gross", "klein"), ("served", "refused", "failed"))
+    names = {key: series_name(protocol, *key) for key in keys}
+    return {key: values[name] for key, name in names.items() if name in values}
+
+
+async def fail_some_checkouts(args: list[bytes]) -> bytes | None:
+    """Fail one checkout in eight, which for its class is final, and serve the others."""
+    if args[0] == b"API.WRITE" and int(args[2], 16) % 8 == 1:
+        return b"-ERR failed\r\n"
+    return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$24\r\ninflight=7,qps=2,queue=1\r\n"
+
+
+class Load:
+    """Closed-loop clients that count every answer they get.
+
+    Attributes:
+        answers: Answers by class, plan and outcome.
+        asked: Requests sent.
+        slowest: Seconds of the longest wait for an answer.
+        stopped: Whether the clients are to send no further request.
+    """
+
+    def __init__(self, port: int) -> None:
+        self.port = port
+        self.answers = AnswerCounts()
+        self.asked = 0
+        self.slowest = 0.0
+        self.stopped = False
+
+    async def client(self, number: int) -> None:
+        """Send requests of all classes and plans until the load is stopped."""
+        with suppress(OSError):
+            client = await Client.open(self.port)
+            while not self.stopped:
+                self.asked += 1
+                kind = ("status", "checkout")[self.asked % 2]
+                plan = ("gross", "klein")[(self.asked // 2) % 2]
+                verb = b"API.READ" if kind == "status" else b"API.WRITE"
+                terms = f"c={kind},t={plan},d=4000,units=1,spread=1,first=0".encode()
+                customer = b"%016x" % (1000 * (plan == "klein") + number)
+                started = time.monotonic()
+                client.send(verb, customer, b"%016x" % (number << 32 | self.asked), terms)
+                answer = await client.answer()
+                if answer is None:
+                    return
+                self.slowest = max(self.slowest, time.monotonic() - started)
+                self.answers[kind, plan, outcome_of(answer)] += 1
+
+
+def outcome_of(answer: object) -> str:
+    """Return the outcome that an answer means, by its name in the metrics' paths."""
+    if isinstance(answer, bytes):
+        return "served"
+    is_rejected = isinstance(answer, str) and answer.startswith("BUSY")
+    return "refused" if is_rejected else "failed"
+
+
+@asynccontextmanager
+async def running_program(folder: Path) -> AsyncIterator[tuple[Callable[[], Any], Discovery]]:
+    """Yield a function that starts the program, again and again, against one backend."""
+    backend = Backend(fail_some_checkouts)
+    discovery = Discovery()
+    known = message(1, target("s-0", await backend.start()), full=True)
+    config = folder / "config.json"
+    settings = {**SETTINGS, "Packages": PLANS}
+    config.write_text(json.dumps(raw_config(known, await discovery.start(), settings=settings)))
+
+    async def start() -> tuple[asyncio.subprocess.Process, int]:
+        process = await asyncio.create_subprocess_exec(
+            sys.executable, "-m", "dockthread", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
+            env={**os.environ, "NODE_CONFIG": str(config), "DOCKTHREAD_CONFIG": str(folder / "my.ini")},
+        )  # fmt: skip
+        assert process.stderr is not None
+        while b"listens on" not in (line := await process.stderr.readline()):
+            assert line, "it ended without listening"
+        return process, int(line.rsplit(b":", 1)[1])
+
+    yield start, discovery
+
+
+async def run_load(port: int, seconds: float, end: Callable[[], None]) -> Load:
+    """Run eight clients, call `end` after some seconds, and return when all have their answers."""
+    load = Load(port)
+    clients = [asyncio.create_task(load.client(number)) for number in range(8)]
+    await asyncio.sleep(seconds)
+    end()
+    await asyncio.wait(clients, timeout=20)
+    load.stopped = True
+    return load
+
+
+@asynccontextmanager
+async def running_exporter(
+    folder: Path,
+    *protocols: str,
+    clock: Clock | None = None,
+    interval: str = "200ms",
+    **changes: Any,
+) -> AsyncIterator[tuple[Any, Any, Client, StandIn, Ledger]]:
+    """Run an ingress and its exporter in this process."""
+    async with running_stand_in(folder, *protocols) as (stand_in, ledger):
+        settings = {**SETTINGS, "Packages": PLANS}
+        async with serving(
+            Backend(fail_some_checkouts), clock=clock, settings=settings, **changes
+        ) as (
+            ingress,
+            client,
+            _,
+        ):
+            exporter = Exporter(ingress)
+            exporter.apply(parse_operator_file(operator_file(stand_in, folder, interval), "test"))
+            try:
+                yield ingress, exporter, client, stand_in, ledger
+            finally:
+                await exporter.farewell()
--- /dev/null
+++ b/tests/telemetry/test_collectd.py
@@ -0,0 +1,105 @@
+"""Packets, both ways: values, signatures and encryption."""
+
+from __future__ import annotations
+
+from contextlib import suppress
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from dockthread.telemetry import collectd
+from dockthread.telemetry.catalogue import DERIVE, Point
+from dockthread.telemetry.collectd import Opener, PacketEncoder, PacketError, packet_sealer
+from tests.telemetry.samples import POINTS
+
+SECURITIES = ["none", "sign", "encrypt"]
+
+
+def packets(security: str, points: list[Point], password: bytes = b"secret") -> list[bytes]:
+    sealer = packet_sealer(security, "ops", password)
+    return list(PacketEncoder("n0", "dockthread", 10.0, sealer).packets(points, 1_700_000_000.5))
+
+
+@pytest.mark.parametrize("security", SECURITIES)
+def test_packets_decode_to_the_points_and_are_full_but_never_too_long(security: str) -> None:
+    points = [
+        *POINTS,
+        *(
+            Point(("why", "seat-status", "gross", f"reason-{number}"), DERIVE, number)
+            for number in range(300)
+        ),
+    ]
+    sent = packets(security, points)
+    assert len(sent) > 5
+    assert max(map(len, sent)) <= collectd.MAX_PACKET_BYTES
+    assert min(map(len, sent[:-1])) > collectd.MAX_PACKET_BYTES - 120, "packets are filled"
+    items = [item for packet in sent for item in Opener(security, {"ops": b"secret"}).read(packet)]
+    assert [(item.kind, item.value) for item in items] == [
+        (point.kind, point.value) for point in points
+    ]
+    assert {(item.host, item.seconds, item.interval) for item in items} == {
+        ("n0", 1_700_000_000.5, 10.0)
+    }
+    assert items[1].name == "dockthread-answers/derive-seat-status.gross.served"
+
+
+def test_the_bytes_of_an_unprotected_packet() -> None:
+    (packet,) = packets("none", [Point(("cpu", "used"), DERIVE, -2)])
+    assert packet == (
+        b"\0\0\0\x07n0\0"
+        + b"\0\x08\0\x0c" + (1_700_000_000 * (1 << 30) + (1 << 29)).to_bytes(8, "big")
+        + b"\0\x09\0\x0c" + (10 << 30).to_bytes(8, "big")
+        + b"\0\x02\0\x0fdockthread\0"
+        + b"\0\x03\0\x08cpu\0"
+        + b"\0\x04\0\x0bderive\0"
+        + b"\0\x05\0\x09used\0"
+        + b"\0\x06\0\x0f\0\x01\x02" + (-2).to_bytes(8, "big", signed=True)
+    )  # fmt: skip
+
+
+@pytest.mark.parametrize(
+    ("sent", "required", "password", "wrong"),
+    [
+        ("none", "sign", b"secret", "not signed"),
+        ("none", "encrypt", b"secret", "not encrypted"),
+        ("sign", "encrypt", b"secret", "not encrypted"),
+        ("sign", "sign", b"other", "wrong signature"),
+        ("encrypt", "encrypt", b"other", "wrong password"),
+    ],
+)
+def test_packets_below_the_security_level_or_by_another_password_are_rejected(
+    sent: str, required: str, password: bytes, wrong: str
+) -> None:
+    with pytest.raises(PacketError, match=wrong):
+        Opener(required, {"ops": password}).read(packets(sent, POINTS)[0])
+    with pytest.raises(PacketError):
+        Opener(required, {"else": b"secret"}).read(
+            packets(required if sent == "none" else sent, POINTS)[0]
+        )
+
+
+@pytest.mark.parametrize("security", SECURITIES)
+def test_no_beginning_of_a_protected_packet_is_accepted(security: str) -> None:
+    (packet,) = packets(security, POINTS)
+    opener = Opener(security, {"ops": b"secret"})
+    for size in range(1, len(packet)):
+        try:
+            found = opener.read(packet[:size])
+        except PacketError:
+            continue
+        # cut between two parts
+        assert security == "none" and found == Opener().read(packet)[: len(found)]
+
+
+@given(st.binary(max_size=200))
+def test_any_bytes_are_decoded_or_raise_a_packet_error(data: bytes) -> None:
+    for security in SECURITIES:
+        with suppress(PacketError):
+            Opener(security, {"ops": b"secret"}).read(data)
+
+
+def test_long_type_instances_are_shortened_and_stay_different() -> None:
+    long = ("why", "c" * 60, "p" * 60)
+    assert len(collectd.series_name((*long, "a")).type_instance) == 63
+    assert collectd.series_name((*long, "a")) != collectd.series_name((*long, "b"))
--- /dev/null
+++ b/tests/telemetry/test_exporter.py
@@ -0,0 +1,213 @@
+"""The exporter beside an ingress in this process: reloads, bounds and counts."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+
+import pytest
+
+from dockthread.clock import ManualClock
+from dockthread.section_registry import parse_operator_file
+from dockthread.telemetry.exporter import Exporter
+from tests.loopback import (
+    Backend,
+    Client,
+    message,
+    run,
+    serving,
+    target,
+    until,
+)
+from tests.telemetry.support import (
+    answer_totals,
+    operator_file,
+    running_exporter,
+    running_stand_in,
+    series_name,
+)
+
+
+def test_reloads_that_move_remove_and_add_receivers_lose_no_count(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with (
+            running_exporter(tmp_path, "plaintext") as (
+                ingress,
+                exporter,
+                client,
+                first,
+                first_ledger,
+            ),
+            running_stand_in(tmp_path, "plaintext", "pickle") as (second, second_ledger),
+        ):
+            for _ in range(5):
+                await client.call()
+            moved = operator_file(second, tmp_path)
+            # The old receiver is drained, and the new one continues.
+            exporter.apply(parse_operator_file(moved, "test"))
+            for _ in range(3):
+                await client.call()
+            await until(
+                lambda: (
+                    answer_totals(second_ledger, "plaintext").get(("status", "gross", "served"))
+                    == 8
+                )
+            )
+            await until(
+                lambda: (
+                    answer_totals(second_ledger, "pickle").get(("status", "gross", "served")) == 8
+                )
+            )
+            exporter.apply(parse_operator_file("", "test"))
+            await until(lambda: not exporter._drains)
+            assert exporter.tally is None and not ingress.observer.active
+            seen = second_ledger.seen["plaintext"]
+            await client.call()
+            # A new life, which begins at zero.
+            exporter.apply(parse_operator_file(operator_file(first, tmp_path), "test"))
+            await client.call()
+            await until(
+                lambda: (
+                    first_ledger.points(
+                        "plaintext", series_name("plaintext", "status", "gross", "served")
+                    )[-1][2]
+                    == 1
+                )
+            )
+            assert second_ledger.seen["plaintext"] == seen
+
+    run(scenario())
+
+
+def test_a_reload_with_an_unreadable_password_changes_nothing(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with running_exporter(tmp_path, "plaintext") as (_, exporter, client, _, ledger):
+            before = dict(exporter.receivers)
+            bad = "[graphite new]\naddress = 127.0.0.1:1\n[collectd c]\naddress = 127.0.0.1:1\nsecurity = sign\n"
+            bad += "user = u\npassword_file = /no/such/file\n"
+            with pytest.raises(Exception, match="/no/such/file cannot be read"):
+                exporter.apply(parse_operator_file(bad, "test"))
+            assert exporter.receivers == before
+            await client.call()
+            await until(
+                lambda: answer_totals(ledger, "plaintext").get(("status", "gross", "served")) == 1
+            )
+
+    run(scenario())
+
+
+def test_a_minute_without_the_receiver_keeps_the_queue_bounded_and_the_totals_right(
+    tmp_path: Path,
+) -> None:
+    async def scenario() -> None:
+        clock = ManualClock()
+        async with running_exporter(tmp_path, "plaintext", clock=clock, interval="1s") as (
+            ingress, exporter, client, stand_in, ledger,
+        ):  # fmt: skip
+            sender = exporter.receivers["plaintext"].sender
+            sender.delivery_queue.max_size = 200_000
+            await until(lambda: sender.sent)
+            stand_in.misbehave("refuse")
+            for _ in range(60):
+                await client.call()
+                clock.advance(1000)
+                ingress.timers.run_due()
+                await until(lambda: exporter._report_task.done())
+                assert sender.delivery_queue.size <= sender.delivery_queue.max_size
+            assert sender.delivery_queue.dropped and len(sender.delivery_queue) > 5
+            stand_in.behave()
+            clock.advance(1000)
+            ingress.timers.run_due()
+            name = ("status", "gross", "served")
+            await until(lambda: answer_totals(ledger, "plaintext").get(name) == 60)
+            timestamps = [
+                seconds
+                for _, seconds, _ in ledger.points("plaintext", series_name("plaintext", *name))
+            ]
+            assert len(timestamps) > 6, (
+                "points of the minute arrived with the times of their reports"
+            )
+            assert timestamps == sorted(timestamps)
+
+    run(scenario())
+
+
+def test_a_report_stays_bounded_after_many_customers_and_replaced_backends(
+    tmp_path: Path,
+) -> None:
+    async def scenario() -> None:
+        async with running_exporter(tmp_path, "plaintext", interval="1h") as (
+            ingress,
+            exporter,
+            _,
+            _,
+            _,
+        ):
+            tally = exporter.tally
+            for customer in range(10_000):
+                tally.request_completed(
+                    0, 0, customer, "refused", f"reason-{customer}", 0.0, 1.0, False
+                )
+            for round_number in range(100):
+                targets = [target(f"s-{round_number}-{number}", 1 + number) for number in range(3)]
+                ingress.dispatch(
+                    ingress.endpoints.apply(message(round_number + 2, *targets, full=True))
+                )
+            points = exporter._reader.points(1000.0)
+            backends = {point.path[1] for point in points if point.path[0] == "nodes"}
+            assert backends == {"s-99-0", "s-99-1", "s-99-2"}, (
+                "the series of a backend that left end"
+            )
+            assert len({point.path[2] for point in points if point.path[0] == "firms"}) == 20
+            assert len(tally.heavy_hitters.usage) <= 160
+            assert len(points) < 800
+
+    run(scenario())
+
+
+def test_requests_that_the_policy_engine_never_sees_are_counted() -> None:
+    async def scenario() -> None:
+        gate = asyncio.Event()
+
+        async def answer_when_open(args: list[bytes]) -> bytes | None:
+            await gate.wait()
+            return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
+
+        async with serving(Backend(answer_when_open)) as (ingress, client, _):
+            exporter = Exporter(ingress)
+            exporter.apply(parse_operator_file("[graphite g]\naddress = 127.0.0.1:9\n", "test"))
+            tally = exporter.tally
+            assert tally is not None
+            client.ask()
+            client.asked -= 1
+            client.ask()  # the same id, while the first is open
+            ingress.requests.limits.max_body_bytes = 1000
+            client.ask(body=b"x" * 2000)
+            disconnecting = await Client.open(ingress.address.port)
+            disconnecting.asked += 100
+            disconnecting.ask()
+            await until(lambda: len(ingress.requests) == 2)
+            disconnecting.writer.close()
+            await until(lambda: tally.disconnected[0, 0])
+            gate.set()
+            assert [await client.answer() for _ in range(3)] == [
+                b"value",
+                "ERR this id is open already",
+                "BUSY 500",
+            ]
+            tally.flush()
+            assert dict(tally.reasons) == {
+                (0, 0, "failed", "duplicate"): 1,
+                (0, 0, "refused", "bodies"): 1,
+            }
+            assert [
+                tally.answers[0, 0, outcome] for outcome in ("served", "refused", "failed")
+            ] == [1, 1, 1]
+            assert (tally.units_requested, tally.units_forwarded, tally.units_rejected) == (
+                [8.0],
+                [4.0],
+                [2.0],
+            )
+            await exporter.farewell()
+
+    run(scenario())
--- /dev/null
+++ b/tests/telemetry/test_ledger.py
@@ -0,0 +1,35 @@
+"""Totals over lives."""
+
+from __future__ import annotations
+
+from dockthread.telemetry.receiver.decode import ReceivedPoint
+from dockthread.telemetry.receiver.ledger import Ledger
+
+
+def test_totals_add_up_lives_and_count_a_repeated_point_once() -> None:
+    ledger = Ledger()
+    series = "p.n0.answers.c.p.served"
+
+    def report(life: int, seconds: float, value: float) -> None:
+        ledger.add_graphite(
+            "plaintext",
+            [ReceivedPoint("p.n0.life", seconds, life), ReceivedPoint(series, seconds, value)],
+        )
+
+    report(1000, 1, 0)
+    report(1000, 2, 5)
+    report(1000, 3, 9)
+    report(1000, 2, 5)  # sent again
+    report(4000, 4, 0)
+    report(4000, 5, 2)
+    ledger.add_graphite(
+        "plaintext",
+        [ReceivedPoint("p.n1.life", 5, 7), ReceivedPoint("p.n1.answers.c.p.served", 5, 3)],
+    )
+    assert {total.series: (total.value, total.lives) for total in ledger.totals("answers")} == {
+        series: (11.0, 2),
+        "p.n1.answers.c.p.served": (3.0, 1),
+    }
+    assert ledger.steps_back("plaintext", series) == 0
+    report(4000, 6, 1)
+    assert ledger.steps_back("plaintext", series) == 1
--- /dev/null
+++ b/tests/telemetry/test_sender.py
@@ -0,0 +1,83 @@
+"""The sender's transitions and waits."""
+
+from __future__ import annotations
+
+import random
+
+import pytest
+
+from dockthread.telemetry.delivery_queue import DeliveryQueue
+from dockthread.telemetry.sender import TRANSITIONS, Action, ActionKind, Event, Sender, SenderState
+from tests.telemetry.samples import report
+
+
+def drive_sender(*events: Event) -> tuple[Sender, list[Action]]:
+    sender = Sender(DeliveryQueue(10_000), random.Random(1))
+    actions = [sender.enqueue(report(1.0))]
+    for event in events:
+        if event is Event.DELIVERED:
+            first = sender.delivery_queue.peek()
+            assert first is not None
+            sender.delivery_queue.mark_delivered(first)
+        actions.append(sender.handle(event))
+    return sender, actions
+
+
+def test_a_queued_report_is_sent_and_the_sender_is_idle_afterwards() -> None:
+    sender, actions = drive_sender(Event.CONNECTED, Event.DELIVERED)
+    assert [action.kind for action in actions] == [
+        ActionKind.CONNECT,
+        ActionKind.SEND,
+        ActionKind.NOTHING,
+    ]
+    assert (sender.state, sender.sent) == (SenderState.IDLE, 1)
+
+
+def test_backoffs_double_to_a_bound_with_jitter_until_a_report_is_delivered() -> None:
+    failing = [Event.FAILED, Event.BACKOFF_ELAPSED] * 12
+    sender, actions = drive_sender(*failing)
+    backoffs = [action.backoff_ms for action in actions if action.kind is ActionKind.BACK_OFF]
+    assert all(
+        0.1 * 250 * 2**failures <= backoff_ms <= 250 * 2**failures
+        for failures, backoff_ms in enumerate(backoffs[:6])
+    )
+    assert max(backoffs) <= 15_000.0
+    assert len(set(backoffs)) == 12
+    sender.handle(Event.CONNECTED)
+    first = sender.delivery_queue.peek()
+    assert first is not None
+    sender.delivery_queue.mark_delivered(first)
+    sender.handle(Event.DELIVERED)
+    assert sender.failures == 0
+
+
+@pytest.mark.parametrize(
+    ("events", "kinds"),
+    [
+        ((), [ActionKind.NOTHING]),  # connecting: goes on, then sends, then closes
+        ((Event.CONNECTED, Event.DELIVERED), [ActionKind.CLOSE]),
+        ((Event.FAILED,), [ActionKind.CONNECT]),  # the wait is cut short
+    ],
+)
+def test_a_drain_sends_what_is_queued_and_then_closes(
+    events: tuple[Event, ...], kinds: list[ActionKind]
+) -> None:
+    sender, _ = drive_sender(*events)
+    assert [sender.drain().kind] == kinds
+    if sender.state is SenderState.CLOSING:
+        assert sender.handle(Event.FAILED).kind is ActionKind.BACK_OFF, (
+            "broken at the end: the last reports go once more"
+        )
+        assert len(sender.delivery_queue) == 1
+
+
+def test_every_state_but_the_last_has_a_transition_and_each_connection_may_fail() -> None:
+    with_transition = {state for state, _ in TRANSITIONS}
+    assert with_transition == set(SenderState) - {SenderState.ENDED}
+    for state in (
+        SenderState.CONNECTING,
+        SenderState.SENDING,
+        SenderState.IDLE,
+        SenderState.CLOSING,
+    ):
+        assert (state, Event.FAILED) in TRANSITIONS
--- /dev/null
+++ b/tests/telemetry/test_stand_in.py
@@ -0,0 +1,55 @@
+"""The stand-in receiver: its faults, and what it rejects."""
+
+from __future__ import annotations
+
+import socket
+from pathlib import Path
+
+import pytest
+
+from dockthread.telemetry.catalogue import Point
+from dockthread.telemetry.collectd import PacketEncoder, packet_sealer
+from dockthread.telemetry.receiver.stand_in import Span
+from tests.loopback import run, until
+from tests.telemetry.support import PASSWORD, running_stand_in
+
+
+@pytest.mark.parametrize("text", ["", "vanish", "vanish@1s", "sulk@1s+1s", "vanish@1+1s"])
+def test_a_text_that_is_not_a_span_is_rejected(text: str) -> None:
+    with pytest.raises(ValueError):
+        Span.parse(text)
+
+
+def test_packets_sealed_wrongly_or_cut_short_are_counted_and_change_no_total(
+    tmp_path: Path,
+) -> None:
+    async def scenario() -> None:
+        async with running_stand_in(tmp_path, "collectd") as (stand_in, ledger):
+            host, port = stand_in.addresses["collectd"].rsplit(":", 1)
+            points = [
+                Point(("life",), "gauge", 5.0),
+                Point(("answers", "a", "b", "served"), "derive", 7),
+            ]
+
+            def send(security: str, password: bytes, cut: int = 0) -> None:
+                sealer = packet_sealer(security, "ops", password)
+                (packet,) = PacketEncoder("n0", "dockthread", 1.0, sealer).packets(points, 9.0)
+                with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
+                    sock.sendto(packet[: len(packet) - cut], (host, int(port)))
+
+            send("encrypt", b"another password")
+            send("sign", PASSWORD)
+            send("none", b"")
+            send("encrypt", PASSWORD, cut=3)
+            await until(lambda: sum(ledger.faults().values()) == 4)
+            assert not ledger.totals()
+            send("encrypt", PASSWORD)
+            await until(lambda: ledger.totals("answers"))
+            assert [total.value for total in ledger.totals("answers")] == [7.0]
+            assert {kind for _, kind in ledger.faults()} == {
+                "a wrong password, or spoilt bytes",
+                "not encrypted",
+                "an encrypted part that is cut short",
+            }
+
+    run(scenario())
