--- a/benchmarks/restart_wave.py
+++ b/benchmarks/restart_wave.py
@@ -21,7 +21,9 @@
 
     ingresses = [ingress for one in passed for ingress in one.ingresses]
     last = median(max(ingress.listed for ingress in one.ingresses) / 1000.0 for one in passed)
-    state = "silent" if wave.silent else f"down {wave.down / 1000.0:.0f} s" if wave.down else "refuses"
+    state = (
+        "silent" if wave.silent else f"down {wave.down / 1000.0:.0f} s" if wave.down else "refuses"
+    )
     return (
         f"{wave.restarted:>4}/{wave.fleet:<3} {'pushed' if wave.pushed else 'asked':>7} {str(wave.known):>9}  {state:<10}"
         f"  {least([one.ready_within(6_000.0) for one in passed]):>13}"
@@ -34,13 +36,17 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--seeds", type=int, default=100)
     options = parser.parse_args()
     print(
         "Parts: least and median over the seeds; last: s, median over the seeds of the last list; calls: a process;"
     )
-    print("first, paused: s, median over the processes of the first call's delay and of all its pauses.")
+    print(
+        "first, paused: s, median over the processes of the first call's delay and of all its pauses."
+    )
     print(HEAD)
     for fleet, restarted in CASES:
         for pushed, known in ((True, True), (True, False), (False, True), (False, False)):
--- a/dockthread/__main__.py
+++ b/dockthread/__main__.py
@@ -1,4 +1,6 @@
-"""`python -m dockthread` and the command `dockthread`. Without a word it serves, as the platform starts it."""
+"""`python -m dockthread` and the command `dockthread`. Without a word it serves, as the platform
+starts it.
+"""
 
 from __future__ import annotations
 
--- a/dockthread/admin/commands.py
+++ b/dockthread/admin/commands.py
@@ -1,10 +1,11 @@
 """The management door's decisions, free of I/O: a call in, what to do and what to answer out.
 
-Theory of operation. One HTTP/1.1 call comes on each connection; the rim (ops/management.py) parses it with
-httptools and hands method, path and body here. `decide` finds the call in one table of paths: a path that is
-not there is 404, a method that the path does not take 405, a body that is not JSON with a string `target` 400.
-What is left is a `Command`, which the rim has the ingress carry out; whether an id is known is the ingress's to
-say, and an id that nobody has is owed a no (404). Nothing here blocks or waits, so each answer is due at once.
+Theory of operation. One HTTP/1.1 call comes on each connection; the rim (ops/management.py) parses
+it with httptools and hands method, path and body here. `decide` finds the call in one table of
+paths: a path that is not there is 404, a method that the path does not take 405, a body that is not
+JSON with a string `target` 400. What is left is a `Command`, which the rim has the ingress carry
+out; whether an id is known is the ingress's to say, and an id that nobody has is owed a no (404).
+Nothing here blocks or waits, so each answer is due at once.
 
 | path                 | method | body                 | command     |
 | -------------------- | ------ | -------------------- | ----------- |
@@ -16,7 +17,8 @@
 | /_work/ask           | POST   | {"target": "ID", "why": "...", "urgency": 0} | WORK_ASK |
 | /_work/done, /_work/withdraw | POST | {"target": "ID"} | WORK_DONE, WORK_WITHDRAW |
 
-The last two rows are there only where the operator's file has a fleet; else they are 404 as any other path.
+The last two rows are there only where the operator's file has a fleet; else they are 404 as any
+other path.
 """
 
 from __future__ import annotations
@@ -68,11 +70,19 @@
     b"/_work/done": (b"POST", Verb.WORK_DONE),
     b"/_work/withdraw": (b"POST", Verb.WORK_WITHDRAW),
 }
-REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed", 503: b"Unavailable"}
+REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    503: b"Unavailable",
+}
 
 
 def decide(method: bytes, path: bytes, body: bytes) -> Command | Answer:
-    """A call's command, or the answer that refuses it. `path` may carry a query, which is not looked at."""
+    """A call's command, or the answer that refuses it. `path` may carry a query, which is not
+    looked at.
+    """
     found = TABLE.get(path.split(b"?", 1)[0])
     if found is None:
         return Answer(404, b"no such call\n")
@@ -92,7 +102,9 @@
 
 
 def carried(command: Command, done: bool) -> Answer:
-    """The answer once the ingress has tried: `done` is False where it knows no such id, or is not ready."""
+    """The answer once the ingress has tried: `done` is False where it knows no such id, or is not
+    ready.
+    """
     if command.verb is Verb.READY:
         return Answer(200, b"ready\n") if done else Answer(503, b"not ready\n")
     if done:
@@ -103,10 +115,13 @@
 def wording(answer: Answer, head_only: bool = False) -> bytes:
     """The answer on the wire; the connection closes behind it."""
     reason = REASONS.get(answer.status, b"")
-    head = b"HTTP/1.1 %d %b\r\nContent-Type: %b\r\nContent-Length: %d\r\nConnection: close\r\n\r\n" % (
-        answer.status,
-        reason,
-        answer.kind,
-        len(answer.body),
+    head = (
+        b"HTTP/1.1 %d %b\r\nContent-Type: %b\r\nContent-Length: %d\r\nConnection: close\r\n\r\n"
+        % (
+            answer.status,
+            reason,
+            answer.kind,
+            len(answer.body),
+        )
     )
     return head if head_only else head + answer.body
--- a/dockthread/admin/prometheus.py
+++ b/dockthread/admin/prometheus.py
@@ -1,8 +1,9 @@
 """The figures of `/_vars`, in Prometheus's text form, from plain counts. Free of I/O.
 
-Each process counts from 0. Per class: `ok`, `shed`, `errors` (served, refused, failed); then `tries` (attempts
-whose last byte went out), `active` (requests taken and not answered), `pool_size` (backends listed),
-`pool_ejected` (listed ones avoided now), `config_applied` and `config_rejected` (files at SIGHUP).
+Each process counts from 0. Per class: `ok`, `shed`, `errors` (served, refused, failed); then
+`tries` (attempts whose last byte went out), `active` (requests taken and not answered), `pool_size`
+(backends listed), `pool_ejected` (listed ones avoided now), `config_applied` and `config_rejected`
+(files at SIGHUP).
 """
 
 from __future__ import annotations
@@ -34,7 +35,9 @@
         lines.append(f"# TYPE {prefix}_{name} counter")
         counts = figures.outcomes[outcome]
         for number, kind in enumerate(figures.classes):
-            lines.append(f'{prefix}_{name}{{kind="{kind}"}} {counts[number] if number < len(counts) else 0}')
+            lines.append(
+                f'{prefix}_{name}{{kind="{kind}"}} {counts[number] if number < len(counts) else 0}'
+            )
     for name, kind in (
         ("tries", "counter"),
         ("active", "gauge"),
--- a/dockthread/admin/reload.py
+++ b/dockthread/admin/reload.py
@@ -1,12 +1,13 @@
 """Settings taken over at SIGHUP, decided without I/O.
 
-Theory of operation. The module counts classes by number, and a request under way holds its class by that
-number and by the `RequestClass` it was given at its arrival. So numbers are never reused: a class of the new
-file that the old one had keeps its number and takes the new figures for what arrives from now on; a new class
-is given the next number; a class that the new file lacks stays in the module's list, for what is under way,
-but is no longer offered to clients. Of the rest only the attempts allowed are taken over, for they may shrink;
-a file's other keys hold from the next start on. A file that is broken in any part has been refused before it
-gets here (`settings.read_config`), so what arrives is whole.
+Theory of operation. The module counts classes by number, and a request under way holds its class by
+that number and by the `RequestClass` it was given at its arrival. So numbers are never reused: a
+class of the new file that the old one had keeps its number and takes the new figures for what
+arrives from now on; a new class is given the next number; a class that the new file lacks stays in
+the module's list, for what is under way, but is no longer offered to clients. Of the rest only the
+attempts allowed are taken over, for they may shrink; a file's other keys hold from the next start
+on. A file that is broken in any part has been refused before it gets here (`settings.read_config`),
+so what arrives is whole.
 
 | old file     | new file     | the module's list         | offered |
 | ------------ | ------------ | ------------------------- | ------- |
@@ -50,8 +51,10 @@
 
 
 def retune(gateway: Gateway, settings: api.Settings) -> None:
-    """Give the module `settings` from `merge`. What its parts derived from the classes at their start
-    (attempts.py, admission.py, rules.py) is derived again from the longer list; what it has learnt stays."""
+    """Give the module `settings` from `merge`. What its parts derived from the classes at their
+    start (attempts.py, admission.py, rules.py) is derived again from the longer list; what it has
+    learnt stays.
+    """
     classes = settings.classes
     gateway.s = settings
     gateway.usual = [(c.aim / 5, c.aim / 10) for c in classes]
--- a/dockthread/admin/server.py
+++ b/dockthread/admin/server.py
@@ -1,7 +1,9 @@
-"""The management door's I/O: a listener, one call a connection, parsed by httptools; decisions in ops/door.py.
+"""The management door's I/O: a listener, one call a connection, parsed by httptools; decisions in
+ops/door.py.
 
-A caller that sends nothing or half a call is left to its own time, up to `SILENT`, and never holds up another:
-each connection has a task of its own. Past `MOST` connections, the one that has waited longest is closed.
+A caller that sends nothing or half a call is left to its own time, up to `SILENT`, and never holds
+up another: each connection has a task of its own. Past `MOST` connections, the one that has waited
+longest is closed.
 """
 
 from __future__ import annotations
@@ -35,7 +37,9 @@
     def attach(self, target: str) -> bool: ...
 
     async def fleet(self, command: commands.Command) -> commands.Answer:
-        """What concerns the fleet; the only call that may take its time, as others have to agree."""
+        """What concerns the fleet; the only call that may take its time, as others have to
+        agree.
+        """
         ...
 
 
@@ -66,7 +70,9 @@
     if decided.verb is commands.Verb.READY:
         return commands.carried(decided, host.ready)
     held = decided.verb is commands.Verb.DETACH
-    return commands.carried(decided, host.detach(decided.target) if held else host.attach(decided.target))
+    return commands.carried(
+        decided, host.detach(decided.target) if held else host.attach(decided.target)
+    )
 
 
 class Door:
@@ -123,7 +129,9 @@
                 await loop.sock_sendall(sock, commands.wording(said, method == b"HEAD"))
         except httptools.HttpParserError:
             with suppress(OSError):
-                await loop.sock_sendall(sock, commands.wording(commands.Answer(400, b"not an HTTP call\n")))
+                await loop.sock_sendall(
+                    sock, commands.wording(commands.Answer(400, b"not an HTTP call\n"))
+                )
         except (OSError, TimeoutError):
             pass
         except Exception:
--- a/dockthread/cli/control.py
+++ b/dockthread/cli/control.py
@@ -1,6 +1,8 @@
-"""`dockthread control`: the processes of the distribution of control, and what operators ask of them.
+"""`dockthread control`: the processes of the distribution of control, and what operators ask of
+them.
 
-Exit codes: 0 done; 1 refused, or someone lags or cannot be reached; 2 the words are wrong."""
+Exit codes: 0 done; 1 refused, or someone lags or cannot be reached; 2 the words are wrong.
+"""
 
 from __future__ import annotations
 
@@ -42,9 +44,16 @@
 
 
 servers_option = click.option(
-    "--servers", required=True, multiple=True, callback=servers_of, metavar="HOST:PORT,...", help="To be asked."
+    "--servers",
+    required=True,
+    multiple=True,
+    callback=servers_of,
+    metavar="HOST:PORT,...",
+    help="To be asked.",
+)
+key_option = click.option(
+    "--key-file", "key", callback=key_of, metavar="FILE", help="The key that all share."
 )
-key_option = click.option("--key-file", "key", callback=key_of, metavar="FILE", help="The key that all share.")
 json_option = click.option("--json", "as_json", is_flag=True, help="As JSON.")
 
 
@@ -54,10 +63,13 @@
 
 
 @control.command()
-@click.option("--config", "file", metavar="FILE", help="The operator's file, before DOCKTHREAD_CONFIG.")
+@click.option(
+    "--config", "file", metavar="FILE", help="The operator's file, before DOCKTHREAD_CONFIG."
+)
 @click.pass_context
 def serve(ctx: click.Context, file: str | None) -> None:
-    """Serve as the voter or distributor that [control] of the operator's file names, until SIGTERM or SIGINT.
+    """Serve as the voter or distributor that [control] of the operator's file names, until SIGTERM
+    or SIGINT.
 
     Exit codes: 0 ended as told, 1 cannot listen, 2 a bad configuration.
     """
@@ -73,9 +85,13 @@
 @control.command()
 @click.argument("kind")
 @click.argument("name")
-@click.option("--body", type=click.File("rb"), metavar="FILE", help="The resource; - for standard input.")
+@click.option(
+    "--body", type=click.File("rb"), metavar="FILE", help="The resource; - for standard input."
+)
 @click.option("--delete", is_flag=True, help="Delete it.")
-@click.option("--expected", type=click.IntRange(0), help="The revision that it replaces; 0 for none there.")
+@click.option(
+    "--expected", type=click.IntRange(0), help="The revision that it replaces; 0 for none there."
+)
 @servers_option
 @key_option
 def publish(
@@ -87,7 +103,9 @@
     servers: list[Address],
     key: bytes,
 ) -> None:
-    """Publish a resource, or delete it; SERVERS are voters. Says the revision by which it was accepted."""
+    """Publish a resource, or delete it; SERVERS are voters. Says the revision by which it was
+    accepted.
+    """
     if (body is None) != delete:
         raise click.UsageError("give either --body or --delete")
     data = None if body is None else body.read(MOST_BODY + 1)
@@ -107,7 +125,9 @@
 @key_option
 @json_option
 def show(kind: str, name: str, servers: list[Address], key: bytes, as_json: bool) -> None:
-    """Show what a server holds of a kind: one resource with its body, or the names and revisions of all."""
+    """Show what a server holds of a kind: one resource with its body, or the names and revisions of
+    all.
+    """
     try:
         found = asyncio.run(admin_client.look_up(servers, kind, name, key))
     except admin_client.NoAnswer as error:
@@ -168,7 +188,10 @@
 
 
 def subscriber(one: SubscriberStatus, whole: admin_client.Overview) -> dict[str, Any]:
-    rejected = [{"kind": r.kind, "name": r.name, "revision": r.revision, "reason": r.reason} for r in one.rejected]
+    rejected = [
+        {"kind": r.kind, "name": r.name, "revision": r.revision, "reason": r.reason}
+        for r in one.rejected
+    ]
     return {
         "name": one.name,
         "region": one.region,
@@ -188,14 +211,18 @@
     for at, s in sorted(whole.servers.items()):
         lags = " (lags)" if s in lagging else ""
         age = f"{s.age / 1000:.1f} s old" if s.age >= 0 else "of unknown age"
-        out.append(f"{s.role} {s.name} at {at}: revision {s.revision}{lags}, {age}, {len(s.subscribers)} subscribers")
+        out.append(
+            f"{s.role} {s.name} at {at}: revision {s.revision}{lags}, {age}, {len(s.subscribers)} subscribers"
+        )
     out += [f"not reached: {at}: {why}" for at, why in sorted(whole.missed.items())]
     everywhere, current = Counter[tuple[str, str]](), Counter[tuple[str, str]]()
     for one in whole.subscribers:
         everywhere[one.region, one.zone] += 1
         current[one.region, one.zone] += not whole.lags(one)
     for (region, zone), count in sorted(everywhere.items()):
-        out.append(f"{region or 'no region'} {zone or 'no zone'}: in force at {current[region, zone]} of {count}")
+        out.append(
+            f"{region or 'no region'} {zone or 'no zone'}: in force at {current[region, zone]} of {count}"
+        )
     behind = whole.lagging()
     out += [line for one in behind[:MOST_SHOWN] for line in lag(one, whole)]
     if len(behind) > MOST_SHOWN:
--- a/dockthread/cli/files.py
+++ b/dockthread/cli/files.py
@@ -15,8 +15,16 @@
 
 @click.command()
 @click.argument("file", metavar="FILE")
-@click.option("--settings", metavar="JSON", help="The platform's configuration, or its settings: proves routes too.")
-@click.option("--explain", metavar="REQUEST", help="Show a request's route, such as c=seat-status,t=gross,units=2.")
+@click.option(
+    "--settings",
+    metavar="JSON",
+    help="The platform's configuration, or its settings: proves routes too.",
+)
+@click.option(
+    "--explain",
+    metavar="REQUEST",
+    help="Show a request's route, such as c=seat-status,t=gross,units=2.",
+)
 @click.pass_context
 def check(ctx: click.Context, file: str, settings: str | None, explain: str | None) -> None:
     """Check an operator's file: every fault, one line each.
@@ -47,10 +55,14 @@
 
 
 @config.command()
-@click.option("--config", "file", metavar="FILE", help="The operator's file, before DOCKTHREAD_CONFIG.")
+@click.option(
+    "--config", "file", metavar="FILE", help="The operator's file, before DOCKTHREAD_CONFIG."
+)
 @click.pass_context
 def show(ctx: click.Context, file: str | None) -> None:
-    """Show every key that holds, and where it comes from. The text is itself a good operator's file."""
+    """Show every key that holds, and where it comes from. The text is itself a good operator's
+    file.
+    """
     path = where(os.environ, file or ctx.find_root().obj)
     found = load(path) if path else read_text("", "no file")
     for line in lines(found, path):
--- a/dockthread/cli/lab.py
+++ b/dockthread/cli/lab.py
@@ -57,19 +57,75 @@
 
 @lab.command()
 @click.argument("where", metavar="ADDRESS", callback=parsed(address))
-@click.option("--rate", default="140@10s", show_default=True, callback=parsed(shape), help="Or 100>300@30s,300@1min.")
-@click.option("--trace", type=click.Path(exists=True, dir_okay=False, path_type=Path), help="Recorded ones instead.")
-@click.option("--record", type=click.Path(dir_okay=False, path_type=Path), help="Write the arrivals as a trace.")
+@click.option(
+    "--rate",
+    default="140@10s",
+    show_default=True,
+    callback=parsed(shape),
+    help="Or 100>300@30s,300@1min.",
+)
+@click.option(
+    "--trace",
+    type=click.Path(exists=True, dir_okay=False, path_type=Path),
+    help="Recorded ones instead.",
+)
+@click.option(
+    "--record",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="Write the arrivals as a trace.",
+)
 @click.option("--class", "classes", default=CLASSES, show_default=True, callback=parsed(weights))
-@click.option("--plan", "plans", default="klein:2,mittel:1,gross:1", show_default=True, callback=parsed(weights))
-@click.option("--firms", default=200, show_default=True, type=click.IntRange(1, 1_000_000), help="Of each plan.")
-@click.option("--skew", default=0.0, show_default=True, type=click.FloatRange(0, 10), help="0: all firms alike.")
-@click.option("--units", default=1, show_default=True, type=click.IntRange(1, 1_000), help="Of a request, at most.")
+@click.option(
+    "--plan",
+    "plans",
+    default="klein:2,mittel:1,gross:1",
+    show_default=True,
+    callback=parsed(weights),
+)
+@click.option(
+    "--firms",
+    default=200,
+    show_default=True,
+    type=click.IntRange(1, 1_000_000),
+    help="Of each plan.",
+)
+@click.option(
+    "--skew",
+    default=0.0,
+    show_default=True,
+    type=click.FloatRange(0, 10),
+    help="0: all firms alike.",
+)
+@click.option(
+    "--units",
+    default=1,
+    show_default=True,
+    type=click.IntRange(1, 1_000),
+    help="Of a request, at most.",
+)
 @click.option("--gateways", default=1, show_default=True, type=click.IntRange(1, 1_000))
-@click.option("--deadline", default=DEADLINES, show_default=True, callback=parsed(weights), help="Seconds by class.")
-@click.option("--write", default="seat-checkout", show_default=True, help="Classes that go by API.WRITE.")
-@click.option("--settings", metavar="JSON", help="Take classes' deadlines and verbs from the platform's settings.")
-@click.option("--connections", default=1000, show_default=True, type=click.IntRange(1, 100_000), help="Of a process.")
+@click.option(
+    "--deadline",
+    default=DEADLINES,
+    show_default=True,
+    callback=parsed(weights),
+    help="Seconds by class.",
+)
+@click.option(
+    "--write", default="seat-checkout", show_default=True, help="Classes that go by API.WRITE."
+)
+@click.option(
+    "--settings",
+    metavar="JSON",
+    help="Take classes' deadlines and verbs from the platform's settings.",
+)
+@click.option(
+    "--connections",
+    default=1000,
+    show_default=True,
+    type=click.IntRange(1, 100_000),
+    help="Of a process.",
+)
 @click.option("--processes", default=1, show_default=True, type=click.IntRange(1, 64))
 @click.option("--seed", default=1, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="The summary as one JSON object.")
@@ -96,8 +152,8 @@
 ) -> None:
     """Send an open-loop load to an ingress, or to any address that speaks the protocol.
 
-    Times run from the intended start of each request, so that no stall is hidden. Exit codes: 0 done, 1 nothing was
-    answered, 2 the run is void since the tool itself fell behind, or bad words.
+    Times run from the intended start of each request, so that no stall is hidden. Exit codes: 0
+    done, 1 nothing was answered, 2 the run is void since the tool itself fell behind, or bad words.
     """
     deadlines, writes = dict(deadline), frozenset(filter(None, write.split(",")))
     if settings:
@@ -106,13 +162,21 @@
         deadlines = {name: one.deadline for name, one in pairs}
         writes = frozenset(name for name, one in pairs if one.effect is not api.Effect.SAFE)
     mix = Mix(classes, plans, firms, skew, units, gateways)
-    plan = Plan(Target(where.host, where.port, deadlines, writes, connections), seed, rate, mix, trace)
+    plan = Plan(
+        Target(where.host, where.port, deadlines, writes, connections), seed, rate, mix, trace
+    )
     try:
-        named = {one.request_class for one in read_trace(trace)} if trace else {name for name, _ in classes}
+        named = (
+            {one.request_class for one in read_trace(trace)}
+            if trace
+            else {name for name, _ in classes}
+        )
     except ValueError as error:
         raise click.ClickException(str(error)) from error
     if unknown := sorted(named - deadlines.keys()):
-        raise click.UsageError(f"no deadline is known for {', '.join(unknown)}: set --deadline or --settings")
+        raise click.UsageError(
+            f"no deadline is known for {', '.join(unknown)}: set --deadline or --settings"
+        )
     if record:
         click.echo(f"{write_trace(record, plan.arrivals())} arrivals written to {record}", err=True)
     outcome = _send(plan, processes, sum(piece.requests for piece in rate) if not trace else None)
@@ -148,8 +212,12 @@
 
 def lines(outcome: Outcome) -> list[str]:
     found = outcome.summary()
-    counts = ", ".join(f"{found['outcomes'][word]} {word}" for word in OUTCOMES if found["outcomes"][word])
-    out = [f"{found['asked']} requests in {found['seconds']:g} s over {found['connections']} connections: {counts}"]
+    counts = ", ".join(
+        f"{found['outcomes'][word]} {word}" for word in OUTCOMES if found["outcomes"][word]
+    )
+    out = [
+        f"{found['asked']} requests in {found['seconds']:g} s over {found['connections']} connections: {counts}"
+    ]
     for name, times in found["times_ms"].items():
         shown = ", ".join(f"{word} {value:g}" for word, value in times.items())
         out.append(f"{name}: {found['by_class'][name]}; ms from the intended start: {shown}")
--- a/dockthread/cli/lab_distribution.py
+++ b/dockthread/cli/lab_distribution.py
@@ -1,5 +1,7 @@
-"""`dockthread lab distribution`: voters, distributors and ingresses of control under faults, in simulated time. Exit
-codes: 0 all held; 1 a rule broke (with a planted bug: it was found); 2 the arguments are wrong."""
+"""`dockthread lab distribution`: voters, distributors and ingresses of control under faults, in
+simulated time. Exit codes: 0 all held; 1 a rule broke (with a planted bug: it was found); 2 the
+arguments are wrong.
+"""
 
 from __future__ import annotations
 
@@ -28,10 +30,18 @@
 
 
 scenario_option = click.option(
-    "--scenario", default="drawn", show_default=True, type=click.Choice(list(SCENARIOS)), help="What goes wrong."
+    "--scenario",
+    default="drawn",
+    show_default=True,
+    type=click.Choice(list(SCENARIOS)),
+    help="What goes wrong.",
 )
 plant_option = click.option(
-    "--plant", default="", callback=plant_of, metavar="NAME", help="A planted bug to be found, or `list`."
+    "--plant",
+    default="",
+    callback=plant_of,
+    metavar="NAME",
+    help="A planted bug to be found, or `list`.",
 )
 
 
@@ -49,7 +59,9 @@
 @plant_option
 @json_option
 def seeds(scenario: str, seeds: range, jobs: int, plant: str, as_json: bool) -> None:
-    """Play many seeds; each one that breaks a rule is named. With a planted bug the first that finds it ends it."""
+    """Play many seeds; each one that breaks a rule is named. With a planted bug the first that
+    finds it ends it.
+    """
     show_seeds(scenario, play_many(play_seed, scenario, seeds, jobs, plant), plant, as_json)
 
 
--- a/dockthread/cli/lab_fleet.py
+++ b/dockthread/cli/lab_fleet.py
@@ -1,5 +1,7 @@
-"""`dockthread lab fleet`: members of a fleet under faults, in simulated time and on real processes. Exit
-codes: 0 all held; 1 a rule broke (with a planted bug: it was found); 2 the arguments are wrong."""
+"""`dockthread lab fleet`: members of a fleet under faults, in simulated time and on real processes.
+Exit codes: 0 all held; 1 a rule broke (with a planted bug: it was found); 2 the arguments are
+wrong.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +13,14 @@
 
 import click
 
-from dockthread.cli.lab_seeds import BROKE, jobs_option, json_option, seeds_option, show_replay, show_seeds
+from dockthread.cli.lab_seeds import (
+    BROKE,
+    jobs_option,
+    json_option,
+    seeds_option,
+    show_replay,
+    show_seeds,
+)
 from dockthread.lab.maintenance import seeded_defects
 from dockthread.lab.maintenance.scenario import ScenarioError, parse, shipped
 from dockthread.lab.raft.seeded_defects import NAMES as AGREEMENT
@@ -30,8 +39,9 @@
 
 @fleet.command()
 def scenarios() -> None:
-    """The shipped scenarios, the name first: for `seeds` and `replay`, in simulated time, and for `run`, on
-    processes."""
+    """The shipped scenarios, the name first: for `seeds` and `replay`, in simulated time, and for
+    `run`, on processes.
+    """
     for name, scenario in SCENARIOS.items():
         click.echo(f"{name}  {scenario.about}")
     for name, text in shipped().items():
@@ -39,7 +49,9 @@
 
 
 scenario_argument = click.argument("scenario", type=click.Choice(list(SCENARIOS)))
-plant_option = click.option("--plant", default="", metavar="NAME", help="A planted bug to be found, or `list`.")
+plant_option = click.option(
+    "--plant", default="", metavar="NAME", help="A planted bug to be found, or `list`."
+)
 
 
 def planted(name: str) -> str:
@@ -59,21 +71,34 @@
 @plant_option
 @json_option
 def seeds(scenario: str, seeds: range, jobs: int, plant: str, as_json: bool) -> None:
-    """Play many seeds; each one that breaks a rule is named. With a planted bug the first that finds it ends it."""
+    """Play many seeds; each one that breaks a rule is named. With a planted bug the first that
+    finds it ends it.
+    """
     plant = planted(plant)
     show_seeds(scenario, play_many(play_seed, scenario, seeds, jobs, plant, CHUNK), plant, as_json)
 
 
 @fleet.command()
 @click.argument("scenario")
-@click.option("--ingresses", type=click.IntRange(1, 7), help="In place of the scenario's own number: 1, 3, 5 or 7.")
-@click.option("--seed", default=0, show_default=True, type=click.IntRange(0), help="For the faults that are drawn.")
+@click.option(
+    "--ingresses",
+    type=click.IntRange(1, 7),
+    help="In place of the scenario's own number: 1, 3, 5 or 7.",
+)
+@click.option(
+    "--seed",
+    default=0,
+    show_default=True,
+    type=click.IntRange(0),
+    help="For the faults that are drawn.",
+)
 @json_option
 def run(scenario: str, ingresses: int | None, seed: int, as_json: bool) -> None:
-    """Play a scenario on real processes on loopback, with faults between them. SCENARIO: a shipped one, or an
-    INI file.
+    """Play a scenario on real processes on loopback, with faults between them. SCENARIO: a shipped
+    one, or an INI file.
 
-    Exit codes: 0 all held; 1 a rule broke; 2 the scenario is wrong, or the run is void."""
+    Exit codes: 0 all held; 1 a rule broke; 2 the scenario is wrong, or the run is void.
+    """
     from dockthread.lab.maintenance.rehearsal import Rehearsal, Verdict, Void
 
     known = shipped()
@@ -81,7 +106,9 @@
         text = known[scenario] if scenario in known else Path(scenario).read_text()
         played = parse(text, scenario, ingresses or 0, seed)
     except OSError as error:
-        raise click.BadParameter(f"{scenario}: no shipped scenario, and no file: {error.strerror}") from error
+        raise click.BadParameter(
+            f"{scenario}: no shipped scenario, and no file: {error.strerror}"
+        ) from error
     except ScenarioError as error:
         raise click.BadParameter(str(error)) from error
 
@@ -97,10 +124,16 @@
     broken = [{"rule": b.rule, "at": round(b.at), "detail": b.detail} for b in verdict.broken]
     if as_json:
         told = {"scenario": scenario, "ingresses": played.ingresses, "seed": seed, "broken": broken}
-        click.echo(json.dumps({**told, "asked": verdict.asked, "served": verdict.served, "record": verdict.record}))
+        click.echo(
+            json.dumps(
+                {**told, "asked": verdict.asked, "served": verdict.served, "record": verdict.record}
+            )
+        )
     else:
         click.echo("\n".join(verdict.record))
-        click.echo(f"{scenario}: {verdict.served} of {verdict.asked} requests served, {len(broken)} rules broken")
+        click.echo(
+            f"{scenario}: {verdict.served} of {verdict.asked} requests served, {len(broken)} rules broken"
+        )
     sys.exit(BROKE if broken else 0)
 
 
--- a/dockthread/cli/lab_scale.py
+++ b/dockthread/cli/lab_scale.py
@@ -1,5 +1,7 @@
-"""`dockthread lab scale`: many ingresses' share of control, measured on real processes. Exit codes: 0 every bound
-asked for holds; 1 one does not, or the checker found a fault; 2 the run is void, or the words are wrong."""
+"""`dockthread lab scale`: many ingresses' share of control, measured on real processes. Exit codes:
+0 every bound asked for holds; 1 one does not, or the checker found a fault; 2 the run is void, or
+the words are wrong.
+"""
 
 from __future__ import annotations
 
@@ -44,8 +46,16 @@
 
 
 @click.group("scale", invoke_without_command=True)
-@click.option("--real", default=0, show_default=True, type=click.IntRange(0, 32), help="Daemons, under load.")
-@click.option("--hollow", default=200, show_default=True, type=click.IntRange(0, 4000), help="Share processes.")
+@click.option(
+    "--real", default=0, show_default=True, type=click.IntRange(0, 32), help="Daemons, under load."
+)
+@click.option(
+    "--hollow",
+    default=200,
+    show_default=True,
+    type=click.IntRange(0, 4000),
+    help="Share processes.",
+)
 @click.option("--backends", default=240, show_default=True, type=click.IntRange(1, 60_000))
 @click.option("--services", default=15, show_default=True, type=click.IntRange(1, 10_000))
 @click.option("--changes", default="5", show_default=True, callback=quantity(parse_changes), metavar="RATE",
@@ -58,30 +68,71 @@
 @click.option("--routes", default=100, show_default=True, type=click.IntRange(1, 20_000),
               help="Published before the windows, where configuration changes.")  # fmt: skip
 @click.option("--distributors", default=2, show_default=True, type=click.IntRange(1, 32))
-@click.option("--hosts", default=0, type=click.IntRange(0, 64), help="Processes of hollow ingresses; 0: by number.")
-@click.option("--most-lag", callback=quantity(Duration.parse), metavar="TIME", help="Until in force at the last.")
-@click.option("--most-cpu", callback=quantity(Share.parse), metavar="SHARE", help="Of a core, an ingress.")
-@click.option("--most-memory", callback=quantity(Size.parse), metavar="SIZE", help="An ingress; 1MB is 1000000 B.")
-@click.option("--most-bytes", callback=quantity(Size.parse), metavar="SIZE", help="A second, an ingress.")
-@click.option("--most-added", callback=quantity(Duration.parse), metavar="TIME", help="At p99 of real ones' answers.")
+@click.option(
+    "--hosts",
+    default=0,
+    type=click.IntRange(0, 64),
+    help="Processes of hollow ingresses; 0: by number.",
+)
+@click.option(
+    "--most-lag",
+    callback=quantity(Duration.parse),
+    metavar="TIME",
+    help="Until in force at the last.",
+)
+@click.option(
+    "--most-cpu", callback=quantity(Share.parse), metavar="SHARE", help="Of a core, an ingress."
+)
+@click.option(
+    "--most-memory",
+    callback=quantity(Size.parse),
+    metavar="SIZE",
+    help="An ingress; 1MB is 1000000 B.",
+)
+@click.option(
+    "--most-bytes", callback=quantity(Size.parse), metavar="SIZE", help="A second, an ingress."
+)
+@click.option(
+    "--most-added",
+    callback=quantity(Duration.parse),
+    metavar="TIME",
+    help="At p99 of real ones' answers.",
+)
 @click.option("--most-late", default="250ms", show_default=True, callback=quantity(Duration.parse), metavar="TIME",
               help="p99 lateness of the tool's own loops from which the run is void.")  # fmt: skip
-@click.option("--plant", default="", type=click.Choice(["", *NAMES]), help="A bug that the checker must find.")
-@click.option("--label", default="", help="Kept in the report: the tree that is measured, as a commit.")
+@click.option(
+    "--plant", default="", type=click.Choice(["", *NAMES]), help="A bug that the checker must find."
+)
+@click.option(
+    "--label", default="", help="Kept in the report: the tree that is measured, as a commit."
+)
 @click.option("--json", "as_json", is_flag=True, help="The report as one JSON object.")
-@click.option("--report", "path", type=click.Path(dir_okay=False, path_type=Path), help="Keep the report here.")
+@click.option(
+    "--report",
+    "path",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="Keep the report here.",
+)
 @click.pass_context
-def scale(ctx: click.Context, /, as_json: bool, path: Path | None, label: str, **words: Any) -> None:
-    """Run real ingresses beside hollow ones, with changes of control, and measure what control costs each.
-
-    Exit codes: 0 every bound asked for holds; 1 one does not, or the checker found a fault; 2 the run is void."""
+def scale(
+    ctx: click.Context, /, as_json: bool, path: Path | None, label: str, **words: Any
+) -> None:
+    """Run real ingresses beside hollow ones, with changes of control, and measure what control
+    costs each.
+
+    Exit codes: 0 every bound asked for holds; 1 one does not, or the checker found a fault; 2 the
+    run is void.
+    """
     if ctx.invoked_subcommand is not None:
         return
     from dockthread.lab.scale.report import Bounds, report_of
     from dockthread.lab.scale.run import Run
     from dockthread.lab.scale.text import lines
 
-    most_words = {name: words.pop(f"most_{name}") for name in ("lag", "cpu", "memory", "bytes", "added", "late")}
+    most_words = {
+        name: words.pop(f"most_{name}")
+        for name in ("lag", "cpu", "memory", "bytes", "added", "late")
+    }
     bounds = Bounds(
         most(most_words["lag"]),
         100.0 * most(most_words["cpu"]),
@@ -106,7 +157,11 @@
         report = {"void": [str(error)], "verdict": "void"}
     report = {
         **told,
-        "machine": {"cores": os.cpu_count(), "load_average": os.getloadavg(), "load_average_before": before},
+        "machine": {
+            "cores": os.cpu_count(),
+            "load_average": os.getloadavg(),
+            "load_average_before": before,
+        },
         **report,
     }
     if path is not None:
@@ -141,13 +196,23 @@
 
 
 @scale.command()
-@click.argument("reports", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False, path_type=Path))
-@click.option("--at", default="", callback=quantity(at_size), metavar="SIZE=N,...", help="Extrapolate to this size.")
+@click.argument(
+    "reports", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False, path_type=Path)
+)
+@click.option(
+    "--at",
+    default="",
+    callback=quantity(at_size),
+    metavar="SIZE=N,...",
+    help="Extrapolate to this size.",
+)
 @click.option("--terms", default="ingresses,backends,changes,configuration,routes", show_default=True,
               help="Of the line; products as backends*changes.")  # fmt: skip
 @click.option("--without-void", is_flag=True, help="Leave void runs out.")
 @click.option("--json", "as_json", is_flag=True, help="As one JSON object.")
-def fit(reports: tuple[Path, ...], at: dict[str, float], terms: str, without_void: bool, as_json: bool) -> None:
+def fit(
+    reports: tuple[Path, ...], at: dict[str, float], terms: str, without_void: bool, as_json: bool
+) -> None:
     """Draw lines through the figures of four reports or more, of different sizes, and extrapolate.
 
     Exit codes: 0 all lines fit; 1 one does not; 2 no line can be drawn."""
--- a/dockthread/cli/lab_seeds.py
+++ b/dockthread/cli/lab_seeds.py
@@ -1,4 +1,6 @@
-"""What the commands that play seeds have in common: their options, and how they show what was found."""
+"""What the commands that play seeds have in common: their options, and how they show what was
+found.
+"""
 
 from __future__ import annotations
 
@@ -38,12 +40,18 @@
     return found
 
 
-seeds_option = click.option("--seeds", default="0..99", show_default=True, callback=seeds_of, metavar="A..B")
-jobs_option = click.option("--jobs", default=1, show_default=True, type=click.IntRange(1, 64), help="Processes.")
+seeds_option = click.option(
+    "--seeds", default="0..99", show_default=True, callback=seeds_of, metavar="A..B"
+)
+jobs_option = click.option(
+    "--jobs", default=1, show_default=True, type=click.IntRange(1, 64), help="Processes."
+)
 
 
 def show_seeds(scenario: str, chunks: Iterable[Chunk], plant: str, as_json: bool) -> None:
-    """Play on to the end, or with a planted bug to the first seed that finds it; show that, and end the program."""
+    """Play on to the end, or with a planted bug to the first seed that finds it; show that, and end
+    the program.
+    """
     played = 0
     found: list[Found] = []
     for chunk in chunks:
@@ -53,7 +61,9 @@
             break
     if as_json:
         broken = [{"seed": one.seed, **worded(one.broken)} for one in found]
-        click.echo(json.dumps({"scenario": scenario, "plant": plant, "played": played, "broken": broken}))
+        click.echo(
+            json.dumps({"scenario": scenario, "plant": plant, "played": played, "broken": broken})
+        )
     else:
         for one in found:
             click.echo(f"seed {one.seed}: {line_of(one.broken)}")
@@ -64,7 +74,11 @@
 def show_replay(played: PlayedSeed, as_json: bool) -> None:
     """Show one seed's course, line by line, and end the program."""
     if as_json:
-        click.echo(json.dumps({"record": played.record, "broken": [worded(one) for one in played.broken]}))
+        click.echo(
+            json.dumps({"record": played.record, "broken": [worded(one) for one in played.broken]})
+        )
     else:
-        click.echo("\n".join([*played.record, *(f"BROKEN {line_of(one)}" for one in played.broken)]))
+        click.echo(
+            "\n".join([*played.record, *(f"BROKEN {line_of(one)}" for one in played.broken)])
+        )
     sys.exit(BROKE if played.broken else 0)
--- a/dockthread/cli/main.py
+++ b/dockthread/cli/main.py
@@ -58,16 +58,23 @@
     context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100},
     epilog="Exit codes: 0 done, 1 cannot listen or a run failed, 2 bad words or a bad file.",
 )
-@click.option("--config", "file", metavar="FILE", help="The operator's file, before DOCKTHREAD_CONFIG.")
 @click.option(
-    "--version", is_flag=True, expose_value=False, is_eager=True, callback=show_version, help="Show the version."
+    "--config", "file", metavar="FILE", help="The operator's file, before DOCKTHREAD_CONFIG."
+)
+@click.option(
+    "--version",
+    is_flag=True,
+    expose_value=False,
+    is_eager=True,
+    callback=show_version,
+    help="Show the version.",
 )
 @click.pass_context
 def cli(ctx: click.Context, file: str | None) -> None:
     """The ingress of a licence pool, and the tools to run it.
 
-    Without a command it serves. NODE_CONFIG names the platform's JSON, DOCKTHREAD_CONFIG or --config the
-    operator's INI file.
+    Without a command it serves. NODE_CONFIG names the platform's JSON, DOCKTHREAD_CONFIG or
+    --config the operator's INI file.
 
     \b
     First steps:
--- a/dockthread/cli/metrics.py
+++ b/dockthread/cli/metrics.py
@@ -15,7 +15,15 @@
 from dockthread.telemetry.catalogue import METRICS
 from dockthread.telemetry.collectd import Opener
 from dockthread.telemetry.receiver.ledger import Ledger
-from dockthread.telemetry.receiver.stand_in import COLLECTD, KINDS, PICKLE, PLAINTEXT, UNIX, Span, StandIn
+from dockthread.telemetry.receiver.stand_in import (
+    COLLECTD,
+    KINDS,
+    PICKLE,
+    PLAINTEXT,
+    UNIX,
+    Span,
+    StandIn,
+)
 
 
 @click.group()
@@ -30,7 +38,9 @@
     width = max(len(m.path) for m in METRICS)
     for m in METRICS:
         if as_json:
-            click.echo(json.dumps({"path": m.path, "kind": m.kind, "unit": m.unit, "meaning": m.meaning}))
+            click.echo(
+                json.dumps({"path": m.path, "kind": m.kind, "unit": m.unit, "meaning": m.meaning})
+            )
         else:
             click.echo(f"{m.path:<{width}}  {m.kind:<6}  {m.unit:<11}  {m.meaning}")
 
@@ -56,15 +66,27 @@
 
 
 @metrics.command()
-@click.option("--plaintext", default="127.0.0.1:0", show_default=True, help="Graphite's lines; '' for none.")
-@click.option("--pickle", default="127.0.0.1:0", show_default=True, help="Graphite's pickles; '' for none.")
-@click.option("--collectd", default="127.0.0.1:0", show_default=True, help="Collectd's packets; '' for none.")
+@click.option(
+    "--plaintext", default="127.0.0.1:0", show_default=True, help="Graphite's lines; '' for none."
+)
+@click.option(
+    "--pickle", default="127.0.0.1:0", show_default=True, help="Graphite's pickles; '' for none."
+)
+@click.option(
+    "--collectd", default="127.0.0.1:0", show_default=True, help="Collectd's packets; '' for none."
+)
 @click.option("--unix", default="", help="Path of a socket that takes PUTVAL.")
-@click.option("--security", type=click.Choice(["none", "sign", "encrypt"]), default="none", show_default=True)
+@click.option(
+    "--security", type=click.Choice(["none", "sign", "encrypt"]), default="none", show_default=True
+)
 @click.option("--user", default="", help="For signed and encrypted packets.")
 @click.option("--password-file", type=click.Path(exists=True, dir_okay=False))
-@click.option("--store", default=":memory:", show_default=True, help="An SQLite file that keeps what comes.")
-@click.option("--for", "span", type=DurationType(), default=None, help="End after so long, such as 60s.")
+@click.option(
+    "--store", default=":memory:", show_default=True, help="An SQLite file that keeps what comes."
+)
+@click.option(
+    "--for", "span", type=DurationType(), default=None, help="End after so long, such as 60s."
+)
 @click.option(
     "--misbehave",
     type=SpanType(),
@@ -72,7 +94,9 @@
     metavar="KIND@START+LENGTH",
     help=f"Such as vanish@10s+60s. Kinds: {', '.join(KINDS)}.",
 )
-@click.option("--only", default="", help="Print only totals of series with this text in their name.")
+@click.option(
+    "--only", default="", help="Print only totals of series with this text in their name."
+)
 @click.option("--json", "as_json", is_flag=True, help="Totals as one JSON object.")
 def receive(
     plaintext: str,
@@ -90,7 +114,8 @@
 ) -> None:
     """Play Graphite and collectd, and print the totals of all counts over all lives at the end.
 
-    Prints where it listens, one line a protocol, then waits for SIGINT, SIGTERM or the end of --for.
+    Prints where it listens, one line a protocol, then waits for SIGINT, SIGTERM or the end of
+    --for.
     """
     passwords = {}
     if password_file:
@@ -100,7 +125,9 @@
     stand_in = StandIn(ledger, Opener(security, passwords))
     wanted = {PLAINTEXT: plaintext, PICKLE: pickle, COLLECTD: collectd, UNIX: unix}
     try:
-        asyncio.run(_receive(stand_in, {name: at for name, at in wanted.items() if at}, misbehave, span))
+        asyncio.run(
+            _receive(stand_in, {name: at for name, at in wanted.items() if at}, misbehave, span)
+        )
     except OSError as error:
         raise click.ClickException(f"cannot listen: {error}") from error
     report(ledger, only, as_json)
--- a/dockthread/cli/work.py
+++ b/dockthread/cli/work.py
@@ -33,7 +33,9 @@
         raise click.BadParameter(f"{value!r} {error}") from error
 
 
-at_option = click.option("--at", required=True, callback=door_of, metavar="HOST:PORT", help="A management door.")
+at_option = click.option(
+    "--at", required=True, callback=door_of, metavar="HOST:PORT", help="A management door."
+)
 json_option = click.option("--json", "as_json", is_flag=True, help="As the ingress says it.")
 
 
@@ -76,11 +78,25 @@
 @work.command()
 @click.argument("target")
 @click.option("--why", default="", help="For whoever looks.")
-@click.option("--urgency", default=0, show_default=True, type=click.IntRange(-100, 100), help="Higher goes first.")
-@click.option("--for", "length", callback=length_of, metavar="TIME", help="How long it is to take, such as 2h.")
+@click.option(
+    "--urgency",
+    default=0,
+    show_default=True,
+    type=click.IntRange(-100, 100),
+    help="Higher goes first.",
+)
+@click.option(
+    "--for",
+    "length",
+    callback=length_of,
+    metavar="TIME",
+    help="How long it is to take, such as 2h.",
+)
 @at_option
 @json_option
-def ask(target: str, why: str, urgency: int, length: float, at: tuple[str, int], as_json: bool) -> None:
+def ask(
+    target: str, why: str, urgency: int, length: float, at: tuple[str, int], as_json: bool
+) -> None:
     """Ask for the turn of a licence node or of an ingress. Asked twice it is one request."""
     said("ask", {"target": target, "why": why, "urgency": urgency, "for": length}, at, as_json)
 
@@ -118,10 +134,14 @@
 
 @work.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
-@click.option("--most-out", default=1, show_default=True, type=click.IntRange(1), help="Of one zone at once.")
+@click.option(
+    "--most-out", default=1, show_default=True, type=click.IntRange(1), help="Of one zone at once."
+)
 @json_option
 def plan(file: Path, most_out: int, as_json: bool) -> None:
-    """Offline: in what order the machines of FILE would go, and why each waits. A line: MACHINE ZONE [URGENCY]."""
+    """Offline: in what order the machines of FILE would go, and why each waits. A line: MACHINE
+    ZONE [URGENCY].
+    """
     from dockthread.maintenance.plan import read, rounds
 
     try:
@@ -167,6 +187,10 @@
     if as_json:
         click.echo(json.dumps(state))
         return
-    click.echo(f"{state['name']} is {state['role']} in term {state['term']}, led by {state['leader'] or 'nobody'}")
+    click.echo(
+        f"{state['name']} is {state['role']} in term {state['term']}, led by {state['leader'] or 'nobody'}"
+    )
     click.echo(f"voters: {', '.join(state['voters'])}")
-    click.echo(f"log: {state['last']} entries, {state['commit']} agreed, {state['applied']} applied")
+    click.echo(
+        f"log: {state['last']} entries, {state['commit']} agreed, {state['applied']} applied"
+    )
--- a/dockthread/clock.py
+++ b/dockthread/clock.py
@@ -8,8 +8,8 @@
 class Clock:
     """The system's monotonic clock, and a fixed offset to Unix time taken once.
 
-    One offset for the whole life: if it followed the system's adjustments, an unchanged `boot_ms` would move
-    and read as a restart of the backend.
+    One offset for the whole life: if it followed the system's adjustments, an unchanged `boot_ms`
+    would move and read as a restart of the backend.
     """
 
     __slots__ = ("_unix_offset",)
--- a/dockthread/config/ini_reader.py
+++ b/dockthread/config/ini_reader.py
@@ -1,10 +1,11 @@
 """From the text of an operator's file to typed sections, and all that is wrong with it.
 
-How it goes. `configparser` splits the text into sections of keys and texts. A section's head is a kind, such
-as `telemetry`, or a kind and a name, such as `graphite main`. Each kind has a `msgspec.Struct`; its fields are
-the keys, their types decide how a text is read, their defaults hold where a key is left out. Nothing stops at
-the first fault: `check` is to show them all. What a section cannot see alone is checked by the place that joins
-the sections (`dockthread/config/section_registry.py`).
+How it goes. `configparser` splits the text into sections of keys and texts. A section's head is a
+kind, such as `telemetry`, or a kind and a name, such as `graphite main`. Each kind has a
+`msgspec.Struct`; its fields are the keys, their types decide how a text is read, their defaults
+hold where a key is left out. Nothing stops at the first fault: `check` is to show them all. What a
+section cannot see alone is checked by the place that joins the sections
+(`dockthread/config/section_registry.py`).
 """
 
 from __future__ import annotations
@@ -21,7 +22,8 @@
 
 from dockthread.config.quantities import Duration, Share, Size, yes_or_no
 
-MOST_BYTES = 4 * 1024 * 1024  # of a file: a wrong path, such as one to a log, must not fill the memory
+# of a file: a wrong path, such as one to a log, must not fill the memory
+MOST_BYTES = 4 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +38,11 @@
     warning: bool = False
 
     def __str__(self) -> str:
-        where = f"{self.file}: " + (self.section and f"[{self.section}] ") + (self.key and f"{self.key}: ")
+        where = (
+            f"{self.file}: "
+            + (self.section and f"[{self.section}] ")
+            + (self.key and f"{self.key}: ")
+        )
         text = where + self.wrong + (f"; {self.would_do}" if self.would_do else "")
         return " ".join(text.split())
 
@@ -51,7 +57,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """How sections of one kind are read. Those `named` may stand several times, with unlike names."""
+    """How sections of one kind are read. Those `named` may stand several times, with unlike
+    names.
+    """
 
     struct: type[Section]
     named: bool = False
@@ -59,7 +67,9 @@
 
 @dataclass(slots=True)
 class Read:
-    """A file as read: sections by kind and name ('' where the kind has none), and the keys it set itself."""
+    """A file as read: sections by kind and name ('' where the kind has none), and the keys it set
+    itself.
+    """
 
     file: str
     sections: dict[str, dict[str, Section]] = field(default_factory=dict)
@@ -78,7 +88,9 @@
 
 
 def read(text: str, file: str, kinds: Mapping[str, Kind]) -> Read:
-    """Read a file's text; `file` is only its name in problems. Unnamed kinds always have a section."""
+    """Read a file's text; `file` is only its name in problems. Unnamed kinds always have a
+    section.
+    """
     found = Read(file)
     parser = configparser.ConfigParser(
         interpolation=None,
@@ -99,13 +111,17 @@
         name = name.strip()
         if kind not in kinds:
             near = _near(kind, kinds)
-            found.problems.append(Problem(file, head, "", "is no section", near or f"known: {_all(kinds)}"))
+            found.problems.append(
+                Problem(file, head, "", "is no section", near or f"known: {_all(kinds)}")
+            )
         elif kinds[kind].named and not name:
             found.problems.append(Problem(file, head, "", "needs a name", f"such as [{kind} main]"))
         elif name and not kinds[kind].named:
             found.problems.append(Problem(file, head, "", "takes no name", f"write [{kind}]"))
         elif name in found.sections.get(kind, {}):
-            found.problems.append(Problem(file, head, "", "stands twice", "give one of them another name"))
+            found.problems.append(
+                Problem(file, head, "", "stands twice", "give one of them another name")
+            )
         else:
             section = _section(found, head, kinds[kind].struct, dict(parser.items(head)))
             if section is not None:
@@ -122,7 +138,9 @@
         wrong = f"stands twice (line {error.lineno})"
         return Problem(file, error.section, "", wrong, "join the two, or rename one")
     if isinstance(error, configparser.DuplicateOptionError):
-        return Problem(file, error.section, error.option, f"stands twice (line {error.lineno})", "leave one")
+        return Problem(
+            file, error.section, error.option, f"stands twice (line {error.lineno})", "leave one"
+        )
     if isinstance(error, configparser.MissingSectionHeaderError):
         wrong = f"line {error.lineno} stands before any section"
         return Problem(file, "", "", wrong, "begin with a head such as [telemetry]")
@@ -131,7 +149,9 @@
     return Problem(file, "", "", wrong, "write KEY = VALUE")
 
 
-def _section(found: Read, head: str, struct: type[Section], texts: dict[str, str]) -> Section | None:
+def _section(
+    found: Read, head: str, struct: type[Section], texts: dict[str, str]
+) -> Section | None:
     known = {f.encode_name: f for f in msgspec.structs.fields(struct)}
     values: dict[str, Any] = {}
     bad: set[str] = set()
@@ -153,7 +173,8 @@
             wrong(name, "is missing", f"write {name} = ...")
     if any(wanted.required and wanted.name not in values for wanted in known.values()):
         return None
-    section = struct(**values)  # defaults in place of bad keys, so that the rest is looked at all the same
+    # defaults in place of bad keys, so that the rest is looked at all the same
+    section = struct(**values)
     for key, text, would_do in section.faults():
         if key not in bad:
             wrong(key, text, would_do)
--- a/dockthread/config/platform_settings.py
+++ b/dockthread/config/platform_settings.py
@@ -1,6 +1,8 @@
-"""Reads what an operator sets: the settings, for adapter and ingress alike, and the ingress's configuration.
+"""Reads what an operator sets: the settings, for adapter and ingress alike, and the ingress's
+configuration.
 
-Settings come in microseconds. The module is given seconds; what the ingress itself uses is in milliseconds.
+Settings come in microseconds. The module is given seconds; what the ingress itself uses is in
+milliseconds.
 """
 
 from __future__ import annotations
@@ -51,8 +53,9 @@
         return socket.socket(family, kind | socket.SOCK_NONBLOCK)
 
     def listener(self, backlog: int | None) -> socket.socket:
-        """A socket that listens here, for the loop: for connections, or without a backlog for datagrams, and then
-        alone. Raises OSError where it cannot, and then holds nothing."""
+        """A socket that listens here, for the loop: for connections, or without a backlog for
+        datagrams, and then alone. Raises OSError where it cannot, and then holds nothing.
+        """
         listener = self.new_socket(socket.SOCK_DGRAM if backlog is None else socket.SOCK_STREAM)
         try:
             if backlog is not None:
@@ -71,7 +74,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerAddresses:
-    """Where the ingresses of the tier hear each other: `peers` by number, this one's own among them."""
+    """Where the ingresses of the tier hear each other: `peers` by number, this one's own among
+    them.
+    """
 
     listen: Address
     peers: tuple[Address, ...]
@@ -80,7 +85,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that one ingress is told at its start. Times are in milliseconds but for the module's settings."""
+    """All that one ingress is told at its start. Times are in milliseconds but for the module's
+    settings.
+    """
 
     name: str
     listen: Address
@@ -99,12 +106,14 @@
     connect_timeout: float = 250.0
     most_open: int = 20_000
     management: Address | None = None  # the management door, where there is one
-    inherited: int | None = None  # the descriptor of a listening socket that the platform holds for clients
+    # the descriptor of a listening socket that the platform holds for clients
+    inherited: int | None = None
 
 
 def read_config(environ: Mapping[str, str]) -> Config:
-    """The configuration at `NODE_CONFIG`; `NODE_NAME`, `NODE_LISTEN`, `NODE_DISCOVERY`, `NODE_MANAGEMENT` override
-    its own."""
+    """The configuration at `NODE_CONFIG`; `NODE_NAME`, `NODE_LISTEN`, `NODE_DISCOVERY`,
+    `NODE_MANAGEMENT` override its own.
+    """
     path = environ.get("NODE_CONFIG")
     if not path:
         raise SettingsError("NODE_CONFIG is not set: it names the configuration file")
@@ -125,8 +134,9 @@
 
 
 def reread_config(environ: Mapping[str, str]) -> Config:
-    """The configuration after SIGHUP. The environment is as old as the process: only the file can say where
-    discovery lies now."""
+    """The configuration after SIGHUP. The environment is as old as the process: only the file can
+    say where discovery lies now.
+    """
     return read_config({name: value for name, value in environ.items() if name != "NODE_DISCOVERY"})
 
 
@@ -134,7 +144,11 @@
     settings = raw["settings"]
     if not isinstance(settings, dict):
         raise SettingsError("settings is not an object")
-    limits, domain, machine = settings.get("Limits", {}), settings.get("Domain", {}), raw.get("limits", {})
+    limits, domain, machine = (
+        settings.get("Limits", {}),
+        settings.get("Domain", {}),
+        raw.get("limits", {}),
+    )
     sockets = machine.get("sockets", 1024)
     if sockets < 64:
         raise SettingsError(f"limits.sockets is {sockets}, and an ingress needs at least 64")
@@ -156,7 +170,9 @@
         connect_timeout=limits.get("ConnectTimeout", SECOND / 4) / MILLISECOND,
         most_open=limits.get("MaxOpen", 20_000),
         inherited=int(fd) if (fd := environ.get("NODE_INHERITED_FD")) else None,
-        management=Address.parse(door) if (door := environ.get("NODE_MANAGEMENT") or raw.get("management")) else None,
+        management=Address.parse(door)
+        if (door := environ.get("NODE_MANAGEMENT") or raw.get("management"))
+        else None,
     )
 
 
@@ -165,13 +181,17 @@
     if not listen or not peers:
         return None
     if not isinstance(peers, list) or len(peers) != gateways:
-        raise SettingsError(f"peers is {peers!r}; a list of {gateways} addresses, as settings.ReplicasOfMe, would do")
+        raise SettingsError(
+            f"peers is {peers!r}; a list of {gateways} addresses, as settings.ReplicasOfMe, would do"
+        )
     every = Address.parse(everyone) if everyone else None
     return PeerAddresses(Address.parse(listen), tuple(map(Address.parse, peers)), every)
 
 
 def read_for_check(path: str) -> tuple[api.Settings, Names]:
-    """Settings and names of a file: the platform's configuration, or its `settings` alone. Raises SettingsError."""
+    """Settings and names of a file: the platform's configuration, or its `settings` alone. Raises
+    SettingsError.
+    """
     try:
         raw = json.loads(Path(path).read_bytes())
         settings = raw.get("settings", raw)
@@ -208,9 +228,13 @@
     for number, c in enumerate(raw["Classes"]):
         for key in ("Aim", "HardLimit"):
             if not c[key] > 0:
-                raise SettingsError(f"settings.Classes[{number}].{key} is {c[key]!r}; a time over 0 would do")
+                raise SettingsError(
+                    f"settings.Classes[{number}].{key} is {c[key]!r}; a time over 0 would do"
+                )
     if not limits.get("SendCap", 1) > 0:
-        raise SettingsError(f"settings.Limits.SendCap is {limits['SendCap']!r}; 1 attempt or more would do")
+        raise SettingsError(
+            f"settings.Limits.SendCap is {limits['SendCap']!r}; 1 attempt or more would do"
+        )
     if not raw["Classes"]:
         raise SettingsError("settings.Classes is empty; one class at least would do")
     classes = tuple(
--- a/dockthread/config/quantities.py
+++ b/dockthread/config/quantities.py
@@ -4,7 +4,14 @@
 
 import re
 
-MILLISECONDS = {"us": 0.001, "ms": 1.0, "s": 1_000.0, "m": 60_000.0, "min": 60_000.0, "h": 3_600_000.0}
+MILLISECONDS = {
+    "us": 0.001,
+    "ms": 1.0,
+    "s": 1_000.0,
+    "m": 60_000.0,
+    "min": 60_000.0,
+    "h": 3_600_000.0,
+}
 BYTES = {"b": 1, "kib": 1 << 10, "mib": 1 << 20, "gib": 1 << 30, "kb": 1_000, "mb": 1_000_000}
 NUMBER = re.compile(r"([0-9]+(?:\.[0-9]+)?)\s*([A-Za-z]*)")
 YES, NO = ("yes", "true", "on", "1"), ("no", "false", "off", "0")
@@ -18,7 +25,9 @@
         """Raises ValueError for what is no number with a unit of time."""
         found = NUMBER.fullmatch(text.strip())
         if found is None or found[2].lower() not in MILLISECONDS:
-            raise ValueError("is not a duration: a number and one of us, ms, s, min, h, such as 250ms or 10s")
+            raise ValueError(
+                "is not a duration: a number and one of us, ms, s, min, h, such as 250ms or 10s"
+            )
         return cls(float(found[1]) * MILLISECONDS[found[2].lower()])
 
     def __str__(self) -> str:
--- a/dockthread/config/section_registry.py
+++ b/dockthread/config/section_registry.py
@@ -16,7 +16,12 @@
 from dockthread.raft.options import FleetOptions
 from dockthread.routes.check import check
 from dockthread.routes.options import RouteOptions
-from dockthread.telemetry.options import CollectdOptions, GraphiteOptions, TelemetryOptions, shared_names
+from dockthread.telemetry.options import (
+    CollectdOptions,
+    GraphiteOptions,
+    TelemetryOptions,
+    shared_names,
+)
 
 KINDS = {
     "log": Kind(LogOptions),
@@ -35,20 +40,28 @@
     return option or environ.get(VARIABLE) or None
 
 
-def read_text(text: str, file: str, settings: api.Settings | None = None, names: Names | None = None) -> Read:
-    """With the platform's settings, routes are proved against them; without, only against each other."""
+def read_text(
+    text: str, file: str, settings: api.Settings | None = None, names: Names | None = None
+) -> Read:
+    """With the platform's settings, routes are proved against them; without, only against each
+    other.
+    """
     found = read(text, file, KINDS)
     found.problems += check(file, found.named("route"), settings, names)
     for name in shared_names(found.named("graphite"), found.named("collectd")):
         found.problems.append(
-            Problem(file, f"collectd {name}", "", "has the name of a graphite receiver", "rename one")
+            Problem(
+                file, f"collectd {name}", "", "has the name of a graphite receiver", "rename one"
+            )
         )
     found.problems += _control_problems(file, found)
     return found
 
 
 def _control_problems(file: str, found: Read) -> list[Problem]:
-    """What `[control]` and `[fleet]` say against each other; nothing where either could not be read."""
+    """What `[control]` and `[fleet]` say against each other; nothing where either could not be
+    read.
+    """
     if "control" not in found.sections or "fleet" not in found.sections:
         return []
     control, fleet = found.one("control"), found.one("fleet")
@@ -56,7 +69,13 @@
         return []
     if not fleet.listen:
         return [
-            Problem(file, "control", "role", "is voter, and there is no [fleet]", "write [fleet] with all voters")
+            Problem(
+                file,
+                "control",
+                "role",
+                "is voter, and there is no [fleet]",
+                "write [fleet] with all voters",
+            )
         ]
     if control.name not in fleet.addresses():
         wrong = f"{control.name!r} is not among the members of [fleet]"
@@ -79,7 +98,9 @@
 
 
 def load(path: str, settings: api.Settings | None = None, names: Names | None = None) -> Read:
-    """A file without a fault. Raises SettingsError with its first fault, and how many more there are."""
+    """A file without a fault. Raises SettingsError with its first fault, and how many more there
+    are.
+    """
     found = read_file(path, settings, names)
     if errors := found.errors:
         more = f" (and {len(errors) - 1} more: dockthread check {path})" if len(errors) > 1 else ""
--- a/dockthread/control_plane/admin_client.py
+++ b/dockthread/control_plane/admin_client.py
@@ -1,4 +1,6 @@
-"""Asks servers of control from outside: publishes, looks up, and puts together what all of them tell."""
+"""Asks servers of control from outside: publishes, looks up, and puts together what all of them
+tell.
+"""
 
 from __future__ import annotations
 
@@ -51,8 +53,12 @@
             writer.close()
 
 
-async def publish(servers: Sequence[Address], change: Publish, key: bytes, most: float = PUBLISHING) -> Published:
-    """By the first server that knows; the others are asked with the same token, so that it counts once."""
+async def publish(
+    servers: Sequence[Address], change: Publish, key: bytes, most: float = PUBLISHING
+) -> Published:
+    """By the first server that knows; the others are asked with the same token, so that it counts
+    once.
+    """
     last = Published(change.token, -1, "no server was asked")
     loop = asyncio.get_running_loop()
     until = loop.time() + most
@@ -65,7 +71,11 @@
                 continue
             if isinstance(answer, Published) and answer.revision >= 0:
                 return answer
-            reason = answer.reason if isinstance(answer, Published) else f"it says {type(answer).__name__}"
+            reason = (
+                answer.reason
+                if isinstance(answer, Published)
+                else f"it says {type(answer).__name__}"
+            )
             last = Published(change.token, -1, f"{server}: {reason}")
         if loop.time() + PAUSE >= until:
             return last
@@ -116,7 +126,11 @@
 
     def lagging_servers(self) -> list[Status]:
         """Servers that do not hold what the furthest one holds."""
-        return [one for one in self.servers.values() if (one.epoch, one.revision) != (self.epoch, self.revision)]
+        return [
+            one
+            for one in self.servers.values()
+            if (one.epoch, one.revision) != (self.epoch, self.revision)
+        ]
 
     @property
     def good(self) -> bool:
@@ -138,7 +152,9 @@
             whole.missed[str(server)] = str(error)
 
     await asyncio.gather(*(one(server) for server in servers))
-    newest = max(whole.servers.values(), key=lambda s: (s.role == "voter", s.revision), default=None)
+    newest = max(
+        whole.servers.values(), key=lambda s: (s.role == "voter", s.revision), default=None
+    )
     if newest is not None:
         whole.epoch, whole.revision = newest.epoch, newest.revision
     whole.subscribers = _joined(list(whole.servers.values()))
@@ -146,8 +162,9 @@
 
 
 def _joined(servers: list[Status]) -> list[SubscriberStatus]:
-    """Each subscriber once, as the server knows it that it is connected to, or was last ahead with; but for servers
-    that told of themselves."""
+    """Each subscriber once, as the server knows it that it is connected to, or was last ahead with;
+    but for servers that told of themselves.
+    """
     best: dict[str, SubscriberStatus] = {}
     known = {server.name for server in servers}
     for server in servers:
--- a/dockthread/control_plane/admission.py
+++ b/dockthread/control_plane/admission.py
@@ -1,9 +1,11 @@
-"""Who may have a snapshot now: a budget of bytes over time, and a time to come again for who may not.
+"""Who may have a snapshot now: a budget of bytes over time, and a time to come again for who may
+not.
 
-Theory of operation. Parts of snapshots are paid from a token bucket, so that what leaves in any time T is at most the
-burst, the rate times T, and one part. A subscriber is taken in while what is owed to those before it can be sent
-within `WAIT`; each one that is not gets a slot of its own behind the slots already given, drawn a little apart, so
-that a wave of restarts is worked off at the rate and not faster.
+Theory of operation. Parts of snapshots are paid from a token bucket, so that what leaves in any
+time T is at most the burst, the rate times T, and one part. A subscriber is taken in while what is
+owed to those before it can be sent within `WAIT`; each one that is not gets a slot of its own
+behind the slots already given, drawn a little apart, so that a wave of restarts is worked off at
+the rate and not faster.
 """
 
 from __future__ import annotations
@@ -16,10 +18,20 @@
 
 
 class SnapshotBudget:
-    """`rate`: bytes a second; `burst`: bytes at once; `least`, `most`: bounds of the time to come again, in ms."""
+    """`rate`: bytes a second; `burst`: bytes at once; `least`, `most`: bounds of the time to come
+    again, in ms.
+    """
 
-    def __init__(self, rate: float, burst: float, least: float, most: float, rng: random.Random) -> None:
-        self._rate, self._burst, self._least, self._most, self._rng = rate / 1000.0, burst, least, most, rng
+    def __init__(
+        self, rate: float, burst: float, least: float, most: float, rng: random.Random
+    ) -> None:
+        self._rate, self._burst, self._least, self._most, self._rng = (
+            rate / 1000.0,
+            burst,
+            least,
+            most,
+            rng,
+        )
         self._tokens, self._filled_at = burst, 0.0
         self._owed = 0.0  # bytes to those that were taken in
         self._slots_until = 0.0
@@ -47,7 +59,11 @@
 
     def affords_at(self) -> float:
         """When a part may leave."""
-        return self._filled_at if self._tokens > 0.0 else self._filled_at + (1.0 - self._tokens) / self._rate
+        return (
+            self._filled_at
+            if self._tokens > 0.0
+            else self._filled_at + (1.0 - self._tokens) / self._rate
+        )
 
     def spend(self, sent: float) -> None:
         """A part of so many bytes left."""
--- a/dockthread/control_plane/applied_resources.py
+++ b/dockthread/control_plane/applied_resources.py
@@ -6,7 +6,13 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from dockthread.control_plane.messages import MOST_REASON, MOST_REJECTIONS, Acknowledge, Rejection, Resource
+from dockthread.control_plane.messages import (
+    MOST_REASON,
+    MOST_REJECTIONS,
+    Acknowledge,
+    Rejection,
+    Resource,
+)
 
 
 @dataclass(slots=True)
@@ -44,7 +50,9 @@
             self._held = then
 
     def applied(self, number: int, rejected: Iterable[Rejection]) -> bool:
-        """All up to this batch is in force but for what was rejected. False for a batch that is not awaited."""
+        """All up to this batch is in force but for what was rejected. False for a batch that is not
+        awaited.
+        """
         if not self._batches or not self._batches[0].number <= number <= self._given:
             return False
         while self._batches and self._batches[0].number <= number:
@@ -62,4 +70,6 @@
         """What is in force now."""
         held = self._held
         rejected = self.rejections
-        return Acknowledge(held.epoch, held.revision, held.digest, rejected[:MOST_REJECTIONS], len(rejected))
+        return Acknowledge(
+            held.epoch, held.revision, held.digest, rejected[:MOST_REJECTIONS], len(rejected)
+        )
--- a/dockthread/control_plane/client.py
+++ b/dockthread/control_plane/client.py
@@ -1,11 +1,12 @@
 """Receives configuration and has an owner put it in force: the rim round `Subscriber`.
 
-Theory of operation. The core says where to connect, what to say and what has changed. Changes go to the owner in
-their order and in slices, one a turn of the loop, so that requests are answered between them; what it refused is
-tried once more at the end of the batch, as one change may need another of the same batch. Then the batch is
-acknowledged and handed to the cache. While `MOST_BATCHES` wait, nothing more is read from the server. One timer
-serves a client, set for when the core wants to be told of the time; there is no thread and nothing shared, so many
-clients can have one loop.
+Theory of operation. The core says where to connect, what to say and what has changed. Changes go to
+the owner in their order and in slices, one a turn of the loop, so that requests are answered
+between them; what it refused is tried once more at the end of the batch, as one change may need
+another of the same batch. Then the batch is acknowledged and handed to the cache. While
+`MOST_BATCHES` wait, nothing more is read from the server. One timer serves a client, set for when
+the core wants to be told of the time; there is no thread and nothing shared, so many clients can
+have one loop.
 """
 
 from __future__ import annotations
@@ -23,7 +24,15 @@
 
 from dockthread.clock import Clock
 from dockthread.config.platform_settings import Address
-from dockthread.control_plane.messages import MOST_FRAME, Heartbeat, Message, Rejection, Resource, RetryLater, Update
+from dockthread.control_plane.messages import (
+    MOST_FRAME,
+    Heartbeat,
+    Message,
+    Rejection,
+    Resource,
+    RetryLater,
+    Update,
+)
 from dockthread.control_plane.options import ControlOptions
 from dockthread.control_plane.resource_table import ResourceTable
 from dockthread.control_plane.snapshot_cache import Cache
@@ -53,10 +62,14 @@
     """Puts resources in force."""
 
     def apply(self, changes: Sequence[Resource]) -> Sequence[Rejection]:
-        """In their order, each as far as it is good; what is refused changes nothing. Must not block for long."""
+        """In their order, each as far as it is good; what is refused changes nothing. Must not
+        block for long.
+        """
 
     def in_force(self, kind: str, name: str) -> Resource | None:
-        """What holds now under that name, whatever was refused since; None for nothing, or where it is not known."""
+        """What holds now under that name, whatever was refused since; None for nothing, or where it
+        is not known.
+        """
 
     def settled(self) -> None:
         """All that came up to now was handed over."""
@@ -121,7 +134,9 @@
         if cached is not None:
             rejections = self._restore(cached.table, cached.kept)
             logger.info(
-                "control: {} resources of revision {} from the cache", len(cached.table), cached.table.revision
+                "control: {} resources of revision {} from the cache",
+                len(cached.table),
+                cached.table.revision,
             )
         self.subscriber = Subscriber(
             name,
@@ -136,7 +151,9 @@
         )
 
     def _restore(self, table: ResourceTable, kept: Sequence[Resource]) -> Sequence[Rejection]:
-        """What was in force when the cache was written, then what was refused then: it may be good by now."""
+        """What was in force when the cache was written, then what was refused then: it may be good
+        by now.
+        """
         later = {(one.kind, one.name) for one in kept}
         self._owner.apply(kept)
         good = (one for one in table.live() if (one.kind, one.name) not in later)
@@ -184,7 +201,10 @@
                 case Connect():
                     self._opening = action.connection, self._loop.create_task(self._open(action))
                 case Send():
-                    if self._connection is not None and self._connection.number == action.connection:
+                    if (
+                        self._connection is not None
+                        and self._connection.number == action.connection
+                    ):
                         self._connection.send(action.message)
                 case Disconnect():
                     self._disconnect(action)
@@ -202,14 +222,18 @@
             await self._loop.create_connection(lambda: made, at.host, at.port)
         except OSError as error:
             if not self._closed:
-                self._do(self.subscriber.disconnected(self._clock.now(), action.connection, str(error)))
+                self._do(
+                    self.subscriber.disconnected(self._clock.now(), action.connection, str(error))
+                )
             return
         self._opening = None
         if self._closed:
             made.abort()
             return
         if made.is_closing:
-            self._do(self.subscriber.disconnected(self._clock.now(), action.connection, "closed at once"))
+            self._do(
+                self.subscriber.disconnected(self._clock.now(), action.connection, "closed at once")
+            )
             return
         self._connection = made
         self._do(self.subscriber.connected(self._clock.now(), action.connection))
@@ -283,7 +307,9 @@
             return self._owner.apply(part)
         except Exception as error:  # a fault of the owner must not end the distribution to it
             logger.exception("control: changes could not be applied")
-            return [Rejection(one.kind, one.name, one.revision, f"fault: {error!r}") for one in part]
+            return [
+                Rejection(one.kind, one.name, one.revision, f"fault: {error!r}") for one in part
+            ]
 
     def _finish(self, batch: Changed) -> None:
         if self._refused and len(batch.resources) > len(self._refused):
@@ -305,7 +331,9 @@
         self._do(self.subscriber.applied(self._clock.now(), batch.batch, refused))
 
     def _save(self, batch: Changed) -> None:
-        """Only with nothing under way and a whole table: then what it holds is what was handed over."""
+        """Only with nothing under way and a whole table: then what it holds is what was handed
+        over.
+        """
         assert self._cache is not None
         self._unsaved += batch.resources
         if not self._batches and self.subscriber.table.whole:
--- a/dockthread/control_plane/encoded.py
+++ b/dockthread/control_plane/encoded.py
@@ -1,4 +1,6 @@
-"""Frames that many subscribers are sent, encoded once: the parts of one snapshot, and what follows a revision."""
+"""Frames that many subscribers are sent, encoded once: the parts of one snapshot, and what follows
+a revision.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +17,9 @@
 
 @dataclass(frozen=True, slots=True)
 class DeltaFrame:
-    """`revision`: what its receiver holds after it; `digest`: of all, empty where this is not all."""
+    """`revision`: what its receiver holds after it; `digest`: of all, empty where this is not
+    all.
+    """
 
     frame: bytes
     revision: int
@@ -48,7 +52,8 @@
         self._table, self._part, self._key = table, part, key
         self._snapshot: Snapshot | None = None
         self._deltas: dict[int, DeltaFrame] = {}
-        self._deltas_of = ("", 0, True, b"")  # epoch, revision, wholeness and digest of the table that they are of
+        # epoch, revision, wholeness and digest of the table that they are of
+        self._deltas_of = ("", 0, True, b"")
 
     def snapshot(self) -> Snapshot:
         """The cached one where deltas bring its receiver up to date soon, else a new one."""
@@ -68,7 +73,9 @@
             self._deltas, self._deltas_of = {}, state
         if revision not in self._deltas:
             update = table.since(revision, self._part)
-            self._deltas[revision] = DeltaFrame(codec.pack(update, self._key), update.revision, update.digest)
+            self._deltas[revision] = DeltaFrame(
+                codec.pack(update, self._key), update.revision, update.digest
+            )
         return self._deltas[revision]
 
     def _near(self, snapshot: Snapshot) -> bool:
--- a/dockthread/control_plane/fanout.py
+++ b/dockthread/control_plane/fanout.py
@@ -1,9 +1,10 @@
 """One table served to many subscribers: no queue for any of them, only a cursor. Free of I/O.
 
-Theory of operation. The rim tells what arrives on a connection and asks for `next_frame` whenever that connection's
-socket has room; the frame is made from the table as it is then, so a slow subscriber is sent the latest of each key
-and nothing waits for it in memory. A frame that was handed over counts as sent: if the connection breaks instead, its
-cursor goes with it, and the subscriber tells on its next one what it holds.
+Theory of operation. The rim tells what arrives on a connection and asks for `next_frame` whenever
+that connection's socket has room; the frame is made from the table as it is then, so a slow
+subscriber is sent the latest of each key and nothing waits for it in memory. A frame that was
+handed over counts as sent: if the connection breaks instead, its cursor goes with it, and the
+subscriber tells on its next one what it holds.
 
 | what a subscriber holds | what it is sent |
 | --- | --- |
@@ -12,10 +13,10 @@
 | an older revision | deltas in parts |
 | a newer revision than the table | heartbeats, until the table has come past it |
 
-Frames are encoded once: the parts of a snapshot are kept and sent to all who need one until the table is too far
-from it, and the frame that follows a revision is kept until the table changes. What the snapshots of a wave of
-restarts may cost is bounded by a token bucket of bytes: who finds it empty is told to come again (`RetryLater`) at a
-time that is spread over the wave.
+Frames are encoded once: the parts of a snapshot are kept and sent to all who need one until the
+table is too far from it, and the frame that follows a revision is kept until the table changes.
+What the snapshots of a wave of restarts may cost is bounded by a token bucket of bytes: who finds
+it empty is told to come again (`RetryLater`) at a time that is spread over the wave.
 """
 
 from __future__ import annotations
@@ -45,17 +46,20 @@
 from dockthread.control_plane.resource_table import ResourceTable
 
 NEVER_SENT: Final = -1e18
-FULL_RETRY: Final = 500.0  # ms, about: no room for one more subscriber, so it had better go elsewhere
-SNAPSHOT_KEPT: Final = 60_000.0  # ms for which the encoded snapshot is kept after it was last asked for
+# ms, about: no room for one more subscriber, so it had better go elsewhere
+FULL_RETRY: Final = 500.0
+# ms for which the encoded snapshot is kept after it was last asked for
+SNAPSHOT_KEPT: Final = 60_000.0
 MOST_GONE: Final = 20_000  # subscribers remembered after they are gone
 EARLY: Final = 1.0  # ms by which a heartbeat may leave early
 
 
 @dataclass(frozen=True, slots=True)
 class FanoutLimits:
-    """`snapshot_rate`: bytes of snapshots a second, over time; `snapshot_burst`: bytes of them at once. Times in ms:
-    `beat` between heartbeats, `silence` after which a subscriber is closed, `remember` for the status of one that is
-    gone. `part`: bytes of resources in one frame."""
+    """`snapshot_rate`: bytes of snapshots a second, over time; `snapshot_burst`: bytes of them at
+    once. Times in ms: `beat` between heartbeats, `silence` after which a subscriber is closed,
+    `remember` for the status of one that is gone. `part`: bytes of resources in one frame.
+    """
 
     most_subscribers: int = 400
     snapshot_rate: float = 20e6
@@ -103,20 +107,27 @@
     snapshot: Snapshot | None = None  # under way
     wants_snapshot: bool = False
     part: int = 0
-    confirmed: bytes = NO_DIGEST  # the last digest that it was told, where nothing was handed over since
+    # the last digest that it was told, where nothing was handed over since
+    confirmed: bytes = NO_DIGEST
     owed: float = 0.0  # bytes of the snapshot
     heartbeat_at: float = NEVER_SENT
     replaced: bool = False  # by another connection of the same name
 
 
 class Fanout:
-    """Serves `table`, which somebody else changes, to subscribers by the rim's numbers of their connections.
+    """Serves `table`, which somebody else changes, to subscribers by the rim's numbers of their
+    connections.
 
     `key`: with which frames are tagged. All times in ms of the one clock.
     """
 
     def __init__(
-        self, table: ResourceTable, limits: FanoutLimits, rng: random.Random, key: bytes = b"", now: float = 0.0
+        self,
+        table: ResourceTable,
+        limits: FanoutLimits,
+        rng: random.Random,
+        key: bytes = b"",
+        now: float = 0.0,
     ) -> None:
         self.table, self._limits, self._rng, self._key = table, limits, rng, key
         self._cursors: dict[int, _Cursor] = {}
@@ -133,15 +144,25 @@
         self._paced = False  # a part waits for the budget
 
     def subscribe(self, now: float, connection: int, message: Subscribe) -> RetryLater | None:
-        """The first message of a connection. None where it is taken in; else the rim sends the answer and closes, and
-        the connection is not known here. Raises `UnexpectedMessage` for a second one on the same connection."""
+        """The first message of a connection. None where it is taken in; else the rim sends the
+        answer and closes, and the connection is not known here. Raises `UnexpectedMessage` for a
+        second one on the same connection.
+        """
         if connection in self._cursors:
             raise UnexpectedMessage("it has subscribed before")
-        if not 0 < len(message.name.encode()) <= MOST_NAME or len(message.region + message.zone) > 2 * MOST_NAME:
+        if (
+            not 0 < len(message.name.encode()) <= MOST_NAME
+            or len(message.region + message.zone) > 2 * MOST_NAME
+        ):
             raise UnexpectedMessage("its name or place is empty or too long")
         self._arrivals.notice(now, self.table)
-        if len(self._connection_of) >= self._limits.most_subscribers and message.name not in self._connection_of:
-            return RetryLater(FULL_RETRY * self._rng.uniform(0.5, 1.5), "no room for one more subscriber")
+        if (
+            len(self._connection_of) >= self._limits.most_subscribers
+            and message.name not in self._connection_of
+        ):
+            return RetryLater(
+                FULL_RETRY * self._rng.uniform(0.5, 1.5), "no room for one more subscriber"
+            )
         cursor = _Cursor(_Standing(message, now), now, message.epoch, message.revision)
         if self._needs_snapshot(cursor, message.digest):
             if not self._budget.admits(now, self.table.bytes):
@@ -160,21 +181,27 @@
             raise UnexpectedMessage("it has not subscribed")
         cursor.heard_at = now
         if isinstance(message, Acknowledge):
-            if len(message.rejected) > MOST_REJECTIONS or any(_too_long(one) for one in message.rejected):
-                raise UnexpectedMessage("more or longer rejections than an acknowledgement may hold")
+            if len(message.rejected) > MOST_REJECTIONS or any(
+                _too_long(one) for one in message.rejected
+            ):
+                raise UnexpectedMessage(
+                    "more or longer rejections than an acknowledgement may hold"
+                )
             standing = cursor.standing
             standing.at, standing.epoch, standing.revision = now, message.epoch, message.revision
             standing.rejections, standing.rejected = message.rejections, message.rejected
 
     def next_frame(self, now: float, connection: int) -> bytes | None:
-        """The next frame for a connection whose socket has room, ready to be written: an update, or a heartbeat that
-        is due. Ask again until there is None: then when the table has changed, and at `due`. None too for one that is
-        not known."""
+        """The next frame for a connection whose socket has room, ready to be written: an update, or
+        a heartbeat that is due. Ask again until there is None: then when the table has changed, and
+        at `due`. None too for one that is not known.
+        """
         cursor = self._cursors.get(connection)
         if cursor is None or cursor.replaced:
             return None
         self._arrivals.notice(now, self.table)
-        if now - cursor.heartbeat_at >= 2 * self._limits.beat:  # the first one too: it tells how fresh this is
+        # the first one too: it tells how fresh this is
+        if now - cursor.heartbeat_at >= 2 * self._limits.beat:
             return self._heartbeat(now, cursor)
         frame = self._update(now, cursor)
         if frame is None and now - cursor.heartbeat_at >= self._limits.beat - EARLY:
@@ -196,12 +223,16 @@
                 self._gone.popitem(last=False)
 
     def fresh(self, now: float, age: float) -> None:
-        """The table was known to hold all that was agreed on `age` ms ago; `NEVER` for never. Heartbeats tell it. On
-        a voter: since it last heard from a leader, or as one from a majority; on a distributor `Subscriber.age`."""
+        """The table was known to hold all that was agreed on `age` ms ago; `NEVER` for never.
+        Heartbeats tell it. On a voter: since it last heard from a leader, or as one from a
+        majority; on a distributor `Subscriber.age`.
+        """
         self._fresh_at = now - age if age >= 0.0 else None
 
     def tick(self, now: float) -> list[Overdue]:
-        """Connections to be closed. Call it at `due`; then ask `next_frame` of every connection with room."""
+        """Connections to be closed. Call it at `due`; then ask `next_frame` of every connection
+        with room.
+        """
         self._arrivals.notice(now, self.table)
         self._paced = False  # whoever is asked next tells again
         if now >= self._beat_at:
@@ -209,7 +240,11 @@
         if now - self._snapshot_asked > SNAPSHOT_KEPT:
             self._cache.drop_snapshot()
         self._forget(now)
-        overdue = [Overdue(c, "replaced by a newer connection") for c, one in self._cursors.items() if one.replaced]
+        overdue = [
+            Overdue(c, "replaced by a newer connection")
+            for c, one in self._cursors.items()
+            if one.replaced
+        ]
         for connection, cursor in self._cursors.items():
             if not cursor.replaced and now - cursor.heard_at > self._limits.silence:
                 overdue.append(Overdue(connection, "silent for too long"))
@@ -228,7 +263,11 @@
     def status(self, now: float) -> tuple[SubscriberStatus, ...]:
         """Each subscriber, and each that is gone since less than `remember`, by name."""
         self._arrivals.notice(now, self.table)
-        here = {one.standing.message.name: one.standing for one in self._cursors.values() if not one.replaced}
+        here = {
+            one.standing.message.name: one.standing
+            for one in self._cursors.values()
+            if not one.replaced
+        }
         known = {**self._gone, **here}
         return tuple(self._status(now, known[name], name in here) for name in sorted(known))
 
@@ -247,7 +286,9 @@
         )
 
     def _replace(self, name: str, connection: int) -> None:
-        """The newest connection of a subscriber counts; its older one is closed at the next tick."""
+        """The newest connection of a subscriber counts; its older one is closed at the next
+        tick.
+        """
         older = self._connection_of.get(name)
         if older is not None:
             self._cursors[older].replaced = True
@@ -279,8 +320,9 @@
         return self._snapshot_part(now, cursor, cursor.snapshot)
 
     def _begin_snapshot(self, now: float, cursor: _Cursor) -> bytes | None:
-        """One that lost its place while it was served (other epoch, too slow) was not admitted for a snapshot: it is
-        owed one all the same, and paid from the same budget."""
+        """One that lost its place while it was served (other epoch, too slow) was not admitted for
+        a snapshot: it is owed one all the same, and paid from the same budget.
+        """
         if not self.table.whole:
             return None
         cursor.snapshot, cursor.part, cursor.wants_snapshot = self._cache.snapshot(), 0, False
@@ -305,14 +347,20 @@
     def _end_snapshot(self, cursor: _Cursor, snapshot: Snapshot) -> None:
         self._budget.settle(cursor.owed)
         cursor.owed, cursor.snapshot = 0.0, None
-        cursor.epoch, cursor.revision, cursor.confirmed = snapshot.epoch, snapshot.revision, snapshot.digest
+        cursor.epoch, cursor.revision, cursor.confirmed = (
+            snapshot.epoch,
+            snapshot.revision,
+            snapshot.digest,
+        )
         cursor.heartbeat_at = min(cursor.heartbeat_at, NEVER_SENT)  # how fresh it is now
 
     def _delta(self, cursor: _Cursor) -> bytes | None:
         table = self.table
         if cursor.epoch != table.epoch or not table.can_resume(cursor.revision):
             return None  # nothing here yet, or the table is behind
-        if cursor.revision == table.revision and (cursor.confirmed == table.digest or not table.whole):
+        if cursor.revision == table.revision and (
+            cursor.confirmed == table.digest or not table.whole
+        ):
             return None
         delta = self._cache.delta(cursor.revision)
         cursor.revision, cursor.confirmed = delta.revision, delta.digest
@@ -325,4 +373,7 @@
 
 
 def _too_long(rejection: Rejection) -> bool:
-    return max(len(rejection.kind), len(rejection.name)) > MOST_NAME or len(rejection.reason) > MOST_REASON
+    return (
+        max(len(rejection.kind), len(rejection.name)) > MOST_NAME
+        or len(rejection.reason) > MOST_REASON
+    )
--- a/dockthread/control_plane/ingress.py
+++ b/dockthread/control_plane/ingress.py
@@ -1,4 +1,6 @@
-"""What an ingress does with what it receives: routes over the file's, and the addresses of discovery and counter."""
+"""What an ingress does with what it receives: routes over the file's, and the addresses of
+discovery and counter.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +16,13 @@
 from dockthread.control_plane.client import Client, cache_of, servers_of
 from dockthread.control_plane.messages import Rejection, Resource
 from dockthread.control_plane.options import ControlOptions
-from dockthread.control_plane.resource_schemas import ADDRESS, ROUTE, BadResource, address_of, route_of
+from dockthread.control_plane.resource_schemas import (
+    ADDRESS,
+    ROUTE,
+    BadResource,
+    address_of,
+    route_of,
+)
 from dockthread.routes.layers import Layers
 
 if TYPE_CHECKING:
@@ -64,8 +72,9 @@
         )
 
     def settings_changed(self) -> None:
-        """Prove all that was published by the settings that hold now: what has become bad goes, with a reason told,
-        and what was refused before may be good."""
+        """Prove all that was published by the settings that hold now: what has become bad goes,
+        with a reason told, and what was refused before may be good.
+        """
         self.client.apply_again()
 
     # What its client tells (client.py, Owner)
@@ -94,7 +103,9 @@
         if self._refused:
             first = self._refused[0]
             told = "control: {} refused, the last good one stays; the first is {} {} of revision {}: {}"
-            logger.warning(told, len(self._refused), first.kind, first.name, first.revision, first.reason)
+            logger.warning(
+                told, len(self._refused), first.kind, first.name, first.revision, first.reason
+            )
             self._refused = []
 
     def _withdraw(self, refused: Resource) -> None:
--- a/dockthread/control_plane/lag.py
+++ b/dockthread/control_plane/lag.py
@@ -7,7 +7,8 @@
 
 from dockthread.control_plane.resource_table import ResourceTable
 
-MOST_ARRIVALS: Final = 4096  # remembered: what came before counts as having come with the oldest of them
+# remembered: what came before counts as having come with the oldest of them
+MOST_ARRIVALS: Final = 4096
 
 
 class Arrivals:
@@ -31,6 +32,8 @@
             del self._revisions[: MOST_ARRIVALS // 2], self._times[: MOST_ARRIVALS // 2]
 
     def behind(self, now: float, revision: int) -> float:
-        """ms since the first thing came that a holder of `revision` lacks; 0 where it lacks nothing."""
+        """ms since the first thing came that a holder of `revision` lacks; 0 where it lacks
+        nothing.
+        """
         first = bisect_right(self._revisions, revision)
         return now - self._times[first] if first < len(self._times) else 0.0
--- a/dockthread/control_plane/listing.py
+++ b/dockthread/control_plane/listing.py
@@ -12,7 +12,9 @@
 
 
 def found(table: ResourceTable, lookup: Lookup) -> Found:
-    """One resource by its name, or a page of a kind. A page costs a walk over the table: it is for people."""
+    """One resource by its name, or a page of a kind. A page costs a walk over the table: it is for
+    people.
+    """
     if lookup.name:
         one = table.get(lookup.kind, lookup.name)
         return Found(table.revision, () if one is None else (one,))
--- a/dockthread/control_plane/messages.py
+++ b/dockthread/control_plane/messages.py
@@ -1,7 +1,9 @@
-"""What publishers, distributors and subscribers of control say to each other, in frames (dockthread/framing.py).
+"""What publishers, distributors and subscribers of control say to each other, in frames
+(dockthread/framing.py).
 
-A revision counts accepted changes, from 1, over all kinds. A table at revision R holds the latest of every key whose
-last change is at or before R. `epoch` names one history of revisions: another one voids whatever was received.
+A revision counts accepted changes, from 1, over all kinds. A table at revision R holds the latest
+of every key whose last change is at or before R. `epoch` names one history of revisions: another
+one voids whatever was received.
 """
 
 from __future__ import annotations
@@ -32,7 +34,9 @@
 
 
 class Subscribe(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """First message of a subscriber. `revision` and `digest` tell what it holds; revision 0 for nothing."""
+    """First message of a subscriber. `revision` and `digest` tell what it holds; revision 0 for
+    nothing.
+    """
 
     name: str
     epoch: str = ""
@@ -45,10 +49,11 @@
 class Update(msgspec.Struct, frozen=True, array_like=True, tag="u"):
     """Resources in the order of their revisions, deleted ones included.
 
-    After it the receiver holds the latest of every key whose last change is at or before `revision`. `snapshot`: the
-    first part of a snapshot, so whatever is held and not named from here up to the complete part is gone. `complete`:
-    the receiver then holds the sender's table as it stood at `revision`; only then `digest` is that of this table and
-    `snapshot` parts take effect. `horizon`, of a complete snapshot: deletes behind it are named in the snapshot.
+    After it the receiver holds the latest of every key whose last change is at or before
+    `revision`. `snapshot`: the first part of a snapshot, so whatever is held and not named from
+    here up to the complete part is gone. `complete`: the receiver then holds the sender's table as
+    it stood at `revision`; only then `digest` is that of this table and `snapshot` parts take
+    effect. `horizon`, of a complete snapshot: deletes behind it are named in the snapshot.
     """
 
     epoch: str
@@ -70,7 +75,9 @@
 
 
 class Acknowledge(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """What is in force at a subscriber: all up to `revision` but for `rejections` resources, some in `rejected`."""
+    """What is in force at a subscriber: all up to `revision` but for `rejections` resources, some
+    in `rejected`.
+    """
 
     epoch: str
     revision: int
@@ -80,7 +87,9 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="h"):
-    """Sign of life of a sender. `age`: ms since it last knew itself to hold all that was agreed on; -1 for never."""
+    """Sign of life of a sender. `age`: ms since it last knew itself to hold all that was agreed on;
+    -1 for never.
+    """
 
     epoch: str
     revision: int
@@ -88,15 +97,19 @@
 
 
 class RetryLater(msgspec.Struct, frozen=True, array_like=True, tag="l"):
-    """The sender has no room for this subscriber now; come again after so many ms, here or elsewhere."""
+    """The sender has no room for this subscriber now; come again after so many ms, here or
+    elsewhere.
+    """
 
     after: float
     reason: str
 
 
 class Publish(msgspec.Struct, frozen=True, array_like=True, tag="p"):
-    """A change to be accepted. `token`: the caller's own for it, the same when it asks again. `expected`: the
-    revision of the resource that it replaces, 0 for none there, -1 for whatever is there. `body`: None deletes."""
+    """A change to be accepted. `token`: the caller's own for it, the same when it asks again.
+    `expected`: the revision of the resource that it replaces, 0 for none there, -1 for whatever is
+    there. `body`: None deletes.
+    """
 
     token: str
     kind: str
@@ -106,7 +119,9 @@
 
 
 class Published(msgspec.Struct, frozen=True, array_like=True, tag="q"):
-    """Accepted as `revision`; or refused, with 0 and the reason; or not known, with -1 and the reason."""
+    """Accepted as `revision`; or refused, with 0 and the reason; or not known, with -1 and the
+    reason.
+    """
 
     token: str
     revision: int
@@ -118,7 +133,9 @@
 
 
 class SubscriberStatus(msgspec.Struct, frozen=True, array_like=True):
-    """One subscriber as its distributor knows it. `behind`: ms for which it has lacked something; 0 for nothing."""
+    """One subscriber as its distributor knows it. `behind`: ms for which it has lacked something; 0
+    for nothing.
+    """
 
     name: str
     region: str
@@ -143,7 +160,9 @@
 
 
 class Lookup(msgspec.Struct, frozen=True, array_like=True, tag="g"):
-    """What is held of a kind: the resource `name`, or, where that is empty, those whose names come behind `after`."""
+    """What is held of a kind: the resource `name`, or, where that is empty, those whose names come
+    behind `after`.
+    """
 
     kind: str
     name: str = ""
--- a/dockthread/control_plane/options.py
+++ b/dockthread/control_plane/options.py
@@ -1,4 +1,6 @@
-"""The section `[control]` of the operator's file. Without it nothing of the distribution is opened or loaded."""
+"""The section `[control]` of the operator's file. Without it nothing of the distribution is opened
+or loaded.
+"""
 
 from __future__ import annotations
 
@@ -15,20 +17,23 @@
 LEAST_KEY, MOST_KEY = 16, 64  # bytes of the shared key
 LEAST_SAVE = 100.0  # ms between two writes of the cache
 LEAST_RATE = 1_000_000  # bytes of snapshots a second
-LEAST_HEARTBEAT, MOST_HEARTBEAT = 50.0, 1_000.0  # ms: whoever hears nothing for 2.5 s leaves a server
+# ms: whoever hears nothing for 2.5 s leaves a server
+LEAST_HEARTBEAT, MOST_HEARTBEAT = 50.0, 1_000.0
 ROLES = "ingress, distributor, voter"
 
 Fault = tuple[str, str, str]
 
 
 class ControlOptions(Section, frozen=True, kw_only=True):
-    """`role`: what this process is in the distribution; absent for none of it. `name`: of a voter, as in `[fleet]`
-    members, or of a distributor; an ingress has the platform's. `listen`: where a voter or distributor serves.
-    `servers`: HOST:PORT of those to receive from, `far_servers` of those to turn to while none of these
-    can be reached. `cache`: a directory for the last state in force. `cache_interval`:
-    least time between two writes of it. `most_connections`: what a server holds at once. `write_buffer`: bytes that
-    wait for one connection before its next message is asked for. `heartbeat`: between signs of life.
-    `snapshot_rate`: bytes of whole states a second that a server sends over time, twice as many at once."""
+    """`role`: what this process is in the distribution; absent for none of it. `name`: of a voter,
+    as in `[fleet]` members, or of a distributor; an ingress has the platform's. `listen`: where a
+    voter or distributor serves. `servers`: HOST:PORT of those to receive from, `far_servers` of
+    those to turn to while none of these can be reached. `cache`: a directory for the last state in
+    force. `cache_interval`: least time between two writes of it. `most_connections`: what a server
+    holds at once. `write_buffer`: bytes that wait for one connection before its next message is
+    asked for. `heartbeat`: between signs of life. `snapshot_rate`: bytes of whole states a second
+    that a server sends over time, twice as many at once.
+    """
 
     role: Literal["ingress", "distributor", "voter"] | None = None
     name: str = ""
@@ -61,9 +66,17 @@
         if self.role == "ingress" and self.listen:
             yield "listen", "is set, and an ingress serves no subscribers", "leave it out"
         if self.role != "ingress" and not self.listen:
-            yield "listen", "is missing", f"write the address at which this {self.role} serves, HOST:PORT"
+            yield (
+                "listen",
+                "is missing",
+                f"write the address at which this {self.role} serves, HOST:PORT",
+            )
         if self.role != "voter" and not self.servers:
-            yield "servers", "is missing", f"name those from which this {self.role} receives, HOST:PORT, ..."
+            yield (
+                "servers",
+                "is missing",
+                f"name those from which this {self.role} receives, HOST:PORT, ...",
+            )
         if self.role == "voter" and self.servers:
             yield "servers", "is set, and a voter receives by [fleet]", "leave it out"
         if self.far_servers and not self.servers:
@@ -83,11 +96,19 @@
         for key in ("name", "region", "zone"):
             value = getattr(self, key)
             if len(value.encode()) > MOST_NAME or any(c.isspace() for c in value):
-                yield key, f"{value[:40]!r} is no name", f"write {MOST_NAME} bytes at most, without spaces"
+                yield (
+                    key,
+                    f"{value[:40]!r} is no name",
+                    f"write {MOST_NAME} bytes at most, without spaces",
+                )
 
     def _budget_faults(self) -> Iterable[Fault]:
         if self.cache_interval < LEAST_SAVE:
-            yield "cache_interval", f"{self.cache_interval} is too short", f"{LEAST_SAVE:g}ms at least; 10s is usual"
+            yield (
+                "cache_interval",
+                f"{self.cache_interval} is too short",
+                f"{LEAST_SAVE:g}ms at least; 10s is usual",
+            )
         if not 1 <= self.most_connections <= 10_000:
             yield "most_connections", f"{self.most_connections} is out of range", "1 to 10000"
         if not 4 << 10 <= self.write_buffer <= 16 << 20:
@@ -107,13 +128,19 @@
 
 
 def read_key(path: str, where: str = "") -> bytes:
-    """The key that all share; empty where no file is named. Raises ValueError with one plain line."""
+    """The key that all share; empty where no file is named. Raises ValueError with one plain
+    line.
+    """
     if not path:
         return b""
     try:
         key = Path(path).read_bytes().strip()
     except OSError as error:
-        raise ValueError(f"{where}{path} cannot be read: {error.strerror}; name a file that can") from error
+        raise ValueError(
+            f"{where}{path} cannot be read: {error.strerror}; name a file that can"
+        ) from error
     if not LEAST_KEY <= len(key) <= MOST_KEY:
-        raise ValueError(f"{where}{path} holds {len(key)} bytes; {LEAST_KEY} to {MOST_KEY} would do")
+        raise ValueError(
+            f"{where}{path} holds {len(key)} bytes; {LEAST_KEY} to {MOST_KEY} would do"
+        )
     return key
--- a/dockthread/control_plane/process.py
+++ b/dockthread/control_plane/process.py
@@ -44,7 +44,9 @@
 
 
 class Distributor:
-    """Receives as a subscriber and serves what it received. It knows no kind and refuses nothing."""
+    """Receives as a subscriber and serves what it received. It knows no kind and refuses
+    nothing.
+    """
 
     def __init__(self, options: ControlOptions, clock: Clock, rng: random.Random) -> None:
         key = options.key()
@@ -114,7 +116,9 @@
 def limits_of(options: ControlOptions) -> tuple[ServerLimits, FanoutLimits]:
     """Limits of a server and of its fan-out by the section."""
     most, rate = options.most_connections, float(options.snapshot_rate)
-    fanout = FanoutLimits(most, snapshot_rate=rate, snapshot_burst=2 * rate, beat=float(options.heartbeat))
+    fanout = FanoutLimits(
+        most, snapshot_rate=rate, snapshot_burst=2 * rate, beat=float(options.heartbeat)
+    )
     return ServerLimits(most + ASKING, options.write_buffer), fanout
 
 
--- a/dockthread/control_plane/publish_state_machine.py
+++ b/dockthread/control_plane/publish_state_machine.py
@@ -1,15 +1,16 @@
 """The state machine of the agreed log of control: accepts each change once and gives it a revision.
 
-Theory of operation. A publisher's change is checked before it is proposed against bounds and the validator of its
-kind (`refusal`), and goes into the log (`proposal`). What depends on the state, whether the resource is at the
-revision that the change expects, is judged only when the entry is applied, where it is the same on every voter. The
-bounds are judged once more there, the validators not: voters of two releases may hold different ones while they are
-upgraded, and would part for good. The outcome under a token, accepted or refused, is part of the state and final
-while it is among the last `MOST_TOKENS`: a publisher that saw no answer asks again with the same token, and one
+Theory of operation. A publisher's change is checked before it is proposed against bounds and the
+validator of its kind (`refusal`), and goes into the log (`proposal`). What depends on the state,
+whether the resource is at the revision that the change expects, is judged only when the entry is
+applied, where it is the same on every voter. The bounds are judged once more there, the validators
+not: voters of two releases may hold different ones while they are upgraded, and would part for
+good. The outcome under a token, accepted or refused, is part of the state and final while it is
+among the last `MOST_TOKENS`: a publisher that saw no answer asks again with the same token, and one
 change of two that were proposed counts, whichever comes late.
 
-`epoch` names the history: it is drawn from the nonce of the first change that is accepted, so that a log begun anew
-is told apart from the one before. It is empty until then.
+`epoch` names the history: it is drawn from the nonce of the first change that is accepted, so that
+a log begun anew is told apart from the one before. It is empty until then.
 """
 
 from __future__ import annotations
@@ -66,8 +67,9 @@
 class Publishing:
     """The owner of a log (`dockthread.raft.server.Owner` without what concerns its members).
 
-    `table` holds what is accepted; its identity stays the same for its life, also when a state is restored.
-    `validators`: by kind; a kind that is not among them is refused. All voters need the same ones.
+    `table` holds what is accepted; its identity stays the same for its life, also when a state is
+    restored. `validators`: by kind; a kind that is not among them is refused. All voters need the
+    same ones.
     """
 
     def __init__(
@@ -88,7 +90,9 @@
         return None if outcome is None else Published(token, outcome.revision, outcome.reason)
 
     def refusal(self, publish: Publish) -> str:
-        """Why the change may not be proposed, whatever the state; empty where it may. That refusal is final too."""
+        """Why the change may not be proposed, whatever the state; empty where it may. That refusal
+        is final too.
+        """
         validator = self._validators.get(publish.kind)
         if validator is None:
             return f"no such kind: {publish.kind}"
@@ -98,7 +102,9 @@
         return validator(publish.name, publish.body)
 
     def proposal(self, publish: Publish) -> bytes:
-        """What is to be proposed to the log. Whoever proposes asks `answer` and `refusal` before."""
+        """What is to be proposed to the log. Whoever proposes asks `answer` and `refusal`
+        before.
+        """
         return msgspec.msgpack.encode(Proposal(publish, self._rng.randbytes(8)))
 
     def apply(self, index: int, data: bytes) -> None:
@@ -123,7 +129,9 @@
         return msgspec.msgpack.encode(held)
 
     def restore(self, index: int, state: bytes) -> None:
-        """A whole state, in place of all entries up to `index`. Raises `msgspec.MsgspecError` for none."""
+        """A whole state, in place of all entries up to `index`. Raises `msgspec.MsgspecError` for
+        none.
+        """
         held = _state_decoder.decode(state)
         self.table.load(held.epoch, held.revision, held.horizon, held.entries)
         self._outcomes = OrderedDict((outcome.token, outcome) for outcome in held.outcomes)
--- a/dockthread/control_plane/resource_schemas.py
+++ b/dockthread/control_plane/resource_schemas.py
@@ -1,7 +1,9 @@
-"""The kinds of resources that an ingress knows, as they are published: their form, without the site's settings.
+"""The kinds of resources that an ingress knows, as they are published: their form, without the
+site's settings.
 
-`route`: a JSON object of the keys of a section `[route NAME]`, each a text as the operator's file has it, or a
-number, a truth value or a list of such. `address`: one named `discovery` or `counter`, a JSON object with `address`.
+`route`: a JSON object of the keys of a section `[route NAME]`, each a text as the operator's file
+has it, or a number, a truth value or a list of such. `address`: one named `discovery` or `counter`,
+a JSON object with `address`.
 """
 
 from __future__ import annotations
@@ -50,7 +52,9 @@
 def address_of(name: str, body: bytes) -> Address:
     """Raises `BadResource` with the fault and what would do."""
     if name not in ADDRESSES:
-        raise BadResource(f"{name[:40]!r} is no address of an ingress; known: {', '.join(ADDRESSES)}")
+        raise BadResource(
+            f"{name[:40]!r} is no address of an ingress; known: {', '.join(ADDRESSES)}"
+        )
     value = _object(body).get("address")
     found = host_port(value) if isinstance(value, str) else None
     if found is None:
--- a/dockthread/control_plane/resource_table.py
+++ b/dockthread/control_plane/resource_table.py
@@ -1,14 +1,16 @@
-"""The resources of one history by kind and name, in the order of their last revision, with a digest of their set.
-
-Theory of operation. A dict keeps its keys in the order in which they were put; a changed key is taken out and put
-again, so the newest stand last and what a receiver lacks is read from the end backwards, at the cost of the answer.
-A deleted resource stays as a tombstone, so that a receiver is told of the delete; the oldest of more than
-`most_tombstones` are forgotten, and `horizon` is the revision of the last one forgotten: a receiver that holds an
-older revision than that needs a snapshot. One resource is held as one string (kind and name) and one run of bytes
-(revision and body), since an ingress holds 90,000 of them.
-
-The digest is the sum modulo 2^128 of one BLAKE2b for each live resource: it does not depend on their order, and a
-change costs one hash out and one in.
+"""The resources of one history by kind and name, in the order of their last revision, with a digest
+of their set.
+
+Theory of operation. A dict keeps its keys in the order in which they were put; a changed key is
+taken out and put again, so the newest stand last and what a receiver lacks is read from the end
+backwards, at the cost of the answer. A deleted resource stays as a tombstone, so that a receiver is
+told of the delete; the oldest of more than `most_tombstones` are forgotten, and `horizon` is the
+revision of the last one forgotten: a receiver that holds an older revision than that needs a
+snapshot. One resource is held as one string (kind and name) and one run of bytes (revision and
+body), since an ingress holds 90,000 of them.
+
+The digest is the sum modulo 2^128 of one BLAKE2b for each live resource: it does not depend on
+their order, and a change costs one hash out and one in.
 """
 
 from __future__ import annotations
@@ -40,7 +42,8 @@
         self.epoch = epoch
         self.revision = 0
         self.horizon = 0
-        self.whole = True  # holds the latest of each key at `revision`; not between the parts of an update
+        # holds the latest of each key at `revision`; not between the parts of an update
+        self.whole = True
         self.bytes = 0  # of all entries in messages, about
         self._most_tombstones = most_tombstones
         self._packed: dict[str, bytes] = {}  # by kind and name, the newest last
@@ -77,7 +80,9 @@
         return (resource for resource in self.entries() if resource.body is not None)
 
     def put(self, resource: Resource) -> None:
-        """Take a change that is newer than all before it. Raises `OutOfOrder`, and then nothing is changed."""
+        """Take a change that is newer than all before it. Raises `OutOfOrder`, and then nothing is
+        changed.
+        """
         if resource.revision <= self.revision:
             raise OutOfOrder(f"revision {resource.revision} after {self.revision}")
         key = _key(resource.kind, resource.name)
@@ -92,12 +97,16 @@
         self._forget_tombstones()
 
     def advance(self, revision: int) -> None:
-        """All up to `revision` is held; what came last may be older, since a newer change moved a key on."""
+        """All up to `revision` is held; what came last may be older, since a newer change moved a
+        key on.
+        """
         self.revision = max(self.revision, revision)
 
     def load(self, epoch: str, revision: int, horizon: int, entries: Iterable[Resource]) -> None:
-        """Hold this in place of all before: `entries` in the order of their revisions, tombstones included. Raises
-        `OutOfOrder` for another order, and then the table is of no use: load into a new one."""
+        """Hold this in place of all before: `entries` in the order of their revisions, tombstones
+        included. Raises `OutOfOrder` for another order, and then the table is of no use: load into
+        a new one.
+        """
         self.epoch, self.revision, self.horizon, self.whole = epoch, 0, horizon, True
         self._packed, self._live, self._sum, self.bytes = {}, 0, 0, 0
         self._tombstones.clear()
@@ -116,8 +125,14 @@
         self._forget_tombstones()
 
     def difference(self, newer: ResourceTable) -> tuple[Resource, ...]:
-        """What has to be put, and what deleted, for a holder of this table to hold the live resources of `newer`."""
-        gone = [key for key, packed in self._packed.items() if _is_live(packed) and not newer._holds_live(key)]
+        """What has to be put, and what deleted, for a holder of this table to hold the live
+        resources of `newer`.
+        """
+        gone = [
+            key
+            for key, packed in self._packed.items()
+            if _is_live(packed) and not newer._holds_live(key)
+        ]
         found = [Resource(*_split(key), newer._revision_of(key), None) for key in gone]
         for key, packed in newer._packed.items():
             if _is_live(packed) and self._packed.get(key) != packed:
@@ -138,12 +153,16 @@
         return FrozenTable(self)
 
     def can_resume(self, revision: int) -> bool:
-        """Whether a receiver that holds `revision` of this history can be brought up to date without a snapshot."""
+        """Whether a receiver that holds `revision` of this history can be brought up to date
+        without a snapshot.
+        """
         return max(self.horizon, 1) <= revision <= self.revision
 
     def since(self, revision: int, most_bytes: int) -> Update:
-        """The next part for a receiver that holds `revision`, for which `can_resume` holds: the latest of each key
-        only, and one resource at least where there is any. It is complete only where the table is whole."""
+        """The next part for a receiver that holds `revision`, for which `can_resume` holds: the
+        latest of each key only, and one resource at least where there is any. It is complete only
+        where the table is whole.
+        """
         lacking = self._lacking(revision)
         part: list[Resource] = []
         room = most_bytes
@@ -189,7 +208,9 @@
 
 
 class FrozenTable:
-    """A table as it stood, tombstones included, the oldest revision first; without a copy of any resource."""
+    """A table as it stood, tombstones included, the oldest revision first; without a copy of any
+    resource.
+    """
 
     def __init__(self, table: ResourceTable) -> None:
         self.epoch, self.revision, self.horizon = table.epoch, table.revision, table.horizon
@@ -215,7 +236,9 @@
         resources = tuple(_unpack(key, packed) for key, packed in zip(keys, values, strict=True))
         first, self._begun = not self._begun, True
         if not self.exhausted:
-            return Update(self.epoch, resources[-1].revision, resources, snapshot=first, complete=False)
+            return Update(
+                self.epoch, resources[-1].revision, resources, snapshot=first, complete=False
+            )
         return Update(self.epoch, self.revision, resources, first, True, self.digest, self.horizon)
 
 
@@ -256,4 +279,11 @@
 
 
 def _size(resource: Resource) -> int:
-    return OVERHEAD + _HEAD.size + 1 + len(resource.kind) + len(resource.name) + len(resource.body or b"")
+    return (
+        OVERHEAD
+        + _HEAD.size
+        + 1
+        + len(resource.kind)
+        + len(resource.name)
+        + len(resource.body or b"")
+    )
--- a/dockthread/control_plane/server.py
+++ b/dockthread/control_plane/server.py
@@ -1,9 +1,11 @@
-"""Serves subscribers, publishers and questions on TCP: the rim round `Fanout`, of voters and of distributors.
-
-Theory of operation. A connection is a subscriber's from its `Subscribe` on; before, and else, it may publish and
-ask. The core is asked for a connection's next frame only while the transport's write buffer is low, so a slow
-subscriber holds one frame and no queue. A change of the table is told by `changed`; all that come within one turn of
-the loop are served by one round over the connections. One timer serves all connections.
+"""Serves subscribers, publishers and questions on TCP: the rim round `Fanout`, of voters and of
+distributors.
+
+Theory of operation. A connection is a subscriber's from its `Subscribe` on; before, and else, it
+may publish and ask. The core is asked for a connection's next frame only while the transport's
+write buffer is low, so a slow subscriber holds one frame and no queue. A change of the table is
+told by `changed`; all that come within one turn of the loop are served by one round over the
+connections. One timer serves all connections.
 """
 
 from __future__ import annotations
@@ -56,7 +58,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLimits:
-    """`connections` at once; `write_buffer`: bytes that wait in one transport before its next frame is made."""
+    """`connections` at once; `write_buffer`: bytes that wait in one transport before its next frame
+    is made.
+    """
 
     connections: int = 512
     write_buffer: int = 64 << 10
@@ -105,8 +109,9 @@
 
 
 class Server:
-    """Serves `table`. `age`: ms since the table was known to hold all that was agreed on, -1 for never. `publisher`:
-    None on a distributor."""
+    """Serves `table`. `age`: ms since the table was known to hold all that was agreed on, -1 for
+    never. `publisher`: None on a distributor.
+    """
 
     def __init__(
         self,
@@ -135,9 +140,13 @@
         self._publishing: set[asyncio.Task[Any]] = set()
 
     async def open(self, listen: Address) -> Address:
-        """Serve here; the address with the port that was given. Raises OSError where it cannot listen."""
+        """Serve here; the address with the port that was given. Raises OSError where it cannot
+        listen.
+        """
         self._loop = asyncio.get_running_loop()
-        self._server = await self._loop.create_server(self._accept, listen.host, listen.port, backlog=BACKLOG)
+        self._server = await self._loop.create_server(
+            self._accept, listen.host, listen.port, backlog=BACKLOG
+        )
         self._arm()
         return Address(*self._server.sockets[0].getsockname()[:2])
 
@@ -186,8 +195,17 @@
         self.counts.malformed += 1
         if (now := self.clock.now()) >= self._complain_at:
             self._complain_at = now + COMPLAINT
-            peer = connection.transport.get_extra_info("peername") if connection.transport is not None else None
-            logger.warning("control: {} malformed so far, the last from {}: {}", self.counts.malformed, peer, reason)
+            peer = (
+                connection.transport.get_extra_info("peername")
+                if connection.transport is not None
+                else None
+            )
+            logger.warning(
+                "control: {} malformed so far, the last from {}: {}",
+                self.counts.malformed,
+                peer,
+                reason,
+            )
 
     def heard(self, connection: Connection, message: Message) -> None:
         """A whole message came on a connection."""
@@ -213,7 +231,11 @@
                     raise UnexpectedMessage(type(message).__name__)
         except UnexpectedMessage as error:
             self.counts.unexpected += 1
-            logger.debug("control: connection {} is closed, it said what it may not: {}", connection.number, error)
+            logger.debug(
+                "control: connection {} is closed, it said what it may not: {}",
+                connection.number,
+                error,
+            )
             connection.abort()
 
     def _subscribe(self, now: float, connection: Connection, message: Subscribe) -> None:
@@ -228,22 +250,38 @@
 
     def _publish(self, connection: Connection, change: Publish) -> None:
         if self._publisher is None:
-            connection.send(Published(change.token, -1, f"{self.name} is no voter and takes no changes"))
+            connection.send(
+                Published(change.token, -1, f"{self.name} is no voter and takes no changes")
+            )
         elif len(self._publishing) >= MOST_PUBLISHING:
-            connection.send(Published(change.token, -1, f"{MOST_PUBLISHING} changes wait already: ask again"))
+            connection.send(
+                Published(change.token, -1, f"{MOST_PUBLISHING} changes wait already: ask again")
+            )
         else:
             task = self._loop.create_task(self._accept_change(self._publisher, connection, change))
             self._publishing.add(task)
             task.add_done_callback(self._publishing.discard)
 
-    async def _accept_change(self, publisher: Publisher, connection: Connection, change: Publish) -> None:
+    async def _accept_change(
+        self, publisher: Publisher, connection: Connection, change: Publish
+    ) -> None:
         connection.send(await publisher.publish(change))
 
     def status(self) -> Status:
-        """What is held here and who receives from it. Reasons are left out where they would not fit a frame."""
+        """What is held here and who receives from it. Reasons are left out where they would not fit
+        a frame.
+        """
         subscribers = self.fanout.status(self.clock.now())
         table = self.table
-        whole = Status(self.name, self.role, table.epoch, table.revision, table.digest, self._age(), subscribers)
+        whole = Status(
+            self.name,
+            self.role,
+            table.epoch,
+            table.revision,
+            table.digest,
+            self._age(),
+            subscribers,
+        )
         if len(codec.pack(whole)) <= MOST_FRAME:
             return whole
         bare = tuple(msgspec.structs.replace(one, rejected=()) for one in subscribers)
@@ -254,7 +292,11 @@
     def write_to(self, connection: Connection) -> None:
         """Frames while the transport has room; after a few of them others have their turn."""
         for _ in range(FRAMES_A_TURN):
-            if not connection.subscribed or not connection.writable or connection.number not in self._connections:
+            if (
+                not connection.subscribed
+                or not connection.writable
+                or connection.number not in self._connections
+            ):
                 return
             frame = self.fanout.next_frame(self.clock.now(), connection.number)
             if frame is None:
--- a/dockthread/control_plane/server_selection.py
+++ b/dockthread/control_plane/server_selection.py
@@ -1,9 +1,9 @@
 """Which server a subscriber goes to.
 
-Servers stand in the order of their distance, and among those of one distance in the order of a hash of their name
-with the subscriber's (rendezvous): each server is the first choice of an even part of the subscribers, and when it
-is lost these spread over the others. One that failed or was stale is passed over for a while; where all are, the one
-for which that ends first is taken.
+Servers stand in the order of their distance, and among those of one distance in the order of a hash
+of their name with the subscriber's (rendezvous): each server is the first choice of an even part of
+the subscribers, and when it is lost these spread over the others. One that failed or was stale is
+passed over for a while; where all are, the one for which that ends first is taken.
 """
 
 from __future__ import annotations
@@ -40,7 +40,9 @@
         """Another list; what is avoided stays so."""
         ordered = sorted(servers, key=lambda server: (server.distance, self._weight(server.name)))
         self._order = list(dict.fromkeys(server.name for server in ordered))
-        self._avoided_until = {name: at for name, at in self._avoided_until.items() if name in self._order}
+        self._avoided_until = {
+            name: at for name, at in self._avoided_until.items() if name in self._order
+        }
 
     def avoid(self, server: str, until: float) -> None:
         """Pass it over until then."""
@@ -48,8 +50,9 @@
             self._avoided_until[server] = until
 
     def best(self, now: float, but: str = "") -> str:
-        """The first that is not avoided, or else the one that is so for the shortest time; never `but`. Empty where
-        there is none."""
+        """The first that is not avoided, or else the one that is so for the shortest time; never
+        `but`. Empty where there is none.
+        """
         others = [name for name in self._order if name != but]
         for name in others:
             if self._avoided_until.get(name, now) <= now:
@@ -62,7 +65,9 @@
 
     def home(self, now: float) -> str:
         """The first choice where it is not avoided; else empty."""
-        return next((name for name in self._order[:1] if self._avoided_until.get(name, now) <= now), "")
+        return next(
+            (name for name in self._order[:1] if self._avoided_until.get(name, now) <= now), ""
+        )
 
     def _weight(self, server: str) -> bytes:
         return blake2b(f"{self._subscriber}\x00{server}".encode(), digest_size=8).digest()
--- a/dockthread/control_plane/snapshot_cache.py
+++ b/dockthread/control_plane/snapshot_cache.py
@@ -1,12 +1,13 @@
 """The last state in force, in a file: for a start with every server down.
 
-Theory of operation. The file holds records, each with its length and a BLAKE2 sum: resources, and after each batch a
-commit that tells epoch, revision and digest of the whole. A change is appended, at the cost of its own size; a new
-history, or a file that has grown to a multiple of its state, is written anew beside and renamed into place. Records
-are written in slices, one after another, and begun at most once in `interval`; nothing is synced to the disk, as
-sums and digest tell whatever a crash of the machine leaves. At a start what stands behind the last commit is cut off;
-any other fault drops the file. Resources stand in the order of their revisions, deletes included; where a snapshot
-brought others, the file is written anew too.
+Theory of operation. The file holds records, each with its length and a BLAKE2 sum: resources, and
+after each batch a commit that tells epoch, revision and digest of the whole. A change is appended,
+at the cost of its own size; a new history, or a file that has grown to a multiple of its state, is
+written anew beside and renamed into place. Records are written in slices, one after another, and
+begun at most once in `interval`; nothing is synced to the disk, as sums and digest tell whatever a
+crash of the machine leaves. At a start what stands behind the last commit is cut off; any other
+fault drops the file. Resources stand in the order of their revisions, deletes included; where a
+snapshot brought others, the file is written anew too.
 
 Where the owner refused a resource, a commit also names the one that it kept in its place.
 """
@@ -55,7 +56,9 @@
 
 
 class Commit(msgspec.Struct, frozen=True, array_like=True, tag="c"):
-    """All before it is a state. `kept`: what is in force in place of resources that were refused."""
+    """All before it is a state. `kept`: what is in force in place of resources that were
+    refused.
+    """
 
     epoch: str
     revision: int
@@ -84,8 +87,9 @@
 
 
 def read(path: Path, name: str) -> Cached | None:
-    """The last state in a file; None where there is no file. Raises `BrokenCache`. It is read twice, a record at a
-    time: first to check it and find its last commit, then into a table."""
+    """The last state in a file; None where there is no file. Raises `BrokenCache`. It is read
+    twice, a record at a time: first to check it and find its last commit, then into a table.
+    """
     try:
         with path.open("rb") as file:
             last, size = _last_commit(file, name)
@@ -162,7 +166,9 @@
 
 
 class Cache:
-    """One subscriber's file in `directory`. `interval`: least ms between the starts of two writes."""
+    """One subscriber's file in `directory`. `interval`: least ms between the starts of two
+    writes.
+    """
 
     def __init__(self, directory: Path, name: str, interval: float) -> None:
         self.path = directory / f"{quote(name, safe='')}.cache"
@@ -194,12 +200,18 @@
                 os.truncate(self.path, found.size)
                 self._file = os.open(self.path, os.O_WRONLY | os.O_APPEND)
                 self._usable = True
-                self._epoch, self._revision, self._state = found.table.epoch, found.table.revision, found.size
+                self._epoch, self._revision, self._state = (
+                    found.table.epoch,
+                    found.table.revision,
+                    found.size,
+                )
             except OSError as error:
                 self._fail(error)
         return found
 
-    def save(self, table: ResourceTable, changes: Sequence[Resource], kept: tuple[Resource, ...]) -> None:
+    def save(
+        self, table: ResourceTable, changes: Sequence[Resource], kept: tuple[Resource, ...]
+    ) -> None:
         """`table` after `changes`, which are all since the last call. It needs a running loop."""
         follows = self._usable and self._epoch == table.epoch and _follow(self._revision, changes)
         if not follows or self._appended > max(LEAST_REWRITE, GROWTH * self._state):
@@ -240,7 +252,9 @@
             self._arm()
 
     async def _write_all(self) -> None:
-        """The disk may be slow, so it is waited for in a thread of the loop's; one job after another."""
+        """The disk may be slow, so it is waited for in a thread of the loop's; one job after
+        another.
+        """
         loop = asyncio.get_running_loop()
         while (job := self._next()) is not None:
             try:
@@ -262,7 +276,9 @@
         if part := self._take_slice():
             records.append(Part(part))
             self._waiting = max(0, self._waiting - sum(map(_size, part)))
-        commit = self._queue.popleft() if self._queue and isinstance(self._queue[0], Commit) else None
+        commit = (
+            self._queue.popleft() if self._queue and isinstance(self._queue[0], Commit) else None
+        )
         if isinstance(commit, Commit):
             records.append(commit)
         return Job(b"".join(map(_framed, records)), anew, commit is not None)
@@ -301,7 +317,9 @@
             self._state, self._appended = self._appended, 0
 
     def _fail(self, error: OSError) -> None:
-        """The next change begins a new file; the old one, if any, stays whole up to its last commit."""
+        """The next change begins a new file; the old one, if any, stays whole up to its last
+        commit.
+        """
         if not self._failed:
             logger.warning("control: {} cannot be written: {}", self.path, error.strerror)
         self._failed, self._usable, self._waiting = True, False, 0
--- a/dockthread/control_plane/stream.py
+++ b/dockthread/control_plane/stream.py
@@ -1,4 +1,6 @@
-"""One connection that carries frames of the distribution: bounded reading, and writing that can be held back."""
+"""One connection that carries frames of the distribution: bounded reading, and writing that can be
+held back.
+"""
 
 from __future__ import annotations
 
@@ -9,10 +11,11 @@
 
 
 class FrameStream(asyncio.Protocol):
-    """Cuts what arrives into messages. `most`: bytes that a message of the other side may have. `counts`: where the
-    messages are counted, each way.
+    """Cuts what arrives into messages. `most`: bytes that a message of the other side may have.
+    `counts`: where the messages are counted, each way.
 
-    What is malformed ends the connection, after `malformed` was told of it; nothing of it is read any more.
+    What is malformed ends the connection, after `malformed` was told of it; nothing of it is read
+    any more.
     """
 
     def __init__(self, key: bytes, most: int, counts: MessageCounts) -> None:
@@ -111,7 +114,9 @@
             self.abort()
 
     def _cut(self) -> bool:
-        """All whole messages; whether there was one. Raises `MalformedFrame`: what is too large is so by its head."""
+        """All whole messages; whether there was one. Raises `MalformedFrame`: what is too large is
+        so by its head.
+        """
         at, buffer = 0, self._buffer
         while len(buffer) - at >= HEAD.size:
             head = bytes(buffer[at : at + HEAD.size])
