--- a/dockthread/control_plane/admission.py
+++ b/dockthread/control_plane/admission.py
@@ -1,10 +1,11 @@
-"""Admission of snapshots: a budget of bytes over time, and a retry time for who is not admitted.
-
-Theory of operation. Chunks of snapshots are paid from a token bucket, so in any time T at most the
-burst, the rate times T and one chunk are sent. A subscriber is admitted while what is owed to those
-before it can be sent within `MAX_QUEUE_TIME`. Each one that is not admitted gets a slot of its own
-behind the slots already given, moved a little at random, so that a wave of restarts is served at
-the rate and no faster.
+"""Admits snapshots within a byte budget, and gives refused subscribers a time to retry.
+
+Theory of operation. Chunks of snapshots are charged to a token bucket, so during any time T at most
+burst + rate * T bytes and one chunk are sent. A subscriber is admitted if all admitted bytes that
+are not yet sent, including its own snapshot, can be sent within `MAX_QUEUE_TIME`; if none are
+pending it is always admitted. Each refused subscriber gets a time slot after the slots already
+assigned, with random jitter. When many subscribers restart at once, they are thus served no faster
+than the rate.
 """
 
 from __future__ import annotations
@@ -14,9 +15,9 @@
 from typing import Final
 
 MAX_QUEUE_TIME: Final = 1_000.0
-"""Time in ms within which all owed bytes can be sent, for one more snapshot to be admitted."""
+"""Maximum time in ms to send all pending bytes if another snapshot is admitted."""
 SLOT_JITTER: Final = 0.2
-"""Fraction of its time by which a slot is moved earlier or later at random."""
+"""Random jitter of a retry delay, as a fraction of the delay in either direction."""
 MS_PER_SECOND: Final = 1_000.0
 
 
@@ -25,10 +26,10 @@
     """Limits of a budget.
 
     Attributes:
-        rate: Bytes a second.
-        burst: Bytes at once.
-        retry_after_min: Least time in ms after which a rejected subscriber retries.
-        retry_after_max: Longest such time in ms.
+        rate: Long-term rate in bytes per second.
+        burst: Capacity of the token bucket in bytes.
+        retry_after_min: Shortest retry delay of a refused subscriber, in ms.
+        retry_after_max: Longest retry delay of a refused subscriber, in ms.
     """
 
     rate: float
@@ -41,18 +42,20 @@
     """The budget of one server. Times are in ms."""
 
     def __init__(self, limits: SnapshotBudgetLimits, rng: random.Random) -> None:
-        self._rate = limits.rate / MS_PER_SECOND  # bytes a ms
+        self._rate = limits.rate / MS_PER_SECOND  # bytes per ms
         self._burst = limits.burst
         self._retry_after_min = limits.retry_after_min
         self._retry_after_max = limits.retry_after_max
         self._rng = rng
-        self._tokens = limits.burst  # bytes; below zero after a chunk larger than what was left
+        self._tokens = (
+            limits.burst
+        )  # bytes; negative after a chunk larger than the remaining tokens
         self._filled_at = 0.0
         self._owed = 0.0  # bytes of admitted snapshots that are still to be sent
         self._slots_until = 0.0
 
     def admit(self, now: float, size: float) -> bool:
-        """Admit a snapshot of `size` bytes, which are then owed, or return False."""
+        """Admit a snapshot of `size` bytes, which are then pending, or return False."""
         self._fill(now)
         missing = self._owed + size - max(0.0, self._tokens)
         if self._owed > 0.0 and missing > self._rate * MAX_QUEUE_TIME:
@@ -61,7 +64,7 @@
         return True
 
     def retry_after(self, now: float, size: float) -> float:
-        """Return after how many ms a snapshot that was not admitted is to be requested again."""
+        """Return the time in ms after which a refused subscriber should retry."""
         earliest = max(now + self._owed / self._rate, self._slots_until)
         self._slots_until = min(earliest + size / self._rate, now + self._retry_after_max)
         jitter = self._rng.uniform(1.0 - SLOT_JITTER, 1.0 + SLOT_JITTER)
@@ -81,11 +84,11 @@
         return self._filled_at + (1.0 - self._tokens) / self._rate
 
     def spend(self, size: float) -> None:
-        """Pay for a chunk of `size` bytes that was sent."""
+        """Charge the budget for a chunk of `size` bytes."""
         self._tokens -= size
 
     def release(self, size: float) -> None:
-        """Owe `size` bytes less: they were sent, or their receiver left."""
+        """Subtract `size` from the pending bytes: they were sent, or their receiver disconnected."""
         self._owed = max(0.0, self._owed - size)
 
     def _fill(self, now: float) -> None:
--- a/dockthread/control_plane/batch_applier.py
+++ b/dockthread/control_plane/batch_applier.py
@@ -1,8 +1,9 @@
-"""Applies batches of changed resources in slices, and keeps the last good version of the rejected.
+"""Applies batches of changed resources, and keeps the last good version of rejected resources.
 
-Theory of operation. Batches are applied in their order, one slice a turn of the loop, so that
-requests are answered between slices. What was rejected is tried once more at the end of its batch,
-as one change may need another one of the same batch. Then the batch goes to the snapshot cache.
+Theory of operation. Batches are applied in order, in slices. One slice is applied per iteration of
+the event loop, so that requests are answered between slices. Rejected resources are tried once more
+at the end of their batch, as one change may depend on another change of the same batch. Then the
+batch is written to the snapshot cache.
 """
 
 from __future__ import annotations
@@ -22,27 +23,27 @@
 from dockthread.control_plane.subscriber_actions import ResourcesChanged
 
 RESTORE_SLICE: Final = 1024
-"""Resources of the cache applied at once; nothing else has to be answered yet."""
+"""Resources of the cache applied per call; large, as no requests are served during the restore."""
 MAX_BATCHES: Final = 4
-"""Batches that wait before nothing more is read from the server."""
+"""Number of queued batches at which reading from the server pauses."""
 MAX_LOCAL_REASON_CHARACTERS: Final = 500
-"""Characters of a rejection's reason that are kept in memory."""
+"""Maximum number of characters of a rejection's reason that are kept in memory."""
 
 
 class ResourceApplier(Protocol):
-    """Applies resources to the process that receives them."""
+    """Applies received resources in this process."""
 
     def apply(self, changes: Sequence[Resource]) -> Sequence[Rejection]:
-        """Apply changes in their order, each as far as it is valid, and return the rejections.
+        """Apply the valid changes in order, and return the rejections of the others.
 
-        A rejected resource changes nothing. Must not block for long.
+        A rejected resource changes nothing. The method must not block for long.
         """
 
     def applied_resource(self, kind: str, name: str) -> Resource | None:
-        """Return what is applied under a name; None for nothing, or where that is not known."""
+        """Return the applied version of a resource; None if there is none or it is unknown."""
 
     def on_batch_applied(self) -> None:
-        """Handle that everything received so far was passed to `apply`."""
+        """Handle the end of a batch: all of its resources have been passed to `apply`."""
 
 
 class ResourceKey(NamedTuple):
@@ -58,12 +59,12 @@
 
 
 class BatchApplier:
-    """Passes batches to `applier`, and then to the cache where there is one.
+    """Passes batches to `applier`, and then to the cache if there is one.
 
-    `on_applied` is called with the number of each applied batch and its rejections.
+    Calls `on_applied` with the number of each applied batch and its rejections.
 
     Attributes:
-        applier: Where resources are applied.
+        applier: Applies the resources.
     """
 
     def __init__(
@@ -79,7 +80,7 @@
         self._cache = cache
         self._slice_size = slice_size
         self._on_applied = on_applied
-        self._last_good: dict[ResourceKey, Resource] = {}  # applied in place of rejected ones
+        self._last_good: dict[ResourceKey, Resource] = {}  # applied versions of rejected resources
         self._batches: deque[ResourcesChanged] = deque()
         self._slices: Iterator[list[Resource]] | None = None  # of the first batch
         self._rejected: dict[ResourceKey, Rejection] = {}  # of the first batch
@@ -88,19 +89,19 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no batch waits."""
+        """Whether no batch is queued or being applied."""
         return not self._batches
 
     @property
     def is_full(self) -> bool:
-        """Whether as many batches wait as may."""
+        """Whether `MAX_BATCHES` batches are queued."""
         return len(self._batches) >= MAX_BATCHES
 
     def restore(self, cached: CachedSnapshot) -> Sequence[Rejection]:
-        """Apply what was applied when the cache was written, then what was rejected then.
+        """Apply the resources of the cache; those that were rejected when it was written come last.
 
         Returns:
-            What is rejected again; the rest may have become valid.
+            Rejections of the resources that are still invalid.
         """
         retried = {key_of(resource) for resource in cached.last_good}
         self.applier.apply(cached.last_good)
@@ -115,20 +116,20 @@
         return rejections
 
     def enqueue(self, batch: ResourcesChanged) -> None:
-        """Add a batch behind those that wait; the caller then calls `start`."""
+        """Add a batch to the end of the queue; the caller then calls `start`."""
         self._batches.append(batch)
 
     def start(self) -> None:
-        """Begin with the batch that was added, unless others are before it."""
+        """Start to apply the added batch, unless an earlier batch is still being applied."""
         if len(self._batches) == 1:
             self._apply_next_slice()
 
     def close(self) -> None:
-        """Apply nothing more."""
+        """Stop applying; queued batches are not applied."""
         self._is_closed = True
 
     def _apply_next_slice(self) -> None:
-        """Apply one slice of the first batch, or end the batch behind its last one."""
+        """Apply the next slice of the first batch; after the last slice, finish the batch."""
         if self._is_closed or not self._batches:
             return
         batch = self._batches[0]
@@ -146,7 +147,7 @@
     def _apply(self, resources: Sequence[Resource]) -> Sequence[Rejection]:
         try:
             return self.applier.apply(resources)
-        except Exception as error:  # noqa: BLE001  a fault there must not end the distribution
+        except Exception as error:  # noqa: BLE001  an error in the applier must not stop the distribution
             logger.exception("control: changes could not be applied")
             reason = f"fault: {error!r}"
             return [Rejection(one.kind, one.name, one.revision, reason) for one in resources]
@@ -173,7 +174,7 @@
     def _save(self, cache: SnapshotCache, batch: ResourcesChanged) -> None:
         """Write the cache once no batch waits and the table is complete.
 
-        Only then the table is what was applied.
+        Only then does the table match the applied resources.
         """
         self._unsaved += batch.resources
         if not self._batches and self._table.is_complete:
--- a/dockthread/control_plane/distributor.py
+++ b/dockthread/control_plane/distributor.py
@@ -20,21 +20,21 @@
 from dockthread.framing import MessageCounts
 
 SLICE_RESOURCES: Final = 4096
-"""Resources passed on in one turn of the loop: a distributor validates none."""
+"""Resources passed on per iteration of the event loop; large, as a distributor validates none."""
 
 
 class Distributor:
-    """Relays the table. It knows no kinds of resources and rejects nothing."""
+    """Relays the table without validating resources, so it accepts every kind."""
 
     def __init__(self, options: ControlOptions, clock: Clock, rng: random.Random) -> None:
-        """Load the cache.
+        """Load the cached snapshot.
 
         Raises:
             KeyFileError: The file of the shared key cannot be read or has a wrong length.
         """
         settings = client_settings_from_options(options, options.name, SLICE_RESOURCES)
         cache = cache_from_options(options, options.name)
-        self._server: ControlPlaneServer | None = None  # until the client has loaded the cache
+        self._server: ControlPlaneServer | None = None  # None until the client has loaded the cache
         self._client = ControlPlaneClient(settings, self, clock, rng, cache)
         subscriber = self._client.subscriber
         source = TableSource(subscriber.table, lambda: subscriber.age(clock.now()))
@@ -42,7 +42,7 @@
         self._server = ControlPlaneServer(server_settings, source, clock, rng)
 
     async def open(self, listen: Address) -> Address:
-        """Listen and begin to receive, and return the address.
+        """Start listening and receiving, and return the listening address.
 
         Raises:
             OSError: The address cannot be listened on.
@@ -60,21 +60,21 @@
 
     @property
     def messages(self) -> MessageCounts:
-        """Messages with its servers and its subscribers."""
+        """Counts of messages exchanged with servers and with subscribers."""
         assert self._server is not None
         return self._client.messages + self._server.messages
 
     # Methods of ResourceApplier
 
     def apply(self, changes: Sequence[Resource]) -> Sequence[Rejection]:  # noqa: ARG002  see below
-        """Reject nothing: the table alone is served."""
+        """Return no rejections: a distributor serves the table without applying it."""
         return ()
 
     def applied_resource(self, kind: str, name: str) -> Resource | None:  # noqa: ARG002  see below
-        """Return None: a distributor applies nothing."""
+        """Return None: a distributor applies no resources."""
         return None
 
     def on_batch_applied(self) -> None:
-        """Serve the changed table."""
+        """Send the changed table to subscribers."""
         if self._server is not None:
             self._server.on_table_changed()
--- a/dockthread/control_plane/encoded.py
+++ b/dockthread/control_plane/encoded.py
@@ -1,4 +1,4 @@
-"""Frames that many subscribers are sent, encoded once: chunks of a snapshot and deltas."""
+"""Encodes chunks of snapshots and deltas once, as frames sent to many subscribers."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from dockthread.control_plane.resource_table import ResourceTable
 
 MAX_DELTA_FRAMES: Final = 64
-"""Delta frames cached for one state of the table."""
+"""Maximum number of delta frames cached for one state of the table."""
 MIN_SNAPSHOT_LAG: Final = 64
-"""Changes that a cached snapshot may always lack."""
+"""Number of changes that a cached snapshot may lack, regardless of the size of the table."""
 MAX_SNAPSHOT_LAG_FRACTION: Final = 0.1
-"""Changes that a cached snapshot may lack, as a fraction of the number of resources."""
+"""Maximum changes that a cached snapshot may lack, as a fraction of the number of resources."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,8 +23,8 @@
 
     Attributes:
         frame: Bytes to be written.
-        revision: Revision of its receiver afterwards.
-        digest: Digest of the table; `NO_DIGEST` where the delta is not complete.
+        revision: Revision of the receiver after the delta.
+        digest: Digest of the table; `NO_DIGEST` if the delta is not complete.
     """
 
     frame: bytes
@@ -33,22 +33,22 @@
 
 
 class EncodedSnapshot:
-    """A table as it was, in frames; each is encoded when it is first needed.
+    """A snapshot of a table as frames, each of which is encoded when first needed.
 
-    `chunk_bytes` bounds the resources of one frame; `key` tags the frames.
+    `chunk_bytes` limits the size of the resources in one frame; `key` authenticates the frames.
     """
 
     def __init__(self, table: ResourceTable, chunk_bytes: int, key: bytes) -> None:
         self.epoch = table.epoch
         self.revision = table.revision
         self.digest = table.digest
-        self._frozen: FrozenTable | None = table.freeze()  # until all frames are encoded
+        self._frozen: FrozenTable | None = table.freeze()  # None once all frames are encoded
         self._chunk_bytes = chunk_bytes
         self._key = key
         self._frames: list[bytes] = []
 
     def frame(self, number: int) -> bytes | None:
-        """Return frame `number`, counted from 0, or None behind the last one."""
+        """Return frame `number`, counted from 0, or None after the last one."""
         while len(self._frames) <= number and self._frozen is not None:
             chunk = self._frozen.next_chunk(self._chunk_bytes)
             self._frames.append(codec.pack(chunk, self._key))
@@ -58,7 +58,7 @@
 
 
 class _TableState(NamedTuple):
-    """What a delta frame depends on besides its receiver's revision."""
+    """State of the table from which delta frames were encoded."""
 
     epoch: str = ""
     revision: int = 0
@@ -67,7 +67,7 @@
 
 
 class EncodedFrameCache:
-    """Encoded frames of a table: one recent snapshot, and deltas of its current state."""
+    """Caches encoded frames of a table: one recent snapshot, and deltas to its current state."""
 
     def __init__(self, table: ResourceTable, chunk_bytes: int, key: bytes) -> None:
         self._table = table
@@ -78,13 +78,13 @@
         self._deltas_of = _TableState()
 
     def snapshot(self) -> EncodedSnapshot:
-        """Return the cached snapshot where a short delta follows it, else a new one."""
+        """Return the cached snapshot if a short delta follows it, otherwise a new snapshot."""
         if self._snapshot is None or not self._is_recent(self._snapshot):
             self._snapshot = EncodedSnapshot(self._table, self._chunk_bytes, self._key)
         return self._snapshot
 
     def drop_snapshot(self) -> None:
-        """Free the cached snapshot; transfers under way keep theirs."""
+        """Drop the cached snapshot; transfers in progress keep a reference to it."""
         self._snapshot = None
 
     def delta(self, revision: int) -> DeltaFrame:
--- a/dockthread/control_plane/fanout.py
+++ b/dockthread/control_plane/fanout.py
@@ -1,21 +1,22 @@
-"""Serves one table to many subscribers with a cursor for each and no queues, without I/O.
+"""Serves one table to many subscribers. Keeps one cursor per subscriber, no queues; does no I/O.
 
-Theory of operation. The caller reports what arrives on a connection, and asks for `next_frame`
-whenever that connection can be written to. The frame is made from the table as it is then, so a
-slow subscriber is sent the latest of each key and nothing waits for it in memory. A frame that was
-returned counts as sent: if the connection breaks instead, its cursor goes with it, and the
-subscriber names the table that it holds on its next connection.
+Theory of operation. The caller reports each message that arrives on a connection, and calls
+`next_frame` whenever that connection is writable. The frame is built from the current table, so a
+slow subscriber gets only the latest version of each resource, and no frames are queued for it in
+memory. A returned frame counts as sent. If the connection breaks before the frame is delivered, its
+cursor is discarded with it; when the subscriber reconnects, it reports the revision that it holds.
 
-| what a subscriber holds | what it is sent |
+| state of the subscriber | frames sent to it |
 | --- | --- |
-| nothing (revision 0), another epoch, or a revision before the table's horizon | a snapshot in chunks, then deltas |
+| no table (revision 0), another epoch, or a revision before the table's horizon | a snapshot in chunks, then deltas |
 | the table's revision with another digest | a snapshot |
 | an older revision | deltas |
-| a newer revision than the table | heartbeats, until the table has passed it |
+| a newer revision than the table | heartbeats, until the table reaches a newer revision |
 
-Frames are encoded once: the chunks of a snapshot are sent to all who need one until the table is
-too far ahead of it, and the delta that follows a revision is reused until the table changes. What
-the snapshots of a wave of restarts cost is bounded by `admission`. All times are in ms.
+Each frame is encoded once. The chunks of a snapshot are sent to all subscribers that need one, until
+the table is too far ahead of the snapshot. The delta that follows a revision is reused until the
+table changes. `admission` bounds the cost of the snapshots when many subscribers restart at once.
+All times are in ms.
 """
 
 from __future__ import annotations
@@ -46,13 +47,13 @@
 from dockthread.errors import DockthreadError
 
 NEVER_SENT: Final = -1e18
-"""Time in ms of a heartbeat that was never sent: the next one is due at once."""
+"""Value of `heartbeat_at` before the first heartbeat, in ms: a heartbeat is due immediately."""
 AT_CAPACITY_RETRY: Final = 500.0
-"""Time in ms, give or take half, after which a subscriber retries that found no capacity."""
+"""Mean time in ms after which a subscriber refused for lack of capacity retries; ±50 % jitter."""
 SNAPSHOT_RETENTION: Final = 60_000.0
 """Time in ms for which the encoded snapshot is kept after its last use."""
 HEARTBEAT_TOLERANCE: Final = 1.0
-"""Time in ms by which a heartbeat may leave early."""
+"""Time in ms by which a heartbeat may be sent early."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,15 +61,15 @@
     """Limits of a fan-out. Times are in ms.
 
     Attributes:
-        max_subscribers: Subscribers served at once.
-        snapshot_rate: Bytes of snapshots a second, over time.
-        snapshot_burst: Bytes of snapshots at once.
+        max_subscribers: Maximum number of concurrent subscribers.
+        snapshot_rate: Long-term rate at which snapshots are sent, in bytes per second.
+        snapshot_burst: Bytes of snapshots that can be sent in one burst.
         chunk_bytes: Bytes of resources in one frame.
-        heartbeat_interval: Between heartbeats to a subscriber.
-        silence_timeout: After which a silent subscriber is closed.
-        status_retention: For which the status of a subscriber is remembered after it left.
-        retry_after_min: Least time after which a subscriber retries that got no snapshot.
-        retry_after_max: Longest such time.
+        heartbeat_interval: Interval between heartbeats to a subscriber.
+        silence_timeout: Time after which the connection of a silent subscriber is closed.
+        status_retention: Time for which the status of a disconnected subscriber is kept.
+        retry_after_min: Shortest retry delay for a subscriber that was refused a snapshot.
+        retry_after_max: Longest retry delay for a subscriber that was refused a snapshot.
     """
 
     max_subscribers: int = 400
@@ -83,12 +84,12 @@
 
 
 class UnexpectedMessageError(DockthreadError):
-    """A subscriber sent what it must not send there; the caller closes its connection."""
+    """A message is invalid or unexpected at this point; the caller closes the connection."""
 
 
 @dataclass(frozen=True, slots=True)
 class OverdueConnection:
-    """A connection that the caller has to close, followed by `on_closed`."""
+    """A connection that the caller must close; it then calls `on_closed`."""
 
     connection: int
     reason: str
@@ -96,20 +97,20 @@
 
 @dataclass(slots=True)
 class _Cursor:
-    """What was returned for one connection.
+    """Position of one connection in the table: which frames were returned for it.
 
     Attributes:
-        record: The subscriber.
-        last_received_at: When something last arrived on the connection.
-        epoch: History that the subscriber holds.
-        revision: Revision that it holds.
-        snapshot: Snapshot that is under way.
-        needs_snapshot: Whether a snapshot has to begin.
+        record: Status of the subscriber.
+        last_received_at: When the last message arrived on the connection.
+        epoch: Epoch of the table that the subscriber holds.
+        revision: Revision that the subscriber holds once it has received all returned frames.
+        snapshot: Snapshot that is being sent; None between snapshots.
+        needs_snapshot: Whether the next update must be a snapshot.
         next_chunk: Number of the next chunk of `snapshot`.
-        confirmed: Digest that it was last sent, where nothing was returned since.
-        owed: Bytes of an admitted snapshot that were not yet sent.
-        heartbeat_at: When its last heartbeat was returned.
-        is_replaced: Whether a newer connection of the same subscriber took its place.
+        confirmed: Digest in the last frame of an update; `NO_DIGEST` if it carried none.
+        owed: Bytes of an admitted snapshot that are not yet sent.
+        heartbeat_at: When the last heartbeat was returned.
+        is_replaced: Whether the same subscriber has opened a newer connection.
     """
 
     record: SubscriberRecord
@@ -126,9 +127,9 @@
 
 
 class FanOut:
-    """Serves `table`, which others change, to subscribers by the numbers of their connections.
+    """Serves `table`, which its owner changes, to subscribers identified by connection numbers.
 
-    `key` tags the frames.
+    `key` is the secret that authenticates the frames.
     """
 
     def __init__(
@@ -143,8 +144,8 @@
         self._limits = limits
         self._rng = rng
         self._key = key
-        self._cursors: dict[int, _Cursor] = {}  # by connection
-        self._connection_of: dict[str, int] = {}  # by subscriber
+        self._cursors: dict[int, _Cursor] = {}  # by connection number
+        self._connection_of: dict[str, int] = {}  # by subscriber name
         self._departed = DepartedSubscribers()
         self._frames = EncodedFrameCache(table, limits.chunk_bytes, key)
         self._snapshot_used_at = now
@@ -160,20 +161,21 @@
         self._lag = LagTracker(now, table)
         self._complete_at: float | None = None  # when the table was last known to be complete
         self._heartbeats_at = now + limits.heartbeat_interval
-        self._awaits_budget = False  # a chunk waits for the budget
+        self._awaits_budget = False  # a chunk is waiting for the budget
 
     def subscribe(self, now: float, connection: int, message: Subscribe) -> RetryLater | None:
-        """Take the first message of a connection.
+        """Handle the first message of a connection.
 
         Returns:
-            None where the subscriber is served; else a message that the caller sends before it
-            closes the connection, which is not known here.
+            None if the subscriber is admitted. Otherwise the message that the caller sends before
+            it closes the connection; the connection is then not registered here.
 
         Raises:
-            UnexpectedMessageError: The connection has subscribed before, or the message is invalid.
+            UnexpectedMessageError: The connection has already subscribed, or the message is
+                invalid.
         """
         if connection in self._cursors:
-            raise UnexpectedMessageError("it has subscribed before")
+            raise UnexpectedMessageError("the connection has already subscribed")
         _check_subscription(message)
         self._lag.observe(now, self.table)
         if self._is_at_capacity(message.name):
@@ -192,35 +194,35 @@
         return None
 
     def on_message(self, now: float, connection: int, message: Acknowledge | Heartbeat) -> None:
-        """Handle any later message.
+        """Handle a message after the first one of a connection.
 
         Raises:
             UnexpectedMessageError: The connection has not subscribed, or the message is invalid.
         """
         cursor = self._cursors.get(connection)
         if cursor is None:
-            raise UnexpectedMessageError("it has not subscribed")
+            raise UnexpectedMessageError("the connection has not subscribed")
         cursor.last_received_at = now
         if isinstance(message, Acknowledge):
             _check_rejections(message)
             cursor.record.acknowledge(now, message)
 
     def next_frame(self, now: float, connection: int) -> bytes | None:
-        """Return the next frame for a connection that can be written to.
+        """Return the next frame for a writable connection, or None if there is nothing to send.
 
-        The caller asks again until there is None; later when the table has changed, and after
-        `on_timer`. There is None for a connection that is not known.
+        The caller repeats the call until it returns None, and calls again when the table has
+        changed and after `on_timer`. The result for an unknown connection is None.
         """
         cursor = self._cursors.get(connection)
         if cursor is None or cursor.is_replaced:
             return None
         self._lag.observe(now, self.table)
-        # The first heartbeat leaves before any update: it says how old the table is.
+        # The first heartbeat is sent before any update, as it reports the age of the table.
         since_heartbeat = now - cursor.heartbeat_at
         if since_heartbeat >= 2 * self._limits.heartbeat_interval:
             return self._heartbeat(now, cursor)
         frame = self._update(now, cursor)
-        since_heartbeat = now - cursor.heartbeat_at  # the end of a snapshot makes one due
+        since_heartbeat = now - cursor.heartbeat_at  # reset by the end of a snapshot
         if (
             frame is None
             and since_heartbeat >= self._limits.heartbeat_interval - HEARTBEAT_TOLERANCE
@@ -229,7 +231,7 @@
         return frame
 
     def on_closed(self, now: float, connection: int) -> None:
-        """Forget a connection, whoever closed it; unknown ones are ignored."""
+        """Forget a connection that either side has closed; an unknown connection is ignored."""
         cursor = self._cursors.pop(connection, None)
         if cursor is None:
             return
@@ -241,17 +243,18 @@
             self._departed.add(cursor.record)
 
     def set_table_age(self, now: float, age: float) -> None:
-        """Record for how long the table may have lacked a change, or `AGE_UNKNOWN`.
+        """Record the age of the table: for how long it may have been missing a change.
 
-        Heartbeats report it. On a voter it is the time since it last heard from a leader, or as
-        the leader from a majority; on a distributor it is `Subscriber.age`.
+        `AGE_UNKNOWN` means that the age is not known. Heartbeats report the age. On a follower it
+        is the time since the last message from the leader; on the leader, the time since it last
+        heard from a majority; on a distributor, `Subscriber.age`.
         """
         self._complete_at = now - age if age >= 0.0 else None
 
     def on_timer(self, now: float) -> list[OverdueConnection]:
-        """Return the connections to be closed.
+        """Return the connections that the caller must close.
 
-        The caller then asks `next_frame` for every connection that can be written to.
+        The caller then calls `next_frame` for every writable connection.
         """
         self._lag.observe(now, self.table)
         self._awaits_budget = False  # `next_frame` sets it again
@@ -272,17 +275,17 @@
         return overdue
 
     def next_timer_at(self) -> float:
-        """Return when `on_timer` is due: for heartbeats, or for a chunk that awaits the budget."""
+        """Return when `on_timer` is due: for heartbeats, or for a chunk waiting for the budget."""
         if self._awaits_budget:
             return min(self._heartbeats_at, self._budget.can_send_at())
         return self._heartbeats_at
 
     def connections(self) -> list[int]:
-        """Return the connections that are subscribed."""
+        """Return the numbers of the subscribed connections."""
         return list(self._cursors)
 
     def status(self, now: float) -> tuple[SubscriberStatus, ...]:
-        """Return each subscriber, and each that left within `status_retention`, by name."""
+        """Return all connected and recently disconnected subscribers, sorted by name."""
         self._lag.observe(now, self.table)
         connected = {
             cursor.record.subscription.name: cursor.record
@@ -296,22 +299,22 @@
         )
 
     def _is_at_capacity(self, name: str) -> bool:
-        """Return whether there is no capacity for a subscriber; a reconnecting one needs none."""
+        """Return whether a subscriber must be refused; a reconnecting one takes no extra place."""
         is_full = len(self._connection_of) >= self._limits.max_subscribers
         return is_full and name not in self._connection_of
 
     def _supersede_connection(self, name: str, connection: int) -> None:
-        """Serve the newest connection of a subscriber; `on_timer` closes its older one."""
+        """Serve only the newest connection of a subscriber; `on_timer` closes the older one."""
         older = self._connection_of.get(name)
         if older is not None:
             self._cursors[older].is_replaced = True
         self._connection_of[name] = connection
 
     def _needs_snapshot(self, cursor: _Cursor, digest: bytes) -> bool:
-        """Return whether only a snapshot brings a subscriber up to date."""
+        """Return whether a subscriber needs a snapshot, as deltas cannot bring it up to date."""
         table = self.table
         if not table.revision:
-            return False  # there is nothing to send yet
+            return False  # the table is empty
         if cursor.epoch != table.epoch or cursor.revision < max(table.horizon, 1):
             return True
         is_same_revision = cursor.revision == table.revision and table.is_complete
@@ -328,8 +331,9 @@
     def _begin_snapshot(self, now: float, cursor: _Cursor) -> bytes | None:
         """Return the first chunk of a snapshot.
 
-        A subscriber that fell behind while it was served (another epoch, too slow) was not
-        admitted for it; it is sent one all the same, paid from the same budget.
+        A connected subscriber that needs a snapshot because the epoch changed or because it was
+        too slow has not passed admission. It gets the snapshot anyway; the chunks are charged to
+        the same budget.
         """
         if not self.table.is_complete:
             return None
@@ -363,12 +367,12 @@
         cursor.epoch = snapshot.epoch
         cursor.revision = snapshot.revision
         cursor.confirmed = snapshot.digest
-        cursor.heartbeat_at = NEVER_SENT  # the next one says how old the table is now
+        cursor.heartbeat_at = NEVER_SENT  # makes a heartbeat with the current age due
 
     def _delta(self, cursor: _Cursor) -> bytes | None:
         table = self.table
         if cursor.epoch != table.epoch or not table.can_resume_from(cursor.revision):
-            return None  # there is nothing to send yet, or the subscriber is ahead
+            return None  # the table is empty, or the subscriber is ahead of it
         if cursor.revision == table.revision:
             is_confirmed = cursor.confirmed == table.digest
             if is_confirmed or not table.is_complete:
@@ -385,16 +389,20 @@
 
 
 def _check_subscription(message: Subscribe) -> None:
-    """Raise UnexpectedMessageError for a name or place that is empty or too long."""
+    """Raise UnexpectedMessageError if the name is empty, or the name or location too long."""
     has_name = 0 < len(message.name.encode()) <= MAX_NAME_BYTES
     if not has_name or len(message.region + message.zone) > 2 * MAX_NAME_BYTES:
-        raise UnexpectedMessageError("its name or place is empty or too long")
+        raise UnexpectedMessageError(
+            "the subscriber's name is empty, or its name or location is too long"
+        )
 
 
 def _check_rejections(message: Acknowledge) -> None:
-    """Raise UnexpectedMessageError for more or longer rejections than there may be."""
+    """Raise UnexpectedMessageError if there are too many rejections, or one is too long."""
     if len(message.rejected) > MAX_REJECTIONS or any(map(_is_too_long, message.rejected)):
-        raise UnexpectedMessageError("more or longer rejections than an acknowledgement may hold")
+        raise UnexpectedMessageError(
+            "the acknowledgement has too many rejections, or one that is too long"
+        )
 
 
 def _is_too_long(rejection: Rejection) -> bool:
--- a/dockthread/control_plane/frozen_table.py
+++ b/dockthread/control_plane/frozen_table.py
@@ -1,4 +1,4 @@
-"""The content of a table at one moment, cut into the chunks of a snapshot."""
+"""The content of a table at one point in time, split into the chunks of a snapshot."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class FrozenTable:
-    """A table as it was, tombstones included, the oldest revision first.
+    """The content of a table at one point in time, with tombstones, oldest revision first.
 
-    No resource is copied: keys and packed resources are shared with the table.
+    Resources are not copied: keys and packed resources are shared with the table.
     """
 
-    def __init__(  # noqa: PLR0913  the fields of a table, named once by `ResourceTable.freeze`
+    def __init__(  # noqa: PLR0913  the fields of a table, only passed by `ResourceTable.freeze`
         self,
         epoch: str,
         revision: int,
@@ -35,11 +35,11 @@
 
     @property
     def exhausted(self) -> bool:
-        """Whether all chunks were returned."""
+        """Whether all chunks have been returned."""
         return self._has_begun and self._next == len(self._keys)
 
     def next_chunk(self, max_bytes: int) -> Update:
-        """Return the next chunk: the first begins a snapshot, the last is complete."""
+        """Return the next chunk; the first is marked `snapshot`, the last is marked `complete`."""
         first = self._next
         last = self._advance(max_bytes)
         entries = zip(self._keys[first:last], self._values[first:last], strict=True)
@@ -54,7 +54,7 @@
         )
 
     def _advance(self, max_bytes: int) -> int:
-        """Move past the next chunk, one resource at least, and return where it ends."""
+        """Advance past the next chunk of at least one resource, and return its end index."""
         start = self._next
         capacity = max_bytes
         while self._next < len(self._keys):
--- a/dockthread/control_plane/lag.py
+++ b/dockthread/control_plane/lag.py
@@ -1,4 +1,4 @@
-"""For how long a subscriber has lacked some change of a table."""
+"""Measures for how long a subscriber has been missing a change of a table."""
 
 from __future__ import annotations
 
@@ -8,16 +8,19 @@
 from dockthread.control_plane.resource_table import ResourceTable
 
 MAX_ARRIVALS: Final = 4096
-"""Revisions remembered; older ones count as having arrived with the oldest of them."""
+"""Maximum number of revisions whose arrival times are kept.
+
+The arrival time of an older revision is taken to be that of the oldest one kept.
+"""
 
 
 class LagTracker:
-    """Remembers when the revisions of one table were first observed. Times are in ms."""
+    """Records when the revisions of one table were first observed. Times are in ms."""
 
     def __init__(self, now: float, table: ResourceTable) -> None:
         self._epoch = table.epoch
         self._revisions: list[int] = [table.revision] if table.revision else []
-        self._times: list[float] = [now] if table.revision else []  # one for each revision
+        self._times: list[float] = [now] if table.revision else []  # one per revision
 
     def observe(self, now: float, table: ResourceTable) -> None:
         """Record the revision of the table if it is new."""
@@ -35,7 +38,7 @@
             del self._times[: MAX_ARRIVALS // 2]
 
     def lag(self, now: float, revision: int) -> float:
-        """Return for how many ms a holder of `revision` has lacked a change; 0 where it is current."""
+        """Return for how many ms a holder of `revision` has been missing a change; 0 if none."""
         first_lacking = bisect_right(self._revisions, revision)
         if first_lacking == len(self._times):
             return 0.0
--- a/dockthread/control_plane/listing.py
+++ b/dockthread/control_plane/listing.py
@@ -1,4 +1,4 @@
-"""Answers lookups of operators from a table, in pages."""
+"""Answers operators' lookups from a table, in pages."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from dockthread.control_plane.resource_table import ResourceTable
 
 MAX_PAGE_RESOURCES: Final = 1000
-"""Resources of one page."""
+"""Maximum number of resources on one page."""
 MAX_PAGE_BYTES: Final = 1 << 20
-"""Bytes of the bodies of one page, which has one resource at least."""
+"""Maximum total size of the bodies on one page, in bytes; a page has at least one resource."""
 
 
 def lookup_resources(table: ResourceTable, request: LookupRequest) -> LookupResponse:
-    """Return one resource by its name, or a page of a kind ordered by name.
+    """Return one resource by name, or a page of the resources of one kind, sorted by name.
 
-    A page costs a walk over the table: operators look up, no process does.
+    Each page scans the table; this is acceptable as only operators use lookups.
     """
     if request.name:
         resource = table.get(request.kind, request.name)
--- a/dockthread/control_plane/publish_state_machine.py
+++ b/dockthread/control_plane/publish_state_machine.py
@@ -1,16 +1,17 @@
-"""The replicated state machine that accepts each published change once and gives it a revision.
-
-Theory of operation. Before a change is proposed it is checked against bounds and the validator of
-its kind (`rejection_reason`); then it goes into the replicated log (`encode_proposal`). The check
-that depends on the state, whether the resource is at the expected revision, is made when the entry
-is applied, with the same result on every voter. The bounds are checked again there. Validators are
-not: voters of two releases may have different ones during an upgrade, and their states would
-diverge. The outcome under a token, accepted or rejected, is part of the state, and is final while
-it is among the last `MAX_TOKENS`: a publisher that got no response retries with the same token, and
-of two entries with one token only the first counts.
-
-`epoch` names the history. It is derived from the nonce of the first accepted change, so that a new
-log can be told from the one before; it is empty until then.
+"""The replicated state machine that applies each published change once and assigns a revision.
+
+Theory of operation. Before a change is proposed, `rejection_reason` checks it against size bounds
+and with the validator of its kind; then it is appended to the replicated log (`encode_proposal`).
+Whether the resource is at the expected revision depends on the state. This is checked when the
+entry is applied, with the same result on every voter. The bounds are checked again at that point.
+The validators are not run again: during an upgrade, voters of two releases may have different
+validators, and their states would diverge. The outcome of a change, accepted or rejected, is stored
+in the state under the token of the request, and is final while it is among the last `MAX_TOKENS`. A
+publisher that got no response retries with the same token; if the log holds two entries with one
+token, only the first is applied.
+
+`epoch` identifies the history of a log. It is derived from the nonce of the first accepted change,
+so that a new log can be distinguished from an earlier one. It is empty before that change.
 """
 
 from __future__ import annotations
@@ -33,33 +34,33 @@
 from dockthread.control_plane.resource_table import MAX_TOMBSTONES, ResourceTable
 
 MAX_TOKENS: Final = 65_536
-"""Outcomes remembered: about a week of changes."""
+"""Number of outcomes kept: about a week of changes."""
 MAX_TOKEN_BYTES: Final = 64
-"""Bytes of a token in UTF-8."""
+"""Maximum length of a token in bytes of UTF-8."""
 ANY_REVISION: Final = -1
-"""`PublishRequest.expected` of a change that replaces whatever is there."""
+"""Value of `PublishRequest.expected` for a change that replaces any revision."""
 OUTCOME_UNKNOWN: Final = -1
-"""`PublishResponse.revision` where the publisher has to retry."""
+"""Value of `PublishResponse.revision` if the outcome is unknown and the publisher must retry."""
 REJECTED: Final = 0
-"""Revision of a change that was rejected."""
+"""Value of `PublishResponse.revision` and `Outcome.revision` for a rejected change."""
 NONCE_BYTES: Final = 8
-"""Random bytes of a proposal, from which the epoch of a new log is derived."""
+"""Number of random bytes in a proposal, from which the epoch of a new log is derived."""
 EPOCH_BYTES: Final = 8
-"""Bytes of an epoch, written in hexadecimal."""
+"""Number of bytes in an epoch, which is written in hexadecimal."""
 
 Validator = Callable[[str, bytes], str]
-"""Returns why a resource of this name and body is rejected; empty where it is valid."""
+"""Returns why a resource with this name and body is rejected; empty if it is valid."""
 
 
 class Proposal(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log: a request, and random bytes for the epoch."""
+    """One entry of the log: a request, and a nonce from which the epoch may be derived."""
 
     publish: PublishRequest
     nonce: bytes
 
 
 class Outcome(msgspec.Struct, frozen=True, array_like=True):
-    """What became of a change: its revision, or `REJECTED` and the reason."""
+    """Outcome of a change: its revision, or `REJECTED` and the reason."""
 
     token: str
     revision: int
@@ -67,7 +68,7 @@
 
 
 class State(msgspec.Struct, frozen=True, array_like=True):
-    """Complete state of the machine, for a snapshot of the log."""
+    """Complete state of the state machine, as stored in a snapshot of the log."""
 
     epoch: str
     revision: int
@@ -83,10 +84,11 @@
 class PublishStateMachine:
     """Accepted resources, and the outcomes of recent changes.
 
-    `validators` are by kind; a change of any other kind is rejected. All voters need the same.
+    `validators` maps each kind to its validator; a change of any other kind is rejected. All voters
+    must have the same validators.
 
     Attributes:
-        table: Accepted resources; the same object for the life of the machine.
+        table: Accepted resources; this object is never replaced.
         undecodable: Log entries that could not be decoded.
     """
 
@@ -105,16 +107,16 @@
         self._outcomes: OrderedDict[str, Outcome] = OrderedDict()  # by token, the oldest first
 
     def response_for(self, token: str) -> PublishResponse | None:
-        """Return the outcome of an applied change; None where it is not known here."""
+        """Return the outcome of an applied change, or None if the token is not known."""
         outcome = self._outcomes.get(token)
         if outcome is None:
             return None
         return PublishResponse(token, outcome.revision, outcome.reason)
 
     def rejection_reason(self, request: PublishRequest) -> str:
-        """Return why a request must not be proposed, whatever the state; empty where it may.
+        """Return why a request must not be proposed; empty if it may be.
 
-        Such a rejection is final too.
+        The reason does not depend on the state, so such a rejection is final.
         """
         validator = self._validators.get(request.kind)
         if validator is None:
@@ -127,12 +129,12 @@
     def encode_proposal(self, request: PublishRequest) -> bytes:
         """Return the log entry of a request.
 
-        The caller has consulted `response_for` and `rejection_reason` before.
+        The caller must have checked `response_for` and `rejection_reason` first.
         """
         return msgspec.msgpack.encode(Proposal(request, self._rng.randbytes(NONCE_BYTES)))
 
     def apply(self, index: int, data: bytes) -> None:  # noqa: ARG002  interface of a replicated state machine
-        """Apply a committed log entry; `response_for` then knows its token."""
+        """Apply a committed log entry; `response_for` then returns its outcome."""
         try:
             proposal = _proposal_decoder.decode(data)
         except msgspec.MsgspecError:
@@ -146,7 +148,7 @@
         self._remember(Outcome(request.token, revision, reason))
 
     def state(self) -> bytes:
-        """Return the encoded state, for a snapshot of the log."""
+        """Return the encoded state for a snapshot of the log."""
         table = self.table
         entries = tuple(table.entries())
         outcomes = tuple(self._outcomes.values())
@@ -154,10 +156,10 @@
         return msgspec.msgpack.encode(state)
 
     def restore(self, index: int, state: bytes) -> None:  # noqa: ARG002  interface of a replicated state machine
-        """Replace the state by that of a snapshot of the log.
+        """Replace the state with that of a snapshot of the log.
 
         Raises:
-            msgspec.MsgspecError: The bytes are no state.
+            msgspec.MsgspecError: The bytes cannot be decoded as a `State`.
         """
         restored = _state_decoder.decode(state)
         self.table.load(restored.epoch, restored.revision, restored.horizon, restored.entries)
@@ -177,7 +179,7 @@
             self._outcomes.popitem(last=False)
 
     def _conflict(self, request: PublishRequest) -> str:
-        """Return how a request conflicts with the state; empty where it does not."""
+        """Return how a request conflicts with the state; empty if it does not."""
         # These texts are part of the replicated state: voters of all releases must agree on them.
         current = self.table.get(request.kind, request.name)
         revision = 0 if current is None else current.revision
@@ -189,8 +191,8 @@
 
 
 def _broken_bound(request: PublishRequest) -> str:
-    """Return which bound a request breaks, whatever the state; empty for none."""
-    # These texts are part of the replicated state, as those of `_conflict`.
+    """Return which size bound a request exceeds; empty if none."""
+    # These texts are part of the replicated state, like those of `_conflict`.
     if not 0 < len(request.token.encode()) <= MAX_TOKEN_BYTES:
         return f"a token has 1 to {MAX_TOKEN_BYTES} bytes"
     for field, text in (("kind", request.kind), ("name", request.name)):
--- a/dockthread/control_plane/resource_table.py
+++ b/dockthread/control_plane/resource_table.py
@@ -1,10 +1,10 @@
-"""The resources of one history by kind and name, in the order of their last revision.
+"""The resources of one epoch by kind and name, in the order of their last revision.
 
 Theory of operation. A dict keeps its keys in the order of insertion. A changed key is removed and
-inserted again, so the newest stand last, and what a receiver lacks is read from the end backwards
-at a cost that depends on the answer alone. A deleted resource stays as a tombstone, so that
-receivers learn of the deletion. Only the newest `max_tombstones` are kept; `horizon` is the
-revision of the last one dropped, and a receiver behind it needs a snapshot.
+inserted again, so the newest entries are last. The entries that a receiver lacks are read backwards
+from the end, at a cost proportional to their number. A deleted resource is kept as a tombstone, so
+that receivers learn of the deletion. Only the newest `max_tombstones` are kept; `horizon` is the
+revision of the newest dropped tombstone, and a receiver at an older revision needs a snapshot.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 from dockthread.errors import DockthreadError
 
 MAX_TOMBSTONES: Final = 8192
-"""Tombstones that a table keeps: most of a day of changes."""
+"""Maximum number of tombstones in a table: most of a day of changes."""
 
 
 class OutOfOrderError(DockthreadError, ValueError):
-    """A resource is not newer than the table that it was to go into."""
+    """A resource is not newer than the table that it should be put into."""
 
 
 class _Tombstone(NamedTuple):
@@ -42,15 +42,15 @@
 
 
 class ResourceTable:
-    """Resources of the history `epoch` up to `revision`.
+    """Resources of the history identified by `epoch`, up to `revision`.
 
     Attributes:
-        epoch: Name of the history; empty where nothing was ever received.
+        epoch: Identifier of the history; empty if the table has never held a change.
         revision: Latest revision that the table includes.
         horizon: Revision of the newest tombstone that was dropped.
-        is_complete: Whether the table holds the latest of each key at `revision`. False between
-            the chunks of an update.
-        bytes: About how many bytes all entries take in messages.
+        is_complete: Whether the table holds the latest version of each resource at `revision`.
+            False between the chunks of an update.
+        bytes: Approximate size of all entries in messages, in bytes.
     """
 
     def __init__(self, epoch: str = "", max_tombstones: int = MAX_TOMBSTONES) -> None:
@@ -60,8 +60,8 @@
         self.is_complete = True
         self.bytes = 0
         self._max_tombstones = max_tombstones
-        self._packed: dict[str, bytes] = {}  # by key, the newest last
-        # The oldest first; an entry of the same key may have replaced some of them since.
+        self._packed: dict[str, bytes] = {}  # by key, newest last
+        # Oldest first. A later entry with the same key may have replaced some of them.
         self._tombstones: deque[_Tombstone] = deque()
         self._live = LiveSetDigest()
 
@@ -71,36 +71,38 @@
 
     @property
     def digest(self) -> bytes:
-        """Digest of the live resources, whatever their order."""
+        """Digest of the live resources, independent of their order."""
         return self._live.value()
 
     def get(self, kind: str, name: str) -> Resource | None:
-        """Return a live resource, or None."""
+        """Return a live resource, or None if there is none."""
         found = self.entry(kind, name)
         return found if found is not None and found.body is not None else None
 
     def entry(self, kind: str, name: str) -> Resource | None:
-        """Return a live resource or its tombstone, or None."""
+        """Return a live resource or a tombstone, or None if there is neither."""
         key = make_key(kind, name)
         packed = self._packed.get(key)
         return None if packed is None else unpack(key, packed)
 
     def entries(self) -> Iterator[Resource]:
-        """Iterate over live resources and tombstones, the oldest revision first."""
+        """Iterate over live resources and tombstones, oldest revision first."""
         return (unpack(key, packed) for key, packed in self._packed.items())
 
     def live(self) -> Iterator[Resource]:
-        """Iterate over live resources, the oldest revision first."""
+        """Iterate over live resources, oldest revision first."""
         return (resource for resource in self.entries() if resource.body is not None)
 
     def put(self, resource: Resource) -> None:
         """Insert a resource or a tombstone that is newer than everything in the table.
 
         Raises:
-            OutOfOrderError: It is not newer; the table is unchanged.
+            OutOfOrderError: The resource is not newer; the table is unchanged.
         """
         if resource.revision <= self.revision:
-            raise OutOfOrderError(f"revision {resource.revision} after {self.revision}")
+            raise OutOfOrderError(
+                f"revision {resource.revision} is not newer than the table at {self.revision}"
+            )
         key = make_key(resource.kind, resource.name)
         self._remove(key)
         packed = pack(resource)
@@ -116,19 +118,19 @@
     def advance(self, revision: int) -> None:
         """Record that the table includes all changes up to `revision`.
 
-        That may be more than the revision of the newest entry: a sender names only the latest of
-        each key.
+        It may be greater than the revision of the newest entry, as a sender omits superseded
+        versions.
         """
         self.revision = max(self.revision, revision)
 
     def load(self, epoch: str, revision: int, horizon: int, entries: Iterable[Resource]) -> None:
         """Replace the content.
 
-        `entries` are in the order of their revisions and include tombstones.
+        `entries` are sorted by revision and include tombstones.
 
         Raises:
-            OutOfOrderError: They are in another order, or newer than `revision`. The table is then
-                in an undefined state and must not be used.
+            OutOfOrderError: The entries are not sorted, or one is newer than `revision`. The table
+                is then in an undefined state and must not be used.
         """
         self.epoch = epoch
         self.revision = 0
@@ -141,11 +143,13 @@
         for entry in entries:
             self.put(entry)
         if self.revision > revision:
-            raise OutOfOrderError(f"revision {self.revision} in a table of revision {revision}")
+            raise OutOfOrderError(
+                f"an entry of revision {self.revision} in a table of revision {revision}"
+            )
         self.revision = revision
 
     def replace_with(self, other: ResourceTable) -> None:
-        """Take over the content of `other`, which must not be used afterwards."""
+        """Adopt the content of `other`, which must not be used afterwards."""
         self.epoch = other.epoch
         self.revision = other.revision
         self.horizon = other.horizon
@@ -157,9 +161,9 @@
         self._drop_old_tombstones()
 
     def difference(self, newer: ResourceTable) -> tuple[Resource, ...]:
-        """Return what turns the live resources of this table into those of `newer`.
+        """Return the changes that turn the live resources of this table into those of `newer`.
 
-        Deletions are tombstones. The oldest revision comes first.
+        Deletions are tombstones. The changes are sorted by revision.
         """
         deleted = [
             key
@@ -177,25 +181,25 @@
         return packed is not None and is_live(packed)
 
     def _deleted_at(self, key: str) -> int:
-        """Return the revision of a tombstone; of the table where it was dropped."""
+        """Return the revision of a tombstone, or of the table if the tombstone was dropped."""
         packed = self._packed.get(key)
         return self.revision if packed is None else revision_of(packed)
 
     def freeze(self) -> FrozenTable:
-        """Return the content as it is now, to be sent in chunks while the table changes."""
+        """Return the current content, which can be sent in chunks while the table changes."""
         return FrozenTable(
             self.epoch, self.revision, self.horizon, self.digest, self.bytes, self._packed
         )
 
     def can_resume_from(self, revision: int) -> bool:
-        """Return whether a receiver at `revision` of this history can do without a snapshot."""
+        """Return whether deltas suffice for a receiver at `revision` of the same epoch."""
         return max(self.horizon, 1) <= revision <= self.revision
 
     def delta_since(self, revision: int, max_bytes: int) -> Update:
         """Return the next delta for a receiver at `revision`, for which `can_resume_from` holds.
 
-        It names the latest of each key only, at least one resource where there is any, and is
-        complete only where the table is complete.
+        The delta contains only the latest version of each resource. It contains at least one
+        resource if the receiver lacks any, and is complete only if the table is complete.
         """
         lacking = self._lacking(revision)
         chunk: list[Resource] = []
@@ -210,7 +214,7 @@
         return Update(self.epoch, self.revision, tuple(chunk), digest=self.digest)
 
     def _lacking(self, revision: int) -> list[Resource]:
-        """Return the entries that are newer than `revision`, the newest first."""
+        """Return the entries that are newer than `revision`, newest first."""
         found: list[Resource] = []
         for key in reversed(self._packed):
             packed = self._packed[key]
@@ -232,6 +236,6 @@
             revision, key = self._tombstones.popleft()
             packed = self._packed.get(key)
             if packed is None or is_live(packed) or revision_of(packed) != revision:
-                continue  # the key was put again since
+                continue  # a later entry has replaced this tombstone
             self._remove(key)
             self.horizon = max(self.horizon, revision)
--- a/dockthread/control_plane/server_connection.py
+++ b/dockthread/control_plane/server_connection.py
@@ -1,14 +1,14 @@
-"""The connection of a subscriber to one server at a time: which server, and until when.
+"""Manages a subscriber's connection to one server at a time: selects the server and leaves it.
 
-| state | silence, break or rejection | stale server |
+| state | next step after silence, disconnect or refusal | next step if the server is stale |
 | --- | --- | --- |
-| (no connection: backing off) | - | - |
+| no connection (backing off) | - | - |
 | `CONNECTING` | next server after a backoff | - |
 | `SUBSCRIBED` (no message yet) | next server after a backoff | - |
-| `RECEIVING` | next server after a backoff | next server, as `staleness` allows |
+| `RECEIVING` | next server after a backoff | next server, when `staleness` allows |
 
-A subscriber that is not connected to its preferred server returns to it now and then. Times are in
-ms.
+A subscriber that is not connected to its preferred server tries periodically to return to it. Times
+are in ms.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class ConnectionState(Enum):
-    """How far a connection has come."""
+    """Progress of a connection."""
 
     CONNECTING = auto()
     SUBSCRIBED = auto()
@@ -45,11 +45,11 @@
     Attributes:
         number: Number of the connection, counted from 1.
         server: Name of the server.
-        deadline: When it fails unless a message has come.
-        heartbeat_at: When the next heartbeat is sent.
-        return_at: When to return to the preferred server.
-        is_open: Whether it was opened, and the subscription sent.
-        last_received_at: When the server was last heard from; None before its first message.
+        deadline: When the connection fails unless a message has arrived.
+        heartbeat_at: When the next heartbeat is due.
+        return_at: When to try to return to the preferred server.
+        is_open: Whether the connection has opened and the subscription was sent.
+        last_received_at: When the last bytes arrived from the server; None before its first message.
         complete_at: When the server's table was last known to be complete; None before its first
             heartbeat.
     """
@@ -65,32 +65,32 @@
 
     @property
     def state(self) -> ConnectionState:
-        """How far it has come."""
+        """Progress of the connection."""
         if self.last_received_at is not None:
             return ConnectionState.RECEIVING
         return ConnectionState.SUBSCRIBED if self.is_open else ConnectionState.CONNECTING
 
     def is_overdue(self, now: float) -> bool:
-        """Return whether no message came by the deadline."""
+        """Return whether no message arrived by the deadline."""
         return self.state is not ConnectionState.RECEIVING and now >= self.deadline
 
     def has_timed_out(self, now: float, silence_timeout: float) -> bool:
-        """Return whether nothing came for `silence_timeout` ms since the last message."""
+        """Return whether nothing has arrived for `silence_timeout` ms since the last bytes."""
         last_received_at = self.last_received_at
         return last_received_at is not None and now >= last_received_at + silence_timeout
 
 
 class ConnectionManager:
-    """Opens, fails and replaces the connection of a subscriber.
+    """Opens, closes and replaces the connection of a subscriber.
 
-    Actions are appended to `actions`; `before_connect` is called before each `Connect`.
+    Appends actions to `actions`, and calls `before_connect` before each `Connect`.
 
     Attributes:
         current: The current connection; None while backing off.
-        servers: The servers in the subscriber's order.
+        servers: The servers in the subscriber's order of preference.
     """
 
-    def __init__(  # noqa: PLR0913  what one subscriber shares with it
+    def __init__(  # noqa: PLR0913  state shared with the subscriber
         self,
         settings: SubscriberSettings,
         servers: Sequence[CandidateServer],
@@ -134,12 +134,12 @@
         )
 
     def on_timer(self, now: float, is_staging: bool) -> bool:
-        """Do what is due.
+        """Handle expired timers: connect, or leave a server that is silent, stale or not preferred.
 
-        A snapshot under way (`is_staging`) is not interrupted to return to the preferred server.
+        A staged snapshot (`is_staging`) is not interrupted to return to the preferred server.
 
         Returns:
-            True where nothing was due that concerns the connection, so a heartbeat may be sent.
+            Whether the connection is kept and no other timer expired, so a heartbeat may be sent.
         """
         connection = self.current
         if connection is None:
@@ -160,12 +160,12 @@
         return False
 
     def on_opened(self, now: float, connection: ServerConnection) -> None:
-        """Record that the connection is open."""
+        """Record that the connection has opened."""
         connection.is_open = True
         connection.heartbeat_at = now + self._times.heartbeat_interval
 
     def heartbeat_due(self, now: float) -> ServerConnection | None:
-        """Return the connection if a heartbeat is due on it, and plan the next one."""
+        """Return the connection if a heartbeat is due on it, and schedule the next one."""
         connection = self.current
         if connection is None or not connection.is_open or now < connection.heartbeat_at:
             return None
@@ -175,10 +175,10 @@
     def on_server_age(self, now: float, connection: ServerConnection, complete_at: float) -> bool:
         """Record when the server's table was last known to be complete.
 
-        A stale server is left if that may be done now.
+        If the server is stale, it is left as soon as `staleness` allows.
 
         Returns:
-            Whether the server is fresh.
+            Whether the server is not stale.
         """
         connection.complete_at = complete_at
         if not self._staleness.is_stale(now, complete_at):
@@ -208,12 +208,12 @@
         self.back_off(now, connection)
 
     def fail_malformed(self, now: float, connection: ServerConnection, reason: str) -> None:
-        """Close the connection, which brought malformed or unexpected bytes, and back off."""
+        """Close the connection after a malformed or unexpected message, and back off."""
         self._counts.malformed += 1
         self.fail(now, connection, reason)
 
     def back_off(self, now: float, connection: ServerConnection) -> None:
-        """Wait before the next connection: this one failed or was closed."""
+        """Start a backoff, because the connection failed or was closed."""
         self._counts.failures += 1
         self.current = None
         self.servers.penalize(connection.server, now + self._times.failure_penalty)
@@ -227,7 +227,7 @@
         self._backoff.on_retry_later(now, after)
 
     def set_servers(self, now: float, servers: Sequence[CandidateServer]) -> None:
-        """Replace the list; the connection stays where its server is still listed."""
+        """Replace the list of servers; the connection is kept if its server is still listed."""
         self.servers.set_servers(servers)
         self._staleness.on_current_server(len(self.servers))
         if self.current is not None and self.current.server not in self.servers:
@@ -235,7 +235,7 @@
             self._backoff.wait_until = now
 
     def _connect(self, now: float, server: str) -> None:
-        if not server:  # the list is empty, until there is another
+        if not server:  # no server is listed; `set_servers` ends the wait early
             self._backoff.wait_until = now + self._times.backoff_max
             return
         self._last_number += 1
@@ -256,13 +256,13 @@
     ) -> None:
         preferred = self.servers.preferred(now)
         if preferred and not is_staging:
-            self.disconnect(connection, "returns to the preferred server")
+            self.disconnect(connection, "returning to the preferred server")
             self._connect(now, preferred)
         else:
             connection.return_at = self._draw_return_at(now)
 
     def _leave_stale_at(self, connection: ServerConnection) -> float:
-        """Return when to leave the server, unless it reports a fresher table before."""
+        """Return when to leave the server, unless it reports a fresher table first."""
         if connection.last_received_at is None or len(self.servers) < 2:
             return NEVER_DUE
         return self._staleness.leave_at(connection.complete_at)
--- a/dockthread/control_plane/server_selection.py
+++ b/dockthread/control_plane/server_selection.py
@@ -1,9 +1,10 @@
 """Selects the server that a subscriber connects to.
 
-Servers are ordered by their distance, and those of one distance by a hash of their name with the
-subscriber's (rendezvous hashing): each server is preferred by an even part of the subscribers, and
-when it is lost they spread over the others. A server that failed or was stale is penalized for a
-while; where all are, the one whose penalty ends first is selected. Times are in ms.
+Servers are ordered by distance, and servers at the same distance by a hash of their name and the
+subscriber's name (rendezvous hashing). Each server is thus preferred by an equal share of the
+subscribers, and when it fails, its subscribers spread over the other servers. A server that failed
+or was stale is penalized for some time. If all servers are penalized, the one whose penalty ends
+first is selected. Times are in ms.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from typing import Final
 
 WEIGHT_BYTES: Final = 8
-"""Bytes of the hash by which servers of one distance are ordered."""
+"""Size in bytes of the hash that orders servers at the same distance."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +44,7 @@
         return server in self._order
 
     def set_servers(self, servers: Sequence[CandidateServer]) -> None:
-        """Replace the list; penalties of servers that stay are kept."""
+        """Replace the list of servers; the penalties of servers that are still listed are kept."""
         ordered = sorted(servers, key=lambda server: (server.distance, self._weight(server.name)))
         self._order = list(dict.fromkeys(server.name for server in ordered))
         self._penalized_until = {
@@ -51,14 +52,14 @@
         }
 
     def penalize(self, server: str, until: float) -> None:
-        """Pass a server over until a time."""
+        """Avoid a server until the given time."""
         if server in self._order:
             self._penalized_until[server] = until
 
     def select(self, now: float, exclude: str = "") -> str:
         """Return the first server without a penalty, else the one whose penalty ends first.
 
-        `exclude` is never returned. The result is empty where there is no other server.
+        `exclude` is never returned. The result is empty if there is no other server.
         """
         candidates = [name for name in self._order if name != exclude]
         for name in candidates:
@@ -67,11 +68,11 @@
         return min(candidates, key=lambda name: self._penalized_until[name], default="")
 
     def is_preferred(self, server: str) -> bool:
-        """Return whether a server is the first of the order."""
+        """Return whether a server is the first in the order of preference."""
         return self._order[:1] == [server]
 
     def preferred(self, now: float) -> str:
-        """Return the first server of the order; empty where it is penalized or there is none."""
+        """Return the most preferred server; empty if it is penalized or no server is listed."""
         if not self._order or self._penalized_until.get(self._order[0], now) > now:
             return ""
         return self._order[0]
--- a/dockthread/control_plane/staleness.py
+++ b/dockthread/control_plane/staleness.py
@@ -1,8 +1,9 @@
 """Decides when a subscriber leaves a server whose table is stale.
 
 A server is stale once its table is older than `SubscriberTimes.staleness_limit`. The subscriber
-then moves to another server at once; after it has tried each one in a row without finding a fresh
-table it moves only once in about `stale_penalty`, so that it does not flap while all are stale.
+then moves to another server immediately. After it has tried every server without finding a fresh
+table, it moves only about once per `stale_penalty`, so that it does not flap while all servers are
+stale.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 from dockthread.control_plane.subscriber_settings import SubscriberTimes
 
 NEVER_DUE = float("inf")
-"""A time in ms that never comes."""
+"""Value of a time in ms for an event that is never due."""
 
 
 class StaleServerPolicy:
-    """How often stale servers may be left. Times are in ms."""
+    """Limits how often a subscriber leaves a stale server. Times are in ms."""
 
     def __init__(
         self, times: SubscriberTimes, rng: random.Random, server_count: int, now: float
@@ -24,16 +25,16 @@
         self._times = times
         self._rng = rng
         self._immediate_moves = server_count - 1
-        self._next_move_at = now  # once there are no immediate moves left
+        self._next_move_at = now  # applies when no immediate moves are left
 
     def is_stale(self, now: float, complete_at: float) -> bool:
         """Return whether a table that was last known to be complete at `complete_at` is stale."""
         return complete_at + self._times.staleness_limit <= now
 
     def leave_at(self, complete_at: float | None) -> float:
-        """Return when to leave a server, unless it reports a fresher table before.
+        """Return when to leave a server, unless it reports a fresher table first.
 
-        `complete_at` is when its table was last known to be complete; None where it has not reported.
+        `complete_at` is when its table was last known to be complete; None if it has not reported.
         """
         stale_at = NEVER_DUE if complete_at is None else complete_at + self._times.staleness_limit
         if self._immediate_moves > 0:
@@ -46,5 +47,5 @@
         self._next_move_at = now + self._times.stale_penalty * self._rng.uniform(0.5, 1.5)
 
     def on_current_server(self, server_count: int) -> None:
-        """Allow each other server to be tried at once again: a server was fresh."""
+        """Allow immediate moves to all other servers again, as a server was not stale."""
         self._immediate_moves = server_count - 1
--- a/dockthread/control_plane/subscriber.py
+++ b/dockthread/control_plane/subscriber.py
@@ -1,11 +1,10 @@
-"""The receiving end of the control plane, without I/O: one server at a time, and a table.
-
-Theory of operation. The caller carries out the actions that each method returns and reports events
-of connections by their numbers; events of a connection that was given up are ignored. It calls
-`on_timer` at `next_timer_at`. Which server, and when it is left, is decided in
-`server_connection`; what becomes of an update in `table_receiver`. Whatever is malformed or out of
-order is counted and closes that connection alone: the last good table stays, also while all servers
-are lost. Times are in ms.
+"""Receives a table from one control-plane server at a time, without doing I/O.
+
+Theory of operation. The caller carries out the actions that each method returns, and reports the
+events of each connection under its number; events of an abandoned connection are ignored. It calls
+`on_timer` at `next_timer_at`. `server_connection` chooses the server and decides when to leave it;
+`table_receiver` processes the updates. A malformed or out-of-order message is counted and closes
+its connection. The last good table is kept, even while no server can be reached. Times are in ms.
 """
 
 from __future__ import annotations
@@ -33,18 +32,18 @@
 
 
 class Subscriber:
-    """Receives from one server at a time into `table`.
+    """Receives updates from one server at a time into `table`.
 
-    `table` is what is known at the start, as from a cache; `rejections` are those among its
-    resources.
+    `table` is the initial table, such as one restored from a cache; `rejections` lists the
+    resources in it that were rejected.
 
     Attributes:
-        counts: Events since the start.
+        counts: Counters of events since the start.
     """
 
     receiver_type: ClassVar[type[TableReceiver]] = TableReceiver
 
-    def __init__(  # noqa: PLR0913  a table of a cache comes with its rejections
+    def __init__(  # noqa: PLR0913  a cached table comes with its rejections
         self,
         settings: SubscriberSettings,
         servers: Sequence[CandidateServer],
@@ -65,18 +64,18 @@
 
     @property
     def table(self) -> ResourceTable:
-        """The received table; the same object for the life of the subscriber."""
+        """The received table; this object is never replaced."""
         return self._receiver.table
 
     @property
     def server(self) -> str:
-        """Server that it receives from or connects to; empty for none."""
+        """Name of the server that is connected or being connected to; empty if none."""
         current = self._connections.current
         return current.server if current is not None else ""
 
     @property
     def rejections(self) -> tuple[Rejection, ...]:
-        """Rejections among the resources that are applied."""
+        """Rejections of resources in the applied table."""
         return self._receiver.applied.rejections
 
     def next_timer_at(self) -> float:
@@ -84,11 +83,11 @@
         return self._connections.next_timer_at()
 
     def age(self, now: float) -> float:
-        """Return for how many ms the table may have lacked a change, or `AGE_UNKNOWN`."""
+        """Return for how many ms the table may have been missing a change, or `AGE_UNKNOWN`."""
         return self._receiver.age(now)
 
     def on_timer(self, now: float) -> list[Action]:
-        """Do what is due; earlier calls do nothing."""
+        """Handle expired timers; a call before `next_timer_at` does nothing."""
         if self._connections.on_timer(now, self._receiver.is_staging):
             connection = self._connections.heartbeat_due(now)
             if connection is not None:
@@ -97,7 +96,7 @@
         return self._take_actions()
 
     def on_connected(self, now: float, connection: int) -> list[Action]:
-        """Subscribe on a connection that was opened."""
+        """Subscribe on a connection that has opened."""
         current = self._connections.find(connection)
         if current is not None and not current.is_open:
             self._connections.on_opened(now, current)
@@ -105,14 +104,14 @@
         return self._take_actions()
 
     def on_disconnected(self, now: float, connection: int) -> list[Action]:
-        """Back off: a connection could not be opened, or was closed by the other side."""
+        """Back off after a connection could not be opened or was closed by the server."""
         current = self._connections.find(connection)
         if current is not None:
             self._connections.back_off(now, current)
         return self._take_actions()
 
     def on_bytes(self, now: float, connection: int) -> None:
-        """Note that bytes came, if no complete message yet: a slow connection is not silent."""
+        """Record that bytes of an incomplete message arrived, so the server is not silent."""
         current = self._connections.find(connection)
         if current is not None and current.last_received_at is not None:
             current.last_received_at = now
@@ -131,12 +130,12 @@
             case RetryLater(after, _):
                 self._connections.retry_later(now, current, after)
             case _:
-                reason = f"a server does not send {type(message).__name__}"
+                reason = f"unexpected message from a server: {type(message).__name__}"
                 self._connections.fail_malformed(now, current, reason)
         return self._take_actions()
 
     def on_malformed(self, now: float, connection: int, reason: str) -> list[Action]:
-        """Close a connection that brought bytes which are no message, or too many."""
+        """Close a connection on which a message was malformed or too large."""
         current = self._connections.find(connection)
         if current is not None:
             self._connections.fail_malformed(now, current, reason)
@@ -144,23 +143,23 @@
 
     def on_applied(
         self,
-        now: float,  # noqa: ARG002  every event is given the time
+        now: float,  # noqa: ARG002  all event methods take the time
         batch: int,
         rejected: Sequence[Rejection] = (),
     ) -> list[Action]:
-        """Acknowledge a batch that was applied, and all before it, except for what was rejected."""
+        """Acknowledge an applied batch and all earlier ones, except for rejected resources."""
         if self._receiver.applied.on_applied(batch, rejected):
             self._acknowledge()
         return self._take_actions()
 
     def reapply(self) -> list[Action]:
-        """Have all live resources applied once more, as they are judged by other settings now."""
+        """Apply all live resources again, as new settings may accept or reject others."""
         if live := tuple(self.table.live()):
             self._receiver.apply(live, complete=False)
         return self._take_actions()
 
     def set_servers(self, now: float, servers: Sequence[CandidateServer]) -> list[Action]:
-        """Replace the list of servers; the connection stays where its server is still listed."""
+        """Replace the list of servers; the connection is kept if its server is still listed."""
         self._connections.set_servers(now, servers)
         return self._take_actions()
 
@@ -172,7 +171,7 @@
     def _on_update(self, now: float, connection: ServerConnection, update: Update) -> None:
         is_current = self._connections.is_known_current(now, connection)
         if not self._receiver.accepts_epoch(update, is_current):
-            reason = "another history, left before or of a server that is not known to be fresh"
+            reason = "another epoch, which was replaced before or comes from a server not known to be fresh"
             self._connections.fail(now, connection, reason)
             return
         try:
--- a/dockthread/control_plane/subscriber_actions.py
+++ b/dockthread/control_plane/subscriber_actions.py
@@ -1,4 +1,4 @@
-"""Actions that a subscriber returns for its caller to carry out, and its counters."""
+"""Actions that a subscriber returns for its caller to carry out, and counters of its events."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Disconnect:
-    """Close a connection, or stop opening it; no event of it is expected any more."""
+    """Close a connection, or stop opening it; further events of it are ignored."""
 
     connection: int
     reason: str
@@ -33,15 +33,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourcesChanged:
-    """Apply what changed in the table; then call `on_applied` with the number of the batch.
+    """Apply changed resources; then call `on_applied` with the number of the batch.
 
     Attributes:
         batch: Number of the batch.
-        epoch: History of the table.
+        epoch: Epoch of the table.
         revision: Revision of the table.
-        resources: What changed, the oldest revision first; tombstones for what was deleted. Of a
-            resource that is rejected the last good version stays applied.
-        complete: Whether the table lacked nothing when the server sent it.
+        resources: Changed resources, oldest revision first, with tombstones for deleted ones. If a
+            resource is rejected, its last good version stays applied.
+        complete: Whether the table then held every change that the server had.
     """
 
     batch: int
@@ -63,12 +63,12 @@
         failures: Connections that failed, each followed by a backoff.
         silences: Servers left because they sent nothing.
         stale: Servers left because their table was stale.
-        malformed: Messages that were malformed or out of order.
+        malformed: Messages that were malformed, unexpected or out of order.
         mismatches: Complete updates after which the digest differed.
         snapshots: Updates that belonged to snapshots.
-        deltas: Deltas.
-        retries_later: Servers that asked for a later retry.
-        old: Complete snapshots that were older than the table, and were staged further.
+        deltas: Deltas that were put into the table.
+        retries_later: `RetryLater` messages from servers at capacity.
+        old: Complete snapshots that stayed staged because they were older than the table.
     """
 
     connections: int = 0
--- a/dockthread/control_plane/subscriber_records.py
+++ b/dockthread/control_plane/subscriber_records.py
@@ -1,4 +1,4 @@
-"""What a server knows of its subscribers, also after they left."""
+"""Records that a server keeps of its connected and disconnected subscribers."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 )
 
 MAX_DEPARTED: Final = 20_000
-"""Subscribers remembered after they left."""
+"""Maximum number of disconnected subscribers that are kept."""
 
 
 @dataclass(slots=True)
 class SubscriberRecord:
-    """What is known of one subscriber.
+    """Status that one subscriber has reported.
 
     Attributes:
         subscription: Its `Subscribe` message.
-        updated_at: When it last acknowledged, or left, in ms.
-        epoch: History that it acknowledged.
+        updated_at: When it last acknowledged an update or disconnected, in ms.
+        epoch: Epoch that it acknowledged.
         revision: Revision that it acknowledged.
         rejections: Number of resources that it rejects.
-        rejected: The rejections it reported.
+        rejected: The rejections that it reported in detail.
     """
 
     subscription: Subscribe
@@ -50,7 +50,7 @@
     def status(
         self, now: float, epoch: str, lag: LagTracker, is_connected: bool
     ) -> SubscriberStatus:
-        """Return the status; `epoch` is that of the server's table."""
+        """Return the status; `epoch` is the epoch of the server's table."""
         subscription = self.subscription
         revision = self.revision if self.epoch == epoch else 0
         return SubscriberStatus(
@@ -66,7 +66,7 @@
 
 
 class DepartedSubscribers:
-    """Subscribers that left, the oldest first."""
+    """Records of disconnected subscribers, oldest first."""
 
     def __init__(self) -> None:
         self._records: OrderedDict[str, SubscriberRecord] = OrderedDict()
@@ -76,17 +76,17 @@
         return self._records
 
     def add(self, record: SubscriberRecord) -> None:
-        """Remember a subscriber, and forget the oldest of too many."""
+        """Add a subscriber; beyond `MAX_DEPARTED`, remove the oldest."""
         self._records[record.subscription.name] = record
         while len(self._records) > MAX_DEPARTED:
             self._records.popitem(last=False)
 
     def discard(self, name: str) -> None:
-        """Forget a subscriber that is connected again."""
+        """Remove a subscriber that has reconnected."""
         self._records.pop(name, None)
 
     def forget_before(self, now: float, retention: float) -> None:
-        """Forget those that left more than `retention` ms ago."""
+        """Remove subscribers that disconnected more than `retention` ms ago."""
         while self._records:
             name = next(iter(self._records))
             if now - self._records[name].updated_at <= retention:
--- a/dockthread/control_plane/subscriber_settings.py
+++ b/dockthread/control_plane/subscriber_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a subscriber: who it is, and its times."""
+"""Settings of a subscriber: its name, its location and its timeouts."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
     """Times of a subscriber, in ms.
 
     Attributes:
-        connect_timeout: For a connection to open and bring its first message.
-        silence_timeout: After which a server that sends nothing is left.
-        heartbeat_interval: Between the subscriber's own heartbeats.
-        staleness_limit: Age of a server's table at which it is left for a fresher one.
-        stale_penalty: For which a server is passed over after it was stale.
-        failure_penalty: For which a server is passed over after it failed.
-        backoff_initial: Bound of the random backoff after the first failure.
-        backoff_max: Largest bound of the backoff, which doubles with each failure.
-        retry_after_max: Longest time that `RetryLater` may ask for.
-        return_interval: After which, give or take half, a subscriber returns to its preferred
-            server.
+        connect_timeout: Timeout for a connection to open and receive its first message.
+        silence_timeout: Time without any bytes after which a server is left.
+        heartbeat_interval: Interval between the subscriber's own heartbeats.
+        staleness_limit: Age of a server's table at which the server is left for a fresher one.
+        stale_penalty: Time for which a server is avoided after it was stale.
+        failure_penalty: Time for which a server is avoided after it failed.
+        backoff_initial: Upper bound of the random backoff after the first failure.
+        backoff_max: Maximum of that upper bound, which doubles with each failure.
+        retry_after_max: Longest delay that a `RetryLater` message may request.
+        return_interval: Mean time, with a random half added or subtracted, after which a
+            subscriber returns to its preferred server.
     """
 
     connect_timeout: float = 1_000.0
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubscriberSettings:
-    """Name and place of a subscriber, and its times."""
+    """Name, location and timeouts of a subscriber."""
 
     name: str
     region: str = ""
--- a/dockthread/control_plane/table_receiver.py
+++ b/dockthread/control_plane/table_receiver.py
@@ -1,8 +1,8 @@
-"""Receives updates into a subscriber's table and tracks what of it is applied.
+"""Receives updates into a subscriber's table and tracks which of its resources are applied.
 
-A resource never replaces a newer one, and an epoch that was left does not return. The digests are
-compared wherever the server says that the table is complete; where they differ the next
-subscription asks for a full snapshot.
+A resource never replaces a newer one, and a replaced epoch is never accepted again. Digests are
+compared after each update that the server marks as complete; if they differ, the next subscription
+requests a full snapshot.
 """
 
 from __future__ import annotations
@@ -32,14 +32,14 @@
 
 
 class TableReceiver:
-    """The table of a subscriber.
+    """Receives updates into the table of one subscriber.
 
-    `ResourcesChanged` is appended to `actions`. `rejections` are those among the resources of
-    `table` at the start.
+    Appends `ResourcesChanged` actions to `actions`. `rejections` lists the resources of the initial
+    `table` that were rejected.
 
     Attributes:
         table: The received table.
-        applied: What of it is applied.
+        applied: Which of its resources are applied.
     """
 
     assembler_type: ClassVar[type[UpdateAssembler]] = UpdateAssembler
@@ -56,21 +56,21 @@
         self._actions = actions
         self._assembler = self.assembler_type(table)
         self.applied = AppliedResources(self._full_acknowledgement(), rejections)
-        self._needs_snapshot = False  # the digest differed
+        self._needs_snapshot = False  # after a digest mismatch
         self._left_epochs: set[str] = set()
         self._complete_at: float | None = None  # when the table was last known to be complete
 
     @property
     def is_staging(self) -> bool:
-        """Whether a snapshot is under way."""
+        """Whether a snapshot is staged."""
         return self._assembler.is_staging
 
     def begin(self) -> None:
-        """Start with a new connection."""
+        """Start with a new connection: discard a staged snapshot."""
         self._assembler.begin()
 
     def age(self, now: float) -> float:
-        """Return for how many ms the table may have lacked a change, or `AGE_UNKNOWN`."""
+        """Return for how many ms the table may have been missing a change, or `AGE_UNKNOWN`."""
         return AGE_UNKNOWN if self._complete_at is None else max(0.0, now - self._complete_at)
 
     def subscription(self, settings: SubscriberSettings) -> Subscribe:
@@ -88,7 +88,7 @@
     def on_current_server(self, message: Heartbeat, complete_at: float) -> None:
         """Record that the server's table was complete at `complete_at`.
 
-        If this table includes the server's, it was complete then as well.
+        If this table includes all changes of the server's table, it was complete then as well.
         """
         is_covered = message.epoch == self.table.epoch and message.revision <= self.table.revision
         if is_covered and self.table.is_complete and not self.is_staging:
@@ -96,9 +96,10 @@
             self._complete_at = max(complete_at, previous)
 
     def accepts_epoch(self, update: Update, is_server_current: bool) -> bool:
-        """Return whether an update's history may replace the current one.
+        """Return whether an update has the current epoch, or may replace it with another.
 
-        Only a fresh server may bring another history, and one that was left does not return.
+        Only a server known not to be stale may introduce another epoch, and a replaced epoch is
+        never accepted again.
         """
         if not self.table.epoch or update.epoch == self.table.epoch:
             return True
@@ -108,11 +109,12 @@
         """Put an update into the table.
 
         Returns:
-            Whether there is a new acknowledgement: the table advanced without a change.
+            Whether to send an acknowledgement now, because the update changed no resource.
 
         Raises:
-            InvalidUpdateError: The update is out of order or too large.
-            DigestMismatchError: The tables differ. What a delta changed is applied all the same.
+            InvalidUpdateError: The update is out of order, too large or lacks a field.
+            DigestMismatchError: The digest differs from the server's. The changes of a delta are
+                applied nevertheless.
         """
         previous_epoch = self.table.epoch
         try:
@@ -135,10 +137,10 @@
         return self.apply(result.changed, update.complete)
 
     def apply(self, changed: tuple[Resource, ...], complete: bool) -> bool:
-        """Have what changed applied.
+        """Request that the changed resources be applied.
 
         Returns:
-            Whether there is a new acknowledgement, as nothing has to be applied.
+            Whether to send an acknowledgement now, because there is nothing to apply.
         """
         acknowledgement = self._full_acknowledgement()
         if not changed:
@@ -151,7 +153,7 @@
         return False
 
     def _full_acknowledgement(self) -> Acknowledge:
-        """Return the acknowledgement of the whole table, without rejections."""
+        """Return an acknowledgement of all resources in the table, without rejections."""
         table = self.table
         return Acknowledge(table.epoch, table.revision, self._comparable_digest())
 
--- a/dockthread/control_plane/update_assembler.py
+++ b/dockthread/control_plane/update_assembler.py
@@ -1,10 +1,10 @@
-"""Assembles updates into a table, in their order or not at all.
+"""Assembles updates into a table, in order and each one completely or not at all.
 
-A delta is checked completely before any of it is put. The chunks of a snapshot go into a staged
-table, which replaces the current one with the last chunk; until then the current one is unchanged.
-A snapshot may be older than the current table (the server encoded it some time ago, for a
-subscriber whose digest differed). It then stays staged, with the deltas behind it, until it has
-caught up.
+A delta is checked completely before any of its resources is put into the table. The chunks of a
+snapshot are put into a staged table, which replaces the current one after the last chunk; until
+then the current table is unchanged. A snapshot can be older than the current table, if the server
+sends a cached snapshot to a subscriber whose digest differed. The snapshot then stays staged, and
+the deltas that follow it are added to the staged table until it has caught up.
 """
 
 from __future__ import annotations
@@ -17,13 +17,14 @@
 
 
 class InvalidUpdateError(DockthreadError):
-    """An update that its sender should not have sent; nothing of it was taken."""
+    """An update is invalid; none of its resources were put into the table."""
 
 
 class DigestMismatchError(DockthreadError):
-    """After a complete update the digest differs from the sender's.
+    """After a complete update, the digest of the table differs from the sender's.
 
-    A snapshot was discarded; a delta was put, and `changed` names what it changed.
+    After a snapshot, the current table is unchanged and `changed` is empty. A delta has been put
+    into the table, and `changed` contains its resources.
     """
 
     def __init__(self, changed: tuple[Resource, ...]) -> None:
@@ -36,9 +37,9 @@
     """Effect of an update on the table.
 
     Attributes:
-        changed: What changed in the table; None while a snapshot is staged.
+        changed: Resources that changed in the table; None while a snapshot is staged.
         snapshot: Whether the update belongs to a snapshot.
-        old: Whether a complete snapshot stays staged, as it is older than the current table.
+        old: Whether a complete snapshot stays staged because it is older than the current table.
     """
 
     changed: tuple[Resource, ...] | None
@@ -47,7 +48,7 @@
 
 
 class UpdateAssembler:
-    """Assembles the updates of one connection after another into `table`."""
+    """Assembles updates into `table`, over successive connections."""
 
     def __init__(self, table: ResourceTable) -> None:
         self._table = table
@@ -55,26 +56,27 @@
 
     @property
     def is_staging(self) -> bool:
-        """Whether a snapshot is under way."""
+        """Whether a snapshot is staged."""
         return self._staged is not None
 
     def begin(self) -> None:
-        """Start with a new connection: discard what was staged from the one before."""
+        """Start with a new connection: discard a snapshot staged on the previous one."""
         self._staged = None
 
     def add(self, update: Update) -> AssemblyResult:
-        """Put an update into the table, or into the staged one.
+        """Put an update into the current table, or into the staged one.
 
         Raises:
             InvalidUpdateError: The update is out of order, too large or lacks a field.
-            DigestMismatchError: The tables differ. After either error the caller has to close the
-                connection.
+            DigestMismatchError: The digest differs from the sender's.
+
+        After either error the caller must close the connection.
         """
         if not update.epoch or (update.complete and not update.digest):
-            raise InvalidUpdateError("it names no epoch, or no digest where it is complete")
+            raise InvalidUpdateError("the update has no epoch, or is complete and has no digest")
         if update.horizon > update.revision:
             raise InvalidUpdateError(
-                f"a horizon of {update.horizon} in an update to {update.revision}"
+                f"the update's horizon {update.horizon} is after its revision {update.revision}"
             )
         if update.snapshot:
             self._staged = ResourceTable(update.epoch)
@@ -109,23 +111,27 @@
 
 
 def _check_order(update: Update, target: ResourceTable) -> None:
-    """Raise InvalidUpdateError unless the update follows what `target` holds."""
+    """Raise InvalidUpdateError unless the update can be applied to `target`."""
     if update.epoch != target.epoch:
-        raise InvalidUpdateError(f"an update of epoch {update.epoch} after {target.epoch}")
+        raise InvalidUpdateError(
+            f"an update of epoch {update.epoch} for a table of epoch {target.epoch}"
+        )
     previous = target.revision
     if update.revision < previous:
-        raise InvalidUpdateError(f"an update to revision {update.revision} after {previous}")
+        raise InvalidUpdateError(
+            f"an update to revision {update.revision} for a table at {previous}"
+        )
     for resource in update.resources:
         if not previous < resource.revision <= update.revision:
-            raise InvalidUpdateError(f"revision {resource.revision} out of its order")
+            raise InvalidUpdateError(f"a resource is out of order at revision {resource.revision}")
         previous = resource.revision
         _check_bounds(resource)
 
 
 def _check_bounds(resource: Resource) -> None:
-    """Raise InvalidUpdateError for a resource that is too large or has an impossible kind."""
+    """Raise InvalidUpdateError if a resource is too large or its kind holds a null character."""
     longest_name = max(len(resource.kind), len(resource.name))
     if longest_name > MAX_NAME_BYTES or len(resource.body or b"") > MAX_BODY_BYTES:
         raise InvalidUpdateError("a resource is too large")
     if "\x00" in resource.kind:
-        raise InvalidUpdateError("a kind holds a zero")
+        raise InvalidUpdateError("a kind contains a null character")
--- a/dockthread/control_plane/voter.py
+++ b/dockthread/control_plane/voter.py
@@ -1,7 +1,7 @@
-"""A voter: takes changes into the replicated log and serves the accepted resources.
+"""A voter proposes changes to the replicated log and serves the accepted resources.
 
-The log is replicated by `dockthread.raft`; each voter applies its entries to a
-`PublishStateMachine` and serves that table to distributors.
+`dockthread.raft` replicates the log. Each voter applies the log entries to a `PublishStateMachine`
+and serves its table to distributors.
 """
 
 from __future__ import annotations
@@ -27,20 +27,20 @@
 from dockthread.raft.server import RaftServer
 
 AGREEMENT_TIMEOUT: Final = 3_000.0
-"""Time in ms that a publisher waits for the replicated log."""
+"""Maximum time in ms that a publisher waits for a change to be committed."""
 NOT_AGREED: Final = (
     "no majority has agreed in time: ask again with the same token, and it counts once"
 )
 RAFT_SEED_BITS: Final = 32
-"""Bits of the seed of the log's random numbers."""
+"""Size in bits of the random seed of the Raft server."""
 
 
 class Voter:
     """A member of the replicated log, and the server of its table.
 
     Attributes:
-        state_machine: Accepted resources.
-        server: Serves them.
+        state_machine: Holds the accepted resources.
+        server: Serves the accepted resources to subscribers.
         member: Member of the replicated log.
     """
 
@@ -61,11 +61,11 @@
         self._is_serving = False
 
     async def open(self, listen: Address) -> Address:
-        """Serve and take part in the log, and return the address.
+        """Start serving, join the replicated log, and return the listening address.
 
         Raises:
             OSError: The address cannot be listened on.
-            ValueError: The log is not that of a control plane.
+            ValueError: The log does not belong to a control plane.
         """
         address = await self.server.open(listen)
         self._is_serving = True
@@ -78,21 +78,21 @@
         return address
 
     async def close(self) -> None:
-        """Leave the log, handing over where this voter leads, and stop serving."""
+        """Leave the replicated log, handing over leadership if needed, and stop serving."""
         await self.member.close()
         await self.server.close()
 
     def age(self) -> float:
-        """Return for how many ms the table may have lacked a change, or -1 for unknown."""
+        """Return for how many ms the table may have been missing a change; -1 if unknown."""
         return self.member.staleness_ms()
 
     @property
     def messages(self) -> MessageCounts:
-        """Messages with the other voters and with subscribers."""
+        """Counts of messages exchanged with the other voters and with subscribers."""
         return self.member.message_counts + self.server.messages
 
     async def publish(self, request: PublishRequest) -> PublishResponse:
-        """Have the log agree on a change; the same token counts once."""
+        """Commit a change to the log; a retry with the same token is applied only once."""
         known = self.state_machine.response_for(request.token)
         if known is not None:
             return known
@@ -112,22 +112,22 @@
         self._on_table_changed()
 
     def restore(self, index: int, state: bytes) -> None:
-        """Replace the state by that of a snapshot of the log."""
+        """Replace the state with that of a snapshot of the log."""
         self.state_machine.restore(index, state)
         self._on_table_changed()
 
     def snapshot(self) -> bytes:
-        """Return the state, for a snapshot of the log."""
+        """Return the encoded state for a snapshot of the log."""
         return self.state_machine.state()
 
     def on_applied(self, index: int, term: int) -> None:
-        """Do nothing: nothing here depends on how far the log has been applied."""
+        """Do nothing: `apply` has already handled the entry."""
 
     def on_status_report(self, sender: str, data: bytes) -> None:
-        """Do nothing: voters of the control plane exchange no observations."""
+        """Do nothing: voters of the control plane send no status reports."""
 
     def on_leader_changed(self) -> None:
-        """Do nothing: who leads is looked up where it matters."""
+        """Do nothing: the current leader is looked up when needed."""
 
     def _on_table_changed(self) -> None:
         if self._is_serving:
