--- a/dockthread/control_plane/admin_client.py
+++ b/dockthread/control_plane/admin_client.py
@@ -1,4 +1,4 @@
-"""Requests of operators and publishers to the servers of the control plane."""
+"""Sends requests of operators and publishers to the servers of the control plane."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 from dockthread.framing import FRAME_HEADER, MalformedFrameError
 
 REQUEST_TIMEOUT: Final = 5.0
-"""Time in s for one request."""
+"""Timeout in s of one request."""
 MIN_REQUEST_TIMEOUT: Final = 0.1
-"""Time in s that a request has at least, shortly before a change is given up."""
+"""Minimum timeout in s of a request, even if less than that is left of the deadline."""
 PUBLISH_TIMEOUT: Final = 20.0
-"""Time in s after which a change is given up."""
+"""Time in s after which `publish` stops retrying."""
 PUBLISH_RETRY_DELAY: Final = 0.2
-"""Time in s before all servers are tried once more."""
+"""Time in s before all servers are tried again."""
 TOKEN_BYTES: Final = 16
-"""Random bytes of a change's token."""
+"""Number of random bytes in the token of a change."""
 
 
 class NoResponseError(DockthreadError):
@@ -45,12 +45,12 @@
     server: Address,
     message: Message,
     key: bytes,
-    timeout: float = REQUEST_TIMEOUT,  # noqa: ASYNC109  it includes connecting
+    timeout: float = REQUEST_TIMEOUT,  # noqa: ASYNC109  the timeout includes connecting
 ) -> Message:
-    """Return the response to a request on a connection of its own. `timeout` is in s.
+    """Send a request on a new connection and return the response. `timeout` is in s.
 
     Raises:
-        NoResponseError: The server cannot be reached, or does not respond in time.
+        NoResponseError: The server cannot be reached, or does not send a valid response in time.
     """
     writer = None
     try:
@@ -75,7 +75,7 @@
 def new_request(
     kind: str, name: str, body: bytes | None, expected: int = ANY_REVISION
 ) -> PublishRequest:
-    """Return a change with a new random token; `body` None deletes the resource."""
+    """Return a change with a new random token; if `body` is None, the resource is deleted."""
     return PublishRequest(secrets.token_hex(TOKEN_BYTES), kind, name, body, expected)
 
 
@@ -87,8 +87,8 @@
 ) -> PublishResponse:
     """Publish a change and return the response of the first server that knows the outcome.
 
-    The servers are tried in turn with the same token, so the change counts once. After `timeout`
-    seconds the response is the last one without an outcome.
+    The servers are tried in turn with the same token, so the change is applied only once. After
+    `timeout` seconds the last response is returned, although it has no outcome.
     """
     last = PublishResponse(request.token, OUTCOME_UNKNOWN, "no server was asked")
     loop = asyncio.get_running_loop()
@@ -108,9 +108,9 @@
     server: Address,
     request: PublishRequest,
     key: bytes,
-    timeout: float,  # noqa: ASYNC109  passed on
+    timeout: float,  # noqa: ASYNC109  the timeout is passed on
 ) -> PublishResponse:
-    """Return the response of one server, or one without an outcome that says why."""
+    """Return one server's response, or a response without an outcome that gives the reason."""
     try:
         response = await send_request(server, request, key, timeout)
     except NoResponseError as error:
@@ -125,10 +125,10 @@
 
 
 async def lookup(servers: Sequence[Address], kind: str, name: str, key: bytes) -> list[Resource]:
-    """Return one resource, or all of a kind, from the first server that responds.
+    """Return one resource, or all resources of a kind, from the first server that responds.
 
     Raises:
-        NoResponseError: None does.
+        NoResponseError: No server responds.
     """
     faults = []
     for server in servers:
@@ -140,7 +140,7 @@
 
 
 async def _lookup_at(server: Address, kind: str, name: str, key: bytes) -> list[Resource]:
-    """Return all pages of one server."""
+    """Return the resources on all pages of one server."""
     found: list[Resource] = []
     while True:
         after = found[-1].name if found else ""
@@ -154,13 +154,13 @@
 
 @dataclass(slots=True)
 class ControlPlaneOverview:
-    """The status of all servers together.
+    """The combined status of all servers.
 
     Attributes:
-        servers: Status of the servers that responded, by address.
-        unreachable: Why the others did not, by address.
-        subscribers: Each subscriber once, by name.
-        epoch: History of the newest table.
+        servers: Status of each server that responded, by address.
+        unreachable: Reason why a server did not respond, by address.
+        subscribers: All subscribers without duplicates, sorted by name.
+        epoch: Epoch of the newest table.
         revision: Revision of the newest table.
     """
 
@@ -171,7 +171,7 @@
     revision: int = 0
 
     def lagging(self) -> list[SubscriberStatus]:
-        """Return the subscribers that lag or reject something."""
+        """Return the subscribers that lag or reject a resource."""
         return [
             subscriber
             for subscriber in self.subscribers
@@ -179,11 +179,11 @@
         ]
 
     def lags(self, subscriber: SubscriberStatus) -> bool:
-        """Return whether a subscriber left, or has not acknowledged the newest revision."""
+        """Return whether a subscriber is disconnected or has not acknowledged the newest revision."""
         return not subscriber.connected or subscriber.revision < self.revision
 
     def lagging_servers(self) -> list[StatusResponse]:
-        """Return the servers whose table is not the newest."""
+        """Return the servers that do not have the newest table."""
         newest = (self.epoch, self.revision)
         return [
             server for server in self.servers.values() if (server.epoch, server.revision) != newest
@@ -191,16 +191,16 @@
 
     @property
     def is_healthy(self) -> bool:
-        """Whether every server responded and nobody lags."""
+        """Whether every server responded, none lags, and no subscriber lags or rejects a resource."""
         return not (self.unreachable or self.lagging() or self.lagging_servers())
 
 
 async def fetch_overview(servers: Sequence[Address], key: bytes) -> ControlPlaneOverview:
-    """Request the status of all servers at once."""
+    """Request the status of all servers concurrently."""
     overview = ControlPlaneOverview()
 
     async def fetch(server: Address) -> None:
-        """Add one server's status to the overview."""
+        """Add the status of one server to the overview."""
         try:
             overview.servers[str(server)] = await _fetch_status(server, key)
         except NoResponseError as error:
@@ -227,10 +227,10 @@
 
 
 def _merge_subscribers(servers: list[StatusResponse]) -> list[SubscriberStatus]:
-    """Return each subscriber once, except for servers that responded themselves.
+    """Return all subscribers without duplicates, and without the servers that responded.
 
-    Of two servers that know it, the one counts that it is connected to, or that knows the newer
-    revision.
+    If several servers report a subscriber, a status in which it is connected takes precedence, and
+    then the one with the newest revision.
     """
     best: dict[str, SubscriberStatus] = {}
     server_names = {server.name for server in servers}
--- a/dockthread/control_plane/applied_resources.py
+++ b/dockthread/control_plane/applied_resources.py
@@ -1,4 +1,4 @@
-"""What of a subscriber's table is applied, and what was rejected."""
+"""Tracks which resources of a subscriber's table are applied, and which were rejected."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 
     Attributes:
         number: Number of the batch, counted from 1.
-        acknowledgement: Acknowledgement once it is applied, without rejections.
-        resources: The resources.
+        acknowledgement: Acknowledgement to send once the batch is applied, without rejections.
+        resources: The resources of the batch.
     """
 
     number: int
@@ -31,21 +31,21 @@
 
 
 class AppliedResources:
-    """Tracks batches until they are applied, and the acknowledgement of what is applied."""
+    """Tracks batches until they are applied, and builds the acknowledgement."""
 
     def __init__(self, applied: Acknowledge, rejections: Iterable[Rejection]) -> None:
         self._applied = applied
         self._rejections = {(rejection.kind, rejection.name): rejection for rejection in rejections}
-        self._batches: deque[_Batch] = deque()  # those not yet applied, the oldest first
+        self._batches: deque[_Batch] = deque()  # not yet applied, oldest first
         self._last_number = 0
 
     @property
     def rejections(self) -> tuple[Rejection, ...]:
-        """Rejections among the resources that are applied."""
+        """Rejections of resources in the applied table."""
         return tuple(self._rejections.values())
 
     def begin_batch(self, resources: Sequence[Resource], acknowledgement: Acknowledge) -> int:
-        """Return the number of a new batch; `acknowledgement` holds once it is applied."""
+        """Return the number of a new batch; `acknowledgement` is valid once it is applied."""
         self._last_number += 1
         self._batches.append(_Batch(self._last_number, acknowledgement, resources))
         return self._last_number
@@ -58,10 +58,10 @@
             self._applied = acknowledgement
 
     def on_applied(self, number: int, rejected: Iterable[Rejection]) -> bool:
-        """Record that batches up to `number` are applied, except for what was rejected.
+        """Record that batches up to `number` are applied, except for rejected resources.
 
         Returns:
-            False for a batch that is not being applied.
+            Whether the batch was being applied; if not, nothing changes.
         """
         if not self._batches or not self._batches[0].number <= number <= self._last_number:
             return False
@@ -77,7 +77,7 @@
         return True
 
     def acknowledgement(self) -> Acknowledge:
-        """Return the acknowledgement of what is applied now."""
+        """Return the acknowledgement of the currently applied table."""
         applied = self._applied
         rejections = self.rejections
         return Acknowledge(
--- a/dockthread/control_plane/cache_file.py
+++ b/dockthread/control_plane/cache_file.py
@@ -1,10 +1,10 @@
-"""The file of a snapshot cache: its records, and how it is read.
+"""Defines the records of a snapshot cache's file, and reads the file.
 
-The file holds records, each with its length and a BLAKE2 checksum: a header, resources, and behind
-each batch a commit with epoch, revision and digest of the table. Resources stand in the order of
-their revisions, tombstones included. Where resources were rejected, a commit also holds the
-versions that are applied in their place. Bytes behind the last commit are ignored; any other fault
-makes the file corrupt.
+The file consists of records, each with its length and a BLAKE2 checksum: a header, resources, and
+after each batch a commit with the epoch, revision and digest of the table. Resources and tombstones
+are sorted by revision. If resources were rejected, a commit also contains their last good versions,
+which are applied instead. Bytes after the last commit are ignored; any other damage makes the file
+corrupt.
 """
 
 from __future__ import annotations
@@ -23,39 +23,39 @@
 from dockthread.errors import DockthreadError
 
 VERSION: Final = 1
-"""Version of the file's format."""
+"""Version of the file format."""
 CHECKSUM_BYTES: Final = 16
-"""Bytes of a record's checksum."""
+"""Size of a record's checksum in bytes."""
 RECORD_HEAD: Final = struct.Struct(f"<I{CHECKSUM_BYTES}s")
-"""Length of a record's body, and its checksum."""
+"""Head of a record: the length of its body and the checksum of the body."""
 MAX_RECORD_BYTES: Final = 16 << 20
-"""Bytes of one record; longer ones are taken for damage."""
+"""Maximum length of a record's body in bytes; a longer one means that the file is corrupt."""
 _COMMIT_PREFIX: Final = b"\x96\xa1c"
-"""First bytes of an encoded commit: an array of six, and its tag."""
+"""First bytes of an encoded commit: a msgpack array of six elements, and the tag."""
 
 
 class CacheHeader(msgspec.Struct, frozen=True, array_like=True, tag="h"):
-    """First record of a file: the version of the format, and whose cache it is."""
+    """First record of a file: the version of the format, and the name of the subscriber."""
 
     version: int
     name: str
 
 
 class CacheChunk(msgspec.Struct, frozen=True, array_like=True, tag="p"):
-    """Resources in the order of their revisions."""
+    """Resources sorted by revision."""
 
     resources: tuple[Resource, ...]
 
 
 class CacheCommit(msgspec.Struct, frozen=True, array_like=True, tag="c"):
-    """Marks that all records before it are a complete table.
+    """Marks that all records before it form a complete table.
 
     Attributes:
-        epoch: History of the table.
+        epoch: Epoch of the table.
         revision: Revision of the table.
         horizon: Revision of the newest tombstone that was dropped.
         digest: Digest of the table.
-        last_good: What is applied in place of rejected resources.
+        last_good: Versions that are applied instead of rejected resources.
     """
 
     epoch: str
@@ -71,17 +71,17 @@
 
 
 class CorruptCacheError(DockthreadError):
-    """A file holds no table of this format; the text says why."""
+    """A file contains no valid table; the text is a verb phrase that says why."""
 
 
 @dataclass(slots=True)
 class CachedSnapshot:
-    """A table as it was read.
+    """A table that was read from a cache file.
 
     Attributes:
         table: The table.
-        last_good: What was applied in place of rejected resources.
-        size: Bytes of the file up to its last commit.
+        last_good: Versions that were applied instead of rejected resources.
+        size: Size of the file in bytes up to the end of its last commit.
     """
 
     table: ResourceTable
@@ -90,27 +90,27 @@
 
 
 class _LocatedBody(NamedTuple):
-    """Encoded record, and the offset at which it ends."""
+    """An encoded record, and the offset at which it ends."""
 
     body: bytes
     end: int
 
 
 class _LocatedCommit(NamedTuple):
-    """Commit, and the offset at which it ends."""
+    """A commit, and the offset at which it ends."""
 
     commit: CacheCommit
     end: int
 
 
 def read_snapshot(path: Path, name: str) -> CachedSnapshot | None:
-    """Return the last table in a file; None where there is no file.
+    """Return the last committed table in a file, or None if the file does not exist.
 
-    The file is read twice, a record at a time: to check it and find its last commit, then to fill
-    a table.
+    The file is read twice, one record at a time: first to check it and find its last commit, then
+    to fill a table.
 
     Raises:
-        CorruptCacheError: The file cannot be read, is damaged or is the cache of another name.
+        CorruptCacheError: The file cannot be read, is damaged or belongs to another subscriber.
     """
     try:
         with path.open("rb") as file:
@@ -127,19 +127,19 @@
     last = None
     for number, (body, end) in enumerate(_read_bodies(file)):
         if number == 0 and _decode(body) != CacheHeader(VERSION, name):
-            raise CorruptCacheError(f"is not that of {name} in version {VERSION}")
+            raise CorruptCacheError(f"is not a cache of {name} in format version {VERSION}")
         if not body.startswith(_COMMIT_PREFIX):
             continue
         record = _decode(body)
         if isinstance(record, CacheCommit):
             last = _LocatedCommit(record, end)
     if last is None:
-        raise CorruptCacheError("holds no whole state")
+        raise CorruptCacheError("contains no commit")
     return last
 
 
 def _read_bodies(file: BinaryIO) -> Iterator[_LocatedBody]:
-    """Yield the records; one that is cut short at the end of the file is left out."""
+    """Yield the encoded records; a truncated record at the end of the file is omitted."""
     offset = 0
     while len(head := file.read(RECORD_HEAD.size)) == RECORD_HEAD.size:
         size, checksum = RECORD_HEAD.unpack(head)
@@ -149,7 +149,7 @@
         if len(body) < size:
             return
         if _checksum(body) != checksum:
-            raise CorruptCacheError(f"has a wrong sum at byte {offset}")
+            raise CorruptCacheError(f"has a wrong checksum at byte {offset}")
         offset += RECORD_HEAD.size + size
         yield _LocatedBody(body, offset)
 
@@ -158,7 +158,7 @@
     try:
         return _decoder.decode(body)
     except msgspec.MsgspecError as error:
-        raise CorruptCacheError(f"holds no record: {error}") from error
+        raise CorruptCacheError(f"contains an undecodable record: {error}") from error
 
 
 def _read_resources(file: BinaryIO, size: int) -> Iterator[Resource]:
@@ -178,9 +178,9 @@
     try:
         table.load(commit.epoch, commit.revision, commit.horizon, resources)
     except OutOfOrderError as error:
-        raise CorruptCacheError(f"is out of order: {error}") from error
+        raise CorruptCacheError(f"contains resources out of order: {error}") from error
     if table.digest != commit.digest:
-        raise CorruptCacheError(f"has another digest than it tells at revision {commit.revision}")
+        raise CorruptCacheError(f"has a digest mismatch at revision {commit.revision}")
     return table
 
 
--- a/dockthread/control_plane/client.py
+++ b/dockthread/control_plane/client.py
@@ -1,9 +1,10 @@
-"""Receives configuration over TCP and has it applied: the I/O of `Subscriber`.
+"""Receives configuration over TCP and applies it: does the I/O for `Subscriber`.
 
-Theory of operation. `Subscriber` decides where to connect, what to send and what has changed.
-Changes go to the `BatchApplier`; the acknowledgement follows once they are applied. While
-`MAX_BATCHES` wait, nothing more is read from the server. One timer serves a client, set for when
-the subscriber needs it. There is no thread and no shared state, so one loop can run many clients.
+Theory of operation. `Subscriber` decides which server to connect to, which messages to send and
+which resources have changed. Changes go to the `BatchApplier`, and are acknowledged once they are
+applied. Reading from the server pauses while `MAX_BATCHES` batches are queued. Each client has one
+timer, which is set to the subscriber's next due time. A client uses no threads and shares no state
+with others, so one event loop can run many clients.
 """
 
 from __future__ import annotations
@@ -46,9 +47,9 @@
 from dockthread.framing import MessageCounts
 
 SLICE_RESOURCES: Final = 16
-"""Resources applied in one turn of the loop."""
+"""Resources applied per iteration of the event loop."""
 MIN_TIMER_DELAY: Final = 0.01
-"""Time in s between two runs of the timer."""
+"""Minimum time in s until the timer runs."""
 MS_PER_SECOND: Final = 1_000.0
 NEAR: Final = 0
 """Distance of the servers in `servers`."""
@@ -61,10 +62,10 @@
     """Settings of a client.
 
     Attributes:
-        subscriber: Name and place of the subscriber, and its times.
+        subscriber: Name, location and timeouts of the subscriber.
         servers: Servers to receive from; their names are HOST:PORT.
-        key: Key that tags all messages; empty for none.
-        slice_resources: Resources applied in one turn of the loop.
+        key: Shared key that authenticates all messages; empty if no key is used.
+        slice_resources: Resources applied per iteration of the event loop.
     """
 
     subscriber: SubscriberSettings
@@ -76,7 +77,7 @@
 def client_settings_from_options(
     options: ControlOptions, name: str, slice_resources: int = SLICE_RESOURCES
 ) -> ClientSettings:
-    """Return the settings that the section `[control]` gives to the subscriber `name`.
+    """Return the settings of the subscriber `name` according to the section `[control]`.
 
     Raises:
         KeyFileError: The file of the shared key cannot be read or has a wrong length.
@@ -88,14 +89,14 @@
 
 
 def cache_from_options(options: ControlOptions, name: str) -> SnapshotCache | None:
-    """Return the cache of the subscriber `name`; None where the section names no directory."""
+    """Return the cache of the subscriber `name`, or None if no cache directory is configured."""
     if not options.cache:
         return None
     return SnapshotCache(Path(options.cache), name, options.cache_interval)
 
 
 class ClientStream(FrameStream):
-    """The connection of a client, known by the number that the subscriber gave it."""
+    """The connection of a client, identified by the number that the subscriber gave it."""
 
     def __init__(self, client: ControlPlaneClient, number: int, key: bytes) -> None:
         super().__init__(key, MAX_MESSAGE_BYTES, client.messages)
@@ -107,15 +108,15 @@
         self._client.on_message(self.number, message)
 
     def on_bytes(self) -> None:
-        """Report that bytes came."""
+        """Report that bytes of an incomplete message arrived."""
         self._client.on_bytes(self.number)
 
     def on_malformed(self, reason: str) -> None:
         """Report malformed bytes."""
         self._client.on_malformed(self.number, reason)
 
-    def on_closed(self, reason: str) -> None:  # noqa: ARG002  the reason does not matter here
-        """Report that the connection is closed."""
+    def on_closed(self, reason: str) -> None:  # noqa: ARG002  the reason is not used
+        """Report that the connection has closed."""
         self._client.on_closed(self.number)
 
 
@@ -126,12 +127,12 @@
 
 
 class ControlPlaneClient:
-    """One subscriber with its connection. What `cache` holds is applied when it is created.
+    """One subscriber and its connection. The constructor applies the resources in `cache`.
 
     Attributes:
-        subscriber: Decides what is received.
-        batches: Applies what changed.
-        messages: Messages received and sent.
+        subscriber: Subscriber that processes the messages.
+        batches: Applies changed resources.
+        messages: Counts of messages received and sent.
     """
 
     def __init__(
@@ -148,7 +149,7 @@
         self._cache = cache
         self._connection: ClientStream | None = None
         self._opening: _OpeningConnection | None = None
-        self._receiving_from = ""  # the server that the log names
+        self._receiving_from = ""  # the server in the last log line "receiving from"; empty if none
         self._timer: asyncio.TimerHandle | None = None
         self._is_closed = False
         cached = cache.load() if cache is not None else None
@@ -160,19 +161,21 @@
         if cached is not None:
             rejections = self.batches.restore(cached)
             logger.info(
-                "control: {} resources of revision {} from the cache", len(table), table.revision
+                "control: loaded {} resources of revision {} from the cache",
+                len(table),
+                table.revision,
             )
         self.subscriber = Subscriber(
             settings.subscriber, settings.servers, rng, clock.now(), table, rejections
         )
 
     def open(self) -> None:
-        """Begin to receive; needs a running loop."""
+        """Start receiving; requires a running event loop."""
         self._loop = asyncio.get_running_loop()
         self._do(self.subscriber.on_timer(self._clock.now()))
 
     async def close(self) -> None:
-        """Close the connection and write what the cache lacks."""
+        """Close the connection and write unsaved changes to the cache."""
         self._is_closed = True
         self.batches.close()
         if self._timer is not None:
@@ -186,7 +189,7 @@
         await asyncio.sleep(0)
 
     def reapply(self) -> None:
-        """Apply all that is held once more, as it is judged by other settings now."""
+        """Apply all live resources again, as new settings may accept or reject others."""
         self._do(self.subscriber.reapply())
 
     # Actions of the subscriber
@@ -206,7 +209,7 @@
                 case ResourcesChanged():
                     self._apply(action)
         if self._receiving_from and self._connection is None:
-            logger.info("control: no longer receives from {}", self._receiving_from)
+            logger.info("control: no longer receiving from {}", self._receiving_from)
             self._receiving_from = ""
         self._plan_timer()
 
@@ -240,7 +243,7 @@
         if connection is not None and connection.number == action.connection:
             self._connection = None
             connection.abort()
-        logger.debug("control: leaves connection {}: {}", action.connection, action.reason)
+        logger.debug("control: closing connection {}: {}", action.connection, action.reason)
 
     def _apply(self, batch: ResourcesChanged) -> None:
         self.batches.enqueue(batch)
@@ -260,25 +263,25 @@
         if self._is_closed:
             return
         if not _has_finite_times(message):
-            self.on_malformed(number, "a time that is no number")
+            self.on_malformed(number, "a time in a message is not finite")
             return
         if not self._receiving_from and isinstance(message, Update | Heartbeat):
             self._receiving_from = self.subscriber.server
-            logger.info("control: receives from {}", self._receiving_from)
+            logger.info("control: receiving from {}", self._receiving_from)
         self._do(self.subscriber.on_message(self._clock.now(), number, message))
 
     def on_bytes(self, number: int) -> None:
-        """Handle bytes on a connection that complete no message yet."""
+        """Handle bytes that do not yet complete a message."""
         self.subscriber.on_bytes(self._clock.now(), number)
 
     def on_malformed(self, number: int, reason: str) -> None:
-        """Handle malformed bytes: the connection is closed, and the last good table stays."""
+        """Handle malformed bytes: the connection is closed, and the last good table is kept."""
         if not self._is_closed:
-            logger.debug("control: connection {} is malformed: {}", number, reason)
+            logger.debug("control: malformed bytes on connection {}: {}", number, reason)
             self._do(self.subscriber.on_malformed(self._clock.now(), number, reason))
 
     def on_closed(self, number: int) -> None:
-        """Handle that a connection is closed, whoever closed it."""
+        """Handle that either side has closed a connection."""
         if self._connection is not None and self._connection.number == number:
             self._connection = None
             if not self._is_closed:
@@ -287,7 +290,7 @@
     # Timer
 
     def _plan_timer(self) -> None:
-        """Set the timer; an earlier one stays, as it plans anew when nothing is due."""
+        """Set the timer for the next due time; keep a timer set for earlier, which sets the next one."""
         delay = (self.subscriber.next_timer_at() - self._clock.now()) / MS_PER_SECOND
         due = self._loop.time() + max(MIN_TIMER_DELAY, delay)
         if self._timer is not None:
@@ -306,7 +309,7 @@
 
 
 def _has_finite_times(message: Message) -> bool:
-    """Return whether the times of a message are numbers; no timer could be set by others."""
+    """Return whether the times in a message are finite, as timers cannot be set otherwise."""
     if isinstance(message, Heartbeat):
         return isfinite(message.age)
     return not isinstance(message, RetryLater) or isfinite(message.after)
--- a/dockthread/control_plane/ingress.py
+++ b/dockthread/control_plane/ingress.py
@@ -1,4 +1,4 @@
-"""Applies published resources to an ingress: routes over the file's, and two addresses."""
+"""Applies published resources to an ingress: two addresses, and routes that override the file."""
 
 from __future__ import annotations
 
@@ -36,27 +36,27 @@
 
 MS_PER_SECOND: Final = 1_000.0
 SEED_BITS: Final = 64
-"""Bits of the seed of the client's random numbers."""
+"""Size in bits of the random seed of the client."""
 NO_COUNTER: Final = "this ingress was started without a counter: it asks none"
 
 
 class IngressResourceApplier:
-    """Applies resources to one ingress, whose routes are `layers`.
+    """Applies resources to one ingress, whose routes are held in `layers`.
 
     Attributes:
         client: Receives the resources.
     """
 
     def __init__(self, ingress: Ingress, layers: Layers, options: ControlOptions) -> None:
-        """Apply what the cache holds.
+        """Apply the resources in the cache.
 
         Raises:
             KeyFileError: The file of the shared key cannot be read or has a wrong length.
         """
         self._ingress = ingress
         self._layers = layers
-        self._configured = ingress.config  # without what was published
-        self._addresses: dict[str, Address] = {}  # published, by name
+        self._configured = ingress.config  # without published addresses
+        self._addresses: dict[str, Address] = {}  # published addresses by name
         self._applied: dict[ResourceKey, Resource] = {}
         self._rejected: list[Rejection] = []  # since the last log line
         name = ingress.config.name
@@ -66,7 +66,7 @@
         self.client = ControlPlaneClient(settings, self, ingress.clock, rng, cache)
 
     def open(self) -> None:
-        """Begin to receive."""
+        """Start receiving."""
         self.client.open()
 
     async def close(self) -> None:
@@ -74,7 +74,7 @@
         await self.client.close()
 
     def with_published_addresses(self, config: IngressConfig) -> IngressConfig:
-        """Return a configuration that was read again, with the published addresses."""
+        """Return a reloaded configuration with the published addresses in place of its own."""
         self._configured = config
         return replace(
             config,
@@ -83,16 +83,17 @@
         )
 
     def on_settings_changed(self) -> None:
-        """Validate everything published against the settings that hold now.
+        """Validate all published resources against the current settings.
 
-        What became invalid is withdrawn and reported as rejected; what was rejected may be valid.
+        Resources that became invalid are withdrawn and reported as rejected. Resources that were
+        rejected are applied if they became valid.
         """
         self.client.reapply()
 
     # Methods of ResourceApplier
 
     def apply(self, changes: Sequence[Resource]) -> Sequence[Rejection]:
-        """Apply changes; of a rejected resource the last good version stays."""
+        """Apply changes; if a resource is rejected, its last good version stays applied."""
         rejections = []
         for resource in changes:
             if reason := self._apply_or_explain(resource):
@@ -108,16 +109,16 @@
         return rejections
 
     def applied_resource(self, kind: str, name: str) -> Resource | None:
-        """Return what is applied under a name; None for nothing."""
+        """Return the applied version of a resource, or None if there is none."""
         return self._applied.get(ResourceKey(kind, name))
 
     def on_batch_applied(self) -> None:
-        """Log what was rejected, in one line."""
+        """Log the rejections of the batch in one line."""
         if not self._rejected:
             return
         first = self._rejected[0]
         logger.warning(
-            "control: {} rejected, the last good one stays; the first is {} {} of revision {}: {}",
+            "control: {} rejected, last good versions stay applied; first: {} {} of revision {}: {}",
             len(self._rejected),
             first.kind,
             first.name,
@@ -127,9 +128,9 @@
         self._rejected = []
 
     def _withdraw_if_applied(self, rejected: Resource) -> None:
-        """Withdraw a resource that is rejected at the very revision that is applied.
+        """Withdraw a resource that is rejected at the same revision that is applied.
 
-        It was valid by earlier settings and is no last good version of itself.
+        It was valid under earlier settings, so there is no last good version to keep.
         """
         key = key_of(rejected)
         applied = self._applied.get(key)
@@ -138,7 +139,7 @@
             self._apply_or_explain(Resource(rejected.kind, rejected.name, rejected.revision, None))
 
     def _apply_or_explain(self, resource: Resource) -> str:
-        """Apply a resource, or return why it is rejected."""
+        """Apply a resource, or return why it is rejected; empty if it was applied."""
         try:
             if resource.kind == ROUTE:
                 return self._apply_route(resource)
@@ -169,7 +170,7 @@
         return ""
 
     def _use_addresses(self) -> None:
-        """Point the ingress to its addresses, as `Ingress.reload` does on SIGHUP."""
+        """Switch the ingress to its current addresses, as `Ingress.reload` does on SIGHUP."""
         ingress = self._ingress
         config = self.with_published_addresses(self._configured)
         ingress.config = replace(ingress.config, discovery=config.discovery, counter=config.counter)
--- a/dockthread/control_plane/messages.py
+++ b/dockthread/control_plane/messages.py
@@ -1,11 +1,12 @@
 """Messages between publishers, distributors and subscribers of the control plane.
 
-Messages travel in frames (`dockthread.framing`), encoded by position (`array_like`): the order of
-the fields and the tags are the wire format.
+Messages are sent in frames (`dockthread.framing`) and encoded as arrays (`array_like`): the order
+of the fields and the tags define the wire format.
 
-A revision counts accepted changes, from 1, over all kinds of resources. A table at revision R
-holds the latest of every key whose last change is at or before R. `epoch` names one history of
-revisions; a table of another epoch replaces everything received before. All times are in ms.
+A revision is the number of an accepted change, counted from 1 over all kinds of resources. A table
+at revision R contains the latest version of each resource that last changed at or before R. `epoch`
+identifies one history of revisions; a table of another epoch replaces everything received before.
+All times are in ms.
 """
 
 from __future__ import annotations
@@ -17,19 +18,19 @@
 from dockthread.framing import Codec
 
 VERSION: Final = 1
-"""Version of the protocol, in the head of every frame."""
+"""Version of the protocol, sent in the header of every frame."""
 MAX_MESSAGE_BYTES: Final = 4 << 20
-"""Bytes of one encoded message; chunks of a snapshot are far below it."""
+"""Maximum size of an encoded message in bytes; chunks of a snapshot are much smaller."""
 MAX_BODY_BYTES: Final = 64 << 10
-"""Bytes of one resource's body."""
+"""Maximum size of a resource's body in bytes."""
 MAX_NAME_BYTES: Final = 128
-"""Bytes of a kind or of a name in UTF-8."""
+"""Maximum length of a kind or a name in bytes of UTF-8."""
 MAX_REJECTIONS: Final = 64
-"""Rejections listed in one acknowledgement; it counts them all."""
+"""Maximum number of rejections listed in an acknowledgement, which also has their total number."""
 MAX_REASON_CHARACTERS: Final = 256
-"""Characters of a rejection's reason; longer ones are cut."""
+"""Maximum length of a rejection's reason in characters; a longer reason is truncated."""
 NO_DIGEST: Final = b""
-"""Digest of a table that may be incomplete, and so cannot be compared."""
+"""Placeholder for the digest of a table that may be incomplete and so cannot be compared."""
 AGE_UNKNOWN: Final = -1.0
 """Age in ms of a table that was never known to be complete."""
 
@@ -40,8 +41,8 @@
     Attributes:
         kind: Kind of the resource, such as `route`.
         name: Name, unique within its kind.
-        revision: Revision of the change that last touched it.
-        body: Encoded content; None marks a deleted resource (a tombstone).
+        revision: Revision of the last change to the resource.
+        body: Encoded content; None for a deleted resource (a tombstone).
     """
 
     kind: str
@@ -51,13 +52,13 @@
 
 
 class Subscribe(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """First message of a subscriber: who it is and which table it holds.
+    """First message of a subscriber: its identity and the table that it holds.
 
     Attributes:
-        name: Name of the subscriber, unique among all.
-        epoch: History of the table it holds; empty for none.
-        revision: Revision of that table; 0 asks for a full snapshot.
-        digest: Digest of that table; `NO_DIGEST` where it may be incomplete.
+        name: Unique name of the subscriber.
+        epoch: Epoch of the table that it holds; empty if it holds none.
+        revision: Revision of that table; 0 requests a full snapshot.
+        digest: Digest of that table; `NO_DIGEST` if the table may be incomplete.
         region: Region of the subscriber, for status only.
         zone: Zone of the subscriber, for status only.
     """
@@ -74,15 +75,15 @@
     """A delta, or one chunk of a snapshot.
 
     Attributes:
-        epoch: History that the resources belong to.
-        revision: After this update the receiver holds the latest of every key whose last change
-            is at or before this revision.
-        resources: Live resources and tombstones, the oldest revision first.
-        snapshot: True for the first chunk of a snapshot. The snapshot lasts up to the first
-            complete update; held resources that it does not name are then removed.
-        complete: True where the receiver now holds the sender's whole table at `revision`. The
-            chunks of a snapshot take effect with the complete one.
-        digest: Digest of the sender's table, where `complete`.
+        epoch: Epoch that the resources belong to.
+        revision: After this update, the receiver holds the latest version of each resource that
+            last changed at or before this revision.
+        resources: Live resources and tombstones, oldest revision first.
+        snapshot: True for the first chunk of a snapshot. The snapshot ends with the first complete
+            update; the receiver then removes resources that the snapshot does not contain.
+        complete: Whether the receiver now holds the sender's complete table at `revision`. The
+            chunks of a snapshot take effect when the complete one arrives.
+        digest: Digest of the sender's table if `complete` is true.
         horizon: In the last chunk of a snapshot, the revision up to which tombstones may have
             been dropped.
     """
@@ -106,14 +107,14 @@
 
 
 class Acknowledge(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """What a subscriber has applied (an ACK).
+    """Reports which changes a subscriber has applied (an ACK).
 
     Attributes:
-        epoch: History of the applied table.
-        revision: Everything up to here is applied, except what was rejected.
+        epoch: Epoch of the applied table.
+        revision: Revision up to which all changes are applied, except for rejected resources.
         digest: Digest of the table at that revision.
         rejected: The first `MAX_REJECTIONS` rejections.
-        rejections: Number of all rejections.
+        rejections: Total number of rejections.
     """
 
     epoch: str
@@ -127,10 +128,10 @@
     """Shows that the sender is alive and how old its table is.
 
     Attributes:
-        epoch: History of the sender's table.
+        epoch: Epoch of the sender's table.
         revision: Revision of the sender's table.
-        age: Time in ms since the sender last knew its table to hold all that was agreed on;
-            `AGE_UNKNOWN` where it never did.
+        age: Time in ms since the sender last knew that its table held all committed changes;
+            `AGE_UNKNOWN` if it has never known.
     """
 
     epoch: str
@@ -139,22 +140,22 @@
 
 
 class RetryLater(msgspec.Struct, frozen=True, array_like=True, tag="l"):
-    """The server is at capacity: the subscriber reconnects after `after` ms, here or elsewhere."""
+    """The server is at capacity; the subscriber connects to some server again after `after` ms."""
 
     after: float
     reason: str
 
 
 class PublishRequest(msgspec.Struct, frozen=True, array_like=True, tag="p"):
-    """A change to be accepted.
+    """A request to accept a change.
 
     Attributes:
         token: Idempotency key chosen by the publisher, repeated when it retries.
         kind: Kind of the resource.
         name: Name of the resource.
         body: New content; None deletes the resource.
-        expected: Revision that the change replaces; 0 where the resource must not exist, -1 for
-            any revision.
+        expected: Revision that the change replaces; 0 if the resource must not exist, -1 for any
+            revision.
     """
 
     token: str
@@ -169,9 +170,9 @@
 
     Attributes:
         token: Token of the request.
-        revision: Revision given to an accepted change; 0 where it was rejected; -1 where the
-            outcome is not known, and the publisher retries with the same token.
-        reason: Why it was rejected, or why the outcome is not known.
+        revision: Revision of an accepted change; 0 if the change was rejected; -1 if the outcome
+            is unknown and the publisher must retry with the same token.
+        reason: Why the change was rejected, or why the outcome is unknown.
     """
 
     token: str
@@ -180,21 +181,21 @@
 
 
 class StatusRequest(msgspec.Struct, frozen=True, array_like=True, tag="t"):
-    """Asks a server for its `StatusResponse`."""
+    """Requests a server's `StatusResponse`."""
 
 
 class SubscriberStatus(msgspec.Struct, frozen=True, array_like=True):
-    """One subscriber as its server knows it.
+    """Status of one subscriber, as known to a server.
 
     Attributes:
         name: Name of the subscriber.
-        region: Its region.
-        zone: Its zone.
-        connected: Whether it is connected to this server now.
-        revision: Revision that it last acknowledged.
-        behind: Time in ms for which it has lacked some change; 0 where it lacks nothing.
-        rejections: Number of resources that it rejects.
-        rejected: The rejections it reported.
+        region: Region of the subscriber.
+        zone: Zone of the subscriber.
+        connected: Whether the subscriber is connected to this server.
+        revision: Revision that the subscriber last acknowledged.
+        behind: Time in ms for which the subscriber has been missing a change; 0 if none.
+        rejections: Number of resources that the subscriber rejects.
+        rejected: Rejections that the subscriber reported in detail.
     """
 
     name: str
@@ -213,11 +214,11 @@
     Attributes:
         name: Name of the server.
         role: `voter` or `distributor`.
-        epoch: History of its table.
+        epoch: Epoch of its table.
         revision: Revision of its table.
         digest: Digest of its table.
         age: Age of its table in ms, as in `Heartbeat`.
-        subscribers: Connected subscribers and those that left recently.
+        subscribers: Connected and recently disconnected subscribers.
     """
 
     name: str
@@ -230,12 +231,12 @@
 
 
 class LookupRequest(msgspec.Struct, frozen=True, array_like=True, tag="g"):
-    """Asks for one resource, or for a page of a kind.
+    """Requests one resource, or a page of the resources of a kind.
 
     Attributes:
         kind: Kind of the resources.
-        name: Name of one resource; empty for a page of the kind.
-        after: The page begins behind this name.
+        name: Name of one resource; empty for a page.
+        after: Name after which the page starts.
     """
 
     kind: str
@@ -244,12 +245,12 @@
 
 
 class LookupResponse(msgspec.Struct, frozen=True, array_like=True, tag="f"):
-    """Live resources ordered by name.
+    """Live resources sorted by name.
 
     Attributes:
         revision: Revision of the server's table.
         resources: The resources found.
-        more: Whether there may be others behind the last one.
+        more: Whether there may be further resources after the last one.
     """
 
     revision: int
--- a/dockthread/control_plane/packed_resource.py
+++ b/dockthread/control_plane/packed_resource.py
@@ -1,7 +1,7 @@
-"""The compact form in which a table holds a resource, and the digest of a set of resources.
+"""Compact representation of resources in a table, and the digest of a set of resources.
 
-A resource is one string (kind and name) and one run of bytes (revision, whether it is live, body):
-an ingress holds 90,000 of them, and an object for each would cost several times as much memory.
+A resource is stored as a string (kind and name) and a bytes object (revision, live flag, body). An
+ingress holds 90,000 resources, and one `Resource` object each would use several times the memory.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 from dockthread.control_plane.messages import Resource
 
 DIGEST_BYTES: Final = 16
-"""Bytes of a digest."""
+"""Size of a digest in bytes."""
 MESSAGE_OVERHEAD: Final = 8
-"""Bytes that a resource may take in a message besides its packed form."""
+"""Approximate number of bytes that a resource takes in a message besides its packed form."""
 _SEPARATOR: Final = "\x00"
-"""Stands between kind and name; no kind contains it."""
+"""Separator between kind and name; no kind contains it."""
 _PACKED_HEAD: Final = struct.Struct("<Q?")
-"""Revision, and whether the resource is live."""
+"""Revision of the resource, and whether it is live."""
 _DIGEST_MODULUS: Final = 1 << (8 * DIGEST_BYTES)
 _KEY_LENGTH_BYTES: Final = 4
-"""Bytes of a key's length before it is hashed."""
+"""Size in bytes of the key length that is hashed before the key."""
 
 
 class LiveSetDigest:
-    """Digest of a set of live resources, whatever their order.
+    """Digest of a set of live resources, independent of their order.
 
-    It is the sum modulo 2^128 of one BLAKE2b hash for each resource, so a change costs the
-    subtraction of one hash and the addition of another.
+    The digest is the sum modulo 2^128 of one BLAKE2b hash per resource, so a changed resource is
+    updated by subtracting its old hash and adding the new one.
     """
 
     def __init__(self) -> None:
@@ -57,7 +57,7 @@
 
 
 def split_key(key: str) -> tuple[str, str]:
-    """Return kind and name of a key."""
+    """Return the kind and the name in a key."""
     kind, _, name = key.partition(_SEPARATOR)
     return kind, name
 
@@ -69,7 +69,7 @@
 
 
 def unpack(key: str, packed: bytes) -> Resource:
-    """Return the resource of a key and its packed form."""
+    """Return the resource with the given key and packed form."""
     kind, name = split_key(key)
     revision, is_live = _PACKED_HEAD.unpack_from(packed)
     return Resource(kind, name, revision, packed[_PACKED_HEAD.size :] if is_live else None)
@@ -86,12 +86,12 @@
 
 
 def packed_size(key: str, packed: bytes) -> int:
-    """Return about how many bytes a packed resource takes in a message."""
+    """Return the approximate size in bytes of a packed resource in a message."""
     return MESSAGE_OVERHEAD + len(key) + len(packed)
 
 
 def resource_size(resource: Resource) -> int:
-    """Return about how many bytes a resource takes in a message."""
+    """Return the approximate size in bytes of a resource in a message."""
     key_size = len(resource.kind) + len(_SEPARATOR) + len(resource.name)
     return MESSAGE_OVERHEAD + _PACKED_HEAD.size + key_size + len(resource.body or b"")
 
--- a/dockthread/control_plane/resource_schemas.py
+++ b/dockthread/control_plane/resource_schemas.py
@@ -1,10 +1,10 @@
-"""The kinds of resources that an ingress knows, and how their bodies are parsed.
+"""Defines the kinds of resources that an ingress supports, and parses their bodies.
 
-* `route`: a JSON object with keys of a section `[route NAME]`. Each value is a text as the
-  operator's file has it, or a number, a boolean or a list of such.
-* `address`: a JSON object with `address`; its name is `discovery` or `counter`.
+* `route`: a JSON object with the keys of a section `[route NAME]`. Each value is a string as in the
+  operator's file, a number, a boolean, or a list of these.
+* `address`: a JSON object with the key `address`; the resource name is `discovery` or `counter`.
 
-Whether a resource fits the settings of a site is checked at the ingress alone.
+Only the ingress checks whether a resource is compatible with its settings.
 """
 
 from __future__ import annotations
@@ -21,36 +21,36 @@
 from dockthread.routes.options import RouteOptions
 
 ROUTE: Final = "route"
-"""Kind of a route."""
+"""Kind of a resource that holds a route."""
 ADDRESS: Final = "address"
-"""Kind of an address of a service that ingresses use."""
+"""Kind of a resource that holds the address of a service used by ingresses."""
 DISCOVERY: Final = "discovery"
-"""Name of discovery's address."""
+"""Name of the resource that holds the address of service discovery."""
 COUNTER: Final = "counter"
-"""Name of the quota counter's address."""
+"""Name of the resource that holds the address of the quota counter."""
 ADDRESSES: Final = (DISCOVERY, COUNTER)
-"""Names of the addresses that exist."""
+"""Names of all resources of kind `ADDRESS`."""
 MAX_ROUTE_NAME_CHARACTERS: Final = 100
 SHOWN_NAME_CHARACTERS: Final = 40
-"""Characters of a wrong name that a reason repeats."""
+"""Maximum number of characters of an invalid name that an error message quotes."""
 SHOWN_VALUE_CHARACTERS: Final = 80
-"""Characters of a wrong value that a reason repeats."""
+"""Maximum number of characters of an invalid value that an error message quotes."""
 _NOT_IN_ROUTE_NAMES: Final = "[]\r\n"
-"""Characters that a section's head in the operator's file cannot contain."""
+"""Characters that a section header in the operator's file cannot contain."""
 
 _ROUTE_FIELDS: Final = {field.encode_name: field for field in msgspec.structs.fields(RouteOptions)}
 
 
 class InvalidResourceError(DockthreadError, ValueError):
-    """A body does not have the form of its kind; the text is the reason of the rejection."""
+    """A name or body is invalid for its kind; the text is the reason of the rejection."""
 
 
 def parse_route(name: str, body: bytes) -> RouteOptions:
     """Return the route that a resource describes.
 
     Raises:
-        InvalidResourceError: It has no such form; the text says the key, what is wrong and what
-            would do.
+        InvalidResourceError: The name or body is not valid; the text gives the key, the problem and
+            a remedy.
     """
     is_name = bool(name.strip()) and len(name) <= MAX_ROUTE_NAME_CHARACTERS
     if not is_name or any(character in name for character in _NOT_IN_ROUTE_NAMES):
@@ -78,7 +78,7 @@
     """Return the address that a resource describes.
 
     Raises:
-        InvalidResourceError: It has no such form; the text says what is wrong and what would do.
+        InvalidResourceError: The name or body is not valid; the text gives the problem and a remedy.
     """
     if name not in ADDRESSES:
         shown = name[:SHOWN_NAME_CHARACTERS]
@@ -111,7 +111,7 @@
 
 
 VALIDATORS: Final[dict[str, Validator]] = {ROUTE: _validate_route, ADDRESS: _validate_address}
-"""Validators of all kinds, for the voters."""
+"""Validators by kind, which voters apply before they propose a change."""
 
 
 def _parse_object(body: bytes) -> dict[str, object]:
@@ -125,7 +125,7 @@
 
 
 def _ini_text(value: object) -> str:
-    """Return a value of JSON as the operator's file would have it."""
+    """Return a JSON value in the syntax of the operator's file."""
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, list):
--- a/dockthread/control_plane/server.py
+++ b/dockthread/control_plane/server.py
@@ -1,10 +1,11 @@
-"""Serves subscribers, publishers and lookups on TCP: the I/O of voters and distributors.
-
-Theory of operation. A connection belongs to a subscriber from its `Subscribe` on; before that, and
-without one, it may publish and look up. `FanOut` is asked for a connection's next frame only while
-the transport's write buffer is low, so a slow subscriber costs one frame and no queue. Whoever
-changes the table calls `on_table_changed`; all changes within one turn of the loop are served by
-one pass over the connections. One timer serves all connections.
+"""Serves subscribers, publishers and lookups over TCP: does the I/O of voters and distributors.
+
+Theory of operation. A connection becomes a subscriber's when it sends `Subscribe`. Any connection
+may publish changes and look up resources. The server asks `FanOut` for the next frame of a
+connection only while the transport's write buffer is below its limit, so a slow subscriber buffers
+few frames and needs no queue. The owner of the table calls `on_table_changed` after each change;
+all changes within one iteration of the event loop are served by one pass over the connections. One
+timer serves all connections.
 """
 
 from __future__ import annotations
@@ -42,27 +43,27 @@
 from dockthread.framing import MessageCounts
 
 MAX_REQUEST_BYTES: Final = 256 << 10
-"""Bytes of a message to a server: the body of a resource, or 64 rejections."""
+"""Maximum size in bytes of a message to a server, which may hold a body or 64 rejections."""
 MAX_PENDING_PUBLISHES: Final = 64
-"""Changes that wait for the replicated log at once."""
+"""Maximum number of changes that are waiting for the replicated log."""
 MAX_IDLE: Final = 10_000.0
-"""Time in ms after which a connection is closed that neither subscribes nor requests."""
+"""Time in ms without a message after which a connection without a subscriber is closed."""
 FRAMES_PER_TURN: Final = 4
-"""Frames written to one connection before the others have their turn."""
+"""Frames written to one connection before other connections are served."""
 LISTEN_BACKLOG: Final = 1024
-"""Connections that wait to be accepted: a wave of restarts."""
+"""Connections that may wait to be accepted when many subscribers restart at once."""
 MIN_TIMER_DELAY: Final = 0.005
-"""Time in s between two runs of the timer."""
+"""Minimum time in s between two runs of the timer."""
 MALFORMED_LOG_INTERVAL: Final = 60_000.0
-"""Time in ms between two log lines about malformed bytes."""
+"""Minimum time in ms between two log lines about malformed bytes."""
 MS_PER_SECOND: Final = 1_000.0
 
 
 class Publisher(Protocol):
-    """Accepts changes: a voter."""
+    """Accepts published changes; implemented by `Voter`."""
 
     async def publish(self, request: PublishRequest) -> PublishResponse:
-        """Have the voters agree on a change and return the outcome."""
+        """Commit a change to the replicated log and return the outcome."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +72,7 @@
 
     Attributes:
         table: The table.
-        age: Returns for how many ms the table may have lacked a change, or `AGE_UNKNOWN`.
+        age: Returns for how many ms the table may have been missing a change, or `AGE_UNKNOWN`.
     """
 
     table: ResourceTable
@@ -84,11 +85,11 @@
 
     Attributes:
         accepted: Connections accepted.
-        rejected: Connections closed as there were too many.
-        malformed: Connections closed for malformed bytes.
-        unexpected: Connections closed for a message out of place.
-        overdue: Connections closed for their silence.
-        unread: Connections closed since they requested and did not read.
+        rejected: Connections closed because the limit was reached.
+        malformed: Connections closed because of malformed bytes.
+        unexpected: Connections closed because of an unexpected message.
+        overdue: Connections closed because they were silent, idle or replaced.
+        unread: Connections closed because they sent requests without reading the responses.
     """
 
     accepted: int = 0
@@ -104,8 +105,8 @@
 
     Attributes:
         number: Number of the connection, counted from 1.
-        is_subscribed: Whether a subscriber is served on it.
-        last_received_at: When its last message came, in ms.
+        is_subscribed: Whether the connection belongs to a subscriber.
+        last_received_at: When its last message arrived, in ms.
     """
 
     def __init__(self, server: ControlPlaneServer, number: int, key: bytes) -> None:
@@ -116,7 +117,7 @@
         self.last_received_at = server.clock.now()
 
     def on_open(self) -> None:
-        """Have the server accept the connection."""
+        """Let the server accept or refuse the connection."""
         self._server.on_open(self)
 
     def on_message(self, message: Message) -> None:
@@ -124,15 +125,15 @@
         self._server.on_message(self, message)
 
     def on_malformed(self, reason: str) -> None:
-        """Have the server count malformed bytes."""
+        """Let the server count malformed bytes."""
         self._server.on_malformed(self, reason)
 
-    def on_closed(self, reason: str) -> None:  # noqa: ARG002  the reason does not matter here
-        """Have the server forget the connection."""
+    def on_closed(self, reason: str) -> None:  # noqa: ARG002  the reason is not used
+        """Let the server remove the connection."""
         self._server.on_closed(self)
 
     def on_writable(self) -> None:
-        """Have the server write on."""
+        """Let the server continue writing."""
         self._server.write_to(self)
 
 
@@ -142,8 +143,8 @@
     Attributes:
         table: The served table.
         clock: Clock of the process.
-        counts: Events since the start.
-        messages: Messages received and sent.
+        counts: Counters of events since the start.
+        messages: Counts of messages received and sent.
         fan_out: Cursors of the subscribers.
     """
 
@@ -172,7 +173,7 @@
         self._publishing: set[asyncio.Task[Any]] = set()
 
     async def open(self, listen: Address) -> Address:
-        """Listen, and return the address with the port that was assigned.
+        """Start listening, and return the address with the assigned port.
 
         Raises:
             OSError: The address cannot be listened on.
@@ -197,7 +198,7 @@
         await asyncio.sleep(0)
 
     def on_table_changed(self) -> None:
-        """Serve a change of the table or of its age, in the next turn of the loop."""
+        """Send a change of the table or its age in the next iteration of the event loop."""
         if not self._is_write_planned:
             self._is_write_planned = True
             self._loop.call_soon(self._write_all)
@@ -209,7 +210,7 @@
         return ServerStream(self, self._last_number, self._settings.key)
 
     def on_open(self, connection: ServerStream) -> None:
-        """Accept a connection, or close it where there are too many."""
+        """Accept a connection, or close it if the limit is reached."""
         if len(self._connections) >= self._settings.connections:
             self.counts.rejected += 1
             connection.abort()
@@ -220,13 +221,13 @@
         self._connections[connection.number] = connection
 
     def on_closed(self, connection: ServerStream) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
         known = self._connections.pop(connection.number, None)
         if known is not None and connection.is_subscribed:
             self.fan_out.on_closed(self.clock.now(), connection.number)
 
     def on_malformed(self, connection: ServerStream, reason: str) -> None:
-        """Count malformed bytes and log them now and then: the key may be wrong."""
+        """Count malformed bytes and log them at a limited rate, as the key may be wrong."""
         self.counts.malformed += 1
         now = self.clock.now()
         if now < self._next_malformed_log_at:
@@ -235,7 +236,7 @@
         transport = connection.transport
         peer = transport.get_extra_info("peername") if transport is not None else None
         logger.warning(
-            "control: {} malformed so far, the last from {}: {}",
+            "control: {} connections sent malformed bytes so far, the last from {}: {}",
             self.counts.malformed,
             peer,
             reason,
@@ -254,7 +255,7 @@
         except UnexpectedMessageError as error:
             self.counts.unexpected += 1
             logger.debug(
-                "control: connection {} is closed, its message was unexpected: {}",
+                "control: closing connection {} after an unexpected message: {}",
                 connection.number,
                 error,
             )
@@ -305,9 +306,9 @@
         connection.send(await publisher.publish(request))
 
     def status(self) -> StatusResponse:
-        """Return the table's state and the subscribers.
+        """Return the status of the table and of the subscribers.
 
-        The rejections are left out where they would not fit into a message.
+        The rejections are omitted if the response would otherwise be too large for a message.
         """
         subscribers = self.fan_out.status(self.clock.now())
         table = self.table
@@ -330,7 +331,7 @@
     # Writing
 
     def write_to(self, connection: ServerStream) -> None:
-        """Write frames while the transport has capacity, a few before others have their turn."""
+        """Write up to `FRAMES_PER_TURN` frames while the transport has capacity, then yield."""
         for _ in range(FRAMES_PER_TURN):
             if not connection.is_subscribed or not connection.is_writable:
                 return
@@ -369,7 +370,7 @@
 
     def _close_overdue(self, number: int, reason: str) -> None:
         self.counts.overdue += 1
-        logger.debug("control: connection {} is closed: {}", number, reason)
+        logger.debug("control: closing connection {}: {}", number, reason)
         if connection := self._connections.get(number):
             connection.abort()
         else:
--- a/dockthread/control_plane/server_settings.py
+++ b/dockthread/control_plane/server_settings.py
@@ -9,9 +9,9 @@
 from dockthread.control_plane.options import ControlOptions
 
 REQUEST_CONNECTIONS: Final = 32
-"""Connections of publishers and operators, besides those of subscribers."""
+"""Connections that are accepted for publishers and operators, in addition to subscribers."""
 SNAPSHOT_BURST_SECONDS: Final = 2
-"""The burst of snapshots, in seconds of their rate."""
+"""Size of the burst of snapshots, in seconds at the snapshot rate."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,12 +19,12 @@
     """Settings of a server.
 
     Attributes:
-        name: Name of the server, unique among all.
+        name: Unique name of the server.
         role: `voter` or `distributor`.
-        connections: Connections accepted at once.
-        write_buffer: Bytes that may wait in one transport before its next frame is made.
+        connections: Maximum number of concurrent connections.
+        write_buffer: Bytes that may be buffered in one transport before its next frame is built.
         fan_out: Limits of the fan-out to subscribers.
-        key: Key that tags all messages; empty for none.
+        key: Shared key that authenticates all messages; empty if no key is used.
     """
 
     name: str
@@ -36,7 +36,7 @@
 
 
 def server_settings_from_options(options: ControlOptions, key: bytes) -> ServerSettings:
-    """Return the settings that the section `[control]` gives, with the shared key of its file."""
+    """Return the settings according to the section `[control]`; `key` is the shared key."""
     rate = float(options.snapshot_rate)
     fan_out = FanOutLimits(
         options.max_connections,
--- a/dockthread/control_plane/snapshot_cache.py
+++ b/dockthread/control_plane/snapshot_cache.py
@@ -1,12 +1,13 @@
-"""Writes the last applied table to a file, for a start while every server is down.
+"""Writes the last applied table to a file, so that a process can start while every server is down.
 
-Theory of operation. A change is appended to the file (its format is that of `cache_file`), at the
-cost of its own size. A new history, a snapshot that brought other resources, or a file that has
-grown to a multiple of its first state is written to a new file, which is renamed into place.
+Theory of operation. Changes are appended to the file, whose format is defined in `cache_file`, so
+the cost of a write depends on the size of the changes. The complete table is written to a new file,
+which is then renamed into place, if the epoch is new, if a snapshot changed resources out of order,
+or if the file has grown to a multiple of its initial size.
 
-Records are written in slices, one after another, begun at most once in `interval`. Nothing is
-synced to the disk: checksums and digest reveal whatever a crash of the machine leaves. At a start
-the bytes behind the last commit are cut off; any other fault drops the file.
+Records are written in slices, one after another. Writes start at most once per `interval`. The file
+is not synced to disk, as checksums and the digest detect any damage after a machine crash. When the
+file is loaded, bytes after the last commit are truncated; a file with any other damage is deleted.
 """
 
 from __future__ import annotations
@@ -39,26 +40,26 @@
 from dockthread.control_plane.resource_table import ResourceTable
 
 SLICE_BYTES: Final = 256 << 10
-"""Bytes of resources in one record."""
+"""Approximate maximum size in bytes of the resources in one record."""
 URGENT_BYTES: Final = 1 << 20
-"""Waiting bytes from which on a write does not wait for the interval."""
+"""Queued bytes above which a write does not wait for the interval."""
 MIN_REWRITE_BYTES: Final = 4 << 20
-"""Bytes appended before a file is written anew."""
+"""Minimum number of appended bytes before the file is rewritten."""
 MAX_GROWTH: Final = 2
-"""Times its first state to which a file may grow by appending."""
+"""Size of the appended data at which a file is rewritten, as a multiple of its initial size."""
 FILE_MODE: Final = 0o600
-"""Only the owner may read configuration."""
+"""Mode of a cache file: only its owner may read the configuration."""
 MS_PER_SECOND: Final = 1_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class WriteJob:
-    """Bytes that are written at once.
+    """Bytes that are written to the file in one job.
 
     Attributes:
         data: The bytes.
-        starts_file: Whether they begin a new file.
-        ends_state: Whether they end with a commit.
+        starts_file: Whether the bytes begin a new file.
+        ends_state: Whether the bytes end with a commit.
     """
 
     data: bytes
@@ -67,12 +68,12 @@
 
 
 class SnapshotCache:
-    """The file of the subscriber `name` in `directory`.
+    """The cache file of the subscriber `name` in `directory`.
 
-    `interval` is the least time in ms between the starts of two writes.
+    `interval` is the minimum time in ms between the starts of two writes.
 
     Attributes:
-        path: The file.
+        path: Path of the file.
     """
 
     def __init__(self, directory: Path, name: str, interval: float) -> None:
@@ -81,25 +82,25 @@
         self._interval = interval / MS_PER_SECOND  # s
         self._queue: deque[CacheHeader | Resource | FrozenTable | CacheCommit] = deque()
         self._queued_bytes = 0
-        self._epoch = ""  # of what was queued last
-        self._revision = 0  # of what was queued last
-        self._state_bytes = 0  # of the file's first state
-        self._appended_bytes = 0  # since that
-        self._can_append = False  # to the file as it will be once the queue is written
+        self._epoch = ""  # of the last queued commit
+        self._revision = 0  # of the last queued commit
+        self._state_bytes = 0  # size of the file after its first commit
+        self._appended_bytes = 0  # size of the data appended after the first commit
+        self._can_append = False  # whether the next changes can follow the queue
         self._has_failed = False
         self._timer: asyncio.TimerHandle | None = None
         self._writing: asyncio.Task[None] | None = None
         self._began_at = float("-inf")
-        # The job that is being carried out, and nothing else, uses these:
+        # Only the running job uses the following attributes:
         self._file: int | None = None
-        self._new_path: Path | None = None  # of a new file, until its first commit
+        self._new_path: Path | None = None  # path of a new file until its first commit
 
     def load(self) -> CachedSnapshot | None:
-        """Return what the file holds; a corrupt file is dropped with one line in the log."""
+        """Return the content of the file; log and delete a corrupt file."""
         try:
             found = read_snapshot(self.path, self._name)
         except CorruptCacheError as error:
-            logger.warning("control: {} is dropped: it {}", self.path, error)
+            logger.warning("control: deleting {}: the file {}", self.path, error)
             with suppress(OSError):
                 self.path.unlink(missing_ok=True)
             return None
@@ -116,7 +117,10 @@
         changes: Sequence[Resource],
         last_good: tuple[Resource, ...],
     ) -> None:
-        """Write `table`; `changes` are all since the last call. Needs a running loop."""
+        """Queue `table` to be written; `changes` lists the changes since the last call.
+
+        Requires a running event loop.
+        """
         if self._may_append(table, changes):
             self._queue += changes
             self._queued_bytes += sum(map(_approximate_size, changes))
@@ -134,7 +138,7 @@
             self._plan_write()
 
     async def close(self) -> None:
-        """Write everything that waits, and close the file."""
+        """Write the queue and close the file."""
         if self._timer is not None:
             self._timer.cancel()
         if self._writing is not None:
@@ -172,11 +176,11 @@
 
     def _on_written(self, _: asyncio.Task[None]) -> None:
         self._writing = None
-        if self._queue and self._timer is None:  # queued as the last job ended
+        if self._queue and self._timer is None:  # queued while the last job ended
             self._plan_write()
 
     async def _write_all(self) -> None:
-        """Write the queue in a thread, as the disk may be slow, one job after another."""
+        """Write the queue, one job after another, in a thread because the disk may be slow."""
         loop = asyncio.get_running_loop()
         while (job := self._next_job()) is not None:
             try:
@@ -187,7 +191,7 @@
             self._has_failed = False
 
     def _next_job(self) -> WriteJob | None:
-        """Return the next slice of resources, with a header before or a commit behind it."""
+        """Return a job for the next slice of resources, with a header before or a commit after it."""
         if not self._queue:
             return None
         records: list[CacheRecord] = []
@@ -209,7 +213,7 @@
         return WriteJob(b"".join(map(encode_record, records)), starts_file, ends_state)
 
     def _take_slice(self) -> tuple[Resource, ...]:
-        """Remove and return the next resources, up to a commit."""
+        """Remove the next resources from the queue, at most up to a commit, and return them."""
         if self._queue and isinstance(frozen := self._queue[0], FrozenTable):
             resources = frozen.next_chunk(SLICE_BYTES).resources
             if frozen.exhausted:
@@ -224,7 +228,7 @@
         return tuple(taken)
 
     def _write(self, job: WriteJob) -> None:
-        """Carry out a job, in a thread; never two at once."""
+        """Carry out a job in a thread; jobs never run concurrently."""
         if job.starts_file:
             self._close_file()
             self._new_path = self.path.with_suffix(".new")
@@ -244,7 +248,7 @@
             self._appended_bytes = 0
 
     def _fail(self, error: OSError) -> None:
-        """Drop the queue; the next change begins a new file.
+        """Drop the queue, so that the next change starts a new file.
 
         The old file, if any, is intact up to its last commit.
         """
@@ -263,7 +267,10 @@
 
 
 def _are_newer(changes: Iterable[Resource], revision: int) -> bool:
-    """Return whether changes follow `revision` in order; the difference of a snapshot does not."""
+    """Return whether the revisions of `changes` increase from `revision`.
+
+    This does not hold for changes that result from a snapshot.
+    """
     for change in changes:
         if change.revision <= revision:
             return False
--- a/dockthread/control_plane/voter.py
+++ b/dockthread/control_plane/voter.py
@@ -73,7 +73,7 @@
             await self.member.open()
         except msgspec.MsgspecError as error:
             raise ValueError(
-                f"[fleet] directory: its log is not that of control: {error}"
+                f"[fleet] directory: the log does not belong to a control plane: {error}"
             ) from error
         return address
 
--- a/tests/control_plane/test_control_options.py
+++ b/tests/control_plane/test_control_options.py
@@ -18,37 +18,40 @@
 FAULTY = [
     ("role = leader", "role: 'leader' is not one of ingress, distributor, voter"),
     ("servers = 127.0.0.1:7001", "role: is missing; write one of ingress, distributor, voter"),
-    ("role = ingress", "servers: is missing; name those from which this ingress receives"),
-    ("role = ingress\nservers = here", "servers: 'here' is no address; write HOST:PORT"),
-    ("role = ingress\nservers = a:1, a:1", "servers: names a:1 twice; name each once"),
-    ("role = ingress\nservers = a:1\nfar_servers = a:1", "servers: names a:1 twice"),
+    ("role = ingress", "servers: is missing; list the servers from which this ingress receives"),
+    ("role = ingress\nservers = here", "servers: 'here' is not an address; write HOST:PORT"),
+    ("role = ingress\nservers = a:1, a:1", "servers: lists a:1 twice; list each server once"),
+    ("role = ingress\nservers = a:1\nfar_servers = a:1", "servers: lists a:1 twice"),
     (
         "role = ingress\nservers = a:1\nfar_servers = b",
-        "far_servers: 'b' is no address; write HOST:PORT",
+        "far_servers: 'b' is not an address; write HOST:PORT",
     ),
     (
         "role = ingress\nservers = a:1\nlisten = a:2",
-        "listen: is set, and an ingress serves no subscribers",
+        "listen: is set, but an ingress serves no subscribers",
     ),
     (
         "role = ingress\nservers = a:1\nzone = a b",
-        "zone: 'a b' is no name; write 128 bytes at most",
+        "zone: 'a b' is not a valid name; use at most 128 bytes",
     ),
     ("role = distributor\nname = d1\nservers = a:1", "listen: is missing; write the address"),
     (
         "role = distributor\nlisten = a:2\nservers = a:1",
-        "name: is missing; write a name of this distributor",
+        "name: is missing; write a unique name for this distributor",
     ),
-    (DISTRIBUTOR + "most_connections = 0", "most_connections: 0 is out of range; 1 to 10000"),
-    (DISTRIBUTOR + "write_buffer = 1KiB", "write_buffer: 1KiB is out of range; 4KiB to 16MiB"),
-    (DISTRIBUTOR + "heartbeat = 1ms", "heartbeat: 1ms is out of range; 50ms to 1s"),
+    (DISTRIBUTOR + "most_connections = 0", "most_connections: 0 is out of range; use 1 to 10000"),
+    (DISTRIBUTOR + "write_buffer = 1KiB", "write_buffer: 1KiB is out of range; use 4KiB to 16MiB"),
+    (DISTRIBUTOR + "heartbeat = 1ms", "heartbeat: 1ms is out of range; use 50ms to 1s"),
     (
         DISTRIBUTOR + "snapshot_rate = 1KiB",
-        "snapshot_rate: 1KiB is too low; 1MB at least; 20MB is usual",
+        "snapshot_rate: 1KiB is too low; use at least 1MB; 20MB is typical",
     ),
-    (DISTRIBUTOR + "cache_interval = 1ms", "cache_interval: 1ms is too short; 100ms at least"),
+    (DISTRIBUTOR + "cache_interval = 1ms", "cache_interval: 1ms is too short; use at least 100ms"),
     (VOTER, "role: is voter, and there is no [fleet]; write [fleet] with all voters"),
-    (VOTER + "servers = a:1", "servers: is set, and a voter receives by [fleet]; leave it out"),
+    (
+        VOTER + "servers = a:1",
+        "servers: is set, but a voter receives through [fleet]; leave it out",
+    ),
     (
         VOTER.replace("v1", "v9") + FLEET,
         "name: 'v9' is not among the members of [fleet]; one of v1",
@@ -85,7 +88,7 @@
 
 def test_key_file_is_rejected_with_its_path_and_length(tmp_path: Path) -> None:
     (tmp_path / "key").write_bytes(b"short\n")
-    with pytest.raises(ValueError, match="key holds 5 bytes; 16 to 64 would do"):
+    with pytest.raises(ValueError, match="key holds 5 bytes; use 16 to 64 bytes"):
         read_key(str(tmp_path / "key"))
     with pytest.raises(ValueError, match="cannot be read: No such file"):
         read_key(str(tmp_path / "none"))
--- a/tests/control_plane/test_control_processes.py
+++ b/tests/control_plane/test_control_processes.py
@@ -170,7 +170,11 @@
     data[len(data) // 2] ^= 0xFF
     cache.write_bytes(data)
     rig.start("n0")
-    until(lambda: rig.out("n0").count(f"{cache} is dropped: it has a wrong sum at byte ") == 1)
+    until(
+        lambda: (
+            rig.out("n0").count(f"deleting {cache}: the file has a wrong checksum at byte ") == 1
+        )
+    )
     rig.start_missing()
     until(rig.has_applied(revision))
 
--- a/tests/control_plane/test_snapshot_cache.py
+++ b/tests/control_plane/test_snapshot_cache.py
@@ -38,7 +38,7 @@
         with pytest.raises(CorruptCacheError):
             read_snapshot(path, "n0")
     path.write_bytes(data)
-    with pytest.raises(CorruptCacheError, match="is not that of n1"):
+    with pytest.raises(CorruptCacheError, match="is not a cache of n1 in format version 1"):
         read_snapshot(path, "n1")
 
 
