--- a/tests/control_plane/builders.py
+++ b/tests/control_plane/builders.py
@@ -15,11 +15,11 @@
 from dockthread.framing import FRAME_HEADER
 
 LIMITS = FanOutLimits(chunk_bytes=400)
-UNLIMITED = 1 << 20  # bytes: more than any table here
+UNLIMITED = 1 << 20  # bytes: larger than any table in these tests
 
 
 def make_table(count: int = 0, epoch: str = "e1", max_tombstones: int = 100) -> ResourceTable:
-    """Return a table of routes r1, r2 and so on, each of its own revision."""
+    """Return a table of `count` routes: r1 at revision 1, r2 at revision 2 and so on."""
     table = ResourceTable(epoch, max_tombstones)
     for number in range(1, count + 1):
         table.put(Resource("route", f"r{number}", number, b"body %d" % number))
@@ -27,14 +27,14 @@
 
 
 def make_fan_out(table: ResourceTable, limits: FanOutLimits = LIMITS) -> FanOut:
-    """Return a fan-out whose table is complete at time 0."""
+    """Return a fan-out whose table was known to be complete at time 0."""
     fan_out = FanOut(table, limits, random.Random(1))
     fan_out.set_table_age(0.0, 0.0)
     return fan_out
 
 
 def sent_messages(fan_out: FanOut, now: float = 10.0, connection: int = 1) -> list[Message]:
-    """Return everything that a connection is sent now."""
+    """Return all messages that a connection is sent at time `now`."""
     messages = []
     while (frame := fan_out.next_frame(now, connection)) is not None:
         messages.append(codec.unpack(frame[: FRAME_HEADER.size], frame[FRAME_HEADER.size :]))
@@ -42,7 +42,7 @@
 
 
 def sent_updates(fan_out: FanOut, now: float = 10.0, connection: int = 1) -> list[Update]:
-    """Return the updates among them."""
+    """Return the updates among the messages that a connection is sent at time `now`."""
     messages = sent_messages(fan_out, now, connection)
     return [message for message in messages if isinstance(message, Update)]
 
@@ -58,7 +58,7 @@
 def make_receiving_subscriber(
     table: ResourceTable | None = None, servers: Sequence[str] = ("a", "b", "c")
 ) -> Subscriber:
-    """Return a subscriber on its connection 1 since 1 ms, whose server has reported to be fresh."""
+    """Return a subscriber on connection 1, whose server reported a current table at 1 ms."""
     subscriber = make_subscriber(table, servers)
     assert any(isinstance(action, Connect) for action in subscriber.on_timer(0.0))
     subscriber.on_connected(1.0, 1)
@@ -67,12 +67,12 @@
 
 
 def changes_of(actions: Sequence[object]) -> list[ResourcesChanged]:
-    """Return the actions that change resources."""
+    """Return the `ResourcesChanged` actions."""
     return [action for action in actions if isinstance(action, ResourcesChanged)]
 
 
 def snapshot_of(table: ResourceTable, chunk_bytes: int = LIMITS.chunk_bytes) -> list[Update]:
-    """Return the chunks of a snapshot."""
+    """Return the chunks of a snapshot of `table`."""
     frozen = table.freeze()
     chunks = []
     while not frozen.exhausted:
--- a/tests/control_plane/cache_files.py
+++ b/tests/control_plane/cache_files.py
@@ -1,4 +1,4 @@
-"""Cache files for the tests of the control plane."""
+"""Writes cache files for the tests of the control plane."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def write_cache(
     folder: Path, names: list[str], last_good: tuple[Resource, ...] = ()
 ) -> ResourceTable:
-    """Write the cache of n0 with a commit for each name; a body is its resource's name."""
+    """Write the cache of n0 with one commit per name; the body of each resource is its name."""
     table = ResourceTable("e")
 
     async def write() -> None:
--- a/tests/control_plane/control_rig.py
+++ b/tests/control_plane/control_rig.py
@@ -1,4 +1,7 @@
-"""Voters, distributors and ingresses as real processes on loopback; each is ended by its own process id."""
+"""Runs voters, distributors and ingresses as real processes on loopback.
+
+Each process is terminated by its own process id.
+"""
 
 from __future__ import annotations
 
@@ -28,11 +31,11 @@
 VOTERS = ("v0", "v1", "v2")
 DISTRIBUTORS = ("d0", "d1")
 INGRESSES = ("n0", "n1")
-TIMEOUT = 20.0  # s: a generous bound on any progress
+TIMEOUT = 20.0  # s, for every command and condition
 
 
 class ControlRig:
-    """Names of processes are those of `VOTERS`, `DISTRIBUTORS` and `INGRESSES`."""
+    """Starts and controls the processes named in `VOTERS`, `DISTRIBUTORS` and `INGRESSES`."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -109,13 +112,13 @@
     def command(
         self, arguments: str, servers: list[Address], body: str = ""
     ) -> subprocess.CompletedProcess[str]:
-        """Run `dockthread control ARGUMENTS` to its end."""
+        """Run `dockthread control ARGUMENTS` and wait until it exits."""
         at = ["--servers", ",".join(map(str, servers)), "--key-file", str(self.folder / "key")]
         command = [sys.executable, "-m", "dockthread", "control", *arguments.split(), *at]
         return subprocess.run(command, input=body, capture_output=True, text=True, timeout=TIMEOUT)
 
     def publish(self, kind: str, name: str, body: Any) -> PublishResponse:
-        """Publish a resource, which has to be accepted."""
+        """Publish a resource, and check that it is accepted."""
         data = None if body is None else json.dumps(body).encode()
         response = asyncio.run(
             admin_client.publish(
@@ -126,7 +129,7 @@
         return response
 
     def status(self, name: str) -> StatusResponse | None:
-        """Return a server's status; None where it does not respond."""
+        """Return the status of a server, or None if it does not respond."""
         try:
             response = asyncio.run(
                 admin_client.send_request(self.at[name], StatusRequest(), KEY, 0.5)
@@ -137,12 +140,12 @@
         return response
 
     def connected_subscribers(self) -> dict[str, SubscriberStatus]:
-        """Return the connected ingresses, by all distributors that respond."""
+        """Return the ingresses that are connected to a responding distributor, by name."""
         statuses = [found for name in DISTRIBUTORS if (found := self.status(name)) is not None]
         return {one.name: one for found in statuses for one in found.subscribers if one.connected}
 
     def server_of(self, ingress: str) -> str:
-        """Return the distributor that an ingress receives from; empty for none."""
+        """Return the distributor that an ingress is connected to; empty if there is none."""
         for name in DISTRIBUTORS:
             found = self.status(name) if name in self.processes else None
             if found is not None and any(
@@ -152,7 +155,7 @@
         return ""
 
     def has_applied(self, revision: int) -> Callable[[], bool]:
-        """Whether every ingress has statuses that it has come so far."""
+        """Return a condition that holds once every ingress has acknowledged `revision`."""
 
         def reached() -> bool:
             found = self.connected_subscribers()
--- a/tests/control_plane/local_server.py
+++ b/tests/control_plane/local_server.py
@@ -1,4 +1,4 @@
-"""A control-plane server on loopback, for the tests of the control plane."""
+"""Runs a control-plane server on loopback for tests."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from dockthread.control_plane.server_settings import ServerSettings
 from tests.loopback import run
 
-BUFFER = 16 << 10  # bytes that may wait in a connection
+BUFFER = 16 << 10  # bytes that may be buffered in a connection
 CHUNK = 64 << 10  # bytes of resources in one frame
 
 
@@ -22,7 +22,7 @@
     scenario: Callable[[ControlPlaneServer, Address], Coroutine[Any, Any, None]],
     connections: int = 4,
 ) -> None:
-    """Run a scenario with a server that accepts so many connections."""
+    """Run a scenario with a server that accepts at most `connections` connections."""
 
     async def serve() -> None:
         limits = FanOutLimits(chunk_bytes=CHUNK)
--- a/tests/control_plane/test_client.py
+++ b/tests/control_plane/test_client.py
@@ -1,4 +1,4 @@
-"""The client that has received resources applied."""
+"""Tests the client, which applies received resources."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RecordingApplier:
-    """Rejects bodies that are `bad`."""
+    """Records applied resources, and rejects those whose body is `bad`."""
 
     def __init__(self) -> None:
         self.applied: dict[str, Resource] = {}
--- a/tests/control_plane/test_control_options.py
+++ b/tests/control_plane/test_control_options.py
@@ -1,4 +1,4 @@
-"""The section `[control]`: what is rejected, with file, section, key, fault and what would do."""
+"""Tests the section `[control]`: a problem names file, section, key, cause and remedy."""
 
 from __future__ import annotations
 
--- a/tests/control_plane/test_control_processes.py
+++ b/tests/control_plane/test_control_processes.py
@@ -1,4 +1,4 @@
-"""Configuration from a publisher to ingresses by real processes, with faults between them."""
+"""Tests with real processes that published changes reach the ingresses despite faults."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 @pytest.fixture
 def rig(running: ControlRig) -> ControlRig:
-    """All processes there, and all ingresses with a new change in force."""
+    """Provide a rig with all processes running and a new change applied at every ingress."""
     running.start_missing()
     revision = running.publish("route", "first", {"firm": "1", "attempts": 2}).revision
     until(running.has_applied(revision))
@@ -59,7 +59,7 @@
 
 
 def publish_discovery(rig: ControlRig, discovery: socket.socket) -> int:
-    """Publish discovery's address, and return once each ingress has connected to it."""
+    """Publish the address of `discovery`, and wait until each ingress has connected to it."""
     at = f"127.0.0.1:{discovery.getsockname()[1]}"
     revision = rig.publish("address", "discovery", {"address": at}).revision
     accept_calls(discovery, len(INGRESSES))
@@ -160,10 +160,10 @@
     rig.start("n0")
     until(lambda: rig.out("n0").count("from the cache") > from_cache)
     discovery.setblocking(False)
-    with suppress(BlockingIOError):  # connections of the process before
+    with suppress(BlockingIOError):  # drop connections of the previous process
         accept_calls(discovery, 1000)
     discovery.settimeout(TIMEOUT)
-    accept_calls(discovery, 1)  # its own configuration names another address
+    accept_calls(discovery, 1)  # the cached address, as its own configuration has another one
     rig.kill("n0")
     cache = rig.folder / "n0" / "n0.cache"
     data = bytearray(cache.read_bytes())
--- a/tests/control_plane/test_fanout.py
+++ b/tests/control_plane/test_fanout.py
@@ -1,4 +1,4 @@
-"""The fan-out of one table to many subscribers."""
+"""Tests the fan-out of one table to many subscribers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         (Subscribe("s", "e1", 30, make_table(30).digest), False, 31),
         (Subscribe("s", "e1", 40, b"another digest.."), True, 1),
     ],
-    ids=["holds nothing", "another epoch", "is behind", "another digest"],
+    ids=["no table", "another epoch", "older revision", "another digest"],
 )
 def test_subscriber_gets_deltas_where_it_can_resume_and_a_snapshot_elsewhere(
     message: Subscribe, has_snapshot: bool, first: int
@@ -59,7 +59,7 @@
         table.put(Resource("route", "r40", revision, b"again"))
     sent = sent_updates(fan_out)
     assert [entry.revision for entry in sent[-1].resources] == [60], (
-        "19 changes between were never sent"
+        "the 19 earlier versions of r40 must not be sent"
     )
 
 
@@ -95,7 +95,9 @@
         for entry in sent_updates(fan_out, 10.0, number)
     )
     assert sent <= size + 800
-    assert fan_out.next_timer_at() < 1_000.0, "for the part that waits"
+    assert fan_out.next_timer_at() < 1_000.0, (
+        "the timer must be due when the waiting chunk can be sent"
+    )
 
 
 def test_subscriber_beyond_the_limit_is_rejected_and_a_newer_connection_replaces_its_older() -> (
@@ -112,7 +114,9 @@
     assert fan_out.connections() == [3]
     with pytest.raises(UnexpectedMessageError):
         fan_out.subscribe(1.0, 3, Subscribe("s1"))
-    assert [entry.connection for entry in fan_out.on_timer(20_000.0)] == [3], "silent"
+    assert [entry.connection for entry in fan_out.on_timer(20_000.0)] == [3], (
+        "the silent connection"
+    )
 
 
 def test_status_shows_lag_and_rejections_also_after_the_subscriber_left() -> None:
--- a/tests/control_plane/test_ingress_reload.py
+++ b/tests/control_plane/test_ingress_reload.py
@@ -1,4 +1,4 @@
-"""A reload of an ingress: its settings and file, and what was published."""
+"""Tests how a reload of an ingress combines its settings, its file and published resources."""
 
 from __future__ import annotations
 
@@ -89,12 +89,12 @@
         daemon.reload()
         await until(lambda: [one.name for one in subscriber.rejections] == ["status twice"])
         assert set(layers.published) == {"renew twice"}, (
-            "a request that must not run twice is not hedged any more"
+            "the route that hedges a class with side effects must be withdrawn"
         )
         assert "would run a request twice" in subscriber.rejections[0].reason
         names = daemon.ingress.config.names.classes
         found = layers.table.find(RequestAttributes(names.index("status"), 0, False, 1, 1, False))
-        assert found is not None and not found.rules.hedging, "the file's route holds in its place"
+        assert found is not None and not found.rules.hedging, "the file's route must apply instead"
         await until(
             lambda: (
                 [one.name for one in server.status().subscribers[0].rejected] == ["status twice"]
--- a/tests/control_plane/test_messages.py
+++ b/tests/control_plane/test_messages.py
@@ -1,4 +1,4 @@
-"""The encoding of messages."""
+"""Tests the encoding of messages."""
 
 from __future__ import annotations
 
--- a/tests/control_plane/test_publish_state_machine.py
+++ b/tests/control_plane/test_publish_state_machine.py
@@ -1,4 +1,4 @@
-"""The state machine that accepts published changes."""
+"""Tests the state machine that accepts published changes."""
 
 from __future__ import annotations
 
--- a/tests/control_plane/test_resource_table.py
+++ b/tests/control_plane/test_resource_table.py
@@ -1,4 +1,4 @@
-"""The table of resources: digest, deltas and tombstones."""
+"""Tests the digest, deltas and tombstones of a resource table."""
 
 from __future__ import annotations
 
--- a/tests/control_plane/test_server.py
+++ b/tests/control_plane/test_server.py
@@ -1,4 +1,4 @@
-"""The server's limits on connections and on memory."""
+"""Tests the server's limits on connections and memory."""
 
 from __future__ import annotations
 
--- a/tests/control_plane/test_server_selection.py
+++ b/tests/control_plane/test_server_selection.py
@@ -1,4 +1,4 @@
-"""The selection of a subscriber's server."""
+"""Tests the selection of a subscriber's server."""
 
 from __future__ import annotations
 
--- a/tests/control_plane/test_snapshot_cache.py
+++ b/tests/control_plane/test_snapshot_cache.py
@@ -1,4 +1,4 @@
-"""The file in which a subscriber keeps its last table."""
+"""Tests the file in which a subscriber stores its last applied table."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     table = write_cache(tmp_path, ["a", "b", "a"])
     path = tmp_path / "n0.cache"
     data = path.read_bytes()
-    for cut in range(1, 40):  # the last commit, at least in part
+    for cut in range(1, 40):  # truncates a part of the last commit or all of it
         path.write_bytes(data[:-cut])
         found = read_snapshot(path, "n0")
         assert found is not None and found.table.revision == table.revision - 1
--- a/tests/control_plane/test_subscriber.py
+++ b/tests/control_plane/test_subscriber.py
@@ -1,4 +1,4 @@
-"""The receiving end of the control plane: updates, servers and their faults."""
+"""Tests how a subscriber handles updates, and servers that are faulty, silent or stale."""
 
 from __future__ import annotations
 
@@ -99,7 +99,7 @@
     assert [type(action) for action in actions] == [Disconnect] and subscriber.counts.malformed == 1
     assert table.revision == 10 and table.digest == make_table(10).digest
     assert subscriber.on_message(3.0, 1, table.delta_since(10, 1)) == [], (
-        "what comes of that connection later is passed over"
+        "later messages of that connection must be ignored"
     )
 
 
@@ -113,7 +113,7 @@
     assert (
         not changes_of(subscriber.on_message(4.0, 1, snapshot_of(make_table(12), UNLIMITED)[0]))
         and subscriber.table.epoch == "e2"
-    ), "it was left"
+    ), "a replaced epoch must not return"
     unconfirmed = make_subscriber(make_table(10))
     unconfirmed.on_timer(0.0)
     unconfirmed.on_connected(1.0, 1)
@@ -159,7 +159,7 @@
 def test_stale_server_is_left_without_flapping_where_all_are_stale() -> None:
     subscriber = make_receiving_subscriber()
     now, last = 10.0, 1
-    for _ in range(600):  # ten minutes, each second
+    for _ in range(600):  # ten minutes, one iteration per second
         now += 1_000.0
         for action in [
             *subscriber.on_message(now, last, Heartbeat("e1", 0, 60_000.0)),
