--- a/dockthread/control_plane/admin_client.py
+++ b/dockthread/control_plane/admin_client.py
@@ -57,8 +57,8 @@
         async with asyncio.timeout(timeout):
             reader, writer = await asyncio.open_connection(server.host, server.port)
             writer.write(codec.pack(message, key))
-            head = await reader.readexactly(FRAME_HEADER.size)
-            return codec.unpack(head, await reader.readexactly(codec.length(head)), key)
+            header = await reader.readexactly(FRAME_HEADER.size)
+            return codec.unpack(header, await reader.readexactly(codec.length(header)), key)
     except asyncio.IncompleteReadError as error:
         raise NoResponseError(
             "it closed the connection: another key, or no server of control"
@@ -90,17 +90,17 @@
     The servers are tried in turn with the same token, so the change is applied only once. After
     `timeout` seconds the last response is returned, although it has no outcome.
     """
-    last = PublishResponse(request.token, OUTCOME_UNKNOWN, "no server was asked")
+    last_response = PublishResponse(request.token, OUTCOME_UNKNOWN, "no server was asked")
     loop = asyncio.get_running_loop()
     deadline = loop.time() + timeout
     while True:
         for server in servers:
             remaining = max(MIN_REQUEST_TIMEOUT, min(REQUEST_TIMEOUT, deadline - loop.time()))
-            last = await _publish_to(server, request, key, remaining)
-            if last.revision >= 0:
-                return last
+            last_response = await _publish_to(server, request, key, remaining)
+            if last_response.revision >= 0:
+                return last_response
         if loop.time() + PUBLISH_RETRY_DELAY >= deadline:
-            return last
+            return last_response
         await asyncio.sleep(PUBLISH_RETRY_DELAY)
 
 
@@ -130,26 +130,26 @@
     Raises:
         NoResponseError: No server responds.
     """
-    faults = []
+    errors = []
     for server in servers:
         try:
             return await _lookup_at(server, kind, name, key)
         except NoResponseError as error:
-            faults.append(f"{server}: {error}")
-    raise NoResponseError("; ".join(faults))
+            errors.append(f"{server}: {error}")
+    raise NoResponseError("; ".join(errors))
 
 
 async def _lookup_at(server: Address, kind: str, name: str, key: bytes) -> list[Resource]:
     """Return the resources on all pages of one server."""
-    found: list[Resource] = []
+    resources: list[Resource] = []
     while True:
-        after = found[-1].name if found else ""
+        after = resources[-1].name if resources else ""
         response = await send_request(server, LookupRequest(kind, name, after), key)
         if not isinstance(response, LookupResponse):
             raise NoResponseError(f"it says {type(response).__name__}")
-        found += response.resources
+        resources += response.resources
         if not response.more or not response.resources:
-            return found
+            return resources
 
 
 @dataclass(slots=True)
@@ -232,17 +232,17 @@
     If several servers report a subscriber, a status in which it is connected takes precedence, and
     then the one with the newest revision.
     """
-    best: dict[str, SubscriberStatus] = {}
+    best_by_name: dict[str, SubscriberStatus] = {}
     server_names = {server.name for server in servers}
     for server in servers:
         for status in server.subscribers:
             if status.name in server_names:
                 continue
-            known = best.get(status.name)
-            if known is None or _rank(status) > _rank(known):
-                best[status.name] = status
-    return [best[name] for name in sorted(best)]
+            previous = best_by_name.get(status.name)
+            if previous is None or _precedence(status) > _precedence(previous):
+                best_by_name[status.name] = status
+    return [best_by_name[name] for name in sorted(best_by_name)]
 
 
-def _rank(status: SubscriberStatus) -> tuple[bool, int]:
+def _precedence(status: SubscriberStatus) -> tuple[bool, int]:
     return status.connected, status.revision
--- a/dockthread/control_plane/admission.py
+++ b/dockthread/control_plane/admission.py
@@ -50,38 +50,38 @@
         self._tokens = (
             limits.burst
         )  # bytes; negative after a chunk larger than the remaining tokens
-        self._filled_at = 0.0
-        self._owed = 0.0  # bytes of admitted snapshots that are still to be sent
-        self._slots_until = 0.0
+        self._refilled_at = 0.0
+        self._pending_bytes = 0.0  # bytes of admitted snapshots that are still to be sent
+        self._last_slot_end = 0.0
 
     def admit(self, now: float, size: float) -> bool:
         """Admit a snapshot of `size` bytes, which are then pending, or return False."""
-        self._fill(now)
-        missing = self._owed + size - max(0.0, self._tokens)
-        if self._owed > 0.0 and missing > self._rate * MAX_QUEUE_TIME:
+        self._refill(now)
+        backlog = self._pending_bytes + size - max(0.0, self._tokens)
+        if self._pending_bytes > 0.0 and backlog > self._rate * MAX_QUEUE_TIME:
             return False
-        self._owed += size
+        self._pending_bytes += size
         return True
 
     def retry_after(self, now: float, size: float) -> float:
         """Return the time in ms after which a refused subscriber should retry."""
-        earliest = max(now + self._owed / self._rate, self._slots_until)
-        self._slots_until = min(earliest + size / self._rate, now + self._retry_after_max)
+        slot_start = max(now + self._pending_bytes / self._rate, self._last_slot_end)
+        self._last_slot_end = min(slot_start + size / self._rate, now + self._retry_after_max)
         jitter = self._rng.uniform(1.0 - SLOT_JITTER, 1.0 + SLOT_JITTER)
-        after = (self._slots_until - now) * jitter
-        shortest = self._retry_after_min * self._rng.uniform(1.0, 2.0)
-        return min(max(after, shortest), self._retry_after_max)
+        retry_delay = (self._last_slot_end - now) * jitter
+        min_delay = self._retry_after_min * self._rng.uniform(1.0, 2.0)
+        return min(max(retry_delay, min_delay), self._retry_after_max)
 
     def can_send(self, now: float) -> bool:
         """Return whether a chunk may be sent now."""
-        self._fill(now)
+        self._refill(now)
         return self._tokens > 0.0
 
     def can_send_at(self) -> float:
         """Return when the next chunk may be sent."""
         if self._tokens > 0.0:
-            return self._filled_at
-        return self._filled_at + (1.0 - self._tokens) / self._rate
+            return self._refilled_at
+        return self._refilled_at + (1.0 - self._tokens) / self._rate
 
     def spend(self, size: float) -> None:
         """Charge the budget for a chunk of `size` bytes."""
@@ -89,9 +89,9 @@
 
     def release(self, size: float) -> None:
         """Subtract `size` from the pending bytes: they were sent, or their receiver disconnected."""
-        self._owed = max(0.0, self._owed - size)
+        self._pending_bytes = max(0.0, self._pending_bytes - size)
 
-    def _fill(self, now: float) -> None:
-        earned = max(0.0, now - self._filled_at) * self._rate
-        self._tokens = min(self._burst, self._tokens + earned)
-        self._filled_at = max(self._filled_at, now)
+    def _refill(self, now: float) -> None:
+        new_tokens = max(0.0, now - self._refilled_at) * self._rate
+        self._tokens = min(self._burst, self._tokens + new_tokens)
+        self._refilled_at = max(self._refilled_at, now)
--- a/dockthread/control_plane/backoff.py
+++ b/dockthread/control_plane/backoff.py
@@ -36,8 +36,8 @@
 
     def on_retry_later(self, now: float, after: float) -> None:
         """Wait as long as a server requested, or `retry_after_max` if that time is out of range."""
-        is_sensible = 0.0 <= after <= self._times.retry_after_max
-        self.wait_until = now + (after if is_sensible else self._times.retry_after_max)
+        is_in_range = 0.0 <= after <= self._times.retry_after_max
+        self.wait_until = now + (after if is_in_range else self._times.retry_after_max)
 
     def reset(self) -> None:
         """Reset the bound after a connection delivered a complete update."""
--- a/dockthread/control_plane/batch_applier.py
+++ b/dockthread/control_plane/batch_applier.py
@@ -22,7 +22,7 @@
 from dockthread.control_plane.snapshot_cache import SnapshotCache
 from dockthread.control_plane.subscriber_actions import ResourcesChanged
 
-RESTORE_SLICE: Final = 1024
+RESTORE_SLICE_RESOURCES: Final = 1024
 """Resources of the cache applied per call; large, as no requests are served during the restore."""
 MAX_BATCHES: Final = 4
 """Number of queued batches at which reading from the server pauses."""
@@ -105,12 +105,16 @@
         """
         retried = {key_of(resource) for resource in cached.last_good}
         self.applier.apply(cached.last_good)
-        others = (one for one in cached.table.live() if key_of(one) not in retried)
-        for part in _slices(others, RESTORE_SLICE):
-            retried.update(key_of(rejection) for rejection in self.applier.apply(part))
-        resources = [found for key in retried if (found := cached.table.get(*key)) is not None]
+        other_resources = (
+            resource for resource in cached.table.live() if key_of(resource) not in retried
+        )
+        for slice_resources in _slices(other_resources, RESTORE_SLICE_RESOURCES):
+            retried.update(key_of(rejection) for rejection in self.applier.apply(slice_resources))
+        resources = [
+            resource for key in retried if (resource := cached.table.get(*key)) is not None
+        ]
         resources.sort(key=lambda resource: resource.revision)
-        rejections = [_shortened(rejection) for rejection in self.applier.apply(resources)]
+        rejections = [_truncated(rejection) for rejection in self.applier.apply(resources)]
         self._remember_last_good({key_of(rejection) for rejection in rejections})
         self.applier.on_batch_applied()
         return rejections
@@ -135,9 +139,9 @@
         batch = self._batches[0]
         if self._slices is None:
             self._slices = _slices(batch.resources, self._slice_size)
-        part = next(self._slices, None)
-        if part is not None:
-            for rejection in self._apply(part):
+        slice_resources = next(self._slices, None)
+        if slice_resources is not None:
+            for rejection in self._apply(slice_resources):
                 self._rejected[key_of(rejection)] = rejection
             if len(batch.resources) > self._slice_size:
                 asyncio.get_running_loop().call_soon(self._apply_next_slice)
@@ -150,14 +154,19 @@
         except Exception as error:  # noqa: BLE001  an error in the applier must not stop the distribution
             logger.exception("control: changes could not be applied")
             reason = f"fault: {error!r}"
-            return [Rejection(one.kind, one.name, one.revision, reason) for one in resources]
+            return [
+                Rejection(resource.kind, resource.name, resource.revision, reason)
+                for resource in resources
+            ]
 
     def _end_batch(self, batch: ResourcesChanged) -> None:
         if self._rejected and len(batch.resources) > len(self._rejected):
-            again = [one for one in batch.resources if key_of(one) in self._rejected]
-            rejections = self._apply(again)
+            retried_resources = [
+                resource for resource in batch.resources if key_of(resource) in self._rejected
+            ]
+            rejections = self._apply(retried_resources)
             self._rejected = {key_of(rejection): rejection for rejection in rejections}
-        shortened = [_shortened(rejection) for rejection in self._rejected.values()]
+        truncated = [_truncated(rejection) for rejection in self._rejected.values()]
         for resource in batch.resources:
             self._last_good.pop(key_of(resource), None)
         self._remember_last_good(set(self._rejected))
@@ -169,7 +178,7 @@
             self._save(self._cache, batch)
         if self._batches:
             asyncio.get_running_loop().call_soon(self._apply_next_slice)
-        self._on_applied(batch.batch, shortened)
+        self._on_applied(batch.batch, truncated)
 
     def _save(self, cache: SnapshotCache, batch: ResourcesChanged) -> None:
         """Write the cache once no batch waits and the table is complete.
@@ -189,11 +198,11 @@
 
 
 def _slices(resources: Iterable[Resource], size: int) -> Iterator[list[Resource]]:
-    rest = iter(resources)
-    while part := list(islice(rest, size)):
-        yield part
+    remaining = iter(resources)
+    while slice_resources := list(islice(remaining, size)):
+        yield slice_resources
 
 
-def _shortened(rejection: Rejection) -> Rejection:
+def _truncated(rejection: Rejection) -> Rejection:
     reason = rejection.reason[:MAX_LOCAL_REASON_CHARACTERS]
     return Rejection(rejection.kind, rejection.name, rejection.revision, reason)
--- a/dockthread/control_plane/cache_file.py
+++ b/dockthread/control_plane/cache_file.py
@@ -26,7 +26,7 @@
 """Version of the file format."""
 CHECKSUM_BYTES: Final = 16
 """Size of a record's checksum in bytes."""
-RECORD_HEAD: Final = struct.Struct(f"<I{CHECKSUM_BYTES}s")
+RECORD_HEADER: Final = struct.Struct(f"<I{CHECKSUM_BYTES}s")
 """Head of a record: the length of its body and the checksum of the body."""
 MAX_RECORD_BYTES: Final = 16 << 20
 """Maximum length of a record's body in bytes; a longer one means that the file is corrupt."""
@@ -141,8 +141,8 @@
 def _read_bodies(file: BinaryIO) -> Iterator[_LocatedBody]:
     """Yield the encoded records; a truncated record at the end of the file is omitted."""
     offset = 0
-    while len(head := file.read(RECORD_HEAD.size)) == RECORD_HEAD.size:
-        size, checksum = RECORD_HEAD.unpack(head)
+    while len(header := file.read(RECORD_HEADER.size)) == RECORD_HEADER.size:
+        size, checksum = RECORD_HEADER.unpack(header)
         if size > MAX_RECORD_BYTES:
             raise CorruptCacheError(f"has a record of {size} bytes at byte {offset}")
         body = file.read(size)
@@ -150,7 +150,7 @@
             return
         if _checksum(body) != checksum:
             raise CorruptCacheError(f"has a wrong checksum at byte {offset}")
-        offset += RECORD_HEAD.size + size
+        offset += RECORD_HEADER.size + size
         yield _LocatedBody(body, offset)
 
 
@@ -187,7 +187,7 @@
 def encode_record(record: CacheRecord) -> bytes:
     """Return a record with its head."""
     body = _encoder.encode(record)
-    return RECORD_HEAD.pack(len(body), _checksum(body)) + body
+    return RECORD_HEADER.pack(len(body), _checksum(body)) + body
 
 
 def _checksum(body: bytes) -> bytes:
--- a/dockthread/control_plane/client.py
+++ b/dockthread/control_plane/client.py
@@ -51,9 +51,9 @@
 MIN_TIMER_DELAY: Final = 0.01
 """Minimum time in s until the timer runs."""
 MS_PER_SECOND: Final = 1_000.0
-NEAR: Final = 0
+NEAR_DISTANCE: Final = 0
 """Distance of the servers in `servers`."""
-FAR: Final = 1
+FAR_DISTANCE: Final = 1
 """Distance of the servers in `far_servers`."""
 
 
@@ -82,8 +82,8 @@
     Raises:
         KeyFileError: The file of the shared key cannot be read or has a wrong length.
     """
-    servers = [CandidateServer(server, NEAR) for server in options.servers]
-    servers += [CandidateServer(server, FAR) for server in options.far_servers]
+    servers = [CandidateServer(server, NEAR_DISTANCE) for server in options.servers]
+    servers += [CandidateServer(server, FAR_DISTANCE) for server in options.far_servers]
     subscriber = SubscriberSettings(name, options.region, options.zone)
     return ClientSettings(subscriber, servers, options.key(), slice_resources)
 
@@ -148,8 +148,8 @@
         self._key = settings.key
         self._cache = cache
         self._connection: ClientStream | None = None
-        self._opening: _OpeningConnection | None = None
-        self._receiving_from = ""  # the server in the last log line "receiving from"; empty if none
+        self._opening_connection: _OpeningConnection | None = None
+        self._logged_server = ""  # the server in the last log line "receiving from"; empty if none
         self._timer: asyncio.TimerHandle | None = None
         self._is_closed = False
         cached = cache.load() if cache is not None else None
@@ -172,7 +172,7 @@
     def open(self) -> None:
         """Start receiving; requires a running event loop."""
         self._loop = asyncio.get_running_loop()
-        self._do(self.subscriber.on_timer(self._clock.now()))
+        self._carry_out(self.subscriber.on_timer(self._clock.now()))
 
     async def close(self) -> None:
         """Close the connection and write unsaved changes to the cache."""
@@ -180,8 +180,8 @@
         self.batches.close()
         if self._timer is not None:
             self._timer.cancel()
-        if self._opening is not None:
-            self._opening.task.cancel()
+        if self._opening_connection is not None:
+            self._opening_connection.task.cancel()
         if self._connection is not None:
             self._connection.close()
         if self._cache is not None:
@@ -190,16 +190,16 @@
 
     def reapply(self) -> None:
         """Apply all live resources again, as new settings may accept or reject others."""
-        self._do(self.subscriber.reapply())
+        self._carry_out(self.subscriber.reapply())
 
     # Actions of the subscriber
 
-    def _do(self, actions: list[Action]) -> None:
+    def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case Connect():
                     task = self._loop.create_task(self._open(action))
-                    self._opening = _OpeningConnection(action.connection, task)
+                    self._opening_connection = _OpeningConnection(action.connection, task)
                 case Send():
                     connection = self._connection
                     if connection is not None and connection.number == action.connection:
@@ -208,10 +208,10 @@
                     self._disconnect(action)
                 case ResourcesChanged():
                     self._apply(action)
-        if self._receiving_from and self._connection is None:
-            logger.info("control: no longer receiving from {}", self._receiving_from)
-            self._receiving_from = ""
-        self._plan_timer()
+        if self._logged_server and self._connection is None:
+            logger.info("control: no longer receiving from {}", self._logged_server)
+            self._logged_server = ""
+        self._schedule_timer()
 
     async def _open(self, action: Connect) -> None:
         try:
@@ -222,7 +222,7 @@
             if not self._is_closed:
                 self._on_disconnected(action.connection)
             return
-        self._opening = None
+        self._opening_connection = None
         if self._is_closed:
             stream.abort()
             return
@@ -230,15 +230,18 @@
             self._on_disconnected(action.connection)
             return
         self._connection = stream
-        self._do(self.subscriber.on_connected(self._clock.now(), action.connection))
+        self._carry_out(self.subscriber.on_connected(self._clock.now(), action.connection))
 
     def _on_disconnected(self, number: int) -> None:
-        self._do(self.subscriber.on_disconnected(self._clock.now(), number))
+        self._carry_out(self.subscriber.on_disconnected(self._clock.now(), number))
 
     def _disconnect(self, action: Disconnect) -> None:
-        if self._opening is not None and self._opening.number == action.connection:
-            self._opening.task.cancel()
-            self._opening = None
+        if (
+            self._opening_connection is not None
+            and self._opening_connection.number == action.connection
+        ):
+            self._opening_connection.task.cancel()
+            self._opening_connection = None
         connection = self._connection
         if connection is not None and connection.number == action.connection:
             self._connection = None
@@ -254,7 +257,7 @@
     def _on_batch_applied(self, number: int, rejections: Sequence[Rejection]) -> None:
         if self.batches.is_idle and self._connection is not None:
             self._connection.resume_reading()
-        self._do(self.subscriber.on_applied(self._clock.now(), number, rejections))
+        self._carry_out(self.subscriber.on_applied(self._clock.now(), number, rejections))
 
     # Events of the connection
 
@@ -265,10 +268,10 @@
         if not _has_finite_times(message):
             self.on_malformed(number, "a time in a message is not finite")
             return
-        if not self._receiving_from and isinstance(message, Update | Heartbeat):
-            self._receiving_from = self.subscriber.server
-            logger.info("control: receiving from {}", self._receiving_from)
-        self._do(self.subscriber.on_message(self._clock.now(), number, message))
+        if not self._logged_server and isinstance(message, Update | Heartbeat):
+            self._logged_server = self.subscriber.server
+            logger.info("control: receiving from {}", self._logged_server)
+        self._carry_out(self.subscriber.on_message(self._clock.now(), number, message))
 
     def on_bytes(self, number: int) -> None:
         """Handle bytes that do not yet complete a message."""
@@ -278,7 +281,7 @@
         """Handle malformed bytes: the connection is closed, and the last good table is kept."""
         if not self._is_closed:
             logger.debug("control: malformed bytes on connection {}: {}", number, reason)
-            self._do(self.subscriber.on_malformed(self._clock.now(), number, reason))
+            self._carry_out(self.subscriber.on_malformed(self._clock.now(), number, reason))
 
     def on_closed(self, number: int) -> None:
         """Handle that either side has closed a connection."""
@@ -289,15 +292,15 @@
 
     # Timer
 
-    def _plan_timer(self) -> None:
+    def _schedule_timer(self) -> None:
         """Set the timer for the next due time; keep a timer set for earlier, which sets the next one."""
         delay = (self.subscriber.next_timer_at() - self._clock.now()) / MS_PER_SECOND
-        due = self._loop.time() + max(MIN_TIMER_DELAY, delay)
+        due_at = self._loop.time() + max(MIN_TIMER_DELAY, delay)
         if self._timer is not None:
-            if self._timer.when() <= due:
+            if self._timer.when() <= due_at:
                 return
             self._timer.cancel()
-        self._timer = self._loop.call_at(due, self._on_timer)
+        self._timer = self._loop.call_at(due_at, self._on_timer)
 
     def _on_timer(self) -> None:
         self._timer = None
@@ -305,7 +308,7 @@
             return
         now = self._clock.now()
         is_due = now >= self.subscriber.next_timer_at()
-        self._do(self.subscriber.on_timer(now) if is_due else [])
+        self._carry_out(self.subscriber.on_timer(now) if is_due else [])
 
 
 def _has_finite_times(message: Message) -> bool:
--- a/dockthread/control_plane/encoded.py
+++ b/dockthread/control_plane/encoded.py
@@ -75,7 +75,7 @@
         self._key = key
         self._snapshot: EncodedSnapshot | None = None
         self._deltas: dict[int, DeltaFrame] = {}  # by the receiver's revision
-        self._deltas_of = _TableState()
+        self._deltas_state = _TableState()
 
     def snapshot(self) -> EncodedSnapshot:
         """Return the cached snapshot if a short delta follows it, otherwise a new snapshot."""
@@ -91,9 +91,9 @@
         """Return the next delta for a receiver at `revision`."""
         table = self._table
         state = _TableState(table.epoch, table.revision, table.is_complete, table.digest)
-        if state != self._deltas_of or len(self._deltas) >= MAX_DELTA_FRAMES:
+        if state != self._deltas_state or len(self._deltas) >= MAX_DELTA_FRAMES:
             self._deltas = {}
-            self._deltas_of = state
+            self._deltas_state = state
         if revision not in self._deltas:
             update = table.delta_since(revision, self._chunk_bytes)
             frame = codec.pack(update, self._key)
@@ -104,5 +104,5 @@
         table = self._table
         if snapshot.epoch != table.epoch or not table.can_resume_from(snapshot.revision):
             return False
-        allowed = max(MIN_SNAPSHOT_LAG, len(table) * MAX_SNAPSHOT_LAG_FRACTION)
-        return table.revision - snapshot.revision <= allowed
+        max_lag = max(MIN_SNAPSHOT_LAG, len(table) * MAX_SNAPSHOT_LAG_FRACTION)
+        return table.revision - snapshot.revision <= max_lag
--- a/dockthread/control_plane/fanout.py
+++ b/dockthread/control_plane/fanout.py
@@ -48,7 +48,7 @@
 
 NEVER_SENT: Final = -1e18
 """Value of `heartbeat_at` before the first heartbeat, in ms: a heartbeat is due immediately."""
-AT_CAPACITY_RETRY: Final = 500.0
+AT_CAPACITY_RETRY_DELAY: Final = 500.0
 """Mean time in ms after which a subscriber refused for lack of capacity retries; ±50 % jitter."""
 SNAPSHOT_RETENTION: Final = 60_000.0
 """Time in ms for which the encoded snapshot is kept after its last use."""
@@ -107,8 +107,8 @@
         snapshot: Snapshot that is being sent; None between snapshots.
         needs_snapshot: Whether the next update must be a snapshot.
         next_chunk: Number of the next chunk of `snapshot`.
-        confirmed: Digest in the last frame of an update; `NO_DIGEST` if it carried none.
-        owed: Bytes of an admitted snapshot that are not yet sent.
+        last_sent_digest: Digest in the last frame of an update; `NO_DIGEST` if it carried none.
+        pending_bytes: Bytes of an admitted snapshot that are not yet sent.
         heartbeat_at: When the last heartbeat was returned.
         is_replaced: Whether the same subscriber has opened a newer connection.
     """
@@ -120,8 +120,8 @@
     snapshot: EncodedSnapshot | None = None
     needs_snapshot: bool = False
     next_chunk: int = 0
-    confirmed: bytes = NO_DIGEST
-    owed: float = 0.0
+    last_sent_digest: bytes = NO_DIGEST
+    pending_bytes: float = 0.0
     heartbeat_at: float = NEVER_SENT
     is_replaced: bool = False
 
@@ -145,7 +145,7 @@
         self._rng = rng
         self._key = key
         self._cursors: dict[int, _Cursor] = {}  # by connection number
-        self._connection_of: dict[str, int] = {}  # by subscriber name
+        self._connection_by_name: dict[str, int] = {}  # by subscriber name
         self._departed = DepartedSubscribers()
         self._frames = EncodedFrameCache(table, limits.chunk_bytes, key)
         self._snapshot_used_at = now
@@ -160,8 +160,8 @@
         )
         self._lag = LagTracker(now, table)
         self._complete_at: float | None = None  # when the table was last known to be complete
-        self._heartbeats_at = now + limits.heartbeat_interval
-        self._awaits_budget = False  # a chunk is waiting for the budget
+        self._next_heartbeat_at = now + limits.heartbeat_interval
+        self._is_waiting_for_budget = False  # a chunk is waiting for the budget
 
     def subscribe(self, now: float, connection: int, message: Subscribe) -> RetryLater | None:
         """Handle the first message of a connection.
@@ -179,15 +179,15 @@
         _check_subscription(message)
         self._lag.observe(now, self.table)
         if self._is_at_capacity(message.name):
-            after = AT_CAPACITY_RETRY * self._rng.uniform(0.5, 1.5)
-            return RetryLater(after, "no room for one more subscriber")
+            retry_delay = AT_CAPACITY_RETRY_DELAY * self._rng.uniform(0.5, 1.5)
+            return RetryLater(retry_delay, "no room for one more subscriber")
         cursor = _Cursor(SubscriberRecord(message, now), now, message.epoch, message.revision)
         if self._needs_snapshot(cursor, message.digest):
             if not self._budget.admit(now, self.table.bytes):
-                after = self._budget.retry_after(now, self.table.bytes)
-                return RetryLater(after, "no budget for one more snapshot")
+                retry_delay = self._budget.retry_after(now, self.table.bytes)
+                return RetryLater(retry_delay, "no budget for one more snapshot")
             cursor.needs_snapshot = True
-            cursor.owed = float(self.table.bytes)
+            cursor.pending_bytes = float(self.table.bytes)
         self._supersede_connection(message.name, connection)
         self._cursors[connection] = cursor
         self._departed.discard(message.name)
@@ -235,10 +235,10 @@
         cursor = self._cursors.pop(connection, None)
         if cursor is None:
             return
-        self._budget.release(cursor.owed)
+        self._budget.release(cursor.pending_bytes)
         name = cursor.record.subscription.name
-        if self._connection_of.get(name) == connection:
-            del self._connection_of[name]
+        if self._connection_by_name.get(name) == connection:
+            del self._connection_by_name[name]
             cursor.record.updated_at = now
             self._departed.add(cursor.record)
 
@@ -257,9 +257,9 @@
         The caller then calls `next_frame` for every writable connection.
         """
         self._lag.observe(now, self.table)
-        self._awaits_budget = False  # `next_frame` sets it again
-        if now >= self._heartbeats_at:
-            self._heartbeats_at = now + self._limits.heartbeat_interval
+        self._is_waiting_for_budget = False  # `next_frame` sets it again
+        if now >= self._next_heartbeat_at:
+            self._next_heartbeat_at = now + self._limits.heartbeat_interval
         if now - self._snapshot_used_at > SNAPSHOT_RETENTION:
             self._frames.drop_snapshot()
         self._departed.forget_before(now, self._limits.status_retention)
@@ -276,9 +276,9 @@
 
     def next_timer_at(self) -> float:
         """Return when `on_timer` is due: for heartbeats, or for a chunk waiting for the budget."""
-        if self._awaits_budget:
-            return min(self._heartbeats_at, self._budget.can_send_at())
-        return self._heartbeats_at
+        if self._is_waiting_for_budget:
+            return min(self._next_heartbeat_at, self._budget.can_send_at())
+        return self._next_heartbeat_at
 
     def connections(self) -> list[int]:
         """Return the numbers of the subscribed connections."""
@@ -292,23 +292,23 @@
             for cursor in self._cursors.values()
             if not cursor.is_replaced
         }
-        known = {**self._departed.by_name(), **connected}
+        records = {**self._departed.by_name(), **connected}
         return tuple(
-            known[name].status(now, self.table.epoch, self._lag, name in connected)
-            for name in sorted(known)
+            records[name].status(now, self.table.epoch, self._lag, name in connected)
+            for name in sorted(records)
         )
 
     def _is_at_capacity(self, name: str) -> bool:
         """Return whether a subscriber must be refused; a reconnecting one takes no extra place."""
-        is_full = len(self._connection_of) >= self._limits.max_subscribers
-        return is_full and name not in self._connection_of
+        is_full = len(self._connection_by_name) >= self._limits.max_subscribers
+        return is_full and name not in self._connection_by_name
 
     def _supersede_connection(self, name: str, connection: int) -> None:
         """Serve only the newest connection of a subscriber; `on_timer` closes the older one."""
-        older = self._connection_of.get(name)
-        if older is not None:
-            self._cursors[older].is_replaced = True
-        self._connection_of[name] = connection
+        previous = self._connection_by_name.get(name)
+        if previous is not None:
+            self._cursors[previous].is_replaced = True
+        self._connection_by_name[name] = connection
 
     def _needs_snapshot(self, cursor: _Cursor, digest: bytes) -> bool:
         """Return whether a subscriber needs a snapshot, as deltas cannot bring it up to date."""
@@ -346,7 +346,7 @@
         self, now: float, cursor: _Cursor, snapshot: EncodedSnapshot
     ) -> bytes | None:
         if not self._budget.can_send(now):
-            self._awaits_budget = True
+            self._is_waiting_for_budget = True
             return None
         self._snapshot_used_at = now
         frame = snapshot.frame(cursor.next_chunk)
@@ -354,19 +354,19 @@
             self._end_snapshot(cursor, snapshot)
             return self._update(now, cursor)
         self._budget.spend(len(frame))
-        paid = min(float(len(frame)), cursor.owed)
-        self._budget.release(paid)
-        cursor.owed -= paid
+        released = min(float(len(frame)), cursor.pending_bytes)
+        self._budget.release(released)
+        cursor.pending_bytes -= released
         cursor.next_chunk += 1
         return frame
 
     def _end_snapshot(self, cursor: _Cursor, snapshot: EncodedSnapshot) -> None:
-        self._budget.release(cursor.owed)
-        cursor.owed = 0.0
+        self._budget.release(cursor.pending_bytes)
+        cursor.pending_bytes = 0.0
         cursor.snapshot = None
         cursor.epoch = snapshot.epoch
         cursor.revision = snapshot.revision
-        cursor.confirmed = snapshot.digest
+        cursor.last_sent_digest = snapshot.digest
         cursor.heartbeat_at = NEVER_SENT  # makes a heartbeat with the current age due
 
     def _delta(self, cursor: _Cursor) -> bytes | None:
@@ -374,12 +374,12 @@
         if cursor.epoch != table.epoch or not table.can_resume_from(cursor.revision):
             return None  # the table is empty, or the subscriber is ahead of it
         if cursor.revision == table.revision:
-            is_confirmed = cursor.confirmed == table.digest
-            if is_confirmed or not table.is_complete:
+            is_digest_sent = cursor.last_sent_digest == table.digest
+            if is_digest_sent or not table.is_complete:
                 return None
         delta = self._frames.delta(cursor.revision)
         cursor.revision = delta.revision
-        cursor.confirmed = delta.digest
+        cursor.last_sent_digest = delta.digest
         return delta.frame
 
     def _heartbeat(self, now: float, cursor: _Cursor) -> bytes:
@@ -390,8 +390,8 @@
 
 def _check_subscription(message: Subscribe) -> None:
     """Raise UnexpectedMessageError if the name is empty, or the name or location too long."""
-    has_name = 0 < len(message.name.encode()) <= MAX_NAME_BYTES
-    if not has_name or len(message.region + message.zone) > 2 * MAX_NAME_BYTES:
+    is_valid_name = 0 < len(message.name.encode()) <= MAX_NAME_BYTES
+    if not is_valid_name or len(message.region + message.zone) > 2 * MAX_NAME_BYTES:
         raise UnexpectedMessageError(
             "the subscriber's name is empty, or its name or location is too long"
         )
@@ -406,5 +406,5 @@
 
 
 def _is_too_long(rejection: Rejection) -> bool:
-    longest_name = max(len(rejection.kind), len(rejection.name))
-    return longest_name > MAX_NAME_BYTES or len(rejection.reason) > MAX_REASON_CHARACTERS
+    longest_field = max(len(rejection.kind), len(rejection.name))
+    return longest_field > MAX_NAME_BYTES or len(rejection.reason) > MAX_REASON_CHARACTERS
--- a/dockthread/control_plane/frozen_table.py
+++ b/dockthread/control_plane/frozen_table.py
@@ -30,19 +30,19 @@
         self.bytes = size
         self._keys = list(packed)
         self._values = list(packed.values())
-        self._next = 0
+        self._next_index = 0
         self._has_begun = False
 
     @property
     def exhausted(self) -> bool:
         """Whether all chunks have been returned."""
-        return self._has_begun and self._next == len(self._keys)
+        return self._has_begun and self._next_index == len(self._keys)
 
     def next_chunk(self, max_bytes: int) -> Update:
         """Return the next chunk; the first is marked `snapshot`, the last is marked `complete`."""
-        first = self._next
-        last = self._advance(max_bytes)
-        entries = zip(self._keys[first:last], self._values[first:last], strict=True)
+        start = self._next_index
+        end = self._advance(max_bytes)
+        entries = zip(self._keys[start:end], self._values[start:end], strict=True)
         resources = tuple(unpack(key, packed) for key, packed in entries)
         is_first = not self._has_begun
         self._has_begun = True
@@ -55,11 +55,11 @@
 
     def _advance(self, max_bytes: int) -> int:
         """Advance past the next chunk of at least one resource, and return its end index."""
-        start = self._next
+        start = self._next_index
         capacity = max_bytes
-        while self._next < len(self._keys):
-            capacity -= packed_size(self._keys[self._next], self._values[self._next])
-            if capacity < 0 and self._next > start:
+        while self._next_index < len(self._keys):
+            capacity -= packed_size(self._keys[self._next_index], self._values[self._next_index])
+            if capacity < 0 and self._next_index > start:
                 break
-            self._next += 1
-        return self._next
+            self._next_index += 1
+        return self._next_index
--- a/dockthread/control_plane/ingress.py
+++ b/dockthread/control_plane/ingress.py
@@ -37,7 +37,7 @@
 MS_PER_SECOND: Final = 1_000.0
 SEED_BITS: Final = 64
 """Size in bits of the random seed of the client."""
-NO_COUNTER: Final = "this ingress was started without a counter: it asks none"
+NO_COUNTER_REASON: Final = "this ingress was started without a counter: it asks none"
 
 
 class IngressResourceApplier:
@@ -55,10 +55,10 @@
         """
         self._ingress = ingress
         self._layers = layers
-        self._configured = ingress.config  # without published addresses
+        self._local_config = ingress.config  # without published addresses
         self._addresses: dict[str, Address] = {}  # published addresses by name
         self._applied: dict[ResourceKey, Resource] = {}
-        self._rejected: list[Rejection] = []  # since the last log line
+        self._unlogged_rejections: list[Rejection] = []  # since the last log line
         name = ingress.config.name
         rng = random.Random(secrets.randbits(SEED_BITS))
         settings = client_settings_from_options(options, name)
@@ -75,7 +75,7 @@
 
     def with_published_addresses(self, config: IngressConfig) -> IngressConfig:
         """Return a reloaded configuration with the published addresses in place of its own."""
-        self._configured = config
+        self._local_config = config
         return replace(
             config,
             discovery=self._addresses.get(DISCOVERY, config.discovery),
@@ -96,7 +96,7 @@
         """Apply changes; if a resource is rejected, its last good version stays applied."""
         rejections = []
         for resource in changes:
-            if reason := self._apply_or_explain(resource):
+            if reason := self._try_apply(resource):
                 rejections.append(
                     Rejection(resource.kind, resource.name, resource.revision, reason)
                 )
@@ -105,7 +105,7 @@
                 self._applied.pop(key_of(resource), None)
             else:
                 self._applied[key_of(resource)] = resource
-        self._rejected += rejections
+        self._unlogged_rejections += rejections
         return rejections
 
     def applied_resource(self, kind: str, name: str) -> Resource | None:
@@ -114,18 +114,18 @@
 
     def on_batch_applied(self) -> None:
         """Log the rejections of the batch in one line."""
-        if not self._rejected:
+        if not self._unlogged_rejections:
             return
-        first = self._rejected[0]
+        first = self._unlogged_rejections[0]
         logger.warning(
             "control: {} rejected, last good versions stay applied; first: {} {} of revision {}: {}",
-            len(self._rejected),
+            len(self._unlogged_rejections),
             first.kind,
             first.name,
             first.revision,
             first.reason,
         )
-        self._rejected = []
+        self._unlogged_rejections = []
 
     def _withdraw_if_applied(self, rejected: Resource) -> None:
         """Withdraw a resource that is rejected at the same revision that is applied.
@@ -136,9 +136,9 @@
         applied = self._applied.get(key)
         if applied is not None and applied.revision == rejected.revision:
             del self._applied[key]
-            self._apply_or_explain(Resource(rejected.kind, rejected.name, rejected.revision, None))
+            self._try_apply(Resource(rejected.kind, rejected.name, rejected.revision, None))
 
-    def _apply_or_explain(self, resource: Resource) -> str:
+    def _try_apply(self, resource: Resource) -> str:
         """Apply a resource, or return why it is rejected; empty if it was applied."""
         try:
             if resource.kind == ROUTE:
@@ -163,16 +163,16 @@
             self._addresses.pop(resource.name, None)
         else:
             address = parse_address(resource.name, resource.body)
-            if resource.name == COUNTER and self._configured.counter is None:
-                return NO_COUNTER
+            if resource.name == COUNTER and self._local_config.counter is None:
+                return NO_COUNTER_REASON
             self._addresses[resource.name] = address
-        self._use_addresses()
+        self._update_addresses()
         return ""
 
-    def _use_addresses(self) -> None:
+    def _update_addresses(self) -> None:
         """Switch the ingress to its current addresses, as `Ingress.reload` does on SIGHUP."""
         ingress = self._ingress
-        config = self.with_published_addresses(self._configured)
+        config = self.with_published_addresses(self._local_config)
         ingress.config = replace(ingress.config, discovery=config.discovery, counter=config.counter)
         ingress.watch.change_address(config.discovery)
         ingress.counter.change_address(config.counter)
--- a/dockthread/control_plane/lag.py
+++ b/dockthread/control_plane/lag.py
@@ -7,7 +7,7 @@
 
 from dockthread.control_plane.resource_table import ResourceTable
 
-MAX_ARRIVALS: Final = 4096
+MAX_REVISIONS: Final = 4096
 """Maximum number of revisions whose arrival times are kept.
 
 The arrival time of an older revision is taken to be that of the oldest one kept.
@@ -20,7 +20,7 @@
     def __init__(self, now: float, table: ResourceTable) -> None:
         self._epoch = table.epoch
         self._revisions: list[int] = [table.revision] if table.revision else []
-        self._times: list[float] = [now] if table.revision else []  # one per revision
+        self._arrival_times: list[float] = [now] if table.revision else []  # one per revision
 
     def observe(self, now: float, table: ResourceTable) -> None:
         """Record the revision of the table if it is new."""
@@ -30,16 +30,16 @@
         if table.epoch != self._epoch:
             self._epoch = table.epoch
             self._revisions = []
-            self._times = []
+            self._arrival_times = []
         self._revisions.append(table.revision)
-        self._times.append(now)
-        if len(self._revisions) > MAX_ARRIVALS:
-            del self._revisions[: MAX_ARRIVALS // 2]
-            del self._times[: MAX_ARRIVALS // 2]
+        self._arrival_times.append(now)
+        if len(self._revisions) > MAX_REVISIONS:
+            del self._revisions[: MAX_REVISIONS // 2]
+            del self._arrival_times[: MAX_REVISIONS // 2]
 
     def lag(self, now: float, revision: int) -> float:
         """Return for how many ms a holder of `revision` has been missing a change; 0 if none."""
-        first_lacking = bisect_right(self._revisions, revision)
-        if first_lacking == len(self._times):
+        first_missing = bisect_right(self._revisions, revision)
+        if first_missing == len(self._arrival_times):
             return 0.0
-        return now - self._times[first_lacking]
+        return now - self._arrival_times[first_missing]
--- a/dockthread/control_plane/listing.py
+++ b/dockthread/control_plane/listing.py
@@ -27,13 +27,13 @@
         for resource in table.live()
         if resource.kind == request.kind and resource.name > request.after
     )
-    first = heapq.nsmallest(MAX_PAGE_RESOURCES, candidates, key=lambda resource: resource.name)
+    smallest = heapq.nsmallest(MAX_PAGE_RESOURCES, candidates, key=lambda resource: resource.name)
     page: list[Resource] = []
     capacity = MAX_PAGE_BYTES
-    for resource in first:
+    for resource in smallest:
         capacity -= len(resource.body or b"")
         if page and capacity < 0:
             break
         page.append(resource)
-    has_more = len(page) < len(first) or len(first) == MAX_PAGE_RESOURCES
+    has_more = len(page) < len(smallest) or len(smallest) == MAX_PAGE_RESOURCES
     return LookupResponse(table.revision, tuple(page), has_more)
--- a/dockthread/control_plane/options.py
+++ b/dockthread/control_plane/options.py
@@ -39,7 +39,7 @@
 """Minimum setting of one connection's write buffer, in bytes."""
 MAX_WRITE_BUFFER: Final = 16 << 20
 """Maximum setting of one connection's write buffer, in bytes."""
-SHOWN_CHARACTERS: Final = 40
+MAX_QUOTED_CHARACTERS: Final = 40
 """Maximum number of characters of an invalid value that an error message quotes."""
 ROLES: Final = "ingress, distributor, voter"
 
@@ -125,12 +125,12 @@
         yield from self._server_problems()
 
     def _server_problems(self) -> Iterable[KeyProblem]:
-        named = (*self.servers, *self.far_servers)
+        listed = (*self.servers, *self.far_servers)
         for key, servers in (("servers", self.servers), ("far_servers", self.far_servers)):
             for server in servers:
                 if host_port(server) is None:
                     yield KeyProblem(key, f"{server!r} is not an address", "write HOST:PORT")
-                elif named.count(server) > 1:
+                elif listed.count(server) > 1:
                     yield KeyProblem(key, f"lists {server} twice", "list each server once")
                     return
 
@@ -144,7 +144,7 @@
             ):
                 yield KeyProblem(
                     key,
-                    f"{value[:SHOWN_CHARACTERS]!r} is not a valid name",
+                    f"{value[:MAX_QUOTED_CHARACTERS]!r} is not a valid name",
                     f"use at most {MAX_NAME_BYTES} bytes, without spaces",
                 )
 
--- a/dockthread/control_plane/packed_resource.py
+++ b/dockthread/control_plane/packed_resource.py
@@ -18,7 +18,7 @@
 """Approximate number of bytes that a resource takes in a message besides its packed form."""
 _SEPARATOR: Final = "\x00"
 """Separator between kind and name; no kind contains it."""
-_PACKED_HEAD: Final = struct.Struct("<Q?")
+_PACKED_HEADER: Final = struct.Struct("<Q?")
 """Revision of the resource, and whether it is live."""
 _DIGEST_MODULUS: Final = 1 << (8 * DIGEST_BYTES)
 _KEY_LENGTH_BYTES: Final = 4
@@ -65,24 +65,24 @@
 def pack(resource: Resource) -> bytes:
     """Return the packed form of a resource, without its key."""
     is_live = resource.body is not None
-    return _PACKED_HEAD.pack(resource.revision, is_live) + (resource.body or b"")
+    return _PACKED_HEADER.pack(resource.revision, is_live) + (resource.body or b"")
 
 
 def unpack(key: str, packed: bytes) -> Resource:
     """Return the resource with the given key and packed form."""
     kind, name = split_key(key)
-    revision, is_live = _PACKED_HEAD.unpack_from(packed)
-    return Resource(kind, name, revision, packed[_PACKED_HEAD.size :] if is_live else None)
+    revision, is_live = _PACKED_HEADER.unpack_from(packed)
+    return Resource(kind, name, revision, packed[_PACKED_HEADER.size :] if is_live else None)
 
 
 def is_live(packed: bytes) -> bool:
     """Return whether a packed resource is live, not a tombstone."""
-    return bool(_PACKED_HEAD.unpack_from(packed)[1])
+    return bool(_PACKED_HEADER.unpack_from(packed)[1])
 
 
 def revision_of(packed: bytes) -> int:
     """Return the revision of a packed resource."""
-    return int(_PACKED_HEAD.unpack_from(packed)[0])
+    return int(_PACKED_HEADER.unpack_from(packed)[0])
 
 
 def packed_size(key: str, packed: bytes) -> int:
@@ -93,7 +93,7 @@
 def resource_size(resource: Resource) -> int:
     """Return the approximate size in bytes of a resource in a message."""
     key_size = len(resource.kind) + len(_SEPARATOR) + len(resource.name)
-    return MESSAGE_OVERHEAD + _PACKED_HEAD.size + key_size + len(resource.body or b"")
+    return MESSAGE_OVERHEAD + _PACKED_HEADER.size + key_size + len(resource.body or b"")
 
 
 def _hash(key: str, packed: bytes) -> int:
--- a/dockthread/control_plane/publish_state_machine.py
+++ b/dockthread/control_plane/publish_state_machine.py
@@ -121,7 +121,7 @@
         validator = self._validators.get(request.kind)
         if validator is None:
             return f"no such kind: {request.kind}"
-        reason = _broken_bound(request)
+        reason = _exceeded_bound(request)
         if reason or request.body is None:
             return reason
         return validator(request.name, request.body)
@@ -143,9 +143,9 @@
         request = proposal.publish
         if request.token in self._outcomes:
             return
-        reason = _broken_bound(request) or self._conflict(request)
+        reason = _exceeded_bound(request) or self._conflict(request)
         revision = REJECTED if reason else self._accept(request, data)
-        self._remember(Outcome(request.token, revision, reason))
+        self._store_outcome(Outcome(request.token, revision, reason))
 
     def state(self) -> bytes:
         """Return the encoded state for a snapshot of the log."""
@@ -173,7 +173,7 @@
         self.table.put(Resource(request.kind, request.name, revision, request.body))
         return revision
 
-    def _remember(self, outcome: Outcome) -> None:
+    def _store_outcome(self, outcome: Outcome) -> None:
         self._outcomes[outcome.token] = outcome
         while len(self._outcomes) > self._max_tokens:
             self._outcomes.popitem(last=False)
@@ -190,7 +190,7 @@
         return ""
 
 
-def _broken_bound(request: PublishRequest) -> str:
+def _exceeded_bound(request: PublishRequest) -> str:
     """Return which size bound a request exceeds; empty if none."""
     # These texts are part of the replicated state, like those of `_conflict`.
     if not 0 < len(request.token.encode()) <= MAX_TOKEN_BYTES:
--- a/dockthread/control_plane/resource_schemas.py
+++ b/dockthread/control_plane/resource_schemas.py
@@ -31,11 +31,11 @@
 ADDRESSES: Final = (DISCOVERY, COUNTER)
 """Names of all resources of kind `ADDRESS`."""
 MAX_ROUTE_NAME_CHARACTERS: Final = 100
-SHOWN_NAME_CHARACTERS: Final = 40
+MAX_QUOTED_NAME_CHARACTERS: Final = 40
 """Maximum number of characters of an invalid name that an error message quotes."""
-SHOWN_VALUE_CHARACTERS: Final = 80
+MAX_QUOTED_VALUE_CHARACTERS: Final = 80
 """Maximum number of characters of an invalid value that an error message quotes."""
-_NOT_IN_ROUTE_NAMES: Final = "[]\r\n"
+_FORBIDDEN_IN_ROUTE_NAMES: Final = "[]\r\n"
 """Characters that a section header in the operator's file cannot contain."""
 
 _ROUTE_FIELDS: Final = {field.encode_name: field for field in msgspec.structs.fields(RouteOptions)}
@@ -52,9 +52,9 @@
         InvalidResourceError: The name or body is not valid; the text gives the key, the problem and
             a remedy.
     """
-    is_name = bool(name.strip()) and len(name) <= MAX_ROUTE_NAME_CHARACTERS
-    if not is_name or any(character in name for character in _NOT_IN_ROUTE_NAMES):
-        raise InvalidResourceError(f"{name[:SHOWN_NAME_CHARACTERS]!r} is no name of a route")
+    is_valid_name = bool(name.strip()) and len(name) <= MAX_ROUTE_NAME_CHARACTERS
+    if not is_valid_name or any(character in name for character in _FORBIDDEN_IN_ROUTE_NAMES):
+        raise InvalidResourceError(f"{name[:MAX_QUOTED_NAME_CHARACTERS]!r} is no name of a route")
     values = {}
     for key, value in _parse_object(body).items():
         if key not in _ROUTE_FIELDS:
@@ -65,11 +65,11 @@
         try:
             values[field.name] = parse_value(text, field.type)
         except (ValueError, msgspec.ValidationError) as error:
-            shown = text[:SHOWN_VALUE_CHARACTERS]
-            raise InvalidResourceError(f"{key}: {shown!r} {error}") from error
+            quoted = text[:MAX_QUOTED_VALUE_CHARACTERS]
+            raise InvalidResourceError(f"{key}: {quoted!r} {error}") from error
     route = RouteOptions(**values)
-    for found in route.problems():
-        problem = ConfigProblem("", "", found.key, found.reason, found.remedy)
+    for key_problem in route.problems():
+        problem = ConfigProblem("", "", key_problem.key, key_problem.reason, key_problem.remedy)
         raise InvalidResourceError(str(problem).removeprefix(": "))
     return route
 
@@ -81,17 +81,17 @@
         InvalidResourceError: The name or body is not valid; the text gives the problem and a remedy.
     """
     if name not in ADDRESSES:
-        shown = name[:SHOWN_NAME_CHARACTERS]
+        quoted = name[:MAX_QUOTED_NAME_CHARACTERS]
         raise InvalidResourceError(
-            f"{shown!r} is no address of an ingress; known: {', '.join(ADDRESSES)}"
+            f"{quoted!r} is no address of an ingress; known: {', '.join(ADDRESSES)}"
         )
     value = _parse_object(body).get("address")
-    found = host_port(value) if isinstance(value, str) else None
-    if found is None:
+    host_and_port = host_port(value) if isinstance(value, str) else None
+    if host_and_port is None:
         raise InvalidResourceError(
             f'address: {value!r} is no address; write {{"address": "HOST:PORT"}}'
         )
-    return Address(*found)
+    return Address(*host_and_port)
 
 
 def _validate_route(name: str, body: bytes) -> str:
@@ -116,12 +116,12 @@
 
 def _parse_object(body: bytes) -> dict[str, object]:
     try:
-        found: Any = json.loads(body)
+        parsed: Any = json.loads(body)
     except (ValueError, RecursionError) as error:
         raise InvalidResourceError(f"is not JSON: {error}") from error
-    if not isinstance(found, dict):
+    if not isinstance(parsed, dict):
         raise InvalidResourceError('is no JSON object, such as {"attempts": 2}')
-    return found
+    return parsed
 
 
 def _ini_text(value: object) -> str:
--- a/dockthread/control_plane/resource_table.py
+++ b/dockthread/control_plane/resource_table.py
@@ -76,8 +76,8 @@
 
     def get(self, kind: str, name: str) -> Resource | None:
         """Return a live resource, or None if there is none."""
-        found = self.entry(kind, name)
-        return found if found is not None and found.body is not None else None
+        entry = self.entry(kind, name)
+        return entry if entry is not None and entry.body is not None else None
 
     def entry(self, kind: str, name: str) -> Resource | None:
         """Return a live resource or a tombstone, or None if there is neither."""
@@ -170,17 +170,19 @@
             for key, packed in self._packed.items()
             if is_live(packed) and not newer._has_live(key)
         ]
-        found = [Resource(*split_key(key), newer._deleted_at(key), None) for key in deleted]
+        changes = [
+            Resource(*split_key(key), newer._deletion_revision(key), None) for key in deleted
+        ]
         for key, packed in newer._packed.items():
             if is_live(packed) and self._packed.get(key) != packed:
-                found.append(unpack(key, packed))
-        return tuple(sorted(found, key=lambda resource: resource.revision))
+                changes.append(unpack(key, packed))
+        return tuple(sorted(changes, key=lambda resource: resource.revision))
 
     def _has_live(self, key: str) -> bool:
         packed = self._packed.get(key)
         return packed is not None and is_live(packed)
 
-    def _deleted_at(self, key: str) -> int:
+    def _deletion_revision(self, key: str) -> int:
         """Return the revision of a tombstone, or of the table if the tombstone was dropped."""
         packed = self._packed.get(key)
         return self.revision if packed is None else revision_of(packed)
@@ -201,27 +203,27 @@
         The delta contains only the latest version of each resource. It contains at least one
         resource if the receiver lacks any, and is complete only if the table is complete.
         """
-        lacking = self._lacking(revision)
+        missing = self._entries_after(revision)
         chunk: list[Resource] = []
         capacity = max_bytes
-        while lacking and (not chunk or capacity >= resource_size(lacking[-1])):
-            capacity -= resource_size(lacking[-1])
-            chunk.append(lacking.pop())
-        if lacking:
+        while missing and (not chunk or capacity >= resource_size(missing[-1])):
+            capacity -= resource_size(missing[-1])
+            chunk.append(missing.pop())
+        if missing:
             return Update(self.epoch, chunk[-1].revision, tuple(chunk), complete=False)
         if not self.is_complete:
             return Update(self.epoch, self.revision, tuple(chunk), complete=False)
         return Update(self.epoch, self.revision, tuple(chunk), digest=self.digest)
 
-    def _lacking(self, revision: int) -> list[Resource]:
+    def _entries_after(self, revision: int) -> list[Resource]:
         """Return the entries that are newer than `revision`, newest first."""
-        found: list[Resource] = []
+        entries: list[Resource] = []
         for key in reversed(self._packed):
             packed = self._packed[key]
             if revision_of(packed) <= revision:
                 break
-            found.append(unpack(key, packed))
-        return found
+            entries.append(unpack(key, packed))
+        return entries
 
     def _remove(self, key: str) -> None:
         packed = self._packed.pop(key, None)
--- a/dockthread/control_plane/server.py
+++ b/dockthread/control_plane/server.py
@@ -46,9 +46,9 @@
 """Maximum size in bytes of a message to a server, which may hold a body or 64 rejections."""
 MAX_PENDING_PUBLISHES: Final = 64
 """Maximum number of changes that are waiting for the replicated log."""
-MAX_IDLE: Final = 10_000.0
+MAX_IDLE_TIME: Final = 10_000.0
 """Time in ms without a message after which a connection without a subscriber is closed."""
-FRAMES_PER_TURN: Final = 4
+MAX_FRAMES_PER_WRITE: Final = 4
 """Frames written to one connection before other connections are served."""
 LISTEN_BACKLOG: Final = 1024
 """Connections that may wait to be accepted when many subscribers restart at once."""
@@ -168,9 +168,9 @@
         self._last_number = 0
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._is_write_planned = False
+        self._is_write_scheduled = False
         self._next_malformed_log_at = 0.0
-        self._publishing: set[asyncio.Task[Any]] = set()
+        self._publish_tasks: set[asyncio.Task[Any]] = set()
 
     async def open(self, listen: Address) -> Address:
         """Start listening, and return the address with the assigned port.
@@ -182,7 +182,7 @@
         self._server = await self._loop.create_server(
             self._make_stream, listen.host, listen.port, backlog=LISTEN_BACKLOG
         )
-        self._plan_timer()
+        self._schedule_timer()
         return Address(*self._server.sockets[0].getsockname()[:2])
 
     async def close(self) -> None:
@@ -191,7 +191,7 @@
             self._server.close()
         if self._timer is not None:
             self._timer.cancel()
-        for task in list(self._publishing):
+        for task in list(self._publish_tasks):
             task.cancel()
         for connection in list(self._connections.values()):
             connection.abort()
@@ -199,8 +199,8 @@
 
     def on_table_changed(self) -> None:
         """Send a change of the table or its age in the next iteration of the event loop."""
-        if not self._is_write_planned:
-            self._is_write_planned = True
+        if not self._is_write_scheduled:
+            self._is_write_scheduled = True
             self._loop.call_soon(self._write_all)
 
     # Connections
@@ -222,8 +222,8 @@
 
     def on_closed(self, connection: ServerStream) -> None:
         """Remove a closed connection."""
-        known = self._connections.pop(connection.number, None)
-        if known is not None and connection.is_subscribed:
+        removed = self._connections.pop(connection.number, None)
+        if removed is not None and connection.is_subscribed:
             self.fan_out.on_closed(self.clock.now(), connection.number)
 
     def on_malformed(self, connection: ServerStream, reason: str) -> None:
@@ -285,20 +285,20 @@
             return
         connection.is_subscribed = True
         self.write_to(connection)
-        self._plan_timer()
+        self._schedule_timer()
 
     def _publish(self, connection: ServerStream, request: PublishRequest) -> None:
         if self._publisher is None:
             reason = f"{self._settings.name} is no voter and takes no changes"
             connection.send(PublishResponse(request.token, OUTCOME_UNKNOWN, reason))
-        elif len(self._publishing) >= MAX_PENDING_PUBLISHES:
+        elif len(self._publish_tasks) >= MAX_PENDING_PUBLISHES:
             reason = f"{MAX_PENDING_PUBLISHES} changes wait already: ask again"
             connection.send(PublishResponse(request.token, OUTCOME_UNKNOWN, reason))
         else:
-            publishing = self._respond(self._publisher, connection, request)
-            task = self._loop.create_task(publishing)
-            self._publishing.add(task)
-            task.add_done_callback(self._publishing.discard)
+            coroutine = self._respond(self._publisher, connection, request)
+            task = self._loop.create_task(coroutine)
+            self._publish_tasks.add(task)
+            task.add_done_callback(self._publish_tasks.discard)
 
     async def _respond(
         self, publisher: Publisher, connection: ServerStream, request: PublishRequest
@@ -323,16 +323,16 @@
         )
         if len(codec.pack(response)) <= MAX_MESSAGE_BYTES:
             return response
-        without_reasons = tuple(
+        without_rejections = tuple(
             msgspec.structs.replace(subscriber, rejected=()) for subscriber in subscribers
         )
-        return msgspec.structs.replace(response, subscribers=without_reasons)
+        return msgspec.structs.replace(response, subscribers=without_rejections)
 
     # Writing
 
     def write_to(self, connection: ServerStream) -> None:
-        """Write up to `FRAMES_PER_TURN` frames while the transport has capacity, then yield."""
-        for _ in range(FRAMES_PER_TURN):
+        """Write up to `MAX_FRAMES_PER_WRITE` frames while the transport has capacity, then yield."""
+        for _ in range(MAX_FRAMES_PER_WRITE):
             if not connection.is_subscribed or not connection.is_writable:
                 return
             if connection.number not in self._connections:
@@ -344,14 +344,14 @@
         self._loop.call_soon(self.write_to, connection)
 
     def _write_all(self) -> None:
-        self._is_write_planned = False
+        self._is_write_scheduled = False
         self.fan_out.set_table_age(self.clock.now(), self._age())
         for connection in list(self._connections.values()):
             self.write_to(connection)
 
     # Timer
 
-    def _plan_timer(self) -> None:
+    def _schedule_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
         delay = (self.fan_out.next_timer_at() - self.clock.now()) / MS_PER_SECOND
@@ -363,10 +363,10 @@
         for overdue in self.fan_out.on_timer(now):
             self._close_overdue(overdue.connection, overdue.reason)
         for connection in list(self._connections.values()):
-            if not connection.is_subscribed and now - connection.last_received_at > MAX_IDLE:
+            if not connection.is_subscribed and now - connection.last_received_at > MAX_IDLE_TIME:
                 self._close_overdue(connection.number, "idle for too long")
         self._write_all()
-        self._plan_timer()
+        self._schedule_timer()
 
     def _close_overdue(self, number: int, reason: str) -> None:
         self.counts.overdue += 1
--- a/dockthread/control_plane/snapshot_cache.py
+++ b/dockthread/control_plane/snapshot_cache.py
@@ -41,11 +41,11 @@
 
 SLICE_BYTES: Final = 256 << 10
 """Approximate maximum size in bytes of the resources in one record."""
-URGENT_BYTES: Final = 1 << 20
+URGENT_QUEUE_BYTES: Final = 1 << 20
 """Queued bytes above which a write does not wait for the interval."""
 MIN_REWRITE_BYTES: Final = 4 << 20
 """Minimum number of appended bytes before the file is rewritten."""
-MAX_GROWTH: Final = 2
+MAX_GROWTH_FACTOR: Final = 2
 """Size of the appended data at which a file is rewritten, as a multiple of its initial size."""
 FILE_MODE: Final = 0o600
 """Mode of a cache file: only its owner may read the configuration."""
@@ -84,13 +84,13 @@
         self._queued_bytes = 0
         self._epoch = ""  # of the last queued commit
         self._revision = 0  # of the last queued commit
-        self._state_bytes = 0  # size of the file after its first commit
+        self._initial_bytes = 0  # size of the file after its first commit
         self._appended_bytes = 0  # size of the data appended after the first commit
         self._can_append = False  # whether the next changes can follow the queue
         self._has_failed = False
         self._timer: asyncio.TimerHandle | None = None
-        self._writing: asyncio.Task[None] | None = None
-        self._began_at = float("-inf")
+        self._write_task: asyncio.Task[None] | None = None
+        self._write_started_at = float("-inf")
         # Only the running job uses the following attributes:
         self._file: int | None = None
         self._new_path: Path | None = None  # path of a new file until its first commit
@@ -98,18 +98,18 @@
     def load(self) -> CachedSnapshot | None:
         """Return the content of the file; log and delete a corrupt file."""
         try:
-            found = read_snapshot(self.path, self._name)
+            cached = read_snapshot(self.path, self._name)
         except CorruptCacheError as error:
             logger.warning("control: deleting {}: the file {}", self.path, error)
             with suppress(OSError):
                 self.path.unlink(missing_ok=True)
             return None
-        if found is not None:
+        if cached is not None:
             try:
-                self._open_to_append(found)
+                self._open_to_append(cached)
             except OSError as error:
                 self._fail(error)
-        return found
+        return cached
 
     def save(
         self,
@@ -121,7 +121,7 @@
 
         Requires a running event loop.
         """
-        if self._may_append(table, changes):
+        if self._can_append_changes(table, changes):
             self._queue += changes
             self._queued_bytes += sum(map(_approximate_size, changes))
         else:
@@ -134,50 +134,52 @@
         self._queue.append(commit)
         self._epoch = table.epoch
         self._revision = table.revision
-        if self._timer is None and self._writing is None:
-            self._plan_write()
+        if self._timer is None and self._write_task is None:
+            self._schedule_write()
 
     async def close(self) -> None:
         """Write the queue and close the file."""
         if self._timer is not None:
             self._timer.cancel()
-        if self._writing is not None:
-            await self._writing
+        if self._write_task is not None:
+            await self._write_task
         await self._write_all()
         self._close_file()
 
-    def _open_to_append(self, found: CachedSnapshot) -> None:
-        os.truncate(self.path, found.size)
+    def _open_to_append(self, cached: CachedSnapshot) -> None:
+        os.truncate(self.path, cached.size)
         self._file = os.open(self.path, os.O_WRONLY | os.O_APPEND)
         self._can_append = True
-        self._epoch = found.table.epoch
-        self._revision = found.table.revision
-        self._state_bytes = found.size
+        self._epoch = cached.table.epoch
+        self._revision = cached.table.revision
+        self._initial_bytes = cached.size
 
-    def _may_append(self, table: ResourceTable, changes: Sequence[Resource]) -> bool:
+    def _can_append_changes(self, table: ResourceTable, changes: Sequence[Resource]) -> bool:
         is_same_history = self._can_append and self._epoch == table.epoch
         if not is_same_history or not _are_newer(changes, self._revision):
             return False
-        return self._appended_bytes <= max(MIN_REWRITE_BYTES, MAX_GROWTH * self._state_bytes)
+        return self._appended_bytes <= max(
+            MIN_REWRITE_BYTES, MAX_GROWTH_FACTOR * self._initial_bytes
+        )
 
-    def _plan_write(self) -> None:
+    def _schedule_write(self) -> None:
         loop = asyncio.get_running_loop()
         delay = 0.0
-        if self._queued_bytes <= URGENT_BYTES:
-            delay = max(0.0, self._began_at + self._interval - loop.time())
-        self._timer = loop.call_later(delay, self._begin_write)
+        if self._queued_bytes <= URGENT_QUEUE_BYTES:
+            delay = max(0.0, self._write_started_at + self._interval - loop.time())
+        self._timer = loop.call_later(delay, self._start_write)
 
-    def _begin_write(self) -> None:
+    def _start_write(self) -> None:
         loop = asyncio.get_running_loop()
-        self._began_at = loop.time()
+        self._write_started_at = loop.time()
         self._timer = None
-        self._writing = loop.create_task(self._write_all())
-        self._writing.add_done_callback(self._on_written)
+        self._write_task = loop.create_task(self._write_all())
+        self._write_task.add_done_callback(self._on_written)
 
     def _on_written(self, _: asyncio.Task[None]) -> None:
-        self._writing = None
+        self._write_task = None
         if self._queue and self._timer is None:  # queued while the last job ended
-            self._plan_write()
+            self._schedule_write()
 
     async def _write_all(self) -> None:
         """Write the queue, one job after another, in a thread because the disk may be slow."""
@@ -195,10 +197,10 @@
         if not self._queue:
             return None
         records: list[CacheRecord] = []
-        head = self._queue[0]
-        starts_file = isinstance(head, CacheHeader)
-        if isinstance(head, CacheHeader):
-            records.append(head)
+        first_item = self._queue[0]
+        starts_file = isinstance(first_item, CacheHeader)
+        if isinstance(first_item, CacheHeader):
+            records.append(first_item)
             self._queue.popleft()
         resources = self._take_slice()
         if resources:
@@ -219,13 +221,13 @@
             if frozen.exhausted:
                 self._queue.popleft()
             return resources
-        taken: list[Resource] = []
+        slice_resources: list[Resource] = []
         capacity = SLICE_BYTES
         while self._queue and capacity > 0 and isinstance(resource := self._queue[0], Resource):
             self._queue.popleft()
-            taken.append(resource)
+            slice_resources.append(resource)
             capacity -= _approximate_size(resource)
-        return tuple(taken)
+        return tuple(slice_resources)
 
     def _write(self, job: WriteJob) -> None:
         """Carry out a job in a thread; jobs never run concurrently."""
@@ -244,7 +246,7 @@
         if job.ends_state and self._new_path is not None:
             os.replace(self._new_path, self.path)
             self._new_path = None
-            self._state_bytes = self._appended_bytes
+            self._initial_bytes = self._appended_bytes
             self._appended_bytes = 0
 
     def _fail(self, error: OSError) -> None:
--- a/dockthread/control_plane/stream.py
+++ b/dockthread/control_plane/stream.py
@@ -125,8 +125,8 @@
         buffer = self._buffer
         while len(buffer) - position >= FRAME_HEADER.size:
             body_start = position + FRAME_HEADER.size
-            head = bytes(buffer[position:body_start])
-            size = codec.length(head)
+            header = bytes(buffer[position:body_start])
+            size = codec.length(header)
             if size > self._max_message_bytes:
                 raise MalformedFrameError(
                     f"a message of {size} bytes exceeds the limit of {self._max_message_bytes}"
@@ -136,7 +136,7 @@
             body = bytes(buffer[body_start : body_start + size])
             position = body_start + size
             self._counts.received += 1
-            self.on_message(codec.unpack(head, body, self._key))
+            self.on_message(codec.unpack(header, body, self._key))
             if self.is_closing:
                 return True
         del buffer[:position]
--- a/dockthread/control_plane/subscriber_actions.py
+++ b/dockthread/control_plane/subscriber_actions.py
@@ -68,7 +68,8 @@
         snapshots: Updates that belonged to snapshots.
         deltas: Deltas that were put into the table.
         retries_later: `RetryLater` messages from servers at capacity.
-        old: Complete snapshots that stayed staged because they were older than the table.
+        outdated_snapshots: Complete snapshots that stayed staged because they were older than the
+            table.
     """
 
     connections: int = 0
@@ -80,4 +81,4 @@
     snapshots: int = 0
     deltas: int = 0
     retries_later: int = 0
-    old: int = 0
+    outdated_snapshots: int = 0
--- a/dockthread/control_plane/table_receiver.py
+++ b/dockthread/control_plane/table_receiver.py
@@ -57,7 +57,7 @@
         self._assembler = self.assembler_type(table)
         self.applied = AppliedResources(self._full_acknowledgement(), rejections)
         self._needs_snapshot = False  # after a digest mismatch
-        self._left_epochs: set[str] = set()
+        self._replaced_epochs: set[str] = set()
         self._complete_at: float | None = None  # when the table was last known to be complete
 
     @property
@@ -90,8 +90,10 @@
 
         If this table includes all changes of the server's table, it was complete then as well.
         """
-        is_covered = message.epoch == self.table.epoch and message.revision <= self.table.revision
-        if is_covered and self.table.is_complete and not self.is_staging:
+        includes_server_table = (
+            message.epoch == self.table.epoch and message.revision <= self.table.revision
+        )
+        if includes_server_table and self.table.is_complete and not self.is_staging:
             previous = complete_at if self._complete_at is None else self._complete_at
             self._complete_at = max(complete_at, previous)
 
@@ -103,7 +105,7 @@
         """
         if not self.table.epoch or update.epoch == self.table.epoch:
             return True
-        return update.epoch not in self._left_epochs and is_server_current
+        return update.epoch not in self._replaced_epochs and is_server_current
 
     def add(self, update: Update) -> bool:
         """Put an update into the table.
@@ -124,9 +126,9 @@
             self._needs_snapshot = True
             self.apply(error.changed, complete=False)
             raise
-        self._counts.old += result.old
+        self._counts.outdated_snapshots += result.is_outdated
         if previous_epoch not in ("", self.table.epoch):
-            self._left_epochs.add(previous_epoch)
+            self._replaced_epochs.add(previous_epoch)
         if result.changed is None:
             return False
         if result.snapshot:
--- a/dockthread/control_plane/update_assembler.py
+++ b/dockthread/control_plane/update_assembler.py
@@ -39,12 +39,13 @@
     Attributes:
         changed: Resources that changed in the table; None while a snapshot is staged.
         snapshot: Whether the update belongs to a snapshot.
-        old: Whether a complete snapshot stays staged because it is older than the current table.
+        is_outdated: Whether a complete snapshot stays staged because it is older than the
+            current table.
     """
 
     changed: tuple[Resource, ...] | None
     snapshot: bool = False
-    old: bool = False
+    is_outdated: bool = False
 
 
 class UpdateAssembler:
@@ -103,7 +104,7 @@
             raise DigestMismatchError(())
         staged.horizon = max(staged.horizon, update.horizon)
         if staged.epoch == self._table.epoch and staged.revision < self._table.revision:
-            return AssemblyResult(None, snapshot=True, old=True)
+            return AssemblyResult(None, snapshot=True, is_outdated=True)
         changed = self._table.difference(staged)
         self._table.replace_with(staged)
         self._staged = None
@@ -130,8 +131,8 @@
 
 def _check_bounds(resource: Resource) -> None:
     """Raise InvalidUpdateError if a resource is too large or its kind holds a null character."""
-    longest_name = max(len(resource.kind), len(resource.name))
-    if longest_name > MAX_NAME_BYTES or len(resource.body or b"") > MAX_BODY_BYTES:
+    longest_field = max(len(resource.kind), len(resource.name))
+    if longest_field > MAX_NAME_BYTES or len(resource.body or b"") > MAX_BODY_BYTES:
         raise InvalidUpdateError("a resource is too large")
     if "\x00" in resource.kind:
         raise InvalidUpdateError("a kind contains a null character")
--- a/dockthread/control_plane/voter.py
+++ b/dockthread/control_plane/voter.py
@@ -26,9 +26,9 @@
 from dockthread.raft.options import FleetOptions
 from dockthread.raft.server import RaftServer
 
-AGREEMENT_TIMEOUT: Final = 3_000.0
+COMMIT_TIMEOUT: Final = 3_000.0
 """Maximum time in ms that a publisher waits for a change to be committed."""
-NOT_AGREED: Final = (
+NOT_COMMITTED_REASON: Final = (
     "no majority has agreed in time: ask again with the same token, and it counts once"
 )
 RAFT_SEED_BITS: Final = 32
@@ -93,16 +93,16 @@
 
     async def publish(self, request: PublishRequest) -> PublishResponse:
         """Commit a change to the log; a retry with the same token is applied only once."""
-        known = self.state_machine.response_for(request.token)
-        if known is not None:
-            return known
+        known_outcome = self.state_machine.response_for(request.token)
+        if known_outcome is not None:
+            return known_outcome
         if reason := self.state_machine.rejection_reason(request):
             return PublishResponse(request.token, REJECTED, reason)
         proposal = self.state_machine.encode_proposal(request)
-        not_agreed = PublishResponse(request.token, OUTCOME_UNKNOWN, NOT_AGREED)
-        if not await self.member.propose(proposal, AGREEMENT_TIMEOUT):
-            return not_agreed
-        return self.state_machine.response_for(request.token) or not_agreed
+        unknown_outcome = PublishResponse(request.token, OUTCOME_UNKNOWN, NOT_COMMITTED_REASON)
+        if not await self.member.propose(proposal, COMMIT_TIMEOUT):
+            return unknown_outcome
+        return self.state_machine.response_for(request.token) or unknown_outcome
 
     # Methods of the log's state machine (`dockthread.raft.server.StateMachine`)
 
--- a/tests/control_plane/builders.py
+++ b/tests/control_plane/builders.py
@@ -51,8 +51,8 @@
     table: ResourceTable | None = None, servers: Sequence[str] = ("a", "b", "c")
 ) -> Subscriber:
     """Return a subscriber that is not connected."""
-    listed = [CandidateServer(name) for name in servers]
-    return Subscriber(SubscriberSettings("i1"), listed, random.Random(1), 0.0, table)
+    candidates = [CandidateServer(name) for name in servers]
+    return Subscriber(SubscriberSettings("i1"), candidates, random.Random(1), 0.0, table)
 
 
 def make_receiving_subscriber(
--- a/tests/control_plane/control_rig.py
+++ b/tests/control_plane/control_rig.py
@@ -39,36 +39,36 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self._reserved = [reserve_port() for _ in range(8)]
-        ports = [Address(*listener.getsockname()[:2]) for listener in self._reserved]
-        self.at = dict(zip((*VOTERS, *DISTRIBUTORS), ports, strict=False))
-        self._fleet = dict(zip(VOTERS, ports[5:], strict=True))
+        self._reserved_ports = [reserve_port() for _ in range(8)]
+        all_addresses = [Address(*listener.getsockname()[:2]) for listener in self._reserved_ports]
+        self.addresses = dict(zip((*VOTERS, *DISTRIBUTORS), all_addresses, strict=False))
+        self._fleet_addresses = dict(zip(VOTERS, all_addresses[5:], strict=True))
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         (folder / "key").write_bytes(KEY)
 
     @property
     def voters(self) -> list[Address]:
-        return [self.at[name] for name in VOTERS]
+        return [self.addresses[name] for name in VOTERS]
 
     @property
     def distributors(self) -> list[Address]:
-        return [self.at[name] for name in DISTRIBUTORS]
+        return [self.addresses[name] for name in DISTRIBUTORS]
 
     def start(self, *names: str) -> None:
         for name in names:
             directory = self.folder / name
             directory.mkdir(exist_ok=True)
-            (directory / "control.ini").write_text(self._ini(name, directory))
+            (directory / "control.ini").write_text(self._operator_file(name, directory))
             environ = {**os.environ, "TMPDIR": str(directory)}
             arguments = ["control", "serve", "--config", str(directory / "control.ini")]
             if name in INGRESSES:
                 (directory / "config.json").write_text(json.dumps(raw_config(LIST, 9, name=name)))
                 environ["NODE_CONFIG"] = str(directory / "config.json")
                 arguments = ["serve", "--config", str(directory / "control.ini")]
-            with (directory / "out").open("ab") as out:
+            with (directory / "out").open("ab") as output:
                 command = [sys.executable, "-m", "dockthread", *arguments]
                 self.processes[name] = subprocess.Popen(
-                    command, env=environ, stdout=out, stderr=out
+                    command, env=environ, stdout=output, stderr=output
                 )
 
     def start_missing(self) -> None:
@@ -76,21 +76,23 @@
             *(name for name in (*VOTERS, *DISTRIBUTORS, *INGRESSES) if name not in self.processes)
         )
 
-    def _ini(self, name: str, directory: Path) -> str:
-        near = self.distributors if name in INGRESSES else self.voters
-        servers = f"servers = {', '.join(map(str, near))}\n"
+    def _operator_file(self, name: str, directory: Path) -> str:
+        upstream_servers = self.distributors if name in INGRESSES else self.voters
+        servers = f"servers = {', '.join(map(str, upstream_servers))}\n"
         common = f"[control]\nkey_file = {self.folder / 'key'}\nheartbeat = 200ms\n"
         cache = f"cache = {directory}\ncache_interval = 100ms\n"
         if name in INGRESSES:
             return f"{common}{cache}{servers}role = ingress\nregion = r1\nzone = z{name[1]}\n"
-        common += f"name = {name}\nlisten = {self.at[name]}\n"
+        common += f"name = {name}\nlisten = {self.addresses[name]}\n"
         if name in DISTRIBUTORS:
             return f"{common}{cache}{servers}role = distributor\n"
         if not (directory / "log").exists():
             RaftStorage(directory / "log", name, create=True).close()
-        members = ", ".join(f"{other}={at}" for other, at in self._fleet.items())
-        fleet = f"[fleet]\nlisten = {self._fleet[name]}\nmembers = {members}\ndirectory = {directory / 'log'}\n"
-        return f"{common}role = voter\n{fleet}"
+        members = ", ".join(
+            f"{member}={address}" for member, address in self._fleet_addresses.items()
+        )
+        fleet = f"[fleet]\nlisten = {self._fleet_addresses[name]}\nmembers = {members}\n"
+        return f"{common}role = voter\n{fleet}directory = {directory / 'log'}\n"
 
     def signal(self, name: str, number: signal.Signals) -> None:
         self.processes[name].send_signal(number)
@@ -103,18 +105,30 @@
 
     def close(self) -> None:
         self.kill(*self.processes)
-        for listener in self._reserved:
+        for listener in self._reserved_ports:
             listener.close()
 
-    def out(self, name: str) -> str:
+    def output(self, name: str) -> str:
         return (self.folder / name / "out").read_text()
 
     def command(
         self, arguments: str, servers: list[Address], body: str = ""
     ) -> subprocess.CompletedProcess[str]:
         """Run `dockthread control ARGUMENTS` and wait until it exits."""
-        at = ["--servers", ",".join(map(str, servers)), "--key-file", str(self.folder / "key")]
-        command = [sys.executable, "-m", "dockthread", "control", *arguments.split(), *at]
+        connection_options = [
+            "--servers",
+            ",".join(map(str, servers)),
+            "--key-file",
+            str(self.folder / "key"),
+        ]
+        command = [
+            sys.executable,
+            "-m",
+            "dockthread",
+            "control",
+            *arguments.split(),
+            *connection_options,
+        ]
         return subprocess.run(command, input=body, capture_output=True, text=True, timeout=TIMEOUT)
 
     def publish(self, kind: str, name: str, body: Any) -> PublishResponse:
@@ -132,7 +146,7 @@
         """Return the status of a server, or None if it does not respond."""
         try:
             response = asyncio.run(
-                admin_client.send_request(self.at[name], StatusRequest(), KEY, 0.5)
+                admin_client.send_request(self.addresses[name], StatusRequest(), KEY, 0.5)
             )
         except admin_client.NoResponseError:
             return None
@@ -141,15 +155,21 @@
 
     def connected_subscribers(self) -> dict[str, SubscriberStatus]:
         """Return the ingresses that are connected to a responding distributor, by name."""
-        statuses = [found for name in DISTRIBUTORS if (found := self.status(name)) is not None]
-        return {one.name: one for found in statuses for one in found.subscribers if one.connected}
+        statuses = [status for name in DISTRIBUTORS if (status := self.status(name)) is not None]
+        return {
+            subscriber.name: subscriber
+            for status in statuses
+            for subscriber in status.subscribers
+            if subscriber.connected
+        }
 
     def server_of(self, ingress: str) -> str:
         """Return the distributor that an ingress is connected to; empty if there is none."""
         for name in DISTRIBUTORS:
-            found = self.status(name) if name in self.processes else None
-            if found is not None and any(
-                one.name == ingress and one.connected for one in found.subscribers
+            status = self.status(name) if name in self.processes else None
+            if status is not None and any(
+                subscriber.name == ingress and subscriber.connected
+                for subscriber in status.subscribers
             ):
                 return name
         return ""
@@ -157,10 +177,10 @@
     def has_applied(self, revision: int) -> Callable[[], bool]:
         """Return a condition that holds once every ingress has acknowledged `revision`."""
 
-        def reached() -> bool:
-            found = self.connected_subscribers()
-            return len(found) == len(INGRESSES) and all(
-                one.revision >= revision for one in found.values()
+        def is_applied_everywhere() -> bool:
+            subscribers = self.connected_subscribers()
+            return len(subscribers) == len(INGRESSES) and all(
+                subscriber.revision >= revision for subscriber in subscribers.values()
             )
 
-        return reached
+        return is_applied_everywhere
--- a/tests/control_plane/local_server.py
+++ b/tests/control_plane/local_server.py
@@ -14,8 +14,8 @@
 from dockthread.control_plane.server_settings import ServerSettings
 from tests.loopback import run
 
-BUFFER = 16 << 10  # bytes that may be buffered in a connection
-CHUNK = 64 << 10  # bytes of resources in one frame
+WRITE_BUFFER_BYTES = 16 << 10  # bytes that may be buffered in a connection
+CHUNK_BYTES = 64 << 10  # bytes of resources in one frame
 
 
 def run_server(
@@ -25,12 +25,12 @@
     """Run a scenario with a server that accepts at most `connections` connections."""
 
     async def serve() -> None:
-        limits = FanOutLimits(chunk_bytes=CHUNK)
-        settings = ServerSettings("d", "distributor", connections, BUFFER, limits)
+        limits = FanOutLimits(chunk_bytes=CHUNK_BYTES)
+        settings = ServerSettings("d", "distributor", connections, WRITE_BUFFER_BYTES, limits)
         source = TableSource(ResourceTable("e"), lambda: 0.0)
         server = ControlPlaneServer(settings, source, Clock(), random.Random(1))
-        at = await server.open(Address("127.0.0.1", 0))
-        await scenario(server, at)
+        address = await server.open(Address("127.0.0.1", 0))
+        await scenario(server, address)
         await server.close()
 
     run(serve())
--- a/tests/control_plane/test_client.py
+++ b/tests/control_plane/test_client.py
@@ -36,7 +36,7 @@
     def on_batch_applied(self) -> None: ...
 
 
-def test_resource_rejected_before_a_restart_is_rejected_after_it_and_the_last_good_one_stays(
+def test_resource_rejected_before_a_restart_is_rejected_again_and_its_last_good_version_applies(
     tmp_path: Path,
 ) -> None:
     good = Resource("route", "bad", 1, b"good")
--- a/tests/control_plane/test_control_options.py
+++ b/tests/control_plane/test_control_options.py
@@ -15,7 +15,7 @@
 VOTER = "role = voter\nname = v1\nlisten = 127.0.0.1:7000\n"
 FLEET = "[fleet]\nlisten = 127.0.0.1:1\nmembers = v1=127.0.0.1:1\ndirectory = /tmp\n"
 
-FAULTY = [
+INVALID_SECTIONS = [
     ("role = leader", "role: 'leader' is not one of ingress, distributor, voter"),
     ("servers = 127.0.0.1:7001", "role: is missing; write one of ingress, distributor, voter"),
     ("role = ingress", "servers: is missing; list the servers from which this ingress receives"),
@@ -60,8 +60,8 @@
 ]
 
 
-@pytest.mark.parametrize(("text", "reason"), FAULTY)
-def test_faulty_section_is_rejected_with_its_reason(text: str, reason: str) -> None:
+@pytest.mark.parametrize(("text", "reason"), INVALID_SECTIONS)
+def test_invalid_section_is_reported_with_its_reason(text: str, reason: str) -> None:
     problems = parse_operator_file(f"[control]\n{text}\n", "my.ini").problems
     assert any(
         str(problem).startswith("my.ini: [control] ") and reason in str(problem)
@@ -74,19 +74,19 @@
     assert parse_operator_file(text, "my.ini").problems == []
 
 
-def test_no_other_module_is_loaded_where_the_section_is_absent() -> None:
+def test_no_other_module_is_loaded_without_the_section() -> None:
     assert parse_operator_file("", "my.ini").section("control") == ControlOptions(role=None)
     code = "import sys, dockthread.daemon, dockthread.section_registry as s; s.parse_operator_file('', 'f')\n"
     code += "print([m for m in sys.modules if m.startswith('dockthread.control_plane.')])"
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True, timeout=30
     )
-    assert done.stdout.strip() == str(
+    assert result.stdout.strip() == str(
         ["dockthread.control_plane.messages", "dockthread.control_plane.options"]
     )
 
 
-def test_key_file_is_rejected_with_its_path_and_length(tmp_path: Path) -> None:
+def test_invalid_key_file_is_reported_with_its_path_and_length(tmp_path: Path) -> None:
     (tmp_path / "key").write_bytes(b"short\n")
     with pytest.raises(ValueError, match="key holds 5 bytes; use 16 to 64 bytes"):
         read_key(str(tmp_path / "key"))
--- a/tests/control_plane/test_control_processes.py
+++ b/tests/control_plane/test_control_processes.py
@@ -25,16 +25,16 @@
 )
 
 
-def until(condition: Callable[[], Any]) -> Any:
-    end = time.monotonic() + TIMEOUT
-    while not (found := condition()):
-        assert time.monotonic() < end, "the condition was not met in time"
+def wait_until(condition: Callable[[], Any]) -> Any:
+    deadline = time.monotonic() + TIMEOUT
+    while not (value := condition()):
+        assert time.monotonic() < deadline, "the condition was not met in time"
         time.sleep(0.02)
-    return found
+    return value
 
 
 @pytest.fixture(scope="module")
-def running(tmp_path_factory: pytest.TempPathFactory) -> Iterator[ControlRig]:
+def shared_rig(tmp_path_factory: pytest.TempPathFactory) -> Iterator[ControlRig]:
     rig = ControlRig(tmp_path_factory.mktemp("control"))
     try:
         yield rig
@@ -43,12 +43,12 @@
 
 
 @pytest.fixture
-def rig(running: ControlRig) -> ControlRig:
+def rig(shared_rig: ControlRig) -> ControlRig:
     """Provide a rig with all processes running and a new change applied at every ingress."""
-    running.start_missing()
-    revision = running.publish("route", "first", {"firm": "1", "attempts": 2}).revision
-    until(running.has_applied(revision))
-    return running
+    shared_rig.start_missing()
+    revision = shared_rig.publish("route", "first", {"firm": "1", "attempts": 2}).revision
+    wait_until(shared_rig.has_applied(revision))
+    return shared_rig
 
 
 @pytest.fixture
@@ -60,84 +60,100 @@
 
 def publish_discovery(rig: ControlRig, discovery: socket.socket) -> int:
     """Publish the address of `discovery`, and wait until each ingress has connected to it."""
-    at = f"127.0.0.1:{discovery.getsockname()[1]}"
-    revision = rig.publish("address", "discovery", {"address": at}).revision
-    accept_calls(discovery, len(INGRESSES))
+    address = f"127.0.0.1:{discovery.getsockname()[1]}"
+    revision = rig.publish("address", "discovery", {"address": address}).revision
+    accept_connections(discovery, len(INGRESSES))
     return revision
 
 
-def accept_calls(discovery: socket.socket, times: int) -> None:
-    for _ in range(times):
+def accept_connections(discovery: socket.socket, count: int) -> None:
+    for _ in range(count):
         discovery.accept()[0].close()
 
 
-def test_change_published_by_command_is_applied_everywhere_and_shown(rig: ControlRig) -> None:
-    done = rig.command("publish route a --body -", rig.voters, '{"firm": "b4d6", "timeout": "1s"}')
-    assert done.returncode == 0 and done.stdout.startswith("route a: revision "), done
-    revision = int(done.stdout.split()[-1])
-    until(rig.has_applied(revision))
-    until(
+def test_change_published_by_the_command_is_applied_everywhere_and_can_be_shown(
+    rig: ControlRig,
+) -> None:
+    result = rig.command(
+        "publish route a --body -", rig.voters, '{"firm": "b4d6", "timeout": "1s"}'
+    )
+    assert result.returncode == 0 and result.stdout.startswith("route a: revision "), result
+    revision = int(result.stdout.split()[-1])
+    wait_until(rig.has_applied(revision))
+    wait_until(
         lambda: all(
             (status := rig.status(name)) and status.revision == revision
             for name in VOTERS + DISTRIBUTORS
         )
     )
-    done = until(
+    result = wait_until(
         lambda: (
-            (done := rig.command("status", rig.voters + rig.distributors)).returncode == 0 and done
+            (result := rig.command("status", rig.voters + rig.distributors)).returncode == 0
+            and result
         )
     )
-    assert "r1 z0: in force at 1 of 1\nr1 z1: in force at 1 of 1\n" in done.stdout
-    done = rig.command("show route a", rig.distributors)
-    assert json.loads(done.stdout) == {"firm": "b4d6", "timeout": "1s"}
-    done = rig.command("publish route a --delete --expected 1", rig.voters)
-    assert done.returncode == 1 and f"expected revision 1, and it is at {revision}" in done.stderr
-    done = rig.command("publish route a --body -", rig.voters, '{"attempts": 0}')
+    assert "r1 z0: in force at 1 of 1\nr1 z1: in force at 1 of 1\n" in result.stdout
+    result = rig.command("show route a", rig.distributors)
+    assert json.loads(result.stdout) == {"firm": "b4d6", "timeout": "1s"}
+    result = rig.command("publish route a --delete --expected 1", rig.voters)
+    assert (
+        result.returncode == 1 and f"expected revision 1, and it is at {revision}" in result.stderr
+    )
+    result = rig.command("publish route a --body -", rig.voters, '{"attempts": 0}')
     assert (
-        done.returncode == 1 and "refused: attempts: 0 would never send a request on" in done.stderr
+        result.returncode == 1
+        and "refused: attempts: 0 would never send a request on" in result.stderr
     )
 
 
-def test_invalid_change_is_rejected_with_its_reason_and_the_last_good_one_stays(
+def test_invalid_change_is_rejected_with_its_reason_and_the_last_good_version_stays_applied(
     rig: ControlRig,
 ) -> None:
     good = rig.publish("route", "b", {"class": "status", "firm": "2", "timeout": "1s"}).revision
     bad = rig.publish("route", "b", {"class": "status", "firm": "2", "timeout": "5s"}).revision
-    until(rig.has_applied(bad))
-    for one in rig.connected_subscribers().values():
-        (rejection,) = one.rejected
-        assert (rejection.name, rejection.revision, one.rejections) == ("b", bad, 1) and bad > good
+    wait_until(rig.has_applied(bad))
+    for subscriber in rig.connected_subscribers().values():
+        (rejection,) = subscriber.rejected
+        assert (rejection.name, rejection.revision, subscriber.rejections) == (
+            "b",
+            bad,
+            1,
+        ) and bad > good
         assert "5s outlasts the client's deadline for status, 4s" in rejection.reason
-    done = rig.command("status", rig.distributors)
-    assert done.returncode == 1 and "n0: refuses 1\n  route b of revision " in done.stdout
-    until(rig.has_applied(rig.publish("route", "b", None).revision))
-    assert not any(one.rejections for one in rig.connected_subscribers().values())
+    result = rig.command("status", rig.distributors)
+    assert result.returncode == 1 and "n0: refuses 1\n  route b of revision " in result.stdout
+    wait_until(rig.has_applied(rig.publish("route", "b", None).revision))
+    assert not any(subscriber.rejections for subscriber in rig.connected_subscribers().values())
 
 
-def test_killed_distributor_loses_no_change_and_is_named_by_status(rig: ControlRig) -> None:
+def test_no_change_is_lost_when_a_distributor_is_killed_and_status_names_it(
+    rig: ControlRig,
+) -> None:
     server = rig.server_of("n0")
     rig.kill(server)
-    until(rig.has_applied(rig.publish("route", "c", {"firm": "3"}).revision))
-    done = rig.command("status", rig.distributors)
-    assert done.returncode == 1 and f"not reached: {rig.at[server]}: " in done.stdout
+    wait_until(rig.has_applied(rig.publish("route", "c", {"firm": "3"}).revision))
+    result = rig.command("status", rig.distributors)
+    assert result.returncode == 1 and f"not reached: {rig.addresses[server]}: " in result.stdout
 
 
-def test_distributor_stopped_while_it_sends_is_left_for_the_other(rig: ControlRig) -> None:
+def test_ingress_moves_to_the_other_distributor_when_its_own_stops_while_sending(
+    rig: ControlRig,
+) -> None:
     server = rig.server_of("n0")
     body = {"firm": [f"{number:x}" for number in range(1000, 9000)]}  # 48 KB
     rig.publish("route", "large", body)
     rig.signal(server, signal.SIGSTOP)
     try:
         revision = rig.publish("route", "large", {**body, "attempts": 2}).revision
-        until(rig.has_applied(revision))
+        wait_until(rig.has_applied(revision))
         assert rig.server_of("n0") != server
     finally:
         rig.signal(server, signal.SIGCONT)
-    until(lambda: (status := rig.status(server)) and status.revision == revision)
+    wait_until(lambda: (status := rig.status(server)) and status.revision == revision)
     rig.publish("route", "large", None)
 
 
-def test_applied_resources_stay_while_all_distributors_are_lost(
+def test_resources_stay_applied_while_all_distributors_are_down(
     rig: ControlRig, discovery: socket.socket
 ) -> None:
     publish_discovery(rig, discovery)
@@ -145,38 +161,38 @@
     revision = rig.publish("route", "d", {"firm": "4"}).revision
     assert rig.processes["n0"].poll() is None and rig.processes["n1"].poll() is None
     rig.start(*DISTRIBUTORS)
-    until(rig.has_applied(revision))
+    wait_until(rig.has_applied(revision))
 
 
 def test_ingress_starts_from_its_cache_while_every_server_is_down(
     rig: ControlRig, discovery: socket.socket
 ) -> None:
     revision = publish_discovery(rig, discovery)
-    until(rig.has_applied(revision))
+    wait_until(rig.has_applied(revision))
     rig.signal("n0", signal.SIGTERM)
     assert rig.processes.pop("n0").wait(TIMEOUT) == 0
     rig.kill("n1", *VOTERS, *DISTRIBUTORS)
-    from_cache = rig.out("n0").count("from the cache")
+    loads_before = rig.output("n0").count("from the cache")
     rig.start("n0")
-    until(lambda: rig.out("n0").count("from the cache") > from_cache)
+    wait_until(lambda: rig.output("n0").count("from the cache") > loads_before)
     discovery.setblocking(False)
     with suppress(BlockingIOError):  # drop connections of the previous process
-        accept_calls(discovery, 1000)
+        accept_connections(discovery, 1000)
     discovery.settimeout(TIMEOUT)
-    accept_calls(discovery, 1)  # the cached address, as its own configuration has another one
+    accept_connections(discovery, 1)  # the cached address, as its own configuration has another one
     rig.kill("n0")
     cache = rig.folder / "n0" / "n0.cache"
     data = bytearray(cache.read_bytes())
     data[len(data) // 2] ^= 0xFF
     cache.write_bytes(data)
     rig.start("n0")
-    until(
+    wait_until(
         lambda: (
-            rig.out("n0").count(f"deleting {cache}: the file has a wrong checksum at byte ") == 1
+            rig.output("n0").count(f"deleting {cache}: the file has a wrong checksum at byte ") == 1
         )
     )
     rig.start_missing()
-    until(rig.has_applied(revision))
+    wait_until(rig.has_applied(revision))
 
 
 def frame_head(size: int, version: int = 1) -> bytes:
@@ -194,11 +210,13 @@
 }
 
 
-@pytest.mark.parametrize("malformed", MALFORMED)
-def test_malformed_bytes_close_that_connection_alone(rig: ControlRig, malformed: str) -> None:
+@pytest.mark.parametrize("case", MALFORMED)
+def test_malformed_bytes_close_only_that_connection(rig: ControlRig, case: str) -> None:
     for name in ("v0", "d0"):
-        with socket.create_connection((rig.at[name].host, rig.at[name].port), TIMEOUT) as one:
-            one.sendall(MALFORMED[malformed])
+        with socket.create_connection(
+            (rig.addresses[name].host, rig.addresses[name].port), TIMEOUT
+        ) as connection:
+            connection.sendall(MALFORMED[case])
             with suppress(ConnectionResetError):
-                assert one.recv(1) == b""
-    until(rig.has_applied(rig.publish("route", "e", {"firm": "5"}).revision))
+                assert connection.recv(1) == b""
+    wait_until(rig.has_applied(rig.publish("route", "e", {"firm": "5"}).revision))
--- a/tests/control_plane/test_fanout.py
+++ b/tests/control_plane/test_fanout.py
@@ -27,7 +27,7 @@
     ],
     ids=["no table", "another epoch", "older revision", "another digest"],
 )
-def test_subscriber_gets_deltas_where_it_can_resume_and_a_snapshot_elsewhere(
+def test_subscriber_gets_deltas_if_it_can_resume_and_a_snapshot_otherwise(
     message: Subscribe, has_snapshot: bool, first: int
 ) -> None:
     table = make_table(40)
@@ -38,7 +38,7 @@
     assert sent[-1].complete and sent[-1].revision == 40 and sent[-1].digest == table.digest
 
 
-def test_subscriber_ahead_of_the_table_gets_heartbeats_until_the_table_passes_it() -> None:
+def test_subscriber_ahead_of_the_table_gets_heartbeats_until_the_table_is_newer() -> None:
     table = make_table(10)
     fan_out = make_fan_out(table)
     fan_out.subscribe(10.0, 1, Subscribe("s", "e1", 12))
@@ -48,7 +48,7 @@
     assert [entry.revision for entry in sent_updates(fan_out)[0].resources] == [13]
 
 
-def test_slow_subscriber_gets_the_latest_of_each_key_and_snapshots_are_encoded_once() -> None:
+def test_slow_subscriber_gets_only_latest_versions_and_snapshots_are_encoded_once() -> None:
     table = make_table(40)
     fan_out = make_fan_out(table)
     for connection in (1, 2):
@@ -63,7 +63,7 @@
     )
 
 
-def test_table_replaced_at_the_same_revision_is_sent_by_its_digest() -> None:
+def test_new_digest_is_sent_when_the_table_is_replaced_at_the_same_revision() -> None:
     table, repaired = make_table(10), make_table(10)
     table._remove("route\x00r4")
     fan_out = make_fan_out(table)
@@ -76,18 +76,20 @@
     assert sent_updates(fan_out) == []
 
 
-def test_snapshots_keep_to_the_budget_and_rejected_subscribers_retry_spread_out() -> None:
+def test_snapshots_stay_within_the_budget_and_refused_subscribers_retry_at_different_times() -> (
+    None
+):
     table = make_table(100)
     size = table.bytes
     fan_out = make_fan_out(
         table, FanOutLimits(chunk_bytes=400, snapshot_rate=float(size), snapshot_burst=float(size))
     )
-    answers = [fan_out.subscribe(10.0, number, Subscribe(f"s{number}")) for number in range(20)]
-    retry_times = [answer.after for answer in answers if answer is not None]
+    responses = [fan_out.subscribe(10.0, number, Subscribe(f"s{number}")) for number in range(20)]
+    retry_times = [response.after for response in responses if response is not None]
     assert (
         16 <= len(retry_times) <= 18
         and max(retry_times) > 10_000.0
-        and len({round(one, 3) for one in retry_times}) == len(retry_times)
+        and len({round(retry_time, 3) for retry_time in retry_times}) == len(retry_times)
     )
     sent = sum(
         len(codec.pack(entry))
@@ -100,9 +102,7 @@
     )
 
 
-def test_subscriber_beyond_the_limit_is_rejected_and_a_newer_connection_replaces_its_older() -> (
-    None
-):
+def test_subscriber_beyond_the_limit_is_refused_and_a_newer_connection_replaces_the_older() -> None:
     fan_out = make_fan_out(make_table(1), FanOutLimits(max_subscribers=1))
     assert fan_out.subscribe(0.0, 1, Subscribe("s1")) is None
     assert isinstance(fan_out.subscribe(0.0, 2, Subscribe("s2")), RetryLater)
@@ -119,7 +119,7 @@
     )
 
 
-def test_status_shows_lag_and_rejections_also_after_the_subscriber_left() -> None:
+def test_status_shows_lag_and_rejections_after_the_subscriber_disconnects() -> None:
     table = make_table(3)
     fan_out = make_fan_out(table)
     fan_out.subscribe(0.0, 1, Subscribe("s1", region="east", zone="e2"))
--- a/tests/control_plane/test_ingress_reload.py
+++ b/tests/control_plane/test_ingress_reload.py
@@ -19,7 +19,7 @@
 from tests.loopback import LIST, SETTINGS, raw_config, run, until
 
 
-def test_one_reload_brings_a_class_and_a_route_that_names_it(
+def test_one_reload_adds_a_class_and_a_route_that_uses_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path, file = tmp_path / "config.json", tmp_path / "my.ini"
@@ -33,28 +33,30 @@
         daemon = Daemon(
             config, str(file), load_operator_file(str(file), config.policy_settings, config.names)
         )
-        new = {**SETTINGS["Classes"][0], "Name": "renew"}
+        renew_class = {**SETTINGS["Classes"][0], "Name": "renew"}
         path.write_text(
             json.dumps(
-                raw_config(LIST, 9, settings={**SETTINGS, "Classes": [new, *SETTINGS["Classes"]]})
+                raw_config(
+                    LIST, 9, settings={**SETTINGS, "Classes": [renew_class, *SETTINGS["Classes"]]}
+                )
             )
         )
         file.write_text("[route b]\nclass = renew\nattempts = 2\n")
         daemon.reload()
         await until(lambda: daemon.admin.reloads.applied)
         table = daemon.routes.table if daemon.routes is not None else None
-        number = daemon.ingress.config.names.classes.index("renew")
-        found = (
-            table.find(RequestAttributes(number, 0, False, 1, 1, False))
+        class_index = daemon.ingress.config.names.classes.index("renew")
+        route = (
+            table.find(RequestAttributes(class_index, 0, False, 1, 1, False))
             if table is not None
             else None
         )
-        assert found is not None and found.rules.name == "b"
+        assert route is not None and route.rules.name == "b"
 
     run(scenario())
 
 
-def test_published_routes_are_validated_again_by_the_settings_of_a_reload(
+def test_published_routes_are_validated_again_with_the_settings_of_a_reload(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path, file = tmp_path / "config.json", tmp_path / "my.ini"
@@ -66,10 +68,10 @@
     def configure(*classes: dict[str, Any]) -> None:
         path.write_text(json.dumps(raw_config(LIST, 9, settings={**SETTINGS, "Classes": classes})))
 
-    async def scenario(server: ControlPlaneServer, at: Address) -> None:
+    async def scenario(server: ControlPlaneServer, address: Address) -> None:
         configure(status, checkout)
         file.write_text(
-            f"[route status twice]\nclass = status\n[control]\nrole = ingress\nservers = {at}\n"
+            f"[route status twice]\nclass = status\n[control]\nrole = ingress\nservers = {address}\n"
         )
         for name, route_class in (("status twice", "status"), ("renew twice", "renew")):
             body = json.dumps({"class": route_class, "copies": "yes"}).encode()
@@ -79,27 +81,32 @@
             config, str(file), load_operator_file(str(file), config.policy_settings, config.names)
         )
         daemon.subscribe_to_control_plane()
-        controlled, layers = daemon.resource_applier, daemon.routes
-        assert controlled is not None and layers is not None
-        subscriber = controlled.client.subscriber
-        await until(lambda: [one.name for one in subscriber.rejections] == ["renew twice"])
+        applier, layers = daemon.resource_applier, daemon.routes
+        assert applier is not None and layers is not None
+        subscriber = applier.client.subscriber
+        await until(
+            lambda: [rejection.name for rejection in subscriber.rejections] == ["renew twice"]
+        )
         assert set(layers.published) == {"status twice"}
 
         configure({**status, "Effect": "side_effect"}, checkout, renew)
         daemon.reload()
-        await until(lambda: [one.name for one in subscriber.rejections] == ["status twice"])
+        await until(
+            lambda: [rejection.name for rejection in subscriber.rejections] == ["status twice"]
+        )
         assert set(layers.published) == {"renew twice"}, (
             "the route that hedges a class with side effects must be withdrawn"
         )
         assert "would run a request twice" in subscriber.rejections[0].reason
         names = daemon.ingress.config.names.classes
-        found = layers.table.find(RequestAttributes(names.index("status"), 0, False, 1, 1, False))
-        assert found is not None and not found.rules.hedging, "the file's route must apply instead"
+        route = layers.table.find(RequestAttributes(names.index("status"), 0, False, 1, 1, False))
+        assert route is not None and not route.rules.hedging, "the file's route must apply instead"
         await until(
             lambda: (
-                [one.name for one in server.status().subscribers[0].rejected] == ["status twice"]
+                [rejection.name for rejection in server.status().subscribers[0].rejected]
+                == ["status twice"]
             )
         )
-        await controlled.close()
+        await applier.close()
 
     run_server(scenario)
--- a/tests/control_plane/test_publish_state_machine.py
+++ b/tests/control_plane/test_publish_state_machine.py
@@ -21,7 +21,7 @@
     return machine.response_for(request.token)
 
 
-def test_outcome_of_a_token_is_final_also_after_a_restored_snapshot() -> None:
+def test_outcome_of_a_token_is_final_even_after_a_snapshot_is_restored() -> None:
     machine = make_machine()
     change = PublishRequest("t1", "route", "r1", b"one")
     assert (
@@ -55,14 +55,14 @@
         (PublishRequest("t", "route", "r", bytes(MAX_BODY_BYTES + 1)), "the most"),
     ],
 )
-def test_request_that_breaks_a_bound_or_its_validator_is_not_proposed(
+def test_request_that_exceeds_a_bound_or_fails_validation_has_a_rejection_reason(
     change: PublishRequest, reason: str
 ) -> None:
     assert reason in make_machine().rejection_reason(change)
     assert not make_machine().rejection_reason(PublishRequest("t", "route", "r", b"good"))
 
 
-def test_undecodable_entry_changes_nothing_and_each_history_has_its_epoch() -> None:
+def test_undecodable_entry_changes_nothing_and_each_log_has_its_own_epoch() -> None:
     first, second = make_machine(), PublishStateMachine({}, random.Random(2))
     first.apply(1, b"\xc1")
     assert first.undecodable == 1 and first.table.epoch == ""
--- a/tests/control_plane/test_snapshot_cache.py
+++ b/tests/control_plane/test_snapshot_cache.py
@@ -15,26 +15,26 @@
 from tests.loopback import run, until
 
 
-def test_bytes_behind_the_last_commit_are_ignored(tmp_path: Path) -> None:
+def test_bytes_after_the_last_commit_are_ignored(tmp_path: Path) -> None:
     table = write_cache(tmp_path, ["a", "b", "a"])
     path = tmp_path / "n0.cache"
     data = path.read_bytes()
-    for cut in range(1, 40):  # truncates a part of the last commit or all of it
-        path.write_bytes(data[:-cut])
-        found = read_snapshot(path, "n0")
-        assert found is not None and found.table.revision == table.revision - 1
-        assert {resource.name for resource in found.table.live()} == {"a", "b"}
+    for cut_bytes in range(1, 40):  # truncates a part of the last commit or all of it
+        path.write_bytes(data[:-cut_bytes])
+        cached = read_snapshot(path, "n0")
+        assert cached is not None and cached.table.revision == table.revision - 1
+        assert {resource.name for resource in cached.table.live()} == {"a", "b"}
     path.write_bytes(data)
-    found = read_snapshot(path, "n0")
-    assert found is not None and (found.table.revision, found.table.digest) == (3, table.digest)
+    cached = read_snapshot(path, "n0")
+    assert cached is not None and (cached.table.revision, cached.table.digest) == (3, table.digest)
 
 
-def test_any_other_damage_is_reported(tmp_path: Path) -> None:
+def test_damage_before_the_last_commit_is_reported(tmp_path: Path) -> None:
     write_cache(tmp_path, ["a", "b"])
     path = tmp_path / "n0.cache"
     data = path.read_bytes()
-    for at in range(len(data) // 2):
-        path.write_bytes(data[:at] + bytes([data[at] ^ 0x40]) + data[at + 1 :])
+    for position in range(len(data) // 2):
+        path.write_bytes(data[:position] + bytes([data[position] ^ 0x40]) + data[position + 1 :])
         with pytest.raises(CorruptCacheError):
             read_snapshot(path, "n0")
     path.write_bytes(data)
@@ -42,7 +42,7 @@
         read_snapshot(path, "n1")
 
 
-def test_directory_that_cannot_be_written_is_logged_once_and_written_later(
+def test_unwritable_directory_is_logged_once_and_the_table_is_written_later(
     tmp_path: Path,
 ) -> None:
     lines: list[str] = []
@@ -58,11 +58,11 @@
             resource = Resource("route", f"r{number}", number, b"x")
             table.put(resource)
             cache.save(table, [resource], ())
-            await until(lambda: cache._timer is None and cache._writing is None)
+            await until(lambda: cache._timer is None and cache._write_task is None)
         await cache.close()
 
     run(scenario())
     logger.remove(sink)
-    found = read_snapshot(folder / "n0.cache", "n0")
+    cached = read_snapshot(folder / "n0.cache", "n0")
     assert len(lines) == 1 and "cannot be written" in lines[0]
-    assert found is not None and found.table.digest == table.digest and len(found.table) == 3
+    assert cached is not None and cached.table.digest == table.digest and len(cached.table) == 3
--- a/tests/control_plane/test_subscriber.py
+++ b/tests/control_plane/test_subscriber.py
@@ -28,7 +28,7 @@
 )
 
 
-def test_snapshot_takes_effect_with_its_last_chunk_and_deletes_what_it_does_not_name() -> None:
+def test_snapshot_takes_effect_with_its_last_chunk_and_deletes_resources_that_it_omits() -> None:
     table, server_table = make_table(3), make_table(30, "e1")
     server_table.put(Resource("route", "r2", 31, None))
     subscriber = make_receiving_subscriber(table)
@@ -38,12 +38,14 @@
     (batch,) = changes_of(subscriber.on_message(2.0, 1, chunks[-1]))
     assert table.revision == 31 and table.digest == server_table.digest
     assert {entry.name for entry in batch.resources if entry.body is None} == {"r2"}
-    (answer,) = subscriber.on_applied(3.0, batch.batch, [Rejection("route", "r9", 9, "bad")])
-    assert isinstance(answer, Send) and isinstance(answer.message, Acknowledge)
-    assert (answer.message.revision, answer.message.rejections) == (31, 1)
+    (acknowledgement,) = subscriber.on_applied(
+        3.0, batch.batch, [Rejection("route", "r9", 9, "bad")]
+    )
+    assert isinstance(acknowledgement, Send) and isinstance(acknowledgement.message, Acknowledge)
+    assert (acknowledgement.message.revision, acknowledgement.message.rejections) == (31, 1)
 
 
-def test_digest_mismatch_requests_a_snapshot_and_an_older_one_is_staged_until_it_caught_up() -> (
+def test_digest_mismatch_requests_a_snapshot_and_an_older_one_is_staged_until_it_catches_up() -> (
     None
 ):
     server_table, table = make_table(12), make_table(10)
@@ -61,7 +63,7 @@
     assert not changes_of(
         subscriber.on_message(501.0, 2, snapshot_of(make_table(11), UNLIMITED)[0])
     )
-    assert subscriber.table.revision == 12 and subscriber.counts.old == 1
+    assert subscriber.table.revision == 12 and subscriber.counts.outdated_snapshots == 1
     (batch,) = changes_of(subscriber.on_message(502.0, 2, server_table.delta_since(11, UNLIMITED)))
     assert [entry.name for entry in batch.resources] == [
         "r4"
@@ -90,7 +92,7 @@
         Subscribe("i2"),
     ],
 )
-def test_update_out_of_order_or_too_large_closes_the_connection_and_leaves_the_table(
+def test_invalid_message_closes_the_connection_and_leaves_the_table_unchanged(
     message: Message,
 ) -> None:
     table = make_table(10)
@@ -103,7 +105,7 @@
     )
 
 
-def test_another_history_is_accepted_from_a_fresh_server_alone() -> None:
+def test_another_epoch_is_accepted_only_from_a_server_known_not_to_be_stale() -> None:
     subscriber = make_receiving_subscriber(make_table(10))
     subscriber.on_message(2.0, 1, Heartbeat("e2", 3, 0.0))
     assert (
@@ -126,7 +128,7 @@
 
 
 @pytest.mark.parametrize("after", [float("nan"), float("inf"), -1.0, 1e9])
-def test_retry_time_of_a_server_is_bounded(after: float) -> None:
+def test_retry_delay_requested_by_a_server_is_bounded(after: float) -> None:
     subscriber = make_receiving_subscriber()
     subscriber.on_message(2.0, 1, RetryLater(after, "full"))
     assert (
@@ -139,7 +141,7 @@
     )
 
 
-def test_silent_or_unresponsive_server_is_left_for_the_next() -> None:
+def test_subscriber_leaves_a_silent_or_unresponsive_server() -> None:
     subscriber = make_receiving_subscriber()
     first = subscriber.server
     assert subscriber.next_timer_at() <= 2_501.0
@@ -156,18 +158,18 @@
     assert subscriber.server == "" and subscriber.counts.failures == 2
 
 
-def test_stale_server_is_left_without_flapping_where_all_are_stale() -> None:
+def test_subscriber_does_not_flap_when_all_servers_are_stale() -> None:
     subscriber = make_receiving_subscriber()
-    now, last = 10.0, 1
+    now, connection = 10.0, 1
     for _ in range(600):  # ten minutes, one iteration per second
         now += 1_000.0
         for action in [
-            *subscriber.on_message(now, last, Heartbeat("e1", 0, 60_000.0)),
+            *subscriber.on_message(now, connection, Heartbeat("e1", 0, 60_000.0)),
             *subscriber.on_timer(now),
         ]:
             if isinstance(action, Connect):
-                last = action.connection
-                subscriber.on_connected(now, last)
+                connection = action.connection
+                subscriber.on_connected(now, connection)
     assert 2 + 10 <= subscriber.counts.connections <= 2 + 45
-    subscriber.on_message(now, last, Heartbeat("", 0, 0.0))
+    subscriber.on_message(now, connection, Heartbeat("", 0, 0.0))
     assert subscriber.age(now + 5.0) == 5.0
