--- a/dockthread/control_plane/frozen_table.py
+++ b/dockthread/control_plane/frozen_table.py
@@ -56,10 +56,12 @@
     def _advance(self, max_bytes: int) -> int:
         """Advance past the next chunk of at least one resource, and return its end index."""
         start = self._next_index
-        capacity = max_bytes
+        remaining_bytes = max_bytes
         while self._next_index < len(self._keys):
-            capacity -= packed_size(self._keys[self._next_index], self._values[self._next_index])
-            if capacity < 0 and self._next_index > start:
+            remaining_bytes -= packed_size(
+                self._keys[self._next_index], self._values[self._next_index]
+            )
+            if remaining_bytes < 0 and self._next_index > start:
                 break
             self._next_index += 1
         return self._next_index
--- a/dockthread/control_plane/listing.py
+++ b/dockthread/control_plane/listing.py
@@ -29,10 +29,10 @@
     )
     smallest = heapq.nsmallest(MAX_PAGE_RESOURCES, candidates, key=lambda resource: resource.name)
     page: list[Resource] = []
-    capacity = MAX_PAGE_BYTES
+    remaining_bytes = MAX_PAGE_BYTES
     for resource in smallest:
-        capacity -= len(resource.body or b"")
-        if page and capacity < 0:
+        remaining_bytes -= len(resource.body or b"")
+        if page and remaining_bytes < 0:
             break
         page.append(resource)
     has_more = len(page) < len(smallest) or len(smallest) == MAX_PAGE_RESOURCES
--- a/dockthread/control_plane/resource_table.py
+++ b/dockthread/control_plane/resource_table.py
@@ -63,16 +63,16 @@
         self._packed: dict[str, bytes] = {}  # by key, newest last
         # Oldest first. A later entry with the same key may have replaced some of them.
         self._tombstones: deque[_Tombstone] = deque()
-        self._live = LiveSetDigest()
+        self._live_digest = LiveSetDigest()
 
     def __len__(self) -> int:
         """Return the number of live resources."""
-        return self._live.count
+        return self._live_digest.count
 
     @property
     def digest(self) -> bytes:
         """Digest of the live resources, independent of their order."""
-        return self._live.value()
+        return self._live_digest.value()
 
     def get(self, kind: str, name: str) -> Resource | None:
         """Return a live resource, or None if there is none."""
@@ -111,7 +111,7 @@
         if resource.body is None:
             self._tombstones.append(_Tombstone(resource.revision, key))
         else:
-            self._live.add(key, packed)
+            self._live_digest.add(key, packed)
         self.revision = resource.revision
         self._drop_old_tombstones()
 
@@ -138,7 +138,7 @@
         self.is_complete = True
         self.bytes = 0
         self._packed = {}
-        self._live = LiveSetDigest()
+        self._live_digest = LiveSetDigest()
         self._tombstones.clear()
         for entry in entries:
             self.put(entry)
@@ -157,7 +157,7 @@
         self.bytes = other.bytes
         self._packed = other._packed
         self._tombstones = other._tombstones
-        self._live = other._live
+        self._live_digest = other._live_digest
         self._drop_old_tombstones()
 
     def difference(self, newer: ResourceTable) -> tuple[Resource, ...]:
@@ -205,9 +205,9 @@
         """
         missing = self._entries_after(revision)
         chunk: list[Resource] = []
-        capacity = max_bytes
-        while missing and (not chunk or capacity >= resource_size(missing[-1])):
-            capacity -= resource_size(missing[-1])
+        remaining_bytes = max_bytes
+        while missing and (not chunk or remaining_bytes >= resource_size(missing[-1])):
+            remaining_bytes -= resource_size(missing[-1])
             chunk.append(missing.pop())
         if missing:
             return Update(self.epoch, chunk[-1].revision, tuple(chunk), complete=False)
@@ -231,7 +231,7 @@
             return
         self.bytes -= packed_size(key, packed)
         if is_live(packed):
-            self._live.remove(key, packed)
+            self._live_digest.remove(key, packed)
 
     def _drop_old_tombstones(self) -> None:
         while len(self._tombstones) > self._max_tombstones:
--- a/dockthread/control_plane/snapshot_cache.py
+++ b/dockthread/control_plane/snapshot_cache.py
@@ -59,12 +59,12 @@
     Attributes:
         data: The bytes.
         starts_file: Whether the bytes begin a new file.
-        ends_state: Whether the bytes end with a commit.
+        ends_with_commit: Whether the bytes end with a commit.
     """
 
     data: bytes
     starts_file: bool
-    ends_state: bool
+    ends_with_commit: bool
 
 
 class SnapshotCache:
@@ -207,12 +207,12 @@
             records.append(CacheChunk(resources))
             size = sum(map(_approximate_size, resources))
             self._queued_bytes = max(0, self._queued_bytes - size)
-        ends_state = False
+        ends_with_commit = False
         if self._queue and isinstance(commit := self._queue[0], CacheCommit):
             records.append(commit)
             self._queue.popleft()
-            ends_state = True
-        return WriteJob(b"".join(map(encode_record, records)), starts_file, ends_state)
+            ends_with_commit = True
+        return WriteJob(b"".join(map(encode_record, records)), starts_file, ends_with_commit)
 
     def _take_slice(self) -> tuple[Resource, ...]:
         """Remove the next resources from the queue, at most up to a commit, and return them."""
@@ -222,11 +222,13 @@
                 self._queue.popleft()
             return resources
         slice_resources: list[Resource] = []
-        capacity = SLICE_BYTES
-        while self._queue and capacity > 0 and isinstance(resource := self._queue[0], Resource):
+        remaining_bytes = SLICE_BYTES
+        while (
+            self._queue and remaining_bytes > 0 and isinstance(resource := self._queue[0], Resource)
+        ):
             self._queue.popleft()
             slice_resources.append(resource)
-            capacity -= _approximate_size(resource)
+            remaining_bytes -= _approximate_size(resource)
         return tuple(slice_resources)
 
     def _write(self, job: WriteJob) -> None:
@@ -243,7 +245,7 @@
         self._appended_bytes += len(data)
         while data:
             data = data[os.write(self._file, data) :]
-        if job.ends_state and self._new_path is not None:
+        if job.ends_with_commit and self._new_path is not None:
             os.replace(self._new_path, self.path)
             self._new_path = None
             self._initial_bytes = self._appended_bytes
--- a/dockthread/control_plane/voter.py
+++ b/dockthread/control_plane/voter.py
@@ -41,7 +41,7 @@
     Attributes:
         state_machine: Holds the accepted resources.
         server: Serves the accepted resources to subscribers.
-        member: Member of the replicated log.
+        raft_server: Member of the replicated log.
     """
 
     def __init__(
@@ -57,7 +57,9 @@
         self.state_machine = PublishStateMachine(VALIDATORS, rng)
         source = TableSource(self.state_machine.table, self.age)
         self.server = ControlPlaneServer(settings, source, clock, rng, self)
-        self.member = RaftServer(settings.name, fleet, clock, rng.getrandbits(RAFT_SEED_BITS), self)
+        self.raft_server = RaftServer(
+            settings.name, fleet, clock, rng.getrandbits(RAFT_SEED_BITS), self
+        )
         self._is_serving = False
 
     async def open(self, listen: Address) -> Address:
@@ -70,7 +72,7 @@
         address = await self.server.open(listen)
         self._is_serving = True
         try:
-            await self.member.open()
+            await self.raft_server.open()
         except msgspec.MsgspecError as error:
             raise ValueError(
                 f"[fleet] directory: the log does not belong to a control plane: {error}"
@@ -79,17 +81,17 @@
 
     async def close(self) -> None:
         """Leave the replicated log, handing over leadership if needed, and stop serving."""
-        await self.member.close()
+        await self.raft_server.close()
         await self.server.close()
 
     def age(self) -> float:
         """Return for how many ms the table may have been missing a change; -1 if unknown."""
-        return self.member.staleness_ms()
+        return self.raft_server.staleness_ms()
 
     @property
     def messages(self) -> MessageCounts:
         """Counts of messages exchanged with the other voters and with subscribers."""
-        return self.member.message_counts + self.server.messages
+        return self.raft_server.message_counts + self.server.messages
 
     async def publish(self, request: PublishRequest) -> PublishResponse:
         """Commit a change to the log; a retry with the same token is applied only once."""
@@ -100,7 +102,7 @@
             return PublishResponse(request.token, REJECTED, reason)
         proposal = self.state_machine.encode_proposal(request)
         unknown_outcome = PublishResponse(request.token, OUTCOME_UNKNOWN, NOT_COMMITTED_REASON)
-        if not await self.member.propose(proposal, COMMIT_TIMEOUT):
+        if not await self.raft_server.propose(proposal, COMMIT_TIMEOUT):
             return unknown_outcome
         return self.state_machine.response_for(request.token) or unknown_outcome
 
--- a/tests/control_plane/control_rig.py
+++ b/tests/control_plane/control_rig.py
@@ -39,8 +39,10 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self._reserved_ports = [reserve_port() for _ in range(8)]
-        all_addresses = [Address(*listener.getsockname()[:2]) for listener in self._reserved_ports]
+        self._reserved_listeners = [reserve_port() for _ in range(8)]
+        all_addresses = [
+            Address(*listener.getsockname()[:2]) for listener in self._reserved_listeners
+        ]
         self.addresses = dict(zip((*VOTERS, *DISTRIBUTORS), all_addresses, strict=False))
         self._fleet_addresses = dict(zip(VOTERS, all_addresses[5:], strict=True))
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
@@ -105,7 +107,7 @@
 
     def close(self) -> None:
         self.kill(*self.processes)
-        for listener in self._reserved_ports:
+        for listener in self._reserved_listeners:
             listener.close()
 
     def output(self, name: str) -> str:
--- a/tests/control_plane/test_control_processes.py
+++ b/tests/control_plane/test_control_processes.py
@@ -109,16 +109,20 @@
 def test_invalid_change_is_rejected_with_its_reason_and_the_last_good_version_stays_applied(
     rig: ControlRig,
 ) -> None:
-    good = rig.publish("route", "b", {"class": "status", "firm": "2", "timeout": "1s"}).revision
-    bad = rig.publish("route", "b", {"class": "status", "firm": "2", "timeout": "5s"}).revision
-    wait_until(rig.has_applied(bad))
+    good_revision = rig.publish(
+        "route", "b", {"class": "status", "firm": "2", "timeout": "1s"}
+    ).revision
+    bad_revision = rig.publish(
+        "route", "b", {"class": "status", "firm": "2", "timeout": "5s"}
+    ).revision
+    wait_until(rig.has_applied(bad_revision))
     for subscriber in rig.connected_subscribers().values():
         (rejection,) = subscriber.rejected
         assert (rejection.name, rejection.revision, subscriber.rejections) == (
             "b",
-            bad,
+            bad_revision,
             1,
-        ) and bad > good
+        ) and bad_revision > good_revision
         assert "5s outlasts the client's deadline for status, 4s" in rejection.reason
     result = rig.command("status", rig.distributors)
     assert result.returncode == 1 and "n0: refuses 1\n  route b of revision " in result.stdout
--- a/tests/control_plane/test_fanout.py
+++ b/tests/control_plane/test_fanout.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize(
-    ("message", "has_snapshot", "first"),
+    ("message", "has_snapshot", "first_revision"),
     [
         (Subscribe("s"), True, 1),
         (Subscribe("s", "e0", 30), True, 1),
@@ -28,13 +28,13 @@
     ids=["no table", "another epoch", "older revision", "another digest"],
 )
 def test_subscriber_gets_deltas_if_it_can_resume_and_a_snapshot_otherwise(
-    message: Subscribe, has_snapshot: bool, first: int
+    message: Subscribe, has_snapshot: bool, first_revision: int
 ) -> None:
     table = make_table(40)
     fan_out = make_fan_out(table)
     assert fan_out.subscribe(10.0, 1, message) is None
     sent = sent_updates(fan_out)
-    assert sent[0].snapshot is has_snapshot and sent[0].resources[0].revision == first
+    assert sent[0].snapshot is has_snapshot and sent[0].resources[0].revision == first_revision
     assert sent[-1].complete and sent[-1].revision == 40 and sent[-1].digest == table.digest
 
 
