--- a/dockthread/control_plane/admin_client.py
+++ b/dockthread/control_plane/admin_client.py
@@ -26,9 +26,9 @@
 from dockthread.framing import FRAME_HEADER, MalformedFrameError
 
 REQUEST_TIMEOUT: Final = 5.0
-"""Timeout in s of one request."""
+"""Default timeout in s of a request."""
 MIN_REQUEST_TIMEOUT: Final = 0.1
-"""Minimum timeout in s of a request, even if less than that is left of the deadline."""
+"""Minimum timeout in s of a request, even if the deadline of `publish` is closer."""
 PUBLISH_TIMEOUT: Final = 20.0
 """Time in s after which `publish` stops retrying."""
 PUBLISH_RETRY_DELAY: Final = 0.2
--- a/dockthread/control_plane/batch_applier.py
+++ b/dockthread/control_plane/batch_applier.py
@@ -82,8 +82,8 @@
         self._on_applied = on_applied
         self._last_good: dict[ResourceKey, Resource] = {}  # applied versions of rejected resources
         self._batches: deque[ResourcesChanged] = deque()
-        self._slices: Iterator[list[Resource]] | None = None  # of the first batch
-        self._rejected: dict[ResourceKey, Rejection] = {}  # of the first batch
+        self._slices: Iterator[list[Resource]] | None = None  # remaining slices of the first batch
+        self._rejected: dict[ResourceKey, Rejection] = {}  # rejections of the first batch
         self._unsaved: list[Resource] = []
         self._is_closed = False
 
@@ -98,7 +98,7 @@
         return len(self._batches) >= MAX_BATCHES
 
     def restore(self, cached: CachedSnapshot) -> Sequence[Rejection]:
-        """Apply the resources of the cache; those that were rejected when it was written come last.
+        """Apply the cached resources: last good versions first, previously rejected resources last.
 
         Returns:
             Rejections of the resources that are still invalid.
@@ -181,7 +181,7 @@
         self._on_applied(batch.batch, truncated)
 
     def _save(self, cache: SnapshotCache, batch: ResourcesChanged) -> None:
-        """Write the cache once no batch waits and the table is complete.
+        """Write the cache if no batch is queued and the table is complete.
 
         Only then does the table match the applied resources.
         """
--- a/dockthread/control_plane/cache_file.py
+++ b/dockthread/control_plane/cache_file.py
@@ -27,7 +27,7 @@
 CHECKSUM_BYTES: Final = 16
 """Size of a record's checksum in bytes."""
 RECORD_HEADER: Final = struct.Struct(f"<I{CHECKSUM_BYTES}s")
-"""Head of a record: the length of its body and the checksum of the body."""
+"""Header of each record: the length and the checksum of its body."""
 MAX_RECORD_BYTES: Final = 16 << 20
 """Maximum length of a record's body in bytes; a longer one means that the file is corrupt."""
 _COMMIT_PREFIX: Final = b"\x96\xa1c"
@@ -185,7 +185,7 @@
 
 
 def encode_record(record: CacheRecord) -> bytes:
-    """Return a record with its head."""
+    """Return an encoded record with its header."""
     body = _encoder.encode(record)
     return RECORD_HEADER.pack(len(body), _checksum(body)) + body
 
--- a/dockthread/control_plane/client.py
+++ b/dockthread/control_plane/client.py
@@ -192,7 +192,7 @@
         """Apply all live resources again, as new settings may accept or reject others."""
         self._carry_out(self.subscriber.reapply())
 
-    # Actions of the subscriber
+    # Carrying out the actions of the subscriber
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
@@ -259,7 +259,7 @@
             self._connection.resume_reading()
         self._carry_out(self.subscriber.on_applied(self._clock.now(), number, rejections))
 
-    # Events of the connection
+    # Handling events of the connection
 
     def on_message(self, number: int, message: Message) -> None:
         """Handle a message on a connection."""
@@ -293,7 +293,10 @@
     # Timer
 
     def _schedule_timer(self) -> None:
-        """Set the timer for the next due time; keep a timer set for earlier, which sets the next one."""
+        """Set the timer for the next due time, unless it is set for an earlier time.
+
+        A timer that runs too early does nothing but set itself again.
+        """
         delay = (self.subscriber.next_timer_at() - self._clock.now()) / MS_PER_SECOND
         due_at = self._loop.time() + max(MIN_TIMER_DELAY, delay)
         if self._timer is not None:
--- a/dockthread/control_plane/distributor.py
+++ b/dockthread/control_plane/distributor.py
@@ -1,4 +1,4 @@
-"""A distributor: receives the table as a subscriber and serves it to others."""
+"""A distributor receives the table as a subscriber and serves it to other subscribers."""
 
 from __future__ import annotations
 
@@ -66,11 +66,11 @@
 
     # Methods of ResourceApplier
 
-    def apply(self, changes: Sequence[Resource]) -> Sequence[Rejection]:  # noqa: ARG002  see below
+    def apply(self, changes: Sequence[Resource]) -> Sequence[Rejection]:  # noqa: ARG002  a distributor applies nothing
         """Return no rejections: a distributor serves the table without applying it."""
         return ()
 
-    def applied_resource(self, kind: str, name: str) -> Resource | None:  # noqa: ARG002  see below
+    def applied_resource(self, kind: str, name: str) -> Resource | None:  # noqa: ARG002  a distributor applies nothing
         """Return None: a distributor applies no resources."""
         return None
 
--- a/dockthread/control_plane/encoded.py
+++ b/dockthread/control_plane/encoded.py
@@ -12,9 +12,9 @@
 MAX_DELTA_FRAMES: Final = 64
 """Maximum number of delta frames cached for one state of the table."""
 MIN_SNAPSHOT_LAG: Final = 64
-"""Number of changes that a cached snapshot may lack, regardless of the size of the table."""
+"""Number of changes that a cached snapshot may lack, even if the table is small."""
 MAX_SNAPSHOT_LAG_FRACTION: Final = 0.1
-"""Maximum changes that a cached snapshot may lack, as a fraction of the number of resources."""
+"""Number of changes that a cached snapshot may lack, as a fraction of the resources."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/dockthread/control_plane/fanout.py
+++ b/dockthread/control_plane/fanout.py
@@ -11,7 +11,7 @@
 | no table (revision 0), another epoch, or a revision before the table's horizon | a snapshot in chunks, then deltas |
 | the table's revision with another digest | a snapshot |
 | an older revision | deltas |
-| a newer revision than the table | heartbeats, until the table reaches a newer revision |
+| a newer revision than the table | heartbeats, until the table is newer; then deltas |
 
 Each frame is encoded once. The chunks of a snapshot are sent to all subscribers that need one, until
 the table is too far ahead of the snapshot. The delta that follows a revision is reused until the
@@ -49,7 +49,7 @@
 NEVER_SENT: Final = -1e18
 """Value of `heartbeat_at` before the first heartbeat, in ms: a heartbeat is due immediately."""
 AT_CAPACITY_RETRY_DELAY: Final = 500.0
-"""Mean time in ms after which a subscriber refused for lack of capacity retries; ±50 % jitter."""
+"""Mean retry delay in ms of a subscriber refused for lack of capacity; jitter is ±50 %."""
 SNAPSHOT_RETENTION: Final = 60_000.0
 """Time in ms for which the encoded snapshot is kept after its last use."""
 HEARTBEAT_TOLERANCE: Final = 1.0
@@ -299,7 +299,7 @@
         )
 
     def _is_at_capacity(self, name: str) -> bool:
-        """Return whether a subscriber must be refused; a reconnecting one takes no extra place."""
+        """Return whether a new subscriber must be refused; a connected one may always reconnect."""
         is_full = len(self._connection_by_name) >= self._limits.max_subscribers
         return is_full and name not in self._connection_by_name
 
--- a/dockthread/control_plane/ingress.py
+++ b/dockthread/control_plane/ingress.py
@@ -58,7 +58,7 @@
         self._local_config = ingress.config  # without published addresses
         self._addresses: dict[str, Address] = {}  # published addresses by name
         self._applied: dict[ResourceKey, Resource] = {}
-        self._unlogged_rejections: list[Rejection] = []  # since the last log line
+        self._unlogged_rejections: list[Rejection] = []  # rejections since the last log line
         name = ingress.config.name
         rng = random.Random(secrets.randbits(SEED_BITS))
         settings = client_settings_from_options(options, name)
--- a/dockthread/control_plane/messages.py
+++ b/dockthread/control_plane/messages.py
@@ -40,7 +40,7 @@
 
     Attributes:
         kind: Kind of the resource, such as `route`.
-        name: Name, unique within its kind.
+        name: Name of the resource, unique within its kind.
         revision: Revision of the last change to the resource.
         body: Encoded content; None for a deleted resource (a tombstone).
     """
--- a/dockthread/control_plane/options.py
+++ b/dockthread/control_plane/options.py
@@ -21,7 +21,7 @@
 MIN_KEY_BYTES: Final = 16
 """Minimum length of the shared key in bytes; a shorter key could be guessed."""
 MAX_KEY_BYTES: Final = 64
-"""Maximum length of the shared key in bytes; BLAKE2b takes no longer key."""
+"""Maximum length of the shared key in bytes; BLAKE2b does not support longer keys."""
 MIN_CACHE_INTERVAL: Final = 100.0
 """Minimum setting of the time in ms between two writes of the cache."""
 MIN_SNAPSHOT_RATE: Final = 1_000_000
--- a/dockthread/control_plane/publish_state_machine.py
+++ b/dockthread/control_plane/publish_state_machine.py
@@ -88,8 +88,8 @@
     must have the same validators.
 
     Attributes:
-        table: Accepted resources; this object is never replaced.
-        undecodable: Log entries that could not be decoded.
+        table: The accepted resources; this object is never replaced.
+        undecodable: Number of log entries that could not be decoded.
     """
 
     def __init__(
@@ -104,7 +104,7 @@
         self._validators = dict(validators)
         self._rng = rng
         self._max_tokens = max_tokens
-        self._outcomes: OrderedDict[str, Outcome] = OrderedDict()  # by token, the oldest first
+        self._outcomes: OrderedDict[str, Outcome] = OrderedDict()  # by token, oldest first
 
     def response_for(self, token: str) -> PublishResponse | None:
         """Return the outcome of an applied change, or None if the token is not known."""
--- a/dockthread/control_plane/server.py
+++ b/dockthread/control_plane/server.py
@@ -164,7 +164,7 @@
         self._settings = settings
         self._age = source.age
         self._publisher = publisher
-        self._connections: dict[int, ServerStream] = {}  # by number
+        self._connections: dict[int, ServerStream] = {}  # by connection number
         self._last_number = 0
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
--- a/dockthread/control_plane/server_connection.py
+++ b/dockthread/control_plane/server_connection.py
@@ -147,7 +147,7 @@
                 self._connect(now, self.servers.select(now))
             return False
         if connection.is_overdue(now):
-            self.fail(now, connection, "no answer in time")
+            self.fail(now, connection, "no response in time")
         elif connection.has_timed_out(now, self._times.silence_timeout):
             self._counts.silences += 1
             self.fail(now, connection, "silent for too long")
@@ -220,7 +220,7 @@
         self._backoff.on_failure(now)
 
     def retry_later(self, now: float, connection: ServerConnection, after: float) -> None:
-        """Close the connection: the server is at capacity for `after` ms."""
+        """Close the connection, and retry after `after` ms, as the server is at capacity."""
         self._counts.retries_later += 1
         self.disconnect(connection, "the server is at capacity")
         self.servers.penalize(connection.server, now + self._times.failure_penalty)
--- a/dockthread/control_plane/server_selection.py
+++ b/dockthread/control_plane/server_selection.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CandidateServer:
-    """A server and its distance; smaller distances are preferred (0 for the own region)."""
+    """A server and its distance; smaller distances are preferred (0 for the local region)."""
 
     name: str
     distance: int = 0
@@ -57,7 +57,7 @@
             self._penalized_until[server] = until
 
     def select(self, now: float, exclude: str = "") -> str:
-        """Return the first server without a penalty, else the one whose penalty ends first.
+        """Return the first server without a penalty, or the one whose penalty ends first.
 
         `exclude` is never returned. The result is empty if there is no other server.
         """
--- a/dockthread/control_plane/snapshot_cache.py
+++ b/dockthread/control_plane/snapshot_cache.py
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteJob:
-    """Bytes that are written to the file in one job.
+    """A write of bytes to the file.
 
     Attributes:
         data: The bytes.
@@ -79,13 +79,13 @@
     def __init__(self, directory: Path, name: str, interval: float) -> None:
         self.path = directory / f"{quote(name, safe='')}.cache"
         self._name = name
-        self._interval = interval / MS_PER_SECOND  # s
+        self._interval = interval / MS_PER_SECOND  # in s
         self._queue: deque[CacheHeader | Resource | FrozenTable | CacheCommit] = deque()
         self._queued_bytes = 0
         self._epoch = ""  # of the last queued commit
         self._revision = 0  # of the last queued commit
-        self._initial_bytes = 0  # size of the file after its first commit
-        self._appended_bytes = 0  # size of the data appended after the first commit
+        self._initial_bytes = 0  # size of the file when loaded or after its first commit
+        self._appended_bytes = 0  # size of the data written since then
         self._can_append = False  # whether the next changes can follow the queue
         self._has_failed = False
         self._timer: asyncio.TimerHandle | None = None
--- a/dockthread/control_plane/subscriber_actions.py
+++ b/dockthread/control_plane/subscriber_actions.py
@@ -41,7 +41,7 @@
         revision: Revision of the table.
         resources: Changed resources, oldest revision first, with tombstones for deleted ones. If a
             resource is rejected, its last good version stays applied.
-        complete: Whether the table then held every change that the server had.
+        complete: Whether the table matches the table of the server that sent the update.
     """
 
     batch: int
--- a/dockthread/control_plane/subscriber_settings.py
+++ b/dockthread/control_plane/subscriber_settings.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubscriberTimes:
-    """Times of a subscriber, in ms.
+    """Timeouts, intervals and limits of a subscriber, in ms.
 
     Attributes:
         connect_timeout: Timeout for a connection to open and receive its first message.
@@ -19,8 +19,8 @@
         backoff_initial: Upper bound of the random backoff after the first failure.
         backoff_max: Maximum of that upper bound, which doubles with each failure.
         retry_after_max: Longest delay that a `RetryLater` message may request.
-        return_interval: Mean time, with a random half added or subtracted, after which a
-            subscriber returns to its preferred server.
+        return_interval: Mean time after which a subscriber returns to its preferred server; the
+            actual time is random, between half and one and a half times as long.
     """
 
     connect_timeout: float = 1_000.0
--- a/tests/control_plane/test_control_processes.py
+++ b/tests/control_plane/test_control_processes.py
@@ -144,7 +144,7 @@
     rig: ControlRig,
 ) -> None:
     server = rig.server_of("n0")
-    body = {"firm": [f"{number:x}" for number in range(1000, 9000)]}  # 48 KB
+    body = {"firm": [f"{number:x}" for number in range(1000, 9000)]}  # a body of 48 KB
     rig.publish("route", "large", body)
     rig.signal(server, signal.SIGSTOP)
     try:
--- a/tests/control_plane/test_fanout.py
+++ b/tests/control_plane/test_fanout.py
@@ -53,7 +53,7 @@
     fan_out = make_fan_out(table)
     for connection in (1, 2):
         fan_out.subscribe(10.0, connection, Subscribe(f"s{connection}"))
-        fan_out.next_frame(10.0, connection)  # the heartbeat
+        fan_out.next_frame(10.0, connection)  # skip the heartbeat
     assert fan_out.next_frame(10.0, 1) is fan_out.next_frame(10.0, 2)
     for revision in range(41, 61):
         table.put(Resource("route", "r40", revision, b"again"))
@@ -115,7 +115,7 @@
     with pytest.raises(UnexpectedMessageError):
         fan_out.subscribe(1.0, 3, Subscribe("s1"))
     assert [entry.connection for entry in fan_out.on_timer(20_000.0)] == [3], (
-        "the silent connection"
+        "the silent connection must be closed"
     )
 
 
