--- a/dockthread/control_plane/admission.py
+++ b/dockthread/control_plane/admission.py
@@ -2,8 +2,8 @@
 
 Theory of operation. Chunks of snapshots are charged to a token bucket, so during any time T at most
 burst + rate * T bytes and one chunk are sent. A subscriber is admitted if all admitted bytes that
-are not yet sent, including its own snapshot, can be sent within `MAX_QUEUE_TIME`; if none are
-pending it is always admitted. Each refused subscriber gets a time slot after the slots already
+are not yet sent, including its own snapshot, can be sent within `MAX_QUEUE_TIME`; if no bytes are
+pending, it is always admitted. Each refused subscriber gets a time slot after the slots already
 assigned, with random jitter. When many subscribers restart at once, they are thus served no faster
 than the rate.
 """
@@ -47,9 +47,7 @@
         self._retry_after_min = limits.retry_after_min
         self._retry_after_max = limits.retry_after_max
         self._rng = rng
-        self._tokens = (
-            limits.burst
-        )  # bytes; negative after a chunk larger than the remaining tokens
+        self._tokens = limits.burst  # bytes; negative after a chunk that exceeded the tokens
         self._refilled_at = 0.0
         self._pending_bytes = 0.0  # bytes of admitted snapshots that are still to be sent
         self._last_slot_end = 0.0
--- a/dockthread/control_plane/client.py
+++ b/dockthread/control_plane/client.py
@@ -2,9 +2,9 @@
 
 Theory of operation. `Subscriber` decides which server to connect to, which messages to send and
 which resources have changed. Changes go to the `BatchApplier`, and are acknowledged once they are
-applied. Reading from the server pauses while `MAX_BATCHES` batches are queued. Each client has one
-timer, which is set to the subscriber's next due time. A client uses no threads and shares no state
-with others, so one event loop can run many clients.
+applied. Reading from the server pauses when `MAX_BATCHES` batches are queued, and resumes when all
+of them are applied. Each client has one timer, which is set to the subscriber's next due time. A
+client uses no threads and shares no state with other clients, so one event loop can run many.
 """
 
 from __future__ import annotations
@@ -192,7 +192,7 @@
         """Apply all live resources again, as new settings may accept or reject others."""
         self._carry_out(self.subscriber.reapply())
 
-    # Carrying out the actions of the subscriber
+    # Carry out the subscriber's actions
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
@@ -259,7 +259,7 @@
             self._connection.resume_reading()
         self._carry_out(self.subscriber.on_applied(self._clock.now(), number, rejections))
 
-    # Handling events of the connection
+    # Handle events of the connection
 
     def on_message(self, number: int, message: Message) -> None:
         """Handle a message on a connection."""
--- a/dockthread/control_plane/fanout.py
+++ b/dockthread/control_plane/fanout.py
@@ -107,7 +107,7 @@
         snapshot: Snapshot that is being sent; None between snapshots.
         needs_snapshot: Whether the next update must be a snapshot.
         next_chunk: Number of the next chunk of `snapshot`.
-        last_sent_digest: Digest in the last frame of an update; `NO_DIGEST` if it carried none.
+        last_sent_digest: Digest in the last returned update; `NO_DIGEST` if it had none.
         pending_bytes: Bytes of an admitted snapshot that are not yet sent.
         heartbeat_at: When the last heartbeat was returned.
         is_replaced: Whether the same subscriber has opened a newer connection.
