--- a/tests/control_plane/test_control_processes.py
+++ b/tests/control_plane/test_control_processes.py
@@ -199,18 +199,18 @@
     wait_until(rig.has_applied(revision))
 
 
-def frame_head(size: int, version: int = 1) -> bytes:
+def frame_header(size: int, version: int = 1) -> bytes:
     return FRAME_HEADER.pack(size, version, bytes(16))
 
 
 MALFORMED = {
-    "no frame": b"GET / HTTP/1.1\r\nHost: control\r\n\r\n",
-    "too large": frame_head(MAX_REQUEST_BYTES + 1),
-    "another version": frame_head(3, 9) + b"abc",
+    "not a frame": b"GET / HTTP/1.1\r\nHost: control\r\n\r\n",
+    "too large": frame_header(MAX_REQUEST_BYTES + 1),
+    "another version": frame_header(3, 9) + b"abc",
     "another key": codec.pack(PublishRequest("t", "route", "x", b"{}"), b"another key of 16 bytes"),
-    "no message": codec.pack(PublishRequest("t", "route", "x", b"{}"), KEY)[:-1] + b"\x00",
-    "of a server": codec.pack(Update("e", 1, ()), KEY),
-    "before its subscription": codec.pack(Acknowledge("e", 1, b""), KEY),
+    "undecodable message": codec.pack(PublishRequest("t", "route", "x", b"{}"), KEY)[:-1] + b"\x00",
+    "message of a server": codec.pack(Update("e", 1, ()), KEY),
+    "acknowledgement before subscription": codec.pack(Acknowledge("e", 1, b""), KEY),
 }
 
 
--- a/tests/control_plane/test_server.py
+++ b/tests/control_plane/test_server.py
@@ -35,8 +35,8 @@
             )
         received_revision = 0
         while received_revision < server.table.revision:
-            head = await reader.readexactly(FRAME_HEADER.size)
-            message = codec.unpack(head, await reader.readexactly(codec.length(head)))
+            header = await reader.readexactly(FRAME_HEADER.size)
+            message = codec.unpack(header, await reader.readexactly(codec.length(header)))
             received_revision = (
                 message.revision if isinstance(message, Update) else received_revision
             )
