--- a/dockthread/control_plane/batch_applier.py
+++ b/dockthread/control_plane/batch_applier.py
@@ -1,8 +1,9 @@
-"""Applies batches of changed resources in slices, and keeps the last good version of the rejected.
+"""Applies batches of changed resources, and keeps the last good version of rejected resources.
 
-Theory of operation. Batches are applied in their order, one slice a turn of the loop, so that
-requests are answered between slices. What was rejected is tried once more at the end of its batch,
-as one change may need another one of the same batch. Then the batch goes to the snapshot cache.
+Theory of operation. Batches are applied in order, in slices. One slice is applied per iteration of
+the event loop, so that requests are answered between slices. Rejected resources are tried once more
+at the end of their batch, as one change may depend on another change of the same batch. Then the
+batch is written to the snapshot cache.
 """
 
 from __future__ import annotations
@@ -21,28 +22,28 @@
 from dockthread.control_plane.snapshot_cache import SnapshotCache
 from dockthread.control_plane.subscriber_actions import ResourcesChanged
 
-RESTORE_SLICE: Final = 1024
-"""Resources of the cache applied at once; nothing else has to be answered yet."""
+RESTORE_SLICE_RESOURCES: Final = 1024
+"""Resources of the cache applied per call; large, as no requests are served during the restore."""
 MAX_BATCHES: Final = 4
-"""Batches that wait before nothing more is read from the server."""
+"""Number of queued batches at which reading from the server pauses."""
 MAX_LOCAL_REASON_CHARACTERS: Final = 500
-"""Characters of a rejection's reason that are kept in memory."""
+"""Maximum number of characters of a rejection's reason that are kept in memory."""
 
 
 class ResourceApplier(Protocol):
-    """Applies resources to the process that receives them."""
+    """Applies received resources in this process."""
 
     def apply(self, changes: Sequence[Resource]) -> Sequence[Rejection]:
-        """Apply changes in their order, each as far as it is valid, and return the rejections.
+        """Apply the valid changes in order, and return the rejections of the others.
 
-        A rejected resource changes nothing. Must not block for long.
+        A rejected resource changes nothing. The method must not block for long.
         """
 
     def applied_resource(self, kind: str, name: str) -> Resource | None:
-        """Return what is applied under a name; None for nothing, or where that is not known."""
+        """Return the applied version of a resource; None if there is none or it is unknown."""
 
     def on_batch_applied(self) -> None:
-        """Handle that everything received so far was passed to `apply`."""
+        """Handle the end of a batch: all of its resources have been passed to `apply`."""
 
 
 class ResourceKey(NamedTuple):
@@ -58,12 +59,12 @@
 
 
 class BatchApplier:
-    """Passes batches to `applier`, and then to the cache where there is one.
+    """Passes batches to `applier`, and then to the cache if there is one.
 
-    `on_applied` is called with the number of each applied batch and its rejections.
+    Calls `on_applied` with the number of each applied batch and its rejections.
 
     Attributes:
-        applier: Where resources are applied.
+        applier: Applies the resources.
     """
 
     def __init__(
@@ -79,64 +80,68 @@
         self._cache = cache
         self._slice_size = slice_size
         self._on_applied = on_applied
-        self._last_good: dict[ResourceKey, Resource] = {}  # applied in place of rejected ones
+        self._last_good: dict[ResourceKey, Resource] = {}  # applied versions of rejected resources
         self._batches: deque[ResourcesChanged] = deque()
-        self._slices: Iterator[list[Resource]] | None = None  # of the first batch
-        self._rejected: dict[ResourceKey, Rejection] = {}  # of the first batch
+        self._slices: Iterator[list[Resource]] | None = None  # remaining slices of the first batch
+        self._rejected: dict[ResourceKey, Rejection] = {}  # rejections of the first batch
         self._unsaved: list[Resource] = []
         self._is_closed = False
 
     @property
     def is_idle(self) -> bool:
-        """Whether no batch waits."""
+        """Whether no batch is queued or being applied."""
         return not self._batches
 
     @property
     def is_full(self) -> bool:
-        """Whether as many batches wait as may."""
+        """Whether `MAX_BATCHES` batches are queued."""
         return len(self._batches) >= MAX_BATCHES
 
     def restore(self, cached: CachedSnapshot) -> Sequence[Rejection]:
-        """Apply what was applied when the cache was written, then what was rejected then.
+        """Apply the cached resources: last good versions first, previously rejected resources last.
 
         Returns:
-            What is rejected again; the rest may have become valid.
+            Rejections of the resources that are still invalid.
         """
         retried = {key_of(resource) for resource in cached.last_good}
         self.applier.apply(cached.last_good)
-        others = (one for one in cached.table.live() if key_of(one) not in retried)
-        for part in _slices(others, RESTORE_SLICE):
-            retried.update(key_of(rejection) for rejection in self.applier.apply(part))
-        resources = [found for key in retried if (found := cached.table.get(*key)) is not None]
+        other_resources = (
+            resource for resource in cached.table.live() if key_of(resource) not in retried
+        )
+        for slice_resources in _slices(other_resources, RESTORE_SLICE_RESOURCES):
+            retried.update(key_of(rejection) for rejection in self.applier.apply(slice_resources))
+        resources = [
+            resource for key in retried if (resource := cached.table.get(*key)) is not None
+        ]
         resources.sort(key=lambda resource: resource.revision)
-        rejections = [_shortened(rejection) for rejection in self.applier.apply(resources)]
+        rejections = [_truncated(rejection) for rejection in self.applier.apply(resources)]
         self._remember_last_good({key_of(rejection) for rejection in rejections})
         self.applier.on_batch_applied()
         return rejections
 
     def enqueue(self, batch: ResourcesChanged) -> None:
-        """Add a batch behind those that wait; the caller then calls `start`."""
+        """Add a batch to the end of the queue; the caller then calls `start`."""
         self._batches.append(batch)
 
     def start(self) -> None:
-        """Begin with the batch that was added, unless others are before it."""
+        """Start to apply the added batch, unless an earlier batch is still being applied."""
         if len(self._batches) == 1:
             self._apply_next_slice()
 
     def close(self) -> None:
-        """Apply nothing more."""
+        """Stop applying; queued batches are not applied."""
         self._is_closed = True
 
     def _apply_next_slice(self) -> None:
-        """Apply one slice of the first batch, or end the batch behind its last one."""
+        """Apply the next slice of the first batch; after the last slice, finish the batch."""
         if self._is_closed or not self._batches:
             return
         batch = self._batches[0]
         if self._slices is None:
             self._slices = _slices(batch.resources, self._slice_size)
-        part = next(self._slices, None)
-        if part is not None:
-            for rejection in self._apply(part):
+        slice_resources = next(self._slices, None)
+        if slice_resources is not None:
+            for rejection in self._apply(slice_resources):
                 self._rejected[key_of(rejection)] = rejection
             if len(batch.resources) > self._slice_size:
                 asyncio.get_running_loop().call_soon(self._apply_next_slice)
@@ -146,17 +151,22 @@
     def _apply(self, resources: Sequence[Resource]) -> Sequence[Rejection]:
         try:
             return self.applier.apply(resources)
-        except Exception as error:  # noqa: BLE001  a fault there must not end the distribution
+        except Exception as error:  # noqa: BLE001  an error in the applier must not stop the distribution
             logger.exception("control: changes could not be applied")
             reason = f"fault: {error!r}"
-            return [Rejection(one.kind, one.name, one.revision, reason) for one in resources]
+            return [
+                Rejection(resource.kind, resource.name, resource.revision, reason)
+                for resource in resources
+            ]
 
     def _end_batch(self, batch: ResourcesChanged) -> None:
         if self._rejected and len(batch.resources) > len(self._rejected):
-            again = [one for one in batch.resources if key_of(one) in self._rejected]
-            rejections = self._apply(again)
+            retried_resources = [
+                resource for resource in batch.resources if key_of(resource) in self._rejected
+            ]
+            rejections = self._apply(retried_resources)
             self._rejected = {key_of(rejection): rejection for rejection in rejections}
-        shortened = [_shortened(rejection) for rejection in self._rejected.values()]
+        truncated = [_truncated(rejection) for rejection in self._rejected.values()]
         for resource in batch.resources:
             self._last_good.pop(key_of(resource), None)
         self._remember_last_good(set(self._rejected))
@@ -168,12 +178,12 @@
             self._save(self._cache, batch)
         if self._batches:
             asyncio.get_running_loop().call_soon(self._apply_next_slice)
-        self._on_applied(batch.batch, shortened)
+        self._on_applied(batch.batch, truncated)
 
     def _save(self, cache: SnapshotCache, batch: ResourcesChanged) -> None:
-        """Write the cache once no batch waits and the table is complete.
+        """Write the cache if no batch is queued and the table is complete.
 
-        Only then the table is what was applied.
+        Only then does the table match the applied resources.
         """
         self._unsaved += batch.resources
         if not self._batches and self._table.is_complete:
@@ -188,11 +198,11 @@
 
 
 def _slices(resources: Iterable[Resource], size: int) -> Iterator[list[Resource]]:
-    rest = iter(resources)
-    while part := list(islice(rest, size)):
-        yield part
+    remaining = iter(resources)
+    while slice_resources := list(islice(remaining, size)):
+        yield slice_resources
 
 
-def _shortened(rejection: Rejection) -> Rejection:
+def _truncated(rejection: Rejection) -> Rejection:
     reason = rejection.reason[:MAX_LOCAL_REASON_CHARACTERS]
     return Rejection(rejection.kind, rejection.name, rejection.revision, reason)
--- a/dockthread/control_plane/frozen_table.py
+++ b/dockthread/control_plane/frozen_table.py
@@ -1,4 +1,4 @@
-"""The content of a table at one moment, cut into the chunks of a snapshot."""
+"""The content of a table at one point in time, split into the chunks of a snapshot."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class FrozenTable:
-    """A table as it was, tombstones included, the oldest revision first.
+    """The content of a table at one point in time, with tombstones, oldest revision first.
 
-    No resource is copied: keys and packed resources are shared with the table.
+    Resources are not copied: keys and packed resources are shared with the table.
     """
 
-    def __init__(  # noqa: PLR0913  the fields of a table, named once by `ResourceTable.freeze`
+    def __init__(  # noqa: PLR0913  the fields of a table, only passed by `ResourceTable.freeze`
         self,
         epoch: str,
         revision: int,
@@ -30,19 +30,19 @@
         self.bytes = size
         self._keys = list(packed)
         self._values = list(packed.values())
-        self._next = 0
+        self._next_index = 0
         self._has_begun = False
 
     @property
     def exhausted(self) -> bool:
-        """Whether all chunks were returned."""
-        return self._has_begun and self._next == len(self._keys)
+        """Whether all chunks have been returned."""
+        return self._has_begun and self._next_index == len(self._keys)
 
     def next_chunk(self, max_bytes: int) -> Update:
-        """Return the next chunk: the first begins a snapshot, the last is complete."""
-        first = self._next
-        last = self._advance(max_bytes)
-        entries = zip(self._keys[first:last], self._values[first:last], strict=True)
+        """Return the next chunk; the first is marked `snapshot`, the last is marked `complete`."""
+        start = self._next_index
+        end = self._advance(max_bytes)
+        entries = zip(self._keys[start:end], self._values[start:end], strict=True)
         resources = tuple(unpack(key, packed) for key, packed in entries)
         is_first = not self._has_begun
         self._has_begun = True
@@ -54,12 +54,14 @@
         )
 
     def _advance(self, max_bytes: int) -> int:
-        """Move past the next chunk, one resource at least, and return where it ends."""
-        start = self._next
-        capacity = max_bytes
-        while self._next < len(self._keys):
-            capacity -= packed_size(self._keys[self._next], self._values[self._next])
-            if capacity < 0 and self._next > start:
+        """Advance past the next chunk of at least one resource, and return its end index."""
+        start = self._next_index
+        remaining_bytes = max_bytes
+        while self._next_index < len(self._keys):
+            remaining_bytes -= packed_size(
+                self._keys[self._next_index], self._values[self._next_index]
+            )
+            if remaining_bytes < 0 and self._next_index > start:
                 break
-            self._next += 1
-        return self._next
+            self._next_index += 1
+        return self._next_index
--- a/dockthread/control_plane/ingress.py
+++ b/dockthread/control_plane/ingress.py
@@ -1,4 +1,4 @@
-"""Applies published resources to an ingress: routes over the file's, and two addresses."""
+"""Applies published resources to an ingress: two addresses, and routes that override the file."""
 
 from __future__ import annotations
 
@@ -36,29 +36,29 @@
 
 MS_PER_SECOND: Final = 1_000.0
 SEED_BITS: Final = 64
-"""Bits of the seed of the client's random numbers."""
-NO_COUNTER: Final = "this ingress was started without a counter: it asks none"
+"""Size in bits of the random seed of the client."""
+NO_COUNTER_REASON: Final = "this ingress was started without a counter: it asks none"
 
 
 class IngressResourceApplier:
-    """Applies resources to one ingress, whose routes are `layers`.
+    """Applies resources to one ingress, whose routes are held in `layers`.
 
     Attributes:
         client: Receives the resources.
     """
 
     def __init__(self, ingress: Ingress, layers: Layers, options: ControlOptions) -> None:
-        """Apply what the cache holds.
+        """Apply the resources in the cache.
 
         Raises:
             KeyFileError: The file of the shared key cannot be read or has a wrong length.
         """
         self._ingress = ingress
         self._layers = layers
-        self._configured = ingress.config  # without what was published
-        self._addresses: dict[str, Address] = {}  # published, by name
+        self._local_config = ingress.config  # without published addresses
+        self._addresses: dict[str, Address] = {}  # published addresses by name
         self._applied: dict[ResourceKey, Resource] = {}
-        self._rejected: list[Rejection] = []  # since the last log line
+        self._unlogged_rejections: list[Rejection] = []  # rejections since the last log line
         name = ingress.config.name
         rng = random.Random(secrets.randbits(SEED_BITS))
         settings = client_settings_from_options(options, name)
@@ -66,7 +66,7 @@
         self.client = ControlPlaneClient(settings, self, ingress.clock, rng, cache)
 
     def open(self) -> None:
-        """Begin to receive."""
+        """Start receiving."""
         self.client.open()
 
     async def close(self) -> None:
@@ -74,8 +74,8 @@
         await self.client.close()
 
     def with_published_addresses(self, config: IngressConfig) -> IngressConfig:
-        """Return a configuration that was read again, with the published addresses."""
-        self._configured = config
+        """Return a reloaded configuration with the published addresses in place of its own."""
+        self._local_config = config
         return replace(
             config,
             discovery=self._addresses.get(DISCOVERY, config.discovery),
@@ -83,19 +83,20 @@
         )
 
     def on_settings_changed(self) -> None:
-        """Validate everything published against the settings that hold now.
+        """Validate all published resources against the current settings.
 
-        What became invalid is withdrawn and reported as rejected; what was rejected may be valid.
+        Resources that became invalid are withdrawn and reported as rejected. Resources that were
+        rejected are applied if they became valid.
         """
         self.client.reapply()
 
     # Methods of ResourceApplier
 
     def apply(self, changes: Sequence[Resource]) -> Sequence[Rejection]:
-        """Apply changes; of a rejected resource the last good version stays."""
+        """Apply changes; if a resource is rejected, its last good version stays applied."""
         rejections = []
         for resource in changes:
-            if reason := self._apply_or_explain(resource):
+            if reason := self._try_apply(resource):
                 rejections.append(
                     Rejection(resource.kind, resource.name, resource.revision, reason)
                 )
@@ -104,41 +105,41 @@
                 self._applied.pop(key_of(resource), None)
             else:
                 self._applied[key_of(resource)] = resource
-        self._rejected += rejections
+        self._unlogged_rejections += rejections
         return rejections
 
     def applied_resource(self, kind: str, name: str) -> Resource | None:
-        """Return what is applied under a name; None for nothing."""
+        """Return the applied version of a resource, or None if there is none."""
         return self._applied.get(ResourceKey(kind, name))
 
     def on_batch_applied(self) -> None:
-        """Log what was rejected, in one line."""
-        if not self._rejected:
+        """Log the rejections of the batch in one line."""
+        if not self._unlogged_rejections:
             return
-        first = self._rejected[0]
+        first = self._unlogged_rejections[0]
         logger.warning(
-            "control: {} rejected, the last good one stays; the first is {} {} of revision {}: {}",
-            len(self._rejected),
+            "control: {} rejected, last good versions stay applied; first: {} {} of revision {}: {}",
+            len(self._unlogged_rejections),
             first.kind,
             first.name,
             first.revision,
             first.reason,
         )
-        self._rejected = []
+        self._unlogged_rejections = []
 
     def _withdraw_if_applied(self, rejected: Resource) -> None:
-        """Withdraw a resource that is rejected at the very revision that is applied.
+        """Withdraw a resource that is rejected at the same revision that is applied.
 
-        It was valid by earlier settings and is no last good version of itself.
+        It was valid under earlier settings, so there is no last good version to keep.
         """
         key = key_of(rejected)
         applied = self._applied.get(key)
         if applied is not None and applied.revision == rejected.revision:
             del self._applied[key]
-            self._apply_or_explain(Resource(rejected.kind, rejected.name, rejected.revision, None))
+            self._try_apply(Resource(rejected.kind, rejected.name, rejected.revision, None))
 
-    def _apply_or_explain(self, resource: Resource) -> str:
-        """Apply a resource, or return why it is rejected."""
+    def _try_apply(self, resource: Resource) -> str:
+        """Apply a resource, or return why it is rejected; empty if it was applied."""
         try:
             if resource.kind == ROUTE:
                 return self._apply_route(resource)
@@ -162,16 +163,16 @@
             self._addresses.pop(resource.name, None)
         else:
             address = parse_address(resource.name, resource.body)
-            if resource.name == COUNTER and self._configured.counter is None:
-                return NO_COUNTER
+            if resource.name == COUNTER and self._local_config.counter is None:
+                return NO_COUNTER_REASON
             self._addresses[resource.name] = address
-        self._use_addresses()
+        self._update_addresses()
         return ""
 
-    def _use_addresses(self) -> None:
-        """Point the ingress to its addresses, as `Ingress.reload` does on SIGHUP."""
+    def _update_addresses(self) -> None:
+        """Switch the ingress to its current addresses, as `Ingress.reload` does on SIGHUP."""
         ingress = self._ingress
-        config = self.with_published_addresses(self._configured)
+        config = self.with_published_addresses(self._local_config)
         ingress.config = replace(ingress.config, discovery=config.discovery, counter=config.counter)
         ingress.watch.change_address(config.discovery)
         ingress.counter.change_address(config.counter)
--- a/dockthread/control_plane/resource_schemas.py
+++ b/dockthread/control_plane/resource_schemas.py
@@ -1,10 +1,10 @@
-"""The kinds of resources that an ingress knows, and how their bodies are parsed.
+"""Defines the kinds of resources that an ingress supports, and parses their bodies.
 
-* `route`: a JSON object with keys of a section `[route NAME]`. Each value is a text as the
-  operator's file has it, or a number, a boolean or a list of such.
-* `address`: a JSON object with `address`; its name is `discovery` or `counter`.
+* `route`: a JSON object with the keys of a section `[route NAME]`. Each value is a string as in the
+  operator's file, a number, a boolean, or a list of these.
+* `address`: a JSON object with the key `address`; the resource name is `discovery` or `counter`.
 
-Whether a resource fits the settings of a site is checked at the ingress alone.
+Only the ingress checks whether a resource is compatible with its settings.
 """
 
 from __future__ import annotations
@@ -21,40 +21,40 @@
 from dockthread.routes.options import RouteOptions
 
 ROUTE: Final = "route"
-"""Kind of a route."""
+"""Kind of a resource that holds a route."""
 ADDRESS: Final = "address"
-"""Kind of an address of a service that ingresses use."""
+"""Kind of a resource that holds the address of a service used by ingresses."""
 DISCOVERY: Final = "discovery"
-"""Name of discovery's address."""
+"""Name of the resource that holds the address of service discovery."""
 COUNTER: Final = "counter"
-"""Name of the quota counter's address."""
+"""Name of the resource that holds the address of the quota counter."""
 ADDRESSES: Final = (DISCOVERY, COUNTER)
-"""Names of the addresses that exist."""
+"""Names of all resources of kind `ADDRESS`."""
 MAX_ROUTE_NAME_CHARACTERS: Final = 100
-SHOWN_NAME_CHARACTERS: Final = 40
-"""Characters of a wrong name that a reason repeats."""
-SHOWN_VALUE_CHARACTERS: Final = 80
-"""Characters of a wrong value that a reason repeats."""
-_NOT_IN_ROUTE_NAMES: Final = "[]\r\n"
-"""Characters that a section's head in the operator's file cannot contain."""
+MAX_QUOTED_NAME_CHARACTERS: Final = 40
+"""Maximum number of characters of an invalid name that an error message quotes."""
+MAX_QUOTED_VALUE_CHARACTERS: Final = 80
+"""Maximum number of characters of an invalid value that an error message quotes."""
+_FORBIDDEN_IN_ROUTE_NAMES: Final = "[]\r\n"
+"""Characters that a section header in the operator's file cannot contain."""
 
 _ROUTE_FIELDS: Final = {field.encode_name: field for field in msgspec.structs.fields(RouteOptions)}
 
 
 class InvalidResourceError(DockthreadError, ValueError):
-    """A body does not have the form of its kind; the text is the reason of the rejection."""
+    """A name or body is invalid for its kind; the text is the reason of the rejection."""
 
 
 def parse_route(name: str, body: bytes) -> RouteOptions:
     """Return the route that a resource describes.
 
     Raises:
-        InvalidResourceError: It has no such form; the text says the key, what is wrong and what
-            would do.
+        InvalidResourceError: The name or body is not valid; the text gives the key, the problem and
+            a remedy.
     """
-    is_name = bool(name.strip()) and len(name) <= MAX_ROUTE_NAME_CHARACTERS
-    if not is_name or any(character in name for character in _NOT_IN_ROUTE_NAMES):
-        raise InvalidResourceError(f"{name[:SHOWN_NAME_CHARACTERS]!r} is no name of a route")
+    is_valid_name = bool(name.strip()) and len(name) <= MAX_ROUTE_NAME_CHARACTERS
+    if not is_valid_name or any(character in name for character in _FORBIDDEN_IN_ROUTE_NAMES):
+        raise InvalidResourceError(f"{name[:MAX_QUOTED_NAME_CHARACTERS]!r} is no name of a route")
     values = {}
     for key, value in _parse_object(body).items():
         if key not in _ROUTE_FIELDS:
@@ -65,11 +65,11 @@
         try:
             values[field.name] = parse_value(text, field.type)
         except (ValueError, msgspec.ValidationError) as error:
-            shown = text[:SHOWN_VALUE_CHARACTERS]
-            raise InvalidResourceError(f"{key}: {shown!r} {error}") from error
+            quoted = text[:MAX_QUOTED_VALUE_CHARACTERS]
+            raise InvalidResourceError(f"{key}: {quoted!r} {error}") from error
     route = RouteOptions(**values)
-    for found in route.problems():
-        problem = ConfigProblem("", "", found.key, found.reason, found.remedy)
+    for key_problem in route.problems():
+        problem = ConfigProblem("", "", key_problem.key, key_problem.reason, key_problem.remedy)
         raise InvalidResourceError(str(problem).removeprefix(": "))
     return route
 
@@ -78,20 +78,20 @@
     """Return the address that a resource describes.
 
     Raises:
-        InvalidResourceError: It has no such form; the text says what is wrong and what would do.
+        InvalidResourceError: The name or body is not valid; the text gives the problem and a remedy.
     """
     if name not in ADDRESSES:
-        shown = name[:SHOWN_NAME_CHARACTERS]
+        quoted = name[:MAX_QUOTED_NAME_CHARACTERS]
         raise InvalidResourceError(
-            f"{shown!r} is no address of an ingress; known: {', '.join(ADDRESSES)}"
+            f"{quoted!r} is no address of an ingress; known: {', '.join(ADDRESSES)}"
         )
     value = _parse_object(body).get("address")
-    found = host_port(value) if isinstance(value, str) else None
-    if found is None:
+    host_and_port = host_port(value) if isinstance(value, str) else None
+    if host_and_port is None:
         raise InvalidResourceError(
             f'address: {value!r} is no address; write {{"address": "HOST:PORT"}}'
         )
-    return Address(*found)
+    return Address(*host_and_port)
 
 
 def _validate_route(name: str, body: bytes) -> str:
@@ -111,21 +111,21 @@
 
 
 VALIDATORS: Final[dict[str, Validator]] = {ROUTE: _validate_route, ADDRESS: _validate_address}
-"""Validators of all kinds, for the voters."""
+"""Validators by kind, which voters apply before they propose a change."""
 
 
 def _parse_object(body: bytes) -> dict[str, object]:
     try:
-        found: Any = json.loads(body)
+        parsed: Any = json.loads(body)
     except (ValueError, RecursionError) as error:
         raise InvalidResourceError(f"is not JSON: {error}") from error
-    if not isinstance(found, dict):
+    if not isinstance(parsed, dict):
         raise InvalidResourceError('is no JSON object, such as {"attempts": 2}')
-    return found
+    return parsed
 
 
 def _ini_text(value: object) -> str:
-    """Return a value of JSON as the operator's file would have it."""
+    """Return a JSON value in the syntax of the operator's file."""
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, list):
--- a/tests/control_plane/test_client.py
+++ b/tests/control_plane/test_client.py
@@ -1,4 +1,4 @@
-"""The client that has received resources applied."""
+"""Tests the client, which applies received resources."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RecordingApplier:
-    """Rejects bodies that are `bad`."""
+    """Records applied resources, and rejects those whose body is `bad`."""
 
     def __init__(self) -> None:
         self.applied: dict[str, Resource] = {}
@@ -36,7 +36,7 @@
     def on_batch_applied(self) -> None: ...
 
 
-def test_resource_rejected_before_a_restart_is_rejected_after_it_and_the_last_good_one_stays(
+def test_resource_rejected_before_a_restart_is_rejected_again_and_its_last_good_version_applies(
     tmp_path: Path,
 ) -> None:
     good = Resource("route", "bad", 1, b"good")
--- a/tests/control_plane/test_fanout.py
+++ b/tests/control_plane/test_fanout.py
@@ -1,4 +1,4 @@
-"""The fan-out of one table to many subscribers."""
+"""Tests the fan-out of one table to many subscribers."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
 
 
 @pytest.mark.parametrize(
-    ("message", "has_snapshot", "first"),
+    ("message", "has_snapshot", "first_revision"),
     [
         (Subscribe("s"), True, 1),
         (Subscribe("s", "e0", 30), True, 1),
         (Subscribe("s", "e1", 30, make_table(30).digest), False, 31),
         (Subscribe("s", "e1", 40, b"another digest.."), True, 1),
     ],
-    ids=["holds nothing", "another epoch", "is behind", "another digest"],
+    ids=["no table", "another epoch", "older revision", "another digest"],
 )
-def test_subscriber_gets_deltas_where_it_can_resume_and_a_snapshot_elsewhere(
-    message: Subscribe, has_snapshot: bool, first: int
+def test_subscriber_gets_deltas_if_it_can_resume_and_a_snapshot_otherwise(
+    message: Subscribe, has_snapshot: bool, first_revision: int
 ) -> None:
     table = make_table(40)
     fan_out = make_fan_out(table)
     assert fan_out.subscribe(10.0, 1, message) is None
     sent = sent_updates(fan_out)
-    assert sent[0].snapshot is has_snapshot and sent[0].resources[0].revision == first
+    assert sent[0].snapshot is has_snapshot and sent[0].resources[0].revision == first_revision
     assert sent[-1].complete and sent[-1].revision == 40 and sent[-1].digest == table.digest
 
 
-def test_subscriber_ahead_of_the_table_gets_heartbeats_until_the_table_passes_it() -> None:
+def test_subscriber_ahead_of_the_table_gets_heartbeats_until_the_table_is_newer() -> None:
     table = make_table(10)
     fan_out = make_fan_out(table)
     fan_out.subscribe(10.0, 1, Subscribe("s", "e1", 12))
@@ -48,22 +48,22 @@
     assert [entry.revision for entry in sent_updates(fan_out)[0].resources] == [13]
 
 
-def test_slow_subscriber_gets_the_latest_of_each_key_and_snapshots_are_encoded_once() -> None:
+def test_slow_subscriber_gets_only_latest_versions_and_snapshots_are_encoded_once() -> None:
     table = make_table(40)
     fan_out = make_fan_out(table)
     for connection in (1, 2):
         fan_out.subscribe(10.0, connection, Subscribe(f"s{connection}"))
-        fan_out.next_frame(10.0, connection)  # the heartbeat
+        fan_out.next_frame(10.0, connection)  # skip the heartbeat
     assert fan_out.next_frame(10.0, 1) is fan_out.next_frame(10.0, 2)
     for revision in range(41, 61):
         table.put(Resource("route", "r40", revision, b"again"))
     sent = sent_updates(fan_out)
     assert [entry.revision for entry in sent[-1].resources] == [60], (
-        "19 changes between were never sent"
+        "the 19 earlier versions of r40 must not be sent"
     )
 
 
-def test_table_replaced_at_the_same_revision_is_sent_by_its_digest() -> None:
+def test_new_digest_is_sent_when_the_table_is_replaced_at_the_same_revision() -> None:
     table, repaired = make_table(10), make_table(10)
     table._remove("route\x00r4")
     fan_out = make_fan_out(table)
@@ -76,18 +76,20 @@
     assert sent_updates(fan_out) == []
 
 
-def test_snapshots_keep_to_the_budget_and_rejected_subscribers_retry_spread_out() -> None:
+def test_snapshots_stay_within_the_budget_and_refused_subscribers_retry_at_different_times() -> (
+    None
+):
     table = make_table(100)
     size = table.bytes
     fan_out = make_fan_out(
         table, FanOutLimits(chunk_bytes=400, snapshot_rate=float(size), snapshot_burst=float(size))
     )
-    answers = [fan_out.subscribe(10.0, number, Subscribe(f"s{number}")) for number in range(20)]
-    retry_times = [answer.after for answer in answers if answer is not None]
+    responses = [fan_out.subscribe(10.0, number, Subscribe(f"s{number}")) for number in range(20)]
+    retry_times = [response.after for response in responses if response is not None]
     assert (
         16 <= len(retry_times) <= 18
         and max(retry_times) > 10_000.0
-        and len({round(one, 3) for one in retry_times}) == len(retry_times)
+        and len({round(retry_time, 3) for retry_time in retry_times}) == len(retry_times)
     )
     sent = sum(
         len(codec.pack(entry))
@@ -95,12 +97,12 @@
         for entry in sent_updates(fan_out, 10.0, number)
     )
     assert sent <= size + 800
-    assert fan_out.next_timer_at() < 1_000.0, "for the part that waits"
+    assert fan_out.next_timer_at() < 1_000.0, (
+        "the timer must be due when the waiting chunk can be sent"
+    )
 
 
-def test_subscriber_beyond_the_limit_is_rejected_and_a_newer_connection_replaces_its_older() -> (
-    None
-):
+def test_subscriber_beyond_the_limit_is_refused_and_a_newer_connection_replaces_the_older() -> None:
     fan_out = make_fan_out(make_table(1), FanOutLimits(max_subscribers=1))
     assert fan_out.subscribe(0.0, 1, Subscribe("s1")) is None
     assert isinstance(fan_out.subscribe(0.0, 2, Subscribe("s2")), RetryLater)
@@ -112,10 +114,12 @@
     assert fan_out.connections() == [3]
     with pytest.raises(UnexpectedMessageError):
         fan_out.subscribe(1.0, 3, Subscribe("s1"))
-    assert [entry.connection for entry in fan_out.on_timer(20_000.0)] == [3], "silent"
+    assert [entry.connection for entry in fan_out.on_timer(20_000.0)] == [3], (
+        "the silent connection must be closed"
+    )
 
 
-def test_status_shows_lag_and_rejections_also_after_the_subscriber_left() -> None:
+def test_status_shows_lag_and_rejections_after_the_subscriber_disconnects() -> None:
     table = make_table(3)
     fan_out = make_fan_out(table)
     fan_out.subscribe(0.0, 1, Subscribe("s1", region="east", zone="e2"))
