--- a/dockthread/policy/admission.py
+++ b/dockthread/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: whether a request is admitted, by quota, cap, queueing delay and ceiling."""
+"""Admission control by quota, cap on attempts in flight, queueing delay and ceiling."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from dockthread.policy.rejection import RejectionReason, reject
 from dockthread.policy.route_constraints import RouteConstraints
 
-# Factors of the bound on the expected wait: for requests of the least priority, and of the
-# highest.
+# The bound on the expected wait is the tightest latency objective times a factor between these
+# two: the first for requests of the lowest priority, the second for those of the highest.
 LOW_PRIORITY_FACTOR = 0.6
 HIGH_PRIORITY_FACTOR = 2.0
-# Weight of one more request's priority in the usual priority.
+# Weight of one more request's priority in the smoothed mean priority.
 PRIORITY_SMOOTHING = 0.01
 
 
 class AdmissionController:
-    """Admits or rejects requests, or has them wait for the counter or their route's limit.
+    """Admits requests, rejects them, or queues them for the counter or their route's limit.
 
     Attributes:
-        probability: computes with which probability a quota lets a request pass.
+        probability: computes the probability with which a quota admits a request.
     """
 
     __slots__ = (
@@ -69,7 +69,7 @@
         self._usual_priority = sum(weights) / len(weights)
 
     def on_request_arrived(self, event: RequestArrived) -> None:
-        """Decide on a request, or have it wait for the counter."""
+        """Decide on a new request, or let it wait for the counter's reply."""
         settings = self._context.settings
         deadline = self._context.now + event.remaining_time
         pending = PendingRequest(event, settings.classes[event.request_class], deadline)
@@ -90,13 +90,13 @@
         request = pending.event.request
         self._requests.by_number[request] = pending
         customer.waiting_requests.append(request)
-        # The counter's reply may not come.
+        # The counter's reply may never arrive.
         self._attempts.close_before_deadline(request, pending)
         if customer.counter_call is None:
             self._counter.send(pending.event.customer, customer)
 
     def on_counter_replied(self, event: CounterReplied) -> None:
-        """Take over the counter's reply, and decide the requests that waited for it."""
+        """Apply the counter's reply, and decide on the requests that waited for it."""
         update = self._counter.on_reply(event)
         if update is None:
             return
@@ -107,7 +107,7 @@
         self._counter.after_decisions(update)
 
     def decide_waiting(self, request: int) -> None:
-        """Decide on a request that is inside its route's concurrency limit now."""
+        """Decide on a request that was queued and is now within its route's concurrency limit."""
         pending = self._requests.by_number.get(request)
         if pending is not None:
             event = pending.event
@@ -116,7 +116,7 @@
     def decide(self, pending: PendingRequest, customer: Customer) -> None:
         """Admit a request and send its first attempt, or reject it.
 
-        One beyond its route's concurrency limit waits and is decided later.
+        A request beyond its route's concurrency limit is queued and decided later.
         """
         if not self._routes.enter(pending):
             return
@@ -136,7 +136,7 @@
     def _rejection_reason(
         self, pending: PendingRequest, customer: Customer
     ) -> RejectionReason | None:
-        """Return why a request is rejected; charge the customer and return None if it is not."""
+        """Return why a request is rejected; if it is admitted, charge its units and return None."""
         event, request_class = pending.event, pending.request_class
         plan = self._context.settings.plans[event.plan]
         sketch = self._customers.sketches[event.plan]
@@ -161,9 +161,9 @@
         return None
 
     def _is_at_cap(self, customer: Customer) -> bool:
-        """Return whether the cap on attempts in flight is reached.
+        """Return whether the customer's cap on attempts in flight is reached.
 
-        It counts those here, and those that peers reported not long ago.
+        The attempts of this ingress count, and those that peers reported recently.
         """
         cap = self._context.settings.plans[customer.plan_number].max_in_flight
         if cap <= 0:
@@ -175,8 +175,8 @@
     def _is_pressed(self, request_class: RequestClass, plan: Plan) -> bool:
         """Return whether the expected wait is too long for a request of this priority.
 
-        It would be answered too late, or be in the way of requests of a higher priority. This
-        guards against queues of any cause.
+        Such a request would be answered too late, or would delay requests of a higher priority.
+        This protects against queues whatever their cause.
         """
         priority = request_class.priority_weight * plan.priority_multiplier
         self._usual_priority += PRIORITY_SMOOTHING * (priority - self._usual_priority)
@@ -189,9 +189,10 @@
         return self._delay.expected_delay() > PRESSED_FRACTION * longest
 
     def _is_below_ceiling(self, units: float, customer: Customer, plan: Plan) -> bool:
-        """Return whether the plan's ceiling lets a request pass, and take its units (rule 5).
+        """Return whether the plan's ceiling admits a request; if so, take its units (rule 5).
 
-        It is an exact token bucket with an even part of the ceiling, empty after a start.
+        The ceiling is an exact token bucket. Each ingress that serves the customer has an equal
+        part of it, which is empty when the ingress starts.
         """
         now = self._context.now
         elapsed = now - customer.ceiling_updated_at
--- a/dockthread/policy/admission_probability.py
+++ b/dockthread/policy/admission_probability.py
@@ -1,9 +1,9 @@
 """The probability with which a request of a customer is admitted (rakelimit's algorithm).
 
 rakelimit (Cloudflare's rate limiter on count-min sketches) admits each request with the probability
-`quota / arrival rate`, so that what passes in sum is the quota. Here each ingress applies its share
-of the quota to its own arrivals, and leans the probability on the customer's token bucket where it
-knows what the other ingresses use.
+`quota / arrival rate`, so that the admitted requests add up to the quota. Here each ingress applies
+its share of the quota to its own arrivals. When it knows the usage of the other ingresses, it also
+adjusts the probability by the level of the customer's token bucket.
 """
 
 from __future__ import annotations
@@ -15,21 +15,22 @@
 from dockthread.policy.rate_sketch import RateSketch
 from dockthread.policy.usual_latency import UsualLatencies
 
-# Reserve in the token bucket as a fraction of the burst: for the class of highest priority, and
-# what is added for a class of priority 0.
+# Reserve in the token bucket, as a fraction of the burst, for the class of the highest priority,
+# and the additional reserve for a class of priority 0.
 RESERVE = 0.15
 LOW_PRIORITY_RESERVE = 0.35
-# The same where gossip tells what the others admit.
+# The same two reserves when gossip reports what the other ingresses admit.
 GOSSIP_RESERVE = 0.05
 GOSSIP_LOW_PRIORITY_RESERVE = 0.2
-# Fraction of a cap on attempts in flight that is used on average: chance alone fills the rest.
+# Average fraction of a cap on attempts in flight that may be used: random variation fills the
+# remainder at times.
 CAP_USE = 0.5
-# Periods of the usage report for which it counts.
+# Usage report periods after which a usage report is no longer used.
 USAGE_REPORT_PERIODS = 2.5
 
 
 class AdmissionProbability:
-    """Computes admission probabilities.
+    """Computes the probability with which each request is admitted.
 
     Attributes:
         highest_priority_weight: the largest priority weight of all classes.
@@ -45,7 +46,7 @@
         self.apply_classes(context.settings.classes)
 
     def apply_classes(self, classes: tuple[RequestClass, ...]) -> None:
-        """Derive the highest priority weight from the classes in force."""
+        """Derive the highest priority weight from the current classes."""
         self.highest_priority_weight = max(
             request_class.priority_weight for request_class in classes
         )
@@ -60,16 +61,17 @@
     ) -> float:
         """Return the probability with which a request of `units` is admitted.
 
-        This ingress's share of the quota is by its part of the arrivals, where the others tell of
-        theirs; else by its part of what is admitted, as the counter or else the usage report tells;
-        and never less than an even split, which is all where nobody tells. Where the others' use
-        is known, the token bucket decides too.
+        This ingress's share of the quota is proportional to its share of the arrivals if the other
+        ingresses report theirs by gossip. Otherwise it is proportional to its share of the admitted
+        units, according to the counter or, failing that, the usage report. The share is never less
+        than an even split, which applies when there is no information. When the usage of the other
+        ingresses is known, the probability also depends on the token bucket.
         """
         knows_peers = self._gossip.knows_peers_use(customer)
         may_use_counter = self._context.settings.may_use_counter
         if knows_peers or (not may_use_counter and self._gossip.has_recent_message()):
             return self._by_gossip(units, priority_weight, customer, plan, sketch, knows_peers)
-        # One attempt at each ingress of the set is beyond the cap.
+        # One attempt at each ingress that serves the customer would already exceed the cap.
         is_crowded = 0 < plan.max_in_flight < customer.spread and not plan.rate
         least_share = 0.0 if is_crowded else units / sketch.window
         share = max(self._limit_rate(plan) / customer.spread, least_share)
@@ -77,7 +79,7 @@
             return min(1.0, share / customer.arrival_rate)
         return self._by_counter(units, priority_weight, customer, plan, sketch, share)
 
-    def _by_gossip(  # noqa: PLR0913  a record of them would cost an allocation a request
+    def _by_gossip(  # noqa: PLR0913  a parameter object would cost an allocation per request
         self,
         units: float,
         priority_weight: float,
@@ -86,9 +88,9 @@
         sketch: RateSketch,
         knows_peers: bool,
     ) -> float:
-        """Return the probability by the arrivals that the others tell of."""
+        """Return the probability based on the arrivals that the other ingresses report."""
         if not plan.rate and knows_peers:
-            return 1.0  # there is only a cap on attempts in flight, and peers report those
+            return 1.0  # only the cap on attempts in flight applies, and peers report theirs
         rate = self._limit_rate(plan)
         gap = self._context.now - customer.gossip_at
         peer_rate = sketch.decayed_rate(customer.peer_arrival_rate, 0.0, gap)
@@ -98,7 +100,7 @@
         taken = customer.peer_admission_rate * min(gap, self._gossip.full_round_time)
         return self._leaned(units, priority_weight, customer, probability, taken, knows_peers)
 
-    def _by_counter(  # noqa: PLR0913  a record of them would cost an allocation a request
+    def _by_counter(  # noqa: PLR0913  a parameter object would cost an allocation per request
         self,
         units: float,
         priority_weight: float,
@@ -107,7 +109,7 @@
         sketch: RateSketch,
         share: float,
     ) -> float:
-        """Return the probability by what the counter or the usage report tells."""
+        """Return the probability based on the counter or the usage report."""
         now = self._context.now
         gap = now - customer.counter_at
         is_counter_fresh = gap <= sketch.window
@@ -128,7 +130,7 @@
         age = self._context.now - customer.reported_usage_at
         return age < USAGE_REPORT_PERIODS * self._context.settings.usage_report_period
 
-    def _leaned(  # noqa: PLR0913  a record of them would cost an allocation a request
+    def _leaned(  # noqa: PLR0913  a parameter object would cost an allocation per request
         self,
         units: float,
         priority_weight: float,
@@ -137,11 +139,20 @@
         taken: float,
         knows_peers: bool,
     ) -> float:
-        """Lean a probability on the level of the customer's token bucket.
-
-        It holds at a reserve in the bucket, rises to 1 above it, as what the bucket holds is inside
-        the quota, and falls to 0 below it. Classes of less priority leave more to the others.
-        `taken` is what the others will have taken since they were heard of, in units.
+        """Adjust a probability by the level of the customer's token bucket.
+
+        The probability is unchanged when the level equals a reserve. Above the reserve it rises to
+        1, because the units in the bucket are within the quota, and below it falls to 0. The
+        reserve is larger for classes of lower priority, which leaves units for the other classes.
+
+        Args:
+            units: units of the request.
+            priority_weight: priority weight of the request's class.
+            customer: the request's customer.
+            probability: the probability to adjust.
+            taken: units that the other ingresses are expected to have taken since their last
+                report.
+            knows_peers: whether the usage of all other ingresses is known by gossip.
         """
         plan = self._context.settings.plans[customer.plan_number]
         if not plan.rate:
@@ -159,7 +170,7 @@
     def _limit_rate(self, plan: Plan) -> float:
         """Return the plan's limit in units per second.
 
-        It is the quota, or by Little's law what a cap on attempts in flight lets pass in the usual
-        response time.
+        It is the quota. For a plan that only caps attempts in flight it is, by Little's law, the
+        rate that the cap allows at the usual response time.
         """
         return plan.rate or CAP_USE * plan.max_in_flight / self._latencies.mean()
--- a/dockthread/policy/attempt_outcomes.py
+++ b/dockthread/policy/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""What an ended attempt tells of its backend, its customer and the queueing delay."""
+"""Updates the state of backends and the queueing delay when an attempt has ended."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 # Weight of one more success or failure in a backend's failure fraction.
 FAILURE_WEIGHT = 0.25
-# Seconds for which a backend without capacity is not sent requests of the plan: the first time,
-# and at most, as the time doubles with each rejection in a row.
+# Seconds for which a backend without capacity is not sent requests of the plan. The time doubles
+# with each rejection in a row, from the first value up to the second.
 FIRST_CAPACITY_BACKOFF = 0.2
 LONGEST_CAPACITY_BACKOFF = 3.0
-# The least mean success of ready backends that one backend is compared with.
+# Lower bound on the mean success fraction of ready backends, with which one backend is compared.
 LEAST_MEAN_SUCCESS = 0.05
-# Outcomes that come from a live backend.
+# Outcomes that prove that the backend is alive.
 RESPONDED = (Outcome.OK, Outcome.ERROR, Outcome.AT_CAPACITY)
-# Outcomes that count as the backend's failure.
+# Outcomes that count as a failure of the backend.
 FAILURES = (Outcome.ERROR, Outcome.UNREACHABLE, Outcome.RESET)
 
 
@@ -61,13 +61,13 @@
         self._slow_start = slow_start
         settings = context.settings
         self.load_reports = LoadReportReader(settings.load_report_fields)
-        # More ingresses see fewer responses of a backend each, so one failure tells them more.
+        # With more ingresses, each sees fewer responses of a backend, so one failure weighs more.
         self._failure_weight = 1 - (1 - FAILURE_WEIGHT) ** sample_scarcity(settings.ingress_count)
 
     def record_load_report(self, event: AttemptEnded, backend: Backend) -> None:
-        """Take over the load report that came with a response.
+        """Record the load report that came with a response.
 
-        Every response repeats the backend's last report; only another one is news.
+        Every response repeats the backend's last report, so only a changed report is recorded.
         """
         report = event.load_report
         if report and report != backend.report:
@@ -77,7 +77,7 @@
             backend.record_report(report, remote_requests, self._context.now)
 
     def record_outcome(self, event: AttemptEnded, backend: Backend, customer: Customer) -> None:
-        """Learn from an outcome about the backend and the queueing delay."""
+        """Update the backend and the queueing delay with the outcome of an attempt."""
         outcome = event.outcome
         if outcome in RESPONDED:
             backend.last_response_at = self._context.now
@@ -95,7 +95,7 @@
         attempt: Attempt,
         backend: Backend,
     ) -> None:
-        """Learn from a response's time about its class and the backend's relative latency."""
+        """Update the class's usual latency and the backend's relative latency with a response."""
         request_class = pending.event.request_class
         usual, _ = self._latencies.by_class[request_class]
         relative_latency = event.duration / usual / attempt.concurrency
@@ -103,7 +103,7 @@
         self._latencies.record(request_class, event.duration)
 
     def record_silence(self, backend: Backend) -> None:
-        """Count a response that is missing for very long as two failures."""
+        """Count a response that has been missing for very long as two failures."""
         backend.failure_fraction += 2 * FAILURE_WEIGHT * (1 - backend.failure_fraction)
 
     def _record_success(self, event: AttemptEnded, backend: Backend) -> None:
@@ -115,7 +115,7 @@
         self._delay.record_response(event.duration, self._relevance(backend))
 
     def _record_at_capacity(self, backend: Backend, customer: Customer) -> None:
-        """Skip the backend for a while, for the customer's plan: others may find capacity."""
+        """Skip the backend for a while for requests of the customer's plan only."""
         self._delay.record_at_capacity(self._relevance(backend))
         backoff = min(2 * backend.capacity_backoff, LONGEST_CAPACITY_BACKOFF)
         backend.capacity_backoff = max(FIRST_CAPACITY_BACKOFF, backoff)
@@ -123,9 +123,9 @@
         backend.mark_at_capacity(customer.plan_number, until)
 
     def _relevance(self, backend: Backend) -> float:
-        """Return how much a backend's response says of what the next request meets, from 0 to 1.
+        """Return how well a backend's response predicts that of the next request, from 0 to 1.
 
-        A backend that fails more than the others is hardly drawn, so its slow responses must not
+        A backend that fails more than the others is rarely drawn, so its slow responses must not
         cause rejections of requests that the others have capacity for.
         """
         mean_success = max(LEAST_MEAN_SUCCESS, self._backends.pool.success_fraction)
--- a/dockthread/policy/attempts.py
+++ b/dockthread/policy/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: when a request is sent, retried, hedged and given up."""
+"""Attempts: when a request is sent, retried, hedged and abandoned."""
 
 from __future__ import annotations
 
@@ -22,27 +22,28 @@
 from dockthread.policy.timers import TimerQueue
 from dockthread.policy.usual_latency import UsualLatencies
 
-# Failure fraction of a backend's outcomes from which its overdue attempts are hedged.
+# Overdue attempts are hedged if at least this fraction of the backend's outcomes are failures.
 SUSPECT_FAILURE_FRACTION = 0.35
-# An attempt is overdue after the usual response time and so many of its deviations.
+# An attempt is overdue after the usual response time plus this many mean deviations.
 OVERDUE_DEVIATIONS = 4.0
-# After so many its backend counts as silent: one usual response in 2,000 takes longer.
+# A backend counts as silent after the usual response time plus this many mean deviations: one
+# normal response in 2,000 takes longer.
 SILENT_DEVIATIONS = 9.0
-# Part of its time after which a request is given up that could not be sent to any backend: its
-# client can still try elsewhere in the rest.
+# Fraction of its remaining time after which a request that could not be sent to any backend is
+# rejected, so that its client has time left to try elsewhere.
 HELD_TIME_FRACTION = 0.45
-# Fraction of the latency objective: nothing is retried while recent responses take longer.
+# Nothing is retried while recent responses take longer than this fraction of the latency objective.
 NO_RETRY_LATENCY_FRACTION = 0.5
-# A hedge is at most a request's second attempt.
+# An attempt at a suspect backend is hedged only while the request has fewer attempts than this.
 MOST_HEDGED_ATTEMPTS = 2
 
 
 class AttemptManager:
-    """Sends, retries, hedges and cancels attempts, and gives the final answer without a response.
+    """Sends, retries, hedges and cancels attempts, and answers requests that got no response.
 
     Attributes:
-        awaiting_backend: requests for which there is no backend now, in the order in which they
-            became so. They are tried again when the list changes and at each maintenance.
+        awaiting_backend: requests for which no backend is available, the longest waiting first.
+            They are tried again when the endpoint list changes and in each maintenance round.
     """
 
     def __init__(  # noqa: PLR0913 - one for each part that attempts depend on
@@ -74,13 +75,13 @@
         self._gossip = gossip
         self._concurrency = ConcurrencyEstimate()
         self.awaiting_backend: dict[int, None] = {}
-        # customers of the attempts in flight, by request and number of the attempt
+        # Customer number of each attempt in flight, by request number and attempt number.
         self._customer_numbers: dict[tuple[int, int], int] = {}
 
     # Sending
 
     def send(self, request: int, pending: PendingRequest) -> bool:
-        """Send a request's next attempt; without a backend have it wait and return False."""
+        """Send a request's next attempt; if there is no backend, queue it and return False."""
         self.awaiting_backend[request] = None
         backend = self._balancer.choose(pending)
         if backend is None:
@@ -104,7 +105,7 @@
         return True
 
     def _add_attempt(self, request: int, pending: PendingRequest, backend: Backend) -> None:
-        """Add an attempt at a backend to all that counts it."""
+        """Record a new attempt in the request and in all counts of attempts in flight."""
         now = self._context.now
         event = pending.event
         concurrency = self._concurrency.relative_concurrency(backend.load(now))
@@ -115,11 +116,11 @@
         backend.take_idle_connection(self._balancer.idle_connections_since())
         self._customer_numbers[request, len(pending.attempts)] = event.customer
         pending.attempts.append(Attempt(backend.endpoint.backend, now, concurrency))
-        # The customer may have been forgotten, if the request waited for long.
+        # The customer may have been dropped if the request waited for long.
         self._customers.get(event.customer, event.plan).in_flight += 1
 
     def send_awaiting_backend(self) -> None:
-        """Try to send the requests without a backend again; give up those that waited too long."""
+        """Try again to send the requests without a backend; close those that waited too long."""
         self._backends.pool.refresh()
         for request in list(self.awaiting_backend):
             pending = self._requests.by_number[request]
@@ -129,7 +130,7 @@
                 self.close(request)
 
     def close_before_deadline(self, request: int, pending: PendingRequest) -> None:
-        """Have a request closed just before its deadline, however often that is asked for."""
+        """Set a timer that closes a request just before its deadline, unless it is already set."""
         if not pending.has_deadline_timer:
             pending.has_deadline_timer = True
             self._timers.set(self._routes.answer_deadline(pending), self.close, request)
@@ -137,13 +138,14 @@
     # Hedging
 
     def _on_overdue(self, request: int, number: int) -> None:
-        """Hedge an overdue attempt at a suspected backend; others get some more time."""
+        """Hedge an overdue attempt if its backend is suspect, and set the timer for silence."""
         pending = self._requests.awaiting_attempt(request, number)
         if pending is None:
             return
         attempt = pending.attempts[number]
         attempt.is_overdue = True
-        # Likely lost, it says nothing of a queue. At its backend it stays in flight.
+        # The attempt is probably lost, so it no longer counts for the queueing delay. It remains
+        # in flight at its backend.
         self._delay.in_flight -= 1
         usual, deviation = self._latencies.by_class[pending.event.request_class]
         silent_at = attempt.sent_at + usual + SILENT_DEVIATIONS * deviation
@@ -151,7 +153,7 @@
         self._hedge_suspected(request, pending, number)
 
     def _on_silent(self, request: int, number: int) -> None:
-        """Count a missing response against a backend that has responded to nothing since."""
+        """Count a missing response against a backend without any response since the attempt."""
         pending = self._requests.awaiting_attempt(request, number)
         if pending is None:
             return
@@ -162,7 +164,7 @@
             self._hedge_suspected(request, pending, number)
 
     def _on_hedge_delay_ended(self, request: int, number: int) -> None:
-        """Hedge an attempt after the route's own delay."""
+        """Hedge an attempt after the route's hedge delay, if it is still allowed."""
         pending = self._requests.awaiting_attempt(request, number)
         if pending is None:
             return
@@ -174,7 +176,7 @@
             self._send_hedge(request, pending)
 
     def _hedge_suspected(self, request: int, pending: PendingRequest, number: int) -> None:
-        """Hedge an attempt at a suspected backend, or cancel it where hedging is not allowed."""
+        """Hedge an attempt at a suspect backend, or cancel it if hedging is not allowed."""
         backend = self._backends.by_number[pending.attempts[number].backend]
         if (
             self._may_repeat(pending)
@@ -188,23 +190,26 @@
                 self._context.actions.append(CancelAttempt(request, number))
 
     def _send_hedge(self, request: int, pending: PendingRequest) -> None:
-        """Send a hedge; without a backend for it the request does not wait, as one is in flight."""
+        """Send a hedge if there is a backend for it.
+
+        Otherwise the request is not queued, because it has an attempt in flight.
+        """
         if not self.send(request, pending):
             del self.awaiting_backend[request]
 
     def _may_repeat(self, pending: PendingRequest) -> bool:
         """Return whether another attempt may be sent while one is in flight.
 
-        The effect is asked each time, as a reload may have changed the class.
+        The effect is looked up each time, because a reload may have changed the class.
         """
         if self._routes.effect(pending) is Effect.UNSAFE:
             return False
         return len(pending.attempts) < self._context.settings.max_attempts
 
-    # Ends
+    # Ended attempts and final answers
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """Learn from an ended attempt, then finish, retry or close its request."""
+        """Update the statistics with an ended attempt, then finish, retry or close its request."""
         number = self._customer_numbers.pop((event.request, event.attempt), None)
         if number is None:
             return
@@ -214,7 +219,7 @@
         self._release(event, number, customer)
         backend.in_flight -= 1
         if pending is None or not pending.attempts[event.attempt].is_overdue:
-            # An overdue one was taken off when it became overdue.
+            # An overdue attempt was subtracted when it became overdue.
             self._delay.in_flight -= 1
         self._outcomes.record_load_report(event, backend)
         self._outcomes.record_outcome(event, backend, customer)
@@ -232,7 +237,7 @@
             self._retry_or_close(event, pending)
 
     def _release(self, event: AttemptEnded, number: int, customer: Customer) -> None:
-        """Take an ended attempt off its customer, and take over the usage report with it."""
+        """Subtract an ended attempt from its customer's, and record the usage report it brought."""
         customer.in_flight -= 1
         if event.reported_usage is not None:
             customer.reported_usage = event.reported_usage
@@ -243,7 +248,7 @@
     def _charge_actual_units(
         self, event: AttemptEnded, pending: PendingRequest, number: int, customer: Customer
     ) -> None:
-        """Charge the units that a request really took instead of those announced."""
+        """Replace the charge for the expected units with one for the actual units."""
         if self._context.settings.settles_units and event.actual_units:
             difference = event.actual_units - pending.event.units
             customer.quota.take(difference, may_go_negative=True)
@@ -251,7 +256,7 @@
             self._gossip.report(number, customer)
 
     def _retry_or_close(self, event: AttemptEnded, pending: PendingRequest) -> None:
-        """Retry a request without an attempt in flight, or give its final answer."""
+        """Retry a request that has no attempt in flight, or give its final answer."""
         pause = self._retry_pause(event, pending)
         if pause:
             retry_at = self._context.now + pause
@@ -263,7 +268,7 @@
             self.close(event.request)
 
     def _retry_pause(self, event: AttemptEnded, pending: PendingRequest) -> float | None:
-        """Return the seconds to wait before a retry; None where there is to be none."""
+        """Return the seconds to wait before a retry; None if the request must not be retried."""
         objective = pending.request_class.latency_objective
         if self._delay.smoothed_latency > NO_RETRY_LATENCY_FRACTION * objective:
             return None
@@ -274,7 +279,7 @@
         return self._routes.retry_pause(pending, event.outcome)
 
     def _on_retry_pause_ended(self, request: int) -> None:
-        """Retry after a pause, unless a reload has forbidden meanwhile what was allowed."""
+        """Retry after a pause, unless the routes were reloaded and no longer allow the retry."""
         pending = self._requests.by_number.get(request)
         if pending is None or pending.has_attempt_in_flight():
             return
@@ -284,7 +289,7 @@
             self.close(request)
 
     def close(self, request: int) -> None:
-        """Give the final answer; it is a rejection only where a retry is harmless (rule 2)."""
+        """Give the final answer; it is a rejection only if a retry is harmless (rule 2)."""
         pending = self._requests.by_number.get(request)
         if pending is None or request in self._requests.streaming:
             return
@@ -295,7 +300,7 @@
         self.finish(request)
 
     def finish(self, request: int) -> None:
-        """Forget a request that has its final answer, or whose client is gone."""
+        """Remove a request that has its final answer, or whose client has disconnected."""
         self.awaiting_backend.pop(request, None)
         pending = self._requests.by_number.pop(request, None)
         if pending is None:
@@ -305,7 +310,7 @@
             if not attempt.is_in_flight:
                 continue
             if attempt.is_overdue:
-                # Its end will take it off again, as nothing is known of it then.
+                # The request is unknown when the attempt ends, so it will be subtracted again.
                 self._delay.in_flight += 1
             if may_cancel and request not in self._requests.streaming:
                 self._context.actions.append(CancelAttempt(request, number))
--- a/dockthread/policy/engine.py
+++ b/dockthread/policy/engine.py
@@ -1,8 +1,8 @@
 """The policy engine of one ingress: it takes events and returns actions.
 
-The engine owns its parts and routes each event to one of them. `AdmissionController` decides
-whether a request is admitted, `AttemptManager` when it is sent, retried, hedged or given up, and
-`LoadBalancer` to which backend. The engine itself runs the periodic maintenance.
+The engine owns its parts and passes each event to one of them. `AdmissionController` decides
+whether a request is admitted, `AttemptManager` when it is sent, retried, hedged or abandoned, and
+`LoadBalancer` which backend it is sent to. The engine itself runs the periodic maintenance.
 """
 
 from __future__ import annotations
@@ -44,24 +44,25 @@
 from dockthread.policy.timers import TimerQueue
 from dockthread.policy.usual_latency import UsualLatencies
 
-# Half-life in seconds of what response times say of a backend.
+# Half-life in seconds of a backend's latency samples.
 LATENCY_HALF_LIFE = 15.0
-# Half-life in seconds of failures, so that a backend that recovered is sent requests again. It is
-# longer in a larger fleet, where each ingress sees fewer responses.
+# Half-life in seconds of a backend's failures. Failures decay so that a backend that recovered is
+# sent requests again. The half-life is longer in a larger fleet, because each ingress then sees
+# fewer responses.
 FAILURE_HALF_LIFE = 5.0
-# Seconds between two rounds of forgetting backends and customers. Without it, a long day of ever
-# new ones fills the memory.
+# Seconds between two removals of expired backends and customers. Without them, memory would fill
+# up as new backends and customers keep appearing.
 EXPIRY_INTERVAL = 2.0
-# A failed poll of the endpoint list is repeated after the poll interval divided by this.
+# A failed poll of the endpoint list is retried after the poll interval divided by this.
 POLL_RETRY_DIVISOR = 10
-# The number of different incarnations; gossip has one byte for it.
+# Number of distinct incarnations; a gossip message encodes the incarnation in one byte.
 INCARNATIONS = 256
 
 
 class PolicyEngine:
-    """The decision module of one ingress, free of I/O.
+    """The decision module of one ingress, which does no I/O.
 
-    A simulation with a seeded defect overrides the class of a part (`..._class`).
+    A simulation that injects a defect overrides the class of one part (`..._class`).
 
     Attributes:
         context: settings, clock, random source and actions, shared by all parts.
@@ -70,15 +71,15 @@
         customers: the known customers.
         backends: the known backends.
         latencies: the usual response times.
-        delay: the expected wait.
-        slow_start: the weights of backends that warm up.
-        gossip: the messages from and to peers.
-        counter: the calls to the shared quota counter.
-        routes: the constraints of requests' routes.
-        balancer: the choice of backends.
-        outcomes: what ended attempts tell.
-        attempts: the attempts of admitted requests.
-        admission: the admission of requests.
+        delay: estimates how long an admitted request waits at the backends.
+        slow_start: computes the weights of backends that are warming up.
+        gossip: sends messages to peers and receives theirs.
+        counter: calls the shared quota counter.
+        routes: applies the constraints of requests' routes.
+        balancer: chooses the backend of each attempt.
+        outcomes: learns from ended attempts.
+        attempts: sends the attempts of admitted requests.
+        admission: admits or rejects requests.
     """
 
     attempts_class: type[AttemptManager] = AttemptManager
@@ -90,12 +91,13 @@
         """Create an engine that knows no backend.
 
         Args:
-            settings: all that it knows before its first event.
-            seed: of its random source; the same seed and events give the same actions.
+            settings: everything that the engine is told before its first event.
+            seed: seed of the random source; the same seed and events give the same actions.
             now: the current time in seconds on the engine's clock.
         """
         self.context = Context(settings, seed, now)
-        # It is drawn before the sketches draw, as a seed's decisions depend on the order.
+        # The order of draws affects the decisions for a given seed: the incarnation is drawn
+        # before the sketches draw their hash functions.
         incarnation = self.context.rng.randrange(INCARNATIONS)
         self._build_state(settings)
         self._build_protocols(incarnation)
@@ -106,7 +108,7 @@
         self._handlers = self._event_handlers()
 
     def _build_state(self, settings: PolicySettings) -> None:
-        """Create the parts that hold what is known."""
+        """Create the parts that hold the engine's state."""
         context = self.context
         self.timers = TimerQueue(context)
         self.requests = PendingRequests()
@@ -119,7 +121,7 @@
         self.backends = BackendRegistry(context, pool)
 
     def _build_protocols(self, incarnation: int) -> None:
-        """Create the parts that learn of the other ingresses."""
+        """Create the parts that exchange usage with the other ingresses."""
         self.gossip = GossipProtocol(
             self.context, self.timers, self.customers, self.backends, incarnation
         )
@@ -181,18 +183,18 @@
 
     @property
     def actions(self) -> list[Action]:
-        """The actions of the last event, also where its handling raised an error."""
+        """The actions of the last event, even if its handling raised an error."""
         return self.context.actions
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event.
+        """Handle one event.
 
         Args:
             now: the event's time in seconds on the engine's clock, which never goes back.
-            event: what happened.
+            event: the event to handle.
 
         Returns:
-            The actions that follow from it, in the order in which to carry them out.
+            The resulting actions, in the order in which to carry them out.
         """
         context = self.context
         context.now = now
@@ -206,10 +208,10 @@
         return context.actions
 
     def apply_settings(self, settings: PolicySettings) -> None:
-        """Take over new settings, and derive again what the parts derived from the classes.
+        """Replace the settings and recompute the values that the parts derived from the classes.
 
-        The new settings have the old ones' classes in the same places, and may have more. What
-        was learnt stays, except for the usual response times.
+        The new settings contain the old classes at the same positions and may add more. Learnt
+        state is kept, except for the usual response times.
         """
         self.context.settings = settings
         self.latencies.reset(settings.classes)
@@ -217,10 +219,10 @@
         self.admission.probability.apply_classes(settings.classes)
 
     def _start(self) -> None:
-        """Begin the periodic maintenance, the watch of the endpoint list and the gossip."""
+        """Start the periodic maintenance, the watch of the endpoint list and the gossip."""
         context = self.context
         self._is_started = True
-        # The first interval is drawn, so that ingresses that start together don't keep step.
+        # A random first interval keeps ingresses that start together from running in lockstep.
         first_interval = MAINTENANCE_INTERVAL * context.rng.uniform(0.5, 1)
         self.timers.set(context.now + first_interval, self.run_maintenance)
         if context.settings.must_poll_endpoints:
@@ -229,7 +231,7 @@
             self.gossip.greet()
 
     def run_maintenance(self) -> None:
-        """Decay estimates, forget what expired, send heartbeats and try waiting requests."""
+        """Decay estimates, drop expired state, send heartbeats and retry waiting requests."""
         self.timers.set(self.context.now + MAINTENANCE_INTERVAL, self.run_maintenance)
         self.delay.decay()
         self.backends.pool.decay(
@@ -241,7 +243,7 @@
         self.attempts.send_awaiting_backend()
 
     def _expire(self) -> None:
-        """Forget delisted backends, and customers of whom a new one would be known as much."""
+        """Drop delisted backends, and customers whose state equals that of a new customer."""
         if self.context.now - self._expired_at < EXPIRY_INTERVAL:
             return
         self._expired_at = self.context.now
@@ -250,7 +252,7 @@
             self.gossip.drop_unsent()
 
     def _on_endpoints_listed(self, event: EndpointsListed) -> None:
-        """Take over the endpoint list or changes of it; poll again after a failed poll."""
+        """Apply an endpoint list or changes to it; schedule another poll after a failed one."""
         if event.kind is EndpointListKind.FAILED:
             poll_interval = self.context.settings.safety.poll_interval
             self.timers.set(
@@ -259,7 +261,7 @@
         elif event.kind is not EndpointListKind.CHANGES:
             self.backends.remove_unlisted(event.endpoints)
         for endpoint in event.endpoints:
-            self.backends.update(endpoint)  # rule 3: a removed backend gets no request from here on
+            self.backends.update(endpoint)  # rule 3: a removed backend is sent no further requests
         self.attempts.send_awaiting_backend()
 
     def _poll_endpoints(self) -> None:
--- a/dockthread/policy/queueing_delay.py
+++ b/dockthread/policy/queueing_delay.py
@@ -1,4 +1,4 @@
-"""The time that a request now admitted is expected to wait at the backends."""
+"""Estimates how long a request that is admitted now would wait at the backends."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
 MAINTENANCE_INTERVAL = 0.25
 # Completions are averaged over this many times the safety limits' `overload_time`.
 COMPLETIONS_OVERLOAD_TIMES = 4.0
-# Attempts in flight below which their number says nothing of a queue.
+# With fewer attempts in flight than this, their number does not indicate a queue.
 FEWEST_IN_FLIGHT = 5
 # Weight of one more response in the smoothed latency.
 RESPONSE_WEIGHT = 0.12
 # Weight of one more rejection for lack of capacity in the smoothed latency.
 AT_CAPACITY_WEIGHT = 0.25
-# The longest response time that counts, in tightest latency objectives: a later one tells of the
-# time when its request was sent and not of now.
+# A response time is clipped to this many tightest latency objectives: a longer one reflects the
+# load when its request was sent and not the present load.
 LONGEST_COUNTED = 1.5
-# Fraction of a latency objective: an expected wait beyond it makes requests be rejected.
+# Requests are rejected when the expected wait exceeds this fraction of the bound for their
+# priority.
 PRESSED_FRACTION = 0.25
 
 
@@ -30,9 +31,9 @@
 
     Attributes:
         tightest_objective: the shortest latency objective of all classes, in seconds.
-        smoothed_latency: the recent response time in seconds. It decays, for it tells of the
-            moment: a queue that is gone must not cause rejections.
-        in_flight: attempts in flight that are not overdue.
+        smoothed_latency: the recent response time in seconds. It decays, because a queue that has
+            cleared must not cause rejections.
+        in_flight: number of attempts in flight that are not overdue.
         completions: decayed number of responses.
     """
 
@@ -55,22 +56,23 @@
         self.completions = 0.0
 
     def apply_classes(self, classes: tuple[RequestClass, ...]) -> None:
-        """Derive the tightest objective from the classes in force."""
+        """Derive the tightest objective from the current classes."""
         self.tightest_objective = min(request_class.latency_objective for request_class in classes)
 
     @property
     def is_pressed(self) -> bool:
-        """Whether recent responses took so long that requests are rejected for it."""
+        """Whether recent responses took so long that requests are rejected."""
         return self.smoothed_latency > PRESSED_FRACTION * self.tightest_objective
 
     def expected_delay(self) -> float:
         """Return the expected wait in seconds.
 
-        It is the larger of two figures. By Little's law, the attempts in flight, less what chance
-        could have put there, over the rate of completions: it sees a queue build up. And the
-        smoothed latency: it sees work that was given up here and still waits at the backends.
+        It is the larger of two estimates. The first, by Little's law, divides the attempts in
+        flight, less those that random variation explains, by the rate of completions; it detects a
+        queue that builds up. The second is the smoothed latency; it detects work that was abandoned
+        here and still waits at the backends.
         """
-        # The first responses after a start come so much later than their requests.
+        # After a start, the first responses arrive this much later than the first requests.
         lag = self._latencies.mean()
         period = min(self._averaging_time(), self._context.now - self._context.started_at - lag)
         in_flight = self.in_flight
@@ -85,18 +87,18 @@
         self.completions += 1
 
     def record_response(self, duration: float, relevance: float) -> None:
-        """Learn from a response that took `duration` seconds; `relevance` is from 0 to 1."""
+        """Count a response of `duration` seconds with a weight of `relevance`, from 0 to 1."""
         weight = RESPONSE_WEIGHT * relevance
         counted = min(duration, LONGEST_COUNTED * self.tightest_objective)
         self.smoothed_latency += weight * (counted - self.smoothed_latency)
 
     def record_at_capacity(self, relevance: float) -> None:
-        """Learn from a backend without capacity: many of them are a queue without responses."""
+        """Count a rejection for lack of capacity: many of them show a queue without responses."""
         weight = AT_CAPACITY_WEIGHT * relevance
         self.smoothed_latency += weight * (self.tightest_objective - self.smoothed_latency)
 
     def decay(self) -> None:
-        """Decay what is known by one round of periodic maintenance."""
+        """Decay the estimates by one round of periodic maintenance."""
         self.completions *= 1 - MAINTENANCE_INTERVAL / self._averaging_time()
         self.smoothed_latency *= 0.5 ** (MAINTENANCE_INTERVAL / self.tightest_objective)
 
--- a/dockthread/policy/quota_counter_sync.py
+++ b/dockthread/policy/quota_counter_sync.py
@@ -1,9 +1,10 @@
-"""Calls to the shared counter, which tells what all ingresses admit of a customer.
+"""Calls to the shared counter, which totals the units that all ingresses admit of a customer.
 
-Theory of operation. The counter keeps one number for each customer and epoch: the units used since
-the epoch's start, and those that ran over the full token bucket. The epoch's filling, less the
-number, is the level of the customer's one token bucket, whoever reads it. What the number lacks of
-these units is a correction, which is added with the next units or by a call of its own.
+Theory of operation. The counter keeps one total for each customer and epoch: the units used since
+the epoch started, plus the units that overflowed the full token bucket. The refill since the epoch
+started, minus the total, gives the level of the customer's token bucket, and every ingress that
+reads the total computes the same level. If the total does not include all of these units, the
+difference is a correction, which is added together with the next units or by a separate call.
 """
 
 from __future__ import annotations
@@ -19,37 +20,37 @@
 from dockthread.policy.model import NEVER_RAN, Outcome
 from dockthread.policy.rate_sketch import RateSketch
 
-# Seconds for which a customer's number on the counter counts; and for which the counter keeps it.
+# Length of an epoch in seconds, and seconds for which the counter keeps the total of an epoch.
 EPOCH = 40.0
 NUMBER_LIFETIME = 60.0
-# A counter's number is named by the customer, in the upper bits, and the epoch.
+# The name of a total has the customer's number in the upper bits and the epoch in the lower ones.
 EPOCH_BITS = 24
 EPOCH_MASK = 0xFFFFFF
 # Decimal places of the units that are added.
 UNIT_DECIMALS = 3
-# Fraction of the burst that has to be left, so that a request is admitted without asking.
+# A request is admitted without a call if this fraction of the burst is left in the token bucket.
 ENOUGH_LEFT = 0.5
-# Fraction of the burst: a smaller correction waits for the next units.
+# A correction smaller than this fraction of the burst waits for the next units.
 SMALL_CORRECTION = 0.5
-# The same directly after a call that took a correction along, which another ingress may have made
-# in the same moment.
+# The same fraction after a call that already carried a correction: another ingress may have made
+# the same correction at the same time.
 SMALL_REPEATED_CORRECTION = 0.1
-# Failed calls in a row that open the circuit, and the seconds for which it stays open.
+# Failed calls in a row that open the circuit breaker, and the seconds for which it stays open.
 FAILURES_TO_OPEN = 3
 CIRCUIT_OPEN_TIME = 0.3
-# An error of the counter counts as this part of a failed call, for it is a sign of life.
+# Weight of an error reply as a failed call; it is below 1 because it shows that the counter runs.
 ERROR_FAILURE_WEIGHT = 0.25
 
 
 class CounterUpdate(NamedTuple):
-    """What is left to do after a reply was taken over.
+    """An answered call to the counter and the requests that waited for it.
 
     Attributes:
         number: the customer's number.
         customer: the customer.
         call: the call that was answered.
-        outcome: how it ended.
-        waiting: the requests that waited for it and are to be decided now.
+        outcome: how the call ended.
+        waiting: the requests that waited for the call and must be decided now.
     """
 
     number: int
@@ -60,12 +61,13 @@
 
 
 class QuotaCounterSync:
-    """Keeps customers' token buckets in step with the shared counter.
+    """Synchronizes customers' token buckets with the shared counter.
 
     Attributes:
-        failures: calls that failed in a row; an error counts as a part of one.
-        circuit_open_until: until when no call is made after failures, in seconds. Meanwhile this
-            ingress shares each quota as if it knew nothing of the others.
+        failures: number of failed calls in a row; an error reply counts as a fraction of one.
+        circuit_open_until: end of the period after failures in which no call is made, in seconds.
+            During it this ingress shares each quota as if it knew nothing about the other
+            ingresses.
     """
 
     __slots__ = ("_context", "_customers", "_gossip", "circuit_open_until", "failures")
@@ -80,10 +82,10 @@
         self.circuit_open_until = NEVER
 
     def must_wait(self, event: RequestArrived, customer: Customer, sketch: RateSketch) -> bool:
-        """Return whether a request has to wait for the counter, as the others' use decides on it.
+        """Return whether a request must wait until the counter reports the others' usage.
 
-        It need not within an even split of the quota, nor while the token bucket holds much, nor
-        where the bucket is too empty for the request whatever the others used.
+        It need not wait if the arrival rate is within an even split of the quota, if the token
+        bucket is full enough, or if the bucket is too empty for the request in any case.
         """
         context = self._context
         if context.now < self.circuit_open_until or not self._is_needed(customer):
@@ -94,7 +96,7 @@
         if left < 0 or age <= context.settings.clock_tick:
             return False
         enough = ENOUGH_LEFT * plan.burst
-        # where each ingress admits one request without asking, all is gone
+        # If each ingress admitted one request without a call, the burst would be used up.
         is_crowded = customer.spread * event.units > 2 * plan.burst
         even_rate = max(plan.rate / customer.spread, event.units / sketch.window)
         if not is_crowded and customer.arrival_rate <= even_rate:
@@ -102,7 +104,7 @@
         return is_crowded or age > sketch.window or left - customer.remote_rate * age < enough
 
     def record_admission(self, event: RequestArrived, customer: Customer) -> None:
-        """Count admitted units, and add them to the counter where it is needed."""
+        """Record admitted units, and add them to the counter if it is needed."""
         sketch = self._customers.sketches[event.plan]
         if not self._is_needed(customer) or sketch is None:
             return
@@ -116,7 +118,7 @@
             self.send(event.customer, customer)
 
     def send(self, number: int, customer: Customer) -> None:
-        """Call the counter with the units and the correction that it does not hold yet."""
+        """Add the units and the correction that the counter does not include yet."""
         context = self._context
         clock = context.now + context.settings.clock_offset
         customer.counter_call = CounterCall(
@@ -130,11 +132,11 @@
         customer.counter_correction = 0.0
 
     def on_reply(self, event: CounterReplied) -> CounterUpdate | None:
-        """Take over the counter's reply.
+        """Apply the counter's reply.
 
         Returns:
-            What is left to do, after which `after_decisions` has to be called; None where nothing
-            is, as the customer is forgotten or the call is repeated.
+            The answered call with the requests to decide, after which the caller must call
+            `after_decisions`; None if the customer is no longer known or the call is repeated.
         """
         number = event.name >> EPOCH_BITS
         customer = self._customers.by_number.get(number)
@@ -152,7 +154,7 @@
         return CounterUpdate(number, customer, call, event.outcome, waiting)
 
     def after_decisions(self, update: CounterUpdate) -> None:
-        """Call the counter again for what is left, once the waiting requests are decided."""
+        """Send remaining units and corrections, once the waiting requests are decided."""
         customer, call = update.customer, update.call
         if (
             update.outcome is Outcome.OK
@@ -160,14 +162,14 @@
             and (customer.uncounted_units or self._has_large_correction(customer, call))
         ):
             self.send(update.number, customer)
-        # They hold for this moment only.
+        # Both are valid only at the time of the reply.
         customer.pending_correction = 0.0
         customer.counter_correction = 0.0
 
     def _is_needed(self, customer: Customer) -> bool:
-        """Return whether the counter has to tell what the others admit.
+        """Return whether the counter is needed to learn what the other ingresses admit.
 
-        It has for a quota, where the others' messages don't tell it.
+        It is needed for a plan with a quota, unless gossip reports what they admit.
         """
         return (
             self._context.settings.may_use_counter
@@ -176,7 +178,7 @@
         )
 
     def _take_over_total(self, total: float, call: CounterCall, customer: Customer) -> None:
-        """Set the customer's token bucket by the counter's number after a call."""
+        """Update the customer's token bucket with the counter's total after a call."""
         now = self._context.now
         plan = self._context.settings.plans[customer.plan_number]
         sketch = self._customers.sketches[customer.plan_number]
@@ -192,14 +194,15 @@
         customer.counter_correction = lacking - call.correction
         customer.counter_at = now
         self.failures = 0.0
-        # A smaller one is the others' use, and not their correction of the same.
+        # A smaller correction results from usage by other ingresses, and not from another ingress
+        # that made the same correction.
         is_own = abs(customer.counter_correction) > abs(call.correction) / 2
         customer.counter_correction *= is_own
 
     def _is_call_repeated(
         self, outcome: Outcome, call: CounterCall, number: int, customer: Customer
     ) -> bool:
-        """Note a failed call; return whether it is repeated at once for waiting requests."""
+        """Record a failed call; return whether it is repeated at once for waiting requests."""
         customer.uncounted_units += call.units * (outcome in NEVER_RAN)
         is_error = outcome in (Outcome.ERROR, Outcome.RESET)
         self.failures += ERROR_FAILURE_WEIGHT if is_error else 1
@@ -211,7 +214,7 @@
         return False
 
     def _has_large_correction(self, customer: Customer, call: CounterCall) -> bool:
-        """Return whether the correction after a call is worth a call of its own."""
+        """Return whether the correction after a call is large enough for a separate call."""
         plan = self._context.settings.plans[customer.plan_number]
         correction = customer.counter_correction
         least = SMALL_REPEATED_CORRECTION if call.correction else SMALL_CORRECTION
