--- a/dockthread/policy/__init__.py
+++ b/dockthread/policy/__init__.py
@@ -1,7 +1,8 @@
-"""The decision module of one ingress, free of I/O: events in, actions out.
+"""The decision module of one ingress: it turns events into actions and does no I/O.
 
-`PolicyEngine.handle` takes one event of `events` and returns the actions of `actions` that its host
-has to carry out, in their order. `model` holds the settings, enums and endpoints that both name.
+`PolicyEngine.handle` takes one of the events in `events` and returns actions, defined in `actions`,
+that its host must carry out in order. `model` defines the settings, enums and endpoints that events
+and actions refer to.
 """
 
 from dockthread.policy.actions import (
--- a/dockthread/policy/actions.py
+++ b/dockthread/policy/actions.py
@@ -1,7 +1,7 @@
-"""Actions: what the policy engine asks its host to carry out; times are in seconds.
+"""The actions that the policy engine asks its host to carry out; times are in seconds.
 
-Requests and backends are named by number. A request's attempts are numbered from 0 in the order
-sent.
+Requests and backends are identified by number. The attempts of a request are numbered from 0 in the
+order in which they are sent.
 """
 
 from __future__ import annotations
@@ -14,13 +14,14 @@
 class SendAttempt:
     """Send a request's next attempt.
 
-    An attempt whose first byte has not been sent by `start_deadline`, as its connection comes up
-    late, is not to be sent: it would repeat what may have run outside the deduplication window.
+    If the connection is established so late that the first byte cannot be sent by `start_deadline`,
+    the attempt must not be sent: it might repeat, after the deduplication window, a request that
+    has already run.
 
     Attributes:
         request: the request's number.
         backend: the backend to send it to.
-        timeout: s that the attempt may take.
+        timeout: longest time that the attempt may take, s.
         start_deadline: the latest time at which it may start, s on the engine's clock.
     """
 
@@ -36,9 +37,9 @@
 
     Attributes:
         request: the request's number.
-        retry_after: s after which a retry is advised; 0 for no advice.
-        reason: what rejected the request at its arrival (`quota`, `cap`, `pressed`, `ceiling`), or
-            empty.
+        retry_after: time after which a retry is advised, s; 0 for no advice.
+        reason: the check that rejected the request at its arrival (`quota`, `cap`, `pressed`,
+            `ceiling`), or empty.
     """
 
     request: int
@@ -72,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Notify the engine by `TimerFired` at a time.
+    """Notify the engine with a `TimerFired` event at a given time.
 
     Attributes:
         at: the time, s on the engine's clock.
@@ -99,7 +100,7 @@
     """Send a gossip message to a peer.
 
     Attributes:
-        data: the message, of 256 bytes at the most.
+        data: the message, of at most 256 bytes.
         peer: the number of the ingress to send it to; None for every peer.
     """
 
@@ -109,14 +110,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
-    """Add to a total of the shared counter; each call is answered by one `CounterReplied`.
+    """Add to a total of the shared counter; each call results in one `CounterReplied` event.
 
     A total starts at 0 with the first call for its name.
 
     Attributes:
         name: the name of the total.
         amount: units to add; may be 0 to read the total, and below 0 to correct it.
-        lifetime: s after the first call at which the counter drops the total.
+        lifetime: time after the first call at which the counter drops the total, s.
     """
 
     name: int
@@ -126,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PollEndpoints:
-    """Ask discovery for the endpoint list and its changes."""
+    """Request the endpoint list and its changes from discovery."""
 
 
 Action = (
--- a/dockthread/policy/backend.py
+++ b/dockthread/policy/backend.py
@@ -1,4 +1,4 @@
-"""What an ingress knows of one listed backend."""
+"""The state that an ingress keeps for one listed backend."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from dockthread.policy.latency_estimates import DecayRounds, KindEstimates, RelativeLatency
 from dockthread.policy.model import Endpoint
 
-# Bytes of one value of a load report, which is kept packed.
+# Bytes of one value in a packed load report.
 DOUBLE_SIZE = 8
-# Half-life in seconds of what a load report says beyond the smoothed mean of the reports.
+# Half-life in seconds of the difference between a load report and the smoothed mean of reports.
 REPORT_HALF_LIFE = 0.4
 # Half-life in seconds of the smoothed mean of the reports.
 REPORT_MEAN_HALF_LIFE = 8.0
-# Shared by all backends that never rejected an attempt for lack of capacity. It is never written
-# to: most backends have none of their own, which saves memory in a long list.
+# Empty dictionary shared by all backends that never rejected an attempt for lack of capacity, which
+# saves memory in a long list. It must never be modified.
 NEVER_AT_CAPACITY: dict[int, float] = {}
 
 
 class OwningPool(Protocol):
-    """What a backend needs of the pool that it is drawn from."""
+    """The part of a pool that the backends in it use."""
 
     decay_rounds: DecayRounds
     failing: dict[int, Backend]
@@ -32,25 +32,29 @@
 class Backend:
     """One listed backend.
 
-    There may be tens of thousands, so what most of them never need is created on first use.
+    There may be tens of thousands of backends, so objects that most of them never need are created
+    on first use.
 
     Attributes:
         kind: the statistics of the backend's kind.
         pool: the pool that the backend is drawn from.
-        slot: the backend's position in the pool; -1 once it is forgotten.
-        endpoint: the backend as it is listed.
-        is_ready: whether the list lets attempts be sent there.
-        in_flight: attempts of this ingress in flight there, overdue ones included.
-        removed_at: since when the backend is not listed, in seconds; infinite while it is.
-        last_response_at: when a response last proved it alive, in seconds.
-        capacity_backoff: seconds for which its last rejection for lack of capacity counts.
-        at_capacity_until: by plan, until when it counts as being at capacity, in seconds.
-        idle_connections: connections that stood idle after its last responses.
-        last_idle_at: when a connection last became idle, in seconds.
-        report_at: when the last load report arrived, in seconds.
-        remote_requests: requests of other ingresses there, by the last load report.
-        smoothed_remote_requests: the smoothed mean of these.
-        is_new_process: whether it started not long ago and has sent no load report since.
+        slot: the backend's position in the pool; -1 after it was removed from the pool.
+        endpoint: the backend's entry in the endpoint list.
+        is_ready: whether the list allows attempts to be sent to the backend.
+        in_flight: number of this ingress's attempts in flight there, overdue ones included.
+        removed_at: time in seconds at which the backend was delisted; infinite while it is listed.
+        last_response_at: time in seconds at which a response last proved the backend alive.
+        capacity_backoff: seconds for which the backend is skipped after its last rejection for lack
+            of capacity.
+        at_capacity_until: for each plan, the time in seconds until which the backend counts as
+            being at capacity.
+        idle_connections: number of connections left idle by responses.
+        last_idle_at: time in seconds at which a connection last became idle.
+        report_at: time in seconds at which the last load report arrived.
+        remote_requests: requests of other ingresses there, according to the last load report.
+        smoothed_remote_requests: smoothed mean of `remote_requests`.
+        is_new_process: whether its process started or restarted recently; it then counts as idle
+            until its first load report.
     """
 
     __slots__ = (
@@ -88,9 +92,9 @@
         self.is_new_process = bool(endpoint.started_at)
 
     def _forget_process(self) -> None:
-        """Set what is known of the backend's process to nothing.
+        """Reset all state learnt about the backend's process.
 
-        Its last load report stays, for comparison: an equal one of the new process is no news.
+        The last load report is kept for comparison: an equal report of the new process is ignored.
         """
         self._failure_fraction = 0.0
         self._latency: RelativeLatency | None = None
@@ -110,7 +114,7 @@
 
     @property
     def failure_fraction(self) -> float:
-        """The decayed fraction of outcomes that were failures or missing, here or at a peer."""
+        """The decayed fraction of failed or missing responses, seen here or by a peer."""
         return self._failure_fraction
 
     @failure_fraction.setter
@@ -123,7 +127,7 @@
     def report(self) -> tuple[float, ...]:
         """The last load report, which arrived at `report_at`.
 
-        It is kept packed, as floats take three times as much memory.
+        It is stored packed, because floats take three times as much memory.
         """
         return struct.unpack(f"{len(self._report) // DOUBLE_SIZE}d", self._report)
 
@@ -135,20 +139,20 @@
 
     @property
     def relative_latency(self) -> float:
-        """The response time over what is usual for the request's class."""
+        """The response time relative to the usual latency of the request's class."""
         if self._latency is None:
             return self.kind.relative_latency
         return self._latency.estimate(self.kind)
 
     def record_latency(self, relative_latency: float) -> None:
-        """Learn from one response's time over what is usual for its class."""
+        """Record the time of one response relative to the usual latency of its class."""
         if self._latency is None:
             self._latency = RelativeLatency(self.pool.decay_rounds)
         self._latency.add_sample(relative_latency)
         self.kind.add_latency(relative_latency)
 
     def mark_at_capacity(self, plan: int, until: float) -> None:
-        """Note that the backend has no capacity for a plan until a time in seconds."""
+        """Record that the backend has no capacity for a plan until a time in seconds."""
         if self.at_capacity_until is NEVER_AT_CAPACITY:
             self.at_capacity_until = {}
         self.at_capacity_until[plan] = until
@@ -156,12 +160,12 @@
     def record_report(
         self, report: tuple[float, ...], remote_requests: float | None, now: float
     ) -> None:
-        """Take over a new load report.
+        """Record a new load report.
 
         Args:
-            report: the values reported.
-            remote_requests: requests of other ingresses there, as derived from the report; None
-                where the report says nothing about them, and is ignored.
+            report: the reported values.
+            remote_requests: requests of other ingresses there, as derived from the report; None if
+                the report has no information about them and is to be ignored.
             now: the current time in seconds.
         """
         if remote_requests is None:
@@ -170,7 +174,8 @@
         self.report_at = now
         self._report = struct.pack(f"{len(report)}d", *report)
         self.remote_requests = remote_requests
-        # Weighted by time and not by report: where reports are rare, one says as much as many do.
+        # The weight depends on the elapsed time, so that one rare report counts as much as many
+        # frequent ones.
         weight = 1 - 0.5 ** (gap / REPORT_MEAN_HALF_LIFE)
         self.smoothed_remote_requests += weight * (
             self.remote_requests - self.smoothed_remote_requests
@@ -178,13 +183,14 @@
         self.kind.add_load(self.remote_requests)
 
     def load(self, now: float) -> float:
-        """Estimate the requests at the backend.
+        """Estimate the number of requests at the backend.
 
-        They are those of this ingress in flight, and those of others by a load report that counts
-        the less the older it is.
+        It is the sum of this ingress's attempts in flight and the requests of other ingresses
+        according to the load reports. The older the last report, the less it counts.
         """
         if self.report_at == NEVER:
-            # The kind's mean: taken for empty, backends not met yet would draw all requests.
+            # Use the kind's mean: if backends without a report counted as idle, they would attract
+            # all requests.
             return self.in_flight + (0.0 if self.is_new_process else self.kind.remote_requests)
         weight: float = 0.5 ** ((now - self.report_at) / REPORT_HALF_LIFE)
         return (
@@ -210,6 +216,6 @@
             self.idle_connections = 0
 
     def reset_process(self) -> None:
-        """Forget what was known of the old process, as a new one runs under its number."""
+        """Reset the learnt state because a new process runs under the backend's number."""
         self._forget_process()
         self.is_new_process = True
--- a/dockthread/policy/backend_pool.py
+++ b/dockthread/policy/backend_pool.py
@@ -1,17 +1,18 @@
-"""The pool of listed backends that attempts are drawn from by weight; it decides nothing.
+"""The pool of listed backends, from which attempts draw a backend by weight.
 
-Theory of operation. A backend keeps its slot, in the order of the list, for as long as it is known,
-and has the weight 0 while nothing may be sent to it. So a change of the list touches one slot.
+Theory of operation. Each known backend has a slot, in the order of the endpoint list, and has the
+weight 0 while nothing may be sent to it. So a change to one listed backend changes only one slot.
 
-A weight changes by itself only while its backend is in slow start or has failures that decay. These
-few backends are kept apart and weighed again in each round of maintenance (in turn, where they are
-most of a long list); the weights of all others stay as they are.
+A weight changes without a change to the list only while its backend is in slow start or has
+failures that decay. These few backends are tracked separately and weighed again in each maintenance
+round. If there are too many for one round, they are weighed in turn.
 
-`random.choices` draws with a binary search in the cumulative weights. These are summed again by a
-round of maintenance that changed a weight, and between rounds once there was one change for each
-`SLOTS_PER_RESUM` slots: at once in a list of up to that many, where it costs little, and so seldom
-in a longer list that the cost per change is the same. Until then a longer list is drawn from by
-slightly old weights; whether a backend is ready is always read off the backend itself.
+`random.choices` draws with a binary search in the cumulative weights. A maintenance round that
+changed a weight sums them again. Between rounds they are summed again after one change for each
+`SLOTS_PER_RESUM` slots. In a list of up to that many slots this is after every change, which is
+cheap. In a longer list it happens less often, which keeps the cost per change constant. Meanwhile
+the draws from a longer list use slightly outdated weights; whether a backend is ready is always
+read from the backend itself.
 """
 
 from __future__ import annotations
@@ -29,24 +30,25 @@
 if TYPE_CHECKING:
     from dockthread.policy.backend import Backend
 
-# Slots for each of which one change makes all cumulative weights be summed again, in some 20 us.
+# The cumulative weights are summed again after one change for each 1024 slots. Summing 1024 slots
+# takes about 20 us.
 SLOTS_PER_RESUM = 1024
-# A failure fraction below this is taken as 0: added to 1 in double precision it changes nothing.
+# A smaller failure fraction is set to 0: added to 1 in double precision it has no effect.
 NEGLIGIBLE_FAILURE = 1e-18
-# The same in a long list, where a failure is done with after ten half-lives and not after sixty.
+# The same limit in a long list, so that a failure is dropped after ten half-lives and not sixty.
 NEGLIGIBLE_FAILURE_LONG_LIST = 1e-3
-# Backends weighed again in one round of maintenance at the most, which takes some 3 ms.
+# Maximum number of backends weighed again in one maintenance round, which takes about 3 ms.
 MAX_WEIGHED_PER_ROUND = 1024
-# Ready backends up to which a list is short: all are looked at. Of a longer one a sample is.
+# A list of up to this many ready backends is short and is scanned whole; a longer list is sampled.
 SHORT_LIST = 1024
-# Backends in a sample of a long list.
+# Number of backends in a sample of a long list.
 SAMPLE_SIZE = SHORT_LIST // 4
-# Candidates drawn from a long list at the most: the best of so many is as good as one in 64, and
-# each more costs 4 us.
+# Maximum number of candidates drawn from a long list: the best of these is on average in the best
+# 1 in 64 of the list, and each further candidate costs 4 us.
 MAX_CANDIDATES = 64
-# Draws from a whole pool for candidates that match a filter, before there count as none.
+# Number of draws from a whole pool after which a filter counts as matching no backend.
 DRAW_ATTEMPTS = 4
-# Fraction of slots left vacant by removed backends beyond which the slots are compacted.
+# Slots are compacted when removed backends have left more than this fraction of them vacant.
 MAX_VACANT_FRACTION = 1 / 8
 
 
@@ -54,7 +56,7 @@
     """Backends that can be drawn by their weights."""
 
     def __len__(self) -> int:
-        """Return how many are ready."""
+        """Return the number of ready backends."""
         ...
 
     def __iter__(self) -> Iterator[Backend]: ...
@@ -69,7 +71,7 @@
 
 
 class BackendSubset:
-    """A few ready backends with weights computed once."""
+    """A few ready backends, whose weights are computed once."""
 
     __slots__ = ("_backends", "_cumulative_weights")
 
@@ -95,8 +97,8 @@
 class FilteredPool:
     """The backends of a long list whose endpoints match a filter, drawn from the whole list.
 
-    Its length is that of the whole list: of as many candidates drawn from the whole, those that
-    match are as many as one would draw from the matching part.
+    Its length is that of the whole list. The number of candidates to draw is proportional to the
+    length, and on average as many of them match as would be drawn from the matching backends alone.
     """
 
     __slots__ = ("_matches", "_pool")
@@ -112,7 +114,7 @@
         return (backend for backend in self._pool if self._matches(backend.endpoint))
 
     def draw(self, rng: random.Random, count: int) -> list[Backend]:
-        """Return the matching ones among `count` drawn from all; none after a few vain draws."""
+        """Draw `count` backends and return the matching ones; repeat a few times if none match."""
         for _ in range(DRAW_ATTEMPTS):
             drawn = [
                 backend
@@ -124,12 +126,15 @@
         return []
 
     def sample(self, rng: random.Random) -> Iterable[Backend]:
-        """Return the matching ones among a sample of all."""
+        """Return the matching backends in a sample of the whole list."""
         return [backend for backend in self._pool.sample(rng) if self._matches(backend.endpoint)]
 
 
 def _cumulative(weights: array[float]) -> array[float]:
-    """Return the cumulative sums; by way of lists, in two thirds of the time of arrays alone."""
+    """Return the cumulative sums.
+
+    Converting to lists and back takes two thirds of the time of summing arrays directly.
+    """
     return array("d", list(accumulate(weights.tolist())))
 
 
@@ -140,37 +145,38 @@
     """All known backends, with the weights by which the ready ones are drawn.
 
     Attributes:
-        decay_rounds: rounds of maintenance, by which latency estimates decay.
+        decay_rounds: counts the maintenance rounds, by which latency estimates decay.
         failing: backends with failures that decay, by number.
         warming_up: ready backends in slow start, by number.
-        success_fraction: mean fraction of the ready backends' outcomes that were no failures.
-        has_warm_backend: whether a ready backend is past its slow start.
-        visits: backends weighed so far, which measures the work of changes and maintenance.
+        success_fraction: mean fraction of the ready backends' outcomes that were not failures.
+        has_warm_backend: whether at least one ready backend has finished its slow start.
+        visits: number of times a backend was weighed, which measures the cost of updates.
     """
 
     def __init__(
         self, weight: Callable[[Backend], float], slow_start_weight: Callable[[Backend], float]
     ) -> None:
-        """Make an empty pool.
+        """Create an empty pool.
 
         Args:
             weight: returns the weight by which a ready backend is drawn.
-            slow_start_weight: returns a backend's part of it for slow start; 1 once it is warm.
+            slow_start_weight: returns the factor of that weight for slow start; 1 for a warm
+                backend.
         """
         self._weight = weight
         self._slow_start_weight = slow_start_weight
         self._slots: list[Backend] = []
         self._weights = array("d")  # by slot
-        self._cumulative_weights = array("d")  # by slot, as of the last sum
+        self._cumulative_weights = array("d")  # by slot, as of the last summation
         # All known backends, by zone and cell.
         self._cells: dict[tuple[int, int], dict[int, Backend]] = {}
-        # How many ready backends there are, by zone and kind.
+        # Number of ready backends, by zone and kind.
         self._ready_by_zone_and_kind: Counter[tuple[int, int]] = Counter()
         self._ready = 0
-        self._vacant = 0  # slots of removed backends
-        self._changes = 0  # weights that changed since the last sum
-        self._is_round_due = False  # whether a round of maintenance went by since the last sum
-        self._next_start = 0  # the next to be weighed, where too many change for one round
+        self._vacant = 0  # number of slots of removed backends
+        self._changes = 0  # number of weight changes since the last summation
+        self._is_round_due = False  # whether a maintenance round began since the last refresh
+        self._next_start = 0  # the next index to be weighed, if too many change for one round
         self.decay_rounds = DecayRounds()
         self.failing: dict[int, Backend] = {}
         self.warming_up: dict[int, Backend] = {}
@@ -186,13 +192,13 @@
 
     @property
     def total_weight(self) -> float:
-        """The weights of all ready backends, as of the last sum."""
+        """The sum of the weights of all ready backends, as of the last summation."""
         return self._cumulative_weights[-1] if self._cumulative_weights else 0.0
 
     def draw(self, rng: random.Random, count: int) -> list[Backend]:
-        """Draw backends by their weights as of the last sum, with replacement.
+        """Draw backends by their weights as of the last summation, with replacement.
 
-        Of a long list `MAX_CANDIDATES` are drawn at the most; none are where all weights are 0.
+        From a long list at most `MAX_CANDIDATES` are drawn. If all weights are 0, none are drawn.
         """
         if not self._cumulative_weights or not self._cumulative_weights[-1]:
             return []
@@ -201,7 +207,7 @@
         return rng.choices(self._slots, cum_weights=self._cumulative_weights, k=count)
 
     def sample(self, rng: random.Random) -> Iterable[Backend]:
-        """Return all ready backends of a short list, and some of a long one, drawn evenly."""
+        """Return all ready backends of a short list, or a uniform sample of a long list."""
         if self._ready <= SHORT_LIST:
             return iter(self)
         drawn = rng.choices(self._slots, k=SAMPLE_SIZE)
@@ -219,10 +225,10 @@
         return FilteredPool(self, lambda endpoint: endpoint.zone == zone)
 
     def filtered(self, matches: Callable[[Endpoint], bool]) -> DrawableBackends | None:
-        """Return the ready backends whose zone and kind match; None where there is none.
+        """Return the ready backends whose zone and kind match; None if there are none.
 
         Args:
-            matches: a filter that looks at an endpoint's zone and kind only.
+            matches: a filter that depends only on an endpoint's zone and kind.
         """
         if self._ready <= SHORT_LIST:
             matching = [backend for backend in self if matches(backend.endpoint)]
@@ -235,7 +241,7 @@
         return FilteredPool(self, matches) if any(map(matches, examples)) else None
 
     def add(self, backend: Backend) -> None:
-        """Add a backend that was not known before, with the weight 0."""
+        """Add a new backend with the weight 0."""
         backend.slot = len(self._slots)
         self._slots.append(backend)
         self._weights.append(0.0)
@@ -252,7 +258,7 @@
         backend.slot = -1
 
     def update(self, backend: Backend, endpoint: Endpoint, ready: bool) -> None:
-        """Take over what is listed of a backend, and whether it may be drawn from now on."""
+        """Update a backend with its listed entry and with whether it is ready."""
         old = backend.endpoint
         self._ready_by_zone_and_kind[old.zone, old.kind] -= backend.is_ready
         self._ready_by_zone_and_kind[endpoint.zone, endpoint.kind] += ready
@@ -271,11 +277,11 @@
             del self._cells[key]
 
     def decay(self, failures: float, latencies: float) -> None:
-        """Begin a round of maintenance, in which failures and latency samples lose weight.
+        """Begin a maintenance round, in which failures and latency samples lose weight.
 
         Args:
-            failures: the fraction of each failure that is left after the round.
-            latencies: the fraction of each latency sample's weight that is left after it.
+            failures: the fraction of each backend's failure fraction that remains.
+            latencies: the fraction of each latency sample's weight that remains.
         """
         self._is_round_due = True
         self.decay_rounds.advance(latencies)
@@ -285,7 +291,7 @@
             backend.decay_failures(failures, negligible)
 
     def refresh(self) -> None:
-        """Weigh changing backends and sum all weights, if a round or enough changes are due."""
+        """Update the weights and their sums after a maintenance round or enough changes."""
         slots_in_use = len(self._slots) - self._vacant
         if not self._is_round_due and (self._changes + 1) * SLOTS_PER_RESUM <= slots_in_use:
             return
@@ -304,7 +310,7 @@
         self.has_warm_backend = self._ready > len(self.warming_up)
 
     def _changing(self) -> list[Backend]:
-        """Return the backends whose weights change by themselves; the next ones, if too many."""
+        """Return the backends whose weights change over time, or the next ones if too many."""
         changing = list(self.failing.values())
         changing += [
             backend for number, backend in self.warming_up.items() if number not in self.failing
@@ -317,7 +323,7 @@
         return wrapped[start : start + MAX_WEIGHED_PER_ROUND]
 
     def _weigh(self, backend: Backend) -> None:
-        """Set a backend's weight, and drop it from those that are weighed again if it is steady."""
+        """Recompute a backend's weight, and whether it has to be weighed again each round."""
         self.visits += 1
         number = backend.endpoint.backend
         weight = self._weight(backend) if backend.is_ready else 0.0
@@ -332,7 +338,7 @@
             self._changes += 1
 
     def _compact_slots(self) -> None:
-        """Close the gaps that removed backends left, keeping the order."""
+        """Remove the slots of removed backends; the other backends keep their order."""
         self._slots = [backend for backend in self._slots if backend.slot >= 0]
         self._weights = array("d", [self._weights[backend.slot] for backend in self._slots])
         for slot, backend in enumerate(self._slots):
--- a/dockthread/policy/backend_registry.py
+++ b/dockthread/policy/backend_registry.py
@@ -1,4 +1,4 @@
-"""All backends that an ingress knows, listed or removed from the list not long ago."""
+"""All backends that an ingress knows: those listed and those delisted recently."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from dockthread.policy.latency_estimates import KindEstimates
 from dockthread.policy.model import BackendState, Endpoint
 
-# Seconds for which a backend that is no longer listed is remembered: it may be listed again.
+# Seconds for which a delisted backend is remembered, because it may be listed again.
 DELISTED_RETENTION = 30.0
 
 
@@ -20,8 +20,8 @@
     Attributes:
         pool: the pool that attempts draw their backend from.
         by_number: the backends by number.
-        by_code: with gossip, the backends by their code in messages.
-        delisted: those that are not listed any more, by number.
+        by_code: the backends by their code in gossip messages; empty without gossip.
+        delisted: the backends that are no longer listed, by number.
     """
 
     __slots__ = ("_context", "_kinds", "by_code", "by_number", "delisted", "pool")
@@ -35,21 +35,21 @@
         self.delisted: dict[int, Backend] = {}
 
     def update(self, endpoint: Endpoint) -> None:
-        """Take over a listed entry: its backend may be new, restarted or in another state."""
+        """Apply a listed entry; its backend may be new, restarted or in a different state."""
         backend = self._get(endpoint)
         if endpoint.started_at > backend.endpoint.started_at:
             backend.reset_process()
         self._relist(backend, endpoint, endpoint.state)
 
     def remove_unlisted(self, endpoints: tuple[Endpoint, ...]) -> None:
-        """Mark the backends that a full list leaves out as removed."""
+        """Mark the backends that are missing from a full list as removed."""
         listed = {endpoint.backend for endpoint in endpoints}
         unlisted = [backend for number, backend in self.by_number.items() if number not in listed]
         for backend in unlisted:
             self._relist(backend, backend.endpoint, BackendState.REMOVED)
 
     def _get(self, endpoint: Endpoint) -> Backend:
-        """Return the backend of an entry; create one for a number never listed before."""
+        """Return the backend of an entry; create it if its number is unknown."""
         backend = self.by_number.get(endpoint.backend)
         if backend is None:
             kind = self._kinds.setdefault(endpoint.kind, KindEstimates())
@@ -70,7 +70,7 @@
         self.pool.update(backend, endpoint, state is BackendState.READY)
 
     def expire(self) -> None:
-        """Forget backends that are delisted for long and have no attempt in flight."""
+        """Drop backends that were delisted long ago and have no attempt in flight."""
         for number, backend in list(self.delisted.items()):
             delisted_time = self._context.now - backend.removed_at
             if delisted_time > DELISTED_RETENTION and not backend.in_flight:
--- a/dockthread/policy/backend_weight.py
+++ b/dockthread/policy/backend_weight.py
@@ -1,4 +1,4 @@
-"""The weight by which backends are drawn."""
+"""The weights by which backends are drawn at random."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from dockthread.policy.context import Context
 from dockthread.policy.slow_start import SlowStart
 
-# Weight of a backend in the ingress's own zone, where requests to other zones cost anything.
+# Weight of a backend in the ingress's own zone, if requests to other zones have a cost.
 OWN_ZONE_WEIGHT = 2.0
-# The least weight that a list can give a backend, so that a division by it is defined.
+# Lower bound on the weight from the endpoint list, which avoids a division by zero.
 LEAST_LISTED_WEIGHT = 1e-6
-# Square root of the least weight by failures: a failing backend is still tried, or it could not
-# show that it recovered.
+# Lower bound on a backend's success fraction, whose square is a factor of its weight. A failing
+# backend must still receive some requests, or its recovery would go unnoticed.
 LEAST_SUCCESS_FRACTION = 0.1
 
 
 class BackendWeights:
-    """Weighs backends by list, zone, failures and slow start."""
+    """Computes backends' weights from the endpoint list, zone, failures and slow start."""
 
     __slots__ = ("_context", "_slow_start")
 
@@ -29,7 +29,7 @@
         return self.warm_weight(backend) * self._slow_start.weight(backend)
 
     def warm_weight(self, backend: Backend) -> float:
-        """Return the weight that a backend would have if it was warm."""
+        """Return the weight that a backend would have if it were warm."""
         endpoint = backend.endpoint
         settings = self._context.settings
         is_preferred = endpoint.zone == settings.zone and settings.costs.cross_zone
--- a/dockthread/policy/backoff.py
+++ b/dockthread/policy/backoff.py
@@ -1,27 +1,28 @@
-"""When to call again a service that all ingresses call: exponential backoff with full jitter.
+"""Exponential backoff with full jitter for retries to a service that all ingresses call.
 
 Full jitter (Marc Brooker, "Exponential Backoff and Jitter", AWS Architecture Blog, 2015) draws each
-delay evenly from 0 to a cap that doubles with each failure in a row. Here the first cap also grows
-with the number of ingresses.
-
-Theory of operation. One ingress that calls again after a fixed delay is harmless. Forty that lost
-the same service in the same instant call it again in the same instant, for ever; and a service that
-works in turn, also on calls whose caller has timed out, then answers none in time (seen: 13 s
-without an answered call, at 7 calls/s). So the first cap is `FIRST_CAP_PER_INGRESS_MS` for each
-ingress, and doubles with the second and the third failure in a row. Whatever the number of
-ingresses, when all calls fail from then on, they make some 1000 / `FIRST_CAP_PER_INGRESS_MS` new
-calls a second together, then half of that, then a quarter.
-
-A start, and the loss of an established watch, cannot wait that long: changes that the service knows
-meanwhile count as received, and a draining backend may be sent to for only so long after that. The
-delay before these first calls is at most `max_initial_delay`, and the calls that the service
-rejects then are spread over the longer delays.
-
-No delay is longer than `max_delay`: some time after the service can be reached again its changes
-count as received, whatever it could answer. Where the caps of many ingresses would lie beyond,
-these call at an even rate over that time, each of them once in half of it on average, and a service
-that cannot answer them all in it rejects the rest as before. Where each ingress calls an agent of
-its own, none waits for the others, and `max_delay` is shorter still.
+delay uniformly from 0 to a cap that doubles with each failure in a row. Here the first cap is also
+proportional to the number of ingresses.
+
+Theory of operation. One ingress that retries after a fixed delay is harmless. Forty ingresses that
+lose the same service at the same moment retry at the same moment, again and again. If the service
+handles calls one after another, including those whose caller has timed out, it then answers none in
+time (13 s without an answered call were observed, at 7 calls/s). So the first cap is
+`FIRST_CAP_PER_INGRESS_MS` for each ingress, and doubles with the second and the third failure in a
+row. If all calls fail, all ingresses together make about 1000 / `FIRST_CAP_PER_INGRESS_MS` calls
+per second, then half as many, then a quarter, whatever the number of ingresses.
+
+After a start, or after the loss of an established watch, an ingress must not wait that long. A
+change counts as received even if the ingress has not fetched it yet, and only for a limited time
+after that may requests still be sent to a draining backend. So the delay before the first call is
+at most `max_initial_delay`, and the calls that the service then rejects are retried with the longer
+delays.
+
+No delay is longer than `max_delay`, because changes count as received some time after the service
+is reachable again, even if the service could not answer. If the caps of many ingresses would exceed
+this maximum, the ingresses call at an even rate over that time, each on average once in half of it,
+and a service that cannot answer all of these calls rejects some of them. If each ingress calls an
+agent of its own, no ingress competes with the others, and `max_delay` is shorter still.
 """
 
 from __future__ import annotations
@@ -29,23 +30,24 @@
 import random
 from math import inf
 
-# ms of the first cap for each ingress: all together make eight calls a second, then four, then two.
+# First cap per ingress (ms): all ingresses together make eight calls per second, then four, then
+# two.
 FIRST_CAP_PER_INGRESS_MS = 125.0
-# The largest cap, in first caps.
+# Maximum cap, as a multiple of the first cap.
 MAX_CAP_FACTOR = 4.0
-# ms of the shortest delay before a retry; with none at all it would be no delay.
+# Minimum delay before a retry (ms), so that no retry follows at once.
 MIN_DELAY_MS = 10.0
-# Default of the longest delay (ms) before the first call.
+# Default maximum delay before the first call (ms).
 DEFAULT_MAX_INITIAL_DELAY_MS = 500.0
-# Failures in a row beyond which no more are counted, which keeps the power of two finite.
+# Maximum number of failures in a row that are counted, which keeps the power of two finite.
 MAX_COUNTED_FAILURES = 30
 
 
 class Backoff:
-    """Delays in milliseconds of one ingress among many.
+    """Draws the retry delays, in milliseconds, of one of many ingresses.
 
     Attributes:
-        first_cap: the cap of the delay after the first failure, ms.
+        first_cap: the cap on the delay after the first failure, ms.
     """
 
     def __init__(
@@ -55,13 +57,13 @@
         max_initial_delay: float = DEFAULT_MAX_INITIAL_DELAY_MS,
         max_delay: float = inf,
     ) -> None:
-        """Start without a failure.
+        """Create a backoff without any recorded failure.
 
         Args:
-            rng: a random source with a seed of the ingress's own, so that no two draw alike.
-            ingress_count: how many ingresses call the service.
-            max_initial_delay: the longest delay before a first call, ms.
-            max_delay: the longest delay before a retry, ms.
+            rng: a random source whose seed differs between ingresses, so that their delays differ.
+            ingress_count: number of ingresses that call the service.
+            max_initial_delay: maximum delay before a first call, ms.
+            max_delay: maximum delay before a retry, ms.
         """
         self._rng = rng
         self._max_delay = max_delay
@@ -74,10 +76,10 @@
         return self._rng.uniform(0.0, self._max_initial_delay)
 
     def retry_delay(self, max_delay: float = inf) -> float:
-        """Count one more failed call in a row and draw the delay (ms) before the next.
+        """Count a failed call and draw the delay (ms) before the next call.
 
         Args:
-            max_delay: a further bound (ms) on the cap of this delay.
+            max_delay: an additional limit (ms) on this delay.
         """
         cap_factor = min(MAX_CAP_FACTOR, 2.0**self._failures)
         cap = min(max_delay, self._max_delay, self.first_cap * cap_factor)
@@ -85,5 +87,5 @@
         return max(MIN_DELAY_MS, self._rng.uniform(0.0, cap))
 
     def reset(self) -> None:
-        """Forget the failures, as a call was answered."""
+        """Reset the number of failures in a row, because a call was answered."""
         self._failures = 0
--- a/dockthread/policy/context.py
+++ b/dockthread/policy/context.py
@@ -1,4 +1,4 @@
-"""What every part of the policy engine shares: settings, clock, random source and actions."""
+"""State shared by all parts of the policy engine: settings, clock, random source and actions."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from dockthread.policy.actions import Action
 from dockthread.policy.model import PolicySettings
 
-# A time long before any event, in seconds: it stands for "has not happened yet".
+# A time in seconds long before any event, which means "has not happened yet".
 NEVER = -1e9
 
 
 class Context:
-    """The state that the engine sets before each event and that its parts read.
+    """The state that the engine shares with its parts.
 
     Attributes:
-        settings: the settings in force; a reload replaces them.
+        settings: the current settings; a reload replaces them.
         now: the time of the event being handled, in seconds on the engine's clock.
-        started_at: when the engine was created, in seconds.
-        rng: the only random source of all parts, so that a seed repeats every decision.
-        actions: the actions that follow from the event being handled, in their order.
+        started_at: time in seconds at which the engine was created.
+        rng: the only random source of all parts, so that decisions are reproducible from the seed.
+        actions: the actions that result from the event being handled, in order.
     """
 
     __slots__ = ("actions", "now", "rng", "settings", "started_at")
--- a/dockthread/policy/customer.py
+++ b/dockthread/policy/customer.py
@@ -1,4 +1,4 @@
-"""What an ingress knows of one customer."""
+"""The state that an ingress keeps for one customer."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     Attributes:
         epoch_started_at: the start of the counter's epoch, in seconds on the engine's clock.
         units: units admitted here that the call adds to the counter.
-        correction: the pending correction that the call takes along, in units.
+        correction: the pending correction at the time of the call, in units.
     """
 
     epoch_started_at: float
@@ -25,12 +25,12 @@
 
 
 class PeerSums(NamedTuple):
-    """The sums that a peer last sent of one customer, as they travel in gossip.
+    """The latest sums that a peer reported for one customer, as encoded in gossip messages.
 
     Attributes:
-        incarnation: the peer's incarnation, which its sums count from; -1 for none heard yet.
-        requested: units that the peer was asked for.
-        admitted: units that the peer admitted.
+        incarnation: the peer's incarnation; the sums count from its start.
+        requested: sum of the units requested from the peer.
+        admitted: sum of the units that the peer admitted.
     """
 
     incarnation: int
@@ -39,36 +39,38 @@
 
 
 class Customer:
-    """One customer, as far as this ingress knows it.
+    """The state of one customer at this ingress; rates are in units per second.
 
     Attributes:
         plan_number: the position of the customer's plan in the settings.
-        quota: the customer's token bucket, as far as it is known here.
-        ceiling_tokens: units left of this ingress's part of the plan's ceiling.
-        ceiling_updated_at: when these were last refilled, in seconds.
+        quota: this ingress's copy of the customer's token bucket.
+        ceiling_tokens: units left in this ingress's part of the plan's ceiling.
+        ceiling_updated_at: time in seconds at which `ceiling_tokens` was last refilled.
         first_ingress: the first ingress of the set that serves the customer.
         spread: the number of ingresses in that set.
-        in_flight: the customer's attempts in flight here.
-        arrival_rate: the decayed rate of units that arrive here, per second.
-        requested_units: the sum of units that ever arrived here.
-        admitted_units: the sum of units that were ever admitted here.
-        peer_sums: by peer, the sums it last sent.
-        peer_in_flight: by peer, when it last spoke of the customer and the attempts in flight
-            there.
-        gossip_at: when a peer last spoke of the customer, in seconds.
-        peer_arrival_rate: the decayed rate of units that arrive at the peers, then.
-        peer_admission_rate: the decayed rate of units that the peers admit, then.
-        local_rate: the decayed rate of units admitted here.
-        local_rate_at: when that was last updated, in seconds.
-        uncounted_units: units admitted here that the shared counter does not hold yet.
+        in_flight: number of the customer's attempts in flight here.
+        arrival_rate: decayed rate of the units requested here.
+        requested_units: sum of all units requested here.
+        admitted_units: sum of all units admitted here.
+        peer_sums: by peer, the sums in its latest report.
+        peer_in_flight: by peer, the time of its latest report of attempts in flight, and their
+            number.
+        gossip_at: time in seconds of the latest report from any peer.
+        peer_arrival_rate: decayed rate of the units requested from the peers, as of `gossip_at`.
+        peer_admission_rate: decayed rate of the units admitted by the peers, as of `gossip_at`.
+        local_rate: decayed rate of the units admitted here, as of `local_rate_at`.
+        local_rate_at: time in seconds at which `local_rate` was last updated.
+        uncounted_units: units admitted here that were not yet added to the shared counter.
         counter_call: the call to the counter in flight, or None.
-        pending_correction: what the counter's number lacks at this moment, in units, as long as no
-            call has taken it along.
-        counter_correction: what the next call adds to the number for that, or takes back.
-        counter_at: when the counter's number was last received, in seconds.
-        remote_rate: the decayed rate of units that the others admit, by the counter.
-        reported_usage: the last usage report, as a fraction of the quota.
-        reported_usage_at: when it arrived, in seconds.
+        pending_correction: units missing from the counter's total at the time of its last reply;
+            0 once a call has been sent.
+        counter_correction: units that the next call adds to the total as a correction; below 0 if
+            they are subtracted.
+        counter_at: time in seconds at which the counter's total was last received.
+        remote_rate: decayed rate of the units admitted by the other ingresses, according to the
+            counter.
+        reported_usage: the latest usage report, as a fraction of the quota.
+        reported_usage_at: time in seconds at which the latest usage report arrived.
         waiting_requests: requests that wait for the counter's reply.
     """
 
@@ -101,7 +103,7 @@
         self.waiting_requests: list[int] = []
 
     def is_as_new(self, plan: Plan, now: float) -> bool:
-        """Return whether a new customer in its place would be known as much."""
+        """Return whether the customer's state is equivalent to that of a new customer."""
         if self.in_flight or self.waiting_requests or self.counter_call:
             return False
         idle_time = now - self.quota.updated_at
@@ -110,9 +112,10 @@
         return plan.ceiling_rate * (now - self.ceiling_updated_at) >= plan.ceiling_burst
 
     def gossip_report(self, number: int, now: float) -> CustomerReport:
-        """Describe the customer for peers.
+        """Return a report of the customer for peers.
 
-        It has sums and not differences: the next report heals the loss of one.
+        The report contains sums instead of differences, so that the next report makes up for a lost
+        one.
         """
         return CustomerReport(
             number,
--- a/dockthread/policy/customer_registry.py
+++ b/dockthread/policy/customer_registry.py
@@ -7,10 +7,11 @@
 from dockthread.policy.model import PolicySettings
 from dockthread.policy.rate_sketch import RateSketch
 
-# With gossip, customers are forgotten only once there are more than these: peers may name them.
+# With gossip, customers are dropped only when there are more than this many, because peers may
+# still report them.
 GOSSIP_CUSTOMERS_KEPT = 4096
-# With gossip, seconds without a request after which a customer may be forgotten. Its token bucket
-# is full again by then, so a new one would be as good.
+# With gossip, seconds without a request after which a customer may be dropped. Its token bucket is
+# full again by then, like that of a new customer.
 GOSSIP_IDLE_TIME = 120.0
 
 
@@ -30,7 +31,8 @@
 
         Args:
             context: the engine's context.
-            cap_window: seconds over which the arrival rates of a plan with a cap only are decayed.
+            cap_window: seconds over which arrival rates decay for a plan that only has a cap on
+                attempts in flight.
         """
         self._context = context
         self.by_number: dict[int, Customer] = {}
@@ -38,7 +40,7 @@
         self.sketches = [RateSketch(window, context.rng) if window else None for window in windows]
 
     def get(self, number: int, plan_number: int) -> Customer:
-        """Return a customer with its token bucket refilled; create one that is not known."""
+        """Return a customer with its token bucket refilled; create the customer if unknown."""
         customer = self.by_number.get(number)
         if customer is None:
             context = self._context
@@ -59,10 +61,10 @@
         return customer
 
     def expire(self) -> bool:
-        """Forget customers of whom a new one would be known as much.
+        """Drop customers whose state is equivalent to that of a new customer.
 
         Returns:
-            Whether customers that gossip may be about were forgotten.
+            Whether unsent gossip may refer to dropped customers.
         """
         settings, now = self._context.settings, self._context.now
         if not settings.may_gossip:
@@ -83,7 +85,7 @@
 
 
 def rate_windows(settings: PolicySettings, cap_window: float) -> list[float]:
-    """Return by plan the seconds over which arrival rates are decayed; 0 for an unlimited plan."""
+    """Return, by plan, the seconds over which arrival rates decay; 0 for an unlimited plan."""
     return [
         plan.burst / plan.rate if plan.rate > 0 else cap_window * bool(plan.max_in_flight)
         for plan in settings.plans
--- a/dockthread/policy/events.py
+++ b/dockthread/policy/events.py
@@ -1,7 +1,7 @@
-"""Events: what the policy engine is notified of; times and durations are in seconds.
+"""The events that the policy engine handles; times and durations are in seconds.
 
-Requests, backends and customers are named by number. A request's attempts are numbered from 0 in
-the order sent.
+Requests, backends and customers are identified by number. The attempts of a request are numbered
+from 0 in the order in which they are sent.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointsListed:
-    """A list of endpoints, or changes of it, was received.
+    """A list of endpoints, or changes to it, was received.
 
     Attributes:
-        kind: how the list is to be read.
+        kind: how to interpret the list.
         endpoints: the listed endpoints.
     """
 
@@ -34,11 +34,12 @@
         request_class: position of its class in the settings.
         plan: position of its customer's plan in the settings.
         customer: the customer's number.
-        remaining_time: s until the client no longer waits.
+        remaining_time: time until the client stops waiting, s.
         units: units that the request is expected to cost.
-        spread: how many ingresses the customer's requests are spread over.
-        first_ingress: the first of these; the others follow it in number.
-        route: limits beyond the deployment's own; None for none.
+        spread: number of ingresses that serve the customer's requests.
+        first_ingress: number of the first of these ingresses; the others have the numbers after it.
+        route: the request's route, which adds limits to those of the deployment; None if there is
+            no route.
     """
 
     request: int
@@ -54,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The response of an attempt began to be passed on to the client.
+    """The ingress began to pass the response of an attempt on to the client.
 
     Attributes:
         request: the request's number.
@@ -76,12 +77,13 @@
         attempt: the attempt's number.
         backend: the backend that it was sent to.
         outcome: how it ended.
-        is_final: whether the request has its final answer now.
-        duration: s from sending the attempt to its end.
-        actual_units: units that the request cost; 0 where that is unknown.
+        is_final: whether the request now has its final answer.
+        duration: time from sending the attempt to its end, s.
+        actual_units: units that the request cost; 0 if that is unknown.
         reported_usage: usage of the customer at all ingresses over the last usage report period,
-            as a fraction of its limit; None where it was not reported.
-        load_report: the numbers that `PolicySettings.load_report_fields` names; empty for none.
+            as a fraction of its limit; None if it was not reported.
+        load_report: values of the fields in `PolicySettings.load_report_fields`; empty if there was
+            no report.
     """
 
     request: int
@@ -108,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """The time of a `SetTimer` action has come.
+    """The time of a `SetTimer` action was reached.
 
     Attributes:
         token: the timer's token.
@@ -124,8 +126,8 @@
     Attributes:
         backend: the backend checked.
         outcome: how the check ended.
-        duration: s from sending the check to its end.
-        load_report: as in `AttemptEnded`.
+        duration: time from sending the check to its end, s.
+        load_report: load report in the format of `AttemptEnded.load_report`.
     """
 
     backend: int
@@ -136,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """A gossip message of a peer was received.
+    """A gossip message from a peer was received.
 
     Attributes:
         peer: the number of the ingress that sent it.
@@ -149,15 +151,15 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterReplied:
-    """A call of the shared counter ended.
+    """A call to the shared counter ended.
 
-    With the outcome OK the amount was added; with one of `NEVER_RAN` it was not; with any other it
-    counts as added.
+    With the outcome OK the amount was added, and with an outcome in `NEVER_RAN` it was not. With
+    any other outcome it is assumed to have been added.
 
     Attributes:
         name: the name of the total.
         outcome: how the call ended.
-        total: with OK, the total after the call, in units.
+        total: the total after the call if the outcome is OK, in units.
     """
 
     name: int
--- a/dockthread/policy/gossip.py
+++ b/dockthread/policy/gossip.py
@@ -1,14 +1,16 @@
-"""Gossip: what ingresses tell each other of customers and failing backends.
-
-Theory of operation. Every ingress tells the others of a customer's set what it was asked for and
-what it admitted, as sums since its start, and its attempts in flight. A customer of whom there is
-news is marked for each of the others. A round of messages, `(ingresses - 1) / intake` seconds after
-the first mark, sends one message to each that has marks, so that an ingress takes in what the
-settings allow and the news is as fresh as that permits. What does not fit into a message, or into
-the message budget, waits; the customers with the emptiest token buckets go first. An ingress that
-has nothing to tell sends a heartbeat after a while, so that its silence means something. Its
-incarnation goes with every message: another incarnation means that it restarted and knows nothing,
-and it is sent the customers whose token buckets are not full.
+"""Gossip: messages in which ingresses report customers and failing backends to each other.
+
+Theory of operation. For each customer, every ingress of the customer's set reports to the other
+ingresses of the set the units requested from it and the units that it admitted, as sums since its
+start, and its attempts in flight. When a customer's state changes, the customer is marked as unsent
+for each of these peers. `(ingresses - 1) / intake` seconds after the first mark, a round sends one
+message to each peer with unsent customers. At this interval an ingress receives no more messages
+than the settings allow, and the reports are as recent as that permits. Reports that don't fit into
+a message, or exceed the message budget, wait for the next round; the customers with the emptiest
+token buckets are sent first. An ingress that has nothing to report sends heartbeats, so that peers
+can detect its failure. Every message carries the sender's incarnation. A changed incarnation means
+that the sender restarted without any state, so it is sent the customers whose token buckets are not
+full.
 """
 
 from __future__ import annotations
@@ -22,30 +24,32 @@
 from dockthread.policy.events import GossipReceived
 from dockthread.policy.timers import TimerQueue
 
-# Fraction of the messages an ingress can take in that its peers send in sum.
+# All peers together send at most this fraction of the messages that an ingress can receive.
 INTAKE_FRACTION = 0.8
-# Fewest messages a second that an ingress is taken to take in.
+# Lower bound on the rate at which an ingress can receive messages, messages/s.
 LEAST_INTAKE_RATE = 1.0
-# The message budget holds what is sent in so many seconds.
+# Size of the message budget, in seconds of sending at the average rate.
 BUDGET_SECONDS = 4
-# Shortest and longest time in seconds between the first news and its round of messages.
+# Minimum and maximum time in seconds from the first unsent report to the round that sends it.
 SHORTEST_ROUND = 0.02
 LONGEST_ROUND = 0.25
-# Shortest time in seconds between two messages to a peer to which there is nothing else to send.
+# Minimum time in seconds between two heartbeats to a peer.
 SHORTEST_HEARTBEAT_INTERVAL = 0.5
-# The same in rounds in which each of the peers can be sent one message.
+# Minimum time between two heartbeats to a peer, in multiples of `full_round_time`.
 HEARTBEAT_FULL_ROUNDS = 8
-# Heartbeats without a message after which a peer counts as silent.
+# Heartbeat intervals without a message after which a peer counts as silent.
 SILENT_HEARTBEATS = 3
-# The oldest news by which the peers' use counts as known, over the window of the plan's rates.
+# The peers' usage counts as known if a full round takes at most this fraction of the window over
+# which the plan's rates are measured.
 FRESH_WINDOW_FRACTION = 0.25
-# Failure fraction of outcomes from which a backend is reported to peers.
+# A backend is reported to peers when more than this fraction of its outcomes are failures.
 SUSPECT_FAILURE_FRACTION = 0.4
-# The most backends that one message tells of.
+# Maximum number of suspect backends in one message.
 MOST_SUSPECTS = 3
-# Seconds after a backend's last response here in which what peers say of it is ignored.
+# Seconds after a backend's last response here during which peers' reports about it are ignored.
 OWN_EVIDENCE_TIME = 2.0
-# Fraction of the burst: a peer that restarted is sent the customers that have less left.
+# A peer that restarted is sent the customers whose token buckets hold less than this fraction of
+# the burst.
 RESTART_REPORT_FRACTION = 0.9
 
 
@@ -53,8 +57,8 @@
     """Sends and receives this ingress's gossip.
 
     Attributes:
-        full_round_time: seconds in which each of the peers can be sent one message.
-        last_received_at: by peer, when its last message came, in seconds.
+        full_round_time: seconds needed to send one message to each peer.
+        last_received_at: by peer, the time in seconds at which its last message was received.
     """
 
     __slots__ = (
@@ -101,19 +105,19 @@
             SHORTEST_HEARTBEAT_INTERVAL, HEARTBEAT_FULL_ROUNDS * self.full_round_time
         )
         self._is_round_scheduled = False
-        # by peer: the customers to report to it; a peer without any gets a heartbeat
+        # The customers to report, by peer; a peer with an empty entry is sent a heartbeat.
         self._unsent: dict[int, dict[int, None]] = {}
         self.last_received_at: dict[int, float] = {}
         self._last_sent_at: dict[int, float] = {}
         self._peer_incarnations: dict[int, int] = {}
 
-    # What others ask
+    # Queries by other parts of the engine
 
     def knows_peers_use(self, customer: Customer) -> bool:
-        """Return whether all that the other ingresses admit of a customer is known.
+        """Return whether gossip reports everything that other ingresses admit of a customer.
 
-        It is where there are none, or where each of them tells it, and soon enough for the window
-        of the plan's rates.
+        That is the case if no other ingress serves the customer, or if each of them has sent a
+        message recently and rounds are short compared with the window of the plan's rates.
         """
         if customer.spread == 1:
             return True
@@ -128,7 +132,7 @@
         )
 
     def has_recent_message(self) -> bool:
-        """Return whether any peer has sent a message not long ago."""
+        """Return whether any peer has sent a message recently."""
         if not self._context.settings.may_gossip:
             return False
         now, silence = self._context.now, SILENT_HEARTBEATS * self._heartbeat_interval
@@ -140,12 +144,13 @@
         ring = ((customer.first_ingress + step) % count for step in range(customer.spread))
         return [peer for peer in ring if peer != self._own_number]
 
-    # News
+    # Scheduling reports
 
     def greet(self) -> None:
-        """Schedule a message to every peer at the start, so that each answers with what it knows.
+        """Schedule a first message to every peer, so that each replies with its customers.
 
-        The order is drawn, so that ingresses that start together don't all greet the same one.
+        The order is random, so that ingresses that start together don't all begin with the same
+        peer.
         """
         count = self._context.settings.ingress_count
         peers = [peer for peer in range(count) if peer != self._own_number]
@@ -153,7 +158,7 @@
         self._schedule_round()
 
     def schedule_heartbeats(self) -> None:
-        """Schedule a message to the peers that were sent none for long."""
+        """Schedule a message to each peer that was sent none for a heartbeat interval."""
         if not self._context.settings.may_gossip:
             return
         now = self._context.now
@@ -166,14 +171,14 @@
             self._schedule_round()
 
     def report(self, number: int, customer: Customer) -> None:
-        """Note news of a customer: the others of its set are sent it with the next round."""
+        """Mark a customer as unsent, so that the next round reports it to the peers of its set."""
         if self._context.settings.may_gossip and customer.spread > 1:
             for peer in self._peers_of(customer):
                 self._unsent.setdefault(peer, {})[number] = None
             self._schedule_round()
 
     def drop_unsent(self) -> None:
-        """Drop all news that are not sent, as some of their customers are forgotten."""
+        """Drop all unsent reports, because some of their customers are no longer known."""
         self._unsent = {}
 
     # Sending
@@ -185,9 +190,9 @@
             self._timers.set(round_at, self._send_round)
 
     def _send_round(self) -> None:
-        """Send one message to each peer that has news, then heartbeats, as the budget allows.
+        """Send one message to each peer with unsent customers, then heartbeats, within the budget.
 
-        The budget lets an ingress send on average as many messages as it could take in itself.
+        The budget allows an ingress to send, on average, as many messages as it could receive.
         """
         self._refill_budget()
         self._is_round_scheduled = False
@@ -209,7 +214,7 @@
         self._budget_updated_at = self._context.now
 
     def _draw_suspects(self) -> list[tuple[bytes, float]]:
-        """Draw a few of the failing backends: their codes and failure fractions."""
+        """Return the codes and failure fractions of a few failing backends, drawn at random."""
         failing = [
             backend
             for backend in self._backends.pool.failing.values()
@@ -220,14 +225,14 @@
         return [(backend.code, backend.failure_fraction) for backend in drawn]
 
     def _send_to(self, peer: int, suspects: list[tuple[bytes, float]]) -> None:
-        """Send a peer its news, as far as they fit into one message."""
+        """Send a peer as many of its unsent reports as fit into one message."""
         now = self._context.now
         customers = self._customers.by_number
         unsent = self._unsent[peer]
         numbers = list(unsent)
         room = gossip_codec.report_capacity(len(suspects), numbers)
         if len(numbers) > room:
-            # those whose quota is nearest to its end
+            # Prefer the customers whose token buckets are the emptiest.
             numbers = sorted(numbers, key=lambda number: customers[number].quota.level_at(now))[
                 :room
             ]
@@ -244,7 +249,7 @@
     # Receiving
 
     def on_gossip_received(self, event: GossipReceived) -> None:
-        """Take over a peer's message; ignore one that is garbled or from no peer."""
+        """Apply a peer's message; ignore it if it is malformed or from an unknown sender."""
         settings, peer = self._context.settings, event.peer
         message = gossip_codec.decode_message(event.data, len(settings.plans))
         if message is None or not 0 <= peer < settings.ingress_count or peer == self._own_number:
@@ -253,7 +258,7 @@
         for code, failure_fraction in message.suspects:
             self._suspect(code, failure_fraction)
         if self._peer_incarnations.get(peer) != message.incarnation:
-            # It restarted, and has to know whose quota is used up.
+            # The peer restarted, and needs to know which customers have used up their quotas.
             self._peer_incarnations[peer] = message.incarnation
             self._report_all_to(peer)
         for report in message.reports:
@@ -261,7 +266,7 @@
             self._take_over(peer, customer, report)
 
     def _suspect(self, code: bytes, failure_fraction: float) -> None:
-        """Take over a peer's evidence against a backend, unless it responded here lately."""
+        """Apply a peer's report of a failing backend, unless it responded here recently."""
         backend = self._backends.by_code.get(code)
         if backend is None:
             return
@@ -269,7 +274,7 @@
             backend.failure_fraction = max(backend.failure_fraction, failure_fraction)
 
     def _report_all_to(self, peer: int) -> None:
-        """Tell a peer of all its customers whose token buckets are not full."""
+        """Schedule reports to a peer of all its customers whose token buckets are not full."""
         count, now = self._context.settings.ingress_count, self._context.now
         for number, customer in self._customers.by_number.items():
             is_in_set = (peer - customer.first_ingress) % count < customer.spread
@@ -283,18 +288,19 @@
     def _take_over(
         self, peer: int, customer: Customer, report: gossip_codec.CustomerReport
     ) -> None:
-        """Take over what a peer tells of a customer."""
+        """Apply a peer's report of a customer."""
         last = customer.peer_sums.get(peer)
         incarnation = self._peer_incarnations[peer]
         is_same_process = last is not None and last.incarnation == incarnation
-        # A new process counts from nothing.
+        # A new process counts its sums from 0.
         last_requested = last.requested if last is not None and is_same_process else 0
         last_admitted = last.admitted if last is not None and is_same_process else 0
         requested = gossip_codec.units_between(report.arrived_sum, last_requested)
         admitted = gossip_codec.units_between(report.admitted_sum, last_admitted)
         if last is None:
-            # One of both ingresses is new to the other: of sums since a start unknown the last
-            # request counts, and a start does not fill the token bucket.
+            # This is the peer's first report of the customer, and the time its sums count from is
+            # unknown. So at most one request is counted, and the bucket level is lowered to the
+            # level at the peer, because a restart must not refill the token bucket.
             largest = self._context.settings.max_request_units
             requested = min(requested, largest)
             admitted = min(admitted, largest)
@@ -306,7 +312,7 @@
             customer.peer_in_flight[peer] = (self._context.now, report.in_flight)
 
     def _update_peer_rates(self, customer: Customer, requested: float, admitted: float) -> None:
-        """Add units that a peer was asked for and admitted since its last message."""
+        """Add the units requested from a peer and admitted by it since its last report."""
         sketch = self._customers.sketches[customer.plan_number]
         if sketch is None:
             return
--- a/dockthread/policy/gossip_codec.py
+++ b/dockthread/policy/gossip_codec.py
@@ -1,14 +1,14 @@
 """The binary format of gossip messages between ingresses, in little-endian order.
 
-A message has a header, entries of suspected backends, and reports of customers:
+A message has a header, entries of suspect backends, and reports of customers:
 
-    header    version (1 byte), incarnation (1), number of suspects (1), wide reports or not (1)
+    header    version (1 byte), incarnation (1), number of suspects (1), 1 for wide reports (1)
     suspect   backend's code (3 bytes), failure fraction in 1/255 (1)
     report    customer (4 bytes, or 8 if wide), plan (1), attempts in flight (1), sum of units
               requested (2), sum of units admitted (2), level of the token bucket (2, a float)
 
-Sums are in 1/16 unit, modulo 2**16. A message that is too short, garbled or of another version is
-ignored.
+Sums are in units of 1/16, modulo 2**16. A message that is too short, malformed or of another
+version is ignored.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-# Bytes of a message at the most, which all ingresses read.
+# Maximum size of a message in bytes, which every ingress can receive.
 MAX_MESSAGE_BYTES = 256
 # Version of the format.
 VERSION = 5
-# Parts of a unit in which sums are counted.
+# Sums are counted in this fraction of a unit.
 PARTS_PER_UNIT = 16
-# Bits of a sum in a message: sums count modulo 2**16.
+# Bit mask of a sum in a message: sums count modulo 2**16.
 SUM_MASK = 0xFFFF
-# Half the range of a sum: a difference of sums beyond it is read as negative.
+# Half the range of a sum: a larger difference between two sums is interpreted as negative.
 HALF_SUM_RANGE = 0x8000
-# Largest level (units) that a message carries, safely within the range of a two-byte float.
+# Largest level (units) in a message, which is well within the range of a two-byte float.
 MAX_BUCKET_LEVEL = 60_000.0
-# Attempts in flight at the most that one byte holds.
+# Largest number of attempts in flight, limited by its size of one byte.
 MAX_IN_FLIGHT = 255
-# Steps of a failure fraction in one byte.
+# Largest encoded failure fraction, which stands for 1; limited by its size of one byte.
 FRACTION_STEPS = 255
-# Multiplier (2**64 over the golden ratio, Fibonacci hashing) and shift that spread backends'
-# numbers over three bytes.
+# Multiplier (2**64 divided by the golden ratio, as in Fibonacci hashing), shift and mask that hash
+# backends' numbers to three bytes.
 CODE_MULTIPLIER = 0x9E3779B97F4A7C15
 CODE_SHIFT = 20
 CODE_MASK = 0xFFFFFF
@@ -49,15 +49,15 @@
 
 
 class CustomerReport(NamedTuple):
-    """What one ingress reports of a customer.
+    """One ingress's report of a customer.
 
     Attributes:
         customer: the customer's number.
-        plan: the position of its plan in the settings.
-        in_flight: the sender's own attempts in flight.
-        arrived_sum: units requested of the sender since its start, as `encode_units` gives them.
-        admitted_sum: units that it admitted since its start, alike.
-        bucket_level: units left of the quota, as the sender knows it.
+        plan: the position of the customer's plan in the settings.
+        in_flight: number of the customer's attempts in flight at the sender.
+        arrived_sum: units requested from the sender since its start, encoded by `encode_units`.
+        admitted_sum: units that the sender admitted since its start, encoded by `encode_units`.
+        bucket_level: units left in the sender's copy of the customer's token bucket.
     """
 
     customer: int
@@ -69,11 +69,11 @@
 
 
 class GossipMessage(NamedTuple):
-    """One decoded message of a peer.
+    """One decoded message from a peer.
 
     Attributes:
-        incarnation: a random mark of the sender's present run; another one means a restart.
-        suspects: codes of suspected backends with their failure fractions (0 to 1).
+        incarnation: a random number of the sender's process; a different one means a restart.
+        suspects: codes of suspect backends with their failure fractions (0 to 1).
         reports: reports of customers.
     """
 
@@ -83,18 +83,18 @@
 
 
 def backend_code(backend: int) -> bytes:
-    """Return the three-byte hash of a backend's number that stands for it in messages."""
+    """Return the three-byte hash of a backend's number that identifies it in messages."""
     code = backend * CODE_MULTIPLIER >> CODE_SHIFT & CODE_MASK
     return code.to_bytes(CODE_BYTES, "big")
 
 
 def encode_units(units: float) -> int:
-    """Return a sum of units as a message carries it: in 1/16 unit, modulo 2**16."""
+    """Encode a sum of units for a message: in units of 1/16, modulo 2**16."""
     return round(units * PARTS_PER_UNIT) & SUM_MASK
 
 
 def units_between(later: int, earlier: int) -> float:
-    """Return the units by which an encoded sum has grown; below 0 where it has shrunk."""
+    """Return the units by which an encoded sum has grown; negative if it has shrunk."""
     difference = (later - earlier + HALF_SUM_RANGE & SUM_MASK) - HALF_SUM_RANGE
     return difference / PARTS_PER_UNIT
 
@@ -106,7 +106,7 @@
 
 
 def report_capacity(suspects: int, customers: Iterable[int]) -> int:
-    """Return how many reports of these customers fit into a message beside the suspects."""
+    """Return how many reports of these customers fit into a message with `suspects` entries."""
     left = MAX_MESSAGE_BYTES - HEADER.size - suspects * SUSPECT_ENTRY.size
     return left // report_format(customers).size
 
@@ -116,11 +116,11 @@
     suspects: Sequence[tuple[bytes, float]],
     reports: Sequence[CustomerReport],
 ) -> bytes:
-    """Encode one message; the caller keeps to `report_capacity`.
+    """Encode one message; the caller must not pass more reports than `report_capacity`.
 
     Args:
-        incarnation: the mark of the sender's present run, from 0 to 255.
-        suspects: codes of suspected backends with their failure fractions.
+        incarnation: the sender's incarnation, from 0 to 255.
+        suspects: codes of suspect backends with their failure fractions.
         reports: reports of customers; attempts in flight and levels are clipped to their ranges.
     """
     report_struct = report_format(report.customer for report in reports)
@@ -144,12 +144,12 @@
     """Decode one message.
 
     Args:
-        data: the datagram.
-        plan_count: plans in the settings; reports of other plans are dropped, and so are reports
-            with an absurd level.
+        data: the content of the datagram.
+        plan_count: number of plans in the settings; reports of other plans are dropped, and so are
+            reports with a level out of range.
 
     Returns:
-        None where the bytes are no message of this version.
+        The message; None if the data is not a valid message of this version.
     """
     if len(data) < HEADER.size or data[0] != VERSION:
         return None
--- a/dockthread/policy/latency_estimates.py
+++ b/dockthread/policy/latency_estimates.py
@@ -1,42 +1,43 @@
-"""Estimates of backends' latency, load and concurrency from few samples; it decides nothing.
+"""Estimates of backends' latency, load and concurrency from few samples.
 
-With many ingresses each of them sees few responses of any one backend: some three a minute with
-forty ingresses, a hundred with three. A value that is smoothed with a small step would hardly leave
-its start. So the estimate of one backend is drawn towards the mean of its kind by a fixed number of
-imaginary samples (shrinkage, as in empirical Bayes estimation), and counts alone once it has many
-samples. The load of a report decays to the kind's mean and not to zero: a backend without
-a recent report counts as loaded as the others, where an idle one would attract every request.
+With many ingresses, each of them sees few responses of any one backend: about three per minute with
+forty ingresses, a hundred with three. A value that is smoothed with a small step would hardly
+change from its initial value. So the estimate of one backend is pulled towards the mean of its kind
+by a fixed number of prior samples (shrinkage, as in empirical Bayes estimation), whose influence
+vanishes once the backend has many samples. The load of a report decays to the kind's mean and not
+to zero: a backend without a recent report counts as being as loaded as the others, because one that
+counted as idle would attract every request.
 
-Latencies are relative to the usual latency of the request's class, so 1.0 is as usual.
+Latencies are relative to the usual latency of the request's class; 1.0 is the usual latency.
 """
 
 from __future__ import annotations
 
 import math
 
-# Imaginary samples with its kind's mean that each backend's estimate starts from.
+# Number of prior samples, with its kind's mean, in each backend's estimate.
 PRIOR_SAMPLES = 2.0
-# Largest relative latency that one sample counts as.
+# Relative latency to which each sample is clipped.
 MAX_RELATIVE_LATENCY = 8.0
-# Least weight of one more sample in the estimate of a backend.
+# Minimum weight of a new sample in the estimate of a backend.
 BACKEND_STEP = 0.05
-# Least weight of one more sample in the mean of a kind.
+# Minimum weight of a new sample in the mean of a kind.
 KIND_STEP = 0.05
-# Ingress count for which the weight of one failure, and how long it lasts, were set.
+# Number of ingresses up to which the weight and the half-life of a failure are not scaled up.
 REFERENCE_INGRESS_COUNT = 3.0
-# Requests that a backend serves at once with none of them taking longer than one alone.
+# Number of requests that a backend serves concurrently as fast as a single one.
 BASE_CONCURRENCY = 2.0
-# Weight of one more request in the usual concurrency.
+# Weight of a new request in the usual concurrency.
 CONCURRENCY_STEP = 0.02
-# Deviations above the usual latency at which one sample is clipped.
+# Samples are clipped at this many mean deviations above the usual latency.
 MAX_DEVIATIONS = 3.0
 
 
 def sample_scarcity(ingress_count: int) -> float:
-    """Return the factor by which one failure weighs more, and lasts longer, with more ingresses.
+    """Return the factor by which failures weigh more, and decay more slowly, with more ingresses.
 
-    Each of many ingresses sees fewer responses of a backend, so a backend that fails at once costs
-    each of them as many requests as it takes to notice.
+    With more ingresses each of them sees fewer responses of a backend. When a backend fails, every
+    ingress loses requests until it has seen enough failures.
     """
     return max(1.0, math.sqrt(ingress_count / REFERENCE_INGRESS_COUNT))
 
@@ -45,10 +46,10 @@
     """Mean relative latency and mean load of the backends of one kind.
 
     Attributes:
-        relative_latency: mean over the kind; 1.0 is as usual.
-        sample_count: latency samples so far.
+        relative_latency: mean relative latency of the kind; 1.0 is the usual latency.
+        sample_count: number of latency samples so far.
         remote_requests: mean number of requests of other ingresses at a backend of the kind.
-        report_count: load reports so far.
+        report_count: number of load reports so far.
     """
 
     __slots__ = ("relative_latency", "remote_requests", "report_count", "sample_count")
@@ -60,24 +61,24 @@
         self.report_count = 0
 
     def add_latency(self, relative_latency: float) -> None:
-        """Count the relative latency of one response of a backend of the kind."""
+        """Add the relative latency of one response from a backend of the kind."""
         self.sample_count += 1
         step = max(KIND_STEP, 1 / self.sample_count)
         self.relative_latency += step * (relative_latency - self.relative_latency)
 
     def add_load(self, remote_requests: float) -> None:
-        """Count the requests of other ingresses in one load report of the kind."""
+        """Add the requests of other ingresses according to one load report of the kind."""
         self.report_count += 1
         step = max(KIND_STEP, 1 / self.report_count)
         self.remote_requests += step * (remote_requests - self.remote_requests)
 
 
 class DecayRounds:
-    """Rounds of periodic maintenance so far, in each of which latency samples lose weight.
+    """Counts the rounds of periodic maintenance, in each of which latency samples lose weight.
 
     Attributes:
-        count: rounds so far.
-        remaining_per_round: fraction of a sample's weight that is left after each round.
+        count: number of rounds so far.
+        remaining_per_round: fraction of a sample's weight that remains after each round.
     """
 
     __slots__ = ("count", "remaining_per_round")
@@ -87,20 +88,20 @@
         self.remaining_per_round = 1.0
 
     def advance(self, remaining: float) -> None:
-        """Count one more round, which leaves the fraction `remaining` of each weight."""
+        """Count one more round, which multiplies each weight by `remaining`."""
         self.count += 1
         self.remaining_per_round = remaining
 
     def remaining_since(self, round_number: int) -> float:
-        """Return the fraction that is left of a weight set in an earlier round."""
+        """Return the fraction that remains of a weight set in an earlier round."""
         return self.remaining_per_round ** (self.count - round_number)
 
 
 class RelativeLatency:
-    """The mean relative latency of one backend, drawn towards the mean of its kind.
+    """The mean relative latency of one backend, pulled towards the mean of its kind.
 
-    Its weight decays by the rounds gone by whenever it is read: most backends of a long list have
-    an estimate, and few of them are read in a round.
+    The weight is decayed when it is read and not in each round: most backends of a long list have
+    an estimate, but few of them are read in a round.
     """
 
     __slots__ = ("_mean", "_rounds", "_updated_in", "_weight")
@@ -113,32 +114,32 @@
 
     @property
     def sample_count(self) -> float:
-        """The decayed number of samples that the mean counts as."""
+        """The decayed number of samples in the mean."""
         return self._weight * self._rounds.remaining_since(self._updated_in)
 
     def add_sample(self, relative_latency: float) -> None:
-        """Count the relative latency of one more response."""
+        """Add the relative latency of one response."""
         self._weight = min(self.sample_count + 1, 1 / BACKEND_STEP)
         self._updated_in = self._rounds.count
         self._mean += (relative_latency - self._mean) / self._weight
 
     def estimate(self, kind: KindEstimates) -> float:
-        """Return the backend's relative latency, drawn towards that of its kind."""
+        """Return the backend's relative latency, pulled towards that of its kind."""
         weight = self.sample_count
         prior = PRIOR_SAMPLES * kind.relative_latency
         return (prior + weight * self._mean) / (PRIOR_SAMPLES + weight)
 
 
 class ConcurrencyEstimate:
-    """The usual concurrency that a request meets at its backend.
+    """Estimates the usual number of concurrent requests at the backend of a request.
 
-    A backend's relative latency is to say how fast it is, and not how loaded it was: without this
-    correction a backend that was spared during slow start looked four times as fast as the loaded
-    ones, got sixty requests to their fifteen as soon as it was warm, and was overloaded (seen with
-    3 ingresses and 17 backends in the scenario pool-bern).
+    A backend's relative latency must reflect how fast the backend is, and not how loaded it was.
+    Without this correction, a backend with little load during slow start looked four times as fast
+    as the loaded backends. As soon as it was warm it got sixty requests for fifteen of theirs, and
+    was overloaded (seen with 3 ingresses and 17 backends in the scenario pool-bern).
 
     Attributes:
-        usual_concurrency: smoothed number of requests at a backend, `BASE_CONCURRENCY` included.
+        usual_concurrency: smoothed number of requests at a backend plus `BASE_CONCURRENCY`.
     """
 
     __slots__ = ("usual_concurrency",)
@@ -147,7 +148,10 @@
         self.usual_concurrency = BASE_CONCURRENCY
 
     def relative_concurrency(self, load: float) -> float:
-        """Count a request that meets `load` others and return its concurrency; 1.0 is as usual."""
+        """Count a request sent to a backend with `load` others; return its relative concurrency.
+
+        1.0 is the usual concurrency.
+        """
         concurrency = load + BASE_CONCURRENCY
         self.usual_concurrency += CONCURRENCY_STEP * (concurrency - self.usual_concurrency)
         return concurrency / self.usual_concurrency
@@ -158,12 +162,13 @@
 ) -> tuple[float, float]:
     """Return the usual latency and its mean deviation (s) after one more response.
 
-    Both are exponentially weighted means, as in TCP's retransmission timer (RFC 6298). A far longer
-    duration, of a failing backend, is clipped: it would make later slow responses look usual.
+    Both are exponentially weighted means, as in TCP's retransmission timer (RFC 6298). The far
+    longer duration of a response from a failing backend is clipped, because it would make later
+    slow responses look normal.
 
     Args:
-        usual: usual latency so far, s.
-        deviation: its mean absolute deviation so far, s.
+        usual: usual latency before this response, s.
+        deviation: mean absolute deviation before this response, s.
         duration: duration of the response, s.
         step: weight of the new sample, from 0 to 1.
     """
--- a/dockthread/policy/load_balancer.py
+++ b/dockthread/policy/load_balancer.py
@@ -1,7 +1,8 @@
 """Load balancing: the choice of the backend for an attempt.
 
-Of a few backends drawn by their weights the one with the least expected cost is chosen (power of
-several choices). A backend that warms up or is at capacity is guarded.
+A few backends are drawn at random by their weights, and the one with the lowest expected cost is
+chosen (the power of two choices, with more of them). Backends that are warming up are sent less,
+and backends at capacity are avoided.
 """
 
 from __future__ import annotations
@@ -16,13 +17,13 @@
 from dockthread.policy.route_constraints import RouteConstraints
 from dockthread.policy.slow_start import SlowStart, warming_multiple
 
-# Backends drawn by all ingresses together for one attempt, over the backends there are.
+# The candidates of one attempt, summed over all ingresses, are this many times the backends.
 CANDIDATES_PER_BACKEND = 4
 # The fewest backends drawn for one attempt.
 FEWEST_CANDIDATES = 2
-# The price of a new connection is worth this many usual response times.
+# A new connection costs as much as this many usual response times, times the handshake cost.
 HANDSHAKE_RESPONSE_TIMES = 8.0
-# Expected costs that differ by less than this part are taken for alike: chance decides.
+# Between backends whose expected costs differ by less than this fraction, the choice is random.
 COST_NOISE = 0.05
 
 
@@ -56,12 +57,12 @@
         self._idle_connection_time = context.settings.conn_idle * IDLE_CLOSE_FRACTION
 
     def choose(self, pending: PendingRequest) -> Backend | None:
-        """Return the backend for a request's next attempt, or None where there is none for now.
+        """Return the backend for a request's next attempt, or None if none is available now.
 
-        Drawing by weight keeps ingresses from herding, and from overloading in sum a backend that
-        warms up (rule 4): of the backends drawn for a first attempt only as many may warm up as
-        such a backend can be sent times its capacity, even where the others are at capacity. A
-        pool in which all warm up is limited by `RecoveryRamp`.
+        Drawing by weight keeps ingresses from herding, and from together overloading a backend that
+        is warming up (rule 4). Of the candidates for a first attempt, at most `warming_multiple`
+        may be warming up, even if the others are at capacity. If all backends of the pool are
+        warming up, `RecoveryRamp` limits the attempts.
         """
         pool = self._pool
         if not pool.has_warm_backend and self._slow_start.attempts_available(pool.total_weight) < 1:
@@ -79,7 +80,7 @@
         return self._any_with_capacity(pending, possible_run, candidates, used)
 
     def idle_connections_since(self) -> float:
-        """Return since when an idle connection may have stood without being closed, in seconds."""
+        """Return the time in seconds before which idle connections have been closed."""
         return self._context.now - self._idle_connection_time
 
     def _deduplicating(
@@ -89,7 +90,7 @@
         effect: Effect,
         candidates: DrawableBackends,
     ) -> DrawableBackends:
-        """Return the backends that drop the repeat of what may have run; none if none does."""
+        """Return the backends that would drop a duplicate of the attempt that may have run."""
         is_repeatable = (
             effect is Effect.KEYED
             and self._context.now < self._routes.repeat_window_end(possible_run, pending)
@@ -102,7 +103,7 @@
     def _cheapest(
         self, pending: PendingRequest, candidates: DrawableBackends, used: set[int]
     ) -> Backend | None:
-        """Return the backend of least cost among some that are drawn; None if none is usable."""
+        """Return the drawn candidate with the lowest cost; None if no candidate is usable."""
         settings = self._context.settings
         share = CANDIDATES_PER_BACKEND * len(candidates) // settings.ingress_count
         drawn = candidates.draw(self._context.rng, max(FEWEST_CANDIDATES, share))
@@ -122,10 +123,11 @@
         candidates: DrawableBackends,
         used: set[int],
     ) -> Backend | None:
-        """Draw from all backends with capacity, as the few that were drawn have none.
+        """Draw from all backends with capacity, because none of the drawn candidates is usable.
 
-        It is by weight and not by cost: a backend that drains without notice is empty, and would
-        be chosen each time. When all are at capacity, only a first attempt is sent.
+        The draw is by weight and not by cost: a backend that drains without notice has no load, so
+        it would always have the lowest cost. If all backends are at capacity, only a first attempt
+        is sent.
         """
         eligible = self._with_capacity(pending, candidates)
         if not eligible and not pending.attempts:
@@ -141,9 +143,9 @@
     def _with_capacity(
         self, pending: PendingRequest, candidates: DrawableBackends
     ) -> list[Backend]:
-        """Return the backends with capacity, warm ones unless none is.
+        """Return the backends with capacity; only warm ones, if there is a warm backend.
 
-        Of many, it returns those among some, unless none of these has capacity.
+        From a long list it returns those in a sample, unless none in the sample has capacity.
         """
         may_warm_up = not self._pool.has_warm_backend
         some = [
@@ -156,9 +158,9 @@
         ]
 
     def _cost(self, backend: Backend) -> float:
-        """Return the expected time that one more request would take; chance decides among equals.
+        """Return the expected cost of one more request, with noise that breaks ties at random.
 
-        It is in usual response times over the backend's weight.
+        The cost is the expected response time, in usual response times, divided by the weight.
         """
         context = self._context
         now = context.now
@@ -175,7 +177,7 @@
         )
 
     def _is_usable(self, backend: Backend, pending: PendingRequest, may_warm_up: bool) -> bool:
-        """Return whether a backend is ready, has capacity for the plan and is warm if it must."""
+        """Return whether a backend is ready, has capacity for the plan and is warm if required."""
         if not backend.is_ready:
             return False
         if self._context.now < backend.at_capacity_until.get(pending.event.plan, NEVER):
--- a/dockthread/policy/load_reports.py
+++ b/dockthread/policy/load_reports.py
@@ -1,35 +1,35 @@
-"""Load reports of backends: how many requests of other ingresses one of them has.
+"""Derives the number of other ingresses' requests at a backend from its load reports.
 
-A backend may add numbers on its load to a response. Which ones it sends is set per deployment; this
-module reads whichever are there and turns them into one quantity, a number of requests.
+A backend may add values that describe its load to a response. The settings of the deployment name
+these values. This module converts the values that are present into one number of requests.
 """
 
 from __future__ import annotations
 
-# Names of the report fields that are understood, as they stand in the platform's settings:
-# requests in flight, part of the CPU cores in use, requests served per second, latency (ms), and
-# requests in the queue.
+# Names of the supported report fields in the platform's settings: requests in flight, fraction of
+# the CPU cores in use, requests served per second, latency (ms), and requests in the queue.
 LOAD_REPORT_FIELDS = ("rif", "busy", "rate", "lat_ms", "q")
-# Requests that a backend with all cores in use counts as, beside this ingress's own.
+# Number of other ingresses' requests that is assumed for a backend with all cores in use.
 FULL_CPU_REQUESTS = 1.0
 MS_PER_S = 1000
 
 
 class LoadReportReader:
-    """Reads the requests of other ingresses at a backend off whichever fields a report has.
+    """Estimates the requests of other ingresses at a backend from the fields of a load report.
 
-    The first of these fields that a report has decides:
+    The first of these fields that the report contains is used:
 
     * `rif`, the requests in flight at the backend;
-    * `busy`, the part of the cores in use, which counts as up to `FULL_CPU_REQUESTS` (to learn what
-      it stands for, and count it in full, made ingresses herd to where late reports saw capacity);
+    * `busy`, the fraction of the cores in use, which counts as up to `FULL_CPU_REQUESTS` (with the
+      learnt number of requests in its place, ingresses herded to the backends that outdated reports
+      showed as idle);
     * `rate`, requests served per second, times the usual latency (Little's law);
-    * `lat_ms`, the latency in usual latencies.
+    * `lat_ms`, the latency as a multiple of the usual latency.
 
-    `q`, the requests in the queue, is added to all but the first.
+    `q`, the requests in the queue, is added unless the report contains `rif`.
 
     Attributes:
-        positions: position of each understood field in a report, by name.
+        positions: position of each supported field in a report, by name.
     """
 
     __slots__ = ("positions",)
@@ -40,15 +40,16 @@
     def remote_requests(
         self, report: tuple[float, ...], in_flight: int, usual_latency: float
     ) -> float | None:
-        """Return how many requests of other ingresses a backend has.
+        """Return the estimated number of other ingresses' requests at a backend.
 
         Args:
-            report: the numbers of the report, in the order of the names given at the start.
-            in_flight: this ingress's own attempts there, without the one that brought the report.
-            usual_latency: s that a response usually takes.
+            report: the values of the report, in the order of the names passed to the constructor.
+            in_flight: this ingress's attempts in flight there, without the one whose response
+                carried the report.
+            usual_latency: the usual response time, s.
 
         Returns:
-            A number of requests of at least 0; None where the report has no understood field.
+            A number of requests of at least 0; None if the report has no supported field.
         """
         values = {
             name: report[position]
--- a/dockthread/policy/model.py
+++ b/dockthread/policy/model.py
@@ -1,7 +1,7 @@
 """Types that describe a deployment: request classes, plans, limits, costs and listed endpoints.
 
 Times and durations are in seconds on one monotonic clock, the engine's. Backends and customers are
-plain integers that carry identity only; positions in a tuple count from 0.
+plain integers that serve only as identifiers; positions in a tuple count from 0.
 """
 
 from __future__ import annotations
@@ -9,16 +9,17 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# The fraction of `PolicySettings.conn_idle`, the latest at which a backend closes an idle
-# connection, after which an ingress closes it itself: a request must not meet the closing.
+# An ingress closes an idle connection after this fraction of `PolicySettings.conn_idle`, the time
+# after which the backend closes it. Otherwise a request could be sent on a connection that the
+# backend is closing.
 IDLE_CLOSE_FRACTION = 0.5
 
 
 class Effect(Enum):
-    """What a request changes, and so how it may be retried.
+    """Whether a request is idempotent, which determines how it may be retried.
 
-    SAFE requests are idempotent, KEYED ones are idempotent with an idempotency key that backends
-    remember for a while, and UNSAFE ones are not idempotent.
+    SAFE requests are idempotent, KEYED requests are idempotent with an idempotency key that
+    backends remember for a while, and UNSAFE requests are not idempotent.
     """
 
     SAFE = "safe"
@@ -27,7 +28,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which backends drop the duplicates of a keyed request: all, or those of one zone or cell."""
+    """Which backends drop duplicates of a keyed request: all, or those of one zone or cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -35,7 +36,7 @@
 
 
 class BackendState(Enum):
-    """Whether a backend takes requests, only finishes those that it has, or is gone."""
+    """Whether a backend accepts requests, only finishes those in flight, or was removed."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -43,10 +44,10 @@
 
 
 class EndpointListKind(Enum):
-    """How a list of endpoints is to be read.
+    """How to interpret a list of endpoints.
 
-    CHANGES lists what changed, FULL replaces everything listed before, CACHED is a list of an
-    earlier run, and FAILED says that there is no list.
+    CHANGES contains only changed endpoints, FULL replaces the previous list, CACHED is a list saved
+    by an earlier run, and FAILED means that no list could be obtained.
     """
 
     CHANGES = "changes"
@@ -56,7 +57,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt ended; those in `NEVER_RAN` prove that the backend did not run it."""
+    """How an attempt ended; an outcome in `NEVER_RAN` proves that the backend did not run it."""
 
     OK = "ok"
     ERROR = "error"
@@ -67,26 +68,27 @@
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"
 
-    # Outcomes are counted on every attempt; Enum's own hash, in Python, costs five times as much.
+    # Outcomes are hashed for every attempt; Enum's own hash is written in Python and takes five
+    # times as long.
     __hash__ = object.__hash__
 
 
-# The outcomes after which an attempt has certainly not run, so that any request may be retried.
+# Outcomes that prove that an attempt did not run, so that any request may be retried.
 NEVER_RAN = (Outcome.AT_CAPACITY, Outcome.UNREACHABLE, Outcome.NOT_SENT)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What requests of one class are worth, and by when they need an answer.
+    """Priority, latency requirements and retry rules of the requests of one class.
 
     Attributes:
-        latency_objective: s within which an answer has its full worth.
-        deadline: s after its arrival by which a request is to have its final answer.
+        latency_objective: time within which an answer has its full worth, s.
+        deadline: time from its arrival within which a request must have its final answer, s.
         priority_weight: worth of an answer, relative to other classes.
-        late_weight: worth of an answer after the objective; read, and not used.
+        late_weight: worth of an answer after the objective; read from the settings but not used.
         effect: how a request of the class may be retried.
         deduplication_scope: which backends drop duplicates of a keyed request.
-        deduplication_window: s for which these remember an idempotency key.
+        deduplication_window: time for which these backends remember an idempotency key, s.
         is_stream: whether an answer is passed on to the client while it arrives.
     """
 
@@ -102,18 +104,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """The quota of each customer of a plan, over all ingresses; 0 stands for "no such limit".
+    """The limits of each customer of a plan, over all ingresses; 0 means that there is no limit.
 
     Attributes:
-        rate: refill of the customer's token bucket, units/s.
+        rate: refill rate of the customer's token bucket, units/s.
         burst: size of the token bucket, units.
-        max_in_flight: attempts of a customer in flight at once.
+        max_in_flight: maximum number of a customer's attempts in flight.
         priority_multiplier: factor on the priority weight of the customer's requests.
-        over_quota_weight: worth of an answer beyond the quota; read, and not used.
-        over_quota_cost: cost of an answer beyond the quota; read, and not used.
-        ceiling_rate: refill of a second bucket that is never exceeded, units/s.
-        ceiling_burst: size of the second bucket, units.
-        ceiling_slack: units by which the ceiling may be exceeded; read, and not used.
+        over_quota_weight: worth of an answer beyond the quota; read from the settings but not used.
+        over_quota_cost: cost of an answer beyond the quota; read from the settings but not used.
+        ceiling_rate: refill rate of a second token bucket, which is never exceeded, units/s.
+        ceiling_burst: size of the second token bucket, units.
+        ceiling_slack: units by which the ceiling may be exceeded; read from the settings but not
+            used.
     """
 
     rate: float = 0.0
@@ -127,7 +130,7 @@
     ceiling_slack: float = 0.0
 
     def charged_units(self, units: float) -> float:
-        """Return what a request of `units` counts as: one where the plan only caps attempts."""
+        """Return the units that a request is charged: 1 if the plan only caps attempts."""
         return units if self.rate else 1.0
 
 
@@ -136,13 +139,15 @@
     """Limits that protect backends and clients.
 
     Attributes:
-        answer_slack: s by which an answer may come after the deadline; read, and not used.
-        drain_grace: s for which attempts may still be sent to a backend that began to drain.
-        cold_capacity: fraction of its capacity that a backend has at its start.
-        warm_up_time: s after its start at which a backend has its full capacity.
-        overload_multiple: multiple of its capacity that overloads a backend.
-        overload_time: s for which a backend withstands that.
-        poll_interval: s within which a lost endpoint list is to be polled again.
+        answer_slack: time by which an answer may come after the deadline, s; read from the settings
+            but not used.
+        drain_grace: time for which attempts may still be sent to a backend that has begun to drain,
+            s.
+        cold_capacity: fraction of its capacity that a backend has when it starts.
+        warm_up_time: time after its start until a backend has its full capacity, s.
+        overload_multiple: load that overloads a backend, as a multiple of its capacity.
+        overload_time: time for which a backend withstands such an overload, s.
+        poll_interval: time within which a lost endpoint list must be polled again, s.
     """
 
     answer_slack: float = 0.0
@@ -160,10 +165,10 @@
 
     Attributes:
         cross_zone: cost of an attempt in another zone.
-        waste: cost of an attempt whose answer is not needed; read, and not used.
-        health_check: cost of a health check; read, and not used.
-        gossip: cost of a gossip message; read, and not used.
-        late_failure: cost of a request that fails late; read, and not used.
+        waste: cost of an attempt whose answer is not needed; read from the settings but not used.
+        health_check: cost of a health check; read from the settings but not used.
+        gossip: cost of a gossip message; read from the settings but not used.
+        late_failure: cost of a request that fails late; read from the settings but not used.
         handshake: cost of a new connection to a backend.
     """
 
@@ -177,33 +182,34 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicySettings:
-    """All that an ingress's policy engine is given before its first event.
+    """The settings of an ingress's policy engine.
 
     Attributes:
         ingress_number: this ingress's number, from 0.
-        ingress_count: how many ingresses the deployment has.
+        ingress_count: number of ingresses in the deployment.
         classes: request classes, by position.
         plans: customers' plans, by position.
         zone: the zone of this ingress.
         clock_tick: resolution of timers, s.
         safety: limits that protect backends and clients.
-        costs: what attempts and messages cost.
-        max_attempts: attempts of a request at the most.
-        may_hedge: whether a second attempt may run beside a slow first one.
+        costs: costs of attempts and messages.
+        max_attempts: maximum number of attempts of a request.
+        may_hedge: whether a second attempt may be sent while a slow first one is in flight.
         may_cancel: whether an attempt may be cancelled.
         may_check_health: whether health checks may be sent; the engine sends none.
         may_gossip: whether gossip may be sent to peers.
-        max_retry_after: longest advice to a rejected client when to retry, s.
-        gossip_intake_rate: messages/s that an ingress can take in.
+        max_retry_after: longest wait that a rejected client is advised before a retry, s.
+        gossip_intake_rate: rate at which an ingress can receive gossip messages, messages/s.
         max_request_units: units of the largest request.
-        settles_units: whether the actual units of a request are charged at its end.
-        usage_report_period: s over which reported usage is measured; 0 where none is reported.
+        settles_units: whether a request is charged its actual units when it ends.
+        usage_report_period: period over which reported usage is measured, s; 0 if usage is not
+            reported.
         may_use_counter: whether there is a counter that all ingresses share.
-        clock_offset: s to add to this ingress's clock to get the one that all ingresses share.
-        conn_idle: s after which a backend closes an idle connection.
+        clock_offset: offset of the clock that all ingresses share from this ingress's clock, s.
+        conn_idle: time after which a backend closes an idle connection, s.
         load_report_fields: names of the numbers in a load report, in order.
         has_load_reports: whether answers carry load reports.
-        must_poll_endpoints: whether the engine has to ask for the endpoint list.
+        must_poll_endpoints: whether the engine must request the endpoint list.
     """
 
     ingress_number: int
@@ -234,16 +240,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One backend as it is listed.
+    """The entry of one backend in the endpoint list.
 
     Attributes:
         backend: the backend's number.
         state: whether it may be sent requests.
         zone: the zone that it is in.
-        kind: its hardware kind; backends of one kind are assumed alike at first.
+        kind: its hardware kind; backends of one kind are initially assumed to perform alike.
         cell: its cell, within which keyed requests may be deduplicated.
         weight: its capacity relative to other backends.
-        started_at: when its process started, s on the engine's clock; 0 for long ago.
+        started_at: time at which its process started, s on the engine's clock; 0 if that is long
+            past.
     """
 
     backend: int
--- a/dockthread/policy/pending_request.py
+++ b/dockthread/policy/pending_request.py
@@ -14,10 +14,10 @@
 
     Attributes:
         backend: the backend's number.
-        sent_at: when it was sent, in seconds on the engine's clock.
-        concurrency: how crowded the backend was taken to be, 1 being as usual.
+        sent_at: time at which it was sent, in seconds on the engine's clock.
+        concurrency: estimated concurrency at the backend relative to the usual one, which is 1.
         is_in_flight: whether it has not ended yet.
-        is_overdue: whether its answer is missing for much longer than usual.
+        is_overdue: whether its response is taking much longer than usual.
         may_have_run: whether the backend may have executed the request.
         outcome: how it ended; None while it is in flight.
     """
@@ -31,7 +31,7 @@
     outcome: Outcome | None = None
 
     def end(self, outcome: Outcome) -> None:
-        """Note how the attempt ended."""
+        """Record how the attempt ended."""
         self.is_in_flight = False
         self.may_have_run = outcome not in NEVER_RAN
         self.outcome = outcome
@@ -42,10 +42,10 @@
     """One request without a final answer.
 
     Attributes:
-        event: the request as it arrived.
-        request_class: its class as it was at the arrival; a reload may change the class since.
-        deadline: when its client stops waiting, in seconds on the engine's clock.
-        attempts: its attempts in the order sent.
+        event: the event with which it arrived.
+        request_class: its class as of its arrival; a reload may have changed the class since then.
+        deadline: time at which its client stops waiting, in seconds on the engine's clock.
+        attempts: its attempts in the order in which they were sent.
         has_deadline_timer: whether a timer for its deadline is set.
     """
 
@@ -60,7 +60,7 @@
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
     def has_attempt_in_flight(self) -> bool:
-        """Return whether an attempt has not ended yet."""
+        """Return whether any attempt has not ended yet."""
         return any(attempt.is_in_flight for attempt in self.attempts)
 
 
@@ -69,8 +69,8 @@
 
     Attributes:
         by_number: the requests by their number.
-        streaming: numbers of the requests whose response has begun to pass on to the client. From
-            then on no other attempt can answer them.
+        streaming: numbers of the requests whose response is being passed on to the client. No other
+            attempt can answer them any more.
     """
 
     __slots__ = ("by_number", "streaming")
@@ -80,7 +80,7 @@
         self.streaming: set[int] = set()
 
     def awaiting_attempt(self, request: int, number: int) -> PendingRequest | None:
-        """Return the request whose attempt is in flight with no response begun, or None."""
+        """Return the request if the attempt is in flight and no response has begun, else None."""
         pending = self.by_number.get(request)
         if pending is None or request in self.streaming:
             return None
--- a/dockthread/policy/rate_sketch.py
+++ b/dockthread/policy/rate_sketch.py
@@ -1,8 +1,8 @@
 """A count-min sketch of the decayed unit rates of a plan's customers.
 
 It follows rakelimit, Cloudflare's rate limiter, which estimates rates with a count-min sketch
-(Cormode and Muthukrishnan, 2005) whose cells hold decayed rates in place of counts. Collisions only
-ever make an estimate too high, and the minimum over the rows bounds by how much.
+(Cormode and Muthukrishnan, 2005) whose cells hold decayed rates instead of counts. Hash collisions
+can only make an estimate too high; taking the minimum over the rows limits this error.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
     """Estimates each customer's rate of units over a window.
 
     Attributes:
-        window: s over which a rate is taken.
+        window: time over which a rate is measured, s.
         hash_coefficients: factor and offset of each row's hash function.
         rates: units per second, by row and cell.
-        updated_at: when each cell was updated last, s, by row and cell.
+        updated_at: time at which each cell was last updated, s, by row and cell.
     """
 
     def __init__(self, window: float, rng: random.Random) -> None:
@@ -39,7 +39,7 @@
         self.updated_at = [[NEVER] * WIDTH for _ in range(ROWS)]
 
     def add(self, customer: int, units: float, now: float) -> float:
-        """Count units that a customer requests now and return its rate, in units per second."""
+        """Count units that a customer requests now; return its rate in units per second."""
         lowest = math.inf
         rows = zip(self.hash_coefficients, self.rates, self.updated_at, strict=True)
         for (factor, offset), rates, updated_at in rows:
@@ -51,9 +51,9 @@
         return lowest
 
     def decayed_rate(self, rate: float, units: float, gap: float) -> float:
-        """Return a rate after `gap` seconds without units, at the end of which `units` come.
+        """Return a rate after `gap` seconds without units, followed by `units`.
 
-        The rate falls linearly to 0 over the window. Over a gap longer than the window the new
+        The rate falls linearly to 0 over the window. If the gap is longer than the window, the new
         units count as spread over the gap.
         """
         return rate * max(0.0, 1 - gap / self.window) + units / max(gap, self.window)
--- a/dockthread/policy/rejection.py
+++ b/dockthread/policy/rejection.py
@@ -1,4 +1,4 @@
-"""Rejections: the final answer to a request that is not tried, or proved harmless to repeat."""
+"""Rejections: the final answer to a request that did not run or that is safe to repeat."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from dockthread.policy.context import Context
 from dockthread.policy.model import RequestClass
 
-# Advised wait before the client asks again, as a fraction of the class's latency objective. A
-# client that waits longer than the objective returns for nothing and takes units from requests
-# that are still in time.
+# Advised wait before the client retries, as a fraction of the class's latency objective. A retry
+# that comes later than the objective has lost its worth, and takes units from requests that can
+# still be answered in time.
 RETRY_AFTER_FRACTION = 0.25
 
 
@@ -31,9 +31,9 @@
     request_class: RequestClass,
     reason: RejectionReason = RejectionReason.UNSPECIFIED,
 ) -> None:
-    """Append the rejection of a request, with advice when to retry.
+    """Add an action that rejects a request and advises the client when to retry.
 
-    Every rejection carries the advice: whoever passes answers on decides whether clients see it.
+    Every rejection carries this advice; the host decides whether to pass it on to the client.
     """
     retry_after = min(
         context.settings.max_retry_after, RETRY_AFTER_FRACTION * request_class.latency_objective
--- a/dockthread/policy/route_constraints.py
+++ b/dockthread/policy/route_constraints.py
@@ -1,7 +1,7 @@
-"""What a request's route and its class's effect allow: backends, attempts, pauses and hedges.
+"""Constraints of a request's route and its class's effect on backends, retries and hedges.
 
-A route comes with the request (`Route`). It narrows what the settings allow and widens nothing.
-Without a route, every answer here is what the settings say.
+A request may carry a `Route`. A route can only restrict what the settings allow. For a request
+without a route, every method here returns what the settings allow.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from dockthread.policy.rejection import RejectionReason, reject
 from dockthread.policy.timers import TimerQueue
 
-# Effects from the one that allows most to the one that allows least.
+# All effects, from the least to the most restrictive.
 EFFECTS_BY_STRICTNESS = (Effect.SAFE, Effect.KEYED, Effect.UNSAFE)
-# Ticks of the engine's clock before a deadline at which the final answer has to be given.
+# The final answer must be given this many ticks of the engine's clock before the deadline.
 DEADLINE_TICKS = 2
 
 
@@ -27,8 +27,8 @@
     """Applies the constraints of requests' routes.
 
     Attributes:
-        admitted: requests that waited for their route's concurrency limit and are inside it now.
-            The engine decides them at the end of the event.
+        admitted: requests that waited for their route's concurrency limit and are now within it.
+            The engine decides on them after it has handled the current event.
     """
 
     __slots__ = ("_context", "_pool", "_requests", "_timers", "admitted")
@@ -45,17 +45,17 @@
     # Repeats (rule 2)
 
     def effect(self, pending: PendingRequest) -> Effect:
-        """Return the stricter of the class's effect at the arrival and by a reload since."""
+        """Return the stricter of the class's effects at the request's arrival and now."""
         current = self._context.settings.classes[pending.event.request_class].effect
         return max(pending.request_class.effect, current, key=EFFECTS_BY_STRICTNESS.index)
 
     def repeat_window_end(self, possible_run: Attempt, pending: PendingRequest) -> float:
-        """Return until when a request that may have run can be repeated, in seconds."""
+        """Return the time in seconds until which a request that may have run can be repeated."""
         window = pending.request_class.deduplication_window
         return possible_run.sent_at + window - self._context.settings.clock_tick
 
     def start_deadline(self, pending: PendingRequest) -> float:
-        """Return when the first byte of the attempt just added must be sent, in seconds."""
+        """Return the time in seconds by which the newest attempt must send its first byte."""
         possible_run = pending.first_possible_run()
         if (
             possible_run is None
@@ -68,7 +68,7 @@
     # Backends
 
     def candidates(self, pending: PendingRequest) -> DrawableBackends:
-        """Return the backends that the route allows; all where none of these is ready."""
+        """Return the backends that the route allows, or all backends if none of these is ready."""
         route = pending.event.route
         if route is None or not route.restricts_backends:
             return self._pool
@@ -77,7 +77,7 @@
     def deduplicating(
         self, pending: PendingRequest, home: Endpoint, candidates: DrawableBackends
     ) -> DrawableBackends:
-        """Return the candidates that drop repeats of an attempt that may have run at `home`."""
+        """Return the candidates that drop duplicates of an attempt that may have run at `home`."""
         near = self._pool.in_scope(home, pending.request_class.deduplication_scope)
         route = pending.event.route
         if candidates is self._pool or route is None:
@@ -87,9 +87,10 @@
     # The route's concurrency limit
 
     def enter(self, pending: PendingRequest) -> bool:
-        """Return whether a request is inside its route's concurrency limit.
+        """Return whether a request is within its route's concurrency limit.
 
-        Otherwise it waits in the route's queue, or it or a request of less priority is rejected.
+        If it is not, it waits in the route's queue, possibly in place of a queued request of lower
+        priority that is rejected, or is rejected itself.
         """
         event = pending.event
         route = event.route
@@ -109,7 +110,7 @@
         return False
 
     def leave(self, pending: PendingRequest) -> None:
-        """Free a request's place in its route's limit for those that wait for it."""
+        """Release a request's place in its route's concurrency limit to queued requests."""
         route = pending.event.route
         if route is None:
             return
@@ -120,7 +121,7 @@
                 self.admitted.append(request)
 
     def _on_queue_wait_ended(self, request: int) -> None:
-        """Reject a request that has waited in its route's queue for as long as it may."""
+        """Reject a request that has waited in its route's queue for the maximum time."""
         pending = self._requests.by_number.get(request)
         if pending is None:
             return
@@ -139,18 +140,18 @@
     # Attempts
 
     def on_attempt_sent(self, pending: PendingRequest) -> None:
-        """Tell the route that the request's last attempt is being sent."""
+        """Notify the route that the request's newest attempt is being sent."""
         route = pending.event.route
         if route is not None:
             route.on_attempt_sent(len(pending.attempts) - 1, self._context.now)
 
     def hedge_delay(self, pending: PendingRequest) -> float | None:
-        """Return the seconds after which the route itself hedges an attempt, or None."""
+        """Return the seconds after which the route hedges an attempt; None if it sets no delay."""
         route = pending.event.route
         return None if route is None else route.hedge_delay()
 
     def attempt_timeout(self, pending: PendingRequest) -> float:
-        """Return the seconds that the attempt being sent may take."""
+        """Return the timeout in seconds of an attempt that is sent now."""
         remaining = max(pending.deadline - self._context.now, 0.0)
         route = pending.event.route
         if route is None:
@@ -158,14 +159,14 @@
         return min(remaining, route.attempt_timeout or remaining)
 
     def may_hedge(self, pending: PendingRequest) -> bool:
-        """Return whether the route allows a hedge now. It draws on the route's budget."""
+        """Return whether the route allows a hedge now; a hedge uses the route's retry budget."""
         route = pending.event.route
         return route is None or route.try_hedge(len(pending.attempts), self._context.now)
 
     def retry_pause(self, pending: PendingRequest, outcome: Outcome) -> float | None:
-        """Return the seconds to wait before a retry, or None where the route allows none.
+        """Return the seconds to wait before a retry, or None if the route allows no retry.
 
-        It draws on the route's retry budget. A final answer is never delayed: where the pause
+        The retry uses the route's retry budget. A final answer is never delayed: if the pause
         would end too close to the deadline, there is no retry.
         """
         route = pending.event.route
@@ -178,7 +179,7 @@
         return None if now + pause >= self.answer_deadline(pending) else pause
 
     def still_allows_retry(self, pending: PendingRequest) -> bool:
-        """Return whether a retry that was allowed before a pause still is after a reload."""
+        """Return whether a retry that was allowed before a pause is still allowed after it."""
         route = pending.event.route
         outcome = pending.attempts[-1].outcome
         if outcome is None or route is None:
@@ -190,7 +191,7 @@
         return pending.deadline - DEADLINE_TICKS * self._context.settings.clock_tick
 
     def on_attempt_ended(self, pending: PendingRequest, event: AttemptEnded) -> None:
-        """Tell the route how an attempt ended."""
+        """Notify the route how an attempt ended."""
         route = pending.event.route
         if route is not None:
             route.on_attempt_ended(event.attempt, event.outcome, event.duration, self._context.now)
--- a/dockthread/policy/slow_start.py
+++ b/dockthread/policy/slow_start.py
@@ -1,13 +1,14 @@
-"""Slow start: what backends that warm up may be sent, as learnt from warm ones.
-
-Theory of operation. Beside warm backends, one that warms up is drawn by its slow-start weight, so
-that its load over its capacity is at most as many times a warm backend's as candidates may be
-warming up. In a pool without a warm backend nothing holds this: all requests go there, and at once
-those that waited while there was no backend. What a backend can serve is not known; what one
-served in a second is no more than it could serve (`RecoveryRamp`). Each ingress counts its own
-responses: the sum over the fleet of what each allows is what the settings allow of what the fleet
-saw served, whatever its size and however uneven the traffic. docs/design/fleet.md has the
-derivation.
+"""Slow start: limits the requests to backends that are warming up.
+
+Theory of operation. In a pool that also has warm backends, a backend that is warming up is drawn by
+its slow-start weight. The ratio of its load to its capacity is then at most that of a warm backend
+times the number of candidates that may be warming up. In a pool without a warm backend, the weights
+don't limit the load: all requests go to backends that are warming up, and those that waited while
+there was no backend go there at once. The capacity of a backend is not known, but the rate that
+backends have served is a lower bound, which `RecoveryRamp` uses. Each ingress counts its own
+responses. The sum of the limits of all ingresses is the multiple, set in the settings, of the rate
+that the fleet saw served, whatever the size of the fleet and however uneven the traffic.
+docs/design/fleet.md has the derivation.
 """
 
 from __future__ import annotations
@@ -21,16 +22,16 @@
 
 # Responses are averaged over this many times the safety limits' `overload_time`.
 RESPONSES_OVERLOAD_TIMES = 4.0
-# Shortest time in seconds that a backend's warm-up is taken to last, against a division by 0.
+# Lower bound on a backend's warm-up time in seconds, which avoids a division by 0.
 SHORTEST_WARM_UP = 1e-6
 
 
 class RecoveryRamp:
-    """The attempts that one ingress may send to a pool of which all backends warm up.
+    """A token bucket for the attempts of one ingress to a pool without a warm backend.
 
-    It is a token bucket. It fills at `overload_multiple - 1` times what the ingress saw served by
-    backends of the same summed weight, and holds the rest of the multiple over `overload_time`.
-    So no period of that length sees more than `overload_multiple` times what was served.
+    It refills at `overload_multiple - 1` times the rate that the ingress saw served by backends of
+    the same total weight. Its size is what is served at that rate in `overload_time`. So in no
+    period of that length are more attempts sent than `overload_multiple` times what was served.
     """
 
     __slots__ = (
@@ -48,7 +49,8 @@
         self._ingress_count = ingress_count
         self._window = safety.overload_time
         self._multiple = warming_multiple(safety)
-        # decayed: responses, and the summed weights times the seconds in which they came
+        # The decayed number of responses, and the decayed integral over time, in seconds, of the
+        # total weight of the backends that sent them. Their ratio is the served rate per weight.
         self._responses = 0.0
         self._exposure = 0.0
         self._total_weight = 0.0
@@ -56,7 +58,7 @@
         self.available = 1.0
 
     def on_response(self, now: float, total_weight: float, usual_latency: float) -> None:
-        """Count a response; the parameters are those of `advance`."""
+        """Count a response; `advance` describes the parameters."""
         self.advance(now, total_weight, usual_latency)
         self._responses += 1
 
@@ -65,8 +67,8 @@
 
         Args:
             now: the current time in seconds.
-            total_weight: the summed weights of all ready backends from now on.
-            usual_latency: seconds that a response usually takes.
+            total_weight: the sum of the weights of all ready backends from now on.
+            usual_latency: the usual response time in seconds.
         """
         gap = now - self._updated_at
         self._updated_at = now
@@ -81,23 +83,23 @@
     def served_rate(self, usual_latency: float) -> float:
         """Return the responses to this ingress per second and backend of weight 1.
 
-        It is what was seen, and at least this ingress's part of what any backend can serve that
-        works on one request at a time.
+        It is the observed rate, but at least this ingress's share of the rate of a backend that
+        serves one request at a time.
         """
         seen = self._responses / self._exposure if self._exposure else 0.0
         return max(seen, 1 / (self._ingress_count * usual_latency))
 
 
 def warming_multiple(safety: SafetyLimits) -> int:
-    """Return how many times its capacity a backend that warms up may be sent.
+    """Return how many times its capacity a backend that is warming up may be sent.
 
-    It is what the settings allow less one, which is kept for chance.
+    It is the multiple in the settings minus one, which is kept in reserve for random variation.
     """
     return max(1, int(safety.overload_multiple) - 1)
 
 
 class SlowStart:
-    """Weighs backends by how far they have warmed up, and limits a pool without a warm one."""
+    """Weighs backends by how far they have warmed up, and limits a pool without a warm backend."""
 
     __slots__ = ("_context", "_latencies", "ramp")
 
@@ -111,7 +113,7 @@
         return RecoveryRamp(settings.safety, settings.ingress_count, self._context.now)
 
     def weight(self, backend: Backend) -> float:
-        """Return the part of its capacity that a backend has now; 1 for a warm one."""
+        """Return the fraction of its capacity that a backend has now; 1 for a warm backend."""
         safety = self._context.settings.safety
         started_at = backend.endpoint.started_at
         age = max(0.0, self._context.now - started_at) if started_at else math.inf
@@ -119,7 +121,7 @@
         return min(1.0, cold + (1 - cold) * age / max(safety.warm_up_time, SHORTEST_WARM_UP))
 
     def on_response(self, total_weight: float) -> None:
-        """Count a response; `total_weight` is the sum over all ready backends."""
+        """Count a response; `total_weight` is the sum of the weights of all ready backends."""
         self.ramp.on_response(self._context.now, total_weight, self._latencies.mean())
 
     def attempts_available(self, total_weight: float) -> float:
--- a/dockthread/policy/timers.py
+++ b/dockthread/policy/timers.py
@@ -1,4 +1,4 @@
-"""Timers: callbacks that the engine's host triggers by a token."""
+"""Timers: callbacks that run when the engine's host sends a `TimerFired` event."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from dockthread.policy.context import Context
 from dockthread.policy.events import TimerFired
 
-# Tokens are unsigned 32-bit integers from 1 on, and start again after the largest.
+# Largest token. Tokens are unsigned 32-bit integers from 1 and wrap around to 1 after the largest.
 LARGEST_TOKEN = 0xFFFFFFFF
 
 
@@ -20,18 +20,18 @@
     def __init__(self, context: Context) -> None:
         self._context = context
         self._last_token = 0
-        # by token: the callback and its arguments
+        # The callback and its arguments, by token.
         self.pending: dict[int, tuple[Callable[..., None], tuple[int, ...]]] = {}
 
     def set(self, at: float, callback: Callable[..., None], *arguments: int) -> None:
-        """Have `callback(*arguments)` called at a time, in seconds on the engine's clock."""
+        """Schedule `callback(*arguments)` for a time `at`, in seconds on the engine's clock."""
         token = self._last_token % LARGEST_TOKEN + 1
         self._last_token = token
         self.pending[token] = (callback, arguments)
         self._context.actions.append(SetTimer(at, token))
 
     def on_timer_fired(self, event: TimerFired) -> None:
-        """Call the callback of a timer whose time has come; ignore an unknown token."""
+        """Run the callback of a timer that fired; ignore an unknown token."""
         timer = self.pending.pop(event.token, None)
         if timer is not None:
             callback, arguments = timer
--- a/dockthread/policy/token_bucket.py
+++ b/dockthread/policy/token_bucket.py
@@ -1,25 +1,26 @@
-"""The token bucket of one customer's quota, as one ingress knows it; it decides nothing.
+"""One ingress's copy of the token bucket of a customer's quota.
 
 Theory of operation. A quota is one token bucket for all ingresses together, and no ingress sees all
-that is taken from it. Each keeps a copy: full at first, refilled at the plan's rate, less what was
-admitted here and less what the other ingresses admitted. The latter is learnt from two sources
-which tell of the same units:
-
-* Gossip of the other ingresses carries sums by sender, so that a later message makes up for a lost
-  one.
-* The shared counter holds the units used since the start of an epoch and those that overflowed the
-  full bucket. The refill of the epoch less that total is therefore the level, whoever reads it and
-  however long ago it last did. Usage beyond the quota took nothing, and is taken back from the
-  total.
-
-If both were subtracted, a customer would pay twice for its usage. So both go through this class. A
-level by the counter only ever lowers the copy, and `counter_lead` is by how many units it did so
-that gossip has not reported yet; usage reported by gossip is first set against that. The lead is
-never more than the burst, beyond which it says nothing about the bucket as it is now.
-
-Tokens that overflowed the full copy before the others' gossip arrived were never there to be taken.
-They are set against the reported usage as well, as far as they can have overflowed since the last
-message.
+units that are taken from it. Each ingress keeps a copy, which starts full and is refilled at the
+plan's rate. The units admitted by this ingress and by the other ingresses are subtracted. Two
+sources report the usage of the other ingresses, and both report the same units:
+
+* Gossip messages of the other ingresses carry sums by sender, so that a later message makes up for
+  a lost one.
+* The shared counter holds the units used since the start of an epoch plus the units that overflowed
+  the full bucket. The refill of the epoch minus that total is therefore the level, whichever
+  ingress reads it and however long ago it last did. Usage beyond the quota takes nothing from the
+  bucket, so it is subtracted from the total again.
+
+If both were subtracted, a customer would be charged twice for its usage. So both are applied by
+this class. A level from the counter can only lower the copy. `counter_lead` is the number of units
+by which the counter lowered the copy and that gossip has not reported yet. Usage reported by gossip
+reduces the lead before it is subtracted from the copy. The lead is limited to the burst, because
+older usage no longer affects the level of the bucket.
+
+If the copy is full while the other ingresses take units, it discards refill that the shared bucket
+would have kept. So the discarded refill is subtracted from the usage that gossip reports, up to the
+refill since the last message.
 """
 
 from __future__ import annotations
@@ -29,12 +30,12 @@
     """The token bucket of one customer's quota; times are in seconds, amounts in units.
 
     Attributes:
-        rate: refill, in units per second.
+        rate: refill rate, in units per second.
         burst: the level of the full bucket.
-        level: units left as of `updated_at`; below 0 after a settlement with the actual units.
-        updated_at: when the bucket was refilled last.
+        level: units left as of `updated_at`; it may be below 0 after actual units were charged.
+        updated_at: time at which the bucket was last refilled.
         overflow: units that overflowed the full bucket since the last gossip of other ingresses.
-        counter_lead: usage of other ingresses known by the counter and not yet by gossip.
+        counter_lead: usage of other ingresses reported by the counter and not yet by gossip.
     """
 
     __slots__ = ("burst", "counter_lead", "level", "overflow", "rate", "updated_at")
@@ -48,7 +49,7 @@
         self.counter_lead = 0.0
 
     def refill(self, now: float) -> None:
-        """Add what has come in at the rate since the last refill."""
+        """Add the units that accrued since the last refill."""
         level = self.level + self.rate * (now - self.updated_at)
         self.updated_at = now
         self.level = min(self.burst, level)
@@ -59,8 +60,8 @@
 
         Args:
             units: the units admitted here.
-            may_go_negative: whether units beyond the level are owed, as where the actual units
-                are known only after the request; otherwise these take nothing.
+            may_go_negative: whether units beyond the level make it negative, as when the actual
+                units of a request are charged after it has run. Otherwise the level stops at 0.
         """
         self.level = self.level - units if may_go_negative else max(0.0, self.level - units)
 
@@ -68,32 +69,33 @@
         """Take the units that other ingresses reported by gossip.
 
         Args:
-            units: the units reported since the last message; below 0 counts as 0.
-            since: s since that message.
+            units: the units used since the last message; a negative number counts as 0.
+            since: time since the last message, s.
         """
         known = min(max(0.0, units), self.counter_lead)
         self.counter_lead -= known
         self._take_reported(units - known, since)
 
     def counter_balance(self, unused: float, units: float) -> tuple[float, float]:
-        """Work out the level by the shared counter, and what the counter's total lacks.
+        """Compute the level according to the shared counter, and the correction of its total.
 
         Args:
-            unused: the refill since the start of the epoch, less the total before these units.
+            unused: the refill since the start of the epoch, minus the total before `units`.
             units: the units that are added to the total now.
 
         Returns:
-            The level after these units; and the correction that the total needs: the units that
-            overflowed, or, below 0, those beyond the quota, as these took nothing.
+            The level after these units, and the correction that the total needs. A positive
+            correction is the units that overflowed; a negative one is the usage beyond the quota,
+            which takes nothing from the bucket.
         """
         level = self.burst + min(0.0, unused) - units
         return level, max(0.0, unused) + min(0.0, level)
 
     def apply_counter(self, level: float) -> float:
-        """Lower the level to the one by the shared counter.
+        """Lower the level to the one according to the shared counter.
 
         Returns:
-            The units of other ingresses by which the level was too high.
+            The units by which the level was lowered, which other ingresses have used.
         """
         units = max(0.0, self.level - max(0.0, level))
         self.counter_lead = min(self.burst, self.counter_lead + units)
@@ -101,15 +103,15 @@
         return units
 
     def lower_to(self, level: float) -> None:
-        """Lower the level to one that a peer saw while this ingress knew nothing of the bucket."""
+        """Lower the level to the one at a peer, which has known the customer for longer."""
         self.level = max(0.0, min(self.level, level))
 
     def _take_reported(self, units: float, since: float) -> None:
-        """Take reported units, less those that the overflow of the time since covers."""
+        """Take reported units, minus the units that overflowed in the `since` seconds."""
         covered = min(max(0.0, units), self.overflow, self.rate * since)
         self.overflow = 0.0
         self.level = max(0.0, self.level - (units - covered))
 
     def level_at(self, now: float) -> float:
-        """Return the level at a time, if nothing is taken until then."""
+        """Return the level at a later time if no units are taken until then."""
         return min(self.burst, self.level + self.rate * (now - self.updated_at))
--- a/dockthread/policy/usual_latency.py
+++ b/dockthread/policy/usual_latency.py
@@ -5,9 +5,10 @@
 from dockthread.policy.latency_estimates import smooth_latency
 from dockthread.policy.model import RequestClass
 
-# Weight of one more response in the usual time.
+# Weight of a new response in the usual response time.
 SMOOTHING_FACTOR = 0.05
-# Before the first response: the latency objective over the usual time, and over its deviation.
+# Before the first response, the usual time and its mean deviation are assumed to be the class's
+# latency objective divided by these two numbers.
 OBJECTIVE_OVER_USUAL = 5
 OBJECTIVE_OVER_DEVIATION = 10
 
@@ -22,7 +23,7 @@
         self.reset(classes)
 
     def reset(self, classes: tuple[RequestClass, ...]) -> None:
-        """Start again from the classes' latency objectives."""
+        """Replace all estimates by initial values derived from the classes' latency objectives."""
         self.by_class = [
             (
                 request_class.latency_objective / OBJECTIVE_OVER_USUAL,
@@ -32,10 +33,10 @@
         ]
 
     def mean(self) -> float:
-        """Return the mean of the classes' usual times, in seconds."""
+        """Return the mean of the classes' usual response times, in seconds."""
         return sum(usual for usual, _ in self.by_class) / len(self.by_class)
 
     def record(self, request_class: int, duration: float) -> None:
-        """Learn from one response of a class that took `duration` seconds."""
+        """Update the estimates of a class with a response that took `duration` seconds."""
         usual, deviation = self.by_class[request_class]
         self.by_class[request_class] = smooth_latency(usual, deviation, duration, SMOOTHING_FACTOR)
--- a/dockthread/simulator_adapter.py
+++ b/dockthread/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""Serves the simulator: policy engines of many ingresses, on standard input and output.
+"""Runs the policy engines of many ingresses for the simulator, on standard input and output.
 
-The adapter decides nothing. It hands each record to the engine of its ingress and sends back what
-the engine asks for; `simulator_wire.py` has the layout of both.
+The adapter makes no decisions. It passes each record to the engine of its ingress and returns the
+engine's actions; `simulator_wire.py` defines the binary layout of both.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class SimulatorAdapter:
-    """The policy engines of one process, each by the number of its ingress."""
+    """Runs the policy engines of one process, one for each ingress."""
 
     def __init__(self) -> None:
         self._engines: dict[int, PolicyEngine] = {}
@@ -41,17 +41,17 @@
 
         Args:
             clock: The simulator's time in microseconds.
-            body: The frame behind its header.
-            record_count: How many records lead the body; the rest is the tail.
+            body: The content of the frame after its header.
+            record_count: The number of records at the start of the body; the tail follows them.
 
         Raises:
-            WireError: The frame is not on the wire's page.
-            SettingsError: An ingress was started with settings that cannot be used.
-            struct.error: A record is cut off.
+            WireError: The frame violates the simulator's protocol.
+            SettingsError: An ingress was started with invalid settings.
+            struct.error: A record is truncated.
         """
         records_bytes = record_count * RECORD_BYTES
         if len(body) < records_bytes:
-            raise WireError("a frame is shorter than its records")
+            raise WireError("the frame is shorter than its records")
         now = clock / SECOND
         tail = body[records_bytes:]
         actions: list[bytes] = []
@@ -66,7 +66,7 @@
     def _handle_record(
         self, now: float, record: bytes, tail: bytes, reply_tail: bytearray
     ) -> list[bytes]:
-        """Return the encoded actions that follow from a record; `now` is in seconds."""
+        """Return the encoded actions that result from a record; `now` is in seconds."""
         code, instance = RECORD_HEAD.unpack_from(record)
         if code == CODE_INGRESS_STARTED:
             _, seed, offset, length = INGRESS_STARTED.unpack_from(record, CODE_BYTES)
@@ -79,7 +79,7 @@
         event = decode_event(code, record, tail)
         engine = self._engines.get(instance)
         if engine is None:
-            raise WireError(f"an event for instance {instance}, which is not up")
+            raise WireError(f"received an event for instance {instance}, which is not running")
         return [
             encode_action(instance, action, reply_tail).ljust(ACTION_BYTES, b"\0")
             for action in engine.handle(now, event)
@@ -87,19 +87,21 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Reply to each frame of `source`, until it ends between two frames.
+    """Reply to each frame of `source` until the end of the input.
 
     Raises:
-        WireError: What was read is not on the wire's page, or ends inside a frame.
-        SettingsError: An ingress was started with settings that cannot be used.
-        struct.error: A record is cut off.
+        WireError: The input violates the simulator's protocol or ends inside a frame.
+        SettingsError: An ingress was started with invalid settings.
+        struct.error: A record is truncated.
     """
     adapter = SimulatorAdapter()
     while first := source.read(1):
         header = first + _read_exactly(source, FRAME_HEADER.size - 1)
         clock, length, record_count = FRAME_HEADER.unpack(header)
         if length < FRAME_HEADER.size + record_count * RECORD_BYTES:
-            raise WireError(f"a frame of {record_count} records says that it has {length} bytes")
+            raise WireError(
+                f"a frame of {record_count} records has a length of only {length} bytes"
+            )
         body = _read_exactly(source, length - FRAME_HEADER.size)
         sink.write(adapter.reply(clock, body, record_count))
         sink.flush()
@@ -108,12 +110,12 @@
 def _read_exactly(stream: BinaryIO, size: int) -> bytes:
     data = stream.read(size)
     if len(data) < size:
-        raise WireError("input ends inside a frame")
+        raise WireError("the input ended inside a frame")
     return data
 
 
 def main() -> int:
-    """Serve standard input and output; return 0 at the end of the input, 1 after an error."""
+    """Serve frames on standard input and output; return 0 at the end of input, 1 on an error."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, SettingsError, struct.error) as error:
--- a/dockthread/simulator_wire.py
+++ b/dockthread/simulator_wire.py
@@ -1,8 +1,8 @@
-"""The simulator's wire: frames of binary records in, frames of binary actions out, without I/O.
+"""The simulator's binary protocol: decodes records into events and encodes actions, without I/O.
 
 A frame from the simulator is a header, then records of a fixed size, then a tail with the parts of
-variable length, into which records point by offset and length. A reply is laid out in the same
-way. All numbers are little-endian; times are in microseconds, where the policy engine has seconds.
+variable length, which records refer to by offset and length. A reply has the same layout. All
+numbers are little-endian. Times are in microseconds, whereas the policy engine uses seconds.
 """
 
 from __future__ import annotations
@@ -40,8 +40,8 @@
     TimerFired,
 )
 
-# Frames. A header has the clock, the length of the frame and the number of its records; the header
-# of a reply has its length and the number of its actions.
+# Frames. A header holds the clock, the length of the frame and the number of its records. The
+# header of a reply holds its length and the number of its actions.
 FRAME_HEADER = struct.Struct("<QII")
 REPLY_HEADER = struct.Struct("<II")
 RECORD_BYTES = 48
@@ -51,7 +51,7 @@
 RECORD_HEAD = struct.Struct("<HI")
 CODE_BYTES = 2
 
-# Records, as they follow their code.
+# Layouts of the records, without their code.
 INGRESS_STARTED = struct.Struct("<IQII")
 REQUEST_ARRIVED = struct.Struct("<IIBIQIfffH")
 ATTEMPT_ENDED = struct.Struct("<IIHHBIB4sHHB4f")
@@ -63,10 +63,10 @@
 TIMER_FIRED = struct.Struct("<II")
 CLIENT_DISCONNECTED = struct.Struct("<II")
 
-# One endpoint of a list, in the tail.
+# Layout of one endpoint in the tail.
 ENDPOINT = struct.Struct("<4sHBBHBfQ")
 
-# Actions, with their code.
+# Layouts of the actions, including their code.
 SEND_ATTEMPT = struct.Struct("<HII4sHi")
 REJECT = struct.Struct("<HIII")
 FAIL = struct.Struct("<HII")
@@ -77,10 +77,10 @@
 POLL_ENDPOINTS = struct.Struct("<HIB")
 ADD_TO_COUNTER = struct.Struct("<HIQfI")
 
-# The number that stands for all peers in SEND_GOSSIP.
+# The peer number in SEND_GOSSIP that means all peers.
 ALL_PEERS = 0xFFFFFFFF
 
-# Codes of the records that are no events of the policy engine.
+# Codes of the records that the adapter handles itself, as they are not events of the policy engine.
 CODE_INGRESS_STARTED = 7
 CODE_INGRESS_KILLED = 11
 
@@ -106,7 +106,7 @@
 
 
 class WireError(DockthreadError):
-    """The simulator sent something that is not on the wire's page."""
+    """The simulator sent data that violates its protocol."""
 
 
 def backend_id(address: bytes, port: int) -> int:
@@ -115,7 +115,7 @@
 
 
 def backend_address(backend: int) -> tuple[bytes, int]:
-    """Return the IPv4 address and the port of which `backend_id` made a number."""
+    """Return the IPv4 address and port from which `backend_id` computed the number."""
     return (backend >> 16).to_bytes(4, "big"), backend & 0xFFFF
 
 
@@ -123,7 +123,7 @@
     """Return a part of a frame's tail.
 
     Raises:
-        WireError: The part does not lie inside the tail.
+        WireError: The part is not inside the tail.
     """
     if offset + length > len(tail):
         raise WireError("a field points outside the tail")
@@ -131,7 +131,7 @@
 
 
 def decode_event(code: int, record: bytes, tail: bytes) -> Event:
-    """Return the event that a record stands for.
+    """Decode the event in a record.
 
     Raises:
         WireError: A code is unknown, or the record points outside the tail.
@@ -140,7 +140,10 @@
 
 
 def decode_attempt_ended(record: bytes, _tail: bytes) -> AttemptEnded:
-    """Decode the end of an attempt. Reported usage is sent as percent plus one, 0 for none."""
+    """Decode the end of an attempt.
+
+    The record holds the reported usage in percent plus one; 0 means that none was reported.
+    """
     (
         _,
         request,
@@ -247,7 +250,7 @@
     return CounterReplied(name, _lookup(OUTCOMES, code, "outcome"), total)
 
 
-# How the records of each code are decoded.
+# The decoder for each record code.
 EVENT_DECODERS: dict[int, Callable[[bytes, bytes], Event]] = {
     1: _decode_counter_replied,
     2: decode_attempt_ended,
@@ -262,7 +265,7 @@
 
 
 def encode_action(instance: int, action: Action, tail: bytearray) -> bytes:
-    """Return the record of an action of ingress `instance`; what is variable goes to `tail`."""
+    """Encode an action of ingress `instance`; append data of variable length to `tail`."""
     match action:
         case SendAttempt(request, backend, timeout, _):
             microseconds = round(timeout * SECOND)
@@ -277,7 +280,7 @@
 
 
 def _encode_own_action(instance: int, action: Action, tail: bytearray) -> bytes:
-    """Encode an action that answers no single request."""
+    """Encode an action that does not concern a single request."""
     match action:
         case SetTimer(at, token):
             return SET_TIMER.pack(5, instance, round(at * SECOND), token)
@@ -292,4 +295,4 @@
             return ADD_TO_COUNTER.pack(13, instance, name, amount, round(lifetime * SECOND))
         case PollEndpoints():
             return POLL_ENDPOINTS.pack(11, instance, 1)
-    raise TypeError(f"not an action: {action!r}")
+    raise TypeError(f"unsupported action: {action!r}")
