--- a/dockthread/simulator_adapter.py
+++ b/dockthread/simulator_adapter.py
@@ -110,7 +110,7 @@
 def _read_exactly(stream: BinaryIO, size: int) -> bytes:
     data = stream.read(size)
     if len(data) < size:
-        raise WireError("the input ended inside a frame")
+        raise WireError("the input ends inside a frame")
     return data
 
 
--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -1,4 +1,4 @@
-"""Drive policy engines by hand: settings, a manual clock, and helpers that the tests share."""
+"""Shared test helpers: settings, and policy engines that run under a manual clock."""
 
 from __future__ import annotations
 
@@ -72,13 +72,13 @@
     """One policy engine under a manual clock that fires its timers and records its actions.
 
     Attributes:
-        now: the clock, s.
-        last_request: number of the request that arrived last.
-        attempts: attempts sent, by request, in the order sent.
-        answers: final answers, by request; more than one would be an error of the engine.
-        sent_gossip: gossip that no test has delivered yet.
-        cancelled: (request, attempt) of each cancelled attempt.
-        counter_totals: totals of a shared counter of this ingress's own, by name.
+        now: the current time, s.
+        last_request: number of the last request that arrived.
+        attempts: attempts by request, in the order in which they were sent.
+        answers: final answers by request; more than one would be an error of the engine.
+        sent_gossip: gossip messages that have not been delivered yet.
+        cancelled: request and attempt number of each cancelled attempt.
+        counter_totals: totals of the simulated shared counter of this ingress, by name.
     """
 
     def __init__(
@@ -96,7 +96,7 @@
         self.list_endpoints(*(endpoint(n) for n in range(backends)), kind=EndpointListKind.CACHED)
 
     def handle(self, event: Event) -> list[Action]:
-        """Give the engine an event and record its actions."""
+        """Pass an event to the engine and record its actions."""
         actions = self.engine.handle(self.now, event)
         for action in actions:
             match action:
@@ -130,7 +130,7 @@
         spread: int = 1,
         first_ingress: int = 0,
     ) -> int:
-        """Let a request arrive and return its number."""
+        """Pass the arrival of a request to the engine and return the request's number."""
         self.last_request += 1
         self.handle(
             RequestArrived(
@@ -154,7 +154,7 @@
         actual_units: float = 0.0,
         duration: float = 0.1,
     ) -> None:
-        """End an attempt; its request is final if this or an earlier answer ended it."""
+        """End an attempt; it is the final one if its request now has an answer."""
         send = self.attempts[request][attempt]
         ok = outcome is Outcome.OK
         if ok:
@@ -165,7 +165,7 @@
         )
 
     def run_until(self, until: float) -> None:
-        """Fire all timers that are due by then, in order, and set the clock."""
+        """Fire all timers that are due until a given time, in order, and set the clock to it."""
         while due := sorted(t for t in self.timers if t[0] <= until):
             self.timers.remove(due[0])
             self.now = max(self.now, due[0][0])
@@ -179,12 +179,12 @@
 def endpoint(
     number: int, state: BackendState = BackendState.READY, started: float = 0.0, cell: int = 0
 ) -> Endpoint:
-    """Make the listed endpoint of backend 1000 + `number`."""
+    """Return the listed endpoint of backend 1000 + `number`."""
     return Endpoint(1000 + number, state, 0, 0, cell, 1.0, started)
 
 
 def admitted_rate(ingress: IngressHarness, seconds: float, rate: float, spread: int = 1) -> float:
-    """Measure the admitted units/s of a customer that requests `rate` units/s of one ingress."""
+    """Measure the admitted units/s of a customer that requests `rate` units/s from one ingress."""
     passed, start = 0, ingress.now
     while ingress.now < start + seconds:
         ingress.run_until(ingress.now + 1 / rate)
@@ -196,7 +196,10 @@
 
 
 def exchange_gossip(ingresses: list[IngressHarness], lost: random.Random | None = None) -> None:
-    """Deliver the gossip sent since the last exchange; with `lost`, drop one message in five."""
+    """Deliver the gossip sent since the last exchange.
+
+    With a random source `lost`, drop one message in five.
+    """
     for number, ingress in enumerate(ingresses):
         messages, ingress.sent_gossip = ingress.sent_gossip, []
         for message in messages:
@@ -206,7 +209,7 @@
 
 
 def make_ingresses(count: int, **more: object) -> list[IngressHarness]:
-    """Make `count` ingresses of one deployment; `more` are settings that differ."""
+    """Create `count` ingresses of one deployment; `more` overrides settings."""
     settings = replace(SETTINGS, ingress_count=count, **more)  # type: ignore[arg-type]
     return [
         IngressHarness(replace(settings, ingress_number=number), seed=number + 1)
@@ -232,7 +235,7 @@
 
 
 def leave_unanswered(ingress: IngressHarness, backend: int, count: int) -> None:
-    """Send `count` requests; all backends answer at once but the given one, which never does."""
+    """Send `count` requests; the given backend never responds, and all others respond at once."""
     for _ in range(count):
         request = ingress.send_request(SAFE)
         for number, send in enumerate(list(ingress.attempts[request])):
@@ -250,7 +253,7 @@
     in_flight: int = 0,
     incarnation: int = 1,
 ) -> bytes:
-    """Encode a gossip message with one customer's report; sums and `left` are in units."""
+    """Encode a gossip message with a report of one customer; sums and `left` are in units."""
     sums = gossip_codec.encode_units(arrived), gossip_codec.encode_units(spent)
     report = gossip_codec.CustomerReport(customer, plan, in_flight, *sums, left)
     return gossip_codec.encode_message(incarnation, [], [report])
@@ -262,14 +265,14 @@
 
 
 def counter_calls(actions: list[Action]) -> list[AddToCounter]:
-    """Pick the calls of the shared counter out of these actions."""
+    """Return the calls to the shared counter among these actions."""
     return [action for action in actions if isinstance(action, AddToCounter)]
 
 
 def counter_reply(
     ingress: IngressHarness, call: AddToCounter, others: float = 0.0
 ) -> CounterReplied:
-    """Add a call to the counter after `others` units of other ingresses, and make its reply."""
+    """Add `others` units of other ingresses and then a call to the counter; return its reply."""
     ingress.counter_totals[call.name] = (
         ingress.counter_totals.get(call.name, 0.0) + call.amount + others
     )
@@ -279,7 +282,10 @@
 def answer_counter_calls(
     ingress: IngressHarness, called: list[AddToCounter], others: float = 0.0
 ) -> None:
-    """Answer these calls and all that follow; `others` units are added before the first."""
+    """Answer these counter calls and all that result from the replies.
+
+    `others` units of other ingresses are added before the first call.
+    """
     while called:
         called += counter_calls(ingress.handle(counter_reply(ingress, called.pop(0), others)))
         others = 0.0
@@ -291,7 +297,7 @@
     """Send requests until one waits for the counter.
 
     Returns:
-        The waiting request and the counter call it waits for; all earlier calls are answered.
+        The waiting request and the counter call that it waits for; earlier calls are answered.
 
     Raises:
         AssertionError: no request waited.
@@ -303,7 +309,7 @@
         if called and not ingress.attempts.get(ingress.last_request):
             return ingress.last_request, called[0]
         answer_counter_calls(ingress, called)
-    raise AssertionError("the counter was never called")
+    raise AssertionError("no request waited for the counter")
 
 
 LOAD_REPORT_SETTINGS = replace(
@@ -314,7 +320,7 @@
 def answer_with_load(
     ingress: IngressHarness, request: int, load: tuple[float, ...], duration: float = 0.1
 ) -> None:
-    """End a request's first attempt well, with a load report."""
+    """End a request's first attempt successfully, with a load report."""
     send = ingress.attempts[request][0]
     ended = AttemptEnded(request, 0, send.backend, Outcome.OK, True, duration, 0.0, None, load)
     ingress.handle(ended)
@@ -323,7 +329,7 @@
 def requests_by_backend(
     ingress: IngressHarness, load: dict[int, float], durations: dict[int, float], count: int = 300
 ) -> dict[int, int]:
-    """Count the requests that each backend is sent, given its reported load and duration (s)."""
+    """Count the requests sent to each backend, given its reported load and response time (s)."""
     sent = dict.fromkeys(load, 0)
     for number in range(count):
         request = ingress.send_request()
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -100,7 +100,7 @@
     delay = ingress.engine.delay
     refuses = delay.smoothed_latency > queueing_delay.PRESSED_FRACTION * delay.tightest_objective
     assert delay.is_pressed is refuses
-    assert refuses is all_ill, "where all are ill, it is a jam"
+    assert refuses is all_ill, "slow responses indicate overload only if all backends are failing"
 
 
 def test_spread_and_first_ingress_are_read_modulo_the_ingress_count() -> None:
@@ -119,7 +119,7 @@
     for _ in range(60):
         ingress.end_attempt(ingress.send_request(UNSAFE), 0, Outcome.OK)
         ingress.run_until(ingress.now + 0.05)
-    for i in range(70):  # one in three never comes back
+    for i in range(70):  # one request in three never gets a response
         request = ingress.send_request(UNSAFE)
         if i % 3 and ingress.is_admitted(request):
             ingress.end_attempt(request, 0, Outcome.OK)
@@ -129,7 +129,7 @@
 
 def test_requests_are_shed_when_every_backend_is_at_capacity() -> None:
     ingress = IngressHarness(backends=6)
-    for _ in range(40):  # every backend turns everything away; nothing is served that could be slow
+    for _ in range(40):  # every backend rejects every attempt, so there are no response times
         request = ingress.send_request(UNSAFE)
         for number in range(len(ingress.attempts.get(request, []))):
             ingress.end_attempt(request, number, Outcome.AT_CAPACITY)
@@ -145,7 +145,7 @@
     for _ in range(60):
         ingress.end_attempt(ingress.send_request(SAFE), 0, Outcome.OK)
         ingress.end_attempt(ingress.send_request(UNSAFE), 0, Outcome.OK)
-    ingress.engine.delay.smoothed_latency = 0.4  # aims are 1 s
+    ingress.engine.delay.smoothed_latency = 0.4  # the latency objectives are 1 s
     assert not ingress.is_admitted(ingress.send_request(SAFE))
     assert ingress.is_admitted(ingress.send_request(UNSAFE))
 
@@ -186,5 +186,6 @@
                 )
         return many
 
-    # 1.7 units a second asked here alone, of a quota of 2: an even split would let in one a second.
+    # The customer requests 1.7 units/s of its quota of 2 units/s, all of them from this ingress. An
+    # even split between the two ingresses would admit only 1 unit/s.
     assert passed(0.85) > 380 > 300 > passed(None)
--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: retries by effect, hedges, waiting for a backend, and one answer in time."""
+"""Attempts: retries by effect, hedges, waiting for a backend, and exactly one answer in time."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_engine.py
+++ b/tests/policy/test_engine.py
@@ -1,4 +1,4 @@
-"""The policy engine as a whole: settings, determinism, expiry, and polling for endpoints."""
+"""Tests of the whole policy engine: settings, determinism, expiry, and polling for endpoints."""
 
 from __future__ import annotations
 
@@ -81,10 +81,8 @@
     assert (backend.failure_fraction, backend.at_capacity_until) == (0.0, {})
     ingress.list_endpoints(endpoint(50), kind=EndpointListKind.FULL)
     ingress.run_until(ingress.now + 40)
-    assert set(ingress.engine.backends.by_number) == {
-        backend.endpoint.backend,
-        1050,
-    }  # one has a call out
+    # The delisted backend with an attempt in flight is kept.
+    assert set(ingress.engine.backends.by_number) == {backend.endpoint.backend, 1050}
     assert set(ingress.engine.customers.by_number) == {1000}
     ingress.end_attempt(held, 0, Outcome.OK)
     ingress.run_until(ingress.now + 10)
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip messages: what is read, ignored and believed of a peer."""
+"""Gossip messages: encoding, invalid messages, and reports of failing backends."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_list_size.py
+++ b/tests/policy/test_list_size.py
@@ -1,5 +1,6 @@
-"""A list of 24,000 backends: what a change, a round of housekeeping and a decision touch, as counts
-of work.
+"""A list of 24,000 backends: bounds on the work of changes, maintenance rounds and requests.
+
+Work is counted in visited backends, because times would depend on the machine.
 """
 
 from __future__ import annotations
@@ -67,7 +68,7 @@
     pool = ingress.engine.backends.pool
     before = pool.visits
     ingress.run_until(ingress.now + 10)
-    assert pool.visits == before, "nothing moves"
+    assert pool.visits == before, "no weight changes"
     ingress.list_endpoints(*(endpoint(n, started=ingress.now) for n in range(5)))
     request = ingress.send_request(SAFE)
     ingress.end_attempt(request, 0, Outcome.ERROR)
@@ -76,10 +77,10 @@
     assert (len(pool.failing), len(pool.warming_up)) == (1, 5)
     assert pool.visits - before <= 6 * 2 * (5 / 0.25 + 2)
     ingress.run_until(ingress.now + 6)
-    assert not pool.warming_up, "warm by now"
+    assert not pool.warming_up, "the slow start of all five has ended"
     assert pool.failing
     ingress.run_until(ingress.now + 60 * 10)
-    assert not pool.failing, "in a long list failures rest at a thousandth"
+    assert not pool.failing, "in a long list a failure fraction below a thousandth is dropped"
 
 
 def test_maintenance_weighs_a_bounded_number_in_turn_when_all_warm_up_at_once() -> None:
@@ -112,7 +113,7 @@
 
 
 def test_cumulative_weights_follow_the_weights_of_a_long_list() -> None:
-    """A backend whose share has fallen is drawn the less from the next round of housekeeping on."""
+    """From the next maintenance round, a backend with a reduced weight is drawn less often."""
     ingress = long_list()
     ill = list(ingress.engine.backends.by_number.values())[: MANY // 2]
     for backend in ill:
@@ -198,7 +199,7 @@
         WatchResponseParser(known.codec.decode_endpoint), json.dumps(whole_list(MANY)).encode()
     )
     assert sum(not isinstance(one, ListedEndpoint) for one in said["targets"]) <= 1, (
-        "the last is read at the end"
+        "only the last endpoint is decoded at the end of the list"
     )
     parts = told(known, said)
     assert max(len(part.endpoints) for part in parts) == ENTRIES_PER_PART
@@ -217,7 +218,7 @@
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
     assert len(said["targets"]) == 10_000
-    assert peak / 10_000 < 600, "bytes a backend: its members alone take 800"
+    assert peak / 10_000 < 600, "bytes per backend; its parsed JSON members alone would take 800"
 
 
 @pytest.mark.parametrize("size", [7, 100, 5_000])
@@ -316,7 +317,7 @@
             clock.advance(15_000 * IDLE_CLOSE_FRACTION + 1)
             ingress.connection_pool.close_expired()
             assert not ingress.connection_pool._idle, (
-                "one place for each backend ever called would stay"
+                "the pool must not keep an entry for each backend that was ever called"
             )
 
     run(scenario())
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -1,4 +1,4 @@
-"""The choice of a backend by state, load reports and relative latency."""
+"""Load balancing by backend state, load reports and relative latency."""
 
 from __future__ import annotations
 
@@ -36,11 +36,12 @@
 @pytest.mark.parametrize(
     ("names", "report", "expected"),
     [
-        # Less two in flight here and the one that was answered.
+        # 7 in flight, minus two of this ingress and the attempt that carried the report.
         (("rif", "rate", "q"), (7.0, 30.0, 2.0), 4.0),
-        (("busy",), (0.9,), 0.9),  # the whole of its cores counts as one request
+        (("busy",), (0.9,), 0.9),  # full CPU usage counts as one request
         (("busy", "q"), (0.9, 4.0), 4.9),
-        (("rate",), (40.0,), 2.0),  # 40 a second at 0.1 s each are 4
+        # 40 requests/s of 0.1 s each are 4 in flight, minus two of this ingress.
+        (("rate",), (40.0,), 2.0),
         (("lat_ms", "fail_rate"), (350.0, 0.0), 1.5),
         (("q",), (5.0,), 5.0),
         (("fail_rate",), (0.1,), None),
@@ -68,8 +69,8 @@
         ingress.run_until(ingress.now + 0.05)
         ingress.handle(AttemptEnded(request, 0, backend, Outcome.OK, True, 0.05, load_report=load))
     if names:
-        assert sent[1000] < min(sent[1001], sent[1002]) / 2, "the busy one gets less"
-    assert all(sent.values()), "and each gets some"
+        assert sent[1000] < min(sent[1001], sent[1002]) / 2, "the busy backend must get fewer"
+    assert all(sent.values()), "each backend must get some requests"
 
 
 def test_requests_of_other_ingresses_count_as_load() -> None:
@@ -95,7 +96,7 @@
     answer_with_load(ingress, ingress.send_request(), (5.0, 10.0, 0.0))
     mean, then = backend.smoothed_remote_requests, ingress.now
     assert backend.load(then) == pytest.approx(backend.remote_requests)
-    answer_with_load(ingress, ingress.send_request(), (5.0, 10.0, 0.0))  # the same again is no news
+    answer_with_load(ingress, ingress.send_request(), (5.0, 10.0, 0.0))  # repeated, so ignored
     assert backend.report_at == then
     assert backend.load(then + 10) == pytest.approx(mean, abs=0.01)
 
--- a/tests/policy/test_many_ingresses.py
+++ b/tests/policy/test_many_ingresses.py
@@ -1,4 +1,4 @@
-"""Many ingresses together on a simulated clock: what is harmless in one may harm in forty."""
+"""Many ingresses on a simulated clock: behaviour that is harmless for one may harm with forty."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 from dockthread.policy.backoff import FIRST_CAP_PER_INGRESS_MS, Backoff
 from dockthread.policy.latency_estimates import smooth_latency
 
-SERVICE_TIME_MS = 130.0  # of discovery for one call
+SERVICE_TIME_MS = 130.0  # time that discovery takes for one call
 CALL_TIMEOUT_MS = 2_000.0
 MAX_QUEUED_CALLS = 24
 
@@ -45,12 +45,12 @@
 def discovery_calls(
     ingress_count: int, *, all_fail: bool, until: float
 ) -> tuple[list[float], list[float]]:
-    """Simulate ingresses that all lose discovery at 0 ms and poll a service that works in turn.
+    """Simulate ingresses that all lose discovery at 0 ms and then poll it.
 
-    The service also works on calls whose caller has timed out.
+    Discovery handles calls one after another, including those whose caller has timed out.
 
     Returns:
-        Times (ms) at which calls were made, and at which calls were answered.
+        The times (ms) at which calls were made, and those at which calls were answered.
     """
     ingresses = [Backoff(random.Random(seed), ingress_count) for seed in range(ingress_count)]
     due: list[tuple[float, int]] = []
@@ -58,7 +58,7 @@
         heappush(due, (backoff.initial_delay(), number))
     calls: list[float] = []
     answered_at: list[float] = []
-    free_at = 0.0  # when the service has worked off its queue
+    free_at = 0.0  # time at which the service will have emptied its queue
     while due and due[0][0] < until:
         now, number = heappop(due)
         calls.append(now)
@@ -83,10 +83,10 @@
     ingress_count: int,
 ) -> None:
     calls, _ = discovery_calls(ingress_count, all_fail=True, until=40_000.0)
-    # With a fixed pause of 250 ms all of them would fall into each such window.
+    # With a fixed delay of 250 ms, every such window would contain a call of each ingress.
     assert max_calls_within([t for t in calls if t > 510.0], 250.0) <= 10
     assert all(t <= 500.0 for t in calls[:ingress_count]), (
-        "the loss itself is asked about before a drain's grace is over"
+        "each ingress must poll before the grace period of a draining backend ends"
     )
     assert len([t for t in calls if t >= 10_000.0]) <= 30 * 1000.0 / FIRST_CAP_PER_INGRESS_MS
 
@@ -109,7 +109,7 @@
 
 
 def fleet_settings(ingress_count: int, number: int = 0) -> PolicySettings:
-    """Make settings without the shared counter and with load reports in responses."""
+    """Return settings without the shared counter and with load reports in responses."""
     safety = SafetyLimits(
         drain_grace=1.0,
         cold_capacity=0.22,
@@ -131,7 +131,7 @@
 
 
 class IngressFleet:
-    """Many ingresses over backends that answer at once, after simulated response times (s)."""
+    """Simulates many ingresses whose attempts end at once, with simulated response times (s)."""
 
     def __init__(self, ingress_count: int, endpoints: list[Endpoint]) -> None:
         self.now = 1_000.0
@@ -139,7 +139,7 @@
         self.requests_by_backend = dict.fromkeys((endpoint.backend for endpoint in endpoints), 0)
         self.response_times: dict[int, float] = {}
         self.failing_backends: set[int] = set()
-        # By ingress and backend, when its connection was used last.
+        # The time at which each connection was last used, by ingress and backend.
         self.last_used: dict[tuple[int, int], float] = {}
         self.connections_opened = 0
         self.engines = [
@@ -178,7 +178,7 @@
             number += 1
 
     def run_rounds(self, rounds: int) -> None:
-        """Send one request per ingress each 0.15 s, as forty do that share some 270 requests/s."""
+        """Send one request per ingress every 0.15 s; with forty ingresses, about 270 requests/s."""
         for _ in range(rounds):
             for engine in self.engines:
                 self.send_request(engine)
@@ -205,13 +205,13 @@
     bad = sum(fleet.requests_by_backend[backend] for backend in fleet.failing_backends) / sum(
         fleet.requests_by_backend.values()
     )
-    assert bad < 0.1, "with the weight and the time that suit three ingresses it is 0.19"
+    assert bad < 0.1, "with the failure weight and half-life for three ingresses it is 0.19"
 
 
 def test_latency_of_a_kind_is_assumed_for_its_backends_without_samples() -> None:
     fleet = IngressFleet(40, ready_endpoints(60, kinds=2))
     fleet.response_times = {backend: 0.2 if backend % 2 == 0 else 0.8 for backend in range(60)}
-    fleet.run_rounds(20)  # each ingress meets each backend three times in ten
+    fleet.run_rounds(20)  # on average each ingress sends each backend 0.3 requests
     slow = sum(n for backend, n in fleet.requests_by_backend.items() if backend % 2) / sum(
         fleet.requests_by_backend.values()
     )
@@ -229,9 +229,11 @@
     part = sum(n for backend, n in fleet.requests_by_backend.items() if backend >= 100) / (
         sum(fleet.requests_by_backend.values()) - before
     )
-    # At slow-start weights of 0.22 to 0.37 a fair part is 0.23; twice as much is short of the
-    # three times that overload them.
-    assert 0.2 < part < 0.46, "by the square of their warmth, and as busy as the rest, 0.03"
+    # At slow-start weights of 0.22 to 0.37 the fair fraction is 0.23. Twice as much does not
+    # overload them, because that takes three times as much.
+    assert 0.2 < part < 0.46, (
+        "if they had the square of the slow-start weight and counted as loaded, it would be 0.03"
+    )
 
 
 def test_one_outlier_hardly_moves_the_smoothed_latency() -> None:
@@ -242,7 +244,7 @@
     assert after < 1.1 * usual
     for _ in range(300):
         usual, deviation = smooth_latency(usual, deviation, 1.2, 0.05)
-    assert 1.1 < usual < 1.3, "a lasting change is followed"
+    assert 1.1 < usual < 1.3, "the estimate must follow a lasting change"
 
 
 def test_a_customer_far_beyond_its_quota_gets_no_free_request_at_each_of_thirty_ingresses() -> None:
@@ -254,7 +256,7 @@
     )
     fleet = [PolicyEngine(replace(base, ingress_number=n), n, 0.0) for n in range(40)]
     now, total = 0.0, 0.0
-    for request in range(300):  # 5 a second for a minute, dealt out among thirty
+    for request in range(300):  # 5 requests/s for a minute, distributed over thirty ingresses
         now += 0.2
         engine = fleet[request * 7 % 30]
         waiting = engine.handle(now, RequestArrived(request, 0, 0, 7, 4.0, 1.0, 30, 0))
@@ -264,7 +266,7 @@
                 total += action.amount
                 waiting += engine.handle(now, CounterReplied(action.name, Outcome.OK, total))
     assert total < 130, (
-        "66 are inside the quota; with a free one a window at each ingress it was 223"
+        "66 are within the quota; with one free request per window at each ingress it was 223"
     )
 
 
@@ -309,7 +311,7 @@
     assert fleet_count.by_node(found) == {"s-1": {"calls": 1, "error": 1}}
     (klein,) = fleet_count.stores(found)
     assert (klein.sent, klein.beyond) == (3.0, 1.0), (
-        "the third finds 0.1 in a store that two ingresses emptied"
+        "the third request finds 0.1 units in a token bucket that two requests emptied"
     )
     assert klein.refused == {("ceiling", "half"): 1}
 
@@ -337,5 +339,5 @@
         if isinstance(action, SendAttempt)
     ]
     assert len(sent) == 200 and sent.count(1) > sent.count(2), (
-        "one not started yet counts as cold, and no colder"
+        "a backend whose start time is in the future has the weight of one that just started"
     )
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Backends that fail or stay silent get fewer requests, and recover."""
+"""Backends that fail or don't respond get fewer requests, until they recover."""
 
 from __future__ import annotations
 
@@ -26,12 +26,14 @@
     before = len(stuck)
     leave_unanswered(ingress, 1000, 50)
     after = sum(sends[0].backend == 1000 for sends in ingress.attempts.values())
-    assert after - before < 50 / 5 / 2  # less than half of an even part
+    assert after - before < 50 / 5 / 2  # less than half of an even share of 50 requests
 
 
 def test_a_response_slower_than_most_does_not_count_as_a_failure() -> None:
-    """Usual answers take 0.2 s, give or take 0.1 s: one in fifty takes four times that longer, one
-    in 2,000 nine.
+    """A response that is merely slow must not be counted as missing.
+
+    The usual response time is 0.2 s with a mean deviation of 0.1 s. One response in fifty takes
+    more than four deviations longer, and one in 2,000 more than nine.
     """
     ingress = IngressHarness(replace(SETTINGS, may_hedge=False))
     request = ingress.send_request(UNSAFE)
@@ -39,7 +41,7 @@
     ingress.run_until(ingress.now + 0.2 + 8 * 0.1)
     assert backend.failure_fraction == 0.0
     ingress.run_until(ingress.now + 0.2)
-    assert backend.failure_fraction > 0.4, "silent by now"
+    assert backend.failure_fraction > 0.4, "after nine deviations the backend counts as silent"
 
 
 def test_failing_backend_is_avoided_and_recovers() -> None:
@@ -65,7 +67,7 @@
 def test_backend_at_capacity_does_not_count_as_failing() -> None:
     ingress = IngressHarness(backends=3)
     for _ in range(10):
-        ingress.engine.delay.smoothed_latency = 0.0  # not pressed
+        ingress.engine.delay.smoothed_latency = 0.0  # no rejection because of the expected wait
         ingress.end_attempt(ingress.send_request(SAFE), 0, Outcome.AT_CAPACITY)
     assert all(
         backend.failure_fraction == 0 for backend in ingress.engine.backends.by_number.values()
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -1,4 +1,4 @@
-"""Overload: idle backends that look fast, a flood right after a start, and shedding at low load."""
+"""Overload: idle backends that seem fast, overload after a start, and rejections at low load."""
 
 from __future__ import annotations
 
@@ -36,7 +36,10 @@
 
 
 class QueueingFleet:
-    """Ingresses over backends that serve in turn with `BACKEND_CORES` each and report their load."""
+    """Simulates ingresses, and backends with a queue and `BACKEND_CORES` workers each.
+
+    Responses carry load reports.
+    """
 
     def __init__(
         self, engines: int, backends: int, request_rate: float, seed: int, **more: Any
@@ -109,8 +112,9 @@
     engine, now = PolicyEngine(fleet_settings(1), 1, 1_000.0), 1_000.0
     came: list[int] = []
     for request in range(246):
-        # Both are equally fast throughout. For 200 requests one is loaded and the other idle, in
-        # turns of ten; then both are equally loaded; at last each is as loaded as it is sent to.
+        # Both backends are equally fast throughout. During the first 200 requests one is loaded
+        # and the other idle, and they alternate every ten requests. Then both are equally loaded.
+        # In the last 40 requests, each backend's load is the number of recent requests sent to it.
         both = request >= 206
         listed = (
             ready_endpoints(2)
@@ -135,7 +139,7 @@
             now, AttemptEnded(request, 0, backend, Outcome.OK, True, took, load_report=load)
         )
     assert 14 <= came.count(0) <= 26, (
-        "taken for several times as fast, the one that was empty gets nearly all"
+        "if the backend that was idle counted as several times as fast, it would get nearly all"
     )
 
 
@@ -148,14 +152,16 @@
 
 
 def test_overload_right_after_a_start_is_noticed_within_the_tightest_objective() -> None:
-    # The backends can serve some 53 requests/s.
+    # The backends can serve about 53 requests/s.
     fleet = QueueingFleet(engines=1, backends=4, request_rate=400.0, seed=1)
     fleet.run_until(1_001.0)
-    assert fleet.requests_rejected > 100, "before, none was in the first second, and 400 waited"
+    assert fleet.requests_rejected > 100, (
+        "an engine that noticed later rejected none in the first second, and 400 requests waited"
+    )
 
 
 def test_low_priority_requests_are_admitted_under_light_load() -> None:
-    """A request's service takes a fifth of the tighter latency objective."""
+    """The mean service time of a request is a fifth of the tighter latency objective."""
     cheap = RequestClass(
         latency_objective=1.5, deadline=4.0, priority_weight=0.5, effect=Effect.SAFE
     )
@@ -163,8 +169,10 @@
         latency_objective=3.0, deadline=8.0, priority_weight=3.0, effect=Effect.UNSAFE
     )
     for classes in ((cheap, dear), (dear, cheap)):
-        # The backends can serve some 107 requests/s.
+        # The backends can serve about 107 requests/s.
         fleet = QueueingFleet(engines=1, backends=8, request_rate=20.0, seed=1, classes=classes)
         fleet.run_until(1_030.0)
         requests = fleet.requests_rejected + fleet.attempts_sent
-        assert fleet.requests_rejected < 0.15 * requests, "half is, nearly all of the cheap class"
+        assert fleet.requests_rejected < 0.15 * requests, (
+            "half of the requests are rejected, nearly all of the low-priority class"
+        )
--- a/tests/policy/test_quota_counter_sync.py
+++ b/tests/policy/test_quota_counter_sync.py
@@ -1,4 +1,4 @@
-"""The shared counter: when it is called, and what its totals decide."""
+"""The shared counter: when it is called, and how its totals affect admission."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 def test_counter_total_decides_beyond_an_even_split(others: float, is_admitted: bool) -> None:
     ingress = IngressHarness(COUNTER_SETTINGS)
     request, call = request_beyond_even_split(ingress)
-    assert not ingress.answers.get(request)  # it waits, and no longer than the counter may take
+    assert not ingress.answers.get(request)  # the request waits for the counter's reply
     ingress.handle(counter_reply(ingress, call, others))
     assert ingress.is_admitted(request) is is_admitted
     assert ingress.answers.get(request) == (None if is_admitted else ["refused"])
@@ -59,7 +59,7 @@
         ]
     )
     customer = ingress.engine.customers.by_number[7]
-    # With AT_CAPACITY nothing was added, so the amount goes with the next call.
+    # With AT_CAPACITY the amount was not added, so it is sent with the next call.
     assert (customer.uncounted_units >= call.amount) or outcome is not Outcome.AT_CAPACITY
 
 
@@ -67,7 +67,7 @@
     ingress = IngressHarness(COUNTER_SETTINGS)
     request, call = request_beyond_even_split(ingress)
     again = counter_calls(ingress.handle(CounterReplied(call.name, Outcome.ERROR)))
-    assert [call.amount for call in again] == [0.0]  # what the first one added is not added twice
+    assert [call.amount for call in again] == [0.0]  # the first call may have added its amount
     assert not ingress.answers.get(request)
     ingress.handle(CounterReplied(call.name, Outcome.OK, 1000.0))
     assert ingress.answers[request] == ["refused"]
@@ -75,7 +75,7 @@
 
 def test_a_request_that_waits_for_the_counter_is_answered_before_its_deadline() -> None:
     ingress = IngressHarness(COUNTER_SETTINGS)
-    request_beyond_even_split(ingress)  # a call whose reply does not come
+    request_beyond_even_split(ingress)  # makes a counter call that is never answered
     ingress.last_request += 1
     ingress.now += 0.01
     ingress.handle(RequestArrived(ingress.last_request, SAFE, RATE_PLAN, 7, 0.03, 1.0, 2, 0))
@@ -89,7 +89,7 @@
     answer_counter_calls(ingress, [call], 3.0)
     customer = ingress.engine.customers.by_number[7]
     for others, left in ((8.0, 8.0), (40.0, 0.0)):
-        ingress.run_until(ingress.now + 8)  # 16 units came in, and the bucket holds 8
+        ingress.run_until(ingress.now + 8)  # 16 units are refilled, and the bucket holds 8
         ingress.engine.customers.get(7, RATE_PLAN)
         ingress.engine.context.actions = []
         ingress.engine.counter.send(7, customer)
--- a/tests/policy/test_quota_of_many_ingresses.py
+++ b/tests/policy/test_quota_of_many_ingresses.py
@@ -1,4 +1,4 @@
-"""A customer's quota over many ingresses that share only the counter: admissions and calls."""
+"""A customer's quota over many ingresses that share only the counter: admitted units and calls."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 )
 
 RUN_TIME = 25.0  # s
-REQUEST_UNITS = (1.0, 1.0, 1.0, 2.0, 2.0, 3.0, 4.0)  # units of a request
-CLIENT_ATTEMPTS = 3  # of one request
-CLIENT_RETRY_CHANCE = 0.6  # after a rejection
+REQUEST_UNITS = (1.0, 1.0, 1.0, 2.0, 2.0, 3.0, 4.0)  # the units of a request are drawn from these
+CLIENT_ATTEMPTS = 3  # maximum number of times a client sends one request
+CLIENT_RETRY_CHANCE = 0.6  # probability that a client retries after a rejection
 
 
 class AdmissionOnlyEngine(PolicyEngine):
-    """An engine that decides on admission alone: backends have capacity for everything."""
+    """An engine for tests that use only its admission decisions."""
 
     def _try(self, request: int, call: object) -> bool:
         return True
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request of a client; `number` counts its attempts from 0."""
+    """One request of a client; `number` is the number of earlier attempts."""
 
     customer: int
     units: float
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class SimulatedCustomer:
-    """A customer's traffic, and its token bucket as an observer of all ingresses would keep it."""
+    """A customer's traffic, and its exact token bucket over all ingresses."""
 
     spread: int
     first: int
@@ -66,10 +66,10 @@
 
 
 class Fleet:
-    """Ingresses under one clock that share a counter with some milliseconds of latency.
+    """Simulates ingresses that share a counter with a latency of some milliseconds.
 
-    Their customers stay far below their quotas, use them up, exceed them several times, or send
-    bursts.
+    Some customers stay far below their quotas, some use them up, some exceed them several times,
+    and some send bursts.
     """
 
     def __init__(
@@ -230,13 +230,15 @@
     fleet = Fleet(plan, spread, seed)
     fleet.play()
     units = fleet.units
-    assert units["beyond"] < 0.05 * units["let in"], "a total that told no store left 0.07 to 0.27"
+    assert units["beyond"] < 0.05 * units["let in"], (
+        "with totals that did not determine a token bucket level it was 0.07 to 0.27"
+    )
     assert units["refused with room"] < 0.15 * (units["let in"] + units["refused"])
     assert fleet.calls < 1.8 * len(fleet.client_requests)
 
 
 class TwoIngressesWithCounter:
-    """One customer's counter and two ingresses that call it; the test answers each call."""
+    """Two ingresses that call one customer's counter; the test answers each call."""
 
     def __init__(self, plan: Plan) -> None:
         request_class = RequestClass(latency_objective=0.4, deadline=1.2)
@@ -282,7 +284,7 @@
         pair.answer_call(1.0, 1, second),
     )
     assert correction.amount > 30.0 and second_correction.amount > 30.0, (
-        "18 s of the epoch ran over"
+        "the refill of the first 18 s of the epoch overflowed the full bucket"
     )
     pair.answer_all_calls(1.0, 0, [correction])
     pair.answer_all_calls(1.0, 1, [second_correction])
@@ -292,15 +294,17 @@
 def test_usage_beyond_the_quota_takes_nothing_from_later_refill() -> None:
     pair = TwoIngressesWithCounter(Plan(rate=2.0, burst=8.0))
     pair.answer_all_calls(1.0, 0, pair.send_request(1.0, 0))
-    pair.total += 100.0  # admitted while the counter did not reply
+    pair.total += 100.0  # units admitted while the counter did not reply
     pair.answer_all_calls(6.0, 0, pair.send_request(6.0, 0))
     pair.answer_all_calls(8.0, 0, pair.send_request(8.0, 0))
-    assert pair.engines[0].customers.by_number[7].quota.level > 2.0, "it would be empty for 45 s"
+    assert pair.engines[0].customers.by_number[7].quota.level > 2.0, (
+        "if the excess were subtracted, the bucket would be empty for 45 s"
+    )
     assert pair.total < 2.0 * (17.0 + 8.0) + 8.0
 
 
 class InFlightCapFleet:
-    """Ingresses of one customer whose plan only caps attempts in flight, without gossip."""
+    """Simulates ingresses without gossip and a customer with only a cap on attempts in flight."""
 
     def __init__(self, ingresses: int, cap: int, seed: int) -> None:
         plan = Plan(max_in_flight=cap)
@@ -322,7 +326,7 @@
         self.calls = 0
 
     def play(self, demand: float, answer: float, units: float) -> None:
-        """Send requests `demand` times as often as keeps the cap full; each takes `answer` s."""
+        """Send `demand` times the request rate that would use up the cap; each takes `answer` s."""
         request = 0
         while self.now < 60.0:
             self.now += self.rng.expovariate(demand * self.cap / answer)
@@ -345,10 +349,10 @@
     customer = InFlightCapFleet(ingresses=25, cap=5, seed=seed)
     customer.play(demand=3.0, answer=0.1, units=1.0)
     assert customer.beyond < 0.3 * customer.let_in, (
-        "with one attempt free at each ingress it was 0.71"
+        "with one free attempt at each ingress it was 0.71"
     )
     assert customer.let_in > 0.25 * 60.0 * customer.cap / 0.1
-    assert not customer.calls, "the counter has no number for a plan without a quota"
+    assert not customer.calls, "the counter has no total for a plan without a quota"
 
 
 def test_in_flight_cap_counts_attempts_whatever_their_units() -> None:
--- a/tests/policy/test_quota_over_gossip.py
+++ b/tests/policy/test_quota_over_gossip.py
@@ -47,10 +47,10 @@
 def test_usage_is_counted_once_with_gossip_and_counter_and_the_quota_held_by_either_alone(
     down: frozenset[str],
 ) -> None:
-    """A customer sends four times its quota to three ingresses under one clock.
+    """A customer sends four times its quota to three ingresses.
 
-    Gossip and the counter report the same usage. Taken off twice, it would halve the quota, as it
-    did once where both were allowed.
+    Gossip and the counter report the same usage. If it were subtracted twice, the customer would
+    get half its quota, which once happened when both were enabled.
     """
     ingresses = make_ingresses(3, may_use_counter=True)
     rng = random.Random(8)
@@ -82,7 +82,7 @@
             for ingress in ingresses:
                 ingress.sent_gossip.clear()
         else:
-            exchange_gossip(ingresses, rng)  # one in five is lost
+            exchange_gossip(ingresses, rng)  # one message in five is lost
         ingress = rng.choice(ingresses)
         ingress.last_request += 1
         answer(
@@ -96,7 +96,7 @@
             ingress.end_attempt(ingress.last_request, 0, Outcome.OK)
     assert admitted / 90 == pytest.approx(2.0, rel=0.2)
     assert calls < 10 if "messages" not in down else calls > 50, (
-        "the counter is asked where messages fail only"
+        "the counter must be called only if gossip fails"
     )
 
 
@@ -116,7 +116,7 @@
 
     run_with_senders(ingresses[0].now + 5, ingresses)
     assert ingresses[0].engine.gossip.knows_peers_use(customer), (
-        "with nothing to tell, that is told"
+        "peers without anything to report send heartbeats"
     )
     run_with_senders(ingresses[0].now + 3, ingresses[:2])
     assert not ingresses[0].engine.gossip.knows_peers_use(customer)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Backends that have just started get less than their part."""
+"""Backends that have just started get less than an even share of the requests."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
     ingress = IngressHarness(backends=1)
     ingress.list_endpoints(endpoint(0), endpoint(5, started=ingress.now))
     sent = []
-    for _ in range(400):  # at one moment, as hundreds of ingresses might
+    for _ in range(400):  # all at the same time, as hundreds of ingresses might send them
         sent.append(ingress.send_request(UNSAFE))
         ingress.end_attempt(sent[-1], 0, Outcome.OK)
-    # By its slow-start weight it gets no more for its capacity than a warm one; it bears three times.
+    # By its slow-start weight, the cold backend gets no more than a warm one in proportion to its
+    # capacity. It would withstand three times as much.
     part = 0.3 / 1.3
     assert (
         0 < sum(ingress.attempts[request][0].backend == 1005 for request in sent) < 400 * part * 1.2
     )
     for _ in range(50):
-        ingress.engine.delay.smoothed_latency = 0.0  # no overload
+        ingress.engine.delay.smoothed_latency = 0.0  # no rejection because of the expected wait
         request = ingress.send_request(UNSAFE)
         ingress.end_attempt(request, 0, Outcome.AT_CAPACITY)
         assert all(send.backend != 1005 for send in ingress.attempts[request][1:])
--- a/tests/policy/test_token_bucket.py
+++ b/tests/policy/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket that gossip and the counter both correct."""
+"""The token bucket of a customer whose usage both gossip and the counter report."""
 
 from __future__ import annotations
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator adapter: its binary records both ways, and bad input, which ends it."""
+"""The simulator adapter: decoding events, encoding actions, and exiting on invalid input."""
 
 from __future__ import annotations
 
@@ -130,9 +130,8 @@
         first_batch() + again + encode_batch(3_000_000, [request_record(6)])
     )
     assert adapter_replies[1] == []
-    assert not [
-        a for a in adapter_replies[2] if a[:2] == b"\1\0"
-    ]  # its endpoint list is lost with it
+    # The restarted ingress has no endpoint list.
+    assert not [a for a in adapter_replies[2] if a[:2] == b"\1\0"]
 
 
 @pytest.mark.parametrize(
