--- a/dockthread/policy/admission.py
+++ b/dockthread/policy/admission.py
@@ -11,7 +11,7 @@
 from dockthread.policy.gossip import GossipProtocol
 from dockthread.policy.model import Plan, RequestClass
 from dockthread.policy.pending_request import PendingRequest, PendingRequests
-from dockthread.policy.queueing_delay import PRESSED_FRACTION, QueueingDelayEstimator
+from dockthread.policy.queueing_delay import MAX_DELAY_FRACTION, QueueingDelayEstimator
 from dockthread.policy.quota_counter_sync import QuotaCounterSync
 from dockthread.policy.rejection import RejectionReason, reject
 from dockthread.policy.route_constraints import RouteConstraints
@@ -65,7 +65,7 @@
         self._counter = counter
         self._attempts = attempts
         self.probability = probability
-        weights = [one.priority_weight for one in context.settings.classes]
+        weights = [request_class.priority_weight for request_class in context.settings.classes]
         self._usual_priority = sum(weights) / len(weights)
 
     def on_request_arrived(self, event: RequestArrived) -> None:
@@ -141,8 +141,8 @@
         plan = self._context.settings.plans[event.plan]
         sketch = self._customers.sketches[event.plan]
         if sketch is not None:
-            drawn = self._context.rng.random()
-            if drawn >= self.probability.of_request(
+            random_draw = self._context.rng.random()
+            if random_draw >= self.probability.of_request(
                 plan.charged_units(event.units),
                 request_class.priority_weight,
                 customer,
@@ -152,8 +152,8 @@
                 return RejectionReason.QUOTA
         if self._is_at_cap(customer):
             return RejectionReason.CAP
-        if self._is_pressed(request_class, plan):
-            return RejectionReason.PRESSED
+        if self._is_wait_too_long(request_class, plan):
+            return RejectionReason.OVERLOAD
         if plan.ceiling_rate and not self._is_below_ceiling(event.units, customer, plan):
             return RejectionReason.CEILING
         customer.quota.take(event.units)
@@ -169,10 +169,12 @@
         if cap <= 0:
             return False
         since = self._context.now - self._delay.tightest_objective
-        elsewhere = sum(count for at, count in customer.peer_in_flight.values() if at > since)
-        return cap <= customer.in_flight + elsewhere
+        peer_in_flight_count = sum(
+            count for at, count in customer.peer_in_flight.values() if at > since
+        )
+        return cap <= customer.in_flight + peer_in_flight_count
 
-    def _is_pressed(self, request_class: RequestClass, plan: Plan) -> bool:
+    def _is_wait_too_long(self, request_class: RequestClass, plan: Plan) -> bool:
         """Return whether the expected wait is too long for a request of this priority.
 
         Such a request would be answered too late, or would delay requests of a higher priority.
@@ -182,11 +184,11 @@
         self._usual_priority += PRIORITY_SMOOTHING * (priority - self._usual_priority)
         relative_priority = priority / self._usual_priority
         factor = min(HIGH_PRIORITY_FACTOR, max(LOW_PRIORITY_FACTOR, relative_priority))
-        longest = min(
+        max_delay = min(
             HIGH_PRIORITY_FACTOR * request_class.latency_objective,
             factor * self._delay.tightest_objective,
         )
-        return self._delay.expected_delay() > PRESSED_FRACTION * longest
+        return self._delay.expected_delay() > MAX_DELAY_FRACTION * max_delay
 
     def _is_below_ceiling(self, units: float, customer: Customer, plan: Plan) -> bool:
         """Return whether the plan's ceiling admits a request; if so, take its units (rule 5).
--- a/dockthread/policy/admission_probability.py
+++ b/dockthread/policy/admission_probability.py
@@ -24,9 +24,9 @@
 GOSSIP_LOW_PRIORITY_RESERVE = 0.2
 # Average fraction of a cap on attempts in flight that may be used: random variation fills the
 # remainder at times.
-CAP_USE = 0.5
+CAP_UTILIZATION = 0.5
 # Usage report periods after which a usage report is no longer used.
-USAGE_REPORT_PERIODS = 2.5
+USAGE_REPORT_MAX_PERIODS = 2.5
 
 
 class AdmissionProbability:
@@ -67,14 +67,16 @@
         than an even split, which applies when there is no information. When the usage of the other
         ingresses is known, the probability also depends on the token bucket.
         """
-        knows_peers = self._gossip.knows_peers_use(customer)
+        is_peer_usage_known = self._gossip.knows_peer_usage(customer)
         may_use_counter = self._context.settings.may_use_counter
-        if knows_peers or (not may_use_counter and self._gossip.has_recent_message()):
-            return self._by_gossip(units, priority_weight, customer, plan, sketch, knows_peers)
+        if is_peer_usage_known or (not may_use_counter and self._gossip.has_recent_message()):
+            return self._by_gossip(
+                units, priority_weight, customer, plan, sketch, is_peer_usage_known
+            )
         # One attempt at each ingress that serves the customer would already exceed the cap.
         is_crowded = 0 < plan.max_in_flight < customer.spread and not plan.rate
-        least_share = 0.0 if is_crowded else units / sketch.window
-        share = max(self._limit_rate(plan) / customer.spread, least_share)
+        min_share = 0.0 if is_crowded else units / sketch.window
+        share = max(self._limit_rate(plan) / customer.spread, min_share)
         if not may_use_counter or not plan.rate:
             return min(1.0, share / customer.arrival_rate)
         return self._by_counter(units, priority_weight, customer, plan, sketch, share)
@@ -86,19 +88,21 @@
         customer: Customer,
         plan: Plan,
         sketch: RateSketch,
-        knows_peers: bool,
+        is_peer_usage_known: bool,
     ) -> float:
         """Return the probability based on the arrivals that the other ingresses report."""
-        if not plan.rate and knows_peers:
+        if not plan.rate and is_peer_usage_known:
             return 1.0  # only the cap on attempts in flight applies, and peers report theirs
         rate = self._limit_rate(plan)
         gap = self._context.now - customer.gossip_at
         peer_rate = sketch.decayed_rate(customer.peer_arrival_rate, 0.0, gap)
-        part = rate * customer.arrival_rate / (customer.arrival_rate + peer_rate)
-        share = max(part, rate / customer.spread)
+        proportional_share = rate * customer.arrival_rate / (customer.arrival_rate + peer_rate)
+        share = max(proportional_share, rate / customer.spread)
         probability = min(1.0, share / customer.arrival_rate)
         taken = customer.peer_admission_rate * min(gap, self._gossip.full_round_time)
-        return self._leaned(units, priority_weight, customer, probability, taken, knows_peers)
+        return self._adjust_by_bucket_level(
+            units, priority_weight, customer, probability, taken, is_peer_usage_known
+        )
 
     def _by_counter(  # noqa: PLR0913  a parameter object would cost an allocation per request
         self,
@@ -123,21 +127,23 @@
         probability = min(1.0, share / customer.arrival_rate)
         if is_counter_fresh:
             taken = customer.remote_rate * gap
-            return self._leaned(units, priority_weight, customer, probability, taken, False)
+            return self._adjust_by_bucket_level(
+                units, priority_weight, customer, probability, taken, False
+            )
         return probability if customer.quota.level >= units else 0.0
 
     def _is_usage_report_fresh(self, customer: Customer) -> bool:
         age = self._context.now - customer.reported_usage_at
-        return age < USAGE_REPORT_PERIODS * self._context.settings.usage_report_period
+        return age < USAGE_REPORT_MAX_PERIODS * self._context.settings.usage_report_period
 
-    def _leaned(  # noqa: PLR0913  a parameter object would cost an allocation per request
+    def _adjust_by_bucket_level(  # noqa: PLR0913  an object would cost an allocation per request
         self,
         units: float,
         priority_weight: float,
         customer: Customer,
         probability: float,
         taken: float,
-        knows_peers: bool,
+        is_peer_usage_known: bool,
     ) -> float:
         """Adjust a probability by the level of the customer's token bucket.
 
@@ -152,20 +158,20 @@
             probability: the probability to adjust.
             taken: units that the other ingresses are expected to have taken since their last
                 report.
-            knows_peers: whether the usage of all other ingresses is known by gossip.
+            is_peer_usage_known: whether the usage of all other ingresses is known by gossip.
         """
         plan = self._context.settings.plans[customer.plan_number]
         if not plan.rate:
             return probability
-        low = 1 - priority_weight / self.highest_priority_weight
-        if knows_peers:
-            reserve = GOSSIP_RESERVE + GOSSIP_LOW_PRIORITY_RESERVE * low
+        priority_deficit = 1 - priority_weight / self.highest_priority_weight
+        if is_peer_usage_known:
+            reserve = GOSSIP_RESERVE + GOSSIP_LOW_PRIORITY_RESERVE * priority_deficit
         else:
-            reserve = RESERVE + LOW_PRIORITY_RESERVE * low
-        left = (customer.quota.level - taken - units) / plan.burst / reserve
-        if left < 1:
-            return probability * max(0.0, left)
-        return probability + (1 - probability) * min(1.0, left - 1)
+            reserve = RESERVE + LOW_PRIORITY_RESERVE * priority_deficit
+        relative_level = (customer.quota.level - taken - units) / plan.burst / reserve
+        if relative_level < 1:
+            return probability * max(0.0, relative_level)
+        return probability + (1 - probability) * min(1.0, relative_level - 1)
 
     def _limit_rate(self, plan: Plan) -> float:
         """Return the plan's limit in units per second.
@@ -173,4 +179,4 @@
         It is the quota. For a plan that only caps attempts in flight it is, by Little's law, the
         rate that the cap allows at the usual response time.
         """
-        return plan.rate or CAP_USE * plan.max_in_flight / self._latencies.mean()
+        return plan.rate or CAP_UTILIZATION * plan.max_in_flight / self._latencies.mean()
--- a/dockthread/policy/attempt_outcomes.py
+++ b/dockthread/policy/attempt_outcomes.py
@@ -7,7 +7,7 @@
 from dockthread.policy.context import Context
 from dockthread.policy.customer import Customer
 from dockthread.policy.events import AttemptEnded
-from dockthread.policy.latency_estimates import MAX_RELATIVE_LATENCY, sample_scarcity
+from dockthread.policy.latency_estimates import MAX_RELATIVE_LATENCY, failure_scaling_factor
 from dockthread.policy.load_reports import LoadReportReader
 from dockthread.policy.model import Outcome
 from dockthread.policy.pending_request import Attempt, PendingRequest
@@ -19,14 +19,14 @@
 FAILURE_WEIGHT = 0.25
 # Seconds for which a backend without capacity is not sent requests of the plan. The time doubles
 # with each rejection in a row, from the first value up to the second.
-FIRST_CAPACITY_BACKOFF = 0.2
-LONGEST_CAPACITY_BACKOFF = 3.0
+INITIAL_CAPACITY_BACKOFF = 0.2
+MAX_CAPACITY_BACKOFF = 3.0
 # Lower bound on the mean success fraction of ready backends, with which one backend is compared.
-LEAST_MEAN_SUCCESS = 0.05
+MIN_MEAN_SUCCESS = 0.05
 # Outcomes that prove that the backend is alive.
-RESPONDED = (Outcome.OK, Outcome.ERROR, Outcome.AT_CAPACITY)
+LIVE_OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.AT_CAPACITY)
 # Outcomes that count as a failure of the backend.
-FAILURES = (Outcome.ERROR, Outcome.UNREACHABLE, Outcome.RESET)
+FAILURE_OUTCOMES = (Outcome.ERROR, Outcome.UNREACHABLE, Outcome.RESET)
 
 
 class AttemptOutcomes:
@@ -62,7 +62,9 @@
         settings = context.settings
         self.load_reports = LoadReportReader(settings.load_report_fields)
         # With more ingresses, each sees fewer responses of a backend, so one failure weighs more.
-        self._failure_weight = 1 - (1 - FAILURE_WEIGHT) ** sample_scarcity(settings.ingress_count)
+        self._failure_weight = 1 - (1 - FAILURE_WEIGHT) ** failure_scaling_factor(
+            settings.ingress_count
+        )
 
     def record_load_report(self, event: AttemptEnded, backend: Backend) -> None:
         """Record the load report that came with a response.
@@ -79,13 +81,13 @@
     def record_outcome(self, event: AttemptEnded, backend: Backend, customer: Customer) -> None:
         """Update the backend and the queueing delay with the outcome of an attempt."""
         outcome = event.outcome
-        if outcome in RESPONDED:
+        if outcome in LIVE_OUTCOMES:
             backend.last_response_at = self._context.now
         if outcome is Outcome.OK:
             self._record_success(event, backend)
         elif outcome is Outcome.AT_CAPACITY:
             self._record_at_capacity(backend, customer)
-        elif outcome in FAILURES:
+        elif outcome in FAILURE_OUTCOMES:
             backend.failure_fraction += self._failure_weight * (1 - backend.failure_fraction)
 
     def record_latency(
@@ -117,8 +119,8 @@
     def _record_at_capacity(self, backend: Backend, customer: Customer) -> None:
         """Skip the backend for a while for requests of the customer's plan only."""
         self._delay.record_at_capacity(self._relevance(backend))
-        backoff = min(2 * backend.capacity_backoff, LONGEST_CAPACITY_BACKOFF)
-        backend.capacity_backoff = max(FIRST_CAPACITY_BACKOFF, backoff)
+        backoff = min(2 * backend.capacity_backoff, MAX_CAPACITY_BACKOFF)
+        backend.capacity_backoff = max(INITIAL_CAPACITY_BACKOFF, backoff)
         until = self._context.now + backend.capacity_backoff
         backend.mark_at_capacity(customer.plan_number, until)
 
@@ -128,5 +130,5 @@
         A backend that fails more than the others is rarely drawn, so its slow responses must not
         cause rejections of requests that the others have capacity for.
         """
-        mean_success = max(LEAST_MEAN_SUCCESS, self._backends.pool.success_fraction)
+        mean_success = max(MIN_MEAN_SUCCESS, self._backends.pool.success_fraction)
         return min(1.0, ((1 - backend.failure_fraction) / mean_success) ** 2)
--- a/dockthread/policy/attempts.py
+++ b/dockthread/policy/attempts.py
@@ -31,11 +31,11 @@
 SILENT_DEVIATIONS = 9.0
 # Fraction of its remaining time after which a request that could not be sent to any backend is
 # rejected, so that its client has time left to try elsewhere.
-HELD_TIME_FRACTION = 0.45
+NO_BACKEND_WAIT_FRACTION = 0.45
 # Nothing is retried while recent responses take longer than this fraction of the latency objective.
 NO_RETRY_LATENCY_FRACTION = 0.5
 # An attempt at a suspect backend is hedged only while the request has fewer attempts than this.
-MOST_HEDGED_ATTEMPTS = 2
+MAX_HEDGED_ATTEMPTS = 2
 
 
 class AttemptManager:
@@ -113,7 +113,7 @@
         self._delay.in_flight += 1
         if not self._backends.pool.has_warm_backend:
             self._slow_start.on_attempt_sent()
-        backend.take_idle_connection(self._balancer.idle_connections_since())
+        backend.take_idle_connection(self._balancer.idle_connection_cutoff())
         self._customer_numbers[request, len(pending.attempts)] = event.customer
         pending.attempts.append(Attempt(backend.endpoint.backend, now, concurrency))
         # The customer may have been dropped if the request waited for long.
@@ -124,8 +124,8 @@
         self._backends.pool.refresh()
         for request in list(self.awaiting_backend):
             pending = self._requests.by_number[request]
-            sendable_time = (1 - HELD_TIME_FRACTION) * pending.event.remaining_time
-            is_late = self._context.now > pending.deadline - sendable_time
+            client_retry_time = (1 - NO_BACKEND_WAIT_FRACTION) * pending.event.remaining_time
+            is_late = self._context.now > pending.deadline - client_retry_time
             if not self.send(request, pending) and is_late and pending.first_possible_run() is None:
                 self.close(request)
 
@@ -149,10 +149,10 @@
         self._delay.in_flight -= 1
         usual, deviation = self._latencies.by_class[pending.event.request_class]
         silent_at = attempt.sent_at + usual + SILENT_DEVIATIONS * deviation
-        self._timers.set(silent_at, self._on_silent, request, number)
-        self._hedge_suspected(request, pending, number)
+        self._timers.set(silent_at, self._on_backend_silent, request, number)
+        self._hedge_if_suspect(request, pending, number)
 
-    def _on_silent(self, request: int, number: int) -> None:
+    def _on_backend_silent(self, request: int, number: int) -> None:
         """Count a missing response against a backend without any response since the attempt."""
         pending = self._requests.awaiting_attempt(request, number)
         if pending is None:
@@ -161,7 +161,7 @@
         backend = self._backends.by_number[attempt.backend]
         if backend.last_response_at < attempt.sent_at:
             self._outcomes.record_silence(backend)
-            self._hedge_suspected(request, pending, number)
+            self._hedge_if_suspect(request, pending, number)
 
     def _on_hedge_delay_ended(self, request: int, number: int) -> None:
         """Hedge an attempt after the route's hedge delay, if it is still allowed."""
@@ -169,18 +169,18 @@
         if pending is None:
             return
         if (
-            self._may_repeat(pending)
+            self._may_send_another(pending)
             and self._context.settings.may_hedge
             and self._routes.may_hedge(pending)
         ):
             self._send_hedge(request, pending)
 
-    def _hedge_suspected(self, request: int, pending: PendingRequest, number: int) -> None:
+    def _hedge_if_suspect(self, request: int, pending: PendingRequest, number: int) -> None:
         """Hedge an attempt at a suspect backend, or cancel it if hedging is not allowed."""
         backend = self._backends.by_number[pending.attempts[number].backend]
         if (
-            self._may_repeat(pending)
-            and len(pending.attempts) < MOST_HEDGED_ATTEMPTS
+            self._may_send_another(pending)
+            and len(pending.attempts) < MAX_HEDGED_ATTEMPTS
             and backend.failure_fraction >= SUSPECT_FAILURE_FRACTION
             and self._routes.may_hedge(pending)
         ):
@@ -197,7 +197,7 @@
         if not self.send(request, pending):
             del self.awaiting_backend[request]
 
-    def _may_repeat(self, pending: PendingRequest) -> bool:
+    def _may_send_another(self, pending: PendingRequest) -> bool:
         """Return whether another attempt may be sent while one is in flight.
 
         The effect is looked up each time, because a reload may have changed the class.
@@ -216,7 +216,7 @@
         pending = self._requests.by_number.get(event.request)
         customer = self._customers.get_known(number)
         backend = self._backends.by_number[event.backend]
-        self._release(event, number, customer)
+        self._release_attempt(event, number, customer)
         backend.in_flight -= 1
         if pending is None or not pending.attempts[event.attempt].is_overdue:
             # An overdue attempt was subtracted when it became overdue.
@@ -236,7 +236,7 @@
         elif not pending.has_attempt_in_flight():
             self._retry_or_close(event, pending)
 
-    def _release(self, event: AttemptEnded, number: int, customer: Customer) -> None:
+    def _release_attempt(self, event: AttemptEnded, number: int, customer: Customer) -> None:
         """Subtract an ended attempt from its customer's, and record the usage report it brought."""
         customer.in_flight -= 1
         if event.reported_usage is not None:
--- a/dockthread/policy/backend.py
+++ b/dockthread/policy/backend.py
@@ -88,10 +88,10 @@
         self.in_flight = 0
         self.removed_at = inf
         self._report = b""
-        self._forget_process()
+        self._clear_process_state()
         self.is_new_process = bool(endpoint.started_at)
 
-    def _forget_process(self) -> None:
+    def _clear_process_state(self) -> None:
         """Reset all state learnt about the backend's process.
 
         The last load report is kept for comparison: an equal report of the new process is ignored.
@@ -217,5 +217,5 @@
 
     def reset_process(self) -> None:
         """Reset the learnt state because a new process runs under the backend's number."""
-        self._forget_process()
+        self._clear_process_state()
         self.is_new_process = True
--- a/dockthread/policy/backend_pool.py
+++ b/dockthread/policy/backend_pool.py
@@ -9,7 +9,7 @@
 
 `random.choices` draws with a binary search in the cumulative weights. A maintenance round that
 changed a weight sums them again. Between rounds they are summed again after one change for each
-`SLOTS_PER_RESUM` slots. In a list of up to that many slots this is after every change, which is
+`SLOTS_PER_SUMMATION` slots. In a list of up to that many slots this is after every change, which is
 cheap. In a longer list it happens less often, which keeps the cost per change constant. Meanwhile
 the draws from a longer list use slightly outdated weights; whether a backend is ready is always
 read from the backend itself.
@@ -32,22 +32,22 @@
 
 # The cumulative weights are summed again after one change for each 1024 slots. Summing 1024 slots
 # takes about 20 us.
-SLOTS_PER_RESUM = 1024
+SLOTS_PER_SUMMATION = 1024
 # A smaller failure fraction is set to 0: added to 1 in double precision it has no effect.
 NEGLIGIBLE_FAILURE = 1e-18
 # The same limit in a long list, so that a failure is dropped after ten half-lives and not sixty.
 NEGLIGIBLE_FAILURE_LONG_LIST = 1e-3
 # Maximum number of backends weighed again in one maintenance round, which takes about 3 ms.
-MAX_WEIGHED_PER_ROUND = 1024
+MAX_WEIGHT_UPDATES_PER_ROUND = 1024
 # A list of up to this many ready backends is short and is scanned whole; a longer list is sampled.
-SHORT_LIST = 1024
+MAX_SHORT_LIST = 1024
 # Number of backends in a sample of a long list.
-SAMPLE_SIZE = SHORT_LIST // 4
+SAMPLE_SIZE = MAX_SHORT_LIST // 4
 # Maximum number of candidates drawn from a long list: the best of these is on average in the best
 # 1 in 64 of the list, and each further candidate costs 4 us.
 MAX_CANDIDATES = 64
 # Number of draws from a whole pool after which a filter counts as matching no backend.
-DRAW_ATTEMPTS = 4
+MAX_FILTERED_DRAWS = 4
 # Slots are compacted when removed backends have left more than this fraction of them vacant.
 MAX_VACANT_FRACTION = 1 / 8
 
@@ -115,7 +115,7 @@
 
     def draw(self, rng: random.Random, count: int) -> list[Backend]:
         """Draw `count` backends and return the matching ones; repeat a few times if none match."""
-        for _ in range(DRAW_ATTEMPTS):
+        for _ in range(MAX_FILTERED_DRAWS):
             drawn = [
                 backend
                 for backend in self._pool.draw(rng, count)
@@ -172,20 +172,21 @@
         self._cells: dict[tuple[int, int], dict[int, Backend]] = {}
         # Number of ready backends, by zone and kind.
         self._ready_by_zone_and_kind: Counter[tuple[int, int]] = Counter()
-        self._ready = 0
-        self._vacant = 0  # number of slots of removed backends
-        self._changes = 0  # number of weight changes since the last summation
+        self._ready_count = 0
+        self._vacant_slots = 0  # number of slots of removed backends
+        self._weight_changes = 0  # number of weight changes since the last summation
         self._is_round_due = False  # whether a maintenance round began since the last refresh
-        self._next_start = 0  # the next index to be weighed, if too many change for one round
+        # The next index to be weighed, if too many weights change for one round.
+        self._next_weighed_index = 0
         self.decay_rounds = DecayRounds()
         self.failing: dict[int, Backend] = {}
         self.warming_up: dict[int, Backend] = {}
         self.success_fraction = 1.0
         self.has_warm_backend = False
-        self.visits = 0
+        self.weight_updates = 0
 
     def __len__(self) -> int:
-        return self._ready
+        return self._ready_count
 
     def __iter__(self) -> Iterator[Backend]:
         return (backend for backend in self._slots if backend.is_ready)
@@ -202,13 +203,13 @@
         """
         if not self._cumulative_weights or not self._cumulative_weights[-1]:
             return []
-        if self._ready > SHORT_LIST:
+        if self._ready_count > MAX_SHORT_LIST:
             count = min(count, MAX_CANDIDATES)
         return rng.choices(self._slots, cum_weights=self._cumulative_weights, k=count)
 
     def sample(self, rng: random.Random) -> Iterable[Backend]:
         """Return all ready backends of a short list, or a uniform sample of a long list."""
-        if self._ready <= SHORT_LIST:
+        if self._ready_count <= MAX_SHORT_LIST:
             return iter(self)
         drawn = rng.choices(self._slots, k=SAMPLE_SIZE)
         return (backend for backend in drawn if backend.is_ready)
@@ -230,7 +231,7 @@
         Args:
             matches: a filter that depends only on an endpoint's zone and kind.
         """
-        if self._ready <= SHORT_LIST:
+        if self._ready_count <= MAX_SHORT_LIST:
             matching = [backend for backend in self if matches(backend.endpoint)]
             return BackendSubset(matching, self._weight) if matching else None
         examples = (
@@ -254,7 +255,7 @@
         """Remove a backend that is not ready; its slot stays vacant until slots are compacted."""
         self.failing.pop(backend.endpoint.backend, None)
         self._remove_from_cell(backend)
-        self._vacant += 1
+        self._vacant_slots += 1
         backend.slot = -1
 
     def update(self, backend: Backend, endpoint: Endpoint, ready: bool) -> None:
@@ -262,13 +263,13 @@
         old = backend.endpoint
         self._ready_by_zone_and_kind[old.zone, old.kind] -= backend.is_ready
         self._ready_by_zone_and_kind[endpoint.zone, endpoint.kind] += ready
-        self._ready += ready - backend.is_ready
+        self._ready_count += ready - backend.is_ready
         if (old.zone, old.cell) != (endpoint.zone, endpoint.cell):
             self._remove_from_cell(backend)
             self._cells.setdefault((endpoint.zone, endpoint.cell), {})[endpoint.backend] = backend
         backend.endpoint = endpoint
         backend.is_ready = ready
-        self._weigh(backend)
+        self._update_weight(backend)
 
     def _remove_from_cell(self, backend: Backend) -> None:
         key = backend.endpoint.zone, backend.endpoint.cell
@@ -285,46 +286,49 @@
         """
         self._is_round_due = True
         self.decay_rounds.advance(latencies)
-        is_short = len(self._slots) <= SHORT_LIST
+        is_short = len(self._slots) <= MAX_SHORT_LIST
         negligible = NEGLIGIBLE_FAILURE if is_short else NEGLIGIBLE_FAILURE_LONG_LIST
         for backend in self.failing.values():
             backend.decay_failures(failures, negligible)
 
     def refresh(self) -> None:
         """Update the weights and their sums after a maintenance round or enough changes."""
-        slots_in_use = len(self._slots) - self._vacant
-        if not self._is_round_due and (self._changes + 1) * SLOTS_PER_RESUM <= slots_in_use:
+        slots_in_use = len(self._slots) - self._vacant_slots
+        if (
+            not self._is_round_due
+            and (self._weight_changes + 1) * SLOTS_PER_SUMMATION <= slots_in_use
+        ):
             return
         self._is_round_due = False
-        if self._vacant > len(self._slots) * MAX_VACANT_FRACTION:
+        if self._vacant_slots > len(self._slots) * MAX_VACANT_FRACTION:
             self._compact_slots()
-        for backend in self._changing():
-            self._weigh(backend)
-        if self._changes:
-            self._changes = 0
+        for backend in self._next_to_weigh():
+            self._update_weight(backend)
+        if self._weight_changes:
+            self._weight_changes = 0
             self._cumulative_weights = _cumulative(self._weights)
         failed = sum(
             backend.failure_fraction for backend in self.failing.values() if backend.is_ready
         )
-        self.success_fraction = (self._ready - failed) / max(1, self._ready)
-        self.has_warm_backend = self._ready > len(self.warming_up)
+        self.success_fraction = (self._ready_count - failed) / max(1, self._ready_count)
+        self.has_warm_backend = self._ready_count > len(self.warming_up)
 
-    def _changing(self) -> list[Backend]:
+    def _next_to_weigh(self) -> list[Backend]:
         """Return the backends whose weights change over time, or the next ones if too many."""
         changing = list(self.failing.values())
         changing += [
             backend for number, backend in self.warming_up.items() if number not in self.failing
         ]
-        if len(changing) <= MAX_WEIGHED_PER_ROUND:
+        if len(changing) <= MAX_WEIGHT_UPDATES_PER_ROUND:
             return changing
-        start = self._next_start % len(changing)
-        self._next_start = start + MAX_WEIGHED_PER_ROUND
-        wrapped = changing + changing[:MAX_WEIGHED_PER_ROUND]
-        return wrapped[start : start + MAX_WEIGHED_PER_ROUND]
+        start = self._next_weighed_index % len(changing)
+        self._next_weighed_index = start + MAX_WEIGHT_UPDATES_PER_ROUND
+        rotated = changing + changing[:MAX_WEIGHT_UPDATES_PER_ROUND]
+        return rotated[start : start + MAX_WEIGHT_UPDATES_PER_ROUND]
 
-    def _weigh(self, backend: Backend) -> None:
+    def _update_weight(self, backend: Backend) -> None:
         """Recompute a backend's weight, and whether it has to be weighed again each round."""
-        self.visits += 1
+        self.weight_updates += 1
         number = backend.endpoint.backend
         weight = self._weight(backend) if backend.is_ready else 0.0
         if backend.is_ready and self._slow_start_weight(backend) < 1.0:
@@ -335,7 +339,7 @@
             self.failing.pop(number, None)
         if weight != self._weights[backend.slot]:
             self._weights[backend.slot] = weight
-            self._changes += 1
+            self._weight_changes += 1
 
     def _compact_slots(self) -> None:
         """Remove the slots of removed backends; the other backends keep their order."""
@@ -343,5 +347,5 @@
         self._weights = array("d", [self._weights[backend.slot] for backend in self._slots])
         for slot, backend in enumerate(self._slots):
             backend.slot = slot
-        self._vacant = 0
+        self._vacant_slots = 0
         self._cumulative_weights = _cumulative(self._weights)
--- a/dockthread/policy/backend_registry.py
+++ b/dockthread/policy/backend_registry.py
@@ -36,19 +36,19 @@
 
     def update(self, endpoint: Endpoint) -> None:
         """Apply a listed entry; its backend may be new, restarted or in a different state."""
-        backend = self._get(endpoint)
+        backend = self._get_or_create(endpoint)
         if endpoint.started_at > backend.endpoint.started_at:
             backend.reset_process()
-        self._relist(backend, endpoint, endpoint.state)
+        self._update_listing(backend, endpoint, endpoint.state)
 
     def remove_unlisted(self, endpoints: tuple[Endpoint, ...]) -> None:
         """Mark the backends that are missing from a full list as removed."""
         listed = {endpoint.backend for endpoint in endpoints}
         unlisted = [backend for number, backend in self.by_number.items() if number not in listed]
         for backend in unlisted:
-            self._relist(backend, backend.endpoint, BackendState.REMOVED)
+            self._update_listing(backend, backend.endpoint, BackendState.REMOVED)
 
-    def _get(self, endpoint: Endpoint) -> Backend:
+    def _get_or_create(self, endpoint: Endpoint) -> Backend:
         """Return the backend of an entry; create it if its number is unknown."""
         backend = self.by_number.get(endpoint.backend)
         if backend is None:
@@ -60,7 +60,7 @@
                 self.by_code[backend.code] = backend
         return backend
 
-    def _relist(self, backend: Backend, endpoint: Endpoint, state: BackendState) -> None:
+    def _update_listing(self, backend: Backend, endpoint: Endpoint, state: BackendState) -> None:
         if state is BackendState.REMOVED:
             backend.removed_at = min(backend.removed_at, self._context.now)
             self.delisted[backend.endpoint.backend] = backend
--- a/dockthread/policy/backend_weight.py
+++ b/dockthread/policy/backend_weight.py
@@ -9,10 +9,10 @@
 # Weight of a backend in the ingress's own zone, if requests to other zones have a cost.
 OWN_ZONE_WEIGHT = 2.0
 # Lower bound on the weight from the endpoint list, which avoids a division by zero.
-LEAST_LISTED_WEIGHT = 1e-6
+MIN_LISTED_WEIGHT = 1e-6
 # Lower bound on a backend's success fraction, whose square is a factor of its weight. A failing
 # backend must still receive some requests, or its recovery would go unnoticed.
-LEAST_SUCCESS_FRACTION = 0.1
+MIN_SUCCESS_FRACTION = 0.1
 
 
 class BackendWeights:
@@ -34,9 +34,9 @@
         settings = self._context.settings
         is_preferred = endpoint.zone == settings.zone and settings.costs.cross_zone
         zone_weight = OWN_ZONE_WEIGHT if is_preferred else 1.0
-        listed_weight = max(endpoint.weight, LEAST_LISTED_WEIGHT)
+        listed_weight = max(endpoint.weight, MIN_LISTED_WEIGHT)
         return (
             zone_weight
             * listed_weight
-            * max(1 - backend.failure_fraction, LEAST_SUCCESS_FRACTION) ** 2
+            * max(1 - backend.failure_fraction, MIN_SUCCESS_FRACTION) ** 2
         )
--- a/dockthread/policy/customer.py
+++ b/dockthread/policy/customer.py
@@ -102,7 +102,7 @@
         self.reported_usage_at = NEVER
         self.waiting_requests: list[int] = []
 
-    def is_as_new(self, plan: Plan, now: float) -> bool:
+    def is_equivalent_to_new(self, plan: Plan, now: float) -> bool:
         """Return whether the customer's state is equivalent to that of a new customer."""
         if self.in_flight or self.waiting_requests or self.counter_call:
             return False
--- a/dockthread/policy/customer_registry.py
+++ b/dockthread/policy/customer_registry.py
@@ -71,7 +71,7 @@
             self.by_number = {
                 number: customer
                 for number, customer in self.by_number.items()
-                if not customer.is_as_new(settings.plans[customer.plan_number], now)
+                if not customer.is_equivalent_to_new(settings.plans[customer.plan_number], now)
             }
             return False
         if len(self.by_number) <= GOSSIP_CUSTOMERS_KEPT:
--- a/dockthread/policy/engine.py
+++ b/dockthread/policy/engine.py
@@ -33,7 +33,7 @@
     TimerFired,
 )
 from dockthread.policy.gossip import GossipProtocol
-from dockthread.policy.latency_estimates import sample_scarcity
+from dockthread.policy.latency_estimates import failure_scaling_factor
 from dockthread.policy.load_balancer import LoadBalancer
 from dockthread.policy.model import EndpointListKind, PolicySettings
 from dockthread.policy.pending_request import PendingRequests
@@ -104,7 +104,7 @@
         self._build_decisions()
         self._is_started = False
         self._expired_at = now
-        self._failure_half_life = FAILURE_HALF_LIFE * sample_scarcity(settings.ingress_count)
+        self._failure_half_life = FAILURE_HALF_LIFE * failure_scaling_factor(settings.ingress_count)
         self._handlers = self._event_handlers()
 
     def _build_state(self, settings: PolicySettings) -> None:
@@ -228,7 +228,7 @@
         if context.settings.must_poll_endpoints:
             context.actions.append(PollEndpoints())
         if context.settings.may_gossip:
-            self.gossip.greet()
+            self.gossip.schedule_initial_messages()
 
     def run_maintenance(self) -> None:
         """Decay estimates, drop expired state, send heartbeats and retry waiting requests."""
--- a/dockthread/policy/gossip.py
+++ b/dockthread/policy/gossip.py
@@ -27,14 +27,14 @@
 # All peers together send at most this fraction of the messages that an ingress can receive.
 INTAKE_FRACTION = 0.8
 # Lower bound on the rate at which an ingress can receive messages, messages/s.
-LEAST_INTAKE_RATE = 1.0
+MIN_INTAKE_RATE = 1.0
 # Size of the message budget, in seconds of sending at the average rate.
 BUDGET_SECONDS = 4
 # Minimum and maximum time in seconds from the first unsent report to the round that sends it.
-SHORTEST_ROUND = 0.02
-LONGEST_ROUND = 0.25
+MIN_ROUND_INTERVAL = 0.02
+MAX_ROUND_INTERVAL = 0.25
 # Minimum time in seconds between two heartbeats to a peer.
-SHORTEST_HEARTBEAT_INTERVAL = 0.5
+MIN_HEARTBEAT_INTERVAL = 0.5
 # Minimum time between two heartbeats to a peer, in multiples of `full_round_time`.
 HEARTBEAT_FULL_ROUNDS = 8
 # Heartbeat intervals without a message after which a peer counts as silent.
@@ -45,9 +45,9 @@
 # A backend is reported to peers when more than this fraction of its outcomes are failures.
 SUSPECT_FAILURE_FRACTION = 0.4
 # Maximum number of suspect backends in one message.
-MOST_SUSPECTS = 3
+MAX_SUSPECTS_PER_MESSAGE = 3
 # Seconds after a backend's last response here during which peers' reports about it are ignored.
-OWN_EVIDENCE_TIME = 2.0
+LOCAL_EVIDENCE_TIME = 2.0
 # A peer that restarted is sent the customers whose token buckets hold less than this fraction of
 # the burst.
 RESTART_REPORT_FRACTION = 0.9
@@ -96,13 +96,15 @@
         self._incarnation = incarnation
         settings = context.settings
         self._own_number = settings.ingress_number
-        self._intake_rate = INTAKE_FRACTION * max(settings.gossip_intake_rate, LEAST_INTAKE_RATE)
+        self._intake_rate = INTAKE_FRACTION * max(settings.gossip_intake_rate, MIN_INTAKE_RATE)
         self._budget = BUDGET_SECONDS * self._intake_rate
         self._budget_updated_at = context.now
         self.full_round_time = (settings.ingress_count - 1) / self._intake_rate
-        self._round_interval = min(LONGEST_ROUND, max(SHORTEST_ROUND, self.full_round_time))
+        self._round_interval = min(
+            MAX_ROUND_INTERVAL, max(MIN_ROUND_INTERVAL, self.full_round_time)
+        )
         self._heartbeat_interval = max(
-            SHORTEST_HEARTBEAT_INTERVAL, HEARTBEAT_FULL_ROUNDS * self.full_round_time
+            MIN_HEARTBEAT_INTERVAL, HEARTBEAT_FULL_ROUNDS * self.full_round_time
         )
         self._is_round_scheduled = False
         # The customers to report, by peer; a peer with an empty entry is sent a heartbeat.
@@ -113,7 +115,7 @@
 
     # Queries by other parts of the engine
 
-    def knows_peers_use(self, customer: Customer) -> bool:
+    def knows_peer_usage(self, customer: Customer) -> bool:
         """Return whether gossip reports everything that other ingresses admit of a customer.
 
         That is the case if no other ingress serves the customer, or if each of them has sent a
@@ -135,18 +137,18 @@
         """Return whether any peer has sent a message recently."""
         if not self._context.settings.may_gossip:
             return False
-        now, silence = self._context.now, SILENT_HEARTBEATS * self._heartbeat_interval
-        return any(now - at <= silence for at in self.last_received_at.values())
+        now, max_silence = self._context.now, SILENT_HEARTBEATS * self._heartbeat_interval
+        return any(now - at <= max_silence for at in self.last_received_at.values())
 
     def _peers_of(self, customer: Customer) -> list[int]:
         """Return the other ingresses of a customer's set."""
         count = self._context.settings.ingress_count
-        ring = ((customer.first_ingress + step) % count for step in range(customer.spread))
-        return [peer for peer in ring if peer != self._own_number]
+        members = ((customer.first_ingress + step) % count for step in range(customer.spread))
+        return [peer for peer in members if peer != self._own_number]
 
     # Scheduling reports
 
-    def greet(self) -> None:
+    def schedule_initial_messages(self) -> None:
         """Schedule a first message to every peer, so that each replies with its customers.
 
         The order is random, so that ingresses that start together don't all begin with the same
@@ -221,7 +223,7 @@
             if backend.failure_fraction > SUSPECT_FAILURE_FRACTION
         ]
         failing.sort(key=lambda backend: backend.slot)
-        drawn = self._context.rng.sample(failing, min(MOST_SUSPECTS, len(failing)))
+        drawn = self._context.rng.sample(failing, min(MAX_SUSPECTS_PER_MESSAGE, len(failing)))
         return [(backend.code, backend.failure_fraction) for backend in drawn]
 
     def _send_to(self, peer: int, suspects: list[tuple[bytes, float]]) -> None:
@@ -230,11 +232,11 @@
         customers = self._customers.by_number
         unsent = self._unsent[peer]
         numbers = list(unsent)
-        room = gossip_codec.report_capacity(len(suspects), numbers)
-        if len(numbers) > room:
+        capacity = gossip_codec.report_capacity(len(suspects), numbers)
+        if len(numbers) > capacity:
             # Prefer the customers whose token buckets are the emptiest.
             numbers = sorted(numbers, key=lambda number: customers[number].quota.level_at(now))[
-                :room
+                :capacity
             ]
         reports = [customers[number].gossip_report(number, now) for number in numbers]
         data = gossip_codec.encode_message(self._incarnation, suspects, reports)
@@ -256,21 +258,21 @@
             return
         self.last_received_at[peer] = self._context.now
         for code, failure_fraction in message.suspects:
-            self._suspect(code, failure_fraction)
+            self._apply_suspect(code, failure_fraction)
         if self._peer_incarnations.get(peer) != message.incarnation:
             # The peer restarted, and needs to know which customers have used up their quotas.
             self._peer_incarnations[peer] = message.incarnation
             self._report_all_to(peer)
         for report in message.reports:
             customer = self._customers.get(report.customer, report.plan)
-            self._take_over(peer, customer, report)
+            self._apply_customer_report(peer, customer, report)
 
-    def _suspect(self, code: bytes, failure_fraction: float) -> None:
+    def _apply_suspect(self, code: bytes, failure_fraction: float) -> None:
         """Apply a peer's report of a failing backend, unless it responded here recently."""
         backend = self._backends.by_code.get(code)
         if backend is None:
             return
-        if self._context.now - backend.last_response_at > OWN_EVIDENCE_TIME:
+        if self._context.now - backend.last_response_at > LOCAL_EVIDENCE_TIME:
             backend.failure_fraction = max(backend.failure_fraction, failure_fraction)
 
     def _report_all_to(self, peer: int) -> None:
@@ -285,26 +287,26 @@
         self._unsent.setdefault(peer, {})
         self._schedule_round()
 
-    def _take_over(
+    def _apply_customer_report(
         self, peer: int, customer: Customer, report: gossip_codec.CustomerReport
     ) -> None:
         """Apply a peer's report of a customer."""
-        last = customer.peer_sums.get(peer)
+        previous = customer.peer_sums.get(peer)
         incarnation = self._peer_incarnations[peer]
-        is_same_process = last is not None and last.incarnation == incarnation
+        is_same_process = previous is not None and previous.incarnation == incarnation
         # A new process counts its sums from 0.
-        last_requested = last.requested if last is not None and is_same_process else 0
-        last_admitted = last.admitted if last is not None and is_same_process else 0
+        last_requested = previous.requested if previous is not None and is_same_process else 0
+        last_admitted = previous.admitted if previous is not None and is_same_process else 0
         requested = gossip_codec.units_between(report.arrived_sum, last_requested)
         admitted = gossip_codec.units_between(report.admitted_sum, last_admitted)
-        if last is None:
+        if previous is None:
             # This is the peer's first report of the customer, and the time its sums count from is
             # unknown. So at most one request is counted, and the bucket level is lowered to the
             # level at the peer, because a restart must not refill the token bucket.
-            largest = self._context.settings.max_request_units
-            requested = min(requested, largest)
-            admitted = min(admitted, largest)
-            customer.quota.lower_to(report.bucket_level + admitted)
+            max_units = self._context.settings.max_request_units
+            requested = min(requested, max_units)
+            admitted = min(admitted, max_units)
+            customer.quota.lower_to_level(report.bucket_level + admitted)
         customer.peer_sums[peer] = PeerSums(incarnation, report.arrived_sum, report.admitted_sum)
         self._update_peer_rates(customer, requested, admitted)
         customer.peer_in_flight.pop(peer, None)
--- a/dockthread/policy/gossip_codec.py
+++ b/dockthread/policy/gossip_codec.py
@@ -107,8 +107,8 @@
 
 def report_capacity(suspects: int, customers: Iterable[int]) -> int:
     """Return how many reports of these customers fit into a message with `suspects` entries."""
-    left = MAX_MESSAGE_BYTES - HEADER.size - suspects * SUSPECT_ENTRY.size
-    return left // report_format(customers).size
+    available_bytes = MAX_MESSAGE_BYTES - HEADER.size - suspects * SUSPECT_ENTRY.size
+    return available_bytes // report_format(customers).size
 
 
 def encode_message(
--- a/dockthread/policy/latency_estimates.py
+++ b/dockthread/policy/latency_estimates.py
@@ -20,20 +20,20 @@
 # Relative latency to which each sample is clipped.
 MAX_RELATIVE_LATENCY = 8.0
 # Minimum weight of a new sample in the estimate of a backend.
-BACKEND_STEP = 0.05
+MIN_BACKEND_SAMPLE_WEIGHT = 0.05
 # Minimum weight of a new sample in the mean of a kind.
-KIND_STEP = 0.05
+MIN_KIND_SAMPLE_WEIGHT = 0.05
 # Number of ingresses up to which the weight and the half-life of a failure are not scaled up.
 REFERENCE_INGRESS_COUNT = 3.0
 # Number of requests that a backend serves concurrently as fast as a single one.
 BASE_CONCURRENCY = 2.0
 # Weight of a new request in the usual concurrency.
-CONCURRENCY_STEP = 0.02
+CONCURRENCY_SAMPLE_WEIGHT = 0.02
 # Samples are clipped at this many mean deviations above the usual latency.
 MAX_DEVIATIONS = 3.0
 
 
-def sample_scarcity(ingress_count: int) -> float:
+def failure_scaling_factor(ingress_count: int) -> float:
     """Return the factor by which failures weigh more, and decay more slowly, with more ingresses.
 
     With more ingresses each of them sees fewer responses of a backend. When a backend fails, every
@@ -63,13 +63,13 @@
     def add_latency(self, relative_latency: float) -> None:
         """Add the relative latency of one response from a backend of the kind."""
         self.sample_count += 1
-        step = max(KIND_STEP, 1 / self.sample_count)
+        step = max(MIN_KIND_SAMPLE_WEIGHT, 1 / self.sample_count)
         self.relative_latency += step * (relative_latency - self.relative_latency)
 
     def add_load(self, remote_requests: float) -> None:
         """Add the requests of other ingresses according to one load report of the kind."""
         self.report_count += 1
-        step = max(KIND_STEP, 1 / self.report_count)
+        step = max(MIN_KIND_SAMPLE_WEIGHT, 1 / self.report_count)
         self.remote_requests += step * (remote_requests - self.remote_requests)
 
 
@@ -119,7 +119,7 @@
 
     def add_sample(self, relative_latency: float) -> None:
         """Add the relative latency of one response."""
-        self._weight = min(self.sample_count + 1, 1 / BACKEND_STEP)
+        self._weight = min(self.sample_count + 1, 1 / MIN_BACKEND_SAMPLE_WEIGHT)
         self._updated_in = self._rounds.count
         self._mean += (relative_latency - self._mean) / self._weight
 
@@ -153,7 +153,7 @@
         1.0 is the usual concurrency.
         """
         concurrency = load + BASE_CONCURRENCY
-        self.usual_concurrency += CONCURRENCY_STEP * (concurrency - self.usual_concurrency)
+        self.usual_concurrency += CONCURRENCY_SAMPLE_WEIGHT * (concurrency - self.usual_concurrency)
         return concurrency / self.usual_concurrency
 
 
--- a/dockthread/policy/load_balancer.py
+++ b/dockthread/policy/load_balancer.py
@@ -20,7 +20,7 @@
 # The candidates of one attempt, summed over all ingresses, are this many times the backends.
 CANDIDATES_PER_BACKEND = 4
 # The fewest backends drawn for one attempt.
-FEWEST_CANDIDATES = 2
+MIN_CANDIDATES = 2
 # A new connection costs as much as this many usual response times, times the handshake cost.
 HANDSHAKE_RESPONSE_TIMES = 8.0
 # Between backends whose expected costs differ by less than this fraction, the choice is random.
@@ -68,22 +68,22 @@
         if not pool.has_warm_backend and self._slow_start.attempts_available(pool.total_weight) < 1:
             return None
         possible_run = pending.first_possible_run()
-        used = {attempt.backend for attempt in pending.attempts}
+        used_backends = {attempt.backend for attempt in pending.attempts}
         candidates = self._routes.candidates(pending)
         effect = Effect.SAFE if possible_run is None else self._routes.effect(pending)
         if possible_run is not None and effect is not Effect.SAFE:
-            candidates = self._deduplicating(pending, possible_run, effect, candidates)
+            candidates = self._deduplicating_backends(pending, possible_run, effect, candidates)
         elif candidates:
-            backend = self._cheapest(pending, candidates, used)
+            backend = self._lowest_cost_backend(pending, candidates, used_backends)
             if backend is not None:
                 return backend
-        return self._any_with_capacity(pending, possible_run, candidates, used)
+        return self._draw_with_capacity(pending, possible_run, candidates, used_backends)
 
-    def idle_connections_since(self) -> float:
+    def idle_connection_cutoff(self) -> float:
         """Return the time in seconds before which idle connections have been closed."""
         return self._context.now - self._idle_connection_time
 
-    def _deduplicating(
+    def _deduplicating_backends(
         self,
         pending: PendingRequest,
         possible_run: Attempt,
@@ -98,30 +98,30 @@
         if not is_repeatable:
             return NO_BACKENDS
         home = self._backends.by_number[possible_run.backend].endpoint
-        return self._routes.deduplicating(pending, home, candidates)
+        return self._routes.deduplicating_backends(pending, home, candidates)
 
-    def _cheapest(
-        self, pending: PendingRequest, candidates: DrawableBackends, used: set[int]
+    def _lowest_cost_backend(
+        self, pending: PendingRequest, candidates: DrawableBackends, used_backends: set[int]
     ) -> Backend | None:
         """Return the drawn candidate with the lowest cost; None if no candidate is usable."""
         settings = self._context.settings
         share = CANDIDATES_PER_BACKEND * len(candidates) // settings.ingress_count
-        drawn = candidates.draw(self._context.rng, max(FEWEST_CANDIDATES, share))
-        warming_allowed = 0 if pending.attempts else warming_multiple(settings.safety)
+        drawn = candidates.draw(self._context.rng, max(MIN_CANDIDATES, share))
+        max_warming_up = 0 if pending.attempts else warming_multiple(settings.safety)
         usable = [
             backend
             for position, backend in enumerate(drawn)
-            if self._is_usable(backend, pending, position < warming_allowed)
+            if self._is_usable(backend, pending, position < max_warming_up)
         ]
-        unused = [backend for backend in usable if backend.endpoint.backend not in used]
+        unused = [backend for backend in usable if backend.endpoint.backend not in used_backends]
         return min(unused, key=self._cost) if unused else None
 
-    def _any_with_capacity(
+    def _draw_with_capacity(
         self,
         pending: PendingRequest,
         possible_run: Attempt | None,
         candidates: DrawableBackends,
-        used: set[int],
+        used_backends: set[int],
     ) -> Backend | None:
         """Draw from all backends with capacity, because none of the drawn candidates is usable.
 
@@ -129,10 +129,10 @@
         it would always have the lowest cost. If all backends are at capacity, only a first attempt
         is sent.
         """
-        eligible = self._with_capacity(pending, candidates)
+        eligible = self._backends_with_capacity(pending, candidates)
         if not eligible and not pending.attempts:
             eligible = list(candidates.sample(self._context.rng))
-        unused = [backend for backend in eligible if backend.endpoint.backend not in used]
+        unused = [backend for backend in eligible if backend.endpoint.backend not in used_backends]
         if not unused and possible_run is None:
             unused = eligible
         if not unused:
@@ -140,7 +140,7 @@
         weights = [self._weights.weight(backend) for backend in unused]
         return self._context.rng.choices(unused, weights)[0]
 
-    def _with_capacity(
+    def _backends_with_capacity(
         self, pending: PendingRequest, candidates: DrawableBackends
     ) -> list[Backend]:
         """Return the backends with capacity; only warm ones, if there is a warm backend.
@@ -148,12 +148,12 @@
         From a long list it returns those in a sample, unless none in the sample has capacity.
         """
         may_warm_up = not self._pool.has_warm_backend
-        some = [
+        sampled = [
             backend
             for backend in candidates.sample(self._context.rng)
             if self._is_usable(backend, pending, may_warm_up)
         ]
-        return some or [
+        return sampled or [
             backend for backend in candidates if self._is_usable(backend, pending, may_warm_up)
         ]
 
--- a/dockthread/policy/queueing_delay.py
+++ b/dockthread/policy/queueing_delay.py
@@ -13,17 +13,17 @@
 # Completions are averaged over this many times the safety limits' `overload_time`.
 COMPLETIONS_OVERLOAD_TIMES = 4.0
 # With fewer attempts in flight than this, their number does not indicate a queue.
-FEWEST_IN_FLIGHT = 5
+MIN_QUEUE_IN_FLIGHT = 5
 # Weight of one more response in the smoothed latency.
 RESPONSE_WEIGHT = 0.12
 # Weight of one more rejection for lack of capacity in the smoothed latency.
 AT_CAPACITY_WEIGHT = 0.25
 # A response time is clipped to this many tightest latency objectives: a longer one reflects the
 # load when its request was sent and not the present load.
-LONGEST_COUNTED = 1.5
+MAX_COUNTED_OBJECTIVES = 1.5
 # Requests are rejected when the expected wait exceeds this fraction of the bound for their
 # priority.
-PRESSED_FRACTION = 0.25
+MAX_DELAY_FRACTION = 0.25
 
 
 class QueueingDelayEstimator:
@@ -62,7 +62,7 @@
     @property
     def is_pressed(self) -> bool:
         """Whether recent responses took so long that requests are rejected."""
-        return self.smoothed_latency > PRESSED_FRACTION * self.tightest_objective
+        return self.smoothed_latency > MAX_DELAY_FRACTION * self.tightest_objective
 
     def expected_delay(self) -> float:
         """Return the expected wait in seconds.
@@ -76,7 +76,7 @@
         lag = self._latencies.mean()
         period = min(self._averaging_time(), self._context.now - self._context.started_at - lag)
         in_flight = self.in_flight
-        if in_flight < FEWEST_IN_FLIGHT or not self.completions or period < lag:
+        if in_flight < MIN_QUEUE_IN_FLIGHT or not self.completions or period < lag:
             queued = 0.0
         else:
             queued = (in_flight - math.sqrt(in_flight)) * period / self.completions
@@ -89,8 +89,8 @@
     def record_response(self, duration: float, relevance: float) -> None:
         """Count a response of `duration` seconds with a weight of `relevance`, from 0 to 1."""
         weight = RESPONSE_WEIGHT * relevance
-        counted = min(duration, LONGEST_COUNTED * self.tightest_objective)
-        self.smoothed_latency += weight * (counted - self.smoothed_latency)
+        clipped = min(duration, MAX_COUNTED_OBJECTIVES * self.tightest_objective)
+        self.smoothed_latency += weight * (clipped - self.smoothed_latency)
 
     def record_at_capacity(self, relevance: float) -> None:
         """Count a rejection for lack of capacity: many of them show a queue without responses."""
--- a/dockthread/policy/quota_counter_sync.py
+++ b/dockthread/policy/quota_counter_sync.py
@@ -22,21 +22,21 @@
 
 # Length of an epoch in seconds, and seconds for which the counter keeps the total of an epoch.
 EPOCH = 40.0
-NUMBER_LIFETIME = 60.0
+TOTAL_LIFETIME = 60.0
 # The name of a total has the customer's number in the upper bits and the epoch in the lower ones.
 EPOCH_BITS = 24
 EPOCH_MASK = 0xFFFFFF
 # Decimal places of the units that are added.
 UNIT_DECIMALS = 3
 # A request is admitted without a call if this fraction of the burst is left in the token bucket.
-ENOUGH_LEFT = 0.5
+MIN_LEVEL_FRACTION = 0.5
 # A correction smaller than this fraction of the burst waits for the next units.
-SMALL_CORRECTION = 0.5
+MIN_CORRECTION_FRACTION = 0.5
 # The same fraction after a call that already carried a correction: another ingress may have made
 # the same correction at the same time.
-SMALL_REPEATED_CORRECTION = 0.1
+MIN_REPEATED_CORRECTION_FRACTION = 0.1
 # Failed calls in a row that open the circuit breaker, and the seconds for which it stays open.
-FAILURES_TO_OPEN = 3
+CIRCUIT_FAILURE_THRESHOLD = 3
 CIRCUIT_OPEN_TIME = 0.3
 # Weight of an error reply as a failed call; it is below 1 because it shows that the counter runs.
 ERROR_FAILURE_WEIGHT = 0.25
@@ -92,16 +92,20 @@
             return False
         plan = context.settings.plans[event.plan]
         age = context.now - customer.counter_at
-        left = customer.quota.level - event.units
-        if left < 0 or age <= context.settings.clock_tick:
+        level_after = customer.quota.level - event.units
+        if level_after < 0 or age <= context.settings.clock_tick:
             return False
-        enough = ENOUGH_LEFT * plan.burst
+        min_level = MIN_LEVEL_FRACTION * plan.burst
         # If each ingress admitted one request without a call, the burst would be used up.
         is_crowded = customer.spread * event.units > 2 * plan.burst
         even_rate = max(plan.rate / customer.spread, event.units / sketch.window)
         if not is_crowded and customer.arrival_rate <= even_rate:
-            return left < enough
-        return is_crowded or age > sketch.window or left - customer.remote_rate * age < enough
+            return level_after < min_level
+        return (
+            is_crowded
+            or age > sketch.window
+            or level_after - customer.remote_rate * age < min_level
+        )
 
     def record_admission(self, event: RequestArrived, customer: Customer) -> None:
         """Record admitted units, and add them to the counter if it is needed."""
@@ -120,13 +124,13 @@
     def send(self, number: int, customer: Customer) -> None:
         """Add the units and the correction that the counter does not include yet."""
         context = self._context
-        clock = context.now + context.settings.clock_offset
+        shared_time = context.now + context.settings.clock_offset
         customer.counter_call = CounterCall(
-            context.now - clock % EPOCH, customer.uncounted_units, customer.pending_correction
+            context.now - shared_time % EPOCH, customer.uncounted_units, customer.pending_correction
         )
-        name = number << EPOCH_BITS | int(clock / EPOCH) & EPOCH_MASK
+        name = number << EPOCH_BITS | int(shared_time / EPOCH) & EPOCH_MASK
         amount = round(customer.uncounted_units + customer.counter_correction, UNIT_DECIMALS)
-        context.actions.append(AddToCounter(name, amount, NUMBER_LIFETIME))
+        context.actions.append(AddToCounter(name, amount, TOTAL_LIFETIME))
         customer.uncounted_units = 0.0
         customer.pending_correction = 0.0
         customer.counter_correction = 0.0
@@ -146,7 +150,7 @@
         customer.counter_call = None
         self._customers.get_known(number)
         if event.outcome is Outcome.OK:
-            self._take_over_total(event.total, call, customer)
+            self._apply_total(event.total, call, customer)
         elif self._is_call_repeated(event.outcome, call, number, customer):
             return None
         waiting = customer.waiting_requests
@@ -174,24 +178,24 @@
         return (
             self._context.settings.may_use_counter
             and customer.quota.rate > 0
-            and not self._gossip.knows_peers_use(customer)
+            and not self._gossip.knows_peer_usage(customer)
         )
 
-    def _take_over_total(self, total: float, call: CounterCall, customer: Customer) -> None:
+    def _apply_total(self, total: float, call: CounterCall, customer: Customer) -> None:
         """Update the customer's token bucket with the counter's total after a call."""
         now = self._context.now
         plan = self._context.settings.plans[customer.plan_number]
         sketch = self._customers.sketches[customer.plan_number]
         assert sketch is not None
-        filled = plan.rate * (now - call.epoch_started_at)
-        room = filled - (total - call.units - call.correction)
-        left, lacking = customer.quota.counter_balance(room, call.units)
-        remote_units = customer.quota.apply_counter(left - customer.uncounted_units)
+        refill = plan.rate * (now - call.epoch_started_at)
+        unused_refill = refill - (total - call.units - call.correction)
+        level_after, missing = customer.quota.level_and_correction(unused_refill, call.units)
+        remote_units = customer.quota.apply_counter(level_after - customer.uncounted_units)
         customer.remote_rate = sketch.decayed_rate(
             customer.remote_rate, remote_units, now - customer.counter_at
         )
-        customer.pending_correction = lacking * (not call.correction)
-        customer.counter_correction = lacking - call.correction
+        customer.pending_correction = missing * (not call.correction)
+        customer.counter_correction = missing - call.correction
         customer.counter_at = now
         self.failures = 0.0
         # A smaller correction results from usage by other ingresses, and not from another ingress
@@ -206,7 +210,7 @@
         customer.uncounted_units += call.units * (outcome in NEVER_RAN)
         is_error = outcome in (Outcome.ERROR, Outcome.RESET)
         self.failures += ERROR_FAILURE_WEIGHT if is_error else 1
-        if self.failures >= FAILURES_TO_OPEN:
+        if self.failures >= CIRCUIT_FAILURE_THRESHOLD:
             self.circuit_open_until = self._context.now + CIRCUIT_OPEN_TIME
         elif is_error and customer.waiting_requests:
             self.send(number, customer)
@@ -217,7 +221,9 @@
         """Return whether the correction after a call is large enough for a separate call."""
         plan = self._context.settings.plans[customer.plan_number]
         correction = customer.counter_correction
-        least = SMALL_REPEATED_CORRECTION if call.correction else SMALL_CORRECTION
-        if abs(correction) <= least * plan.burst:
+        min_fraction = (
+            MIN_REPEATED_CORRECTION_FRACTION if call.correction else MIN_CORRECTION_FRACTION
+        )
+        if abs(correction) <= min_fraction * plan.burst:
             return False
         return bool(call.correction or call.units or correction < 0)
--- a/dockthread/policy/rejection.py
+++ b/dockthread/policy/rejection.py
@@ -20,7 +20,7 @@
     UNSPECIFIED = ""
     QUOTA = "quota"
     CAP = "cap"
-    PRESSED = "pressed"
+    OVERLOAD = "pressed"
     CEILING = "ceiling"
     ROUTE_LIMIT = "limit"
 
--- a/dockthread/policy/route_constraints.py
+++ b/dockthread/policy/route_constraints.py
@@ -74,15 +74,15 @@
             return self._pool
         return self._pool.filtered(route.allows) or self._pool
 
-    def deduplicating(
+    def deduplicating_backends(
         self, pending: PendingRequest, home: Endpoint, candidates: DrawableBackends
     ) -> DrawableBackends:
         """Return the candidates that drop duplicates of an attempt that may have run at `home`."""
-        near = self._pool.in_scope(home, pending.request_class.deduplication_scope)
+        in_scope_backends = self._pool.in_scope(home, pending.request_class.deduplication_scope)
         route = pending.event.route
         if candidates is self._pool or route is None:
-            return near
-        return FilteredPool(near, route.allows)
+            return in_scope_backends
+        return FilteredPool(in_scope_backends, route.allows)
 
     # The route's concurrency limit
 
@@ -98,8 +98,8 @@
             return True
         plan = self._context.settings.plans[event.plan]
         priority = pending.request_class.priority_weight * plan.priority_multiplier * event.units
-        is_inside, rejected = route.enter(event.request, priority, self._context.now)
-        if is_inside:
+        is_within_limit, rejected = route.enter(event.request, priority, self._context.now)
+        if is_within_limit:
             return True
         self._requests.by_number[event.request] = pending
         if rejected != event.request:
--- a/dockthread/policy/slow_start.py
+++ b/dockthread/policy/slow_start.py
@@ -23,7 +23,7 @@
 # Responses are averaged over this many times the safety limits' `overload_time`.
 RESPONSES_OVERLOAD_TIMES = 4.0
 # Lower bound on a backend's warm-up time in seconds, which avoids a division by 0.
-SHORTEST_WARM_UP = 1e-6
+MIN_WARM_UP_TIME = 1e-6
 
 
 class RecoveryRamp:
@@ -35,12 +35,12 @@
     """
 
     __slots__ = (
-        "_exposure",
         "_ingress_count",
         "_multiple",
         "_responses",
         "_total_weight",
         "_updated_at",
+        "_weight_seconds",
         "_window",
         "available",
     )
@@ -52,7 +52,7 @@
         # The decayed number of responses, and the decayed integral over time, in seconds, of the
         # total weight of the backends that sent them. Their ratio is the served rate per weight.
         self._responses = 0.0
-        self._exposure = 0.0
+        self._weight_seconds = 0.0
         self._total_weight = 0.0
         self._updated_at = now
         self.available = 1.0
@@ -74,7 +74,7 @@
         self._updated_at = now
         remaining = math.exp(-gap / (RESPONSES_OVERLOAD_TIMES * self._window))
         self._responses *= remaining
-        self._exposure = remaining * self._exposure + gap * self._total_weight
+        self._weight_seconds = remaining * self._weight_seconds + gap * self._total_weight
         served = self._total_weight * self.served_rate(usual_latency)
         self.available += gap * self._multiple * served
         self.available = min(self.available, max(1.0, self._window * served))
@@ -86,8 +86,8 @@
         It is the observed rate, but at least this ingress's share of the rate of a backend that
         serves one request at a time.
         """
-        seen = self._responses / self._exposure if self._exposure else 0.0
-        return max(seen, 1 / (self._ingress_count * usual_latency))
+        observed_rate = self._responses / self._weight_seconds if self._weight_seconds else 0.0
+        return max(observed_rate, 1 / (self._ingress_count * usual_latency))
 
 
 def warming_multiple(safety: SafetyLimits) -> int:
@@ -118,7 +118,7 @@
         started_at = backend.endpoint.started_at
         age = max(0.0, self._context.now - started_at) if started_at else math.inf
         cold = safety.cold_capacity
-        return min(1.0, cold + (1 - cold) * age / max(safety.warm_up_time, SHORTEST_WARM_UP))
+        return min(1.0, cold + (1 - cold) * age / max(safety.warm_up_time, MIN_WARM_UP_TIME))
 
     def on_response(self, total_weight: float) -> None:
         """Count a response; `total_weight` is the sum of the weights of all ready backends."""
--- a/dockthread/policy/timers.py
+++ b/dockthread/policy/timers.py
@@ -9,7 +9,7 @@
 from dockthread.policy.events import TimerFired
 
 # Largest token. Tokens are unsigned 32-bit integers from 1 and wrap around to 1 after the largest.
-LARGEST_TOKEN = 0xFFFFFFFF
+MAX_TOKEN = 0xFFFFFFFF
 
 
 class TimerQueue:
@@ -25,7 +25,7 @@
 
     def set(self, at: float, callback: Callable[..., None], *arguments: int) -> None:
         """Schedule `callback(*arguments)` for a time `at`, in seconds on the engine's clock."""
-        token = self._last_token % LARGEST_TOKEN + 1
+        token = self._last_token % MAX_TOKEN + 1
         self._last_token = token
         self.pending[token] = (callback, arguments)
         self._context.actions.append(SetTimer(at, token))
--- a/dockthread/policy/token_bucket.py
+++ b/dockthread/policy/token_bucket.py
@@ -72,11 +72,11 @@
             units: the units used since the last message; a negative number counts as 0.
             since: time since the last message, s.
         """
-        known = min(max(0.0, units), self.counter_lead)
-        self.counter_lead -= known
-        self._take_reported(units - known, since)
+        already_taken = min(max(0.0, units), self.counter_lead)
+        self.counter_lead -= already_taken
+        self._take_reported_units(units - already_taken, since)
 
-    def counter_balance(self, unused: float, units: float) -> tuple[float, float]:
+    def level_and_correction(self, unused: float, units: float) -> tuple[float, float]:
         """Compute the level according to the shared counter, and the correction of its total.
 
         Args:
@@ -102,15 +102,15 @@
         self.level -= units
         return units
 
-    def lower_to(self, level: float) -> None:
+    def lower_to_level(self, level: float) -> None:
         """Lower the level to the one at a peer, which has known the customer for longer."""
         self.level = max(0.0, min(self.level, level))
 
-    def _take_reported(self, units: float, since: float) -> None:
+    def _take_reported_units(self, units: float, since: float) -> None:
         """Take reported units, minus the units that overflowed in the `since` seconds."""
-        covered = min(max(0.0, units), self.overflow, self.rate * since)
+        covered_by_overflow = min(max(0.0, units), self.overflow, self.rate * since)
         self.overflow = 0.0
-        self.level = max(0.0, self.level - (units - covered))
+        self.level = max(0.0, self.level - (units - covered_by_overflow))
 
     def level_at(self, now: float) -> float:
         """Return the level at a later time if no units are taken until then."""
--- a/dockthread/simulator_adapter.py
+++ b/dockthread/simulator_adapter.py
@@ -59,9 +59,9 @@
         for start in range(0, records_bytes, RECORD_BYTES):
             record = body[start : start + RECORD_BYTES]
             actions += self._handle_record(now, record, tail, reply_tail)
-        block = b"".join(actions)
-        length = REPLY_HEADER.size + len(block) + len(reply_tail)
-        return REPLY_HEADER.pack(length, len(actions)) + block + bytes(reply_tail)
+        action_bytes = b"".join(actions)
+        length = REPLY_HEADER.size + len(action_bytes) + len(reply_tail)
+        return REPLY_HEADER.pack(length, len(actions)) + action_bytes + bytes(reply_tail)
 
     def _handle_record(
         self, now: float, record: bytes, tail: bytes, reply_tail: bytearray
@@ -95,8 +95,8 @@
         struct.error: A record is truncated.
     """
     adapter = SimulatorAdapter()
-    while first := source.read(1):
-        header = first + _read_exactly(source, FRAME_HEADER.size - 1)
+    while first_byte := source.read(1):
+        header = first_byte + _read_exactly(source, FRAME_HEADER.size - 1)
         clock, length, record_count = FRAME_HEADER.unpack(header)
         if length < FRAME_HEADER.size + record_count * RECORD_BYTES:
             raise WireError(
--- a/dockthread/simulator_wire.py
+++ b/dockthread/simulator_wire.py
@@ -155,7 +155,7 @@
         address,
         port,
         usage,
-        load_fields,
+        load_field_count,
         *load,
     ) = ATTEMPT_ENDED.unpack_from(record, CODE_BYTES)
     return AttemptEnded(
@@ -167,13 +167,13 @@
         duration / SECOND,
         units,
         (usage - 1) / 100 if usage else None,
-        tuple(load[:load_fields]),
+        tuple(load[:load_field_count]),
     )
 
 
-def _lookup(table: dict[int, Value], code: int, what: str) -> Value:
+def _lookup(table: dict[int, Value], code: int, code_kind: str) -> Value:
     if code not in table:
-        raise WireError(f"unknown {what} {code}")
+        raise WireError(f"unknown {code_kind} {code}")
     return table[code]
 
 
@@ -198,7 +198,7 @@
 
 
 def _decode_request_arrived(record: bytes, _tail: bytes) -> Event:
-    _, request, request_class, plan, customer, time_left, units, spread, first, _ = (
+    _, request, request_class, plan, customer, remaining_time, units, spread, first_ingress, _ = (
         REQUEST_ARRIVED.unpack_from(record, CODE_BYTES)
     )
     return RequestArrived(
@@ -206,10 +206,10 @@
         request_class,
         plan,
         customer,
-        time_left / SECOND,
+        remaining_time / SECOND,
         units,
         int(spread),
-        int(first),
+        int(first_ingress),
     )
 
 
@@ -219,14 +219,14 @@
 
 
 def _decode_health_check_ended(record: bytes, _tail: bytes) -> Event:
-    _, address, port, duration, code, load_fields, *load = HEALTH_CHECK_ENDED.unpack_from(
+    _, address, port, duration, code, load_field_count, *load = HEALTH_CHECK_ENDED.unpack_from(
         record, CODE_BYTES
     )
     return HealthCheckEnded(
         backend_id(address, port),
         _lookup(OUTCOMES, code, "outcome"),
         duration / SECOND,
-        tuple(load[:load_fields]),
+        tuple(load[:load_field_count]),
     )
 
 
@@ -276,10 +276,10 @@
             return REJECT.pack(2, instance, request, round(retry_after * SECOND))
         case Fail(request):
             return FAIL.pack(3, instance, request)
-    return _encode_own_action(instance, action, tail)
+    return _encode_engine_action(instance, action, tail)
 
 
-def _encode_own_action(instance: int, action: Action, tail: bytearray) -> bytes:
+def _encode_engine_action(instance: int, action: Action, tail: bytearray) -> bytes:
     """Encode an action that does not concern a single request."""
     match action:
         case SetTimer(at, token):
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -98,7 +98,7 @@
         if ingress.attempts[request][0].backend in ill:
             ingress.end_attempt(request, 0, Outcome.OK, duration=3.0)
     delay = ingress.engine.delay
-    refuses = delay.smoothed_latency > queueing_delay.PRESSED_FRACTION * delay.tightest_objective
+    refuses = delay.smoothed_latency > queueing_delay.MAX_DELAY_FRACTION * delay.tightest_objective
     assert delay.is_pressed is refuses
     assert refuses is all_ill, "slow responses indicate overload only if all backends are failing"
 
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -33,7 +33,7 @@
     said = GossipReceived(1, gossip_codec.encode_message(1, [(backend.code, 0.8)], []))
     ingress.handle(said)
     assert backend.failure_fraction == 0.0
-    ingress.run_until(ingress.now + gossip.OWN_EVIDENCE_TIME + 0.1)
+    ingress.run_until(ingress.now + gossip.LOCAL_EVIDENCE_TIME + 0.1)
     ingress.handle(said)
     assert backend.failure_fraction == pytest.approx(0.8, abs=0.01)
 
--- a/tests/policy/test_list_size.py
+++ b/tests/policy/test_list_size.py
@@ -30,7 +30,11 @@
     EndpointsListed,
     Outcome,
 )
-from dockthread.policy.backend_pool import MAX_WEIGHED_PER_ROUND, SHORT_LIST, SLOTS_PER_RESUM
+from dockthread.policy.backend_pool import (
+    MAX_SHORT_LIST,
+    MAX_WEIGHT_UPDATES_PER_ROUND,
+    SLOTS_PER_SUMMATION,
+)
 from tests.loopback import Backend, message, run, serving, target, until
 from tests.net.discovery_responses import RESPONSE_HEAD, chunked
 from tests.net.test_endpoint_list import new_endpoint_list
@@ -54,10 +58,10 @@
 def test_cost_of_a_change_does_not_depend_on_the_list_length() -> None:
     ingress, drawn = long_list(), random.Random(3)
     pool = ingress.engine.backends.pool
-    before = pool.visits
+    before = pool.weight_updates
     for _ in range(200):
         ingress.list_endpoints(endpoint(drawn.randrange(MANY), BackendState.DRAINING))
-    assert pool.visits - before <= 3 * 200
+    assert pool.weight_updates - before <= 3 * 200
     assert len(pool) == sum(
         backend.is_ready for backend in ingress.engine.backends.by_number.values()
     )
@@ -66,16 +70,16 @@
 def test_maintenance_visits_only_backends_whose_weight_moves() -> None:
     ingress = long_list()
     pool = ingress.engine.backends.pool
-    before = pool.visits
+    before = pool.weight_updates
     ingress.run_until(ingress.now + 10)
-    assert pool.visits == before, "no weight changes"
+    assert pool.weight_updates == before, "no weight changes"
     ingress.list_endpoints(*(endpoint(n, started=ingress.now) for n in range(5)))
     request = ingress.send_request(SAFE)
     ingress.end_attempt(request, 0, Outcome.ERROR)
     ingress.end_attempt(request, 1, Outcome.OK)
     ingress.run_until(ingress.now + 5)
     assert (len(pool.failing), len(pool.warming_up)) == (1, 5)
-    assert pool.visits - before <= 6 * 2 * (5 / 0.25 + 2)
+    assert pool.weight_updates - before <= 6 * 2 * (5 / 0.25 + 2)
     ingress.run_until(ingress.now + 6)
     assert not pool.warming_up, "the slow start of all five has ended"
     assert pool.failing
@@ -91,10 +95,10 @@
     pool = ingress.engine.backends.pool
     ingress.run_until(ingress.now + 1)
     assert not pool.has_warm_backend
-    before = pool.visits
+    before = pool.weight_updates
     ingress.run_until(ingress.now + 1)
-    assert 0 < pool.visits - before <= 5 * MAX_WEIGHED_PER_ROUND
-    ingress.run_until(ingress.now + 10 + MANY / MAX_WEIGHED_PER_ROUND * 0.25)
+    assert 0 < pool.weight_updates - before <= 5 * MAX_WEIGHT_UPDATES_PER_ROUND
+    ingress.run_until(ingress.now + 10 + MANY / MAX_WEIGHT_UPDATES_PER_ROUND * 0.25)
     assert pool.has_warm_backend and not pool.warming_up
     assert len({backend.slot for backend in pool.draw(random.Random(1), 64)}) > 50
 
@@ -145,7 +149,7 @@
         assert group is not DeduplicationScope.CELL or first.cell == second.cell
 
 
-@pytest.mark.parametrize("count", [SHORT_LIST, MANY])
+@pytest.mark.parametrize("count", [MAX_SHORT_LIST, MANY])
 def test_a_filtered_pool_draws_only_matching_backends(count: int) -> None:
     pool = long_list(count).engine.backends.pool
     part = pool.filtered(lambda e: e.zone == 1 and e.kind == 0)
@@ -166,15 +170,15 @@
 
 
 def test_slots_are_compacted_as_backends_expire() -> None:
-    ingress = long_list(3 * SLOTS_PER_RESUM)
+    ingress = long_list(3 * SLOTS_PER_SUMMATION)
     for round_ in range(6):
-        new = [endpoint(10_000 * (round_ + 1) + n) for n in range(3 * SLOTS_PER_RESUM)]
+        new = [endpoint(10_000 * (round_ + 1) + n) for n in range(3 * SLOTS_PER_SUMMATION)]
         ingress.list_endpoints(*new, kind=EndpointListKind.FULL)
         ingress.run_until(ingress.now + 40)
     pool = ingress.engine.backends.pool
-    assert len(ingress.engine.backends.by_number) == len(pool) == 3 * SLOTS_PER_RESUM
+    assert len(ingress.engine.backends.by_number) == len(pool) == 3 * SLOTS_PER_SUMMATION
     assert len(pool.draw(random.Random(1), 10)) == 10
-    assert len(pool._slots) <= 2 * 3 * SLOTS_PER_RESUM
+    assert len(pool._slots) <= 2 * 3 * SLOTS_PER_SUMMATION
 
 
 def pieces(text: bytes, size: int = 65_536) -> list[bytes]:
--- a/tests/policy/test_quota_counter_sync.py
+++ b/tests/policy/test_quota_counter_sync.py
@@ -48,7 +48,7 @@
 ) -> None:
     ingress = IngressHarness(COUNTER_SETTINGS)
     request, call = request_beyond_even_split(ingress)
-    ingress.engine.counter.failures = quota_counter_sync.FAILURES_TO_OPEN - 0.25
+    ingress.engine.counter.failures = quota_counter_sync.CIRCUIT_FAILURE_THRESHOLD - 0.25
     ingress.handle(CounterReplied(call.name, outcome))
     assert ingress.is_admitted(request) or ingress.answers[request] == ["refused"]
     assert not counter_calls(
--- a/tests/policy/test_quota_over_gossip.py
+++ b/tests/policy/test_quota_over_gossip.py
@@ -115,11 +115,11 @@
             exchange_gossip(ingresses)
 
     run_with_senders(ingresses[0].now + 5, ingresses)
-    assert ingresses[0].engine.gossip.knows_peers_use(customer), (
+    assert ingresses[0].engine.gossip.knows_peer_usage(customer), (
         "peers without anything to report send heartbeats"
     )
     run_with_senders(ingresses[0].now + 3, ingresses[:2])
-    assert not ingresses[0].engine.gossip.knows_peers_use(customer)
+    assert not ingresses[0].engine.gossip.knows_peer_usage(customer)
 
 
 def test_a_restarted_ingress_learns_which_quotas_are_used_up() -> None:
