--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -156,17 +156,17 @@
     ) -> None:
         """End an attempt; it is the final one if its request now has an answer."""
         send = self.attempts[request][attempt]
-        ok = outcome is Outcome.OK
-        if ok:
+        is_ok = outcome is Outcome.OK
+        if is_ok:
             self.answers.setdefault(request, []).append("served")
-        done = bool(self.answers.get(request))
+        is_final = bool(self.answers.get(request))
         self.handle(
-            AttemptEnded(request, attempt, send.backend, outcome, done, duration, actual_units)
+            AttemptEnded(request, attempt, send.backend, outcome, is_final, duration, actual_units)
         )
 
     def run_until(self, until: float) -> None:
         """Fire all timers that are due until a given time, in order, and set the clock to it."""
-        while due := sorted(t for t in self.timers if t[0] <= until):
+        while due := sorted(timer for timer in self.timers if timer[0] <= until):
             self.timers.remove(due[0])
             self.now = max(self.now, due[0][0])
             self.handle(TimerFired(due[0][1]))
@@ -185,17 +185,17 @@
 
 def admitted_rate(ingress: IngressHarness, seconds: float, rate: float, spread: int = 1) -> float:
     """Measure the admitted units/s of a customer that requests `rate` units/s from one ingress."""
-    passed, start = 0, ingress.now
+    admitted, start = 0, ingress.now
     while ingress.now < start + seconds:
         ingress.run_until(ingress.now + 1 / rate)
         request = ingress.send_request(UNSAFE, RATE_PLAN, spread=spread)
         if ingress.is_admitted(request):
-            passed += 1
+            admitted += 1
             ingress.end_attempt(request, 0, Outcome.OK)
-    return passed / seconds
+    return admitted / seconds
 
 
-def exchange_gossip(ingresses: list[IngressHarness], lost: random.Random | None = None) -> None:
+def exchange_gossip(ingresses: list[IngressHarness], loss_rng: random.Random | None = None) -> None:
     """Deliver the gossip sent since the last exchange.
 
     With a random source `lost`, drop one message in five.
@@ -203,14 +203,14 @@
     for number, ingress in enumerate(ingresses):
         messages, ingress.sent_gossip = ingress.sent_gossip, []
         for message in messages:
-            if lost is None or lost.random() > 0.2:
+            if loss_rng is None or loss_rng.random() > 0.2:
                 assert message.peer is not None
                 ingresses[message.peer].handle(GossipReceived(number, message.data))
 
 
-def make_ingresses(count: int, **more: object) -> list[IngressHarness]:
+def make_ingresses(count: int, **overrides: object) -> list[IngressHarness]:
     """Create `count` ingresses of one deployment; `more` overrides settings."""
-    settings = replace(SETTINGS, ingress_count=count, **more)  # type: ignore[arg-type]
+    settings = replace(SETTINGS, ingress_count=count, **overrides)  # type: ignore[arg-type]
     return [
         IngressHarness(replace(settings, ingress_number=number), seed=number + 1)
         for number in range(count)
@@ -218,20 +218,23 @@
 
 
 def admitted_rate_of_all(
-    ingresses: list[IngressHarness], seconds: float, rate: float, lost: random.Random | None = None
+    ingresses: list[IngressHarness],
+    seconds: float,
+    rate: float,
+    loss_rng: random.Random | None = None,
 ) -> float:
     """Measure the admitted units/s of a customer whose requests are spread over all ingresses."""
-    passed, rng, start = 0, random.Random(5), ingresses[0].now
+    admitted, rng, start = 0, random.Random(5), ingresses[0].now
     while ingresses[0].now < start + seconds:
         for ingress in ingresses:
             ingress.run_until(ingress.now + 1 / rate)
-        exchange_gossip(ingresses, lost)
+        exchange_gossip(ingresses, loss_rng)
         ingress = rng.choice(ingresses)
         request = ingress.send_request(UNSAFE, RATE_PLAN, spread=len(ingresses))
         if ingress.is_admitted(request):
-            passed += 1
+            admitted += 1
             ingress.end_attempt(request, 0, Outcome.OK)
-    return passed / seconds
+    return admitted / seconds
 
 
 def leave_unanswered(ingress: IngressHarness, backend: int, count: int) -> None:
@@ -247,15 +250,15 @@
 def customer_gossip(
     customer: int,
     plan: int,
-    arrived: float,
-    spent: float,
-    left: float,
+    requested_units: float,
+    admitted_units: float,
+    bucket_level: float,
     in_flight: int = 0,
     incarnation: int = 1,
 ) -> bytes:
-    """Encode a gossip message with a report of one customer; sums and `left` are in units."""
-    sums = gossip_codec.encode_units(arrived), gossip_codec.encode_units(spent)
-    report = gossip_codec.CustomerReport(customer, plan, in_flight, *sums, left)
+    """Encode a gossip message with a report of one customer; sums and level are in units."""
+    sums = gossip_codec.encode_units(requested_units), gossip_codec.encode_units(admitted_units)
+    report = gossip_codec.CustomerReport(customer, plan, in_flight, *sums, bucket_level)
     return gossip_codec.encode_message(incarnation, [], [report])
 
 
--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -18,7 +18,7 @@
 from tests.policy.harness import KEYED, SAFE, SETTINGS, UNSAFE, IngressHarness, endpoint
 
 
-def test_request_without_any_backend_is_rejected_in_time() -> None:
+def test_request_without_any_backend_is_rejected_before_its_deadline() -> None:
     ingress = IngressHarness(backends=0)
     request = ingress.send_request()
     ingress.run_until(ingress.now + 4.0)
@@ -66,12 +66,12 @@
         assert first.backend != second.backend
         assert first.start_deadline == math.inf
         assert second.start_deadline == pytest.approx(ingress.now + 3.0 - SETTINGS.clock_tick)
-    ingress.end_attempt(retried := ingress.send_request(SAFE), 0, Outcome.ERROR)
-    assert [send.start_deadline for send in ingress.attempts[retried]] == [math.inf] * 2
-    late = ingress.send_request(KEYED)
+    ingress.end_attempt(safe_request := ingress.send_request(SAFE), 0, Outcome.ERROR)
+    assert [send.start_deadline for send in ingress.attempts[safe_request]] == [math.inf] * 2
+    late_request = ingress.send_request(KEYED)
     ingress.now += 3.0
-    ingress.end_attempt(late, 0, Outcome.ERROR)
-    assert len(ingress.attempts[late]) == 1
+    ingress.end_attempt(late_request, 0, Outcome.ERROR)
+    assert len(ingress.attempts[late_request]) == 1
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
@@ -79,7 +79,7 @@
     st.lists(st.tuples(st.integers(0, 4), st.integers(0, 2), st.floats(0.0, 0.7)), max_size=60),
     st.booleans(),
 )
-def test_each_request_gets_one_answer_in_time_and_no_effect_twice(
+def test_each_request_gets_exactly_one_answer_and_takes_effect_at_most_once(
     steps: list[tuple[int, int, float]], may_hedge: bool
 ) -> None:
     ingress = IngressHarness(replace(SETTINGS, may_hedge=may_hedge), backends=4)
@@ -147,16 +147,16 @@
 
 def test_slow_request_is_not_hedged_while_its_backend_responds() -> None:
     ingress = IngressHarness(backends=1)
-    slow = ingress.send_request(SAFE)
+    slow_request = ingress.send_request(SAFE)
     for _ in range(20):
         request = ingress.send_request(SAFE)
         ingress.run_until(ingress.now + 0.1)
         ingress.end_attempt(request, 0, Outcome.OK)
     ingress.list_endpoints(endpoint(1))
-    assert len(ingress.attempts[slow]) == 1
+    assert len(ingress.attempts[slow_request]) == 1
 
 
-def test_request_that_no_backend_can_take_is_rejected_at_half_its_deadline() -> None:
+def test_request_without_any_backend_is_rejected_after_about_half_of_its_time() -> None:
     ingress = IngressHarness(backends=0)
     request = ingress.send_request(remaining_time=4.0)
     ingress.run_until(ingress.now + 1.5)
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -25,68 +25,75 @@
 )
 
 
-def test_gossip_about_a_backend_counts_only_without_recent_responses_here() -> None:
+def test_gossip_about_a_backend_is_ignored_after_a_recent_local_response() -> None:
     ingress = IngressHarness()
     request = ingress.send_request(UNSAFE)
     backend = ingress.engine.backends.by_number[ingress.attempts[request][0].backend]
     ingress.end_attempt(request, 0, Outcome.OK)
-    said = GossipReceived(1, gossip_codec.encode_message(1, [(backend.code, 0.8)], []))
-    ingress.handle(said)
+    event = GossipReceived(1, gossip_codec.encode_message(1, [(backend.code, 0.8)], []))
+    ingress.handle(event)
     assert backend.failure_fraction == 0.0
     ingress.run_until(ingress.now + gossip.LOCAL_EVIDENCE_TIME + 0.1)
-    ingress.handle(said)
+    ingress.handle(event)
     assert backend.failure_fraction == pytest.approx(0.8, abs=0.01)
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.integers(-1, 3), st.binary(max_size=80))
-def test_garbled_gossip_is_ignored(peer: int, data: bytes) -> None:
+def test_malformed_gossip_is_ignored(peer: int, data: bytes) -> None:
     ingress = IngressHarness()
     ingress.handle(GossipReceived(peer, data))
     assert ingress.is_admitted(ingress.send_request(SAFE, RATE_PLAN))
 
 
-@pytest.mark.parametrize("bad", [math.inf, -math.inf, math.nan])
-def test_gossip_with_absurd_numbers_is_ignored(bad: float) -> None:
+@pytest.mark.parametrize("level", [math.inf, -math.inf, math.nan])
+def test_gossip_with_out_of_range_values_is_ignored(level: float) -> None:
     ingress = IngressHarness()
-    for form in (gossip_codec.NARROW_REPORT, gossip_codec.WIDE_REPORT):
-        head = gossip_codec.HEADER.pack(
-            gossip_codec.VERSION, 1, 0, form is gossip_codec.WIDE_REPORT
+    for report_struct in (gossip_codec.NARROW_REPORT, gossip_codec.WIDE_REPORT):
+        header = gossip_codec.HEADER.pack(
+            gossip_codec.VERSION, 1, 0, report_struct is gossip_codec.WIDE_REPORT
         )
-        ingress.handle(GossipReceived(1, head + form.pack(7, RATE_PLAN, 0, 9, 9, bad)))
-        ingress.handle(GossipReceived(1, head + form.pack(7, 200, 0, 9, 9, 1.0)))
+        ingress.handle(GossipReceived(1, header + report_struct.pack(7, RATE_PLAN, 0, 9, 9, level)))
+        ingress.handle(GossipReceived(1, header + report_struct.pack(7, 200, 0, 9, 9, 1.0)))
     ingress.handle(GossipReceived(5, customer_gossip(7, RATE_PLAN, 9.0, 9.0, 0.0)))
     assert 7 not in ingress.engine.customers.by_number
 
 
-@pytest.mark.parametrize(("widest", "most"), [((1 << 32) - 1, 21), (1 << 32, 15)])
-def test_narrow_customer_ids_leave_room_for_more_reports(widest: int, most: int) -> None:
-    keys = [7, widest]
-    reports = [gossip_codec.CustomerReport(key, RATE_PLAN, 1, 2, 3, 4.0) for key in keys * 10]
-    assert gossip_codec.report_capacity(0, keys) == most
-    told = gossip_codec.decode_message(
-        data := gossip_codec.encode_message(1, [], reports[:most]), 3
+@pytest.mark.parametrize(("widest_customer", "max_reports"), [((1 << 32) - 1, 21), (1 << 32, 15)])
+def test_message_fits_more_reports_of_customers_with_small_numbers(
+    widest_customer: int, max_reports: int
+) -> None:
+    customer_numbers = [7, widest_customer]
+    reports = [
+        gossip_codec.CustomerReport(customer_number, RATE_PLAN, 1, 2, 3, 4.0)
+        for customer_number in customer_numbers * 10
+    ]
+    assert gossip_codec.report_capacity(0, customer_numbers) == max_reports
+    message = gossip_codec.decode_message(
+        data := gossip_codec.encode_message(1, [], reports[:max_reports]), 3
     )
     assert (
-        told is not None
-        and told.reports == reports[:most]
+        message is not None
+        and message.reports == reports[:max_reports]
         and len(data) <= gossip_codec.MAX_MESSAGE_BYTES
     )
     assert gossip_codec.decode_message(data[:-1], 3) is None
 
 
-def test_largest_customer_id_is_carried_by_gossip() -> None:
-    key = (1 << 64) - 1
+def test_gossip_can_report_the_largest_customer_number() -> None:
+    customer_number = (1 << 64) - 1
     ingresses = make_ingresses(2)
     for ingress in ingresses:
         for _ in range(4):
-            ingress.send_request(SAFE, RATE_PLAN, customer=key, spread=2)
+            ingress.send_request(SAFE, RATE_PLAN, customer=customer_number, spread=2)
         ingress.run_until(ingress.now + 1)
     exchange_gossip(ingresses)
-    assert any(ingress.engine.customers.by_number[key].peer_sums for ingress in ingresses)
+    assert any(
+        ingress.engine.customers.by_number[customer_number].peer_sums for ingress in ingresses
+    )
 
 
-def test_suspected_backend_in_gossip_is_believed() -> None:
+def test_failure_fraction_of_a_suspect_backend_is_taken_from_gossip() -> None:
     ingress = IngressHarness()
     backend = ingress.engine.backends.by_number[1001]
     ingress.handle(GossipReceived(1, gossip_codec.encode_message(1, [(backend.code, 0.8)], [])))
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -48,7 +48,7 @@
         ((), (), None),
     ],
 )
-def test_load_of_other_ingresses_is_read_from_any_load_report(
+def test_requests_of_other_ingresses_are_derived_from_any_load_report(
     names: tuple[str, ...], report: tuple[float, ...], expected: float | None
 ) -> None:
     remote_requests = LoadReportReader(names).remote_requests(report, 2, 0.1)
@@ -56,16 +56,18 @@
 
 
 @pytest.mark.parametrize("names", [("busy",), ()])
-def test_balancing_by_cpu_use_alone_and_without_load_reports(names: tuple[str, ...]) -> None:
+def test_load_is_balanced_with_reports_of_cpu_use_only_and_without_reports(
+    names: tuple[str, ...],
+) -> None:
     ingress = IngressHarness(replace(SETTINGS, load_report_fields=names))
-    use = {1000: 0.9, 1001: 0.3, 1002: 0.3}
-    sent = dict.fromkeys(use, 0)
+    cpu_use = {1000: 0.9, 1001: 0.3, 1002: 0.3}
+    sent = dict.fromkeys(cpu_use, 0)
     for number in range(600):
         ingress.run_until(ingress.now + 0.05)
         request = ingress.send_request(UNSAFE)
         backend = ingress.attempts[request][0].backend
         sent[backend] += number >= 100
-        load = (use[backend] + number % 7 / 1000,) if names else ()
+        load = (cpu_use[backend] + number % 7 / 1000,) if names else ()
         ingress.run_until(ingress.now + 0.05)
         ingress.handle(AttemptEnded(request, 0, backend, Outcome.OK, True, 0.05, load_report=load))
     if names:
@@ -90,18 +92,18 @@
     assert sent[1001] > 2 * sent[1000]
 
 
-def test_a_load_report_decays_to_the_mean() -> None:
+def test_a_load_report_decays_to_the_mean_and_a_repeated_report_is_ignored() -> None:
     ingress = IngressHarness(LOAD_REPORT_SETTINGS, backends=1)
     backend = ingress.engine.backends.by_number[1000]
     answer_with_load(ingress, ingress.send_request(), (5.0, 10.0, 0.0))
-    mean, then = backend.smoothed_remote_requests, ingress.now
-    assert backend.load(then) == pytest.approx(backend.remote_requests)
+    smoothed_mean, reported_at = backend.smoothed_remote_requests, ingress.now
+    assert backend.load(reported_at) == pytest.approx(backend.remote_requests)
     answer_with_load(ingress, ingress.send_request(), (5.0, 10.0, 0.0))  # repeated, so ignored
-    assert backend.report_at == then
-    assert backend.load(then + 10) == pytest.approx(mean, abs=0.01)
+    assert backend.report_at == reported_at
+    assert backend.load(reported_at + 10) == pytest.approx(smoothed_mean, abs=0.01)
 
 
-def test_only_another_load_report_counts_after_a_restart() -> None:
+def test_after_a_restart_only_a_changed_load_report_counts() -> None:
     ingress = IngressHarness(LOAD_REPORT_SETTINGS, backends=1)
     backend = ingress.engine.backends.by_number[1000]
     answer_with_load(ingress, ingress.send_request(), (5.0, 10.0, 0.0))
--- a/tests/policy/test_many_ingresses.py
+++ b/tests/policy/test_many_ingresses.py
@@ -91,10 +91,10 @@
     assert len([t for t in calls if t >= 10_000.0]) <= 30 * 1000.0 / FIRST_CAP_PER_INGRESS_MS
 
 
-def test_overloaded_discovery_serves_every_ingress_in_turn() -> None:
-    _, served = discovery_calls(40, all_fail=False, until=60_000.0)
-    assert len(served) == 40
-    assert max(served) < 12_000.0
+def test_overloaded_discovery_answers_every_ingress_eventually() -> None:
+    _, answer_times = discovery_calls(40, all_fail=False, until=60_000.0)
+    assert len(answer_times) == 40
+    assert max(answer_times) < 12_000.0
 
 
 def test_backoff_grows_to_its_cap_and_resets() -> None:
@@ -202,59 +202,63 @@
     fleet = IngressFleet(40, ready_endpoints(60))
     fleet.failing_backends = {0, 1, 2, 3, 4, 5}
     fleet.run_rounds(160)
-    bad = sum(fleet.requests_by_backend[backend] for backend in fleet.failing_backends) / sum(
-        fleet.requests_by_backend.values()
+    failing_share = sum(
+        fleet.requests_by_backend[backend] for backend in fleet.failing_backends
+    ) / sum(fleet.requests_by_backend.values())
+    assert failing_share < 0.1, (
+        "with the failure weight and half-life for three ingresses it is 0.19"
     )
-    assert bad < 0.1, "with the failure weight and half-life for three ingresses it is 0.19"
 
 
 def test_latency_of_a_kind_is_assumed_for_its_backends_without_samples() -> None:
     fleet = IngressFleet(40, ready_endpoints(60, kinds=2))
     fleet.response_times = {backend: 0.2 if backend % 2 == 0 else 0.8 for backend in range(60)}
     fleet.run_rounds(20)  # on average each ingress sends each backend 0.3 requests
-    slow = sum(n for backend, n in fleet.requests_by_backend.items() if backend % 2) / sum(
+    slow_share = sum(n for backend, n in fleet.requests_by_backend.items() if backend % 2) / sum(
         fleet.requests_by_backend.values()
     )
-    assert slow < 0.3
+    assert slow_share < 0.3
 
 
 def test_new_backends_count_as_idle_and_are_used_by_slow_start_weight() -> None:
     fleet = IngressFleet(40, ready_endpoints(30))
     fleet.run_rounds(20)
-    before = sum(fleet.requests_by_backend.values())
-    new = ready_endpoints(30, started_at=fleet.now, first=100)
-    fleet.requests_by_backend.update(dict.fromkeys((endpoint.backend for endpoint in new), 0))
-    fleet.broadcast(EndpointsListed(EndpointListKind.CHANGES, tuple(new)))
+    requests_before = sum(fleet.requests_by_backend.values())
+    new_endpoints = ready_endpoints(30, started_at=fleet.now, first=100)
+    fleet.requests_by_backend.update(
+        dict.fromkeys((endpoint.backend for endpoint in new_endpoints), 0)
+    )
+    fleet.broadcast(EndpointsListed(EndpointListKind.CHANGES, tuple(new_endpoints)))
     fleet.run_rounds(20)
-    part = sum(n for backend, n in fleet.requests_by_backend.items() if backend >= 100) / (
-        sum(fleet.requests_by_backend.values()) - before
+    new_share = sum(n for backend, n in fleet.requests_by_backend.items() if backend >= 100) / (
+        sum(fleet.requests_by_backend.values()) - requests_before
     )
     # At slow-start weights of 0.22 to 0.37 the fair fraction is 0.23. Twice as much does not
     # overload them, because that takes three times as much.
-    assert 0.2 < part < 0.46, (
+    assert 0.2 < new_share < 0.46, (
         "if they had the square of the slow-start weight and counted as loaded, it would be 0.03"
     )
 
 
-def test_one_outlier_hardly_moves_the_smoothed_latency() -> None:
+def test_one_outlier_hardly_changes_the_smoothed_latency() -> None:
     usual, deviation = 0.3, 0.1
     for _ in range(20):
         usual, deviation = smooth_latency(usual, deviation, 0.3, 0.05)
-    after, _ = smooth_latency(usual, deviation, 14.0, 0.05)
-    assert after < 1.1 * usual
+    usual_after_outlier, _ = smooth_latency(usual, deviation, 14.0, 0.05)
+    assert usual_after_outlier < 1.1 * usual
     for _ in range(300):
         usual, deviation = smooth_latency(usual, deviation, 1.2, 0.05)
     assert 1.1 < usual < 1.3, "the estimate must follow a lasting change"
 
 
-def test_a_customer_far_beyond_its_quota_gets_no_free_request_at_each_of_thirty_ingresses() -> None:
-    base = replace(
+def test_a_customer_far_beyond_its_quota_gets_no_free_request_at_each_ingress() -> None:
+    base_settings = replace(
         fleet_settings(40),
         plans=(Plan(rate=1.0, burst=6.0),),
         may_use_counter=True,
         clock_offset=35.0,
     )
-    fleet = [PolicyEngine(replace(base, ingress_number=n), n, 0.0) for n in range(40)]
+    fleet = [PolicyEngine(replace(base_settings, ingress_number=n), n, 0.0) for n in range(40)]
     now, total = 0.0, 0.0
     for request in range(300):  # 5 requests/s for a minute, distributed over thirty ingresses
         now += 0.2
@@ -270,38 +274,40 @@
     )
 
 
-def test_handshake_cost_favours_idle_connections() -> None:
-    def connections_opened(price: float) -> int:
+def test_handshake_cost_makes_idle_connections_preferred() -> None:
+    def connections_opened(handshake_cost: float) -> int:
         fleet = IngressFleet(40, ready_endpoints(60))
         for engine in fleet.engines:
-            engine.context.settings = replace(engine.settings, costs=CostWeights(handshake=price))
+            engine.context.settings = replace(
+                engine.settings, costs=CostWeights(handshake=handshake_cost)
+            )
         fleet.run_rounds(80)
         return fleet.connections_opened
 
     assert connections_opened(0.08) < 0.8 * connections_opened(0.0)
 
 
-def test_requests_are_counted_across_the_logs_of_many_ingresses(tmp_path: Path) -> None:
+def test_requests_are_counted_over_the_logs_of_many_ingresses(tmp_path: Path) -> None:
     plan = (
         "0.000 2026-12-01T00:00:00.000 TRACE trace plan name=klein rate=1.0 burst=2.0 ceiling=0.0\n"
     )
 
-    def answer(at: float, outcome: str, reason: str, sent: int) -> str:
-        figures = (
+    def answer_line(at: float, outcome: str, reason: str, sent: int) -> str:
+        fields = (
             f"kind=0 plan=0 firm=7 outcome={outcome} reason={reason} took=100 units=1 sent={sent}"
         )
-        return f"{at:.3f} 2026-12-01T00:00:00.000 TRACE trace answer {figures}\n"
+        return f"{at:.3f} 2026-12-01T00:00:00.000 TRACE trace answer {fields}\n"
 
     (tmp_path / "n0.log").write_text(
         plan
-        + answer(1.0, "served", "-", 1)
-        + answer(1.0, "served", "-", 1)
+        + answer_line(1.0, "served", "-", 1)
+        + answer_line(1.0, "served", "-", 1)
         + "1.0 x INFO n0 listens\n"
         "1.1 2026-12-01T00:00:00.000 TRACE trace call node=s-1 number=1 kind=0 age=200\n"
         "1.2 2026-12-01T00:00:00.000 TRACE trace ended nod"
     )
     (tmp_path / "n1.log").write_text(
-        plan + answer(1.1, "served", "-", 1) + answer(3.3, "refused", "ceiling", 0)
+        plan + answer_line(1.1, "served", "-", 1) + answer_line(3.3, "refused", "ceiling", 0)
         + "3.3 2026-12-01T00:00:00.000 TRACE trace ended node=s-1 outcome=error took=1.0 load=-\n"
     )  # fmt: skip
     found = fleet_count.read(tmp_path)
@@ -309,16 +315,16 @@
     assert steps[1.0] == {"served": 3, "again new": 1}
     assert steps[3.0] == {"refused ceiling": 1}
     assert fleet_count.by_node(found) == {"s-1": {"calls": 1, "error": 1}}
-    (klein,) = fleet_count.stores(found)
-    assert (klein.sent, klein.beyond) == (3.0, 1.0), (
+    (customer_usage,) = fleet_count.stores(found)
+    assert (customer_usage.sent, customer_usage.beyond) == (3.0, 1.0), (
         "the third request finds 0.1 units in a token bucket that two requests emptied"
     )
-    assert klein.refused == {("ceiling", "half"): 1}
+    assert customer_usage.refused == {("ceiling", "half"): 1}
 
 
 def test_an_endpoint_list_with_a_duplicate_or_a_future_start_time_is_used() -> None:
     clock = ManualClock(1_000_000.0, 1_700_000_000_000.0)
-    destinations = EndpointList(Names(("read",), ("free",), ("hall-a",), ("type-a",)), clock)
+    listed_endpoints = EndpointList(Names(("read",), ("free",), ("hall-a",), ("type-a",)), clock)
     node = {
         "uid": "s-1",
         "endpoint": "127.0.0.1:1",
@@ -326,12 +332,13 @@
         "az": "hall-a",
         "model": "type-a",
     }
-    later = {**node, "uid": "s-2", "boot_ms": 1_700_000_000_000.0 + 60_000.0}
+    future_node = {**node, "uid": "s-2", "boot_ms": 1_700_000_000_000.0 + 60_000.0}
     engine = PolicyEngine(fleet_settings(40), 1, 1_000.0)
     engine.handle(
-        1_000.0, destinations.apply({"rev": 1, "all": True, "targets": [node, later, node]})
+        1_000.0,
+        listed_endpoints.apply({"rev": 1, "all": True, "targets": [node, future_node, node]}),
     )
-    assert sorted(destinations.by_number) == [1, 2] and destinations.is_ready(1)
+    assert sorted(listed_endpoints.by_number) == [1, 2] and listed_endpoints.is_ready(1)
     sent = [
         action.backend
         for request in range(200)
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -21,15 +21,20 @@
 def test_silent_backend_is_avoided_and_its_safe_requests_are_hedged() -> None:
     ingress = IngressHarness(backends=5)
     leave_unanswered(ingress, 1000, 60)
-    stuck = [r for r, sends in ingress.attempts.items() if sends[0].backend == 1000]
-    assert any(len(ingress.attempts[r]) > 1 for r in stuck)
-    before = len(stuck)
+    unanswered = [
+        unanswered_request
+        for unanswered_request, sends in ingress.attempts.items()
+        if sends[0].backend == 1000
+    ]
+    assert any(len(ingress.attempts[unanswered_request]) > 1 for unanswered_request in unanswered)
+    sent_before = len(unanswered)
     leave_unanswered(ingress, 1000, 50)
-    after = sum(sends[0].backend == 1000 for sends in ingress.attempts.values())
-    assert after - before < 50 / 5 / 2  # less than half of an even share of 50 requests
+    sent_in_total = sum(sends[0].backend == 1000 for sends in ingress.attempts.values())
+    # An even share of the last 50 requests would be 10; the silent backend gets less than half.
+    assert sent_in_total - sent_before < 50 / 5 / 2
 
 
-def test_a_response_slower_than_most_does_not_count_as_a_failure() -> None:
+def test_a_slow_response_does_not_count_as_a_failure_until_the_backend_is_silent() -> None:
     """A response that is merely slow must not be counted as missing.
 
     The usual response time is 0.2 s with a mean deviation of 0.1 s. One response in fifty takes
@@ -47,21 +52,21 @@
 def test_failing_backend_is_avoided_and_recovers() -> None:
     ingress = IngressHarness(backends=5)
 
-    def sends_to_bad(outcome: Outcome, count: int) -> int:
-        hits = 0
+    def count_sent_to_backend_1000(outcome: Outcome, count: int) -> int:
+        sent_count = 0
         for _ in range(count):
             request = ingress.send_request(SAFE)
-            bad = ingress.attempts[request][0].backend == 1000
-            hits += bad
-            ingress.end_attempt(request, 0, outcome if bad else Outcome.OK)
+            is_target = ingress.attempts[request][0].backend == 1000
+            sent_count += is_target
+            ingress.end_attempt(request, 0, outcome if is_target else Outcome.OK)
             for number in range(1, len(ingress.attempts[request])):
                 ingress.end_attempt(request, number, Outcome.OK)
             ingress.run_until(ingress.now + 0.1)
-        return hits
+        return sent_count
 
-    assert sends_to_bad(Outcome.ERROR, 200) < 30
-    sends_to_bad(Outcome.OK, 150)
-    assert sends_to_bad(Outcome.OK, 200) > 20
+    assert count_sent_to_backend_1000(Outcome.ERROR, 200) < 30
+    count_sent_to_backend_1000(Outcome.OK, 150)
+    assert count_sent_to_backend_1000(Outcome.OK, 200) > 20
 
 
 def test_backend_at_capacity_does_not_count_as_failing() -> None:
@@ -74,7 +79,7 @@
     )
 
 
-def test_at_capacity_for_one_plan_says_nothing_about_others() -> None:
+def test_backend_is_marked_at_capacity_only_for_the_plan_that_it_rejected() -> None:
     ingress = IngressHarness(backends=1)
     ingress.end_attempt(ingress.send_request(SAFE, RATE_PLAN), 0, Outcome.AT_CAPACITY)
     ingress.list_endpoints(endpoint(0), endpoint(1))
@@ -82,7 +87,7 @@
     assert backend.at_capacity_until.keys() == {RATE_PLAN}
 
 
-def test_a_late_attempt_stays_in_flight_at_its_backend() -> None:
+def test_an_overdue_attempt_is_in_flight_at_its_backend_but_not_for_the_queueing_delay() -> None:
     ingress = IngressHarness(backends=1)
     ingress.send_request(UNSAFE)
     backend = ingress.engine.backends.by_number[1000]
--- a/tests/policy/test_quota_counter_sync.py
+++ b/tests/policy/test_quota_counter_sync.py
@@ -24,7 +24,9 @@
 
 
 @pytest.mark.parametrize(("others", "is_admitted"), [(0.0, True), (50.0, False)])
-def test_counter_total_decides_beyond_an_even_split(others: float, is_admitted: bool) -> None:
+def test_counter_total_decides_on_a_request_beyond_an_even_split(
+    others: float, is_admitted: bool
+) -> None:
     ingress = IngressHarness(COUNTER_SETTINGS)
     request, call = request_beyond_even_split(ingress)
     assert not ingress.answers.get(request)  # the request waits for the counter's reply
@@ -63,11 +65,12 @@
     assert (customer.uncounted_units >= call.amount) or outcome is not Outcome.AT_CAPACITY
 
 
-def test_a_garbled_counter_reply_is_requested_again_before_any_decision() -> None:
+def test_a_counter_call_is_repeated_after_an_error_reply_before_any_decision() -> None:
     ingress = IngressHarness(COUNTER_SETTINGS)
     request, call = request_beyond_even_split(ingress)
-    again = counter_calls(ingress.handle(CounterReplied(call.name, Outcome.ERROR)))
-    assert [call.amount for call in again] == [0.0]  # the first call may have added its amount
+    repeated_calls = counter_calls(ingress.handle(CounterReplied(call.name, Outcome.ERROR)))
+    # The first call may have added its amount, so the repeated call adds nothing.
+    assert [call.amount for call in repeated_calls] == [0.0]
     assert not ingress.answers.get(request)
     ingress.handle(CounterReplied(call.name, Outcome.OK, 1000.0))
     assert ingress.answers[request] == ["refused"]
@@ -83,15 +86,15 @@
     assert ingress.answers[ingress.last_request] == ["refused"]
 
 
-def test_overflow_of_a_full_token_bucket_covers_usage_elsewhere() -> None:
+def test_refill_that_overflowed_the_local_bucket_covers_usage_at_other_ingresses() -> None:
     ingress = IngressHarness(COUNTER_SETTINGS)
     _, call = request_beyond_even_split(ingress)
     answer_counter_calls(ingress, [call], 3.0)
     customer = ingress.engine.customers.by_number[7]
-    for others, left in ((8.0, 8.0), (40.0, 0.0)):
+    for others, expected_level in ((8.0, 8.0), (40.0, 0.0)):
         ingress.run_until(ingress.now + 8)  # 16 units are refilled, and the bucket holds 8
         ingress.engine.customers.get(7, RATE_PLAN)
         ingress.engine.context.actions = []
         ingress.engine.counter.send(7, customer)
         answer_counter_calls(ingress, counter_calls(ingress.engine.actions), others)
-        assert customer.quota.level == pytest.approx(left, abs=1.5)
+        assert customer.quota.level == pytest.approx(expected_level, abs=1.5)
--- a/tests/policy/test_quota_of_many_ingresses.py
+++ b/tests/policy/test_quota_of_many_ingresses.py
@@ -53,12 +53,12 @@
     """A customer's traffic, and its exact token bucket over all ingresses."""
 
     spread: int
-    first: int
+    first_ingress: int
     mean_interval: float  # s between requests
     burst_at: float
     burst_factor: float
     level: float
-    at: float = 0.0
+    updated_at: float = 0.0
 
     def next_interval(self, now: float, rng: random.Random) -> float:
         in_burst = (now - self.burst_at) % 15.0 < 2.0
@@ -78,7 +78,7 @@
         self.rng = random.Random(seed)
         self.plan = plan
         self.now = 0.0
-        self.next = 0
+        self.last_number = 0
         classes = tuple(
             RequestClass(latency_objective=0.4, deadline=1.2, priority_weight=weight)
             for weight in (4.0, 1.0, 2.0)
@@ -104,27 +104,36 @@
         self.counter_totals: defaultdict[int, float] = defaultdict(float)
         self.units: defaultdict[str, float] = defaultdict(float)
         self.calls = 0
-        self.customers = [self.customer(spread) for _ in range(40)]
+        self.customers = [self.new_customer(spread) for _ in range(40)]
         for number in range(len(self.customers)):
             self.schedule(self.rng.random(), self.next_arrival, number)
 
-    def customer(self, spread: tuple[int, int]) -> SimulatedCustomer:
+    def new_customer(self, spread: tuple[int, int]) -> SimulatedCustomer:
         rng = self.rng
         kind = rng.choices(("full", "heavy", "calm"), (0.15, 0.1, 0.75))[0]
-        use = {"full": 1.0, "heavy": rng.uniform(2.0, 4.2), "calm": rng.uniform(0.25, 0.48)}[kind]
-        mean = sum(REQUEST_UNITS) / len(REQUEST_UNITS)
-        bursts = rng.uniform(2.2, 7.0) if rng.random() < 0.16 else 1.0
-        first = rng.randrange(len(self.engines))
-        every = mean / use / self.plan.rate
+        relative_rate = {
+            "full": 1.0,
+            "heavy": rng.uniform(2.0, 4.2),
+            "calm": rng.uniform(0.25, 0.48),
+        }[kind]
+        mean_units = sum(REQUEST_UNITS) / len(REQUEST_UNITS)
+        factor = rng.uniform(2.2, 7.0) if rng.random() < 0.16 else 1.0
+        first_ingress = rng.randrange(len(self.engines))
+        interval = mean_units / relative_rate / self.plan.rate
         return SimulatedCustomer(
-            rng.randint(*spread), first, every, rng.uniform(1.0, 10.0), bursts, self.plan.burst
+            rng.randint(*spread),
+            first_ingress,
+            interval,
+            rng.uniform(1.0, 10.0),
+            factor,
+            self.plan.burst,
         )
 
     def schedule(self, after: float, callback: Callable[..., None], *arguments: object) -> None:
-        self.next += 1
-        heappush(self.pending_events, (self.now + after, self.next, callback, arguments))
+        self.last_number += 1
+        heappush(self.pending_events, (self.now + after, self.last_number, callback, arguments))
 
-    def play(self) -> None:
+    def run_simulation(self) -> None:
         while self.pending_events[0][0] < RUN_TIME:
             self.now, _, callback, arguments = heappop(self.pending_events)
             callback(*arguments)
@@ -137,9 +146,9 @@
 
     def send_request(self, client_request: ClientRequest) -> None:
         customer = self.customers[client_request.customer]
-        number = (customer.first + self.rng.randrange(customer.spread)) % len(self.engines)
-        self.next += 1
-        request, engine = self.next, self.engines[number]
+        number = (customer.first_ingress + self.rng.randrange(customer.spread)) % len(self.engines)
+        self.last_number += 1
+        request, engine = self.last_number, self.engines[number]
         self.client_requests[request] = client_request
         request_class = self.rng.randrange(3)
         event = RequestArrived(
@@ -150,14 +159,14 @@
             1.2,
             client_request.units,
             customer.spread,
-            customer.first,
+            customer.first_ingress,
         )
         self.carry_out_actions(number, engine.handle(self.now, event))
         if (
             request in engine.requests.by_number
             and request not in engine.customers.by_number[client_request.customer].waiting_requests
         ):
-            self.settle(client_request, let_in=True)
+            self.record_decision(client_request, admitted=True)
 
     def carry_out_actions(self, number: int, actions: list[Action]) -> None:
         for action in actions:
@@ -166,7 +175,7 @@
                 self.schedule(self.rng.uniform(0.002, 0.012), self.add_to_counter, number, action)
             elif isinstance(action, Reject):
                 client_request = self.client_requests[action.request]
-                self.settle(client_request, let_in=False)
+                self.record_decision(client_request, admitted=False)
                 if (
                     client_request.number < CLIENT_ATTEMPTS - 1
                     and self.rng.random() < CLIENT_RETRY_CHANCE
@@ -194,24 +203,24 @@
         self.carry_out_actions(number, engine.handle(self.now, event))
         for request in waiting:
             if request in engine.requests.by_number:
-                self.settle(self.client_requests[request], let_in=True)
+                self.record_decision(self.client_requests[request], admitted=True)
 
-    def settle(self, client_request: ClientRequest, *, let_in: bool) -> None:
+    def record_decision(self, client_request: ClientRequest, *, admitted: bool) -> None:
         customer = self.customers[client_request.customer]
         customer.level = min(
-            self.plan.burst, customer.level + self.plan.rate * (self.now - customer.at)
+            self.plan.burst, customer.level + self.plan.rate * (self.now - customer.updated_at)
         )
-        customer.at = self.now
-        if let_in:
-            self.units["let in"] += client_request.units
+        customer.updated_at = self.now
+        if admitted:
+            self.units["admitted"] += client_request.units
             if customer.level >= client_request.units:
                 customer.level -= client_request.units
             else:
-                self.units["beyond"] += client_request.units
+                self.units["beyond quota"] += client_request.units
         else:
             self.units["refused"] += client_request.units
             if customer.level >= self.plan.burst / 2:
-                self.units["refused with room"] += client_request.units
+                self.units["refused within quota"] += client_request.units
 
 
 PLANS = [
@@ -228,12 +237,12 @@
     plan: Plan, spread: tuple[int, int], seed: int
 ) -> None:
     fleet = Fleet(plan, spread, seed)
-    fleet.play()
+    fleet.run_simulation()
     units = fleet.units
-    assert units["beyond"] < 0.05 * units["let in"], (
+    assert units["beyond quota"] < 0.05 * units["admitted"], (
         "with totals that did not determine a token bucket level it was 0.07 to 0.27"
     )
-    assert units["refused with room"] < 0.15 * (units["let in"] + units["refused"])
+    assert units["refused within quota"] < 0.15 * (units["admitted"] + units["refused"])
     assert fleet.calls < 1.8 * len(fleet.client_requests)
 
 
@@ -277,30 +286,30 @@
 
 
 def test_counter_correction_by_two_ingresses_at_once_is_applied_once() -> None:
-    pair = TwoIngressesWithCounter(Plan(rate=2.0, burst=8.0))
-    (first,), (second,) = pair.send_request(1.0, 0), pair.send_request(1.0, 1)
+    two_ingresses = TwoIngressesWithCounter(Plan(rate=2.0, burst=8.0))
+    (first,), (second,) = two_ingresses.send_request(1.0, 0), two_ingresses.send_request(1.0, 1)
     (correction,), (second_correction,) = (
-        pair.answer_call(1.0, 0, first),
-        pair.answer_call(1.0, 1, second),
+        two_ingresses.answer_call(1.0, 0, first),
+        two_ingresses.answer_call(1.0, 1, second),
     )
     assert correction.amount > 30.0 and second_correction.amount > 30.0, (
         "the refill of the first 18 s of the epoch overflowed the full bucket"
     )
-    pair.answer_all_calls(1.0, 0, [correction])
-    pair.answer_all_calls(1.0, 1, [second_correction])
-    assert pair.total == pytest.approx(2.0 * 18.0 + 2.0, abs=1.5)
+    two_ingresses.answer_all_calls(1.0, 0, [correction])
+    two_ingresses.answer_all_calls(1.0, 1, [second_correction])
+    assert two_ingresses.total == pytest.approx(2.0 * 18.0 + 2.0, abs=1.5)
 
 
 def test_usage_beyond_the_quota_takes_nothing_from_later_refill() -> None:
-    pair = TwoIngressesWithCounter(Plan(rate=2.0, burst=8.0))
-    pair.answer_all_calls(1.0, 0, pair.send_request(1.0, 0))
-    pair.total += 100.0  # units admitted while the counter did not reply
-    pair.answer_all_calls(6.0, 0, pair.send_request(6.0, 0))
-    pair.answer_all_calls(8.0, 0, pair.send_request(8.0, 0))
-    assert pair.engines[0].customers.by_number[7].quota.level > 2.0, (
+    two_ingresses = TwoIngressesWithCounter(Plan(rate=2.0, burst=8.0))
+    two_ingresses.answer_all_calls(1.0, 0, two_ingresses.send_request(1.0, 0))
+    two_ingresses.total += 100.0  # units admitted while the counter did not reply
+    two_ingresses.answer_all_calls(6.0, 0, two_ingresses.send_request(6.0, 0))
+    two_ingresses.answer_all_calls(8.0, 0, two_ingresses.send_request(8.0, 0))
+    assert two_ingresses.engines[0].customers.by_number[7].quota.level > 2.0, (
         "if the excess were subtracted, the bucket would be empty for 45 s"
     )
-    assert pair.total < 2.0 * (17.0 + 8.0) + 8.0
+    assert two_ingresses.total < 2.0 * (17.0 + 8.0) + 8.0
 
 
 class InFlightCapFleet:
@@ -320,18 +329,18 @@
         self.rng = random.Random(seed)
         self.cap = cap
         self.now = 0.0
-        self.ends: list[float] = []
-        self.let_in = 0
-        self.beyond = 0
+        self.end_times: list[float] = []
+        self.admitted = 0
+        self.admitted_beyond_cap = 0
         self.calls = 0
 
-    def play(self, demand: float, answer: float, units: float) -> None:
+    def run_simulation(self, demand: float, response_time: float, units: float) -> None:
         """Send `demand` times the request rate that would use up the cap; each takes `answer` s."""
         request = 0
         while self.now < 60.0:
-            self.now += self.rng.expovariate(demand * self.cap / answer)
-            while self.ends and self.ends[0] <= self.now:
-                heappop(self.ends)
+            self.now += self.rng.expovariate(demand * self.cap / response_time)
+            while self.end_times and self.end_times[0] <= self.now:
+                heappop(self.end_times)
             request += 1
             engine = self.rng.choice(self.engines)
             event = RequestArrived(request, 0, 0, 7, 2.0, units, len(self.engines), 0)
@@ -339,26 +348,26 @@
             self.calls += sum(isinstance(a, AddToCounter) for a in actions)
             if request in engine.requests.by_number:
                 engine.requests.by_number.pop(request)
-                self.let_in += 1
-                self.beyond += len(self.ends) >= self.cap
-                heappush(self.ends, self.now + self.rng.expovariate(1 / answer))
+                self.admitted += 1
+                self.admitted_beyond_cap += len(self.end_times) >= self.cap
+                heappush(self.end_times, self.now + self.rng.expovariate(1 / response_time))
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_in_flight_cap_is_split_evenly_without_gossip(seed: int) -> None:
     customer = InFlightCapFleet(ingresses=25, cap=5, seed=seed)
-    customer.play(demand=3.0, answer=0.1, units=1.0)
-    assert customer.beyond < 0.3 * customer.let_in, (
+    customer.run_simulation(demand=3.0, response_time=0.1, units=1.0)
+    assert customer.admitted_beyond_cap < 0.3 * customer.admitted, (
         "with one free attempt at each ingress it was 0.71"
     )
-    assert customer.let_in > 0.25 * 60.0 * customer.cap / 0.1
+    assert customer.admitted > 0.25 * 60.0 * customer.cap / 0.1
     assert not customer.calls, "the counter has no total for a plan without a quota"
 
 
 def test_in_flight_cap_counts_attempts_whatever_their_units() -> None:
-    def let_in(units: float) -> int:
+    def admitted(units: float) -> int:
         customer = InFlightCapFleet(ingresses=3, cap=8, seed=1)
-        customer.play(demand=1.0, answer=0.1, units=units)
-        return customer.let_in
+        customer.run_simulation(demand=1.0, response_time=0.1, units=units)
+        return customer.admitted
 
-    assert let_in(4.0) == pytest.approx(let_in(1.0), rel=0.05)
+    assert admitted(4.0) == pytest.approx(admitted(1.0), rel=0.05)
--- a/tests/policy/test_quota_over_gossip.py
+++ b/tests/policy/test_quota_over_gossip.py
@@ -33,7 +33,7 @@
     assert admitted_rate_of_all(make_ingresses(count), 60, 8.0) == pytest.approx(2.0, rel=0.2)
 
 
-def test_lost_gossip_is_made_up_by_later_messages() -> None:
+def test_later_gossip_makes_up_for_lost_messages() -> None:
     assert admitted_rate_of_all(make_ingresses(10), 60, 8.0, random.Random(3)) == pytest.approx(
         2.0, rel=0.25
     )
@@ -43,9 +43,11 @@
     assert admitted_rate_of_all(make_ingresses(40), 40, 1.0) == pytest.approx(1.0, abs=0.05)
 
 
-@pytest.mark.parametrize("down", [frozenset(), frozenset({"counter"}), frozenset({"messages"})])
-def test_usage_is_counted_once_with_gossip_and_counter_and_the_quota_held_by_either_alone(
-    down: frozenset[str],
+@pytest.mark.parametrize(
+    "unavailable", [frozenset(), frozenset({"counter"}), frozenset({"messages"})]
+)
+def test_usage_is_counted_once_with_gossip_and_counter_and_either_enforces_the_quota_alone(
+    unavailable: frozenset[str],
 ) -> None:
     """A customer sends four times its quota to three ingresses.
 
@@ -57,35 +59,39 @@
     start = ingresses[0].now
     admitted = 0
     calls = 0
-    totals: dict[int, float] = {}
+    counter_totals: dict[int, float] = {}
 
-    def answer(ingress: IngressHarness, actions: list[Action]) -> None:
+    def answer_counter_calls(ingress: IngressHarness, actions: list[Action]) -> None:
         nonlocal calls
         for action in actions:
             if isinstance(action, AddToCounter):
                 calls += 1
-                if "counter" in down:
-                    answer(ingress, ingress.handle(CounterReplied(action.name, Outcome.TIMEOUT)))
+                if "counter" in unavailable:
+                    answer_counter_calls(
+                        ingress, ingress.handle(CounterReplied(action.name, Outcome.TIMEOUT))
+                    )
                 else:
-                    totals[action.name] = totals.get(action.name, 0.0) + action.amount
-                    answer(
+                    counter_totals[action.name] = (
+                        counter_totals.get(action.name, 0.0) + action.amount
+                    )
+                    answer_counter_calls(
                         ingress,
                         ingress.handle(
-                            CounterReplied(action.name, Outcome.OK, totals[action.name])
+                            CounterReplied(action.name, Outcome.OK, counter_totals[action.name])
                         ),
                     )
 
     while ingresses[0].now < start + 90:
         for ingress in ingresses:
             ingress.run_until(ingress.now + 1 / 8)
-        if "messages" in down:
+        if "messages" in unavailable:
             for ingress in ingresses:
                 ingress.sent_gossip.clear()
         else:
             exchange_gossip(ingresses, rng)  # one message in five is lost
         ingress = rng.choice(ingresses)
         ingress.last_request += 1
-        answer(
+        answer_counter_calls(
             ingress,
             ingress.handle(
                 RequestArrived(ingress.last_request, UNSAFE, RATE_PLAN, 7, 4.0, 1.0, 3, 0)
@@ -95,12 +101,12 @@
             admitted += 1
             ingress.end_attempt(ingress.last_request, 0, Outcome.OK)
     assert admitted / 90 == pytest.approx(2.0, rel=0.2)
-    assert calls < 10 if "messages" not in down else calls > 50, (
+    assert calls < 10 if "messages" not in unavailable else calls > 50, (
         "the counter must be called only if gossip fails"
     )
 
 
-def test_a_silent_peer_is_no_longer_trusted_to_report_all_usage() -> None:
+def test_usage_is_not_fully_known_while_a_peer_is_silent() -> None:
     ingresses = make_ingresses(3)
     customer = ingresses[0].engine.customers.get(11, RATE_PLAN)
     customer.spread = 3
@@ -138,10 +144,8 @@
 
 def test_usage_in_gossip_is_taken_from_the_token_bucket_once() -> None:
     ingress = IngressHarness()
-    for arrived in (1.0, 2.0, 2.0):
-        ingress.handle(
-            GossipReceived(1, customer_gossip(7, RATE_PLAN, arrived, arrived, 8.0 - arrived))
-        )
+    for units in (1.0, 2.0, 2.0):
+        ingress.handle(GossipReceived(1, customer_gossip(7, RATE_PLAN, units, units, 8.0 - units)))
     assert ingress.engine.customers.by_number[7].quota.level == pytest.approx(6.0)
     # The peer has restarted, so its sums begin at 0 again.
     ingress.handle(GossipReceived(1, customer_gossip(7, RATE_PLAN, 1.5, 1.5, 8.0, incarnation=2)))
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -8,18 +8,20 @@
 from tests.policy.harness import UNSAFE, IngressHarness, endpoint
 
 
-def test_cold_backend_gets_less_than_an_even_part_and_no_retries() -> None:
+def test_cold_backend_gets_less_than_an_even_share_and_no_retries() -> None:
     ingress = IngressHarness(backends=1)
     ingress.list_endpoints(endpoint(0), endpoint(5, started=ingress.now))
-    sent = []
+    requests = []
     for _ in range(400):  # all at the same time, as hundreds of ingresses might send them
-        sent.append(ingress.send_request(UNSAFE))
-        ingress.end_attempt(sent[-1], 0, Outcome.OK)
+        requests.append(ingress.send_request(UNSAFE))
+        ingress.end_attempt(requests[-1], 0, Outcome.OK)
     # By its slow-start weight, the cold backend gets no more than a warm one in proportion to its
     # capacity. It would withstand three times as much.
-    part = 0.3 / 1.3
+    cold_share = 0.3 / 1.3
     assert (
-        0 < sum(ingress.attempts[request][0].backend == 1005 for request in sent) < 400 * part * 1.2
+        0
+        < sum(ingress.attempts[request][0].backend == 1005 for request in requests)
+        < 400 * cold_share * 1.2
     )
     for _ in range(50):
         ingress.engine.delay.smoothed_latency = 0.0  # no rejection because of the expected wait
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -42,25 +42,25 @@
     return struct.pack("<HIBQII", 8, 3, 3, 1, offset, 1)
 
 
-def request_record(call: int) -> bytes:
-    return struct.pack("<HIIBIQIfffH", 6, 3, call, 0, 0, 77, 4000000, 1.0, 1.0, 0.0, 0)
+def request_record(request_number: int) -> bytes:
+    return struct.pack("<HIIBIQIfffH", 6, 3, request_number, 0, 0, 77, 4000000, 1.0, 1.0, 0.0, 0)
 
 
 def first_batch() -> bytes:
     settings = json.dumps(SETTINGS).encode()
-    line = BACKEND + bytes([0, 0, 0, 0, 1]) + struct.pack("<fQ", 1.0, 0)
+    endpoint_bytes = BACKEND + bytes([0, 0, 0, 0, 1]) + struct.pack("<fQ", 1.0, 0)
     return encode_batch(
         1_000_000,
         [start_record(settings), endpoints_record(len(settings)), request_record(5)],
-        settings + line,
+        settings + endpoint_bytes,
     )
 
 
 def split_replies(data: bytes) -> list[list[bytes]]:
-    found = []
+    batches = []
     while data:
         length, count = simulator_wire.REPLY_HEADER.unpack_from(data)
-        found.append(
+        batches.append(
             [
                 data[
                     8 + i * simulator_wire.ACTION_BYTES : 8 + (i + 1) * simulator_wire.ACTION_BYTES
@@ -69,7 +69,7 @@
             ]
         )
         data = data[length:]
-    return found
+    return batches
 
 
 def run_adapter(data: bytes) -> list[list[bytes]]:
@@ -117,17 +117,17 @@
     timer = simulator_wire.encode_action(3, SetTimer(8.911481, 77), bytearray())
     assert timer == struct.pack("<HIQI", 5, 3, 8911481, 77)
     tail = bytearray(b"xx")
-    tell = simulator_wire.encode_action(3, SendGossip(b"hi p"), tail)
-    assert tell == bytes.fromhex("080003000000ffffffff0200000004000000")
+    gossip_action = simulator_wire.encode_action(3, SendGossip(b"hi p"), tail)
+    assert gossip_action == bytes.fromhex("080003000000ffffffff0200000004000000")
     assert tail == b"xxhi p"
 
 
 def test_kill_and_restart_in_one_batch() -> None:
     settings = json.dumps(SETTINGS).encode()
     kill = struct.pack("<HI", 11, 3)
-    again = encode_batch(2_000_000, [kill, start_record(settings)], settings)
+    restart_batch = encode_batch(2_000_000, [kill, start_record(settings)], settings)
     adapter_replies = run_adapter(
-        first_batch() + again + encode_batch(3_000_000, [request_record(6)])
+        first_batch() + restart_batch + encode_batch(3_000_000, [request_record(6)])
     )
     assert adapter_replies[1] == []
     # The restarted ingress has no endpoint list.
@@ -156,23 +156,23 @@
     ],
 )
 def test_bad_input_exits_with_one_error_line(data: bytes) -> None:
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "dockthread.simulator_adapter"],
         input=data,
         capture_output=True,
         check=False,
         timeout=60,
     )
-    assert done.returncode == 1
-    assert len(done.stderr.decode().splitlines()) == 1
-    split_replies(done.stdout)
+    assert process.returncode == 1
+    assert len(process.stderr.decode().splitlines()) == 1
+    split_replies(process.stdout)
 
 
 def test_replies_do_not_depend_on_the_hash_seed() -> None:
     data = first_batch() + b"".join(
         encode_batch(1_100_000 + i * 1000, [request_record(10 + i)]) for i in range(60)
     )
-    outs = [
+    outputs = [
         subprocess.run(
             [sys.executable, "-m", "dockthread.simulator_adapter"],
             input=data,
@@ -183,5 +183,5 @@
         ).stdout
         for seed in ("1", "2")
     ]
-    assert outs[0] == outs[1]
-    assert len(split_replies(outs[0])) == 61
+    assert outputs[0] == outputs[1]
+    assert len(split_replies(outputs[0])) == 61
