--- a/dockthread/policy/admission_probability.py
+++ b/dockthread/policy/admission_probability.py
@@ -25,7 +25,7 @@
 # Average fraction of a cap on attempts in flight that may be used: random variation fills the
 # remainder at times.
 CAP_UTILIZATION = 0.5
-# Usage report periods after which a usage report is no longer used.
+# A usage report is ignored when it is older than this many usage report periods.
 USAGE_REPORT_MAX_PERIODS = 2.5
 
 
--- a/dockthread/policy/attempts.py
+++ b/dockthread/policy/attempts.py
@@ -237,7 +237,7 @@
             self._retry_or_close(event, pending)
 
     def _release_attempt(self, event: AttemptEnded, number: int, customer: Customer) -> None:
-        """Subtract an ended attempt from its customer's, and record the usage report it brought."""
+        """Decrement the customer's attempts in flight, and record the attempt's usage report."""
         customer.in_flight -= 1
         if event.reported_usage is not None:
             customer.reported_usage = event.reported_usage
@@ -310,7 +310,7 @@
             if not attempt.is_in_flight:
                 continue
             if attempt.is_overdue:
-                # The request is unknown when the attempt ends, so it will be subtracted again.
+                # When the attempt ends, its request is unknown, so the attempt is subtracted again.
                 self._delay.in_flight += 1
             if may_cancel and request not in self._requests.streaming:
                 self._context.actions.append(CancelAttempt(request, number))
--- a/dockthread/policy/backend_pool.py
+++ b/dockthread/policy/backend_pool.py
@@ -150,7 +150,7 @@
         warming_up: ready backends in slow start, by number.
         success_fraction: mean fraction of the ready backends' outcomes that were not failures.
         has_warm_backend: whether at least one ready backend has finished its slow start.
-        visits: number of times a backend was weighed, which measures the cost of updates.
+        weight_updates: number of weight computations, which measures the cost of updates.
     """
 
     def __init__(
--- a/dockthread/policy/gossip_codec.py
+++ b/dockthread/policy/gossip_codec.py
@@ -7,7 +7,7 @@
     report    customer (4 bytes, or 8 if wide), plan (1), attempts in flight (1), sum of units
               requested (2), sum of units admitted (2), level of the token bucket (2, a float)
 
-Sums are in units of 1/16, modulo 2**16. A message that is too short, malformed or of another
+Sums are multiples of 1/16 unit, modulo 2**16. A message that is too short, malformed or of another
 version is ignored.
 """
 
@@ -21,7 +21,7 @@
 MAX_MESSAGE_BYTES = 256
 # Version of the format.
 VERSION = 5
-# Sums are counted in this fraction of a unit.
+# Number of parts into which sums in messages divide a unit.
 PARTS_PER_UNIT = 16
 # Bit mask of a sum in a message: sums count modulo 2**16.
 SUM_MASK = 0xFFFF
@@ -89,7 +89,7 @@
 
 
 def encode_units(units: float) -> int:
-    """Encode a sum of units for a message: in units of 1/16, modulo 2**16."""
+    """Encode a sum of units for a message, as a multiple of 1/16 unit modulo 2**16."""
     return round(units * PARTS_PER_UNIT) & SUM_MASK
 
 
--- a/dockthread/policy/load_balancer.py
+++ b/dockthread/policy/load_balancer.py
@@ -1,7 +1,7 @@
 """Load balancing: the choice of the backend for an attempt.
 
-A few backends are drawn at random by their weights, and the one with the lowest expected cost is
-chosen (the power of two choices, with more of them). Backends that are warming up are sent less,
+A few candidates are drawn at random by their weights, and the one with the lowest expected cost is
+chosen (as in "power of two choices" load balancing). Backends that are warming up are sent less,
 and backends at capacity are avoided.
 """
 
@@ -17,9 +17,10 @@
 from dockthread.policy.route_constraints import RouteConstraints
 from dockthread.policy.slow_start import SlowStart, warming_multiple
 
-# The candidates of one attempt, summed over all ingresses, are this many times the backends.
+# For one attempt, an ingress draws this many times its share of the backends as candidates. Its
+# share is the number of backends divided by the number of ingresses.
 CANDIDATES_PER_BACKEND = 4
-# The fewest backends drawn for one attempt.
+# Minimum number of candidates drawn for one attempt.
 MIN_CANDIDATES = 2
 # A new connection costs as much as this many usual response times, times the handshake cost.
 HANDSHAKE_RESPONSE_TIMES = 8.0
--- a/dockthread/policy/queueing_delay.py
+++ b/dockthread/policy/queueing_delay.py
@@ -18,8 +18,8 @@
 RESPONSE_WEIGHT = 0.12
 # Weight of one more rejection for lack of capacity in the smoothed latency.
 AT_CAPACITY_WEIGHT = 0.25
-# A response time is clipped to this many tightest latency objectives: a longer one reflects the
-# load when its request was sent and not the present load.
+# A response time is clipped to this multiple of the tightest latency objective: a longer one
+# reflects the load when its request was sent and not the present load.
 MAX_COUNTED_OBJECTIVES = 1.5
 # Requests are rejected when the expected wait exceeds this fraction of the bound for their
 # priority.
@@ -93,7 +93,7 @@
         self.smoothed_latency += weight * (clipped - self.smoothed_latency)
 
     def record_at_capacity(self, relevance: float) -> None:
-        """Count a rejection for lack of capacity: many of them show a queue without responses."""
+        """Count a rejection for lack of capacity; many of them indicate overload."""
         weight = AT_CAPACITY_WEIGHT * relevance
         self.smoothed_latency += weight * (self.tightest_objective - self.smoothed_latency)
 
--- a/dockthread/policy/quota_counter_sync.py
+++ b/dockthread/policy/quota_counter_sync.py
@@ -32,8 +32,8 @@
 MIN_LEVEL_FRACTION = 0.5
 # A correction smaller than this fraction of the burst waits for the next units.
 MIN_CORRECTION_FRACTION = 0.5
-# The same fraction after a call that already carried a correction: another ingress may have made
-# the same correction at the same time.
+# This smaller fraction applies after a call that already carried a correction, because another
+# ingress may have made the same correction at the same time.
 MIN_REPEATED_CORRECTION_FRACTION = 0.1
 # Failed calls in a row that open the circuit breaker, and the seconds for which it stays open.
 CIRCUIT_FAILURE_THRESHOLD = 3
@@ -66,7 +66,7 @@
     Attributes:
         failures: number of failed calls in a row; an error reply counts as a fraction of one.
         circuit_open_until: end of the period after failures in which no call is made, in seconds.
-            During it this ingress shares each quota as if it knew nothing about the other
+            During this period the ingress shares each quota as if it knew nothing about the other
             ingresses.
     """
 
--- a/dockthread/policy/route_constraints.py
+++ b/dockthread/policy/route_constraints.py
@@ -42,7 +42,7 @@
         self._pool = pool
         self.admitted: deque[int] = deque()
 
-    # Repeats (rule 2)
+    # Retries of requests that may have run (rule 2)
 
     def effect(self, pending: PendingRequest) -> Effect:
         """Return the stricter of the class's effects at the request's arrival and now."""
--- a/dockthread/policy/slow_start.py
+++ b/dockthread/policy/slow_start.py
@@ -29,9 +29,10 @@
 class RecoveryRamp:
     """A token bucket for the attempts of one ingress to a pool without a warm backend.
 
-    It refills at `overload_multiple - 1` times the rate that the ingress saw served by backends of
-    the same total weight. Its size is what is served at that rate in `overload_time`. So in no
-    period of that length are more attempts sent than `overload_multiple` times what was served.
+    The served rate is the rate at which the ingress saw backends of the same total weight respond.
+    The bucket refills at `overload_multiple - 1` times the served rate, and holds at most what is
+    served in `overload_time`. So in a period of that length, at most `overload_multiple` times as
+    many attempts are sent as were served.
     """
 
     __slots__ = (
--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -198,7 +198,7 @@
 def exchange_gossip(ingresses: list[IngressHarness], loss_rng: random.Random | None = None) -> None:
     """Deliver the gossip sent since the last exchange.
 
-    With a random source `lost`, drop one message in five.
+    With a random source `loss_rng`, drop one message in five.
     """
     for number, ingress in enumerate(ingresses):
         messages, ingress.sent_gossip = ingress.sent_gossip, []
@@ -209,7 +209,7 @@
 
 
 def make_ingresses(count: int, **overrides: object) -> list[IngressHarness]:
-    """Create `count` ingresses of one deployment; `more` overrides settings."""
+    """Create `count` ingresses of one deployment, with `overrides` of the settings."""
     settings = replace(SETTINGS, ingress_count=count, **overrides)  # type: ignore[arg-type]
     return [
         IngressHarness(replace(settings, ingress_number=number), seed=number + 1)
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -98,7 +98,8 @@
     answer_with_load(ingress, ingress.send_request(), (5.0, 10.0, 0.0))
     smoothed_mean, reported_at = backend.smoothed_remote_requests, ingress.now
     assert backend.load(reported_at) == pytest.approx(backend.remote_requests)
-    answer_with_load(ingress, ingress.send_request(), (5.0, 10.0, 0.0))  # repeated, so ignored
+    # The report is the same as before, so it is ignored.
+    answer_with_load(ingress, ingress.send_request(), (5.0, 10.0, 0.0))
     assert backend.report_at == reported_at
     assert backend.load(reported_at + 10) == pytest.approx(smoothed_mean, abs=0.01)
 
--- a/tests/policy/test_many_ingresses.py
+++ b/tests/policy/test_many_ingresses.py
@@ -236,7 +236,8 @@
     # At slow-start weights of 0.22 to 0.37 the fair fraction is 0.23. Twice as much does not
     # overload them, because that takes three times as much.
     assert 0.2 < new_share < 0.46, (
-        "if they had the square of the slow-start weight and counted as loaded, it would be 0.03"
+        "if new backends were drawn by the square of the slow-start weight, "
+        "and counted as loaded as the others, it would be 0.03"
     )
 
 
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -163,7 +163,7 @@
     fleet = QueueingFleet(engines=1, backends=4, request_rate=400.0, seed=1)
     fleet.run_until(1_001.0)
     assert fleet.requests_rejected > 100, (
-        "an engine that noticed later rejected none in the first second, and 400 requests waited"
+        "an earlier version rejected none in the first second, while 400 requests waited"
     )
 
 
--- a/tests/policy/test_quota_of_many_ingresses.py
+++ b/tests/policy/test_quota_of_many_ingresses.py
@@ -240,7 +240,7 @@
     fleet.run_simulation()
     units = fleet.units
     assert units["beyond quota"] < 0.05 * units["admitted"], (
-        "with totals that did not determine a token bucket level it was 0.07 to 0.27"
+        "it was 0.07 to 0.27 with totals from which no token bucket level could be derived"
     )
     assert units["refused within quota"] < 0.15 * (units["admitted"] + units["refused"])
     assert fleet.calls < 1.8 * len(fleet.client_requests)
@@ -335,7 +335,10 @@
         self.calls = 0
 
     def run_simulation(self, demand: float, response_time: float, units: float) -> None:
-        """Send `demand` times the request rate that would use up the cap; each takes `answer` s."""
+        """Send `demand` times the request rate that would use up the cap.
+
+        Each request takes `response_time` s.
+        """
         request = 0
         while self.now < 60.0:
             self.now += self.rng.expovariate(demand * self.cap / response_time)
