--- a/dockthread/policy/token_bucket.py
+++ b/dockthread/policy/token_bucket.py
@@ -65,22 +65,22 @@
         """
         self.level = self.level - units if may_go_negative else max(0.0, self.level - units)
 
-    def apply_gossip(self, units: float, since: float) -> None:
+    def apply_gossip(self, units: float, elapsed: float) -> None:
         """Take the units that other ingresses reported by gossip.
 
         Args:
             units: the units used since the last message; a negative number counts as 0.
-            since: time since the last message, s.
+            elapsed: time since the last message, s.
         """
         already_taken = min(max(0.0, units), self.counter_lead)
         self.counter_lead -= already_taken
-        self._take_reported_units(units - already_taken, since)
+        self._take_reported_units(units - already_taken, elapsed)
 
-    def level_and_correction(self, unused: float, units: float) -> tuple[float, float]:
+    def level_and_correction(self, unused_refill: float, units: float) -> tuple[float, float]:
         """Compute the level according to the shared counter, and the correction of its total.
 
         Args:
-            unused: the refill since the start of the epoch, minus the total before `units`.
+            unused_refill: the refill since the start of the epoch, minus the total before `units`.
             units: the units that are added to the total now.
 
         Returns:
@@ -88,8 +88,8 @@
             correction is the units that overflowed; a negative one is the usage beyond the quota,
             which takes nothing from the bucket.
         """
-        level = self.burst + min(0.0, unused) - units
-        return level, max(0.0, unused) + min(0.0, level)
+        level = self.burst + min(0.0, unused_refill) - units
+        return level, max(0.0, unused_refill) + min(0.0, level)
 
     def apply_counter(self, level: float) -> float:
         """Lower the level to the one according to the shared counter.
@@ -106,9 +106,9 @@
         """Lower the level to the one at a peer, which has known the customer for longer."""
         self.level = max(0.0, min(self.level, level))
 
-    def _take_reported_units(self, units: float, since: float) -> None:
-        """Take reported units, minus the units that overflowed in the `since` seconds."""
-        covered_by_overflow = min(max(0.0, units), self.overflow, self.rate * since)
+    def _take_reported_units(self, units: float, elapsed: float) -> None:
+        """Take reported units, minus the units that overflowed in the `elapsed` seconds."""
+        covered_by_overflow = min(max(0.0, units), self.overflow, self.rate * elapsed)
         self.overflow = 0.0
         self.level = max(0.0, self.level - (units - covered_by_overflow))
 
--- a/tests/policy/test_token_bucket.py
+++ b/tests/policy/test_token_bucket.py
@@ -26,7 +26,7 @@
     counter_total = 0.0
     for source, units in reported:
         if source == "gossip":
-            bucket.apply_gossip(units, since=0.0)
+            bucket.apply_gossip(units, elapsed=0.0)
         else:
             counter_total += units
             bucket.apply_counter(8.0 - counter_total)
