--- a/dockthread/policy/load_reports.py
+++ b/dockthread/policy/load_reports.py
@@ -20,9 +20,9 @@
     The first of these fields that the report contains is used:
 
     * `rif`, the requests in flight at the backend;
-    * `busy`, the fraction of the cores in use, which counts as up to `FULL_CPU_REQUESTS` (with the
-      learnt number of requests in its place, ingresses herded to the backends that outdated reports
-      showed as idle);
+    * `busy`, the fraction of the cores in use, which counts as up to `FULL_CPU_REQUESTS` (a
+      learnt number of requests in place of this constant made ingresses herd to backends that had
+      capacity according to outdated reports);
     * `rate`, requests served per second, times the usual latency (Little's law);
     * `lat_ms`, the latency as a multiple of the usual latency.
 
