--- a/dockthread/policy/admission.py
+++ b/dockthread/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: whether a request is admitted, by quota, cap, queueing delay and ceiling."""
+"""Admission control by quota, cap on attempts in flight, queueing delay and ceiling."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from dockthread.policy.gossip import GossipProtocol
 from dockthread.policy.model import Plan, RequestClass
 from dockthread.policy.pending_request import PendingRequest, PendingRequests
-from dockthread.policy.queueing_delay import PRESSED_FRACTION, QueueingDelayEstimator
+from dockthread.policy.queueing_delay import MAX_DELAY_FRACTION, QueueingDelayEstimator
 from dockthread.policy.quota_counter_sync import QuotaCounterSync
 from dockthread.policy.rejection import RejectionReason, reject
 from dockthread.policy.route_constraints import RouteConstraints
 
-# Factors of the bound on the expected wait: for requests of the least priority, and of the
-# highest.
+# The bound on the expected wait is the tightest latency objective times a factor between these
+# two: the first for requests of the lowest priority, the second for those of the highest.
 LOW_PRIORITY_FACTOR = 0.6
 HIGH_PRIORITY_FACTOR = 2.0
-# Weight of one more request's priority in the usual priority.
+# Weight of one more request's priority in the smoothed mean priority.
 PRIORITY_SMOOTHING = 0.01
 
 
 class AdmissionController:
-    """Admits or rejects requests, or has them wait for the counter or their route's limit.
+    """Admits requests, rejects them, or queues them for the counter or their route's limit.
 
     Attributes:
-        probability: computes with which probability a quota lets a request pass.
+        probability: computes the probability with which a quota admits a request.
     """
 
     __slots__ = (
@@ -65,11 +65,11 @@
         self._counter = counter
         self._attempts = attempts
         self.probability = probability
-        weights = [one.priority_weight for one in context.settings.classes]
+        weights = [request_class.priority_weight for request_class in context.settings.classes]
         self._usual_priority = sum(weights) / len(weights)
 
     def on_request_arrived(self, event: RequestArrived) -> None:
-        """Decide on a request, or have it wait for the counter."""
+        """Decide on a new request, or let it wait for the counter's reply."""
         settings = self._context.settings
         deadline = self._context.now + event.remaining_time
         pending = PendingRequest(event, settings.classes[event.request_class], deadline)
@@ -90,13 +90,13 @@
         request = pending.event.request
         self._requests.by_number[request] = pending
         customer.waiting_requests.append(request)
-        # The counter's reply may not come.
+        # The counter's reply may never arrive.
         self._attempts.close_before_deadline(request, pending)
         if customer.counter_call is None:
             self._counter.send(pending.event.customer, customer)
 
     def on_counter_replied(self, event: CounterReplied) -> None:
-        """Take over the counter's reply, and decide the requests that waited for it."""
+        """Apply the counter's reply, and decide on the requests that waited for it."""
         update = self._counter.on_reply(event)
         if update is None:
             return
@@ -107,7 +107,7 @@
         self._counter.after_decisions(update)
 
     def decide_waiting(self, request: int) -> None:
-        """Decide on a request that is inside its route's concurrency limit now."""
+        """Decide on a request that was queued and is now within its route's concurrency limit."""
         pending = self._requests.by_number.get(request)
         if pending is not None:
             event = pending.event
@@ -116,7 +116,7 @@
     def decide(self, pending: PendingRequest, customer: Customer) -> None:
         """Admit a request and send its first attempt, or reject it.
 
-        One beyond its route's concurrency limit waits and is decided later.
+        A request beyond its route's concurrency limit is queued and decided later.
         """
         if not self._routes.enter(pending):
             return
@@ -136,13 +136,13 @@
     def _rejection_reason(
         self, pending: PendingRequest, customer: Customer
     ) -> RejectionReason | None:
-        """Return why a request is rejected; charge the customer and return None if it is not."""
+        """Return why a request is rejected; if it is admitted, charge its units and return None."""
         event, request_class = pending.event, pending.request_class
         plan = self._context.settings.plans[event.plan]
         sketch = self._customers.sketches[event.plan]
         if sketch is not None:
-            drawn = self._context.rng.random()
-            if drawn >= self.probability.of_request(
+            random_draw = self._context.rng.random()
+            if random_draw >= self.probability.of_request(
                 plan.charged_units(event.units),
                 request_class.priority_weight,
                 customer,
@@ -152,8 +152,8 @@
                 return RejectionReason.QUOTA
         if self._is_at_cap(customer):
             return RejectionReason.CAP
-        if self._is_pressed(request_class, plan):
-            return RejectionReason.PRESSED
+        if self._is_wait_too_long(request_class, plan):
+            return RejectionReason.OVERLOAD
         if plan.ceiling_rate and not self._is_below_ceiling(event.units, customer, plan):
             return RejectionReason.CEILING
         customer.quota.take(event.units)
@@ -161,37 +161,40 @@
         return None
 
     def _is_at_cap(self, customer: Customer) -> bool:
-        """Return whether the cap on attempts in flight is reached.
+        """Return whether the customer's cap on attempts in flight is reached.
 
-        It counts those here, and those that peers reported not long ago.
+        The attempts of this ingress count, and those that peers reported recently.
         """
         cap = self._context.settings.plans[customer.plan_number].max_in_flight
         if cap <= 0:
             return False
         since = self._context.now - self._delay.tightest_objective
-        elsewhere = sum(count for at, count in customer.peer_in_flight.values() if at > since)
-        return cap <= customer.in_flight + elsewhere
+        peer_in_flight_count = sum(
+            count for at, count in customer.peer_in_flight.values() if at > since
+        )
+        return cap <= customer.in_flight + peer_in_flight_count
 
-    def _is_pressed(self, request_class: RequestClass, plan: Plan) -> bool:
+    def _is_wait_too_long(self, request_class: RequestClass, plan: Plan) -> bool:
         """Return whether the expected wait is too long for a request of this priority.
 
-        It would be answered too late, or be in the way of requests of a higher priority. This
-        guards against queues of any cause.
+        Such a request would be answered too late, or would delay requests of a higher priority.
+        This protects against queues whatever their cause.
         """
         priority = request_class.priority_weight * plan.priority_multiplier
         self._usual_priority += PRIORITY_SMOOTHING * (priority - self._usual_priority)
         relative_priority = priority / self._usual_priority
         factor = min(HIGH_PRIORITY_FACTOR, max(LOW_PRIORITY_FACTOR, relative_priority))
-        longest = min(
+        max_delay = min(
             HIGH_PRIORITY_FACTOR * request_class.latency_objective,
             factor * self._delay.tightest_objective,
         )
-        return self._delay.expected_delay() > PRESSED_FRACTION * longest
+        return self._delay.expected_delay() > MAX_DELAY_FRACTION * max_delay
 
     def _is_below_ceiling(self, units: float, customer: Customer, plan: Plan) -> bool:
-        """Return whether the plan's ceiling lets a request pass, and take its units (rule 5).
+        """Return whether the plan's ceiling admits a request; if so, take its units (rule 5).
 
-        It is an exact token bucket with an even part of the ceiling, empty after a start.
+        The ceiling is an exact token bucket. Each ingress that serves the customer has an equal
+        part of it, which is empty when the ingress starts.
         """
         now = self._context.now
         elapsed = now - customer.ceiling_updated_at
--- a/dockthread/policy/load_balancer.py
+++ b/dockthread/policy/load_balancer.py
@@ -1,7 +1,8 @@
 """Load balancing: the choice of the backend for an attempt.
 
-Of a few backends drawn by their weights the one with the least expected cost is chosen (power of
-several choices). A backend that warms up or is at capacity is guarded.
+A few candidates are drawn at random by their weights, and the one with the lowest expected cost is
+chosen (as in "power of two choices" load balancing). Backends that are warming up are sent less,
+and backends at capacity are avoided.
 """
 
 from __future__ import annotations
@@ -16,13 +17,14 @@
 from dockthread.policy.route_constraints import RouteConstraints
 from dockthread.policy.slow_start import SlowStart, warming_multiple
 
-# Backends drawn by all ingresses together for one attempt, over the backends there are.
+# For one attempt, an ingress draws this many times its share of the backends as candidates. Its
+# share is the number of backends divided by the number of ingresses.
 CANDIDATES_PER_BACKEND = 4
-# The fewest backends drawn for one attempt.
-FEWEST_CANDIDATES = 2
-# The price of a new connection is worth this many usual response times.
+# Minimum number of candidates drawn for one attempt.
+MIN_CANDIDATES = 2
+# A new connection costs as much as this many usual response times, times the handshake cost.
 HANDSHAKE_RESPONSE_TIMES = 8.0
-# Expected costs that differ by less than this part are taken for alike: chance decides.
+# Between backends whose expected costs differ by less than this fraction, the choice is random.
 COST_NOISE = 0.05
 
 
@@ -56,40 +58,40 @@
         self._idle_connection_time = context.settings.conn_idle * IDLE_CLOSE_FRACTION
 
     def choose(self, pending: PendingRequest) -> Backend | None:
-        """Return the backend for a request's next attempt, or None where there is none for now.
+        """Return the backend for a request's next attempt, or None if none is available now.
 
-        Drawing by weight keeps ingresses from herding, and from overloading in sum a backend that
-        warms up (rule 4): of the backends drawn for a first attempt only as many may warm up as
-        such a backend can be sent times its capacity, even where the others are at capacity. A
-        pool in which all warm up is limited by `RecoveryRamp`.
+        Drawing by weight keeps ingresses from herding, and from together overloading a backend that
+        is warming up (rule 4). Of the candidates for a first attempt, at most `warming_multiple`
+        may be warming up, even if the others are at capacity. If all backends of the pool are
+        warming up, `RecoveryRamp` limits the attempts.
         """
         pool = self._pool
         if not pool.has_warm_backend and self._slow_start.attempts_available(pool.total_weight) < 1:
             return None
         possible_run = pending.first_possible_run()
-        used = {attempt.backend for attempt in pending.attempts}
+        used_backends = {attempt.backend for attempt in pending.attempts}
         candidates = self._routes.candidates(pending)
         effect = Effect.SAFE if possible_run is None else self._routes.effect(pending)
         if possible_run is not None and effect is not Effect.SAFE:
-            candidates = self._deduplicating(pending, possible_run, effect, candidates)
+            candidates = self._deduplicating_backends(pending, possible_run, effect, candidates)
         elif candidates:
-            backend = self._cheapest(pending, candidates, used)
+            backend = self._lowest_cost_backend(pending, candidates, used_backends)
             if backend is not None:
                 return backend
-        return self._any_with_capacity(pending, possible_run, candidates, used)
+        return self._draw_with_capacity(pending, possible_run, candidates, used_backends)
 
-    def idle_connections_since(self) -> float:
-        """Return since when an idle connection may have stood without being closed, in seconds."""
+    def idle_connection_cutoff(self) -> float:
+        """Return the time in seconds before which idle connections have been closed."""
         return self._context.now - self._idle_connection_time
 
-    def _deduplicating(
+    def _deduplicating_backends(
         self,
         pending: PendingRequest,
         possible_run: Attempt,
         effect: Effect,
         candidates: DrawableBackends,
     ) -> DrawableBackends:
-        """Return the backends that drop the repeat of what may have run; none if none does."""
+        """Return the backends that would drop a duplicate of the attempt that may have run."""
         is_repeatable = (
             effect is Effect.KEYED
             and self._context.now < self._routes.repeat_window_end(possible_run, pending)
@@ -97,40 +99,41 @@
         if not is_repeatable:
             return NO_BACKENDS
         home = self._backends.by_number[possible_run.backend].endpoint
-        return self._routes.deduplicating(pending, home, candidates)
+        return self._routes.deduplicating_backends(pending, home, candidates)
 
-    def _cheapest(
-        self, pending: PendingRequest, candidates: DrawableBackends, used: set[int]
+    def _lowest_cost_backend(
+        self, pending: PendingRequest, candidates: DrawableBackends, used_backends: set[int]
     ) -> Backend | None:
-        """Return the backend of least cost among some that are drawn; None if none is usable."""
+        """Return the drawn candidate with the lowest cost; None if no candidate is usable."""
         settings = self._context.settings
         share = CANDIDATES_PER_BACKEND * len(candidates) // settings.ingress_count
-        drawn = candidates.draw(self._context.rng, max(FEWEST_CANDIDATES, share))
-        warming_allowed = 0 if pending.attempts else warming_multiple(settings.safety)
+        drawn = candidates.draw(self._context.rng, max(MIN_CANDIDATES, share))
+        max_warming_up = 0 if pending.attempts else warming_multiple(settings.safety)
         usable = [
             backend
             for position, backend in enumerate(drawn)
-            if self._is_usable(backend, pending, position < warming_allowed)
+            if self._is_usable(backend, pending, position < max_warming_up)
         ]
-        unused = [backend for backend in usable if backend.endpoint.backend not in used]
+        unused = [backend for backend in usable if backend.endpoint.backend not in used_backends]
         return min(unused, key=self._cost) if unused else None
 
-    def _any_with_capacity(
+    def _draw_with_capacity(
         self,
         pending: PendingRequest,
         possible_run: Attempt | None,
         candidates: DrawableBackends,
-        used: set[int],
+        used_backends: set[int],
     ) -> Backend | None:
-        """Draw from all backends with capacity, as the few that were drawn have none.
+        """Draw from all backends with capacity, because none of the drawn candidates is usable.
 
-        It is by weight and not by cost: a backend that drains without notice is empty, and would
-        be chosen each time. When all are at capacity, only a first attempt is sent.
+        The draw is by weight and not by cost: a backend that drains without notice has no load, so
+        it would always have the lowest cost. If all backends are at capacity, only a first attempt
+        is sent.
         """
-        eligible = self._with_capacity(pending, candidates)
+        eligible = self._backends_with_capacity(pending, candidates)
         if not eligible and not pending.attempts:
             eligible = list(candidates.sample(self._context.rng))
-        unused = [backend for backend in eligible if backend.endpoint.backend not in used]
+        unused = [backend for backend in eligible if backend.endpoint.backend not in used_backends]
         if not unused and possible_run is None:
             unused = eligible
         if not unused:
@@ -138,27 +141,27 @@
         weights = [self._weights.weight(backend) for backend in unused]
         return self._context.rng.choices(unused, weights)[0]
 
-    def _with_capacity(
+    def _backends_with_capacity(
         self, pending: PendingRequest, candidates: DrawableBackends
     ) -> list[Backend]:
-        """Return the backends with capacity, warm ones unless none is.
+        """Return the backends with capacity; only warm ones, if there is a warm backend.
 
-        Of many, it returns those among some, unless none of these has capacity.
+        From a long list it returns those in a sample, unless none in the sample has capacity.
         """
         may_warm_up = not self._pool.has_warm_backend
-        some = [
+        sampled = [
             backend
             for backend in candidates.sample(self._context.rng)
             if self._is_usable(backend, pending, may_warm_up)
         ]
-        return some or [
+        return sampled or [
             backend for backend in candidates if self._is_usable(backend, pending, may_warm_up)
         ]
 
     def _cost(self, backend: Backend) -> float:
-        """Return the expected time that one more request would take; chance decides among equals.
+        """Return the expected cost of one more request, with noise that breaks ties at random.
 
-        It is in usual response times over the backend's weight.
+        The cost is the expected response time, in usual response times, divided by the weight.
         """
         context = self._context
         now = context.now
@@ -175,7 +178,7 @@
         )
 
     def _is_usable(self, backend: Backend, pending: PendingRequest, may_warm_up: bool) -> bool:
-        """Return whether a backend is ready, has capacity for the plan and is warm if it must."""
+        """Return whether a backend is ready, has capacity for the plan and is warm if required."""
         if not backend.is_ready:
             return False
         if self._context.now < backend.at_capacity_until.get(pending.event.plan, NEVER):
--- a/tests/policy/test_quota_counter_sync.py
+++ b/tests/policy/test_quota_counter_sync.py
@@ -1,4 +1,4 @@
-"""The shared counter: when it is called, and what its totals decide."""
+"""The shared counter: when it is called, and how its totals affect admission."""
 
 from __future__ import annotations
 
@@ -24,10 +24,12 @@
 
 
 @pytest.mark.parametrize(("others", "is_admitted"), [(0.0, True), (50.0, False)])
-def test_counter_total_decides_beyond_an_even_split(others: float, is_admitted: bool) -> None:
+def test_counter_total_decides_on_a_request_beyond_an_even_split(
+    others: float, is_admitted: bool
+) -> None:
     ingress = IngressHarness(COUNTER_SETTINGS)
     request, call = request_beyond_even_split(ingress)
-    assert not ingress.answers.get(request)  # it waits, and no longer than the counter may take
+    assert not ingress.answers.get(request)  # the request waits for the counter's reply
     ingress.handle(counter_reply(ingress, call, others))
     assert ingress.is_admitted(request) is is_admitted
     assert ingress.answers.get(request) == (None if is_admitted else ["refused"])
@@ -48,7 +50,7 @@
 ) -> None:
     ingress = IngressHarness(COUNTER_SETTINGS)
     request, call = request_beyond_even_split(ingress)
-    ingress.engine.counter.failures = quota_counter_sync.FAILURES_TO_OPEN - 0.25
+    ingress.engine.counter.failures = quota_counter_sync.CIRCUIT_FAILURE_THRESHOLD - 0.25
     ingress.handle(CounterReplied(call.name, outcome))
     assert ingress.is_admitted(request) or ingress.answers[request] == ["refused"]
     assert not counter_calls(
@@ -59,15 +61,16 @@
         ]
     )
     customer = ingress.engine.customers.by_number[7]
-    # With AT_CAPACITY nothing was added, so the amount goes with the next call.
+    # With AT_CAPACITY the amount was not added, so it is sent with the next call.
     assert (customer.uncounted_units >= call.amount) or outcome is not Outcome.AT_CAPACITY
 
 
-def test_a_garbled_counter_reply_is_requested_again_before_any_decision() -> None:
+def test_a_counter_call_is_repeated_after_an_error_reply_before_any_decision() -> None:
     ingress = IngressHarness(COUNTER_SETTINGS)
     request, call = request_beyond_even_split(ingress)
-    again = counter_calls(ingress.handle(CounterReplied(call.name, Outcome.ERROR)))
-    assert [call.amount for call in again] == [0.0]  # what the first one added is not added twice
+    repeated_calls = counter_calls(ingress.handle(CounterReplied(call.name, Outcome.ERROR)))
+    # The first call may have added its amount, so the repeated call adds nothing.
+    assert [call.amount for call in repeated_calls] == [0.0]
     assert not ingress.answers.get(request)
     ingress.handle(CounterReplied(call.name, Outcome.OK, 1000.0))
     assert ingress.answers[request] == ["refused"]
@@ -75,7 +78,7 @@
 
 def test_a_request_that_waits_for_the_counter_is_answered_before_its_deadline() -> None:
     ingress = IngressHarness(COUNTER_SETTINGS)
-    request_beyond_even_split(ingress)  # a call whose reply does not come
+    request_beyond_even_split(ingress)  # makes a counter call that is never answered
     ingress.last_request += 1
     ingress.now += 0.01
     ingress.handle(RequestArrived(ingress.last_request, SAFE, RATE_PLAN, 7, 0.03, 1.0, 2, 0))
@@ -83,15 +86,15 @@
     assert ingress.answers[ingress.last_request] == ["refused"]
 
 
-def test_overflow_of_a_full_token_bucket_covers_usage_elsewhere() -> None:
+def test_refill_that_overflowed_the_local_bucket_covers_usage_at_other_ingresses() -> None:
     ingress = IngressHarness(COUNTER_SETTINGS)
     _, call = request_beyond_even_split(ingress)
     answer_counter_calls(ingress, [call], 3.0)
     customer = ingress.engine.customers.by_number[7]
-    for others, left in ((8.0, 8.0), (40.0, 0.0)):
-        ingress.run_until(ingress.now + 8)  # 16 units came in, and the bucket holds 8
+    for others, expected_level in ((8.0, 8.0), (40.0, 0.0)):
+        ingress.run_until(ingress.now + 8)  # 16 units are refilled, and the bucket holds 8
         ingress.engine.customers.get(7, RATE_PLAN)
         ingress.engine.context.actions = []
         ingress.engine.counter.send(7, customer)
         answer_counter_calls(ingress, counter_calls(ingress.engine.actions), others)
-        assert customer.quota.level == pytest.approx(left, abs=1.5)
+        assert customer.quota.level == pytest.approx(expected_level, abs=1.5)
