--- a/dockthread/cli/lab_scale.py
+++ b/dockthread/cli/lab_scale.py
@@ -1,6 +1,7 @@
-"""`dockthread lab scale`: many ingresses' share of control, measured on real processes. Exit codes:
-0 every bound asked for holds; 1 one does not, or the checker found a fault; 2 the run is void, or
-the words are wrong.
+"""The command `dockthread lab scale`: measures what the control plane costs many ingresses.
+
+Exit codes: 0 all requested bounds hold; 1 a bound is broken, or the checker found a fault; 2 the
+run is void, or the arguments are invalid.
 """
 
 from __future__ import annotations
@@ -26,11 +27,11 @@
 
 EXIT = {"holds": 0, "broken": 1, "void": 2}
 VOID = 2
-LONGEST = 600.0  # s of a window
+LONGEST = 600.0  # Maximum length of a window in seconds.
 
 
 def quantity(parse: Callable[[str], Any]) -> Any:
-    """A click callback: nothing for what was not asked for."""
+    """Return a click callback that parses an option and returns None for an absent one."""
 
     def callback(ctx: click.Context, param: click.Parameter, value: str | None) -> Any:
         try:
@@ -42,86 +43,97 @@
 
 
 def most(value: float | None) -> float:
+    """Return a requested upper bound, or infinity for an absent one."""
     return math.inf if value is None else float(value)
 
 
 @click.group("scale", invoke_without_command=True)
 @click.option(
-    "--real", default=0, show_default=True, type=click.IntRange(0, 32), help="Daemons, under load."
+    "--real",
+    default=0,
+    show_default=True,
+    type=click.IntRange(0, 32),
+    help="Number of real ingresses, each a daemon under load.",
 )
 @click.option(
     "--hollow",
     default=200,
     show_default=True,
     type=click.IntRange(0, 4000),
-    help="Share processes.",
+    help="Number of hollow (simulated) ingresses, many to a process.",
 )
 @click.option("--backends", default=240, show_default=True, type=click.IntRange(1, 60_000))
 @click.option("--services", default=15, show_default=True, type=click.IntRange(1, 10_000))
 @click.option("--changes", default="5", show_default=True, callback=quantity(parse_changes), metavar="RATE",
-              help="A second, or list=RATE,config=RATE.")  # fmt: skip
+              help="Changes per second, for both kinds or as list=RATE,config=RATE.")  # fmt: skip
 @click.option("--seconds", default=10.0, show_default=True, type=click.FloatRange(1.0, LONGEST))
 @click.option("--seed", default=1, show_default=True, type=click.IntRange(0))
 @click.option("--fault", default="none", show_default=True, type=click.Choice(FAULTS))
 @click.option("--rate", default=100.0, show_default=True, type=click.FloatRange(0, 5000),
-              help="Requests a second to each real ingress.")  # fmt: skip
+              help="Requests per second to each real ingress.")  # fmt: skip
 @click.option("--routes", default=100, show_default=True, type=click.IntRange(1, 20_000),
-              help="Published before the windows, where configuration changes.")  # fmt: skip
+              help="Routes published before the windows when the configuration changes.")  # fmt: skip
 @click.option("--distributors", default=2, show_default=True, type=click.IntRange(1, 32))
 @click.option(
     "--hosts",
     default=0,
     type=click.IntRange(0, 64),
-    help="Processes of hollow ingresses; 0: by number.",
+    help="Processes that run the hollow ingresses; 0 derives it from their number.",
 )
 @click.option(
     "--most-lag",
     callback=quantity(Duration.parse),
     metavar="TIME",
-    help="Until in force at the last.",
+    help="Maximum time until a change is in force at the last ingress.",
 )
 @click.option(
-    "--most-cpu", callback=quantity(Share.parse), metavar="SHARE", help="Of a core, an ingress."
+    "--most-cpu",
+    callback=quantity(Share.parse),
+    metavar="SHARE",
+    help="Maximum CPU of one ingress, as a share of a core.",
 )
 @click.option(
     "--most-memory",
     callback=quantity(Size.parse),
     metavar="SIZE",
-    help="An ingress; 1MB is 1000000 B.",
+    help="Maximum memory of one ingress; 1MB is 1000000 B.",
 )
 @click.option(
-    "--most-bytes", callback=quantity(Size.parse), metavar="SIZE", help="A second, an ingress."
+    "--most-bytes",
+    callback=quantity(Size.parse),
+    metavar="SIZE",
+    help="Maximum bytes per second of one ingress.",
 )
 @click.option(
     "--most-added",
     callback=quantity(Duration.parse),
     metavar="TIME",
-    help="At p99 of real ones' answers.",
+    help="Maximum latency added to the p99 of the real ingresses' answers.",
 )
 @click.option("--most-late", default="250ms", show_default=True, callback=quantity(Duration.parse), metavar="TIME",
-              help="p99 lateness of the tool's own loops from which the run is void.")  # fmt: skip
+              help="The run is void when the p99 lateness of the tool's event loops exceeds this.")  # fmt: skip
 @click.option(
-    "--plant", default="", type=click.Choice(["", *NAMES]), help="A bug that the checker must find."
-)
-@click.option(
-    "--label", default="", help="Kept in the report: the tree that is measured, as a commit."
+    "--plant",
+    default="",
+    type=click.Choice(["", *NAMES]),
+    help="Plant this bug, which the checker must find.",
 )
-@click.option("--json", "as_json", is_flag=True, help="The report as one JSON object.")
+@click.option("--label", default="", help="Label kept in the report, such as the measured commit.")
+@click.option("--json", "as_json", is_flag=True, help="Print the report as one JSON object.")
 @click.option(
     "--report",
     "path",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="Keep the report here.",
+    help="Write the report to this file.",
 )
 @click.pass_context
 def scale(
     ctx: click.Context, /, as_json: bool, path: Path | None, label: str, **words: Any
 ) -> None:
-    """Run real ingresses beside hollow ones, with changes of control, and measure what control
-    costs each.
+    """Run real and hollow ingresses under control-plane changes and measure the cost per ingress.
 
-    Exit codes: 0 every bound asked for holds; 1 one does not, or the checker found a fault; 2 the
-    run is void.
+    Exit codes: 0 all requested bounds hold; 1 a bound is broken, or the checker found a fault; 2
+    the run is void.
     """
     if ctx.invoked_subcommand is not None:
         return
@@ -174,6 +186,7 @@
 
 
 def plan_from(words: dict[str, Any]) -> Plan:
+    """Build and check the plan of a run. Raises click.UsageError if it cannot be run."""
     plan = Plan(**words)
     try:
         plan.check()
@@ -183,14 +196,14 @@
 
 
 def at_size(text: str) -> dict[str, float]:
-    """`ingresses=1600,backends=24000`."""
+    """Parse a size such as `ingresses=1600,backends=24000`."""
     from dockthread.lab.scale.fit import SIZES
 
     found = {}
     for part in filter(None, text.split(",")):
         name, _, value = part.strip().partition("=")
         if name not in SIZES:
-            raise ValueError(f"{name!r} is no size: write {', '.join(SIZES)}")
+            raise ValueError(f"{name!r} is not a size: write {', '.join(SIZES)}")
         found[name] = float(value)
     return found
 
@@ -207,15 +220,16 @@
     help="Extrapolate to this size.",
 )
 @click.option("--terms", default="ingresses,backends,changes,configuration,routes", show_default=True,
-              help="Of the line; products as backends*changes.")  # fmt: skip
-@click.option("--without-void", is_flag=True, help="Leave void runs out.")
-@click.option("--json", "as_json", is_flag=True, help="As one JSON object.")
+              help="Terms of the line: sizes, or products such as backends*changes.")  # fmt: skip
+@click.option("--without-void", is_flag=True, help="Leave out void runs.")
+@click.option("--json", "as_json", is_flag=True, help="Print the result as one JSON object.")
 def fit(
     reports: tuple[Path, ...], at: dict[str, float], terms: str, without_void: bool, as_json: bool
 ) -> None:
-    """Draw lines through the figures of four reports or more, of different sizes, and extrapolate.
+    """Fit lines to the figures of at least four reports of different sizes, and extrapolate.
 
-    Exit codes: 0 all lines fit; 1 one does not; 2 no line can be drawn."""
+    Exit codes: 0 all lines fit; 1 a line does not fit; 2 no line can be fitted.
+    """
     from dockthread.lab.scale.fit import FitError, fitted, terms_of
     from dockthread.lab.scale.text import fit_lines
 
@@ -223,7 +237,7 @@
         read = [json.loads(path.read_bytes()) for path in reports]
         found = fitted(read, terms_of(terms), at, not without_void)
     except (FitError, ValueError, KeyError) as error:
-        click.echo(f"no line: {error}", err=True)
+        click.echo(f"cannot fit a line: {error}", err=True)
         sys.exit(VOID)
     click.echo(json.dumps(found) if as_json else "\n".join(fit_lines(found)))
     sys.exit(0 if all(one["fits"] for one in found["lines"]) else 1)
--- a/dockthread/lab/scale/__init__.py
+++ b/dockthread/lab/scale/__init__.py
@@ -1,6 +1,5 @@
-"""Scale runs: real ingresses beside hollow ones that share processes, measured from the system's
-accounting.
+"""Scale runs: real and hollow ingresses, measured from the kernel's resource accounting.
 
-A hollow ingress runs the code that receives control and decides by it, on real sockets, and serves
-no client.
+A hollow ingress is simulated, and many share a process. It runs the code that receives
+control-plane data and makes decisions from it, on real sockets, and serves no clients.
 """
--- a/dockthread/lab/scale/backends.py
+++ b/dockthread/lab/scale/backends.py
@@ -1,6 +1,4 @@
-"""All backends of a run in one process: one listener at every loopback address. Each answers at
-once.
-"""
+"""One process that stands in for all backends of a run and answers every request at once."""
 
 from __future__ import annotations
 
@@ -11,24 +9,26 @@
 from dockthread.lab.scale.channel import Words, serve_commands
 from dockthread.lab.scale.usage import Lateness, traffic
 
-EVERYWHERE = "0.0.0.0"  # reached at 127.0.0.0/8 only: the endpoints listed are all there
+# Listens on all addresses, because each listed endpoint has its own address in 127.0.0.0/8.
+EVERYWHERE = "0.0.0.0"
 ANSWER = b"*3\r\n$5\r\nvalue\r\n$7\r\nused=37\r\n$24\r\ninflight=7,qps=2,queue=1\r\n"
 
 
 class Backend(asyncio.Protocol):
-    """One connection of any backend."""
+    """A connection to any of the backends."""
 
     served = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """From asyncio: the connection is open; one from elsewhere than this machine is closed."""
-        self.transport: asyncio.Transport = transport  # type: ignore[assignment]  # uvloop has a class of its own
+        """Store the transport, and abort connections that come from another machine."""
+        # uvloop has its own transport class.
+        self.transport: asyncio.Transport = transport  # type: ignore[assignment]
         self.reader = hiredis.Reader()
         if not transport.get_extra_info("peername")[0].startswith("127."):
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """From asyncio: bytes came; each whole command is answered."""
+        """Answer each complete command in the received bytes."""
         self.reader.feed(data)
         while self.reader.gets() is not False:
             Backend.served += 1
@@ -36,13 +36,13 @@
 
 
 class Backends:
-    """The process that stands for all backends."""
+    """The process that stands in for all backends."""
 
     def __init__(self) -> None:
         self._port, self._lateness = 0, Lateness()
 
     async def begin(self, told: Words) -> Words:
-        """Start, by the run's first words."""
+        """Open the listener and return its port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(Backend, EVERYWHERE, 0, backlog=4096)
         self._watching = loop.create_task(self._lateness.watch())
@@ -50,7 +50,7 @@
         return {"port": self._port}
 
     async def state(self, told: Words) -> Words:
-        """What the run reads at the begin and the end of a window."""
+        """Return the readings that the run takes at both ends of a window."""
         return {
             "messages_in": Backend.served,
             "traffic": traffic([self._port], local=True),
@@ -59,6 +59,6 @@
 
 
 async def play() -> None:
-    """Serve the run's commands until the standard input ends."""
+    """Answer the run's commands until standard input closes."""
     backends = Backends()
     await serve_commands({"begin": backends.begin, "state": backends.state})
--- a/dockthread/lab/scale/channel.py
+++ b/dockthread/lab/scale/channel.py
@@ -1,6 +1,6 @@
-"""Processes of a run and the words between them: JSON lines, each command answered by one line.
+"""Child processes of a run and the JSON lines exchanged with them: one answer line per command.
 
-A process ends when its standard input does, so that none outlives the tool, however that ends.
+A child ends when its standard input closes, so none outlives the tool, however the tool ends.
 """
 
 from __future__ import annotations
@@ -15,21 +15,25 @@
 
 from dockthread.errors import DockthreadError
 
-# bytes of one answer: the tables of all ingresses of a process, where none agree
+# Maximum bytes of one answer. The largest holds one table for each ingress of a process, when no
+# two tables are equal.
 MOST_LINE: Final = 512 << 20
-ANSWER_WITHIN: Final = 60.0  # s
-ENDS_WITHIN: Final = 3.0  # s, before it is killed by its id
+ANSWER_WITHIN: Final = 60.0  # Timeout in seconds for the answer to a command.
+ENDS_WITHIN: Final = 3.0  # Seconds to wait for a process to exit before it is killed.
 
 Words = dict[str, Any]
 Command = Callable[[Words], Awaitable[Words]]
 
 
 class ProcessError(DockthreadError):
-    """A process of the run did not start, ended, or did not answer."""
+    """A process of the run did not start, exited, or did not answer."""
 
 
 class Child:
-    """One process of the run. `role`: a module of this package. `shown`: its role in a report."""
+    """A child process of the run.
+
+    `role` names a module of this package, and `shown` is the role under which reports list it.
+    """
 
     def __init__(self, role: str, number: int = 0, shown: str = "") -> None:
         self.role, self.number, self.shown = role, number, shown or role
@@ -37,7 +41,7 @@
         self._asking = asyncio.Lock()
 
     async def start(self, told: Words, log: Path) -> Words:
-        """Start it and give it its first words; its answer to them."""
+        """Start the process, send `begin` with its parameters, and return the answer."""
         with log.open("ab") as out:
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -53,17 +57,20 @@
 
     @property
     def pid(self) -> int:
-        """The id of the process, which has been started."""
-        assert self._process is not None, "a process is asked for its id once it has started"
+        """The id of the process, which must have been started."""
+        assert self._process is not None, "the process has not been started"
         return self._process.pid
 
     @property
     def running(self) -> bool:
-        """Whether the process was started and has not ended."""
+        """Whether the process was started and has not exited."""
         return self._process is not None and self._process.returncode is None
 
     async def ask(self, command: str, within: float = ANSWER_WITHIN, **told: Any) -> Words:
-        """Raises ProcessError where it has ended or does not answer."""
+        """Send a command and return the answer.
+
+        Raises ProcessError if the process has exited, does not answer in time or reports an error.
+        """
         process = self._process
         if process is None or process.stdin is None or process.stdout is None:
             raise ProcessError(f"{self.role} {self.number} is not running")
@@ -76,14 +83,14 @@
                     f"{self.role} {self.number} did not answer {command}: {error!r}"
                 ) from error
         if not line:
-            raise ProcessError(f"{self.role} {self.number} ended at {command}")
+            raise ProcessError(f"{self.role} {self.number} exited during {command}")
         found: Words = json.loads(line)
         if why := found.get("error"):
             raise ProcessError(f"{self.role} {self.number}: {command}: {why}")
         return found
 
     async def end(self) -> None:
-        """End it by its id: gently, then not."""
+        """Close standard input, and kill the process if it does not exit in time."""
         process, self._process = self._process, None
         if process is None or process.returncode is not None:
             return
@@ -98,7 +105,7 @@
 
 
 async def serve_commands(commands: dict[str, Command]) -> None:
-    """In a process of the run: answer commands until standard input ends."""
+    """Answer commands until standard input closes. Runs in a child process."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=MOST_LINE)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -106,7 +113,8 @@
         told = json.loads(line)
         try:
             answer = await commands[told.pop("command")](told)
-        except Exception as error:  # told to the tool, which judges the run
+        # The tool receives the error and decides whether the run is void.
+        except Exception as error:
             answer = {"error": repr(error)[:500]}
         sys.stdout.write(json.dumps(answer) + "\n")
         sys.stdout.flush()
--- a/dockthread/lab/scale/checker.py
+++ b/dockthread/lab/scale/checker.py
@@ -1,20 +1,19 @@
-"""Judges what the ingresses held against what was published. Shares no code with what it judges:
-plain data in.
+"""Checks the data held by the ingresses against the published data.
 
-Each ingress must end with exactly what was last published, and no older version may have replaced a
-newer one.
+Every ingress must end with exactly the last published data, and no older version may have replaced
+a newer one. The checker takes plain data and shares no code with the components that it checks.
 """
 
 from __future__ import annotations
 
 from typing import Any, Final
 
-MOST_NAMED: Final = 20  # findings spelt out in a report
-MOST_SHOWN: Final = 3  # rows of one difference
+MOST_NAMED: Final = 20  # Maximum number of violations listed in a report.
+MOST_SHOWN: Final = 3  # Maximum number of differing rows listed for one ingress.
 
 
 def published(changes: list[Any]) -> list[list[Any]]:
-    """What stands after all changes: uid, endpoint, whether it serves, and its weight."""
+    """Return the list after all changes: uid, endpoint, whether it is active, and its weight."""
     standing: dict[str, list[Any]] = {}
     for _, _, entries in changes:
         for entry in entries:
@@ -32,7 +31,7 @@
 
 
 def published_routes(changes: list[Any]) -> list[list[Any]]:
-    """What stands after all accepted changes, in the order of their revisions: name and version."""
+    """Return the name and version of each route after all changes, which come in revision order."""
     standing: dict[str, Any] = {}
     for _, _, name, version in changes:
         if version is None:
@@ -43,7 +42,10 @@
 
 
 def judge(wanted: list[list[Any]], findings: list[dict[str, Any]], expected: int) -> list[str]:
-    """Each rule that broke, in words; empty where all held. `expected`: the number of ingresses."""
+    """Return a message for each violated rule.
+
+    `expected` is the number of ingresses that must have reported.
+    """
     broken, seen = [], 0
     for found in findings:
         for group in found["tables"]:
--- a/dockthread/lab/scale/control.py
+++ b/dockthread/lab/scale/control.py
@@ -1,6 +1,4 @@
-"""The configuration side of an ingress of a run: the program's own receiver, and a witness before
-its owner.
-"""
+"""The configuration side of an ingress in a run: its options, and a recorder of applied changes."""
 
 from __future__ import annotations
 
@@ -12,11 +10,12 @@
 from dockthread.lab.scale.plan import REGIONS, zone_name
 from dockthread.lab.scale.witness import Observed
 
-Alteration = Callable[[Sequence[Resource]], Sequence[Resource]]  # a planted bug
+# How a planted bug changes the resources before they are applied.
+Alteration = Callable[[Sequence[Resource]], Sequence[Resource]]
 
 
 def options_of(number: int, servers: Sequence[str], key_file: str) -> ControlOptions:
-    """An ingress's part, as the section [control] would say it."""
+    """Return the control options of an ingress, as its [control] section would give them."""
     region, zone = f"region-{number % REGIONS}", zone_name(number)
     return ControlOptions(
         role="ingress", servers=tuple(servers), region=region, zone=zone, key_file=key_file
@@ -24,7 +23,7 @@
 
 
 def section_of(options: ControlOptions) -> str:
-    """The same as text, for a file."""
+    """Format the options as the [control] section of a configuration file."""
     return (
         f"[control]\nrole = ingress\nservers = {', '.join(options.servers)}\nregion = {options.region}\n"
         f"zone = {options.zone}\nkey_file = {options.key_file}\n"
@@ -32,23 +31,26 @@
 
 
 class ControlWitness(Observed):
-    """Stands between an ingress's client and what puts resources in force, and notes what has
-    passed.
-    """
+    """Records the changes that an ingress's configuration client passes to its applier."""
 
     def observe(self, controlled: IngressResourceApplier, alter: Alteration | None = None) -> None:
-        """From now on; at once after it was opened, before anything can have come."""
+        """Insert the recorder between the client and its applier.
+
+        Must be called right after the applier is opened, before any change can have arrived.
+        """
         self._owner, self._alter, self._highest = controlled, alter, 0
         self._refused = set[str]()
         controlled.client.batches.applier = self
 
-    # What the client tells its owner
+    # Methods that the client calls on its applier
 
     def apply(self, changes: Sequence[Resource]) -> Sequence[Rejection]:
-        """Pass changes on, altered where there is a planted bug, and note what was older."""
+        """Pass on the changes, altered by a planted bug, and record older versions."""
         applied = changes if self._alter is None else self._alter(changes)
         rejections = self._owner.apply(applied)
-        for one in applied:  # what was refused comes again at the end of its batch
+        # A refused resource is delivered again at the end of its batch, so an older version of it
+        # is no error.
+        for one in applied:
             if (
                 one.body is not None
                 and one.revision < self._highest
@@ -60,10 +62,10 @@
         return rejections
 
     def applied_resource(self, kind: str, name: str) -> Resource | None:
-        """What the owner holds under a key."""
+        """Return the resource that the applier holds under a key."""
         return self._owner.applied_resource(kind, name)
 
     def on_batch_applied(self) -> None:
-        """All that was given has been dealt with: note how far that is."""
+        """Record the revision reached once a batch has been applied."""
         self._owner.on_batch_applied()
         self.come_to(max(self._highest, self._revision))
--- a/dockthread/lab/scale/discovery.py
+++ b/dockthread/lab/scale/discovery.py
@@ -1,10 +1,9 @@
-"""A stand-in of discovery for large lists: the whole list, then changes, each encoded once and
-shared by all watches.
+"""A discovery service for large lists: sends the whole list, then changes, encoded once for all.
 
-It plays the agents of all machines in one process, so its own cost is that of many. Two ports:
-ingresses in the part that a cut takes watch at the second one. While that is cut nothing goes out
-there, and what had been said goes at the heal, as TCP would have it. Every change is kept for the
-checker.
+One process plays the discovery agents of all machines, so its own cost is the cost of many agents.
+It serves two ports, and the ingresses affected by a cut watch the second one. During the cut, data
+for that port is held back, and it is sent when the cut heals, as TCP would do. Every change is kept
+for the checker.
 """
 
 from __future__ import annotations
@@ -26,28 +25,29 @@
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 )
 BLANK: Final = b"1\r\n\n\r\n"
-SIGN_OF_LIFE: Final = 2.0  # s between empty lines while nothing changes
-STEP: Final = 1.0 / (1 << 20)  # of a backend's weight with each of its versions: exact as a float
-REMEMBERED: Final = 100_000  # changes that a watch may come back after
-TRIES: Final = 20  # numbers drawn to find a backend that is there
-FIRST_NET: Final = 1  # backends lie at 127.1.0.1 and up: one listener at all addresses serves them
+SIGN_OF_LIFE: Final = 2.0  # Seconds between two keepalive lines.
+STEP: Final = 1.0 / (1 << 20)  # Weight added to a backend with each version, exact as a float.
+REMEMBERED: Final = 100_000  # Number of past changes from which a watch can resume.
+TRIES: Final = 20  # Random draws to find a backend that is in the list.
+# Backends have the addresses 127.1.0.1 and up, and one listener on all addresses serves them.
+FIRST_NET: Final = 1
 
 Entry = dict[str, Any]
 
 
 def address_of(number: int) -> str:
-    """A loopback address of its own for each backend."""
+    """Return the loopback address of a backend, which no other backend shares."""
     host = number + 1
     return f"127.{FIRST_NET + (host >> 16)}.{host >> 8 & 255}.{host & 255}"
 
 
 def chunk(line: bytes) -> bytes:
-    """One line of a watch as a chunk of HTTP."""
+    """Encode one line of a watch as an HTTP chunk."""
     return b"%x\r\n%b\n\r\n" % (len(line) + 1, line)
 
 
 class Book:
-    """The list of backends as published, its versions and its changes. No I/O."""
+    """The published list of backends with its versions and changes. Does no I/O."""
 
     def __init__(self, plan: Plan, port: int) -> None:
         self._plan, self._rng = plan, random.Random(f"{plan.seed} changes")
@@ -55,12 +55,13 @@
         self._encoded = [msgspec.json.encode(one) for one in self.entries]
         self._versions = [0] * plan.backends
         self.revision = 1
-        # revision, when, entries; the whole list first
+        # Revision, publication time and entries of each change. The first change holds the whole
+        # list.
         self.changes: list[tuple[int, float, list[Entry]]] = []
         self._chunks: dict[int, bytes] = {}
         self._whole = b""
         self._absent: set[int] = set()
-        self.opened = False  # before that the list is empty
+        self.opened = False  # The list is empty until it is opened.
 
     def _entry(self, number: int, port: int) -> Entry:
         service = number % self._plan.services
@@ -82,7 +83,7 @@
         return self.whole()
 
     def whole(self) -> bytes:
-        """The whole list as it stands, encoded once for each revision."""
+        """Return the current whole list, encoded once for each revision."""
         if not self._whole:
             held = (
                 [one for n, one in enumerate(self._encoded) if n not in self._absent]
@@ -95,14 +96,14 @@
         return self._whole
 
     def since(self, revision: int) -> list[bytes] | None:
-        """The changes after a revision, in order; None where not all of them are remembered."""
+        """Return the changes after a revision in order, or None if some are no longer kept."""
         wanted = range(revision + 1, self.revision + 1)
         if not all(number in self._chunks for number in wanted):
             return None
         return [self._chunks[number] for number in wanted]
 
     def change(self, number: int, **fields: Any) -> bytes:
-        """A new version of one backend."""
+        """Publish a new version of one backend."""
         self._versions[number] += 1
         entry = {
             **self.entries[number],
@@ -121,8 +122,9 @@
         return said
 
     def drawn(self) -> bytes:
-        """A change as a day brings it: a backend starts to leave, comes back new, or has another
-        weight.
+        """Publish a random change.
+
+        A backend starts to leave, returns as a new instance, or gets another weight.
         """
         number = self._rng.choice([n for n in self._some() if n not in self._absent] or [0])
         if self.entries[number]["state"] != "active":
@@ -135,12 +137,12 @@
         return [self._rng.randrange(self._plan.backends) for _ in range(TRIES)]
 
     def zone_leaves(self) -> Iterator[bytes]:
-        """Every backend of one zone is gone, one change each."""
+        """Remove every backend of the lost zone, one change each."""
         for number in self._of_zone():
             yield self.change(number, state="left")
 
     def zone_returns(self) -> Iterator[bytes]:
-        """Chunks that list the zone's backends again."""
+        """List every backend of the lost zone again, one change each."""
         for number in self._of_zone():
             yield self.change(number, state="active", boot_ms=round(time.time() * 1000))
 
@@ -149,20 +151,20 @@
 
 
 class Watched(asyncio.Protocol):
-    """One watch."""
+    """The connection of one watch."""
 
     def __init__(self, serving: Discovery, cuttable: bool) -> None:
         self._serving, self._cuttable, self._head = serving, cuttable, b""
         self.transport: asyncio.Transport | None = None
-        self._held: list[bytes] = []  # while it is cut
+        self._held: list[bytes] = []  # Data held back during a cut.
         self.stands = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """From asyncio: the connection is open."""
-        self.transport = transport  # type: ignore[assignment]  # uvloop has a class of its own
+        """Store the transport of the new connection."""
+        self.transport = transport  # type: ignore[assignment]  # uvloop has its own transport class
 
     def data_received(self, data: bytes) -> None:
-        """From asyncio: bytes came; a whole request opens the watch."""
+        """Collect the request, and open the watch once it is complete."""
         self._head += data
         if not self.stands and b"\r\n\r\n" in self._head:
             self.stands = True
@@ -170,11 +172,11 @@
             self._serving.begun(self, int(after or 0))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """From asyncio: the connection is gone."""
+        """Remove the closed watch."""
         self._serving.watches.discard(self)
 
     def say(self, data: bytes) -> None:
-        """Write to the watch; held back while it is cut off."""
+        """Write to the watch, or hold the data back while the watch is cut off."""
         if self._cuttable and self._serving.cut:
             self._held.append(data)
         elif self.transport is not None and not self.transport.is_closing():
@@ -182,14 +184,14 @@
             self.transport.write(data)
 
     def heal(self) -> None:
-        """The cut is over: write what was held back."""
+        """Write the held data after the cut."""
         held, self._held = self._held, []
         for data in held:
             self.say(data)
 
 
 class Discovery:
-    """All watches and the book that they are told from."""
+    """The discovery process: the published list and the watches that receive it."""
 
     def __init__(self) -> None:
         self.watches: set[Watched] = set()
@@ -197,13 +199,13 @@
         self.book: Book | None = None
         self._ports: list[int] = []
         self._lateness = Lateness()
-        self._late_starts: list[float] = []  # ms, of the publications
+        self._late_starts: list[float] = []  # Delays of publications against their schedule, in ms.
         self._tasks: list[asyncio.Task[None]] = []
         self._plan: Plan | None = None
         self._publishing: asyncio.Task[None] | None = None
 
     async def begin(self, told: Words) -> Words:
-        """Start, by the run's first words."""
+        """Open both ports and return them."""
         self._plan = plan_of(told["plan"])
         self.book = Book(self._plan, told["backend_port"])
         loop = asyncio.get_running_loop()
@@ -217,8 +219,8 @@
         return lambda: Watched(self, cuttable)
 
     def begun(self, watch: Watched, after: int) -> None:
-        """A watch stands that knows all up to the revision `after`."""
-        assert self.book is not None, "a watch comes only once there is a port"
+        """Register a watch that has seen all revisions up to `after`, and send it the later ones."""
+        assert self.book is not None, "a watch can arrive only after the ports are open"
         self.watches.add(watch)
         changes = self.book.since(after) if after else None
         watch.say(HEAD)
@@ -237,15 +239,13 @@
     # Commands
 
     async def open(self, told: Words) -> Words:
-        """Publish the whole list, which was empty until then."""
+        """Publish the whole list, which was empty until now."""
         assert self.book is not None
         self._push(self.book.open())
         return {"revision": self.book.revision}
 
     async def publish(self, told: Words) -> Words:
-        """Begin so many seconds of changes at a rate, evenly spaced, whatever the watches make of
-        them.
-        """
+        """Start to publish changes at an even rate, whether or not the watches keep up."""
         loop = asyncio.get_running_loop()
         self._publishing = loop.create_task(
             self._publish(float(told["rate"]), float(told["seconds"]))
@@ -253,7 +253,7 @@
         return {}
 
     async def published(self, told: Words) -> Words:
-        """Wait for the end of what `publish` began."""
+        """Wait until the changes started by `publish` have been published."""
         assert self.book is not None
         if self._publishing is not None:
             await self._publishing
@@ -269,7 +269,7 @@
             self._push(self.book.drawn())
 
     async def fault(self, told: Words) -> Words:
-        """`begin` or `end` the fault that is discovery's part."""
+        """Begin or end the fault, if it concerns discovery."""
         assert self.book is not None and self._plan is not None
         begin = bool(told["begin"])
         if self._plan.fault == "zone":
@@ -282,7 +282,7 @@
         return {"revision": self.book.revision, "at": time.monotonic()}
 
     async def state(self, told: Words) -> Words:
-        """What the run reads at the begin and the end of a window."""
+        """Return the readings that the run takes at both ends of a window."""
         assert self.book is not None
         return {
             "watches": len(self.watches),
@@ -293,7 +293,7 @@
         }
 
     async def log(self, told: Words) -> Words:
-        """All that was published, for the checker."""
+        """Return everything that was published, for the checker."""
         assert self.book is not None
         return {
             "changes": self.book.changes,
@@ -302,7 +302,7 @@
 
 
 async def play() -> None:
-    """Serve the run's commands until the standard input ends."""
+    """Answer the run's commands until standard input closes."""
     discovery = Discovery()
     await serve_commands(
         {
--- a/dockthread/lab/scale/distribution.py
+++ b/dockthread/lab/scale/distribution.py
@@ -1,5 +1,6 @@
-"""The distribution of control of a run: voters, distributors, a publisher, and relays that a cut
-can stop.
+"""The control-plane processes of a run: voters, distributors, a publisher and a relay.
+
+The relay stands in front of the distributors and can be cut.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 from dockthread.raft.storage import RaftStorage
 
 MOST_CONNECTIONS: Final = 10_000
-FILLING: Final = 120.0  # s, for all routes to be published
+FILLING: Final = 120.0  # Timeout in seconds for publishing all routes.
 
 
 class Distribution:
-    """Processes of control, and where ingresses find them."""
+    """The control-plane processes and the addresses at which ingresses reach them."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self._plan, self._folder = plan, folder
@@ -31,7 +32,8 @@
         self.voters = [Child("server", n, "voter") for n in range(plan.voters)]
         self.distributors = [Child("server", n, "distributor") for n in range(plan.distributors)]
         self.publisher, self.relay = Child("publisher"), Child("relay")
-        self.relayed: list[str] = []  # the distributors' addresses for the part that may be cut
+        # Addresses of the relay, one per distributor, for the ingresses affected by a cut.
+        self.relayed: list[str] = []
         self.key_file = folder / "key"
         self.key_file.write_text(secrets.token_hex(16))
 
@@ -46,7 +48,7 @@
         return [*self.voters, *self.distributors]
 
     def told(self) -> Words:
-        """For ingresses."""
+        """Return the parameters that ingresses need to reach the distributors."""
         return {"servers": [self.servers, self.relayed], "key_file": str(self.key_file)}
 
     async def start(self) -> None:
@@ -67,11 +69,11 @@
         await self.publisher.start(words, self._folder / "publisher.log")
 
     async def fill(self) -> int:
-        """Publish all routes; the revision of the last."""
+        """Publish all routes and return the revision of the last."""
         return int((await self.publisher.ask("fill", within=FILLING))["revision"])
 
     async def end(self) -> None:
-        """End all processes, those that depend on others first."""
+        """Stop all processes, starting with those that depend on others."""
         everyone = [self.publisher, self.relay, *self.distributors, *self.voters]
         await asyncio.gather(*(child.end() for child in everyone))
         for one in self._held:
--- a/dockthread/lab/scale/fit.py
+++ b/dockthread/lab/scale/fit.py
@@ -1,8 +1,7 @@
-"""Lines through the figures of several scale runs, a + b * size + ..., by least squares, and what
-they foretell.
+"""Fits lines a + b * size + ... by least squares to the figures of several scale runs.
 
-Ordinary least squares by the normal equations, on terms scaled to one, solved by Gaussian
-elimination with pivots.
+The lines serve to extrapolate to other sizes. The fit is ordinary least squares by the normal
+equations, with each term scaled to at most one, solved by Gaussian elimination with pivoting.
 """
 
 from __future__ import annotations
@@ -14,14 +13,12 @@
 
 from dockthread.errors import DockthreadError
 
-LEAST_SIZES: Final = 4  # different sizes, below which no line is drawn
-FITS: Final = (
-    # root mean square of the residuals, as a part of the figures' mean, above which a line does not
-    # fit
-    0.15
-)
-FAR: Final = 4.0  # times the largest size measured, beyond which an extrapolation is marked
-SINGULAR: Final = 1e-9  # of a scaled pivot
+LEAST_SIZES: Final = 4  # Minimum number of different sizes for a line.
+# Maximum root mean square of the residuals for a line to fit, relative to the figures' mean.
+FITS: Final = 0.15
+FAR: Final = 4.0  # Extrapolations beyond this multiple of the largest measured size are marked.
+# Absolute value of a scaled pivot below which the system counts as singular.
+SINGULAR: Final = 1e-9
 SIZES: Final = {
     "ingresses": "ingresses",
     "backends": "backends",
@@ -65,13 +62,15 @@
 
 
 class FitError(DockthreadError, ValueError):
-    """Reports that no line can be drawn through."""
+    """No line can be fitted to the given reports."""
 
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """`slopes` by term, per unit of it. `residuals`: measured less fitted, in the order of the
-    reports.
+    """A fitted line for one figure.
+
+    `slopes` maps each term to the slope per unit of it. `residuals` are the measured values minus
+    the fitted ones, in the order of the reports.
     """
 
     figure: str
@@ -82,7 +81,7 @@
 
     @property
     def misfit(self) -> float:
-        """Root mean square of the residuals as a part of the mean figure."""
+        """Root mean square of the residuals relative to the figure's mean."""
         if not self.mean:
             return math.inf if any(self.residuals) else 0.0
         return math.sqrt(sum(r * r for r in self.residuals) / len(self.residuals)) / abs(self.mean)
@@ -93,14 +92,14 @@
         return self.misfit <= FITS
 
     def at(self, size: dict[str, float]) -> float:
-        """The figure at a size."""
+        """Evaluate the line at a size."""
         return self.constant + sum(
             slope * value_of(term, size) for term, slope in self.slopes.items()
         )
 
 
 def figure_of(report: dict[str, Any], path: str) -> float | None:
-    """A figure by its place, `each.hollow.rss_mb`; None where a report has none."""
+    """Return a figure by its path, such as `each.hollow.rss_mb`, or None if the report lacks it."""
     found: Any = report
     for name in path.split("."):
         if not isinstance(found, dict) or (found := found.get(name)) is None:
@@ -109,35 +108,36 @@
 
 
 def size_of(report: dict[str, Any]) -> dict[str, float]:
-    """The sizes of a run, by the names that a fit has for them."""
+    """Return the sizes of a run under the names used in a fit."""
     return {name: float(report["size"].get(key, 0.0)) for name, key in SIZES.items()}
 
 
 def value_of(term: str, size: dict[str, float]) -> float:
-    """Of one term: a size, or a product such as `backends*changes`."""
+    """Return the value of a term: a size, or a product such as `backends*changes`."""
     return math.prod(size[name] for name in term.split("*"))
 
 
 def terms_of(words: str) -> tuple[str, ...]:
-    """`ingresses,backends*changes`. Raises FitError for a size that there is none of."""
+    """Parse terms such as `ingresses,backends*changes`. Raises FitError for an unknown size."""
     terms = tuple(term.strip() for term in words.split(",") if term.strip())
     for name in [name for term in terms for name in term.split("*")]:
         if name not in SIZES:
             raise FitError(
-                f"{name!r} is no size: write {', '.join(SIZES)}, or products such as backends*changes"
+                f"{name!r} is not a size: write {', '.join(SIZES)}, or products such as backends*changes"
             )
     return terms
 
 
 def varied(reports: Sequence[dict[str, Any]], terms: Sequence[str]) -> list[str]:
-    """The terms that differ among the reports: of the others nothing can be told."""
+    """Return the terms that differ among the reports, since a constant term has no slope to fit."""
     sizes = [size_of(one) for one in reports]
     return [term for term in terms if len({value_of(term, size) for size in sizes}) > 1]
 
 
 def line(reports: Sequence[dict[str, Any]], figure: str, terms: Sequence[str]) -> Line | None:
-    """The line of one figure; None where too few runs have it. Raises FitError where terms cannot
-    be told apart.
+    """Fit a line to one figure, or return None if too few sizes have it.
+
+    Raises FitError if the slopes of the terms cannot be told apart.
     """
     found = [
         (size_of(one), value) for one in reports if (value := figure_of(one, figure)) is not None
@@ -163,14 +163,16 @@
 
 
 def solve(matrix: list[list[float]], right: list[float]) -> list[float]:
-    """A linear system. Raises FitError where it has not one solution."""
+    """Solve a linear system. Raises FitError if it has no unique solution."""
     rows = [[*row, value] for row, value in zip(matrix, right, strict=True)]
     size = len(rows)
     for at in range(size):
         pivot = max(range(at, size), key=lambda n: abs(rows[n][at]))
         rows[at], rows[pivot] = rows[pivot], rows[at]
         if abs(rows[at][at]) < SINGULAR:
-            raise FitError("the sizes vary together: their slopes cannot be told apart; hold one")
+            raise FitError(
+                "the sizes vary together, so their slopes cannot be told apart: keep one constant"
+            )
         for n in range(at + 1, size):
             factor = rows[n][at] / rows[at][at]
             rows[n] = [x - factor * y for x, y in zip(rows[n], rows[at], strict=True)]
@@ -182,7 +184,7 @@
 
 
 def beyond(reports: Sequence[dict[str, Any]], at: dict[str, float]) -> list[str]:
-    """The sizes asked for that lie far beyond any measured."""
+    """Return the requested sizes that lie far beyond the largest measured ones."""
     largest = {name: max(size_of(one)[name] for one in reports) for name in SIZES}
     return [name for name, value in at.items() if value > FAR * largest[name]]
 
@@ -193,18 +195,19 @@
     at: dict[str, float],
     with_void: bool = True,
 ) -> dict[str, Any]:
-    """All lines that can be drawn; `at`: a size to extrapolate to, or empty. Figures that are all 0
-    are left out.
+    """Fit a line to every figure that enough runs have, except figures that are always 0.
+
+    `at` is a size to extrapolate to, or empty.
     """
     used = [one for one in reports if "size" in one and (with_void or one["verdict"] != "void")]
     told = varied(used, terms)
     if not told:
-        raise FitError("the reports are of one size: a line needs runs at four sizes or more")
+        raise FitError("the reports are of one size: a line needs runs at four or more sizes")
     drawn = (line(used, figure, told) for figure in FIGURES)
     lines = [one for one in drawn if one is not None and (one.mean or any(one.residuals))]
     if not lines:
         raise FitError(
-            f"too few sizes: a line over {', '.join(told)} needs {max(LEAST_SIZES, len(told) + 2)} of them"
+            f"too few sizes: a line over {', '.join(told)} needs at least {max(LEAST_SIZES, len(told) + 2)}"
         )
     full = {name: at.get(name, 0.0) for name in SIZES}
     return {
--- a/dockthread/lab/scale/hollow.py
+++ b/dockthread/lab/scale/hollow.py
@@ -1,8 +1,7 @@
-"""A hollow ingress: watch, destination set, module and receiver of configuration, joined as in a
-real one.
+"""A hollow ingress: the discovery watch, endpoint list, policy engine and configuration client.
 
-It has no clients and calls no backend. To the receiver of configuration (`Controlled`) it stands
-for the ingress.
+The parts are connected as in a real ingress, but there are no clients and no calls to backends. For
+the configuration client, the hollow ingress takes the place of the real one.
 """
 
 from __future__ import annotations
@@ -40,45 +39,50 @@
 from dockthread.routes.table import Table
 
 EMPTY: Final[dict[str, Any]] = {"rev": 0, "all": True, "targets": []}
-NOWHERE: Final = Address("127.0.0.1", 0)  # it listens to no client
-COUNTER_TIMEOUT: Final = 50.0  # ms; there is no counter to call
-# of a message before it is applied: a planted bug; None passes it over
+NOWHERE: Final = Address("127.0.0.1", 0)  # A hollow ingress does not listen for clients.
+# Timeout of the quota counter in ms. It never expires, as there is no counter to call.
+COUNTER_TIMEOUT: Final = 50.0
+# How a planted bug changes a message before it is applied; it returns None to drop the message.
 Alteration = Callable[[Any], Any]
 
 
 class AlteredSet(EndpointList):
-    """A destination set with a planted bug before it."""
+    """An endpoint list whose messages pass through a planted bug first."""
 
     alter: Alteration | None = None
 
     def apply(self, message: Any, cached: bool = False) -> EndpointsListed:
-        """Take over a list, altered first."""
+        """Alter the message, then apply it."""
         if self.alter is not None and (message := self.alter(message)) is None:
             return EndpointsListed(EndpointListKind.CHANGES, ())
         return super().apply(message, cached)
 
     def apply_in_parts(self, message: Any) -> Iterator[EndpointsListed]:
-        """Take over a list in parts, altered first."""
+        """Alter the message, then apply it in parts."""
         if self.alter is None or (message := self.alter(message)) is not None:
             yield from super().apply_in_parts(message)
 
 
 @dataclass(frozen=True, slots=True)
 class Shared:
-    """What all hollow ingresses of a process have in common. `discovery`, `servers`: without, and
-    with a cut.
+    """Values shared by all hollow ingresses of a process.
+
+    `discovery` and `servers` hold two alternatives each: first the addresses for ingresses that no
+    cut affects, then the addresses for ingresses that a cut affects.
     """
 
     settings: PolicySettings
     names: Names
     discovery: tuple[Address, Address]
-    servers: tuple[Sequence[str], Sequence[str]] = ((), ())  # of configuration; empty for none
+    # Distributors of configuration; empty if there are none.
+    servers: tuple[Sequence[str], Sequence[str]] = ((), ())
     key_file: str = ""
 
 
 class HollowIngress:
-    """One life of one. `control`: where it receives configuration too; `plant`: a bug that it
-    has.
+    """A hollow ingress from one start to the next stop.
+
+    `control` is given if the ingress also receives configuration. `plant` names its planted bug.
     """
 
     def __init__(
@@ -128,7 +132,7 @@
             self._controlled = IngressResourceApplier(cast(Ingress, self), self.layers, options)
 
     def start(self) -> None:
-        """In the order of an ingress's own start."""
+        """Start the parts in the order in which a real ingress starts them."""
         if self._controlled is not None and self._control_witness is not None:
             self._controlled.open()
             self._control_witness.observe(self._controlled, control_alteration(self._plant))
@@ -137,7 +141,7 @@
         self._watching = asyncio.get_running_loop().create_task(self.watch.run())
 
     async def stop(self) -> None:
-        """End this life: its connections and its watch."""
+        """Close the connections and stop the watch."""
         self._stopped = True
         if self._controlled is not None:
             await self._controlled.close()
@@ -148,11 +152,14 @@
 
     @property
     def messages_sent(self) -> int:
-        """To servers of configuration, in this life; the watch on discovery is one request."""
+        """Messages sent to distributors since the start.
+
+        The discovery watch is a single request and is left out.
+        """
         return self._controlled.client.messages.sent if self._controlled is not None else 0
 
     def table(self) -> list[Row]:
-        """The backends that it holds, for the checker."""
+        """Return the backends that the ingress holds, for the checker."""
         return table(self.gateway, self.destinations)
 
     def _listed(self, listed: EndpointsListed) -> None:
--- a/dockthread/lab/scale/host.py
+++ b/dockthread/lab/scale/host.py
@@ -1,4 +1,4 @@
-"""A process that hosts many hollow ingresses on one loop."""
+"""A process that runs many hollow ingresses on one event loop."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def names_of(told: Words) -> Names:
-    """The names in settings as the platform words them."""
+    """Extract the names from the platform's settings."""
     return Names(
         classes=tuple(one["Name"] for one in told["Classes"]),
         plans=tuple(one["Name"] for one in told["Packages"]),
@@ -32,19 +32,19 @@
 
 
 class Host:
-    """Its ingresses by number; empty for the baseline."""
+    """The hollow ingresses of one process. The baseline process has none."""
 
     def __init__(self) -> None:
         self._in_force, self._control_in_force, self._lateness = InForce(), InForce(), Lateness()
         self._witnesses: dict[int, Witness] = {}
         self._controls: dict[int, ControlWitness] = {}
         self._ingresses: dict[int, HollowIngress] = {}
-        self._sent_by_ended = 0  # messages that ended ingresses had sent
+        self._sent_by_ended = 0  # Messages sent by ingresses that have been stopped.
         self._ports: list[int] = []
         self._control_ports: list[int] = []
 
     async def begin(self, told: Words) -> Words:
-        """Start, by the run's first words."""
+        """Start the ingresses of this process."""
         self._plan, self._ports = plan_of(told["plan"]), told["discovery"]
         words, control = settings(self._plan.ingresses), told["control"]
         first, cut = (Address(HOST, port) for port in self._ports)
@@ -78,7 +78,7 @@
             one.start()
 
     async def stop(self, told: Words) -> Words:
-        """End the ingresses that the fault ends, all at once."""
+        """Stop all ingresses that the fault restarts."""
         ended = [number for number in self._ingresses if self._plan.restarted(number)]
         self._sent_by_ended += sum(self._ingresses[number].messages_sent for number in ended)
         await asyncio.gather(*(self._ingresses.pop(number).stop() for number in ended))
@@ -86,12 +86,12 @@
         return {"stopped": len(ended)}
 
     async def start(self, told: Words) -> Words:
-        """Start anew what was ended, with empty memories."""
+        """Start new ingresses, with empty state, in place of the stopped ones."""
         self._start([number for number in self._witnesses if number not in self._ingresses], False)
         return {"at": time.monotonic()}
 
     async def state(self, told: Words) -> Words:
-        """What the run reads at the begin and the end of a window."""
+        """Return the readings that the run takes at both ends of a window."""
         seen: list[Observed] = [*self._witnesses.values(), *self._controls.values()]
         return {
             "lowest": min((one.reached for one in self._witnesses.values()), default=-1),
@@ -107,7 +107,7 @@
         }
 
     async def findings(self, told: Words) -> Words:
-        """What the checker and the report need of all ingresses here."""
+        """Return the findings of all ingresses here, for the checker and the report."""
         tables = {number: one.table() for number, one in self._ingresses.items()}
         routes = {
             number: rows(one.layers)
@@ -124,7 +124,7 @@
 
 
 async def play() -> None:
-    """Serve the run's commands until the standard input ends."""
+    """Answer the run's commands until standard input closes."""
     host = Host()
     await serve_commands(
         {
--- a/dockthread/lab/scale/load.py
+++ b/dockthread/lab/scale/load.py
@@ -1,6 +1,4 @@
-"""The open-loop load on the real ingresses, from one process: the same requests at the same times
-in each phase.
-"""
+"""One process that sends open-loop load to the real ingresses, the same in each window."""
 
 from __future__ import annotations
 
@@ -20,15 +18,15 @@
 
 
 class Load:
-    """The process that sends clients' requests to the real ingresses."""
+    """The process that sends client requests to the real ingresses."""
 
     async def begin(self, told: Words) -> Words:
-        """Start, by the run's first words."""
+        """Store the seed and the rate."""
         self._seed, self._rate = int(told["seed"]), float(told["rate"])
         return {}
 
     async def send(self, told: Words) -> Words:
-        """So many seconds of load to each port; the results of all together, as JSON."""
+        """Send load to each port for the given seconds and return the merged results as JSON."""
         segments = parse_rate_shape(f"{self._rate:g}@{told['seconds']:g}s")
         plans = [
             LoadPlan(
@@ -46,6 +44,6 @@
 
 
 async def play() -> None:
-    """Serve the run's commands until the standard input ends."""
+    """Answer the run's commands until standard input closes."""
     load = Load()
     await serve_commands({"begin": load.begin, "send": load.send})
--- a/dockthread/lab/scale/plan.py
+++ b/dockthread/lab/scale/plan.py
@@ -1,5 +1,6 @@
-"""What a scale run is asked to do: sizes, rates, faults and bounds. Times in seconds unless a name
-says otherwise.
+"""The parameters of a scale run: sizes, rates and faults.
+
+Times are in seconds unless a name says otherwise.
 """
 
 from __future__ import annotations
@@ -12,31 +13,32 @@
 FAULTS: Final = ("none", "restart-wave", "zone", "cut")
 ZONES: Final = 14
 REGIONS: Final = 4
-HOSTED: Final = 200  # hollow ingresses of one process, unless the run says otherwise
+HOSTED: Final = 200  # Default number of hollow ingresses per process.
 MOST_HOSTS: Final = 8
-# list entries held by all hollow ingresses together: some 11 GB at 2.5 KB each
+# Maximum number of list entries held by all ingresses together: some 11 GB at 2.5 KB each.
 MOST_ENTRIES: Final = 4_500_000
-MOST_ROUTES: Final = 1_000_000  # held by all ingresses together
-RESTARTED_PART: Final = 0.1  # of the ingresses, by a restart wave
-CUT_PART: Final = 0.25  # of the ingresses, by a cut
-# by the fault `zone`: the first ingresses, which may be under load, lie elsewhere
+MOST_ROUTES: Final = 1_000_000  # Maximum number of routes held by all ingresses together.
+RESTARTED_PART: Final = 0.1  # Share of the ingresses that a restart wave restarts.
+CUT_PART: Final = 0.25  # Share of the ingresses that a cut affects.
+# The zone that the fault `zone` removes. It is the last one, because the first ingresses may be
+# under load.
 LOST_ZONE: Final = ZONES - 1
 
 
 class PlanError(DockthreadError, ValueError):
-    """A run that cannot be played as asked."""
+    """The run cannot be played as requested."""
 
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """Changes a second of the list of backends, and of the configuration."""
+    """Changes per second of the backend list and of the configuration."""
 
     list_rate: float
     configuration_rate: float
 
 
 def parse_changes(text: str) -> Changes:
-    """`5` for both, or `list=5,config=0.5`. Raises PlanError."""
+    """Parse `5` for both rates, or `list=5,config=0.5`. Raises PlanError."""
     rates = {"list": 0.0, "config": 0.0}
     try:
         if "=" not in text:
@@ -51,15 +53,17 @@
             raise ValueError(text)
     except ValueError as error:
         raise PlanError(
-            f"{text!r} is no rate of changes: write 5, or list=5,config=0.5, up to 10000"
+            f"{text!r} is not a rate of changes: write 5, or list=5,config=0.5, up to 10000"
         ) from error
     return Changes(rates["list"], rates["config"])
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One run. `hosts`: processes that hold the hollow ingresses; 0 for as many as their number
-    asks for.
+    """The parameters of one run.
+
+    `hosts` is the number of processes that run the hollow ingresses; 0 derives it from their
+    number.
     """
 
     real: int
@@ -70,76 +74,76 @@
     seconds: float
     seed: int = 1
     fault: str = "none"
-    rate: float = 100.0  # requests a second to each real ingress
+    rate: float = 100.0  # Requests per second to each real ingress.
     hosts: int = 0
     plant: str = ""
-    routes: int = 100  # published before the windows, where configuration changes
+    routes: int = 100  # Routes published before the windows when the configuration changes.
     distributors: int = 2
     voters: int = 3
 
     def check(self) -> None:
-        """Raises PlanError where the machine could not hold the run."""
+        """Raise PlanError if the parameters are inconsistent or the machine could not hold the run."""
         if self.fault not in FAULTS:
-            raise PlanError(f"{self.fault!r} is none of {', '.join(FAULTS)}")
+            raise PlanError(f"unknown fault {self.fault!r}: choose one of {', '.join(FAULTS)}")
         if self.real + self.hollow < 1:
-            raise PlanError("there is no ingress: ask for one real or hollow at least")
+            raise PlanError("the run has no ingress: ask for at least one, real or hollow")
         if (held := self.ingresses * self.routes * self.distributes) > MOST_ROUTES:
             raise PlanError(
-                f"{self.ingresses} ingresses hold {held} routes, over {MOST_ROUTES}: ask for fewer"
+                f"{self.ingresses} ingresses hold {held} routes, more than {MOST_ROUTES}: ask for fewer"
             )
         if (entries := self.ingresses * self.backends) > MOST_ENTRIES:
             raise PlanError(
-                f"{self.ingresses} ingresses before {self.backends} backends hold {entries} entries,"
-                f" over {MOST_ENTRIES}: vary one while the other is small"
+                f"{self.ingresses} ingresses with {self.backends} backends hold {entries} entries,"
+                f" more than {MOST_ENTRIES}: keep one number small while the other varies"
             )
 
     @property
     def distributes(self) -> bool:
-        """Whether there is a distribution of configuration."""
+        """Whether the run distributes configuration."""
         return self.changes.configuration_rate > 0
 
     @property
     def ingresses(self) -> int:
-        """Real and hollow ones."""
+        """The number of real and hollow ingresses."""
         return self.real + self.hollow
 
     @property
     def host_count(self) -> int:
-        """Processes that hold the hollow ingresses."""
+        """The number of processes that run the hollow ingresses."""
         return self.hosts or min(MOST_HOSTS, -(-self.hollow // HOSTED))
 
     def shares(self) -> list[list[int]]:
-        """Numbers of the hollow ingresses by process; the real ones come before them."""
+        """Return the ingress numbers for each host process. Real ingresses have the lowest numbers."""
         numbers = range(self.real, self.ingresses)
         return [list(numbers[n :: self.host_count]) for n in range(self.host_count)]
 
     def in_cut(self, number: int) -> bool:
-        """Whether an ingress lies in the part that a cut takes."""
+        """Return whether a cut affects an ingress."""
         return self.fault == "cut" and number % (every := round(1 / CUT_PART)) == every - 1
 
     def restarted(self, number: int) -> bool:
-        """Whether the fault restarts an ingress: one in ten, or those of the zone."""
+        """Return whether the fault restarts an ingress: one in ten, or all in the lost zone."""
         if self.fault == "restart-wave":
             return number % (every := round(1 / RESTARTED_PART)) == every - 1
         return self.fault == "zone" and number % ZONES == LOST_ZONE
 
     def told(self) -> dict[str, Any]:
-        """For another process."""
+        """Return the plan as plain data for another process."""
         return asdict(self)
 
 
 def plan_of(told: dict[str, Any]) -> Plan:
-    """A plan from another process's words."""
+    """Restore a plan from the plain data sent by another process."""
     return Plan(**{**told, "changes": Changes(**told["changes"])})
 
 
 def zone_name(number: int) -> str:
-    """The zone in which a backend or an ingress lies, by its number."""
+    """Return the zone of a backend or an ingress by its number."""
     return f"zone-{number % ZONES}"
 
 
 def settings(gateways: int) -> dict[str, Any]:
-    """The platform's settings of every ingress of a run, in the platform's words."""
+    """Return the platform's settings for every ingress of a run."""
     return {
         "MyNumber": 0,
         "ReplicasOfMe": gateways,
--- a/dockthread/lab/scale/planted_bugs.py
+++ b/dockthread/lab/scale/planted_bugs.py
@@ -1,6 +1,4 @@
-"""Planted bugs of the scale run: each must be seen by the checker. One hollow ingress of a process
-has it.
-"""
+"""Planted bugs that the checker must find. One hollow ingress of the first host process has it."""
 
 from __future__ import annotations
 
@@ -12,18 +10,18 @@
 LIST_NAMES: Final = ("lost", "older", "stale-list")
 ROUTE_NAMES: Final = ("route-lost", "route-older")
 NAMES: Final = LIST_NAMES + ROUTE_NAMES
-AFTER: Final = 3  # changes before a bug shows
+AFTER: Final = 3  # Number of changes before a bug takes effect.
 
 
 def alteration(name: str) -> Callable[[Any], Any] | None:
-    """What becomes of each message before it is applied; None for no bug."""
+    """Return the function that alters each list message before it is applied, or None for no bug."""
     if name not in LIST_NAMES:
         return None
     return {"lost": _lost, "older": _older, "stale-list": _stale_list}[name]()
 
 
 def _lost() -> Callable[[Any], Any]:
-    """The changes of one backend are passed over from one on, and never made up for."""
+    """Drop all changes of one backend from a given change on."""
     seen, uid = 0, ""
 
     def alter(message: Any) -> Any:
@@ -40,7 +38,7 @@
 
 
 def _older() -> Callable[[Any], Any]:
-    """After a few changes of a backend, an older version of one is taken for newer."""
+    """Apply an older version of a backend as if it were a newer one, after a few changes."""
     kept: list[Any] = []
 
     def alter(message: Any) -> Any:
@@ -56,7 +54,7 @@
 
 
 def _stale_list() -> Callable[[Any], Any]:
-    """The first whole list of backends is applied again over a later change."""
+    """Apply the first whole list of backends again in place of a later change."""
     whole: list[Any] = []
     seen = 0
 
@@ -73,14 +71,14 @@
 
 
 def control_alteration(name: str) -> Callable[[Sequence[Resource]], Sequence[Resource]] | None:
-    """What becomes of the resources that an ingress is to put in force; None for no bug."""
+    """Return the function that alters resources before they are applied, or None for no bug."""
     if name not in ROUTE_NAMES:
         return None
     return _route_lost() if name == "route-lost" else _route_older()
 
 
 def _route_lost() -> Callable[[Sequence[Resource]], Sequence[Resource]]:
-    """Changes of one route are not put in force."""
+    """Drop all changes of one route."""
     lost = ""
 
     def alter(changes: Sequence[Resource]) -> Sequence[Resource]:
@@ -92,7 +90,7 @@
 
 
 def _route_older() -> Callable[[Sequence[Resource]], Sequence[Resource]]:
-    """Once some changes came, one that was replaced is put in force again."""
+    """Apply the first version of a route again after each newer version."""
     first: dict[str, Resource] = {}
 
     def alter(changes: Sequence[Resource]) -> Sequence[Resource]:
--- a/dockthread/lab/scale/publisher.py
+++ b/dockthread/lab/scale/publisher.py
@@ -1,6 +1,4 @@
-"""Publishes changes of routes to the voters at a rate, and keeps what was accepted, for the
-checker.
-"""
+"""Publishes route changes to the voters at a rate, and records accepted ones for the checker."""
 
 from __future__ import annotations
 
@@ -15,23 +13,27 @@
 from dockthread.lab.scale.channel import Words, serve_commands
 from dockthread.lab.scale.routes import KIND, body_of, name_of
 
-AT_ONCE: Final = 16  # changes under way while the first routes are published
-DELETES: Final = 0.05  # part of the changes that delete a route
+AT_ONCE: Final = 16  # Maximum number of changes in flight while the first routes are published.
+DELETES: Final = 0.05  # Share of the changes that delete a route.
 TRIES: Final = 3
 
 
 class Publisher:
-    """`accepted`: revision, when it was sent, name, version (None: deleted)."""
+    """The process that publishes routes.
+
+    `accepted` lists the revision, sending time, name and version (None for a deletion) of each
+    accepted change.
+    """
 
     async def begin(self, told: Words) -> Words:
-        """Start, by the run's first words."""
+        """Store the voters' addresses, the key and the number of routes."""
         self._voters = [Address.parse(one) for one in told["voters"]]
         self._key, self._rng = read_key(told["key_file"]), random.Random(f"{told['seed']} routes")
         self._routes = int(told["routes"])
         self._versions = [0] * self._routes
         self._live = set[int]()
         self.accepted: list[list[Any]] = []
-        self._late: list[float] = []  # ms, of the starts
+        self._late: list[float] = []  # Delays of changes against their schedule, in ms.
         self._refused: list[str] = []
         self._tasks: list[asyncio.Task[None]] = []
         self._publishing: asyncio.Task[None] | None = None
@@ -60,7 +62,7 @@
         return await self.state({})
 
     async def publish(self, told: Words) -> Words:
-        """Begin so many seconds of changes at a rate."""
+        """Start to publish changes at an even rate."""
         loop = asyncio.get_running_loop()
         self._publishing = loop.create_task(
             self._publish(float(told["rate"]), float(told["seconds"]))
@@ -76,7 +78,10 @@
             self._tasks.append(loop.create_task(self._change()))
 
     async def _change(self) -> None:
-        """A version more of a route, or its end; each route has one change under way at most."""
+        """Publish a new version of a random route, or delete it.
+
+        A route has at most one change in flight.
+        """
         free = sorted(self._live)
         if not free:
             return
@@ -89,18 +94,18 @@
             self._live.add(number)
 
     async def published(self, told: Words) -> Words:
-        """Wait for the end of what `publish` began."""
+        """Wait until the changes started by `publish` have been answered."""
         if self._publishing is not None:
             await self._publishing
         await asyncio.gather(*self._tasks)
         return await self.state({})
 
     async def state(self, told: Words) -> Words:
-        """What the run reads at the begin and the end of a window."""
+        """Return the highest accepted revision."""
         return {"revision": max((one[0] for one in self.accepted), default=0)}
 
     async def log(self, told: Words) -> Words:
-        """All that was accepted and refused, for the checker."""
+        """Return all accepted and refused changes, for the checker."""
         return {
             "changes": sorted(self.accepted),
             "late_starts": sorted(self._late),
@@ -109,7 +114,7 @@
 
 
 async def play() -> None:
-    """Serve the run's commands until the standard input ends."""
+    """Answer the run's commands until standard input closes."""
     publisher = Publisher()
     await serve_commands(
         {
--- a/dockthread/lab/scale/real.py
+++ b/dockthread/lab/scale/real.py
@@ -1,6 +1,4 @@
-"""A real ingress: the program's daemon from a configuration file, and an observer that notes what
-is in force.
-"""
+"""A process that runs the daemon as a real ingress and records the applied changes."""
 
 from __future__ import annotations
 
@@ -20,20 +18,20 @@
 
 
 class ListObserver(Observer):
-    """Notes the revision of each list once the module was told it."""
+    """Records the revision of each list that the policy engine has received."""
 
     def __init__(self, daemon: Daemon, witness: Witness) -> None:
         self._daemon, self._witness = daemon, witness
 
     def event(self, what: str, **figures: object) -> None:
-        """From the ingress: a list was told to the module."""
+        """Record the list's revision when the ingress reports the event `list`."""
         if what == "list":
             ingress = self._daemon.ingress
             self._witness.heard(ingress.endpoints.revision, ingress.engine)
 
 
 class Real:
-    """Its daemon and what it received."""
+    """The process of one real ingress."""
 
     def __init__(self) -> None:
         self._lateness, self._in_force, self._control_in_force = Lateness(), InForce(), InForce()
@@ -42,7 +40,11 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def begin(self, told: Words) -> Words:
-        """`ini`: the operator's file, or empty. `reached`: revisions of a life before."""
+        """Start the daemon and return its client port.
+
+        In the arguments, `ini` is the path of the operator's file, or empty. `reached` and
+        `reached_configuration` are the revisions that the ingress had reached before a restart.
+        """
         self._ports, self._control_ports = told["discovery"], told["control_ports"]
         self._witness = Witness(told["number"], self._in_force, told["reached"])
         self._witness.new_life(not told["reached"])
@@ -74,7 +76,7 @@
         return {"port": ingress.address.port}
 
     async def state(self, told: Words) -> Words:
-        """What the run reads at the begin and the end of a window."""
+        """Return the readings that the run takes at both ends of a window."""
         control = self._control
         return {
             "lowest": self._witness.reached,
@@ -90,7 +92,7 @@
         }
 
     async def findings(self, told: Words) -> Words:
-        """What the checker and the report need of this ingress."""
+        """Return the findings of this ingress, for the checker and the report."""
         ingress, number = self._daemon.ingress, self._witness.number
         found = findings(
             [self._witness], {number: table(ingress.engine, ingress.endpoints)}, self._in_force
@@ -105,6 +107,6 @@
 
 
 async def play() -> None:
-    """Serve the run's commands until the standard input ends."""
+    """Answer the run's commands until standard input closes."""
     real = Real()
     await serve_commands({"begin": real.begin, "state": real.state, "findings": real.findings})
--- a/dockthread/lab/scale/relay.py
+++ b/dockthread/lab/scale/relay.py
@@ -1,7 +1,7 @@
-"""Relays before the distributors, both ways, for the ingresses in the part that a cut takes.
+"""TCP relays in front of the distributors, for the ingresses that a cut affects.
 
-While it is cut nothing passes and nothing new comes up; what had been sent goes on at the heal, as
-TCP would have it.
+During a cut no data passes in either direction and no new connection is forwarded. Data received
+during the cut is forwarded when the cut heals, as TCP would do.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from dockthread.lab.scale.channel import Words, serve_commands
 
 HOST: Final = "127.0.0.1"
-PIECE: Final = 65536  # bytes
+PIECE: Final = 65536  # Maximum bytes of one read.
 
 
 class Relay:
-    """Connections to one distributor."""
+    """A relay in front of one distributor."""
 
     def __init__(self, to: Address, passing: asyncio.Event) -> None:
         self._to, self._passing = to, passing
 
     async def open(self) -> int:
-        """The port at which it takes connections."""
+        """Open the listener and return its port."""
         self._server = await asyncio.start_server(self._take, HOST, 0)
         return int(self._server.sockets[0].getsockname()[1])
 
@@ -52,19 +52,19 @@
 
 
 class Relays:
-    """One for each distributor."""
+    """The relay process, with one relay for each distributor."""
 
     def __init__(self) -> None:
         self._passing = asyncio.Event()
         self._passing.set()
 
     async def begin(self, told: Words) -> Words:
-        """Start, by the run's first words."""
+        """Open the relays and return their ports."""
         self._relays = [Relay(Address.parse(server), self._passing) for server in told["servers"]]
         return {"ports": [await one.open() for one in self._relays]}
 
     async def cut(self, told: Words) -> Words:
-        """Hold back what passes, or let it pass again."""
+        """Start or end the cut."""
         if told["cut"]:
             self._passing.clear()
         else:
@@ -73,6 +73,6 @@
 
 
 async def play() -> None:
-    """Serve the run's commands until the standard input ends."""
+    """Answer the run's commands until standard input closes."""
     relays = Relays()
     await serve_commands({"begin": relays.begin, "cut": relays.cut})
--- a/dockthread/lab/scale/report.py
+++ b/dockthread/lab/scale/report.py
@@ -1,6 +1,4 @@
-"""What a run measured, as one JSON object and as lines for a person; and what it says of the bounds
-asked for.
-"""
+"""Builds the report of a run as one JSON object, and compares its figures with the bounds."""
 
 from __future__ import annotations
 
@@ -14,10 +12,11 @@
 from dockthread.lab.scale.run import Run, Window
 from dockthread.lab.scale.usage import MEGABYTE, share
 
-VERSION: Final = 2  # since then messages are counted each way
-LEAST_CHANGES: Final = 10  # in force and measured, for a figure of lag
-LEAST_ANSWERS: Final = 1000  # in each window, for a figure of latency
-# percent of a core: a process of the tool that uses more has no time left to be on time
+VERSION: Final = 2  # Report format version; 2 counts messages in each direction.
+LEAST_CHANGES: Final = 10  # Minimum number of changes in force everywhere for a lag figure.
+LEAST_ANSWERS: Final = 1000  # Minimum number of answers in each window for a latency figure.
+# Maximum CPU of one of the tool's processes, in percent of a core. A busier process can no longer
+# keep its schedule.
 MOST_SHARE: Final = 90.0
 RATES: Final = (
     "bytes_in_s", "bytes_out_s", "configuration_bytes_in_s", "configuration_bytes_out_s", "messages_in_s",
@@ -34,9 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Most of each figure; infinite where it was not asked for. ms, percent of a core, bytes,
-    bytes/s.
-    """
+    """Upper bounds for the figures, infinite for a bound that was not requested."""
 
     lag: float = math.inf
     cpu: float = math.inf
@@ -47,12 +44,12 @@
 
 
 def quantile(ordered: list[float], part: float) -> float:
-    """The value below which a part of the ordered ones lies; not a number where there is none."""
+    """Return the quantile of ordered values at a fraction, or NaN if there are none."""
     return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else math.nan
 
 
 def summary_of(found: list[float]) -> dict[str, float]:
-    """Median, 99th percentile and last; empty where nothing was found."""
+    """Return the median, the 99th percentile and the maximum, or nothing if there are no values."""
     ordered = sorted(found)
     if not ordered:
         return {}
@@ -63,11 +60,11 @@
 def lags(
     changes: list[Any], found: list[dict[str, Any]], expected: int, fault: dict[str, float]
 ) -> dict[str, Any]:
-    """For each change, ms until it was in force at the last of the `expected` ingresses; those of a
-    fault are apart.
+    """Measure for each change how many ms passed until all `expected` ingresses had it in force.
 
-    `changes`: revision, when it was published, and more. `fault`: when it began and ended, and the
-    last revision published by its end; empty for none.
+    Changes published during a fault are listed apart. `changes` holds the revision, the publication
+    time and more. `fault` holds when the fault began and ended and the last revision published by
+    its end, or is empty.
     """
     count: dict[int, int] = {}
     last: dict[int, float] = {}
@@ -105,7 +102,7 @@
 
 
 def list_lags(run: Run) -> dict[str, Any]:
-    """How late changes of the list were in force."""
+    """Measure how long changes of the list took to be in force."""
     changes = [one for one in run.log["changes"] if one[0] != run.opened]
     fault = {name: run.fault[name] for name in ("begun", "ended", "revision")} if run.fault else {}
     found = [*run.findings, *run.ended]
@@ -116,7 +113,7 @@
 
 
 def configuration_lags(run: Run) -> dict[str, Any] | None:
-    """How late changes of configuration were in force; None where nothing distributes it."""
+    """Measure how long configuration changes took, or return None if the run has none."""
     if not run.plan.distributes:
         return None
     fault = {}
@@ -133,12 +130,12 @@
 
 
 def cost(window: Window, role: str) -> list[float]:
-    """CPU in percent of a core, of each process of a role."""
+    """Return the CPU of each process of a role, in percent of a core."""
     return [share(before, after) for before, after in window.usage.get(role, [])]
 
 
 def rates(window: Window, role: str) -> dict[str, float]:
-    """Bytes and messages a second over a role's processes together, and its connections."""
+    """Return the bytes and messages per second of a role's processes, and their connections."""
     seconds = [after.at - before.at for before, after in window.usage.get(role, [])]
     found = dict.fromkeys(RATES, 0.0)
     for length, (before, after) in zip(seconds, window.states.get(role, []), strict=True):
@@ -153,7 +150,7 @@
 
 
 def role_figures(run: Run, role: str) -> dict[str, Any]:
-    """Of all processes of a role together."""
+    """Return the figures of all processes of a role together."""
     resident = run.resident.get(role, [])
     return {
         "processes": len(resident),
@@ -166,7 +163,11 @@
 
 
 def each(run: Run, figures: dict[str, dict[str, Any]]) -> dict[str, dict[str, float]]:
-    """Of one ingress: hollow, less the baseline; real, as it is, load and all."""
+    """Return the figures of one ingress.
+
+    The baseline is subtracted from hollow ingresses. Figures of real ones include the cost of the
+    load.
+    """
     found: dict[str, dict[str, float]] = {}
     base, host, real = figures["baseline"], figures["host"], figures["real"]
     if run.plan.hollow:
@@ -184,7 +185,7 @@
 
 
 def latency(run: Run) -> dict[str, Any]:
-    """Of the real ingresses' answers in both windows, and what p99 has grown by."""
+    """Return the real ingresses' latency in both windows, and the increase of its p99."""
     found: dict[str, Any] = {}
     for window in (run.quiet, run.busy):
         if window.load is None:
@@ -208,7 +209,7 @@
 
 
 def voids(run: Run, report: dict[str, Any], bounds: Bounds) -> list[str]:
-    """Why the run says nothing of the program."""
+    """Return the reasons why the run is void."""
     why = []
     for role, states in run.busy.states.items():
         if (late := max(after["late"]["p99"] for _, after in states)) > bounds.late:
@@ -262,7 +263,7 @@
 
 
 def judged(report: dict[str, Any], bounds: Bounds) -> list[dict[str, Any]]:
-    """Each bound that was asked for, with what was measured."""
+    """Compare each requested bound with the measured value."""
     one = report["each"].get("hollow") or report["each"]["real"]
     total = sum(one[name] for name in RATES if "bytes" in name)
     measured = {
@@ -285,7 +286,7 @@
 
 
 def report_of(run: Run, bounds: Bounds) -> dict[str, Any]:
-    """All figures of a run that came to its end."""
+    """Build the report of a completed run."""
     plan, figures = run.plan, {}
     for role in ROLES:
         figures[role] = role_figures(run, role)
--- a/dockthread/lab/scale/role.py
+++ b/dockthread/lab/scale/role.py
@@ -1,5 +1,6 @@
-"""`python -m dockthread.lab.scale.role ROLE`: one process of a scale run, told what to do on
-standard input.
+"""`python -m dockthread.lab.scale.role ROLE`: one process of a scale run.
+
+The process receives its commands on standard input.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 from loguru import logger
 
 ROLES: Final = ("discovery", "host", "real", "backends", "load", "server", "relay", "publisher")
-SELDOM: Final = 20_000  # allocations between collections, as in the daemon
+SELDOM: Final = 20_000  # Allocations between two garbage collections, as in the daemon.
 
 
 def main(role: str) -> None:
     """Run one process of a scale run: `role` names a module of this package."""
     if role not in ROLES:
-        raise SystemExit(f"{role!r} is none of {', '.join(ROLES)}")
+        raise SystemExit(f"unknown role {role!r}: choose one of {', '.join(ROLES)}")
     logger.remove()
     logger.add(sys.stderr, level="WARNING")
     gc.set_threshold(SELDOM)
--- a/dockthread/lab/scale/routes.py
+++ b/dockthread/lab/scale/routes.py
@@ -1,6 +1,4 @@
-"""Routes of a run: bodies that tell their version by their timeout, and what an ingress holds of
-them.
-"""
+"""Routes of a run. The timeout in a route's body encodes its version."""
 
 from __future__ import annotations
 
@@ -12,23 +10,24 @@
 from dockthread.routes.layers import Layers
 
 KIND: Final = ROUTE
-FIRST_TIMEOUT: Final = 100  # ms, of version 0; each version is one more
-MOST_VERSION: Final = 3000  # beyond it a timeout would be over the class's deadline
+FIRST_TIMEOUT: Final = 100  # Timeout of version 0 in ms. Each version adds 1 ms.
+# Number of versions before the timeout starts again, so that it stays below the class's deadline.
+MOST_VERSION: Final = 3000
 
 
 def name_of(number: int) -> str:
-    """A route's name by its number."""
+    """Return a route's name by its number."""
     return f"route-{number:05d}"
 
 
 def body_of(number: int, version: int) -> bytes:
-    """For one firm, so that none shadows another."""
+    """Return the body of a route for its own firm, so that no route shadows another."""
     timeout = FIRST_TIMEOUT + version % MOST_VERSION
     return json.dumps({"firm": f"{number + 1:x}", "timeout": f"{timeout}ms"}).encode()
 
 
 def rows(layers: Layers) -> list[Row]:
-    """Published routes in force, by name, with their versions."""
+    """Return the published routes in force and their versions, ordered by name."""
     return [
         [name, round((route.timeout or 0.0) - FIRST_TIMEOUT)]
         for name, route in sorted(layers.published.items())
--- a/dockthread/lab/scale/run.py
+++ b/dockthread/lab/scale/run.py
@@ -1,5 +1,6 @@
-"""Plays one scale run: starts the processes, measures a quiet and a busy window, plays the fault,
-ends all by id.
+"""Plays one scale run: starts the processes, measures two windows, plays the fault, and stops all.
+
+The quiet window has no control-plane changes, and the busy window has them.
 """
 
 from __future__ import annotations
@@ -17,17 +18,18 @@
 from dockthread.lab.scale.plan import Plan, settings
 from dockthread.lab.scale.usage import Usage, read_usage
 
-STARTED_WITHIN: Final = 60.0  # s, for all watches to stand
-LISTED_WITHIN: Final = 60.0  # s, for the whole list to be in force everywhere
-SETTLED_WITHIN: Final = 45.0  # s after the last change, for it to be in force everywhere
-LOOKS: Final = 0.1  # s between looks whether something has come about
-SETTLES: Final = 0.5  # s before a window is measured
-QUIET_PART: Final = 0.5  # of the run's seconds: the window with control idle
-FAULT_BEGINS, FAULT_ENDS = 0.25, 0.6  # parts of the busy window
+STARTED_WITHIN: Final = 60.0  # Timeout in seconds for all watches to open.
+LISTED_WITHIN: Final = 60.0  # Timeout in seconds for the whole list to be in force everywhere.
+SETTLED_WITHIN: Final = 45.0  # Timeout in seconds for the last change to be in force everywhere.
+LOOKS: Final = 0.1  # Seconds between two polls of a condition.
+SETTLES: Final = 0.5  # Seconds to let the system settle before a measurement.
+QUIET_PART: Final = 0.5  # Length of the quiet window as a fraction of the run's seconds.
+# When the fault begins and ends, as fractions of the busy window.
+FAULT_BEGINS, FAULT_ENDS = 0.25, 0.6
 
 
 class Window:
-    """Readings of every process at the begin and the end of a stretch of time."""
+    """Readings of every process at the start and the end of a measurement window."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -37,7 +39,7 @@
         self._before: dict[Child, tuple[Usage, Words]] = {}
 
     async def begin(self, children: list[Child]) -> None:
-        """Read every process at the window's begin."""
+        """Read every process at the start of the window."""
         states = await asyncio.gather(*(child.ask("state") for child in children))
         self._before = {
             child: (read_usage(child.pid), state)
@@ -45,7 +47,7 @@
         }
 
     async def end(self) -> None:
-        """Processes that the fault has ended meanwhile are left out."""
+        """Read every process at the end of the window, except those that the fault has stopped."""
         read = {child: read_usage(child.pid) for child in self._before if child.running}
         for child, after in read.items():
             usage, state = self._before[child]
@@ -54,7 +56,7 @@
 
 
 class Run:
-    """`folder`: for configurations and logs."""
+    """One scale run. Its configuration files and logs go into `folder`."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan, self._folder = plan, folder
@@ -66,14 +68,14 @@
         self.distribution = Distribution(plan, folder) if plan.distributes else None
         self._ports: list[int] = []
         self._client_ports: dict[int, int] = {}
-        # bytes by role: before the list, with it
+        # Resident bytes by role, before and after the whole list was published.
         self.resident: dict[str, list[tuple[int, int]]] = {}
         self.fault: Words = {}
-        self.ended: list[Words] = []  # findings of real ingresses in lives before their last
+        self.ended: list[Words] = []  # Findings of real ingresses before they were restarted.
         self.quiet, self.busy = Window("quiet"), Window("busy")
-        # revisions: of the whole list, of the last of the first routes
+        # Revisions of the whole list and of the last initial route.
         self.opened = self.filled = 0
-        self.settled = False  # all was in force in time
+        self.settled = False  # Whether all changes were in force everywhere in time.
         self.findings: list[Words] = []
         self.log: Words = {}
         self.routes_log: Words = {"changes": [], "late_starts": [], "refused": []}
@@ -93,11 +95,11 @@
 
     @property
     def ingresses(self) -> list[Child]:
-        """The processes that hold ingresses."""
+        """The processes that run ingresses."""
         return [*self.hosts, *self.reals.values()]
 
     async def play(self) -> None:
-        """Raises ProcessError where the run is void; nothing of it is running afterwards."""
+        """Play the run and stop all processes. Raises ProcessError if the run is void."""
         try:
             await self._start()
             await self._open()
@@ -110,7 +112,7 @@
             if self.distribution is not None:
                 await self.distribution.end()
 
-    # Start
+    # Startup
 
     async def _start(self) -> None:
         plan = self.plan.told()
@@ -137,9 +139,11 @@
         await asyncio.gather(
             *starting, *(self._start_real(number, 0, 0) for number in range(self.plan.real))
         )
-        await self._until(self._watched, STARTED_WITHIN, "not all watches stood")
+        await self._until(self._watched, STARTED_WITHIN, "not all watches were open")
         await self._until(
-            lambda: self._reached(0, self.filled), LISTED_WITHIN, "not all had the first routes"
+            lambda: self._reached(0, self.filled),
+            LISTED_WITHIN,
+            "not all ingresses had the initial routes",
         )
 
     async def _start_real(self, number: int, reached: int, reached_configuration: int) -> None:
@@ -190,7 +194,7 @@
         for child, rss in before.items():
             self.resident.setdefault(child.shown, []).append((rss, read_usage(child.pid).rss))
 
-    # The windows
+    # Measurement windows
 
     async def _window(self, window: Window, seconds: float, changes: bool) -> None:
         await window.begin(self.children)
@@ -260,7 +264,7 @@
                     found["number"], found["reached"], found["reached_configuration"]
                 )
 
-    # The end
+    # Final checks
 
     async def _judged(self) -> None:
         final, configured = int((await self.discovery.ask("state"))["revision"]), 0
@@ -269,7 +273,9 @@
             self.routes_log = await self.distribution.publisher.ask("log")
         with suppress(ProcessError):
             await self._until(
-                lambda: self._reached(final, configured), SETTLED_WITHIN, "not all was in force"
+                lambda: self._reached(final, configured),
+                SETTLED_WITHIN,
+                "not all changes were in force",
             )
             self.settled = True
         self.findings = list(
@@ -278,9 +284,7 @@
         self.log = await self.discovery.ask("log")
 
     async def _reached(self, revision: int, configuration: int) -> bool:
-        """Whether all ingresses have come to a revision of the list, and to one of the
-        configuration.
-        """
+        """Return whether all ingresses have reached a list and a configuration revision."""
         for state in await asyncio.gather(*(child.ask("state") for child in self.ingresses)):
             if state["lowest"] < revision or (
                 configuration and state["lowest_configuration"] < configuration
--- a/dockthread/lab/scale/server.py
+++ b/dockthread/lab/scale/server.py
@@ -1,6 +1,4 @@
-"""A voter or a distributor of control from its operator's file, as `dockthread control serve` runs
-it.
-"""
+"""A voter or distributor run from its operator's file, as `dockthread control serve` runs it."""
 
 from __future__ import annotations
 
@@ -25,7 +23,7 @@
         self._lateness = Lateness()
 
     async def begin(self, told: Words) -> Words:
-        """Start, by the run's first words."""
+        """Open the server and return its port."""
         read = load_operator_file(told["file"])
         options = read.section("control")
         rng = random.Random(secrets.randbits(64))
@@ -45,7 +43,7 @@
         return {"port": self._port}
 
     async def state(self, told: Words) -> Words:
-        """Traffic with those whom it serves; messages with everyone."""
+        """Return the run's readings: traffic on the server's own port, and messages with all peers."""
         messages = self._part.messages
         return {
             "messages_in": messages.received,
@@ -56,6 +54,6 @@
 
 
 async def play() -> None:
-    """Serve the run's commands until the standard input ends."""
+    """Answer the run's commands until standard input closes."""
     server = ControlServer()
     await serve_commands({"begin": server.begin, "state": server.state})
--- a/dockthread/lab/scale/text.py
+++ b/dockthread/lab/scale/text.py
@@ -1,4 +1,4 @@
-"""A scale run's report as lines for a person."""
+"""Formats a scale run's report as lines for a person."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def lines(report: dict[str, Any]) -> list[str]:
-    """A report, a line for each part."""
+    """Format a report, one line for each part."""
     size = report["size"]
     out = [
         f"{size['ingresses']} ingresses ({size['real']} real, {size['hollow']} hollow), {size['backends']} backends"
@@ -60,15 +60,15 @@
     if found.get("whole_list_s"):
         line += f"; whole list in {found['whole_list_s']:g} s"
     if found.get("recovery_s") is not None:
-        line += f"; all as wanted {found['recovery_s']:g} s after the fault"
-        line += f" (within it: {quantiles('lag_in_fault_ms')})"
+        line += f"; recovered {found['recovery_s']:g} s after the fault"
+        line += f" (lag in ms of changes during the fault: {quantiles('lag_in_fault_ms')})"
     return line
 
 
 def fit_lines(found: dict[str, Any]) -> list[str]:
-    """Of `dockthread lab scale fit`."""
+    """Format the result of `dockthread lab scale fit`."""
     out = [
-        f"{len(found['sizes'])} runs, {found['void']} of them void, {found['not_used']} more not used"
+        f"{len(found['sizes'])} runs, {found['void']} of them void, {found['not_used']} others not used"
     ]
     for one in found["lines"]:
         slopes = "".join(f" {slope:+.4g} x {term}" for term, slope in one["slopes"].items())
@@ -77,9 +77,9 @@
         line += (
             ""
             if one["fits"]
-            else f": A LINE DOES NOT FIT (over {found['threshold']:.0%} of the mean)"
+            else f": THE LINE DOES NOT FIT (over {found['threshold']:.0%} of the mean)"
         )
-        out.append(line + (f"; there {one['at']:.4g}" if "at" in one else ""))
+        out.append(line + (f"; at the requested size {one['at']:.4g}" if "at" in one else ""))
     if found["beyond"]:
-        out.append(f"far beyond what was measured: {', '.join(found['beyond'])}")
+        out.append(f"far beyond the measured sizes: {', '.join(found['beyond'])}")
     return out
--- a/dockthread/lab/scale/usage.py
+++ b/dockthread/lab/scale/usage.py
@@ -1,4 +1,4 @@
-"""What processes and connections use, by the kernel's accounting: /proc and TCP_INFO."""
+"""Resource usage of processes and connections, as the kernel counts it in /proc and TCP_INFO."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 from dockthread.errors import DockthreadError
 
-TCP_INFO: Final = 11  # of the options of IPPROTO_TCP
-BYTES_AT: Final = 120  # offset of tcpi_bytes_acked in struct tcp_info; tcpi_bytes_received follows
+TCP_INFO: Final = 11  # Socket option number at the level IPPROTO_TCP.
+BYTES_AT: Final = 120  # Offset of tcpi_bytes_acked in struct tcp_info; tcpi_bytes_received follows.
 INFO_SIZE: Final = 192
-BEAT: Final = 0.05  # s between looks at a loop's lateness
+BEAT: Final = 0.05  # Seconds between two measurements of a loop's lateness.
 MEGABYTE: Final = 1 << 20
 
 
@@ -26,7 +26,7 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """CPU that a process's threads have used, by the scheduler's account. Raises Gone."""
+    """Return the CPU seconds of a process's threads by the scheduler's count. Raises Gone."""
     try:
         tasks = list(Path(f"/proc/{pid}/task").iterdir())
         return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks) / 1e9
@@ -35,7 +35,7 @@
 
 
 def resident(pid: int) -> int:
-    """Bytes. Raises Gone."""
+    """Return the resident memory of a process in bytes. Raises Gone."""
     try:
         return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
     except OSError as error:
@@ -44,29 +44,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """One reading of one process."""
+    """One reading of a process's usage."""
 
-    at: float  # s, on the system's monotonic clock
-    cpu: float  # s
-    rss: int  # bytes
+    at: float  # Seconds on the system's monotonic clock.
+    cpu: float  # CPU seconds.
+    rss: int  # Resident bytes.
 
 
 def read_usage(pid: int) -> Usage:
-    """What a process uses now. Raises Gone."""
+    """Read a process's current usage. Raises Gone."""
     return Usage(time.monotonic(), cpu_seconds(pid), resident(pid))
 
 
 def share(before: Usage, after: Usage) -> float:
-    """CPU in percent of a core between two readings."""
+    """Return the CPU used between two readings, in percent of a core."""
     return 100.0 * (after.cpu - before.cpu) / max(1e-9, after.at - before.at)
 
 
 def traffic(ports: Iterable[int], local: bool) -> dict[str, Any]:
-    """Bytes on this process's own TCP connections from or to these ports, and how many connections
-    there are.
+    """Count this process's TCP connections from or to the given ports, and their payload bytes.
 
-    `local`: the ports are this process's, else the other ends'. Counted by the kernel, payload
-    only.
+    If `local` is true, the ports are this process's own, otherwise the remote ones. The bytes are
+    counted by the kernel.
     """
     wanted, found = set(ports), {"connections": 0, "in": 0, "out": 0}
     for name in os.listdir("/proc/self/fd"):
@@ -82,7 +81,7 @@
                 ):
                     continue
                 info = one.getsockopt(socket.IPPROTO_TCP, TCP_INFO, INFO_SIZE)
-        except OSError:  # closed meanwhile, or connected to nobody
+        except OSError:  # The socket was closed meanwhile, or is not connected.
             continue
         acknowledged, received = struct.unpack_from("=QQ", info, BYTES_AT)
         found["connections"] += 1
@@ -92,20 +91,23 @@
 
 
 class Lateness:
-    """How late a loop runs its timers, in ms: where it is, the tool itself falls behind."""
+    """Measures how late an event loop runs its timers, in ms.
+
+    When a loop is late, the tool itself falls behind.
+    """
 
     def __init__(self) -> None:
         self._found: list[float] = []
 
     async def watch(self) -> None:
-        """Look at the loop for as long as it runs."""
+        """Measure the lateness for as long as the loop runs."""
         while True:
             due = time.monotonic() + BEAT
             await asyncio.sleep(BEAT)
             self._found.append((time.monotonic() - due) * 1000.0)
 
     def taken(self) -> dict[str, float]:
-        """What was seen since the last call."""
+        """Return the lateness measured since the last call."""
         ordered, self._found = sorted(self._found), []
         if not ordered:
             return {"count": 0, "p99": 0.0, "max": 0.0}
--- a/dockthread/lab/scale/witness.py
+++ b/dockthread/lab/scale/witness.py
@@ -1,7 +1,7 @@
-"""What became of control at the ingresses of one process: when each change was in force, and
-whether any went back.
+"""Records when each change was in force in one process's ingresses, and each step back.
 
-Reads the module's own memory after it was told; takes nothing from the code that told it.
+The list recorder reads the policy engine's own state after the engine received a list, and takes
+nothing from the code that delivered the list.
 """
 
 from __future__ import annotations
@@ -13,52 +13,56 @@
 from dockthread.net.endpoint_list import EndpointList
 from dockthread.policy import BackendState, EndpointListKind, EndpointsListed, PolicyEngine
 
-# of a backend: uid, endpoint, whether it may be sent to, weight; of a route: name, version
+# Row of a backend: uid, endpoint, whether it may receive requests, weight. Row of a route: name,
+# version.
 Row = list[Any]
-MOST_COMPARED = 100  # entries of one message: more are a part of a long list, not changes
+# Maximum number of entries in a message whose weights are compared. Longer messages are parts of a
+# whole list, not changes.
+MOST_COMPARED = 100
 
 
 class InForce:
-    """Over the ingresses of one process, by revision: at how many it is in force, and since when at
-    the last.
-    """
+    """Counts the ingresses of a process that have each revision in force, and since when."""
 
     def __init__(self) -> None:
         self.count: dict[int, int] = {}
         self.last: dict[int, float] = {}
 
     def reached(self, before: int, revision: int) -> None:
-        """An ingress that had all up to `before` now has all up to `revision`."""
+        """Count an ingress that had all revisions up to `before` and now has all up to `revision`."""
         now = time.monotonic()
         for number in range(before + 1, revision + 1):
             self.count[number] = self.count.get(number, 0) + 1
             self.last[number] = now
 
     def told(self) -> list[list[float]]:
-        """For the tool: revision, at how many ingresses, and since when at the last."""
+        """Return revision, ingress count and time at the last ingress, for the report."""
         return [[number, many, self.last[number]] for number, many in sorted(self.count.items())]
 
 
 class Observed:
-    """What one ingress received of one kind of control, over all its lives."""
+    """Records the changes that one ingress received, across restarts."""
 
     def __init__(self, number: int, in_force: InForce, reached: int = 0) -> None:
         self.number, self._in_force = number, in_force
         self.reached, self.messages = reached, 0
-        self.revisions: list[int] = []  # that went back: newer, older, ...
-        self.older: list[list[Any]] = []  # versions that replaced newer ones
+        self.revisions: list[int] = []  # Revisions that went back, in pairs: newer, older.
+        self.older: list[list[Any]] = []  # Versions that replaced newer ones.
         self._revision = 0
-        self._informed = True  # the present life was told something, or is the first
-        self.informed_at = 0.0  # when the last life after the first was
+        # Whether data arrived since the last restart; also true before any restart.
+        self._informed = True
+        # When that first data arrived after the last restart; 0 before any restart.
+        self.informed_at = 0.0
 
     def new_life(self, first: bool) -> None:
-        """It starts with an empty memory."""
+        """Reset the state for an ingress that starts with empty memory."""
         self._revision, self._informed = 0, first
 
     def come_to(self, revision: int) -> None:
-        """All up to this revision is in force."""
+        """Record that everything up to this revision is in force."""
         self.messages += 1
-        if not self._informed and revision > 0:  # 0 while the first list comes in parts
+        # The revision is 0 while the first list arrives in parts.
+        if not self._informed and revision > 0:
             self._informed, self.informed_at = True, time.monotonic()
         if revision < self._revision:
             self.revisions += [self._revision, revision]
@@ -69,22 +73,24 @@
 
 
 class Witness(Observed):
-    """Of the list of backends."""
+    """Records changes of the backend list."""
 
     def __init__(self, number: int, in_force: InForce, reached: int = 0) -> None:
         super().__init__(number, in_force, reached)
-        self._held: dict[int, float] = {}  # weights by worker, of what changed in the present life
+        # Weights of the backends that changed since the start, by backend number.
+        self._held: dict[int, float] = {}
 
     def new_life(self, first: bool) -> None:
-        """It starts with an empty memory."""
+        """Reset the state for an ingress that starts with empty memory."""
         super().new_life(first)
         self._held = {}
 
     def heard(
         self, revision: int, gateway: PolicyEngine, listed: EndpointsListed | None = None
     ) -> None:
-        """The module has been told a list, or changes, up to this revision; `listed` where they are
-        at hand.
+        """Record that the policy engine received a list or changes up to this revision.
+
+        `listed` holds the entries if the caller has them.
         """
         if (
             listed is not None
@@ -105,7 +111,7 @@
 
 
 def table(gateway: PolicyEngine, destinations: EndpointList) -> list[Row]:
-    """What the module holds of the backends that are not gone, in the order of their uids."""
+    """Return the backends that the policy engine holds and has not removed, ordered by uid."""
     return sorted(
         [known.uid, str(known.address), held.is_ready, held.endpoint.weight]
         for worker, held in gateway.backends.by_number.items()
@@ -118,7 +124,7 @@
 def findings(
     witnesses: Sequence[Observed], tables: dict[int, list[Row]], in_force: InForce
 ) -> dict[str, Any]:
-    """For the tool: tables that several ingresses share are said once."""
+    """Return the findings for the report; ingresses with equal tables share one entry."""
     shared: dict[str, dict[str, Any]] = {}
     for number, rows in tables.items():
         key = repr(rows)
--- a/tests/lab/test_lab_scale.py
+++ b/tests/lab/test_lab_scale.py
@@ -1,6 +1,4 @@
-"""The scale run: small runs with a fault, bounds that break, planted bugs, and the checker on its
-own.
-"""
+"""Tests of the scale run: small runs with faults, broken bounds and planted bugs, and its parts."""
 
 from __future__ import annotations
 
@@ -18,8 +16,8 @@
 from dockthread.lab.scale.planted_bugs import LIST_NAMES, NAMES, ROUTE_NAMES
 from tests.cli.test_cli import dockthread
 
-# The machine of a test may be busy: what is measured is not judged here, only what ends up in
-# force.
+# A test machine may be busy, so these bounds are too wide to judge the measurements. The runs are
+# checked only for the data in force at the end.
 PATIENT = ("--most-late", "30s", "--most-lag", "60s")
 SMALL = Plan(0, 4, 30, 3, Changes(5.0, 0.0), 2.0)
 
@@ -45,7 +43,10 @@
 
 @pytest.fixture(scope="module")
 def played(tmp_path_factory: pytest.TempPathFactory) -> Played:
-    """All runs, side by side: exit code and report of each; the reports are kept as files too."""
+    """Play all runs in parallel and return the exit code and the report of each.
+
+    Each report is also written to a file.
+    """
     folder = tmp_path_factory.mktemp("reports")
     with ThreadPoolExecutor(5) as pool:
         words = [(*run, "--report", str(folder / name)) for name, run in RUNS.items()]
@@ -63,7 +64,7 @@
     assert report["roles"]["discovery"]["connections"] == 202
     assert report["each"]["hollow"]["bytes_in_s"] > 0 < report["each"]["real"]["rss_mb"]
     asked = report["latency"]["busy"]["requests"]
-    # 100 a second to each of two for 3 s
+    # 100 requests per second to each of two ingresses for 3 s.
     assert 480 < asked < 720 and report["latency"]["busy"]["served"] > 0
 
 
@@ -77,10 +78,12 @@
     assert (roles["voter"]["processes"], roles["distributor"]["processes"]) == (3, 2)
     for role in ("voter", "distributor"):
         assert roles[role]["messages_in_s"] > 1 < roles[role]["messages_out_s"], (
-            "beats alone are one a second"
+            "heartbeats alone make one message per second"
         )
     hollow = report["each"]["hollow"]
-    assert hollow["messages_in_s"] > 0 < hollow["messages_out_s"], "what is taken is acknowledged"
+    assert hollow["messages_in_s"] > 0 < hollow["messages_out_s"], (
+        "ingresses acknowledge the changes that they apply"
+    )
 
 
 @pytest.mark.parametrize("plant", NAMES)
@@ -149,7 +152,7 @@
 
 
 def reports_of(*figures: tuple[int, int, float]) -> list[dict[str, Any]]:
-    """Ingresses, backends and a figure of each."""
+    """Build one report for each triple of ingress count, backend count and figure."""
     return [
         {"verdict": "holds", "each": {"hollow": {"rss_mb": figure}},
          "size": {"ingresses": n, "backends": b, "list_changes_s": 1.0, "configuration_changes_s": 0.0}}
