--- a/dockthread/cli/lab_scale.py
+++ b/dockthread/cli/lab_scale.py
@@ -21,16 +21,16 @@
 
 from dockthread.config.quantities import Duration, Share, Size
 from dockthread.lab.scale.channel import ProcessError
-from dockthread.lab.scale.plan import FAULTS, Plan, PlanError, parse_changes
-from dockthread.lab.scale.planted_bugs import NAMES
-from dockthread.lab.scale.usage import Gone
+from dockthread.lab.scale.plan import FAULTS, PlanError, RunPlan, parse_changes
+from dockthread.lab.scale.planted_bugs import BUG_NAMES
+from dockthread.lab.scale.usage import ProcessEndedError
 
-EXIT = {"holds": 0, "broken": 1, "void": 2}
-VOID = 2
-LONGEST = 600.0  # Maximum length of a window in seconds.
+EXIT_CODES = {"holds": 0, "broken": 1, "void": 2}
+VOID_EXIT_CODE = 2
+MAX_WINDOW_S = 600.0  # Maximum length of a window in seconds.
 
 
-def quantity(parse: Callable[[str], Any]) -> Any:
+def parsing_callback(parse: Callable[[str], Any]) -> Any:
     """Return a click callback that parses an option and returns None for an absent one."""
 
     def callback(ctx: click.Context, param: click.Parameter, value: str | None) -> Any:
@@ -42,7 +42,7 @@
     return callback
 
 
-def most(value: float | None) -> float:
+def bound_or_infinity(value: float | None) -> float:
     """Return a requested upper bound, or infinity for an absent one."""
     return math.inf if value is None else float(value)
 
@@ -64,9 +64,11 @@
 )
 @click.option("--backends", default=240, show_default=True, type=click.IntRange(1, 60_000))
 @click.option("--services", default=15, show_default=True, type=click.IntRange(1, 10_000))
-@click.option("--changes", default="5", show_default=True, callback=quantity(parse_changes), metavar="RATE",
+@click.option("--changes", default="5", show_default=True, callback=parsing_callback(parse_changes), metavar="RATE",
               help="Changes per second, for both kinds or as list=RATE,config=RATE.")  # fmt: skip
-@click.option("--seconds", default=10.0, show_default=True, type=click.FloatRange(1.0, LONGEST))
+@click.option(
+    "--seconds", default=10.0, show_default=True, type=click.FloatRange(1.0, MAX_WINDOW_S)
+)
 @click.option("--seed", default=1, show_default=True, type=click.IntRange(0))
 @click.option("--fault", default="none", show_default=True, type=click.Choice(FAULTS))
 @click.option("--rate", default=100.0, show_default=True, type=click.FloatRange(0, 5000),
@@ -82,40 +84,46 @@
 )
 @click.option(
     "--most-lag",
-    callback=quantity(Duration.parse),
+    callback=parsing_callback(Duration.parse),
     metavar="TIME",
     help="Maximum time until a change is in force at the last ingress.",
 )
 @click.option(
     "--most-cpu",
-    callback=quantity(Share.parse),
+    callback=parsing_callback(Share.parse),
     metavar="SHARE",
     help="Maximum CPU of one ingress, as a share of a core.",
 )
 @click.option(
     "--most-memory",
-    callback=quantity(Size.parse),
+    callback=parsing_callback(Size.parse),
     metavar="SIZE",
     help="Maximum memory of one ingress; 1MB is 1000000 B.",
 )
 @click.option(
     "--most-bytes",
-    callback=quantity(Size.parse),
+    callback=parsing_callback(Size.parse),
     metavar="SIZE",
     help="Maximum bytes per second of one ingress.",
 )
 @click.option(
     "--most-added",
-    callback=quantity(Duration.parse),
+    callback=parsing_callback(Duration.parse),
     metavar="TIME",
     help="Maximum latency added to the p99 of the real ingresses' answers.",
 )
-@click.option("--most-late", default="250ms", show_default=True, callback=quantity(Duration.parse), metavar="TIME",
-              help="The run is void when the p99 lateness of the tool's event loops exceeds this.")  # fmt: skip
+@click.option(
+    "--most-late",
+    default="250ms",
+    show_default=True,
+    callback=parsing_callback(Duration.parse),
+    metavar="TIME",
+    help="The run is void when the p99 lateness of the tool's event loops exceeds this.",
+)
 @click.option(
     "--plant",
     default="",
-    type=click.Choice(["", *NAMES]),
+    type=click.Choice(["", *BUG_NAMES]),
     help="Plant this bug, which the checker must find.",
 )
 @click.option("--label", default="", help="Label kept in the report, such as the measured commit.")
@@ -128,7 +136,7 @@
 )
 @click.pass_context
 def scale(
-    ctx: click.Context, /, as_json: bool, path: Path | None, label: str, **words: Any
+    ctx: click.Context, /, as_json: bool, path: Path | None, label: str, **plan_values: Any
 ) -> None:
     """Run real and hollow ingresses under control-plane changes and measure the cost per ingress.
 
@@ -137,42 +145,42 @@
     """
     if ctx.invoked_subcommand is not None:
         return
-    from dockthread.lab.scale.report import Bounds, report_of
-    from dockthread.lab.scale.run import Run
-    from dockthread.lab.scale.text import lines
+    from dockthread.lab.scale.report import Bounds, build_report
+    from dockthread.lab.scale.run import ScaleRun
+    from dockthread.lab.scale.text import report_lines
 
-    most_words = {
-        name: words.pop(f"most_{name}")
+    bound_values = {
+        name: plan_values.pop(f"most_{name}")
         for name in ("lag", "cpu", "memory", "bytes", "added", "late")
     }
     bounds = Bounds(
-        most(most_words["lag"]),
-        100.0 * most(most_words["cpu"]),
-        most(most_words["memory"]),
-        most(most_words["bytes"]),
-        most(most_words["added"]),
-        most(most_words["late"]),
+        bound_or_infinity(bound_values["lag"]),
+        100.0 * bound_or_infinity(bound_values["cpu"]),
+        bound_or_infinity(bound_values["memory"]),
+        bound_or_infinity(bound_values["bytes"]),
+        bound_or_infinity(bound_values["added"]),
+        bound_or_infinity(bound_values["late"]),
     )
-    plan = plan_from(words)
-    told = {
+    plan = checked_plan(plan_values)
+    header = {
         "label": label,
         "command": " ".join(["dockthread", *sys.argv[1:]]),
         "started": time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime()),
     }
-    before = os.getloadavg()
+    load_before = os.getloadavg()
     try:
         with TemporaryDirectory() as folder:
-            run = Run(plan, Path(folder))
-            asyncio.run(run.play())
-        report = report_of(run, bounds)
-    except (ProcessError, Gone, OSError) as error:
+            run = ScaleRun(plan, Path(folder))
+            asyncio.run(run.execute())
+        report = build_report(run, bounds)
+    except (ProcessError, ProcessEndedError, OSError) as error:
         report = {"void": [str(error)], "verdict": "void"}
     report = {
-        **told,
+        **header,
         "machine": {
             "cores": os.cpu_count(),
             "load_average": os.getloadavg(),
-            "load_average_before": before,
+            "load_average_before": load_before,
         },
         **report,
     }
@@ -181,13 +189,15 @@
     if as_json:
         click.echo(json.dumps(report))
     else:
-        click.echo("\n".join(lines(report) if "size" in report else [f"void: {report['void'][0]}"]))
-    sys.exit(EXIT[report["verdict"]])
+        click.echo(
+            "\n".join(report_lines(report) if "size" in report else [f"void: {report['void'][0]}"])
+        )
+    sys.exit(EXIT_CODES[report["verdict"]])
 
 
-def plan_from(words: dict[str, Any]) -> Plan:
+def checked_plan(plan_values: dict[str, Any]) -> RunPlan:
     """Build and check the plan of a run. Raises click.UsageError if it cannot be run."""
-    plan = Plan(**words)
+    plan = RunPlan(**plan_values)
     try:
         plan.check()
     except PlanError as error:
@@ -195,17 +205,17 @@
     return plan
 
 
-def at_size(text: str) -> dict[str, float]:
+def parse_size(text: str) -> dict[str, float]:
     """Parse a size such as `ingresses=1600,backends=24000`."""
-    from dockthread.lab.scale.fit import SIZES
+    from dockthread.lab.scale.fit import SIZE_KEYS
 
-    found = {}
+    size = {}
     for part in filter(None, text.split(",")):
         name, _, value = part.strip().partition("=")
-        if name not in SIZES:
-            raise ValueError(f"{name!r} is not a size: write {', '.join(SIZES)}")
-        found[name] = float(value)
-    return found
+        if name not in SIZE_KEYS:
+            raise ValueError(f"{name!r} is not a size: write {', '.join(SIZE_KEYS)}")
+        size[name] = float(value)
+    return size
 
 
 @scale.command()
@@ -215,7 +225,7 @@
 @click.option(
     "--at",
     default="",
-    callback=quantity(at_size),
+    callback=parsing_callback(parse_size),
     metavar="SIZE=N,...",
     help="Extrapolate to this size.",
 )
@@ -230,14 +240,14 @@
 
     Exit codes: 0 all lines fit; 1 a line does not fit; 2 no line can be fitted.
     """
-    from dockthread.lab.scale.fit import FitError, fitted, terms_of
+    from dockthread.lab.scale.fit import FitError, fit_lines_to_reports, parse_terms
     from dockthread.lab.scale.text import fit_lines
 
     try:
-        read = [json.loads(path.read_bytes()) for path in reports]
-        found = fitted(read, terms_of(terms), at, not without_void)
+        loaded_reports = [json.loads(path.read_bytes()) for path in reports]
+        result = fit_lines_to_reports(loaded_reports, parse_terms(terms), at, not without_void)
     except (FitError, ValueError, KeyError) as error:
         click.echo(f"cannot fit a line: {error}", err=True)
-        sys.exit(VOID)
-    click.echo(json.dumps(found) if as_json else "\n".join(fit_lines(found)))
-    sys.exit(0 if all(one["fits"] for one in found["lines"]) else 1)
+        sys.exit(VOID_EXIT_CODE)
+    click.echo(json.dumps(result) if as_json else "\n".join(fit_lines(result)))
+    sys.exit(0 if all(line["fits"] for line in result["lines"]) else 1)
--- a/dockthread/lab/scale/channel.py
+++ b/dockthread/lab/scale/channel.py
@@ -17,32 +17,32 @@
 
 # Maximum bytes of one answer. The largest holds one table for each ingress of a process, when no
 # two tables are equal.
-MOST_LINE: Final = 512 << 20
-ANSWER_WITHIN: Final = 60.0  # Timeout in seconds for the answer to a command.
-ENDS_WITHIN: Final = 3.0  # Seconds to wait for a process to exit before it is killed.
+MAX_LINE_BYTES: Final = 512 << 20
+ANSWER_TIMEOUT_S: Final = 60.0  # Timeout in seconds for the answer to a command.
+EXIT_TIMEOUT_S: Final = 3.0  # Seconds to wait for a process to exit before it is killed.
 
-Words = dict[str, Any]
-Command = Callable[[Words], Awaitable[Words]]
+JsonObject = dict[str, Any]
+Command = Callable[[JsonObject], Awaitable[JsonObject]]
 
 
 class ProcessError(DockthreadError):
     """A process of the run did not start, exited, or did not answer."""
 
 
-class Child:
+class ChildProcess:
     """A child process of the run.
 
-    `role` names a module of this package, and `shown` is the role under which reports list it.
+    `role` names a module of this package, and `report_role` is the role under which reports list it.
     """
 
-    def __init__(self, role: str, number: int = 0, shown: str = "") -> None:
-        self.role, self.number, self.shown = role, number, shown or role
+    def __init__(self, role: str, number: int = 0, report_role: str = "") -> None:
+        self.role, self.number, self.report_role = role, number, report_role or role
         self._process: asyncio.subprocess.Process | None = None
-        self._asking = asyncio.Lock()
+        self._call_lock = asyncio.Lock()
 
-    async def start(self, told: Words, log: Path) -> Words:
+    async def start(self, arguments: JsonObject, log_path: Path) -> JsonObject:
         """Start the process, send `begin` with its parameters, and return the answer."""
-        with log.open("ab") as out:
+        with log_path.open("ab") as log_file:
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -50,10 +50,10 @@
                 self.role,
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
-                stderr=out,
-                limit=MOST_LINE,
+                stderr=log_file,
+                limit=MAX_LINE_BYTES,
             )
-        return await self.ask("begin", **told)
+        return await self.call("begin", **arguments)
 
     @property
     def pid(self) -> int:
@@ -66,7 +66,9 @@
         """Whether the process was started and has not exited."""
         return self._process is not None and self._process.returncode is None
 
-    async def ask(self, command: str, within: float = ANSWER_WITHIN, **told: Any) -> Words:
+    async def call(
+        self, command: str, timeout_s: float = ANSWER_TIMEOUT_S, **arguments: Any
+    ) -> JsonObject:
         """Send a command and return the answer.
 
         Raises ProcessError if the process has exited, does not answer in time or reports an error.
@@ -74,22 +76,22 @@
         process = self._process
         if process is None or process.stdin is None or process.stdout is None:
             raise ProcessError(f"{self.role} {self.number} is not running")
-        async with self._asking:
+        async with self._call_lock:
             try:
-                process.stdin.write(json.dumps({"command": command, **told}).encode() + b"\n")
-                line = await asyncio.wait_for(process.stdout.readline(), within)
+                process.stdin.write(json.dumps({"command": command, **arguments}).encode() + b"\n")
+                line = await asyncio.wait_for(process.stdout.readline(), timeout_s)
             except (OSError, TimeoutError, ValueError) as error:
                 raise ProcessError(
                     f"{self.role} {self.number} did not answer {command}: {error!r}"
                 ) from error
         if not line:
             raise ProcessError(f"{self.role} {self.number} exited during {command}")
-        found: Words = json.loads(line)
-        if why := found.get("error"):
-            raise ProcessError(f"{self.role} {self.number}: {command}: {why}")
-        return found
+        response: JsonObject = json.loads(line)
+        if error_text := response.get("error"):
+            raise ProcessError(f"{self.role} {self.number}: {command}: {error_text}")
+        return response
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         """Close standard input, and kill the process if it does not exit in time."""
         process, self._process = self._process, None
         if process is None or process.returncode is not None:
@@ -97,7 +99,7 @@
         if process.stdin is not None:
             process.stdin.close()
         with suppress(TimeoutError):
-            await asyncio.wait_for(process.wait(), ENDS_WITHIN)
+            await asyncio.wait_for(process.wait(), EXIT_TIMEOUT_S)
             return
         with suppress(ProcessLookupError):
             process.kill()
@@ -107,12 +109,12 @@
 async def serve_commands(commands: dict[str, Command]) -> None:
     """Answer commands until standard input closes. Runs in a child process."""
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(limit=MOST_LINE)
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        told = json.loads(line)
+        message = json.loads(line)
         try:
-            answer = await commands[told.pop("command")](told)
+            answer = await commands[message.pop("command")](message)
         # The tool receives the error and decides whether the run is void.
         except Exception as error:
             answer = {"error": repr(error)[:500]}
--- a/dockthread/lab/scale/checker.py
+++ b/dockthread/lab/scale/checker.py
@@ -8,17 +8,17 @@
 
 from typing import Any, Final
 
-MOST_NAMED: Final = 20  # Maximum number of violations listed in a report.
-MOST_SHOWN: Final = 3  # Maximum number of differing rows listed for one ingress.
+MAX_LISTED_VIOLATIONS: Final = 20  # Maximum number of violations listed in a report.
+MAX_LISTED_ROWS: Final = 3  # Maximum number of differing rows listed for one ingress.
 
 
-def published(changes: list[Any]) -> list[list[Any]]:
+def final_list(changes: list[Any]) -> list[list[Any]]:
     """Return the list after all changes: uid, endpoint, whether it is active, and its weight."""
-    standing: dict[str, list[Any]] = {}
+    rows_by_uid: dict[str, list[Any]] = {}
     for _, _, entries in changes:
         for entry in entries:
             if entry["state"] == "left":
-                standing.pop(entry["uid"], None)
+                rows_by_uid.pop(entry["uid"], None)
             else:
                 row = [
                     entry["uid"],
@@ -26,52 +26,63 @@
                     entry["state"] == "active",
                     entry["capacity_hint"],
                 ]
-                standing[entry["uid"]] = row
-    return [standing[uid] for uid in sorted(standing)]
+                rows_by_uid[entry["uid"]] = row
+    return [rows_by_uid[uid] for uid in sorted(rows_by_uid)]
 
 
-def published_routes(changes: list[Any]) -> list[list[Any]]:
+def final_routes(changes: list[Any]) -> list[list[Any]]:
     """Return the name and version of each route after all changes, which come in revision order."""
-    standing: dict[str, Any] = {}
+    version_by_name: dict[str, Any] = {}
     for _, _, name, version in changes:
         if version is None:
-            standing.pop(name, None)
+            version_by_name.pop(name, None)
         else:
-            standing[name] = version
-    return [[name, standing[name]] for name in sorted(standing)]
+            version_by_name[name] = version
+    return [[name, version_by_name[name]] for name in sorted(version_by_name)]
 
 
-def judge(wanted: list[list[Any]], findings: list[dict[str, Any]], expected: int) -> list[str]:
+def find_violations(
+    expected_rows: list[list[Any]], findings: list[dict[str, Any]], expected_ingresses: int
+) -> list[str]:
     """Return a message for each violated rule.
 
-    `expected` is the number of ingresses that must have reported.
+    `expected_ingresses` is the number of ingresses that must have reported.
     """
-    broken, seen = [], 0
-    for found in findings:
-        for group in found["tables"]:
-            seen += len(group["ingresses"])
-            if group["rows"] != wanted:
-                broken += [
-                    f"ingress {n} {_difference(group['rows'], wanted)}" for n in group["ingresses"]
+    violations, reported = [], 0
+    for finding in findings:
+        for group in finding["tables"]:
+            reported += len(group["ingresses"])
+            if group["rows"] != expected_rows:
+                violations += [
+                    f"ingress {number} {_difference(group['rows'], expected_rows)}"
+                    for number in group["ingresses"]
                 ]
-        for number, revisions, older in found["went_back"]:
+        for number, revisions, older_versions in finding["went_back"]:
             if revisions:
-                broken.append(
+                violations.append(
                     f"ingress {number} went back from revision {revisions[0]} to {revisions[1]}"
                 )
-            if older:
-                broken.append(
-                    f"ingress {number} let an older version replace a newer one {len(older)} times"
+            if older_versions:
+                violations.append(
+                    f"ingress {number} let an older version replace a newer one {len(older_versions)} times"
                 )
-    if seen != expected:
-        broken.append(f"{seen} of {expected} ingresses said what they hold")
-    return broken
+    if reported != expected_ingresses:
+        violations.append(f"{reported} of {expected_ingresses} ingresses said what they hold")
+    return violations
 
 
-def _difference(rows: list[Any], wanted: list[Any]) -> str:
-    held, right = {row[0]: row for row in rows}, {row[0]: row for row in wanted}
-    wrong = sorted(name for name in held.keys() | right.keys() if held.get(name) != right.get(name))
-    shown = "; ".join(
-        f"{name}: holds {held.get(name)}, wanted {right.get(name)}" for name in wrong[:MOST_SHOWN]
+def _difference(rows: list[Any], expected_rows: list[Any]) -> str:
+    held_by_name, expected_by_name = (
+        {row[0]: row for row in rows},
+        {row[0]: row for row in expected_rows},
     )
-    return f"ends with {len(wrong)} of {len(right)} wrong: {shown}"
+    differing = sorted(
+        name
+        for name in held_by_name.keys() | expected_by_name.keys()
+        if held_by_name.get(name) != expected_by_name.get(name)
+    )
+    listed = "; ".join(
+        f"{name}: holds {held_by_name.get(name)}, wanted {expected_by_name.get(name)}"
+        for name in differing[:MAX_LISTED_ROWS]
+    )
+    return f"ends with {len(differing)} of {len(expected_by_name)} wrong: {listed}"
--- a/dockthread/lab/scale/control.py
+++ b/dockthread/lab/scale/control.py
@@ -8,13 +8,13 @@
 from dockthread.control_plane.messages import Rejection, Resource
 from dockthread.control_plane.options import ControlOptions
 from dockthread.lab.scale.plan import REGIONS, zone_name
-from dockthread.lab.scale.witness import Observed
+from dockthread.lab.scale.recorder import ChangeRecorder
 
 # How a planted bug changes the resources before they are applied.
-Alteration = Callable[[Sequence[Resource]], Sequence[Resource]]
+ResourceAlteration = Callable[[Sequence[Resource]], Sequence[Resource]]
 
 
-def options_of(number: int, servers: Sequence[str], key_file: str) -> ControlOptions:
+def control_options(number: int, servers: Sequence[str], key_file: str) -> ControlOptions:
     """Return the control options of an ingress, as its [control] section would give them."""
     region, zone = f"region-{number % REGIONS}", zone_name(number)
     return ControlOptions(
@@ -22,7 +22,7 @@
     )
 
 
-def section_of(options: ControlOptions) -> str:
+def control_section(options: ControlOptions) -> str:
     """Format the options as the [control] section of a configuration file."""
     return (
         f"[control]\nrole = ingress\nservers = {', '.join(options.servers)}\nregion = {options.region}\n"
@@ -30,42 +30,48 @@
     )
 
 
-class ControlWitness(Observed):
+class ConfigurationRecorder(ChangeRecorder):
     """Records the changes that an ingress's configuration client passes to its applier."""
 
-    def observe(self, controlled: IngressResourceApplier, alter: Alteration | None = None) -> None:
+    def attach(
+        self, applier: IngressResourceApplier, alter: ResourceAlteration | None = None
+    ) -> None:
         """Insert the recorder between the client and its applier.
 
         Must be called right after the applier is opened, before any change can have arrived.
         """
-        self._owner, self._alter, self._highest = controlled, alter, 0
-        self._refused = set[str]()
-        controlled.client.batches.applier = self
+        self._applier, self._alter, self._highest_revision = applier, alter, 0
+        self._refused_names = set[str]()
+        applier.client.batches.applier = self
 
     # Methods that the client calls on its applier
 
     def apply(self, changes: Sequence[Resource]) -> Sequence[Rejection]:
         """Pass on the changes, altered by a planted bug, and record older versions."""
         applied = changes if self._alter is None else self._alter(changes)
-        rejections = self._owner.apply(applied)
+        rejections = self._applier.apply(applied)
         # A refused resource is delivered again at the end of its batch, so an older version of it
         # is no error.
-        for one in applied:
+        for resource in applied:
             if (
-                one.body is not None
-                and one.revision < self._highest
-                and one.name not in self._refused
+                resource.body is not None
+                and resource.revision < self._highest_revision
+                and resource.name not in self._refused_names
             ):
-                self.older.append([one.name, self._highest, one.revision])
-        self._refused |= {one.name for one in rejections}
-        self._highest = max([self._highest, *(one.revision for one in changes)])
+                self.older_versions.append(
+                    [resource.name, self._highest_revision, resource.revision]
+                )
+        self._refused_names |= {resource.name for resource in rejections}
+        self._highest_revision = max(
+            [self._highest_revision, *(resource.revision for resource in changes)]
+        )
         return rejections
 
     def applied_resource(self, kind: str, name: str) -> Resource | None:
         """Return the resource that the applier holds under a key."""
-        return self._owner.applied_resource(kind, name)
+        return self._applier.applied_resource(kind, name)
 
     def on_batch_applied(self) -> None:
         """Record the revision reached once a batch has been applied."""
-        self._owner.on_batch_applied()
-        self.come_to(max(self._highest, self._revision))
+        self._applier.on_batch_applied()
+        self.record_revision(max(self._highest_revision, self._revision))
--- a/dockthread/lab/scale/discovery.py
+++ b/dockthread/lab/scale/discovery.py
@@ -16,58 +16,59 @@
 
 import msgspec
 
-from dockthread.lab.scale.channel import Words, serve_commands
-from dockthread.lab.scale.plan import LOST_ZONE, Plan, plan_of, zone_name
+from dockthread.lab.scale.channel import JsonObject, serve_commands
+from dockthread.lab.scale.plan import LOST_ZONE, RunPlan, plan_from_json, zone_name
 from dockthread.lab.scale.usage import Lateness, traffic
 
 HOST: Final = "127.0.0.1"
-HEAD: Final = (
+RESPONSE_HEAD: Final = (
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 )
-BLANK: Final = b"1\r\n\n\r\n"
-SIGN_OF_LIFE: Final = 2.0  # Seconds between two keepalive lines.
-STEP: Final = 1.0 / (1 << 20)  # Weight added to a backend with each version, exact as a float.
-REMEMBERED: Final = 100_000  # Number of past changes from which a watch can resume.
-TRIES: Final = 20  # Random draws to find a backend that is in the list.
+KEEPALIVE_CHUNK: Final = b"1\r\n\n\r\n"
+KEEPALIVE_INTERVAL_S: Final = 2.0  # Seconds between two keepalive lines.
+# Weight added to a backend with each version, exact as a float.
+WEIGHT_STEP: Final = 1.0 / (1 << 20)
+MAX_KEPT_CHANGES: Final = 100_000  # Number of past changes from which a watch can resume.
+DRAW_ATTEMPTS: Final = 20  # Random draws to find a backend that is in the list.
 # Backends have the addresses 127.1.0.1 and up, and one listener on all addresses serves them.
-FIRST_NET: Final = 1
+FIRST_SUBNET: Final = 1
 
 Entry = dict[str, Any]
 
 
-def address_of(number: int) -> str:
+def backend_address(number: int) -> str:
     """Return the loopback address of a backend, which no other backend shares."""
-    host = number + 1
-    return f"127.{FIRST_NET + (host >> 16)}.{host >> 8 & 255}.{host & 255}"
+    host_number = number + 1
+    return f"127.{FIRST_SUBNET + (host_number >> 16)}.{host_number >> 8 & 255}.{host_number & 255}"
 
 
-def chunk(line: bytes) -> bytes:
+def http_chunk(line: bytes) -> bytes:
     """Encode one line of a watch as an HTTP chunk."""
     return b"%x\r\n%b\n\r\n" % (len(line) + 1, line)
 
 
-class Book:
+class PublishedList:
     """The published list of backends with its versions and changes. Does no I/O."""
 
-    def __init__(self, plan: Plan, port: int) -> None:
+    def __init__(self, plan: RunPlan, port: int) -> None:
         self._plan, self._rng = plan, random.Random(f"{plan.seed} changes")
-        self.entries = [self._entry(n, port) for n in range(plan.backends)]
-        self._encoded = [msgspec.json.encode(one) for one in self.entries]
+        self.entries = [self._entry(number, port) for number in range(plan.backends)]
+        self._encoded_entries = [msgspec.json.encode(entry) for entry in self.entries]
         self._versions = [0] * plan.backends
         self.revision = 1
         # Revision, publication time and entries of each change. The first change holds the whole
         # list.
         self.changes: list[tuple[int, float, list[Entry]]] = []
-        self._chunks: dict[int, bytes] = {}
-        self._whole = b""
-        self._absent: set[int] = set()
-        self.opened = False  # The list is empty until it is opened.
+        self._chunk_by_revision: dict[int, bytes] = {}
+        self._whole_list = b""
+        self._absent_numbers: set[int] = set()
+        self.is_open = False  # The list is empty until it is opened.
 
     def _entry(self, number: int, port: int) -> Entry:
         service = number % self._plan.services
         return {
             "uid": f"service-{service:04d}-{number:05d}",
-            "endpoint": f"{address_of(number)}:{port}",
+            "endpoint": f"{backend_address(number)}:{port}",
             "az": zone_name(number // self._plan.services + number),
             "model": "type-a",
             "pod_group": service,
@@ -78,86 +79,106 @@
 
     def open(self) -> bytes:
         """Publish the whole list."""
-        self.opened, self.revision, self._whole = True, self.revision + 1, b""
-        self.changes.append((self.revision, time.monotonic(), [dict(one) for one in self.entries]))
-        return self.whole()
+        self.is_open, self.revision, self._whole_list = True, self.revision + 1, b""
+        self.changes.append(
+            (self.revision, time.monotonic(), [dict(entry) for entry in self.entries])
+        )
+        return self.whole_list()
 
-    def whole(self) -> bytes:
+    def whole_list(self) -> bytes:
         """Return the current whole list, encoded once for each revision."""
-        if not self._whole:
-            held = (
-                [one for n, one in enumerate(self._encoded) if n not in self._absent]
-                if self.opened
+        if not self._whole_list:
+            present = (
+                [
+                    encoded
+                    for number, encoded in enumerate(self._encoded_entries)
+                    if number not in self._absent_numbers
+                ]
+                if self.is_open
                 else []
             )
-            self._whole = chunk(
-                b'{"rev":%d,"all":true,"targets":[%b]}' % (self.revision, b",".join(held))
+            self._whole_list = http_chunk(
+                b'{"rev":%d,"all":true,"targets":[%b]}' % (self.revision, b",".join(present))
             )
-        return self._whole
+        return self._whole_list
 
-    def since(self, revision: int) -> list[bytes] | None:
+    def changes_since(self, revision: int) -> list[bytes] | None:
         """Return the changes after a revision in order, or None if some are no longer kept."""
-        wanted = range(revision + 1, self.revision + 1)
-        if not all(number in self._chunks for number in wanted):
+        missing_revisions = range(revision + 1, self.revision + 1)
+        if not all(missed in self._chunk_by_revision for missed in missing_revisions):
             return None
-        return [self._chunks[number] for number in wanted]
+        return [self._chunk_by_revision[missed] for missed in missing_revisions]
 
-    def change(self, number: int, **fields: Any) -> bytes:
+    def publish_change(self, number: int, **fields: Any) -> bytes:
         """Publish a new version of one backend."""
         self._versions[number] += 1
         entry = {
             **self.entries[number],
-            "capacity_hint": 1.0 + self._versions[number] * STEP,
+            "capacity_hint": 1.0 + self._versions[number] * WEIGHT_STEP,
             **fields,
         }
-        self.entries[number], self._encoded[number] = entry, msgspec.json.encode(entry)
-        (self._absent.add if entry["state"] == "left" else self._absent.discard)(number)
-        self.revision, self._whole = self.revision + 1, b""
+        self.entries[number], self._encoded_entries[number] = entry, msgspec.json.encode(entry)
+        (self._absent_numbers.add if entry["state"] == "left" else self._absent_numbers.discard)(
+            number
+        )
+        self.revision, self._whole_list = self.revision + 1, b""
         self.changes.append((self.revision, time.monotonic(), [entry]))
-        said = chunk(
-            b'{"rev":%d,"all":false,"targets":[%b]}' % (self.revision, self._encoded[number])
+        encoded_change = http_chunk(
+            b'{"rev":%d,"all":false,"targets":[%b]}'
+            % (self.revision, self._encoded_entries[number])
         )
-        self._chunks[self.revision] = said
-        self._chunks.pop(self.revision - REMEMBERED, None)
-        return said
+        self._chunk_by_revision[self.revision] = encoded_change
+        self._chunk_by_revision.pop(self.revision - MAX_KEPT_CHANGES, None)
+        return encoded_change
 
-    def drawn(self) -> bytes:
+    def publish_random_change(self) -> bytes:
         """Publish a random change.
 
         A backend starts to leave, returns as a new instance, or gets another weight.
         """
-        number = self._rng.choice([n for n in self._some() if n not in self._absent] or [0])
+        number = self._rng.choice(
+            [
+                drawn_number
+                for drawn_number in self._random_numbers()
+                if drawn_number not in self._absent_numbers
+            ]
+            or [0]
+        )
         if self.entries[number]["state"] != "active":
-            return self.change(number, state="active", boot_ms=round(time.time() * 1000))
+            return self.publish_change(number, state="active", boot_ms=round(time.time() * 1000))
         if self._rng.random() < 0.5:
-            return self.change(number, state="leaving")
-        return self.change(number)
+            return self.publish_change(number, state="leaving")
+        return self.publish_change(number)
 
-    def _some(self) -> list[int]:
-        return [self._rng.randrange(self._plan.backends) for _ in range(TRIES)]
+    def _random_numbers(self) -> list[int]:
+        return [self._rng.randrange(self._plan.backends) for _ in range(DRAW_ATTEMPTS)]
 
-    def zone_leaves(self) -> Iterator[bytes]:
+    def remove_zone(self) -> Iterator[bytes]:
         """Remove every backend of the lost zone, one change each."""
-        for number in self._of_zone():
-            yield self.change(number, state="left")
+        for number in self._zone_numbers():
+            yield self.publish_change(number, state="left")
 
-    def zone_returns(self) -> Iterator[bytes]:
+    def restore_zone(self) -> Iterator[bytes]:
         """List every backend of the lost zone again, one change each."""
-        for number in self._of_zone():
-            yield self.change(number, state="active", boot_ms=round(time.time() * 1000))
+        for number in self._zone_numbers():
+            yield self.publish_change(number, state="active", boot_ms=round(time.time() * 1000))
 
-    def _of_zone(self) -> list[int]:
-        return [n for n, one in enumerate(self.entries) if one["az"] == zone_name(LOST_ZONE)]
+    def _zone_numbers(self) -> list[int]:
+        return [
+            number
+            for number, entry in enumerate(self.entries)
+            if entry["az"] == zone_name(LOST_ZONE)
+        ]
 
 
-class Watched(asyncio.Protocol):
+class WatchConnection(asyncio.Protocol):
     """The connection of one watch."""
 
-    def __init__(self, serving: Discovery, cuttable: bool) -> None:
-        self._serving, self._cuttable, self._head = serving, cuttable, b""
+    def __init__(self, discovery: Discovery, affected_by_cut: bool) -> None:
+        self._discovery, self._affected_by_cut, self._head = discovery, affected_by_cut, b""
         self.transport: asyncio.Transport | None = None
         self._held: list[bytes] = []  # Data held back during a cut.
-        self.stands = False
+        self.request_complete = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport of the new connection."""
@@ -166,142 +187,150 @@
     def data_received(self, data: bytes) -> None:
         """Collect the request, and open the watch once it is complete."""
         self._head += data
-        if not self.stands and b"\r\n\r\n" in self._head:
-            self.stands = True
-            _, _, after = self._head.split(b" ", 2)[1].partition(b"after=")
-            self._serving.begun(self, int(after or 0))
+        if not self.request_complete and b"\r\n\r\n" in self._head:
+            self.request_complete = True
+            _, _, revision = self._head.split(b" ", 2)[1].partition(b"after=")
+            self._discovery.open_watch(self, int(revision or 0))
 
     def connection_lost(self, error: Exception | None) -> None:
         """Remove the closed watch."""
-        self._serving.watches.discard(self)
+        self._discovery.watches.discard(self)
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         """Write to the watch, or hold the data back while the watch is cut off."""
-        if self._cuttable and self._serving.cut:
+        if self._affected_by_cut and self._discovery.is_cut:
             self._held.append(data)
         elif self.transport is not None and not self.transport.is_closing():
-            self._serving.messages += 1
+            self._discovery.messages_sent += 1
             self.transport.write(data)
 
-    def heal(self) -> None:
+    def send_held_data(self) -> None:
         """Write the held data after the cut."""
-        held, self._held = self._held, []
-        for data in held:
-            self.say(data)
+        held_data, self._held = self._held, []
+        for data in held_data:
+            self.send(data)
 
 
 class Discovery:
     """The discovery process: the published list and the watches that receive it."""
 
     def __init__(self) -> None:
-        self.watches: set[Watched] = set()
-        self.cut, self.messages = False, 0
-        self.book: Book | None = None
+        self.watches: set[WatchConnection] = set()
+        self.is_cut, self.messages_sent = False, 0
+        self.published_list: PublishedList | None = None
         self._ports: list[int] = []
         self._lateness = Lateness()
-        self._late_starts: list[float] = []  # Delays of publications against their schedule, in ms.
-        self._tasks: list[asyncio.Task[None]] = []
-        self._plan: Plan | None = None
-        self._publishing: asyncio.Task[None] | None = None
+        # Delays of publications against their schedule, in ms.
+        self._publication_delays_ms: list[float] = []
+        self._background_tasks: list[asyncio.Task[None]] = []
+        self._plan: RunPlan | None = None
+        self._publishing_task: asyncio.Task[None] | None = None
 
-    async def begin(self, told: Words) -> Words:
+    async def begin(self, arguments: JsonObject) -> JsonObject:
         """Open both ports and return them."""
-        self._plan = plan_of(told["plan"])
-        self.book = Book(self._plan, told["backend_port"])
+        self._plan = plan_from_json(arguments["plan"])
+        self.published_list = PublishedList(self._plan, arguments["backend_port"])
         loop = asyncio.get_running_loop()
-        for cuttable in (False, True):
-            server = await loop.create_server(self._factory(cuttable), HOST, 0, backlog=4096)
+        for affected_by_cut in (False, True):
+            server = await loop.create_server(
+                self._connection_factory(affected_by_cut), HOST, 0, backlog=4096
+            )
             self._ports.append(server.sockets[0].getsockname()[1])
-        self._tasks = [loop.create_task(self._blank()), loop.create_task(self._lateness.watch())]
+        self._background_tasks = [
+            loop.create_task(self._send_keepalives()),
+            loop.create_task(self._lateness.measure()),
+        ]
         return {"ports": self._ports}
 
-    def _factory(self, cuttable: bool) -> Callable[[], Watched]:
-        return lambda: Watched(self, cuttable)
+    def _connection_factory(self, affected_by_cut: bool) -> Callable[[], WatchConnection]:
+        return lambda: WatchConnection(self, affected_by_cut)
 
-    def begun(self, watch: Watched, after: int) -> None:
+    def open_watch(self, watch: WatchConnection, after: int) -> None:
         """Register a watch that has seen all revisions up to `after`, and send it the later ones."""
-        assert self.book is not None, "a watch can arrive only after the ports are open"
+        assert self.published_list is not None, "a watch can arrive only after the ports are open"
         self.watches.add(watch)
-        changes = self.book.since(after) if after else None
-        watch.say(HEAD)
-        for data in [self.book.whole()] if changes is None else changes:
-            watch.say(data)
+        changes = self.published_list.changes_since(after) if after else None
+        watch.send(RESPONSE_HEAD)
+        for data in [self.published_list.whole_list()] if changes is None else changes:
+            watch.send(data)
 
-    async def _blank(self) -> None:
+    async def _send_keepalives(self) -> None:
         while True:
-            await asyncio.sleep(SIGN_OF_LIFE)
-            self._push(BLANK)
+            await asyncio.sleep(KEEPALIVE_INTERVAL_S)
+            self._broadcast(KEEPALIVE_CHUNK)
 
-    def _push(self, data: bytes) -> None:
+    def _broadcast(self, data: bytes) -> None:
         for watch in self.watches:
-            watch.say(data)
+            watch.send(data)
 
     # Commands
 
-    async def open(self, told: Words) -> Words:
+    async def open(self, arguments: JsonObject) -> JsonObject:
         """Publish the whole list, which was empty until now."""
-        assert self.book is not None
-        self._push(self.book.open())
-        return {"revision": self.book.revision}
+        assert self.published_list is not None
+        self._broadcast(self.published_list.open())
+        return {"revision": self.published_list.revision}
 
-    async def publish(self, told: Words) -> Words:
+    async def publish(self, arguments: JsonObject) -> JsonObject:
         """Start to publish changes at an even rate, whether or not the watches keep up."""
         loop = asyncio.get_running_loop()
-        self._publishing = loop.create_task(
-            self._publish(float(told["rate"]), float(told["seconds"]))
+        self._publishing_task = loop.create_task(
+            self._publish_at_rate(float(arguments["rate"]), float(arguments["seconds"]))
         )
         return {}
 
-    async def published(self, told: Words) -> Words:
+    async def wait_published(self, arguments: JsonObject) -> JsonObject:
         """Wait until the changes started by `publish` have been published."""
-        assert self.book is not None
-        if self._publishing is not None:
-            await self._publishing
-        return {"revision": self.book.revision}
-
-    async def _publish(self, rate: float, seconds: float) -> None:
-        assert self.book is not None
-        begun = time.monotonic()
+        assert self.published_list is not None
+        if self._publishing_task is not None:
+            await self._publishing_task
+        return {"revision": self.published_list.revision}
+
+    async def _publish_at_rate(self, rate: float, seconds: float) -> None:
+        assert self.published_list is not None
+        started = time.monotonic()
         for number in range(int(rate * seconds)):
-            due = begun + number / rate
+            due = started + number / rate
             await asyncio.sleep(max(0.0, due - time.monotonic()))
-            self._late_starts.append((time.monotonic() - due) * 1000.0)
-            self._push(self.book.drawn())
+            self._publication_delays_ms.append((time.monotonic() - due) * 1000.0)
+            self._broadcast(self.published_list.publish_random_change())
 
-    async def fault(self, told: Words) -> Words:
+    async def fault(self, arguments: JsonObject) -> JsonObject:
         """Begin or end the fault, if it concerns discovery."""
-        assert self.book is not None and self._plan is not None
-        begin = bool(told["begin"])
+        assert self.published_list is not None and self._plan is not None
+        begin = bool(arguments["begin"])
         if self._plan.fault == "zone":
-            for said in self.book.zone_leaves() if begin else self.book.zone_returns():
-                self._push(said)
+            for encoded_change in (
+                self.published_list.remove_zone() if begin else self.published_list.restore_zone()
+            ):
+                self._broadcast(encoded_change)
         elif self._plan.fault == "cut":
-            self.cut = begin
+            self.is_cut = begin
             for watch in [] if begin else list(self.watches):
-                watch.heal()
-        return {"revision": self.book.revision, "at": time.monotonic()}
+                watch.send_held_data()
+        return {"revision": self.published_list.revision, "at": time.monotonic()}
 
-    async def state(self, told: Words) -> Words:
+    async def state(self, arguments: JsonObject) -> JsonObject:
         """Return the readings that the run takes at both ends of a window."""
-        assert self.book is not None
+        assert self.published_list is not None
         return {
             "watches": len(self.watches),
-            "revision": self.book.revision,
-            "messages_out": self.messages,
+            "revision": self.published_list.revision,
+            "messages_out": self.messages_sent,
             "traffic": traffic(self._ports, local=True),
-            "late": self._lateness.taken(),
+            "late": self._lateness.take_summary(),
         }
 
-    async def log(self, told: Words) -> Words:
+    async def log(self, arguments: JsonObject) -> JsonObject:
         """Return everything that was published, for the checker."""
-        assert self.book is not None
+        assert self.published_list is not None
         return {
-            "changes": self.book.changes,
-            "late_starts": sorted(self._late_starts),
+            "changes": self.published_list.changes,
+            "late_starts": sorted(self._publication_delays_ms),
         }
 
 
-async def play() -> None:
+async def serve() -> None:
     """Answer the run's commands until standard input closes."""
     discovery = Discovery()
     await serve_commands(
@@ -309,7 +338,7 @@
             "begin": discovery.begin,
             "open": discovery.open,
             "publish": discovery.publish,
-            "published": discovery.published,
+            "published": discovery.wait_published,
             "fault": discovery.fault,
             "state": discovery.state,
             "log": discovery.log,
--- a/dockthread/lab/scale/fit.py
+++ b/dockthread/lab/scale/fit.py
@@ -13,13 +13,14 @@
 
 from dockthread.errors import DockthreadError
 
-LEAST_SIZES: Final = 4  # Minimum number of different sizes for a line.
+MIN_SIZES: Final = 4  # Minimum number of different sizes for a line.
 # Maximum root mean square of the residuals for a line to fit, relative to the figures' mean.
-FITS: Final = 0.15
-FAR: Final = 4.0  # Extrapolations beyond this multiple of the largest measured size are marked.
+MAX_MISFIT: Final = 0.15
+# Extrapolations beyond this multiple of the largest measured size are marked.
+MAX_EXTRAPOLATION: Final = 4.0
 # Absolute value of a scaled pivot below which the system counts as singular.
-SINGULAR: Final = 1e-9
-SIZES: Final = {
+MIN_PIVOT: Final = 1e-9
+SIZE_KEYS: Final = {
     "ingresses": "ingresses",
     "backends": "backends",
     "changes": "list_changes_s",
@@ -27,7 +28,7 @@
     "routes": "routes",
     "distributors": "distributors",
 }
-FIGURES: Final = (
+FIGURE_PATHS: Final = (
     "each.hollow.cpu_quiet_percent",
     "each.hollow.cpu_percent",
     "each.hollow.rss_before_list_mb",
@@ -66,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class FittedLine:
     """A fitted line for one figure.
 
     `slopes` maps each term to the slope per unit of it. `residuals` are the measured values minus
@@ -84,150 +85,172 @@
         """Root mean square of the residuals relative to the figure's mean."""
         if not self.mean:
             return math.inf if any(self.residuals) else 0.0
-        return math.sqrt(sum(r * r for r in self.residuals) / len(self.residuals)) / abs(self.mean)
+        return math.sqrt(
+            sum(residual * residual for residual in self.residuals) / len(self.residuals)
+        ) / abs(self.mean)
 
     @property
     def fits(self) -> bool:
         """Whether the misfit is small enough for the line to be used."""
-        return self.misfit <= FITS
+        return self.misfit <= MAX_MISFIT
 
-    def at(self, size: dict[str, float]) -> float:
+    def value_at(self, size: dict[str, float]) -> float:
         """Evaluate the line at a size."""
         return self.constant + sum(
-            slope * value_of(term, size) for term, slope in self.slopes.items()
+            slope * term_value(term, size) for term, slope in self.slopes.items()
         )
 
 
-def figure_of(report: dict[str, Any], path: str) -> float | None:
+def read_figure(report: dict[str, Any], path: str) -> float | None:
     """Return a figure by its path, such as `each.hollow.rss_mb`, or None if the report lacks it."""
-    found: Any = report
-    for name in path.split("."):
-        if not isinstance(found, dict) or (found := found.get(name)) is None:
+    value: Any = report
+    for key in path.split("."):
+        if not isinstance(value, dict) or (value := value.get(key)) is None:
             return None
-    return float(found) if isinstance(found, int | float) and math.isfinite(found) else None
+    return float(value) if isinstance(value, int | float) and math.isfinite(value) else None
 
 
-def size_of(report: dict[str, Any]) -> dict[str, float]:
+def run_size(report: dict[str, Any]) -> dict[str, float]:
     """Return the sizes of a run under the names used in a fit."""
-    return {name: float(report["size"].get(key, 0.0)) for name, key in SIZES.items()}
+    return {name: float(report["size"].get(key, 0.0)) for name, key in SIZE_KEYS.items()}
 
 
-def value_of(term: str, size: dict[str, float]) -> float:
+def term_value(term: str, size: dict[str, float]) -> float:
     """Return the value of a term: a size, or a product such as `backends*changes`."""
     return math.prod(size[name] for name in term.split("*"))
 
 
-def terms_of(words: str) -> tuple[str, ...]:
+def parse_terms(text: str) -> tuple[str, ...]:
     """Parse terms such as `ingresses,backends*changes`. Raises FitError for an unknown size."""
-    terms = tuple(term.strip() for term in words.split(",") if term.strip())
+    terms = tuple(term.strip() for term in text.split(",") if term.strip())
     for name in [name for term in terms for name in term.split("*")]:
-        if name not in SIZES:
+        if name not in SIZE_KEYS:
             raise FitError(
-                f"{name!r} is not a size: write {', '.join(SIZES)}, or products such as backends*changes"
+                f"{name!r} is not a size: write {', '.join(SIZE_KEYS)}, or products such as backends*changes"
             )
     return terms
 
 
-def varied(reports: Sequence[dict[str, Any]], terms: Sequence[str]) -> list[str]:
+def varying_terms(reports: Sequence[dict[str, Any]], terms: Sequence[str]) -> list[str]:
     """Return the terms that differ among the reports, since a constant term has no slope to fit."""
-    sizes = [size_of(one) for one in reports]
-    return [term for term in terms if len({value_of(term, size) for size in sizes}) > 1]
+    sizes = [run_size(report) for report in reports]
+    return [term for term in terms if len({term_value(term, size) for size in sizes}) > 1]
 
 
-def line(reports: Sequence[dict[str, Any]], figure: str, terms: Sequence[str]) -> Line | None:
+def fit_line(
+    reports: Sequence[dict[str, Any]], figure: str, terms: Sequence[str]
+) -> FittedLine | None:
     """Fit a line to one figure, or return None if too few sizes have it.
 
     Raises FitError if the slopes of the terms cannot be told apart.
     """
-    found = [
-        (size_of(one), value) for one in reports if (value := figure_of(one, figure)) is not None
+    samples = [
+        (run_size(report), value)
+        for report in reports
+        if (value := read_figure(report, figure)) is not None
     ]
-    if len({tuple(size.values()) for size, _ in found}) < max(LEAST_SIZES, len(terms) + 2):
+    if len({tuple(size.values()) for size, _ in samples}) < max(MIN_SIZES, len(terms) + 2):
         return None
-    scales = [max(abs(value_of(term, size)) for size, _ in found) or 1.0 for term in terms]
+    scales = [max(abs(term_value(term, size)) for size, _ in samples) or 1.0 for term in terms]
     rows = [
-        [1.0, *(value_of(t, size) / s for t, s in zip(terms, scales, strict=True))]
-        for size, _ in found
+        [1.0, *(term_value(term, size) / scale for term, scale in zip(terms, scales, strict=True))]
+        for size, _ in samples
     ]
-    values = [value for _, value in found]
-    width = range(len(terms) + 1)
-    normal = [[sum(row[i] * row[j] for row in rows) for j in width] for i in width]
-    right = [sum(row[i] * value for row, value in zip(rows, values, strict=True)) for i in width]
-    solved = solve(normal, right)
+    values = [value for _, value in samples]
+    columns = range(len(terms) + 1)
+    normal = [[sum(row[i] * row[j] for row in rows) for j in columns] for i in columns]
+    right_side = [
+        sum(row[i] * value for row, value in zip(rows, values, strict=True)) for i in columns
+    ]
+    coefficients = solve_linear_system(normal, right_side)
     residuals = tuple(
-        value - sum(c * x for c, x in zip(solved, row, strict=True))
+        value
+        - sum(
+            coefficient * scaled_value
+            for coefficient, scaled_value in zip(coefficients, row, strict=True)
+        )
         for row, value in zip(rows, values, strict=True)
     )
-    slopes = {term: c / scale for term, c, scale in zip(terms, solved[1:], scales, strict=True)}
-    return Line(figure, solved[0], slopes, residuals, sum(values) / len(values))
+    slopes = {
+        term: coefficient / scale
+        for term, coefficient, scale in zip(terms, coefficients[1:], scales, strict=True)
+    }
+    return FittedLine(figure, coefficients[0], slopes, residuals, sum(values) / len(values))
 
 
-def solve(matrix: list[list[float]], right: list[float]) -> list[float]:
+def solve_linear_system(matrix: list[list[float]], right_side: list[float]) -> list[float]:
     """Solve a linear system. Raises FitError if it has no unique solution."""
-    rows = [[*row, value] for row, value in zip(matrix, right, strict=True)]
+    rows = [[*row, value] for row, value in zip(matrix, right_side, strict=True)]
     size = len(rows)
-    for at in range(size):
-        pivot = max(range(at, size), key=lambda n: abs(rows[n][at]))
-        rows[at], rows[pivot] = rows[pivot], rows[at]
-        if abs(rows[at][at]) < SINGULAR:
+    for column in range(size):
+        pivot = max(range(column, size), key=lambda row: abs(rows[row][column]))
+        rows[column], rows[pivot] = rows[pivot], rows[column]
+        if abs(rows[column][column]) < MIN_PIVOT:
             raise FitError(
                 "the sizes vary together, so their slopes cannot be told apart: keep one constant"
             )
-        for n in range(at + 1, size):
-            factor = rows[n][at] / rows[at][at]
-            rows[n] = [x - factor * y for x, y in zip(rows[n], rows[at], strict=True)]
-    solved = [0.0] * size
-    for at in reversed(range(size)):
-        rest = sum(rows[at][n] * solved[n] for n in range(at + 1, size))
-        solved[at] = (rows[at][size] - rest) / rows[at][at]
-    return solved
-
-
-def beyond(reports: Sequence[dict[str, Any]], at: dict[str, float]) -> list[str]:
+        for row in range(column + 1, size):
+            factor = rows[row][column] / rows[column][column]
+            rows[row] = [
+                value - factor * pivot_value
+                for value, pivot_value in zip(rows[row], rows[column], strict=True)
+            ]
+    solution = [0.0] * size
+    for column in reversed(range(size)):
+        known_sum = sum(rows[column][row] * solution[row] for row in range(column + 1, size))
+        solution[column] = (rows[column][size] - known_sum) / rows[column][column]
+    return solution
+
+
+def far_sizes(reports: Sequence[dict[str, Any]], target: dict[str, float]) -> list[str]:
     """Return the requested sizes that lie far beyond the largest measured ones."""
-    largest = {name: max(size_of(one)[name] for one in reports) for name in SIZES}
-    return [name for name, value in at.items() if value > FAR * largest[name]]
+    largest = {name: max(run_size(report)[name] for report in reports) for name in SIZE_KEYS}
+    return [name for name, value in target.items() if value > MAX_EXTRAPOLATION * largest[name]]
 
 
-def fitted(
+def fit_lines_to_reports(
     reports: Sequence[dict[str, Any]],
     terms: Sequence[str],
-    at: dict[str, float],
+    target: dict[str, float],
     with_void: bool = True,
 ) -> dict[str, Any]:
     """Fit a line to every figure that enough runs have, except figures that are always 0.
 
-    `at` is a size to extrapolate to, or empty.
+    `target` is a size to extrapolate to, or empty.
     """
-    used = [one for one in reports if "size" in one and (with_void or one["verdict"] != "void")]
-    told = varied(used, terms)
-    if not told:
+    used = [
+        report
+        for report in reports
+        if "size" in report and (with_void or report["verdict"] != "void")
+    ]
+    varying = varying_terms(used, terms)
+    if not varying:
         raise FitError("the reports are of one size: a line needs runs at four or more sizes")
-    drawn = (line(used, figure, told) for figure in FIGURES)
-    lines = [one for one in drawn if one is not None and (one.mean or any(one.residuals))]
+    candidates = (fit_line(used, figure, varying) for figure in FIGURE_PATHS)
+    lines = [line for line in candidates if line is not None and (line.mean or any(line.residuals))]
     if not lines:
         raise FitError(
-            f"too few sizes: a line over {', '.join(told)} needs at least {max(LEAST_SIZES, len(told) + 2)}"
+            f"too few sizes: a line over {', '.join(varying)} needs at least {max(MIN_SIZES, len(varying) + 2)}"
         )
-    full = {name: at.get(name, 0.0) for name in SIZES}
+    full_size = {name: target.get(name, 0.0) for name in SIZE_KEYS}
     return {
-        "terms": told,
-        "sizes": [size_of(one) for one in used],
+        "terms": varying,
+        "sizes": [run_size(report) for report in used],
         "not_used": len(reports) - len(used),
-        "void": sum(one["verdict"] == "void" for one in used),
-        "threshold": FITS,
-        "at": at,
-        "beyond": beyond(used, at),
+        "void": sum(report["verdict"] == "void" for report in used),
+        "threshold": MAX_MISFIT,
+        "at": target,
+        "beyond": far_sizes(used, target),
         "lines": [
             {
-                "figure": one.figure,
-                "constant": one.constant,
-                "slopes": one.slopes,
-                "residuals": [round(r, 5) for r in one.residuals],
-                "misfit": round(one.misfit, 4),
-                "fits": one.fits,
-                **({"at": one.at(full)} if at else {}),
+                "figure": line.figure,
+                "constant": line.constant,
+                "slopes": line.slopes,
+                "residuals": [round(residual, 5) for residual in line.residuals],
+                "misfit": round(line.misfit, 4),
+                "fits": line.fits,
+                **({"at": line.value_at(full_size)} if target else {}),
             }
-            for one in lines
+            for line in lines
         ],
     }
--- a/dockthread/lab/scale/hollow.py
+++ b/dockthread/lab/scale/hollow.py
@@ -16,9 +16,9 @@
 from dockthread.config.address import Address
 from dockthread.config.ingress_config import IngressConfig, Names
 from dockthread.control_plane.ingress import IngressResourceApplier
-from dockthread.lab.scale.control import ControlWitness, options_of
-from dockthread.lab.scale.planted_bugs import alteration, control_alteration
-from dockthread.lab.scale.witness import Row, Witness, table
+from dockthread.lab.scale.control import ConfigurationRecorder, control_options
+from dockthread.lab.scale.planted_bugs import list_alteration, route_alteration
+from dockthread.lab.scale.recorder import ListRecorder, Row, backend_rows
 from dockthread.net.context import MAINTENANCE_INTERVAL_MS
 from dockthread.net.discovery_watch import DiscoveryWatch
 from dockthread.net.endpoint_list import EndpointList
@@ -38,18 +38,18 @@
 from dockthread.routes.layers import Layers
 from dockthread.routes.table import Table
 
-EMPTY: Final[dict[str, Any]] = {"rev": 0, "all": True, "targets": []}
-NOWHERE: Final = Address("127.0.0.1", 0)  # A hollow ingress does not listen for clients.
+EMPTY_LIST: Final[dict[str, Any]] = {"rev": 0, "all": True, "targets": []}
+NO_LISTENER: Final = Address("127.0.0.1", 0)  # A hollow ingress does not listen for clients.
 # Timeout of the quota counter in ms. It never expires, as there is no counter to call.
-COUNTER_TIMEOUT: Final = 50.0
+COUNTER_TIMEOUT_MS: Final = 50.0
 # How a planted bug changes a message before it is applied; it returns None to drop the message.
-Alteration = Callable[[Any], Any]
+MessageAlteration = Callable[[Any], Any]
 
 
-class AlteredSet(EndpointList):
+class AlteredEndpointList(EndpointList):
     """An endpoint list whose messages pass through a planted bug first."""
 
-    alter: Alteration | None = None
+    alter: MessageAlteration | None = None
 
     def apply(self, message: Any, cached: bool = False) -> EndpointsListed:
         """Alter the message, then apply it."""
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shared:
+class SharedParameters:
     """Values shared by all hollow ingresses of a process.
 
     `discovery` and `servers` hold two alternatives each: first the addresses for ingresses that no
@@ -82,73 +82,85 @@
 class HollowIngress:
     """A hollow ingress from one start to the next stop.
 
-    `control` is given if the ingress also receives configuration. `plant` names its planted bug.
+    `configuration_recorder` is given if the ingress also receives configuration. `plant` names its
+    planted bug.
     """
 
     def __init__(
         self,
-        witness: Witness,
-        control: ControlWitness | None,
-        shared: Shared,
-        cut: bool,
+        list_recorder: ListRecorder,
+        configuration_recorder: ConfigurationRecorder | None,
+        shared: SharedParameters,
+        affected_by_cut: bool,
         plant: str = "",
     ) -> None:
-        self.witness, self._control_witness, number = witness, control, witness.number
+        self.list_recorder, self._configuration_recorder, number = (
+            list_recorder,
+            configuration_recorder,
+            list_recorder.number,
+        )
         self.clock, self._plant = Clock(), plant
-        module = replace(
+        settings = replace(
             shared.settings, ingress_number=number, zone=number % len(shared.names.zones)
         )
-        self.gateway = PolicyEngine(module, number + 1, self.clock.now() / 1000.0)
-        self._policy_host = PolicyHost(self.gateway, self.clock, lambda request: None)
-        self._timers = Timers(self.clock, module.clock_tick * 1000.0)
-        self.destinations = EndpointList(shared.names, self.clock)
-        if (alter := alteration(plant)) is not None:
-            self.destinations = AlteredSet(shared.names, self.clock)
-            self.destinations.alter = alter
-        discovery = shared.discovery[cut]
+        self.engine = PolicyEngine(settings, number + 1, self.clock.now() / 1000.0)
+        self._policy_host = PolicyHost(self.engine, self.clock, lambda request: None)
+        self._timers = Timers(self.clock, settings.clock_tick * 1000.0)
+        self.endpoints = EndpointList(shared.names, self.clock)
+        if (alter := list_alteration(plant)) is not None:
+            self.endpoints = AlteredEndpointList(shared.names, self.clock)
+            self.endpoints.alter = alter
+        discovery = shared.discovery[affected_by_cut]
         self.watch = DiscoveryWatch(
-            discovery, self.destinations, self.clock, self._listed, module, number + 1
+            discovery, self.endpoints, self.clock, self._on_list, settings, number + 1
         )
         self._policy_host.action_handlers = {
             SetTimer: self._set_timer,
             PollEndpoints: lambda action: None,
         }
-        self._watching: asyncio.Task[None] | None = None
+        self._watch_task: asyncio.Task[None] | None = None
         self._stopped = False
         self.config = IngressConfig(
-            f"n{number}", NOWHERE, discovery, number + 1, 1024, EMPTY, module, shared.names
+            f"n{number}",
+            NO_LISTENER,
+            discovery,
+            number + 1,
+            1024,
+            EMPTY_LIST,
+            settings,
+            shared.names,
         )
         self.counter = QuotaCounterClient(
             None,
             self.clock,
             self._policy_host.dispatch,
             self._timers.call_at,
-            timeout=COUNTER_TIMEOUT,
+            timeout=COUNTER_TIMEOUT_MS,
         )
-        self.layers = Layers(Table(shared.names, module.zone, number + 1), module, shared.names)
-        self._controlled: IngressResourceApplier | None = None
-        if control is not None:
-            options = options_of(number, shared.servers[cut], shared.key_file)
-            self._controlled = IngressResourceApplier(cast(Ingress, self), self.layers, options)
+        self.layers = Layers(Table(shared.names, settings.zone, number + 1), settings, shared.names)
+        self._applier: IngressResourceApplier | None = None
+        if configuration_recorder is not None:
+            options = control_options(number, shared.servers[affected_by_cut], shared.key_file)
+            self._applier = IngressResourceApplier(cast(Ingress, self), self.layers, options)
 
     def start(self) -> None:
         """Start the parts in the order in which a real ingress starts them."""
-        if self._controlled is not None and self._control_witness is not None:
-            self._controlled.open()
-            self._control_witness.observe(self._controlled, control_alteration(self._plant))
-        self.watch.start(EMPTY, self._timers.call_at)
-        self._housekeeping()
-        self._watching = asyncio.get_running_loop().create_task(self.watch.run())
+        if self._applier is not None and self._configuration_recorder is not None:
+            self._applier.open()
+            self._configuration_recorder.attach(self._applier, route_alteration(self._plant))
+        self.watch.start(EMPTY_LIST, self._timers.call_at)
+        self._run_maintenance()
+        self._watch_task = asyncio.get_running_loop().create_task(self.watch.run())
 
     async def stop(self) -> None:
         """Close the connections and stop the watch."""
         self._stopped = True
-        if self._controlled is not None:
-            await self._controlled.close()
-        if self._watching is not None:
-            self._watching.cancel()
+        if self._applier is not None:
+            await self._applier.close()
+        if self._watch_task is not None:
+            self._watch_task.cancel()
             with suppress(asyncio.CancelledError):
-                await self._watching
+                await self._watch_task
 
     @property
     def messages_sent(self) -> int:
@@ -156,26 +168,26 @@
 
         The discovery watch is a single request and is left out.
         """
-        return self._controlled.client.messages.sent if self._controlled is not None else 0
+        return self._applier.client.messages.sent if self._applier is not None else 0
 
-    def table(self) -> list[Row]:
+    def backend_rows(self) -> list[Row]:
         """Return the backends that the ingress holds, for the checker."""
-        return table(self.gateway, self.destinations)
+        return backend_rows(self.engine, self.endpoints)
 
-    def _listed(self, listed: EndpointsListed) -> None:
-        self._policy_host.dispatch(listed)
-        self.witness.heard(self.destinations.revision, self.gateway, listed)
+    def _on_list(self, event: EndpointsListed) -> None:
+        self._policy_host.dispatch(event)
+        self.list_recorder.record_list(self.endpoints.revision, self.engine, event)
 
-    def _housekeeping(self) -> None:
+    def _run_maintenance(self) -> None:
         if self._stopped:
             return
-        self._timers.call_at(self.clock.now() + MAINTENANCE_INTERVAL_MS, self._housekeeping)
-        self.destinations.forget_expired()
+        self._timers.call_at(self.clock.now() + MAINTENANCE_INTERVAL_MS, self._run_maintenance)
+        self.endpoints.forget_expired()
         self.watch.enforce_timeouts()
 
     def _set_timer(self, action: SetTimer) -> None:
-        self._timers.call_at(action.at * 1000.0, self._fired, action.token)
+        self._timers.call_at(action.at * 1000.0, self._on_timer, action.token)
 
-    def _fired(self, token: int) -> None:
+    def _on_timer(self, token: int) -> None:
         if not self._stopped:
             self._policy_host.dispatch(TimerFired(token))
--- a/dockthread/lab/scale/host.py
+++ b/dockthread/lab/scale/host.py
@@ -10,122 +10,154 @@
 from dockthread.config.address import Address
 from dockthread.config.ingress_config import Names
 from dockthread.config.platform_settings import parse_policy_settings
-from dockthread.lab.scale.channel import Words, serve_commands
-from dockthread.lab.scale.control import ControlWitness
-from dockthread.lab.scale.hollow import HollowIngress, Shared
-from dockthread.lab.scale.plan import plan_of, settings
-from dockthread.lab.scale.routes import rows
+from dockthread.lab.scale.channel import JsonObject, serve_commands
+from dockthread.lab.scale.control import ConfigurationRecorder
+from dockthread.lab.scale.hollow import HollowIngress, SharedParameters
+from dockthread.lab.scale.plan import plan_from_json, platform_settings
+from dockthread.lab.scale.recorder import ChangeRecorder, InForceCounts, ListRecorder, findings
+from dockthread.lab.scale.routes import route_rows
 from dockthread.lab.scale.usage import Lateness, traffic
-from dockthread.lab.scale.witness import InForce, Observed, Witness, findings
 
 HOST = "127.0.0.1"
 
 
-def names_of(told: Words) -> Names:
+def platform_names(settings: JsonObject) -> Names:
     """Extract the names from the platform's settings."""
     return Names(
-        classes=tuple(one["Name"] for one in told["Classes"]),
-        plans=tuple(one["Name"] for one in told["Packages"]),
-        zones=tuple(told["Azs"]),
-        kinds=tuple(told["Models"]),
+        classes=tuple(entry["Name"] for entry in settings["Classes"]),
+        plans=tuple(entry["Name"] for entry in settings["Packages"]),
+        zones=tuple(settings["Azs"]),
+        kinds=tuple(settings["Models"]),
     )
 
 
-class Host:
+class HostProcess:
     """The hollow ingresses of one process. The baseline process has none."""
 
     def __init__(self) -> None:
-        self._in_force, self._control_in_force, self._lateness = InForce(), InForce(), Lateness()
-        self._witnesses: dict[int, Witness] = {}
-        self._controls: dict[int, ControlWitness] = {}
+        self._list_in_force, self._configuration_in_force, self._lateness = (
+            InForceCounts(),
+            InForceCounts(),
+            Lateness(),
+        )
+        self._list_recorders: dict[int, ListRecorder] = {}
+        self._configuration_recorders: dict[int, ConfigurationRecorder] = {}
         self._ingresses: dict[int, HollowIngress] = {}
-        self._sent_by_ended = 0  # Messages sent by ingresses that have been stopped.
-        self._ports: list[int] = []
+        self._messages_sent_by_stopped = 0  # Messages sent by ingresses that have been stopped.
+        self._discovery_ports: list[int] = []
         self._control_ports: list[int] = []
 
-    async def begin(self, told: Words) -> Words:
+    async def begin(self, arguments: JsonObject) -> JsonObject:
         """Start the ingresses of this process."""
-        self._plan, self._ports = plan_of(told["plan"]), told["discovery"]
-        words, control = settings(self._plan.ingresses), told["control"]
-        first, cut = (Address(HOST, port) for port in self._ports)
+        self._plan, self._discovery_ports = (
+            plan_from_json(arguments["plan"]),
+            arguments["discovery"],
+        )
+        raw_settings, control = platform_settings(self._plan.ingresses), arguments["control"]
+        uncut_address, cut_address = (Address(HOST, port) for port in self._discovery_ports)
         servers: list[list[str]] = control["servers"] if control else [[], []]
-        self._control_ports = [Address.parse(one).port for at in servers for one in at]
-        self._shared = Shared(
-            parse_policy_settings(json.dumps(words).encode()),
-            names_of(words),
-            (first, cut),
+        self._control_ports = [
+            Address.parse(address).port for addresses in servers for address in addresses
+        ]
+        self._shared_parameters = SharedParameters(
+            parse_policy_settings(json.dumps(raw_settings).encode()),
+            platform_names(raw_settings),
+            (uncut_address, cut_address),
             (servers[0], servers[1]),
             control["key_file"] if control else "",
         )
-        self._planted = min(told["numbers"]) if told["numbers"] and told["plants"] else -1
-        for number in told["numbers"]:
-            self._witnesses[number] = Witness(number, self._in_force)
+        self._planted_number = (
+            min(arguments["numbers"]) if arguments["numbers"] and arguments["plants"] else -1
+        )
+        for number in arguments["numbers"]:
+            self._list_recorders[number] = ListRecorder(number, self._list_in_force)
             if control:
-                self._controls[number] = ControlWitness(number, self._control_in_force)
-        self._start(list(self._witnesses), True)
-        self._watching = asyncio.get_running_loop().create_task(self._lateness.watch())
+                self._configuration_recorders[number] = ConfigurationRecorder(
+                    number, self._configuration_in_force
+                )
+        self._start(list(self._list_recorders), True)
+        self._lateness_task = asyncio.get_running_loop().create_task(self._lateness.measure())
         return {}
 
-    def _start(self, numbers: list[int], first: bool) -> None:
+    def _start(self, numbers: list[int], is_first_start: bool) -> None:
         for number in numbers:
-            witness, control = self._witnesses[number], self._controls.get(number)
-            plant = self._plan.plant if number == self._planted else ""
-            witness.new_life(first)
-            if control is not None:
-                control.new_life(first)
-            one = HollowIngress(witness, control, self._shared, self._plan.in_cut(number), plant)
-            self._ingresses[number] = one
-            one.start()
-
-    async def stop(self, told: Words) -> Words:
+            list_recorder, configuration_recorder = (
+                self._list_recorders[number],
+                self._configuration_recorders.get(number),
+            )
+            plant = self._plan.plant if number == self._planted_number else ""
+            list_recorder.reset(is_first_start)
+            if configuration_recorder is not None:
+                configuration_recorder.reset(is_first_start)
+            ingress = HollowIngress(
+                list_recorder,
+                configuration_recorder,
+                self._shared_parameters,
+                self._plan.is_affected_by_cut(number),
+                plant,
+            )
+            self._ingresses[number] = ingress
+            ingress.start()
+
+    async def stop(self, arguments: JsonObject) -> JsonObject:
         """Stop all ingresses that the fault restarts."""
-        ended = [number for number in self._ingresses if self._plan.restarted(number)]
-        self._sent_by_ended += sum(self._ingresses[number].messages_sent for number in ended)
-        await asyncio.gather(*(self._ingresses.pop(number).stop() for number in ended))
+        stopped = [number for number in self._ingresses if self._plan.is_restarted(number)]
+        self._messages_sent_by_stopped += sum(
+            self._ingresses[number].messages_sent for number in stopped
+        )
+        await asyncio.gather(*(self._ingresses.pop(number).stop() for number in stopped))
         gc.collect()
-        return {"stopped": len(ended)}
+        return {"stopped": len(stopped)}
 
-    async def start(self, told: Words) -> Words:
+    async def start(self, arguments: JsonObject) -> JsonObject:
         """Start new ingresses, with empty state, in place of the stopped ones."""
-        self._start([number for number in self._witnesses if number not in self._ingresses], False)
+        self._start(
+            [number for number in self._list_recorders if number not in self._ingresses], False
+        )
         return {"at": time.monotonic()}
 
-    async def state(self, told: Words) -> Words:
+    async def state(self, arguments: JsonObject) -> JsonObject:
         """Return the readings that the run takes at both ends of a window."""
-        seen: list[Observed] = [*self._witnesses.values(), *self._controls.values()]
+        recorders: list[ChangeRecorder] = [
+            *self._list_recorders.values(),
+            *self._configuration_recorders.values(),
+        ]
         return {
-            "lowest": min((one.reached for one in self._witnesses.values()), default=-1),
+            "lowest": min(
+                (recorder.reached for recorder in self._list_recorders.values()), default=-1
+            ),
             "lowest_configuration": min(
-                (one.reached for one in self._controls.values()), default=-1
+                (recorder.reached for recorder in self._configuration_recorders.values()),
+                default=-1,
             ),
-            "messages_in": sum(one.messages for one in seen),
-            "messages_out": self._sent_by_ended
-            + sum(one.messages_sent for one in self._ingresses.values()),
-            "traffic": traffic(self._ports, local=False),
+            "messages_in": sum(recorder.message_count for recorder in recorders),
+            "messages_out": self._messages_sent_by_stopped
+            + sum(ingress.messages_sent for ingress in self._ingresses.values()),
+            "traffic": traffic(self._discovery_ports, local=False),
             "control_traffic": traffic(self._control_ports, local=False),
-            "late": self._lateness.taken(),
+            "late": self._lateness.take_summary(),
         }
 
-    async def findings(self, told: Words) -> Words:
+    async def findings(self, arguments: JsonObject) -> JsonObject:
         """Return the findings of all ingresses here, for the checker and the report."""
-        tables = {number: one.table() for number, one in self._ingresses.items()}
+        tables = {number: ingress.backend_rows() for number, ingress in self._ingresses.items()}
         routes = {
-            number: rows(one.layers)
-            for number, one in self._ingresses.items()
-            if number in self._controls
+            number: route_rows(ingress.layers)
+            for number, ingress in self._ingresses.items()
+            if number in self._configuration_recorders
         }
-        found = findings(list(self._witnesses.values()), tables, self._in_force)
+        list_findings = findings(list(self._list_recorders.values()), tables, self._list_in_force)
         return {
-            **found,
+            **list_findings,
             "configuration": findings(
-                list(self._controls.values()), routes, self._control_in_force
+                list(self._configuration_recorders.values()), routes, self._configuration_in_force
             ),
         }
 
 
-async def play() -> None:
+async def serve() -> None:
     """Answer the run's commands until standard input closes."""
-    host = Host()
+    host = HostProcess()
     await serve_commands(
         {
             "begin": host.begin,
--- a/dockthread/lab/scale/load.py
+++ b/dockthread/lab/scale/load.py
@@ -8,34 +8,34 @@
 from dockthread.lab.load import LoadTarget
 from dockthread.lab.load_result import LoadResult
 from dockthread.lab.processes import LoadPlan, send_share
-from dockthread.lab.scale.channel import Words, serve_commands
+from dockthread.lab.scale.channel import JsonObject, serve_commands
 
-DEADLINES = {"seat-status": 4.0, "seat-checkout": 12.0}
-MIX = RequestMix(
-    tuple((name, 1.0) for name in DEADLINES), (("klein", 2.0), ("mittel", 1.0), ("gross", 1.0))
+DEADLINES_S = {"seat-status": 4.0, "seat-checkout": 12.0}
+REQUEST_MIX = RequestMix(
+    tuple((name, 1.0) for name in DEADLINES_S), (("klein", 2.0), ("mittel", 1.0), ("gross", 1.0))
 )
 HOST = "127.0.0.1"
 
 
-class Load:
+class LoadGenerator:
     """The process that sends client requests to the real ingresses."""
 
-    async def begin(self, told: Words) -> Words:
+    async def begin(self, arguments: JsonObject) -> JsonObject:
         """Store the seed and the rate."""
-        self._seed, self._rate = int(told["seed"]), float(told["rate"])
+        self._seed, self._rate = int(arguments["seed"]), float(arguments["rate"])
         return {}
 
-    async def send(self, told: Words) -> Words:
+    async def send(self, arguments: JsonObject) -> JsonObject:
         """Send load to each port for the given seconds and return the merged results as JSON."""
-        segments = parse_rate_shape(f"{self._rate:g}@{told['seconds']:g}s")
+        segments = parse_rate_shape(f"{self._rate:g}@{arguments['seconds']:g}s")
         plans = [
             LoadPlan(
-                LoadTarget(HOST, port, DEADLINES, frozenset({"seat-checkout"})),
-                self._seed + n,
+                LoadTarget(HOST, port, DEADLINES_S, frozenset({"seat-checkout"})),
+                self._seed + index,
                 segments,
-                MIX,
+                REQUEST_MIX,
             )
-            for n, port in enumerate(told["ports"])
+            for index, port in enumerate(arguments["ports"])
         ]
         total = LoadResult()
         for result in await asyncio.gather(*(send_share(plan, 0, 1) for plan in plans)):
@@ -43,7 +43,7 @@
         return total.to_json()
 
 
-async def play() -> None:
+async def serve() -> None:
     """Answer the run's commands until standard input closes."""
-    load = Load()
+    load = LoadGenerator()
     await serve_commands({"begin": load.begin, "send": load.send})
--- a/dockthread/lab/scale/plan.py
+++ b/dockthread/lab/scale/plan.py
@@ -13,13 +13,13 @@
 FAULTS: Final = ("none", "restart-wave", "zone", "cut")
 ZONES: Final = 14
 REGIONS: Final = 4
-HOSTED: Final = 200  # Default number of hollow ingresses per process.
-MOST_HOSTS: Final = 8
+INGRESSES_PER_HOST: Final = 200  # Default number of hollow ingresses per process.
+MAX_HOSTS: Final = 8
 # Maximum number of list entries held by all ingresses together: some 11 GB at 2.5 KB each.
-MOST_ENTRIES: Final = 4_500_000
-MOST_ROUTES: Final = 1_000_000  # Maximum number of routes held by all ingresses together.
-RESTARTED_PART: Final = 0.1  # Share of the ingresses that a restart wave restarts.
-CUT_PART: Final = 0.25  # Share of the ingresses that a cut affects.
+MAX_ENTRIES: Final = 4_500_000
+MAX_ROUTES: Final = 1_000_000  # Maximum number of routes held by all ingresses together.
+RESTARTED_SHARE: Final = 0.1  # Share of the ingresses that a restart wave restarts.
+CUT_SHARE: Final = 0.25  # Share of the ingresses that a cut affects.
 # The zone that the fault `zone` removes. It is the last one, because the first ingresses may be
 # under load.
 LOST_ZONE: Final = ZONES - 1
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class RunPlan:
     """The parameters of one run.
 
     `hosts` is the number of processes that run the hollow ingresses; 0 derives it from their
@@ -87,18 +87,20 @@
             raise PlanError(f"unknown fault {self.fault!r}: choose one of {', '.join(FAULTS)}")
         if self.real + self.hollow < 1:
             raise PlanError("the run has no ingress: ask for at least one, real or hollow")
-        if (held := self.ingresses * self.routes * self.distributes) > MOST_ROUTES:
+        if (
+            held_routes := self.ingresses * self.routes * self.distributes_configuration
+        ) > MAX_ROUTES:
             raise PlanError(
-                f"{self.ingresses} ingresses hold {held} routes, more than {MOST_ROUTES}: ask for fewer"
+                f"{self.ingresses} ingresses hold {held_routes} routes, more than {MAX_ROUTES}: ask for fewer"
             )
-        if (entries := self.ingresses * self.backends) > MOST_ENTRIES:
+        if (held_entries := self.ingresses * self.backends) > MAX_ENTRIES:
             raise PlanError(
-                f"{self.ingresses} ingresses with {self.backends} backends hold {entries} entries,"
-                f" more than {MOST_ENTRIES}: keep one number small while the other varies"
+                f"{self.ingresses} ingresses with {self.backends} backends hold {held_entries} entries,"
+                f" more than {MAX_ENTRIES}: keep one number small while the other varies"
             )
 
     @property
-    def distributes(self) -> bool:
+    def distributes_configuration(self) -> bool:
         """Whether the run distributes configuration."""
         return self.changes.configuration_rate > 0
 
@@ -110,31 +112,31 @@
     @property
     def host_count(self) -> int:
         """The number of processes that run the hollow ingresses."""
-        return self.hosts or min(MOST_HOSTS, -(-self.hollow // HOSTED))
+        return self.hosts or min(MAX_HOSTS, -(-self.hollow // INGRESSES_PER_HOST))
 
-    def shares(self) -> list[list[int]]:
+    def host_assignments(self) -> list[list[int]]:
         """Return the ingress numbers for each host process. Real ingresses have the lowest numbers."""
         numbers = range(self.real, self.ingresses)
-        return [list(numbers[n :: self.host_count]) for n in range(self.host_count)]
+        return [list(numbers[host :: self.host_count]) for host in range(self.host_count)]
 
-    def in_cut(self, number: int) -> bool:
+    def is_affected_by_cut(self, number: int) -> bool:
         """Return whether a cut affects an ingress."""
-        return self.fault == "cut" and number % (every := round(1 / CUT_PART)) == every - 1
+        return self.fault == "cut" and number % (interval := round(1 / CUT_SHARE)) == interval - 1
 
-    def restarted(self, number: int) -> bool:
+    def is_restarted(self, number: int) -> bool:
         """Return whether the fault restarts an ingress: one in ten, or all in the lost zone."""
         if self.fault == "restart-wave":
-            return number % (every := round(1 / RESTARTED_PART)) == every - 1
+            return number % (interval := round(1 / RESTARTED_SHARE)) == interval - 1
         return self.fault == "zone" and number % ZONES == LOST_ZONE
 
-    def told(self) -> dict[str, Any]:
+    def to_json(self) -> dict[str, Any]:
         """Return the plan as plain data for another process."""
         return asdict(self)
 
 
-def plan_of(told: dict[str, Any]) -> Plan:
+def plan_from_json(data: dict[str, Any]) -> RunPlan:
     """Restore a plan from the plain data sent by another process."""
-    return Plan(**{**told, "changes": Changes(**told["changes"])})
+    return RunPlan(**{**data, "changes": Changes(**data["changes"])})
 
 
 def zone_name(number: int) -> str:
@@ -142,11 +144,11 @@
     return f"zone-{number % ZONES}"
 
 
-def settings(gateways: int) -> dict[str, Any]:
+def platform_settings(ingresses: int) -> dict[str, Any]:
     """Return the platform's settings for every ingress of a run."""
     return {
         "MyNumber": 0,
-        "ReplicasOfMe": gateways,
+        "ReplicasOfMe": ingresses,
         "Classes": [
             {
                 "Name": "seat-status",
@@ -165,7 +167,7 @@
         "Packages": [
             {"Name": name, "Refill": 1e6, "PeakUnits": 1e6} for name in ("klein", "mittel", "gross")
         ],
-        "Azs": [zone_name(n) for n in range(ZONES)],
+        "Azs": [zone_name(number) for number in range(ZONES)],
         "Models": ["type-a"],
         "Period": 4000,
         "Domain": {"Largest": 4},
--- a/dockthread/lab/scale/planted_bugs.py
+++ b/dockthread/lab/scale/planted_bugs.py
@@ -7,96 +7,100 @@
 
 from dockthread.control_plane.messages import Resource
 
-LIST_NAMES: Final = ("lost", "older", "stale-list")
-ROUTE_NAMES: Final = ("route-lost", "route-older")
-NAMES: Final = LIST_NAMES + ROUTE_NAMES
-AFTER: Final = 3  # Number of changes before a bug takes effect.
+LIST_BUG_NAMES: Final = ("lost", "older", "stale-list")
+ROUTE_BUG_NAMES: Final = ("route-lost", "route-older")
+BUG_NAMES: Final = LIST_BUG_NAMES + ROUTE_BUG_NAMES
+CHANGES_BEFORE_BUG: Final = 3  # Number of changes before a bug takes effect.
 
 
-def alteration(name: str) -> Callable[[Any], Any] | None:
+def list_alteration(name: str) -> Callable[[Any], Any] | None:
     """Return the function that alters each list message before it is applied, or None for no bug."""
-    if name not in LIST_NAMES:
+    if name not in LIST_BUG_NAMES:
         return None
-    return {"lost": _lost, "older": _older, "stale-list": _stale_list}[name]()
+    return {
+        "lost": _drop_backend_changes,
+        "older": _apply_older_version,
+        "stale-list": _repeat_whole_list,
+    }[name]()
 
 
-def _lost() -> Callable[[Any], Any]:
+def _drop_backend_changes() -> Callable[[Any], Any]:
     """Drop all changes of one backend from a given change on."""
-    seen, uid = 0, ""
+    change_count, dropped_uid = 0, ""
 
     def alter(message: Any) -> Any:
-        nonlocal seen, uid
+        nonlocal change_count, dropped_uid
         if message["all"]:
             return message
-        seen += 1
-        changed = message["targets"][0]["uid"]
-        if seen == AFTER:
-            uid = changed
-        return None if changed == uid else message
+        change_count += 1
+        changed_uid = message["targets"][0]["uid"]
+        if change_count == CHANGES_BEFORE_BUG:
+            dropped_uid = changed_uid
+        return None if changed_uid == dropped_uid else message
 
     return alter
 
 
-def _older() -> Callable[[Any], Any]:
+def _apply_older_version() -> Callable[[Any], Any]:
     """Apply an older version of a backend as if it were a newer one, after a few changes."""
-    kept: list[Any] = []
+    changes: list[Any] = []
 
     def alter(message: Any) -> Any:
         if message["all"]:
             return message
-        kept.append(message)
-        if len(kept) <= AFTER:
+        changes.append(message)
+        if len(changes) <= CHANGES_BEFORE_BUG:
             return message
-        older = {**kept[0]["targets"][0], "capacity_hint": 0.5}
+        older = {**changes[0]["targets"][0], "capacity_hint": 0.5}
         return {**message, "targets": [*message["targets"], older]}
 
     return alter
 
 
-def _stale_list() -> Callable[[Any], Any]:
-    """Apply the first whole list of backends again in place of a later change."""
-    whole: list[Any] = []
-    seen = 0
+def _repeat_whole_list() -> Callable[[Any], Any]:
+    """Apply the latest whole list of backends again in place of a later change."""
+    whole_lists: list[Any] = []
+    change_count = 0
 
     def alter(message: Any) -> Any:
-        nonlocal seen
+        nonlocal change_count
         if message["all"]:
             if message["targets"]:
-                whole[:] = [message]
+                whole_lists[:] = [message]
             return message
-        seen += 1
-        return whole[0] if seen == AFTER and whole else message
+        change_count += 1
+        return whole_lists[0] if change_count == CHANGES_BEFORE_BUG and whole_lists else message
 
     return alter
 
 
-def control_alteration(name: str) -> Callable[[Sequence[Resource]], Sequence[Resource]] | None:
+def route_alteration(name: str) -> Callable[[Sequence[Resource]], Sequence[Resource]] | None:
     """Return the function that alters resources before they are applied, or None for no bug."""
-    if name not in ROUTE_NAMES:
+    if name not in ROUTE_BUG_NAMES:
         return None
-    return _route_lost() if name == "route-lost" else _route_older()
+    return _drop_route_changes() if name == "route-lost" else _repeat_first_version()
 
 
-def _route_lost() -> Callable[[Sequence[Resource]], Sequence[Resource]]:
+def _drop_route_changes() -> Callable[[Sequence[Resource]], Sequence[Resource]]:
     """Drop all changes of one route."""
-    lost = ""
+    dropped_name = ""
 
     def alter(changes: Sequence[Resource]) -> Sequence[Resource]:
-        nonlocal lost
-        lost = lost or (changes[-1].name if changes else "")
-        return [one for one in changes if one.name != lost]
+        nonlocal dropped_name
+        dropped_name = dropped_name or (changes[-1].name if changes else "")
+        return [change for change in changes if change.name != dropped_name]
 
     return alter
 
 
-def _route_older() -> Callable[[Sequence[Resource]], Sequence[Resource]]:
+def _repeat_first_version() -> Callable[[Sequence[Resource]], Sequence[Resource]]:
     """Apply the first version of a route again after each newer version."""
-    first: dict[str, Resource] = {}
+    first_versions: dict[str, Resource] = {}
 
     def alter(changes: Sequence[Resource]) -> Sequence[Resource]:
-        older = [first[one.name] for one in changes if one.name in first]
-        for one in changes:
-            first.setdefault(one.name, one)
+        older = [first_versions[change.name] for change in changes if change.name in first_versions]
+        for change in changes:
+            first_versions.setdefault(change.name, change)
         return [*changes, *older]
 
     return alter
--- a/dockthread/lab/scale/real.py
+++ b/dockthread/lab/scale/real.py
@@ -8,11 +8,11 @@
 from dockthread.config.platform_settings import read_config
 from dockthread.control_plane.ingress import IngressResourceApplier
 from dockthread.daemon import Daemon
-from dockthread.lab.scale.channel import Words, serve_commands
-from dockthread.lab.scale.control import ControlWitness
-from dockthread.lab.scale.routes import rows
+from dockthread.lab.scale.channel import JsonObject, serve_commands
+from dockthread.lab.scale.control import ConfigurationRecorder
+from dockthread.lab.scale.recorder import InForceCounts, ListRecorder, Row, backend_rows, findings
+from dockthread.lab.scale.routes import route_rows
 from dockthread.lab.scale.usage import Lateness, traffic
-from dockthread.lab.scale.witness import InForce, Row, Witness, findings, table
 from dockthread.observer import Observer
 from dockthread.section_registry import load_operator_file
 
@@ -20,93 +20,118 @@
 class ListObserver(Observer):
     """Records the revision of each list that the policy engine has received."""
 
-    def __init__(self, daemon: Daemon, witness: Witness) -> None:
-        self._daemon, self._witness = daemon, witness
+    def __init__(self, daemon: Daemon, list_recorder: ListRecorder) -> None:
+        self._daemon, self._list_recorder = daemon, list_recorder
 
     def event(self, what: str, **figures: object) -> None:
         """Record the list's revision when the ingress reports the event `list`."""
         if what == "list":
             ingress = self._daemon.ingress
-            self._witness.heard(ingress.endpoints.revision, ingress.engine)
+            self._list_recorder.record_list(ingress.endpoints.revision, ingress.engine)
 
 
-class Real:
+class RealIngress:
     """The process of one real ingress."""
 
     def __init__(self) -> None:
-        self._lateness, self._in_force, self._control_in_force = Lateness(), InForce(), InForce()
-        self._control: ControlWitness | None = None
-        self._controlled: IngressResourceApplier | None = None
+        self._lateness, self._list_in_force, self._configuration_in_force = (
+            Lateness(),
+            InForceCounts(),
+            InForceCounts(),
+        )
+        self._configuration_recorder: ConfigurationRecorder | None = None
+        self._applier: IngressResourceApplier | None = None
         self._tasks: list[asyncio.Task[None]] = []
 
-    async def begin(self, told: Words) -> Words:
+    async def begin(self, arguments: JsonObject) -> JsonObject:
         """Start the daemon and return its client port.
 
         In the arguments, `ini` is the path of the operator's file, or empty. `reached` and
         `reached_configuration` are the revisions that the ingress had reached before a restart.
         """
-        self._ports, self._control_ports = told["discovery"], told["control_ports"]
-        self._witness = Witness(told["number"], self._in_force, told["reached"])
-        self._witness.new_life(not told["reached"])
-        config = read_config({**os.environ, "NODE_CONFIG": told["config"]})
-        read = (
-            load_operator_file(told["ini"], config.policy_settings, config.names)
-            if told["ini"]
+        self._discovery_ports, self._control_ports = (
+            arguments["discovery"],
+            arguments["control_ports"],
+        )
+        self._list_recorder = ListRecorder(
+            arguments["number"], self._list_in_force, arguments["reached"]
+        )
+        self._list_recorder.reset(not arguments["reached"])
+        config = read_config({**os.environ, "NODE_CONFIG": arguments["config"]})
+        operator_file = (
+            load_operator_file(arguments["ini"], config.policy_settings, config.names)
+            if arguments["ini"]
             else None
         )
-        self._daemon = Daemon(config, told["ini"] or None, read)
+        self._daemon = Daemon(config, arguments["ini"] or None, operator_file)
         ingress = self._daemon.ingress
-        ingress.observe(ListObserver(self._daemon, self._witness))
+        ingress.observe(ListObserver(self._daemon, self._list_recorder))
         loop = asyncio.get_running_loop()
         self._tasks = [
             loop.create_task(self._daemon.run()),
-            loop.create_task(self._lateness.watch()),
+            loop.create_task(self._lateness.measure()),
         ]
         while not ingress.lifecycle.ready and not self._tasks[0].done():
             await asyncio.sleep(0)
-            if self._control is None and (controlled := self._daemon.resource_applier) is not None:
-                self._controlled = controlled
-                self._control = ControlWitness(
-                    told["number"], self._control_in_force, told["reached_configuration"]
+            if (
+                self._configuration_recorder is None
+                and (applier := self._daemon.resource_applier) is not None
+            ):
+                self._applier = applier
+                self._configuration_recorder = ConfigurationRecorder(
+                    arguments["number"],
+                    self._configuration_in_force,
+                    arguments["reached_configuration"],
                 )
-                self._control.new_life(not told["reached_configuration"])
-                self._control.observe(controlled)
+                self._configuration_recorder.reset(not arguments["reached_configuration"])
+                self._configuration_recorder.attach(applier)
         if self._tasks[0].done():
             await self._tasks[0]
         return {"port": ingress.address.port}
 
-    async def state(self, told: Words) -> Words:
+    async def state(self, arguments: JsonObject) -> JsonObject:
         """Return the readings that the run takes at both ends of a window."""
-        control = self._control
+        recorder = self._configuration_recorder
         return {
-            "lowest": self._witness.reached,
-            "lowest_configuration": control.reached if control is not None else -1,
-            "messages_in": self._witness.messages
-            + (control.messages if control is not None else 0),
-            "messages_out": self._controlled.client.messages.sent
-            if self._controlled is not None
-            else 0,
-            "traffic": traffic(self._ports, local=False),
+            "lowest": self._list_recorder.reached,
+            "lowest_configuration": recorder.reached if recorder is not None else -1,
+            "messages_in": self._list_recorder.message_count
+            + (recorder.message_count if recorder is not None else 0),
+            "messages_out": self._applier.client.messages.sent if self._applier is not None else 0,
+            "traffic": traffic(self._discovery_ports, local=False),
             "control_traffic": traffic(self._control_ports, local=False),
-            "late": self._lateness.taken(),
+            "late": self._lateness.take_summary(),
         }
 
-    async def findings(self, told: Words) -> Words:
+    async def findings(self, arguments: JsonObject) -> JsonObject:
         """Return the findings of this ingress, for the checker and the report."""
-        ingress, number = self._daemon.ingress, self._witness.number
-        found = findings(
-            [self._witness], {number: table(ingress.engine, ingress.endpoints)}, self._in_force
+        ingress, number = self._daemon.ingress, self._list_recorder.number
+        list_findings = findings(
+            [self._list_recorder],
+            {number: backend_rows(ingress.engine, ingress.endpoints)},
+            self._list_in_force,
         )
-        found |= {"number": number, "reached": self._witness.reached, "reached_configuration": 0}
-        routes: dict[int, list[Row]] = {}
-        controls = [self._control] if self._control is not None else []
-        for control in controls:
-            found["reached_configuration"] = control.reached
-            routes[number] = rows(self._daemon.routes) if self._daemon.routes is not None else []
-        return {**found, "configuration": findings(controls, routes, self._control_in_force)}
+        list_findings |= {
+            "number": number,
+            "reached": self._list_recorder.reached,
+            "reached_configuration": 0,
+        }
+        rows_by_ingress: dict[int, list[Row]] = {}
+        recorders = (
+            [self._configuration_recorder] if self._configuration_recorder is not None else []
+        )
+        for recorder in recorders:
+            list_findings["reached_configuration"] = recorder.reached
+            rows_by_ingress[number] = (
+                route_rows(self._daemon.routes) if self._daemon.routes is not None else []
+            )
+        return {
+            **list_findings,
+            "configuration": findings(recorders, rows_by_ingress, self._configuration_in_force),
+        }
 
 
-async def play() -> None:
+async def serve() -> None:
     """Answer the run's commands until standard input closes."""
-    real = Real()
+    real = RealIngress()
     await serve_commands({"begin": real.begin, "state": real.state, "findings": real.findings})
--- a/dockthread/lab/scale/relay.py
+++ b/dockthread/lab/scale/relay.py
@@ -11,68 +11,74 @@
 from typing import Final
 
 from dockthread.config.address import Address
-from dockthread.lab.scale.channel import Words, serve_commands
+from dockthread.lab.scale.channel import JsonObject, serve_commands
 
 HOST: Final = "127.0.0.1"
-PIECE: Final = 65536  # Maximum bytes of one read.
+READ_BYTES: Final = 65536  # Maximum bytes of one read.
 
 
 class Relay:
     """A relay in front of one distributor."""
 
-    def __init__(self, to: Address, passing: asyncio.Event) -> None:
-        self._to, self._passing = to, passing
+    def __init__(self, distributor: Address, link_up: asyncio.Event) -> None:
+        self._distributor, self._link_up = distributor, link_up
 
     async def open(self) -> int:
         """Open the listener and return its port."""
-        self._server = await asyncio.start_server(self._take, HOST, 0)
+        self._server = await asyncio.start_server(self._accept, HOST, 0)
         return int(self._server.sockets[0].getsockname()[1])
 
-    async def _take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        onward = None
+    async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        to_distributor = None
         try:
-            await self._passing.wait()
-            back, onward = await asyncio.open_connection(self._to.host, self._to.port)
-            await asyncio.gather(self._pass(reader, onward), self._pass(back, writer))
+            await self._link_up.wait()
+            from_distributor, to_distributor = await asyncio.open_connection(
+                self._distributor.host, self._distributor.port
+            )
+            await asyncio.gather(
+                self._forward(reader, to_distributor), self._forward(from_distributor, writer)
+            )
         except OSError:
             pass
         finally:
             writer.close()
-            if onward is not None:
-                onward.close()
+            if to_distributor is not None:
+                to_distributor.close()
 
-    async def _pass(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(OSError):
-            while piece := await reader.read(PIECE):
-                await self._passing.wait()
-                writer.write(piece)
+            while data := await reader.read(READ_BYTES):
+                await self._link_up.wait()
+                writer.write(data)
                 await writer.drain()
-        await self._passing.wait()
+        await self._link_up.wait()
         writer.close()
 
 
-class Relays:
+class RelayProcess:
     """The relay process, with one relay for each distributor."""
 
     def __init__(self) -> None:
-        self._passing = asyncio.Event()
-        self._passing.set()
+        self._link_up = asyncio.Event()
+        self._link_up.set()
 
-    async def begin(self, told: Words) -> Words:
+    async def begin(self, arguments: JsonObject) -> JsonObject:
         """Open the relays and return their ports."""
-        self._relays = [Relay(Address.parse(server), self._passing) for server in told["servers"]]
-        return {"ports": [await one.open() for one in self._relays]}
+        self._relays = [
+            Relay(Address.parse(server), self._link_up) for server in arguments["servers"]
+        ]
+        return {"ports": [await relay.open() for relay in self._relays]}
 
-    async def cut(self, told: Words) -> Words:
+    async def cut(self, arguments: JsonObject) -> JsonObject:
         """Start or end the cut."""
-        if told["cut"]:
-            self._passing.clear()
+        if arguments["cut"]:
+            self._link_up.clear()
         else:
-            self._passing.set()
+            self._link_up.set()
         return {}
 
 
-async def play() -> None:
+async def serve() -> None:
     """Answer the run's commands until standard input closes."""
-    relays = Relays()
+    relays = RelayProcess()
     await serve_commands({"begin": relays.begin, "cut": relays.cut})
--- a/dockthread/lab/scale/role.py
+++ b/dockthread/lab/scale/role.py
@@ -15,7 +15,7 @@
 from loguru import logger
 
 ROLES: Final = ("discovery", "host", "real", "backends", "load", "server", "relay", "publisher")
-SELDOM: Final = 20_000  # Allocations between two garbage collections, as in the daemon.
+GC_THRESHOLD: Final = 20_000  # Allocations between two garbage collections, as in the daemon.
 
 
 def main(role: str) -> None:
@@ -24,10 +24,10 @@
         raise SystemExit(f"unknown role {role!r}: choose one of {', '.join(ROLES)}")
     logger.remove()
     logger.add(sys.stderr, level="WARNING")
-    gc.set_threshold(SELDOM)
-    played = import_module(f"dockthread.lab.scale.{role}")
+    gc.set_threshold(GC_THRESHOLD)
+    role_module = import_module(f"dockthread.lab.scale.{role}")
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(played.play())
+        runner.run(role_module.serve())
 
 
 if __name__ == "__main__":
--- a/dockthread/lab/scale/server.py
+++ b/dockthread/lab/scale/server.py
@@ -11,7 +11,7 @@
 from dockthread.control_plane.distributor import Distributor
 from dockthread.control_plane.server_settings import server_settings_from_options
 from dockthread.control_plane.voter import Voter
-from dockthread.lab.scale.channel import Words, serve_commands
+from dockthread.lab.scale.channel import JsonObject, serve_commands
 from dockthread.lab.scale.usage import Lateness, traffic
 from dockthread.section_registry import load_operator_file
 
@@ -22,38 +22,38 @@
     def __init__(self) -> None:
         self._lateness = Lateness()
 
-    async def begin(self, told: Words) -> Words:
+    async def begin(self, arguments: JsonObject) -> JsonObject:
         """Open the server and return its port."""
-        read = load_operator_file(told["file"])
-        options = read.section("control")
+        operator_file = load_operator_file(arguments["file"])
+        options = operator_file.section("control")
         rng = random.Random(secrets.randbits(64))
-        part: Any
+        server: Any
         if options.role == "distributor":
-            part = Distributor(options, Clock(), rng)
+            server = Distributor(options, Clock(), rng)
         else:
-            part = Voter(
+            server = Voter(
                 server_settings_from_options(options, options.key()),
-                read.section("fleet"),
+                operator_file.section("fleet"),
                 Clock(),
                 rng,
             )
-        self._part = part
-        self._port = (await part.open(options.listen_address())).port
-        self._watching = asyncio.get_running_loop().create_task(self._lateness.watch())
+        self._server = server
+        self._port = (await server.open(options.listen_address())).port
+        self._lateness_task = asyncio.get_running_loop().create_task(self._lateness.measure())
         return {"port": self._port}
 
-    async def state(self, told: Words) -> Words:
+    async def state(self, arguments: JsonObject) -> JsonObject:
         """Return the run's readings: traffic on the server's own port, and messages with all peers."""
-        messages = self._part.messages
+        messages = self._server.messages
         return {
             "messages_in": messages.received,
             "messages_out": messages.sent,
             "traffic": traffic([self._port], local=True),
-            "late": self._lateness.taken(),
+            "late": self._lateness.take_summary(),
         }
 
 
-async def play() -> None:
+async def serve() -> None:
     """Answer the run's commands until standard input closes."""
-    server = ControlServer()
-    await serve_commands({"begin": server.begin, "state": server.state})
+    process = ControlServer()
+    await serve_commands({"begin": process.begin, "state": process.state})
--- a/dockthread/lab/scale/usage.py
+++ b/dockthread/lab/scale/usage.py
@@ -15,50 +15,54 @@
 from dockthread.errors import DockthreadError
 
 TCP_INFO: Final = 11  # Socket option number at the level IPPROTO_TCP.
-BYTES_AT: Final = 120  # Offset of tcpi_bytes_acked in struct tcp_info; tcpi_bytes_received follows.
-INFO_SIZE: Final = 192
-BEAT: Final = 0.05  # Seconds between two measurements of a loop's lateness.
+# Offset of tcpi_bytes_acked in struct tcp_info; tcpi_bytes_received follows.
+BYTES_ACKED_OFFSET: Final = 120
+TCP_INFO_BYTES: Final = 192
+LATENESS_INTERVAL_S: Final = 0.05  # Seconds between two measurements of a loop's lateness.
 MEGABYTE: Final = 1 << 20
 
 
-class Gone(DockthreadError):
+class ProcessEndedError(DockthreadError):
     """The process has ended."""
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the CPU seconds of a process's threads by the scheduler's count. Raises Gone."""
+    """Return the CPU seconds of a process's threads, as the scheduler counts them.
+
+    Raises ProcessEndedError.
+    """
     try:
         tasks = list(Path(f"/proc/{pid}/task").iterdir())
         return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks) / 1e9
     except OSError as error:
-        raise Gone(f"process {pid} has ended") from error
+        raise ProcessEndedError(f"process {pid} has ended") from error
 
 
-def resident(pid: int) -> int:
-    """Return the resident memory of a process in bytes. Raises Gone."""
+def resident_bytes(pid: int) -> int:
+    """Return the resident memory of a process in bytes. Raises ProcessEndedError."""
     try:
         return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
     except OSError as error:
-        raise Gone(f"process {pid} has ended") from error
+        raise ProcessEndedError(f"process {pid} has ended") from error
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
     """One reading of a process's usage."""
 
-    at: float  # Seconds on the system's monotonic clock.
-    cpu: float  # CPU seconds.
-    rss: int  # Resident bytes.
+    time_s: float  # Seconds on the system's monotonic clock.
+    cpu_s: float  # CPU seconds.
+    rss_bytes: int  # Resident bytes.
 
 
 def read_usage(pid: int) -> Usage:
-    """Read a process's current usage. Raises Gone."""
-    return Usage(time.monotonic(), cpu_seconds(pid), resident(pid))
+    """Read a process's current usage. Raises ProcessEndedError."""
+    return Usage(time.monotonic(), cpu_seconds(pid), resident_bytes(pid))
 
 
-def share(before: Usage, after: Usage) -> float:
+def cpu_percent(before: Usage, after: Usage) -> float:
     """Return the CPU used between two readings, in percent of a core."""
-    return 100.0 * (after.cpu - before.cpu) / max(1e-9, after.at - before.at)
+    return 100.0 * (after.cpu_s - before.cpu_s) / max(1e-9, after.time_s - before.time_s)
 
 
 def traffic(ports: Iterable[int], local: bool) -> dict[str, Any]:
@@ -67,27 +71,27 @@
     If `local` is true, the ports are this process's own, otherwise the remote ones. The bytes are
     counted by the kernel.
     """
-    wanted, found = set(ports), {"connections": 0, "in": 0, "out": 0}
-    for name in os.listdir("/proc/self/fd"):
+    wanted_ports, totals = set(ports), {"connections": 0, "in": 0, "out": 0}
+    for descriptor in os.listdir("/proc/self/fd"):
         try:
-            if not os.readlink(f"/proc/self/fd/{name}").startswith("socket:"):
+            if not os.readlink(f"/proc/self/fd/{descriptor}").startswith("socket:"):
                 continue
-            with socket.socket(fileno=os.dup(int(name))) as one:
-                if one.family != socket.AF_INET or one.type != socket.SOCK_STREAM:
+            with socket.socket(fileno=os.dup(int(descriptor))) as connection:
+                if connection.family != socket.AF_INET or connection.type != socket.SOCK_STREAM:
                     continue
-                address = one.getsockname() if local else one.getpeername()
-                if address[1] not in wanted or (
-                    local and one.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
+                address = connection.getsockname() if local else connection.getpeername()
+                if address[1] not in wanted_ports or (
+                    local and connection.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
                 ):
                     continue
-                info = one.getsockopt(socket.IPPROTO_TCP, TCP_INFO, INFO_SIZE)
+                info = connection.getsockopt(socket.IPPROTO_TCP, TCP_INFO, TCP_INFO_BYTES)
         except OSError:  # The socket was closed meanwhile, or is not connected.
             continue
-        acknowledged, received = struct.unpack_from("=QQ", info, BYTES_AT)
-        found["connections"] += 1
-        found["out"] += acknowledged
-        found["in"] += received
-    return found
+        acknowledged, received = struct.unpack_from("=QQ", info, BYTES_ACKED_OFFSET)
+        totals["connections"] += 1
+        totals["out"] += acknowledged
+        totals["in"] += received
+    return totals
 
 
 class Lateness:
@@ -97,19 +101,23 @@
     """
 
     def __init__(self) -> None:
-        self._found: list[float] = []
+        self._delays_ms: list[float] = []
 
-    async def watch(self) -> None:
+    async def measure(self) -> None:
         """Measure the lateness for as long as the loop runs."""
         while True:
-            due = time.monotonic() + BEAT
-            await asyncio.sleep(BEAT)
-            self._found.append((time.monotonic() - due) * 1000.0)
+            due = time.monotonic() + LATENESS_INTERVAL_S
+            await asyncio.sleep(LATENESS_INTERVAL_S)
+            self._delays_ms.append((time.monotonic() - due) * 1000.0)
 
-    def taken(self) -> dict[str, float]:
+    def take_summary(self) -> dict[str, float]:
         """Return the lateness measured since the last call."""
-        ordered, self._found = sorted(self._found), []
+        ordered, self._delays_ms = sorted(self._delays_ms), []
         if not ordered:
             return {"count": 0, "p99": 0.0, "max": 0.0}
-        at = min(len(ordered) - 1, int(0.99 * len(ordered)))
-        return {"count": len(ordered), "p99": round(ordered[at], 1), "max": round(ordered[-1], 1)}
+        p99_index = min(len(ordered) - 1, int(0.99 * len(ordered)))
+        return {
+            "count": len(ordered),
+            "p99": round(ordered[p99_index], 1),
+            "max": round(ordered[-1], 1),
+        }
--- a/tests/lab/test_lab_scale.py
+++ b/tests/lab/test_lab_scale.py
@@ -9,67 +9,76 @@
 
 import pytest
 
-from dockthread.lab.scale.checker import judge, published
-from dockthread.lab.scale.discovery import Book, address_of
-from dockthread.lab.scale.fit import FitError, fitted
-from dockthread.lab.scale.plan import Changes, Plan, PlanError, parse_changes, plan_of
-from dockthread.lab.scale.planted_bugs import LIST_NAMES, NAMES, ROUTE_NAMES
+from dockthread.lab.scale.checker import final_list, find_violations
+from dockthread.lab.scale.discovery import PublishedList, backend_address
+from dockthread.lab.scale.fit import FitError, fit_lines_to_reports
+from dockthread.lab.scale.plan import Changes, PlanError, RunPlan, parse_changes, plan_from_json
+from dockthread.lab.scale.planted_bugs import BUG_NAMES, LIST_BUG_NAMES, ROUTE_BUG_NAMES
 from tests.cli.test_cli import dockthread
 
 # A test machine may be busy, so these bounds are too wide to judge the measurements. The runs are
 # checked only for the data in force at the end.
-PATIENT = ("--most-late", "30s", "--most-lag", "60s")
-SMALL = Plan(0, 4, 30, 3, Changes(5.0, 0.0), 2.0)
+WIDE_BOUNDS = ("--most-late", "30s", "--most-lag", "60s")
+SMALL_PLAN = RunPlan(0, 4, 30, 3, Changes(5.0, 0.0), 2.0)
 
 
-def scale(*words: str) -> tuple[int, dict[str, Any]]:
-    done = dockthread("lab", "scale", *PATIENT, "--json", *words)
-    assert done.stdout, done.stderr
-    return done.returncode, json.loads(done.stdout)
+def scale(*options: str) -> tuple[int, dict[str, Any]]:
+    process = dockthread("lab", "scale", *WIDE_BOUNDS, "--json", *options)
+    assert process.stdout, process.stderr
+    return process.returncode, json.loads(process.stdout)
 
 
-Played = dict[str, tuple[int, dict[str, Any]]]
-TINY = ("--hollow", "8", "--seconds", "1")
-RUNS = {
+RunResults = dict[str, tuple[int, dict[str, Any]]]
+SHORT_RUN = ("--hollow", "8", "--seconds", "1")
+RUN_OPTIONS = {
     "wave": ("--real", "2", "--hollow", "200", "--seconds", "3", "--backends", "60", "--changes", "list=10",
              "--fault", "restart-wave"),
-    "bytes": (*TINY, "--changes", "list=12", "--most-bytes", "1B"),
-    "few": (*TINY, "--changes", "list=2"),
-    **{plant: (*TINY, "--changes", "list=12", "--plant", plant) for plant in LIST_NAMES},
-    **{plant: (*TINY, "--changes", "config=12", "--routes", "5", "--plant", plant) for plant in ROUTE_NAMES},
+    "bytes": (*SHORT_RUN, "--changes", "list=12", "--most-bytes", "1B"),
+    "few": (*SHORT_RUN, "--changes", "list=2"),
+    **{plant: (*SHORT_RUN, "--changes", "list=12", "--plant", plant) for plant in LIST_BUG_NAMES},
+    **{plant: (*SHORT_RUN, "--changes", "config=12", "--routes", "5", "--plant", plant) for plant in ROUTE_BUG_NAMES},
     "cut": ("--real", "1", "--hollow", "40", "--seconds", "4", "--changes", "10", "--routes", "20", "--fault", "cut"),
 }  # fmt: skip
 
 
 @pytest.fixture(scope="module")
-def played(tmp_path_factory: pytest.TempPathFactory) -> Played:
+def results(tmp_path_factory: pytest.TempPathFactory) -> RunResults:
     """Play all runs in parallel and return the exit code and the report of each.
 
     Each report is also written to a file.
     """
     folder = tmp_path_factory.mktemp("reports")
     with ThreadPoolExecutor(5) as pool:
-        words = [(*run, "--report", str(folder / name)) for name, run in RUNS.items()]
-        found = dict(zip(RUNS, pool.map(lambda run: scale(*run), words), strict=True))
-    for name, (_, report) in found.items():
+        options = [
+            (*run_options, "--report", str(folder / name))
+            for name, run_options in RUN_OPTIONS.items()
+        ]
+        result_by_name = dict(
+            zip(
+                RUN_OPTIONS, pool.map(lambda run_options: scale(*run_options), options), strict=True
+            )
+        )
+    for name, (_, report) in result_by_name.items():
         assert report == json.loads((folder / name).read_text())
-    return found
+    return result_by_name
 
 
-def test_real_and_hollow_ingresses_come_through_a_restart_wave(played: Played) -> None:
-    code, report = played["wave"]
+def test_real_and_hollow_ingresses_recover_from_a_restart_wave(results: RunResults) -> None:
+    code, report = results["wave"]
     assert (code, report["verdict"], report["checker"]["broken"]) == (0, "holds", 0), report
     assert (report["list"]["changes"], report["list"]["never"]) == (30, 0)
     assert report["list"]["recovery_s"] > 0
     assert report["roles"]["discovery"]["connections"] == 202
     assert report["each"]["hollow"]["bytes_in_s"] > 0 < report["each"]["real"]["rss_mb"]
-    asked = report["latency"]["busy"]["requests"]
+    requests = report["latency"]["busy"]["requests"]
     # 100 requests per second to each of two ingresses for 3 s.
-    assert 480 < asked < 720 and report["latency"]["busy"]["served"] > 0
+    assert 480 < requests < 720 and report["latency"]["busy"]["served"] > 0
 
 
-def test_list_and_configuration_are_in_force_everywhere_once_a_cut_heals(played: Played) -> None:
-    code, report = played["cut"]
+def test_list_and_configuration_are_in_force_everywhere_once_a_cut_heals(
+    results: RunResults,
+) -> None:
+    code, report = results["cut"]
     assert (code, report["checker"]["broken"]) == (0, 0), report
     for kind in ("list", "configuration"):
         assert (report[kind]["changes"], report[kind]["never"]) == (40, 0)
@@ -86,93 +95,103 @@
     )
 
 
-@pytest.mark.parametrize("plant", NAMES)
-def test_the_checker_sees_a_planted_bug(plant: str, played: Played) -> None:
-    code, report = played[plant]
+@pytest.mark.parametrize("plant", BUG_NAMES)
+def test_the_checker_finds_a_planted_bug(plant: str, results: RunResults) -> None:
+    code, report = results[plant]
     assert (code, report["verdict"]) == (1, "broken")
     assert report["checker"]["first"] and all(
-        "ingress 0 " in one for one in report["checker"]["first"]
+        "ingress 0 " in violation for violation in report["checker"]["first"]
     )
 
 
-def test_a_bound_that_does_not_hold_says_by_how_much(played: Played) -> None:
-    code, report = played["bytes"]
-    wrong = [one for one in report["bounds"] if not one["holds"]]
-    assert (code, [one["name"] for one in wrong]) == (1, ["bytes_s"])
-    assert wrong[0]["measured"] > wrong[0]["most"] == 1
+def test_a_broken_bound_is_reported_with_its_limit_and_the_measured_value(
+    results: RunResults,
+) -> None:
+    code, report = results["bytes"]
+    broken = [bound for bound in report["bounds"] if not bound["holds"]]
+    assert (code, [bound["name"] for bound in broken]) == (1, ["bytes_s"])
+    assert broken[0]["measured"] > broken[0]["most"] == 1
 
 
-def test_too_few_changes_make_a_run_void(played: Played) -> None:
-    code, report = played["few"]
+def test_too_few_changes_make_a_run_void(results: RunResults) -> None:
+    code, report = results["few"]
     assert (code, report["void"]) == (2, ["too few samples: 2 changes of the list"])
 
 
-def test_words_that_make_no_run() -> None:
+def test_invalid_run_options_are_rejected_and_a_plan_survives_json() -> None:
     assert dockthread("lab", "scale", "--hollow", "1600", "--backends", "24000").returncode == 2
     for text in ("x", "list=-1", "lists=1", "1e9"):
         with pytest.raises(PlanError):
             parse_changes(text)
     assert parse_changes("list=3") == Changes(3.0, 0.0)
-    assert plan_of(json.loads(json.dumps(SMALL.told()))) == SMALL
+    assert plan_from_json(json.loads(json.dumps(SMALL_PLAN.to_json()))) == SMALL_PLAN
 
 
-def test_the_book_says_each_change_once_and_what_stands_in_the_whole_list() -> None:
-    book = Book(SMALL, 80)
-    book.open()
-    first = book.revision
+def test_each_change_is_published_once_and_the_whole_list_is_current() -> None:
+    backends = PublishedList(SMALL_PLAN, 80)
+    backends.open()
+    first_revision = backends.revision
     for _ in range(40):
-        book.drawn()
-    gone = len(list(book.zone_leaves()))
-    assert gone > 0 and len(book.since(first) or []) == 40 + gone
-    assert book.since(-5) is None
-    whole = json.loads(book.whole().split(b"\r\n")[1])
-    assert len(whole["targets"]) == 30 - gone == len(published(book.changes))
-    list(book.zone_returns())
-    assert len(published(book.changes)) == 30
-    assert len({address_of(n) for n in range(70_000)}) == 70_000
-
-
-def test_the_checker_names_what_is_missing() -> None:
+        backends.publish_random_change()
+    removed = len(list(backends.remove_zone()))
+    assert removed > 0 and len(backends.changes_since(first_revision) or []) == 40 + removed
+    assert backends.changes_since(-5) is None
+    whole = json.loads(backends.whole_list().split(b"\r\n")[1])
+    assert len(whole["targets"]) == 30 - removed == len(final_list(backends.changes))
+    list(backends.restore_zone())
+    assert len(final_list(backends.changes)) == 30
+    assert len({backend_address(number) for number in range(70_000)}) == 70_000
+
+
+def test_the_checker_reports_missing_ingresses_missing_backends_and_regressions() -> None:
     entry = {"uid": "a", "endpoint": "h:1", "state": "active", "capacity_hint": 1.0}
     changes: list[Any] = [
         [2, 0.0, [entry, {**entry, "uid": "b"}]],
         [3, 0.0, [{**entry, "uid": "b", "state": "left"}]],
     ]
-    right: dict[str, Any] = {
+    correct: dict[str, Any] = {
         "tables": [{"rows": [["a", "h:1", True, 1.0]], "ingresses": [0, 1]}],
         "went_back": [],
     }
-    wanted = published(changes)
-    assert judge(wanted, [right], 2) == []
-    assert judge(wanted, [right], 3) == ["2 of 3 ingresses said what they hold"]
-    wrong = {**right, "went_back": [[1, [3, 2], []]]}
-    assert judge(wanted, [wrong], 2) == ["ingress 1 went back from revision 3 to 2"]
-    empty = {**right, "tables": [{"rows": [], "ingresses": [0, 1]}]}
-    assert len(judge(wanted, [empty], 2)) == 2
+    expected_rows = final_list(changes)
+    assert find_violations(expected_rows, [correct], 2) == []
+    assert find_violations(expected_rows, [correct], 3) == ["2 of 3 ingresses said what they hold"]
+    regressed = {**correct, "went_back": [[1, [3, 2], []]]}
+    assert find_violations(expected_rows, [regressed], 2) == [
+        "ingress 1 went back from revision 3 to 2"
+    ]
+    empty = {**correct, "tables": [{"rows": [], "ingresses": [0, 1]}]}
+    assert len(find_violations(expected_rows, [empty], 2)) == 2
 
 
-def reports_of(*figures: tuple[int, int, float]) -> list[dict[str, Any]]:
+def make_reports(*figures: tuple[int, int, float]) -> list[dict[str, Any]]:
     """Build one report for each triple of ingress count, backend count and figure."""
     return [
         {"verdict": "holds", "each": {"hollow": {"rss_mb": figure}},
-         "size": {"ingresses": n, "backends": b, "list_changes_s": 1.0, "configuration_changes_s": 0.0}}
-        for n, b, figure in figures
+         "size": {"ingresses": ingresses, "backends": backends,
+                  "list_changes_s": 1.0, "configuration_changes_s": 0.0}}
+        for ingresses, backends, figure in figures
     ]  # fmt: skip
 
 
-def test_a_fit_finds_the_slopes_again_and_extrapolates(tmp_path: Path) -> None:
+def test_a_fit_recovers_the_slopes_and_extrapolates(tmp_path: Path) -> None:
     sizes = ((10, 240), (100, 240), (400, 240), (10, 1000), (10, 4000))
     paths = []
-    for number, one in enumerate(
-        reports_of(*((n, b, 2.0 + 0.001 * n + 0.003 * b) for n, b in sizes))
+    for number, report in enumerate(
+        make_reports(
+            *(
+                (ingresses, backends, 2.0 + 0.001 * ingresses + 0.003 * backends)
+                for ingresses, backends in sizes
+            )
+        )
     ):
         paths.append(tmp_path / f"{number}.json")
-        paths[-1].write_text(json.dumps(one))
-    at = ("--at", "ingresses=1600,backends=24000")
-    done = dockthread("lab", "scale", "fit", "--json", *map(str, paths), *at)
-    found = json.loads(done.stdout)
-    (line,) = found["lines"]
-    assert (done.returncode, found["terms"], found["beyond"]) == (
+        paths[-1].write_text(json.dumps(report))
+    target = ("--at", "ingresses=1600,backends=24000")
+    process = dockthread("lab", "scale", "fit", "--json", *map(str, paths), *target)
+    result = json.loads(process.stdout)
+    (line,) = result["lines"]
+    assert (process.returncode, result["terms"], result["beyond"]) == (
         0,
         ["ingresses", "backends"],
         ["backends"],
@@ -180,18 +199,28 @@
     assert line["at"] == pytest.approx(2.0 + 1.6 + 72.0) and line["slopes"][
         "backends"
     ] == pytest.approx(0.003)
-    assert dockthread("lab", "scale", "fit", *map(str, paths[:3]), *at).returncode == 2
+    assert dockthread("lab", "scale", "fit", *map(str, paths[:3]), *target).returncode == 2
     paths[0].write_text(json.dumps({**json.loads(paths[0].read_text()), "verdict": "void"}))
-    left = dockthread("lab", "scale", "fit", "--json", "--without-void", *map(str, paths), *at)
-    assert json.loads(left.stdout)["not_used"] == 1
+    without_void = dockthread(
+        "lab", "scale", "fit", "--json", "--without-void", *map(str, paths), *target
+    )
+    assert json.loads(without_void.stdout)["not_used"] == 1
 
 
-def test_a_fit_says_where_a_line_does_not_fit_and_where_sizes_vary_together() -> None:
-    bent = fitted(
-        reports_of(*((n, 240, n * n / 100.0) for n in (1, 10, 50, 100))), ["ingresses"], {}
+def test_a_fit_marks_a_bad_line_and_rejects_sizes_that_vary_together() -> None:
+    result = fit_lines_to_reports(
+        make_reports(
+            *((ingresses, 240, ingresses * ingresses / 100.0) for ingresses in (1, 10, 50, 100))
+        ),
+        ["ingresses"],
+        {},
     )
-    assert not bent["lines"][0]["fits"]
+    assert not result["lines"][0]["fits"]
     with pytest.raises(FitError, match="vary together"):
-        fitted(reports_of(*((n, 10 * n, 1.0) for n in (1, 2, 3, 4))), ["ingresses", "backends"], {})
+        fit_lines_to_reports(
+            make_reports(*((ingresses, 10 * ingresses, 1.0) for ingresses in (1, 2, 3, 4))),
+            ["ingresses", "backends"],
+            {},
+        )
     with pytest.raises(FitError, match="one size"):
-        fitted(reports_of((1, 1, 1.0)), ["ingresses"], {})
+        fit_lines_to_reports(make_reports((1, 1, 1.0)), ["ingresses"], {})
