--- a/dockthread/lab/scale/backends.py
+++ b/dockthread/lab/scale/backends.py
@@ -39,7 +39,8 @@
     """The process that stands in for all backends."""
 
     def __init__(self) -> None:
-        self._port, self._lateness = 0, Lateness()
+        self._port = 0
+        self._lateness = Lateness()
 
     async def begin(self, arguments: JsonObject) -> JsonObject:
         """Open the listener and return its port."""
--- a/dockthread/lab/scale/channel.py
+++ b/dockthread/lab/scale/channel.py
@@ -36,7 +36,9 @@
     """
 
     def __init__(self, role: str, number: int = 0, report_role: str = "") -> None:
-        self.role, self.number, self.report_role = role, number, report_role or role
+        self.role = role
+        self.number = number
+        self.report_role = report_role or role
         self._process: asyncio.subprocess.Process | None = None
         self._call_lock = asyncio.Lock()
 
@@ -93,7 +95,8 @@
 
     async def stop(self) -> None:
         """Close standard input, and kill the process if it does not exit in time."""
-        process, self._process = self._process, None
+        process = self._process
+        self._process = None
         if process is None or process.returncode is not None:
             return
         if process.stdin is not None:
--- a/dockthread/lab/scale/checker.py
+++ b/dockthread/lab/scale/checker.py
@@ -48,7 +48,8 @@
 
     `expected_ingresses` is the number of ingresses that must have reported.
     """
-    violations, reported = [], 0
+    violations = []
+    reported = 0
     for finding in findings:
         for group in finding["tables"]:
             reported += len(group["ingresses"])
@@ -72,10 +73,8 @@
 
 
 def _difference(rows: list[Any], expected_rows: list[Any]) -> str:
-    held_by_name, expected_by_name = (
-        {row[0]: row for row in rows},
-        {row[0]: row for row in expected_rows},
-    )
+    held_by_name = {row[0]: row for row in rows}
+    expected_by_name = {row[0]: row for row in expected_rows}
     differing = sorted(
         name
         for name in held_by_name.keys() | expected_by_name.keys()
--- a/dockthread/lab/scale/control.py
+++ b/dockthread/lab/scale/control.py
@@ -16,7 +16,8 @@
 
 def control_options(number: int, servers: Sequence[str], key_file: str) -> ControlOptions:
     """Return the control options of an ingress, as its [control] section would give them."""
-    region, zone = f"region-{number % REGIONS}", zone_name(number)
+    region = f"region-{number % REGIONS}"
+    zone = zone_name(number)
     return ControlOptions(
         role="ingress", servers=tuple(servers), region=region, zone=zone, key_file=key_file
     )
@@ -40,7 +41,9 @@
 
         Must be called right after the applier is opened, before any change can have arrived.
         """
-        self._applier, self._alter, self._highest_revision = applier, alter, 0
+        self._applier = applier
+        self._alter = alter
+        self._highest_revision = 0
         self._refused_names = set[str]()
         applier.client.batches.applier = self
 
--- a/dockthread/lab/scale/discovery.py
+++ b/dockthread/lab/scale/discovery.py
@@ -51,7 +51,8 @@
     """The published list of backends with its versions and changes. Does no I/O."""
 
     def __init__(self, plan: RunPlan, port: int) -> None:
-        self._plan, self._rng = plan, random.Random(f"{plan.seed} changes")
+        self._plan = plan
+        self._rng = random.Random(f"{plan.seed} changes")
         self.entries = [self._entry(number, port) for number in range(plan.backends)]
         self._encoded_entries = [msgspec.json.encode(entry) for entry in self.entries]
         self._versions = [0] * plan.backends
@@ -79,7 +80,9 @@
 
     def open(self) -> bytes:
         """Publish the whole list."""
-        self.is_open, self.revision, self._whole_list = True, self.revision + 1, b""
+        self.is_open = True
+        self.revision = self.revision + 1
+        self._whole_list = b""
         self.changes.append(
             (self.revision, time.monotonic(), [dict(entry) for entry in self.entries])
         )
@@ -117,11 +120,13 @@
             "capacity_hint": 1.0 + self._versions[number] * WEIGHT_STEP,
             **fields,
         }
-        self.entries[number], self._encoded_entries[number] = entry, msgspec.json.encode(entry)
+        self.entries[number] = entry
+        self._encoded_entries[number] = msgspec.json.encode(entry)
         (self._absent_numbers.add if entry["state"] == "left" else self._absent_numbers.discard)(
             number
         )
-        self.revision, self._whole_list = self.revision + 1, b""
+        self.revision = self.revision + 1
+        self._whole_list = b""
         self.changes.append((self.revision, time.monotonic(), [entry]))
         encoded_change = http_chunk(
             b'{"rev":%d,"all":false,"targets":[%b]}'
@@ -175,7 +180,9 @@
     """The connection of one watch."""
 
     def __init__(self, discovery: Discovery, affected_by_cut: bool) -> None:
-        self._discovery, self._affected_by_cut, self._head = discovery, affected_by_cut, b""
+        self._discovery = discovery
+        self._affected_by_cut = affected_by_cut
+        self._head = b""
         self.transport: asyncio.Transport | None = None
         self._held: list[bytes] = []  # Data held back during a cut.
         self.request_complete = False
@@ -206,7 +213,8 @@
 
     def send_held_data(self) -> None:
         """Write the held data after the cut."""
-        held_data, self._held = self._held, []
+        held_data = self._held
+        self._held = []
         for data in held_data:
             self.send(data)
 
@@ -216,7 +224,8 @@
 
     def __init__(self) -> None:
         self.watches: set[WatchConnection] = set()
-        self.is_cut, self.messages_sent = False, 0
+        self.is_cut = False
+        self.messages_sent = 0
         self.published_list: PublishedList | None = None
         self._ports: list[int] = []
         self._lateness = Lateness()
--- a/dockthread/lab/scale/distribution.py
+++ b/dockthread/lab/scale/distribution.py
@@ -24,21 +24,22 @@
     """The control-plane processes and the addresses at which ingresses reach them."""
 
     def __init__(self, plan: RunPlan, folder: Path) -> None:
-        self._plan, self._folder = plan, folder
+        self._plan = plan
+        self._folder = folder
         self._reserved_sockets = [
             reserve_port() for _ in range(2 * plan.voters + plan.distributors)
         ]
         addresses = [Address(*reserved.getsockname()[:2]) for reserved in self._reserved_sockets]
-        self._raft_addresses, addresses = addresses[: plan.voters], addresses[plan.voters :]
-        self._voter_addresses, self._distributor_addresses = (
-            addresses[: plan.voters],
-            addresses[plan.voters :],
-        )
+        self._raft_addresses = addresses[: plan.voters]
+        addresses = addresses[plan.voters :]
+        self._voter_addresses = addresses[: plan.voters]
+        self._distributor_addresses = addresses[plan.voters :]
         self.voters = [ChildProcess("server", number, "voter") for number in range(plan.voters)]
         self.distributors = [
             ChildProcess("server", number, "distributor") for number in range(plan.distributors)
         ]
-        self.publisher, self.relay = ChildProcess("publisher"), ChildProcess("relay")
+        self.publisher = ChildProcess("publisher")
+        self.relay = ChildProcess("relay")
         # Addresses of the relay, one per distributor, for the ingresses affected by a cut.
         self.relay_addresses: list[str] = []
         self.key_file = folder / "key"
--- a/dockthread/lab/scale/hollow.py
+++ b/dockthread/lab/scale/hollow.py
@@ -94,12 +94,11 @@
         affected_by_cut: bool,
         plant: str = "",
     ) -> None:
-        self.list_recorder, self._configuration_recorder, number = (
-            list_recorder,
-            configuration_recorder,
-            list_recorder.number,
-        )
-        self.clock, self._plant = Clock(), plant
+        self.list_recorder = list_recorder
+        self._configuration_recorder = configuration_recorder
+        number = list_recorder.number
+        self.clock = Clock()
+        self._plant = plant
         settings = replace(
             shared.settings, ingress_number=number, zone=number % len(shared.names.zones)
         )
--- a/dockthread/lab/scale/host.py
+++ b/dockthread/lab/scale/host.py
@@ -35,11 +35,9 @@
     """The hollow ingresses of one process. The baseline process has none."""
 
     def __init__(self) -> None:
-        self._list_in_force, self._configuration_in_force, self._lateness = (
-            InForceCounts(),
-            InForceCounts(),
-            Lateness(),
-        )
+        self._list_in_force = InForceCounts()
+        self._configuration_in_force = InForceCounts()
+        self._lateness = Lateness()
         self._list_recorders: dict[int, ListRecorder] = {}
         self._configuration_recorders: dict[int, ConfigurationRecorder] = {}
         self._ingresses: dict[int, HollowIngress] = {}
@@ -49,11 +47,10 @@
 
     async def begin(self, arguments: JsonObject) -> JsonObject:
         """Start the ingresses of this process."""
-        self._plan, self._discovery_ports = (
-            plan_from_json(arguments["plan"]),
-            arguments["discovery"],
-        )
-        raw_settings, control = platform_settings(self._plan.ingresses), arguments["control"]
+        self._plan = plan_from_json(arguments["plan"])
+        self._discovery_ports = arguments["discovery"]
+        raw_settings = platform_settings(self._plan.ingresses)
+        control = arguments["control"]
         uncut_address, cut_address = (Address(HOST, port) for port in self._discovery_ports)
         servers: list[list[str]] = control["servers"] if control else [[], []]
         self._control_ports = [
@@ -81,10 +78,8 @@
 
     def _start(self, numbers: list[int], is_first_start: bool) -> None:
         for number in numbers:
-            list_recorder, configuration_recorder = (
-                self._list_recorders[number],
-                self._configuration_recorders.get(number),
-            )
+            list_recorder = self._list_recorders[number]
+            configuration_recorder = self._configuration_recorders.get(number)
             plant = self._plan.plant if number == self._planted_number else ""
             list_recorder.reset(is_first_start)
             if configuration_recorder is not None:
--- a/dockthread/lab/scale/load.py
+++ b/dockthread/lab/scale/load.py
@@ -22,7 +22,8 @@
 
     async def begin(self, arguments: JsonObject) -> JsonObject:
         """Store the seed and the rate."""
-        self._seed, self._rate = int(arguments["seed"]), float(arguments["rate"])
+        self._seed = int(arguments["seed"])
+        self._rate = float(arguments["rate"])
         return {}
 
     async def send(self, arguments: JsonObject) -> JsonObject:
--- a/dockthread/lab/scale/planted_bugs.py
+++ b/dockthread/lab/scale/planted_bugs.py
@@ -26,7 +26,8 @@
 
 def _drop_backend_changes() -> Callable[[Any], Any]:
     """Drop all changes of one backend from a given change on."""
-    change_count, dropped_uid = 0, ""
+    change_count = 0
+    dropped_uid = ""
 
     def alter(message: Any) -> Any:
         nonlocal change_count, dropped_uid
--- a/dockthread/lab/scale/publisher.py
+++ b/dockthread/lab/scale/publisher.py
@@ -29,10 +29,8 @@
     async def begin(self, arguments: JsonObject) -> JsonObject:
         """Store the voters' addresses, the key and the number of routes."""
         self._voters = [Address.parse(address) for address in arguments["voters"]]
-        self._key, self._rng = (
-            read_key(arguments["key_file"]),
-            random.Random(f"{arguments['seed']} routes"),
-        )
+        self._key = read_key(arguments["key_file"])
+        self._rng = random.Random(f"{arguments['seed']} routes")
         self._route_count = int(arguments["routes"])
         self._versions = [0] * self._route_count
         self._free_routes = set[int]()
@@ -75,7 +73,8 @@
         return {}
 
     async def _publish_at_rate(self, rate: float, seconds: float) -> None:
-        started, loop = time.monotonic(), asyncio.get_running_loop()
+        started = time.monotonic()
+        loop = asyncio.get_running_loop()
         for count in range(int(rate * seconds)):
             due = started + count / rate
             await asyncio.sleep(max(0.0, due - time.monotonic()))
--- a/dockthread/lab/scale/real.py
+++ b/dockthread/lab/scale/real.py
@@ -21,7 +21,8 @@
     """Records the revision of each list that the policy engine has received."""
 
     def __init__(self, daemon: Daemon, list_recorder: ListRecorder) -> None:
-        self._daemon, self._list_recorder = daemon, list_recorder
+        self._daemon = daemon
+        self._list_recorder = list_recorder
 
     def event(self, what: str, **figures: object) -> None:
         """Record the list's revision when the ingress reports the event `list`."""
@@ -34,11 +35,9 @@
     """The process of one real ingress."""
 
     def __init__(self) -> None:
-        self._lateness, self._list_in_force, self._configuration_in_force = (
-            Lateness(),
-            InForceCounts(),
-            InForceCounts(),
-        )
+        self._lateness = Lateness()
+        self._list_in_force = InForceCounts()
+        self._configuration_in_force = InForceCounts()
         self._configuration_recorder: ConfigurationRecorder | None = None
         self._applier: IngressResourceApplier | None = None
         self._tasks: list[asyncio.Task[None]] = []
@@ -49,10 +48,8 @@
         In the arguments, `ini` is the path of the operator's file, or empty. `reached` and
         `reached_configuration` are the revisions that the ingress had reached before a restart.
         """
-        self._discovery_ports, self._control_ports = (
-            arguments["discovery"],
-            arguments["control_ports"],
-        )
+        self._discovery_ports = arguments["discovery"]
+        self._control_ports = arguments["control_ports"]
         self._list_recorder = ListRecorder(
             arguments["number"], self._list_in_force, arguments["reached"]
         )
@@ -105,7 +102,8 @@
 
     async def findings(self, arguments: JsonObject) -> JsonObject:
         """Return the findings of this ingress, for the checker and the report."""
-        ingress, number = self._daemon.ingress, self._list_recorder.number
+        ingress = self._daemon.ingress
+        number = self._list_recorder.number
         list_findings = findings(
             [self._list_recorder],
             {number: backend_rows(ingress.engine, ingress.endpoints)},
--- a/dockthread/lab/scale/recorder.py
+++ b/dockthread/lab/scale/recorder.py
@@ -47,8 +47,10 @@
     """Records the changes that one ingress received, across restarts."""
 
     def __init__(self, number: int, in_force: InForceCounts, reached: int = 0) -> None:
-        self.number, self._in_force_counts = number, in_force
-        self.reached, self.message_count = reached, 0
+        self.number = number
+        self._in_force_counts = in_force
+        self.reached = reached
+        self.message_count = 0
         self.regressions: list[int] = []  # Revisions that went back, in pairs: newer, older.
         self.older_versions: list[list[Any]] = []  # Versions that replaced newer ones.
         self._revision = 0
@@ -59,14 +61,16 @@
 
     def reset(self, is_first_start: bool) -> None:
         """Reset the state for an ingress that starts with empty memory."""
-        self._revision, self._has_data = 0, is_first_start
+        self._revision = 0
+        self._has_data = is_first_start
 
     def record_revision(self, revision: int) -> None:
         """Record that everything up to this revision is in force."""
         self.message_count += 1
         # The revision is 0 while the first list arrives in parts.
         if not self._has_data and revision > 0:
-            self._has_data, self.first_data_at = True, time.monotonic()
+            self._has_data = True
+            self.first_data_at = time.monotonic()
         if revision < self._revision:
             self.regressions += [self._revision, revision]
         self._revision = revision
--- a/dockthread/lab/scale/relay.py
+++ b/dockthread/lab/scale/relay.py
@@ -21,7 +21,8 @@
     """A relay in front of one distributor."""
 
     def __init__(self, distributor: Address, link_up: asyncio.Event) -> None:
-        self._distributor, self._link_up = distributor, link_up
+        self._distributor = distributor
+        self._link_up = link_up
 
     async def open(self) -> int:
         """Open the listener and return its port."""
--- a/dockthread/lab/scale/report.py
+++ b/dockthread/lab/scale/report.py
@@ -29,7 +29,9 @@
 )  # fmt: skip
 NO_TRAFFIC: Final = {"in": 0, "out": 0, "connections": 0}
 ROLES: Final = ("discovery", "voter", "distributor", "backends", "baseline", "host", "real")
-HOLDS, BROKEN, VOID = "holds", "broken", "void"
+HOLDS = "holds"
+BROKEN = "broken"
+VOID = "void"
 METHOD: Final = (
     "CPU and RSS from /proc, bytes from TCP_INFO (payload), times on the machine's monotonic clock. A hollow"
     " ingress's cost: that of its processes, less as many empty ones (the baseline), divided by the number hosted."
@@ -79,7 +81,9 @@
                 ingress_count
             )
             last_times[int(revision)] = max(last_times.get(int(revision), 0.0), time_s)
-    lags_ms, fault_lags_ms, never_count = [], [], 0
+    lags_ms = []
+    fault_lags_ms = []
+    never_count = 0
     for revision, published_at, *_ in changes:
         if ingress_counts.get(revision, 0) < expected:
             never_count += 1
@@ -166,10 +170,8 @@
     totals = dict.fromkeys(RATE_NAMES, 0.0)
     for duration_s, (before, after) in zip(durations_s, window.states.get(role, []), strict=True):
         for traffic_key, prefix in (("traffic", ""), ("control_traffic", "configuration_")):
-            bytes_before, bytes_after = (
-                before.get(traffic_key, NO_TRAFFIC),
-                after.get(traffic_key, NO_TRAFFIC),
-            )
+            bytes_before = before.get(traffic_key, NO_TRAFFIC)
+            bytes_after = after.get(traffic_key, NO_TRAFFIC)
             totals[f"{prefix}bytes_in_s"] += (
                 max(0, bytes_after["in"] - bytes_before["in"]) / duration_s
             )
@@ -206,9 +208,12 @@
     load.
     """
     per_ingress: dict[str, dict[str, float]] = {}
-    baseline, host, real = figures["baseline"], figures["host"], figures["real"]
+    baseline = figures["baseline"]
+    host = figures["host"]
+    real = figures["real"]
     if run.plan.hollow:
-        hollow_count, process_count = run.plan.hollow, host["processes"]
+        hollow_count = run.plan.hollow
+        process_count = host["processes"]
         per_ingress["hollow"] = {
             name: round((host[name] - process_count * baseline[name]) / hollow_count, 4)
             for name in ("cpu_quiet_percent", "cpu_percent", "rss_before_list_mb", "rss_mb")
@@ -227,7 +232,8 @@
     for window in (run.quiet_window, run.busy_window):
         if window.load is None:
             return {}
-        result, histogram = LoadResult(), new_histogram()
+        result = LoadResult()
+        histogram = new_histogram()
         result.merge(window.load)
         for latencies in result.latencies.values():
             histogram.add(latencies)
@@ -333,7 +339,8 @@
 
 def build_report(run: ScaleRun, bounds: Bounds) -> dict[str, Any]:
     """Build the report of a completed run."""
-    plan, figures = run.plan, {}
+    plan = run.plan
+    figures = {}
     for role in ROLES:
         figures[role] = role_figures(run, role)
     report: dict[str, Any] = {
--- a/dockthread/lab/scale/run.py
+++ b/dockthread/lab/scale/run.py
@@ -25,7 +25,8 @@
 SETTLE_S: Final = 0.5  # Seconds to let the system settle before a measurement.
 QUIET_FRACTION: Final = 0.5  # Length of the quiet window as a fraction of the run's seconds.
 # When the fault begins and ends, as fractions of the busy window.
-FAULT_START_FRACTION, FAULT_END_FRACTION = 0.25, 0.6
+FAULT_START_FRACTION = 0.25
+FAULT_END_FRACTION = 0.6
 
 
 class MeasurementWindow:
@@ -63,8 +64,10 @@
     """One scale run. Its configuration files and logs go into `folder`."""
 
     def __init__(self, plan: RunPlan, folder: Path) -> None:
-        self.plan, self._folder = plan, folder
-        self.discovery, self.backends = ChildProcess("discovery"), ChildProcess("backends")
+        self.plan = plan
+        self._folder = folder
+        self.discovery = ChildProcess("discovery")
+        self.backends = ChildProcess("backends")
         self.baseline = ChildProcess("host", report_role="baseline")
         self.host_processes: list[ChildProcess] = []
         self.real_processes: dict[int, ChildProcess] = {}
@@ -77,7 +80,8 @@
         self.fault_record: JsonObject = {}
         # Findings of real ingresses before they were restarted.
         self.findings_before_restart: list[JsonObject] = []
-        self.quiet_window, self.busy_window = MeasurementWindow("quiet"), MeasurementWindow("busy")
+        self.quiet_window = MeasurementWindow("quiet")
+        self.busy_window = MeasurementWindow("busy")
         # Revisions of the whole list and of the last initial route.
         self.list_revision = self.routes_revision = 0
         self.settled = False  # Whether all changes were in force everywhere in time.
@@ -310,10 +314,8 @@
     # Final checks
 
     async def _collect_findings(self) -> None:
-        list_revision, configuration_revision = (
-            int((await self.discovery.call("state"))["revision"]),
-            0,
-        )
+        list_revision = int((await self.discovery.call("state"))["revision"])
+        configuration_revision = 0
         if self.distribution is not None:
             configuration_revision = int(
                 (await self.distribution.publisher.call("state"))["revision"]
--- a/dockthread/lab/scale/usage.py
+++ b/dockthread/lab/scale/usage.py
@@ -71,7 +71,8 @@
     If `local` is true, the ports are this process's own, otherwise the remote ones. The bytes are
     counted by the kernel.
     """
-    wanted_ports, totals = set(ports), {"connections": 0, "in": 0, "out": 0}
+    wanted_ports = set(ports)
+    totals = {"connections": 0, "in": 0, "out": 0}
     for descriptor in os.listdir("/proc/self/fd"):
         try:
             if not os.readlink(f"/proc/self/fd/{descriptor}").startswith("socket:"):
@@ -112,7 +113,8 @@
 
     def take_summary(self) -> dict[str, float]:
         """Return the lateness measured since the last call."""
-        ordered, self._delays_ms = sorted(self._delays_ms), []
+        ordered = sorted(self._delays_ms)
+        self._delays_ms = []
         if not ordered:
             return {"count": 0, "p99": 0.0, "max": 0.0}
         p99_index = min(len(ordered) - 1, int(0.99 * len(ordered)))
