--- a/dockthread/cli/lab_scale.py
+++ b/dockthread/cli/lab_scale.py
@@ -74,7 +74,7 @@
 @click.option("--rate", default=100.0, show_default=True, type=click.FloatRange(0, 5000),
               help="Requests per second to each real ingress.")  # fmt: skip
 @click.option("--routes", default=100, show_default=True, type=click.IntRange(1, 20_000),
-              help="Routes published before the windows when the configuration changes.")  # fmt: skip
+              help="Routes published before the first window if the configuration changes.")  # fmt: skip
 @click.option("--distributors", default=2, show_default=True, type=click.IntRange(1, 32))
 @click.option(
     "--hosts",
--- a/dockthread/lab/scale/checker.py
+++ b/dockthread/lab/scale/checker.py
@@ -31,7 +31,7 @@
 
 
 def final_routes(changes: list[Any]) -> list[list[Any]]:
-    """Return the name and version of each route after all changes, which come in revision order."""
+    """Return the name and version of each route after all changes, given in revision order."""
     version_by_name: dict[str, Any] = {}
     for _, _, name, version in changes:
         if version is None:
--- a/dockthread/lab/scale/control.py
+++ b/dockthread/lab/scale/control.py
@@ -50,7 +50,7 @@
     # Methods that the client calls on its applier
 
     def apply(self, changes: Sequence[Resource]) -> Sequence[Rejection]:
-        """Pass on the changes, altered by a planted bug, and record older versions."""
+        """Pass on the changes, altered by a planted bug, and record those older than applied ones."""
         applied = changes if self._alter is None else self._alter(changes)
         rejections = self._applier.apply(applied)
         # A refused resource is delivered again at the end of its batch, so an older version of it
--- a/dockthread/lab/scale/discovery.py
+++ b/dockthread/lab/scale/discovery.py
@@ -1,4 +1,4 @@
-"""A discovery service for large lists: sends the whole list, then changes, encoded once for all.
+"""A discovery service for large lists, which encodes each list and change once for all watches.
 
 One process plays the discovery agents of all machines, so its own cost is the cost of many agents.
 It serves two ports, and the ingresses affected by a cut watch the second one. During the cut, data
@@ -212,7 +212,7 @@
             self.transport.write(data)
 
     def send_held_data(self) -> None:
-        """Write the held data after the cut."""
+        """Send the data that was held back during the cut."""
         held_data = self._held
         self._held = []
         for data in held_data:
@@ -305,7 +305,7 @@
             self._broadcast(self.published_list.publish_random_change())
 
     async def fault(self, arguments: JsonObject) -> JsonObject:
-        """Begin or end the fault, if it concerns discovery."""
+        """Begin or end the fault `zone` or `cut`. Other faults do not affect discovery."""
         assert self.published_list is not None and self._plan is not None
         begin = bool(arguments["begin"])
         if self._plan.fault == "zone":
--- a/dockthread/lab/scale/fit.py
+++ b/dockthread/lab/scale/fit.py
@@ -140,7 +140,7 @@
 def fit_line(
     reports: Sequence[dict[str, Any]], figure: str, terms: Sequence[str]
 ) -> FittedLine | None:
-    """Fit a line to one figure, or return None if too few sizes have it.
+    """Fit a line to one figure, or return None if it was measured at too few sizes.
 
     Raises FitError if the slopes of the terms cannot be told apart.
     """
--- a/dockthread/lab/scale/hollow.py
+++ b/dockthread/lab/scale/hollow.py
@@ -40,7 +40,7 @@
 
 EMPTY_LIST: Final[dict[str, Any]] = {"rev": 0, "all": True, "targets": []}
 NO_LISTENER: Final = Address("127.0.0.1", 0)  # A hollow ingress does not listen for clients.
-# Timeout of the quota counter in ms. It never expires, as there is no counter to call.
+# Timeout of the quota counter in ms. It has no effect, as there is no counter to call.
 COUNTER_TIMEOUT_MS: Final = 50.0
 # How a planted bug changes a message before it is applied; it returns None to drop the message.
 MessageAlteration = Callable[[Any], Any]
@@ -80,7 +80,7 @@
 
 
 class HollowIngress:
-    """A hollow ingress from one start to the next stop.
+    """A hollow ingress, created anew for each restart.
 
     `configuration_recorder` is given if the ingress also receives configuration. `plant` names its
     planted bug.
--- a/dockthread/lab/scale/plan.py
+++ b/dockthread/lab/scale/plan.py
@@ -26,7 +26,7 @@
 
 
 class PlanError(DockthreadError, ValueError):
-    """The run cannot be played as requested."""
+    """The run cannot be executed as requested."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +77,7 @@
     rate: float = 100.0  # Requests per second to each real ingress.
     hosts: int = 0
     plant: str = ""
-    routes: int = 100  # Routes published before the windows when the configuration changes.
+    routes: int = 100  # Routes published before the first window if the configuration changes.
     distributors: int = 2
     voters: int = 3
 
--- a/dockthread/lab/scale/planted_bugs.py
+++ b/dockthread/lab/scale/planted_bugs.py
@@ -25,7 +25,7 @@
 
 
 def _drop_backend_changes() -> Callable[[Any], Any]:
-    """Drop all changes of one backend from a given change on."""
+    """Pick a backend after a few changes, and drop its changes from then on."""
     change_count = 0
     dropped_uid = ""
 
--- a/dockthread/lab/scale/recorder.py
+++ b/dockthread/lab/scale/recorder.py
@@ -1,4 +1,4 @@
-"""Records when each change was in force in one process's ingresses, and each step back.
+"""Records when each change was in force in one process's ingresses, and any regressions.
 
 The list recorder reads the policy engine's own state after the engine received a list, and takes
 nothing from the code that delivered the list.
@@ -22,7 +22,7 @@
 
 
 class InForceCounts:
-    """Counts the ingresses of a process that have each revision in force, and since when."""
+    """For each revision, the number of ingresses that have it in force, and the time of the last."""
 
     def __init__(self) -> None:
         self.counts: dict[int, int] = {}
@@ -36,7 +36,7 @@
             self.last_times[reached_revision] = now
 
     def to_json(self) -> list[list[float]]:
-        """Return revision, ingress count and time at the last ingress, for the report."""
+        """Return rows of revision, ingress count and time at the last ingress, for the report."""
         return [
             [revision, ingress_count, self.last_times[revision]]
             for revision, ingress_count in sorted(self.counts.items())
@@ -51,12 +51,12 @@
         self._in_force_counts = in_force
         self.reached = reached
         self.message_count = 0
-        self.regressions: list[int] = []  # Revisions that went back, in pairs: newer, older.
+        self.regressions: list[int] = []  # Newer and older revision of each regression.
         self.older_versions: list[list[Any]] = []  # Versions that replaced newer ones.
         self._revision = 0
         # Whether data arrived since the last restart; also true before any restart.
         self._has_data = True
-        # When that first data arrived after the last restart; 0 before any restart.
+        # When the first data arrived after the last restart; 0 before any restart.
         self.first_data_at = 0.0
 
     def reset(self, is_first_start: bool) -> None:
--- a/dockthread/lab/scale/report.py
+++ b/dockthread/lab/scale/report.py
@@ -51,7 +51,7 @@
 
 
 def quantile(ordered: list[float], fraction: float) -> float:
-    """Return the quantile of ordered values at a fraction, or NaN if there are none."""
+    """Return the quantile of sorted values at a fraction, or NaN if there are no values."""
     return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else math.nan
 
 
--- a/dockthread/lab/scale/run.py
+++ b/dockthread/lab/scale/run.py
@@ -1,4 +1,4 @@
-"""Plays one scale run: starts the processes, measures two windows, plays the fault, and stops all.
+"""Executes one scale run: starts the processes, measures two windows, injects the fault, stops all.
 
 The quiet window has no control-plane changes, and the busy window has them.
 """
@@ -108,7 +108,7 @@
         return [*self.host_processes, *self.real_processes.values()]
 
     async def execute(self) -> None:
-        """Play the run and stop all processes. Raises ProcessError if the run is void."""
+        """Execute the run and stop all processes. Raises ProcessError if the run is void."""
         try:
             await self._start()
             await self._publish_list()
--- a/dockthread/lab/scale/text.py
+++ b/dockthread/lab/scale/text.py
@@ -38,7 +38,7 @@
     ]
     if latency := report["latency"]:
         output.append(
-            f"latency p99: {latency['quiet']['p99_ms']:g} ms with control idle, {latency['busy']['p99_ms']:g} ms with"
+            f"latency p99: {latency['quiet']['p99_ms']:g} ms without changes, {latency['busy']['p99_ms']:g} ms with"
             f" changes: {latency['added_p99_ms']:+g} ms"
         )
     output += [f"checker: {violation}" for violation in report["checker"]["first"]]
--- a/tests/lab/test_lab_scale.py
+++ b/tests/lab/test_lab_scale.py
@@ -43,7 +43,7 @@
 
 @pytest.fixture(scope="module")
 def results(tmp_path_factory: pytest.TempPathFactory) -> RunResults:
-    """Play all runs in parallel and return the exit code and the report of each.
+    """Execute all runs in parallel and return the exit code and the report of each.
 
     Each report is also written to a file.
     """
