--- a/dockthread/lab/scale/fit.py
+++ b/dockthread/lab/scale/fit.py
@@ -158,11 +158,11 @@
     ]
     values = [value for _, value in samples]
     columns = range(len(terms) + 1)
-    normal = [[sum(row[i] * row[j] for row in rows) for j in columns] for i in columns]
+    normal_matrix = [[sum(row[i] * row[j] for row in rows) for j in columns] for i in columns]
     right_side = [
         sum(row[i] * value for row, value in zip(rows, values, strict=True)) for i in columns
     ]
-    coefficients = solve_linear_system(normal, right_side)
+    coefficients = solve_linear_system(normal_matrix, right_side)
     residuals = tuple(
         value
         - sum(
@@ -218,15 +218,15 @@
 
     `target` is a size to extrapolate to, or empty.
     """
-    used = [
+    used_reports = [
         report
         for report in reports
         if "size" in report and (with_void or report["verdict"] != "void")
     ]
-    varying = varying_terms(used, terms)
+    varying = varying_terms(used_reports, terms)
     if not varying:
         raise FitError("the reports are of one size: a line needs runs at four or more sizes")
-    candidates = (fit_line(used, figure, varying) for figure in FIGURE_PATHS)
+    candidates = (fit_line(used_reports, figure, varying) for figure in FIGURE_PATHS)
     lines = [line for line in candidates if line is not None and (line.mean or any(line.residuals))]
     if not lines:
         raise FitError(
@@ -235,12 +235,12 @@
     full_size = {name: target.get(name, 0.0) for name in SIZE_KEYS}
     return {
         "terms": varying,
-        "sizes": [run_size(report) for report in used],
-        "not_used": len(reports) - len(used),
-        "void": sum(report["verdict"] == "void" for report in used),
+        "sizes": [run_size(report) for report in used_reports],
+        "not_used": len(reports) - len(used_reports),
+        "void": sum(report["verdict"] == "void" for report in used_reports),
         "threshold": MAX_MISFIT,
         "at": target,
-        "beyond": far_sizes(used, target),
+        "beyond": far_sizes(used_reports, target),
         "lines": [
             {
                 "figure": line.figure,
--- a/dockthread/lab/scale/report.py
+++ b/dockthread/lab/scale/report.py
@@ -188,13 +188,13 @@
 
 def role_figures(run: ScaleRun, role: str) -> dict[str, Any]:
     """Return the figures of all processes of a role together."""
-    resident = run.resident_bytes.get(role, [])
+    rss_readings = run.resident_bytes.get(role, [])
     return {
-        "processes": len(resident),
+        "processes": len(rss_readings),
         "cpu_quiet_percent": round(sum(cpu_percents(run.quiet_window, role)), 3),
         "cpu_percent": round(sum(cpu_percents(run.busy_window, role)), 3),
-        "rss_before_list_mb": round(sum(before for before, _ in resident) / MEGABYTE, 2),
-        "rss_mb": round(sum(after for _, after in resident) / MEGABYTE, 2),
+        "rss_before_list_mb": round(sum(before for before, _ in rss_readings) / MEGABYTE, 2),
+        "rss_mb": round(sum(after for _, after in rss_readings) / MEGABYTE, 2),
         **{name: round(value, 1) for name, value in sum_rates(run.busy_window, role).items()},
     }
 
@@ -305,9 +305,11 @@
         for name in ("quiet", "busy")
         if figures[name]["void"]
     ]
-    answers = min(figures[name]["answered"] for name in ("quiet", "busy"))
+    answer_count = min(figures[name]["answered"] for name in ("quiet", "busy"))
     return reasons + (
-        [f"too few samples: {answers} answers in a window"] if answers < MIN_ANSWERS else []
+        [f"too few samples: {answer_count} answers in a window"]
+        if answer_count < MIN_ANSWERS
+        else []
     )
 
 
@@ -321,7 +323,7 @@
         "bytes_s": (bounds.traffic_bytes_s, bytes_s),
         "added_p99_ms": (bounds.added_ms, report["latency"].get("added_p99_ms", 0.0)),
     }
-    nothing_missing = 0.0 if math.isfinite(bounds.lag_ms) else math.inf
+    max_never = 0.0 if math.isfinite(bounds.lag_ms) else math.inf
     for kind in ("list", "configuration"):
         if lag_figures := report[kind]:
             measured[f"{kind}_lag_ms"] = (bounds.lag_ms, lag_figures["lag_ms"].get("last", 0.0))
@@ -329,7 +331,7 @@
                 bounds.lag_ms,
                 (lag_figures["recovery_s"] or 0.0) * 1000.0,
             )
-            measured[f"{kind}_never"] = (nothing_missing, float(lag_figures["never"]))
+            measured[f"{kind}_never"] = (max_never, float(lag_figures["never"]))
     return [
         {"name": name, "most": bound, "measured": round(value, 3), "holds": value <= bound}
         for name, (bound, value) in measured.items()
--- a/dockthread/lab/scale/run.py
+++ b/dockthread/lab/scale/run.py
@@ -143,7 +143,7 @@
             "discovery": self._discovery_ports,
             "control": control_arguments,
         }
-        starts = [
+        start_calls = [
             self.baseline.start(
                 {**common_arguments, "numbers": [], "plants": False}, self._log_path("baseline")
             )
@@ -155,18 +155,18 @@
                 "numbers": ingress_numbers,
                 "plants": number == 0 and bool(self.plan.plant),
             }
-            starts.append(
+            start_calls.append(
                 self.host_processes[-1].start(arguments, self._log_path(f"host-{number}"))
             )
         if self.plan.real and self.plan.rate:
             self.load = ChildProcess("load")
-            starts.append(
+            start_calls.append(
                 self.load.start(
                     {"seed": self.plan.seed, "rate": self.plan.rate}, self._log_path("load")
                 )
             )
         await asyncio.gather(
-            *starts, *(self._start_real(number, 0, 0) for number in range(self.plan.real))
+            *start_calls, *(self._start_real(number, 0, 0) for number in range(self.plan.real))
         )
         await self._wait_until(self._all_watching, START_TIMEOUT_S, "not all watches were open")
         await self._wait_until(
