--- a/dockthread/cli/lab_scale.py
+++ b/dockthread/cli/lab_scale.py
@@ -1,6 +1,7 @@
-"""`dockthread lab scale`: many ingresses' share of control, measured on real processes. Exit codes:
-0 every bound asked for holds; 1 one does not, or the checker found a fault; 2 the run is void, or
-the words are wrong.
+"""The command `dockthread lab scale`: measures what the control plane costs many ingresses.
+
+Exit codes: 0 all requested bounds hold; 1 a bound is broken, or the checker found a fault; 2 the
+run is void, or the arguments are invalid.
 """
 
 from __future__ import annotations
@@ -20,17 +21,17 @@
 
 from dockthread.config.quantities import Duration, Share, Size
 from dockthread.lab.scale.channel import ProcessError
-from dockthread.lab.scale.plan import FAULTS, Plan, PlanError, parse_changes
-from dockthread.lab.scale.planted_bugs import NAMES
-from dockthread.lab.scale.usage import Gone
+from dockthread.lab.scale.plan import FAULTS, PlanError, RunPlan, parse_changes
+from dockthread.lab.scale.planted_bugs import BUG_NAMES
+from dockthread.lab.scale.usage import ProcessEndedError
 
-EXIT = {"holds": 0, "broken": 1, "void": 2}
-VOID = 2
-LONGEST = 600.0  # s of a window
+EXIT_CODES = {"holds": 0, "broken": 1, "void": 2}
+VOID_EXIT_CODE = 2
+MAX_WINDOW_S = 600.0  # Maximum length of a window in seconds.
 
 
-def quantity(parse: Callable[[str], Any]) -> Any:
-    """A click callback: nothing for what was not asked for."""
+def parsing_callback(parse: Callable[[str], Any]) -> Any:
+    """Return a click callback that parses an option and returns None for an absent one."""
 
     def callback(ctx: click.Context, param: click.Parameter, value: str | None) -> Any:
         try:
@@ -41,126 +42,145 @@
     return callback
 
 
-def most(value: float | None) -> float:
+def bound_or_infinity(value: float | None) -> float:
+    """Return a requested upper bound, or infinity for an absent one."""
     return math.inf if value is None else float(value)
 
 
 @click.group("scale", invoke_without_command=True)
 @click.option(
-    "--real", default=0, show_default=True, type=click.IntRange(0, 32), help="Daemons, under load."
+    "--real",
+    default=0,
+    show_default=True,
+    type=click.IntRange(0, 32),
+    help="Number of real ingresses, each a daemon under load.",
 )
 @click.option(
     "--hollow",
     default=200,
     show_default=True,
     type=click.IntRange(0, 4000),
-    help="Share processes.",
+    help="Number of hollow (simulated) ingresses, many to a process.",
 )
 @click.option("--backends", default=240, show_default=True, type=click.IntRange(1, 60_000))
 @click.option("--services", default=15, show_default=True, type=click.IntRange(1, 10_000))
-@click.option("--changes", default="5", show_default=True, callback=quantity(parse_changes), metavar="RATE",
-              help="A second, or list=RATE,config=RATE.")  # fmt: skip
-@click.option("--seconds", default=10.0, show_default=True, type=click.FloatRange(1.0, LONGEST))
+@click.option("--changes", default="5", show_default=True, callback=parsing_callback(parse_changes), metavar="RATE",
+              help="Changes per second, for both kinds or as list=RATE,config=RATE.")  # fmt: skip
+@click.option(
+    "--seconds", default=10.0, show_default=True, type=click.FloatRange(1.0, MAX_WINDOW_S)
+)
 @click.option("--seed", default=1, show_default=True, type=click.IntRange(0))
 @click.option("--fault", default="none", show_default=True, type=click.Choice(FAULTS))
 @click.option("--rate", default=100.0, show_default=True, type=click.FloatRange(0, 5000),
-              help="Requests a second to each real ingress.")  # fmt: skip
+              help="Requests per second to each real ingress.")  # fmt: skip
 @click.option("--routes", default=100, show_default=True, type=click.IntRange(1, 20_000),
-              help="Published before the windows, where configuration changes.")  # fmt: skip
+              help="Routes published before the first window if the configuration changes.")  # fmt: skip
 @click.option("--distributors", default=2, show_default=True, type=click.IntRange(1, 32))
 @click.option(
     "--hosts",
     default=0,
     type=click.IntRange(0, 64),
-    help="Processes of hollow ingresses; 0: by number.",
+    help="Processes that run the hollow ingresses; 0 derives it from their number.",
 )
 @click.option(
     "--most-lag",
-    callback=quantity(Duration.parse),
+    callback=parsing_callback(Duration.parse),
     metavar="TIME",
-    help="Until in force at the last.",
+    help="Maximum time until a change is in force at the last ingress.",
 )
 @click.option(
-    "--most-cpu", callback=quantity(Share.parse), metavar="SHARE", help="Of a core, an ingress."
+    "--most-cpu",
+    callback=parsing_callback(Share.parse),
+    metavar="SHARE",
+    help="Maximum CPU of one ingress, as a share of a core.",
 )
 @click.option(
     "--most-memory",
-    callback=quantity(Size.parse),
+    callback=parsing_callback(Size.parse),
     metavar="SIZE",
-    help="An ingress; 1MB is 1000000 B.",
+    help="Maximum memory of one ingress; 1MB is 1000000 B.",
 )
 @click.option(
-    "--most-bytes", callback=quantity(Size.parse), metavar="SIZE", help="A second, an ingress."
+    "--most-bytes",
+    callback=parsing_callback(Size.parse),
+    metavar="SIZE",
+    help="Maximum bytes per second of one ingress.",
 )
 @click.option(
     "--most-added",
-    callback=quantity(Duration.parse),
+    callback=parsing_callback(Duration.parse),
     metavar="TIME",
-    help="At p99 of real ones' answers.",
+    help="Maximum latency added to the p99 of the real ingresses' answers.",
 )
-@click.option("--most-late", default="250ms", show_default=True, callback=quantity(Duration.parse), metavar="TIME",
-              help="p99 lateness of the tool's own loops from which the run is void.")  # fmt: skip
 @click.option(
-    "--plant", default="", type=click.Choice(["", *NAMES]), help="A bug that the checker must find."
+    "--most-late",
+    default="250ms",
+    show_default=True,
+    callback=parsing_callback(Duration.parse),
+    metavar="TIME",
+    help="The run is void when the p99 lateness of the tool's event loops exceeds this.",
 )
 @click.option(
-    "--label", default="", help="Kept in the report: the tree that is measured, as a commit."
+    "--plant",
+    default="",
+    type=click.Choice(["", *BUG_NAMES]),
+    help="Plant this bug, which the checker must find.",
 )
-@click.option("--json", "as_json", is_flag=True, help="The report as one JSON object.")
+@click.option("--label", default="", help="Label kept in the report, such as the measured commit.")
+@click.option("--json", "as_json", is_flag=True, help="Print the report as one JSON object.")
 @click.option(
     "--report",
     "path",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="Keep the report here.",
+    help="Write the report to this file.",
 )
 @click.pass_context
 def scale(
-    ctx: click.Context, /, as_json: bool, path: Path | None, label: str, **words: Any
+    ctx: click.Context, /, as_json: bool, path: Path | None, label: str, **plan_values: Any
 ) -> None:
-    """Run real ingresses beside hollow ones, with changes of control, and measure what control
-    costs each.
+    """Run real and hollow ingresses under control-plane changes and measure the cost per ingress.
 
-    Exit codes: 0 every bound asked for holds; 1 one does not, or the checker found a fault; 2 the
-    run is void.
+    Exit codes: 0 all requested bounds hold; 1 a bound is broken, or the checker found a fault; 2
+    the run is void.
     """
     if ctx.invoked_subcommand is not None:
         return
-    from dockthread.lab.scale.report import Bounds, report_of
-    from dockthread.lab.scale.run import Run
-    from dockthread.lab.scale.text import lines
+    from dockthread.lab.scale.report import Bounds, build_report
+    from dockthread.lab.scale.run import ScaleRun
+    from dockthread.lab.scale.text import report_lines
 
-    most_words = {
-        name: words.pop(f"most_{name}")
+    bound_values = {
+        name: plan_values.pop(f"most_{name}")
         for name in ("lag", "cpu", "memory", "bytes", "added", "late")
     }
     bounds = Bounds(
-        most(most_words["lag"]),
-        100.0 * most(most_words["cpu"]),
-        most(most_words["memory"]),
-        most(most_words["bytes"]),
-        most(most_words["added"]),
-        most(most_words["late"]),
+        bound_or_infinity(bound_values["lag"]),
+        100.0 * bound_or_infinity(bound_values["cpu"]),
+        bound_or_infinity(bound_values["memory"]),
+        bound_or_infinity(bound_values["bytes"]),
+        bound_or_infinity(bound_values["added"]),
+        bound_or_infinity(bound_values["late"]),
     )
-    plan = plan_from(words)
-    told = {
+    plan = checked_plan(plan_values)
+    header = {
         "label": label,
         "command": " ".join(["dockthread", *sys.argv[1:]]),
         "started": time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime()),
     }
-    before = os.getloadavg()
+    load_before = os.getloadavg()
     try:
         with TemporaryDirectory() as folder:
-            run = Run(plan, Path(folder))
-            asyncio.run(run.play())
-        report = report_of(run, bounds)
-    except (ProcessError, Gone, OSError) as error:
+            run = ScaleRun(plan, Path(folder))
+            asyncio.run(run.execute())
+        report = build_report(run, bounds)
+    except (ProcessError, ProcessEndedError, OSError) as error:
         report = {"void": [str(error)], "verdict": "void"}
     report = {
-        **told,
+        **header,
         "machine": {
             "cores": os.cpu_count(),
             "load_average": os.getloadavg(),
-            "load_average_before": before,
+            "load_average_before": load_before,
         },
         **report,
     }
@@ -169,12 +189,15 @@
     if as_json:
         click.echo(json.dumps(report))
     else:
-        click.echo("\n".join(lines(report) if "size" in report else [f"void: {report['void'][0]}"]))
-    sys.exit(EXIT[report["verdict"]])
+        click.echo(
+            "\n".join(report_lines(report) if "size" in report else [f"void: {report['void'][0]}"])
+        )
+    sys.exit(EXIT_CODES[report["verdict"]])
 
 
-def plan_from(words: dict[str, Any]) -> Plan:
-    plan = Plan(**words)
+def checked_plan(plan_values: dict[str, Any]) -> RunPlan:
+    """Build and check the plan of a run. Raises click.UsageError if it cannot be run."""
+    plan = RunPlan(**plan_values)
     try:
         plan.check()
     except PlanError as error:
@@ -182,17 +205,17 @@
     return plan
 
 
-def at_size(text: str) -> dict[str, float]:
-    """`ingresses=1600,backends=24000`."""
-    from dockthread.lab.scale.fit import SIZES
+def parse_size(text: str) -> dict[str, float]:
+    """Parse a size such as `ingresses=1600,backends=24000`."""
+    from dockthread.lab.scale.fit import SIZE_KEYS
 
-    found = {}
+    size = {}
     for part in filter(None, text.split(",")):
         name, _, value = part.strip().partition("=")
-        if name not in SIZES:
-            raise ValueError(f"{name!r} is no size: write {', '.join(SIZES)}")
-        found[name] = float(value)
-    return found
+        if name not in SIZE_KEYS:
+            raise ValueError(f"{name!r} is not a size: write {', '.join(SIZE_KEYS)}")
+        size[name] = float(value)
+    return size
 
 
 @scale.command()
@@ -202,28 +225,29 @@
 @click.option(
     "--at",
     default="",
-    callback=quantity(at_size),
+    callback=parsing_callback(parse_size),
     metavar="SIZE=N,...",
     help="Extrapolate to this size.",
 )
 @click.option("--terms", default="ingresses,backends,changes,configuration,routes", show_default=True,
-              help="Of the line; products as backends*changes.")  # fmt: skip
-@click.option("--without-void", is_flag=True, help="Leave void runs out.")
-@click.option("--json", "as_json", is_flag=True, help="As one JSON object.")
+              help="Terms of the line: sizes, or products such as backends*changes.")  # fmt: skip
+@click.option("--without-void", is_flag=True, help="Leave out void runs.")
+@click.option("--json", "as_json", is_flag=True, help="Print the result as one JSON object.")
 def fit(
     reports: tuple[Path, ...], at: dict[str, float], terms: str, without_void: bool, as_json: bool
 ) -> None:
-    """Draw lines through the figures of four reports or more, of different sizes, and extrapolate.
+    """Fit lines to the figures of at least four reports of different sizes, and extrapolate.
 
-    Exit codes: 0 all lines fit; 1 one does not; 2 no line can be drawn."""
-    from dockthread.lab.scale.fit import FitError, fitted, terms_of
+    Exit codes: 0 all lines fit; 1 a line does not fit; 2 no line can be fitted.
+    """
+    from dockthread.lab.scale.fit import FitError, fit_lines_to_reports, parse_terms
     from dockthread.lab.scale.text import fit_lines
 
     try:
-        read = [json.loads(path.read_bytes()) for path in reports]
-        found = fitted(read, terms_of(terms), at, not without_void)
+        loaded_reports = [json.loads(path.read_bytes()) for path in reports]
+        result = fit_lines_to_reports(loaded_reports, parse_terms(terms), at, not without_void)
     except (FitError, ValueError, KeyError) as error:
-        click.echo(f"no line: {error}", err=True)
-        sys.exit(VOID)
-    click.echo(json.dumps(found) if as_json else "\n".join(fit_lines(found)))
-    sys.exit(0 if all(one["fits"] for one in found["lines"]) else 1)
+        click.echo(f"cannot fit a line: {error}", err=True)
+        sys.exit(VOID_EXIT_CODE)
+    click.echo(json.dumps(result) if as_json else "\n".join(fit_lines(result)))
+    sys.exit(0 if all(line["fits"] for line in result["lines"]) else 1)
--- a/dockthread/lab/scale/checker.py
+++ b/dockthread/lab/scale/checker.py
@@ -1,25 +1,24 @@
-"""Judges what the ingresses held against what was published. Shares no code with what it judges:
-plain data in.
+"""Checks the data held by the ingresses against the published data.
 
-Each ingress must end with exactly what was last published, and no older version may have replaced a
-newer one.
+Every ingress must end with exactly the last published data, and no older version may have replaced
+a newer one. The checker takes plain data and shares no code with the components that it checks.
 """
 
 from __future__ import annotations
 
 from typing import Any, Final
 
-MOST_NAMED: Final = 20  # findings spelt out in a report
-MOST_SHOWN: Final = 3  # rows of one difference
+MAX_LISTED_VIOLATIONS: Final = 20  # Maximum number of violations listed in a report.
+MAX_LISTED_ROWS: Final = 3  # Maximum number of differing rows listed for one ingress.
 
 
-def published(changes: list[Any]) -> list[list[Any]]:
-    """What stands after all changes: uid, endpoint, whether it serves, and its weight."""
-    standing: dict[str, list[Any]] = {}
+def final_list(changes: list[Any]) -> list[list[Any]]:
+    """Return the list after all changes: uid, endpoint, whether it is active, and its weight."""
+    rows_by_uid: dict[str, list[Any]] = {}
     for _, _, entries in changes:
         for entry in entries:
             if entry["state"] == "left":
-                standing.pop(entry["uid"], None)
+                rows_by_uid.pop(entry["uid"], None)
             else:
                 row = [
                     entry["uid"],
@@ -27,49 +26,62 @@
                     entry["state"] == "active",
                     entry["capacity_hint"],
                 ]
-                standing[entry["uid"]] = row
-    return [standing[uid] for uid in sorted(standing)]
+                rows_by_uid[entry["uid"]] = row
+    return [rows_by_uid[uid] for uid in sorted(rows_by_uid)]
 
 
-def published_routes(changes: list[Any]) -> list[list[Any]]:
-    """What stands after all accepted changes, in the order of their revisions: name and version."""
-    standing: dict[str, Any] = {}
+def final_routes(changes: list[Any]) -> list[list[Any]]:
+    """Return the name and version of each route after all changes, given in revision order."""
+    version_by_name: dict[str, Any] = {}
     for _, _, name, version in changes:
         if version is None:
-            standing.pop(name, None)
+            version_by_name.pop(name, None)
         else:
-            standing[name] = version
-    return [[name, standing[name]] for name in sorted(standing)]
+            version_by_name[name] = version
+    return [[name, version_by_name[name]] for name in sorted(version_by_name)]
 
 
-def judge(wanted: list[list[Any]], findings: list[dict[str, Any]], expected: int) -> list[str]:
-    """Each rule that broke, in words; empty where all held. `expected`: the number of ingresses."""
-    broken, seen = [], 0
-    for found in findings:
-        for group in found["tables"]:
-            seen += len(group["ingresses"])
-            if group["rows"] != wanted:
-                broken += [
-                    f"ingress {n} {_difference(group['rows'], wanted)}" for n in group["ingresses"]
+def find_violations(
+    expected_rows: list[list[Any]], findings: list[dict[str, Any]], expected_ingresses: int
+) -> list[str]:
+    """Return a message for each violated rule.
+
+    `expected_ingresses` is the number of ingresses that must have reported.
+    """
+    violations = []
+    reported = 0
+    for finding in findings:
+        for group in finding["tables"]:
+            reported += len(group["ingresses"])
+            if group["rows"] != expected_rows:
+                violations += [
+                    f"ingress {number} {_difference(group['rows'], expected_rows)}"
+                    for number in group["ingresses"]
                 ]
-        for number, revisions, older in found["went_back"]:
+        for number, revisions, older_versions in finding["went_back"]:
             if revisions:
-                broken.append(
+                violations.append(
                     f"ingress {number} went back from revision {revisions[0]} to {revisions[1]}"
                 )
-            if older:
-                broken.append(
-                    f"ingress {number} let an older version replace a newer one {len(older)} times"
+            if older_versions:
+                violations.append(
+                    f"ingress {number} let an older version replace a newer one {len(older_versions)} times"
                 )
-    if seen != expected:
-        broken.append(f"{seen} of {expected} ingresses said what they hold")
-    return broken
+    if reported != expected_ingresses:
+        violations.append(f"{reported} of {expected_ingresses} ingresses said what they hold")
+    return violations
 
 
-def _difference(rows: list[Any], wanted: list[Any]) -> str:
-    held, right = {row[0]: row for row in rows}, {row[0]: row for row in wanted}
-    wrong = sorted(name for name in held.keys() | right.keys() if held.get(name) != right.get(name))
-    shown = "; ".join(
-        f"{name}: holds {held.get(name)}, wanted {right.get(name)}" for name in wrong[:MOST_SHOWN]
+def _difference(rows: list[Any], expected_rows: list[Any]) -> str:
+    held_by_name = {row[0]: row for row in rows}
+    expected_by_name = {row[0]: row for row in expected_rows}
+    differing = sorted(
+        name
+        for name in held_by_name.keys() | expected_by_name.keys()
+        if held_by_name.get(name) != expected_by_name.get(name)
+    )
+    listed = "; ".join(
+        f"{name}: holds {held_by_name.get(name)}, wanted {expected_by_name.get(name)}"
+        for name in differing[:MAX_LISTED_ROWS]
     )
-    return f"ends with {len(wrong)} of {len(right)} wrong: {shown}"
+    return f"ends with {len(differing)} of {len(expected_by_name)} wrong: {listed}"
--- a/dockthread/lab/scale/control.py
+++ b/dockthread/lab/scale/control.py
@@ -1,6 +1,4 @@
-"""The configuration side of an ingress of a run: the program's own receiver, and a witness before
-its owner.
-"""
+"""The configuration side of an ingress in a run: its options, and a recorder of applied changes."""
 
 from __future__ import annotations
 
@@ -10,60 +8,73 @@
 from dockthread.control_plane.messages import Rejection, Resource
 from dockthread.control_plane.options import ControlOptions
 from dockthread.lab.scale.plan import REGIONS, zone_name
-from dockthread.lab.scale.witness import Observed
+from dockthread.lab.scale.recorder import ChangeRecorder
 
-Alteration = Callable[[Sequence[Resource]], Sequence[Resource]]  # a planted bug
+# How a planted bug changes the resources before they are applied.
+ResourceAlteration = Callable[[Sequence[Resource]], Sequence[Resource]]
 
 
-def options_of(number: int, servers: Sequence[str], key_file: str) -> ControlOptions:
-    """An ingress's part, as the section [control] would say it."""
-    region, zone = f"region-{number % REGIONS}", zone_name(number)
+def control_options(number: int, servers: Sequence[str], key_file: str) -> ControlOptions:
+    """Return the control options of an ingress, as its [control] section would give them."""
+    region = f"region-{number % REGIONS}"
+    zone = zone_name(number)
     return ControlOptions(
         role="ingress", servers=tuple(servers), region=region, zone=zone, key_file=key_file
     )
 
 
-def section_of(options: ControlOptions) -> str:
-    """The same as text, for a file."""
+def control_section(options: ControlOptions) -> str:
+    """Format the options as the [control] section of a configuration file."""
     return (
         f"[control]\nrole = ingress\nservers = {', '.join(options.servers)}\nregion = {options.region}\n"
         f"zone = {options.zone}\nkey_file = {options.key_file}\n"
     )
 
 
-class ControlWitness(Observed):
-    """Stands between an ingress's client and what puts resources in force, and notes what has
-    passed.
-    """
+class ConfigurationRecorder(ChangeRecorder):
+    """Records the changes that an ingress's configuration client passes to its applier."""
 
-    def observe(self, controlled: IngressResourceApplier, alter: Alteration | None = None) -> None:
-        """From now on; at once after it was opened, before anything can have come."""
-        self._owner, self._alter, self._highest = controlled, alter, 0
-        self._refused = set[str]()
-        controlled.client.batches.applier = self
+    def attach(
+        self, applier: IngressResourceApplier, alter: ResourceAlteration | None = None
+    ) -> None:
+        """Insert the recorder between the client and its applier.
 
-    # What the client tells its owner
+        Must be called right after the applier is opened, before any change can have arrived.
+        """
+        self._applier = applier
+        self._alter = alter
+        self._highest_revision = 0
+        self._refused_names = set[str]()
+        applier.client.batches.applier = self
+
+    # Methods that the client calls on its applier
 
     def apply(self, changes: Sequence[Resource]) -> Sequence[Rejection]:
-        """Pass changes on, altered where there is a planted bug, and note what was older."""
+        """Pass on the changes, altered by a planted bug, and record those older than applied ones."""
         applied = changes if self._alter is None else self._alter(changes)
-        rejections = self._owner.apply(applied)
-        for one in applied:  # what was refused comes again at the end of its batch
+        rejections = self._applier.apply(applied)
+        # A refused resource is delivered again at the end of its batch, so an older version of it
+        # is no error.
+        for resource in applied:
             if (
-                one.body is not None
-                and one.revision < self._highest
-                and one.name not in self._refused
+                resource.body is not None
+                and resource.revision < self._highest_revision
+                and resource.name not in self._refused_names
             ):
-                self.older.append([one.name, self._highest, one.revision])
-        self._refused |= {one.name for one in rejections}
-        self._highest = max([self._highest, *(one.revision for one in changes)])
+                self.older_versions.append(
+                    [resource.name, self._highest_revision, resource.revision]
+                )
+        self._refused_names |= {resource.name for resource in rejections}
+        self._highest_revision = max(
+            [self._highest_revision, *(resource.revision for resource in changes)]
+        )
         return rejections
 
     def applied_resource(self, kind: str, name: str) -> Resource | None:
-        """What the owner holds under a key."""
-        return self._owner.applied_resource(kind, name)
+        """Return the resource that the applier holds under a key."""
+        return self._applier.applied_resource(kind, name)
 
     def on_batch_applied(self) -> None:
-        """All that was given has been dealt with: note how far that is."""
-        self._owner.on_batch_applied()
-        self.come_to(max(self._highest, self._revision))
+        """Record the revision reached once a batch has been applied."""
+        self._applier.on_batch_applied()
+        self.record_revision(max(self._highest_revision, self._revision))
