--- a/dockthread/net/__init__.py
+++ b/dockthread/net/__init__.py
@@ -1,1 +1,1 @@
-"""The ingress on real sockets: the I/O around the policy engine."""
+"""The network side of the ingress: the sockets and timers around the I/O-free policy engine."""
--- a/dockthread/net/action_executor.py
+++ b/dockthread/net/action_executor.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of the policy engine: attempts, responses, timers, quota and gossip."""
+"""Executes the actions of the policy engine: attempts, responses, timers, quota and gossip."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
     TimerFired,
 )
 
-# An attempt whose own deadline is that close to its request's needs no timer: the request ends its
-# attempts at its deadline.
+# An attempt whose deadline is this close to its request's deadline gets no timer of its own: the
+# request ends its attempts when its own deadline passes.
 SAME_DEADLINE_MS = 1.0
 
 
 class ActionExecutor:
-    """Carries out each type of action; `handlers` gives the function for each."""
+    """Executes the actions of the policy engine; `handlers` maps action types to methods."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         self._gossip = gossip
 
     def handlers(self) -> dict[type, Callable[[Any], None]]:
-        """Return the function that carries out an action, by the type of the action."""
+        """Return the method that executes each type of action."""
         return {
             SendAttempt: self._send_attempt,
             Reject: self._reject,
@@ -131,4 +131,4 @@
         self._counter.add(action.name, action.amount, action.lifetime * 1000.0)
 
     def _poll_endpoints(self, action: PollEndpoints) -> None:
-        """Do nothing: the watch on discovery stays open and receives changes by itself."""
+        """Do nothing: the discovery watch is always open and receives changes unasked."""
--- a/dockthread/net/backend_connection.py
+++ b/dockthread/net/backend_connection.py
@@ -1,7 +1,6 @@
-"""One connection to a backend, and the attempt that it carries.
+"""A connection to a backend, and the attempt that runs on it.
 
-The connection has its socket, its state, and says whether it may carry an attempt; an attempt is
-one try of a request at one backend, from its start to its outcome.
+An attempt is one try to have a request served by one backend, from its start to its outcome.
 """
 
 from __future__ import annotations
@@ -19,10 +18,10 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of one request; `number` counts a request's attempts from 0.
+    """One attempt of one request; `number` counts the attempts of the request from 0.
 
-    Times are in milliseconds of the ingress's clock. `start_deadline_ms` is the latest for its
-    first byte, where it repeats an attempt that may have run.
+    Times are in milliseconds on the ingress's clock. `start_deadline_ms` is the latest time at
+    which the first byte may be sent; it is finite for a retry of an attempt that may have run.
     """
 
     request_number: int
@@ -32,14 +31,14 @@
     started_ms: float
     deadline_ms: float
     start_deadline_ms: float = inf
-    has_started: bool = False  # its first byte may have gone out: it counts as forwarded
-    is_written: bool = False  # its last byte has gone out: from here on the backend may run it
-    outcome: Outcome | None = None  # None while it is in flight
+    has_started: bool = False  # the first byte may have been sent; counts as forwarded
+    is_written: bool = False  # the last byte has been sent, so the backend may run it
+    outcome: Outcome | None = None  # None while the attempt is in flight
     connection: BackendConnection | None = None
 
 
 class BackendConnectionState(Enum):
-    """The states of a connection: CONNECTING -> IN_USE, then IN_USE <-> IDLE until it closes."""
+    """State of a backend connection: CONNECTING -> IN_USE, then IN_USE <-> IDLE until closed."""
 
     CONNECTING = "connecting"
     IN_USE = "in use"
@@ -47,12 +46,12 @@
 
 
 class BackendConnection:
-    """One connection to a backend, and the task that carries its attempts one after another.
+    """One connection to a backend, which runs one attempt at a time.
 
-    There is one attempt at a time: a second one would wait for the reply to the first, and to give
-    the first up means to close the connection, which would end the second with it.
+    Attempts are not pipelined: a second attempt would wait for the reply to the first, and
+    cancelling the first closes the connection, which would end the second as well.
 
-    The constructor raises OSError where the system has no socket to give.
+    The constructor raises OSError if the system cannot create a socket.
     """
 
     __slots__ = (
@@ -74,14 +73,14 @@
         self.sock = self.endpoint.new_socket()
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.state = BackendConnectionState.CONNECTING
-        self.attempt: Attempt | None = attempt  # None while it is idle
+        self.attempt: Attempt | None = attempt  # None while the connection is idle
         self.idle_since_ms = 0.0
-        self.reused: asyncio.Future[None] | None = None  # done once an idle connection is reused
+        self.reused: asyncio.Future[None] | None = None  # done when an idle connection is reused
         self.task: asyncio.Task[None] | None = None
 
     @property
     def is_current(self) -> bool:
-        """Whether it leads to the process that is listed now, and that one takes requests."""
+        """Whether the backend process it is connected to is still listed and accepts requests."""
         backend = self.backend
         return (
             backend.is_ready
@@ -90,9 +89,9 @@
         )
 
     def is_broken(self) -> bool:
-        """Return whether an idle connection was closed, or has bytes that answer no request.
+        """Return whether an idle connection was closed by the backend or has unexpected input.
 
-        Either makes its socket readable.
+        Both make its socket readable.
         """
         try:
             self.sock.recv(1, socket.MSG_PEEK)
--- a/dockthread/net/client_commands.py
+++ b/dockthread/net/client_commands.py
@@ -1,4 +1,4 @@
-"""What the commands of one client connection mean, and which of them are answered here."""
+"""Dispatches the commands of a client connection: requests to the ingress, others answered here."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from dockthread.net.connection_host import ConnectionHost, RequestSource, ResponseSlot
 
 REQUEST_VERBS = (b"API.READ", b"API.WRITE")
-# Client libraries send these after connecting; their arguments change nothing here.
+# Client libraries send these after connecting. They are answered with OK and have no effect.
 IGNORED_VERBS = (b"CLIENT", b"SELECT")
 
 
 class CommandHandler:
-    """Handles the commands of one connection.
+    """Handles the commands of one client connection.
 
-    `is_surplus` says that the connection is over the budget of descriptors: its first request is
-    rejected, and nothing after it is served.
+    `is_surplus` marks a connection beyond the descriptor budget: its first request is rejected,
+    and no command after that is served.
     """
 
     __slots__ = ("_host", "_is_surplus", "invalid_commands", "is_last")
@@ -22,14 +22,14 @@
     def __init__(self, host: ConnectionHost, is_surplus: bool) -> None:
         self._host = host
         self._is_surplus = is_surplus
-        self.invalid_commands = 0  # commands that could not be served
-        self.is_last = False  # no command after the last one handled is to be served
+        self.invalid_commands = 0  # number of commands that could not be served
+        self.is_last = False  # the command handled last is the last one to be served
 
     def handle(self, connection: RequestSource, message: object) -> ResponseSlot:
-        """Handle a complete command, and return the slot of its response.
+        """Handle a complete command and return the slot for its response.
 
         Raises:
-            ProtocolError: the message is not an array of bulk strings.
+            ProtocolError: The message is not an array of bulk strings.
         """
         if not isinstance(message, list) or not all(type(part) is bytes for part in message):
             raise resp.ProtocolError("a command is an array of bulk strings")
--- a/dockthread/net/client_connection.py
+++ b/dockthread/net/client_connection.py
@@ -1,13 +1,14 @@
-"""Client connections: commands in, responses out in the order of the commands.
+"""Client connections: read commands, and send the responses in the order of the commands.
 
-Theory of operation. A connection is ended in one way, whoever ends it (`end_gracefully`): its
-sending side is shut, so that the client reads all responses and then the end of the stream. What
-the client still sends is read and discarded, and nothing of it is served, for `CLOSE_TIMEOUT_MS`
-and `MAX_DISCARDED_BYTES` at the most; then the socket is closed. To close it over unread bytes
-would reset the connection, and might destroy a response that the client has not read.
+Theory of operation. The ingress ends every connection in the same way (`end_gracefully`): it shuts
+down the sending side, so that the client reads all responses and then the end of the stream.
+Further input is read and discarded without being served, for up to `CLOSE_TIMEOUT_MS` and
+`MAX_DISCARDED_BYTES`; then the socket is closed. Closing a socket with unread input would reset the
+connection and could destroy a response that the client has not read yet.
 
-Responses are written at once; only what the system does not take waits for a task of its own, so
-that the reading task always reads, and a client's close is seen at once whatever is owed to it.
+Responses are sent immediately. Bytes that the socket buffer does not accept are sent by a separate
+writer task, so the reader task keeps reading and notices a client's close even while responses are
+still unsent.
 """
 
 from __future__ import annotations
@@ -25,49 +26,52 @@
 from dockthread.net.client_commands import CommandHandler
 from dockthread.net.connection_host import ConnectionHost, ResponseSlot
 
-READ_BYTES = 8 * 1024  # read from a client at once
-MAX_UNSENT_BYTES = 1024 * 1024  # of responses that a client has not read
-COMMANDS_PER_TURN = 8  # served of one connection before the others have their turn
-MAX_PENDING_COMMANDS = 128  # of one connection without a response
-MAX_INVALID_COMMANDS = 16  # of one connection
-# Read ahead of commands that wait for their turn, so that a close behind them is seen.
+READ_BYTES = 8 * 1024  # Maximum size of one read from a client.
+MAX_UNSENT_BYTES = 1024 * 1024  # Maximum size of the responses that a client has not read.
+COMMANDS_PER_TURN = 8  # Commands served on one connection before other tasks run.
+MAX_PENDING_COMMANDS = 128  # Maximum number of commands without a response on one connection.
+MAX_INVALID_COMMANDS = 16  # Maximum number of invalid commands on one connection.
+# While commands wait to be served, up to this much more input is read, so that a close by the
+# client is noticed.
 MAX_READ_AHEAD_BYTES = 64 * 1024
 
-FIRST_COMMAND_TIMEOUT_MS = 1_500.0  # for a new connection to send a command
-# For a command that has begun to be complete: a slow client takes 2 s for the head of one.
+FIRST_COMMAND_TIMEOUT_MS = 1_500.0  # Time for a new connection to send its first command.
+# Time to complete a command that has begun: a slow client takes 2 s to send the head of one.
 COMMAND_TIMEOUT_MS = 3_000.0
-WRITE_TIMEOUT_MS = 5_000.0  # for a client to read a response
+WRITE_TIMEOUT_MS = 5_000.0  # Time for a client to read a response.
 
-CLOSE_TIMEOUT_MS = 1_000.0  # for a client to read the last response before the socket is closed
-# Discarded after the last command; one that sends more is cut off, unless a response is pending.
+CLOSE_TIMEOUT_MS = 1_000.0  # Time for a client to close after the sending side was shut down.
+# Maximum input discarded after the last command. A client that sends more is disconnected, unless
+# a response is pending.
 MAX_DISCARDED_BYTES = 64 * 1024
-# From here on discarded bytes are a flood. Less is read as it comes: a close may stand behind it.
+# A client that sends more discarded input than this is flooding, and is read more slowly. Smaller
+# amounts are read sooner, because a close may follow them.
 FLOOD_BYTES = 4 * 1024 * 1024
-DISCARD_PAUSE_S = 0.01  # between reads of a client that goes on sending
-FLOOD_PAUSE_S = 0.03  # the same, in a flood
-# Reads in a row of discarded bytes: 16 MiB, more than the buffers of two systems hold, so that a
-# close behind them is seen.
+DISCARD_PAUSE_S = 0.01  # Pause between reads from a client that keeps sending.
+FLOOD_PAUSE_S = 0.03  # Pause between reads from a client that is flooding.
+# Maximum number of consecutive reads of discarded input. They cover 16 MiB, more than the socket
+# buffers of both machines hold, so a close behind the buffered input is noticed.
 MAX_DISCARDS_IN_A_ROW = 64
 
-_discarded = bytearray(256 * 1024)  # where discarded bytes go
+_discarded = bytearray(256 * 1024)  # Shared by all connections; its content is never used.
 
 
 class ClientConnectionState(Enum):
-    """The states of a client connection; each follows one above it."""
+    """State of a client connection, which only ever moves down this list."""
 
     OPEN = "open"  # commands are read and served
     FINISHING = "finishing"  # pending responses are sent, no further command is served
-    HALF_CLOSED = "half closed"  # the sending side is shut, the client's close is awaited
+    HALF_CLOSED = "half closed"  # the sending side is shut down, the client has yet to close
     CLOSED = "closed"
 
 
 class ClientConnection:
-    """One client connection, and the task that reads from it as long as it is open.
+    """One client connection, and the task that reads from it while it is open.
 
-    `on_closed` is called once its socket is closed. Times are in milliseconds of the ingress's
-    clock. `earliest_arrival_ms` is the earliest at which
-    what was read last can have arrived, at first the earliest arrival of the connection itself.
-    `is_surplus` says that it is over the budget of descriptors, and is closed after a rejection.
+    `on_closed` is called when the socket has been closed. Times are in milliseconds on the
+    ingress's clock. `earliest_arrival_ms` is a lower bound on the time at which the bytes read last
+    arrived; before the first read it bounds the arrival of the connection itself. `is_surplus`
+    marks a connection beyond the descriptor budget, which is closed after one rejection.
     """
 
     def __init__(
@@ -83,7 +87,7 @@
         self._on_closed = on_closed
         self._loop = asyncio.get_running_loop()
         self._state = ClientConnectionState.OPEN
-        self._close_deadline_ms: float | None = None  # once it is half closed
+        self._close_deadline_ms: float | None = None  # set when the connection is half closed
         self.is_surplus = is_surplus
 
         self._parser = resp.new_parser()
@@ -93,9 +97,11 @@
         self._read_ahead_bytes = 0
         self._discarded_bytes = 0
         self.last_read_ms = host.clock.now()
-        self.command_started_ms = self.last_read_ms  # the last one begun, or the connection
+        # Start of the current or latest command, or of the connection before the first command.
+        self.command_started_ms = self.last_read_ms
         self.earliest_arrival_ms = earliest_arrival_ms
-        self._all_read_ms = earliest_arrival_ms  # when all that had arrived was read
+        # Lower bound on the time at which the last read left the receive buffer empty.
+        self._all_read_ms = earliest_arrival_ms
         self._heartbeat_before_wait_ms = host.event_loop_lag.last_heartbeat_ms
 
         self._pending: deque[ResponseSlot] = deque()
@@ -111,24 +117,24 @@
     def is_idle(self) -> bool:
         """Whether no response is pending or unsent.
 
-        An incomplete command does not count: else clients that never complete one could hold all
-        descriptors.
+        A connection with an incomplete command is idle too; otherwise clients that never complete
+        one could occupy all descriptors.
         """
         return not (self._pending or self._unsent or self._writer)
 
     @property
     def is_mid_command(self) -> bool:
-        """Whether a command has begun that is not complete."""
+        """Whether a command has been received only in part."""
         is_open = self._state is ClientConnectionState.OPEN
         return is_open and not self._guard.is_between_messages
 
     @property
     def is_ending(self) -> bool:
-        """Whether its sending side is shut, and only the client's close is awaited."""
+        """Whether the sending side is shut down and only the client's close is outstanding."""
         return self._close_deadline_ms is not None
 
     def has_input(self) -> bool:
-        """Return whether bytes have arrived that are not read yet."""
+        """Return whether the socket has unread input."""
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK))
         except OSError:
@@ -137,7 +143,7 @@
     # Ending
 
     def enforce_timeouts(self, now: float) -> None:
-        """End the connection where its client has exceeded a timeout."""
+        """End the connection if its client has exceeded a timeout."""
         if self._close_deadline_ms is not None:
             if self._close_deadline_ms < now:
                 self.close()
@@ -149,7 +155,7 @@
         if self.commands_read and not is_mid_command:
             return
         timeout_ms = COMMAND_TIMEOUT_MS if is_mid_command else FIRST_COMMAND_TIMEOUT_MS
-        if self.has_input():  # the ingress is late: what is awaited may be there unread
+        if self.has_input():  # the ingress itself is late: the awaited command may be unread
             timeout_ms *= 2
         if now - self.command_started_ms <= timeout_ms:
             return
@@ -160,7 +166,7 @@
             self.end_gracefully()
 
     def end_gracefully(self) -> None:
-        """Shut the sending side, and await the client's close.
+        """Shut down the sending side, and leave it to the client to close the connection.
 
         Does nothing while a response is pending: an ingress may end a connection only between
         requests.
@@ -175,14 +181,15 @@
             self.close()
 
     def close(self) -> None:
-        """Close the socket at once: the client has left, or has exceeded a timeout."""
+        """Close the socket immediately: the client has disconnected or exceeded a timeout."""
         if self._state is ClientConnectionState.CLOSED:
             return
         self._state = ClientConnectionState.CLOSED
-        with suppress(OSError):  # unread bytes would make a reset of the close
+        with suppress(OSError):  # closing with unread input would reset the connection
             self.sock.recv_into(_discarded)
-        # A cancelled task refers to its traceback, that to its frames, and those to this connection
-        # and its buffer. Without these references they need not wait for the garbage collector.
+        # A cancelled task references its traceback, whose frames reference this connection and its
+        # buffer. Dropping the tasks breaks the cycle, so the memory is freed without waiting for
+        # the garbage collector.
         for task in (self._reader, self._writer):
             if task is not None:
                 task.cancel()
@@ -197,7 +204,7 @@
         self._on_closed(self)
 
     def _finish_with(self, response: bytes) -> None:
-        """Append a last response; no command after it is served."""
+        """Append a final response; no further command is served."""
         self._finish()
         self._pending.append(ResponseSlot(response))
 
@@ -208,10 +215,11 @@
     # Writing
 
     def flush(self) -> None:
-        """Send every response that has none missing before it.
+        """Send all responses up to the first one that is not known yet.
 
-        A connection that this finds broken closes in a later turn of the loop: this may be called
-        in the middle of a decision, and closing ends requests that the rest of it is about.
+        If the connection turns out to be broken, it is closed in a later iteration of the event
+        loop: this method may run while the actions of a policy decision are being executed, and
+        closing would end requests that the remaining actions refer to.
         """
         if not self._collect_responses() or self._writer is not None:
             return
@@ -236,20 +244,20 @@
             self.end_gracefully()  # nothing is pending, so this ends no request
 
     def _collect_responses(self) -> bool:
-        """Move the responses that may be sent to the unsent ones; return whether there are any."""
+        """Move responses that are due to the unsent ones; return whether there is data to send."""
         pending = self._pending
         while pending and (response := pending[0].response) is not None:
             pending.popleft()
             self._unsent.append(response)
             self._unsent_bytes += len(response)
         if self._unsent_bytes > MAX_UNSENT_BYTES:
-            logger.debug("a client does not read its responses: connection closed")
+            logger.debug("client does not read its responses; closing the connection")
             self._loop.call_soon(self.close)
             return False
         return bool(self._unsent)
 
     async def _write(self) -> None:
-        """Send what the system did not take at once."""
+        """Send the data that the socket buffer did not accept immediately."""
         try:
             while self._unsent:
                 data = b"".join(self._unsent)
@@ -270,7 +278,7 @@
     # Reading
 
     async def _run(self) -> None:
-        """Read until the client closes the connection or has exceeded a limit."""
+        """Read until the client closes the connection or exceeds a limit."""
         buffer = bytearray(READ_BYTES)
         try:
             while size := await self._loop.sock_recv_into(
@@ -286,7 +294,7 @@
                 while has_more:
                     has_more = self._serve_commands()
                     self.flush()
-                    if self._reader is None:  # closed meanwhile
+                    if self._reader is None:  # the connection was closed in the meantime
                         return
                     if has_more:
                         await asyncio.sleep(0)
@@ -297,12 +305,12 @@
                 self._heartbeat_before_wait_ms = self._host.event_loop_lag.last_heartbeat_ms
         except OSError:
             pass
-        except Exception:  # noqa: BLE001 - a fault costs this connection, and no other
-            logger.exception("a client connection failed")
+        except Exception:  # noqa: BLE001 - a fault must end this connection only
+            logger.exception("unexpected error on a client connection")
         self.close()
 
     def _serve_commands(self) -> bool:
-        """Serve one turn's commands of what was read; return whether there may be more."""
+        """Serve up to `COMMANDS_PER_TURN` received commands; return whether there may be more."""
         try:
             for _ in range(COMMANDS_PER_TURN):
                 if self._state is not ClientConnectionState.OPEN:
@@ -325,7 +333,7 @@
         return self._state is ClientConnectionState.OPEN
 
     def _read_ahead(self) -> bool:
-        """Read between two turns, so that a close is seen at once; return False at a close."""
+        """Read more input while commands wait to be served; return False if the client closed."""
         if self._read_ahead_bytes >= MAX_READ_AHEAD_BYTES:
             return True
         try:
@@ -336,17 +344,18 @@
             return False
         self._read_ahead_bytes += len(data)
         self._host.traffic.client_bytes_in += len(data)
-        # The commands that wait arrived before what was read now.
+        # The waiting commands arrived before this read, so they keep their own lower bound.
         earliest_arrival_ms = self.earliest_arrival_ms
         self._feed(data)
         self.earliest_arrival_ms = earliest_arrival_ms
         return bool(data)
 
     def _feed(self, data: bytes) -> None:
-        """Give bytes to the parser, and work out when they can have arrived."""
+        """Feed bytes to the parser, and work out the earliest time at which they can have arrived."""
         self.last_read_ms = self._host.clock.now()
         lag = self._host.event_loop_lag
-        # They arrived while this waited to read, or before that, behind what was read before.
+        # If the reader has waited since before the heartbeat before last, the bytes arrived after
+        # that heartbeat. Otherwise they may have arrived as soon as the buffer was last drained.
         self.earliest_arrival_ms = (
             max(self._all_read_ms, lag.earliest_arrival_ms)
             if lag.earliest_arrival_ms >= self._heartbeat_before_wait_ms
@@ -359,9 +368,9 @@
         self._parser.feed(data[: self._guard.count_safe_bytes(data)])
 
     async def _discard(self, size: int) -> bool:
-        """Discard what follows the last command, of which `size` bytes were read.
+        """Discard input that follows the last command; `size` bytes of it have just been read.
 
-        Returns False where the connection is to be closed.
+        Returns False if the connection is to be closed.
         """
         self._discarded_bytes += size
         if not self._discard_available():
@@ -370,14 +379,14 @@
             return True
         if self.is_idle:
             return False
-        # A response is pending: the connection stays open, but may cost little work. Where the
-        # loop lags, its turns are pause enough.
+        # A response is pending, so the connection stays open, but reads are spaced out to save
+        # work. While the event loop lags, its iterations alone are far enough apart.
         pause_s = DISCARD_PAUSE_S if self._discarded_bytes < FLOOD_BYTES else FLOOD_PAUSE_S
         await asyncio.sleep(0.0 if self._host.event_loop_lag.is_lagging else pause_s)
         return True
 
     def _discard_available(self) -> bool:
-        """Read and discard what has arrived; return False at a close."""
+        """Read and discard the input that has arrived; return False if the client closed."""
         for _ in range(MAX_DISCARDS_IN_A_ROW):
             try:
                 size = self.sock.recv_into(_discarded)
--- a/dockthread/net/connection_host.py
+++ b/dockthread/net/connection_host.py
@@ -1,4 +1,4 @@
-"""What a client connection needs of its ingress, and the place of a response on a connection."""
+"""The interfaces through which client connections use their ingress."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class ResponseSlot:
-    """The place of one command's response, in the order of its connection's commands.
+    """Holds the response to one command; `response` is None until it is known.
 
-    `response` is None until the response is known.
+    A connection keeps one slot per command and sends the responses in that order.
     """
 
     __slots__ = ("response",)
@@ -23,34 +23,34 @@
 
 
 class RequestSource(Protocol):
-    """The connection that a request came on, as the handler of requests sees it."""
+    """The connection on which a request arrived, as the request handler sees it."""
 
     earliest_arrival_ms: float
 
     def flush(self) -> None:
-        """Send the responses that are known and due."""
+        """Send all responses up to the first one that is not known yet."""
         ...
 
 
 class RequestHandler(Protocol):
-    """Takes the requests that client connections read."""
+    """Accepts the requests that client connections read."""
 
     def is_in_flight(self, wire_id: bytes) -> bool:
         """Return whether a request with this id is in flight."""
         ...
 
     def accept(self, connection: RequestSource, command: resp.RequestCommand) -> ResponseSlot:
-        """Take a request; return the slot in which its response will stand."""
+        """Accept a request and return the slot that will hold its response."""
         ...
 
     def respond_without_policy(
         self, command: resp.RequestCommand, reason: str, response: bytes
     ) -> ResponseSlot:
-        """Respond to a request that the policy engine does not see, and count it by `reason`."""
+        """Respond to a request without consulting the policy engine; count it under `reason`."""
         ...
 
     def on_client_disconnected(self, slot: ResponseSlot) -> None:
-        """Note that the client of a request without a response has disconnected."""
+        """Handle the disconnection of a client whose request has no response yet."""
         ...
 
 
@@ -64,15 +64,15 @@
 
     @property
     def requests(self) -> RequestHandler:
-        """Where requests go."""
+        """The handler of the requests that are read."""
         ...
 
     @property
     def ready(self) -> bool:
-        """Whether requests are served."""
+        """Whether the ingress serves requests."""
         ...
 
     @property
     def draining(self) -> bool:
-        """Whether no new request is accepted."""
+        """Whether the ingress drains and accepts no new requests."""
         ...
--- a/dockthread/net/connection_pool.py
+++ b/dockthread/net/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connection pool to backends: carries attempts, and keeps idle connections for reuse."""
+"""The pool of connections to backends: runs attempts, and keeps idle connections for reuse."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from dockthread.observer import Observer
 from dockthread.policy import IDLE_CLOSE_FRACTION, NEVER_RAN, Outcome
 
-READ_BYTES = 16 * 1024  # read from a backend at once
-# For the rest of a reply that has begun: backends write one at once.
+READ_BYTES = 16 * 1024  # Maximum size of one read from a backend.
+# Time from the first bytes of a reply to its last; backends write a reply in one piece.
 REPLY_COMPLETION_TIMEOUT_MS = 200.0
-# Before a connection is reused. A second reply to the last request comes some milliseconds late,
-# and would be taken for the reply to the next one.
+# Minimum idle time before a connection is reused. A faulty backend may send a second reply some
+# milliseconds after the first, which would be mistaken for the reply to the next request.
 REUSE_DELAY_MS = 20.0
 
 
@@ -28,8 +28,8 @@
 class ConnectionPoolLimits:
     """The limits of a connection pool.
 
-    `idle_timeout_ms` is the time after which backends close an idle connection; the pool closes
-    its own at `IDLE_CLOSE_FRACTION` of it.
+    `idle_timeout_ms` is the time after which backends close an idle connection. The pool closes
+    idle connections earlier, after `IDLE_CLOSE_FRACTION` of that time.
     """
 
     max_connections: int
@@ -38,7 +38,7 @@
 
 
 class ConnectionPool:
-    """Carries all attempts of an ingress. `on_ended` is called exactly once for each of them."""
+    """Runs all attempts of an ingress. `on_ended` is called exactly once for each attempt."""
 
     def __init__(
         self, context: IngressContext, reply_parser: resp.ReplyParser, limits: ConnectionPoolLimits
@@ -55,16 +55,16 @@
         self._connect_timeout_ms = limits.connect_timeout_ms
         self._loop = asyncio.get_running_loop()
         self._connections: set[BackendConnection] = set()
-        # By the backend's number; the one that has been idle longest comes first.
+        # Idle connections by backend number, longest idle first.
         self._idle: dict[int, deque[BackendConnection]] = {}
 
     def __len__(self) -> int:
         return len(self._connections)
 
     def start(self, attempt: Attempt) -> None:
-        """Start an attempt on an idle connection to its backend, or on a new one.
+        """Start an attempt on an idle connection to its backend, or on a new connection.
 
-        Of the idle ones that may be reused, the one that was idle for the shortest time is taken.
+        Among reusable idle connections, the most recently used one is chosen.
         """
         backend = self._endpoints.by_number[attempt.backend]
         connection = self._take_idle(attempt.backend)
@@ -75,15 +75,15 @@
             if connection.reused is not None and not connection.reused.done():
                 connection.reused.set_result(None)
             return
-        # Descriptors are a hard limit of the machine: an idle connection elsewhere makes room, else
-        # the attempt ends unsent, which says nothing against the backend.
+        # File descriptors are limited. At the limit, an idle connection to another backend is
+        # closed; if there is none, the attempt ends unsent, which is not held against the backend.
         if len(self._connections) >= self._max_connections and not self.close_longest_idle():
             self._finish(attempt, resp.BackendReply(Outcome.NOT_SENT))
             return
         try:
             connection = BackendConnection(backend, attempt)
         except OSError as error:
-            logger.warning("no socket for a backend connection: {}", error)
+            logger.warning("cannot create a socket for a backend connection: {}", error)
             self.close_longest_idle()
             self._finish(attempt, resp.BackendReply(Outcome.NOT_SENT))
             return
@@ -101,7 +101,7 @@
         self._call_at(connect_by_ms, self._on_connect_timeout, connection, attempt)
 
     def _take_idle(self, backend: int) -> BackendConnection | None:
-        """Take the latest idle connection that may be reused; close broken ones on the way."""
+        """Take the most recently used reusable connection; close broken ones found on the way."""
         idle = self._idle.get(backend)
         latest_idle_since_ms = self._clock.now() - REUSE_DELAY_MS
         position = len(idle) if idle else 0
@@ -117,10 +117,10 @@
         return None
 
     def end(self, attempt: Attempt, outcome: Outcome) -> None:
-        """End an attempt that is in flight, and close its connection, which tells the backend.
+        """End an attempt that is in flight, and close its connection to notify the backend.
 
-        An attempt whose first byte has not gone out cannot run: its outcome is then one that says
-        so, whatever `outcome` is.
+        An attempt whose first byte has not been sent cannot have run. If `outcome` does not say
+        so, the attempt ends with `NOT_SENT` instead.
         """
         if attempt.outcome is not None:
             return
@@ -130,25 +130,25 @@
         self._finish(attempt, resp.BackendReply(outcome if is_true else Outcome.NOT_SENT))
 
     def close_idle_to(self, backend: BackendRecord) -> None:
-        """Close the idle connections to a backend that was removed, moved or restarted."""
+        """Close the idle connections to a backend that was removed, restarted or changed address."""
         for connection in self._idle.pop(backend.number, ()):
             self._close_connection(connection)
 
     def close_expired(self) -> None:
         """Close idle connections well before their backend does.
 
-        An attempt that crosses the backend's close would end as a reset.
+        An attempt that is sent while the backend closes the connection would end with a reset.
         """
         oldest_idle_since_ms = self._clock.now() - self._max_idle_ms
         for backend, idle in list(self._idle.items()):
             while idle and idle[0].idle_since_ms < oldest_idle_since_ms:
                 self._close_connection(idle.popleft())
-            # Else each backend ever used would be looked at for ever, and take 600 bytes.
+            # Otherwise every backend ever used would keep an entry of 600 bytes, visited each time.
             if not idle:
                 del self._idle[backend]
 
     def close_longest_idle(self) -> bool:
-        """Close the connection that has been idle longest; return False where none is idle."""
+        """Close the connection that has been idle longest; return False if none is idle."""
         candidates = [idle for idle in self._idle.values() if idle]
         if not candidates:
             return False
@@ -165,7 +165,8 @@
         self._connections.discard(connection)
         if connection.task is not None:
             connection.task.cancel()
-        # A cancelled task refers to the frames it ended in, and those to this connection.
+        # A cancelled task references the frames in which it ended, which reference this connection.
+        # Dropping the references avoids a cycle.
         connection.task = None
         connection.reused = None
         connection.sock.close()
@@ -184,7 +185,7 @@
             self.end(attempt, Outcome.UNREACHABLE)
 
     async def _run(self, connection: BackendConnection) -> None:
-        """Connect, and carry one attempt after another until the connection is of no more use."""
+        """Connect, and run one attempt after another until the connection is no longer usable."""
         attempt = connection.attempt
         try:
             endpoint = connection.endpoint
@@ -198,13 +199,13 @@
                     break
         except Exception as error:  # noqa: BLE001 - any fault must end the attempt
             if not isinstance(error, OSError):
-                logger.exception("a backend connection failed")
+                logger.exception("unexpected error on a backend connection")
             is_connecting = connection.state is BackendConnectionState.CONNECTING
             if self.observer.tracing and is_connecting:
                 uid = connection.backend.uid
                 self.observer.event("connect", node=uid, end=type(error).__name__)
-            # Where the connection broke before the last byte was written, the backend cannot have
-            # begun the request; after that, it may have.
+            # If the connection broke before the last byte was sent, the backend cannot have started
+            # the request. After the last byte, it may have.
             if attempt is not None:
                 outcome = Outcome.RESET if attempt.is_written else Outcome.UNREACHABLE
                 self._finish(attempt, resp.BackendReply(outcome))
@@ -215,15 +216,15 @@
     async def _exchange(
         self, connection: BackendConnection, attempt: Attempt, buffer: bytearray
     ) -> bool:
-        """Carry one attempt and wait for the next one.
+        """Run one attempt, then wait for the next one.
 
-        Returns False where the connection is of no more use.
+        Returns False if the connection can no longer be used.
         """
         now = self._clock.now()
         time_left_ms = attempt.deadline_ms - now
-        # Checked just before the first byte: while the connection came up, the backend may have
-        # begun to drain, another process may have taken its place, and the time for a repeat may
-        # have passed.
+        # Checked immediately before sending: while the connection was being established, the
+        # backend may have started draining or restarted, or the deadline for a retry may have
+        # passed.
         if time_left_ms <= 0 or now > attempt.start_deadline_ms or not connection.is_current:
             self._finish(attempt, resp.BackendReply(Outcome.NOT_SENT))
             return False
@@ -252,10 +253,11 @@
     async def _read_reply(
         self, connection: BackendConnection, attempt: Attempt, buffer: bytearray
     ) -> tuple[resp.BackendReply, bool]:
-        """Read the reply to an attempt, and whether the connection may be reused after it.
+        """Read the reply to an attempt; return it and whether the connection may be reused.
 
-        A malformed reply is an error, never a rejection: the request has run. After bytes that
-        follow a good reply, nothing would tell which request the next reply belongs to.
+        A malformed reply is an error and never a rejection, because the request has run. If more
+        bytes follow a valid reply, the connection is not reused: the next reply could not be
+        matched to its request.
         """
         parser = resp.new_parser()
         guard = resp.reply_guard()
@@ -279,7 +281,7 @@
                 return reply, reply.is_well_formed and not has_more
             if guard.is_broken:
                 log = logger.bind(worker=attempt.backend, uid=connection.backend.uid)
-                log.debug("the reply of {} is malformed", connection.endpoint)
+                log.debug("malformed reply from {}", connection.endpoint)
                 return resp.BackendReply(Outcome.ERROR), False
             if not has_begun:
                 has_begun = True
--- a/dockthread/net/context.py
+++ b/dockthread/net/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one ingress share: its clock, timers, phase, counts, endpoints and events."""
+"""The objects that the components of one ingress share."""
 
 from __future__ import annotations
 
@@ -13,12 +13,15 @@
 from dockthread.observer import Traffic
 from dockthread.policy import Event
 
-MAINTENANCE_INTERVAL_MS = 250.0  # between two rounds of an ingress's periodic maintenance
+MAINTENANCE_INTERVAL_MS = 250.0  # Time between two runs of an ingress's periodic maintenance.
 
 
 @dataclass(frozen=True, slots=True)
 class IngressContext:
-    """The shared parts of one ingress. `dispatch` gives an event to the policy engine."""
+    """Objects shared by the components of one ingress.
+
+    `dispatch` passes an event to the policy engine.
+    """
 
     clock: Clock
     timers: Timers
--- a/dockthread/net/descriptor_budget.py
+++ b/dockthread/net/descriptor_budget.py
@@ -1,21 +1,25 @@
-"""How the file descriptors of an ingress are divided between client and backend connections."""
+"""Divides the file descriptors of an ingress between client and backend connections."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# For all but connections: the standard streams, the event loop's own, the listener, the watch.
+# Descriptors reserved for the standard streams, the event loop, the listener and the discovery
+# watch.
 RESERVED_DESCRIPTORS = 24
-# Client connections over their budget, at most; they are accepted only to be rejected.
+# Maximum number of client connections beyond the client budget. They are accepted only to reject
+# their first request.
 MAX_SURPLUS = 32
-MAX_SURPLUS_SHARE = 1 / 16  # of all descriptors
-CLIENT_SHARE = 1 / 3  # of all descriptors, for clients with a request in flight
-IDLE_CLIENT_SHARE = 1 / 4  # of what is left then, for clients with an idle connection
+MAX_SURPLUS_SHARE = 1 / 16  # Maximum share of all descriptors used for surplus connections.
+CLIENT_SHARE = 1 / 3  # Share of all descriptors used for clients with a request in flight.
+# Share of the then remaining descriptors used for idle client connections. Backend connections get
+# all others.
+IDLE_CLIENT_SHARE = 1 / 4
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorBudget:
-    """The largest numbers of client connections, of those over that number, and to backends."""
+    """Maximum numbers of client connections, surplus client connections and backend connections."""
 
     client: int
     surplus: int
@@ -23,7 +27,7 @@
 
     @staticmethod
     def of(descriptors: int) -> DescriptorBudget:
-        """Return the budget of an ingress that may hold so many descriptors."""
+        """Return the budget of an ingress that may open `descriptors` file descriptors."""
         surplus = min(MAX_SURPLUS, int(descriptors * MAX_SURPLUS_SHARE))
         available = descriptors - RESERVED_DESCRIPTORS - surplus
         active_clients = int(descriptors * CLIENT_SHARE)
--- a/dockthread/net/discovery_watch.py
+++ b/dockthread/net/discovery_watch.py
@@ -1,25 +1,27 @@
 """The watch on discovery that keeps the endpoint list current.
 
-Theory of operation. Whatever became of an attempt, a change counts as received
-`NOTIFICATION_BOUND_MS` after discovery had it and could be reached, and a watch that has fallen
-silent is replaced within the same time after its last bytes. So no delay and no unanswered attempt
-lasts longer than `MAX_WAIT_MS`, which leaves `ANSWER_ALLOWANCE_MS` for the attempt that brings the
-change, and delays are drawn from all of it. An attempt that was never answered stays open through
-the delay that would follow it, and the next one starts at its end: giving it up early would be work
-for nothing, and a service that answers in turn would answer nobody once that takes longer than all
-callers wait.
-
-Where ingresses poll, discovery is one service for all of them: the delays grow with their number,
-up to `MAX_WAIT_MS` (dockthread/policy/backoff.py). A service that accepts connections and has
-answered nothing for `OVERLOAD_AFTER_MS` works on attempts that were given up: as long as all come
-back within `MAX_WAIT_MS` it would never answer anybody, so from then on the delays grow beyond it.
-One that cannot be reached is called within `MAX_WAIT_MS`: that costs nobody anything.
-
-Where lists are pushed, an agent on this machine answers each attempt at once and at no cost with
-what it has received, and that counts as received by this ingress, watch or not, from the first
-moment of a process. So no delay there is longer than half of the drain grace: the first attempt
-starts at once, and until it is answered, or that time is over, nothing is sent by the cached list
-of the configuration.
+Theory of operation. The ingress is assumed to know a change `NOTIFICATION_BOUND_MS` after discovery
+had it and was reachable, no matter how earlier attempts ended. A watch that has fallen silent is
+replaced within the same time after its last bytes. Therefore no delay and no unanswered attempt
+lasts longer than `MAX_WAIT_MS`, which leaves `ANSWER_ALLOWANCE_MS` for the attempt that delivers
+the change. Delays are drawn from the full range up to `MAX_WAIT_MS`.
+
+An attempt that gets no answer is kept open during the delay before the next attempt, and cancelled
+when that delay ends. Cancelling it earlier would only waste the work done for it: a service that
+answers callers one after another would never answer any of them if each gave up before its turn.
+
+If ingresses poll, one discovery service serves all of them, so the delays grow with the number of
+ingresses, up to `MAX_WAIT_MS` (dockthread/policy/backoff.py). A service that accepts connections
+but has not answered for `OVERLOAD_AFTER_MS` is overloaded and keeps working on attempts that were
+already cancelled. If every caller retried within `MAX_WAIT_MS`, it would never recover, so from
+then on the delays may exceed `MAX_WAIT_MS`. An unreachable service is still called within
+`MAX_WAIT_MS`, since this puts no load on it.
+
+If lists are pushed, an agent on this machine answers every attempt immediately and at no cost with
+the list that it has received. Whatever the agent has received counts as known to this ingress from
+the start of the process, even without a watch. Therefore no delay is longer than half of the drain
+grace period. The first attempt starts immediately, and the cached list of the configuration is not
+used until that attempt is answered or half of the drain grace period has passed.
 """
 
 from __future__ import annotations
@@ -44,44 +46,47 @@
 from dockthread.policy import EndpointsListed, PolicySettings
 from dockthread.policy.backoff import Backoff
 
-# After discovery had a change and could be reached, or a watch fell silent, changes are known.
+# Maximum time until a change is known, from the time when discovery had it and was reachable, or
+# from the last bytes of a watch that fell silent.
 NOTIFICATION_BOUND_MS = 6_000.0
-# Of it, for the attempt that brings the change: found due by periodic maintenance, made, answered.
+# Part of that bound reserved for the attempt that delivers the change: periodic maintenance has to
+# start it, and discovery has to answer it.
 ANSWER_ALLOWANCE_MS = 1_000.0
-# For a delay, or for an attempt without an answer.
+# Maximum duration of a delay, or of an attempt without an answer.
 MAX_WAIT_MS = NOTIFICATION_BOUND_MS - ANSWER_ALLOWANCE_MS
-# Between two parts of a watch; discovery sends a heartbeat every 2 s.
+# Maximum time between two reads from a watch; discovery sends a heartbeat every 2 s.
 SILENCE_TIMEOUT_MS = 3_500.0
-# For the rest of an object that has begun, or for one more entry of a long list.
+# Maximum time for an incomplete object to become complete or to gain one more list entry.
 PROGRESS_TIMEOUT_MS = 4_000.0
-# For the first part of a body where ingresses poll: the attempt may wait behind those of others.
+# Maximum time until the first bytes of a body if ingresses poll. It is longer than the silence
+# timeout because the attempt may be queued behind those of other ingresses.
 FIRST_ANSWER_TIMEOUT_MS = 4_500.0
-# For the delay after a watch that did not come to the end of an object.
+# Maximum delay after a watch that ended within an object.
 MAX_RECONNECT_DELAY_MS = MAX_WAIT_MS - PROGRESS_TIMEOUT_MS
-# The least bound on delays between attempts at an agent that rejects them.
+# Lower limit of the maximum delay between attempts at a local agent, in case it rejects them.
 MIN_BACKOFF_LIMIT_MS = 100.0
-# Without any answer from a service that can be reached: it has more callers than it can answer.
+# Time without any answer after which a reachable service is considered overloaded.
 OVERLOAD_AFTER_MS = 20_000.0
 
 RECEIVE_BUFFER_BYTES = 64 * 1024
-MAX_EVENT_TEXT_CHARS = 60  # of an error's text in the observer's events
+MAX_EVENT_TEXT_CHARS = 60  # Maximum length of an error's text in the observer's events.
 
 
 class AttemptState(enum.Enum):
-    """How far an attempt has come; each state is entered from the one before it."""
+    """Progress of a watch attempt; the states follow one another in this order."""
 
     CONNECTING = enum.auto()
-    CONNECTED = enum.auto()  # the head of a response alone is no answer
+    CONNECTED = enum.auto()  # also after the head of the response, which alone is no answer
     STREAMING = enum.auto()  # a part of the body has arrived
 
 
 @dataclass(slots=True)
 class WatchAttempt:
-    """One request for a watch; times in ms on the ingress's clock."""
+    """One attempt to open a watch, and the watch itself; times in ms on the ingress's clock."""
 
     started_ms: float
     last_received_ms: float
-    last_progress_ms: float  # when no object was left incomplete, or one more entry was read
+    last_progress_ms: float  # when no object was incomplete, or one more entry was read
     state: AttemptState = AttemptState.CONNECTING
     is_address_outdated: bool = False
     task: asyncio.Task[None] | None = None
@@ -93,12 +98,12 @@
 
 
 class DiscoveryWatch:
-    """Holds a watch on discovery, and starts another whenever one ends or falls silent.
+    """Keeps a watch on discovery open, and opens a new one when it ends or falls silent.
 
     `on_endpoints` is called with each event for the policy.
     """
 
-    def __init__(  # noqa: PLR0913 - only an ingress makes one, of parts that it holds
+    def __init__(  # noqa: PLR0913 - created only by `Ingress`, which passes its components
         self,
         address: Address,
         endpoints: EndpointList,
@@ -125,20 +130,19 @@
             min(self._half_drain_grace_ms, MAX_RECONNECT_DELAY_MS),
             max_delay,
         )
-        # The configuration's list, while discovery may answer with a newer one at once.
+        # The list from the configuration, held back while a newer one from discovery is expected.
         self._cached: EndpointsListed | None = None
         self._call_at: Callable[..., None] = lambda _due, _then: None
         self._attempt = self._new_attempt()
         self._delay_over = asyncio.Event()
-        self._failures = 0  # attempts in a row that ended
+        self._failures = 0  # attempts that ended since a list was last received
         self._failing_since_ms = clock.now()
-        # When an attempt without an answer is given up, once its time is over; 0 before. It is kept
-        # over the start of the next attempt.
+        # When an overdue attempt without an answer is cancelled; 0 while no attempt is overdue.
         self._give_up_at_ms = 0.0
         self.observer = Observer()
 
     def start(self, cached_list: Any, call_at: Callable[..., None]) -> None:
-        """Start from the configuration's list; `call_at` sets the timers of what comes later.
+        """Start from the list in the configuration; `call_at` schedules callbacks.
 
         Raises:
             DiscoveryError: The list is malformed.
@@ -152,7 +156,7 @@
 
     @property
     def has_list(self) -> bool:
-        """Whether there is a list by which requests can be served."""
+        """Whether there is a complete endpoint list, so that requests can be served."""
         return (
             self._cached is None
             and bool(self._endpoints.by_number)
@@ -165,7 +169,7 @@
             self._on_endpoints(cached)
 
     def change_address(self, address: Address) -> None:
-        """Watch discovery at another address, and at once: the old one may soon fall silent."""
+        """Switch to another address immediately, because the old one may soon stop answering."""
         if address == self._address:
             return
         self._address = address
@@ -175,9 +179,9 @@
             self._attempt.task.cancel()
 
     async def run(self) -> None:
-        """Hold one watch after another until cancelled."""
+        """Open one watch after another until cancelled."""
         if self._endpoints.by_number and not self._is_pushed:
-            # The cached list serves meanwhile.
+            # Requests are served by the cached list during this delay.
             await self._delay(self._backoff.initial_delay())
         while True:
             self._attempt = attempt = self._new_attempt()
@@ -198,10 +202,10 @@
                 await self._delay(self._retry_delay(MAX_WAIT_MS))
 
     def enforce_timeouts(self) -> None:
-        """End a watch that has fallen silent, or does not come to the end of an object.
+        """Cancel a watch that has fallen silent, or that makes no progress within an object.
 
-        Its machine may have vanished, of which TCP gives no notice. An attempt that was never
-        answered stays open for the delay that would follow it.
+        TCP does not report that the remote machine has disappeared. An attempt without an answer
+        stays open during the delay before the next attempt.
         """
         attempt = self._attempt
         now = self._clock.now()
@@ -228,20 +232,18 @@
         self._failures += 1
         text = str(failure).replace(" ", "_")[:MAX_EVENT_TEXT_CHARS]
         self.observer.event("watch-end", why=type(failure).__name__, text=text)
-        # One warning for each loss of discovery, not one for each attempt.
+        # Only the first failed attempt in a row logs a warning.
         log = logger.warning if self._failures == 1 else logger.debug
-        log(
-            "watch on discovery ended: {!r}; list at revision {}", failure, self._endpoints.revision
-        )
+        log("discovery watch ended: {!r}; list at revision {}", failure, self._endpoints.revision)
 
     async def _delay(self, delay_ms: float) -> None:
-        """Wait; cut short by a change of the address, as the old one says nothing of the new."""
+        """Wait for `delay_ms`, or until the address changes: the delay applies to the old one."""
         over = self._delay_over = asyncio.Event()
         self._call_at(self._clock.now() + delay_ms, over.set)
         await over.wait()
 
     def _retry_delay(self, max_delay_ms: float) -> float:
-        """Draw the delay after a failed attempt, unbounded where discovery is overloaded."""
+        """Draw the delay after a failed attempt, without a maximum if discovery is overloaded."""
         is_overloaded = (
             self._attempt.state is not AttemptState.CONNECTING
             and self._clock.now() - self._failing_since_ms > OVERLOAD_AFTER_MS
@@ -282,18 +284,18 @@
                 attempt.last_progress_ms = attempt.last_received_ms
                 entries_read = parser.entries_read
             if parser.is_inside_object:
-                await asyncio.sleep(0)  # the rest of a long list may have arrived already
+                await asyncio.sleep(0)  # let other tasks run between the reads of a long list
 
     async def _apply(self, attempt: WatchAttempt, message: Any) -> None:
         for event in self._endpoints.apply_in_parts(message):
             self._use_cached()
             self._on_endpoints(event)
-            # Requests are answered between the parts of a long list, which may take a while.
+            # Let other tasks serve requests between the parts of a long list.
             await asyncio.sleep(0)
             attempt.last_received_ms = self._clock.now()
             attempt.last_progress_ms = attempt.last_received_ms
         size = len(message["targets"])
         self.observer.event("list", all=message.get("all"), size=size, rev=message["rev"])
         if self._failures:
-            logger.info("watch on discovery is back at {}", self._endpoints.revision)
+            logger.info("discovery watch restored at revision {}", self._endpoints.revision)
             self._failures = 0
--- a/dockthread/net/endpoint_list.py
+++ b/dockthread/net/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: the backends that discovery lists, by the policy's number for each."""
+"""The endpoint list: the backends that discovery lists, keyed by the policy engine's numbers."""
 
 from __future__ import annotations
 
@@ -17,22 +17,24 @@
 )
 from dockthread.policy import BackendState, Endpoint, EndpointListKind, EndpointsListed
 
-ENTRIES_PER_PART = 1_000  # applied and passed to the policy at once, which takes some 10 ms
-REMOVED_RETENTION_MS = 60_000.0  # longer than any attempt at a removed backend can last
+# Entries of a long list that are applied and passed to the policy engine without a pause, which
+# takes about 10 ms.
+ENTRIES_PER_PART = 1_000
+REMOVED_RETENTION_MS = 60_000.0  # Longer than any attempt at a removed backend can last.
 
 
 @dataclass(slots=True)
 class BackendRecord:
     """One known backend, listed or removed."""
 
-    number: int  # the policy's
+    number: int  # the policy engine's number for the backend
     uid: str
-    address_text: str  # as discovery writes it: a third of the memory of an `Address`
+    address_text: str  # as sent by discovery; takes a third of the memory of an `Address`
     state: BackendState
-    started_ms: float  # on the ingress's clock, 0 for long ago
+    started_ms: float  # start of its process on the ingress's clock; 0 if not known
     removed_at_ms: float = inf
-    revision: int = 0  # of the last list that contained it
-    last_listed: Endpoint | None = None  # as discovery listed it last
+    revision: int = 0  # revision of the newest list that contained the backend
+    last_listed: Endpoint | None = None  # the latest entry from discovery
 
     @property
     def address(self) -> Address:
@@ -46,14 +48,14 @@
 
 
 class EndpointList:
-    """The listed backends, and for a while the removed ones, by the policy's number for each.
+    """The listed backends and the recently removed ones, keyed by the policy engine's numbers.
 
     A uid keeps its number: a backend that restarts, even at another address, is the same backend.
-    No number is given twice.
+    Numbers are not reused.
 
-    A list may be older than one received before: discovery has failed over to a replica that lags,
-    or counts its revisions anew. Such a list may remove a backend, but brings one back only as a
-    process that started later: what was announced as draining stays so.
+    A list may be older than one received before, if discovery failed over to a lagging replica or
+    restarted its revisions. Such a list may remove a backend, but makes a draining or removed
+    backend ready again only if its process started later than the known one.
 
     `on_moved` is called with each backend that was removed, restarted or got another address.
     """
@@ -66,14 +68,15 @@
         self._removed: dict[int, BackendRecord] = {}
         self._last_number = 0
         self.revision = 0
-        self.is_partial = False  # the first list is long and not applied completely
+        self.is_partial = False  # the first list is long and only partly applied
         self.on_moved: Callable[[BackendRecord], None] = lambda _record: None
-        # Excluded by an operator: the policy sees them as draining, whatever discovery lists.
+        # Backends excluded by an operator. The policy engine sees them as draining even if
+        # discovery lists them as ready.
         self.excluded_uids: set[str] = set()
 
     @property
     def listed_count(self) -> int:
-        """The number of backends that are listed."""
+        """The number of backends that discovery lists."""
         return len(self.by_number) - len(self._removed)
 
     @property
@@ -87,8 +90,8 @@
     def set_excluded(self, uid: str, is_excluded: bool, now_ms: float) -> EndpointsListed | None:
         """Exclude a backend by an operator's command, or include it again.
 
-        A backend that is included again was restarted meanwhile, so the policy is notified of a
-        start now and warms it up. Returns None where no such uid is known.
+        A backend that is included again is assumed to have been restarted, so the policy engine is
+        told that it starts now and warms it up. Returns None if the uid is not known.
         """
         record = self._by_uid.get(uid)
         if record is None and not (uid in self.excluded_uids and not is_excluded):
@@ -106,18 +109,18 @@
         return EndpointsListed(EndpointListKind.CHANGES, (endpoint,))
 
     def zone_of(self, uid: str) -> str | None:
-        """Return the zone of a backend; empty where it is not known, None for an unknown uid."""
+        """Return the name of a backend's zone; empty for an unnamed zone, None for an unknown uid."""
         record = self._by_uid.get(uid)
         if record is None or record.last_listed is None:
             return None
         return self.codec.zone_name(record.last_listed.zone)
 
     def uid_of(self, number: int) -> str:
-        """Return a backend's id at discovery; `-` for an unknown number."""
+        """Return a backend's uid; `-` for an unknown number."""
         return self.by_number[number].uid if number in self.by_number else "-"
 
     def age_ms(self, number: int) -> int:
-        """Return the time since a backend's start; -1 for long ago or unknown."""
+        """Return the time since a backend's start in ms; -1 if it is not known."""
         record = self.by_number.get(number)
         if record is None or not record.started_ms:
             return -1
@@ -128,7 +131,7 @@
         return number in self.by_number and self.by_number[number].is_ready
 
     def forget_expired(self) -> None:
-        """Forget the backends removed long ago: in a long life there are ever new ones."""
+        """Drop backends removed more than `REMOVED_RETENTION_MS` ago, which bounds the memory."""
         oldest_ms = self._clock.now() - REMOVED_RETENTION_MS
         expired = [one for one in self._removed.values() if one.removed_at_ms < oldest_ms]
         for record in expired:
@@ -137,9 +140,9 @@
             del self._by_uid[record.uid]
 
     def apply(self, message: Any, cached: bool = False) -> EndpointsListed:
-        """Apply a list or its changes and return the event for the policy.
+        """Apply a full list or changes, and return the event for the policy engine.
 
-        `cached` marks a list from the configuration. Nothing of a malformed message is applied.
+        `cached` marks a list from the configuration. A malformed message is not applied at all.
 
         Raises:
             DiscoveryError: The message is malformed.
@@ -157,15 +160,15 @@
         return EndpointsListed(EndpointListKind.CACHED if cached else kind, endpoints)
 
     def apply_in_parts(self, message: Any) -> Iterator[EndpointsListed]:
-        """Apply a list or its changes, a long list in parts, and yield the events for the policy.
+        """Apply a full list or changes, a long one in parts; yield events for the policy engine.
 
-        Each part is applied when it is requested and has to be passed on before the next one, so
-        that this list and the policy agree in between. The backends that a full list leaves out
-        are removed at its end. Where a caller stops on the way the revision stays as it was, and
-        discovery sends the complete list again.
+        The caller has to dispatch each event before it asks for the next one, so that this list
+        and the policy engine agree after each part. Backends missing from a full list are removed
+        after the last part. If the caller stops early, the revision is unchanged, and discovery
+        sends the complete list again.
 
         Raises:
-            DiscoveryError: The message is malformed; nothing of it is applied.
+            DiscoveryError: The message is malformed and was not applied at all.
         """
         update = self.codec.decode_update(message)
         remaining = update.endpoints
@@ -173,7 +176,7 @@
             yield self._apply(update)
             return
         self.is_partial = self.is_partial or not self.by_number
-        # The memory of entries that are applied is freed for the records made of them.
+        # Drop the references to the entries, so that their memory can be reused for the records.
         message["targets"] = [None] * len(remaining)
         listed: set[int] = set()
         remaining.reverse()
@@ -189,7 +192,7 @@
         yield EndpointsListed(EndpointListKind.CHANGES, tuple(removed))
 
     def _remove_unlisted(self, listed: set[int]) -> list[Endpoint]:
-        """Remove the backends that a full list does not contain; return them as removed."""
+        """Mark backends missing from a full list as removed; return their endpoints."""
         removed: list[Endpoint] = []
         for record in self.by_number.values():
             if record.number in listed or record.state is BackendState.REMOVED:
@@ -204,7 +207,7 @@
         return removed
 
     def _apply_one(self, listed: ListedEndpoint, revision: int) -> Endpoint:
-        """Apply one entry of a list and return the endpoint for the policy."""
+        """Apply one entry of a list, and return the endpoint for the policy engine."""
         started_ms = listed.started_at * 1000.0 if listed.started_at else 0.0
         record = self._by_uid.get(listed.uid)
         if record is None:
@@ -215,7 +218,7 @@
             and listed.state is BackendState.READY
             and started_ms <= record.started_ms
         ):
-            # An older list does not bring back what was announced as draining or removed.
+            # An older list must not make a draining or removed backend ready again.
             return self._with_exclusion(record.last_listed, listed.uid)
         else:
             self._update(record, listed, started_ms, revision)
@@ -239,7 +242,8 @@
     def _update(
         self, record: BackendRecord, listed: ListedEndpoint, started_ms: float, revision: int
     ) -> None:
-        # Another process is known by this list alone; else the newest list counts.
+        # For a restarted backend only this list applies, so its revision is taken even if it is
+        # lower. Otherwise the highest revision is kept.
         is_restarted = started_ms > record.started_ms
         record.revision = revision if is_restarted else max(revision, record.revision)
         before = (record.address_text, record.is_ready, record.started_ms)
--- a/dockthread/net/endpoint_list_codec.py
+++ b/dockthread/net/endpoint_list_codec.py
@@ -1,4 +1,4 @@
-"""Discovery's JSON: reads endpoint lists and their changes into typed messages."""
+"""Decodes discovery's JSON: endpoint lists and changes to them."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ListedEndpoint(NamedTuple):
-    """One backend as discovery lists it, with the policy's numbers for its zone and its model."""
+    """One entry of an endpoint list, with the policy engine's numbers for zone and model."""
 
     uid: str
     address_text: str
@@ -32,17 +32,17 @@
     kind: int
     cell: int
     weight: float
-    started_at: float  # seconds on the ingress's clock, 0 for long ago
+    started_at: float  # seconds on the ingress's clock; 0 if not known
 
     def to_policy_endpoint(self, number: int) -> Endpoint:
-        """Return the endpoint for the policy, under the backend's number there."""
+        """Return the endpoint for the policy engine; `number` is the engine's number for it."""
         return Endpoint(
             number, self.state, self.zone, self.kind, self.cell, self.weight, self.started_at
         )
 
 
 class EndpointListUpdate(NamedTuple):
-    """A full endpoint list, or changes of it."""
+    """A full endpoint list, or changes to it."""
 
     revision: int
     is_full: bool
@@ -50,9 +50,9 @@
 
 
 class EndpointListCodec:
-    """Reads discovery's messages with the names that the settings give to zones and models.
+    """Decodes discovery's messages, and maps zone and model names to the settings' numbers.
 
-    A zone or model that the settings do not name gets the number behind the last one named.
+    All zones that the settings do not name share the next free number. The same holds for models.
     """
 
     def __init__(self, names: Names, clock: Clock) -> None:
@@ -61,11 +61,11 @@
         self._clock = clock
 
     def zone_name(self, zone: int) -> str:
-        """Return the name of a zone; empty for one that the settings do not name."""
+        """Return the name of a zone; empty if the settings do not name it."""
         return next((name for name, number in self._zones.items() if number == zone), "")
 
     def decode_update(self, message: Any) -> EndpointListUpdate:
-        """Read a message, whose entries may have been read before.
+        """Decode a message. Its entries may already be decoded.
 
         Raises:
             DiscoveryError: The message or one of its entries is malformed.
@@ -80,7 +80,7 @@
             raise DiscoveryError(f"not an endpoint list: {error!r}") from error
 
     def decode_endpoint(self, entry: Any) -> ListedEndpoint:
-        """Read one entry of an endpoint list.
+        """Decode one entry of an endpoint list.
 
         Raises:
             DiscoveryError: The entry is malformed.
@@ -97,9 +97,9 @@
         if not isinstance(uid, str):
             raise TypeError("a uid is not a string")
         if not (isfinite(weight) and isfinite(boot_ms)):
-            raise ValueError("a figure is not finite")
+            raise ValueError("a number is not finite")
         address_text = entry["endpoint"]
-        Address.parse(address_text)  # raises where it is no address
+        Address.parse(address_text)  # raises if it is not an address
         return ListedEndpoint(
             uid,
             address_text,
@@ -107,6 +107,6 @@
             self._zones.get(entry.get("az", ""), len(self._zones)),
             self._kinds.get(entry.get("model", ""), len(self._kinds)),
             int(entry.get("pod_group", 0)),
-            1.0 if weight == 1.0 else weight,  # one object for all, which saves memory
+            1.0 if weight == 1.0 else weight,  # a shared float object saves memory
             self._clock.from_unix(boot_ms) / 1000.0 if boot_ms else 0.0,
         )
--- a/dockthread/net/gossip_transport.py
+++ b/dockthread/net/gossip_transport.py
@@ -1,14 +1,15 @@
-"""Gossip between ingresses: single UDP datagrams, late or lost, without replies or connections.
+"""Gossip between ingresses: single UDP datagrams without replies, which may be late or lost.
 
-What a message says is the policy's affair (dockthread/policy/gossip_codec.py). Here one socket at
-`peer_listen` sends and receives all messages. An ingress is known by the address in `peers` at the
-place of its number; a datagram from any other address, or longer than a message may be, is ignored.
-One turn of the event loop reads a few and no more, so that a flood of datagrams cannot hold up
-requests: the rest is lost in the system's buffer, as any datagram may be.
+The policy engine defines the content of messages (dockthread/policy/gossip_codec.py). One socket
+at `peer_listen` sends and receives all of them. Ingress number N is identified by the address at
+index N of `peers`; datagrams from any other address, or longer than the maximum message, are
+ignored. One iteration of the event loop reads only a limited number of datagrams, so that a flood
+of them cannot delay requests. Further datagrams stay in the socket's receive buffer and are dropped
+by the system once it is full.
 
-At an upgrade the process before still holds the address. Until it releases it, this one neither
-receives nor sends (its messages would come from an address that no peer knows), and tries to open
-the socket again in each round of periodic maintenance.
+During an upgrade the previous process still holds the address. Until that process releases it, this
+one neither receives nor sends gossip (peers would not know its sender address), and retries to open
+the socket in each run of periodic maintenance.
 """
 
 from __future__ import annotations
@@ -25,11 +26,11 @@
 from dockthread.policy import GossipReceived, SendGossip
 from dockthread.policy.gossip_codec import MAX_MESSAGE_BYTES
 
-MAX_DATAGRAMS_PER_TURN = 64  # read in one turn of the event loop
+MAX_DATAGRAMS_PER_TURN = 64  # Maximum number read in one iteration of the event loop.
 
 
 class GossipTransport:
-    """Sends and receives gossip; `on_received` is called with each message of another ingress."""
+    """Sends and receives gossip; `on_received` is called for each message from another ingress."""
 
     def __init__(
         self,
@@ -41,7 +42,7 @@
         self._addresses = addresses
         self._on_received = on_received
         self._traffic = traffic
-        # The numbers of the other ingresses by their addresses.
+        # Maps the addresses of the other ingresses to their numbers.
         self._numbers: dict[tuple[str, int], int] = {}
         if addresses is not None:
             self._numbers = {
@@ -54,7 +55,7 @@
         self._is_closed = False
 
     def open(self) -> None:
-        """Listen, where an address is configured and no other process holds it."""
+        """Open the socket if gossip is configured and no other process holds the address."""
         if self._addresses is None or self._sock is not None or self._is_closed:
             return
         try:
@@ -67,7 +68,7 @@
         asyncio.get_running_loop().add_reader(self._sock.fileno(), self._receive)
 
     def send(self, message: SendGossip) -> None:
-        """Send a message to its peer or to all; one that cannot be sent now is lost."""
+        """Send a message to one peer or to all; a message that cannot be sent now is dropped."""
         if self._sock is None or len(message.data) > MAX_MESSAGE_BYTES:
             return
         for address in self._recipients(message.peer):
@@ -88,7 +89,7 @@
         return [peers[other] for other in self._numbers.values()]
 
     def close(self) -> None:
-        """Release the address for good."""
+        """Release the address permanently."""
         self._is_closed = True
         if self._sock is not None:
             asyncio.get_running_loop().remove_reader(self._sock.fileno())
@@ -100,11 +101,11 @@
             if self._sock is None:
                 return
             try:
-                # One byte more than allowed shows a message that is too long.
+                # Reading one byte more than allowed reveals a message that is too long.
                 data, sender = self._sock.recvfrom(MAX_MESSAGE_BYTES + 1)
             except BlockingIOError:
                 return
-            except OSError as error:  # an earlier message was not delivered
+            except OSError as error:  # ICMP error for a message sent earlier
                 logger.debug("gossip was not delivered: {}", error)
                 continue
             number = self._numbers.get((sender[0], sender[1]))
--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -1,4 +1,4 @@
-"""The ingress: assembles its parts, and runs them from start through draining to exit."""
+"""The ingress: assembles its components, and runs them from start through draining to exit."""
 
 from __future__ import annotations
 
@@ -28,17 +28,18 @@
 from dockthread.observer import Observer, Traffic
 from dockthread.policy import PolicyEngine, PolicySettings
 
-LINGER_MS = 500.0  # after the signal to stop, in which the front still sends clients here
-LAST_READ_MS = 20.0  # for what has reached the connections accepted last to be read
-BODY_MEMORY_SHARE = 1 / 8  # of the memory, for the bodies of requests
+# Time after the signal to stop during which the load balancer may still send new clients here.
+LINGER_MS = 500.0
+LAST_READ_MS = 20.0  # Time to read the requests that wait on the connections accepted last.
+BODY_MEMORY_SHARE = 1 / 8  # Share of the configured memory for the bodies of requests.
 BYTES_PER_MIB = 1024 * 1024
 
 
 def _policy_settings(config: IngressConfig, clock: Clock) -> PolicySettings:
-    """Return the settings of the policy engine, narrowed to what this ingress can do.
+    """Return the settings of the policy engine, restricted to what this ingress can do.
 
-    Whatever the settings allow, there is no counter to add to without the address of one, and no
-    gossip without the addresses of other ingresses.
+    Without a counter address the engine must not use the quota counter, and without peer addresses
+    it must not gossip, even if the settings allow it.
     """
     settings = config.policy_settings
     return replace(
@@ -52,7 +53,7 @@
 def _request_parser(
     config: IngressConfig, offered: frozenset[str] | None = None
 ) -> resp.RequestParser:
-    """Return a parser of requests; `offered` names the classes that clients may use, if not all."""
+    """Return a request parser; `offered` names the classes clients may use, None for all."""
     settings = config.policy_settings
     return resp.RequestParser(
         config.names, settings.classes, settings.ingress_count, config.max_request_units, offered
@@ -60,10 +61,10 @@
 
 
 class Ingress:
-    """One ingress: the policy engine, and the parts that bring it events and do its actions.
+    """One ingress: the policy engine, and the components that feed it events and run its actions.
 
-    It is the `ConnectionHost` of its client connections. Times are in milliseconds of `clock`,
-    except in the policy engine, where they are in seconds.
+    It is the `ConnectionHost` of its client connections. Times are in milliseconds on `clock`; the
+    policy engine uses seconds.
     """
 
     def __init__(
@@ -71,7 +72,7 @@
     ) -> None:
         self.config = config
         self.clock = clock
-        self.address = config.listen  # with the actual port, once it listens
+        self.address = config.listen  # replaced by the bound address when it listens
         self.lifecycle = Lifecycle()
         self.traffic = Traffic()
         self.traffic.ensure_classes(len(config.names.classes))
@@ -106,7 +107,7 @@
         self.observe(observer or Observer())
 
     def _assemble_request_path(self, context: IngressContext) -> None:
-        """Make the parts between a client's command and a backend's reply."""
+        """Create the components between a client's command and a backend's reply."""
         config = self.config
         descriptors = min(config.max_sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         self.budget = DescriptorBudget.of(descriptors)
@@ -128,7 +129,7 @@
         self.listener = Listener(self, self.budget, self.connection_pool)
 
     def _assemble_peers(self, settings: PolicySettings) -> None:
-        """Make the parts that talk to discovery, the quota counter and other ingresses."""
+        """Create the components that talk to discovery, the quota counter and other ingresses."""
         config = self.config
         self.watch = DiscoveryWatch(
             config.discovery,
@@ -156,38 +157,38 @@
 
     @property
     def ready(self) -> bool:
-        """Whether requests are served: it listens, and has a list of endpoints."""
+        """Whether requests are served: the ingress listens and has an endpoint list."""
         return self.lifecycle.ready and self.watch.has_list
 
     @property
     def draining(self) -> bool:
-        """Whether no new request is accepted."""
+        """Whether the ingress drains and accepts no new requests."""
         return self.lifecycle.draining
 
     @property
     def client_connections(self) -> int:
-        """How many client connections are open."""
+        """The number of open client connections."""
         return len(self.listener.connections)
 
     @property
     def unanswered(self) -> int:
-        """How many requests have no response yet."""
+        """The number of requests without a response."""
         return self.requests.unanswered
 
     @property
     def routes(self) -> RouteLookup | None:
-        """Where the route of a request is found; None without routes."""
+        """The table that finds the route of a request; None if there are no routes."""
         return self.requests.routes
 
     @routes.setter
     def routes(self, routes: RouteLookup | None) -> None:
-        """Find routes elsewhere from now on."""
+        """Replace the table of routes."""
         self.requests.routes = routes
 
-    # Changes while it runs
+    # Runtime changes
 
     def observe(self, observer: Observer) -> None:
-        """Have another observer notified from now on."""
+        """Replace the observer that is notified of events."""
         self.observer = observer
         self.requests.observer = observer
         self._executor.observer = observer
@@ -197,10 +198,10 @@
         self.lifecycle.on_phase_entered = observer.phase
 
     def set_drained(self, uid: str, drained: bool) -> bool:
-        """Drain a backend by hand, or let it serve again; return False for an unknown backend.
+        """Drain a backend on an operator's request, or let it serve again.
 
-        The policy engine sees a change of the endpoint list. A backend that serves again has been
-        restarted meanwhile, so it warms up.
+        The policy engine sees a change of the endpoint list. A backend that serves again is assumed
+        to have been restarted, so it warms up. Returns False for an unknown backend.
         """
         listed = self.endpoints.set_excluded(uid, drained, self.clock.now())
         if listed is None:
@@ -209,10 +210,10 @@
         return True
 
     def reload(self, config: IngressConfig) -> None:
-        """Apply what may change while it serves; see `dockthread.admin.reload`.
+        """Apply the settings that may change at runtime; see `dockthread.admin.reload`.
 
-        This is the addresses of discovery and of the quota counter, the request classes and the
-        number of attempts. A request in flight keeps the class it came with.
+        These are the addresses of discovery and of the quota counter, the request classes and the
+        maximum number of attempts. A request in flight keeps the class with which it arrived.
         """
         names = self.config.names
         merged = settings_reload.merge_settings(
@@ -236,14 +237,14 @@
         self.watch.change_address(config.discovery)
         self.counter.change_address(config.counter)
 
-    # Life cycle
+    # Lifecycle
 
     def stop(self) -> None:
-        """Begin the graceful shutdown; `run` returns at its end."""
+        """Begin the graceful shutdown; `run` returns when it is complete."""
         self._stop_requested.set()
 
     async def run(self) -> None:
-        """Serve until `stop` is called, then drain: respond to every request in flight."""
+        """Serve until `stop` is called, then drain, answering every request in flight."""
         self._start()
         watching = self._loop.create_task(self.watch.run())
         accepting = self._loop.create_task(self.listener.accept())
@@ -272,7 +273,7 @@
         self._record_heartbeat()
 
     async def _linger(self, accepting: asyncio.Task[None]) -> None:
-        """Accept the clients that the front still sends, up to the last ones in the queue."""
+        """Keep accepting clients for `LINGER_MS`, then empty the accept queue and stop listening."""
         self.lifecycle.enter(Phase.LINGERING)
         await self.timers.sleep(LINGER_MS)
         accepting.cancel()
@@ -282,12 +283,12 @@
         self.listener.socket.close()
 
     async def _drain(self) -> None:
-        """Accept no new request, and wait until every client connection has closed."""
+        """Accept no new requests, and wait until every client connection has closed."""
         self.lifecycle.enter(Phase.DRAINING)
-        self.peers.close()  # at an upgrade the next process takes the address
+        self.peers.close()  # during an upgrade the next process binds this address
         self.listener.end_all()
-        # By the longest deadline every request is answered; what is open after it is a connection
-        # whose client does not read.
+        # Every request is answered by the longest deadline. Connections that are still open after
+        # that belong to clients that do not read.
         longest_deadline_ms = (
             max(one.deadline for one in self.config.policy_settings.classes) * 1000.0
         )
--- a/dockthread/net/lifecycle.py
+++ b/dockthread/net/lifecycle.py
@@ -1,4 +1,4 @@
-"""The lifecycle of an ingress: its phases, from start to exit, and the transitions between them."""
+"""The lifecycle of an ingress: its phases and the transitions between them."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class Phase(Enum):
-    """One phase in the lifecycle of an ingress."""
+    """A phase in the lifecycle of an ingress."""
 
     STARTING = "starting"  # configured, not yet listening
     SERVING = "serving"
-    # Asked to stop: clients are still sent here by the front, so all is accepted and served as
-    # before.
+    # Asked to stop, but the load balancer still sends new clients, so connections and requests are
+    # accepted and served as before.
     LINGERING = "lingering"
-    DRAINING = "draining"  # the listener is closed; requests in flight are answered
+    DRAINING = "draining"  # the listener is closed; requests in flight are completed
     STOPPED = "stopped"
 
 
@@ -32,11 +32,11 @@
 
 
 class LifecycleError(DockthreadError, RuntimeError):
-    """A phase was to be entered that may not follow the present one."""
+    """A transition between lifecycle phases that is not allowed."""
 
 
 class Lifecycle:
-    """The present phase of an ingress.
+    """The current phase of an ingress.
 
     `on_phase_entered` is called with the name of each phase that is entered.
     """
@@ -49,7 +49,7 @@
         """Enter a phase.
 
         Raises:
-            LifecycleError: `TRANSITIONS` does not let the phase follow the present one.
+            LifecycleError: `TRANSITIONS` does not allow the transition from the current phase.
         """
         if phase not in TRANSITIONS[self.phase]:
             raise LifecycleError(f"no transition from {self.phase.value} to {phase.value}")
@@ -64,5 +64,5 @@
 
     @property
     def draining(self) -> bool:
-        """Whether no new request is accepted."""
+        """Whether no new requests are accepted."""
         return self.phase in (Phase.DRAINING, Phase.STOPPED)
--- a/dockthread/net/listener.py
+++ b/dockthread/net/listener.py
@@ -1,4 +1,4 @@
-"""The listener for clients: accepts connections, and closes some where descriptors run short."""
+"""The listener for clients: accepts connections, and closes idle ones if descriptors run short."""
 
 from __future__ import annotations
 
@@ -15,27 +15,28 @@
 from dockthread.net.descriptor_budget import DescriptorBudget
 from dockthread.net.event_loop_lag import AcceptBacklog
 
-ACCEPT_BACKLOG = 1024  # connections that the system queues before they are accepted
-ACCEPTS_PER_TURN = 16  # in a row, before open connections have their turn
-# For which a connection that was just accepted or read from is not closed to make room.
+ACCEPT_BACKLOG = 1024  # Maximum number of connections that the system queues for acceptance.
+ACCEPTS_PER_TURN = 16  # Connections accepted before other tasks run.
+# Minimum time since a connection was accepted or read from before it may be closed to free a
+# descriptor.
 MIN_IDLE_MS = 100.0
-# From which an idle connection may be closed where there are many.
+# Idle time after which a connection is closed if more than half of the client budget is in use.
 IDLE_TIMEOUT_MS = 2_000.0
-FULL_RETRY_DELAY_S = 0.01  # before the budget is looked at again once it is used up
-ACCEPT_RETRY_DELAY_S = 0.05  # after an error
+FULL_RETRY_DELAY_S = 0.01  # Time before the budget is checked again after it was exhausted.
+ACCEPT_RETRY_DELAY_S = 0.05  # Time before the next accept after an error.
 OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class IdleConnections(Protocol):
-    """Idle backend connections, which may be closed to make room for clients."""
+    """Idle backend connections, which may be closed to free descriptors for clients."""
 
     def close_longest_idle(self) -> bool:
-        """Close the one idle longest; return False where there is none."""
+        """Close the connection that has been idle longest; return False if none is idle."""
         ...
 
 
 class Listener:
-    """The listening socket, the client connections accepted from it, and their budget."""
+    """The listening socket, the client connections accepted from it, and the descriptor budget."""
 
     def __init__(
         self, host: ConnectionHost, budget: DescriptorBudget, backend_connections: IdleConnections
@@ -49,11 +50,10 @@
         self._all_closed = asyncio.Event()
 
     def listen(self, name: str, address: Address, inherited: int | None) -> Address:
-        """Listen at `address`, or take over the descriptor of a listener that listens already.
+        """Listen at `address`, or on the descriptor of an inherited listening socket.
 
-        Returns the address in use: the port of `address` may be 0 for any, and an inherited
-        listener has its own. Connections may still be accepted from an inherited listener by the
-        process before.
+        Returns the bound address: `address` may have port 0, and an inherited socket is already
+        bound. The previous process may still accept connections from an inherited socket.
         """
         if inherited is not None:
             self.socket = socket.socket(fileno=inherited)
@@ -63,7 +63,7 @@
         bound = Address(*self.socket.getsockname()[:2])
         if inherited is not None:
             logger.info(
-                "{} takes the inherited listener {} on {}", name, self.socket.fileno(), bound
+                "{} uses the inherited listener {} on {}", name, self.socket.fileno(), bound
             )
         else:
             logger.info("{} listens on {}", name, bound)
@@ -72,9 +72,9 @@
     async def accept(self) -> None:
         """Accept connections until cancelled."""
         while True:
-            # Over the surplus even a rejection would cost a descriptor that is not there: clients
-            # wait in the system's queue.
-            # An event would have to be set by all that makes a connection idle.
+            # If the surplus is used up too, no descriptor is left even for a rejection, so clients
+            # wait in the accept queue. This polls, because an event would have to be set in every
+            # place where a connection can become idle.
             while self._is_full() and not self.evict_idle(include_surplus=True):  # noqa: ASYNC110
                 await asyncio.sleep(FULL_RETRY_DELAY_S)
             try:
@@ -83,7 +83,7 @@
                 self.accept_queued(ACCEPTS_PER_TURN)
                 await asyncio.sleep(0)
             except OSError as error:
-                # Out of descriptors, clients wait in the system's queue until there is room.
+                # Without a free descriptor, clients wait in the accept queue.
                 if error.errno in OUT_OF_DESCRIPTORS and (
                     self._backend_connections.close_longest_idle() or self.evict_idle()
                 ):
@@ -92,7 +92,7 @@
                 await asyncio.sleep(ACCEPT_RETRY_DELAY_S)
 
     def accept_queued(self, limit: int = ACCEPT_BACKLOG) -> None:
-        """Accept the connections that wait in the system's queue, up to `limit`."""
+        """Accept up to `limit` connections from the accept queue."""
         for _ in range(limit):
             if self._is_full():
                 break
@@ -116,17 +116,18 @@
             connection = ClientConnection(
                 self._host, sock, self._on_closed, earliest_arrival_ms, is_surplus
             )
-        except OSError:  # the client has left meanwhile
+        except OSError:  # the client has already disconnected
             sock.close()
             return
         self.connections.add(connection)
 
     def evict_idle(self, include_surplus: bool = False) -> bool:
-        """Close the idle connection that its client needs least; return False where there is none.
+        """Close the idle connection that is needed least; return False if there is none.
 
-        One that is ending goes first, then one that has sent one command at most, then the others;
-        of equals the one idle longest. One that was just accepted or read from is kept, and so is
-        one with unread input: a request may be on its way or there.
+        Connections that are ending come first, then those that have sent at most one command, then
+        all others; within each group the longest idle comes first. Connections that were just
+        accepted or read from and connections with unread input are kept, because a request may be
+        on its way or already waiting.
         """
         now = self._host.clock.now()
         candidates = [
@@ -151,15 +152,15 @@
         return False
 
     def enforce_timeouts(self, now: float) -> None:
-        """End the connections whose clients have exceeded a timeout, and some idle ones."""
+        """End the connections whose clients have exceeded a timeout, and long idle ones."""
         for connection in list(self.connections):
             connection.enforce_timeouts(now)
         self.close_idle(now)
 
     def close_idle(self, now: float) -> None:
-        """End the connections that are idle beyond the timeout, once half the budget is used.
+        """End connections idle for longer than `IDLE_TIMEOUT_MS` if over half the budget is used.
 
-        So there is room before the budget is used up.
+        This frees descriptors before the budget is exhausted.
         """
         if len(self.connections) <= self.budget.client // 2:
             return
@@ -169,12 +170,12 @@
                 connection.end_gracefully()
 
     def end_all(self) -> None:
-        """End every connection gracefully that has no response pending."""
+        """Gracefully end every connection that has no pending response."""
         for connection in list(self.connections):
             connection.end_gracefully()
 
     def close_all(self) -> None:
-        """Close every connection at once."""
+        """Close every connection immediately."""
         for connection in list(self.connections):
             connection.close()
 
@@ -186,7 +187,7 @@
     async def wait_until_all_closed(self) -> None:
         """Wait until the last connection has closed."""
         while self.connections:
-            # Cleared first: the event was set whenever the last connection closed, which happens on
-            # any quiet day, and would end the wait while requests are in flight.
+            # The event may have been set long before, when traffic was low and the last connection
+            # closed. Unless cleared, it would end this wait while requests are in flight.
             self._all_closed.clear()
             await self._all_closed.wait()
--- a/dockthread/net/policy_host.py
+++ b/dockthread/net/policy_host.py
@@ -1,4 +1,4 @@
-"""The policy engine's host: gives it one event at a time and has its actions carried out."""
+"""Runs the policy engine: passes it one event at a time, and has its actions executed."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from dockthread.clock import Clock
 from dockthread.policy import Event, PolicyEngine
 
-NO_REQUEST = -1  # the number that stands for no request: numbers count from 1
+NO_REQUEST = -1  # Never the number of a request, because requests are numbered from 1.
 
 
 class PolicyHost:
     """Runs the policy engine and contains its faults.
 
-    `action_handlers` gives, by the type of an action, the function that carries it out.
-    `abandon_request` is called with the number of a request that a fault leaves without a decision.
+    `action_handlers` maps each type of action to the function that executes it. `abandon_request`
+    is called with the number of a request that has no decision because of a fault.
     """
 
     def __init__(
@@ -32,10 +32,10 @@
         self._is_dispatching = False
 
     def dispatch(self, event: Event) -> None:
-        """Have the policy engine handle an event, and carry out its actions.
+        """Let the policy engine handle an event, and execute the resulting actions.
 
-        An event that results from carrying out an action waits until that is done, so that the
-        engine sees events one after another.
+        Executing an action may dispatch another event. That event is queued until all actions have
+        been executed, so that the engine handles events one at a time.
         """
         self._events.append(event)
         if self._is_dispatching:
@@ -51,17 +51,17 @@
         has_failed = False
         try:
             actions = self.engine.handle(self._clock.now() / 1000.0, event)
-        except Exception:  # noqa: BLE001 - a fault costs one request, and not the ingress
+        except Exception:  # noqa: BLE001 - a fault must end one request, not the ingress
             logger.exception("the policy engine failed on {!r}", event)
-            # The engine's state already counts on the actions decided before the fault, and its
-            # own next timer may be among them.
+            # The engine's state already assumes the actions decided before the fault, and the
+            # engine's next timer may be one of them.
             actions = list(self.engine.actions)
             has_failed = True
         for action in actions:
             try:
                 self.action_handlers[type(action)](action)
-            except Exception:  # noqa: BLE001 - the same
-                logger.exception("{!r} could not be carried out", action)
+            except Exception:  # noqa: BLE001 - a fault must end one request, not the ingress
+                logger.exception("cannot execute {!r}", action)
                 self._abandon_request(getattr(action, "request", NO_REQUEST))
         if has_failed:
             self._abandon_request(getattr(event, "request", NO_REQUEST))
--- a/dockthread/net/quota_counter.py
+++ b/dockthread/net/quota_counter.py
@@ -1,6 +1,6 @@
-"""The client of the quota counter, whose numbers all ingresses share.
+"""The client of the quota counter, a service whose counts all ingresses share.
 
-Additions are written one behind another on one connection, and answered in the same order.
+Additions are pipelined on one connection, and the counter replies to them in the same order.
 """
 
 from __future__ import annotations
@@ -20,16 +20,17 @@
 from dockthread.policy import CounterReplied, Outcome
 
 RECEIVE_BUFFER_BYTES = 4 * 1024
-# Additions without a reply on a connection: more of them would not be answered in time.
+# Maximum number of additions on a connection without a reply. With more, the last ones would not be
+# answered in time.
 MAX_IN_FLIGHT = 64
-# Of a connection with additions in flight, which is closed then: the next may be answered.
+# Time without a reply, with additions in flight, after which a connection is closed and replaced.
 SILENCE_TIMEOUT_MS = 100.0
-# After a connection that was never established, before the next.
+# Time before a new connection after one that could not be established.
 RECONNECT_DELAY_MS = 250.0
 
 
 class CounterAddition:
-    """One addition, unsent or in flight; times in ms on the ingress's clock."""
+    """One addition to a count; times in ms on the ingress's clock."""
 
     __slots__ = ("amount", "is_ended", "lifetime_ms", "name", "started_ms")
 
@@ -38,15 +39,15 @@
         self.amount = amount
         self.lifetime_ms = lifetime_ms
         self.started_ms = started_ms
-        self.is_ended = False  # its outcome was notified
+        self.is_ended = False  # its outcome has been reported
 
     def encode(self) -> bytes:
-        """Return the command for the counter."""
+        """Return the command to send to the counter."""
         return resp.encode_counter_addition(self.name, self.amount, self.lifetime_ms)
 
 
 class CounterConnection:
-    """One connection to the counter, with its additions in the order of their replies."""
+    """One connection to the counter, with its unsent and unanswered additions in order."""
 
     def __init__(self, address: Address) -> None:
         self.sock = address.new_socket()
@@ -60,7 +61,7 @@
         self.writer_task: asyncio.Task[None] | None = None
 
     def is_unresponsive(self, now_ms: float) -> bool:
-        """Return whether the counter has kept additions waiting for too long."""
+        """Return whether additions have waited for longer than `SILENCE_TIMEOUT_MS`."""
         if not self.in_flight:
             return False
         waiting_since_ms = max(self.last_received_ms, self.in_flight[0].started_ms)
@@ -68,7 +69,7 @@
 
 
 class QuotaCounterClient:
-    """Adds to the counter's numbers; `on_ended` is called with each outcome, exactly once."""
+    """Adds to the shared counts; `on_ended` is called exactly once for each addition."""
 
     def __init__(
         self,
@@ -86,19 +87,19 @@
         self._call_at = call_at
         self._timeout_ms = timeout
         self._loop = asyncio.get_running_loop()
-        self._connection: CounterConnection | None = None  # for new additions
+        self._connection: CounterConnection | None = None  # used for new additions
         self._connections: set[CounterConnection] = set()
         self._no_connection_before_ms = 0.0
 
     def change_address(self, address: Address | None) -> None:
-        """Use a counter at another address; additions in flight are still answered by the old."""
+        """Switch to another address; the old connection still serves its additions in flight."""
         if address != self._address:
             self._address = address
             self._connection = None
             self._no_connection_before_ms = 0.0
 
     def add(self, name: int, amount: float, lifetime_ms: float) -> None:
-        """Add to a number, which is forgotten when the lifetime of its first addition ends."""
+        """Add `amount` to the count `name`, which expires `lifetime_ms` after its first addition."""
         now = self._clock.now()
         addition = CounterAddition(name, amount, lifetime_ms, now)
         connection = self._connection
@@ -121,7 +122,7 @@
             self._drop(connection)
 
     def enforce_timeouts(self) -> None:
-        """Close silent connections, and those to an old address that have nothing in flight."""
+        """Close unresponsive connections, and idle ones to an earlier address."""
         now = self._clock.now()
         for connection in list(self._connections):
             has_work = bool(connection.in_flight or connection.unsent)
@@ -135,7 +136,7 @@
         try:
             connection = CounterConnection(self._address)
         except OSError as error:
-            logger.debug("no socket for the counter: {}", error)
+            logger.debug("cannot create a socket for the counter: {}", error)
             return None
         self._connection = connection
         self._connections.add(connection)
@@ -151,7 +152,7 @@
             if not connection.is_established:
                 self._drop(connection)
         else:
-            # It keeps its place in flight, as its reply still arrives in its turn.
+            # It stays in the in-flight queue, because its reply may still arrive in order.
             self._end(addition, Outcome.TIMEOUT)
             if connection.is_unresponsive(self._clock.now()):
                 self._drop(connection)
@@ -177,7 +178,7 @@
         connection.reader_task = None
         connection.writer_task = None
         connection.sock.close()
-        for addition in connection.in_flight:  # written, and so perhaps carried out
+        for addition in connection.in_flight:  # sent, so the counter may have executed it
             self._end(addition, Outcome.RESET)
         for addition in connection.unsent:
             self._end(addition, Outcome.UNREACHABLE)
@@ -204,7 +205,7 @@
                 connection.writer_task = self._loop.create_task(self._write(connection))
             await self._receive(connection)
         except (OSError, resp.ProtocolError, UnicodeDecodeError) as error:
-            logger.debug("the connection to the counter ended: {!r}", error)
+            logger.debug("connection to the counter ended: {!r}", error)
         self._drop(connection)
 
     async def _receive(self, connection: CounterConnection) -> None:
@@ -217,13 +218,13 @@
             parser.feed(data[: guard.count_safe_bytes(data)])
             self._take_replies(connection, parser)
             if guard.is_broken:
-                raise resp.ProtocolError("not a total")
+                raise resp.ProtocolError("malformed reply")
 
     def _take_replies(self, connection: CounterConnection, parser: hiredis.Reader) -> None:
         while (message := parser.gets()) is not resp.INCOMPLETE:
             if not connection.in_flight:
-                raise resp.ProtocolError("a reply to nothing")
+                raise resp.ProtocolError("reply without a command in flight")
             reply = resp.parse_counter_reply(message)
             self._end(connection.in_flight.popleft(), reply.outcome, reply.total)
             if reply.outcome is Outcome.ERROR:
-                raise resp.ProtocolError("a total that cannot be read")
+                raise resp.ProtocolError("reply is not a valid total")
--- a/dockthread/net/request.py
+++ b/dockthread/net/request.py
@@ -1,4 +1,4 @@
-"""A request as the ingress holds it, and what the ingress asks of its route."""
+"""A request in flight, and the interface through which the ingress finds its route."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class RequestState(Enum):
-    """The states of a request: IN_FLIGHT -> ANSWERED, or IN_FLIGHT -> ABANDONED."""
+    """State of a request: IN_FLIGHT -> ANSWERED, or IN_FLIGHT -> ABANDONED."""
 
     IN_FLIGHT = "in flight"
-    ANSWERED = "answered"  # its response was given to its connection
-    ABANDONED = "abandoned"  # its client has disconnected before the response
+    ANSWERED = "answered"  # its response was passed to the client connection
+    ABANDONED = "abandoned"  # its client disconnected before the response was known
 
 
 class Request(ResponseSlot):
     """A request, from its arrival until it is finished and has no attempt in flight.
 
-    Times are in milliseconds of the ingress's clock.
+    Times are in milliseconds on the ingress's clock.
     """
 
     __slots__ = (
@@ -58,12 +58,15 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether it has its response, or no client waits for one."""
+        """Whether the request has been answered or abandoned."""
         return self.state is not RequestState.IN_FLIGHT
 
     @property
     def last_outcome(self) -> str:
-        """Why the policy engine gave the request up, as far as its attempts tell."""
+        """The outcome of the latest attempt, used as the reason for a failed request.
+
+        It is `no-node` without any attempt, and `time` if the latest attempt is in flight.
+        """
         if not self.attempts:
             return "no-node"
         outcome = self.attempts[-1].outcome
@@ -71,19 +74,19 @@
 
 
 class RouteBounds(Route, Protocol):
-    """What a request's route adds for the ingress itself."""
+    """The route of a request, with the settings that the ingress itself enforces."""
 
     @property
     def timeout(self) -> float:
-        """Milliseconds that the whole request may take; 0 for no bound."""
+        """The maximum time in milliseconds for the request, including retries; 0 for no maximum."""
         ...
 
 
 class RouteLookup(Protocol):
-    """Finds the route of a request. `spent` is each route's use, for telemetry."""
+    """Finds the route of a request. `spent` holds the usage of each route, for telemetry."""
 
     spent: dict[str, Any]
 
     def bounds(self, ask: resp.RequestCommand) -> RouteBounds | None:
-        """Return what the request's route adds; None where it has no route."""
+        """Return the route of a request; None if no route applies."""
         ...
--- a/dockthread/net/requests_in_flight.py
+++ b/dockthread/net/requests_in_flight.py
@@ -1,4 +1,4 @@
-"""Requests in flight: each from its arrival to its one final response, and its attempts."""
+"""The requests in flight, each from its arrival to its single final response."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 from dockthread.observer import FAILED, REJECTED, SERVED, Observer
 from dockthread.policy import AttemptEnded, ClientDisconnected, Outcome, RequestArrived
 
-# Of a request's time: its way here, the response's way back, and the lateness of a timer. The
-# client counts from when it sent, and the policy engine answers two clock ticks before the
-# deadline, one of which its timer may be late: without the transit time some responses came after
-# the client had given up.
+# Time deducted from a request's time budget for the transit of request and response and for late
+# timers. The client measures from the time when it sent the request. The policy engine answers two
+# clock ticks before the deadline, and its timer may be one tick late. Without this deduction some
+# responses arrived after the client had timed out.
 TRANSIT_TIME_MS = 5.0
-MIN_TIME_PER_TRANSIT = 10.0  # the transit time is a tenth of a request's time at the most
-# Of a request's time: one that was read so late that less is left is rejected at once, unsent and
-# so without effect.
+MIN_TIME_PER_TRANSIT = 10.0  # The deduction is at most one tenth of the time budget.
+# Minimum share of the time budget that must be left after a late read. A request with less is
+# rejected immediately without an attempt.
 MIN_TIME_LEFT_SHARE = 0.1
-# Time left from which a request's deadline has a timer of its own, so that each round of
-# maintenance finds those whose deadline comes before the next but one.
+# Time before its deadline at which a request gets a deadline timer. Two maintenance intervals
+# ensure that maintenance starts the timer before the deadline.
 DEADLINE_TIMER_LEAD_MS = 2 * MAINTENANCE_INTERVAL_MS
 
 
 @dataclass(slots=True)
 class RequestLimits:
-    """What an ingress holds at the most: requests, and bytes of their bodies.
+    """Maximum number of requests in an ingress, and maximum total size of their bodies.
 
-    `max_retry_after_ms` is the longest wait that a rejection may advise.
+    `max_retry_after_ms` is the longest retry delay that a rejection may advise.
     """
 
     max_requests: int
@@ -42,7 +42,7 @@
 
 
 class RequestTable:
-    """The requests in flight, by number, and those with an attempt still in flight."""
+    """All requests, by number, that are unanswered or have an attempt in flight."""
 
     def __init__(
         self, context: IngressContext, pool: ConnectionPool, limits: RequestLimits
@@ -51,7 +51,7 @@
         self.routes: RouteLookup | None = None
         self.limits = limits
         self.by_number: dict[int, Request] = {}
-        self.body_bytes = 0  # of all requests in `by_number`
+        self.body_bytes = 0  # total size of the bodies of the requests in `by_number`
         self._last_number = 0
         self._wire_ids_in_flight: set[bytes] = set()
         self._clock = context.clock
@@ -68,19 +68,19 @@
 
     @property
     def unanswered(self) -> int:
-        """How many requests have no response yet."""
+        """The number of requests without a response."""
         return sum(not request.is_finished for request in self.by_number.values())
 
     def is_in_flight(self, wire_id: bytes) -> bool:
-        """Return whether a request with this id, as clients write it, is in flight."""
+        """Return whether a request with this id, in the client's spelling, is in flight."""
         return wire_id in self._wire_ids_in_flight
 
     # Arrival
 
     def accept(self, connection: RequestSource, command: resp.RequestCommand) -> ResponseSlot:
-        """Take a request and let the policy engine decide on it, or reject it at once.
+        """Pass a request to the policy engine, or reject it immediately.
 
-        Returns the slot in which its response will stand.
+        Returns the slot that holds its response, now or later.
         """
         body_bytes = self.body_bytes + command.body_bytes
         is_full = len(self.by_number) >= self.limits.max_requests
@@ -119,7 +119,7 @@
         return request
 
     def _shed(self, command: resp.RequestCommand, body_bytes: int) -> ResponseSlot:
-        """Reject a request for which the ingress has no capacity, or which came while draining."""
+        """Reject a request because the ingress has no capacity for it or is draining."""
         if self._lifecycle.draining:
             return self._reject_at_once(command, "draining")
         is_over_memory = body_bytes > self.limits.max_body_bytes
@@ -132,9 +132,9 @@
     def respond_without_policy(
         self, command: resp.RequestCommand, reason: str, response: bytes
     ) -> ResponseSlot:
-        """Respond to a request that the policy engine does not see, and count it by `reason`.
+        """Respond to a request without consulting the policy engine; count it under `reason`.
 
-        A `-BUSY` counts as rejected, any other response as failed.
+        A `-BUSY` response counts as rejected, any other response as failed.
         """
         outcome = REJECTED if response.startswith(resp.BUSY[:5]) else FAILED
         self._traffic.outcomes[outcome][command.request_class] += 1
@@ -153,10 +153,10 @@
     # Response
 
     def respond(self, request: Request, response: bytes, outcome: str, reason: str = "") -> None:
-        """Give a request in flight its one final response.
+        """Send the final response of a request in flight.
 
-        `outcome` is one of the observer's `SERVED`, `REJECTED` and `FAILED`; `reason` tells
-        telemetry why a request was not served.
+        `outcome` is one of the observer's `SERVED`, `REJECTED` and `FAILED`; `reason` is reported
+        to telemetry for a request that was not served.
         """
         request.response = response
         request.state = RequestState.ANSWERED
@@ -178,7 +178,7 @@
         self._forget_if_done(request)
 
     def on_attempt_ended(self, attempt: Attempt, reply: resp.BackendReply) -> None:
-        """Respond with the reply of an attempt that was served, and tell the policy engine."""
+        """Respond to the request if the attempt succeeded, and notify the policy engine."""
         request = self.by_number[attempt.request_number]
         request.attempts_in_flight -= 1
         is_first_success = reply.outcome is Outcome.OK and not request.is_finished
@@ -213,7 +213,7 @@
         )
 
     def _forget_if_done(self, request: Request) -> None:
-        """Forget a request once it is finished and has no attempt in flight."""
+        """Remove a request that is finished and has no attempt in flight."""
         if (
             request.is_finished
             and not request.attempts_in_flight
@@ -225,7 +225,7 @@
     # Requests that end without a reply
 
     def on_client_disconnected(self, slot: ResponseSlot) -> None:
-        """Abandon the request of a client that has disconnected before its response."""
+        """Abandon a request whose client disconnected before the response was known."""
         if not isinstance(slot, Request) or slot.is_finished:
             return
         request = slot
@@ -239,7 +239,7 @@
             bool(request.attempts),
         )
         self._dispatch(ClientDisconnected(request.number))
-        for attempt in request.attempts:  # one that has not started would start for no client
+        for attempt in request.attempts:  # attempts that have not started need not start any more
             if not attempt.has_started:
                 self._pool.end(attempt, Outcome.NOT_SENT)
         self._wire_ids_in_flight.discard(command.wire_id)
@@ -248,7 +248,8 @@
     def abandon(self, number: int) -> None:
         """Fail a request after a fault, and cancel its attempts.
 
-        The response is true whatever has run. Does nothing where no such request is in flight.
+        The failure response is correct whether or not an attempt has run. Does nothing if no such
+        request is in flight.
         """
         request = self.by_number.get(number)
         if request is None or request.is_finished:
@@ -261,7 +262,8 @@
     def start_deadline_timers(self, now: float) -> None:
         """Start a timer for each request whose deadline is near.
 
-        Few requests live that long: a timer for each from its arrival cost a wake-up for nothing.
+        Timers are not started on arrival: most requests finish long before their deadline, and each
+        unneeded timer would cause a wake-up.
         """
         for request in self.by_number.values():
             is_near = request.deadline_ms <= now + DEADLINE_TIMER_LEAD_MS
@@ -273,9 +275,9 @@
         self._call_at(request.deadline_ms, self._on_deadline, request)
 
     def _on_deadline(self, request: Request) -> None:
-        """End a request whose client has given up by now.
+        """End a request at its deadline, when its client has timed out.
 
-        The policy engine has answered long before, unless it failed.
+        Normally the policy engine has answered it before; otherwise it failed.
         """
         for attempt in request.attempts:
             self._pool.end(attempt, Outcome.TIMEOUT)
--- a/dockthread/net/resp/__init__.py
+++ b/dockthread/net/resp/__init__.py
@@ -1,7 +1,8 @@
-"""RESP2, the protocol of clients, backends and the quota counter.
+"""RESP2, the protocol spoken with clients, backends and the quota counter.
 
-hiredis parses; this package decides which bytes may be fed to it and what the messages mean.
-Byte strings that are sent and received are part of the wire protocol: their text must not change.
+hiredis parses the messages. This package checks the framing of the input before it is passed to
+hiredis, and interprets the parsed messages. The byte strings sent and received are part of the
+wire protocol, so their text must not change.
 """
 
 from dockthread.net.resp.commands import (
--- a/dockthread/net/resp/commands.py
+++ b/dockthread/net/resp/commands.py
@@ -1,4 +1,4 @@
-"""Commands of clients, and the commands that forward their requests to backends."""
+"""Parses the requests of clients, and encodes the commands that forward them to backends."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from dockthread.errors import DockthreadError
 from dockthread.policy import Effect, RequestClass
 
-CUSTOMER_LIMIT = 1 << 33  # customers' numbers are below it
-MAX_TIME_LEFT_MS = 1e7  # the longest that a client can mean to wait
+CUSTOMER_LIMIT = 1 << 33  # Upper bound (exclusive) of customer numbers.
+MAX_TIME_LEFT_MS = 1e7  # Longest time budget that is accepted from a client.
 
 _HEX_ID = re.compile(rb"[0-9a-fA-F]{16}")
 _INTEGER = re.compile(rb"[0-9]{1,9}")
@@ -18,16 +18,20 @@
 
 
 class CommandError(DockthreadError):
-    """A complete command that cannot be served; the text is sent to the client."""
+    """A complete command that cannot be served; its text is sent to the client."""
 
 
 @dataclass(slots=True)
 class RequestCommand:
-    """A request in its client's wording, from which the command for a backend is made."""
+    """A client's request, with its original arguments for forwarding it to a backend.
+
+    The fourth argument is a list of terms such as `c=CLASS,t=PLAN,d=250`; `d` is the time left
+    until the deadline in milliseconds.
+    """
 
     arguments: list[bytes]
-    terms_before_deadline: bytes  # the terms up to the figure of `d`
-    terms_after_deadline: bytes  # the terms behind that figure
+    terms_before_deadline: bytes  # the terms up to the value of `d`
+    terms_after_deadline: bytes  # the terms after the value of `d`
     request_class: int
     plan: int
     customer: int
@@ -35,11 +39,11 @@
     units: float
     spread: int
     first: int
-    is_retry: bool = False  # as marked by the client
+    is_retry: bool = False  # whether the client marked it as a retry
 
     @property
     def wire_id(self) -> bytes:
-        """The request's id as the client wrote it."""
+        """The request's id in the client's spelling."""
         return self.arguments[2]
 
     @property
@@ -48,10 +52,10 @@
         return sum(map(len, self.arguments[4:]))
 
     def encode_for_backend(self, time_left_ms: float) -> bytes:
-        """Return the command for a backend.
+        """Return the command that forwards the request to a backend.
 
-        Only the figure of `d` may differ from the client's wording: a backend answers any other
-        form with -SYNTAX.
+        Only the value of `d` may differ from the client's command: a backend answers any other
+        difference with -SYNTAX.
         """
         verb, customer, wire_id, _, *body = self.arguments
         terms = b"%b%d%b" % (
@@ -70,10 +74,9 @@
 
 
 class RequestParser:
-    """Reads requests by the names that the settings give to classes and plans.
+    """Parses requests, and maps their class and plan names to the policy engine's numbers.
 
-    `offered_classes` are the names of the classes that clients may request, where these are not
-    all that the policy knows.
+    `offered_classes` are the names of the classes that clients may request; None for all classes.
     """
 
     def __init__(
@@ -97,7 +100,7 @@
         self._max_units = max_units
 
     def parse(self, arguments: list[bytes]) -> RequestCommand:
-        """Read a request from its command.
+        """Parse the arguments of a request command.
 
         Raises:
             CommandError: The command is not a valid request.
--- a/dockthread/net/resp/counter.py
+++ b/dockthread/net/resp/counter.py
@@ -1,4 +1,4 @@
-"""Commands to the quota counter and its replies."""
+"""Encodes commands for the quota counter, and parses its replies."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 
 
 def encode_counter_addition(name: int, amount: float, lifetime_ms: float) -> bytes:
-    """Return the command that adds `amount` to a number.
+    """Return the command that adds `amount` to the count `name`.
 
-    The counter forgets the number when the lifetime of its first addition is over.
+    The count expires `lifetime_ms` after its first addition.
     """
     lifetime = b"%d" % max(1, round(lifetime_ms))
     return encode_command(b"CNT.ADD", b"%x" % name, b"%.6g" % amount, lifetime)
 
 
 def parse_counter_reply(message: object) -> CounterReply:
-    """Interpret a reply of the counter.
+    """Interpret a reply from the counter.
 
-    A total that cannot be read is an error, not an addition that was never sent: the counter may
-    have carried it out.
+    An invalid total has the outcome ERROR and not NOT_SENT, because the counter may have executed
+    the addition.
     """
     if isinstance(message, hiredis.ReplyError):
         kind = str(message).split(" ")[0]
--- a/dockthread/net/resp/framing.py
+++ b/dockthread/net/resp/framing.py
@@ -1,7 +1,7 @@
-"""Framing of RESP2 messages: which bytes may be fed to a hiredis parser.
+"""Checks the framing of RESP2 messages before they are fed to a hiredis parser.
 
-hiredis allocates memory for any length that a header announces, and waits for as many bytes. A
-`FramingGuard` therefore reads the headers first and stops at one that no valid message has.
+hiredis allocates memory for any length that a header announces, and waits for that many bytes. A
+`FramingGuard` therefore checks the headers first, and stops at one that no valid message contains.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 from dockthread.net.resp.limits import MAX_COMMAND_ARGUMENTS, MAX_VALUE_BYTES
 
-INCOMPLETE = object()  # returned by a parser while its next message has not arrived completely
-MAX_HEADER_BYTES = 12  # a type byte, a length and the end of the line
+INCOMPLETE = object()  # returned by a parser while the next message is incomplete
+MAX_HEADER_BYTES = 12  # Maximum size of a type byte, a length and the line end.
 MAX_ERROR_LINE_BYTES = 512
-REPLY_ELEMENTS = 3  # of a backend's reply: value, usage and load report
-OUTSIDE_VALUE = -1  # bytes of a value still to come, where no value has begun
+REPLY_ELEMENTS = 3  # Elements of a backend's reply: value, usage and load report.
+OUTSIDE_VALUE = -1  # Value of `_value_bytes_left` between two values.
 
 ProtocolError = hiredis.ProtocolError
 
@@ -26,15 +26,15 @@
 
 
 def new_parser() -> hiredis.Reader:
-    """Return a parser that returns `INCOMPLETE` for a partial message and None for null."""
+    """Return a parser whose result is `INCOMPLETE` for a partial message and None for null."""
     return hiredis.Reader(notEnoughData=INCOMPLETE)
 
 
 class FramingGuard:
     """Checks the headers of received bytes before they are fed to a parser.
 
-    Messages are arrays of bulk strings of the given lengths, or error lines where these are
-    allowed. With `is_bare` a message is a single bulk string without an array around it.
+    Messages are arrays of bulk strings whose number of elements is in `array_lengths`, or error
+    lines if these are allowed. With `is_bare` a message is a single bulk string outside an array.
     """
 
     __slots__ = (
@@ -60,20 +60,21 @@
         self._allows_error_lines = allows_error_lines
         self._is_bare = is_bare
         self._min_value_bytes = -1 if allows_null else 0  # a null has the length -1
-        self._values_left = 0  # values of the current array that are still to come
+        self._values_left = 0  # number of values of the current array that are incomplete
         self._value_bytes_left = OUTSIDE_VALUE
         self._partial_line = b""
         self.is_broken = False
 
     @property
     def is_between_messages(self) -> bool:
-        """Whether the last message is complete and no other has begun."""
+        """Whether the latest message is complete and the next has not begun."""
         return not (self._values_left or self._partial_line or self._value_bytes_left >= 0)
 
     def count_safe_bytes(self, data: bytes) -> int:
         """Return how many leading bytes of `data` may be fed to the parser.
 
-        Fewer than all are returned only with `is_broken` set; nothing may be fed after that.
+        If this is less than the length of `data`, the framing is invalid: `is_broken` is set, and
+        no further input may be fed.
         """
         position = self._skip_complete_messages(data) if self.is_between_messages else 0
         end = len(data)
@@ -93,9 +94,9 @@
         return end
 
     def _skip_complete_messages(self, data: bytes) -> int:
-        """Return the end of the valid messages that are complete at the start of `data`.
+        """Return the end position of the complete valid messages at the start of `data`.
 
-        Nearly always that is all of `data`, and a fifth of the cost of reading line by line.
+        Nearly always these make up all of `data`, and this costs a fifth of reading line by line.
         """
         position = end = 0
         while header := _ARRAY_HEADER.match(data, position):
@@ -116,7 +117,7 @@
         return end
 
     def _accept_line(self, line: bytes, *, is_complete: bool) -> bool:
-        """Return whether `line` is valid here, or may become so if it is not complete."""
+        """Return whether `line` is valid here, or, if incomplete, may become valid."""
         if self._value_bytes_left == 0:
             return self._accept_end_of_value(line, is_complete=is_complete)
         if self._allows_error_lines and not self._values_left and line.startswith(b"-"):
--- a/dockthread/net/resp/limits.py
+++ b/dockthread/net/resp/limits.py
@@ -1,4 +1,4 @@
 """Limits that the protocol sets on RESP messages."""
 
-MAX_VALUE_BYTES = 64 * 1024  # of a bulk string
-MAX_COMMAND_ARGUMENTS = 16  # the verb included
+MAX_VALUE_BYTES = 64 * 1024  # Maximum size of a bulk string.
+MAX_COMMAND_ARGUMENTS = 16  # Maximum number of arguments, including the verb.
--- a/dockthread/net/resp/replies.py
+++ b/dockthread/net/resp/replies.py
@@ -1,4 +1,4 @@
-"""Replies to clients, and what the replies of backends mean."""
+"""Encodes replies to clients, and interprets the replies of backends."""
 
 from __future__ import annotations
 
@@ -19,10 +19,11 @@
 COMMAND_TIMEOUT = b"-ERR Protocol error: half a command\r\n"
 TOO_MANY_COMMANDS = b"-ERR too many commands at once\r\n"
 
-MIN_RETRY_AFTER_MS = 0.5  # less rounds to 0, which is sent as no advice
-MAX_LOAD_FIGURE = 1e6  # of a field of a load report, or of the utilization in percent
+MIN_RETRY_AFTER_MS = 0.5  # Smaller values round to 0, and the reply then has no retry delay.
+MAX_LOAD_FIGURE = 1e6  # Upper bound (exclusive) of each number in a usage or load report.
 
-# Backends and the settings (in the simulator's terms) name the fields of a load report differently.
+# Maps field names of load reports in the settings (as in the simulator) to the names that backends
+# send.
 FIELD_BY_SETTING = {
     "rif": "inflight",
     "q": "queue",
@@ -34,14 +35,14 @@
 
 
 def encode_busy(retry_after_ms: float) -> bytes:
-    """Return a rejection that advises when to retry; 0 for no advice."""
+    """Return a rejection with the delay after which to retry; 0 sends no delay."""
     if retry_after_ms >= MIN_RETRY_AFTER_MS:
         return b"-BUSY %d\r\n" % round(retry_after_ms)
     return BUSY
 
 
 def encode_error(text: str) -> bytes:
-    """Return an error line."""
+    """Return an error reply."""
     return b"-ERR %b\r\n" % text.encode()
 
 
@@ -56,16 +57,17 @@
 
     outcome: Outcome
     value: bytes = b""
-    utilization: float | None = None  # 1.0 for full
+    utilization: float | None = None  # 1.0 means fully utilized
     cost: float = 0.0
-    load_report: tuple[float, ...] = ()  # in the order of the policy's fields; empty for none
-    is_well_formed: bool = True  # valid by the protocol: the connection may be used again
+    load_report: tuple[float, ...] = ()  # in the order of the settings' fields; empty for none
+    is_well_formed: bool = True  # it follows the protocol, so the connection may be reused
 
 
 class ReplyParser:
     """Interprets the replies of backends.
 
-    Load reports are returned in the order of `load_report_fields`, named as in the settings.
+    `load_report_fields` names the fields of a load report as in the settings. The numbers of a
+    parsed report are returned in this order.
     """
 
     def __init__(self, load_report_fields: tuple[str, ...]) -> None:
@@ -75,7 +77,7 @@
         ]
 
     def parse(self, message: object) -> BackendReply:
-        """Interpret a complete reply, as the hiredis parser returned it."""
+        """Interpret a complete reply, as returned by the hiredis parser."""
         if isinstance(message, list) and len(message) == 3 and type(message[0]) is bytes:
             value, usage, load_report = message
             if len(value) <= MAX_VALUE_BYTES and all(
@@ -88,7 +90,7 @@
                 return reply
         if isinstance(message, hiredis.ReplyError):
             return self._parse_error(str(message))
-        # A backend that served the request replies in neither form.
+        # No valid reply has any other form.
         return BackendReply(Outcome.ERROR, is_well_formed=False)
 
     def _parse_error(self, text: str) -> BackendReply:
@@ -100,10 +102,10 @@
         return reply
 
     def _apply_note(self, reply: BackendReply, note: bytes) -> None:
-        """Copy the figures of a note on usage or load into `reply`.
+        """Copy the numbers of a usage or load report into `reply`.
 
-        A note with a figure that cannot be read or cannot be true is ignored: a single nan would
-        stay in each smoothed figure for good.
+        A report with an invalid or implausible number is ignored: a single NaN would remain in
+        every moving average permanently.
         """
         try:
             fields = {
--- a/dockthread/net/timers.py
+++ b/dockthread/net/timers.py
@@ -1,4 +1,4 @@
-"""Timers of an ingress: one heap of callbacks, served by one timer of the event loop."""
+"""Timers of an ingress: a heap of callbacks behind a single timer of the event loop."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 
 from dockthread.clock import Clock
 
-MIN_RESOLUTION_MS = 1.0  # that of the event loop's own timers
+MIN_RESOLUTION_MS = 1.0  # Resolution of the event loop's own timers.
 
 
 class Timers:
-    """Callbacks in the order of their due times, in milliseconds of the ingress's clock.
+    """Calls callbacks in the order of their due times, in milliseconds on the ingress's clock.
 
-    The loop's timer rings at multiples of `resolution_ms`, the policy engine's clock tick, as in
-    the simulator, so that the callbacks due between two of them share one wake-up.
+    As in the simulator, the loop's timer fires at multiples of `resolution_ms`, the policy engine's
+    clock tick, so that all callbacks due within one tick share a wake-up.
     """
 
     def __init__(self, clock: Clock, resolution_ms: float) -> None:
         self._loop = asyncio.get_running_loop()
         self._clock = clock
         self._resolution_ms = max(MIN_RESOLUTION_MS, resolution_ms)
-        # The sequence number keeps callbacks of the same due time in the order they were set.
+        # The sequence number keeps callbacks with the same due time in the order of insertion.
         self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._sequence_number = 0
-        self._armed_for_ms = inf  # the due time that the loop's timer serves
+        self._armed_for_ms = inf  # the due time for which the loop's timer is set
         self._loop_timer: asyncio.TimerHandle | None = None
 
     def __len__(self) -> int:
         return len(self._heap)
 
     def call_at(self, due_ms: float, callback: Callable[..., None], *args: Any) -> None:
-        """Call `callback` with `args` once the clock shows `due_ms`."""
+        """Call `callback` with `args` when the clock has reached `due_ms`."""
         self._sequence_number += 1
         heappush(self._heap, (due_ms, self._sequence_number, callback, args))
-        # A callback due up to one interval before the armed one is served by the same wake-up.
+        # A callback due less than one tick before the armed time is called in the same wake-up.
         if due_ms < self._armed_for_ms - self._resolution_ms:
             self._arm()
 
@@ -54,21 +54,21 @@
         self._loop_timer = self._loop.call_later(delay_ms / 1000.0, self.run_due)
 
     async def sleep(self, duration_ms: float) -> None:
-        """Sleep for a time by the ingress's clock."""
+        """Sleep for `duration_ms` on the ingress's clock."""
         woken = self._loop.create_future()
         self.call_at(self._clock.now() + duration_ms, woken.set_result, None)
         await woken
 
     def run_due(self) -> None:
-        """Call every callback that is due; one that raises is logged."""
+        """Call every callback that is due; log any exception that a callback raises."""
         now = self._clock.now()
-        self._armed_for_ms = -inf  # a callback set meanwhile needs no timer of its own
+        self._armed_for_ms = -inf  # the timer is armed once, after all due callbacks have run
         while self._heap and self._heap[0][0] <= now:
             _, _, callback, args = heappop(self._heap)
             try:
                 callback(*args)
-            except Exception:  # noqa: BLE001 - a fault in one callback keeps no other from its call
-                logger.exception("a timer's callback failed")
+            except Exception:  # noqa: BLE001 - a fault in one callback must not stop the others
+                logger.exception("a timer callback failed")
         if self._heap:
             self._arm()
         else:
--- a/dockthread/net/watch_response_parser.py
+++ b/dockthread/net/watch_response_parser.py
@@ -1,4 +1,4 @@
-"""The HTTP response of a watch on discovery: bytes in, JSON objects out as they are complete."""
+"""Incremental parser for the HTTP response of a discovery watch, a stream of JSON objects."""
 
 from __future__ import annotations
 
@@ -10,23 +10,25 @@
 
 from dockthread.net.endpoint_list_codec import DiscoveryError
 
-MAX_LISTED_BACKENDS = 50_000  # in one list: twice the longest planned
-MAX_ENTRY_BYTES = 400  # of a backend in a list; they take 178 on average
+MAX_LISTED_BACKENDS = 50_000  # Maximum number of backends in a list: twice the planned maximum.
+MAX_ENTRY_BYTES = 400  # Assumed maximum size of a list entry; the average is 178 bytes.
 MAX_OBJECT_BYTES = MAX_LISTED_BACKENDS * MAX_ENTRY_BYTES
-MAX_UNREAD_BYTES = 4 * 1024 * 1024  # without the end of an entry; parsed they take up to ten times
-MAX_ERROR_CHARS = 100  # of a JSON error's text in the log
+# Maximum size of input without a complete entry. Parsed, it takes up to ten times as much memory.
+MAX_UNREAD_BYTES = 4 * 1024 * 1024
+MAX_ERROR_CHARS = 100  # Maximum length of a JSON error's text in the log.
 
 HTTP_OK = 200
 
-JsonObject: TypeAlias = dict[str, Any]  # as ijson builds it, before its entries are read
+JsonObject: TypeAlias = dict[str, Any]  # as built by ijson, before its entries are decoded
 
 
 class WatchResponseParser:
-    """Parses one watch's response, however its objects are laid out and cut into pieces.
+    """Parses the response of one watch, in chunks of any size.
 
-    Blanks between the objects are signs of life. `read_entry` replaces the entries of an object's
-    `targets` while the rest of the object is still arriving: the members of a long list never
-    stand in memory together, and reading them holds the event loop for one piece at a time.
+    Whitespace between the objects serves as a heartbeat. `read_entry` decodes the entries of an
+    object's `targets` while the object is still arriving, and the results replace the entries. So
+    the JSON objects of a long list are never all in memory, and the event loop is blocked only for
+    one chunk at a time.
     """
 
     def __init__(self, read_entry: Callable[[Any], Any] | None = None) -> None:
@@ -36,28 +38,28 @@
             self._found, "", multiple_values=True, use_float=True, map_type=self._new_members
         )
         self._read_entry = read_entry
-        self._members: JsonObject | None = None  # of the current outermost object, so far
-        self._found_before = 0  # complete objects when the current one began
-        self._object_entries = 0  # entries of the current object that were read
-        self.entries_read = 0  # of all objects
-        self._object_bytes = 0  # of the current object, and a little more
-        self._unread_bytes = 0  # since the last entry was read
+        self._members: JsonObject | None = None  # members so far of the current outermost object
+        self._found_before = 0  # number of complete objects when the current one began
+        self._object_entries = 0  # number of decoded entries of the current object
+        self.entries_read = 0  # number of decoded entries of all objects
+        self._object_bytes = 0  # size of the current object, rounded up to whole chunks
+        self._unread_bytes = 0  # size of the input since an entry was last decoded
         self._failure: DiscoveryError | None = None
         self.is_inside_object = False
-        self.has_body = False  # the response is a watch, and a part of its body has arrived
+        self.has_body = False  # the status is OK, and a part of the body has arrived
         self.is_complete = False
 
     def feed(self, data: bytes | memoryview) -> Iterator[Any]:
-        """Yield the objects that are complete now.
+        """Parse `data` and yield the objects that it completes.
 
         Raises:
-            DiscoveryError: What follows these objects cannot be part of a watch.
+            DiscoveryError: The input after these objects is not valid in a watch.
         """
         try:
             self._http.feed_data(data)
         except httptools.HttpParserError as error:
             self._failure = self._failure or DiscoveryError(
-                f"not an HTTP answer: {error.__context__ or error}"
+                f"not an HTTP response: {error.__context__ or error}"
             )
         found = list(self._found)
         self._found.clear()
@@ -66,7 +68,7 @@
             raise self._failure
 
     def _new_members(self) -> JsonObject:
-        """Return a new object for ijson, and note whether it is an outermost one."""
+        """Return a dict for ijson to fill; keep a reference if it is an outermost object."""
         members: JsonObject = {}
         if self._members is None or len(self._found) > self._found_before:
             self._members = members
@@ -75,7 +77,7 @@
         return members
 
     def _read_entries(self) -> None:
-        """Read the complete entries: all but the last, which may still be arriving."""
+        """Decode all new entries but the last, which may be incomplete."""
         targets = self._members.get("targets") if self._members is not None else None
         if self._read_entry is None or not isinstance(targets, list):
             return
@@ -88,7 +90,7 @@
         self._unread_bytes = 0
 
     def on_headers_complete(self) -> None:
-        """Check the status; called by httptools."""
+        """Check the status code; called by httptools."""
         status = self._http.get_status_code()
         if status != HTTP_OK:
             self._failure = DiscoveryError(f"discovery answered {status}")
@@ -112,10 +114,10 @@
             return
         self._track_object(body, is_any_found=len(self._found) > found_before)
         if self._object_bytes > MAX_OBJECT_BYTES or self._unread_bytes > MAX_UNREAD_BYTES:
-            self._failure = DiscoveryError("an object does not end")
+            self._failure = DiscoveryError("an object is too large")
 
     def _track_object(self, body: bytes, *, is_any_found: bool) -> None:
-        """Note after a part of the body whether an object has begun and how long it is."""
+        """Update, after a part of the body, whether an object is incomplete and how large it is."""
         text = body.rstrip()
         if is_any_found:
             self._object_bytes = 0
@@ -128,5 +130,5 @@
             self.is_inside_object = True
 
     def on_message_complete(self) -> None:
-        """Note the end of the response; called by httptools."""
+        """Record the end of the response; called by httptools."""
         self.is_complete = True
--- a/tests/net/test_watch_response_parser.py
+++ b/tests/net/test_watch_response_parser.py
@@ -67,7 +67,7 @@
                 found.append(sent)
     assert found == [{"rev": 1}]
     parser = WatchResponseParser()
-    with pytest.raises(DiscoveryError, match="does not end"):
+    with pytest.raises(DiscoveryError, match="an object is too large"):
         for piece in (RESPONSE_HEAD, *chunked(b'{"a": [', *[b"1, " * 10_000] * 200)):
             list(parser.feed(piece))
 
