--- a/dockthread/__main__.py
+++ b/dockthread/__main__.py
@@ -1,6 +1,6 @@
 """The entry point of `python -m dockthread` and of the command `dockthread`.
 
-Without arguments the daemon serves, as the platform starts it.
+Without arguments it runs the daemon; this is how the platform starts it.
 """
 
 from __future__ import annotations
@@ -11,7 +11,8 @@
 def main() -> int:
     """Run the daemon, or the command that the arguments name, and return the exit code."""
     if len(sys.argv) < 2:
-        # The daemon does not load the command line, which would only slow its start.
+        # The command-line modules are not imported here, because the daemon does not need them
+        # and would start more slowly.
         from dockthread.daemon import serve
 
         return serve()
--- a/dockthread/admin/__init__.py
+++ b/dockthread/admin/__init__.py
@@ -1,11 +1,11 @@
-"""What operators do to a running ingress.
+"""The management endpoint of a running ingress, and the reload of its settings.
 
-| module | what it owns |
+| module | responsibility |
 | --- | --- |
-| `commands.py` | the management server's requests and responses, without I/O |
+| `commands.py` | requests and responses of the management server, without I/O |
 | `server.py` | the management server: HTTP on a socket |
-| `ingress_admin.py` | carries a command out at one ingress |
-| `detached_backends.py` | the file of backends that were detached by hand |
-| `prometheus.py` | the text of `/_vars` |
-| `reload.py` | which settings hold after SIGHUP, without I/O |
+| `ingress_admin.py` | executes the commands on one ingress |
+| `detached_backends.py` | the file that lists the backends detached by an operator |
+| `prometheus.py` | the metrics of `/_vars` in Prometheus's text format |
+| `reload.py` | the settings in effect after SIGHUP, without I/O |
 """
--- a/dockthread/admin/commands.py
+++ b/dockthread/admin/commands.py
@@ -1,10 +1,10 @@
 """Requests and responses of the management server, without I/O.
 
-Each connection carries one HTTP/1.1 request. The server (`server.py`) parses it and gives method,
-path and body to `parse_request`, which looks the path up in one table. An unknown path is 404, a
-wrong method 405, and a body that is not JSON with a string `target` 400. What remains is a
-`Command`, which the ingress carries out: only the ingress knows whether an id exists, and an
-unknown one is 404.
+Each connection carries one HTTP/1.1 request. The server (`server.py`) parses it and passes method,
+path and body to `parse_request`, which looks up the path in a table. The response is 404 for an
+unknown path, 405 for a wrong method, and 400 for a body that is not JSON with a string `target`.
+Every other request becomes a `Command`, which the ingress executes. Only the ingress knows which
+ids exist; the response for an unknown id is 404.
 
 | path                         | method | body                                         |
 | ---------------------------- | ------ | -------------------------------------------- |
@@ -16,8 +16,8 @@
 | /_work/ask                   | POST   | {"target": "ID", "why": "...", "urgency": 0} |
 | /_work/done, /_work/withdraw | POST   | {"target": "ID"}                             |
 
-The last three rows are served only where the operator's file has a fleet; otherwise they are 404
-as any other path.
+The last three rows are served only if the operator's file has a `[fleet]` section; otherwise the
+response is 404.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class Operation(Enum):
-    """What a request asks for."""
+    """An operation of the management server."""
 
     READY = "ready"
     METRICS = "vars"
@@ -43,7 +43,7 @@
     WITHDRAW_MAINTENANCE = "withdraw"
 
 
-# Operations whose body names a target.
+# Operations whose request body names a target.
 TARGETED = (
     Operation.DETACH,
     Operation.ATTACH,
@@ -52,7 +52,7 @@
     Operation.WITHDRAW_MAINTENANCE,
 )
 
-# Operations that all ingresses of the fleet have to agree on, or that tell of it.
+# Operations that show the state of the fleet, or that its ingresses have to agree on.
 FLEET_OPERATIONS = (
     Operation.FLEET_STATUS,
     Operation.MAINTENANCE_STATUS,
@@ -67,9 +67,9 @@
     """A well-formed request.
 
     Attributes:
-        operation: What it asks for.
-        target: The id that the body names; empty for operations without one.
-        body_fields: The whole body as decoded. The operation checks what it uses of it.
+        operation: The requested operation.
+        target: The id named in the body; empty for operations without a target.
+        body_fields: The decoded body. The operation checks the fields that it uses.
     """
 
     operation: Operation
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """The method that a path takes, and what it asks for."""
+    """The HTTP method and the operation of a path."""
 
     method: bytes
     operation: Operation
@@ -119,7 +119,7 @@
 def parse_request(method: bytes, path: bytes, body: bytes) -> Command | Response:
     """Return the command of a request, or the response that rejects it.
 
-    A query behind the path is ignored.
+    A query string is ignored.
     """
     route = ROUTES.get(path.split(b"?", 1)[0])
     if route is None:
@@ -143,9 +143,9 @@
 
 
 def outcome_response(command: Command, succeeded: bool) -> Response:
-    """Return the response once the ingress has carried a command out.
+    """Return the response to a command that the ingress has executed.
 
-    `succeeded` is False where the ingress is not ready, or knows no such backend.
+    `succeeded` is False if the ingress is not ready, or does not know the backend.
     """
     if command.operation is Operation.READY:
         return Response(200, b"ready\n") if succeeded else Response(503, b"not ready\n")
@@ -155,7 +155,7 @@
 
 
 def encode_response(response: Response, head_only: bool = False) -> bytes:
-    """Encode a response for the wire; the connection closes after it."""
+    """Encode a response for the wire; the connection is closed after it."""
     head = (
         b"HTTP/1.1 %d %b\r\nContent-Type: %b\r\nContent-Length: %d\r\nConnection: close\r\n\r\n"
         % (
--- a/dockthread/admin/detached_backends.py
+++ b/dockthread/admin/detached_backends.py
@@ -1,6 +1,6 @@
-"""The file of backends that were detached by hand, for the process that takes over at an upgrade.
+"""Stores the backends that an operator detached, for the next process after an upgrade.
 
-The file lies in the directory for temporary files. It holds a JSON list of backend ids.
+The file is in the directory for temporary files and holds a JSON list of backend ids.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 def detached_backends_path() -> Path:
-    """Return where the file is: in `$TMPDIR`, or the system's directory for temporary files."""
+    """Return the path of the file, in `$TMPDIR` or the system's directory for temporary files."""
     return Path(os.environ.get("TMPDIR") or tempfile.gettempdir()) / FILE_NAME
 
 
 def load_detached_backends(path: Path) -> list[str]:
-    """Return the ids that the last process left; none where the file is absent or broken."""
+    """Return the ids saved by the previous process; empty if the file is missing or invalid."""
     try:
         ids = json.loads(path.read_bytes())
     except (OSError, ValueError):
@@ -31,10 +31,10 @@
 
 
 def save_detached_backends(path: Path, ids: Iterable[str]) -> None:
-    """Write the ids, replacing the file in one step. A failure is logged."""
+    """Write the ids, replacing the file atomically. A failure is logged."""
     try:
         new_path = path.with_suffix(".new")
         new_path.write_text(json.dumps(sorted(ids)))
         os.replace(new_path, path)
     except OSError as error:
-        logger.warning("cannot save the backends detached by hand in {}: {}", path, error)
+        logger.warning("cannot save the detached backends in {}: {}", path, error)
--- a/dockthread/admin/ingress_admin.py
+++ b/dockthread/admin/ingress_admin.py
@@ -1,4 +1,4 @@
-"""Carries out the commands of the management server at one ingress."""
+"""Executes the commands of the management server on one ingress."""
 
 from __future__ import annotations
 
@@ -22,86 +22,86 @@
 
 
 class AdministeredEndpoints(Protocol):
-    """What the commands need of an ingress's endpoint list."""
+    """The part of an ingress's endpoint list that the commands use."""
 
     @property
     def excluded_uids(self) -> set[str]:
-        """The ids of the backends that were detached by hand."""
+        """The ids of the backends that an operator detached."""
         ...
 
     @property
     def listed_count(self) -> int:
-        """How many backends discovery lists."""
+        """The number of backends that discovery lists."""
         ...
 
     @property
     def excluded_count(self) -> int:
-        """How many of them are left out now."""
+        """The number of listed backends that an operator detached."""
         ...
 
 
 class AdministeredIngress(Protocol):
-    """What the commands need of an ingress."""
+    """The part of an ingress that the commands use."""
 
     @property
     def ready(self) -> bool:
-        """Whether it serves and knows a backend."""
+        """Whether the ingress serves requests and has an endpoint list."""
         ...
 
     @property
     def unanswered(self) -> int:
-        """How many requests were received and have no response yet."""
+        """The number of received requests without a response."""
         ...
 
     @property
     def config(self) -> IngressConfig:
-        """Its configuration."""
+        """The configuration of the ingress."""
         ...
 
     @property
     def traffic(self) -> Traffic:
-        """Its counts."""
+        """The traffic counters of the ingress."""
         ...
 
     @property
     def endpoints(self) -> AdministeredEndpoints:
-        """Its endpoint list."""
+        """The endpoint list of the ingress."""
         ...
 
     def set_drained(self, uid: str, drained: bool) -> bool:
-        """Drain a backend, or let it serve again; return False where it is not known."""
+        """Drain a backend, or let it serve again; return False if it is unknown."""
         ...
 
 
 class FleetCommandHandler(Protocol):
-    """What answers commands on the fleet: the maintenance service, where there is a fleet."""
+    """Executes fleet commands; implemented by the maintenance service."""
 
     async def answer(self, command: Command) -> Response:
-        """Carry a command out; may wait until a majority of the fleet has agreed."""
+        """Execute a command; may wait until a majority of the fleet has agreed."""
         ...
 
 
 @dataclass(slots=True)
 class ReloadCounts:
-    """How often the files were read again at SIGHUP, by result."""
+    """The number of reloads at SIGHUP, by result."""
 
     applied: int = 0
     rejected: int = 0
 
 
 class IngressAdmin:
-    """The management server's view of one ingress.
+    """Executes the commands of the management server on one ingress.
 
     Attributes:
-        reloads: The counts of reloads; whoever reloads adds to them.
-        fleet_handler: What answers commands on the fleet; None where there is no fleet.
-        fleet_error: Why this ingress takes no part in its fleet; empty where it does.
+        reloads: The counts of reloads, incremented by the daemon.
+        fleet_handler: Executes fleet commands; None if the ingress is not part of a fleet.
+        fleet_error: Why this ingress could not join its fleet; empty without an error.
     """
 
     def __init__(self, ingress: AdministeredIngress, detached_path: Path | None = None) -> None:
-        """Detach the backends that the last process left detached.
+        """Detach the backends that were detached in the previous process.
 
-        `detached_path` replaces the file in which they are kept.
+        `detached_path` is the file that lists them; None for the default path.
         """
         self._ingress = ingress
         self._detached_path = detached_path or detached_backends_path()
@@ -112,7 +112,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the ingress serves and knows a backend."""
+        """Whether the ingress serves requests and has an endpoint list."""
         return self._ingress.ready
 
     def metrics(self) -> bytes:
@@ -132,22 +132,22 @@
         )
 
     def detach(self, target: str) -> bool:
-        """Drain a backend by hand; return False where it is not known."""
+        """Drain a backend; return False if it is unknown."""
         return self._set_detached(target, True)
 
     def attach(self, target: str) -> bool:
-        """Let a detached backend serve again; return False where it is not known."""
+        """Let a detached backend serve again; return False if it is unknown."""
         return self._set_detached(target, False)
 
     def _set_detached(self, target: str, detached: bool) -> bool:
         if not self._ingress.set_drained(target, detached):
             return False
         save_detached_backends(self._detached_path, self._ingress.endpoints.excluded_uids)
-        logger.info("backend {} {} by hand", target, "detached" if detached else "attached")
+        logger.info("backend {} {} by an operator", target, "detached" if detached else "attached")
         return True
 
     async def fleet(self, command: Command) -> Response:
-        """Carry out a command on the fleet; without a fleet there is no such call."""
+        """Execute a fleet command; without a fleet the response is 404."""
         from dockthread.admin.commands import NOT_FOUND, Response
 
         if self.fleet_handler is not None:
--- a/dockthread/admin/prometheus.py
+++ b/dockthread/admin/prometheus.py
@@ -1,7 +1,7 @@
-"""The text of `/_vars`: counts of one process in Prometheus's text format, without I/O.
+"""Renders the metrics of `/_vars` in Prometheus's text format, without I/O.
 
-Counters start from 0 in each process. Per class of requests there are `ok`, `shed` and `errors`
-(served, rejected, failed). The others are the fields of `MetricsSnapshot`.
+Counters start from 0 in each process. Each request class has the metrics `ok`, `shed` and `errors`
+(served, rejected, failed). All other metrics are fields of `MetricsSnapshot`.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 PREFIX = "app"
 
-# The metric of each outcome of a request.
+# Maps metric names to the outcomes of requests that they count.
 OUTCOME_METRICS = {"ok": SERVED, "shed": REJECTED, "errors": FAILED}
 
-# The types of the metrics that have one value; each has the name of a field of `MetricsSnapshot`.
+# Types of the metrics with a single value, keyed by field name of `MetricsSnapshot`.
 SINGLE_METRICS = {
     "tries": "counter",
     "active": "gauge",
@@ -29,17 +29,17 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricsSnapshot:
-    """The values at one moment.
+    """The values of all metrics at one point in time.
 
     Attributes:
-        classes: The names of the classes, by the policy engine's number.
-        outcomes: Completed requests by outcome, then by the number of their class.
-        tries: Attempts whose last byte was sent.
-        active: Requests that were received and have no response yet.
-        pool_size: Backends that discovery lists.
-        pool_ejected: Listed backends that are avoided now.
-        config_applied: Reloads that were applied.
-        config_rejected: Reloads that were rejected.
+        classes: The names of the request classes, indexed by the policy engine's numbers.
+        outcomes: Number of completed requests by outcome and class number.
+        tries: Number of attempts whose last byte was sent.
+        active: Number of received requests without a response.
+        pool_size: Number of backends that discovery lists.
+        pool_ejected: Number of listed backends that an operator detached.
+        config_applied: Number of reloads that were applied.
+        config_rejected: Number of reloads that were rejected.
     """
 
     classes: Sequence[str]
@@ -53,7 +53,7 @@
 
 
 def render_metrics(snapshot: MetricsSnapshot, prefix: str = PREFIX) -> bytes:
-    """Return the values in Prometheus's text format, each name led by `prefix`."""
+    """Return the metrics in Prometheus's text format; every name starts with `prefix`."""
     lines: list[str] = []
     for name, outcome in OUTCOME_METRICS.items():
         lines.append(f"# TYPE {prefix}_{name} counter")
--- a/dockthread/admin/reload.py
+++ b/dockthread/admin/reload.py
@@ -1,7 +1,7 @@
-"""Which settings hold after SIGHUP, decided without I/O.
+"""Decides which settings are in effect after SIGHUP, without I/O.
 
-The policy engine numbers classes, and a request in flight keeps its class by that number and by the
-`RequestClass` that it arrived with. So numbers are never reused:
+The policy engine identifies request classes by number, and a request in flight keeps the class
+number and the `RequestClass` with which it arrived. Therefore numbers are never reused:
 
 | old file     | new file     | the engine's list           | offered to clients |
 | ------------ | ------------ | --------------------------- | ------------------ |
@@ -9,11 +9,12 @@
 | class C at i | -            | i, with the old values      | no                 |
 | -            | class C      | next number, the new values | yes                |
 
-The new values hold for requests that arrive from now on. Of the other settings only the number of
-attempts is taken over, because it may have to shrink; the rest holds from the next start on.
+The new values apply to requests that arrive after the reload. The only other setting that takes
+effect immediately is the maximum number of attempts, because it may have to be reduced. All other
+changes take effect at the next start.
 
-What arrives here is complete: the reader (`config/platform_settings.py`) has rejected a file that
-is broken in any part.
+The settings passed to this module are valid: `config/platform_settings.py` rejects a file with any
+error.
 """
 
 from __future__ import annotations
@@ -26,12 +27,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MergedSettings:
-    """What holds after a reload.
+    """The settings in effect after a reload.
 
     Attributes:
         settings: The policy engine's settings.
-        names: The names of its classes, with those that are not offered any more.
-        offered: The names of the classes that clients may ask for.
+        names: The names of its classes, including those no longer offered.
+        offered: The names of the classes that clients may request.
     """
 
     settings: PolicySettings
@@ -42,7 +43,7 @@
 def merge_settings(
     old: PolicySettings, old_names: Names, new: PolicySettings, new_names: Names
 ) -> MergedSettings:
-    """Merge the settings of a file that was just read into those that the policy engine has."""
+    """Merge the settings of a reloaded file into the current settings of the policy engine."""
     classes = list(old.classes)
     names = list(old_names.classes)
     for name, request_class in zip(new_names.classes, new.classes, strict=True):
--- a/dockthread/admin/server.py
+++ b/dockthread/admin/server.py
@@ -1,8 +1,8 @@
-"""The server of the management endpoint: HTTP/1.1 on a socket, one request a connection.
+"""The server of the management endpoint: HTTP/1.1 on a socket, one request per connection.
 
-httptools parses the requests, and `commands.py` decides what they mean. Each connection has a task
-of its own, so a client that sends nothing, or half a request, delays nobody. It is closed after
-`REQUEST_TIMEOUT`; past `MAX_CONNECTIONS`, the connection that has waited longest is closed.
+httptools parses the requests, and `commands.py` interprets them. Each connection has its own task,
+so a client that sends nothing or an incomplete request does not delay other clients. A connection
+is closed after `REQUEST_TIMEOUT`. If more than `MAX_CONNECTIONS` are open, the oldest is closed.
 """
 
 from __future__ import annotations
@@ -18,33 +18,34 @@
 from dockthread.admin import commands
 from dockthread.config.address import Address
 
-# Seconds in which a request has to arrive and be answered.
+# Maximum time in seconds to receive and answer a request.
 REQUEST_TIMEOUT = 5.0
 
-# Connections at once: some for staff, and many more than that for health checks that hang.
+# Maximum number of open connections: a few for operators, and many for health checks that hang.
 MAX_CONNECTIONS = 48
 
-# Bytes of one request, so that no client fills the memory.
+# Maximum size of a request, which bounds the memory that a client can use.
 MAX_REQUEST_BYTES = 64 * 1024
 
-# Bytes read at once.
+# Maximum size of one read.
 READ_BUFFER_BYTES = 16_384
 
-# Connections that the system holds until they are accepted.
+# Maximum number of connections that the system queues for acceptance.
 BACKLOG = 128
 
-# Seconds to wait after a failed accept: without descriptors it would fail again at once.
+# Time in seconds before the next accept after a failed one. Without free descriptors an immediate
+# retry would fail again.
 ACCEPT_RETRY_DELAY = 0.05
 
 METRICS_CONTENT_TYPE = b"text/plain; version=0.0.4"
 
 
 class Host(Protocol):
-    """What the management server needs of the ingress; only `fleet` may wait."""
+    """Executes the commands that the management server receives."""
 
     @property
     def ready(self) -> bool:
-        """Whether the ingress serves and knows a backend."""
+        """Whether the ingress serves requests and has an endpoint list."""
         ...
 
     def metrics(self) -> bytes:
@@ -52,20 +53,20 @@
         ...
 
     def detach(self, target: str) -> bool:
-        """Drain a backend by hand; return False where it is not known."""
+        """Drain a backend; return False if it is unknown."""
         ...
 
     def attach(self, target: str) -> bool:
-        """Let a detached backend serve again; return False where it is not known."""
+        """Let a detached backend serve again; return False if it is unknown."""
         ...
 
     async def fleet(self, command: commands.Command) -> commands.Response:
-        """Carry out a command on the fleet, to which the other ingresses may have to agree."""
+        """Execute a fleet command; may wait until other ingresses have agreed."""
         ...
 
 
 class _HttpRequest:
-    """One request, filled by httptools' callbacks."""
+    """An HTTP request, filled in by httptools' callbacks."""
 
     def __init__(self) -> None:
         self.url = b""
@@ -83,7 +84,7 @@
 
 
 async def handle(host: Host, method: bytes, path: bytes, body: bytes) -> commands.Response:
-    """Carry a request out and return its response."""
+    """Execute a request and return its response."""
     command = commands.parse_request(method, path, body)
     if isinstance(command, commands.Response):
         return command
@@ -99,22 +100,22 @@
 
 
 class ManagementServer:
-    """Listens for management requests and answers them from a host.
+    """Listens for management requests, and lets `host` execute them.
 
     Attributes:
-        address: Where it listens; after `open`, with the port that was bound.
+        address: The address to listen at; after `open`, the bound address.
     """
 
     def __init__(self, host: Host, address: Address) -> None:
         self._host = host
         self.address = address
-        # In the order of their arrival: the first one has waited longest.
+        # The task of each open connection, oldest connection first.
         self._connections: dict[socket.socket, asyncio.Task[None]] = {}
         self._listener: socket.socket | None = None
         self._accepting: asyncio.Task[None] | None = None
 
     def open(self) -> None:
-        """Start to listen.
+        """Start listening.
 
         Raises:
             OSError: The address cannot be bound.
@@ -158,7 +159,7 @@
             with suppress(OSError):
                 await asyncio.get_running_loop().sock_sendall(connection, rejection)
         except (OSError, TimeoutError):
-            pass  # the client is gone or silent: there is nobody to tell
+            pass  # the client has disconnected or timed out, so no response is possible
         except Exception:  # noqa: BLE001 - a fault in one request must not end the ingress
             logger.exception("a request to the management endpoint failed")
         finally:
@@ -166,11 +167,11 @@
             connection.close()
 
     async def _serve_request(self, connection: socket.socket) -> None:
-        """Read one request and send its response; send nothing where the client closes early.
+        """Read one request and send its response; send nothing if the client closes early.
 
         Raises:
-            httptools.HttpParserError: What was received is not HTTP.
-            OSError: The connection broke.
+            httptools.HttpParserError: The input is not HTTP.
+            OSError: The connection failed.
         """
         loop = asyncio.get_running_loop()
         request = _HttpRequest()
--- a/dockthread/clock.py
+++ b/dockthread/clock.py
@@ -1,17 +1,17 @@
-"""The clock of an ingress: milliseconds as floats, from an arbitrary start, never going back."""
+"""The clock of an ingress: monotonic time in milliseconds, as a float with an arbitrary origin."""
 
 from __future__ import annotations
 
 import time
 
-MILLISECONDS = 1000.0  # in a second
+MILLISECONDS = 1000.0  # Milliseconds per second.
 
 
 class Clock:
-    """The system's monotonic clock, with an offset to Unix time that is taken once.
+    """The system's monotonic clock, with a fixed offset to Unix time.
 
-    The offset stays for the life of the process. If it followed the system's adjustments, the same
-    `boot_ms` of a backend would become another time here, and read as a restart of the backend.
+    The offset is measured once per process. If it followed adjustments of the system time, an
+    unchanged `boot_ms` of a backend would map to a different time and look like a restart.
     """
 
     __slots__ = ("_unix_offset",)
@@ -20,25 +20,25 @@
         self._unix_offset = time.time() * MILLISECONDS - self.now()
 
     def now(self) -> float:
-        """Return the time in milliseconds."""
+        """Return the current time in milliseconds."""
         return time.monotonic() * MILLISECONDS
 
     @property
     def unix_offset(self) -> float:
-        """The milliseconds to add to a time of this clock for Unix time, which all machines share."""
+        """The milliseconds to add to a time on this clock to get Unix time."""
         return self._unix_offset
 
     def unix(self) -> float:
-        """Return the system's Unix time in milliseconds, with its adjustments, for people to read."""
+        """Return the system's current Unix time in milliseconds, for display."""
         return time.time() * MILLISECONDS
 
     def from_unix(self, unix_ms: float) -> float:
-        """Return a Unix time as a time of this clock; 0 stays 0, which stands for 'long ago'."""
+        """Convert a Unix time to a time on this clock; 0, an unknown time, stays 0."""
         return unix_ms - self._unix_offset if unix_ms else 0.0
 
 
 class ManualClock(Clock):
-    """A clock that stands until it is set, for tests and simulations. Times in milliseconds."""
+    """A clock that changes only when it is set, for tests and simulations; times in ms."""
 
     __slots__ = ("_now",)
 
@@ -47,11 +47,11 @@
         self._unix_offset = unix - now
 
     def now(self) -> float:
-        """Return the time that was set."""
+        """Return the time that was set last."""
         return self._now
 
     def unix(self) -> float:
-        """Return the time that was set as Unix time."""
+        """Return the time that was set last, as Unix time."""
         return self._now + self._unix_offset
 
     def set(self, now: float) -> None:
@@ -59,5 +59,5 @@
         self._now = now
 
     def advance(self, ms: float) -> None:
-        """Let `ms` milliseconds pass."""
+        """Advance the time by `ms` milliseconds."""
         self._now += ms
--- a/dockthread/control_plane_daemon.py
+++ b/dockthread/control_plane_daemon.py
@@ -1,4 +1,4 @@
-"""The process of a voter or a distributor, until a signal ends it."""
+"""The daemon process of a control plane server, which is a voter or a distributor."""
 
 from __future__ import annotations
 
@@ -29,25 +29,25 @@
 EXIT_CANNOT_LISTEN: Final = 1
 EXIT_BAD_CONFIGURATION: Final = 2
 SEED_BITS: Final = 64
-"""Bits of the seed of a process's random numbers."""
+"""Size in bits of the random seed of a process."""
 
 
 class Service(Protocol):
     """A voter or a distributor."""
 
     async def open(self, listen: Address) -> Address:
-        """Listen and take part, and return the address.
+        """Listen, join the other servers, and return the bound address.
 
         Raises:
-            OSError: The address cannot be listened on.
+            OSError: The address cannot be bound.
         """
 
     async def close(self) -> None:
-        """Stop, and close all connections."""
+        """Stop the service, and close all connections."""
 
 
 def _make_service(control: ControlOptions, fleet: FleetOptions) -> Service:
-    """Return the service of the role.
+    """Return the service for the configured role.
 
     Raises:
         OSError: The directory of the log cannot be used.
@@ -69,15 +69,15 @@
     logger.info("control: {} {} serves at {}", control.role, control.name, address)
     await stopped.wait()
     await service.close()
-    logger.info("control: {} {} has ended", control.role, control.name)
+    logger.info("control: {} {} has stopped", control.role, control.name)
 
 
 def _serve(file: str) -> None:
-    """Serve as the operator's file says, until a signal.
+    """Run the server configured in the operator's file until a signal stops it.
 
     Raises:
-        SettingsError: The file or the role is wrong.
-        OSError: The address cannot be listened on.
+        SettingsError: The file or the role is invalid.
+        OSError: The address cannot be bound.
         ValueError: The key or the directory of the log cannot be used.
         RaftStorageError: The log was lost.
     """
@@ -100,7 +100,10 @@
 
 
 def serve(file: str) -> int:
-    """Serve as the operator's file says, until SIGTERM or SIGINT, and return the exit code."""
+    """Run the server configured in the operator's file until SIGTERM or SIGINT.
+
+    Returns the exit code.
+    """
     try:
         _serve(file)
     except (SettingsError, ValueError, RaftStorageError) as error:
--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -1,8 +1,8 @@
-"""The daemon: one ingress with what runs beside it, from start to exit, with reloads at SIGHUP.
+"""The daemon process: runs an ingress and its optional components, and reloads files at SIGHUP.
 
-Beside the ingress there may be the management server, telemetry, routes, a part in the fleet, and
-a subscription to the control plane. Modules that only these need are imported when they are first
-needed, so an ingress without them neither waits for them at its start nor holds them in memory.
+The optional components are the management server, telemetry, routes, membership in the fleet and a
+subscription to the control plane. Modules that only these need are imported when they are first
+used, so an ingress without them starts faster and uses less memory.
 """
 
 from __future__ import annotations
@@ -43,19 +43,19 @@
 CANNOT_LISTEN = 1
 BAD_CONFIGURATION = 2
 
-# Allocations between two collections of the youngest generation. Requests leave no cycles behind,
-# so that collecting often would only cost time.
+# Allocations between two collections of the youngest generation. Requests leave no reference
+# cycles, so frequent collections would only cost time.
 GC_THRESHOLD = 20_000
 
 
 class Daemon:
-    """One ingress and what runs beside it.
+    """One ingress and its optional components.
 
     Attributes:
         ingress: The ingress.
-        admin: What the management endpoint does at the ingress.
-        routes: The routes in effect, once there is one.
-        resource_applier: What applies resources of the control plane, where it is subscribed to.
+        admin: Executes the commands of the management endpoint.
+        routes: The routes in effect; None until a route is configured or published.
+        resource_applier: Applies resources from the control plane; None without a subscription.
     """
 
     def __init__(
@@ -65,16 +65,16 @@
         operator_config: OperatorConfig | None,
         trace: bool = False,
     ) -> None:
-        """Set the ingress up; nothing is opened before `run`.
+        """Create the ingress; no socket is opened before `run`.
 
         Args:
             config: The platform's configuration.
-            operator_file: The path of the operator's file, where there is one.
+            operator_file: The path of the operator's file, if there is one.
             operator_config: The contents of that file.
-            trace: Whether single events go to the log.
+            trace: Whether individual events are written to the log.
 
         Raises:
-            SettingsError: The operator's file asks for what cannot be had.
+            SettingsError: A setting in the operator's file cannot be applied.
         """
         self._operator_file = operator_file
         self.ingress = Ingress(config, Clock())
@@ -100,18 +100,18 @@
             self._apply_routes(operator_config)
 
     def detach(self, target: str) -> bool:
-        """Drain a backend by hand; return False where it is not known."""
+        """Drain a backend; return False if it is unknown."""
         return self.admin.detach(target)
 
     def attach(self, target: str) -> bool:
-        """Let a detached backend serve again; return False where it is not known."""
+        """Let a detached backend serve again; return False if it is unknown."""
         return self.admin.attach(target)
 
     async def run(self) -> None:
-        """Serve until `stop`, then close everything.
+        """Serve until `stop` is called, then close everything.
 
         Raises:
-            SettingsError: A part asked for in the operator's file cannot be had.
+            SettingsError: A component configured in the operator's file cannot be started.
             OSError: An address cannot be bound.
         """
         _tune_garbage_collector()
@@ -133,28 +133,29 @@
     def stop(self) -> None:
         """Start the graceful shutdown.
 
-        A leader of the fleet hands over first, because the last responses may take long.
+        If this ingress leads the fleet, it first hands over leadership, because completing the
+        requests in flight may take long.
         """
         if self._maintenance is not None:
             self._maintenance.leave()
         self.ingress.stop()
 
     def reload(self) -> None:
-        """Read both files again. Where either is bad, nothing changes.
+        """Reload both configuration files. If either is invalid, nothing changes.
 
-        A call that comes while files are being read has them read once more.
+        A call during a reload starts another reload after it.
         """
         self._reload_requested = True
         if self._reloading is None or self._reloading.done():
             self._reloading = asyncio.get_running_loop().create_task(self._reload())
 
     def subscribe_to_control_plane(self) -> None:
-        """Subscribe to the control plane, where the operator's file names servers for it.
+        """Subscribe to the control plane, if the operator's file has a `[control]` section.
 
-        What the cache holds is applied first.
+        Cached resources are applied first.
 
         Raises:
-            SettingsError: The section is of another program, or its key cannot be used.
+            SettingsError: The section is for another role, or its key cannot be used.
         """
         options = self._control_options
         if options is None or options.role is None:
@@ -185,9 +186,9 @@
         self._management_server.open()
 
     async def _join_fleet(self) -> None:
-        """Take part in the fleet, where the operator's file has one.
+        """Join the fleet, if the operator's file has a `[fleet]` section.
 
-        An ingress whose storage is lost or broken serves requests without taking part.
+        If the Raft storage is lost or corrupt, the ingress serves requests without joining.
         """
         if self._fleet_options is None or not self._fleet_options.listen:
             return
@@ -205,7 +206,11 @@
             raise SettingsError(str(error)) from error
 
     def _apply_telemetry(self, operator_config: OperatorConfig) -> None:
-        """Apply the file's receivers; raises SettingsError, and then nothing has changed."""
+        """Apply the telemetry receivers of the file.
+
+        Raises:
+            SettingsError: The receivers cannot be applied; nothing has changed.
+        """
         if self._exporter is None:
             if not (
                 operator_config.named_sections("graphite")
@@ -244,7 +249,7 @@
                     self._apply_telemetry(operator_config)
             except SettingsError as error:
                 self.admin.reloads.rejected += 1
-                logger.warning("the old configuration stays: {}", error)
+                logger.warning("reload rejected, old configuration stays in effect: {}", error)
                 continue
             self.admin.reloads.applied += 1
             self._apply_reloaded(config, operator_config)
@@ -255,19 +260,19 @@
             )
 
     async def _reread_operator_file(self, config: IngressConfig) -> OperatorConfig | None:
-        """Read the operator's file against the settings of `config`, where there is such a file.
+        """Read the operator's file, if there is one, and check it against the settings of `config`.
 
         Checking a thousand routes takes half a second, so it is done in a thread while the event
-        loop goes on serving.
+        loop continues to serve requests.
         """
         if self._operator_file is None:
-            return None  # no thread for nothing
+            return None  # without starting a thread
         return await asyncio.to_thread(_load_operator_file, self._operator_file, config)
 
     def _apply_reloaded(
         self, config: IngressConfig, operator_config: OperatorConfig | None
     ) -> None:
-        """Apply files that were read again: the classes first, because routes may name them."""
+        """Apply reloaded files: the request classes first, because routes may refer to them."""
         ingress = self.ingress
         settings_before = ingress.config.policy_settings
         names_before = ingress.config.names
@@ -289,15 +294,18 @@
             self._warn_of_restart_only(operator_config)
 
     def _warn_of_restart_only(self, operator_config: OperatorConfig) -> None:
-        """Warn of changed sections that are read at the start only."""
+        """Log a warning for each changed section that is read only at the start."""
         in_effect = {"fleet": self._fleet_options, "control": self._control_options}
         for name, options in in_effect.items():
             if operator_config.section(name) != options:
-                logger.warning("[{}] has changed: it holds from the next start on", name)
+                logger.warning("[{}] has changed; this takes effect at the next start", name)
 
 
 def _tune_garbage_collector() -> None:
-    """Spare the collector what the start has made, which stays for the life of the process."""
+    """Exclude the objects created during startup from garbage collection, and collect less often.
+
+    These objects live until the process ends, so scanning them would only cost time.
+    """
     gc.collect()
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD)
@@ -310,19 +318,23 @@
     trace: bool,
     early_hangups: list[int],
 ) -> None:
-    """Run a daemon until a signal stops it."""
+    """Run a daemon until a signal stops it.
+
+    `early_hangups` holds the SIGHUPs received before the daemon existed.
+    """
     daemon = Daemon(config, operator_file, operator_config, trace)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, daemon.stop)
 
     def on_hangup(*_: object) -> None:
-        with suppress(RuntimeError):  # the loop may have been closed just now
+        with suppress(RuntimeError):  # the loop may have been closed in the meantime
             loop.call_soon_threadsafe(daemon.reload)
 
-    # Not a handler of the loop: its close would restore the default, by which SIGHUP kills.
+    # This is not a signal handler of the loop, because closing the loop would restore the default
+    # action, and SIGHUP would then kill the process.
     signal.signal(signal.SIGHUP, on_hangup)
-    if early_hangups:  # the files may have been read before the signal came
+    if early_hangups:  # the files may have been read before the signal arrived
         daemon.reload()
     await daemon.run()
 
@@ -330,9 +342,10 @@
 def serve(operator_file: str | None = None) -> int:
     """Serve until a signal stops the process, and return its exit code.
 
-    `operator_file` is the path of the operator's file; it wins over `DOCKTHREAD_CONFIG`.
+    `operator_file` is the path of the operator's file; it takes precedence over
+    `DOCKTHREAD_CONFIG`.
     """
-    early_hangups: list[int] = []  # those before there is a daemon are remembered for it
+    early_hangups: list[int] = []  # SIGHUPs received before the daemon has been created
     signal.signal(signal.SIGHUP, lambda number, _: early_hangups.append(number))
     try:
         config = read_config(os.environ)
@@ -343,7 +356,7 @@
             runner.run(
                 _run_daemon(config, operator_file, operator_config, is_tracing, early_hangups)
             )
-        # The interpreter's exit, too, would restore the default.
+        # Ignore SIGHUP from here on: the interpreter's exit would restore the default action.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
     except (SettingsError, DiscoveryError) as error:
         print(f"dockthread: {error}", file=sys.stderr)
@@ -355,7 +368,7 @@
 
 
 def _load_operator_file(operator_file: str | None, config: IngressConfig) -> OperatorConfig | None:
-    """Read the operator's file, where there is one.
+    """Read the operator's file, if there is one.
 
     Raises:
         SettingsError: The file has an error.
@@ -368,10 +381,10 @@
 
 
 def _set_up_log(config: IngressConfig, operator_config: OperatorConfig | None) -> bool:
-    """Set the log up, and return whether its level is TRACE.
+    """Set up logging, and return whether the level is TRACE.
 
     Raises:
-        SettingsError: The level is none, or the log's file cannot be written.
+        SettingsError: The level is unknown, or the log file cannot be written.
     """
     options = operator_config.section("log") if operator_config is not None else None
     level = os.environ.get("DOCKTHREAD_LOG") or (options.level if options else "INFO")
--- a/dockthread/errors.py
+++ b/dockthread/errors.py
@@ -1,27 +1,27 @@
-"""The base class of dockthread's own errors, and the error that an unusable setting raises."""
+"""The base class of dockthread's exceptions, and the exception for invalid settings."""
 
 from __future__ import annotations
 
 
 class DockthreadError(Exception):
-    """Base class of the errors that dockthread raises on purpose."""
+    """Base class of all exceptions that dockthread defines."""
 
 
 class SettingsError(DockthreadError):
-    """Settings or a configuration that cannot be used.
+    """Invalid settings or an invalid configuration.
 
-    The text of the error is one plain line for operators. What it says is also kept in fields, so
-    that no caller parses the text again. A field that does not apply is empty.
+    The text of the error is a single line for operators. The same information is available in
+    fields, so that callers need not parse the text. A field that does not apply is empty.
 
     Attributes:
-        reason: What is wrong.
-        file: The file that holds the setting.
+        reason: The problem with the setting.
+        file: The file that contains the setting.
         section: The section of the operator's file.
         key: The key, or its path in the platform's JSON.
-        remedy: What would do instead.
+        remedy: How to fix the setting, such as a list of valid values.
     """
 
-    def __init__(  # noqa: PLR0913 - each part is a field of its own
+    def __init__(  # noqa: PLR0913 - one parameter per field
         self,
         reason: str,
         *,
@@ -31,7 +31,7 @@
         remedy: str = "",
         text: str = "",
     ) -> None:
-        """Keep the fields; `text` replaces the line that is made of them."""
+        """Store the fields; `text` replaces the text that is composed of them."""
         self.reason = reason
         self.file = file
         self.section = section
@@ -40,7 +40,7 @@
         super().__init__(text or self._line())
 
     def in_file(self, file: str) -> SettingsError:
-        """Return the same error, with the file in which the setting was found."""
+        """Return a copy of the error with `file` as its file."""
         return SettingsError(
             self.reason,
             file=file,
@@ -55,7 +55,7 @@
         if self.section:
             parts.append(f"[{self.section}]")
         if self.key:
-            # The operator's file writes `key: reason`, the platform's JSON `path reason`.
+            # Errors in the operator's file read `key: reason`, in the platform's JSON `path reason`.
             parts.append(f"{self.key}:" if self.section else self.key)
         line = " ".join([*parts, self.reason])
         return f"{line}; {self.remedy}" if self.remedy else line
--- a/dockthread/observer.py
+++ b/dockthread/observer.py
@@ -1,14 +1,15 @@
-"""The interface by which an ingress reports what happens to telemetry and to the trace log.
+"""The interface through which an ingress reports events to telemetry and to the trace log.
 
-The ingress calls an `Observer` at each event on its own path, so an observer only adds up.
-`Observer` itself does nothing: an ingress has it while neither telemetry nor tracing is on.
+The ingress calls an `Observer` while it processes requests, so its methods must be cheap, such as
+incrementing counters. `Observer` itself ignores all events; an ingress uses it while telemetry and
+tracing are off.
 """
 
 from __future__ import annotations
 
 from dockthread.policy import Outcome
 
-# Outcomes of a request; they are part of metric paths.
+# Outcomes of a request. They are part of metric paths.
 SERVED = "served"
 REJECTED = "refused"
 FAILED = "failed"
@@ -16,18 +17,19 @@
 
 
 class Traffic:
-    """Counts of one ingress since its start: bytes, connections, attempts, gossip and requests.
+    """Counters of one ingress since its start: bytes, connections, attempts, gossip and requests.
 
-    They are plain integers that are always counted, which costs less than to ask whether anybody
-    reads them.
+    They are plain integers that are always incremented, which costs less than checking whether they
+    are needed.
 
     Attributes:
-        attempts_started: Attempts begun.
-        attempts_sent: Attempts whose last byte was sent.
-        hedges_started: Attempts begun while an earlier one of the same request was in flight.
-        gossip_rejected: Messages from an unknown sender, or too long.
-        commands_rejected: Commands of clients that could not be served.
-        outcomes: Completed requests by outcome, then by the policy engine's number of their class.
+        attempts_started: Number of attempts started.
+        attempts_sent: Number of attempts whose last byte was sent.
+        hedges_started: Number of attempts started while another one of the same request was in
+            flight.
+        gossip_rejected: Number of gossip messages that were too long or from an unknown sender.
+        commands_rejected: Number of client commands that could not be served.
+        outcomes: Number of completed requests by outcome and class number.
     """
 
     __slots__ = (
@@ -64,7 +66,7 @@
         self.outcomes: dict[str, list[int]] = {outcome: [] for outcome in OUTCOMES}
 
     def ensure_classes(self, count: int) -> None:
-        """Have a count per outcome for at least `count` classes."""
+        """Extend the counters of each outcome to at least `count` classes."""
         for counts in self.outcomes.values():
             counts.extend([0] * (count - len(counts)))
 
@@ -72,18 +74,18 @@
 class Observer:
     """Receives the events of an ingress and ignores them.
 
-    Times are in milliseconds; classes and plans are the policy engine's numbers. No method may
-    raise.
+    Times are in milliseconds; classes and plans are the policy engine's numbers. Methods must not
+    raise exceptions.
 
     Attributes:
-        active: Whether the ingress is to work out what it would report.
-        tracing: Whether `event` is to be called for single events.
+        active: Whether the ingress should call the methods for requests and attempts.
+        tracing: Whether the ingress should call `event` for individual events.
     """
 
     active = False
     tracing = False
 
-    def request_completed(  # noqa: PLR0913 - called for every request, so no object is made for it
+    def request_completed(  # noqa: PLR0913 - called for every request, so it avoids an extra object
         self,
         request_class: int,
         plan: int,
@@ -94,15 +96,15 @@
         units: float,
         was_forwarded: bool,
     ) -> None:
-        """A request was given its one response.
+        """A request was answered.
 
-        `was_forwarded` says that at least one attempt was started, which consumes the units.
+        `was_forwarded` tells whether at least one attempt was started, which consumes the units.
         """
 
     def client_disconnected(
         self, request_class: int, plan: int, customer: int, units: float, was_forwarded: bool
     ) -> None:
-        """A client closed its connection before its response."""
+        """A client closed its connection before it got the response to a request."""
 
     def attempt_ended(self, outcome: Outcome) -> None:
         """An attempt at a backend ended."""
@@ -111,7 +113,7 @@
         """A call to the quota counter ended."""
 
     def phase(self, name: str) -> None:
-        """The ingress entered a phase of its life cycle."""
+        """The ingress entered a phase of its lifecycle."""
 
     def event(self, what: str, **figures: object) -> None:
-        """A single event happened; called only while `tracing` is set."""
+        """An individual event occurred; called only while `tracing` is set."""
--- a/dockthread/section_registry.py
+++ b/dockthread/section_registry.py
@@ -1,6 +1,6 @@
-"""The operator's file: where it is, which sections it may have, and what they say together.
+"""The operator's file: its path, its sections, and the checks that span several sections.
 
-A new subsystem adds its section's type to `SECTION_KINDS`, and nothing else about itself.
+To add a section, a new subsystem adds the section's type to `SECTION_KINDS`.
 """
 
 from __future__ import annotations
@@ -43,9 +43,10 @@
 
 
 def operator_file_path(environ: Mapping[str, str], option: str | None) -> str | None:
-    """Return the path of the operator's file; None where there is no such file.
+    """Return the path of the operator's file; None if no file is configured.
 
-    The command line's `--config`, given as `option`, wins over `DOCKTHREAD_CONFIG`.
+    `option` is the value of the command-line option `--config`, which takes precedence over the
+    environment variable `DOCKTHREAD_CONFIG`.
     """
     return option or environ.get(PATH_VARIABLE) or None
 
@@ -53,10 +54,10 @@
 def parse_operator_file(
     text: str, file: str, settings: PolicySettings | None = None, names: Names | None = None
 ) -> OperatorConfig:
-    """Read the text of an operator's file, with everything that is wrong with it.
+    """Parse the text of an operator's file; the result includes all problems found.
 
-    With the platform's `settings` and `names` the routes are checked against these; without them
-    only against each other. `file` is the name that problems show.
+    If the platform's `settings` and `names` are given, routes are checked against them; otherwise
+    only against each other. `file` is the file name shown in problems.
     """
     config = read_sections(text, file, SECTION_KINDS)
     findings = check(config.named_sections("route"), settings, names)
@@ -73,7 +74,7 @@
 
 
 def _control_problems(file: str, config: OperatorConfig) -> list[ConfigProblem]:
-    """Check `[control]` against `[fleet]`; there is no problem where either could not be read."""
+    """Check `[control]` against `[fleet]`; return no problems unless both could be read."""
     if "control" not in config.sections or "fleet" not in config.sections:
         return []
     control = config.section("control")
@@ -93,9 +94,9 @@
 def read_operator_file(
     path: str, settings: PolicySettings | None = None, names: Names | None = None
 ) -> OperatorConfig:
-    """Read an operator's file, with everything that is wrong with it.
+    """Read an operator's file; the result includes all problems found.
 
-    A file that cannot be read at all has one problem. For `settings` and `names` see
+    A file that cannot be read at all has exactly one problem. For `settings` and `names` see
     `parse_operator_file`.
     """
     try:
@@ -113,12 +114,12 @@
 def load_operator_file(
     path: str, settings: PolicySettings | None = None, names: Names | None = None
 ) -> OperatorConfig:
-    """Read an operator's file that has to be good. Warnings do not count.
+    """Read an operator's file that must not have errors; warnings are ignored.
 
     For `settings` and `names` see `parse_operator_file`.
 
     Raises:
-        SettingsError: The file has errors. The text shows the first, and how many there are more.
+        SettingsError: The file has errors. The text shows the first error and the number of others.
     """
     config = read_operator_file(path, settings, names)
     if errors := config.errors:
