--- a/dockthread/control_plane_daemon.py
+++ b/dockthread/control_plane_daemon.py
@@ -91,7 +91,7 @@
             file=file,
             section="control",
             key="role",
-            remedy="voter or distributor would do",
+            remedy="use voter or distributor",
         )
     level = os.environ.get("DOCKTHREAD_LOG") or log.level
     set_up(level.upper(), log, ingress=control.name)
--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -162,11 +162,11 @@
             return
         if options.role != "ingress":
             raise SettingsError(
-                f"is {options.role}, and this is an ingress",
+                f"is {options.role}, but this process is an ingress",
                 file=self._operator_file or "",
                 section="control",
                 key="role",
-                remedy="`dockthread control serve` runs it",
+                remedy="start it with `dockthread control serve`",
             )
         from dockthread.control_plane.ingress import IngressResourceApplier
 
--- a/dockthread/section_registry.py
+++ b/dockthread/section_registry.py
@@ -106,7 +106,7 @@
             return _unreadable(path, f"is larger than {MAX_FILE_BYTES} bytes", "name an INI file")
         return parse_operator_file(data.decode(), path, settings, names)
     except OSError as error:
-        return _unreadable(path, f"cannot be read: {error.strerror}", "name a file that can")
+        return _unreadable(path, f"cannot be read: {error.strerror}", "name a readable file")
     except UnicodeDecodeError:
         return _unreadable(path, "is not UTF-8 text", "name an INI file")
 
--- a/tests/admin/test_management_endpoint.py
+++ b/tests/admin/test_management_endpoint.py
@@ -1,4 +1,4 @@
-"""The management endpoint: its table of requests, and its server on sockets before an ingress."""
+"""The management endpoint: parsing of requests, and the server on sockets with an ingress."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
             assert (await send(port, detach_unknown))[0] == 404
             _, metrics = await send(port, get("/_vars"))
             assert b"app_pool_ejected 1\n" in metrics
-            assert "BUSY" in str(await client.call())  # its only backend drains
+            assert "BUSY" in str(await client.call())  # the only backend is draining
             assert (await send(port, post("/_backends/attach", b'{"target":"s-0"}')))[0] == 200
             assert await client.call() == b"value"
             assert (await send(port, b"DELETE /_vars HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 405
@@ -109,7 +109,7 @@
         first = Daemon(config(known), None, None)
         first.ingress.dispatch(first.ingress.endpoints.apply(known))
         assert first.detach("s-0") and first.detach("s-0") and not first.detach("nobody")
-        second = Daemon(config(known), None, None)  # an upgrade: the same $TMPDIR
+        second = Daemon(config(known), None, None)  # after an upgrade, with the same $TMPDIR
         listed = second.ingress.endpoints.apply(known)
         states = {
             second.ingress.endpoints.uid_of(endpoint.backend): endpoint.state
--- a/tests/admin/test_reload.py
+++ b/tests/admin/test_reload.py
@@ -1,4 +1,4 @@
-"""Settings taken over at SIGHUP: the merge by itself, and an ingress on sockets that reloads."""
+"""Reload of settings at SIGHUP: the merge function, and a running ingress on sockets."""
 
 from __future__ import annotations
 
--- a/tests/net/discovery_responses.py
+++ b/tests/net/discovery_responses.py
@@ -1,4 +1,4 @@
-"""Responses of discovery, as the tests send them: HTTP with a chunked body."""
+"""Builds responses of a fake discovery service: HTTP with a chunked body."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def chunked(*pieces: bytes) -> list[bytes]:
-    """Return each piece as a chunk of the body."""
+    """Encode each piece as one chunk of an HTTP body."""
     return [b"%x\r\n%b\r\n" % (len(piece), piece) for piece in pieces]
--- a/tests/net/failing_discovery.py
+++ b/tests/net/failing_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery that fails its attempts in a chosen way, cannot be reached, or is overloaded."""
+"""Fake discovery services that fail attempts, are unreachable, or are overloaded."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from tests.net.discovery_responses import RESPONSE_HEAD
 
 INCOMPLETE_OBJECT = b'a\r\n{"rev": 9,\r\n'
-# What discovery does with an attempt while it fails: what it sends, and whether it then ends the
-# connection.
+# The ways in which discovery fails an attempt: the bytes that it sends, and whether it then closes
+# the connection.
 FAILURES: dict[str, tuple[bytes, bool]] = {
     "closes": (b"", True),
     "resets": (b"", True),
@@ -28,12 +28,12 @@
 
 
 class FailingDiscovery(Discovery):
-    """Answers an attempt with a new list; with a `failure`, fails it in that way for good."""
+    """Answers each attempt with a new list, or fails every attempt while `failure` is set."""
 
     def __init__(self) -> None:
         super().__init__()
         self.failure: str | None = None
-        self.attempts = 0  # answered or failed
+        self.attempts = 0  # number of attempts that were answered or failed
         self.is_reachable = True
         self.hanging: list[asyncio.StreamWriter] = []
 
@@ -55,7 +55,7 @@
 
 
 class UnreachableDiscovery(FailingDiscovery):
-    """Its port is closed, or its accept queue full, until it comes back."""
+    """A discovery whose port is closed or whose accept queue is full until `come_back`."""
 
     def __init__(self, is_queue_full: bool) -> None:
         super().__init__()
@@ -91,7 +91,7 @@
 
 
 class OverloadedDiscovery(FailingDiscovery):
-    """Answers one attempt in 130 ms, in turn, and rejects those that find two waiting."""
+    """Answers one attempt at a time, each in 130 ms, and rejects attempts while two are waiting."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/net/support.py
+++ b/tests/net/support.py
@@ -1,4 +1,4 @@
-"""Helpers for tests of the ingress on sockets: backends' behaviours, attempts, client sockets."""
+"""Helpers for tests of the ingress on real sockets: backend behaviours, attempts, client sockets."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 from tests.loopback import FIRST_ID, KEY, SETTINGS
 from tests.loopback import command as encode_command
 
-# ms; a deadline that no test lives to see, so that only the rule under test can act
+# A deadline in ms that no test reaches, so that it cannot interfere with the rule under test.
 UNREACHED_DEADLINE_MS = 600_000
 VALUE_REPLY = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
 
 async def never_replies(args: list[bytes]) -> bytes | None:
-    """Behave as a backend that hangs."""
+    """Behave like a backend that hangs."""
     await asyncio.Event().wait()
     return None
 
 
 async def closes_connection(args: list[bytes]) -> bytes | None:
-    """Behave as a backend that closes the connection in place of a reply."""
+    """Behave like a backend that closes the connection instead of replying."""
     return None
 
 
 async def replies_failed(args: list[bytes]) -> bytes | None:
-    """Behave as a backend that fails every request."""
+    """Behave like a backend that fails every request."""
     return b"-ERR failed\r\n"
 
 
 def new_attempt(ingress: Ingress, backend: int = 1, timeout_ms: float = 4000.0) -> Attempt:
-    """Return an attempt that a test starts itself, at the backend of this number."""
+    """Return an attempt at the backend with number `backend`, for a test to start."""
     terms = b"c=status,t=gross,d=4000"
     command = ingress.request_parser.parse([b"API.READ", KEY, b"%016x" % FIRST_ID, terms])
     now = ingress.clock.now()
@@ -46,7 +46,7 @@
 
 
 def collect_outcomes(ingress: Ingress) -> list[tuple[Attempt, Outcome]]:
-    """Collect the outcomes of attempts that a test starts itself, in the order of their ends."""
+    """Collect the outcomes of attempts that a test starts itself, in the order in which they end."""
     outcomes = list[tuple[Attempt, Outcome]]()
     pool = ingress.connection_pool
     pool.on_ended = lambda attempt, reply: outcomes.append((attempt, reply.outcome))
@@ -54,15 +54,15 @@
 
 
 def with_limits(**changes: Any) -> dict[str, Any]:
-    """Return the usual settings with other limits."""
+    """Return the default test settings with changed limits."""
     return SETTINGS | {"Limits": SETTINGS["Limits"] | changes}
 
 
 @contextmanager
 def pinged_socket(ingress: Ingress) -> Iterator[socket.socket]:
-    """Open a blocking client socket and send a PING on it.
+    """Open a blocking client socket, send a PING on it, and yield the socket.
 
-    What it sends has arrived at the ingress as soon as the call returns.
+    Data that a test sends on it has reached the ingress's machine when `sendall` returns.
     """
     with socket.create_connection(("127.0.0.1", ingress.address.port)) as sock:
         sock.settimeout(10)
@@ -72,7 +72,7 @@
 
 @contextmanager
 def slowed_loop(seconds: float) -> Iterator[None]:
-    """Have each turn of the loop take that much longer."""
+    """Make each iteration of the event loop take `seconds` longer."""
     loop = asyncio.get_running_loop()
     is_slowed = True
 
@@ -89,5 +89,5 @@
 
 
 def reset_on_close(sock: socket.socket) -> None:
-    """Have the system reset the connection when the socket closes."""
+    """Make the system reset the connection when the socket is closed."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/tests/net/test_backend_connections.py
+++ b/tests/net/test_backend_connections.py
@@ -1,4 +1,4 @@
-"""Backend connections: forwarded commands, reuse, idle timeout, malformed replies, connecting."""
+"""Backend connections: forwarding, reuse, idle timeout, malformed replies, connect timeout."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
         )
         assert (head, rest) == (b"c=status,t=gross,", [b"units=2", b"spread=3", b"first=1"])
         assert 0 < int(left) <= 3000
-        # Every connection was once closed after one attempt, as reader.len() counts bytes that were
-        # read already.
+        # Guards against closing every connection after one attempt, which happened when the check
+        # for extra bytes used reader.len(): it also counts bytes that were already read.
         assert backend.opened == 1
 
     run(scenario())
@@ -56,7 +56,7 @@
             assert await client.call("checkout") == b"value"
             backend.writers[0].close()
             await backend.writers[0].wait_closed()
-            # A reset here would fail a checkout that never ran.
+            # Reusing the closed connection would end in a reset and fail a checkout that never ran.
             assert await client.call("checkout") == b"value"
             assert (backend.opened, len(backend.seen)) == (2, 2)
 
@@ -113,8 +113,8 @@
         async with serving(backend, clock=clock) as (ingress, client, _):
             client.ask("checkout", d=UNREACHED_DEADLINE_MS)
             await until(lambda: backend.seen)
-            # The clock goes on in steps for the reply that is shorter than its header says: however
-            # late the timer for its rest is set, a later step passes it.
+            # One of these replies is shorter than its header says, so it ends with a timeout. The
+            # clock advances in steps, so that it passes this timeout whenever its timer is set.
             for _ in range(400):
                 if backend.closed:
                     break
@@ -159,7 +159,7 @@
 def test_a_second_reply_some_milliseconds_late_is_not_taken_for_the_next_one() -> None:
     async def scenario() -> None:
         async def replies(args: list[bytes]) -> bytes | None:
-            # The first connection repeats its reply while the second attempt is in flight.
+            # The first connection sends a second reply while the second attempt is in flight.
             if len(backend.seen) == 2:
                 backend.writers[0].write(VALUE_REPLY)
                 await asyncio.sleep(0.02)
@@ -171,7 +171,7 @@
             clock.advance(connection_pool.REUSE_DELAY_MS - 1)
             assert await client.call() == b"val-2"
             clock.advance(connection_pool.REUSE_DELAY_MS)
-            # One of the two connections has been idle long enough, and is not broken.
+            # The second connection has been idle long enough by now and is not broken.
             assert [await client.call(), backend.opened] == [b"val-3", 2]
 
     run(scenario())
@@ -184,7 +184,7 @@
                 full.bind(("127.0.0.1", 0))
                 full.listen(0)
                 port = full.getsockname()[1]
-                # The queue is full: a connection that is opened now does not come up.
+                # Fill the accept queue, so that further connections cannot be established.
                 queued = [socket.socket() for _ in range(4)]
                 for one in queued:
                     one.setblocking(False)
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -49,7 +49,7 @@
         (b"*1\r\n$4\r\nQUIT\r\n*1\r\n$4\r\nPING\r\n", ["OK", None]),
         (b"PING\r\n", ["ERR Protocol error", None]),
         (b"*1\r\n$4\r\nPING\r\n*1\r\n$x\r\n", ["PONG", "ERR Protocol error", None]),
-        # answered before any of the announced bytes has arrived
+        # the error must be sent before any of the announced bytes has arrived
         (b"*2\r\n$4\r\nPING\r\n$400000\r\n", ["ERR Protocol error", None]),
         (
             b"*1\r\n$1\r\nX\r\n" * 300,
@@ -66,7 +66,7 @@
             for expected in answers:
                 response = await client.answer()
                 assert (response.decode() if isinstance(response, bytes) else response) == expected
-            # other connections are served as before
+            # Other connections must still be served.
             assert await (await Client.open(ingress.address.port)).call() == b"value"
 
     run(scenario())
@@ -89,7 +89,7 @@
             assert await silent.answer() is None
             silent.writer.close()
             await until(lambda: len(ingress.listener.connections) == 2)
-            clock.advance(1_000)  # the head of a command may take 2 s to arrive
+            clock.advance(1_000)  # 2.6 s after its start; a slow client takes 2 s
             ingress._run_periodic_maintenance()
             assert any(c.is_mid_command for c in ingress.listener.connections)
             clock.advance(500)
@@ -121,9 +121,8 @@
             assert await client.answer() == b"value"
             assert len(backend.seen) == 1
             other_client.asked = FIRST_ID
-            assert (
-                await other_client.call() == b"value"
-            )  # no longer in flight, the id may be used again
+            # The id is no longer in flight, so it may be used again.
+            assert await other_client.call() == b"value"
 
     run(scenario())
 
@@ -170,9 +169,10 @@
                     ).close()
                     assert await idle.answer() is None
                 await until(lambda: len(ingress.listener.connections) == 1)
-                clock.advance(300)  # past the connections' connect timeouts
+                clock.advance(300)  # past the connect timeouts, whose timers refer to connections
                 ingress.timers.run_due()
-                # Each once kept 8 to 16 KiB and more until a collection, and those are rare.
+                # Reference cycles kept 8 to 16 KiB or more per closed connection until the next
+                # garbage collection, which is rare.
                 assert open_connections() <= before + 2
             finally:
                 gc.enable()
--- a/tests/net/test_closing_client_connections.py
+++ b/tests/net/test_closing_client_connections.py
@@ -1,4 +1,4 @@
-"""Client connections that close, by the ingress or by the client, while bytes are on their way."""
+"""Client connections that the ingress or the client closes while data is still being sent."""
 
 from __future__ import annotations
 
@@ -47,7 +47,10 @@
 def test_a_connection_that_the_ingress_ends_is_not_reset_and_serves_nothing_more(
     ends: Callable[[Ingress, ManualClock], None], unread: bytes
 ) -> None:
-    """A reset would destroy a response that the client has not read yet."""
+    """Closing a socket with unread input resets the connection.
+
+    The reset would destroy a response that the client has not read yet.
+    """
 
     async def scenario() -> None:
         clock, backend = ManualClock(), Backend()
@@ -58,23 +61,23 @@
                 await until(lambda: ingress.client_connections == 1)
                 clock.advance(5_000)
                 first, second = request(1), request(2)
-                if unread == b"half":  # read before the end, and its rest after it
+                if unread == b"half":  # one half is read before the connection ends, one after
                     sock.sendall(first[:30])
                     await until(lambda: any(c.is_mid_command for c in ingress.listener.connections))
                     second = first[30:]
-                elif unread:  # in one step with the end: it cannot have been read
+                elif unread:  # the loop does not run between this send and the end
                     sock.sendall(first)
                 ends(ingress, clock)
                 sock.sendall(second)
-                await asyncio.sleep(0.02)  # it is read and discarded
+                await asyncio.sleep(0.02)  # time to read and discard it
                 sock.sendall(request(3))
                 assert await asyncio.to_thread(sock.recv, 100) == b"+PONG\r\n"
-                assert await asyncio.to_thread(sock.recv, 100) == b""  # an end, no reset
+                assert await asyncio.to_thread(sock.recv, 100) == b""  # end of stream, not a reset
                 assert not ingress.requests and ingress.client_connections == 1
                 clock.advance(client_connection.CLOSE_TIMEOUT_MS + 1)
                 for connection in list(ingress.listener.connections):
                     connection.enforce_timeouts(clock.now())
-                # A client that does not close its side has the connection closed.
+                # The ingress closes the connection if the client does not.
                 assert ingress.client_connections == 0
             assert not backend.seen
 
@@ -96,7 +99,7 @@
             await until(lambda: backend.seen)
             ingress.lifecycle.enter(Phase.LINGERING)
             ingress.lifecycle.enter(Phase.DRAINING)
-            # It arrives while draining: rejected, behind the response that is pending.
+            # This request arrives during draining, so it is rejected after the pending response.
             client.writer.write(request(2))
             may_reply.set()
             assert [await client.answer(), str(await client.answer())[:4]] == [b"value", "BUSY"]
@@ -108,7 +111,10 @@
 
 
 def test_the_disconnect_of_a_client_that_floods_is_seen_at_once() -> None:
-    """What follows the last command was once read in 8 KiB pieces, 50 ms apart: for seconds."""
+    """Input after the last command must be discarded fast enough to reach the client's close.
+
+    When it was read in pieces of 8 KiB every 50 ms, the disconnection was noticed seconds late.
+    """
 
     async def scenario() -> None:
         async with serving(wait=False, clock=ManualClock()) as (ingress, client, _):
@@ -132,13 +138,15 @@
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             await until(lambda: ingress.listener.connections)
             (connection,) = ingress.listener.connections
-            while connection._writer is None:  # one by one: too many unread bytes would close it
+            # Fill the socket buffers one response at a time: too many unread bytes would make the
+            # ingress close the connection.
+            while connection._writer is None:
                 client.writer.write(command(b"PING", b"x" * 60_000))
                 commands_sent += 1
                 await until(partial(has_read, connection, commands_sent))
             client.writer.write(request(1))
             await until(lambda: ingress.requests)
-            client.writer.write_eof()  # it disconnects without a reset
+            client.writer.write_eof()  # disconnects without a reset
             await asyncio.wait_for(until(lambda: not ingress.requests), 3)
 
     run(scenario())
--- a/tests/net/test_descriptor_budget.py
+++ b/tests/net/test_descriptor_budget.py
@@ -1,4 +1,4 @@
-"""The budget of descriptors: which connections are closed or rejected once it is used up."""
+"""The descriptor budget: which connections are closed or rejected when it is exhausted."""
 
 from __future__ import annotations
 
@@ -18,14 +18,15 @@
             ended = collect_outcomes(ingress)
             max_connections = ingress.connection_pool._max_connections
             ingress.connection_pool.start(new_attempt(ingress, backend=2))
-            # Its connection is idle now, and is closed to make room for the last one.
+            # This attempt leaves an idle connection, which is closed to start the last attempt that
+            # fits.
             await until(lambda: ended)
             for _ in range(max_connections + 1):
                 ingress.connection_pool.start(new_attempt(ingress))
             assert [outcome for _, outcome in ended[1:]] == [Outcome.NOT_SENT]
             assert len(ingress.connection_pool) == max_connections
-            # Over their budget clients still get a response, and an idle one is closed before an
-            # active one.
+            # Clients beyond the budget still get a response, because idle connections are closed
+            # to free descriptors.
             clients = list[Client]()
             while len(ingress.listener.connections) < ingress.budget.client:
                 open_connections = len(ingress.listener.connections)
@@ -83,12 +84,14 @@
             await until(lambda: len(ingress.listener.connections) == ingress.budget.client)
             clock.advance(200)
             others.append(await Client.open(ingress.address.port))
-            assert await others[0].answer() is None  # an incomplete command holds no descriptor
-            assert await active.call() == b"value"  # idle for longest, but it has sent requests
+            # A connection with an incomplete command counts as idle and is closed. The active one
+            # has been idle for longer, but it has sent requests.
+            assert await others[0].answer() is None
+            assert await active.call() == b"value"
             for one in others[1:]:
                 one.send(b"PING")
                 assert await one.answer() == b"PONG"
-            clock.advance(2_001)  # many, and beyond the idle timeout
+            clock.advance(2_001)  # past the idle timeout, with over half of the budget in use
             ingress._run_periodic_maintenance()
             assert [await one.answer() for one in others[1:]] == [None] * len(others[1:])
 
@@ -103,10 +106,10 @@
                 await Client.open(ingress.address.port) for _ in range(ingress.budget.client - 1)
             ]
             for one in idle_clients:
-                one.send(b"PING")  # one command, and the connection stays open
+                one.send(b"PING")  # the connection stays open after this command
                 assert await one.answer() == b"PONG"
             clock.advance(200)
-            # The last of these once had the first one closed, whose request was not yet read.
+            # Accepting the last of these must not close the first one, whose request is unread.
             new_clients = [await Client.open(ingress.address.port) for _ in range(5)]
             for number, one in enumerate(new_clients):
                 one.asked += number
@@ -123,7 +126,7 @@
 
 
 class SocketWithInput:
-    """A socket with something to read."""
+    """A socket that always has unread input."""
 
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
--- a/tests/net/test_disconnected_clients.py
+++ b/tests/net/test_disconnected_clients.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect: no attempt of theirs starts afterwards, even where the loop is slow."""
+"""Clients that disconnect: none of their attempts starts later, even if the event loop is slow."""
 
 from __future__ import annotations
 
@@ -30,7 +30,10 @@
 
 
 def disconnect_after_a_flood(sock: socket.socket) -> None:
-    """The first attempt fails some time after the close, which follows all that this sends."""
+    """Send so much that the ingress has to read all of it before it notices the close.
+
+    The first attempt fails after the close, and must not be retried.
+    """
     sock.sendall(request(1) + command(b"QUIT") + b"x" * 9_000_000)
 
 
@@ -70,7 +73,7 @@
         with socket.create_connection(("127.0.0.1", port)) as sock:
             if resets:
                 reset_on_close(sock)
-            with suppress(ConnectionError):  # a flood may be cut off
+            with suppress(ConnectionError):  # the ingress may disconnect a flooding client
                 disconnect(sock)
         disconnected_at.append(time.monotonic())
 
@@ -91,7 +94,10 @@
 def test_a_waiting_request_is_not_forwarded_once_its_client_disconnected(
     waits_for: str, resets: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What the request waits for comes 0.1 s after the close, in a loop slowed by 50 ms a turn."""
+    """The request could proceed 0.1 s after its client disconnected, but must not be forwarded.
+
+    Each iteration of the event loop takes 50 ms longer, so the close is noticed late.
+    """
 
     async def scenario() -> None:
         backend = Backend(replies_failed)
--- a/tests/net/test_discovery_notification_bound.py
+++ b/tests/net/test_discovery_notification_bound.py
@@ -1,7 +1,7 @@
-"""A change counts as received 6 s after discovery had it and could be reached.
+"""An ingress must know a change within 6 s after discovery had it and was reachable.
 
-Here each delay is drawn at its longest, and discovery comes back in the worst moment: just after an
-attempt has failed or begun to hang.
+In these tests every delay has its maximum length, and discovery recovers at the worst moment: just
+after an attempt has failed or begun to hang.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 async def watching_ingress(
     port: int, ingress_count: int, is_polling: bool, grace: float = 1.0
 ) -> AsyncIterator[tuple[Ingress, ManualClock]]:
-    """Run an ingress on a manual clock, with all delays at their longest."""
+    """Run an ingress on a manual clock, with all delays at their maximum."""
     changes: dict[str, Any] = {
         "ReplicasOfMe": ingress_count,
         "Safety": {"StopSendingWithin": grace * 1_000_000},
@@ -64,7 +64,7 @@
 
 
 async def advance_clock(ingress: Ingress, clock: ManualClock, discovery: FailingDiscovery) -> None:
-    """Advance the clock one step, and wait for an attempt that this step started."""
+    """Advance the clock by one step, and wait for any attempt that this starts."""
     began, attempts, known_revision = (
         ingress.watch._attempt.started_ms,
         discovery.attempts,
@@ -86,10 +86,10 @@
 async def time_until_new_list(
     ingress: Ingress, clock: ManualClock, discovery: FailingDiscovery
 ) -> float:
-    """Return the ms on the clock until a newer list is received."""
+    """Return the time in ms on the clock until a newer list is received."""
     begun_ms, known_revision = clock.now(), ingress.endpoints.revision
     while ingress.endpoints.revision == known_revision:
-        assert clock.now() - begun_ms < 20 * BOUND_MS, "no list"
+        assert clock.now() - begun_ms < 20 * BOUND_MS, "no list was received"
         await advance_clock(ingress, clock, discovery)
     return clock.now() - begun_ms
 
@@ -97,7 +97,7 @@
 async def fail_attempts(
     ingress: Ingress, clock: ManualClock, discovery: FailingDiscovery, attempts: int
 ) -> None:
-    """Let discovery come back just after so many attempts have failed."""
+    """Let discovery recover just after `attempts` attempts have failed."""
     if isinstance(discovery, UnreachableDiscovery):
         while ingress.watch._failures < attempts:
             await advance_clock(ingress, clock, discovery)
@@ -157,7 +157,7 @@
 def test_a_change_is_received_6_s_after_a_new_address_can_be_reached(
     failure: str, ingress_count: int, is_polling: bool
 ) -> None:
-    """After SIGHUP, in each state at the old address."""
+    """The address changes at SIGHUP, while attempts at the old address fail in different ways."""
 
     async def scenario() -> None:
         old, new = failing_discovery(failure), failing_discovery(failure)
--- a/tests/net/test_discovery_processes.py
+++ b/tests/net/test_discovery_processes.py
@@ -1,4 +1,4 @@
-"""Processes under a limit of descriptors, and many processes started at once."""
+"""Real processes: discovery with exhausted descriptors, and many processes started at once."""
 
 from __future__ import annotations
 
@@ -39,7 +39,10 @@
 def test_a_watch_opens_while_idle_clients_use_up_the_descriptors(
     is_polling: bool, tmp_path: Path
 ) -> None:
-    """A real process under its limit; discovery fails meanwhile, comes back, and changes its address."""
+    """Idle clients must not take the descriptors that the discovery watch needs.
+
+    Discovery first fails, then recovers, then changes its address.
+    """
 
     async def scenario() -> None:
         old, new, path = failing_discovery("closes"), FailingDiscovery(), tmp_path / "config.json"
@@ -125,9 +128,9 @@
 
 
 def test_nine_in_ten_processes_started_at_once_are_ready_in_time(tmp_path: Path) -> None:
-    """They start without a list, and discovery rejects attempts.
+    """All processes start without a cached list, and discovery rejects attempts while overloaded.
 
-    Ten have to be ready in 6 s; `STARTED=30` starts thirty, in the 10 s that the page allows.
+    Ten processes have to be ready within 6 s; `STARTED=30` starts thirty, which may take 10 s.
     """
     process_count = int(os.environ.get("STARTED", "10"))
 
--- a/tests/net/test_discovery_watch.py
+++ b/tests/net/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery over real sockets: start, losses, silence and changes of address."""
+"""The discovery watch over real sockets: start, failures, silence and changes of address."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from dockthread.net.ingress import Ingress
 from tests.loopback import SETTINGS, Backend, Discovery, message, run, serving, target, until
 
-DRAIN_GRACE_MS = 1_000.0  # for which a draining backend may be sent requests
+DRAIN_GRACE_MS = 1_000.0  # Time for which a draining backend may still be sent requests.
 
 
 def watch_settings(**more: Any) -> dict[str, Any]:
@@ -41,7 +41,7 @@
 def test_nothing_is_sent_by_a_cached_list_before_the_agent_had_time_to_answer(
     agent_answers: bool,
 ) -> None:
-    """What the agent has counts as received from the first moment of a process."""
+    """Changes known to the local agent apply to an ingress from the start of its process."""
 
     async def scenario() -> None:
         clock, draining, ready = ManualClock(), Backend(), Backend()
@@ -59,7 +59,7 @@
             if agent_answers:
                 discovery.push(message(2, target("s-0", port_of(draining), "leaving")))
                 await until(lambda: ingress.ready)
-            else:  # it is down and has received nothing meanwhile: the cached list has to serve
+            else:  # the agent is down, so the cached list is used after half the grace period
                 clock.advance(DRAIN_GRACE_MS / 2)
                 ingress.timers.run_due()
                 assert ingress.ready
@@ -73,9 +73,10 @@
 def test_an_agent_that_ends_attempts_is_called_within_half_a_drain_grace_by_any_number_of_ingresses(
     agent_sends_lists: bool,
 ) -> None:
-    """What it has counts as received, watch or not.
+    """Changes known to the local agent apply to an ingress even without a watch.
 
-    Each delay was once drawn from 25 s, then 50 s, with 200 ingresses.
+    Delays must not grow with the number of ingresses: with 200, they were drawn from 25 s and then
+    50 s.
     """
 
     async def scenario() -> None:
@@ -110,7 +111,8 @@
         ):
             await until(lambda: discovery.writers)
             clock.advance(3_600)
-            ingress.watch.enforce_timeouts()  # silent for too long; half a drain grace more at the most
+            # The attempt is overdue; the delay before the next is at most half the grace period.
+            ingress.watch.enforce_timeouts()
             clock.advance(DRAIN_GRACE_MS / 2)
             ingress.watch.enforce_timeouts()
             await until(lambda: len(discovery.paths) == 2)
@@ -132,7 +134,7 @@
                 ingress.watch.enforce_timeouts()
                 await asyncio.sleep(0)
                 assert len(discovery.paths) == 1 or second == 4
-            clock.advance(DRAIN_GRACE_MS / 2)  # and a delay: within 6 s in all
+            clock.advance(DRAIN_GRACE_MS / 2)  # the delay; 5.5 s in total, less than 6 s
             ingress.timers.run_due()
             await until(lambda: len(discovery.paths) == 2)
             assert discovery.paths[-1].endswith(b"after=2")
@@ -141,7 +143,7 @@
 
 
 def test_a_long_list_that_arrives_slowly_but_entry_by_entry_is_received() -> None:
-    """Given up after 4 s it would start anew each time, and never be received."""
+    """If the watch were cancelled after 4 s, the list would restart each time and never complete."""
 
     async def scenario() -> None:
         clock = ManualClock()
@@ -182,7 +184,7 @@
             _,
             old_discovery,
         ):
-            clock.advance(DRAIN_GRACE_MS / 2)  # the delay at a start
+            clock.advance(DRAIN_GRACE_MS / 2)  # the delay before the first attempt
             ingress.timers.run_due()
             await until(
                 lambda: (
--- a/tests/net/test_discovery_watch_silence.py
+++ b/tests/net/test_discovery_watch_silence.py
@@ -1,4 +1,4 @@
-"""The watch on discovery once discovery is silent: when a new call replaces the open one."""
+"""The discovery watch while discovery is silent: when a new attempt replaces the open one."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
             clock.advance(3_000)
             ingress.watch.enforce_timeouts()
             await asyncio.sleep(0)
-            assert len(discovery.paths) == 1  # an empty line may arrive as late as that
+            assert len(discovery.paths) == 1  # a heartbeat may be as late as this
             clock.advance(1_000)
             ingress.watch.enforce_timeouts()
             await until(lambda: len(discovery.paths) == 2)
@@ -33,12 +33,12 @@
 def test_an_unanswered_call_to_discovery_stays_open_through_the_backoff_after_it(
     answered: bool,
 ) -> None:
-    """Discovery answers the calls that are open when it comes back; a new one would wait longer."""
+    """Discovery answers open attempts when it recovers; a new attempt would be answered later."""
 
     async def scenario() -> None:
         clock = ManualClock()
         async with serving(Backend(), clock=clock) as (ingress, _, discovery):
-            # Silent for too long; the backoff is up to 500 ms for four ingresses.
+            # The watch is overdue. The backoff is up to 500 ms for four ingresses.
             clock.advance(3_600)
             ingress.watch.enforce_timeouts()
             await asyncio.sleep(0.02)
@@ -50,7 +50,7 @@
             clock.advance(501)
             ingress.watch.enforce_timeouts()
             await asyncio.sleep(0.02)
-            # The next call is sent at once.
+            # After the backoff, the next attempt starts immediately.
             await until(lambda: len(discovery.paths) == (1 if answered else 2))
 
     run(scenario())
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -28,7 +28,7 @@
         message(1, target("a", 1), target("b", 2, boot_ms=1_700_000_000_000), full=True)
     )
     assert [(one.backend, one.started_at) for one in first_event.endpoints] == [(1, 0.0), (2, 5.0)]
-    clock.advance(60_000)  # the same boot_ms, received again, must read as the same start
+    clock.advance(60_000)  # the same boot_ms, received later, must map to the same start time
     second_event = endpoints.apply(message(2, target("b", 2, boot_ms=1_700_000_000_000)))
     assert (second_event.kind, second_event.endpoints[0].started_at, moved_numbers) == (
         EndpointListKind.CHANGES,
@@ -62,12 +62,12 @@
 @pytest.mark.parametrize(
     ("first_update", "late_update", "state"),
     [
-        # (revision, state, boot_ms) received first, then in a list of mostly an older revision; the
-        # state that results
-        ((5, "leaving", 0), (4, "active", 0), DRAINING),  # announced as draining: it stays so
+        # (revision, state, boot_ms) of the first list and of the second list, and the resulting
+        # state. Most second lists have an older revision.
+        ((5, "leaving", 0), (4, "active", 0), DRAINING),  # an older list cannot undo draining
         ((5, "left", 0), (4, "active", 0), REMOVED),
-        ((5, "active", 0), (4, "leaving", 0), DRAINING),  # an older list may remove it
-        # a process that started later
+        ((5, "active", 0), (4, "leaving", 0), DRAINING),  # an older list may start draining
+        # An older list may bring back a process that started later.
         ((5, "left", 0), (4, "active", 1_700_000_001_000), BackendState.READY),
         ((5, "leaving", 0), (6, "active", 0), BackendState.READY),
         ((5, "leaving", 0), (5, "active", 0), BackendState.READY),
--- a/tests/net/test_event_loop_lag.py
+++ b/tests/net/test_event_loop_lag.py
@@ -1,4 +1,4 @@
-"""A request that is read late is judged by the time left to it, and answered in time."""
+"""Requests that are read late, because the event loop was blocked, are still answered in time."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 from dockthread.net.event_loop_lag import AcceptBacklog, EventLoopLagMonitor
 from tests.loopback import KEY, Backend, command, run, serving
 
-# Seconds for which the loop is held, the client waits, and a slow machine may take longer.
+# In seconds: how long the loop is blocked, the client's timeout, and the tolerance for a slow
+# machine.
 HELD_S, CLIENT_TIMEOUT_S, SLACK_S = 0.5, 1.0, 0.25
 
 
@@ -41,13 +42,13 @@
                     await asyncio.sleep(0.1)
                 sock.sendall(read_command(int(CLIENT_TIMEOUT_S * 1000)))
                 sent = time.monotonic()
-                time.sleep(HELD_S)  # the loop stands, as in a burst of other work
+                time.sleep(HELD_S)  # blocks the event loop, like a burst of other work
                 sock.setblocking(False)
                 answer = await loop.sock_recv(sock, 100)
                 took = time.monotonic() - sent
             assert answer.startswith((b"-BUSY", b"-ERR"))
             assert took < CLIENT_TIMEOUT_S + SLACK_S, (
-                "counted from when it was read it would be the time and the stall"
+                "the time budget was counted from the read and not from the arrival"
             )
 
     run(scenario())
@@ -76,9 +77,9 @@
     assert (
         monitor.earliest_arrival_ms,
         monitor.lag_ms(monitor.earliest_arrival_ms, 25.0),
-    ) == (10.0, 0.0), "nothing held the loop"
+    ) == (10.0, 0.0), "the loop was not blocked"
     assert monitor.lag_ms(monitor.earliest_arrival_ms, 60.0) == 50.0, (
-        "no heartbeat since, so the loop is held"
+        "without a heartbeat since 20.0 the loop was blocked"
     )
     monitor.record_heartbeat(520.0)
     assert monitor.lag_ms(monitor.earliest_arrival_ms, 521.0) == 501.0
@@ -87,7 +88,7 @@
     monitor.record_heartbeat(540.0)
     assert monitor.lag_ms(monitor.earliest_arrival_ms, 541.0) == 0.0
     assert monitor.lag_ms(backlog.earliest_arrival_ms(monitor), 541.0) == 521.0, (
-        "it has waited since then"
+        "the connection may have waited since 20.0"
     )
     backlog.mark_empty()
     assert backlog.earliest_arrival_ms(monitor) == 530.0
--- a/tests/net/test_gossip_transport.py
+++ b/tests/net/test_gossip_transport.py
@@ -1,4 +1,4 @@
-"""Gossip between ingresses on real loopback sockets, and the keys that name their addresses."""
+"""Gossip between ingresses on loopback sockets, and the configuration of their addresses."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def free_addresses(count: int) -> tuple[Address, ...]:
-    """Return free UDP addresses; no other process is expected to take one meanwhile."""
+    """Return free UDP addresses; another process could take one before the test binds it."""
     sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
     for sock in sockets:
         sock.bind(("127.0.0.1", 0))
@@ -73,12 +73,12 @@
         too_long = b"x" * (gossip_codec.MAX_MESSAGE_BYTES + 1)
         other_transport._sock.sendto(too_long, (peer_addresses[0].host, peer_addresses[0].port))  # type: ignore[union-attr]
         await until(lambda: transport._traffic.gossip_rejected == 2)
-        other_transport.send(SendGossip(too_long, 0))  # it would void the run
+        other_transport.send(SendGossip(too_long, 0))  # must not be sent at all
         assert (received, other_transport._traffic.gossip_sent) == ([], 0)
         for _ in range(MAX_DATAGRAMS_PER_TURN + 20):
             other_transport.send(SendGossip(b"m", 0))
         transport._receive()
-        assert len(received) == MAX_DATAGRAMS_PER_TURN, "requests have their turn before the rest"
+        assert len(received) == MAX_DATAGRAMS_PER_TURN, "one read must not take all datagrams"
         await until(lambda: len(received) == MAX_DATAGRAMS_PER_TURN + 20)
         transport.close()
         other_transport.close()
@@ -93,13 +93,11 @@
         old_transport = open_transport(peer_addresses, 0, received_by_old)
         new_transport = open_transport(peer_addresses, 0, received)
         other_transport = open_transport(peer_addresses, 1, [])
-        new_transport.send(
-            SendGossip(b"from nowhere", 1)
-        )  # lost: it has no address to be sent from
+        new_transport.send(SendGossip(b"from nowhere", 1))  # dropped: the socket is not bound yet
         other_transport.send(SendGossip(b"one", 0))
         await until(lambda: received_by_old)
         old_transport.close()
-        old_transport.open()  # without effect: it is closed for good
+        old_transport.open()  # no effect after `close`
         new_transport.open()
         other_transport.send(SendGossip(b"two", 0))
         await until(lambda: received)
@@ -140,10 +138,10 @@
             clients: list[Client] = [client for _, client, _ in opened]
             await until(lambda: all(one.traffic.gossip_received for one in ingresses))
             served = 0
-            for attempt in range(60):  # 2 units each of a bucket that holds 40 and is not refilled
+            for attempt in range(60):  # each takes 2 units of a bucket of 40 with hardly any refill
                 answer = await clients[attempt % 3].call("status")
                 served += not isinstance(answer, str)
-                await asyncio.sleep(0.06)  # for the gossip to reach all
+                await asyncio.sleep(0.06)  # time for the gossip to reach all ingresses
             assert 15 <= served <= 21
 
     run(scenario())
@@ -153,7 +151,7 @@
     ("changes", "expected"),
     [
         ({}, None),
-        ({"peers": ["127.0.0.1:1"] * 4}, None),  # no address to listen at
+        ({"peers": ["127.0.0.1:1"] * 4}, None),  # `peer_listen` is missing
         ({"peer_listen": "127.0.0.1:1", "peers": ["127.0.0.1:1"] * 4}, 4),
         ({"peer_listen": "127.0.0.1:1", "peers": ["127.0.0.1:1"] * 3}, "peers is"),
         ({"peer_listen": "127.0.0.1:1", "peers": "127.0.0.1:1"}, "peers is"),
--- a/tests/net/test_late_backend_connections.py
+++ b/tests/net/test_late_backend_connections.py
@@ -1,4 +1,4 @@
-"""Backend connections that come up backend: the backend or the client may have gone meanwhile."""
+"""Backend connections that are established late, when backend or client may have changed."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class LateBackend(Backend):
-    """A backend whose queue of connections is full at first.
+    """A backend whose accept queue is full until `come_up`.
 
-    A connection to it comes up only once the system tries again.
+    A connection to it is established only when the system retries the handshake.
     """
 
     async def start(self) -> int:
@@ -59,9 +59,7 @@
         async with serving(backend, clock=clock) as (ingress, _, discovery):
             outcomes = collect_outcomes(ingress)
             attempt = new_attempt(ingress)
-            if (
-                change is None
-            ):  # it repeats an attempt that may have run, and is too backend for that
+            if change is None:  # a retry of an attempt that may have run, now past its deadline
                 attempt.start_deadline_ms = clock.now() + 100
             ingress.connection_pool.start(attempt)
             clock.advance(101)
--- a/tests/net/test_quota_counter.py
+++ b/tests/net/test_quota_counter.py
@@ -1,4 +1,4 @@
-"""The quota counter's client: additions in order on one connection, each ended exactly once."""
+"""The quota counter's client: additions are pipelined in order, and each ends exactly once."""
 
 from __future__ import annotations
 
@@ -95,9 +95,8 @@
         client._timeout_ms = 5_000.0
         client.add(2, 1.0, 60_000.0)
         await until(lambda: len(replies) == 2)
-        assert replies[1] == CounterReplied(
-            2, Outcome.OK, 2.0
-        )  # not the 1 that was meant for the first
+        # The total is 2, not the late reply 1 to the first addition.
+        assert replies[1] == CounterReplied(2, Outcome.OK, 2.0)
         client.close()
 
     run(scenario())
@@ -113,7 +112,7 @@
         client.add(2, 1.0, 60_000.0)
         await until(lambda: len(replies) == 2)
         assert (len(old_server.seen), len(new_server.seen)) == (1, 1)
-        client.enforce_timeouts()  # nothing is in flight at the old one
+        client.enforce_timeouts()  # closes the old connection, which has nothing in flight
         assert len(client._connections) == 1
         client.change_address(None)
         client.add(3, 1.0, 60_000.0)
--- a/tests/net/test_requests_in_flight.py
+++ b/tests/net/test_requests_in_flight.py
@@ -1,4 +1,4 @@
-"""Requests in flight: retries, deadlines, rejections, faults, and events that cross them."""
+"""Requests in flight: retries, deadlines, rejections, faults, and concurrent events."""
 
 from __future__ import annotations
 
@@ -71,7 +71,8 @@
         async with serving(backend, clock=clock) as (ingress, client, _):
             client.ask("checkout", d=2000)
             await until(lambda: backend.seen)
-            # 8 ms earlier for the policy engine's two clock ticks, and some for the way back.
+            # The request ends 13 ms before its deadline: 8 ms for the policy engine's two clock
+            # ticks, and 5 ms for the transit.
             clock.advance(1988)
             ingress.timers.run_due()
             assert await client.answer() == "ERR failed"  # it may have run, so not -BUSY
@@ -106,11 +107,11 @@
                     return handle(now, event)  # a timer may fire before the request
                 ingress.engine.handle = handle  # type: ignore[method-assign]
                 if sent:
-                    handle(now, event)  # its actions are found in `actions` only
-                raise RuntimeError("a fault made by a test")
+                    handle(now, event)  # the actions are then available only in `engine.actions`
+                raise RuntimeError("fault injected by the test")
 
             ingress.engine.handle = fail_at_a_request  # type: ignore[method-assign]
-            # Never -BUSY: an attempt may be in flight.
+            # The response must not be -BUSY, because an attempt may be in flight.
             assert await client.call(kind, d=UNREACHED_DEADLINE_MS) == "ERR failed"
             assert await client.call(kind) == b"value"
             await until(lambda: not ingress.requests)
@@ -171,7 +172,11 @@
 
 
 def test_a_reset_in_the_middle_of_a_decision_leaves_no_attempt_without_an_outcome() -> None:
-    """One decision rejects a request and forwards another of a client that has reset its connection."""
+    """One policy decision rejects a request and starts an attempt for another of the same client.
+
+    Sending the rejection reveals that the client has reset the connection. The attempt, which starts
+    after that, must still end with exactly one outcome.
+    """
 
     async def scenario() -> None:
         waits_for_the_list = SETTINGS | {"Safety": {"StopSendingWithin": 1_000_000}}
@@ -184,9 +189,8 @@
             with pinged_socket(ingress) as sock:
                 reset_on_close(sock)
                 sock.sendall(request(1) + request(2))
-                await until(
-                    lambda: len(ingress.requests) == 2
-                )  # queued: there is no endpoint list yet
+                # Both requests are queued, because there is no endpoint list yet.
+                await until(lambda: len(ingress.requests) == 2)
                 first, second = ingress.requests.by_number
             events, handle_in_engine = list[Event](), ingress.engine.handle
 
@@ -197,7 +201,7 @@
                 return [Reject(first, 0.0), SendAttempt(second, 1, 4.0)]
 
             ingress.engine.handle = handle  # type: ignore[method-assign]
-            ingress.dispatch(TimerFired(0))  # in one step with the reset, which is not seen yet
+            ingress.dispatch(TimerFired(0))  # the loop has not run since the reset
             await until(lambda: not ingress.requests)
             ends = [
                 e.outcome for e in events if isinstance(e, AttemptEnded) and e.request == second
--- a/tests/net/test_resp.py
+++ b/tests/net/test_resp.py
@@ -142,7 +142,7 @@
 ) -> None:
     guard_of_all = new_guard()
     assert (guard_of_all.count_safe_bytes(wire), guard_of_all.is_broken) == (safe_bytes, is_broken)
-    # In pieces the result is the same, but for a line that is rejected before its end arrives.
+    # Byte by byte the result is the same, except that an invalid line is rejected before its end.
     bytewise_guard, fed = new_guard(), 0
     for position in range(len(wire)):
         if not bytewise_guard.is_broken:
--- a/tests/net/test_watch_response_parser.py
+++ b/tests/net/test_watch_response_parser.py
@@ -1,4 +1,4 @@
-"""The response of a watch: objects read as they arrive, however they are laid out and cut."""
+"""The response of a discovery watch: objects are parsed in any layout and from any chunks."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     ):
         before = len(found)
         found += parser.feed(piece)
-        # An object is yielded with its last byte, not with the next one's first.
+        # An object is yielded with its own last byte, not with the first byte of the next one.
         assert len(found) == before or piece[3:4] == b"}"
     assert found == sent
 
@@ -79,5 +79,5 @@
     pieces = (RESPONSE_HEAD, *chunked(*(text[at : at + 1] for at in range(len(text)))))
     found = [sent for piece in pieces for sent in parser.feed(piece)]
     assert len(found[0]["targets"]) == 3_000
-    # half a second; reading all again with each byte takes minutes
+    # This takes half a second. Parsing the whole input again for each byte would take minutes.
     assert time.monotonic() - began < 20
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon as a process: its sockets, signals, phases and rejected configurations."""
+"""The daemon as a process: sockets, signals, lifecycle phases and rejected configurations."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 def start_program(
     *command: str, address_label: str, **environ: str
 ) -> Iterator[tuple[subprocess.Popen[str], str]]:
-    """Start a process; yield it with the address that it prints behind `address_label`."""
+    """Start a process; yield it and the address that it prints after `address_label`."""
     with subprocess.Popen(
         [sys.executable, *command],
         cwd=ROOT,
@@ -63,7 +63,7 @@
 
 @contextmanager
 def running_example(work_ms: int) -> Iterator[tuple[subprocess.Popen[str], str]]:
-    """Start the example as its README does, but for its ports."""
+    """Start the example as its README does, except for the ports."""
     toy = ("example/toy_server.py", "--discovery", "127.0.0.1:0", "--work-ms", str(work_ms))
     with start_program(*toy, address_label="discovery at") as (_, discovery):
         environ = {
@@ -165,9 +165,9 @@
 
 
 def test_a_sighup_during_the_start_takes_effect_once_the_daemon_serves(tmp_path: Path) -> None:
-    """The configuration may have been read before the signal.
+    """A SIGHUP that arrives after the configuration was read must cause a reload.
 
-    Here it is a pipe, which is read when the test writes to it.
+    The configuration file is a pipe here, so the test controls when it is read.
     """
 
     async def scenario() -> None:
@@ -186,7 +186,7 @@
                 except OSError:  # no process reads it yet
                     await asyncio.sleep(0.01)
                     continue
-                os.unlink(path)  # the next read waits for the next pipe
+                os.unlink(path)  # so that the next read uses a new pipe
                 return pipe
 
         environ = os.environ | {"NODE_CONFIG": str(path)}
@@ -223,19 +223,19 @@
             clock.advance(499)
             ingress.timers.run_due()
             assert ingress.lifecycle.phase is Phase.LINGERING
-            for _ in range(2):  # the end of lingering, and the last reads
+            for _ in range(2):  # the end of lingering, then the delay for the final reads
                 clock.advance(21)
                 ingress.timers.run_due()
                 await until(lambda: ingress.timers)
                 await late_client.call() if ingress.lifecycle.ready else None
-            # the end of the connection follows at once
+            # Idle connections are closed when draining begins.
             assert [await late_client.answer(), await client.answer()] == [None, None]
             with pytest.raises(ConnectionRefusedError):
                 await Client.open(ingress.address.port)
             late_client.writer.close()
             await until(lambda: ingress.client_connections == 1)
             assert ingress.draining
-            clock.advance(1_300)  # a client that stays is disconnected then
+            clock.advance(1_300)  # past the close timeout for clients that stay connected
             ingress.timers.run_due()
             await until(lambda: ingress.lifecycle.phase is Phase.STOPPED)
 
