--- a/dockthread/admin/commands.py
+++ b/dockthread/admin/commands.py
@@ -44,7 +44,7 @@
 
 
 # Operations whose request body names a target.
-TARGETED = (
+TARGETED_OPERATIONS = (
     Operation.DETACH,
     Operation.ATTACH,
     Operation.REQUEST_MAINTENANCE,
@@ -126,7 +126,7 @@
         return NOT_FOUND
     if method != route.method and not (route.method == b"GET" and method == b"HEAD"):
         return Response(405, b"this call goes by " + route.method + b"\n")
-    if route.operation not in TARGETED:
+    if route.operation not in TARGETED_OPERATIONS:
         return Command(route.operation)
     return _parse_targeted(route.operation, body)
 
--- a/dockthread/admin/detached_backends.py
+++ b/dockthread/admin/detached_backends.py
@@ -27,7 +27,11 @@
         ids = json.loads(path.read_bytes())
     except (OSError, ValueError):
         return []
-    return [each for each in ids if isinstance(each, str)] if isinstance(ids, list) else []
+    return (
+        [backend_id for backend_id in ids if isinstance(backend_id, str)]
+        if isinstance(ids, list)
+        else []
+    )
 
 
 def save_detached_backends(path: Path, ids: Iterable[str]) -> None:
--- a/dockthread/admin/prometheus.py
+++ b/dockthread/admin/prometheus.py
@@ -17,7 +17,7 @@
 OUTCOME_METRICS = {"ok": SERVED, "shed": REJECTED, "errors": FAILED}
 
 # Types of the metrics with a single value, keyed by field name of `MetricsSnapshot`.
-SINGLE_METRICS = {
+SINGLE_VALUE_METRICS = {
     "tries": "counter",
     "active": "gauge",
     "pool_size": "gauge",
@@ -61,7 +61,7 @@
         for number, request_class in enumerate(snapshot.classes):
             count = counts[number] if number < len(counts) else 0
             lines.append(f'{prefix}_{name}{{kind="{request_class}"}} {count}')
-    for name, metric_type in SINGLE_METRICS.items():
+    for name, metric_type in SINGLE_VALUE_METRICS.items():
         lines.append(f"# TYPE {prefix}_{name} {metric_type}")
         lines.append(f"{prefix}_{name} {getattr(snapshot, name)}")
     return ("\n".join(lines) + "\n").encode()
--- a/dockthread/admin/reload.py
+++ b/dockthread/admin/reload.py
@@ -37,7 +37,7 @@
 
     settings: PolicySettings
     names: Names
-    offered: frozenset[str]
+    offered_classes: frozenset[str]
 
 
 def merge_settings(
--- a/dockthread/admin/server.py
+++ b/dockthread/admin/server.py
@@ -112,7 +112,7 @@
         # The task of each open connection, oldest connection first.
         self._connections: dict[socket.socket, asyncio.Task[None]] = {}
         self._listener: socket.socket | None = None
-        self._accepting: asyncio.Task[None] | None = None
+        self._accept_task: asyncio.Task[None] | None = None
 
     def open(self) -> None:
         """Start listening.
@@ -124,12 +124,12 @@
         self._listener = listener
         self.address = Address(*listener.getsockname()[:2])
         logger.info("management endpoint on {}", self.address)
-        self._accepting = asyncio.get_running_loop().create_task(self._accept(listener))
+        self._accept_task = asyncio.get_running_loop().create_task(self._accept(listener))
 
     def close(self) -> None:
         """Stop listening and close all connections."""
-        if self._accepting is not None:
-            self._accepting.cancel()
+        if self._accept_task is not None:
+            self._accept_task.cancel()
         if self._listener is not None:
             self._listener.close()
         for task in list(self._connections.values()):
--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -91,7 +91,7 @@
         self._control_options: ControlOptions | None = None
         self.routes: Layers | None = None
         self._file_routes: dict[str, RouteOptions] = {}
-        self._reloading: asyncio.Task[None] | None = None
+        self._reload_task: asyncio.Task[None] | None = None
         self._reload_requested = False
         if operator_config is not None:
             self._fleet_options = operator_config.section("fleet")
@@ -146,8 +146,8 @@
         A call during a reload starts another reload after it.
         """
         self._reload_requested = True
-        if self._reloading is None or self._reloading.done():
-            self._reloading = asyncio.get_running_loop().create_task(self._reload())
+        if self._reload_task is None or self._reload_task.done():
+            self._reload_task = asyncio.get_running_loop().create_task(self._reload())
 
     def subscribe_to_control_plane(self) -> None:
         """Subscribe to the control plane, if the operator's file has a `[control]` section.
@@ -291,9 +291,9 @@
         ):
             self.resource_applier.on_settings_changed()
         if operator_config is not None:
-            self._warn_of_restart_only(operator_config)
+            self._warn_restart_required(operator_config)
 
-    def _warn_of_restart_only(self, operator_config: OperatorConfig) -> None:
+    def _warn_restart_required(self, operator_config: OperatorConfig) -> None:
         """Log a warning for each changed section that is read only at the start."""
         in_effect = {"fleet": self._fleet_options, "control": self._control_options}
         for name, options in in_effect.items():
@@ -316,25 +316,25 @@
     operator_file: str | None,
     operator_config: OperatorConfig | None,
     trace: bool,
-    early_hangups: list[int],
+    early_sighups: list[int],
 ) -> None:
     """Run a daemon until a signal stops it.
 
-    `early_hangups` holds the SIGHUPs received before the daemon existed.
+    `early_sighups` holds the SIGHUPs received before the daemon existed.
     """
     daemon = Daemon(config, operator_file, operator_config, trace)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, daemon.stop)
 
-    def on_hangup(*_: object) -> None:
+    def on_sighup(*_: object) -> None:
         with suppress(RuntimeError):  # the loop may have been closed in the meantime
             loop.call_soon_threadsafe(daemon.reload)
 
     # This is not a signal handler of the loop, because closing the loop would restore the default
     # action, and SIGHUP would then kill the process.
-    signal.signal(signal.SIGHUP, on_hangup)
-    if early_hangups:  # the files may have been read before the signal arrived
+    signal.signal(signal.SIGHUP, on_sighup)
+    if early_sighups:  # the files may have been read before the signal arrived
         daemon.reload()
     await daemon.run()
 
@@ -345,8 +345,8 @@
     `operator_file` is the path of the operator's file; it takes precedence over
     `DOCKTHREAD_CONFIG`.
     """
-    early_hangups: list[int] = []  # SIGHUPs received before the daemon has been created
-    signal.signal(signal.SIGHUP, lambda number, _: early_hangups.append(number))
+    early_sighups: list[int] = []  # SIGHUPs received before the daemon has been created
+    signal.signal(signal.SIGHUP, lambda number, _: early_sighups.append(number))
     try:
         config = read_config(os.environ)
         operator_file = operator_file or os.environ.get("DOCKTHREAD_CONFIG") or None
@@ -354,7 +354,7 @@
         is_tracing = _set_up_log(config, operator_config)
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(
-                _run_daemon(config, operator_file, operator_config, is_tracing, early_hangups)
+                _run_daemon(config, operator_file, operator_config, is_tracing, early_sighups)
             )
         # Ignore SIGHUP from here on: the interpreter's exit would restore the default action.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
--- a/dockthread/net/action_executor.py
+++ b/dockthread/net/action_executor.py
@@ -29,7 +29,7 @@
 
 # An attempt whose deadline is this close to its request's deadline gets no timer of its own: the
 # request ends its attempts when its own deadline passes.
-SAME_DEADLINE_MS = 1.0
+DEADLINE_TOLERANCE_MS = 1.0
 
 
 class ActionExecutor:
@@ -88,7 +88,7 @@
         request.attempts_in_flight += 1
         if self.observer.tracing:
             self._trace_attempt_sent(request, attempt)
-        if deadline_ms < request.deadline_ms - SAME_DEADLINE_MS:
+        if deadline_ms < request.deadline_ms - DEADLINE_TOLERANCE_MS:
             self._call_at(deadline_ms, self._pool.end, attempt, Outcome.TIMEOUT)
         if request.is_finished:
             self._pool.end(attempt, Outcome.NOT_SENT)
--- a/dockthread/net/client_connection.py
+++ b/dockthread/net/client_connection.py
@@ -51,9 +51,9 @@
 FLOOD_PAUSE_S = 0.03  # Pause between reads from a client that is flooding.
 # Maximum number of consecutive reads of discarded input. They cover 16 MiB, more than the socket
 # buffers of both machines hold, so a close behind the buffered input is noticed.
-MAX_DISCARDS_IN_A_ROW = 64
+MAX_CONSECUTIVE_DISCARDS = 64
 
-_discarded = bytearray(256 * 1024)  # Shared by all connections; its content is never used.
+_discard_buffer = bytearray(256 * 1024)  # Shared by all connections; its content is never used.
 
 
 class ClientConnectionState(Enum):
@@ -101,7 +101,7 @@
         self.command_started_ms = self.last_read_ms
         self.earliest_arrival_ms = earliest_arrival_ms
         # Lower bound on the time at which the last read left the receive buffer empty.
-        self._all_read_ms = earliest_arrival_ms
+        self._input_drained_ms = earliest_arrival_ms
         self._heartbeat_before_wait_ms = host.event_loop_lag.last_heartbeat_ms
 
         self._pending: deque[ResponseSlot] = deque()
@@ -186,7 +186,7 @@
             return
         self._state = ClientConnectionState.CLOSED
         with suppress(OSError):  # closing with unread input would reset the connection
-            self.sock.recv_into(_discarded)
+            self.sock.recv_into(_discard_buffer)
         # A cancelled task references its traceback, whose frames reference this connection and its
         # buffer. Dropping the tasks breaks the cycle, so the memory is freed without waiting for
         # the garbage collector.
@@ -282,7 +282,7 @@
         buffer = bytearray(READ_BYTES)
         try:
             while size := await self._loop.sock_recv_into(
-                self.sock, buffer if self._state is ClientConnectionState.OPEN else _discarded
+                self.sock, buffer if self._state is ClientConnectionState.OPEN else _discard_buffer
             ):
                 if self._state is not ClientConnectionState.OPEN:
                     if not await self._discard(size):
@@ -323,10 +323,10 @@
                 self.commands_read += 1
                 self.command_started_ms = self.last_read_ms
                 self._pending.append(self._commands.handle(self, message))
-                if self._commands.is_last:
+                if self._commands.is_last_served:
                     self._finish()
-                is_abusive = self._commands.invalid_commands >= MAX_INVALID_COMMANDS
-                if is_abusive or len(self._pending) > MAX_PENDING_COMMANDS:
+                has_too_many_errors = self._commands.invalid_commands >= MAX_INVALID_COMMANDS
+                if has_too_many_errors or len(self._pending) > MAX_PENDING_COMMANDS:
                     self._finish_with(resp.TOO_MANY_COMMANDS)
         except resp.ProtocolError:
             self._finish_with(resp.PROTOCOL_ERROR)
@@ -357,12 +357,12 @@
         # If the reader has waited since before the heartbeat before last, the bytes arrived after
         # that heartbeat. Otherwise they may have arrived as soon as the buffer was last drained.
         self.earliest_arrival_ms = (
-            max(self._all_read_ms, lag.earliest_arrival_ms)
+            max(self._input_drained_ms, lag.earliest_arrival_ms)
             if lag.earliest_arrival_ms >= self._heartbeat_before_wait_ms
-            else self._all_read_ms
+            else self._input_drained_ms
         )
-        has_read_all = len(data) < READ_BYTES
-        self._all_read_ms = self.last_read_ms if has_read_all else self.earliest_arrival_ms
+        is_drained = len(data) < READ_BYTES
+        self._input_drained_ms = self.last_read_ms if is_drained else self.earliest_arrival_ms
         if self._guard.is_between_messages:
             self.command_started_ms = self.last_read_ms
         self._parser.feed(data[: self._guard.count_safe_bytes(data)])
@@ -387,9 +387,9 @@
 
     def _discard_available(self) -> bool:
         """Read and discard the input that has arrived; return False if the client closed."""
-        for _ in range(MAX_DISCARDS_IN_A_ROW):
+        for _ in range(MAX_CONSECUTIVE_DISCARDS):
             try:
-                size = self.sock.recv_into(_discarded)
+                size = self.sock.recv_into(_discard_buffer)
             except (BlockingIOError, InterruptedError):
                 return True
             except OSError:
--- a/dockthread/net/connection_pool.py
+++ b/dockthread/net/connection_pool.py
@@ -126,8 +126,8 @@
             return
         if attempt.connection is not None:
             self._close_connection(attempt.connection)
-        is_true = attempt.has_started or outcome in NEVER_RAN
-        self._finish(attempt, resp.BackendReply(outcome if is_true else Outcome.NOT_SENT))
+        is_possible = attempt.has_started or outcome in NEVER_RAN
+        self._finish(attempt, resp.BackendReply(outcome if is_possible else Outcome.NOT_SENT))
 
     def close_idle_to(self, backend: BackendRecord) -> None:
         """Close the idle connections to a backend that was removed, restarted or changed address."""
@@ -275,10 +275,10 @@
                 return resp.BackendReply(Outcome.ERROR), False
             if message is not resp.INCOMPLETE:
                 reply = self._reply_parser.parse(message)
-                has_more = (
+                has_extra_bytes = (
                     guard.is_broken or not guard.is_between_messages or bool(parser.has_data())
                 )
-                return reply, reply.is_well_formed and not has_more
+                return reply, reply.is_well_formed and not has_extra_bytes
             if guard.is_broken:
                 log = logger.bind(worker=attempt.backend, uid=connection.backend.uid)
                 log.debug("malformed reply from {}", connection.endpoint)
@@ -286,8 +286,10 @@
             if not has_begun:
                 has_begun = True
                 complete_by_ms = self._clock.now() + REPLY_COMPLETION_TIMEOUT_MS
-                self._call_at(complete_by_ms, self._on_reply_timeout, connection, attempt)
+                self._call_at(
+                    complete_by_ms, self._on_reply_completion_timeout, connection, attempt
+                )
 
-    def _on_reply_timeout(self, connection: BackendConnection, attempt: Attempt) -> None:
+    def _on_reply_completion_timeout(self, connection: BackendConnection, attempt: Attempt) -> None:
         if connection.attempt is attempt and attempt.connection is connection:
             self.end(attempt, Outcome.ERROR)
--- a/dockthread/net/discovery_watch.py
+++ b/dockthread/net/discovery_watch.py
@@ -131,10 +131,10 @@
             max_delay,
         )
         # The list from the configuration, held back while a newer one from discovery is expected.
-        self._cached: EndpointsListed | None = None
-        self._call_at: Callable[..., None] = lambda _due, _then: None
+        self._held_back_list: EndpointsListed | None = None
+        self._call_at: Callable[..., None] = lambda _due_ms, _callback: None
         self._attempt = self._new_attempt()
-        self._delay_over = asyncio.Event()
+        self._delay_ended = asyncio.Event()
         self._failures = 0  # attempts that ended since a list was last received
         self._failing_since_ms = clock.now()
         # When an overdue attempt without an answer is cancelled; 0 while no attempt is overdue.
@@ -148,23 +148,23 @@
             DiscoveryError: The list is malformed.
         """
         self._call_at = call_at
-        self._cached = self._endpoints.apply(cached_list, cached=True)
+        self._held_back_list = self._endpoints.apply(cached_list, cached=True)
         if self._is_pushed and self._half_drain_grace_ms:
-            call_at(self._clock.now() + self._half_drain_grace_ms, self._use_cached)
+            call_at(self._clock.now() + self._half_drain_grace_ms, self._release_cached_list)
         else:
-            self._use_cached()
+            self._release_cached_list()
 
     @property
     def has_list(self) -> bool:
         """Whether there is a complete endpoint list, so that requests can be served."""
         return (
-            self._cached is None
+            self._held_back_list is None
             and bool(self._endpoints.by_number)
             and not self._endpoints.is_partial
         )
 
-    def _use_cached(self) -> None:
-        cached, self._cached = self._cached, None
+    def _release_cached_list(self) -> None:
+        cached, self._held_back_list = self._held_back_list, None
         if cached is not None:
             self._on_endpoints(cached)
 
@@ -174,7 +174,7 @@
             return
         self._address = address
         self._attempt.is_address_outdated = True
-        self._delay_over.set()
+        self._delay_ended.set()
         if self._attempt.task is not None:
             self._attempt.task.cancel()
 
@@ -188,13 +188,13 @@
             self.observer.event("watch", after=self._endpoints.revision)
             attempt.task = asyncio.create_task(self._watch(attempt))
             (failure,) = await asyncio.gather(attempt.task, return_exceptions=True)
-            is_delay_over = self._give_up_at_ms > 0
+            has_delay_passed = self._give_up_at_ms > 0
             self._give_up_at_ms = 0.0
             if attempt.is_address_outdated:
                 self._failing_since_ms = self._clock.now()
                 continue
             self._on_attempt_ended(failure)
-            if is_delay_over:
+            if has_delay_passed:
                 continue
             if attempt.is_streaming:
                 await self._delay(self._backoff.initial_delay())
@@ -219,8 +219,8 @@
         if attempt.task is None or not is_overdue:
             return
         if not attempt.is_streaming and not self._give_up_at_ms:
-            wait = attempt.started_ms + MAX_WAIT_MS - now
-            self._give_up_at_ms = now + self._retry_delay(wait)
+            max_delay_ms_left = attempt.started_ms + MAX_WAIT_MS - now
+            self._give_up_at_ms = now + self._retry_delay(max_delay_ms_left)
         if now >= self._give_up_at_ms:
             attempt.task.cancel()
 
@@ -238,9 +238,9 @@
 
     async def _delay(self, delay_ms: float) -> None:
         """Wait for `delay_ms`, or until the address changes: the delay applies to the old one."""
-        over = self._delay_over = asyncio.Event()
-        self._call_at(self._clock.now() + delay_ms, over.set)
-        await over.wait()
+        ended = self._delay_ended = asyncio.Event()
+        self._call_at(self._clock.now() + delay_ms, ended.set)
+        await ended.wait()
 
     def _retry_delay(self, max_delay_ms: float) -> float:
         """Draw the delay after a failed attempt, without a maximum if discovery is overloaded."""
@@ -288,7 +288,7 @@
 
     async def _apply(self, attempt: WatchAttempt, message: Any) -> None:
         for event in self._endpoints.apply_in_parts(message):
-            self._use_cached()
+            self._release_cached_list()
             self._on_endpoints(event)
             # Let other tasks serve requests between the parts of a long list.
             await asyncio.sleep(0)
--- a/dockthread/net/endpoint_list.py
+++ b/dockthread/net/endpoint_list.py
@@ -133,7 +133,7 @@
     def forget_expired(self) -> None:
         """Drop backends removed more than `REMOVED_RETENTION_MS` ago, which bounds the memory."""
         oldest_ms = self._clock.now() - REMOVED_RETENTION_MS
-        expired = [one for one in self._removed.values() if one.removed_at_ms < oldest_ms]
+        expired = [record for record in self._removed.values() if record.removed_at_ms < oldest_ms]
         for record in expired:
             del self._removed[record.number]
             del self.by_number[record.number]
@@ -150,7 +150,7 @@
         return self._apply(self.codec.decode_update(message), cached)
 
     def _apply(self, update: EndpointListUpdate, cached: bool = False) -> EndpointsListed:
-        endpoints = tuple([self._apply_one(one, update.revision) for one in update.endpoints])
+        endpoints = tuple([self._apply_entry(entry, update.revision) for entry in update.endpoints])
         self.revision = update.revision
         self.is_partial = False
         kind = EndpointListKind.CHANGES
@@ -183,7 +183,9 @@
         while remaining:
             part = remaining[-ENTRIES_PER_PART:]
             remaining[-ENTRIES_PER_PART:] = []
-            endpoints = tuple([self._apply_one(one, update.revision) for one in reversed(part)])
+            endpoints = tuple(
+                [self._apply_entry(entry, update.revision) for entry in reversed(part)]
+            )
             listed.update([endpoint.backend for endpoint in endpoints])
             yield EndpointsListed(EndpointListKind.CHANGES, endpoints)
         removed = self._remove_unlisted(listed) if update.is_full else []
@@ -206,7 +208,7 @@
             self.on_moved(record)
         return removed
 
-    def _apply_one(self, listed: ListedEndpoint, revision: int) -> Endpoint:
+    def _apply_entry(self, listed: ListedEndpoint, revision: int) -> Endpoint:
         """Apply one entry of a list, and return the endpoint for the policy engine."""
         started_ms = listed.started_at * 1000.0 if listed.started_at else 0.0
         record = self._by_uid.get(listed.uid)
--- a/dockthread/net/event_loop_lag.py
+++ b/dockthread/net/event_loop_lag.py
@@ -24,7 +24,7 @@
 
 HEARTBEAT_INTERVAL_MS = 10.0
 # Number of intervals between two heartbeats above which the loop counts as blocked.
-HELD_LOOP_INTERVALS = 1.5
+BLOCKED_LOOP_INTERVALS = 1.5
 
 
 class EventLoopLagMonitor:
@@ -45,7 +45,7 @@
     def is_lagging(self) -> bool:
         """Whether the loop was blocked between the last two heartbeats."""
         interval = self.last_heartbeat_ms - self.earliest_arrival_ms
-        return interval > HELD_LOOP_INTERVALS * HEARTBEAT_INTERVAL_MS
+        return interval > BLOCKED_LOOP_INTERVALS * HEARTBEAT_INTERVAL_MS
 
     def lag_ms(self, earliest_arrival_ms: float, now_ms: float) -> float:
         """Return an upper bound on how late a read at `now_ms` is.
@@ -60,11 +60,11 @@
         longest_interval = max(
             self.last_heartbeat_ms - self.earliest_arrival_ms, now_ms - self.last_heartbeat_ms
         )
-        is_in_time = (
-            longest_interval <= HELD_LOOP_INTERVALS * HEARTBEAT_INTERVAL_MS
+        is_on_time = (
+            longest_interval <= BLOCKED_LOOP_INTERVALS * HEARTBEAT_INTERVAL_MS
             and earliest_arrival_ms >= self.earliest_arrival_ms
         )
-        return 0.0 if is_in_time else max(0.0, now_ms - earliest_arrival_ms)
+        return 0.0 if is_on_time else max(0.0, now_ms - earliest_arrival_ms)
 
     def record_heartbeat(self, now_ms: float) -> None:
         """Record a heartbeat; input read from now on arrived after the previous one."""
--- a/dockthread/net/gossip_transport.py
+++ b/dockthread/net/gossip_transport.py
@@ -43,15 +43,15 @@
         self._on_received = on_received
         self._traffic = traffic
         # Maps the addresses of the other ingresses to their numbers.
-        self._numbers: dict[tuple[str, int], int] = {}
+        self._number_by_address: dict[tuple[str, int], int] = {}
         if addresses is not None:
-            self._numbers = {
+            self._number_by_address = {
                 (peer.host, peer.port): number
                 for number, peer in enumerate(addresses.peers)
                 if number != ingress_number
             }
         self._sock: socket.socket | None = None
-        self._is_warned = False
+        self._has_warned = False
         self._is_closed = False
 
     def open(self) -> None:
@@ -61,9 +61,9 @@
         try:
             self._sock = self._addresses.listen.listener(None)
         except OSError as error:
-            if not self._is_warned:
+            if not self._has_warned:
                 logger.warning("cannot receive gossip at {} yet: {}", self._addresses.listen, error)
-            self._is_warned = True
+            self._has_warned = True
             return
         asyncio.get_running_loop().add_reader(self._sock.fileno(), self._receive)
 
@@ -86,7 +86,7 @@
             return [peers[number]] if 0 <= number < len(peers) else []
         if self._addresses.broadcast is not None:
             return [self._addresses.broadcast]
-        return [peers[other] for other in self._numbers.values()]
+        return [peers[peer_number] for peer_number in self._number_by_address.values()]
 
     def close(self) -> None:
         """Release the address permanently."""
@@ -108,7 +108,7 @@
             except OSError as error:  # ICMP error for a message sent earlier
                 logger.debug("gossip was not delivered: {}", error)
                 continue
-            number = self._numbers.get((sender[0], sender[1]))
+            number = self._number_by_address.get((sender[0], sender[1]))
             if number is None or len(data) > MAX_MESSAGE_BYTES:
                 self._traffic.gossip_rejected += 1
                 continue
--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -30,7 +30,7 @@
 
 # Time after the signal to stop during which the load balancer may still send new clients here.
 LINGER_MS = 500.0
-LAST_READ_MS = 20.0  # Time to read the requests that wait on the connections accepted last.
+FINAL_READ_MS = 20.0  # Time to read the requests that wait on the connections accepted last.
 BODY_MEMORY_SHARE = 1 / 8  # Share of the configured memory for the bodies of requests.
 BYTES_PER_MIB = 1024 * 1024
 
@@ -51,12 +51,16 @@
 
 
 def _request_parser(
-    config: IngressConfig, offered: frozenset[str] | None = None
+    config: IngressConfig, offered_classes: frozenset[str] | None = None
 ) -> resp.RequestParser:
-    """Return a request parser; `offered` names the classes clients may use, None for all."""
+    """Return a request parser; `offered_classes` names the classes clients may use, None for all."""
     settings = config.policy_settings
     return resp.RequestParser(
-        config.names, settings.classes, settings.ingress_count, config.max_request_units, offered
+        config.names,
+        settings.classes,
+        settings.ingress_count,
+        config.max_request_units,
+        offered_classes,
     )
 
 
@@ -99,7 +103,7 @@
             self.dispatch,
         )
         self._assemble_request_path(context)
-        self._assemble_peers(settings)
+        self._assemble_remote_clients(settings)
         self._executor = ActionExecutor(
             context, self.requests, self.connection_pool, self.counter, self.peers
         )
@@ -128,7 +132,7 @@
         self.connection_pool.on_ended = self.requests.on_attempt_ended
         self.listener = Listener(self, self.budget, self.connection_pool)
 
-    def _assemble_peers(self, settings: PolicySettings) -> None:
+    def _assemble_remote_clients(self, settings: PolicySettings) -> None:
         """Create the components that talk to discovery, the quota counter and other ingresses."""
         config = self.config
         self.watch = DiscoveryWatch(
@@ -203,10 +207,10 @@
         The policy engine sees a change of the endpoint list. A backend that serves again is assumed
         to have been restarted, so it warms up. Returns False for an unknown backend.
         """
-        listed = self.endpoints.set_excluded(uid, drained, self.clock.now())
-        if listed is None:
+        event = self.endpoints.set_excluded(uid, drained, self.clock.now())
+        if event is None:
             return False
-        self.dispatch(listed)
+        self.dispatch(event)
         return True
 
     def reload(self, config: IngressConfig) -> None:
@@ -232,7 +236,7 @@
             policy_settings=settings,
             names=merged.names,
         )
-        self.request_parser = _request_parser(self.config, merged.offered)
+        self.request_parser = _request_parser(self.config, merged.offered_classes)
         self.traffic.ensure_classes(len(merged.names.classes))
         self.watch.change_address(config.discovery)
         self.counter.change_address(config.counter)
@@ -246,16 +250,16 @@
     async def run(self) -> None:
         """Serve until `stop` is called, then drain, answering every request in flight."""
         self._start()
-        watching = self._loop.create_task(self.watch.run())
-        accepting = self._loop.create_task(self.listener.accept())
+        watch_task = self._loop.create_task(self.watch.run())
+        accept_task = self._loop.create_task(self.listener.accept())
         self.lifecycle.enter(Phase.SERVING)
         try:
             await self._stop_requested.wait()
-            await self._linger(accepting)
+            await self._linger(accept_task)
             await self._drain()
         finally:
-            watching.cancel()
-            accepting.cancel()
+            watch_task.cancel()
+            accept_task.cancel()
             self._close()
             self.lifecycle.enter(Phase.STOPPED)
 
@@ -272,13 +276,13 @@
         self._run_periodic_maintenance()
         self._record_heartbeat()
 
-    async def _linger(self, accepting: asyncio.Task[None]) -> None:
+    async def _linger(self, accept_task: asyncio.Task[None]) -> None:
         """Keep accepting clients for `LINGER_MS`, then empty the accept queue and stop listening."""
         self.lifecycle.enter(Phase.LINGERING)
         await self.timers.sleep(LINGER_MS)
-        accepting.cancel()
+        accept_task.cancel()
         self.listener.accept_queued()
-        await self.timers.sleep(LAST_READ_MS)
+        await self.timers.sleep(FINAL_READ_MS)
         self.listener.accept_queued()
         self.listener.socket.close()
 
@@ -290,7 +294,7 @@
         # Every request is answered by the longest deadline. Connections that are still open after
         # that belong to clients that do not read.
         longest_deadline_ms = (
-            max(one.deadline for one in self.config.policy_settings.classes) * 1000.0
+            max(each_class.deadline for each_class in self.config.policy_settings.classes) * 1000.0
         )
         close_at_ms = self.clock.now() + longest_deadline_ms + LINGER_MS
         self.call_at(close_at_ms, self.listener.close_all)
--- a/dockthread/net/listener.py
+++ b/dockthread/net/listener.py
@@ -22,9 +22,9 @@
 MIN_IDLE_MS = 100.0
 # Idle time after which a connection is closed if more than half of the client budget is in use.
 IDLE_TIMEOUT_MS = 2_000.0
-FULL_RETRY_DELAY_S = 0.01  # Time before the budget is checked again after it was exhausted.
+BUDGET_RETRY_DELAY_S = 0.01  # Time before the budget is checked again after it was exhausted.
 ACCEPT_RETRY_DELAY_S = 0.05  # Time before the next accept after an error.
-OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class IdleConnections(Protocol):
@@ -76,7 +76,7 @@
             # wait in the accept queue. This polls, because an event would have to be set in every
             # place where a connection can become idle.
             while self._is_full() and not self.evict_idle(include_surplus=True):  # noqa: ASYNC110
-                await asyncio.sleep(FULL_RETRY_DELAY_S)
+                await asyncio.sleep(BUDGET_RETRY_DELAY_S)
             try:
                 sock, _ = await self._loop.sock_accept(self.socket)
                 self._open(sock)
@@ -84,7 +84,7 @@
                 await asyncio.sleep(0)
             except OSError as error:
                 # Without a free descriptor, clients wait in the accept queue.
-                if error.errno in OUT_OF_DESCRIPTORS and (
+                if error.errno in RESOURCE_ERRNOS and (
                     self._backend_connections.close_longest_idle() or self.evict_idle()
                 ):
                     continue
@@ -155,9 +155,9 @@
         """End the connections whose clients have exceeded a timeout, and long idle ones."""
         for connection in list(self.connections):
             connection.enforce_timeouts(now)
-        self.close_idle(now)
+        self.close_long_idle(now)
 
-    def close_idle(self, now: float) -> None:
+    def close_long_idle(self, now: float) -> None:
         """End connections idle for longer than `IDLE_TIMEOUT_MS` if over half the budget is used.
 
         This frees descriptors before the budget is exhausted.
--- a/dockthread/net/quota_counter.py
+++ b/dockthread/net/quota_counter.py
@@ -89,14 +89,14 @@
         self._loop = asyncio.get_running_loop()
         self._connection: CounterConnection | None = None  # used for new additions
         self._connections: set[CounterConnection] = set()
-        self._no_connection_before_ms = 0.0
+        self._reconnect_not_before_ms = 0.0
 
     def change_address(self, address: Address | None) -> None:
         """Switch to another address; the old connection still serves its additions in flight."""
         if address != self._address:
             self._address = address
             self._connection = None
-            self._no_connection_before_ms = 0.0
+            self._reconnect_not_before_ms = 0.0
 
     def add(self, name: int, amount: float, lifetime_ms: float) -> None:
         """Add `amount` to the count `name`, which expires `lifetime_ms` after its first addition."""
@@ -131,7 +131,7 @@
                 self._drop(connection)
 
     def _connect(self, now_ms: float) -> CounterConnection | None:
-        if self._address is None or now_ms < self._no_connection_before_ms:
+        if self._address is None or now_ms < self._reconnect_not_before_ms:
             return None
         try:
             connection = CounterConnection(self._address)
@@ -171,7 +171,7 @@
         if self._connection is connection:
             self._connection = None
             if not connection.is_established:
-                self._no_connection_before_ms = self._clock.now() + RECONNECT_DELAY_MS
+                self._reconnect_not_before_ms = self._clock.now() + RECONNECT_DELAY_MS
         for task in (connection.reader_task, connection.writer_task):
             if task is not None:
                 task.cancel()
@@ -216,11 +216,11 @@
             data = bytes(buffer[:size])
             connection.last_received_ms = self._clock.now()
             parser.feed(data[: guard.count_safe_bytes(data)])
-            self._take_replies(connection, parser)
+            self._process_replies(connection, parser)
             if guard.is_broken:
                 raise resp.ProtocolError("malformed reply")
 
-    def _take_replies(self, connection: CounterConnection, parser: hiredis.Reader) -> None:
+    def _process_replies(self, connection: CounterConnection, parser: hiredis.Reader) -> None:
         while (message := parser.gets()) is not resp.INCOMPLETE:
             if not connection.in_flight:
                 raise resp.ProtocolError("reply without a command in flight")
--- a/dockthread/net/request.py
+++ b/dockthread/net/request.py
@@ -73,7 +73,7 @@
         return "time" if outcome is None else outcome.value
 
 
-class RouteBounds(Route, Protocol):
+class RequestRoute(Route, Protocol):
     """The route of a request, with the settings that the ingress itself enforces."""
 
     @property
@@ -87,6 +87,6 @@
 
     spent: dict[str, Any]
 
-    def bounds(self, ask: resp.RequestCommand) -> RouteBounds | None:
+    def bounds(self, command: resp.RequestCommand) -> RequestRoute | None:
         """Return the route of a request; None if no route applies."""
         ...
--- a/dockthread/net/requests_in_flight.py
+++ b/dockthread/net/requests_in_flight.py
@@ -209,7 +209,7 @@
             node=self._endpoints.uid_of(attempt.backend),
             outcome=reply.outcome.value.replace(" ", "-"),
             took=round(self._clock.now() - attempt.started_ms, 1),
-            load=",".join(f"{figure:.4g}" for figure in reply.load_report) or "-",
+            load=",".join(f"{number:.4g}" for number in reply.load_report) or "-",
         )
 
     def _forget_if_done(self, request: Request) -> None:
--- a/dockthread/net/resp/commands.py
+++ b/dockthread/net/resp/commands.py
@@ -94,7 +94,8 @@
         }
         self._plan_numbers = {name.encode(): number for number, name in enumerate(names.plans)}
         self._verbs = [
-            b"API.READ" if one.effect is Effect.SAFE else b"API.WRITE" for one in classes
+            b"API.READ" if request_class.effect is Effect.SAFE else b"API.WRITE"
+            for request_class in classes
         ]
         self._ingress_count = ingress_count
         self._max_units = max_units
@@ -121,12 +122,12 @@
             raise CommandError("a term stands twice")
         if arguments[0].upper() != self._verbs[request_class]:
             raise CommandError("this class goes by the other command")
-        figure_start = 2 if text.startswith(b"d=") else text.index(b",d=") + 3
-        figure_end = text.find(b",", figure_start)
+        deadline_start = 2 if text.startswith(b"d=") else text.index(b",d=") + 3
+        deadline_end = text.find(b",", deadline_start)
         command = RequestCommand(
             arguments,
-            text[:figure_start],
-            text[figure_end:] if figure_end >= 0 else b"",
+            text[:deadline_start],
+            text[deadline_end:] if deadline_end >= 0 else b"",
             request_class,
             plan,
             customer=int(arguments[1], 16),
--- a/dockthread/net/resp/replies.py
+++ b/dockthread/net/resp/replies.py
@@ -20,7 +20,7 @@
 TOO_MANY_COMMANDS = b"-ERR too many commands at once\r\n"
 
 MIN_RETRY_AFTER_MS = 0.5  # Smaller values round to 0, and the reply then has no retry delay.
-MAX_LOAD_FIGURE = 1e6  # Upper bound (exclusive) of each number in a usage or load report.
+MAX_REPORTED_NUMBER = 1e6  # Upper bound (exclusive) of each number in a usage or load report.
 
 # Maps field names of load reports in the settings (as in the simulator) to the names that backends
 # send.
@@ -81,12 +81,12 @@
         if isinstance(message, list) and len(message) == 3 and type(message[0]) is bytes:
             value, usage, load_report = message
             if len(value) <= MAX_VALUE_BYTES and all(
-                note is None or type(note) is bytes for note in (usage, load_report)
+                report is None or type(report) is bytes for report in (usage, load_report)
             ):
                 reply = BackendReply(Outcome.OK, value)
-                for note in (usage, load_report):
-                    if note:
-                        self._apply_note(reply, note)
+                for report in (usage, load_report):
+                    if report:
+                        self._apply_report(reply, report)
                 return reply
         if isinstance(message, hiredis.ReplyError):
             return self._parse_error(str(message))
@@ -94,14 +94,14 @@
         return BackendReply(Outcome.ERROR, is_well_formed=False)
 
     def _parse_error(self, text: str) -> BackendReply:
-        kind, *notes = text.split(" ")
+        kind, *reports = text.split(" ")
         reply = BackendReply(Outcome.AT_CAPACITY if kind == "BUSY" else Outcome.ERROR)
-        reply.is_well_formed = kind == "BUSY" or (kind == "ERR" and notes[:1] == ["failed"])
-        for note in notes:
-            self._apply_note(reply, note.encode())
+        reply.is_well_formed = kind == "BUSY" or (kind == "ERR" and reports[:1] == ["failed"])
+        for report in reports:
+            self._apply_report(reply, report.encode())
         return reply
 
-    def _apply_note(self, reply: BackendReply, note: bytes) -> None:
+    def _apply_report(self, reply: BackendReply, report: bytes) -> None:
         """Copy the numbers of a usage or load report into `reply`.
 
         A report with an invalid or implausible number is ignored: a single NaN would remain in
@@ -109,13 +109,13 @@
         """
         try:
             fields = {
-                name: float(figure)
-                for name, figure in (field.split(b"=", 1) for field in note.split(b","))
+                name: float(number)
+                for name, number in (field.split(b"=", 1) for field in report.split(b","))
             }
         except ValueError:
             return
         if not all(
-            isfinite(figure) and 0 <= figure < MAX_LOAD_FIGURE for figure in fields.values()
+            isfinite(number) and 0 <= number < MAX_REPORTED_NUMBER for number in fields.values()
         ):
             return
         if b"used" in fields:
@@ -125,4 +125,4 @@
             fields.get(wire_name, fields.get(setting)) for wire_name, setting in self._field_names
         ]
         if load_report and None not in load_report:
-            reply.load_report = tuple(figure for figure in load_report if figure is not None)
+            reply.load_report = tuple(number for number in load_report if number is not None)
--- a/dockthread/net/timers.py
+++ b/dockthread/net/timers.py
@@ -49,8 +49,8 @@
         self._armed_for_ms = self._heap[0][0]
         resolution_ms = self._resolution_ms
         now = self._clock.now()
-        rings_at_ms = ceil(max(now, self._armed_for_ms) / resolution_ms) * resolution_ms
-        delay_ms = max(1, ceil(rings_at_ms - now))
+        fires_at_ms = ceil(max(now, self._armed_for_ms) / resolution_ms) * resolution_ms
+        delay_ms = max(1, ceil(fires_at_ms - now))
         self._loop_timer = self._loop.call_later(delay_ms / 1000.0, self.run_due)
 
     async def sleep(self, duration_ms: float) -> None:
--- a/dockthread/net/watch_response_parser.py
+++ b/dockthread/net/watch_response_parser.py
@@ -33,18 +33,24 @@
 
     def __init__(self, read_entry: Callable[[Any], Any] | None = None) -> None:
         self._http = httptools.HttpResponseParser(self)
-        self._found = ijson.sendable_list()
+        self._completed_objects = ijson.sendable_list()
         self._json = ijson.items_coro(
-            self._found, "", multiple_values=True, use_float=True, map_type=self._new_members
+            self._completed_objects,
+            "",
+            multiple_values=True,
+            use_float=True,
+            map_type=self._new_object,
         )
         self._read_entry = read_entry
-        self._members: JsonObject | None = None  # members so far of the current outermost object
-        self._found_before = 0  # number of complete objects when the current one began
-        self._object_entries = 0  # number of decoded entries of the current object
+        self._current_object: JsonObject | None = (
+            None  # members so far of the current outermost object
+        )
+        self._completed_before_object = 0  # number of complete objects when the current one began
+        self._object_entries_read = 0  # number of decoded entries of the current object
         self.entries_read = 0  # number of decoded entries of all objects
         self._object_bytes = 0  # size of the current object, rounded up to whole chunks
         self._unread_bytes = 0  # size of the input since an entry was last decoded
-        self._failure: DiscoveryError | None = None
+        self._error: DiscoveryError | None = None
         self.is_inside_object = False
         self.has_body = False  # the status is OK, and a part of the body has arrived
         self.is_complete = False
@@ -58,73 +64,78 @@
         try:
             self._http.feed_data(data)
         except httptools.HttpParserError as error:
-            self._failure = self._failure or DiscoveryError(
+            self._error = self._error or DiscoveryError(
                 f"not an HTTP response: {error.__context__ or error}"
             )
-        found = list(self._found)
-        self._found.clear()
-        yield from found
-        if self._failure is not None:
-            raise self._failure
+        completed = list(self._completed_objects)
+        self._completed_objects.clear()
+        yield from completed
+        if self._error is not None:
+            raise self._error
 
-    def _new_members(self) -> JsonObject:
+    def _new_object(self) -> JsonObject:
         """Return a dict for ijson to fill; keep a reference if it is an outermost object."""
-        members: JsonObject = {}
-        if self._members is None or len(self._found) > self._found_before:
-            self._members = members
-            self._found_before = len(self._found)
-            self._object_entries = 0
-        return members
+        new_object: JsonObject = {}
+        if (
+            self._current_object is None
+            or len(self._completed_objects) > self._completed_before_object
+        ):
+            self._current_object = new_object
+            self._completed_before_object = len(self._completed_objects)
+            self._object_entries_read = 0
+        return new_object
 
     def _read_entries(self) -> None:
         """Decode all new entries but the last, which may be incomplete."""
-        targets = self._members.get("targets") if self._members is not None else None
+        targets = self._current_object.get("targets") if self._current_object is not None else None
         if self._read_entry is None or not isinstance(targets, list):
             return
-        first, end = self._object_entries, len(targets) - 1
-        if end <= first:
+        start, end = self._object_entries_read, len(targets) - 1
+        if end <= start:
             return
-        targets[first:end] = map(self._read_entry, targets[first:end])
-        self.entries_read += end - first
-        self._object_entries = end
+        targets[start:end] = map(self._read_entry, targets[start:end])
+        self.entries_read += end - start
+        self._object_entries_read = end
         self._unread_bytes = 0
 
     def on_headers_complete(self) -> None:
         """Check the status code; called by httptools."""
         status = self._http.get_status_code()
         if status != HTTP_OK:
-            self._failure = DiscoveryError(f"discovery answered {status}")
+            self._error = DiscoveryError(f"discovery answered {status}")
 
     def on_body(self, body: bytes) -> None:
         """Parse a part of the body; called by httptools."""
-        if self._failure is not None:
+        if self._error is not None:
             return
         self.has_body = True
-        found_before = len(self._found)
+        completed_before = len(self._completed_objects)
         self._unread_bytes += len(body)
         try:
             self._json.send(body)
             self._read_entries()
         except DiscoveryError as error:
-            self._failure = error
+            self._error = error
             return
         except (ijson.JSONError, UnicodeDecodeError, RecursionError) as error:
             text = " ".join(str(error).split())
-            self._failure = DiscoveryError(f"not JSON: {text[:MAX_ERROR_CHARS]}")
+            self._error = DiscoveryError(f"not JSON: {text[:MAX_ERROR_CHARS]}")
             return
-        self._track_object(body, is_any_found=len(self._found) > found_before)
+        self._track_object(
+            body, has_completed_object=len(self._completed_objects) > completed_before
+        )
         if self._object_bytes > MAX_OBJECT_BYTES or self._unread_bytes > MAX_UNREAD_BYTES:
-            self._failure = DiscoveryError("an object is too large")
+            self._error = DiscoveryError("an object is too large")
 
-    def _track_object(self, body: bytes, *, is_any_found: bool) -> None:
+    def _track_object(self, body: bytes, *, has_completed_object: bool) -> None:
         """Update, after a part of the body, whether an object is incomplete and how large it is."""
         text = body.rstrip()
-        if is_any_found:
+        if has_completed_object:
             self._object_bytes = 0
             self._unread_bytes = 0
             self.is_inside_object = not text.endswith(b"}")
             if not self.is_inside_object:
-                self._members = None
+                self._current_object = None
         elif text:
             self._object_bytes += len(body)
             self.is_inside_object = True
--- a/dockthread/section_registry.py
+++ b/dockthread/section_registry.py
@@ -103,12 +103,14 @@
         with Path(path).open("rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
         if len(data) > MAX_FILE_BYTES:
-            return _unreadable(path, f"is larger than {MAX_FILE_BYTES} bytes", "name an INI file")
+            return _unreadable_file(
+                path, f"is larger than {MAX_FILE_BYTES} bytes", "name an INI file"
+            )
         return parse_operator_file(data.decode(), path, settings, names)
     except OSError as error:
-        return _unreadable(path, f"cannot be read: {error.strerror}", "name a readable file")
+        return _unreadable_file(path, f"cannot be read: {error.strerror}", "name a readable file")
     except UnicodeDecodeError:
-        return _unreadable(path, "is not UTF-8 text", "name an INI file")
+        return _unreadable_file(path, "is not UTF-8 text", "name an INI file")
 
 
 def load_operator_file(
@@ -137,5 +139,5 @@
     return config
 
 
-def _unreadable(path: str, reason: str, remedy: str) -> OperatorConfig:
+def _unreadable_file(path: str, reason: str, remedy: str) -> OperatorConfig:
     return OperatorConfig(path, problems=[ConfigProblem(path, "", "", reason, remedy)])
--- a/tests/admin/test_management_endpoint.py
+++ b/tests/admin/test_management_endpoint.py
@@ -33,7 +33,7 @@
         (b"POST", b"/_backends/attach", b'{"target":""}', 400),
     ],
 )  # fmt: skip
-def test_a_request_becomes_a_command_or_is_rejected_with_its_status(
+def test_a_request_is_parsed_to_a_command_or_rejected_with_the_right_status(
     method: bytes, path: bytes, body: bytes, expected: object
 ) -> None:
     parsed = commands.parse_request(method, path, body)
@@ -73,7 +73,7 @@
             server = ManagementServer(admin, Address("127.0.0.1", 0))
             server.open()
             port = server.address.port
-            silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(60)]
+            silent_clients = [await asyncio.open_connection("127.0.0.1", port) for _ in range(60)]
             assert await client.call() == b"value"
             assert await send(port, get("/_ready")) == (200, b"ready\n")
             status, metrics = await send(port, get("/_vars"))
@@ -92,7 +92,7 @@
             assert await client.call() == b"value"
             assert (await send(port, b"DELETE /_vars HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 405
             assert (await send(port, get("/x")))[0] == 404
-            for _, writer in silent:
+            for _, writer in silent_clients:
                 writer.close()
             server.close()
 
@@ -103,21 +103,23 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    known = message(1, target("s-0", 9), target("s-1", 10), full=True)
+    endpoint_list = message(1, target("s-0", 9), target("s-1", 10), full=True)
 
     async def scenario() -> None:
-        first = Daemon(config(known), None, None)
-        first.ingress.dispatch(first.ingress.endpoints.apply(known))
+        first = Daemon(config(endpoint_list), None, None)
+        first.ingress.dispatch(first.ingress.endpoints.apply(endpoint_list))
         assert first.detach("s-0") and first.detach("s-0") and not first.detach("nobody")
-        second = Daemon(config(known), None, None)  # after an upgrade, with the same $TMPDIR
-        listed = second.ingress.endpoints.apply(known)
+        second = Daemon(
+            config(endpoint_list), None, None
+        )  # after an upgrade, with the same $TMPDIR
+        listed = second.ingress.endpoints.apply(endpoint_list)
         states = {
             second.ingress.endpoints.uid_of(endpoint.backend): endpoint.state
             for endpoint in listed.endpoints
         }
         assert states == {"s-0": BackendState.DRAINING, "s-1": BackendState.READY}
         assert second.attach("s-0") and not second.ingress.endpoints.excluded_uids
-        third = Daemon(config(known), None, None)
+        third = Daemon(config(endpoint_list), None, None)
         assert not third.ingress.endpoints.excluded_uids
 
     run(scenario())
--- a/tests/admin/test_reload.py
+++ b/tests/admin/test_reload.py
@@ -17,7 +17,7 @@
 STATUS = RequestClass(latency_objective=1.5, deadline=4.0, effect=Effect.SAFE)
 CHECKOUT = RequestClass(latency_objective=3.0, deadline=12.0, effect=Effect.UNSAFE)
 RENEW = RequestClass(latency_objective=1.0, deadline=2.0, effect=Effect.KEYED)
-OLD = PolicySettings(
+OLD_SETTINGS = PolicySettings(
     ingress_number=0, ingress_count=1, classes=(STATUS, CHECKOUT), plans=(), max_attempts=4
 )
 
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    ("new", "kept_names", "offered"),
+    ("new", "kept_names", "offered_classes"),
     [
         ((("status", STATUS), ("checkout", CHECKOUT)), ("status", "checkout"), {"status", "checkout"}),
         ((("checkout", CHECKOUT), ("renew", RENEW)), ("status", "checkout", "renew"), {"checkout", "renew"}),
@@ -35,14 +35,18 @@
         ((("status", replace(STATUS, effect=Effect.UNSAFE)),), ("status", "checkout"), {"status"}),
     ],
 )  # fmt: skip
-def test_a_class_keeps_its_number_whatever_classes_the_new_file_has(
-    new: tuple[tuple[str, RequestClass], ...], kept_names: tuple[str, ...], offered: set[str]
+def test_a_class_keeps_its_number_for_any_set_of_classes_in_the_new_file(
+    new: tuple[tuple[str, RequestClass], ...],
+    kept_names: tuple[str, ...],
+    offered_classes: set[str],
 ) -> None:
     new_names = names(*(name for name, _ in new))
-    settings = replace(OLD, classes=tuple(each for _, each in new), max_attempts=2)
-    merged = merge_settings(OLD, names("status", "checkout"), settings, new_names)
+    settings = replace(
+        OLD_SETTINGS, classes=tuple(request_class for _, request_class in new), max_attempts=2
+    )
+    merged = merge_settings(OLD_SETTINGS, names("status", "checkout"), settings, new_names)
     assert merged.names.classes == kept_names
-    assert merged.offered == offered
+    assert merged.offered_classes == offered_classes
     assert merged.settings.max_attempts == 2
     new_classes = dict(new)
     for number, name in enumerate(kept_names):
--- a/tests/net/failing_discovery.py
+++ b/tests/net/failing_discovery.py
@@ -35,17 +35,17 @@
         self.failure: str | None = None
         self.attempts = 0  # number of attempts that were answered or failed
         self.is_reachable = True
-        self.hanging: list[asyncio.StreamWriter] = []
+        self.hanging_writers: list[asyncio.StreamWriter] = []
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         if self.failure is not None:
-            sent, ends_connection = FAILURES[self.failure]
-            writer.write(sent)
+            response, ends_connection = FAILURES[self.failure]
+            writer.write(response)
             if self.failure == "resets":
                 sock = writer.get_extra_info("socket")
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            (writer.close if ends_connection else lambda: self.hanging.append(writer))()
+            (writer.close if ends_connection else lambda: self.hanging_writers.append(writer))()
             self.attempts += 1
             return
         self.writers.append(writer)
@@ -55,7 +55,7 @@
 
 
 class UnreachableDiscovery(FailingDiscovery):
-    """A discovery whose port is closed or whose accept queue is full until `come_back`."""
+    """A discovery whose port is closed or whose accept queue is full until `recover`."""
 
     def __init__(self, is_queue_full: bool) -> None:
         super().__init__()
@@ -75,7 +75,7 @@
                 self.queue_fillers[-1].connect_ex(address)
         return int(address[1])
 
-    async def come_back(self) -> None:
+    async def recover(self) -> None:
         for sock in self.queue_fillers:
             sock.close()
         self.is_reachable = True
--- a/tests/net/support.py
+++ b/tests/net/support.py
@@ -71,7 +71,7 @@
 
 
 @contextmanager
-def slowed_loop(seconds: float) -> Iterator[None]:
+def slow_event_loop(seconds: float) -> Iterator[None]:
     """Make each iteration of the event loop take `seconds` longer."""
     loop = asyncio.get_running_loop()
     is_slowed = True
--- a/tests/net/test_backend_connections.py
+++ b/tests/net/test_backend_connections.py
@@ -20,7 +20,7 @@
 )
 
 
-def test_forwarded_commands_keep_their_form_and_connections_are_reused() -> None:
+def test_forwarded_commands_change_only_the_deadline_and_connections_are_reused() -> None:
     async def scenario() -> None:
         backend, clock = Backend(), ManualClock()
         async with serving(backend, clock=clock) as (_, client, _):
@@ -35,13 +35,16 @@
             b"%016x" % FIRST_ID,
             b"BO\r\nDY",
         )
-        head, left, rest = (
+        first_terms, time_left, last_terms = (
             terms.partition(b"d=")[0],
             terms.split(b"d=")[1].split(b",")[0],
             terms.split(b",")[3:],
         )
-        assert (head, rest) == (b"c=status,t=gross,", [b"units=2", b"spread=3", b"first=1"])
-        assert 0 < int(left) <= 3000
+        assert (first_terms, last_terms) == (
+            b"c=status,t=gross,",
+            [b"units=2", b"spread=3", b"first=1"],
+        )
+        assert 0 < int(time_left) <= 3000
         # Guards against closing every connection after one attempt, which happened when the check
         # for extra bytes used reader.len(): it also counts bytes that were already read.
         assert backend.opened == 1
@@ -63,7 +66,7 @@
     run(scenario())
 
 
-def test_idle_connections_close_before_the_backend_would_close_them() -> None:
+def test_idle_connections_are_closed_before_the_backend_closes_them() -> None:
     async def scenario() -> None:
         backend, clock = Backend(), ManualClock()
         async with serving(backend, clock=clock) as (ingress, client, _):
@@ -78,7 +81,7 @@
     run(scenario())
 
 
-def test_nothing_is_sent_to_a_backend_that_begins_to_drain_while_connecting() -> None:
+def test_nothing_is_sent_to_a_backend_that_starts_draining_while_connecting() -> None:
     async def scenario() -> None:
         drained, other = Backend(), Backend()
         async with serving(drained, other) as (ingress, client, discovery):
@@ -129,11 +132,11 @@
     run(scenario())
 
 
-@pytest.mark.parametrize("more", [b"noise", VALUE_REPLY, b"-BUSY\r\n", b"*3\r\n"])
-def test_bytes_behind_a_good_reply_are_not_taken_for_the_next_one(more: bytes) -> None:
+@pytest.mark.parametrize("extra", [b"noise", VALUE_REPLY, b"-BUSY\r\n", b"*3\r\n"])
+def test_extra_bytes_after_a_valid_reply_are_not_taken_for_the_next_reply(extra: bytes) -> None:
     async def scenario() -> None:
         async def replies(args: list[bytes]) -> bytes | None:
-            return VALUE_REPLY + more
+            return VALUE_REPLY + extra
 
         backend = Backend(replies)
         async with serving(backend) as (_, client, _):
@@ -143,7 +146,7 @@
     run(scenario())
 
 
-def test_a_second_reply_closes_the_connection() -> None:
+def test_a_duplicate_reply_closes_the_connection() -> None:
     async def scenario() -> None:
         async def replies_twice(args: list[bytes]) -> bytes | None:
             return (await serves(args) or b"") * 2
@@ -156,7 +159,7 @@
     run(scenario())
 
 
-def test_a_second_reply_some_milliseconds_late_is_not_taken_for_the_next_one() -> None:
+def test_a_duplicate_reply_that_arrives_late_is_not_taken_for_the_next_reply() -> None:
     async def scenario() -> None:
         async def replies(args: list[bytes]) -> bytes | None:
             # The first connection sends a second reply while the second attempt is in flight.
@@ -180,28 +183,28 @@
 def test_a_connect_timeout_ends_the_attempt_as_unreachable() -> None:
     async def scenario() -> None:
         async with serving(Backend()) as (ingress, _, _):
-            with socket.socket() as full:
-                full.bind(("127.0.0.1", 0))
-                full.listen(0)
-                port = full.getsockname()[1]
+            with socket.socket() as full_listener:
+                full_listener.bind(("127.0.0.1", 0))
+                full_listener.listen(0)
+                port = full_listener.getsockname()[1]
                 # Fill the accept queue, so that further connections cannot be established.
-                queued = [socket.socket() for _ in range(4)]
-                for one in queued:
-                    one.setblocking(False)
-                    one.connect_ex(("127.0.0.1", port))
+                queue_fillers = [socket.socket() for _ in range(4)]
+                for filler in queue_fillers:
+                    filler.setblocking(False)
+                    filler.connect_ex(("127.0.0.1", port))
                 ingress.endpoints.apply(message(2, target("s-9", port)))
                 outcomes = collect_outcomes(ingress)
                 ingress.connection_pool.start(new_attempt(ingress, backend=2))
                 await until(lambda: outcomes)
                 assert [outcome for _, outcome in outcomes] == [Outcome.UNREACHABLE]
                 assert outcomes[0][0].started_ms + 250 <= Clock().now()
-                for one in queued:
-                    one.close()
+                for filler in queue_fillers:
+                    filler.close()
 
     run(scenario())
 
 
-def test_ending_an_attempt_closes_its_connection_and_no_other() -> None:
+def test_ending_an_attempt_closes_only_its_own_connection() -> None:
     async def scenario() -> None:
         backend = Backend(never_replies)
         async with serving(backend) as (ingress, _, _):
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -15,7 +15,7 @@
 from tests.net.support import UNREACHED_DEADLINE_MS, never_replies
 
 
-def test_responses_come_once_and_in_the_order_of_the_commands() -> None:
+def test_each_command_gets_one_response_in_the_order_of_the_commands() -> None:
     async def scenario() -> None:
         gate = asyncio.Event()
 
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sent", "answers"),
+    ("commands", "expected_responses"),
     [
         (b"*1\r\n$4\r\nping\r\n", ["PONG"]),
         (b"*2\r\n$4\r\nPING\r\n$2\r\nhi\r\n", ["hi"]),
@@ -57,13 +57,13 @@
         ),
     ],
 )
-def test_other_commands_than_requests_get_their_response_or_an_error(
-    sent: bytes, answers: list[str | None]
+def test_commands_that_are_not_requests_get_a_response_or_an_error(
+    commands: bytes, expected_responses: list[str | None]
 ) -> None:
     async def scenario() -> None:
         async with serving(Backend()) as (ingress, client, _):
-            client.writer.write(sent)
-            for expected in answers:
+            client.writer.write(commands)
+            for expected in expected_responses:
                 response = await client.answer()
                 assert (response.decode() if isinstance(response, bytes) else response) == expected
             # Other connections must still be served.
@@ -72,7 +72,9 @@
     run(scenario())
 
 
-def test_silent_connections_and_incomplete_commands_time_out_and_others_stay_open() -> None:
+def test_silent_connections_and_incomplete_commands_time_out_but_active_connections_stay_open() -> (
+    None
+):
     async def scenario() -> None:
         clock = ManualClock()
         async with serving(Backend(), clock=clock) as (ingress, active, _):
@@ -127,7 +129,7 @@
     run(scenario())
 
 
-def test_a_request_over_the_limit_of_those_in_flight_is_rejected_as_busy() -> None:
+def test_a_request_beyond_the_in_flight_limit_is_rejected_as_busy() -> None:
     async def scenario() -> None:
         async with serving(Backend(), settings=SETTINGS | {"Limits": {"MaxOpen": 0}}) as (
             _,
@@ -140,11 +142,11 @@
     run(scenario())
 
 
-def test_closed_connections_are_freed_without_a_garbage_collection() -> None:
+def test_closed_connections_are_freed_without_garbage_collection() -> None:
     async def scenario() -> None:
         def open_connections() -> int:
             return sum(
-                isinstance(o, (ClientConnection, BackendConnection)) for o in gc.get_objects()
+                isinstance(obj, (ClientConnection, BackendConnection)) for obj in gc.get_objects()
             )
 
         clock = ManualClock()
@@ -156,18 +158,18 @@
             try:
                 before = open_connections()
                 for number in range(10):
-                    leaving = await Client.open(ingress.address.port)
-                    leaving.asked += number
-                    leaving.ask(d=UNREACHED_DEADLINE_MS)
+                    leaving_client = await Client.open(ingress.address.port)
+                    leaving_client.asked += number
+                    leaving_client.ask(d=UNREACHED_DEADLINE_MS)
                     await until(lambda: ingress.requests)
-                    leaving.writer.close()
+                    leaving_client.writer.close()
                     await until(lambda: not ingress.requests)
-                    idle = await Client.open(ingress.address.port)
+                    idle_client = await Client.open(ingress.address.port)
                     await until(lambda: len(ingress.listener.connections) == 2)
                     next(
                         c for c in ingress.listener.connections if c.is_idle and not c.commands_read
                     ).close()
-                    assert await idle.answer() is None
+                    assert await idle_client.answer() is None
                 await until(lambda: len(ingress.listener.connections) == 1)
                 clock.advance(300)  # past the connect timeouts, whose timers refer to connections
                 ingress.timers.run_due()
--- a/tests/net/test_closing_client_connections.py
+++ b/tests/net/test_closing_client_connections.py
@@ -23,29 +23,29 @@
         connection.end_gracefully()
 
 
-def close_for_room(ingress: Ingress, clock: ManualClock) -> None:
+def close_to_free_descriptors(ingress: Ingress, clock: ManualClock) -> None:
     ingress.listener.budget = ingress.listener.budget.__class__(0, 0, 9)
-    ingress.listener.close_idle(clock.now())
+    ingress.listener.close_long_idle(clock.now())
 
 
-def time_out(ingress: Ingress, clock: ManualClock) -> None:
+def exceed_first_command_timeout(ingress: Ingress, clock: ManualClock) -> None:
     for connection in list(ingress.listener.connections):
         connection.commands_read = 0
         connection.enforce_timeouts(clock.now() + client_connection.FIRST_COMMAND_TIMEOUT_MS + 1)
 
 
 @pytest.mark.parametrize(
-    ("ends", "unread"),
+    ("end_connections", "unread"),
     [
         (begin_draining, b"all"),
         (begin_draining, b"half"),
         (begin_draining, b""),
-        (close_for_room, b""),
-        (time_out, b""),
+        (close_to_free_descriptors, b""),
+        (exceed_first_command_timeout, b""),
     ],
 )
-def test_a_connection_that_the_ingress_ends_is_not_reset_and_serves_nothing_more(
-    ends: Callable[[Ingress, ManualClock], None], unread: bytes
+def test_a_connection_ended_by_the_ingress_is_not_reset_and_serves_no_further_command(
+    end_connections: Callable[[Ingress, ManualClock], None], unread: bytes
 ) -> None:
     """Closing a socket with unread input resets the connection.
 
@@ -67,7 +67,7 @@
                     second = first[30:]
                 elif unread:  # the loop does not run between this send and the end
                     sock.sendall(first)
-                ends(ingress, clock)
+                end_connections(ingress, clock)
                 sock.sendall(second)
                 await asyncio.sleep(0.02)  # time to read and discard it
                 sock.sendall(request(3))
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("kind", ["status", "checkout"])
-def test_the_last_response_arrives_complete_while_the_client_goes_on_sending(kind: str) -> None:
+def test_the_last_response_arrives_completely_while_the_client_keeps_sending(kind: str) -> None:
     async def scenario() -> None:
         may_reply = asyncio.Event()
 
@@ -110,7 +110,7 @@
     run(scenario())
 
 
-def test_the_disconnect_of_a_client_that_floods_is_seen_at_once() -> None:
+def test_the_disconnection_of_a_flooding_client_is_noticed_immediately() -> None:
     """Input after the last command must be discarded fast enough to reach the client's close.
 
     When it was read in pieces of 8 KiB every 50 ms, the disconnection was noticed seconds late.
@@ -131,7 +131,7 @@
     return connection.commands_read >= commands
 
 
-def test_the_disconnect_of_a_client_that_reads_nothing_is_seen_at_once() -> None:
+def test_the_disconnection_of_a_client_that_reads_nothing_is_noticed_immediately() -> None:
     async def scenario() -> None:
         async with serving(Backend(never_replies), clock=ManualClock()) as (ingress, client, _):
             commands_sent = 0
--- a/tests/net/test_descriptor_budget.py
+++ b/tests/net/test_descriptor_budget.py
@@ -11,19 +11,19 @@
 from tests.net.support import UNREACHED_DEADLINE_MS, collect_outcomes, never_replies, new_attempt
 
 
-def test_connections_stay_within_the_budget_of_descriptors() -> None:
+def test_connections_stay_within_the_descriptor_budget() -> None:
     async def scenario() -> None:
         busy, other, clock = Backend(never_replies), Backend(), ManualClock()
         async with serving(busy, other, clock=clock, limits={"sockets": 80}) as (ingress, _, _):
-            ended = collect_outcomes(ingress)
+            outcomes = collect_outcomes(ingress)
             max_connections = ingress.connection_pool._max_connections
             ingress.connection_pool.start(new_attempt(ingress, backend=2))
             # This attempt leaves an idle connection, which is closed to start the last attempt that
             # fits.
-            await until(lambda: ended)
+            await until(lambda: outcomes)
             for _ in range(max_connections + 1):
                 ingress.connection_pool.start(new_attempt(ingress))
-            assert [outcome for _, outcome in ended[1:]] == [Outcome.NOT_SENT]
+            assert [outcome for _, outcome in outcomes[1:]] == [Outcome.NOT_SENT]
             assert len(ingress.connection_pool) == max_connections
             # Clients beyond the budget still get a response, because idle connections are closed
             # to free descriptors.
@@ -43,7 +43,7 @@
     run(scenario())
 
 
-def test_new_clients_are_rejected_as_busy_while_every_connection_awaits_a_response() -> None:
+def test_new_clients_are_rejected_as_busy_while_all_connections_await_a_response() -> None:
     async def scenario() -> None:
         async with serving(Backend(never_replies), limits={"sockets": 80}) as (ingress, client, _):
             ingress.connection_pool._max_connections = 1_000
@@ -52,24 +52,24 @@
                 client,
                 *[await Client.open(ingress.address.port) for _ in range(max_connections - 1)],
             ]
-            for number, one in enumerate(clients):
-                one.asked += number
-                one.ask(d=UNREACHED_DEADLINE_MS, key=b"%016x" % number)
+            for number, each_client in enumerate(clients):
+                each_client.asked += number
+                each_client.ask(d=UNREACHED_DEADLINE_MS, key=b"%016x" % number)
             await until(lambda: len(ingress.requests) == max_connections)
-            late = [await Client.open(ingress.address.port) for _ in range(surplus + 3)]
-            late[-1].asked += max_connections
-            assert await late[-1].call() == "BUSY"
+            late_clients = [await Client.open(ingress.address.port) for _ in range(surplus + 3)]
+            late_clients[-1].asked += max_connections
+            assert await late_clients[-1].call() == "BUSY"
             assert len(ingress.listener.connections) <= max_connections + surplus
             clients[0].writer.close()
             await until(lambda: len(ingress.requests) < max_connections)
-            again = await Client.open(ingress.address.port)
-            again.send(b"PING")
-            assert await again.answer() == b"PONG"
+            new_client = await Client.open(ingress.address.port)
+            new_client.send(b"PING")
+            assert await new_client.answer() == b"PONG"
 
     run(scenario())
 
 
-def test_clients_without_requests_are_closed_first_to_make_room() -> None:
+def test_clients_without_requests_are_closed_first_to_free_descriptors() -> None:
     async def scenario() -> None:
         clock = ManualClock()
         async with serving(Backend(), clock=clock, limits={"sockets": 80}) as (ingress, active, _):
@@ -88,33 +88,37 @@
             # has been idle for longer, but it has sent requests.
             assert await others[0].answer() is None
             assert await active.call() == b"value"
-            for one in others[1:]:
-                one.send(b"PING")
-                assert await one.answer() == b"PONG"
+            for each_client in others[1:]:
+                each_client.send(b"PING")
+                assert await each_client.answer() == b"PONG"
             clock.advance(2_001)  # past the idle timeout, with over half of the budget in use
             ingress._run_periodic_maintenance()
-            assert [await one.answer() for one in others[1:]] == [None] * len(others[1:])
+            assert [await each_client.answer() for each_client in others[1:]] == [None] * len(
+                others[1:]
+            )
 
     run(scenario())
 
 
-def test_connections_just_accepted_or_with_unread_input_are_not_closed_to_make_room() -> None:
+def test_connections_just_accepted_or_with_unread_input_are_not_closed_to_free_descriptors() -> (
+    None
+):
     async def scenario() -> None:
         clock = ManualClock()
         async with serving(Backend(), clock=clock, limits={"sockets": 80}) as (ingress, _, _):
             idle_clients = [
                 await Client.open(ingress.address.port) for _ in range(ingress.budget.client - 1)
             ]
-            for one in idle_clients:
-                one.send(b"PING")  # the connection stays open after this command
-                assert await one.answer() == b"PONG"
+            for each_client in idle_clients:
+                each_client.send(b"PING")  # the connection stays open after this command
+                assert await each_client.answer() == b"PONG"
             clock.advance(200)
             # Accepting the last of these must not close the first one, whose request is unread.
             new_clients = [await Client.open(ingress.address.port) for _ in range(5)]
-            for number, one in enumerate(new_clients):
-                one.asked += number
-                one.ask()
-            assert [await one.answer() for one in new_clients] == [b"value"] * 5
+            for number, each_client in enumerate(new_clients):
+                each_client.asked += number
+                each_client.ask()
+            assert [await each_client.answer() for each_client in new_clients] == [b"value"] * 5
             clock.advance(200)
             silent = next(iter(ingress.listener.connections))
             silent.sock = SocketWithInput(silent.sock)  # type: ignore[assignment]
--- a/tests/net/test_disconnected_clients.py
+++ b/tests/net/test_disconnected_clients.py
@@ -21,7 +21,7 @@
     pinged_socket,
     replies_failed,
     reset_on_close,
-    slowed_loop,
+    slow_event_loop,
 )
 
 
@@ -41,16 +41,16 @@
     sock.sendall(request(1))
 
 
-@pytest.mark.parametrize("slowed_by_s", [0.0, 0.05])
-@pytest.mark.parametrize("resets", [False, True])
+@pytest.mark.parametrize("extra_iteration_s", [0.0, 0.05])
+@pytest.mark.parametrize("is_reset", [False, True])
 @pytest.mark.parametrize(
     "disconnect",
     [disconnect_after_one_request, disconnect_after_a_pipeline, disconnect_after_a_flood],
 )
 def test_no_attempt_starts_more_than_a_tenth_of_a_second_after_its_client_disconnected(
     disconnect: Callable[[socket.socket], None],
-    resets: bool,
-    slowed_by_s: float,
+    is_reset: bool,
+    extra_iteration_s: float,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     started_at = list[float]()
@@ -60,7 +60,7 @@
         started_at.append(time.monotonic())
         return encode_for_backend(command, time_left_ms)
 
-    async def fails_late(args: list[bytes]) -> bytes | None:
+    async def replies_busy_late(args: list[bytes]) -> bytes | None:
         await asyncio.sleep(
             max(0.0, disconnected_at[0] + 0.11 - time.monotonic()) if disconnected_at else 0.2
         )
@@ -71,15 +71,15 @@
 
     def client(port: int) -> None:
         with socket.create_connection(("127.0.0.1", port)) as sock:
-            if resets:
+            if is_reset:
                 reset_on_close(sock)
             with suppress(ConnectionError):  # the ingress may disconnect a flooding client
                 disconnect(sock)
         disconnected_at.append(time.monotonic())
 
     async def scenario() -> None:
-        async with serving(*(Backend(fails_late) for _ in range(4))) as (ingress, _, _):
-            with slowed_loop(slowed_by_s):
+        async with serving(*(Backend(replies_busy_late) for _ in range(4))) as (ingress, _, _):
+            with slow_event_loop(extra_iteration_s):
                 await asyncio.to_thread(client, ingress.address.port)
                 await asyncio.sleep(0.5)
             assert not [
@@ -89,10 +89,10 @@
     run(scenario())
 
 
-@pytest.mark.parametrize("resets", [False, True])
-@pytest.mark.parametrize("waits_for", ["a backend", "the counter", "a backoff"])
-def test_a_waiting_request_is_not_forwarded_once_its_client_disconnected(
-    waits_for: str, resets: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("is_reset", [False, True])
+@pytest.mark.parametrize("awaited", ["a backend", "the counter", "a backoff"])
+def test_a_waiting_request_is_not_forwarded_after_its_client_disconnected(
+    awaited: str, is_reset: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The request could proceed 0.1 s after its client disconnected, but must not be forwarded.
 
@@ -108,17 +108,17 @@
             "Packages": [{"Name": "gross", "Refill": 10.0, "PeakUnits": 3.0}],
             "Domain": {
                 "Largest": 4,
-                "MayCount": waits_for == "the counter",
+                "MayCount": awaited == "the counter",
                 "CounterTimeout": 10_000_000,
             },
         }
-        backends = (backend, other) if waits_for == "a backoff" else (backend,)
+        backends = (backend, other) if awaited == "a backoff" else (backend,)
         async with serving(*backends, **changes) as (ingress, _, discovery):
             port = backend.server.sockets[0].getsockname()[1]
-            if waits_for == "a backend":
+            if awaited == "a backend":
                 discovery.push(message(2, target("s-0", port, "leaving")))
                 await until(lambda: ingress.endpoints.revision == 2)
-            if waits_for == "a backoff":
+            if awaited == "a backoff":
                 table = Table(ingress.config.names, ingress.config.policy_settings.zone, 1)
                 retry_after_backoff = RouteOptions(
                     backoff=Duration(300), backoff_max=Duration(300), retry_floor=100.0
@@ -130,23 +130,22 @@
                 sock.sendall(request(1))
                 await until(
                     lambda: (
-                        ingress.requests
-                        and (waits_for != "a backoff" or backend.seen or other.seen)
+                        ingress.requests and (awaited != "a backoff" or backend.seen or other.seen)
                     )
                 )
-                await until(lambda: waits_for != "the counter" or counter.seen)
-                if resets:
+                await until(lambda: awaited != "the counter" or counter.seen)
+                if is_reset:
                     reset_on_close(sock)
             before = ingress.traffic.attempts_started
-            with slowed_loop(0.05):
+            with slow_event_loop(0.05):
                 await asyncio.sleep(0.1)
-                if waits_for == "a backend":
+                if awaited == "a backend":
                     discovery.push(message(3, target("s-0", port)))
                 for writer in counter.writers:
                     writer.write(b"$1\r\n2\r\n")
                 await asyncio.sleep(0.4)
             assert (
-                ingress.traffic.attempts_started == before == (waits_for == "a backoff")
+                ingress.traffic.attempts_started == before == (awaited == "a backoff")
                 and not ingress.requests
             )
 
--- a/tests/net/test_discovery_notification_bound.py
+++ b/tests/net/test_discovery_notification_bound.py
@@ -36,36 +36,36 @@
 BOUND_MS, STEP_MS = 6_000.0, 250.0
 
 
-class LongestDelays(random.Random):
+class MaximumDelays(random.Random):
     def uniform(self, a: float, b: float) -> float:
         return b
 
 
 @asynccontextmanager
 async def watching_ingress(
-    port: int, ingress_count: int, is_polling: bool, grace: float = 1.0
+    port: int, ingress_count: int, is_polling: bool, drain_grace_s: float = 1.0
 ) -> AsyncIterator[tuple[Ingress, ManualClock]]:
     """Run an ingress on a manual clock, with all delays at their maximum."""
     changes: dict[str, Any] = {
         "ReplicasOfMe": ingress_count,
-        "Safety": {"StopSendingWithin": grace * 1_000_000},
+        "Safety": {"StopSendingWithin": drain_grace_s * 1_000_000},
     }
     changes |= {"Discovery": "subscribe"} if is_polling else {}
     clock, endpoint_list = ManualClock(), message(1, target("s-0", 9), full=True)
     ingress = Ingress(config(endpoint_list, port, settings=SETTINGS | changes), clock)
-    ingress.watch._backoff._rng = LongestDelays()
-    life = asyncio.create_task(ingress.run())
+    ingress.watch._backoff._rng = MaximumDelays()
+    ingress_task = asyncio.create_task(ingress.run())
     await until(lambda: ingress.lifecycle.ready)
     try:
         yield ingress, clock
     finally:
-        life.cancel()
-        await asyncio.gather(life, return_exceptions=True)
+        ingress_task.cancel()
+        await asyncio.gather(ingress_task, return_exceptions=True)
 
 
 async def advance_clock(ingress: Ingress, clock: ManualClock, discovery: FailingDiscovery) -> None:
     """Advance the clock by one step, and wait for any attempt that this starts."""
-    began, attempts, known_revision = (
+    previous_start_ms, attempts, known_revision = (
         ingress.watch._attempt.started_ms,
         discovery.attempts,
         ingress.endpoints.revision,
@@ -74,7 +74,7 @@
     ingress.timers.run_due()
     for _ in range(4):
         await asyncio.sleep(0)
-    if ingress.watch._attempt.started_ms > began and discovery.is_reachable:
+    if ingress.watch._attempt.started_ms > previous_start_ms and discovery.is_reachable:
         await until(lambda: discovery.attempts > attempts)
         await (
             asyncio.sleep(0.005)
@@ -101,7 +101,7 @@
     if isinstance(discovery, UnreachableDiscovery):
         while ingress.watch._failures < attempts:
             await advance_clock(ingress, clock, discovery)
-        await discovery.come_back()
+        await discovery.recover()
         return
     while discovery.attempts < attempts:
         await advance_clock(ingress, clock, discovery)
@@ -115,13 +115,13 @@
 @pushed_and_polled
 @few_and_many_ingresses
 @pytest.mark.parametrize("failure", [*FAILURES, "refuses", "never comes up"])
-def test_a_change_is_received_6_s_after_discovery_can_be_reached(
+def test_a_change_is_received_within_6_s_after_discovery_becomes_reachable(
     failure: str, ingress_count: int, is_polling: bool
 ) -> None:
     async def scenario() -> None:
         discovery = failing_discovery(failure)
         async with watching_ingress(
-            await discovery.start(), ingress_count, is_polling, grace=9.0
+            await discovery.start(), ingress_count, is_polling, drain_grace_s=9.0
         ) as (ingress, clock):
             await fail_attempts(ingress, clock, discovery, 3)
             assert await time_until_new_list(ingress, clock, discovery) <= BOUND_MS
@@ -142,7 +142,7 @@
     async def scenario() -> None:
         discovery = FailingDiscovery()
         async with watching_ingress(
-            await discovery.start(), ingress_count, is_polling, grace=9.0
+            await discovery.start(), ingress_count, is_polling, drain_grace_s=9.0
         ) as (ingress, clock):
             await time_until_new_list(ingress, clock, discovery)
             discovery.writers[-1].write(sent)
@@ -154,14 +154,16 @@
 @pushed_and_polled
 @few_and_many_ingresses
 @pytest.mark.parametrize("failure", ["closes", "hangs", "error"])
-def test_a_change_is_received_6_s_after_a_new_address_can_be_reached(
+def test_a_change_is_received_within_6_s_after_a_new_address_becomes_reachable(
     failure: str, ingress_count: int, is_polling: bool
 ) -> None:
     """The address changes at SIGHUP, while attempts at the old address fail in different ways."""
 
     async def scenario() -> None:
         old, new = failing_discovery(failure), failing_discovery(failure)
-        async with watching_ingress(await old.start(), ingress_count, is_polling, grace=9.0) as (
+        async with watching_ingress(
+            await old.start(), ingress_count, is_polling, drain_grace_s=9.0
+        ) as (
             ingress,
             clock,
         ):
--- a/tests/net/test_discovery_processes.py
+++ b/tests/net/test_discovery_processes.py
@@ -32,11 +32,11 @@
 from tests.test_daemon import start_program
 
 BOUND_S = 6.0
-SOCKETS = 96
+MAX_SOCKETS = 96
 
 
 @pytest.mark.parametrize("is_polling", [False, True], ids=["pushed", "polled"])
-def test_a_watch_opens_while_idle_clients_use_up_the_descriptors(
+def test_a_watch_can_be_opened_while_idle_clients_exhaust_the_descriptors(
     is_polling: bool, tmp_path: Path
 ) -> None:
     """Idle clients must not take the descriptors that the discovery watch needs.
@@ -48,7 +48,7 @@
         old, new, path = failing_discovery("closes"), FailingDiscovery(), tmp_path / "config.json"
         ports = [await old.start(), await new.start()]
         settings = SETTINGS | ({"Discovery": "subscribe"} if is_polling else {})
-        limits, endpoint_list = {"sockets": SOCKETS}, message(1, target("s-0", 9), full=True)
+        limits, endpoint_list = {"sockets": MAX_SOCKETS}, message(1, target("s-0", 9), full=True)
         texts = [
             json.dumps(raw_config(endpoint_list, port, limits=limits, settings=settings))
             for port in ports
@@ -60,10 +60,12 @@
             process,
             address,
         ):
-            resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
+            resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (MAX_SOCKETS, MAX_SOCKETS))
             client_address = ("127.0.0.1", int(address.rsplit(":")[-1]))
-            idle_clients = [socket.create_connection(client_address) for _ in range(2 * SOCKETS)]
-            await until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) > SOCKETS // 2)
+            idle_clients = [
+                socket.create_connection(client_address) for _ in range(2 * MAX_SOCKETS)
+            ]
+            await until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) > MAX_SOCKETS // 2)
             await until(lambda: old.attempts > 3)
             old.failure = None
             await asyncio.wait_for(until(lambda: old.writers), BOUND_S)
@@ -76,7 +78,7 @@
     run(scenario())
 
 
-def test_backends_and_the_counter_are_called_while_idle_clients_use_up_the_descriptors(
+def test_backends_and_the_counter_are_called_while_idle_clients_exhaust_the_descriptors(
     tmp_path: Path,
 ) -> None:
     async def reply_with_total(args: list[bytes]) -> bytes:
@@ -95,7 +97,7 @@
         raw = raw_config(
             endpoint_list,
             await discovery.start(),
-            limits={"sockets": SOCKETS},
+            limits={"sockets": MAX_SOCKETS},
             settings=settings,
             counter=counter,
         )
@@ -109,12 +111,12 @@
             process,
             address,
         ):
-            resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
+            resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (MAX_SOCKETS, MAX_SOCKETS))
             port = int(address.rsplit(":")[-1])
             idle_clients = [
-                socket.create_connection(("127.0.0.1", port)) for _ in range(2 * SOCKETS)
+                socket.create_connection(("127.0.0.1", port)) for _ in range(2 * MAX_SOCKETS)
             ]
-            await until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) > SOCKETS // 2)
+            await until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) > MAX_SOCKETS // 2)
             client = await Client.open(port)
             assert await asyncio.wait_for(client.call(), 4) == b"value"
             await until(lambda: counter_server.seen)
@@ -127,26 +129,26 @@
     run(scenario())
 
 
-def test_nine_in_ten_processes_started_at_once_are_ready_in_time(tmp_path: Path) -> None:
+def test_nine_of_ten_processes_started_together_are_ready_in_time(tmp_path: Path) -> None:
     """All processes start without a cached list, and discovery rejects attempts while overloaded.
 
     Ten processes have to be ready within 6 s; `STARTED=30` starts thirty, which may take 10 s.
     """
     process_count = int(os.environ.get("STARTED", "10"))
 
-    async def time_until_ready(address: str, began: float) -> float:
+    async def time_until_ready(address: str, started_at: float) -> float:
         client = await Client.open(int(address.rsplit(":")[-1]))
         answer = b""
         while answer != b"PONG":
             client.send(b"PING")
             answer = await client.answer()
             await asyncio.sleep(0.05)
-        return asyncio.get_running_loop().time() - began
+        return asyncio.get_running_loop().time() - started_at
 
     async def scenario() -> None:
         discovery, path = OverloadedDiscovery(), tmp_path / "config.json"
-        port, began = await discovery.start(), asyncio.get_running_loop().time()
-        with ExitStack() as started:
+        port, started_at = await discovery.start(), asyncio.get_running_loop().time()
+        with ExitStack() as process_stack:
             addresses = []
             for number in range(process_count):
                 process_settings = SETTINGS | {
@@ -160,13 +162,15 @@
                         raw_config(LIST, port, settings=process_settings, seed=f"{number:x}")
                     )
                 )
-                one = start_program(
+                program = start_program(
                     "-m", "dockthread", address_label="listens on", NODE_CONFIG=str(path)
                 )
-                addresses.append(asyncio.to_thread(started.enter_context, one))
-            found = await asyncio.gather(*addresses)
+                addresses.append(asyncio.to_thread(process_stack.enter_context, program))
+            processes = await asyncio.gather(*addresses)
             times = sorted(
-                await asyncio.gather(*(time_until_ready(address, began) for _, address in found))
+                await asyncio.gather(
+                    *(time_until_ready(address, started_at) for _, address in processes)
+                )
             )
         print(
             f"ready after {times[0]:.1f} to {times[-1]:.1f} s, {discovery.rejected} attempts rejected"
--- a/tests/net/test_discovery_watch.py
+++ b/tests/net/test_discovery_watch.py
@@ -17,12 +17,14 @@
 DRAIN_GRACE_MS = 1_000.0  # Time for which a draining backend may still be sent requests.
 
 
-def watch_settings(**more: Any) -> dict[str, Any]:
-    return {"settings": SETTINGS | {"Safety": {"StopSendingWithin": DRAIN_GRACE_MS * 1_000}} | more}
+def watch_settings(**changes: Any) -> dict[str, Any]:
+    return {
+        "settings": SETTINGS | {"Safety": {"StopSendingWithin": DRAIN_GRACE_MS * 1_000}} | changes
+    }
 
 
-def has_answered(discovery: Discovery, calls: int) -> bool:
-    return len(discovery.writers) >= calls
+def has_answered(discovery: Discovery, attempts: int) -> bool:
+    return len(discovery.writers) >= attempts
 
 
 def has_revision(ingress: Ingress, revision: int) -> bool:
@@ -38,7 +40,7 @@
 
 
 @pytest.mark.parametrize("agent_answers", [True, False])
-def test_nothing_is_sent_by_a_cached_list_before_the_agent_had_time_to_answer(
+def test_the_cached_list_is_not_used_before_the_agent_had_time_to_answer(
     agent_answers: bool,
 ) -> None:
     """Changes known to the local agent apply to an ingress from the start of its process."""
@@ -70,7 +72,7 @@
 
 
 @pytest.mark.parametrize("agent_sends_lists", [False, True])
-def test_an_agent_that_ends_attempts_is_called_within_half_a_drain_grace_by_any_number_of_ingresses(
+def test_an_agent_that_ends_attempts_is_called_again_within_half_the_drain_grace_period(
     agent_sends_lists: bool,
 ) -> None:
     """Changes known to the local agent apply to an ingress even without a watch.
@@ -98,9 +100,7 @@
     run(scenario())
 
 
-def test_an_attempt_without_an_answer_is_replaced_before_the_agents_changes_count_as_received() -> (
-    None
-):
+def test_an_unanswered_attempt_is_replaced_within_half_the_drain_grace_period() -> None:
     async def scenario() -> None:
         clock = ManualClock()
         changes = watch_settings(ReplicasOfMe=200)
@@ -120,7 +120,7 @@
     run(scenario())
 
 
-def test_a_watch_with_an_incomplete_object_and_heartbeats_is_replaced() -> None:
+def test_a_watch_with_an_incomplete_object_is_replaced_despite_heartbeats() -> None:
     async def scenario() -> None:
         clock = ManualClock()
         async with serving(Backend(), clock=clock) as (ingress, _, discovery):
@@ -142,7 +142,7 @@
     run(scenario())
 
 
-def test_a_long_list_that_arrives_slowly_but_entry_by_entry_is_received() -> None:
+def test_a_long_list_that_arrives_slowly_entry_by_entry_is_received() -> None:
     """If the watch were cancelled after 4 s, the list would restart each time and never complete."""
 
     async def scenario() -> None:
@@ -171,7 +171,7 @@
 
 
 @pytest.mark.parametrize("rejected_attempts", [0, 1_000_000])
-def test_a_change_of_address_during_an_unanswered_attempt_or_a_delay_takes_effect_at_once(
+def test_an_address_change_during_an_unanswered_attempt_or_a_delay_takes_effect_immediately(
     rejected_attempts: int,
 ) -> None:
     async def scenario() -> None:
--- a/tests/net/test_discovery_watch_silence.py
+++ b/tests/net/test_discovery_watch_silence.py
@@ -10,7 +10,7 @@
 from tests.loopback import Backend, message, run, serving, target, until
 
 
-def test_a_silent_watch_is_called_again_after_the_last_revision() -> None:
+def test_a_silent_watch_is_replaced_and_continues_after_the_last_revision() -> None:
     async def scenario() -> None:
         clock = ManualClock()
         async with serving(Backend(), clock=clock) as (ingress, _, discovery):
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("answered", [True, False])
-def test_an_unanswered_call_to_discovery_stays_open_through_the_backoff_after_it(
+def test_an_unanswered_attempt_at_discovery_stays_open_during_the_following_backoff(
     answered: bool,
 ) -> None:
     """Discovery answers open attempts when it recovers; a new attempt would be answered later."""
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -20,14 +20,17 @@
     return EndpointList(Names((), (), ("hall-a",), ()), clock or ManualClock())
 
 
-def test_a_uid_keeps_its_number_and_an_unchanged_boot_time_is_no_restart() -> None:
+def test_a_uid_keeps_its_number_and_an_unchanged_boot_time_is_not_a_restart() -> None:
     clock = ManualClock(now=5_000.0, unix=1_700_000_000_000.0)
     endpoints, moved_numbers = new_endpoint_list(clock), list[int]()
     endpoints.on_moved = lambda record: moved_numbers.append(record.number)
     first_event = endpoints.apply(
         message(1, target("a", 1), target("b", 2, boot_ms=1_700_000_000_000), full=True)
     )
-    assert [(one.backend, one.started_at) for one in first_event.endpoints] == [(1, 0.0), (2, 5.0)]
+    assert [(endpoint.backend, endpoint.started_at) for endpoint in first_event.endpoints] == [
+        (1, 0.0),
+        (2, 5.0),
+    ]
     clock.advance(60_000)  # the same boot_ms, received later, must map to the same start time
     second_event = endpoints.apply(message(2, target("b", 2, boot_ms=1_700_000_000_000)))
     assert (second_event.kind, second_event.endpoints[0].started_at, moved_numbers) == (
@@ -60,7 +63,7 @@
 
 
 @pytest.mark.parametrize(
-    ("first_update", "late_update", "state"),
+    ("first_update", "second_update", "state"),
     [
         # (revision, state, boot_ms) of the first list and of the second list, and the resulting
         # state. Most second lists have an older revision.
@@ -76,20 +79,20 @@
 @pytest.mark.parametrize("full", [False, True])
 def test_an_older_list_does_not_bring_back_a_draining_or_removed_backend(
     first_update: tuple[int, str, int],
-    late_update: tuple[int, str, int],
+    second_update: tuple[int, str, int],
     state: BackendState,
     full: bool,
 ) -> None:
     endpoints = new_endpoint_list(ManualClock(now=5_000.0, unix=1_700_000_000_000.0))
-    for revision, state_name, boot_ms in (first_update, late_update):
+    for revision, state_name, boot_ms in (first_update, second_update):
         entries = endpoints.apply(
             message(revision, target("a", 1, state_name, boot_ms), full=full)
         ).endpoints
     assert (endpoints.by_number[1].state, entries[0].state) == (state, state)
-    assert endpoints.revision == late_update[0]
+    assert endpoints.revision == second_update[0]
 
 
-def test_a_backend_left_out_of_a_full_list_is_not_brought_back_by_inclusion_or_an_older_list() -> (
+def test_a_backend_missing_from_a_full_list_stays_removed_after_inclusion_or_an_older_list() -> (
     None
 ):
     endpoints = new_endpoint_list()
@@ -104,7 +107,7 @@
     assert [entry.state for entry in listed.endpoints] == [REMOVED]
 
 
-def test_backends_removed_long_ago_are_forgotten_and_their_numbers_not_reused() -> None:
+def test_backends_removed_long_ago_are_dropped_and_their_numbers_are_not_reused() -> None:
     clock = ManualClock()
     endpoints = new_endpoint_list(clock)
     endpoints.apply(message(1, target("a", 1), target("b", 2), full=True))
@@ -112,7 +115,10 @@
     clock.advance(60_001)
     endpoints.forget_expired()
     second_event = endpoints.apply(message(3, target("a", 1)))
-    assert ([one.backend for one in second_event.endpoints], sorted(endpoints.by_number)) == (
+    assert (
+        [endpoint.backend for endpoint in second_event.endpoints],
+        sorted(endpoints.by_number),
+    ) == (
         [3],
         [2, 3],
     )
--- a/tests/net/test_event_loop_lag.py
+++ b/tests/net/test_event_loop_lag.py
@@ -13,7 +13,7 @@
 
 # In seconds: how long the loop is blocked, the client's timeout, and the tolerance for a slow
 # machine.
-HELD_S, CLIENT_TIMEOUT_S, SLACK_S = 0.5, 1.0, 0.25
+BLOCKED_S, CLIENT_TIMEOUT_S, TOLERANCE_S = 0.5, 1.0, 0.25
 
 
 def read_command(ms: int) -> bytes:
@@ -22,7 +22,7 @@
     )
 
 
-async def never(args: list[bytes]) -> bytes | None:
+async def never_replies(args: list[bytes]) -> bytes | None:
     await asyncio.sleep(30)
     return None
 
@@ -30,24 +30,24 @@
 @pytest.mark.parametrize(
     "is_accepted", [True, False], ids=["on an open connection", "on one not accepted yet"]
 )
-def test_a_request_that_arrived_while_the_loop_was_held_is_answered_within_its_own_timeout(
+def test_a_request_that_arrived_while_the_loop_was_blocked_is_answered_within_its_timeout(
     is_accepted: bool,
 ) -> None:
     async def scenario() -> None:
-        async with serving(Backend(never), Backend(never)) as (ingress, _, _):
+        async with serving(Backend(never_replies), Backend(never_replies)) as (ingress, _, _):
             loop = asyncio.get_running_loop()
             with socket.socket() as sock:
                 sock.connect(("127.0.0.1", ingress.address.port))
                 if is_accepted:
                     await asyncio.sleep(0.1)
                 sock.sendall(read_command(int(CLIENT_TIMEOUT_S * 1000)))
-                sent = time.monotonic()
-                time.sleep(HELD_S)  # blocks the event loop, like a burst of other work
+                sent_at = time.monotonic()
+                time.sleep(BLOCKED_S)  # blocks the event loop, like a burst of other work
                 sock.setblocking(False)
                 answer = await loop.sock_recv(sock, 100)
-                took = time.monotonic() - sent
+                elapsed_s = time.monotonic() - sent_at
             assert answer.startswith((b"-BUSY", b"-ERR"))
-            assert took < CLIENT_TIMEOUT_S + SLACK_S, (
+            assert elapsed_s < CLIENT_TIMEOUT_S + TOLERANCE_S, (
                 "the time budget was counted from the read and not from the arrival"
             )
 
@@ -56,12 +56,12 @@
 
 def test_a_request_that_arrived_too_long_ago_is_rejected_without_an_attempt() -> None:
     async def scenario() -> None:
-        async with serving(Backend(never)) as (ingress, _, _):
+        async with serving(Backend(never_replies)) as (ingress, _, _):
             with socket.socket() as sock:
                 sock.connect(("127.0.0.1", ingress.address.port))
                 await asyncio.sleep(0.1)
-                sock.sendall(read_command(int(HELD_S * 1000)))
-                time.sleep(HELD_S)
+                sock.sendall(read_command(int(BLOCKED_S * 1000)))
+                time.sleep(BLOCKED_S)
                 sock.setblocking(False)
                 answer = await asyncio.get_running_loop().sock_recv(sock, 100)
             assert answer.startswith(b"-BUSY")
@@ -70,7 +70,7 @@
     run(scenario())
 
 
-def test_the_earliest_arrival_is_the_heartbeat_before_the_last_or_the_last_empty_backlog() -> None:
+def test_the_earliest_arrival_is_the_second_latest_heartbeat_or_the_last_empty_backlog() -> None:
     monitor, backlog = EventLoopLagMonitor(0.0), AcceptBacklog()
     for now in (10.0, 20.0):
         monitor.record_heartbeat(now)
--- a/tests/net/test_gossip_transport.py
+++ b/tests/net/test_gossip_transport.py
@@ -24,23 +24,23 @@
     sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
     for sock in sockets:
         sock.bind(("127.0.0.1", 0))
-    found = tuple(Address(*sock.getsockname()[:2]) for sock in sockets)
+    addresses = tuple(Address(*sock.getsockname()[:2]) for sock in sockets)
     for sock in sockets:
         sock.close()
-    return found
+    return addresses
 
 
 def open_transport(
     all_addresses: tuple[Address, ...], number: int, received: list[GossipReceived]
 ) -> GossipTransport:
-    opened = GossipTransport(
+    transport = GossipTransport(
         PeerAddresses(all_addresses[number], all_addresses), number, received.append, Traffic()
     )
-    opened.open()
-    return opened
+    transport.open()
+    return transport
 
 
-def test_a_message_reaches_its_peer_or_all_with_the_number_of_its_sender() -> None:
+def test_a_message_reaches_one_peer_or_all_with_the_number_of_its_sender() -> None:
     async def scenario() -> None:
         peer_addresses, received = free_addresses(3), [list[GossipReceived]() for _ in range(3)]
         transports = [
@@ -56,13 +56,13 @@
             [],
             GossipReceived(1, b"to all"),
         )
-        for one in transports:
-            one.close()
+        for transport in transports:
+            transport.close()
 
     run(scenario())
 
 
-def test_unknown_senders_and_long_messages_are_rejected_and_a_flood_is_read_in_turns() -> None:
+def test_unknown_senders_and_long_messages_are_rejected_and_a_flood_is_read_in_batches() -> None:
     async def scenario() -> None:
         peer_addresses = free_addresses(2)
         received, received_by_other = list[GossipReceived](), list[GossipReceived]()
@@ -86,7 +86,7 @@
     run(scenario())
 
 
-def test_the_address_is_taken_over_once_the_process_before_releases_it() -> None:
+def test_the_address_is_taken_over_when_the_previous_process_releases_it() -> None:
     async def scenario() -> None:
         peer_addresses = free_addresses(2)
         received_by_old, received = list[GossipReceived](), list[GossipReceived]()
@@ -101,14 +101,14 @@
         new_transport.open()
         other_transport.send(SendGossip(b"two", 0))
         await until(lambda: received)
-        assert [one.data for one in received_by_old + received] == [b"one", b"two"]
-        for one in (new_transport, other_transport):
-            one.close()
+        assert [message.data for message in received_by_old + received] == [b"one", b"two"]
+        for transport in (new_transport, other_transport):
+            transport.close()
 
     run(scenario())
 
 
-def sharing_quota(number: int, peer_addresses: tuple[Address, ...]) -> dict[str, Any]:
+def quota_sharing_config(number: int, peer_addresses: tuple[Address, ...]) -> dict[str, Any]:
     settings = {
         **SETTINGS,
         "MyNumber": number,
@@ -128,15 +128,15 @@
     async def scenario() -> None:
         peer_addresses = free_addresses(3)
         async with AsyncExitStack() as stack:
-            opened = [
+            served_ingresses = [
                 await stack.enter_async_context(
-                    serving(Backend(), **sharing_quota(number, peer_addresses))
+                    serving(Backend(), **quota_sharing_config(number, peer_addresses))
                 )
                 for number in range(3)
             ]
-            ingresses: list[Ingress] = [ingress for ingress, _, _ in opened]
-            clients: list[Client] = [client for _, client, _ in opened]
-            await until(lambda: all(one.traffic.gossip_received for one in ingresses))
+            ingresses: list[Ingress] = [ingress for ingress, _, _ in served_ingresses]
+            clients: list[Client] = [client for _, client, _ in served_ingresses]
+            await until(lambda: all(ingress.traffic.gossip_received for ingress in ingresses))
             served = 0
             for attempt in range(60):  # each takes 2 units of a bucket of 40 with hardly any refill
                 answer = await clients[attempt % 3].call("status")
@@ -169,5 +169,5 @@
         with pytest.raises(SettingsError, match=expected):
             config({"rev": 0, "all": True, "targets": []}, **changes)
         return
-    found = config({"rev": 0, "all": True, "targets": []}, **changes).peers
-    assert (found and len(found.peers)) == expected
+    addresses = config({"rev": 0, "all": True, "targets": []}, **changes).peers
+    assert (addresses and len(addresses.peers)) == expected
--- a/tests/net/test_late_backend_connections.py
+++ b/tests/net/test_late_backend_connections.py
@@ -16,7 +16,7 @@
 
 
 class LateBackend(Backend):
-    """A backend whose accept queue is full until `come_up`.
+    """A backend whose accept queue is full until `become_reachable`.
 
     A connection to it is established only when the system retries the handshake.
     """
@@ -26,14 +26,14 @@
         self.socket.bind(("127.0.0.1", 0))
         self.socket.listen(0)
         address = self.socket.getsockname()
-        self.queued = [socket.socket() for _ in range(4)]
-        for sock in self.queued:
+        self.queue_fillers = [socket.socket() for _ in range(4)]
+        for sock in self.queue_fillers:
             sock.setblocking(False)
             sock.connect_ex(address)
         return int(address[1])
 
-    async def come_up(self) -> None:
-        for sock in self.queued:
+    async def become_reachable(self) -> None:
+        for sock in self.queue_fillers:
             sock.close()
         self.server = await asyncio.start_server(self._serve, sock=self.socket)
 
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("change", [moved, drained, restarted, None])
-def test_a_connection_that_comes_up_late_sends_nothing_to_a_backend_that_changed(
+def test_a_connection_established_late_sends_nothing_to_a_backend_that_changed(
     change: Callable[[LateBackend], dict[str, Any]] | None,
 ) -> None:
     async def scenario() -> None:
@@ -66,27 +66,27 @@
             if change is not None:
                 discovery.push(message(2, change(backend)))
                 await until(lambda: ingress.endpoints.revision == 2)
-            await backend.come_up()
+            await backend.become_reachable()
             await until(lambda: outcomes or backend.seen)
             assert [outcome for _, outcome in outcomes] == [Outcome.NOT_SENT] and not backend.seen
 
     run(scenario())
 
 
-@pytest.mark.parametrize("cancels", [False, True])
+@pytest.mark.parametrize("cancels_attempts", [False, True])
 def test_a_request_whose_client_disconnected_while_connecting_is_not_forwarded(
-    cancels: bool,
+    cancels_attempts: bool,
 ) -> None:
     async def scenario() -> None:
         backend = LateBackend()
         async with serving(
-            backend, clock=ManualClock(), settings=with_limits(Cancelling=cancels)
+            backend, clock=ManualClock(), settings=with_limits(Cancelling=cancels_attempts)
         ) as (ingress, client, _):
             client.writer.write(request(1))
             await until(lambda: len(ingress.connection_pool))
             client.writer.close()
             await until(lambda: ingress.client_connections == 0)
-            await backend.come_up()
+            await backend.become_reachable()
             await until(lambda: backend.seen or not len(ingress.connection_pool))
             assert not backend.seen and not ingress.requests
 
--- a/tests/net/test_quota_counter.py
+++ b/tests/net/test_quota_counter.py
@@ -24,14 +24,14 @@
     replies, loop = list[CounterReplied](), asyncio.get_running_loop()
     clock = Clock()
 
-    def call_at(due: float, then: Callable[..., None], *args: object) -> None:
-        loop.call_later((due - clock.now()) / 1000, then, *args)
+    def call_at(due_ms: float, callback: Callable[..., None], *args: object) -> None:
+        loop.call_later((due_ms - clock.now()) / 1000, callback, *args)
 
     address = None if port is None else Address("127.0.0.1", port)
     return QuotaCounterClient(address, clock, replies.append, call_at, timeout=timeout), replies
 
 
-def test_additions_share_a_connection_and_are_answered_in_their_order() -> None:
+def test_additions_share_a_connection_and_are_answered_in_order() -> None:
     async def scenario() -> None:
         counter_server = Backend(reply_with_total)
         client, replies = new_client(await counter_server.start())
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize(
-    ("reply", "outcome", "connections"),
+    ("reply", "outcome", "expected_connections"),
     [
         (b"-BUSY\r\n", Outcome.AT_CAPACITY, 1),
         (b"$5\r\nnoise\r\n", Outcome.ERROR, 2),
@@ -57,8 +57,8 @@
         (None, Outcome.RESET, 2),
     ],
 )
-def test_the_form_of_a_reply_decides_its_outcome_and_whether_the_connection_is_replaced(
-    reply: bytes | None, outcome: Outcome, connections: int
+def test_the_type_of_a_reply_determines_its_outcome_and_whether_the_connection_is_replaced(
+    reply: bytes | None, outcome: Outcome, expected_connections: int
 ) -> None:
     async def scenario() -> None:
         async def answers(args: list[bytes]) -> bytes | None:
@@ -72,8 +72,8 @@
         counter_server.answer = reply_with_total
         client.add(2, 1.0, 60_000.0)
         await until(lambda: len(replies) == 2)
-        assert [one.outcome for one in replies] == [outcome, Outcome.OK]
-        assert counter_server.opened == connections
+        assert [counter_reply.outcome for counter_reply in replies] == [outcome, Outcome.OK]
+        assert counter_server.opened == expected_connections
         client.close()
 
     run(scenario())
@@ -102,7 +102,7 @@
     run(scenario())
 
 
-def test_an_address_changes_at_once_and_without_one_the_counter_is_unreachable() -> None:
+def test_an_address_change_takes_effect_immediately_and_without_an_address_additions_fail() -> None:
     async def scenario() -> None:
         old_server, new_server = Backend(reply_with_total), Backend(reply_with_total)
         client, replies = new_client(await old_server.start())
@@ -122,7 +122,7 @@
     run(scenario())
 
 
-def test_a_silent_connection_is_replaced_by_another() -> None:
+def test_a_silent_counter_connection_is_replaced() -> None:
     async def scenario() -> None:
         async def never_reply(args: list[bytes]) -> bytes:
             await asyncio.Event().wait()
--- a/tests/net/test_requests_in_flight.py
+++ b/tests/net/test_requests_in_flight.py
@@ -34,21 +34,21 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "answer", "expected", "runs"),
+    ("kind", "answer", "expected", "expected_attempts"),
     [
         ("checkout", closes_connection, "ERR failed", 1),
         ("checkout", replies_failed, "ERR failed", 1),
         ("status", closes_connection, "BUSY 375", 4),
     ],
 )
-def test_an_attempt_that_may_have_run_is_retried_only_where_the_request_is_idempotent(
-    kind: str, answer: Any, expected: str, runs: int
+def test_an_attempt_that_may_have_run_is_retried_only_if_the_request_is_idempotent(
+    kind: str, answer: Any, expected: str, expected_attempts: int
 ) -> None:
     async def scenario() -> None:
         backends = [Backend(answer) for _ in range(4)]
         async with serving(*backends) as (_, client, _):
             assert await client.call(kind) == expected
-            assert sum(len(backend.seen) for backend in backends) == runs
+            assert sum(len(backend.seen) for backend in backends) == expected_attempts
 
     run(scenario())
 
@@ -81,7 +81,7 @@
     run(scenario())
 
 
-def test_rejections_advise_a_retry_no_later_than_the_maximum() -> None:
+def test_rejections_advise_a_retry_delay_of_at_most_the_maximum() -> None:
     async def scenario() -> None:
         plan = {"Name": "gross", "Refill": 0.001, "PeakUnits": 1.0}
         backend = Backend()
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize(("kind", "sent"), [("status", False), ("checkout", True)])
-def test_a_fault_in_the_policy_engine_fails_one_request_and_no_other(kind: str, sent: bool) -> None:
+def test_a_fault_in_the_policy_engine_fails_only_one_request(kind: str, sent: bool) -> None:
     async def scenario() -> None:
         backend = Backend()
         async with serving(backend) as (ingress, client, _):
@@ -122,7 +122,7 @@
 @pytest.mark.parametrize(
     "order", list(permutations(("answer", "close", "signal", "list"))), ids="-".join
 )
-def test_a_request_runs_once_and_is_answered_once_whatever_crosses_it(
+def test_a_request_runs_once_and_is_answered_once_in_any_order_of_concurrent_events(
     order: tuple[str, ...],
 ) -> None:
     async def scenario() -> None:
@@ -171,7 +171,7 @@
     run(scenario())
 
 
-def test_a_reset_in_the_middle_of_a_decision_leaves_no_attempt_without_an_outcome() -> None:
+def test_a_client_reset_noticed_during_a_decision_leaves_no_attempt_without_an_outcome() -> None:
     """One policy decision rejects a request and starts an attempt for another of the same client.
 
     Sending the rejection reveals that the client has reset the connection. The attempt, which starts
@@ -179,10 +179,10 @@
     """
 
     async def scenario() -> None:
-        waits_for_the_list = SETTINGS | {"Safety": {"StopSendingWithin": 1_000_000}}
+        settings = SETTINGS | {"Safety": {"StopSendingWithin": 1_000_000}}
         changes: dict[str, Any] = {
             "clock": ManualClock(),
-            "settings": waits_for_the_list,
+            "settings": settings,
             "wait": False,
         }
         async with serving(Backend(never_replies), **changes) as (ingress, _, _):
@@ -203,10 +203,10 @@
             ingress.engine.handle = handle  # type: ignore[method-assign]
             ingress.dispatch(TimerFired(0))  # the loop has not run since the reset
             await until(lambda: not ingress.requests)
-            ends = [
+            outcomes = [
                 e.outcome for e in events if isinstance(e, AttemptEnded) and e.request == second
             ]
-            assert len(ends) == 1 and ends[0] in (Outcome.NOT_SENT, Outcome.CANCELLED)
+            assert len(outcomes) == 1 and outcomes[0] in (Outcome.NOT_SENT, Outcome.CANCELLED)
             assert [e.request for e in events if isinstance(e, ClientDisconnected)] == [second]
 
     run(scenario())
--- a/tests/net/test_resp.py
+++ b/tests/net/test_resp.py
@@ -28,7 +28,7 @@
         (b"c=status,t=gross,d=480,k=x,new=d=480", b"c=status,t=gross,d=77,k=x,new=d=480"),
     ],
 )
-def test_a_forwarded_command_differs_from_the_clients_in_its_deadline_alone(
+def test_a_forwarded_command_differs_from_the_clients_command_only_in_its_deadline(
     terms: bytes, forwarded_terms: bytes
 ) -> None:
     for body in ([], [b"BO\r\nDY"], [b""]):
@@ -50,7 +50,7 @@
         )),
         *([b"API.READ", KEY, wire_id, TERMS] for wire_id in (b"", b"id", REQUEST_ID + b"0", b"+" + REQUEST_ID[1:])),
         [b"API.READ", KEY, REQUEST_ID, b""],
-        *([b"API.READ", KEY, REQUEST_ID, TERMS.replace(*swap)] for swap in [
+        *([b"API.READ", KEY, REQUEST_ID, TERMS.replace(*replacement)] for replacement in [
             (b"status", b"nothing"), (b"gross", b"nothing"), (b"d=480", b"e=480"), (b"d=480", b"d="),
             (b"d=480", b"d=nan"), (b"d=480", b"d=0"), (b"d=480", b"d=inf"), (b"d=480", b"d=1e3"),
             (b"d=480", b"d=999999999"), (b"units=2", b"units=0"), (b"units=2", b"units=2.5"),
@@ -97,7 +97,7 @@
         (b"+OK\r\n", (ERROR, b"", None, 0.0, ())),
     ],
 )
-def test_a_backend_reply_is_interpreted_and_impossible_figures_are_ignored(
+def test_a_backend_reply_is_interpreted_and_implausible_numbers_are_ignored(
     wire: bytes, expected: tuple[Any, ...]
 ) -> None:
     parser = resp.new_parser()
@@ -137,18 +137,23 @@
         )),
     ],
 )  # fmt: skip
-def test_bytes_behind_an_invalid_header_are_not_fed_to_the_parser(
+def test_bytes_after_an_invalid_header_are_not_fed_to_the_parser(
     new_guard: Callable[[], resp.FramingGuard], wire: bytes, safe_bytes: int, is_broken: bool
 ) -> None:
-    guard_of_all = new_guard()
-    assert (guard_of_all.count_safe_bytes(wire), guard_of_all.is_broken) == (safe_bytes, is_broken)
+    whole_input_guard = new_guard()
+    assert (whole_input_guard.count_safe_bytes(wire), whole_input_guard.is_broken) == (
+        safe_bytes,
+        is_broken,
+    )
     # Byte by byte the result is the same, except that an invalid line is rejected before its end.
-    bytewise_guard, fed = new_guard(), 0
+    bytewise_guard, safe_byte_count = new_guard(), 0
     for position in range(len(wire)):
         if not bytewise_guard.is_broken:
-            fed += bytewise_guard.count_safe_bytes(wire[position : position + 1])
+            safe_byte_count += bytewise_guard.count_safe_bytes(wire[position : position + 1])
     assert bytewise_guard.is_broken is is_broken
-    assert safe_bytes <= fed <= len(wire) if is_broken else fed == safe_bytes
+    assert (
+        safe_bytes <= safe_byte_count <= len(wire) if is_broken else safe_byte_count == safe_bytes
+    )
 
 
 @pytest.mark.parametrize(
@@ -161,7 +166,7 @@
         )),
     ],
 )  # fmt: skip
-def test_a_counter_reply_gives_a_total_or_an_outcome_and_other_messages_break_the_framing(
+def test_a_counter_reply_yields_a_total_or_an_outcome_and_other_messages_violate_the_framing(
     wire: bytes, expected: tuple[Any, ...]
 ) -> None:
     parser, guard = resp.new_parser(), resp.counter_reply_guard()
--- a/tests/net/test_watch_response_parser.py
+++ b/tests/net/test_watch_response_parser.py
@@ -32,39 +32,41 @@
     parser = WatchResponseParser()
     if found is DiscoveryError:
         with pytest.raises(DiscoveryError):
-            [sent for piece in pieces for sent in parser.feed(piece)]
+            [parsed for piece in pieces for parsed in parser.feed(piece)]
     else:
-        assert [sent for piece in pieces for sent in parser.feed(piece)] == found
+        assert [parsed for piece in pieces for parsed in parser.feed(piece)] == found
 
 
 @pytest.mark.parametrize("indent", [None, 1, 4])
-def test_lists_are_parsed_however_laid_out_and_wherever_cut(indent: int | None) -> None:
-    sent = [message(number, target('s-ü{["', 6379), full=number == 1) for number in (1, 2)]
-    text = b"\n\n".join(json.dumps(one, indent=indent, ensure_ascii=False).encode() for one in sent)
-    for cut in range(1, len(text)):
+def test_lists_are_parsed_in_any_layout_and_with_any_chunk_boundary(indent: int | None) -> None:
+    messages = [message(number, target('s-ü{["', 6379), full=number == 1) for number in (1, 2)]
+    text = b"\n\n".join(
+        json.dumps(update, indent=indent, ensure_ascii=False).encode() for update in messages
+    )
+    for split_at in range(1, len(text)):
         parser, found = WatchResponseParser(), list[Any]()
-        for piece in (RESPONSE_HEAD, *chunked(text[:cut], text[cut:])):
+        for piece in (RESPONSE_HEAD, *chunked(text[:split_at], text[split_at:])):
             found += parser.feed(piece)
-        assert found == sent
+        assert found == messages
         assert not parser.is_inside_object
     parser, found = WatchResponseParser(), []
     for piece in (
         RESPONSE_HEAD,
-        *chunked(*(text[at : at + 1] for at in range(len(text)))),
+        *chunked(*(text[offset : offset + 1] for offset in range(len(text)))),
     ):
         before = len(found)
         found += parser.feed(piece)
         # An object is yielded with its own last byte, not with the first byte of the next one.
         assert len(found) == before or piece[3:4] == b"}"
-    assert found == sent
+    assert found == messages
 
 
-def test_complete_objects_are_yielded_before_an_error_and_no_object_is_endless() -> None:
+def test_complete_objects_are_yielded_before_an_error_and_the_object_size_is_limited() -> None:
     parser, found = WatchResponseParser(), list[Any]()
     with pytest.raises(DiscoveryError, match="not JSON"):
         for piece in (RESPONSE_HEAD, *chunked(b'{"rev": 1}\n}')):
-            for sent in parser.feed(piece):
-                found.append(sent)
+            for parsed in parser.feed(piece):
+                found.append(parsed)
     assert found == [{"rev": 1}]
     parser = WatchResponseParser()
     with pytest.raises(DiscoveryError, match="an object is too large"):
@@ -75,9 +77,9 @@
 def test_parsing_a_list_byte_by_byte_takes_linear_time() -> None:
     targets = [target(f"s-{number}", 6379) for number in range(3_000)]
     text = json.dumps(message(1, *targets, full=True), indent=2).encode()
-    parser, began = WatchResponseParser(), time.monotonic()
-    pieces = (RESPONSE_HEAD, *chunked(*(text[at : at + 1] for at in range(len(text)))))
-    found = [sent for piece in pieces for sent in parser.feed(piece)]
+    parser, started_at = WatchResponseParser(), time.monotonic()
+    pieces = (RESPONSE_HEAD, *chunked(*(text[offset : offset + 1] for offset in range(len(text)))))
+    found = [parsed for piece in pieces for parsed in parser.feed(piece)]
     assert len(found[0]["targets"]) == 3_000
     # This takes half a second. Parsing the whole input again for each byte would take minutes.
-    assert time.monotonic() - began < 20
+    assert time.monotonic() - started_at < 20
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -64,8 +64,8 @@
 @contextmanager
 def running_example(work_ms: int) -> Iterator[tuple[subprocess.Popen[str], str]]:
     """Start the example as its README does, except for the ports."""
-    toy = ("example/toy_server.py", "--discovery", "127.0.0.1:0", "--work-ms", str(work_ms))
-    with start_program(*toy, address_label="discovery at") as (_, discovery):
+    toy_command = ("example/toy_server.py", "--discovery", "127.0.0.1:0", "--work-ms", str(work_ms))
+    with start_program(*toy_command, address_label="discovery at") as (_, discovery):
         environ = {
             "NODE_CONFIG": str(CONFIG),
             "NODE_LISTEN": "127.0.0.1:0",
@@ -86,9 +86,9 @@
         assert answer in (b"PONG", "LOADING not ready to serve")
 
 
-def test_the_example_serves_requests_as_its_readme_says() -> None:
+def test_the_example_serves_requests_as_described_in_its_readme() -> None:
     with running_example(work_ms=5) as (_, address):
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "example/ask.py", address],
             cwd=ROOT,
             capture_output=True,
@@ -96,13 +96,13 @@
             check=True,
             timeout=60,
         )
-    lines = done.stdout.splitlines()
+    lines = completed.stdout.splitlines()
     assert lines[0] == "PING: PONG"
     assert [bool(re.search("says yes to", line)) for line in lines[1:]] == [True] * 4
 
 
 @pytest.mark.parametrize("signal_number", [signal.SIGTERM, signal.SIGINT])
-def test_a_signal_stops_the_daemon_once_all_accepted_requests_are_answered(
+def test_a_signal_stops_the_daemon_after_all_accepted_requests_are_answered(
     signal_number: signal.Signals,
 ) -> None:
     with running_example(work_ms=1500) as (process, address):
@@ -124,7 +124,7 @@
     assert phases == ["serving", "lingering", "draining", "stopped"]
 
 
-def test_sighup_changes_the_watched_address_in_any_phase_and_a_bad_file_changes_nothing(
+def test_sighup_changes_the_discovery_address_in_any_phase_and_an_invalid_file_changes_nothing(
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
@@ -164,7 +164,7 @@
     run(scenario())
 
 
-def test_a_sighup_during_the_start_takes_effect_once_the_daemon_serves(tmp_path: Path) -> None:
+def test_a_sighup_during_startup_takes_effect_when_the_daemon_serves(tmp_path: Path) -> None:
     """A SIGHUP that arrives after the configuration was read must cause a reload.
 
     The configuration file is a pipe here, so the test controls when it is read.
@@ -246,7 +246,7 @@
     ("start_phase", "target_phase"),
     [(Phase.STARTING, Phase.DRAINING), (Phase.DRAINING, Phase.SERVING)],
 )
-def test_a_phase_cannot_be_skipped_or_entered_again(
+def test_a_lifecycle_phase_cannot_be_skipped_or_entered_again(
     start_phase: Phase, target_phase: Phase
 ) -> None:
     lifecycle = Lifecycle()
@@ -266,8 +266,10 @@
         {"DOCKTHREAD_LOG": "loud"},
     ],
 )
-def test_a_bad_configuration_stops_the_start_with_one_line(environ: dict[str, str]) -> None:
-    done = subprocess.run(
+def test_an_invalid_configuration_ends_the_daemon_with_a_one_line_error(
+    environ: dict[str, str],
+) -> None:
+    completed = subprocess.run(
         [sys.executable, "-m", "dockthread"],
         cwd=ROOT,
         env={**os.environ, "NODE_CONFIG": str(CONFIG), **environ},
@@ -276,19 +278,19 @@
         check=False,
         timeout=60,
     )
-    assert done.returncode != 0
-    assert len(done.stderr.splitlines()) == 1
-    assert done.stderr.startswith("dockthread: ")
+    assert completed.returncode != 0
+    assert len(completed.stderr.splitlines()) == 1
+    assert completed.stderr.startswith("dockthread: ")
 
 
-def test_a_malformed_cached_list_stops_the_start_with_one_line(tmp_path: Path) -> None:
+def test_a_malformed_cached_list_ends_the_daemon_with_an_error(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(
         json.dumps(
             json.loads(CONFIG.read_text()) | {"known": {"rev": "x"}, "listen": "127.0.0.1:0"}
         )
     )
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "dockthread"],
         cwd=ROOT,
         env={**os.environ, "NODE_CONFIG": str(path)},
@@ -297,5 +299,5 @@
         check=False,
         timeout=60,
     )
-    assert done.returncode != 0
-    assert "not an endpoint list" in done.stderr.splitlines()[-1]
+    assert completed.returncode != 0
+    assert "not an endpoint list" in completed.stderr.splitlines()[-1]
