--- a/dockthread/errors.py
+++ b/dockthread/errors.py
@@ -55,7 +55,8 @@
         if self.section:
             parts.append(f"[{self.section}]")
         if self.key:
-            # Errors in the operator's file read `key: reason`, in the platform's JSON `path reason`.
+            # An error in the operator's file reads `key: reason`, in the platform's JSON
+            # `path reason`.
             parts.append(f"{self.key}:" if self.section else self.key)
         line = " ".join([*parts, self.reason])
         return f"{line}; {self.remedy}" if self.remedy else line
--- a/dockthread/net/action_executor.py
+++ b/dockthread/net/action_executor.py
@@ -131,4 +131,4 @@
         self._counter.add(action.name, action.amount, action.lifetime * 1000.0)
 
     def _poll_endpoints(self, action: PollEndpoints) -> None:
-        """Do nothing: the discovery watch is always open and receives changes unasked."""
+        """Do nothing: the discovery watch is always open and receives changes without polling."""
--- a/dockthread/net/client_connection.py
+++ b/dockthread/net/client_connection.py
@@ -57,7 +57,7 @@
 
 
 class ClientConnectionState(Enum):
-    """State of a client connection, which only ever moves down this list."""
+    """State of a client connection, in the order in which they are entered; some may be skipped."""
 
     OPEN = "open"  # commands are read and served
     FINISHING = "finishing"  # pending responses are sent, no further command is served
@@ -351,11 +351,11 @@
         return bool(data)
 
     def _feed(self, data: bytes) -> None:
-        """Feed bytes to the parser, and work out the earliest time at which they can have arrived."""
+        """Feed bytes to the parser, and update the lower bound on their arrival time."""
         self.last_read_ms = self._host.clock.now()
         lag = self._host.event_loop_lag
-        # If the reader has waited since before the heartbeat before last, the bytes arrived after
-        # that heartbeat. Otherwise they may have arrived as soon as the buffer was last drained.
+        # If the reader was already waiting at the second latest heartbeat, the bytes arrived after
+        # it. Otherwise they may have arrived at any time since the buffer was last drained.
         self.earliest_arrival_ms = (
             max(self._input_drained_ms, lag.earliest_arrival_ms)
             if lag.earliest_arrival_ms >= self._heartbeat_before_wait_ms
--- a/dockthread/net/connection_pool.py
+++ b/dockthread/net/connection_pool.py
@@ -130,7 +130,7 @@
         self._finish(attempt, resp.BackendReply(outcome if is_possible else Outcome.NOT_SENT))
 
     def close_idle_to(self, backend: BackendRecord) -> None:
-        """Close the idle connections to a backend that was removed, restarted or changed address."""
+        """Close the idle connections to a backend that was removed, restarted or moved."""
         for connection in self._idle.pop(backend.number, ()):
             self._close_connection(connection)
 
--- a/dockthread/net/descriptor_budget.py
+++ b/dockthread/net/descriptor_budget.py
@@ -12,8 +12,8 @@
 MAX_SURPLUS = 32
 MAX_SURPLUS_SHARE = 1 / 16  # Maximum share of all descriptors used for surplus connections.
 CLIENT_SHARE = 1 / 3  # Share of all descriptors used for clients with a request in flight.
-# Share of the then remaining descriptors used for idle client connections. Backend connections get
-# all others.
+# Share of the remaining descriptors used for idle client connections. Backend connections use all
+# others.
 IDLE_CLIENT_SHARE = 1 / 4
 
 
--- a/dockthread/net/discovery_watch.py
+++ b/dockthread/net/discovery_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery that keeps the endpoint list current.
+"""The discovery watch, a long-lived HTTP request that keeps the endpoint list current.
 
 Theory of operation. The ingress is assumed to know a change `NOTIFICATION_BOUND_MS` after discovery
 had it and was reachable, no matter how earlier attempts ended. A watch that has fallen silent is
@@ -76,7 +76,7 @@
     """Progress of a watch attempt; the states follow one another in this order."""
 
     CONNECTING = enum.auto()
-    CONNECTED = enum.auto()  # also after the head of the response, which alone is no answer
+    CONNECTED = enum.auto()  # no part of the body has arrived, but the head may have
     STREAMING = enum.auto()  # a part of the body has arrived
 
 
@@ -86,7 +86,7 @@
 
     started_ms: float
     last_received_ms: float
-    last_progress_ms: float  # when no object was incomplete, or one more entry was read
+    last_progress_ms: float  # last time when no object was incomplete or another entry was read
     state: AttemptState = AttemptState.CONNECTING
     is_address_outdated: bool = False
     task: asyncio.Task[None] | None = None
@@ -100,7 +100,7 @@
 class DiscoveryWatch:
     """Keeps a watch on discovery open, and opens a new one when it ends or falls silent.
 
-    `on_endpoints` is called with each event for the policy.
+    `on_endpoints` is called with each event for the policy engine.
     """
 
     def __init__(  # noqa: PLR0913 - created only by `Ingress`, which passes its components
@@ -237,7 +237,7 @@
         log("discovery watch ended: {!r}; list at revision {}", failure, self._endpoints.revision)
 
     async def _delay(self, delay_ms: float) -> None:
-        """Wait for `delay_ms`, or until the address changes: the delay applies to the old one."""
+        """Wait for `delay_ms`, or until the address changes, as the delay is for the old one."""
         ended = self._delay_ended = asyncio.Event()
         self._call_at(self._clock.now() + delay_ms, ended.set)
         await ended.wait()
--- a/dockthread/net/endpoint_list.py
+++ b/dockthread/net/endpoint_list.py
@@ -109,7 +109,7 @@
         return EndpointsListed(EndpointListKind.CHANGES, (endpoint,))
 
     def zone_of(self, uid: str) -> str | None:
-        """Return the name of a backend's zone; empty for an unnamed zone, None for an unknown uid."""
+        """Return the name of a backend's zone; empty if it has none, None for an unknown uid."""
         record = self._by_uid.get(uid)
         if record is None or record.last_listed is None:
             return None
--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -53,7 +53,7 @@
 def _request_parser(
     config: IngressConfig, offered_classes: frozenset[str] | None = None
 ) -> resp.RequestParser:
-    """Return a request parser; `offered_classes` names the classes clients may use, None for all."""
+    """Return a request parser; `offered_classes` are the classes clients may use, None for all."""
     settings = config.policy_settings
     return resp.RequestParser(
         config.names,
@@ -277,7 +277,7 @@
         self._record_heartbeat()
 
     async def _linger(self, accept_task: asyncio.Task[None]) -> None:
-        """Keep accepting clients for `LINGER_MS`, then empty the accept queue and stop listening."""
+        """Keep accepting clients for `LINGER_MS`, empty the accept queue, and stop listening."""
         self.lifecycle.enter(Phase.LINGERING)
         await self.timers.sleep(LINGER_MS)
         accept_task.cancel()
@@ -294,7 +294,7 @@
         # Every request is answered by the longest deadline. Connections that are still open after
         # that belong to clients that do not read.
         longest_deadline_ms = (
-            max(each_class.deadline for each_class in self.config.policy_settings.classes) * 1000.0
+            max(one_class.deadline for one_class in self.config.policy_settings.classes) * 1000.0
         )
         close_at_ms = self.clock.now() + longest_deadline_ms + LINGER_MS
         self.call_at(close_at_ms, self.listener.close_all)
--- a/dockthread/net/quota_counter.py
+++ b/dockthread/net/quota_counter.py
@@ -99,7 +99,7 @@
             self._reconnect_not_before_ms = 0.0
 
     def add(self, name: int, amount: float, lifetime_ms: float) -> None:
-        """Add `amount` to the count `name`, which expires `lifetime_ms` after its first addition."""
+        """Add `amount` to the count `name`; it expires `lifetime_ms` after its first addition."""
         now = self._clock.now()
         addition = CounterAddition(name, amount, lifetime_ms, now)
         connection = self._connection
--- a/dockthread/net/requests_in_flight.py
+++ b/dockthread/net/requests_in_flight.py
@@ -80,7 +80,7 @@
     def accept(self, connection: RequestSource, command: resp.RequestCommand) -> ResponseSlot:
         """Pass a request to the policy engine, or reject it immediately.
 
-        Returns the slot that holds its response, now or later.
+        Returns the slot for its response.
         """
         body_bytes = self.body_bytes + command.body_bytes
         is_full = len(self.by_number) >= self.limits.max_requests
--- a/dockthread/net/watch_response_parser.py
+++ b/dockthread/net/watch_response_parser.py
@@ -42,9 +42,8 @@
             map_type=self._new_object,
         )
         self._read_entry = read_entry
-        self._current_object: JsonObject | None = (
-            None  # members so far of the current outermost object
-        )
+        # The members received so far of the current outermost object.
+        self._current_object: JsonObject | None = None
         self._completed_before_object = 0  # number of complete objects when the current one began
         self._object_entries_read = 0  # number of decoded entries of the current object
         self.entries_read = 0  # number of decoded entries of all objects
--- a/tests/admin/test_management_endpoint.py
+++ b/tests/admin/test_management_endpoint.py
@@ -109,9 +109,8 @@
         first = Daemon(config(endpoint_list), None, None)
         first.ingress.dispatch(first.ingress.endpoints.apply(endpoint_list))
         assert first.detach("s-0") and first.detach("s-0") and not first.detach("nobody")
-        second = Daemon(
-            config(endpoint_list), None, None
-        )  # after an upgrade, with the same $TMPDIR
+        # The next process after an upgrade has the same $TMPDIR.
+        second = Daemon(config(endpoint_list), None, None)
         listed = second.ingress.endpoints.apply(endpoint_list)
         states = {
             second.ingress.endpoints.uid_of(endpoint.backend): endpoint.state
--- a/tests/net/support.py
+++ b/tests/net/support.py
@@ -1,4 +1,4 @@
-"""Helpers for tests of the ingress on real sockets: backend behaviours, attempts, client sockets."""
+"""Helpers for tests of the ingress on real sockets: backends, attempts and client sockets."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def collect_outcomes(ingress: Ingress) -> list[tuple[Attempt, Outcome]]:
-    """Collect the outcomes of attempts that a test starts itself, in the order in which they end."""
+    """Return a list that collects the outcomes of attempts started by the test itself."""
     outcomes = list[tuple[Attempt, Outcome]]()
     pool = ingress.connection_pool
     pool.on_ended = lambda attempt, reply: outcomes.append((attempt, reply.outcome))
--- a/tests/net/test_discovery_watch.py
+++ b/tests/net/test_discovery_watch.py
@@ -143,7 +143,7 @@
 
 
 def test_a_long_list_that_arrives_slowly_entry_by_entry_is_received() -> None:
-    """If the watch were cancelled after 4 s, the list would restart each time and never complete."""
+    """If the watch were cancelled after 4 s, the list would restart and never be complete."""
 
     async def scenario() -> None:
         clock = ManualClock()
--- a/tests/net/test_requests_in_flight.py
+++ b/tests/net/test_requests_in_flight.py
@@ -174,8 +174,8 @@
 def test_a_client_reset_noticed_during_a_decision_leaves_no_attempt_without_an_outcome() -> None:
     """One policy decision rejects a request and starts an attempt for another of the same client.
 
-    Sending the rejection reveals that the client has reset the connection. The attempt, which starts
-    after that, must still end with exactly one outcome.
+    Sending the rejection reveals that the client has reset the connection. The attempt starts after
+    that and must still end with exactly one outcome.
     """
 
     async def scenario() -> None:
