--- a/dockthread/admin/reload.py
+++ b/dockthread/admin/reload.py
@@ -32,7 +32,7 @@
     Attributes:
         settings: The policy engine's settings.
         names: The names of its classes, including those no longer offered.
-        offered: The names of the classes that clients may request.
+        offered_classes: The names of the classes that clients may request.
     """
 
     settings: PolicySettings
--- a/dockthread/admin/server.py
+++ b/dockthread/admin/server.py
@@ -40,7 +40,7 @@
 METRICS_CONTENT_TYPE = b"text/plain; version=0.0.4"
 
 
-class Host(Protocol):
+class CommandExecutor(Protocol):
     """Executes the commands that the management server receives."""
 
     @property
@@ -83,31 +83,33 @@
         self.complete = True
 
 
-async def handle(host: Host, method: bytes, path: bytes, body: bytes) -> commands.Response:
+async def handle(
+    executor: CommandExecutor, method: bytes, path: bytes, body: bytes
+) -> commands.Response:
     """Execute a request and return its response."""
     command = commands.parse_request(method, path, body)
     if isinstance(command, commands.Response):
         return command
     if command.operation in commands.FLEET_OPERATIONS:
-        return await host.fleet(command)
+        return await executor.fleet(command)
     if command.operation is commands.Operation.METRICS:
-        return commands.Response(200, host.metrics(), METRICS_CONTENT_TYPE)
+        return commands.Response(200, executor.metrics(), METRICS_CONTENT_TYPE)
     if command.operation is commands.Operation.READY:
-        return commands.outcome_response(command, host.ready)
+        return commands.outcome_response(command, executor.ready)
     if command.operation is commands.Operation.DETACH:
-        return commands.outcome_response(command, host.detach(command.target))
-    return commands.outcome_response(command, host.attach(command.target))
+        return commands.outcome_response(command, executor.detach(command.target))
+    return commands.outcome_response(command, executor.attach(command.target))
 
 
 class ManagementServer:
-    """Listens for management requests, and lets `host` execute them.
+    """Listens for management requests, and lets `executor` execute them.
 
     Attributes:
         address: The address to listen at; after `open`, the bound address.
     """
 
-    def __init__(self, host: Host, address: Address) -> None:
-        self._host = host
+    def __init__(self, executor: CommandExecutor, address: Address) -> None:
+        self._executor = executor
         self.address = address
         # The task of each open connection, oldest connection first.
         self._connections: dict[socket.socket, asyncio.Task[None]] = {}
@@ -185,5 +187,5 @@
                 return
             parser.feed_data(memoryview(buffer)[:received])
         method = parser.get_method()
-        response = await handle(self._host, method, request.url, bytes(request.body))
+        response = await handle(self._executor, method, request.url, bytes(request.body))
         await loop.sock_sendall(connection, commands.encode_response(response, method == b"HEAD"))
--- a/dockthread/net/client_commands.py
+++ b/dockthread/net/client_commands.py
@@ -17,13 +17,13 @@
     and no command after that is served.
     """
 
-    __slots__ = ("_host", "_is_surplus", "invalid_commands", "is_last_served")
+    __slots__ = ("_host", "_is_surplus", "invalid_commands", "stops_serving")
 
     def __init__(self, host: ConnectionHost, is_surplus: bool) -> None:
         self._host = host
         self._is_surplus = is_surplus
         self.invalid_commands = 0  # number of commands that could not be served
-        self.is_last_served = False  # the command handled last is the last one to be served
+        self.stops_serving = False  # no further command is to be served
 
     def handle(self, connection: RequestSource, message: object) -> ResponseSlot:
         """Handle a complete command and return the slot for its response.
@@ -37,7 +37,7 @@
         if verb in REQUEST_VERBS:
             return self._handle_request(connection, message)
         if verb == b"QUIT":
-            self.is_last_served = True
+            self.stops_serving = True
             return ResponseSlot(resp.OK)
         return self._handle_other(verb, message)
 
@@ -48,7 +48,7 @@
         except resp.CommandError as error:
             return self._reject_invalid(resp.encode_error(str(error)))
         if self._is_surplus:
-            self.is_last_served = True
+            self.stops_serving = True
             return host.requests.respond_without_policy(command, "surplus", resp.BUSY)
         if host.requests.is_in_flight(command.wire_id):
             self.invalid_commands += 1
--- a/dockthread/net/client_connection.py
+++ b/dockthread/net/client_connection.py
@@ -323,7 +323,7 @@
                 self.commands_read += 1
                 self.command_started_ms = self.last_read_ms
                 self._pending.append(self._commands.handle(self, message))
-                if self._commands.is_last_served:
+                if self._commands.stops_serving:
                     self._finish()
                 has_too_many_errors = self._commands.invalid_commands >= MAX_INVALID_COMMANDS
                 if has_too_many_errors or len(self._pending) > MAX_PENDING_COMMANDS:
--- a/dockthread/net/discovery_watch.py
+++ b/dockthread/net/discovery_watch.py
@@ -219,8 +219,8 @@
         if attempt.task is None or not is_overdue:
             return
         if not attempt.is_streaming and not self._give_up_at_ms:
-            max_delay_ms_left = attempt.started_ms + MAX_WAIT_MS - now
-            self._give_up_at_ms = now + self._retry_delay(max_delay_ms_left)
+            remaining_ms = attempt.started_ms + MAX_WAIT_MS - now
+            self._give_up_at_ms = now + self._retry_delay(remaining_ms)
         if now >= self._give_up_at_ms:
             attempt.task.cancel()
 
--- a/dockthread/net/endpoint_list.py
+++ b/dockthread/net/endpoint_list.py
@@ -133,7 +133,9 @@
     def forget_expired(self) -> None:
         """Drop backends removed more than `REMOVED_RETENTION_MS` ago, which bounds the memory."""
         oldest_ms = self._clock.now() - REMOVED_RETENTION_MS
-        expired = [record for record in self._removed.values() if record.removed_at_ms < oldest_ms]
+        expired = [
+            backend for backend in self._removed.values() if backend.removed_at_ms < oldest_ms
+        ]
         for record in expired:
             del self._removed[record.number]
             del self.by_number[record.number]
--- a/dockthread/net/requests_in_flight.py
+++ b/dockthread/net/requests_in_flight.py
@@ -20,7 +20,7 @@
 # clock ticks before the deadline, and its timer may be one tick late. Without this deduction some
 # responses arrived after the client had timed out.
 TRANSIT_TIME_MS = 5.0
-MIN_TIME_PER_TRANSIT = 10.0  # The deduction is at most one tenth of the time budget.
+MIN_BUDGET_PER_TRANSIT = 10.0  # The deduction is at most one tenth of the time budget.
 # Minimum share of the time budget that must be left after a late read. A request with less is
 # rejected immediately without an attempt.
 MIN_TIME_LEFT_SHARE = 0.1
@@ -85,13 +85,13 @@
         body_bytes = self.body_bytes + command.body_bytes
         is_full = len(self.by_number) >= self.limits.max_requests
         if is_full or body_bytes > self.limits.max_body_bytes or self._lifecycle.draining:
-            return self._shed(command, body_bytes)
+            return self._reject_without_capacity(command, body_bytes)
         now = self._clock.now()
-        full_time_ms = command.time_left_ms
+        time_budget_ms = command.time_left_ms
         lag_ms = self._event_loop_lag.lag_ms(connection.earliest_arrival_ms, now)
-        transit_time_ms = min(TRANSIT_TIME_MS, full_time_ms / MIN_TIME_PER_TRANSIT)
-        time_left_ms = full_time_ms - transit_time_ms - lag_ms
-        if lag_ms and time_left_ms < full_time_ms * MIN_TIME_LEFT_SHARE:
+        transit_time_ms = min(TRANSIT_TIME_MS, time_budget_ms / MIN_BUDGET_PER_TRANSIT)
+        time_left_ms = time_budget_ms - transit_time_ms - lag_ms
+        if lag_ms and time_left_ms < time_budget_ms * MIN_TIME_LEFT_SHARE:
             return self._reject_at_once(command, "late")
         self._last_number += 1
         route = self.routes.bounds(command) if self.routes is not None else None
@@ -118,7 +118,9 @@
         )
         return request
 
-    def _shed(self, command: resp.RequestCommand, body_bytes: int) -> ResponseSlot:
+    def _reject_without_capacity(
+        self, command: resp.RequestCommand, body_bytes: int
+    ) -> ResponseSlot:
         """Reject a request because the ingress has no capacity for it or is draining."""
         if self._lifecycle.draining:
             return self._reject_at_once(command, "draining")
--- a/dockthread/net/resp/replies.py
+++ b/dockthread/net/resp/replies.py
@@ -94,11 +94,11 @@
         return BackendReply(Outcome.ERROR, is_well_formed=False)
 
     def _parse_error(self, text: str) -> BackendReply:
-        kind, *reports = text.split(" ")
+        kind, *details = text.split(" ")
         reply = BackendReply(Outcome.AT_CAPACITY if kind == "BUSY" else Outcome.ERROR)
-        reply.is_well_formed = kind == "BUSY" or (kind == "ERR" and reports[:1] == ["failed"])
-        for report in reports:
-            self._apply_report(reply, report.encode())
+        reply.is_well_formed = kind == "BUSY" or (kind == "ERR" and details[:1] == ["failed"])
+        for detail in details:
+            self._apply_report(reply, detail.encode())
         return reply
 
     def _apply_report(self, reply: BackendReply, report: bytes) -> None:
--- a/dockthread/net/watch_response_parser.py
+++ b/dockthread/net/watch_response_parser.py
@@ -25,13 +25,13 @@
 class WatchResponseParser:
     """Parses the response of one watch, in chunks of any size.
 
-    Whitespace between the objects serves as a heartbeat. `read_entry` decodes the entries of an
+    Whitespace between the objects serves as a heartbeat. `decode_entry` decodes the entries of an
     object's `targets` while the object is still arriving, and the results replace the entries. So
     the JSON objects of a long list are never all in memory, and the event loop is blocked only for
     one chunk at a time.
     """
 
-    def __init__(self, read_entry: Callable[[Any], Any] | None = None) -> None:
+    def __init__(self, decode_entry: Callable[[Any], Any] | None = None) -> None:
         self._http = httptools.HttpResponseParser(self)
         self._completed_objects = ijson.sendable_list()
         self._json = ijson.items_coro(
@@ -41,7 +41,7 @@
             use_float=True,
             map_type=self._new_object,
         )
-        self._read_entry = read_entry
+        self._decode_entry = decode_entry
         # The members received so far of the current outermost object.
         self._current_object: JsonObject | None = None
         self._completed_before_object = 0  # number of complete objects when the current one began
@@ -84,15 +84,15 @@
             self._object_entries_read = 0
         return new_object
 
-    def _read_entries(self) -> None:
+    def _decode_entries(self) -> None:
         """Decode all new entries but the last, which may be incomplete."""
         targets = self._current_object.get("targets") if self._current_object is not None else None
-        if self._read_entry is None or not isinstance(targets, list):
+        if self._decode_entry is None or not isinstance(targets, list):
             return
         start, end = self._object_entries_read, len(targets) - 1
         if end <= start:
             return
-        targets[start:end] = map(self._read_entry, targets[start:end])
+        targets[start:end] = map(self._decode_entry, targets[start:end])
         self.entries_read += end - start
         self._object_entries_read = end
         self._unread_bytes = 0
@@ -112,7 +112,7 @@
         self._unread_bytes += len(body)
         try:
             self._json.send(body)
-            self._read_entries()
+            self._decode_entries()
         except DiscoveryError as error:
             self._error = error
             return
