--- a/dockthread/clock.py
+++ b/dockthread/clock.py
@@ -25,11 +25,14 @@
 
     @property
     def unix_offset(self) -> float:
-        """The milliseconds to add to a time on this clock to get Unix time."""
+        """The milliseconds to add to a time on this clock to get Unix time.
+
+        Unlike times on this clock, Unix time can be compared between machines.
+        """
         return self._unix_offset
 
     def unix(self) -> float:
-        """Return the system's current Unix time in milliseconds, for display."""
+        """Return the system's Unix time in ms, for display; it follows clock adjustments."""
         return time.time() * MILLISECONDS
 
     def from_unix(self, unix_ms: float) -> float:
--- a/dockthread/control_plane_daemon.py
+++ b/dockthread/control_plane_daemon.py
@@ -50,8 +50,8 @@
     """Return the service for the configured role.
 
     Raises:
-        OSError: The directory of the log cannot be used.
-        ValueError: The key or a member cannot be used.
+        OSError: The directory of the Raft log cannot be used.
+        ValueError: The key or a member address cannot be used.
         RaftStorageError: The log was lost.
     """
     rng = random.Random(secrets.randbits(SEED_BITS))
@@ -78,7 +78,7 @@
     Raises:
         SettingsError: The file or the role is invalid.
         OSError: The address cannot be bound.
-        ValueError: The key or the directory of the log cannot be used.
+        ValueError: The key or the directory of the Raft log cannot be used.
         RaftStorageError: The log was lost.
     """
     sections = load_operator_file(file)
--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -266,7 +266,7 @@
         loop continues to serve requests.
         """
         if self._operator_file is None:
-            return None  # without starting a thread
+            return None  # no file, so no thread is needed
         return await asyncio.to_thread(_load_operator_file, self._operator_file, config)
 
     def _apply_reloaded(
--- a/dockthread/net/client_connection.py
+++ b/dockthread/net/client_connection.py
@@ -57,7 +57,7 @@
 
 
 class ClientConnectionState(Enum):
-    """State of a client connection, in the order in which they are entered; some may be skipped."""
+    """State of a client connection. States are entered in this order; some may be skipped."""
 
     OPEN = "open"  # commands are read and served
     FINISHING = "finishing"  # pending responses are sent, no further command is served
--- a/dockthread/net/lifecycle.py
+++ b/dockthread/net/lifecycle.py
@@ -32,7 +32,7 @@
 
 
 class LifecycleError(DockthreadError, RuntimeError):
-    """A transition between lifecycle phases that is not allowed."""
+    """Raised for a transition between lifecycle phases that is not allowed."""
 
 
 class Lifecycle:
--- a/dockthread/net/request.py
+++ b/dockthread/net/request.py
@@ -63,9 +63,9 @@
 
     @property
     def last_outcome(self) -> str:
-        """The outcome of the latest attempt, used as the reason for a failed request.
+        """The outcome of the latest attempt, reported as the reason why the request failed.
 
-        It is `no-node` without any attempt, and `time` if the latest attempt is in flight.
+        It is `no-node` if there was no attempt, and `time` if the latest attempt is in flight.
         """
         if not self.attempts:
             return "no-node"
--- a/dockthread/net/requests_in_flight.py
+++ b/dockthread/net/requests_in_flight.py
@@ -241,7 +241,7 @@
             bool(request.attempts),
         )
         self._dispatch(ClientDisconnected(request.number))
-        for attempt in request.attempts:  # attempts that have not started need not start any more
+        for attempt in request.attempts:  # attempts that have not been sent yet are not needed
             if not attempt.has_started:
                 self._pool.end(attempt, Outcome.NOT_SENT)
         self._wire_ids_in_flight.discard(command.wire_id)
@@ -279,7 +279,7 @@
     def _on_deadline(self, request: Request) -> None:
         """End a request at its deadline, when its client has timed out.
 
-        Normally the policy engine has answered it before; otherwise it failed.
+        Normally the policy engine has already answered the request, unless the engine failed.
         """
         for attempt in request.attempts:
             self._pool.end(attempt, Outcome.TIMEOUT)
--- a/dockthread/observer.py
+++ b/dockthread/observer.py
@@ -78,7 +78,7 @@
     raise exceptions.
 
     Attributes:
-        active: Whether the ingress should call the methods for requests and attempts.
+        active: Whether the observer uses what is reported; if not, calls may be skipped.
         tracing: Whether the ingress should call `event` for individual events.
     """
 
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -91,7 +91,7 @@
             assert await silent.answer() is None
             silent.writer.close()
             await until(lambda: len(ingress.listener.connections) == 2)
-            clock.advance(1_000)  # 2.6 s after its start; a slow client takes 2 s
+            clock.advance(1_000)  # now 2.6 s after the command began; a slow client takes 2 s
             ingress._run_periodic_maintenance()
             assert any(c.is_mid_command for c in ingress.listener.connections)
             clock.advance(500)
--- a/tests/net/test_discovery_watch.py
+++ b/tests/net/test_discovery_watch.py
@@ -134,7 +134,9 @@
                 ingress.watch.enforce_timeouts()
                 await asyncio.sleep(0)
                 assert len(discovery.paths) == 1 or second == 4
-            clock.advance(DRAIN_GRACE_MS / 2)  # the delay; 5.5 s in total, less than 6 s
+            clock.advance(
+                DRAIN_GRACE_MS / 2
+            )  # the delay before the next attempt, within 6 s in total
             ingress.timers.run_due()
             await until(lambda: len(discovery.paths) == 2)
             assert discovery.paths[-1].endswith(b"after=2")
--- a/tests/net/test_resp.py
+++ b/tests/net/test_resp.py
@@ -119,7 +119,7 @@
     ("new_guard", "wire", "safe_bytes", "is_broken"),
     [
         (COMMAND_GUARD, b"*1\r\n$4\r\nPING\r\n*1\r\n$4\r\nPI", 24, False),
-        (COMMAND_GUARD, b"*1\r\n$4\r\nPINGS\r\n", 12, True),  # a parser without the guard cuts it to PING
+        (COMMAND_GUARD, b"*1\r\n$4\r\nPINGS\r\n", 12, True),  # without the guard, the parser would read PING
         (COMMAND_GUARD, b"*1\r\n$0\r\n\r\n", 10, False),
         *((COMMAND_GUARD, wire, 0, True) for wire in (
             b"PING\r\n", b"*1000000000\r\n", b"*-3\r\n", b"*0\r\n", b"*\r\n", b"*1\n", b"*00000000000001",
