--- a/tests/net/test_backend_connections.py
+++ b/tests/net/test_backend_connections.py
@@ -1,4 +1,4 @@
-"""Backend connections: forwarded commands, reuse, idle timeout, malformed replies, connecting."""
+"""Backend connections: forwarding, reuse, idle timeout, malformed replies, connect timeout."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 
 
-def test_forwarded_commands_keep_their_form_and_connections_are_reused() -> None:
+def test_forwarded_commands_change_only_the_deadline_and_connections_are_reused() -> None:
     async def scenario() -> None:
         backend, clock = Backend(), ManualClock()
         async with serving(backend, clock=clock) as (_, client, _):
@@ -35,15 +35,18 @@
             b"%016x" % FIRST_ID,
             b"BO\r\nDY",
         )
-        head, left, rest = (
+        first_terms, time_left, last_terms = (
             terms.partition(b"d=")[0],
             terms.split(b"d=")[1].split(b",")[0],
             terms.split(b",")[3:],
         )
-        assert (head, rest) == (b"c=status,t=gross,", [b"units=2", b"spread=3", b"first=1"])
-        assert 0 < int(left) <= 3000
-        # Every connection was once closed after one attempt, as reader.len() counts bytes that were
-        # read already.
+        assert (first_terms, last_terms) == (
+            b"c=status,t=gross,",
+            [b"units=2", b"spread=3", b"first=1"],
+        )
+        assert 0 < int(time_left) <= 3000
+        # Guards against closing every connection after one attempt, which happened when the check
+        # for extra bytes used reader.len(): it also counts bytes that were already read.
         assert backend.opened == 1
 
     run(scenario())
@@ -56,14 +59,14 @@
             assert await client.call("checkout") == b"value"
             backend.writers[0].close()
             await backend.writers[0].wait_closed()
-            # A reset here would fail a checkout that never ran.
+            # Reusing the closed connection would end in a reset and fail a checkout that never ran.
             assert await client.call("checkout") == b"value"
             assert (backend.opened, len(backend.seen)) == (2, 2)
 
     run(scenario())
 
 
-def test_idle_connections_close_before_the_backend_would_close_them() -> None:
+def test_idle_connections_are_closed_before_the_backend_closes_them() -> None:
     async def scenario() -> None:
         backend, clock = Backend(), ManualClock()
         async with serving(backend, clock=clock) as (ingress, client, _):
@@ -78,7 +81,7 @@
     run(scenario())
 
 
-def test_nothing_is_sent_to_a_backend_that_begins_to_drain_while_connecting() -> None:
+def test_nothing_is_sent_to_a_backend_that_starts_draining_while_connecting() -> None:
     async def scenario() -> None:
         drained, other = Backend(), Backend()
         async with serving(drained, other) as (ingress, client, discovery):
@@ -113,8 +116,8 @@
         async with serving(backend, clock=clock) as (ingress, client, _):
             client.ask("checkout", d=UNREACHED_DEADLINE_MS)
             await until(lambda: backend.seen)
-            # The clock goes on in steps for the reply that is shorter than its header says: however
-            # late the timer for its rest is set, a later step passes it.
+            # One of these replies is shorter than its header says, so it ends with a timeout. The
+            # clock advances in steps, so that it passes this timeout whenever its timer is set.
             for _ in range(400):
                 if backend.closed:
                     break
@@ -129,11 +132,11 @@
     run(scenario())
 
 
-@pytest.mark.parametrize("more", [b"noise", VALUE_REPLY, b"-BUSY\r\n", b"*3\r\n"])
-def test_bytes_behind_a_good_reply_are_not_taken_for_the_next_one(more: bytes) -> None:
+@pytest.mark.parametrize("extra", [b"noise", VALUE_REPLY, b"-BUSY\r\n", b"*3\r\n"])
+def test_extra_bytes_after_a_valid_reply_are_not_taken_for_the_next_reply(extra: bytes) -> None:
     async def scenario() -> None:
         async def replies(args: list[bytes]) -> bytes | None:
-            return VALUE_REPLY + more
+            return VALUE_REPLY + extra
 
         backend = Backend(replies)
         async with serving(backend) as (_, client, _):
@@ -143,7 +146,7 @@
     run(scenario())
 
 
-def test_a_second_reply_closes_the_connection() -> None:
+def test_a_duplicate_reply_closes_the_connection() -> None:
     async def scenario() -> None:
         async def replies_twice(args: list[bytes]) -> bytes | None:
             return (await serves(args) or b"") * 2
@@ -156,10 +159,10 @@
     run(scenario())
 
 
-def test_a_second_reply_some_milliseconds_late_is_not_taken_for_the_next_one() -> None:
+def test_a_duplicate_reply_that_arrives_late_is_not_taken_for_the_next_reply() -> None:
     async def scenario() -> None:
         async def replies(args: list[bytes]) -> bytes | None:
-            # The first connection repeats its reply while the second attempt is in flight.
+            # The first connection sends a second reply while the second attempt is in flight.
             if len(backend.seen) == 2:
                 backend.writers[0].write(VALUE_REPLY)
                 await asyncio.sleep(0.02)
@@ -171,7 +174,7 @@
             clock.advance(connection_pool.REUSE_DELAY_MS - 1)
             assert await client.call() == b"val-2"
             clock.advance(connection_pool.REUSE_DELAY_MS)
-            # One of the two connections has been idle long enough, and is not broken.
+            # The second connection has been idle long enough by now and is not broken.
             assert [await client.call(), backend.opened] == [b"val-3", 2]
 
     run(scenario())
@@ -180,28 +183,28 @@
 def test_a_connect_timeout_ends_the_attempt_as_unreachable() -> None:
     async def scenario() -> None:
         async with serving(Backend()) as (ingress, _, _):
-            with socket.socket() as full:
-                full.bind(("127.0.0.1", 0))
-                full.listen(0)
-                port = full.getsockname()[1]
-                # The queue is full: a connection that is opened now does not come up.
-                queued = [socket.socket() for _ in range(4)]
-                for one in queued:
-                    one.setblocking(False)
-                    one.connect_ex(("127.0.0.1", port))
+            with socket.socket() as full_listener:
+                full_listener.bind(("127.0.0.1", 0))
+                full_listener.listen(0)
+                port = full_listener.getsockname()[1]
+                # Fill the accept queue, so that further connections cannot be established.
+                queue_fillers = [socket.socket() for _ in range(4)]
+                for filler in queue_fillers:
+                    filler.setblocking(False)
+                    filler.connect_ex(("127.0.0.1", port))
                 ingress.endpoints.apply(message(2, target("s-9", port)))
                 outcomes = collect_outcomes(ingress)
                 ingress.connection_pool.start(new_attempt(ingress, backend=2))
                 await until(lambda: outcomes)
                 assert [outcome for _, outcome in outcomes] == [Outcome.UNREACHABLE]
                 assert outcomes[0][0].started_ms + 250 <= Clock().now()
-                for one in queued:
-                    one.close()
+                for filler in queue_fillers:
+                    filler.close()
 
     run(scenario())
 
 
-def test_ending_an_attempt_closes_its_connection_and_no_other() -> None:
+def test_ending_an_attempt_closes_only_its_own_connection() -> None:
     async def scenario() -> None:
         backend = Backend(never_replies)
         async with serving(backend) as (ingress, _, _):
--- a/tests/net/test_discovery_watch.py
+++ b/tests/net/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery over real sockets: start, losses, silence and changes of address."""
+"""The discovery watch over real sockets: start, failures, silence and changes of address."""
 
 from __future__ import annotations
 
@@ -14,15 +14,17 @@
 from dockthread.net.ingress import Ingress
 from tests.loopback import SETTINGS, Backend, Discovery, message, run, serving, target, until
 
-DRAIN_GRACE_MS = 1_000.0  # for which a draining backend may be sent requests
+DRAIN_GRACE_MS = 1_000.0  # Time for which a draining backend may still be sent requests.
 
 
-def watch_settings(**more: Any) -> dict[str, Any]:
-    return {"settings": SETTINGS | {"Safety": {"StopSendingWithin": DRAIN_GRACE_MS * 1_000}} | more}
+def watch_settings(**changes: Any) -> dict[str, Any]:
+    return {
+        "settings": SETTINGS | {"Safety": {"StopSendingWithin": DRAIN_GRACE_MS * 1_000}} | changes
+    }
 
 
-def has_answered(discovery: Discovery, calls: int) -> bool:
-    return len(discovery.writers) >= calls
+def has_answered(discovery: Discovery, attempts: int) -> bool:
+    return len(discovery.writers) >= attempts
 
 
 def has_revision(ingress: Ingress, revision: int) -> bool:
@@ -38,10 +40,10 @@
 
 
 @pytest.mark.parametrize("agent_answers", [True, False])
-def test_nothing_is_sent_by_a_cached_list_before_the_agent_had_time_to_answer(
+def test_the_cached_list_is_not_used_before_the_agent_had_time_to_answer(
     agent_answers: bool,
 ) -> None:
-    """What the agent has counts as received from the first moment of a process."""
+    """Changes known to the local agent apply to an ingress from the start of its process."""
 
     async def scenario() -> None:
         clock, draining, ready = ManualClock(), Backend(), Backend()
@@ -59,7 +61,7 @@
             if agent_answers:
                 discovery.push(message(2, target("s-0", port_of(draining), "leaving")))
                 await until(lambda: ingress.ready)
-            else:  # it is down and has received nothing meanwhile: the cached list has to serve
+            else:  # the agent is down, so the cached list is used after half the grace period
                 clock.advance(DRAIN_GRACE_MS / 2)
                 ingress.timers.run_due()
                 assert ingress.ready
@@ -70,12 +72,13 @@
 
 
 @pytest.mark.parametrize("agent_sends_lists", [False, True])
-def test_an_agent_that_ends_attempts_is_called_within_half_a_drain_grace_by_any_number_of_ingresses(
+def test_an_agent_that_ends_attempts_is_called_again_within_half_the_drain_grace_period(
     agent_sends_lists: bool,
 ) -> None:
-    """What it has counts as received, watch or not.
+    """Changes known to the local agent apply to an ingress even without a watch.
 
-    Each delay was once drawn from 25 s, then 50 s, with 200 ingresses.
+    Delays must not grow with the number of ingresses: with 200, they were drawn from 25 s and then
+    50 s.
     """
 
     async def scenario() -> None:
@@ -97,9 +100,7 @@
     run(scenario())
 
 
-def test_an_attempt_without_an_answer_is_replaced_before_the_agents_changes_count_as_received() -> (
-    None
-):
+def test_an_unanswered_attempt_is_replaced_within_half_the_drain_grace_period() -> None:
     async def scenario() -> None:
         clock = ManualClock()
         changes = watch_settings(ReplicasOfMe=200)
@@ -110,7 +111,8 @@
         ):
             await until(lambda: discovery.writers)
             clock.advance(3_600)
-            ingress.watch.enforce_timeouts()  # silent for too long; half a drain grace more at the most
+            # The attempt is overdue; the delay before the next is at most half the grace period.
+            ingress.watch.enforce_timeouts()
             clock.advance(DRAIN_GRACE_MS / 2)
             ingress.watch.enforce_timeouts()
             await until(lambda: len(discovery.paths) == 2)
@@ -118,7 +120,7 @@
     run(scenario())
 
 
-def test_a_watch_with_an_incomplete_object_and_heartbeats_is_replaced() -> None:
+def test_a_watch_with_an_incomplete_object_is_replaced_despite_heartbeats() -> None:
     async def scenario() -> None:
         clock = ManualClock()
         async with serving(Backend(), clock=clock) as (ingress, _, discovery):
@@ -132,7 +134,9 @@
                 ingress.watch.enforce_timeouts()
                 await asyncio.sleep(0)
                 assert len(discovery.paths) == 1 or second == 4
-            clock.advance(DRAIN_GRACE_MS / 2)  # and a delay: within 6 s in all
+            clock.advance(
+                DRAIN_GRACE_MS / 2
+            )  # the delay before the next attempt, within 6 s in total
             ingress.timers.run_due()
             await until(lambda: len(discovery.paths) == 2)
             assert discovery.paths[-1].endswith(b"after=2")
@@ -140,8 +144,8 @@
     run(scenario())
 
 
-def test_a_long_list_that_arrives_slowly_but_entry_by_entry_is_received() -> None:
-    """Given up after 4 s it would start anew each time, and never be received."""
+def test_a_long_list_that_arrives_slowly_entry_by_entry_is_received() -> None:
+    """If the watch were cancelled after 4 s, the list would restart and never be complete."""
 
     async def scenario() -> None:
         clock = ManualClock()
@@ -169,7 +173,7 @@
 
 
 @pytest.mark.parametrize("rejected_attempts", [0, 1_000_000])
-def test_a_change_of_address_during_an_unanswered_attempt_or_a_delay_takes_effect_at_once(
+def test_an_address_change_during_an_unanswered_attempt_or_a_delay_takes_effect_immediately(
     rejected_attempts: int,
 ) -> None:
     async def scenario() -> None:
@@ -182,7 +186,7 @@
             _,
             old_discovery,
         ):
-            clock.advance(DRAIN_GRACE_MS / 2)  # the delay at a start
+            clock.advance(DRAIN_GRACE_MS / 2)  # the delay before the first attempt
             ingress.timers.run_due()
             await until(
                 lambda: (
