--- a/dockthread/framing.py
+++ b/dockthread/framing.py
@@ -1,8 +1,8 @@
-"""Frames of a TCP stream between members: a length, a version, a keyed tag and a message.
+"""Frames of a TCP stream: a length, a version, an authentication tag and a message.
 
-A frame is four bytes of length (little-endian), one byte of version, 16 bytes of a keyed BLAKE2
-tag (zeros where there is no key) and a message in msgpack. Anything else raises
-`MalformedFrameError`; the connection can't be used after it.
+A frame consists of a 4-byte little-endian length, a 1-byte version, a 16-byte keyed BLAKE2 tag
+(zeros without a key) and a message in msgpack. Other bytes raise `MalformedFrameError`, after which
+the connection must be closed.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 class UnknownMessageError(MalformedFrameError):
     """A valid frame with a message that this release does not know.
 
-    A later release may send one; the frames behind it can still be read.
+    A later release may send such a message; the frames after it can still be read.
     """
 
 
 @dataclass(slots=True)
 class MessageCounts:
-    """Messages received and sent since the start, over all connections that share it."""
+    """Numbers of messages received and sent since the start, shared by several connections."""
 
     received: int = 0
     sent: int = 0
@@ -49,12 +49,12 @@
     """Packs and unpacks the frames of one protocol.
 
     Attributes:
-        version: the one version of the protocol that it accepts and writes.
-        max_message_bytes: the size up to which it accepts a message.
+        version: the only protocol version that the codec reads and writes.
+        max_message_bytes: maximum size of a message that the codec accepts.
     """
 
     def __init__(self, messages: Any, version: int, max_message_bytes: int) -> None:
-        """Make a codec for `messages`, the union of the protocol's message types."""
+        """Create a codec for `messages`, the union of the protocol's message types."""
         self.version = version
         self.max_message_bytes = max_message_bytes
         self._encoder = msgspec.msgpack.Encoder()
@@ -63,7 +63,7 @@
     def pack(self, message: MessageT, key: bytes = b"") -> bytes:
         """Return a message as one frame.
 
-        The caller keeps messages under `max_message_bytes`; the receiver rejects larger ones.
+        The caller must not exceed `max_message_bytes`; the receiver rejects larger messages.
         """
         body = self._encoder.encode(message)
         return FRAME_HEADER.pack(len(body), self.version, _tag(key, body)) + body
@@ -72,13 +72,15 @@
         """Return the size in bytes of the message that follows a frame's header.
 
         Raises:
-            MalformedFrameError: the version is another one, or the message is too large.
+            MalformedFrameError: the version differs, or the message is too large.
         """
         size, version, _ = FRAME_HEADER.unpack(header)
         if version != self.version:
-            raise MalformedFrameError(f"version {version}, and this program speaks {self.version}")
+            raise MalformedFrameError(f"version {version} instead of {self.version}")
         if size > self.max_message_bytes:
-            raise MalformedFrameError(f"{size} bytes, and {self.max_message_bytes} are the most")
+            raise MalformedFrameError(
+                f"{size} bytes exceed the maximum of {self.max_message_bytes}"
+            )
         return int(size)
 
     def unpack(self, header: bytes, body: bytes, key: bytes = b"") -> MessageT:
@@ -89,11 +91,11 @@
             UnknownMessageError: the body is not a message of this protocol.
         """
         if not hmac.compare_digest(FRAME_HEADER.unpack(header)[2], _tag(key, body)):
-            raise MalformedFrameError("the tag is wrong: another key, or changed on the way")
+            raise MalformedFrameError("the tag is wrong: the key differs or the frame is corrupt")
         try:
             return self._decoder.decode(body)
         except (msgspec.MsgspecError, RecursionError, ValueError) as error:
-            raise UnknownMessageError(f"no message: {error}") from error
+            raise UnknownMessageError(f"unknown message: {error}") from error
 
 
 def _tag(key: bytes, body: bytes) -> bytes:
--- a/dockthread/raft/__init__.py
+++ b/dockthread/raft/__init__.py
@@ -1,5 +1,5 @@
-"""The replicated log on which the members of a fleet agree, by the Raft protocol.
+"""The replicated log of a fleet, based on the Raft protocol.
 
-Loaded only where the operator's file has the section `[fleet]`. The protocol itself is `core`,
-which does no I/O; `server` runs it on sockets and on a disk.
+The package is loaded only if the operator's INI file has a `[fleet]` section. `core` implements the
+protocol without I/O; `server` runs it with sockets and storage.
 """
--- a/dockthread/raft/actions.py
+++ b/dockthread/raft/actions.py
@@ -1,7 +1,7 @@
-"""What a Raft core returns to be carried out, what it needs from the disk, and its timing.
+"""Actions that a Raft core returns, the persistent state it starts from, and its timing.
 
-The caller carries actions out in their order. A message behind a `PersistEntries` or a
-`PersistSnapshot` may not leave before that write is on disk.
+The caller carries the actions out in order. A message that follows a `PersistEntries` or a
+`PersistSnapshot` must not be sent before that write is on disk.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Role(Enum):
-    """Roles of a member (Raft paper, section 5.1); the values are shown to operators."""
+    """Roles of a member (Raft paper, section 5.1); operators see the values."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "asking"
@@ -24,11 +24,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RaftTiming:
-    """Times of the protocol in ms.
+    """Timing of the protocol in ms.
 
     Attributes:
-        election_timeout_ms: a member campaigns after this to twice this long without a leader.
-        heartbeat_interval_ms: between heartbeats of a leader.
+        election_timeout_ms: minimum time without a leader before a member campaigns; the maximum is
+            twice this.
+        heartbeat_interval_ms: time between two heartbeats of a leader.
     """
 
     election_timeout_ms: float = 600.0
@@ -36,13 +37,13 @@
 
 
 class CommandReplay(NamedTuple):
-    """The commands of a log behind its snapshot, as a state machine needs them at a start.
+    """The commands in a log after its snapshot, which a state machine replays at startup.
 
     Attributes:
-        commands: each with its index.
-        commit_index: up to which the log was known to be committed when it was last written.
-        last_index: of the last entry of the log.
-        last_term: of the last entry of the log.
+        commands: pairs of index and command.
+        commit_index: index of the last entry that was known to be committed at the last write.
+        last_index: index of the last entry of the log.
+        last_term: term of the last entry of the log.
     """
 
     commands: list[tuple[int, bytes]]
@@ -53,17 +54,17 @@
 
 @dataclass(slots=True)
 class PersistentState:
-    """What outlives a process: the hard state, a snapshot, and the entries behind it.
+    """State that survives a restart: the hard state, a snapshot, and the entries after it.
 
     Attributes:
         term: the current term.
-        voted_for: who received this member's vote in the term; empty for nobody.
-        snapshot_index: of the last entry that the snapshot holds; 0 for no snapshot.
-        snapshot_term: of that entry.
-        snapshot_voters: as of that entry.
-        snapshot: the state machine after that entry.
-        entries: those behind the snapshot.
-        commit_index: up to which the log was known to be committed at the last write.
+        voted_for: the candidate that received this member's vote in the term; empty for none.
+        snapshot_index: index of the last entry that the snapshot includes; 0 without a snapshot.
+        snapshot_term: term of that entry.
+        snapshot_voters: the voters as of that entry.
+        snapshot: the encoded state machine after that entry.
+        entries: the entries after the snapshot.
+        commit_index: index of the last entry that was known to be committed at the last write.
     """
 
     term: int = 0
@@ -76,7 +77,7 @@
     commit_index: int = 0
 
     def command_replay(self) -> CommandReplay:
-        """Return the commands behind the snapshot, and how far the log reaches."""
+        """Return the commands after the snapshot and the end of the log."""
         commands = [
             (index, entry.data)
             for index, entry in enumerate(self.entries, self.snapshot_index + 1)
@@ -87,14 +88,14 @@
         return CommandReplay(commands, self.commit_index, last_index, last_term)
 
     def persist_entries(self, action: PersistEntries) -> None:
-        """Take over what the action says."""
+        """Apply a `PersistEntries` action to this state."""
         self.term = action.term
         self.voted_for = action.voted_for
         self.commit_index = max(self.commit_index, action.commit_index)
         self.entries[action.first_index - self.snapshot_index - 1 :] = action.entries
 
     def persist_snapshot(self, action: PersistSnapshot) -> None:
-        """Replace the entries up to the snapshot, or all, by it."""
+        """Replace the entries up to the snapshot's index, or all entries, with the snapshot."""
         if action.discards_log:
             self.entries = []
         else:
@@ -107,17 +108,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistEntries:
-    """Write the hard state, and replace the log from `first_index` on by `entries`.
+    """Write the hard state, and replace the log from `first_index` on with `entries`.
 
-    One record on disk holds both. Where only the hard state changed, `first_index` is behind the
+    One record on disk holds both. If only the hard state changed, `first_index` is one past the
     last entry and `entries` is empty.
 
     Attributes:
         term: the current term.
-        voted_for: who received this member's vote in the term; empty for nobody.
-        first_index: of `entries`.
-        entries: to be written.
-        commit_index: up to which the log is known to be committed.
+        voted_for: the candidate that received this member's vote in the term; empty for none.
+        first_index: index of the first of `entries`.
+        entries: the entries to write.
+        commit_index: index of the last entry that is known to be committed.
     """
 
     term: int
@@ -129,14 +130,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistSnapshot:
-    """Write a snapshot in place of all entries up to its index.
+    """Replace all entries up to an index with a snapshot.
 
     Attributes:
-        index: of the last entry that the snapshot holds.
-        term: of that entry.
-        voters: as of that entry.
-        snapshot: the state machine after that entry.
-        discards_log: the entries behind the snapshot are dropped too.
+        index: index of the last entry that the snapshot includes.
+        term: term of that entry.
+        voters: the voters as of that entry.
+        snapshot: the encoded state machine after that entry.
+        discards_log: whether the entries after the snapshot are dropped too.
     """
 
     index: int
@@ -156,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplyEntry:
-    """Apply a committed entry to the state machine; each index comes once, in order."""
+    """Apply a committed entry to the state machine; indexes are in order and never repeated."""
 
     index: int
     entry: Entry
@@ -164,7 +165,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RestoreSnapshot:
-    """Replace the state machine by a snapshot, which holds all entries up to `index`."""
+    """Replace the state machine's state with a snapshot that includes all entries up to `index`."""
 
     index: int
     snapshot: bytes
@@ -172,10 +173,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadIndexReady:
-    """Answer a read with the state machine after `index`.
+    """Complete a read from the state machine once `index` is applied.
 
-    A majority confirmed, after the read was requested, that this member led; so the state is not
-    older than the request.
+    After the read was requested, a majority confirmed that this member is the leader, so the state
+    is at least as recent as the request.
     """
 
     token: int
@@ -184,7 +185,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoleChanged:
-    """The role, the term or the leader has changed; `leader_id` is empty for no known leader."""
+    """The role, the term or the leader has changed; `leader_id` is empty if no leader is known."""
 
     role: Role
     term: int
--- a/dockthread/raft/core.py
+++ b/dockthread/raft/core.py
@@ -1,31 +1,35 @@
-"""The Raft protocol of one member: elections, the log, reads and changes of voters, without I/O.
+"""The Raft protocol of one member without I/O: elections, log, reads and membership changes.
 
 Source: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014), and
 Ongaro's dissertation (2014). The caller passes in the time and the messages; each call returns the
-actions that the caller has to carry out, in their order.
+actions that the caller has to carry out in the returned order.
 
-Time is divided into terms. In a term at most one voter leads, as each voter gives one vote a term
-and a majority is needed. The leader appends entries and sends them. An entry of the leader's own
-term that a majority holds is committed, and with it all entries before it; an entry of an older
-term is never committed by count alone (section 5.4.2). A voter votes only for a candidate whose log
-is at least as up to date as its own, so a leader holds all that was committed (section 5.4.1). The
-term fences whatever was granted under an older leader.
+Time is divided into terms. A term has at most one leader, because each voter grants one vote per
+term and a candidate needs a majority. The leader appends entries and replicates them. An entry of
+the leader's own term is committed, together with all entries before it, once a majority holds it;
+an entry of an older term is never committed by counting copies alone (section 5.4.2). A voter votes
+only for a candidate whose log is at least as up to date as its own, so a leader holds every
+committed entry (section 5.4.1). Members reject messages from a leader of an older term.
 
-| role | hears the leader | election timeout | a majority answers | hears of a later term |
+The new role after each event:
+
+| role | message from the leader | election timeout | majority responds | later term seen |
 | --- | --- | --- | --- | --- |
-| follower | follows | pre-candidate | - | follower in it |
+| follower | follower | pre-candidate | - | follower in it |
 | pre-candidate | follower | pre-candidate again | candidate in the next term | follower in it |
 | candidate | follower | pre-candidate | leader, appends a no-op | follower in it |
-| leader | can't be in its term | without a majority: follower | stays leader | follower in it |
-
-A member that was cut off does not raise the term while it is a pre-candidate, and a voter that
-hears a leader does not vote: so a member that comes back does not unseat the leader (pre-vote,
-dissertation section 9.6), and a leader that reaches no majority steps down within its election
-timeout (check-quorum, section 6.2). Voters change one at a time by an entry that counts from when
-it is appended (section 4.1), and only after the leader has committed an entry of its own term.
-
-A member that lost its disk must not come back under its old name, as it could vote twice. Nothing
-is committed in a minority. An entry whose proposer saw no answer may or may not be in the log.
+| leader | impossible in its term | follower unless a majority responds | leader | follower in it |
+
+A partitioned member does not increase the term while it is a pre-candidate, and a voter that
+recently heard from a leader does not vote, so a member that reconnects does not depose the leader
+(pre-vote, dissertation section 9.6). A leader that reaches no majority steps down within its
+election timeout (check-quorum, section 6.2). Voters are added or removed one at a time by an entry
+that takes effect when it is appended (section 4.1), and only after the leader has committed an
+entry of its own term.
+
+A member that lost its disk must not rejoin under its old name, because it could vote twice in a
+term. A minority commits nothing. An entry whose proposer got no response may or may not be in the
+log.
 """
 
 from __future__ import annotations
@@ -64,14 +68,14 @@
 from dockthread.raft.progress import NEVER, Progress, ProgressTracker
 
 MAX_ENTRIES_PER_MESSAGE: Final = 64
-# A new voter may lack this many committed entries: one that is further behind would make a majority
-# harder to reach (dissertation, section 4.2.1).
+# Maximum number of committed entries that a new voter may lack: a voter that is further behind would
+# delay commits (dissertation, section 4.2.1).
 MAX_NEW_VOTER_LAG: Final = MAX_ENTRIES_PER_MESSAGE
 
 
 @dataclass(frozen=True, slots=True)
 class PendingRead:
-    """A read that waits until a majority has answered the heartbeat round."""
+    """A read that waits until a majority has acknowledged a heartbeat round."""
 
     token: int
     index: int
@@ -81,24 +85,24 @@
 class RaftCore:
     """The state of one member and its transitions.
 
-    It has more than 20 methods, as etcd's `raft` has: each message touches the term, the role and
-    the log together, and parts with state of their own would have to reach into each other. What
-    stands alone is apart: the log, and the progress of other members.
+    The class has more than 20 methods, like etcd's `raft`: each message affects the term, the role
+    and the log together, so smaller classes would have to access each other's state. The log and
+    the progress of other members are separate classes because they are independent of the role.
 
     Attributes:
         member_id: this member's name.
-        now: time in ms of the last call.
+        now: time of the last call in ms.
         term: the current term.
-        voted_for: who received its vote in the term; empty for nobody.
-        log: the snapshot and the entries behind it.
-        commit_index: up to which the log is known to be committed.
-        applied_index: up to which entries were returned to be applied.
-        role: in the current term.
-        leader_id: who leads; empty for no known leader.
-        learners: members without a vote that a leader sends the log to.
+        voted_for: the candidate that received this member's vote in the term; empty for none.
+        log: the snapshot and the entries after it.
+        commit_index: index of the last entry that is known to be committed.
+        applied_index: index of the last entry that was returned to be applied.
+        role: this member's role in the current term.
+        leader_id: name of the leader; empty if unknown.
+        learners: non-voting members to which a leader replicates the log.
     """
 
-    def __init__(  # noqa: PLR0913  all of it is needed, and there is one kind of caller
+    def __init__(  # noqa: PLR0913  all arguments are required
         self,
         member_id: str,
         voters: Iterable[str],
@@ -111,11 +115,11 @@
 
         Args:
             member_id: this member's name; a member that is not a voter never campaigns.
-            voters: the first voters; ignored where voters are stored.
-            stored: what the disk holds.
+            voters: the initial voters; ignored if `stored` has voters.
+            stored: the state read from disk.
             timing: election timeout and heartbeat interval.
-            rng: for the random part of election timeouts.
-            now: the time in ms.
+            rng: source of the random part of election timeouts.
+            now: the current time in ms.
         """
         self.member_id = member_id
         self.now = now
@@ -130,23 +134,23 @@
         self._timing = timing
         self._rng = rng
         self._actions: list[Action] = []
-        self._votes: set[str] = set()  # that it received as candidate or pre-candidate
+        self._votes: set[str] = set()  # voters that granted their vote to this candidate
         self._progress = ProgressTracker()
         self._heartbeat_round = 0
         self._pending_reads: deque[PendingRead] = deque()
         self._last_leader_contact = NEVER
-        self._transfer_until = NEVER  # nothing is proposed before, as leadership is handed over
+        self._transfer_until = NEVER  # end of a leadership transfer, which rejects proposals
         self._reset_election_timer()
 
-    # What it knows
+    # Queries
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """The voters by the last change in the log."""
+        """The voters after the last membership change in the log."""
         return self.log.voters_at(self.log.last_index)
 
     def next_deadline(self) -> float:
-        """Return the time in ms at which `tick` has to be called next."""
+        """Return the time in ms at which `tick` must be called next."""
         return self._heartbeat_due if self.role is Role.LEADER else self._election_due
 
     def has_quorum(self, members: Iterable[str]) -> bool:
@@ -155,7 +159,10 @@
         return 2 * len(set(members) & set(voters)) > len(voters)
 
     def responded_within(self, window_ms: float) -> set[str]:
-        """Return who responded to this leader less than `window_ms` ago; empty for a follower."""
+        """Return the members that responded to this leader in the last `window_ms`.
+
+        The set is empty if this member is not the leader.
+        """
         if self.role is not Role.LEADER:
             return set()
         return self._progress.responded_within(window_ms, self.now)
@@ -164,10 +171,10 @@
         """Return whether an entry of the current term is committed."""
         return self.log.term_at(self.commit_index) == self.term
 
-    # Events; each returns the actions that follow from it
+    # Events: each method returns the resulting actions
 
     def tick(self, now: float) -> list[Action]:
-        """Send heartbeats, step down or campaign, if it is time to."""
+        """Send heartbeats, step down or campaign if the deadline has passed."""
         self.now = now
         if self.role is Role.LEADER:
             if now >= self._heartbeat_due:
@@ -183,8 +190,8 @@
     ) -> tuple[int | None, list[Action]]:
         """Append an entry, and return its index and the actions.
 
-        The index is None where this member does not lead, hands leadership over, or must not make
-        this change of voters now.
+        The index is None if this member is not the leader, is transferring leadership, or must not
+        make this change of voters now.
         """
         self.now = now
         is_allowed = kind != EntryKind.VOTERS or self._may_change_voters(
@@ -198,10 +205,11 @@
         return self.log.last_index, self._take_actions()
 
     def read_index(self, now: float, token: int) -> tuple[bool, list[Action]]:
-        """Confirm that this member leads, and answer by `ReadIndexReady` (dissertation, 6.4).
+        """Start a linearizable read, which `ReadIndexReady` completes (dissertation, section 6.4).
 
         Returns:
-            False where it does not lead or has not committed in its term yet, and the actions.
+            Whether the read was accepted, and the actions. It is rejected if this member is not the
+            leader or has not committed an entry of its term yet.
         """
         self.now = now
         if self.role is not Role.LEADER or not self.has_committed_in_term():
@@ -212,7 +220,10 @@
         return True, self._take_actions()
 
     def transfer_leadership(self, now: float) -> list[Action]:
-        """Have the voter with the longest log, and of those the last heard from, campaign."""
+        """Ask the voter with the longest matching log to campaign.
+
+        Among equals, the voter that responded last is asked.
+        """
         self.now = now
         peers = [voter for voter in self.voters if voter != self.member_id]
         if self.role is Role.LEADER and peers:
@@ -229,7 +240,7 @@
         return self._take_actions()
 
     def compact(self, index: int, snapshot: bytes) -> list[Action]:
-        """Replace the entries up to `index`, which are applied, by a snapshot."""
+        """Replace the applied entries up to `index` with a snapshot."""
         if self.log.snapshot_index < index <= self.applied_index:
             term = self.log.term_at(index)
             voters = self.log.voters_at(index)
@@ -237,7 +248,7 @@
         return self._take_actions()
 
     def step(self, now: float, message: Message) -> list[Action]:
-        """Handle a message of another member."""
+        """Handle a message from another member."""
         self.now = now
         if message.term > self.term:
             if self._ignores(message):
@@ -252,7 +263,7 @@
         return self._take_actions()
 
     def _handle(self, message: Message) -> None:
-        """Handle a message that is not of an older term."""
+        """Handle a message that is not from an older term, or a response to this leader."""
         match message:
             case VoteRequest():
                 self._handle_vote_request(message)
@@ -270,9 +281,9 @@
     # Elections
 
     def _ignores(self, message: Message) -> bool:
-        """Return whether it is a request for a vote while a leader is heard.
+        """Return whether the message is a vote request that arrives while the leader is alive.
 
-        Only a candidate that the leader itself asked to campaign is considered then.
+        A vote request of a leadership transfer is never ignored.
         """
         if not isinstance(message, VoteRequest) or message.leadership_transfer:
             return False
@@ -288,7 +299,7 @@
             self._respond_to_leader(message, success=False, match_index=0)
 
     def _campaign(self, pre_vote: bool, leadership_transfer: bool = False) -> None:
-        """Ask all voters for their votes, as pre-candidate or as candidate in a new term."""
+        """Ask all voters for their votes, either as pre-candidate or as candidate in a new term."""
         self.role = Role.PRE_CANDIDATE if pre_vote else Role.CANDIDATE
         self.leader_id = ""
         self._votes = {self.member_id}
@@ -312,7 +323,7 @@
         self._count_votes()
 
     def _is_log_up_to_date(self, request: VoteRequest) -> bool:
-        """Return whether the candidate's log is at least as up to date (section 5.4.1)."""
+        """Return whether the candidate's log is at least as up to date as this one (5.4.1)."""
         last_term = self.log.term_at(self.log.last_index)
         return (request.last_term, request.last_index) >= (last_term, self.log.last_index)
 
@@ -353,7 +364,7 @@
             self._become_leader()
 
     def _become_leader(self) -> None:
-        """Lead, and append a no-op: what is older is committed with it (section 8)."""
+        """Become leader and append a no-op, which commits the older entries with it (section 8)."""
         self.role = Role.LEADER
         self.leader_id = self.member_id
         self._pending_reads.clear()
@@ -379,9 +390,10 @@
             self._announce_role()
 
     def _check_quorum(self) -> None:
-        """Send heartbeats while a majority responds; otherwise step down.
+        """Send heartbeats if a majority has responded recently; otherwise step down.
 
-        A majority on the other side of a cut may have elected another leader by then.
+        Without this, a leader in a minority partition would continue after the majority has elected
+        another one.
         """
         responded = self.responded_within(self._timing.election_timeout_ms)
         if self.has_quorum(responded | {self.member_id}):
@@ -390,12 +402,12 @@
             self._become_follower(self.term, "")
 
     def _reset_election_timer(self) -> None:
-        """Draw an election timeout, from one to two times the shortest (section 5.2)."""
+        """Restart the election timer with 1 to 2 times the minimum timeout (section 5.2)."""
         timeout = self._timing.election_timeout_ms * self._rng.uniform(1.0, 2.0)
         self._election_due = self.now + timeout
         self._heartbeat_due = self.now
 
-    # The log of a follower
+    # Log replication on a follower
 
     def _handle_from_leader(self, message: AppendEntries | InstallSnapshot) -> None:
         if self.role is not Role.FOLLOWER or self.leader_id != message.sender:
@@ -419,7 +431,8 @@
     def _accept_entries(self, message: AppendEntries) -> tuple[bool, int]:
         """Append a leader's entries; return success and the match index of the response.
 
-        An entry that conflicts with one in the log replaces it and all behind it (section 5.3).
+        An entry that conflicts with one in the log replaces it and all entries after it (section
+        5.3).
         """
         log = self.log
         previous = message.previous_index
@@ -464,7 +477,7 @@
         self._actions.append(PersistSnapshot(index, term, voters, snapshot, discards_log))
 
     def _append_entries(self, entries: tuple[Entry, ...], first_index: int = 0) -> None:
-        """Write entries at `first_index`, or at the end of the log for 0."""
+        """Replace the log from `first_index` on with entries; 0 means append at the end."""
         first_index = first_index or self.log.last_index + 1
         self.log.truncate_and_append(first_index, entries)
         self._persist(first_index, entries)
@@ -477,7 +490,7 @@
         self._actions.append(action)
 
     def _commit_up_to(self, index: int) -> None:
-        """Commit the log up to an index, and apply what is committed."""
+        """Commit the log up to an index and apply the newly committed entries."""
         self.commit_index = max(self.commit_index, min(index, self.log.last_index))
         while self.applied_index < self.commit_index:
             self.applied_index += 1
@@ -486,7 +499,7 @@
         if self.role is Role.LEADER and self.member_id not in self.voters:
             self._become_follower(self.term, "")
 
-    # The log of a leader
+    # Log replication on a leader
 
     def _handle_append_response(self, response: AppendEntriesResponse) -> None:
         peer = response.sender
@@ -506,7 +519,7 @@
         self._answer_reads()
 
     def _advance_commit(self) -> None:
-        """Commit the last entry that a majority holds, if it is of this term (section 5.4.2)."""
+        """Commit up to the last entry of this term that a majority holds (section 5.4.2)."""
         for index in range(self.log.last_index, self.commit_index, -1):
             if self.log.term_at(index) != self.term:
                 break
@@ -516,10 +529,11 @@
                 break
 
     def _may_change_voters(self, voters: tuple[str, ...]) -> bool:
-        """Return whether the voters may change to these now.
+        """Return whether the set of voters may change to `voters` now.
 
-        One voter may be added or removed at a time, no other change may be pending, the leader has
-        to have committed in its term, and a new voter has to respond and to be nearly up to date.
+        Only one voter may be added or removed at a time, no other change may be pending, the leader
+        must have committed an entry of its term, and a new voter must be responsive and nearly up
+        to date.
         """
         current = set(self.voters)
         is_single_step = len(set(voters) ^ current) <= 1
@@ -548,7 +562,7 @@
         return [member for member in sorted(members) if member != self.member_id]
 
     def _send_heartbeats(self) -> None:
-        """Start a heartbeat round; it repeats what may have been lost."""
+        """Start a heartbeat round, which also resends entries that may have been lost."""
         self._heartbeat_round += 1
         self._heartbeat_due = self.now + self._timing.heartbeat_interval_ms
         self._progress.clear_in_flight()
@@ -556,7 +570,7 @@
             self._send_entries(peer)
 
     def _replicate(self) -> None:
-        """Send new entries to every peer that has no others on their way."""
+        """Send new entries to every peer that has none in flight."""
         for peer in self._peers():
             if self._progress_of(peer).in_flight_round is None:
                 self._send_entries(peer)
@@ -565,7 +579,7 @@
         return self._progress.of(peer, next_index=self.log.last_index + 1)
 
     def _send_entries(self, peer: str) -> None:
-        """Send a peer what it lacks: entries, a snapshot, or only the commit index."""
+        """Send a peer the entries it lacks, a snapshot, or only the commit index."""
         progress = self._progress_of(peer)
         progress.notified_commit = self.commit_index
         log = self.log
@@ -601,7 +615,7 @@
         self._send(peer, message)
 
     def _answer_reads(self) -> None:
-        """Answer the reads whose heartbeat round a majority has answered, in their order."""
+        """Complete, in order, the reads whose heartbeat round a majority has acknowledged."""
         while self._pending_reads:
             read = self._pending_reads[0]
             confirmed = self._progress.acknowledging(read.heartbeat_round)
@@ -623,9 +637,10 @@
 
 
 def _is_pre_vote(message: Message) -> bool:
-    """Return whether it is pre-vote traffic, whose later term nobody is in yet.
+    """Return whether the message is a pre-vote, whose term must not be adopted.
 
-    A rejected pre-vote bears the voter's own term, which counts.
+    No member is in that term yet. A rejected pre-vote carries the voter's own term, which is
+    adopted.
     """
     if isinstance(message, VoteRequest):
         return message.pre_vote
--- a/dockthread/raft/messages.py
+++ b/dockthread/raft/messages.py
@@ -1,9 +1,9 @@
 """Messages between Raft members, and the chunks in which a large snapshot is sent.
 
-The names are those of the Raft paper (Ongaro and Ousterhout, "In Search of an Understandable
-Consensus Algorithm", 2014) and of Ongaro's dissertation (2014). Messages travel in frames
-(dockthread/framing.py). All are encoded as arrays, so the order of fields is part of the protocol
-and their names are not.
+The names follow the Raft paper (Ongaro and Ousterhout, "In Search of an Understandable Consensus
+Algorithm", 2014) and Ongaro's dissertation (2014). Each message is sent in a frame
+(dockthread/framing.py). Messages are encoded as arrays, so the order of their fields is part of the
+protocol but the names of the fields are not.
 """
 
 from __future__ import annotations
@@ -22,28 +22,28 @@
 )
 
 VERSION: Final = 1
-# bytes of a message: 64 entries of 64 KiB bodies, as one `AppendEntries` may hold, and some more
+# An `AppendEntries` may hold 64 entries of 64 KiB, which is 4 MiB plus overhead.
 MAX_MESSAGE_BYTES: Final = 8 << 20
-# bytes of a snapshot in one frame; a larger snapshot is sent in chunks
+# Maximum size of a snapshot sent in one frame; a larger snapshot is sent in chunks of this size.
 CHUNK_BYTES: Final = 256 << 10
-# bytes of a snapshot: some five times that of 90,000 resources
+# About five times the size of a snapshot of 90,000 resources.
 MAX_SNAPSHOT_BYTES: Final = 256 << 20
 
 __all__ = ["FRAME_HEADER", "MalformedFrameError", "UnknownMessageError"]
 
 
 class EntryKind(IntEnum):
-    """What an entry of the log carries."""
+    """The type of a log entry's data."""
 
-    NO_OP = 0  # appended by a new leader, to commit the entries of earlier terms with it
-    COMMAND = 1  # for the state machine
-    VOTERS = 2  # the names of all voters from this entry on, separated by blanks
+    NO_OP = 0  # empty; a new leader appends it to commit the entries of earlier terms
+    COMMAND = 1  # a command for the state machine
+    VOTERS = 2  # the names of all voters from this entry on, separated by spaces
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
     """One entry of the log.
 
-    `kind` is an `EntryKind`; it is typed as a number so that a kind of a later release can be read.
+    `kind` is an `EntryKind`, typed as `int` so that an unknown kind of a later release can be read.
     """
 
     term: int
@@ -55,12 +55,12 @@
     """RequestVote (Raft paper, section 5.2), also as a pre-vote (dissertation, section 9.6).
 
     Attributes:
-        term: the candidate's; of a pre-vote, the term in which it would be candidate.
+        term: the candidate's term; in a pre-vote, the term in which it would become candidate.
         sender: the candidate.
-        last_index: of the candidate's last entry.
-        last_term: of the candidate's last entry.
-        pre_vote: the candidate only asks whether it would receive the vote.
-        leadership_transfer: the leader itself asked the candidate to campaign.
+        last_index: index of the candidate's last entry.
+        last_term: term of the candidate's last entry.
+        pre_vote: whether the candidate only asks if it would receive the vote.
+        leadership_transfer: whether the leader asked the candidate to campaign.
     """
 
     term: int
@@ -72,7 +72,7 @@
 
 
 class VoteResponse(msgspec.Struct, frozen=True, array_like=True, tag="w"):
-    """Answer to a `VoteRequest`; a granted pre-vote bears the term of its request."""
+    """Response to a `VoteRequest`; a granted pre-vote carries the term of its request."""
 
     term: int
     sender: str
@@ -81,15 +81,15 @@
 
 
 class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """AppendEntries (Raft paper, section 5.3); without entries, a heartbeat.
+    """AppendEntries (Raft paper, section 5.3); a message without entries is a heartbeat.
 
     Attributes:
-        term: the leader's.
+        term: the leader's term.
         sender: the leader.
-        previous_index: of the entry right before `entries`.
-        previous_term: of the entry right before `entries`.
-        entries: to be appended.
-        commit_index: the leader's; 0 where the message says nothing about it.
+        previous_index: index of the entry immediately before `entries`.
+        previous_term: term of the entry immediately before `entries`.
+        entries: the entries to append.
+        commit_index: the leader's commit index; 0 if the message does not include it.
         heartbeat_round: number of the leader's last heartbeat; the response repeats it.
     """
 
@@ -103,15 +103,15 @@
 
 
 class AppendEntriesResponse(msgspec.Struct, frozen=True, array_like=True, tag="b"):
-    """Answer to `AppendEntries` and to `InstallSnapshot`.
+    """Response to `AppendEntries` and to `InstallSnapshot`.
 
     Attributes:
-        term: the follower's.
+        term: the follower's term.
         sender: the follower.
-        success: the follower's log now holds what was sent.
-        match_index: up to which both logs are equal; without `success`, the last index at which
-            they may be equal.
-        heartbeat_round: that of the message that is answered.
+        success: whether the follower's log now holds the entries or the snapshot that was sent.
+        match_index: the last index up to which both logs are equal; without `success`, an upper
+            bound of it.
+        heartbeat_round: the heartbeat round of the message that this responds to.
     """
 
     term: int
@@ -122,15 +122,15 @@
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag="i"):
-    """InstallSnapshot (Raft paper, section 7), for a follower that needs compacted entries.
+    """InstallSnapshot (Raft paper, section 7), sent to a follower that needs compacted entries.
 
     Attributes:
-        term: the leader's.
+        term: the leader's term.
         sender: the leader.
-        last_index: of the last entry that the snapshot replaces.
-        last_term: of that entry.
-        voters: as of that entry.
-        snapshot: the state machine after that entry.
+        last_index: index of the last entry that the snapshot includes.
+        last_term: term of that entry.
+        voters: the voters as of that entry.
+        snapshot: the encoded state machine after that entry.
         heartbeat_round: number of the leader's last heartbeat.
     """
 
@@ -147,10 +147,10 @@
     """A part of an `InstallSnapshot` that is too large for one frame.
 
     Attributes:
-        header: the message, with an empty snapshot.
-        number: of this chunk, from 0.
-        snapshot_size: bytes of the complete snapshot.
-        data: `CHUNK_BYTES` of the snapshot; the last chunk may be shorter.
+        header: the `InstallSnapshot` message with an empty snapshot.
+        number: number of this chunk, counted from 0.
+        snapshot_size: size of the complete snapshot in bytes.
+        data: `CHUNK_BYTES` of the snapshot; fewer in the last chunk.
     """
 
     header: InstallSnapshot
@@ -160,14 +160,14 @@
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, array_like=True, tag="t"):
-    """Tells a follower to campaign at once (dissertation, section 3.10, leadership transfer)."""
+    """Tells a follower to campaign at once (leadership transfer, dissertation section 3.10)."""
 
     term: int
     sender: str
 
 
 class ForwardedProposal(msgspec.Struct, frozen=True, array_like=True, tag="q"):
-    """Asks the leader to propose a command for a member that does not lead."""
+    """Asks the leader to propose a command on behalf of another member."""
 
     term: int
     sender: str
@@ -176,7 +176,7 @@
 
 
 class ForwardedProposalResponse(msgspec.Struct, frozen=True, array_like=True, tag="r"):
-    """Says at which index the proposal with this token was committed; 0 where that is unknown."""
+    """Reports the index at which a forwarded proposal was committed; 0 if that is unknown."""
 
     term: int
     sender: str
@@ -185,7 +185,7 @@
 
 
 class StatusReport(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """What a member observes, for the leader's state machine; Raft does not read it."""
+    """A member's observations for the leader's state machine; Raft does not interpret them."""
 
     term: int
     sender: str
@@ -221,7 +221,7 @@
 
 
 class SnapshotAssembler:
-    """Joins the chunks of one connection to the message that they were split from."""
+    """Reassembles the chunks received on one connection into the original message."""
 
     def __init__(self) -> None:
         self._header: InstallSnapshot | None = None
@@ -229,10 +229,10 @@
         self._received = bytearray()
 
     def add(self, chunk: SnapshotChunk) -> InstallSnapshot | None:
-        """Return the message if this was its last chunk, otherwise None.
+        """Return the complete message if this was its last chunk, otherwise None.
 
         Raises:
-            MalformedFrameError: the chunk does not follow the one before it.
+            MalformedFrameError: the chunk does not follow the previous one.
         """
         if chunk.number == 0:
             self._header = chunk.header
--- a/dockthread/raft/options.py
+++ b/dockthread/raft/options.py
@@ -1,7 +1,7 @@
-"""The section `[fleet]` of the operator's file.
+"""The `[fleet]` section of the operator's INI file.
 
-Without it nothing of the fleet is loaded, opened or slowed down. A field's name here is the term of
-the field; its `name=` is the key in the file.
+Without this section no fleet code is loaded, no fleet socket or file is opened, and requests are
+not slowed down. If a field has `name=`, that is its key in the INI file.
 """
 
 from __future__ import annotations
@@ -17,29 +17,31 @@
 from dockthread.config.quantities import Duration, Share
 
 MIN_KEY_BYTES: Final = 16
-MAX_KEY_BYTES: Final = 64  # as BLAKE2 takes
-CLUSTER_SIZES: Final = (1, 3, 5, 7)  # odd: an even number bears no more failures
-# A lost heartbeat must not cost a leader its place.
+MAX_KEY_BYTES: Final = 64  # maximum key length of BLAKE2
+# Odd sizes only: one more member than an odd number does not tolerate more failures.
+CLUSTER_SIZES: Final = (1, 3, 5, 7)
+# The loss of one heartbeat must not trigger an election.
 MIN_HEARTBEATS_PER_ELECTION: Final = 3
-# A member must not count as failed while a leader is elected.
+# A member must not count as failed while a leader is being elected.
 MIN_ELECTIONS_PER_FAILURE: Final = 2
 
 
 class FleetOptions(Section, frozen=True, kw_only=True):
-    """How this ingress takes part in the fleet.
+    """Settings of this ingress as a member of the fleet.
 
     Attributes:
-        listen: this ingress's own address among the members; empty to take no part.
-        members: all voters as NAME=HOST:PORT, this one included; the same at each member.
-        directory: for the hard state, the snapshot and the log.
-        key_file: of a key that all members share; empty for none.
-        election_timeout: silence of a leader after which another is elected.
-        heartbeat_interval: between heartbeats of a leader.
-        max_unavailable: machines of one zone that may be unavailable for maintenance at once.
-        node_capacity: requests that a node of weight 1 serves at once; 0 for unknown.
-        headroom: share of the capacity left in a zone that must stay free while one is unavailable.
-        grant_timeout: after which a grant is over whose drain was not confirmed.
-        failure_timeout: silence after which a member is not waited for.
+        listen: address on which this ingress accepts connections of other members; empty if it is
+            not a member of a fleet.
+        members: all voters as NAME=HOST:PORT, including this one; must be the same on each member.
+        directory: directory of the hard state, the snapshot and the log.
+        key_file: file with a key that all members share; empty for no key.
+        election_timeout: time without a message from the leader before an election starts.
+        heartbeat_interval: time between heartbeats of a leader.
+        max_unavailable: backends of one zone that may be unavailable for maintenance at once.
+        node_capacity: requests that a backend of weight 1 serves concurrently; 0 if unknown.
+        headroom: fraction of a zone's remaining capacity that must stay free during maintenance.
+        grant_timeout: time after which a grant is revoked if the drain was not confirmed.
+        failure_timeout: time without contact after which a member's confirmation is not awaited.
     """
 
     listen: str = ""
@@ -55,7 +57,7 @@
     failure_timeout: Duration = msgspec.field(default=Duration(5_000.0), name="dead")
 
     def problems(self) -> Iterable[KeyProblem]:
-        """Yield what the keys say against each other: the key, what is wrong, what would do."""
+        """Yield a problem for each invalid key and for each pair of contradictory keys."""
         if self.listen:
             yield from self._address_problems()
             yield from self._limit_problems()
@@ -64,11 +66,11 @@
             yield KeyProblem(
                 "listen",
                 "is missing",
-                "write the address of this ingress among the others, HOST:PORT",
+                "write the address on which this ingress accepts other members, HOST:PORT",
             )
 
     def addresses(self) -> dict[str, Address]:
-        """Return the address of each member by its name."""
+        """Return the address of each member by name."""
         found: dict[str, Address] = {}
         for name, address in _named_addresses(self.members):
             host_and_port = host_port(address)
@@ -77,7 +79,7 @@
         return found
 
     def key(self) -> bytes:
-        """Read the shared key; empty for none.
+        """Read the shared key; empty if no key file is set.
 
         Raises:
             OSError: the file can't be read.
@@ -89,69 +91,73 @@
         if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
             raise ValueError(
                 f"[fleet] key_file: {self.key_file} holds {len(key)} bytes; "
-                f"{MIN_KEY_BYTES} to {MAX_KEY_BYTES} would do"
+                f"{MIN_KEY_BYTES} to {MAX_KEY_BYTES} are required"
             )
         return key
 
     def _address_problems(self) -> Iterator[KeyProblem]:
         if host_port(self.listen) is None:
-            yield KeyProblem("listen", f"{self.listen!r} is no address", "write HOST:PORT")
+            yield KeyProblem("listen", f"{self.listen!r} is not an address", "write HOST:PORT")
         names = [name for name, _ in _named_addresses(self.members)]
         if len(names) not in CLUSTER_SIZES:
             yield KeyProblem(
                 "members",
-                f"names {len(names)}",
-                "name 1, 3, 5 or 7, an odd number that can lose less than half",
+                f"lists {len(names)} members",
+                "list 1, 3, 5 or 7; a fleet of odd size works while less than half have failed",
             )
         for member, (name, address) in zip(
             self.members, _named_addresses(self.members), strict=True
         ):
             is_name = name and not any(character.isspace() for character in name)
             if not is_name or host_port(address) is None:
-                yield KeyProblem("members", f"{member!r} is no member", "write NAME=HOST:PORT")
+                yield KeyProblem("members", f"{member!r} is not a member", "write NAME=HOST:PORT")
         if len(set(names)) < len(names):
-            yield KeyProblem("members", "names one twice", "give each ingress its own name")
+            yield KeyProblem("members", "lists a name twice", "give each ingress its own name")
         if not self.directory:
-            yield KeyProblem("directory", "is missing", "name a folder that outlives the process")
+            yield KeyProblem("directory", "is missing", "name a folder that survives restarts")
 
     def _limit_problems(self) -> Iterator[KeyProblem]:
         if self.max_unavailable < 1:
             yield KeyProblem(
-                "most_out", "is under 1", "write how many machines of a zone may be out at once"
+                "most_out",
+                "is under 1",
+                "write how many backends of a zone may be unavailable at once",
             )
         if not 0 <= self.headroom < 1:
             yield KeyProblem(
                 "reserve",
                 "is not from 0% to under 100%",
-                "write the part of the rest that is to be left",
+                "write the share of a zone's remaining capacity that must stay free",
             )
         if self.node_capacity < 0:
             yield KeyProblem(
                 "node_bears",
                 "is under 0",
-                "write how many requests a node bears at once, or 0 for not known",
+                "write how many requests a backend serves concurrently, or 0 if unknown",
             )
 
     def _timing_problems(self) -> Iterator[KeyProblem]:
         if self.failure_timeout < MIN_ELECTIONS_PER_FAILURE * self.election_timeout:
             yield KeyProblem(
                 "dead",
-                "is under twice the patience",
-                "a member would be dead while a leader is voted for",
+                "is less than twice `patience`",
+                "a member would count as failed while a leader is being elected",
             )
         if self.grant_timeout <= self.failure_timeout:
             yield KeyProblem(
                 "lapse",
-                "is not over `dead`",
-                "a turn would lapse before a dead member is left out",
+                "is not greater than `dead`",
+                "a grant would time out before a failed member is no longer awaited",
             )
         if self.heartbeat_interval * MIN_HEARTBEATS_PER_ELECTION > self.election_timeout:
             yield KeyProblem(
-                "patience", "is under three beats", "a lost beat would cost a leader its place"
+                "patience",
+                "is less than three times `beat`",
+                "the loss of one heartbeat would trigger an election",
             )
 
 
 def _named_addresses(members: Iterable[str]) -> list[tuple[str, str]]:
-    """Split each NAME=HOST:PORT into its name and its address; either may be empty or wrong."""
+    """Split each NAME=HOST:PORT into its name and its address; either may be empty or invalid."""
     pairs = (member.partition("=") for member in members)
     return [(name.strip(), address.strip()) for name, _, address in pairs]
--- a/dockthread/raft/progress.py
+++ b/dockthread/raft/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of each other member's log (Raft paper, figure 2; etcd's tracker)."""
+"""A leader's view of each other member's log (Raft paper, figure 2; etcd's tracker)."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from dataclasses import dataclass
 from typing import Final
 
-NEVER: Final = -1e18  # ms, earlier than any time of a run
+NEVER: Final = -1e18  # time in ms that is earlier than any clock value
 
 
 @dataclass(slots=True)
 class Progress:
-    """How far one member has come.
+    """Replication progress of one member.
 
     Attributes:
-        next_index: of the next entry to send.
-        match_index: up to which its log is known to equal the leader's.
-        in_flight_round: heartbeat round of entries that are on their way; None for none.
-        notified_commit: the commit index that it was sent last.
-        acknowledged_round: the latest heartbeat round that it has answered.
-        last_response_at: time in ms of its last response.
+        next_index: index of the next entry to send.
+        match_index: last index up to which the member's log is known to equal the leader's.
+        in_flight_round: heartbeat round of the entries in flight; None if none are.
+        notified_commit: the commit index that was last sent to the member.
+        acknowledged_round: the latest heartbeat round that the member has acknowledged.
+        last_response_at: time of the member's last response in ms.
     """
 
     next_index: int
@@ -30,17 +30,17 @@
     last_response_at: float = NEVER
 
     def accept(self, match_index: int) -> None:
-        """Take over that the logs are equal up to `match_index`."""
+        """Record that the logs are equal up to `match_index`."""
         self.match_index = max(self.match_index, match_index)
         self.next_index = max(self.next_index, self.match_index + 1)
 
     def back_off(self, match_index: int) -> None:
-        """Send earlier entries next, as the logs are equal up to `match_index` at most."""
+        """Move `next_index` back after a rejection; the logs match at most up to `match_index`."""
         last_candidate = min(match_index, self.next_index - 1)
         self.next_index = max(self.match_index, last_candidate) + 1
 
     def acknowledge(self, heartbeat_round: int, now: float) -> None:
-        """Take over that it has answered a message of this heartbeat round."""
+        """Record a response to a message of this heartbeat round."""
         self.last_response_at = now
         self.acknowledged_round = max(self.acknowledged_round, heartbeat_round)
         if self.in_flight_round is not None and self.in_flight_round <= heartbeat_round:
@@ -48,29 +48,32 @@
 
 
 class ProgressTracker:
-    """The progress of every member to which a leader has sent something in its term."""
+    """The progress of every member that a leader has sent messages to in its term."""
 
     def __init__(self) -> None:
         self._progress: dict[str, Progress] = {}
 
     def reset(self, members: Iterable[str], next_index: int, now: float) -> None:
-        """Start a term as leader; every member counts as having responded now."""
+        """Discard all progress at the start of a leader's term.
+
+        Every member counts as having responded now.
+        """
         self._progress = {member: Progress(next_index, last_response_at=now) for member in members}
 
     def of(self, member: str, next_index: int) -> Progress:
-        """Return a member's progress; a member that is new to it starts at `next_index`."""
+        """Return a member's progress; a member without progress starts at `next_index`."""
         progress = self._progress.get(member)
         if progress is None:
             progress = self._progress[member] = Progress(next_index)
         return progress
 
     def match_index(self, member: str) -> int:
-        """Return up to which index a member's log is known to equal the leader's."""
+        """Return the last index up to which a member's log is known to equal the leader's."""
         progress = self._progress.get(member)
         return progress.match_index if progress else 0
 
     def last_response_at(self, member: str) -> float:
-        """Return when a member responded last, in ms."""
+        """Return the time of a member's last response in ms."""
         progress = self._progress.get(member)
         return progress.last_response_at if progress else NEVER
 
@@ -79,7 +82,7 @@
         return {name for name, each in self._progress.items() if each.match_index >= index}
 
     def acknowledging(self, heartbeat_round: int) -> set[str]:
-        """Return the members that have answered this heartbeat round or a later one."""
+        """Return the members that have acknowledged this heartbeat round or a later one."""
         return {
             name
             for name, each in self._progress.items()
@@ -87,12 +90,12 @@
         }
 
     def responded_within(self, window_ms: float, now: float) -> set[str]:
-        """Return the members that responded less than `window_ms` ago."""
+        """Return the members that responded in the last `window_ms`."""
         return {
             name for name, each in self._progress.items() if now - each.last_response_at < window_ms
         }
 
     def clear_in_flight(self) -> None:
-        """Forget what is on its way, so that lost entries are sent again."""
+        """Treat no entries as in flight, so that lost entries are sent again."""
         for progress in self._progress.values():
             progress.in_flight_round = None
--- a/dockthread/raft/proposals.py
+++ b/dockthread/raft/proposals.py
@@ -1,55 +1,58 @@
-"""Proposals whose outcome is not known yet, and who waits for it."""
+"""Pending proposals, and the futures of the callers that wait for them."""
 
 from __future__ import annotations
 
 import asyncio
 
-UNKNOWN_INDEX = 0  # the outcome of a proposal that may or may not be in the log
+UNKNOWN_INDEX = 0  # index of a proposal that may or may not be in the log
 
 
 class PendingProposals:
-    """Futures of proposals by index, by token and by the index that has to be applied here.
+    """Futures of callers that wait for a commit, for the leader's response or for an applied index.
 
-    The result of a future is the index at which the proposal was committed, or `UNKNOWN_INDEX`.
+    The result of the first two is the index at which the proposal was committed, or
+    `UNKNOWN_INDEX`.
     """
 
     def __init__(self) -> None:
-        self._by_index: dict[int, tuple[int, asyncio.Future[int]]] = {}  # with the entry's term
-        self._by_token: dict[int, asyncio.Future[int]] = {}  # forwarded to the leader
+        # Proposals that this leader appended: the entry's term and the future, by index.
+        self._by_index: dict[int, tuple[int, asyncio.Future[int]]] = {}
+        # Proposals that were forwarded to the leader, by token.
+        self._by_token: dict[int, asyncio.Future[int]] = {}
         self._last_token = 0
         self._unapplied: list[tuple[int, asyncio.Future[None]]] = []
 
     def await_commit(self, index: int, term: int) -> asyncio.Future[int]:
-        """Return a future for the entry that this leader appended at an index in a term."""
+        """Return a future for the commit of the entry that this leader appended at an index."""
         future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         self._by_index[index] = (term, future)
         return future
 
     def await_response(self) -> tuple[int, asyncio.Future[int]]:
-        """Return a new token and a future for the leader's response to it."""
+        """Return a new token and a future for the leader's response with that token."""
         self._last_token += 1
         future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         self._by_token[self._last_token] = future
         return self._last_token, future
 
     def await_applied(self, index: int) -> asyncio.Future[None]:
-        """Return a future that is done once the state machine here has applied an index."""
+        """Return a future that completes once the local state machine has applied an index."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._unapplied.append((index, future))
         return future
 
     def on_response(self, token: int, index: int) -> None:
-        """The leader has responded to a forwarded proposal."""
+        """Complete a forwarded proposal with the index from the leader's response."""
         future = self._by_token.pop(token, None)
         if future is not None and not future.done():
             future.set_result(index)
 
     def forget_response(self, token: int) -> None:
-        """Wait no longer for the leader's response."""
+        """Stop waiting for the leader's response to a forwarded proposal."""
         self._by_token.pop(token, None)
 
     def on_applied(self, index: int) -> None:
-        """The state machine here has applied all entries up to an index."""
+        """Complete the futures of callers that waited for this index to be applied locally."""
         for awaited, future in self._unapplied:
             if awaited <= index and not future.done():
                 future.set_result(None)
@@ -60,7 +63,10 @@
         ]
 
     def on_committed(self, index: int, term: int) -> None:
-        """An entry of this term is committed at an index; it may be another than was proposed."""
+        """Complete the proposal that was appended at a committed index.
+
+        If the term differs, another leader's entry has replaced the proposal.
+        """
         pending = self._by_index.pop(index, None)
         if pending is None:
             return
@@ -69,9 +75,10 @@
             future.set_result(index if proposed_term == term else UNKNOWN_INDEX)
 
     def on_role_changed(self, is_leader: bool) -> None:
-        """Give up on responses of the former leader, and on own proposals unless this one leads.
+        """Complete forwarded proposals with `UNKNOWN_INDEX`, since their leader may be gone.
 
-        A member that leads no more can't tell what is committed.
+        Proposals of this member are completed the same way if it is no longer the leader, because
+        it can't tell whether they will be committed.
         """
         futures = [*self._by_token.values()]
         if not is_leader:
@@ -82,7 +89,7 @@
                 future.set_result(UNKNOWN_INDEX)
 
     def cancel(self) -> None:
-        """Cancel whoever waits for the outcome of a proposal."""
+        """Cancel the futures of all proposals."""
         for future in [
             *(future for _, future in self._by_index.values()),
             *self._by_token.values(),
--- a/dockthread/raft/receiver.py
+++ b/dockthread/raft/receiver.py
@@ -1,4 +1,4 @@
-"""Reads the frames that other members send."""
+"""Reads frames from other members."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     """Reads messages from connections that other members opened.
 
     Attributes:
-        rejected: frames and messages that were dropped since the start.
+        rejected: number of frames and messages that were rejected since the start.
     """
 
     def __init__(
         self, key: bytes, counts: MessageCounts, on_message: Callable[[messages.Message], None]
     ) -> None:
-        """Hand every complete message to `on_message`, and count it in `counts`."""
+        """Pass every complete message to `on_message`, and count received frames in `counts`."""
         self._key = key
         self._counts = counts
         self._on_message = on_message
@@ -33,7 +33,7 @@
             await self._read_messages(reader)
         except messages.MalformedFrameError as error:
             self.rejected += 1
-            logger.debug("fleet: a frame is rejected: {}", error)
+            logger.debug("fleet: rejected a frame: {}", error)
         except (OSError, EOFError, asyncio.CancelledError):
             pass
         finally:
@@ -49,7 +49,7 @@
                 message = messages.unpack(header, body, self._key)
             except messages.UnknownMessageError as error:
                 self.rejected += 1
-                logger.debug("fleet: a message is rejected: {}", error)
+                logger.debug("fleet: rejected a message: {}", error)
                 continue
             if isinstance(message, messages.SnapshotChunk):
                 complete = assembler.add(message)
--- a/dockthread/raft/runner.py
+++ b/dockthread/raft/runner.py
@@ -1,7 +1,8 @@
-"""Runs a Raft core in real time: its timer, and its actions on the disk and the network.
+"""Runs a Raft core in real time: its timer, disk writes and network messages.
 
-One task carries the actions out, one after another. A write to disk is made in a thread that does
-nothing else, so requests go on meanwhile, and no message leaves before the write it rests on.
+One task carries out the actions in order. Disk writes run in a dedicated thread, so the event loop
+keeps serving requests during a write, and no message is sent before the writes that precede it are
+on disk.
 """
 
 from __future__ import annotations
@@ -31,46 +32,50 @@
 from dockthread.raft.storage import RaftStorage
 from dockthread.raft.transport import PeerTransport
 
-# applied entries in the log before a snapshot replaces them
+# Minimum number of applied entries in the log before a snapshot replaces them.
 ENTRIES_BEFORE_SNAPSHOT: Final = 512
-# bytes of the last snapshot for each further entry: a large snapshot is written more seldom
+# The log also keeps at least one applied entry per this many bytes of the last snapshot, so that a
+# large snapshot is written less often.
 SNAPSHOT_BYTES_PER_ENTRY: Final = 1 << 10
 MIN_TIMER_MS: Final = 1.0
 
 
 class StateMachine(Protocol):
-    """What the log is for: it applies commands, and is notified of the member's state."""
+    """Applies the committed commands of the log, and is notified of the member's state."""
 
     def apply(self, index: int, data: bytes) -> None:
-        """Apply a committed command; each comes once in the life of a process, in order."""
+        """Apply a committed command; called in log order, and once per entry in each process."""
 
     def restore(self, index: int, snapshot: bytes) -> None:
-        """Replace the state by a snapshot, which holds all commands up to `index`."""
+        """Replace the state with a snapshot that includes all commands up to `index`."""
 
     def snapshot(self) -> bytes:
-        """Return a snapshot of the state as it is."""
+        """Return a snapshot of the current state."""
 
     def on_applied(self, index: int, term: int) -> None:
-        """All entries up to `index` are applied; `term` is the last one's, 0 for a snapshot."""
+        """All entries up to `index` are applied.
+
+        `term` is the term of the entry at `index`, or 0 after a snapshot was restored.
+        """
 
     def on_status_report(self, sender: str, data: bytes) -> None:
-        """Another member has reported to this leader what it observes.
+        """Another member has sent its observations to this leader.
 
         Raises:
-            ValueError: the report can't be read.
+            ValueError: the report can't be decoded.
         """
 
     def on_leader_changed(self) -> None:
-        """Another member leads, or none is known to."""
+        """The role, the term or the known leader has changed."""
 
 
 class CoreRunner:
-    """Calls a Raft core and carries out what it returns.
+    """Calls a Raft core and carries out the actions that it returns.
 
     Attributes:
-        core: the protocol.
-        applied_index: up to which the state machine has applied entries; behind the core's while
-            actions wait.
+        core: the Raft core.
+        applied_index: index of the last entry that the state machine has applied; lower than the
+            core's while actions are queued.
     """
 
     def __init__(
@@ -94,14 +99,14 @@
         self._task: asyncio.Task[None] | None = None
 
     def restore_stored_snapshot(self) -> None:
-        """Hand the snapshot on disk, if any, to the state machine."""
+        """Restore the state machine from the snapshot on disk, if there is one."""
         stored = self._storage.persistent_state
         if stored.snapshot_index:
             self._state_machine.restore(stored.snapshot_index, stored.snapshot)
             self._on_applied(stored.snapshot_index, 0)
 
     def start(self, core: RaftCore, peers: Mapping[str, PeerTransport]) -> None:
-        """Run a core; its messages leave by `peers`, by the names of the members."""
+        """Run a core, whose messages are sent through `peers` by member name."""
         self.core = core
         self._peers = peers
         self._task = asyncio.get_running_loop().create_task(self._carry_out_actions())
@@ -120,18 +125,18 @@
         self._storage.close()
 
     def step(self, message: Message) -> None:
-        """Have the core handle a message."""
+        """Pass a message to the core."""
         self._enqueue(self.core.step(self._clock.now(), message))
         self._set_timer()
 
     def propose(self, data: bytes) -> int | None:
-        """Have the core append a command; return its index, or None where it does not lead."""
+        """Propose a command to the core; return its index, or None if the core rejects it."""
         index, actions = self.core.propose(self._clock.now(), data)
         self._enqueue(actions)
         return index
 
     def transfer_leadership(self) -> None:
-        """Have the core hand leadership over, where it leads."""
+        """Transfer leadership to another member if this member is the leader."""
         self._enqueue(self.core.transfer_leadership(self._clock.now()))
 
     def _set_timer(self) -> None:
@@ -182,7 +187,7 @@
         if entry.kind == EntryKind.COMMAND:
             try:
                 self._state_machine.apply(index, entry.data)
-            except Exception:  # noqa: BLE001  one entry that can't be applied must not end the member
+            except Exception:  # noqa: BLE001  one bad entry must not stop the member
                 logger.exception("fleet: entry {} could not be applied", index)
         self._on_applied(index, entry.term)
         self._proposals.on_committed(index, entry.term)
@@ -194,7 +199,7 @@
         self._proposals.on_applied(index)
 
     def _compact(self, index: int) -> None:
-        """Replace the applied entries by a snapshot once there are enough of them."""
+        """Replace the applied entries with a snapshot once there are enough of them."""
         core = self.core
         entries_before_snapshot = max(
             ENTRIES_BEFORE_SNAPSHOT, len(core.log.snapshot) // SNAPSHOT_BYTES_PER_ENTRY
--- a/dockthread/raft/server.py
+++ b/dockthread/raft/server.py
@@ -1,8 +1,8 @@
-"""One member of the fleet on sockets and on a disk, around the Raft core.
+"""One member of the fleet: the Raft core with its sockets and storage.
 
-Messages leave on one TCP connection to each other member (`transport`) and come in on connections
-that the others opened (`receiver`). The core's actions are carried out by `runner`. What doesn't
-fit into a queue is dropped, as the core sends again whatever matters.
+The member sends messages on one TCP connection to each other member (`transport`), and receives
+messages on the connections that other members open (`receiver`). `runner` carries out the core's
+actions. A full send queue drops messages, because the core resends those that matter.
 """
 
 from __future__ import annotations
@@ -28,17 +28,18 @@
 from dockthread.raft.transport import PeerTransport
 
 PROPOSAL_TIMEOUT_MS: Final = 3_000.0
-PROPOSAL_RETRY_MS: Final = 50.0  # between attempts while no leader is known
-# until the leader is asked again: the proposal or its response may be lost with a connection
+PROPOSAL_RETRY_MS: Final = 50.0  # pause between two attempts to propose a command
+# Time to wait for the leader's response to a forwarded proposal. The proposal or its response may be
+# lost with a connection.
 FORWARD_TIMEOUT_MS: Final = 500.0
-# that a leader waits for another to take over when it is closed
+# Time that a leader waits for another member to become leader when it is closed.
 TRANSFER_TIMEOUT_MS: Final = 300.0
 TRANSFER_POLL_S: Final = 0.01
 UNKNOWN_AGE_MS: Final = -1.0
 
 
 class MemberStatus(TypedDict):
-    """What an operator is shown of a member; the keys are those of the JSON."""
+    """Status of a member for operators; the keys are the keys of the JSON."""
 
     name: str
     role: str
@@ -52,13 +53,13 @@
 
 
 class RaftServer:
-    """Takes part in the fleet for a state machine. All times are in ms.
+    """A member of the fleet, which replicates one state machine. All times are in ms.
 
     Attributes:
-        name: this member's.
-        storage: its directory, open until `close`.
-        message_counts: messages from and to the other members.
-        is_open: it takes part.
+        name: this member's name.
+        storage: this member's directory, open until `close`.
+        message_counts: counts of messages from and to the other members.
+        is_open: whether `open` has completed.
     """
 
     def __init__(
@@ -73,9 +74,9 @@
 
         Raises:
             OSError: the directory or the key file can't be used.
-            ValueError: the key is wrong, or the member is not among the members or is another
-                than the directory's.
-            RaftStorageError: the directory holds no log, or one that is damaged.
+            ValueError: the key is invalid, `name` is not a configured member, or the directory
+                belongs to another member.
+            RaftStorageError: the directory holds no log, or a damaged one.
         """
         self.name = name
         self._options = options
@@ -99,7 +100,8 @@
         self._peers: dict[str, PeerTransport] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
-        self._current_at = UNKNOWN_AGE_MS  # when the state machine was last known to be current
+        # Time at which the state machine was last known to include every committed command.
+        self._current_at = UNKNOWN_AGE_MS
 
     def _open_storage(self) -> RaftStorage:
         directory = self._options.directory
@@ -107,15 +109,15 @@
         if storage.name != self.name:
             storage.close()
             raise ValueError(
-                f"[fleet] directory: {directory} is of {storage.name}, and this is {self.name}"
+                f"[fleet] directory: {directory} belongs to {storage.name}, not to {self.name}"
             )
         return storage
 
     async def open(self) -> None:
-        """Listen and take part.
+        """Listen for other members and start the Raft core.
 
         Raises:
-            OSError: it can't listen on its address.
+            OSError: the server can't listen on its address.
         """
         listen = Address.parse(self._options.listen)
         self._server = await asyncio.start_server(self._receiver.serve, listen.host, listen.port)
@@ -136,19 +138,19 @@
         self.is_open = True
         self._runner.start(core, self._peers)
         logger.info(
-            "fleet: {} takes part at {}, {} members",
+            "fleet: {} listens on {}, {} members",
             self.name,
             self._options.listen,
             len(self._addresses),
         )
 
     async def close(self) -> None:
-        """Hand leadership over where this member leads, then stop taking part."""
+        """Transfer leadership if this member is the leader, then stop."""
         core = self._runner.core
         if core.role is Role.LEADER:
             self.transfer_leadership()
             deadline = self._clock.now() + TRANSFER_TIMEOUT_MS
-            # The core has no events to wait for, and this is over in 300 ms.
+            # The core offers no event to wait for, and the loop ends after at most 300 ms.
             while core.role is Role.LEADER and self._clock.now() < deadline:  # noqa: ASYNC110
                 await asyncio.sleep(TRANSFER_POLL_S)
         self._runner.stop()
@@ -162,21 +164,21 @@
     # Proposals
 
     async def propose(self, data: bytes, timeout_ms: float = PROPOSAL_TIMEOUT_MS) -> int:
-        """Have a command committed and applied here.
+        """Propose a command, and wait until it is committed and applied on this member.
 
-        The command goes to whoever leads, and again where the leader changes or does not answer;
-        so the state machine has to recognize a command that comes twice.
+        The command is sent to the current leader, and sent again if the leader changes or does not
+        respond, so the state machine must recognize duplicate commands.
 
         Returns:
-            The index of its entry, or `UNKNOWN_INDEX` where the outcome is not known in time: the
-            command may be committed or not.
+            The index of the command's entry, or `UNKNOWN_INDEX` after a timeout, when the command
+            may or may not be committed.
         """
         try:
             async with asyncio.timeout(timeout_ms / 1000.0):
-                # A pause between attempts: nothing announces that the next would succeed.
+                # No event signals that the next attempt would succeed.
                 while not (index := await self._attempt_proposal(data)):  # noqa: ASYNC110
                     await asyncio.sleep(PROPOSAL_RETRY_MS / 1000.0)
-                # The leader is ahead: a caller must find its command applied here.
+                # The leader may have applied the command before this member has.
                 if index > self._runner.applied_index:
                     await self._proposals.await_applied(index)
                 return index
@@ -184,7 +186,7 @@
             return UNKNOWN_INDEX
 
     async def _attempt_proposal(self, data: bytes) -> int:
-        """Propose to the current leader; return `UNKNOWN_INDEX` where that fails."""
+        """Propose a command to the current leader; return `UNKNOWN_INDEX` on failure."""
         core = self._runner.core
         if core.role is Role.LEADER:
             index = self._runner.propose(data)
@@ -196,7 +198,7 @@
         return await self._forward_proposal(data)
 
     async def _forward_proposal(self, data: bytes) -> int:
-        """Have the leader propose a command, and return the index of its response."""
+        """Forward a command to the leader, and return the index from its response."""
         core = self._runner.core
         token, response = self._proposals.await_response()
         proposal = messages.ForwardedProposal(core.term, self.name, token, data)
@@ -210,7 +212,7 @@
             self._proposals.forget_response(token)
 
     async def _answer_forwarded(self, proposal: messages.ForwardedProposal) -> None:
-        """Propose a command of another member where this one leads, and respond."""
+        """Propose another member's command if this member is the leader, and respond."""
         core = self._runner.core
         index = UNKNOWN_INDEX
         if core.role is Role.LEADER:
@@ -223,14 +225,14 @@
             peer.send(response)
 
     def propose_as_leader(self, data: bytes) -> None:
-        """Propose a command where this member leads, without waiting for the outcome."""
+        """Propose a command if this member is the leader, without waiting for the outcome."""
         self._runner.propose(data)
 
-    # What the state machine's owner may ask
+    # Status
 
     @property
     def leader_id(self) -> str:
-        """Who leads, as far as is known here; empty for no known leader."""
+        """The name of the leader that this member knows; empty if it knows none."""
         return self._runner.core.leader_id if self.is_open else ""
 
     @property
@@ -239,16 +241,17 @@
         return list(self._addresses)
 
     def responsive_members(self) -> set[str]:
-        """Return who responded to this leader within the election timeout."""
+        """Return the members that responded to this leader within the election timeout."""
         if not self.is_open:
             return set()
         return self._runner.core.responded_within(self._options.election_timeout)
 
     def staleness_ms(self) -> float:
-        """Return since when the state machine may lack committed commands.
+        """Return for how many ms the state machine may have lacked committed commands.
 
-        A leader counts from when a majority responded, give or take a heartbeat; any other member
-        from when it last heard from its leader. -1 where it was never known to be current.
+        A leader counts from the last response of a majority, rounded up to whole heartbeat
+        intervals; any other member counts from the last message of its leader. -1 if the state
+        machine was never known to be up to date.
         """
         if not self.is_open:
             return UNKNOWN_AGE_MS
@@ -259,9 +262,10 @@
         return now - self._current_at if self._current_at >= 0 else UNKNOWN_AGE_MS
 
     def _quorum_window(self) -> float | None:
-        """Return within how many ms a majority responded to this leader, in whole heartbeats.
+        """Return the shortest window in ms, in whole heartbeats, in which a majority responded.
 
-        None where it does not lead, has not committed in its term, or reaches no majority.
+        None if this member is not the leader, has not committed an entry of its term, or reaches no
+        majority.
         """
         core = self._runner.core
         if core.role is not Role.LEADER or not core.has_committed_in_term():
@@ -275,7 +279,7 @@
         return None
 
     def report_status(self, data: bytes) -> None:
-        """Send the leader's state machine what this member observes; it may be lost."""
+        """Send this member's observations to the leader's state machine; they may be lost."""
         report = messages.StatusReport(self._runner.core.term, self.name, data)
         if self.leader_id == self.name:
             self._accept_report(report)
@@ -283,12 +287,12 @@
             peer.send(report)
 
     def transfer_leadership(self) -> None:
-        """Have another member lead, where this one does."""
+        """Transfer leadership to another member if this member is the leader."""
         if self.is_open:
             self._runner.transfer_leadership()
 
     def status(self) -> MemberStatus:
-        """Return what an operator is shown."""
+        """Return this member's status for operators."""
         core = self._runner.core
         return MemberStatus(
             name=self.name,
@@ -302,10 +306,10 @@
             spoilt=self._receiver.rejected + self._rejected_reports,
         )
 
-    # Messages of other members
+    # Messages from other members
 
     def _receive(self, message: messages.Message) -> None:
-        """Handle a complete message: what the core does not know here, the rest by the core."""
+        """Handle a complete message; all types that Raft defines are passed to the core."""
         if isinstance(message, messages.StatusReport):
             self._accept_report(message)
         elif isinstance(message, messages.ForwardedProposal):
@@ -320,8 +324,8 @@
     def _step(self, message: messages.Message) -> None:
         now = self._clock.now()
         self._runner.step(message)
-        # All that was committed when the leader sent this is applied then; a commit index of 0 says
-        # nothing about it.
+        # The state machine is up to date if it has applied everything up to the leader's commit
+        # index. A commit index of 0 means that the message does not include it.
         if (
             isinstance(message, messages.AppendEntries)
             and self._runner.core.leader_id == message.sender
@@ -330,11 +334,11 @@
             self._current_at = now
 
     def _accept_report(self, report: messages.StatusReport) -> None:
-        """Hand a status report to the state machine where this member leads."""
+        """Pass a status report to the state machine if this member is the leader."""
         if self.leader_id != self.name:
             return
         try:
             self._state_machine.on_status_report(report.sender, report.data)
         except ValueError as error:
             self._rejected_reports += 1
-            logger.debug("fleet: a status report is rejected: {}", error)
+            logger.debug("fleet: rejected a status report: {}", error)
--- a/dockthread/raft/storage.py
+++ b/dockthread/raft/storage.py
@@ -1,15 +1,15 @@
-"""What a member keeps on disk: its name, hard state, snapshot and log.
-
-A directory of its own holds two files. `state` has the member's name, the hard state and the
-snapshot; it is written completely beside and renamed into place. `log` has the records behind the
-snapshot, each with its length and a BLAKE2 checksum; a record is appended and synced before
-`persist` returns.
-
-A record that is cut short at the end of `log` was never synced, so nobody was answered on it: it is
-truncated. A wrong checksum anywhere else means that the disk lost what it had promised, which
-raises `RaftStorageError`: the member has to come back under another name. Every snapshot has a
-number, and its records bear it; records with another number don't count, so a crash between the two
-writes does no harm.
+"""A member's persistent storage: its name, hard state, snapshot and log.
+
+Each member has a directory with two files. `state` holds the member's name, the hard state and the
+snapshot; it is replaced atomically by writing a temporary file and renaming it. `log` holds the
+records after the snapshot, each with its length and a BLAKE2 checksum; a record is appended and
+synced before `persist` returns.
+
+An incomplete record at the end of `log` was never synced, so no message depended on it, and it is
+removed. A wrong checksum anywhere means that the disk lost synced data, which raises
+`RaftStorageError`: the member has to rejoin under another name. Every snapshot has a number, and
+the records after it carry that number; records with another number are ignored, so a crash between
+the two writes does no harm.
 """
 
 from __future__ import annotations
@@ -30,28 +30,28 @@
 
 CHECKSUM_BYTES: Final = 16
 RECORD_HEADER: Final = struct.Struct(f"<I{CHECKSUM_BYTES}s")  # length and checksum
-# bytes: a complete snapshot, or all entries behind one, and some more
+# Maximum size of a record: a complete snapshot, or all entries after one, plus overhead.
 MAX_RECORD_BYTES: Final = MAX_SNAPSHOT_BYTES + (64 << 20)
-FILE_MODE: Final = 0o600  # only the member's own user
+FILE_MODE: Final = 0o600  # access only for the user that runs the member
 ADVICE_AFTER_LOSS: Final = "give the ingress a new name and `dockthread fleet init` a new folder"
 
 
 class RaftStorageError(DockthreadError):
-    """The directory does not hold what was written; names the file and what to do."""
+    """The directory holds no log or a damaged one; the message names the file and the remedy."""
 
 
 class SnapshotRecord(msgspec.Struct, frozen=True, array_like=True):
     """The record of the file `state`; the order of its fields is the format on disk.
 
     Attributes:
-        number: grows with each snapshot; records of the log name it.
-        name: the member's.
+        number: number of the snapshot, which its records in the log repeat.
+        name: the member's name.
         term: the current term when the snapshot was written.
-        voted_for: who received this member's vote in that term.
-        snapshot_index: of the last entry that the snapshot holds.
-        snapshot_term: of that entry.
-        voters: as of that entry.
-        snapshot: the state machine after that entry.
+        voted_for: the candidate that received this member's vote in that term; empty for none.
+        snapshot_index: index of the last entry that the snapshot includes.
+        snapshot_term: term of that entry.
+        voters: the voters as of that entry.
+        snapshot: the encoded state machine after that entry.
     """
 
     number: int
@@ -65,7 +65,7 @@
 
 
 class LogRecord(msgspec.Struct, frozen=True, array_like=True):
-    """A record of the file `log`: a `PersistEntries` and the number of its snapshot."""
+    """A record of the file `log`: a `PersistEntries` action and the number of its snapshot."""
 
     number: int
     term: int
@@ -78,20 +78,21 @@
 class RaftStorage:
     """The directory of one member, locked while it is open.
 
-    An operator makes a directory once (`dockthread fleet init`), a start never does: a member that
-    lost its disk and came back under its old name could vote twice in a term that it forgot.
+    Only the operator creates a directory (`dockthread fleet init`); starting a member never does.
+    Otherwise a member that lost its disk could rejoin under its old name and vote a second time in a
+    term of which it has lost its vote.
 
     Attributes:
-        persistent_state: what is on disk.
+        persistent_state: the state on disk.
     """
 
     def __init__(self, folder: Path, name: str, create: bool = False) -> None:
-        """Open a directory, or with `create` make one for a member of this name.
+        """Open a directory; with `create`, create it for a member of this name first.
 
         Raises:
             OSError: the directory can't be used, or another process has it open.
-            FileExistsError: with `create`, it holds a log already.
-            RaftStorageError: it holds no log, or one that is damaged.
+            FileExistsError: `create` is set and the directory already holds a log.
+            RaftStorageError: the directory holds no log, or a damaged one.
         """
         if create:
             folder.mkdir(parents=True, exist_ok=True)
@@ -116,7 +117,7 @@
 
     @property
     def name(self) -> str:
-        """The member whose directory it is."""
+        """The name of the member that the directory belongs to."""
         return self._snapshot_record.name
 
     def close(self) -> None:
@@ -125,10 +126,10 @@
         os.close(self._lock)
 
     def persist(self, action: PersistEntries | PersistSnapshot) -> None:
-        """Carry an action out; it is on disk when this returns.
+        """Carry out an action; its data is on disk when this returns.
 
         Raises:
-            OSError: the disk did not take it.
+            OSError: the write failed.
         """
         if isinstance(action, PersistEntries):
             self._persist_entries(action)
@@ -161,15 +162,15 @@
             action.voters,
             action.snapshot,
         )
-        # First the entries behind it, under its number, which does not count with the old snapshot;
-        # then the snapshot itself.
+        # Write the entries after the snapshot first, with the new snapshot's number: they are
+        # ignored until the snapshot itself is written.
         first_index = action.index + 1
         entries = tuple(state.entries)
         record = LogRecord(number, state.term, state.voted_for, first_index, entries)
         self._append(record)
         self._write_snapshot_record()
-        # Nothing in the log counts any more but that last record: the log is replaced by it, or the
-        # disk would fill.
+        # Only that last record of the log is valid now. Replace the log with it, because otherwise
+        # the log would grow until the disk is full.
         self._replace_file("log", msgspec.msgpack.encode(record))
         os.close(self._log)
         self._log = os.open(self._folder / "log", os.O_WRONLY | os.O_APPEND)
@@ -190,7 +191,7 @@
         self._replace_file("state", msgspec.msgpack.encode(self._snapshot_record))
 
     def _replace_file(self, name: str, body: bytes) -> None:
-        """Write a file of one record beside, sync it, and rename it into place."""
+        """Replace a file atomically with one that holds a single record, and sync it."""
         temporary = self._folder / f"{name}.{secrets.token_hex(4)}"
         handle = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_EXCL, FILE_MODE)
         try:
@@ -206,7 +207,7 @@
     # Reading
 
     def _load(self) -> PersistentState:
-        """Read both files; what a crash left before a rename is removed."""
+        """Read both files, and delete temporary files that a crash left behind."""
         for temporary in [*self._folder.glob("state.*"), *self._folder.glob("log.*")]:
             temporary.unlink(missing_ok=True)
         bodies, is_complete = self._read_records("state")
@@ -226,10 +227,10 @@
         return _replay(snapshot, records)
 
     def _read_records(self, name: str) -> tuple[list[bytes], bool]:
-        """Read a file's records, and truncate a record that is cut short at the end of the log.
+        """Read a file's records, and remove an incomplete record from the end of the log.
 
         Returns:
-            The bodies, and whether the file ends with a complete record.
+            The bodies of the records, and whether the last record was complete.
         """
         path = self._folder / name
         data = path.read_bytes() if path.exists() else b""
@@ -252,7 +253,7 @@
 
 
 def _replay(snapshot: SnapshotRecord, records: list[LogRecord]) -> PersistentState:
-    """Return the snapshot and the records that bear its number."""
+    """Return the state after the snapshot and the records with its number."""
     state = PersistentState(
         snapshot.term,
         snapshot.voted_for,
--- a/dockthread/raft/transport.py
+++ b/dockthread/raft/transport.py
@@ -1,12 +1,13 @@
-"""Sends frames to one other member: a bounded queue, and a snapshot in chunks beside it.
+"""Sends frames to one other member from a bounded queue, and large snapshots in chunks.
 
-The core sends a snapshot to a member that is too far behind, again at each heartbeat until it is
-answered. A snapshot of 90,000 resources has tens of megabytes: in one frame it would hold up all
-heartbeats behind it, and a queue of such frames would fill the memory. So it is cut into chunks,
-which are sent one at a time and only while no other frame waits. While a snapshot is being sent,
-and for `SNAPSHOT_RETRY_S` after it, an empty `AppendEntries` behind the snapshot's last entry is
-sent in place of each repetition. The receiver answers it like any other, so both members still
-hear from each other; it succeeds once the snapshot has arrived.
+The core sends a snapshot to a member that is too far behind, and repeats it at each heartbeat until
+the member responds. A snapshot of 90,000 resources has tens of megabytes: in one frame it would
+delay all heartbeats queued after it, and a queue of such frames would exhaust the memory. A large
+snapshot is therefore split into chunks, which are sent one at a time and only while the queue is
+empty. While a snapshot is being sent, and for `SNAPSHOT_RETRY_S` after that, each repetition is
+replaced with an empty `AppendEntries` that starts after the snapshot's last entry. The receiver
+responds to it as usual, so both members still exchange heartbeats; the response reports success
+once the snapshot has arrived.
 """
 
 from __future__ import annotations
@@ -22,37 +23,37 @@
 from dockthread.framing import MessageCounts
 from dockthread.raft import messages
 
-MAX_QUEUED_FRAMES: Final = 256  # to one member
-RECONNECT_MS: Final = 200.0  # before a lost connection is opened again, give or take half
-SNAPSHOT_RETRY_S: Final = 5.0  # after a snapshot was sent, before the same one is sent again
+MAX_QUEUED_FRAMES: Final = 256  # maximum number of frames queued for one member
+RECONNECT_MS: Final = 200.0  # pause before a reconnect, randomized by plus or minus half
+SNAPSHOT_RETRY_S: Final = 5.0  # minimum time before the same snapshot is sent again
 CONNECT_TIMEOUT_S: Final = 2.0
 DRAIN_TIMEOUT_S: Final = 5.0
 
 
 class PeerTransport:
-    """A connection to one other member, opened when there is something to send.
+    """A connection to one other member, opened when a message is queued.
 
     Attributes:
-        task: sends what is queued until it is cancelled.
+        task: sends queued frames until it is cancelled.
     """
 
     def __init__(
         self, address: Address, rng: random.Random, key: bytes, counts: MessageCounts
     ) -> None:
-        """Start sending; the frames that are sent are counted in `counts`."""
+        """Start the sending task, which counts sent frames in `counts`."""
         self._address = address
         self._rng = rng
         self._key = key
         self._counts = counts
         self._queue: deque[bytes] = deque(maxlen=MAX_QUEUED_FRAMES)
-        self._chunks: Iterator[bytes] | None = None  # of the snapshot that is being sent
-        self._snapshot_id = (0, 0)  # term and last index of the snapshot that was sent last
-        self._snapshot_sent_at = -SNAPSHOT_RETRY_S  # when its last chunk was written
+        self._chunks: Iterator[bytes] | None = None  # remaining chunks of the current snapshot
+        self._snapshot_id = (0, 0)  # term and last index of the latest snapshot
+        self._snapshot_sent_at = -SNAPSHOT_RETRY_S  # time when the last chunk was written
         self._has_work = asyncio.Event()
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def send(self, message: messages.Message) -> None:
-        """Queue a message; the oldest are dropped where too many wait."""
+        """Queue a message; if the queue is full, the oldest message is dropped."""
         if (
             isinstance(message, messages.InstallSnapshot)
             and len(message.snapshot) > messages.CHUNK_BYTES
@@ -63,7 +64,7 @@
         self._has_work.set()
 
     def _send_snapshot(self, message: messages.InstallSnapshot) -> None:
-        """Start sending a snapshot in chunks, or send a heartbeat while one is on its way."""
+        """Start sending a snapshot in chunks, or send a heartbeat if it was sent recently."""
         snapshot_id = (message.term, message.last_index)
         recently = time.monotonic() - self._snapshot_sent_at < SNAPSHOT_RETRY_S
         if self._chunks is not None or (snapshot_id == self._snapshot_id and recently):
@@ -82,7 +83,7 @@
             self._chunks = messages.split_snapshot(message, self._key)
 
     async def _run(self) -> None:
-        """Connect whenever something is queued, and write until the connection breaks."""
+        """Connect when a frame is queued, and write until the connection breaks."""
         while True:
             await self._has_work.wait()
             writer = None
@@ -95,7 +96,7 @@
                     self._has_work.clear()
                     await self._write_queued(writer)
             except (OSError, TimeoutError):
-                self._queue.clear()  # outdated by the time it could be sent
+                self._queue.clear()  # the frames would be outdated after a reconnect
                 self._chunks = None
                 self._snapshot_id = (0, 0)
                 await asyncio.sleep(RECONNECT_MS * self._rng.uniform(0.5, 1.5) / 1000.0)
--- a/tests/raft/test_messages.py
+++ b/tests/raft/test_messages.py
@@ -27,10 +27,10 @@
     with pytest.raises(MalformedFrameError, match="version 9"):
         messages.length(messages.FRAME_HEADER.pack(3, 9, bytes(16)))
     too_large = messages.FRAME_HEADER.pack(messages.MAX_MESSAGE_BYTES + 1, 1, bytes(16))
-    with pytest.raises(MalformedFrameError, match="the most"):
+    with pytest.raises(MalformedFrameError, match="exceed the maximum"):
         messages.length(too_large)
     for garbage in (b"", b"\xc1", b"\x93\xa1a\x01\x02", b"\xff" * 40):
-        with pytest.raises(MalformedFrameError, match="no message"):
+        with pytest.raises(MalformedFrameError, match="unknown message"):
             messages.unpack(messages.FRAME_HEADER.pack(len(garbage), 1, bytes(16)), garbage)
 
 
