--- a/dockthread/maintenance/__init__.py
+++ b/dockthread/maintenance/__init__.py
@@ -1,1 +1,1 @@
-"""Planned maintenance: the ingresses agree which backend or ingress is taken out of service when."""
+"""Planned maintenance: ingresses agree when each backend or ingress is taken out of service."""
--- a/dockthread/maintenance/admin_commands.py
+++ b/dockthread/maintenance/admin_commands.py
@@ -1,4 +1,7 @@
-"""Answers the admin endpoint's calls on planned maintenance: status, listing, request, done, withdraw."""
+"""Answers the admin endpoint's calls for planned maintenance.
+
+The calls are status, listing, request, done and withdraw.
+"""
 
 from __future__ import annotations
 
@@ -33,18 +36,18 @@
     Operation.FINISH_MAINTENANCE: CommandAction.COMPLETE,
     Operation.WITHDRAW_MAINTENANCE: CommandAction.WITHDRAW,
 }
-EVALUATION_TIMEOUT_S = 2.0  # for which a call waits for its request to be evaluated
-EVALUATION_POLL_S = 0.01  # between looks whether it is
-INGRESS_WARM_UP_TIMEOUTS = 2.0  # election timeouts until a restarted ingress counts as there
-MAX_DURATION_S = 1e8  # of the work at a target
-COMMAND_ID_BYTES = 8  # random bytes of a command's identifier
+EVALUATION_TIMEOUT_S = 2.0  # maximum time that a call waits for its request to be evaluated
+EVALUATION_POLL_S = 0.01  # poll interval while a call waits for the evaluation
+INGRESS_WARM_UP_TIMEOUTS = 2.0  # warm-up time of a restarted ingress in election timeouts
+MAX_DURATION_S = 1e8  # upper bound of the announced duration of maintenance
+COMMAND_ID_BYTES = 8  # number of random bytes in a command's identifier
 
 
 class CallError(DockthreadError):
     """A call that cannot be carried out.
 
     Attributes:
-        answer: The text for the caller.
+        answer: The error response to the caller.
     """
 
     def __init__(self, status: int, text: str) -> None:
@@ -53,7 +56,7 @@
 
 
 def listing(scheduler: MaintenanceScheduler) -> dict[str, object]:
-    """Return the requests as the admin endpoint lists them, the oldest first."""
+    """Return the requests as the admin endpoint lists them, oldest first."""
     requests = sorted(scheduler.requests.values(), key=lambda request: request.requested_index)
     return {
         "work": [_listed(request, scheduler) for request in requests],
@@ -69,12 +72,12 @@
 
 
 class MaintenanceAdmin:
-    """Answers the calls of one ingress.
+    """Answers the maintenance calls that one ingress receives.
 
     Args:
-        ingress: Whose endpoint list and settings a request is checked against.
+        ingress: The ingress; its endpoint list and settings are used to check a request.
         options: The cluster's settings.
-        member: Where commands are proposed.
+        member: The ingress's member of the cluster, which proposes the commands.
         scheduler: The replicated state machine.
     """
 
@@ -91,7 +94,7 @@
         self._scheduler = scheduler
 
     async def answer(self, call: Command) -> Response:
-        """Carry a call out and answer it."""
+        """Carry out a call and return its response."""
         if call.operation is Operation.FLEET_STATUS:
             return _json_answer(self._status())
         if call.operation is Operation.MAINTENANCE_STATUS:
@@ -107,7 +110,7 @@
         return {**self._member.status(), "silent": silent}
 
     async def _propose(self, command: MaintenanceCommand) -> Response:
-        """Propose a command, and answer with the state of its target once it is applied.
+        """Propose a command, and return the state of its target once the command is applied.
 
         Raises:
             CallError: The command was not committed in time.
@@ -139,10 +142,10 @@
         return next(finished, "unknown")
 
     def _command(self, call: Command) -> MaintenanceCommand:
-        """Return the command that a call asks for.
+        """Return the command for a call.
 
         Raises:
-            CallError: The target is not known, or the duration is no number of seconds.
+            CallError: The target is unknown, or the duration is not a valid number of seconds.
         """
         action = ACTIONS[call.operation]
         zone = self._ingress.endpoints.zone_of(call.target)
@@ -172,10 +175,10 @@
         return INGRESS_WARM_UP_TIMEOUTS * self._options.election_timeout
 
     async def _wait_for_evaluation(self, target: str) -> None:
-        """Wait until a leader's report has seen a request, or for as long as staff would wait."""
+        """Wait until a leader's report has evaluated a request, or until the timeout."""
         with suppress(TimeoutError):
             async with asyncio.timeout(EVALUATION_TIMEOUT_S):
-                # The replicated state signals nothing to wait for.
+                # The replicated state offers no event to wait for.
                 while not self._is_evaluated(target):  # noqa: ASYNC110
                     await asyncio.sleep(EVALUATION_POLL_S)
 
--- a/dockthread/maintenance/aggregation.py
+++ b/dockthread/maintenance/aggregation.py
@@ -1,4 +1,4 @@
-"""What each member observes of the zones, and what a majority of the members observes together."""
+"""Members' observations of the zones, and their aggregation by majority."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from dockthread.errors import DockthreadError
 from dockthread.maintenance.commands import ZoneStatus
 
-UNKNOWN_LOAD = -1.0  # where the capacity of a backend is not known
+UNKNOWN_LOAD = -1.0  # load of a zone if the capacity of a backend is unknown
 
 
 class ZoneObservation(msgspec.Struct, frozen=True, array_like=True):
-    """What one member observes of a zone.
+    """One member's observation of a zone.
 
     Attributes:
-        zone: The zone.
-        ready: Backends that serve.
-        failing: Backends whose requests of this member fail.
-        in_flight: Requests of this member in flight there.
-        is_overloaded: Requests wait too long.
+        zone: Name of the zone.
+        ready: Backends that serve requests.
+        failing: Backends at which most of this member's requests fail.
+        in_flight: Number of this member's requests in flight in the zone.
+        is_overloaded: Whether this member's requests wait too long.
     """
 
     zone: str
@@ -32,12 +32,12 @@
 
 
 class MemberObservation(msgspec.Struct, frozen=True, array_like=True):
-    """What one member sends to the leader.
+    """The observation that a member sends to the leader.
 
     Attributes:
-        zones: The zones of the requested backends.
-        listed: The requested backends that the member's endpoint list has.
-        latest_request_index: Index of the log of the latest request that the member knew.
+        zones: Observations of the zones of the requested backends.
+        listed: Requested backends that are in the member's endpoint list.
+        latest_request_index: Log index of the latest request that the member knows.
     """
 
     zones: tuple[ZoneObservation, ...]
@@ -46,34 +46,37 @@
 
 
 class MalformedObservationError(DockthreadError, ValueError):
-    """A message of another member is no observation."""
+    """A status report that cannot be decoded as an observation."""
 
 
 def decode_observation(member: str, data: bytes) -> MemberObservation:
-    """Decode the observation of a member.
+    """Decode a member's observation.
 
     Raises:
-        MalformedObservationError: The bytes are no observation.
+        MalformedObservationError: The bytes are not an observation.
     """
     try:
         return msgspec.msgpack.decode(data, type=MemberObservation)
     except msgspec.MsgspecError as error:
-        raise MalformedObservationError(f"no observation of {member}: {error}") from error
+        raise MalformedObservationError(
+            f"cannot decode the observation of {member}: {error}"
+        ) from error
 
 
 def combine_observations(
     observations: Mapping[str, MemberObservation], member_count: int, backend_capacity: float
 ) -> tuple[tuple[ZoneStatus, ...], tuple[str, ...]]:
-    """Return the zones and the listed backends that a majority of the members observes.
+    """Return the zones and the listed backends that a majority of the members has observed.
 
-    A backend is ready where over half of the members say so, and failing where a third of them met
-    failures; a zone is overloaded where a third say so. In a fleet of more than three, one member
-    alone, which may be faulty itself, cannot have a backend count as failing.
+    A backend counts as ready if more than half of the members report so, and as failing if a third
+    of them do; a zone counts as overloaded if a third of them report so. In a fleet of more than
+    three members, a single member, which may itself be faulty, cannot make a backend count as
+    failing.
 
     Args:
         observations: Recent observations, by member.
         member_count: Number of all members.
-        backend_capacity: Requests that a backend of weight 1 serves at once; 0 where not known.
+        backend_capacity: Requests that a backend of weight 1 serves concurrently; 0 if unknown.
     """
     listed = _named_by(
         member_count // 2 + 1, (observation.listed for observation in observations.values())
@@ -95,7 +98,7 @@
 ) -> ZoneStatus:
     majority = member_count // 2 + 1
     third = max(1, (member_count + 1) // 3)
-    # A member that sent no observation is taken to have as many requests in flight.
+    # Members that sent no observation are assumed to have the average number of requests in flight.
     in_flight = sum(zone.in_flight for zone in zones) * member_count / len(zones)
     return ZoneStatus(
         name=name,
@@ -107,6 +110,6 @@
 
 
 def _named_by(count: int, lists: Iterable[tuple[str, ...]]) -> tuple[str, ...]:
-    """Return the names that stand in at least `count` of the lists, sorted."""
+    """Return the sorted names that are in at least `count` of the lists."""
     counts = Counter(name for names in lists for name in set(names))
     return tuple(sorted(name for name, found in counts.items() if found >= count))
--- a/dockthread/maintenance/commands.py
+++ b/dockthread/maintenance/commands.py
@@ -1,7 +1,7 @@
 """Types of the replicated log and state: commands, leader reports and requests.
 
-All structs are encoded as arrays, so the order of their fields is the format of the log and of its
-snapshots; names of fields and enum members are not. Values of the enums are encoded.
+All structs are encoded as arrays, so the order of their fields and the values of the enums are part
+of the format of the log and of its snapshots; the names of fields and enum members are not.
 """
 
 from __future__ import annotations
@@ -12,32 +12,32 @@
 
 from dockthread.errors import DockthreadError
 
-DEFAULT_GRANT_TIMEOUT_MS = 30_000.0  # how long a granted request may take to drain
-DEFAULT_FAILURE_TIMEOUT_MS = 5_000.0  # silence after which a member counts as failed
-DEFAULT_HEADROOM = 0.2  # fraction of a zone's remaining capacity that is to stay unused
+DEFAULT_GRANT_TIMEOUT_MS = 30_000.0  # maximum time that a granted request may take to drain
+DEFAULT_FAILURE_TIMEOUT_MS = 5_000.0  # unreachable time after which a member counts as failed
+DEFAULT_HEADROOM = 0.2  # fraction of a zone's remaining capacity that must stay free
 
 
 class TargetKind(StrEnum):
-    """What a request takes out of service."""
+    """The kind of target that a request takes out of service."""
 
     BACKEND = "node"
     INGRESS = "ingress"
 
 
 class CommandAction(StrEnum):
-    """What a command does."""
+    """The effect of a command."""
 
-    REQUEST = "ask"  # staff ask for maintenance of a target
-    WITHDRAW = "withdraw"  # staff no longer need it
-    COMPLETE = "done"  # staff have finished the work
+    REQUEST = "ask"  # an operator requests maintenance of a target
+    WITHDRAW = "withdraw"  # an operator withdraws a request
+    COMPLETE = "done"  # an operator reports that maintenance is finished
     DRAINED = "held"  # a member has drained the target
     RELEASED = "freed"  # a member sends requests to the target again
     RESTARTED = "back"  # an ingress serves again in a new incarnation
-    REPORT = "tick"  # the leader reports elapsed time and what a majority observes
+    REPORT = "tick"  # the leader reports elapsed time and the aggregated observations
 
 
 class RequestState(StrEnum):
-    """Where a request stands; `transitions.py` says which state follows which."""
+    """State of a request; `transitions.py` defines the transitions."""
 
     WAITING = "waiting"
     GRANTED = "granted"
@@ -52,15 +52,15 @@
 
 
 class ZoneStatus(msgspec.Struct, frozen=True, array_like=True):
-    """What a majority of the members observes of a zone.
+    """Status of a zone, aggregated from the observations of a majority of the members.
 
     Attributes:
-        name: The zone.
-        ready: Number of backends that serve.
-        failing: Backends whose requests fail.
-        load: Requests in flight of all members, divided by the capacity of one backend; negative
-            where that capacity is not known.
-        is_overloaded: Requests wait too long in this zone.
+        name: Name of the zone.
+        ready: Number of backends that serve requests.
+        failing: Backends at which requests fail.
+        load: Requests in flight from all members, divided by the capacity of one backend; negative
+            if that capacity is unknown.
+        is_overloaded: Whether requests wait too long in this zone.
     """
 
     name: str
@@ -71,18 +71,18 @@
 
 
 class LeaderReport(msgspec.Struct, frozen=True, array_like=True):
-    """The leader's periodic report, which moves the log's clock.
+    """The leader's periodic report, which advances the replicated time.
 
     Attributes:
-        number: Reports before this one, plus one; a report with another number is ignored.
-        elapsed_ms: Time since the report before, at most what the leader saw pass.
+        number: Sequence number from 1; a report that is out of sequence is ignored.
+        elapsed_ms: Time since the previous report, at most the time passed on the leader's clock.
         members: All members of the fleet.
-        reachable: Members from which the leader received a message lately.
-        zones: Zones of the requested backends.
-        listed_targets: Requested backends that a majority finds in its endpoint list.
-        grant_timeout_ms: Time after which a grant that is not drained is revoked.
-        failure_timeout_ms: Silence after which a member is not waited for.
-        headroom: Fraction of the remaining capacity of a zone that is to stay unused.
+        reachable: Members that the leader has recently received a message from.
+        zones: Status of the zones of the requested backends.
+        listed_targets: Requested backends that are in the endpoint lists of a majority.
+        grant_timeout_ms: Time after which a grant is revoked if the target is not drained.
+        failure_timeout_ms: Unreachable time after which a member's confirmation is not awaited.
+        headroom: Fraction of a zone's remaining capacity that must stay free.
     """
 
     number: int = 0
@@ -100,18 +100,18 @@
     """One entry of the replicated log.
 
     Attributes:
-        action: What the command does.
+        action: Effect of the command.
         target: Identifier of the backend, or name of the ingress.
-        zone: Zone of the backend as the ingress that took the request knows it.
-        comment: Staff's words on the request.
+        zone: Zone of the backend as known to the ingress that received the request.
+        comment: The operator's comment on the request.
         sender: The member that proposes the command.
         urgency: Requests of higher urgency are granted first.
-        max_unavailable: Targets of the zone that may be unavailable at once.
-        command_id: The same where a command is proposed again; a known one is ignored.
-        kind: What the target is.
-        duration_ms: How long the work is to take; 0 where staff did not say.
-        warm_up_ms: How long the target warms up after the work.
-        epoch: Epoch of the grant that the command is about.
+        max_unavailable: Maximum number of targets of the zone that may be out of service at once.
+        command_id: Identifier that recognizes a repeated proposal; an applied one is ignored.
+        kind: Kind of the target.
+        duration_ms: Expected duration of maintenance; 0 if the operator gave none.
+        warm_up_ms: Warm-up time of the target after maintenance.
+        epoch: Epoch of the grant that the command refers to.
         incarnation: Incarnation of the sender.
         report: The report of a `REPORT` command.
     """
@@ -133,31 +133,31 @@
 
 
 class MaintenanceRequest(msgspec.Struct, array_like=True):
-    """A request in the replicated state.
+    """A maintenance request in the replicated state.
 
     The names given by `field` are the keys of the management endpoint's listing.
 
     Attributes:
         target: Identifier of the backend, or name of the ingress.
         zone: Zone of the backend; empty for an ingress.
-        comment: Staff's words on the request.
-        requested_by: The member that took the request.
+        comment: The operator's comment.
+        requested_by: The member that received the request.
         urgency: Requests of higher urgency are granted first.
-        max_unavailable: Targets of the zone that may be unavailable at once.
-        requested_index: Index of the log at which it was requested.
-        state: Where it stands.
-        epoch: Index of the log at which it was granted; 0 before.
-        kind: What the target is.
-        duration_ms: How long the work is to take; 0 where staff did not say.
-        warm_up_ms: How long the target warms up after the work.
-        state_since_ms: The log's time at which the state began.
+        max_unavailable: Maximum number of targets of the zone that may be out of service at once.
+        requested_index: Log index of the request.
+        state: Current state of the request.
+        epoch: Log index of the grant; 0 before the first grant.
+        kind: Kind of the target.
+        duration_ms: Expected duration of maintenance; 0 if the operator gave none.
+        warm_up_ms: Warm-up time of the target after maintenance.
+        state_since_ms: Replicated time at which the state began.
         drained_by: Members that have drained the target in this epoch.
         released_by: Members that send requests to the target again.
-        final_state: State in which it ends once it is warm; empty before it returns.
-        timeout_count: Grants that timed out.
-        revocation_reason: Why the last grant was revoked, in words for staff.
-        incarnation: Incarnation of the ingress that is to restart.
-        is_evaluated: A report has come since it was requested.
+        final_state: Final state after the warm-up; empty before the target returns.
+        timeout_count: Number of grants that timed out.
+        revocation_reason: Why the last grant was revoked, as text for operators.
+        incarnation: Incarnation of the ingress that has to restart.
+        is_evaluated: Whether a report has been applied since the request.
     """
 
     target: str
@@ -183,16 +183,16 @@
 
 
 class MalformedCommandError(DockthreadError, ValueError):
-    """An entry of the log is no maintenance command."""
+    """A log entry that cannot be decoded as a maintenance command."""
 
 
 def decode_command(data: bytes) -> MaintenanceCommand:
     """Decode a command from the log.
 
     Raises:
-        MalformedCommandError: The bytes are no maintenance command.
+        MalformedCommandError: The bytes are not a maintenance command.
     """
     try:
         return msgspec.msgpack.decode(data, type=MaintenanceCommand)
     except msgspec.MsgspecError as error:
-        raise MalformedCommandError(f"no maintenance command: {error}") from error
+        raise MalformedCommandError(f"cannot decode a maintenance command: {error}") from error
--- a/dockthread/maintenance/constraints.py
+++ b/dockthread/maintenance/constraints.py
@@ -1,4 +1,4 @@
-"""The constraints that a grant has to meet; the first one that is not met is returned as a reason."""
+"""The constraints on a grant; the first one that is violated is returned as the obstacle."""
 
 from __future__ import annotations
 
@@ -26,30 +26,30 @@
 
 
 class SchedulerState(Protocol):
-    """What the constraints look at; the scheduler has it."""
+    """The part of the scheduler's state that the constraints read."""
 
     @property
     def requests(self) -> Mapping[str, MaintenanceRequest]:
-        """The requests that are not finished, by target."""
+        """Unfinished requests, by target."""
         ...
 
     @property
     def unreachable_ms(self) -> Mapping[str, float]:
-        """For each member, how long it has been unreachable; 0 where it is reachable."""
+        """Time for which each member has been unreachable; 0 if it is reachable."""
         ...
 
     @property
     def last_report(self) -> LeaderReport:
-        """The latest report applied."""
+        """The most recently applied report."""
         ...
 
     def max_unavailable(self, zone: str, kind: TargetKind) -> int:
-        """Return how many targets of a zone and kind may be away at once."""
+        """Return how many targets of a zone and kind may be out of service at once."""
         ...
 
 
 def grant_obstacle(scheduler: SchedulerState, request: MaintenanceRequest) -> Obstacle | None:
-    """Return why a waiting request cannot be granted; None where it can."""
+    """Return why a waiting request cannot be granted; None if it can."""
     away = _away(scheduler, request)
     if len(away) >= scheduler.max_unavailable(request.zone, request.kind):
         is_ingress = request.kind is TargetKind.INGRESS
@@ -66,7 +66,7 @@
 
 
 def _away(scheduler: SchedulerState, request: MaintenanceRequest) -> list[MaintenanceRequest]:
-    """Return the requests of the same zone and kind whose targets are away, in the order of requests."""
+    """Return the requests of the same zone and kind whose targets are out of service."""
     return [
         other
         for other in scheduler.requests.values()
@@ -84,7 +84,7 @@
 
 
 def safety_obstacle(scheduler: SchedulerState, request: MaintenanceRequest) -> Obstacle | None:
-    """Return why the zone of a backend cannot do without it; None where it can."""
+    """Return why it is unsafe for the zone to take a backend out of service; None if it is safe."""
     zones = (zone for zone in scheduler.last_report.zones if zone.name == request.zone)
     zone = next(zones, None)
     if zone is None:
@@ -99,7 +99,7 @@
         return BackendsFailing(tuple(sorted(failing)), request.zone)
     if zone.is_overloaded:
         return ZoneOverloaded(request.zone)
-    # A backend that is being drained is not counted as ready any more.
+    # `ready` includes the backend only while it waits: members do not count a drained backend.
     remaining = zone.ready - (request.state is RequestState.WAITING)
     limit = 1 - scheduler.last_report.headroom
     if zone.load >= 0 and zone.load > limit * remaining:
--- a/dockthread/maintenance/leader.py
+++ b/dockthread/maintenance/leader.py
@@ -1,4 +1,4 @@
-"""The reports that a leader proposes: when one is due, and what it says. Free of I/O."""
+"""When a leader proposes its next report, and the content of that report. Without I/O."""
 
 from __future__ import annotations
 
@@ -13,35 +13,35 @@
 from dockthread.maintenance.scheduler import MaintenanceScheduler
 from dockthread.maintenance.transitions import UNAVAILABLE_STATES
 
-REPORT_INTERVAL_MS = 500.0  # while a request waits or is on its way
-IDLE_REPORT_INTERVAL_MS = 5_000.0  # while all that is unavailable stays so
-# Least time between reports while a request has not been evaluated: staff wait for the answer.
+REPORT_INTERVAL_MS = 500.0  # interval of reports while a request can progress
+IDLE_REPORT_INTERVAL_MS = 5_000.0  # interval of reports while all requested targets are unavailable
+# Minimum interval of reports while a request has not been evaluated and an operator waits for it.
 FIRST_REPORT_INTERVAL_MS = REPORT_INTERVAL_MS / 10
-OBSERVATION_VALIDITY_MS = 2.5 * REPORT_INTERVAL_MS  # for which an observation counts
-# For which the first report on a request waits until a majority has observed its zone.
+OBSERVATION_VALIDITY_MS = 2.5 * REPORT_INTERVAL_MS  # maximum age of an observation in a report
+# Maximum time for which the first report on a request waits until a majority has observed its zone.
 FIRST_REPORT_PATIENCE_MS = 2.0 * REPORT_INTERVAL_MS
-# A report moves the log's clock by at most so many intervals, however long ago the last one was.
+# A report advances the replicated time by at most this many intervals.
 MAX_INTERVALS_PER_REPORT = 2
-NEVER_MS = -1e18  # a time before any other
+NEVER_MS = -1e18  # time in ms that is earlier than any clock value
 
 
 def report_interval_ms(scheduler: MaintenanceScheduler) -> float:
-    """Return the time between reports as the requests stand."""
+    """Return the report interval for the current requests."""
     return REPORT_INTERVAL_MS if has_active_requests(scheduler) else IDLE_REPORT_INTERVAL_MS
 
 
 def has_active_requests(scheduler: MaintenanceScheduler) -> bool:
-    """Whether a request waits or is on its way; else its target stays out until staff act."""
+    """Return whether a request can progress without an operator: its target is not unavailable."""
     return any(request.state not in UNAVAILABLE_STATES for request in scheduler.requests.values())
 
 
 def has_unevaluated_requests(scheduler: MaintenanceScheduler) -> bool:
-    """Whether a request has not been seen by any report."""
+    """Return whether no report has been applied yet since some request was made."""
     return any(not request.is_evaluated for request in scheduler.requests.values())
 
 
 def latest_request_index(scheduler: MaintenanceScheduler) -> int:
-    """Return the log's index of the latest request; 0 where there is none."""
+    """Return the log index of the latest request; 0 if there is none."""
     return max(
         (request.requested_index for request in scheduler.requests.values()),
         default=0,
@@ -49,41 +49,42 @@
 
 
 class LeaderReporter:
-    """Decides when a leader proposes its next report, and fills it in.
+    """Decides when a leader proposes its next report, and creates that report.
 
     Args:
         name: Name of this member.
         options: Settings that reports carry.
-        now: Time in milliseconds.
+        now: Current time in milliseconds.
     """
 
     def __init__(self, name: str, options: MaintenanceOptions, now: float) -> None:
         self._name = name
         self._options = options
         self._observations: dict[str, tuple[float, MemberObservation]] = {}
-        # When the last report was applied, or this member became leader.
+        # Time when the last report was applied or this member became leader, whichever is later.
         self._last_report_at = now
         self._last_proposal_at = NEVER_MS
-        # Since when too few members have observed the latest request; None where enough have.
+        # Time since which less than a majority has observed the latest request; None if a majority
+        # has.
         self._incomplete_since: float | None = None
 
     def on_leadership_gained(self, now: float) -> None:
-        """Forget what another leadership observed, and count time from now on."""
+        """Discard old observations, and measure the time of the first report from now on."""
         self._last_report_at = now
         self._observations = {}
 
     def on_report_applied(self, now: float) -> None:
-        """Take note that a report has been applied."""
+        """Measure the time of the next report from now on."""
         self._last_report_at = now
 
     def on_observation(self, now: float, member: str, observation: MemberObservation) -> None:
-        """Take note of what a member observes."""
+        """Store a member's observation."""
         self._observations[member] = (now, observation)
 
     def next_report(
         self, now: float, cluster: ClusterView, scheduler: MaintenanceScheduler
     ) -> MaintenanceCommand | None:
-        """Return the report to propose now; None where none is due."""
+        """Return the report to propose now; None if none is due."""
         observations = self._recent_observations(now)
         is_first = has_unevaluated_requests(scheduler)
         interval_ms = report_interval_ms(scheduler)
--- a/dockthread/maintenance/model.py
+++ b/dockthread/maintenance/model.py
@@ -1,4 +1,4 @@
-"""What a participant is given: the operator's settings, and how the cluster stands."""
+"""Inputs of a participant: the operator's settings and the state of the cluster."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceOptions:
-    """Settings of the operator's INI file that the leader's reports carry.
+    """Settings from the operator's INI file that the leader uses in its reports.
 
     Attributes:
-        backend_capacity: Requests that a backend of weight 1 serves at once; 0 where not known.
-        headroom: Fraction of the remaining capacity of a zone that is to stay unused.
-        grant_timeout_ms: Time after which a grant that is not drained is revoked.
-        failure_timeout_ms: Silence after which a member is not waited for.
+        backend_capacity: Requests that a backend of weight 1 serves concurrently; 0 if unknown.
+        headroom: Fraction of a zone's remaining capacity that must stay free.
+        grant_timeout_ms: Time after which a grant is revoked if the target is not drained.
+        failure_timeout_ms: Unreachable time after which a member's confirmation is not awaited.
     """
 
     backend_capacity: float = 0.0
@@ -31,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterView:
-    """How the cluster stands just now, as this ingress knows it.
+    """Current state of the cluster as this ingress knows it.
 
     Attributes:
-        leader: Name of the leader; empty where there is none.
+        leader: Name of the leader; empty if none is known.
         members: All members.
-        reachable: Members from which a leader received a message lately.
-        idle_backends: Drained backends at which this ingress has no request in flight.
-        is_serving: This ingress takes requests.
+        reachable: Members that the leader has recently received a message from.
+        idle_backends: Drained backends to which this ingress has no request in flight.
+        is_serving: Whether this ingress accepts requests.
     """
 
     leader: str
--- a/dockthread/maintenance/observation.py
+++ b/dockthread/maintenance/observation.py
@@ -1,4 +1,4 @@
-"""What this ingress observes of backends and zones, read from its endpoint list and its policy."""
+"""Observes backends and zones through this ingress's endpoint list and policy engine."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
     from dockthread.net.ingress import Ingress
     from dockthread.policy.backend import Backend
 
-FAILING_FRACTION = 0.5  # decayed fraction of a backend's outcomes that were failures
+FAILING_FRACTION = 0.5  # failure fraction above which a backend counts as failing
 
 
 class ObservedBackend(NamedTuple):
-    """A listed backend, and what the policy knows of it."""
+    """A listed backend and its state in the policy engine."""
 
     uid: str
     policy_state: Backend
 
     @property
     def is_failing(self) -> bool:
-        """Whether it serves, and most of its requests fail."""
+        """Whether the backend serves requests and most of them fail."""
         return self.policy_state.is_ready and self.policy_state.failure_fraction > FAILING_FRACTION
 
 
 def idle_backends(ingress: Ingress, backends: Collection[str]) -> set[str]:
-    """Return those of the backends at which this ingress has no request in flight."""
+    """Return the backends, out of those given, to which this ingress has no request in flight."""
     known = ingress.engine.backends.by_number
     busy = {
         listed.uid
@@ -45,7 +45,7 @@
     Args:
         ingress: This ingress.
         zone_by_backend: Zone of each requested backend.
-        latest_request_index: The log's index of the latest request known here.
+        latest_request_index: Log index of the latest request that this ingress knows.
     """
     endpoints = ingress.endpoints
     is_overloaded = ingress.engine.delay.is_pressed
@@ -64,7 +64,7 @@
 
 
 def _active_backends(ingress: Ingress) -> Iterator[ObservedBackend]:
-    """Yield the backends that are active by discovery, drained or not."""
+    """Yield the backends that discovery reports as active, including drained ones."""
     known = ingress.engine.backends.by_number
     for number, listed in ingress.endpoints.by_number.items():
         if listed.is_ready and number in known:
--- a/dockthread/maintenance/participant.py
+++ b/dockthread/maintenance/participant.py
@@ -1,26 +1,27 @@
-"""One ingress's part in planned maintenance, free of I/O: events in, actions out.
+"""One ingress's part in planned maintenance, without I/O: events in, actions out.
 
-`update` compares what the replicated scheduler wants with what this ingress does, whenever the
-state has changed and from time to time, and returns what is to be done. Only the time of each
-proposal is remembered, so a lost one is proposed again:
+`update` runs after each change of the replicated state and periodically. It compares the state that
+the scheduler requires with the state of this ingress, and returns the actions that make them equal.
+Apart from that it remembers only the time of each proposal, to propose it again if it was lost:
 
-| the scheduler has | this ingress | does |
+| state in the scheduler | state of this ingress | action |
 | --- | --- | --- |
-| a backend drained | does not drain it | drains it |
-| a backend drained | drains it, and has nothing in flight there | proposes `DRAINED` under its epoch |
-| a backend not drained | drains it | releases it, to warm up |
-| a backend returning | does not drain it | proposes `RELEASED` |
-| this ingress granted or draining | leads | transfers leadership |
-| the same | follows | proposes `DRAINED`, with its incarnation |
-| this ingress unavailable, in its own incarnation | - | shuts down gracefully |
-| this ingress unavailable, in another incarnation | serves | proposes `RESTARTED` |
-| any request | knows a leader | sends it its observation |
-| any request | leads, and a majority has sent observations | proposes a report |
-
-A start drains, before anything is committed, whatever its log on disk holds drained at any index
-from the one up to which it is known to be committed: a backend at which staff work may be used by
-nobody, also not in the second until a leader says how far the log is committed. A backend released
-meanwhile is released here once the log on disk is known to be committed, or replaced.
+| backend drained | not drained here | drain it |
+| backend drained | drained here, no request in flight to it | propose `DRAINED` with its epoch |
+| backend not drained | drained here | release it, to warm up |
+| backend returning | not drained here | propose `RELEASED` |
+| this ingress granted or draining | leader | transfer leadership |
+| this ingress granted or draining | follower | propose `DRAINED` with its incarnation |
+| this ingress unavailable, same incarnation | any | shut down gracefully |
+| this ingress unavailable, another incarnation | serving | propose `RESTARTED` |
+| any request | a leader is known | send it the observation |
+| any request | leader, a majority has sent observations | propose a report |
+
+Right after a start, the ingress does not know how far its log is committed. It therefore drains
+every backend that is drained at any index of the log on disk from the last known commit index on:
+no ingress may use a backend while operators work on it, not even in the second until a leader
+reports the commit index. A backend that has been released in the meantime is released here once the
+log on disk is known to be committed or has been replaced.
 """
 
 from __future__ import annotations
@@ -54,23 +55,23 @@
     UNAVAILABLE_STATES,
 )
 
-PROPOSAL_RETRY_MS = 1_500.0  # after which a proposal without effect is made again
-# Between observations while a request has not been evaluated: staff wait for the answer.
+PROPOSAL_RETRY_MS = 1_500.0  # time after which a proposal without effect is repeated
+# Interval of observations while a request has not been evaluated and an operator waits for it.
 FIRST_OBSERVATION_INTERVAL_MS = REPORT_INTERVAL_MS / 5
 
 
 @dataclass(slots=True)
 class ParticipantActions:
-    """What is to be done, in the order of the fields.
+    """Actions to carry out.
 
     Attributes:
-        drain: Backends to which no new request is sent from now on.
-        release: Backends that take requests again, and warm up.
+        drain: Backends that receive no new requests from now on.
+        release: Backends that receive requests again and warm up.
         propose: Commands to propose to the cluster.
-        report: A report that this leader proposes by itself; None where none is due.
-        send_observation: The leader is to be sent what this ingress observes.
-        transfer_leadership: Another member is to lead.
-        stop: This ingress shuts down gracefully.
+        report: Report that this leader proposes; None if none is due.
+        send_observation: Whether to send this ingress's observation to the leader.
+        transfer_leadership: Whether to transfer leadership to another member.
+        stop: Whether to shut this ingress down gracefully.
     """
 
     drain: list[str] = field(default_factory=list)
@@ -84,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEnd:
-    """The last entry of the log on disk at a start."""
+    """The last entry of the log on disk at startup."""
 
     index: int = 0
     term: int = 0
@@ -99,18 +100,18 @@
 
 
 class MaintenanceParticipant:
-    """One ingress's part: it follows the scheduler, and reports where it leads.
+    """Makes one ingress follow the replicated scheduler, and report while it is the leader.
 
     Args:
         name: Name of this ingress.
-        incarnation: Differs in each life of the process.
-        options: Settings of the operator's INI file.
-        now: Time in milliseconds.
-        scheduler: The state machine; a new one where None.
+        incarnation: Identifier of this run of the process.
+        options: Settings from the operator's INI file.
+        now: Current time in milliseconds.
+        scheduler: The state machine; None to create one.
 
     Attributes:
         name: Name of this ingress.
-        incarnation: Differs in each life of the process.
+        incarnation: Identifier of this run of the process.
         scheduler: The replicated state machine.
         drained: Backends to which this ingress sends no new requests.
     """
@@ -127,7 +128,7 @@
         self.incarnation = incarnation
         self.scheduler = scheduler or MaintenanceScheduler()
         self.drained: set[str] = set()
-        # Drained since the start, until the log on disk is known to be committed.
+        # Backends that are drained until the log on disk is known to be committed.
         self._drained_at_start: set[str] = set()
         self._log_end = LogEnd()
         self._proposed_at: dict[ProposalKey, float] = {}
@@ -146,17 +147,17 @@
         last_index: int,
         last_term: int,
     ) -> None:
-        """Take over what the disk holds, before anything is known to be committed by this life.
+        """Load the state on disk before this process knows how far the log is committed.
 
-        Nobody knows yet how much further the log was committed, and what follows may be replaced:
-        so whatever was drained at any index from `committed` on is drained.
+        Entries after `committed` may be committed already or may be replaced, so every backend that
+        is drained at any index from `committed` on is drained.
 
         Args:
             state: The snapshot.
-            entries: The commands after it, with their indexes.
-            committed: The index up to which the log is known to be committed.
-            last_index: The index of the last entry of the log.
-            last_term: The term of the last entry of the log.
+            entries: The commands after the snapshot, with their indexes.
+            committed: Index of the last entry that is known to be committed.
+            last_index: Index of the last entry of the log.
+            last_term: Term of the last entry of the log.
         """
         self._log_end = LogEnd(last_index, last_term)
         scheduler = MaintenanceScheduler()
@@ -175,40 +176,40 @@
             self._reporter.on_report_applied(now)
 
     def on_log_advanced(self, index: int, term: int) -> None:
-        """Take note that the log is committed and applied up to an index.
+        """Handle that the log is committed and applied up to an index.
 
-        Once that is beyond what the disk held at the start, or by a later leader, the state says by
-        itself what is drained.
+        Once this reaches the end of the log that was on disk at startup, or an entry of a later
+        leader, the scheduler's state alone determines which backends are drained.
         """
         if index >= self._log_end.index or term > self._log_end.term:
             self._drained_at_start = set()
 
     def on_state_restored(self, state: bytes) -> None:
-        """Replace the state by a snapshot."""
+        """Replace the state with a snapshot."""
         self.scheduler.restore(state)
 
     def on_observation(self, now: float, member: str, data: bytes) -> None:
-        """Take note of what a member observes.
+        """Store a member's observation.
 
         Raises:
-            MalformedObservationError: The bytes are no observation.
+            MalformedObservationError: The bytes are not an observation.
         """
         self._reporter.on_observation(now, member, decode_observation(member, data))
 
     def on_proposal_failed(self, command: MaintenanceCommand) -> None:
-        """Let a command that was not committed in time be proposed again at once."""
+        """Allow a command that was not committed in time to be proposed again at once."""
         key = ProposalKey(command.action, command.target, command.epoch)
         self._proposed_at.pop(key, None)
 
-    # What others ask
+    # Queries
 
     @property
     def has_active_requests(self) -> bool:
-        """Whether a request waits or is on its way; else its target stays out until staff act."""
+        """Whether a request can progress without an operator: its target is not unavailable."""
         return has_active_requests(self.scheduler)
 
     def zone_by_requested_backend(self) -> dict[str, str]:
-        """Return the zone of each requested backend, which an observation has to cover."""
+        """Return the zone of each requested backend; an observation has to cover these zones."""
         return {
             request.target: request.zone
             for request in self.scheduler.requests.values()
@@ -216,13 +217,13 @@
         }
 
     def latest_request_index(self) -> int:
-        """Return the log's index of the latest request; 0 where there is none."""
+        """Return the log index of the latest request; 0 if there is none."""
         return latest_request_index(self.scheduler)
 
     # Actions
 
     def update(self, now: float, cluster: ClusterView) -> ParticipantActions:
-        """Return what is to be done now; it counts as done."""
+        """Return the actions to carry out now; later updates assume that they were carried out."""
         actions = ParticipantActions()
         wanted = set(self.scheduler.drained_backends()) | self._drained_at_start
         actions.drain = sorted(wanted - self.drained)
@@ -285,7 +286,7 @@
         action: CommandAction,
         request: MaintenanceRequest,
     ) -> None:
-        """Propose a command on a request, unless the same was proposed a short time ago."""
+        """Propose a command for a request unless the same one was proposed recently."""
         key = ProposalKey(action, request.target, request.epoch)
         if now - self._proposed_at.get(key, NEVER_MS) < PROPOSAL_RETRY_MS:
             return
--- a/dockthread/maintenance/plan.py
+++ b/dockthread/maintenance/plan.py
@@ -1,7 +1,7 @@
-"""The order in which a list of backends would be granted, offline: the scheduler itself, where all is well.
+"""Plans offline in which order a list of backends would be granted maintenance.
 
-Free of I/O. A list has a backend a line: its name, its zone and, where it is more urgent than
-others, a number. `#` begins a comment.
+The plan runs the real scheduler with healthy zones, without I/O. Each line of a list names a
+backend, its zone and optionally its urgency as a number. `#` starts a comment.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from dockthread.maintenance.reasons import explain
 from dockthread.maintenance.scheduler import MaintenanceScheduler
 
-PLANNING_MEMBER = "staff"  # the one member of the fleet that a plan imagines
-PLANNING_INTERVAL_MS = 500.0  # between the reports that a plan imagines
-MAX_URGENCY = 100  # and the least is its negative
-MAX_FIELDS = 3  # of a line: name, zone, urgency
+PLANNING_MEMBER = "staff"  # name of the only member of the simulated fleet
+PLANNING_INTERVAL_MS = 500.0  # interval of the simulated reports
+MAX_URGENCY = 100  # maximum urgency; the minimum is -100
+MAX_FIELDS = 3  # maximum number of fields in a line: name, zone, urgency
 
 
 class PlanSyntaxError(DockthreadError, ValueError):
-    """A line of a list cannot be read: says file, line, what is wrong and what would do."""
+    """A line of a list is invalid; the message has the file, the line and the expected format."""
 
 
 class PlannedBackend(NamedTuple):
@@ -39,14 +39,14 @@
 
 
 class WaitingBackend(NamedTuple):
-    """A backend that is not granted in a round, and why."""
+    """A backend that is not granted in a round, and the reason."""
 
     name: str
     reason: str
 
 
 class MaintenanceRound(NamedTuple):
-    """Backends that are granted at the same time, and those that wait meanwhile."""
+    """Backends that are granted at the same time, and the backends that wait during that time."""
 
     granted: tuple[str, ...]
     waiting: tuple[WaitingBackend, ...]
@@ -56,11 +56,11 @@
     """Read a list of backends.
 
     Args:
-        text: The list.
-        file: Its name, for errors.
+        text: Content of the list.
+        file: Name of the list's file, for error messages.
 
     Raises:
-        PlanSyntaxError: A line cannot be read, or names a backend again.
+        PlanSyntaxError: A line is invalid, or lists a backend a second time.
     """
     found: dict[str, PlannedBackend] = {}
     for number, line in enumerate(text.splitlines(), 1):
@@ -70,7 +70,7 @@
         place = f"{file}: line {number}"
         backend = _read_line(fields, f"{place}: {line.strip()!r}")
         if backend.name in found:
-            raise PlanSyntaxError(f"{place}: {backend.name} stands twice; leave one")
+            raise PlanSyntaxError(f"{place}: {backend.name} is listed twice; remove one line")
         found[backend.name] = backend
     return list(found.values())
 
@@ -82,7 +82,7 @@
     except (IndexError, ValueError) as error:
         raise PlanSyntaxError(f"{place}; write MACHINE ZONE [URGENCY]") from error
     if len(fields) > MAX_FIELDS or not -MAX_URGENCY <= urgency <= MAX_URGENCY:
-        raise PlanSyntaxError(f"{place}; write MACHINE ZONE, a number of -100 to 100")
+        raise PlanSyntaxError(f"{place}; write MACHINE ZONE [URGENCY], urgency from -100 to 100")
     return backend
 
 
@@ -90,14 +90,14 @@
     """Return the rounds in which all backends are granted.
 
     Args:
-        backends: What is to be planned.
-        max_unavailable: Backends of one zone that may be unavailable at once.
+        backends: Backends to plan.
+        max_unavailable: Maximum number of backends of one zone that may be unavailable at once.
     """
     return _Planner(backends, max_unavailable).plan()
 
 
 class _Planner:
-    """A scheduler of a fleet with one member, where every zone is well."""
+    """A scheduler of a simulated fleet with one member and healthy zones."""
 
     def __init__(self, backends: list[PlannedBackend], max_unavailable: int) -> None:
         self._backends = backends
@@ -121,7 +121,7 @@
         while self._scheduler.requests:
             self._apply(MaintenanceCommand(CommandAction.REPORT, report=self._report()))
             drained = self._scheduler.drained_backends()
-            if drained:  # the last report only ends what came back
+            if drained:  # the last report only finishes requests whose targets have returned
                 rounds.append(MaintenanceRound(tuple(drained), self._waiting(drained)))
             self._work_at(drained)
         return rounds
--- a/dockthread/maintenance/reasons.py
+++ b/dockthread/maintenance/reasons.py
@@ -1,8 +1,8 @@
-"""Words for staff: why a request waits, whom it waits for, why its grant was revoked.
+"""Reasons shown to operators: why a request waits or for which members, or lost its grant.
 
-The scheduler decides and returns one of the types here; `str` words it. The texts are part of the
-replicated state and of the management endpoint's listing: members of two releases have to word a
-reason alike, so a text must not change.
+The scheduler returns a value of one of these types; `str` returns its text. The texts are part of
+the replicated state and of the management endpoint's listing. They must never change, because
+members of different releases have to produce the same state.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from dockthread.maintenance.transitions import DRAINED_STATES, REVOCABLE_STATES
 
 MS_PER_S = 1000.0
-GRANT_TIMEOUT_PREFIX = "its turn lapsed"  # how the text of `GrantTimedOut` begins
+GRANT_TIMEOUT_PREFIX = "its turn lapsed"  # prefix of the text of `GrantTimedOut`
 
 
 @dataclass(frozen=True, slots=True)
 class Occupant:
-    """A target that is away, and so occupies one of the places of its zone."""
+    """A target that is out of service and counts against its zone's limit."""
 
     target: str
     state: RequestState
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneAtLimit:
-    """As many targets of the place are away as may be at once."""
+    """The maximum number of targets of a zone, or of ingresses, is out of service."""
 
     place: str
     occupants: tuple[Occupant, ...]
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotEvaluated:
-    """No report of a leader has come since the request."""
+    """No leader report has been applied since the request."""
 
     def __str__(self) -> str:
         return "it is being looked at"
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembersUnreachable:
-    """An ingress may restart only while all others are reachable, and some are not."""
+    """An ingress may restart only while all other members are reachable, and some are not."""
 
     members: tuple[str, ...]
 
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotListed:
-    """The endpoint list of too few members has the backend."""
+    """Less than a majority of the members has the backend in its endpoint list."""
 
     def __str__(self) -> str:
         return "fewer than half of the members see it"
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneNotObserved:
-    """Too few members have reported on the zone."""
+    """Less than a majority of the members has observed the zone."""
 
     zone: str
 
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendsFailing:
-    """Other backends of the zone fail."""
+    """Other backends of the zone are failing."""
 
     backends: tuple[str, ...]
     zone: str
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InsufficientCapacity:
-    """The remaining backends would carry more than `limit`; both are fractions of capacity."""
+    """The remaining backends would be loaded above `limit`, as a fraction of their capacity."""
 
     zone: str
     utilization: float
@@ -151,10 +151,10 @@
 
 
 class RequestStatus(Protocol):
-    """What an explanation looks at; the scheduler has it."""
+    """The part of the scheduler that an explanation uses."""
 
     def obstacle(self, request: MaintenanceRequest) -> Obstacle | None:
-        """Return why a waiting request is not granted; None where nothing stands against it."""
+        """Return why a waiting request cannot be granted; None if it can."""
         ...
 
     def confirming_members(self, request: MaintenanceRequest) -> set[str]:
@@ -163,7 +163,7 @@
 
 
 def explain(request: MaintenanceRequest, scheduler: RequestStatus) -> str:
-    """Say why a request waits, or whom it waits for; empty where there is nothing to say."""
+    """Return why a request waits or for which members; empty if it does not wait."""
     if request.state is RequestState.WAITING:
         why = str(scheduler.obstacle(request) or "its turn comes with the next entry")
         return f"{why} ({request.revocation_reason})" if request.revocation_reason else why
--- a/dockthread/maintenance/scheduler.py
+++ b/dockthread/maintenance/scheduler.py
@@ -1,27 +1,30 @@
 """The replicated maintenance scheduler: a state machine that grants maintenance requests.
 
-Every member applies the same commands of the replicated log in the same order and so holds the same
-state. Nothing here reads a clock, a file or the network, and nothing is random.
-
-A request names a target: a backend or an ingress. It waits until every constraint allows it, is
-drained by each member that has not failed, and is unavailable once all of them have said so under
-the epoch of the grant. On its way back it counts as away until it is warm again. `transitions.py`
-has the states.
-
-Time is the log's own: each report of a leader carries the milliseconds since the report before,
-never more than the leader saw pass, and is numbered, so that a report proposed twice counts once.
-The time of a state counts from the report after it, and the silence of a member from the report
-that first missed it. What times out by this clock may time out late, by a report or where leaders
-change, but never early.
-
-A request is granted where a majority lists the backend, no other backend of its zone fails, the
-zone is not overloaded, the rest can carry the load, and fewer targets of the zone are away than the
-least `max_unavailable` of its requests: where the members' settings differ, the strictest holds. An
-ingress is granted only while no other is silent or away. Among waiting requests the more urgent is
-granted first, then the older. The name of the target is the key: requested twice, it is one request.
-
-A command that a member proposes again, because its leader failed before it answered, carries the
-same `command_id` and is applied once.
+Every member applies the same commands of the replicated log in the same order, so all members have
+the same state. The scheduler is deterministic: it reads no clock, file, network or random numbers.
+
+A maintenance request names a target: a backend or an ingress. The request waits until every
+constraint allows it and is then granted. Each member that has not failed drains the target, and the
+target is unavailable once all of them have confirmed that with the epoch of the grant. From the
+grant until it has warmed up again after maintenance, the target counts as out of service.
+`transitions.py` defines the states.
+
+Time is replicated through the log: each leader report carries the milliseconds since the previous
+report, never more than have passed on the leader's clock. Reports are numbered, so a report that is
+proposed twice is applied once. The time in a state is counted from the first report after the
+transition, and a member's unreachable time from the first report that lists it as unreachable. A
+timeout by this clock may fire late, by one report interval or during a change of leader, but never
+early.
+
+A backend's request is granted if a majority of the members list the backend, no other backend of
+its zone is failing, the zone is not overloaded, the remaining backends can carry the load, and the
+number of the zone's targets out of service is below the lowest `max_unavailable` of its requests:
+if the members' settings differ, the strictest one applies. An ingress's request is granted only
+while no other ingress is unreachable or out of service. Waiting requests are granted in order of
+urgency, then of age. A target has at most one request; requesting it again changes nothing.
+
+A member that proposes a command again, because the leader failed before it responded, uses the same
+`command_id`, so the command is applied once.
 """
 
 from __future__ import annotations
@@ -55,19 +58,19 @@
     RequestEvent,
 )
 
-FINISHED_REQUESTS_KEPT = 64  # finished requests, for whoever lists them
-COMMAND_IDS_KEPT = 256  # identifiers of applied commands, to recognise one proposed again
-MAX_COMMENT_LENGTH = 200  # characters of staff's words
-MAX_GRANT_TIMEOUTS = 3  # grants that may time out before a request is abandoned
-NOT_TIMED_MS = -1.0  # time of a state after which no report has come yet
-# Silence of a member that a report misses for the first time: it may have been reachable until
-# just before, so this is the least value that differs from "reachable".
+FINISHED_REQUESTS_KEPT = 64  # number of finished requests that a listing shows
+COMMAND_IDS_KEPT = 256  # number of recent command identifiers kept to recognize duplicates
+MAX_COMMENT_LENGTH = 200  # maximum number of characters of an operator's comment
+MAX_GRANT_TIMEOUTS = 3  # number of grant timeouts after which a request is abandoned
+NOT_TIMED_MS = -1.0  # `state_since_ms` until the first report after the state began
+# Unreachable time of a member that a report lists as unreachable for the first time. The member may
+# have been reachable until just before the report, so this is almost 0; 0 means reachable.
 FIRST_UNREACHABLE_MS = 0.001
-MAX_INGRESSES_UNAVAILABLE = 1  # two might be all of the ingresses that one customer's ring uses
+MAX_INGRESSES_UNAVAILABLE = 1  # two may be all the ingresses that one customer's ring uses
 
 
 class SchedulerSnapshot(NamedTuple):
-    """The state as it is encoded; the order of the fields is its format."""
+    """The scheduler's encoded state; the order of the fields is part of the format."""
 
     requests: list[MaintenanceRequest]
     finished: list[MaintenanceRequest]
@@ -82,13 +85,13 @@
     """State machine of maintenance requests, driven by the replicated log.
 
     Attributes:
-        requests: Requests that are not finished, by target.
-        finished: The latest finished requests, the oldest first.
-        applied_command_ids: Identifiers of the latest commands.
-        clock_ms: The log's time.
-        report_count: Reports applied.
-        unreachable_ms: For each member, how long it has been unreachable; 0 where it is reachable.
-        last_report: The latest report applied.
+        requests: Unfinished requests, by target.
+        finished: The most recently finished requests, oldest first.
+        applied_command_ids: Identifiers of the most recently applied commands.
+        clock_ms: The replicated time.
+        report_count: Number of applied reports.
+        unreachable_ms: Time for which each member has been unreachable; 0 if it is reachable.
+        last_report: The most recently applied report.
     """
 
     def __init__(self) -> None:
@@ -103,7 +106,7 @@
     # Commands
 
     def apply(self, index: int, data: bytes) -> None:
-        """Apply the entry at an index of the log; bytes that are no command change nothing."""
+        """Apply a log entry; data that is not a valid command is ignored."""
         try:
             command = decode_command(data)
         except MalformedCommandError:
@@ -162,7 +165,7 @@
     # Reports
 
     def _apply_report(self, report: LeaderReport) -> None:
-        if report.number != self.report_count + 1:  # its leader did not know of the latest one
+        if report.number != self.report_count + 1:  # a duplicate, or from an outdated leader
             return
         self.report_count = report.number
         self.clock_ms += max(0.0, report.elapsed_ms)
@@ -173,7 +176,7 @@
         }
         for request in list(self.requests.values()):
             request.is_evaluated = True
-            # The state began after the report before; how long after, nobody knows.
+            # The state began at an unknown time after the previous report.
             if request.state_since_ms == NOT_TIMED_MS:
                 request.state_since_ms = self.clock_ms
             self._advance_by_time(request)
@@ -192,7 +195,7 @@
             self._finish(request, _warmed_up_event(request))
 
     def _revocation(self, request: MaintenanceRequest) -> Revocation | None:
-        """Why the grant of a request has to be revoked; None where it stands."""
+        """Return why a grant has to be revoked; None if it remains valid."""
         if _has_lasted(request, self.clock_ms, self.last_report.grant_timeout_ms):
             missing = self.confirming_members(request) - set(request.drained_by)
             return GrantTimedOut(tuple(sorted(missing)))
@@ -211,10 +214,10 @@
         if request.timeout_count >= MAX_GRANT_TIMEOUTS:
             self._finish(request, RequestEvent.ABANDONED)
 
-    # Progress after each command
+    # Transitions after each command
 
     def _advance(self, index: int) -> None:
-        """Complete what all awaited members have confirmed, then grant what may be granted."""
+        """Advance requests that all awaited members have confirmed, then grant waiting requests."""
         for request in list(self.requests.values()):
             if request.state is RequestState.DRAINING and self._is_drained(request):
                 _transition(request, RequestEvent.ALL_DRAINED)
@@ -243,10 +246,10 @@
         request.released_by = ()
 
     def confirming_members(self, request: MaintenanceRequest) -> set[str]:
-        """Members whose confirmation a request needs.
+        """Return the members whose confirmation a request needs.
 
-        An ingress confirms its own restart; a backend is confirmed by each member that has not been
-        silent for the failure timeout.
+        For an ingress this is the ingress itself; for a backend, every member that has been
+        unreachable for less than the failure timeout.
         """
         if request.kind is TargetKind.INGRESS:
             return {request.target}
@@ -260,11 +263,14 @@
     # Constraints
 
     def obstacle(self, request: MaintenanceRequest) -> Obstacle | None:
-        """Return why a waiting request cannot be granted; None where it can."""
+        """Return why a waiting request cannot be granted; None if it can."""
         return grant_obstacle(self, request)
 
     def max_unavailable(self, zone: str, kind: TargetKind = TargetKind.BACKEND) -> int:
-        """How many targets of a zone may be away at once: the least that its requests name."""
+        """Return how many targets of a zone may be out of service at once.
+
+        For backends this is the lowest limit of the zone's requests.
+        """
         if kind is TargetKind.INGRESS:
             return MAX_INGRESSES_UNAVAILABLE
         limits = (
@@ -275,7 +281,7 @@
         return min(limits, default=1)
 
     def drained_backends(self) -> dict[str, int]:
-        """Backends to which no member sends new requests, each with the epoch of its grant."""
+        """Return the backends that members must not send requests to, with their grants' epochs."""
         return {
             request.target: request.epoch
             for request in self.requests.values()
@@ -299,10 +305,10 @@
         )
 
     def restore(self, state: bytes) -> None:
-        """Replace the state by a snapshot; empty bytes stand for the state before any command.
+        """Replace the state with a snapshot; empty bytes mean the initial state.
 
         Raises:
-            msgspec.MsgspecError: The bytes are no snapshot.
+            msgspec.MsgspecError: The bytes are not a snapshot.
         """
         state = state or MaintenanceScheduler().snapshot()
         snapshot = msgspec.msgpack.decode(state, type=SchedulerSnapshot)
@@ -339,7 +345,7 @@
 
 
 def _unreachable_after(before_ms: float, report: LeaderReport, member: str) -> float:
-    """Return for how long a member has been unreachable by a report; 0 where it is reachable."""
+    """Return a member's unreachable time as of a report; 0 if the member is reachable."""
     if member in report.reachable:
         return 0.0
     return before_ms + report.elapsed_ms if before_ms else FIRST_UNREACHABLE_MS
@@ -351,7 +357,7 @@
 
 
 def _is_restarting(request: MaintenanceRequest) -> bool:
-    """Return whether an ingress is about to end: it counts as away until it says that it is back."""
+    """Return whether an ingress restarts: it is out of service until it confirms its return."""
     return request.kind is TargetKind.INGRESS and request.state in UNAVAILABLE_STATES
 
 
--- a/dockthread/maintenance/service.py
+++ b/dockthread/maintenance/service.py
@@ -1,6 +1,6 @@
-"""The I/O adapter round an ingress's participant: carries its actions out, and feeds it events.
+"""The I/O adapter of an ingress's maintenance participant: passes it events, runs its actions.
 
-It decides nothing: `participant.py` does.
+All decisions are made in `participant.py`.
 """
 
 from __future__ import annotations
@@ -29,28 +29,27 @@
     from dockthread.net.ingress import Ingress
     from dockthread.raft.options import FleetOptions
 
-ACTIVE_UPDATE_INTERVAL_S = 0.05  # between updates while a request waits or is on its way
-IDLE_UPDATE_INTERVAL_S = 1.0  # while all that is unavailable stays so
-FAILED_UPDATE_PAUSE_S = 1.0  # after an update that raised
-INCARNATION_BYTES = 8  # random bytes of an incarnation's name
-MEMBER_SEED_BITS = 32  # of the seed of the member's random numbers
+ACTIVE_UPDATE_INTERVAL_S = 0.05  # interval of updates while a request can progress
+IDLE_UPDATE_INTERVAL_S = 1.0  # interval of updates while all requested targets are unavailable
+FAILED_UPDATE_PAUSE_S = 1.0  # pause after an update that raised an exception
+INCARNATION_BYTES = 8  # number of random bytes in an incarnation's identifier
+MEMBER_SEED_BITS = 32  # number of bits of the member's random seed
 
 
 class MaintenanceService:
-    """Planned maintenance in one ingress; it owns the ingress's member of the cluster.
+    """Planned maintenance in one ingress; owns the ingress's member of the cluster.
 
-    A granted backend is drained as one that staff detach by hand, under the rule on drains.
+    A granted backend is drained in the same way as a backend that an operator detaches.
 
     Args:
-        ingress: Whose backends are drained.
+        ingress: The ingress whose backends are drained.
         options: The cluster's settings.
-        stop: Ends the ingress gracefully, when its own request is granted.
+        stop: Called to shut the ingress down gracefully when its own request is granted.
 
-    Raises OSError, ValueError or RaftStorageError where the log's directory or the key cannot
-    be used.
+    Raises OSError, ValueError or RaftStorageError if the log's directory or the key cannot be used.
 
     Attributes:
-        participant: Decides what this ingress does.
+        participant: Decides the actions of this ingress.
         member: The ingress's member of the cluster.
     """
 
@@ -86,7 +85,10 @@
         return self.participant.scheduler
 
     async def open(self) -> None:
-        """Drain what the disk says is unavailable, before the first request; then join."""
+        """Drain backends that are unavailable by the log on disk, then join the cluster.
+
+        This happens before the ingress accepts its first request.
+        """
         stored = self.member.storage.persistent_state
         self.participant.recover(stored.snapshot, *stored.command_replay())
         self._update()
@@ -94,51 +96,51 @@
         self._spawn(self._run())
 
     async def close(self) -> None:
-        """Leave the cluster and end all tasks."""
+        """Leave the cluster and cancel all tasks."""
         for task in list(self._tasks):
             task.cancel()
         await self.member.close()
 
     def leave(self) -> None:
-        """Let another member lead while the last requests are answered here."""
+        """Transfer leadership while this ingress still answers its last requests."""
         self.member.transfer_leadership()
 
     async def answer(self, call: Command) -> Response:
-        """Response a call of the admin endpoint."""
+        """Answer a call of the admin endpoint."""
         return await self._admin.answer(call)
 
-    # Events of the member (`StateMachine` in dockthread/raft/server.py)
+    # Events of the member (`StateMachine` in dockthread/raft/runner.py)
 
     def apply(self, index: int, data: bytes) -> None:
         """Apply a committed command."""
         self.participant.on_entry_applied(self._ingress.clock.now(), index, data)
         self._wake.set()
 
-    def restore(self, index: int, state: bytes) -> None:  # noqa: ARG002 - of the interface
-        """Replace the state by a snapshot, which stands for all commands up to `index`."""
+    def restore(self, index: int, state: bytes) -> None:  # noqa: ARG002  part of the interface
+        """Replace the state with a snapshot that includes all commands up to `index`."""
         self.participant.on_state_restored(state)
         self._wake.set()
 
     def snapshot(self) -> bytes:
-        """Return a snapshot of the state."""
+        """Return a snapshot of the current state."""
         return self.scheduler.snapshot()
 
     def on_applied(self, index: int, term: int) -> None:
-        """Take note that the log is committed and applied up to an index."""
+        """Handle that the log is committed and applied up to an index."""
         self.participant.on_log_advanced(index, term)
         self._wake.set()
 
     def on_status_report(self, sender: str, data: bytes) -> None:
-        """Take note of what another member observes.
+        """Store another member's observation.
 
         Raises:
-            MalformedObservationError: The bytes are no observation.
+            MalformedObservationError: The bytes are not an observation.
         """
         self.participant.on_observation(self._ingress.clock.now(), sender, data)
         self._wake.set()
 
     def on_leader_changed(self) -> None:
-        """Take note that the leader has changed."""
+        """Update after a change of the leader."""
         self._wake.set()
 
     # Updates
@@ -150,12 +152,12 @@
             self._wake.clear()
             try:
                 self._update()
-            except Exception:  # noqa: BLE001  requests go on, and so does the next update
+            except Exception:  # noqa: BLE001  a failed update must not stop later updates
                 logger.exception("maintenance: an update failed")
                 await asyncio.sleep(FAILED_UPDATE_PAUSE_S)
 
     def _update_interval_s(self) -> float | None:
-        """Return the time until the next update without an event; None for no limit."""
+        """Return the time until the next update if no event occurs; None for no limit."""
         if self.participant.has_active_requests:
             return ACTIVE_UPDATE_INTERVAL_S
         if self.scheduler.requests or self.participant.drained:
@@ -163,10 +165,10 @@
         return None
 
     def _update(self) -> None:
-        """Update once for all entries applied at a time.
+        """Run one update for all entries that were applied since the last one.
 
-        A backend that was unavailable and came back long before a start must not be taken for one
-        that comes back now, and has to warm up.
+        Updating after each replayed entry would drain and then release a backend whose maintenance
+        ended long before this start, and it would have to warm up again.
         """
         cluster = ClusterView(
             leader=self.member.leader_id,
@@ -192,12 +194,13 @@
         if actions.transfer_leadership:
             self.member.transfer_leadership()
         if actions.stop and not self._is_stopping:
-            self._is_stopping = True  # once: the scheduler says so until the next incarnation
-            logger.info("maintenance: the restart of this ingress is granted: graceful shutdown")
+            self._is_stopping = True  # `stop` stays set in each update of this incarnation
+            logger.info("maintenance: the restart of this ingress is granted, shutting down")
             self._stop()
 
     def _drain(self, backend: str) -> None:
-        if not self._ingress.set_drained(backend, True):  # not listed yet: drained as soon as it is
+        if not self._ingress.set_drained(backend, True):
+            # The endpoint list does not have the backend yet; drain it as soon as it is listed.
             self._ingress.endpoints.excluded_uids.add(backend)
         logger.info("maintenance: {} is drained, its request is granted", backend)
 
--- a/dockthread/maintenance/transitions.py
+++ b/dockthread/maintenance/transitions.py
@@ -10,19 +10,19 @@
 
 
 class RequestEvent(Enum):
-    """What moves a request from one state to another."""
+    """An event that moves a request from one state to another."""
 
-    GRANTED = auto()  # every constraint allows it
+    GRANTED = auto()  # every constraint allows the grant
     MEMBER_DRAINED = auto()  # one member has drained the target
     ALL_DRAINED = auto()  # every awaited member has drained the target
     REVOKED = auto()  # the grant timed out, or its zone became unsafe
     ABANDONED = auto()  # too many grants timed out
-    WITHDRAWN = auto()  # staff withdrew it before it was granted
-    DURATION_EXCEEDED = auto()  # the work takes longer than staff said
-    RETURN_STARTED = auto()  # the work is over, or the ingress has restarted
+    WITHDRAWN = auto()  # an operator withdrew the request before it was granted
+    DURATION_EXCEEDED = auto()  # maintenance takes longer than the operator announced
+    RETURN_STARTED = auto()  # maintenance is over, or the ingress has restarted
     ALL_RELEASED = auto()  # every awaited member sends requests to the target again
-    WARMED_UP = auto()  # the target is warm after finished work
-    WARMED_UP_AFTER_WITHDRAWAL = auto()  # the target is warm after withdrawn work
+    WARMED_UP = auto()  # the target has warmed up after completed maintenance
+    WARMED_UP_AFTER_WITHDRAWAL = auto()  # the target has warmed up after withdrawn maintenance
 
 
 TRANSITIONS: Mapping[tuple[RequestState, RequestEvent], RequestState] = MappingProxyType(
@@ -51,8 +51,8 @@
 
 # A grant in one of these states may still be revoked.
 REVOCABLE_STATES = (RequestState.GRANTED, RequestState.DRAINING)
-# The target is out of service: staff may work at it.
+# Every awaited member has drained the target, so that operators may work on it.
 UNAVAILABLE_STATES = (RequestState.UNAVAILABLE, RequestState.OVERDUE)
-# Every member sends no new requests to the target.
+# No member sends new requests to the target.
 DRAINED_STATES = (*REVOCABLE_STATES, *UNAVAILABLE_STATES)
 FINAL_STATES = (RequestState.DONE, RequestState.WITHDRAWN, RequestState.ABANDONED)
--- a/tests/maintenance/scheduler_driver.py
+++ b/tests/maintenance/scheduler_driver.py
@@ -1,4 +1,4 @@
-"""Drives a scheduler by commands, one after another, as tests word them."""
+"""Applies commands to a scheduler for tests."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 class SchedulerDriver:
-    """A scheduler, and the log that it applies.
+    """Encodes commands and applies them to a scheduler.
 
     Attributes:
         scheduler: The scheduler.
-        index: Index of the latest command.
-        command: The latest command, encoded.
+        index: Log index of the last command.
+        command: The last command, encoded.
     """
 
     def __init__(self) -> None:
@@ -50,7 +50,7 @@
     def report(
         self, elapsed_ms: float = 500.0, reachable: tuple[str, ...] = MEMBERS, **fields: Any
     ) -> None:
-        """Apply a leader's report, in which all is well unless said otherwise."""
+        """Apply a leader's report of healthy zones; `fields` override its fields."""
         known = {
             "zones": (ZoneStatus("a", 6), ZoneStatus("b", 6)),
             "listed_targets": tuple(self.scheduler.requests),
@@ -63,11 +63,11 @@
         self.apply(REPORT, report=report)
 
     def request(self, target: str) -> MaintenanceRequest:
-        """Return an unfinished request."""
+        """Return the unfinished request for a target."""
         return self.scheduler.requests[target]
 
     def state(self, target: str) -> str:
-        """Return the state of a request, finished or not; empty where none is known."""
+        """Return the state of a target's request, finished or not; empty if there is none."""
         request = self.scheduler.requests.get(target)
         if request is not None:
             return request.state
@@ -75,13 +75,13 @@
         return next((one.state for one in finished if one.target == target), "")
 
     def reason(self, target: str) -> str:
-        """Return why a request waits, as staff read it."""
+        """Return the text that tells operators why a request waits."""
         return explain(self.request(target), self.scheduler)
 
     def confirm(
         self, action: CommandAction, target: str, members: tuple[str, ...] = MEMBERS
     ) -> str:
-        """Have members confirm a step under the present epoch, and return the state."""
+        """Apply a confirmation from each member in the current epoch, and return the state."""
         for member in members:
             self.apply(action, target, sender=member, epoch=self.request(target).epoch)
         return self.state(target)
--- a/tests/maintenance/test_aggregation.py
+++ b/tests/maintenance/test_aggregation.py
@@ -1,4 +1,4 @@
-"""What a majority of the members observes together."""
+"""Aggregation of the members' observations by majority."""
 
 from __future__ import annotations
 
--- a/tests/maintenance/test_participant.py
+++ b/tests/maintenance/test_participant.py
@@ -1,4 +1,4 @@
-"""One ingress's part: what it drains, confirms and does for its own restart."""
+"""The actions of one ingress: draining, confirming, and restarting itself."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def drained_log(members: tuple[str, ...]) -> list[bytes]:
-    """The log of a backend `x` that these members have drained."""
+    """Return the log of a granted backend `x` that these members have drained."""
     confirmations = [
         command(CommandAction.DRAINED, "x", sender=member, epoch=2) for member in members
     ]
@@ -61,13 +61,16 @@
     idle = cluster(idle=("x",))
     assert proposals(participant.update(20.0, idle)) == [("held", "x")]
     assert proposals(participant.update(30.0, idle)) == []
-    assert proposals(participant.update(1_600.0, idle)) == [("held", "x")], "it may be lost"
+    assert proposals(participant.update(1_600.0, idle)) == [("held", "x")], (
+        "a proposal without effect may have been lost"
+    )
 
 
 def test_a_start_drains_all_that_may_be_unavailable_until_its_log_is_known_to_be_committed() -> (
     None
 ):
-    # The end of this log may be replaced: x may still be unavailable.
+    # Only 5 of the 7 entries are known to be committed. The last two, which end the maintenance of
+    # x, may be replaced, so x may still be unavailable.
     log = [*drained_log(MEMBERS), command(CommandAction.COMPLETE, "x"), report(2)]
     entries = list(enumerate(log, 1))
     participant = new_participant("n1", "again")
@@ -79,7 +82,7 @@
     assert participant.update(2.0, cluster()).release == ["x"]
     certain = new_participant("n1", "again")
     certain.recover(b"", entries, 7, 7, 1)
-    assert certain.update(0.0, cluster("")).drain == [], "known to be committed to its end"
+    assert certain.update(0.0, cluster("")).drain == [], "the complete log is known as committed"
 
 
 @pytest.mark.parametrize(
--- a/tests/maintenance/test_process_faults.py
+++ b/tests/maintenance/test_process_faults.py
@@ -1,4 +1,4 @@
-"""Several processes as one cluster under faults: never more is granted than allowed."""
+"""A cluster of real processes under faults: no more grants at once than the limit allows."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         await until(lambda: every_member_knows_a_leader(cluster))
         leader = await cluster.leader()
         await until(lambda: is_granted(cluster, leader, "s-0"))
-        cluster.kill(leader)  # right after its yes
+        cluster.kill(leader)  # immediately after it has reported the grant
         rest = [name for name in cluster.names if name != leader]
         await until(lambda: cluster.leader(rest))
         await until(lambda: all_have_drained(cluster, "s-0", rest))
@@ -46,7 +46,7 @@
         rest = [name for name in cluster.names if name != leader]
         cluster.cut({leader})
         status, _ = await call_work(cluster, leader, "s-0")
-        assert status == 503, "cut off, it cannot have a majority"
+        assert status == 503, "a partitioned leader reaches no majority"
         other = await until(lambda: cluster.leader(rest))
         await until(lambda: is_granted(cluster, other, "s-1"))
         await until(lambda: all_have_drained(cluster, "s-1", rest))
@@ -93,7 +93,7 @@
         await until(lambda: every_member_knows_a_leader(cluster))
         leader = await cluster.leader()
         rest = [name for name in cluster.names if name != leader]
-        cluster.cut({leader}, both=False)  # it hears the others, who do not hear it
+        cluster.cut({leader}, both=False)  # only messages from the leader are dropped
         other = await until(lambda: cluster.leader(rest))
         await until(lambda: is_granted(cluster, other, "s-0"))
         cluster.heal()
@@ -127,7 +127,7 @@
         leader = await cluster.leader()
         rest = [name for name in cluster.names if name != leader]
         cluster.signal(leader, signal.SIGSTOP)
-        # read once it goes on, by one that led in its time
+        # The stopped leader reads this call only after SIGCONT, when it has been replaced.
         asked = asyncio.create_task(call_work(cluster, leader, "s-0"))
         other = await until(lambda: cluster.leader(rest))
         await until(lambda: is_granted(cluster, other, "s-1"))
@@ -157,7 +157,7 @@
         answer = await until(lambda: rejection_of(cluster, victim))
         assert "is spoilt at byte 0" in answer
         assert (await cluster.call(victim, "GET", "/_ready"))[0] == 200, (
-            "requests are served all the same"
+            "an ingress without a log still serves requests"
         )
         leader = await until(cluster.leader)
         await until(lambda: is_granted(cluster, leader, "s-0"))
--- a/tests/maintenance/test_process_maintenance.py
+++ b/tests/maintenance/test_process_maintenance.py
@@ -1,4 +1,4 @@
-"""Several processes as one cluster: what staff see, and restarts of ingresses."""
+"""A cluster of real processes: maintenance as operators see it, and restarts of ingresses."""
 
 from __future__ import annotations
 
@@ -99,13 +99,16 @@
         gone: list[str] = []
 
         async def supervised() -> bool:
-            """Start each ingress that has ended again, as a supervisor would."""
+            """Restart each ingress that has exited, as a supervisor would.
+
+            Return whether all maintenance requests are done.
+            """
             ended = [
                 name for name, process in cluster.processes.items() if process.poll() is not None
             ]
-            assert len(ended) <= 1, f"{ended} are away at once"
+            assert len(ended) <= 1, f"{ended} are out of service at the same time"
             for name in ended:
-                assert cluster.processes[name].returncode == 0, "its turn ends it gently"
+                assert cluster.processes[name].returncode == 0, "the shutdown must be graceful"
                 gone.append(name)
                 cluster.start(name)
             states = [await state_of(cluster, cluster.names[0], name) for name in cluster.names]
--- a/tests/maintenance/test_scheduler_constraints.py
+++ b/tests/maintenance/test_scheduler_constraints.py
@@ -1,4 +1,4 @@
-"""The constraints of a grant: order, limits, reachable members, and the health of the zone."""
+"""The constraints on a grant: order, limits, reachable members, and the health of the zone."""
 
 from __future__ import annotations
 
@@ -39,12 +39,13 @@
     driver = SchedulerDriver()
     driver.apply(REQUEST, "x")
     driver.report()
-    # The first report that misses it counts nothing: it may have been reachable until just before.
+    # The first report without n2 adds almost nothing to its unreachable time, because n2 may have
+    # been reachable until just before the report.
     for _ in range(10):
         driver.report(reachable=("n0", "n1"))
     assert driver.confirm(DRAINED, "x", ("n0", "n1")) == "draining"
     driver.report(reachable=("n0", "n1"))
-    assert driver.state("x") == "out", "5 s of silence"
+    assert driver.state("x") == "out", "n2 has been unreachable for 5 s"
 
 
 @pytest.mark.parametrize(
@@ -69,7 +70,8 @@
     assert (driver.state("x"), driver.reason("x")) == ("waiting", why)
     driver.report()
     assert driver.confirm(DRAINED, "x", ("n0",)) == "draining"
-    # It has to be listed only once; and while it is draining it is not ready any more.
+    # A grant is not revoked if the backend is no longer listed. A load of 4.1 does not revoke it
+    # either, because a draining backend is not subtracted from the ready ones again.
     if "listed_targets" not in observed and "4.1" not in str(observed):
         driver.report(**observed)
         assert driver.state("x") == "waiting"
@@ -77,4 +79,4 @@
     driver.report()
     assert driver.confirm(DRAINED, "x") == "out"
     driver.report(**observed)
-    assert driver.state("x") == "out", "what is unavailable stays so"
+    assert driver.state("x") == "out", "an unavailable target stays unavailable"
--- a/tests/maintenance/test_scheduler_life_cycle.py
+++ b/tests/maintenance/test_scheduler_life_cycle.py
@@ -33,7 +33,7 @@
     assert driver.confirm(DRAINED, "x", ("n0", "n1")) == "draining"
     assert driver.reason("x") == "waits for n2"
     assert driver.apply(DRAINED, "x", sender="n2", epoch=1) == "draining", (
-        "a confirmation under an older epoch counts for nothing"
+        "a confirmation with an older epoch is ignored"
     )
     assert driver.confirm(DRAINED, "x", ("n2",)) == "out"
     assert driver.scheduler.drained_backends() == {"x": 3}
@@ -41,7 +41,7 @@
     assert not driver.scheduler.drained_backends()
     assert driver.reason("y") == "x of a is coming back, and 1 may be"
     assert driver.confirm(RELEASED, "x") == "warming"
-    driver.report(1_900.0)  # it may have come back just before this
+    driver.report(1_900.0)  # the warm-up is measured from this report on
     driver.report(1_900.0)
     assert (driver.state("x"), driver.state("y")) == ("warming", "waiting")
     driver.report(100.0)
@@ -54,7 +54,7 @@
     driver.report()
     for _ in range(2):
         driver.confirm(DRAINED, "x", ("n0", "n1"))
-        driver.report(30_000.0)  # its time counts from the report after it
+        driver.report(30_000.0)  # the grant's timeout is measured from this report on
         assert driver.state("x") == "draining"
         driver.report(30_000.0)
         assert driver.state("x") == "granted"
@@ -71,7 +71,7 @@
     driver.report()
     assert driver.confirm(DRAINED, "x") == "out"
     driver.report(60_000.0)
-    assert driver.state("x") == "out", "it may have become unavailable just before the report"
+    assert driver.state("x") == "out", "the duration is measured from the first report on"
     driver.report(60_000.0)
     assert driver.state("x") == "overdue"
     assert "say `done`" in driver.reason("x")
@@ -93,7 +93,7 @@
     assert not driver.scheduler.drained_backends()
     assert driver.apply(RESTARTED, "n1", sender="n1", epoch=epoch - 1) == "out"
     assert driver.apply(WITHDRAW, "n1") == "out", (
-        "it is ending: the next may not go before it is back"
+        "an ingress that is shutting down stays out of service until it has restarted"
     )
     assert driver.apply(RESTARTED, "n1", sender="n1", epoch=epoch) == "warming"
     driver.report()
--- a/tests/maintenance/test_scheduler_log.py
+++ b/tests/maintenance/test_scheduler_log.py
@@ -1,4 +1,7 @@
-"""The scheduler as a replicated state machine: its clock, repeated commands, snapshots, any order."""
+"""The scheduler as a replicated state machine.
+
+The tests cover replicated time, repeated commands, snapshots and random orders of commands.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,7 @@
 )
 
 STEPS = 150
-SNAPSHOT_STEP = 75  # at which another scheduler is restored
+SNAPSHOT_STEP = 75  # step at which a second scheduler is restored from a snapshot
 ACTIONS = (
     REQUEST,
     REQUEST,
@@ -76,7 +79,8 @@
     away: set[str] = set()
     for step in range(STEPS):
         apply_random_command(driver, rng)
-        if step == SNAPSHOT_STEP:  # one that is restored from a snapshot goes on alike
+        # A scheduler restored from a snapshot must stay equal to the original.
+        if step == SNAPSHOT_STEP:
             other.restore(driver.scheduler.snapshot())
         elif step > SNAPSHOT_STEP:
             other.apply(driver.index, driver.command)
@@ -105,9 +109,9 @@
 
 
 def check_limits(scheduler: MaintenanceScheduler, away_before: set[str]) -> set[str]:
-    """Check that no target was granted beyond the limit of its zone; return what is away now.
+    """Check that no grant exceeded its zone's limit; return the targets that are out of service.
 
-    One that is unavailable stays so when a stricter request comes; none is granted beyond it.
+    A stricter request does not revoke earlier grants, so only steps with a new grant are checked.
     """
     away = {
         request.target: request
--- a/tests/maintenance/test_work_commands.py
+++ b/tests/maintenance/test_work_commands.py
@@ -1,4 +1,4 @@
-"""`dockthread work` and `dockthread fleet` without an ingress: errors, and plans."""
+"""The commands `dockthread work` and `dockthread fleet` without an ingress: errors and plans."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
     [
         ("a1", "line 1: 'a1'; write MACHINE ZONE"),
         ("a h x", "MACHINE ZONE"),
-        ("a h 1\na h", "line 2: a stands twice"),
-        ("a h 101", "of -100 to 100"),
+        ("a h 1\na h", "line 2: a is listed twice"),
+        ("a h 101", "urgency from -100 to 100"),
     ],
 )
 def test_a_list_that_cannot_be_planned_is_rejected_with_its_line(
--- a/tests/raft/core_helpers.py
+++ b/tests/raft/core_helpers.py
@@ -1,4 +1,4 @@
-"""Cores of a cluster of three voters, and what to look for in their actions."""
+"""Raft cores of a cluster with three voters, and helpers that inspect their actions."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def leader() -> RaftCore:
-    """Return `a`, which `b` voted for in term 1 and which has committed its no-op with it."""
+    """Return core `a` as leader of term 1: `b` has voted for it and holds its no-op."""
     core = follower()
     core.tick(2_000.0)
     core.step(2_001.0, VoteResponse(1, "b", True, pre_vote=True))
--- a/tests/raft/test_elections.py
+++ b/tests/raft/test_elections.py
@@ -1,4 +1,4 @@
-"""Elections of the Raft core: votes, pre-votes, step down and leadership transfer."""
+"""Elections of the Raft core: votes, pre-votes, stepping down and leadership transfer."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
     assert grants_vote(core, VoteRequest(4, "b", 2, 2))
     core.step(9_000.0, AppendEntries(4, "c", 2, 2, (), 0, 1))
     assert core.step(9_100.0, VoteRequest(9, "b", 9, 4)) == []
-    assert core.term == 4, "a member cut off from its leader unseats nobody"
+    assert core.term == 4, "a member that lost contact with the leader must not depose it"
     transfer = VoteRequest(5, "b", 9, 4, leadership_transfer=True)
-    assert grants_vote(core, transfer, 9_200.0), "unless the leader told it to campaign"
+    assert grants_vote(core, transfer, 9_200.0), "the leader asked this candidate to campaign"
 
 
 def test_leader_without_a_majority_steps_down_and_commits_nothing() -> None:
--- a/tests/raft/test_fleet_options.py
+++ b/tests/raft/test_fleet_options.py
@@ -1,4 +1,4 @@
-"""The section `[fleet]` of the operator's INI file."""
+"""The `[fleet]` section of the operator's INI file."""
 
 from __future__ import annotations
 
--- a/tests/raft/test_log_storage.py
+++ b/tests/raft/test_log_storage.py
@@ -1,4 +1,4 @@
-"""The log and snapshot on disk: a kill at every byte, and files that are missing or damaged."""
+"""The log and snapshot on disk: crashes during a write, and missing or damaged files."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
     for _ in range(50):
         again.persist(PersistSnapshot(2, 1, ("n0", "n1"), b"ab", False))
     assert (tmp_path / "n" / "log").stat().st_size <= size, (
-        "what no longer counts does not fill the disk"
+        "records of older snapshots must not fill the disk"
     )
     again.close()
 
@@ -100,8 +100,9 @@
 def killed_at(
     step: int, real: Callable[[RaftStorage, str, bytes], None]
 ) -> Callable[[RaftStorage, str, bytes], None]:
-    """The store's write beside, but for a kill at the `step`-th: before the state's rename, or the
-    log's.
+    """Return a `_replace_file` that raises at call number `step` before it replaces the file.
+
+    The first call (0) replaces `state`, the second (1) replaces `log`.
     """
     calls = iter(range(9))
 
@@ -119,7 +120,7 @@
     store = RaftStorage(tmp_path / "n", "n0", create=True)
     store.persist(PersistEntries(1, "n0", 1, entries("a")))
     with pytest.raises(BlockingIOError):
-        RaftStorage(tmp_path / "n", "n0")  # another process has it
+        RaftStorage(tmp_path / "n", "n0")  # the directory is locked
     store.close()
     with pytest.raises(FileExistsError):
         RaftStorage(tmp_path / "n", "n0", create=True)
--- a/tests/raft/test_message_frames.py
+++ b/tests/raft/test_message_frames.py
@@ -1,4 +1,4 @@
-"""Frames of another release, and frames that are damaged."""
+"""Frames from another release, and malformed frames."""
 
 from __future__ import annotations
 
@@ -18,5 +18,5 @@
             whole[: messages.FRAME_HEADER.size], whole[messages.FRAME_HEADER.size :], b"l" * 16
         )
     assert not isinstance(spoilt.value, messages.UnknownMessageError), (
-        "another key: the connection is closed"
+        "a frame with another key closes the connection"
     )
--- a/tests/raft/test_messages.py
+++ b/tests/raft/test_messages.py
@@ -1,4 +1,4 @@
-"""Frames of messages between members, and snapshots in chunks."""
+"""Messages between members in frames, and snapshots in chunks."""
 
 from __future__ import annotations
 
--- a/tests/raft/test_progress.py
+++ b/tests/raft/test_progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of another member's log."""
+"""A leader's view of another member's log."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
     progress.back_off(match_index=4)
     assert progress.next_index == 5
     progress.back_off(match_index=9)
-    assert progress.next_index == 5, "never from a later index than what was rejected"
+    assert progress.next_index == 5, "a rejection must not move the next index forward"
     progress.accept(match_index=3)
     progress.back_off(match_index=0)
-    assert progress.next_index == 4, "never before what is known to match"
+    assert progress.next_index == 4, "the next index must stay after the match index"
 
 
 def test_entries_stay_in_flight_until_their_round_is_answered() -> None:
--- a/tests/raft/test_proposals.py
+++ b/tests/raft/test_proposals.py
@@ -1,4 +1,4 @@
-"""Who waits for the outcome of a proposal, and when they learn it."""
+"""Callers that wait for a proposal, and when their futures complete."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
         token, forwarded = proposals.await_response()
         proposals.on_role_changed(is_leader=True)
         assert await forwarded == UNKNOWN_INDEX
-        assert not local.done(), "this member leads and will know"
+        assert not local.done(), "the leader will learn whether its own proposal is committed"
         proposals.on_role_changed(is_leader=False)
         assert await local == UNKNOWN_INDEX
         proposals.on_response(token, 7)
-        assert forwarded.result() == UNKNOWN_INDEX, "a late response changes nothing"
+        assert forwarded.result() == UNKNOWN_INDEX, "a late response must be ignored"
 
     asyncio.run(scenario())
 
--- a/tests/raft/test_replication.py
+++ b/tests/raft/test_replication.py
@@ -1,4 +1,4 @@
-"""The log of the Raft core: commits, and changes of voters."""
+"""The log of the Raft core: commits and membership changes."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     old_entry = core.step(2_003.0, AppendEntriesResponse(2, "b", True, 1, 1))
     assert not applied_indices(old_entry)
     own_entry = core.step(2_004.0, AppendEntriesResponse(2, "b", True, 2, 1))
-    assert applied_indices(own_entry) == [1, 2], "with the first of its own term"
+    assert applied_indices(own_entry) == [1, 2], "committed with the first entry of the own term"
 
 
 @pytest.mark.parametrize(
     ("voters", "is_accepted"),
     [("a b c d", False), ("a b", True), ("a", False), ("b c d e", False), ("", False)],
-    ids=["one that never responded", "one less", "two less", "two changes", "none"],
+    ids=["unresponsive voter added", "one removed", "two removed", "several changed", "none left"],
 )
 def test_voters_change_one_at_a_time_and_only_to_members_that_respond(
     voters: str, is_accepted: bool
@@ -34,4 +34,4 @@
     assert (index is not None) is is_accepted
     if is_accepted:
         index, _ = core.propose(2_101.0, b"a b c", EntryKind.VOTERS)
-        assert index is None, "while the change before is pending"
+        assert index is None, "the previous change is still pending"
--- a/tests/raft/test_server.py
+++ b/tests/raft/test_server.py
@@ -1,4 +1,4 @@
-"""Members on sockets and disks: a member that was away receives a large snapshot."""
+"""Members with real sockets and files: a member that starts late receives a large snapshot."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from dockthread.raft.server import RaftServer
 from dockthread.raft.storage import RaftStorage
 
-SNAPSHOT = random.Random(1).randbytes(1000) * 45_000  # as 90,000 resources of 500 bytes
-PROPOSALS = 600  # more than the entries after which a snapshot replaces them
+SNAPSHOT = random.Random(1).randbytes(1000) * 45_000  # size of 90,000 resources of 500 bytes
+PROPOSALS = 600  # more than ENTRIES_BEFORE_SNAPSHOT
 
 
 class SnapshotStateMachine:
-    """Its state is `SNAPSHOT` once the first command came, and empty before."""
+    """A state machine whose state is empty until the first command, and then `SNAPSHOT`."""
 
     def __init__(self) -> None:
         self.state = b""
--- a/tests/raft/test_simulation.py
+++ b/tests/raft/test_simulation.py
@@ -1,4 +1,4 @@
-"""Simulated clusters under faults: the rules hold, and the checker finds every seeded defect."""
+"""Simulated clusters under faults: no rule is violated, and every seeded defect is found."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from dockthread.lab.raft.seeds import SCENARIOS, play_seed
 from dockthread.lab.seeds import play_seeds
 
-# defects that few seeds find: a scenario and a seed that does
+# Defects that only a few seeds find, each with a scenario and a seed that finds it.
 RARE_DEFECTS = {
     "vote-not-kept": [("work-agreement-five", 116)],
     "epoch-unchecked": [("work-agreement", 41)],
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -1,4 +1,4 @@
-"""The connection to another member: heartbeats between the chunks of a snapshot."""
+"""The connection to another member: heartbeats are sent between the chunks of a snapshot."""
 
 from __future__ import annotations
 
