--- a/dockthread/maintenance/admin_commands.py
+++ b/dockthread/maintenance/admin_commands.py
@@ -175,7 +175,7 @@
         return INGRESS_WARM_UP_TIMEOUTS * self._options.election_timeout
 
     async def _wait_for_evaluation(self, target: str) -> None:
-        """Wait until a leader's report has evaluated a request, or until the timeout."""
+        """Wait until a leader's report has evaluated a request, for at most 2 s."""
         with suppress(TimeoutError):
             async with asyncio.timeout(EVALUATION_TIMEOUT_S):
                 # The replicated state offers no event to wait for.
--- a/dockthread/maintenance/leader.py
+++ b/dockthread/maintenance/leader.py
@@ -1,4 +1,4 @@
-"""When a leader proposes its next report, and the content of that report. Without I/O."""
+"""Creates the reports that a leader proposes, without I/O."""
 
 from __future__ import annotations
 
--- a/dockthread/maintenance/participant.py
+++ b/dockthread/maintenance/participant.py
@@ -92,7 +92,7 @@
 
 
 class ProposalKey(NamedTuple):
-    """What a proposal is about: the same one is not made again for a while."""
+    """Identifies a proposal, so that the same one is not repeated too soon."""
 
     action: CommandAction
     target: str
--- a/dockthread/maintenance/reasons.py
+++ b/dockthread/maintenance/reasons.py
@@ -1,4 +1,4 @@
-"""Reasons shown to operators: why a request waits or for which members, or lost its grant.
+"""Reasons for operators: why a request waits, for which members, or why its grant was revoked.
 
 The scheduler returns a value of one of these types; `str` returns its text. The texts are part of
 the replicated state and of the management endpoint's listing. They must never change, because
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InsufficientCapacity:
-    """The remaining backends would be loaded above `limit`, as a fraction of their capacity."""
+    """The load of the remaining backends would exceed `limit`, a fraction of their capacity."""
 
     zone: str
     utilization: float
@@ -163,7 +163,7 @@
 
 
 def explain(request: MaintenanceRequest, scheduler: RequestStatus) -> str:
-    """Return why a request waits or for which members; empty if it does not wait."""
+    """Return why a request waits, or which members it waits for; empty if it does not wait."""
     if request.state is RequestState.WAITING:
         why = str(scheduler.obstacle(request) or "its turn comes with the next entry")
         return f"{why} ({request.revocation_reason})" if request.revocation_reason else why
--- a/dockthread/maintenance/scheduler.py
+++ b/dockthread/maintenance/scheduler.py
@@ -176,7 +176,7 @@
         }
         for request in list(self.requests.values()):
             request.is_evaluated = True
-            # The state began at an unknown time after the previous report.
+            # The state began at an unknown time after the previous report; measure from this one.
             if request.state_since_ms == NOT_TIMED_MS:
                 request.state_since_ms = self.clock_ms
             self._advance_by_time(request)
@@ -357,7 +357,7 @@
 
 
 def _is_restarting(request: MaintenanceRequest) -> bool:
-    """Return whether an ingress restarts: it is out of service until it confirms its return."""
+    """Return whether the target is an ingress that is shutting down or has not restarted yet."""
     return request.kind is TargetKind.INGRESS and request.state in UNAVAILABLE_STATES
 
 
--- a/dockthread/raft/actions.py
+++ b/dockthread/raft/actions.py
@@ -77,7 +77,7 @@
     commit_index: int = 0
 
     def command_replay(self) -> CommandReplay:
-        """Return the commands after the snapshot and the end of the log."""
+        """Return the commands after the snapshot, with the commit index and the end of the log."""
         commands = [
             (index, entry.data)
             for index, entry in enumerate(self.entries, self.snapshot_index + 1)
--- a/dockthread/raft/core.py
+++ b/dockthread/raft/core.py
@@ -139,7 +139,9 @@
         self._heartbeat_round = 0
         self._pending_reads: deque[PendingRead] = deque()
         self._last_leader_contact = NEVER
-        self._transfer_until = NEVER  # end of a leadership transfer, which rejects proposals
+        self._transfer_until = (
+            NEVER  # time in ms until which a leadership transfer blocks proposals
+        )
         self._reset_election_timer()
 
     # Queries
@@ -263,7 +265,7 @@
         return self._take_actions()
 
     def _handle(self, message: Message) -> None:
-        """Handle a message that is not from an older term, or a response to this leader."""
+        """Handle a message that is not from an older term; drop an older `AppendEntriesResponse`."""
         match message:
             case VoteRequest():
                 self._handle_vote_request(message)
@@ -323,7 +325,7 @@
         self._count_votes()
 
     def _is_log_up_to_date(self, request: VoteRequest) -> bool:
-        """Return whether the candidate's log is at least as up to date as this one (5.4.1)."""
+        """Return whether the candidate's log is at least as up to date (section 5.4.1)."""
         last_term = self.log.term_at(self.log.last_index)
         return (request.last_term, request.last_index) >= (last_term, self.log.last_index)
 
--- a/dockthread/raft/options.py
+++ b/dockthread/raft/options.py
@@ -120,19 +120,19 @@
         if self.max_unavailable < 1:
             yield KeyProblem(
                 "most_out",
-                "is under 1",
+                "is less than 1",
                 "write how many backends of a zone may be unavailable at once",
             )
         if not 0 <= self.headroom < 1:
             yield KeyProblem(
                 "reserve",
-                "is not from 0% to under 100%",
+                "is not at least 0% and below 100%",
                 "write the share of a zone's remaining capacity that must stay free",
             )
         if self.node_capacity < 0:
             yield KeyProblem(
                 "node_bears",
-                "is under 0",
+                "is negative",
                 "write how many requests a backend serves concurrently, or 0 if unknown",
             )
 
--- a/tests/raft/test_fleet_options.py
+++ b/tests/raft/test_fleet_options.py
@@ -26,7 +26,7 @@
             "listen = h:1\nmembers = a=h:1\ndirectory = d\npatience = 200ms",
             "patience: is less than three times `beat`",
         ),
-        ("listen = h:1\nmembers = a=h:1\ndirectory = d\nmost_out = 0", "most_out: is under 1"),
+        ("listen = h:1\nmembers = a=h:1\ndirectory = d\nmost_out = 0", "most_out: is less than 1"),
     ],
 )
 def test_a_wrong_section_is_rejected_with_its_key(text: str, wrong: str) -> None:
