--- a/dockthread/maintenance/admin_commands.py
+++ b/dockthread/maintenance/admin_commands.py
@@ -59,12 +59,14 @@
     """Return the requests as the admin endpoint lists them, oldest first."""
     requests = sorted(scheduler.requests.values(), key=lambda request: request.requested_index)
     return {
-        "work": [_listed(request, scheduler) for request in requests],
-        "over": [_listed(request, scheduler) for request in scheduler.finished],
+        "work": [_listing_entry(request, scheduler) for request in requests],
+        "over": [_listing_entry(request, scheduler) for request in scheduler.finished],
     }
 
 
-def _listed(request: MaintenanceRequest, scheduler: MaintenanceScheduler) -> dict[str, object]:
+def _listing_entry(
+    request: MaintenanceRequest, scheduler: MaintenanceScheduler
+) -> dict[str, object]:
     fields = {
         field.encode_name: getattr(request, field.name) for field in msgspec.structs.fields(request)
     }
--- a/dockthread/maintenance/aggregation.py
+++ b/dockthread/maintenance/aggregation.py
@@ -78,7 +78,7 @@
         member_count: Number of all members.
         backend_capacity: Requests that a backend of weight 1 serves concurrently; 0 if unknown.
     """
-    listed = _named_by(
+    listed = _names_in_at_least(
         member_count // 2 + 1, (observation.listed for observation in observations.values())
     )
     by_zone: dict[str, list[ZoneObservation]] = {}
@@ -97,19 +97,19 @@
     name: str, zones: list[ZoneObservation], member_count: int, backend_capacity: float
 ) -> ZoneStatus:
     majority = member_count // 2 + 1
-    third = max(1, (member_count + 1) // 3)
+    third_of_members = max(1, (member_count + 1) // 3)
     # Members that sent no observation are assumed to have the average number of requests in flight.
     in_flight = sum(zone.in_flight for zone in zones) * member_count / len(zones)
     return ZoneStatus(
         name=name,
-        ready=len(_named_by(majority, (zone.ready for zone in zones))),
-        failing=_named_by(third, (zone.failing for zone in zones)),
+        ready=len(_names_in_at_least(majority, (zone.ready for zone in zones))),
+        failing=_names_in_at_least(third_of_members, (zone.failing for zone in zones)),
         load=in_flight / backend_capacity if backend_capacity else UNKNOWN_LOAD,
-        is_overloaded=sum(zone.is_overloaded for zone in zones) >= third,
+        is_overloaded=sum(zone.is_overloaded for zone in zones) >= third_of_members,
     )
 
 
-def _named_by(count: int, lists: Iterable[tuple[str, ...]]) -> tuple[str, ...]:
+def _names_in_at_least(count: int, lists: Iterable[tuple[str, ...]]) -> tuple[str, ...]:
     """Return the sorted names that are in at least `count` of the lists."""
     counts = Counter(name for names in lists for name in set(names))
-    return tuple(sorted(name for name, found in counts.items() if found >= count))
+    return tuple(sorted(name for name, occurrences in counts.items() if occurrences >= count))
--- a/dockthread/maintenance/constraints.py
+++ b/dockthread/maintenance/constraints.py
@@ -50,22 +50,26 @@
 
 def grant_obstacle(scheduler: SchedulerState, request: MaintenanceRequest) -> Obstacle | None:
     """Return why a waiting request cannot be granted; None if it can."""
-    away = _away(scheduler, request)
-    if len(away) >= scheduler.max_unavailable(request.zone, request.kind):
+    out_of_service = _requests_out_of_service(scheduler, request)
+    if len(out_of_service) >= scheduler.max_unavailable(request.zone, request.kind):
         is_ingress = request.kind is TargetKind.INGRESS
-        place = "ingresses" if is_ingress else request.zone or "no known zone"
-        return ZoneAtLimit(place, tuple(Occupant(one.target, one.state) for one in away))
+        group = "ingresses" if is_ingress else request.zone or "no known zone"
+        return ZoneAtLimit(
+            group, tuple(Occupant(other.target, other.state) for other in out_of_service)
+        )
     if not request.is_evaluated:
         return NotEvaluated()
     if request.kind is TargetKind.INGRESS:
-        unreachable = _unreachable_members(scheduler, but=request.target)
+        unreachable = _unreachable_members(scheduler, excluded_member=request.target)
         return MembersUnreachable(unreachable) if unreachable else None
     if request.target not in scheduler.last_report.listed_targets:
         return NotListed()
     return safety_obstacle(scheduler, request)
 
 
-def _away(scheduler: SchedulerState, request: MaintenanceRequest) -> list[MaintenanceRequest]:
+def _requests_out_of_service(
+    scheduler: SchedulerState, request: MaintenanceRequest
+) -> list[MaintenanceRequest]:
     """Return the requests of the same zone and kind whose targets are out of service."""
     return [
         other
@@ -76,11 +80,11 @@
     ]
 
 
-def _unreachable_members(scheduler: SchedulerState, but: str) -> tuple[str, ...]:
+def _unreachable_members(scheduler: SchedulerState, excluded_member: str) -> tuple[str, ...]:
     unreachable = (
         member for member, unreachable_ms in scheduler.unreachable_ms.items() if unreachable_ms
     )
-    return tuple(sorted(member for member in unreachable if member != but))
+    return tuple(sorted(member for member in unreachable if member != excluded_member))
 
 
 def safety_obstacle(scheduler: SchedulerState, request: MaintenanceRequest) -> Obstacle | None:
@@ -89,12 +93,12 @@
     zone = next(zones, None)
     if zone is None:
         return ZoneNotObserved(request.zone)
-    away = {
+    out_of_service = {
         other.target
         for other in scheduler.requests.values()
         if other.zone == request.zone and other.state is not RequestState.WAITING
     }
-    failing = set(zone.failing) - away - {request.target}
+    failing = set(zone.failing) - out_of_service - {request.target}
     if failing:
         return BackendsFailing(tuple(sorted(failing)), request.zone)
     if zone.is_overloaded:
--- a/dockthread/maintenance/leader.py
+++ b/dockthread/maintenance/leader.py
@@ -19,7 +19,7 @@
 FIRST_REPORT_INTERVAL_MS = REPORT_INTERVAL_MS / 10
 OBSERVATION_VALIDITY_MS = 2.5 * REPORT_INTERVAL_MS  # maximum age of an observation in a report
 # Maximum time for which the first report on a request waits until a majority has observed its zone.
-FIRST_REPORT_PATIENCE_MS = 2.0 * REPORT_INTERVAL_MS
+FIRST_REPORT_MAX_WAIT_MS = 2.0 * REPORT_INTERVAL_MS
 # A report advances the replicated time by at most this many intervals.
 MAX_INTERVALS_PER_REPORT = 2
 NEVER_MS = -1e18  # time in ms that is earlier than any clock value
@@ -86,15 +86,18 @@
     ) -> MaintenanceCommand | None:
         """Return the report to propose now; None if none is due."""
         observations = self._recent_observations(now)
-        is_first = has_unevaluated_requests(scheduler)
+        has_unevaluated = has_unevaluated_requests(scheduler)
         interval_ms = report_interval_ms(scheduler)
         self._track_completeness(now, cluster, scheduler, observations)
-        is_waiting = (
+        is_awaiting_observations = (
             self._incomplete_since is not None
-            and now - self._incomplete_since < FIRST_REPORT_PATIENCE_MS
+            and now - self._incomplete_since < FIRST_REPORT_MAX_WAIT_MS
         )
-        least_ms = FIRST_REPORT_INTERVAL_MS if is_first else interval_ms
-        if is_waiting or now - max(self._last_report_at, self._last_proposal_at) < least_ms:
+        min_interval_ms = FIRST_REPORT_INTERVAL_MS if has_unevaluated else interval_ms
+        if (
+            is_awaiting_observations
+            or now - max(self._last_report_at, self._last_proposal_at) < min_interval_ms
+        ):
             return None
         self._last_proposal_at = now
         zones: tuple[ZoneStatus, ...] = ()
@@ -130,8 +133,10 @@
         observations: dict[str, MemberObservation],
     ) -> None:
         latest = latest_request_index(scheduler)
-        current = sum(one.latest_request_index >= latest for one in observations.values())
-        is_complete = 2 * current > len(cluster.members)
+        current_count = sum(
+            observation.latest_request_index >= latest for observation in observations.values()
+        )
+        is_complete = 2 * current_count > len(cluster.members)
         if is_complete or not has_unevaluated_requests(scheduler):
             self._incomplete_since = None
         elif self._incomplete_since is None:
--- a/dockthread/maintenance/observation.py
+++ b/dockthread/maintenance/observation.py
@@ -28,11 +28,13 @@
 
 def idle_backends(ingress: Ingress, backends: Collection[str]) -> set[str]:
     """Return the backends, out of those given, to which this ingress has no request in flight."""
-    known = ingress.engine.backends.by_number
+    engine_backends = ingress.engine.backends.by_number
     busy = {
-        listed.uid
-        for number, listed in ingress.endpoints.by_number.items()
-        if listed.uid in backends and number in known and known[number].in_flight
+        endpoint.uid
+        for number, endpoint in ingress.endpoints.by_number.items()
+        if endpoint.uid in backends
+        and number in engine_backends
+        and engine_backends[number].in_flight
     }
     return set(backends) - busy
 
@@ -65,10 +67,10 @@
 
 def _active_backends(ingress: Ingress) -> Iterator[ObservedBackend]:
     """Yield the backends that discovery reports as active, including drained ones."""
-    known = ingress.engine.backends.by_number
-    for number, listed in ingress.endpoints.by_number.items():
-        if listed.is_ready and number in known:
-            yield ObservedBackend(listed.uid, known[number])
+    engine_backends = ingress.engine.backends.by_number
+    for number, endpoint in ingress.endpoints.by_number.items():
+        if endpoint.is_ready and number in engine_backends:
+            yield ObservedBackend(endpoint.uid, engine_backends[number])
 
 
 def _observe_zone(
--- a/dockthread/maintenance/participant.py
+++ b/dockthread/maintenance/participant.py
@@ -129,7 +129,7 @@
         self.scheduler = scheduler or MaintenanceScheduler()
         self.drained: set[str] = set()
         # Backends that are drained until the log on disk is known to be committed.
-        self._drained_at_start: set[str] = set()
+        self._drained_until_committed: set[str] = set()
         self._log_end = LogEnd()
         self._proposed_at: dict[ProposalKey, float] = {}
         self._last_observation_at = NEVER_MS
@@ -162,11 +162,11 @@
         self._log_end = LogEnd(last_index, last_term)
         scheduler = MaintenanceScheduler()
         scheduler.restore(state)
-        self._drained_at_start = set(scheduler.drained_backends())
+        self._drained_until_committed = set(scheduler.drained_backends())
         for index, data in entries:
             scheduler.apply(index, data)
-            earlier = self._drained_at_start if index > committed else set()
-            self._drained_at_start = set(scheduler.drained_backends()) | earlier
+            drained_before = self._drained_until_committed if index > committed else set()
+            self._drained_until_committed = set(scheduler.drained_backends()) | drained_before
 
     def on_entry_applied(self, now: float, index: int, data: bytes) -> None:
         """Apply a committed entry."""
@@ -182,7 +182,7 @@
         leader, the scheduler's state alone determines which backends are drained.
         """
         if index >= self._log_end.index or term > self._log_end.term:
-            self._drained_at_start = set()
+            self._drained_until_committed = set()
 
     def on_state_restored(self, state: bytes) -> None:
         """Replace the state with a snapshot."""
@@ -225,10 +225,10 @@
     def update(self, now: float, cluster: ClusterView) -> ParticipantActions:
         """Return the actions to carry out now; later updates assume that they were carried out."""
         actions = ParticipantActions()
-        wanted = set(self.scheduler.drained_backends()) | self._drained_at_start
-        actions.drain = sorted(wanted - self.drained)
-        actions.release = sorted(self.drained - wanted)
-        self.drained = wanted
+        required = set(self.scheduler.drained_backends()) | self._drained_until_committed
+        actions.drain = sorted(required - self.drained)
+        actions.release = sorted(self.drained - required)
+        self.drained = required
         for request in self.scheduler.requests.values():
             if request.kind is not TargetKind.INGRESS:
                 self._confirm_backend(now, request, cluster, actions)
@@ -291,8 +291,8 @@
         if now - self._proposed_at.get(key, NEVER_MS) < PROPOSAL_RETRY_MS:
             return
         self._proposed_at = {
-            earlier: proposed_at
-            for earlier, proposed_at in self._proposed_at.items()
+            recent_key: proposed_at
+            for recent_key, proposed_at in self._proposed_at.items()
             if now - proposed_at < PROPOSAL_RETRY_MS
         }
         self._proposed_at[key] = now
--- a/dockthread/maintenance/plan.py
+++ b/dockthread/maintenance/plan.py
@@ -23,7 +23,7 @@
 PLANNING_MEMBER = "staff"  # name of the only member of the simulated fleet
 PLANNING_INTERVAL_MS = 500.0  # interval of the simulated reports
 MAX_URGENCY = 100  # maximum urgency; the minimum is -100
-MAX_FIELDS = 3  # maximum number of fields in a line: name, zone, urgency
+MAX_FIELDS_PER_LINE = 3  # maximum number of fields in a line: name, zone, urgency
 
 
 class PlanSyntaxError(DockthreadError, ValueError):
@@ -62,27 +62,27 @@
     Raises:
         PlanSyntaxError: A line is invalid, or lists a backend a second time.
     """
-    found: dict[str, PlannedBackend] = {}
+    backend_by_name: dict[str, PlannedBackend] = {}
     for number, line in enumerate(text.splitlines(), 1):
         fields = line.partition("#")[0].split()
         if not fields:
             continue
-        place = f"{file}: line {number}"
-        backend = _read_line(fields, f"{place}: {line.strip()!r}")
-        if backend.name in found:
-            raise PlanSyntaxError(f"{place}: {backend.name} is listed twice; remove one line")
-        found[backend.name] = backend
-    return list(found.values())
+        location = f"{file}: line {number}"
+        backend = _read_line(fields, f"{location}: {line.strip()!r}")
+        if backend.name in backend_by_name:
+            raise PlanSyntaxError(f"{location}: {backend.name} is listed twice; remove one line")
+        backend_by_name[backend.name] = backend
+    return list(backend_by_name.values())
 
 
-def _read_line(fields: list[str], place: str) -> PlannedBackend:
+def _read_line(fields: list[str], location: str) -> PlannedBackend:
     try:
-        urgency = int(fields[2]) if len(fields) >= MAX_FIELDS else 0
+        urgency = int(fields[2]) if len(fields) >= MAX_FIELDS_PER_LINE else 0
         backend = PlannedBackend(fields[0], fields[1], urgency)
     except (IndexError, ValueError) as error:
-        raise PlanSyntaxError(f"{place}; write MACHINE ZONE [URGENCY]") from error
-    if len(fields) > MAX_FIELDS or not -MAX_URGENCY <= urgency <= MAX_URGENCY:
-        raise PlanSyntaxError(f"{place}; write MACHINE ZONE [URGENCY], urgency from -100 to 100")
+        raise PlanSyntaxError(f"{location}; write MACHINE ZONE [URGENCY]") from error
+    if len(fields) > MAX_FIELDS_PER_LINE or not -MAX_URGENCY <= urgency <= MAX_URGENCY:
+        raise PlanSyntaxError(f"{location}; write MACHINE ZONE [URGENCY], urgency from -100 to 100")
     return backend
 
 
@@ -122,8 +122,8 @@
             self._apply(MaintenanceCommand(CommandAction.REPORT, report=self._report()))
             drained = self._scheduler.drained_backends()
             if drained:  # the last report only finishes requests whose targets have returned
-                rounds.append(MaintenanceRound(tuple(drained), self._waiting(drained)))
-            self._work_at(drained)
+                rounds.append(MaintenanceRound(tuple(drained), self._waiting_backends(drained)))
+            self._complete_maintenance(drained)
         return rounds
 
     def _apply(self, command: MaintenanceCommand) -> None:
@@ -141,20 +141,20 @@
             listed_targets=tuple(backend.name for backend in self._backends),
         )
 
-    def _waiting(self, drained: dict[str, int]) -> tuple[WaitingBackend, ...]:
+    def _waiting_backends(self, drained: dict[str, int]) -> tuple[WaitingBackend, ...]:
         return tuple(
             WaitingBackend(request.target, explain(request, self._scheduler))
             for request in self._scheduler.requests.values()
             if request.target not in drained
         )
 
-    def _work_at(self, drained: dict[str, int]) -> None:
+    def _complete_maintenance(self, drained: dict[str, int]) -> None:
         for name, epoch in drained.items():
-            self._apply(_confirmation(CommandAction.DRAINED, name, epoch))
+            self._apply(_confirmation_command(CommandAction.DRAINED, name, epoch))
         for name, epoch in drained.items():
             self._apply(MaintenanceCommand(CommandAction.COMPLETE, name))
-            self._apply(_confirmation(CommandAction.RELEASED, name, epoch))
+            self._apply(_confirmation_command(CommandAction.RELEASED, name, epoch))
 
 
-def _confirmation(action: CommandAction, name: str, epoch: int) -> MaintenanceCommand:
+def _confirmation_command(action: CommandAction, name: str, epoch: int) -> MaintenanceCommand:
     return MaintenanceCommand(action, name, sender=PLANNING_MEMBER, epoch=epoch)
--- a/dockthread/maintenance/reasons.py
+++ b/dockthread/maintenance/reasons.py
@@ -33,12 +33,14 @@
 class ZoneAtLimit:
     """The maximum number of targets of a zone, or of ingresses, is out of service."""
 
-    place: str
+    group: str
     occupants: tuple[Occupant, ...]
 
     def __str__(self) -> str:
-        away = _joined(f"{one.target} of {self.place} is {one}" for one in self.occupants)
-        return f"{away}, and {len(self.occupants)} may be"
+        out_of_service = _comma_separated(
+            f"{occupant.target} of {self.group} is {occupant}" for occupant in self.occupants
+        )
+        return f"{out_of_service}, and {len(self.occupants)} may be"
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +58,7 @@
     members: tuple[str, ...]
 
     def __str__(self) -> str:
-        return f"{_joined(self.members)} cannot be heard"
+        return f"{_comma_separated(self.members)} cannot be heard"
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,7 +87,7 @@
     zone: str
 
     def __str__(self) -> str:
-        return f"{_joined(self.backends)} of {self.zone} fails"
+        return f"{_comma_separated(self.backends)} of {self.zone} fails"
 
 
 @dataclass(frozen=True, slots=True)
@@ -132,9 +134,8 @@
     members: tuple[str, ...]
 
     def __str__(self) -> str:
-        return (
-            f"{GRANT_TIMEOUT_PREFIX}, as {_joined(self.members)} did not say that it had drained it"
-        )
+        members = _comma_separated(self.members)
+        return f"{GRANT_TIMEOUT_PREFIX}, as {members} did not say that it had drained it"
 
 
 @dataclass(frozen=True, slots=True)
@@ -165,21 +166,25 @@
 def explain(request: MaintenanceRequest, scheduler: RequestStatus) -> str:
     """Return why a request waits, or which members it waits for; empty if it does not wait."""
     if request.state is RequestState.WAITING:
-        why = str(scheduler.obstacle(request) or "its turn comes with the next entry")
-        return f"{why} ({request.revocation_reason})" if request.revocation_reason else why
+        reason = str(scheduler.obstacle(request) or "its turn comes with the next entry")
+        return f"{reason} ({request.revocation_reason})" if request.revocation_reason else reason
     if request.state in REVOCABLE_STATES:
-        return _waiting_for(scheduler.confirming_members(request) - set(request.drained_by))
+        return _awaited_members_text(
+            scheduler.confirming_members(request) - set(request.drained_by)
+        )
     if request.state is RequestState.RETURNING:
-        return _waiting_for(scheduler.confirming_members(request) - set(request.released_by))
+        return _awaited_members_text(
+            scheduler.confirming_members(request) - set(request.released_by)
+        )
     if request.state is RequestState.OVERDUE:
         seconds = request.duration_ms / MS_PER_S
         return f"it was to take {seconds:.0f} s; say `done` or `withdraw` when it can serve"
     return ""
 
 
-def _waiting_for(members: Iterable[str]) -> str:
-    return f"waits for {_joined(sorted(members))}"
+def _awaited_members_text(members: Iterable[str]) -> str:
+    return f"waits for {_comma_separated(sorted(members))}"
 
 
-def _joined(names: Iterable[str]) -> str:
+def _comma_separated(names: Iterable[str]) -> str:
     return ", ".join(names) or "nobody"
--- a/dockthread/maintenance/scheduler.py
+++ b/dockthread/maintenance/scheduler.py
@@ -114,8 +114,8 @@
         if command.command_id:
             if command.command_id in self.applied_command_ids:
                 return
-            known = [*self.applied_command_ids, command.command_id]
-            self.applied_command_ids = known[-COMMAND_IDS_KEPT:]
+            command_ids = [*self.applied_command_ids, command.command_id]
+            self.applied_command_ids = command_ids[-COMMAND_IDS_KEPT:]
         request = self.requests.get(command.target)
         if command.action is CommandAction.REPORT:
             self._apply_report(command.report)
@@ -344,11 +344,11 @@
     return clock_ms >= request.state_since_ms + duration_ms
 
 
-def _unreachable_after(before_ms: float, report: LeaderReport, member: str) -> float:
+def _unreachable_after(previous_ms: float, report: LeaderReport, member: str) -> float:
     """Return a member's unreachable time as of a report; 0 if the member is reachable."""
     if member in report.reachable:
         return 0.0
-    return before_ms + report.elapsed_ms if before_ms else FIRST_UNREACHABLE_MS
+    return previous_ms + report.elapsed_ms if previous_ms else FIRST_UNREACHABLE_MS
 
 
 def _warmed_up_event(request: MaintenanceRequest) -> RequestEvent:
--- a/dockthread/maintenance/service.py
+++ b/dockthread/maintenance/service.py
@@ -216,7 +216,7 @@
         if not await self.member.propose(msgspec.msgpack.encode(command)):
             self.participant.on_proposal_failed(command)
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/dockthread/raft/core.py
+++ b/dockthread/raft/core.py
@@ -253,7 +253,7 @@
         """Handle a message from another member."""
         self.now = now
         if message.term > self.term:
-            if self._ignores(message):
+            if self._should_ignore_vote_request(message):
                 return self._take_actions()
             if not _is_pre_vote(message):
                 is_from_leader = isinstance(message, AppendEntries | InstallSnapshot)
@@ -282,15 +282,15 @@
 
     # Elections
 
-    def _ignores(self, message: Message) -> bool:
+    def _should_ignore_vote_request(self, message: Message) -> bool:
         """Return whether the message is a vote request that arrives while the leader is alive.
 
         A vote request of a leadership transfer is never ignored.
         """
         if not isinstance(message, VoteRequest) or message.leadership_transfer:
             return False
-        silence = self.now - self._last_leader_contact
-        return self.role is Role.LEADER or silence < self._timing.election_timeout_ms
+        since_contact_ms = self.now - self._last_leader_contact
+        return self.role is Role.LEADER or since_contact_ms < self._timing.election_timeout_ms
 
     def _reject_old_term(self, message: Message) -> None:
         """Reject a message from an older term, and reply with the current term."""
@@ -344,7 +344,7 @@
         granted = (
             request.term > self.term
             and self._is_log_up_to_date(request)
-            and not self._ignores(request)
+            and not self._should_ignore_vote_request(request)
         )
         term = request.term if granted else self.term
         self._send(request.sender, VoteResponse(term, self.member_id, granted, pre_vote=True))
@@ -377,7 +377,7 @@
         self._advance_commit()
 
     def _become_follower(self, term: int, leader_id: str) -> None:
-        is_change = (
+        has_changed = (
             term != self.term or self.role is not Role.FOLLOWER or leader_id != self.leader_id
         )
         if term > self.term:
@@ -388,7 +388,7 @@
         self.leader_id = leader_id
         self._pending_reads.clear()
         self._reset_election_timer()
-        if is_change:
+        if has_changed:
             self._announce_role()
 
     def _check_quorum(self) -> None:
@@ -437,18 +437,21 @@
         5.3).
         """
         log = self.log
-        previous = message.previous_index
-        if previous > log.last_index:
+        previous_index = message.previous_index
+        if previous_index > log.last_index:
             return False, log.last_index
-        if previous >= log.snapshot_index and log.term_at(previous) != message.previous_term:
-            return False, max(log.snapshot_index, previous - 1)
-        for index, entry in enumerate(message.entries, previous + 1):
+        if (
+            previous_index >= log.snapshot_index
+            and log.term_at(previous_index) != message.previous_term
+        ):
+            return False, max(log.snapshot_index, previous_index - 1)
+        for index, entry in enumerate(message.entries, previous_index + 1):
             if index <= log.snapshot_index:
                 continue
             if index > log.last_index or log.term_at(index) != entry.term:
-                self._append_entries(message.entries[index - previous - 1 :], index)
+                self._append_entries(message.entries[index - previous_index - 1 :], index)
                 break
-        match_index = previous + len(message.entries)
+        match_index = previous_index + len(message.entries)
         self._commit_up_to(min(message.commit_index, match_index))
         return True, match_index
 
@@ -505,7 +508,7 @@
 
     def _handle_append_response(self, response: AppendEntriesResponse) -> None:
         peer = response.sender
-        progress = self._progress.of(peer, next_index=1)
+        progress = self._progress.get_or_create(peer, next_index=1)
         progress.acknowledge(response.heartbeat_round, self.now)
         if response.success:
             progress.accept(response.match_index)
@@ -525,7 +528,7 @@
         for index in range(self.log.last_index, self.commit_index, -1):
             if self.log.term_at(index) != self.term:
                 break
-            if self.has_quorum(self._progress.holding(index) | {self.member_id}):
+            if self.has_quorum(self._progress.members_holding(index) | {self.member_id}):
                 self._commit_up_to(index)
                 self._replicate()
                 break
@@ -537,20 +540,20 @@
         must have committed an entry of its term, and a new voter must be responsive and nearly up
         to date.
         """
-        current = set(self.voters)
-        is_single_step = len(set(voters) ^ current) <= 1
+        current_voters = set(self.voters)
+        is_single_change = len(set(voters) ^ current_voters) <= 1
         is_pending = any(
             entry.kind == EntryKind.VOTERS for entry in self.log.entries_after(self.commit_index)
         )
-        responsive = self.responded_within(self._timing.election_timeout_ms)
-        least_match = self.commit_index - MAX_NEW_VOTER_LAG
-        are_new_ready = all(
-            voter in responsive and self._progress.match_index(voter) >= least_match
-            for voter in set(voters) - current
+        responsive_members = self.responded_within(self._timing.election_timeout_ms)
+        min_match_index = self.commit_index - MAX_NEW_VOTER_LAG
+        are_new_voters_ready = all(
+            voter in responsive_members and self._progress.match_index(voter) >= min_match_index
+            for voter in set(voters) - current_voters
         )
         return (
-            is_single_step
-            and are_new_ready
+            is_single_change
+            and are_new_voters_ready
             and bool(voters)
             and not is_pending
             and self.has_committed_in_term()
@@ -578,7 +581,7 @@
                 self._send_entries(peer)
 
     def _progress_of(self, peer: str) -> Progress:
-        return self._progress.of(peer, next_index=self.log.last_index + 1)
+        return self._progress.get_or_create(peer, next_index=self.log.last_index + 1)
 
     def _send_entries(self, peer: str) -> None:
         """Send a peer the entries it lacks, a snapshot, or only the commit index."""
@@ -620,7 +623,7 @@
         """Complete, in order, the reads whose heartbeat round a majority has acknowledged."""
         while self._pending_reads:
             read = self._pending_reads[0]
-            confirmed = self._progress.acknowledging(read.heartbeat_round)
+            confirmed = self._progress.members_acknowledging(read.heartbeat_round)
             if not self.has_quorum(confirmed | {self.member_id}):
                 return
             self._pending_reads.popleft()
--- a/dockthread/raft/options.py
+++ b/dockthread/raft/options.py
@@ -71,12 +71,12 @@
 
     def addresses(self) -> dict[str, Address]:
         """Return the address of each member by name."""
-        found: dict[str, Address] = {}
+        address_by_name: dict[str, Address] = {}
         for name, address in _named_addresses(self.members):
             host_and_port = host_port(address)
             if host_and_port is not None:
-                found[name] = Address(*host_and_port)
-        return found
+                address_by_name[name] = Address(*host_and_port)
+        return address_by_name
 
     def key(self) -> bytes:
         """Read the shared key; empty if no key file is set.
@@ -108,8 +108,8 @@
         for member, (name, address) in zip(
             self.members, _named_addresses(self.members), strict=True
         ):
-            is_name = name and not any(character.isspace() for character in name)
-            if not is_name or host_port(address) is None:
+            is_valid_name = name and not any(character.isspace() for character in name)
+            if not is_valid_name or host_port(address) is None:
                 yield KeyProblem("members", f"{member!r} is not a member", "write NAME=HOST:PORT")
         if len(set(names)) < len(names):
             yield KeyProblem("members", "lists a name twice", "give each ingress its own name")
--- a/dockthread/raft/progress.py
+++ b/dockthread/raft/progress.py
@@ -36,8 +36,8 @@
 
     def back_off(self, match_index: int) -> None:
         """Move `next_index` back after a rejection; the logs match at most up to `match_index`."""
-        last_candidate = min(match_index, self.next_index - 1)
-        self.next_index = max(self.match_index, last_candidate) + 1
+        last_match_candidate = min(match_index, self.next_index - 1)
+        self.next_index = max(self.match_index, last_match_candidate) + 1
 
     def acknowledge(self, heartbeat_round: int, now: float) -> None:
         """Record a response to a message of this heartbeat round."""
@@ -60,7 +60,7 @@
         """
         self._progress = {member: Progress(next_index, last_response_at=now) for member in members}
 
-    def of(self, member: str, next_index: int) -> Progress:
+    def get_or_create(self, member: str, next_index: int) -> Progress:
         """Return a member's progress; a member without progress starts at `next_index`."""
         progress = self._progress.get(member)
         if progress is None:
@@ -77,22 +77,28 @@
         progress = self._progress.get(member)
         return progress.last_response_at if progress else NEVER
 
-    def holding(self, index: int) -> set[str]:
+    def members_holding(self, index: int) -> set[str]:
         """Return the members whose log is known to hold the leader's entry at `index`."""
-        return {name for name, each in self._progress.items() if each.match_index >= index}
+        return {
+            name
+            for name, member_progress in self._progress.items()
+            if member_progress.match_index >= index
+        }
 
-    def acknowledging(self, heartbeat_round: int) -> set[str]:
+    def members_acknowledging(self, heartbeat_round: int) -> set[str]:
         """Return the members that have acknowledged this heartbeat round or a later one."""
         return {
             name
-            for name, each in self._progress.items()
-            if each.acknowledged_round >= heartbeat_round
+            for name, member_progress in self._progress.items()
+            if member_progress.acknowledged_round >= heartbeat_round
         }
 
     def responded_within(self, window_ms: float, now: float) -> set[str]:
         """Return the members that responded in the last `window_ms`."""
         return {
-            name for name, each in self._progress.items() if now - each.last_response_at < window_ms
+            name
+            for name, member_progress in self._progress.items()
+            if now - member_progress.last_response_at < window_ms
         }
 
     def clear_in_flight(self) -> None:
--- a/dockthread/raft/proposals.py
+++ b/dockthread/raft/proposals.py
@@ -20,7 +20,7 @@
         # Proposals that were forwarded to the leader, by token.
         self._by_token: dict[int, asyncio.Future[int]] = {}
         self._last_token = 0
-        self._unapplied: list[tuple[int, asyncio.Future[None]]] = []
+        self._awaiting_applied: list[tuple[int, asyncio.Future[None]]] = []
 
     def await_commit(self, index: int, term: int) -> asyncio.Future[int]:
         """Return a future for the commit of the entry that this leader appended at an index."""
@@ -38,7 +38,7 @@
     def await_applied(self, index: int) -> asyncio.Future[None]:
         """Return a future that completes once the local state machine has applied an index."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._unapplied.append((index, future))
+        self._awaiting_applied.append((index, future))
         return future
 
     def on_response(self, token: int, index: int) -> None:
@@ -53,13 +53,13 @@
 
     def on_applied(self, index: int) -> None:
         """Complete the futures of callers that waited for this index to be applied locally."""
-        for awaited, future in self._unapplied:
-            if awaited <= index and not future.done():
+        for awaited_index, future in self._awaiting_applied:
+            if awaited_index <= index and not future.done():
                 future.set_result(None)
-        self._unapplied = [
-            (awaited, future)
-            for awaited, future in self._unapplied
-            if awaited > index and not future.done()
+        self._awaiting_applied = [
+            (awaited_index, future)
+            for awaited_index, future in self._awaiting_applied
+            if awaited_index > index and not future.done()
         ]
 
     def on_committed(self, index: int, term: int) -> None:
--- a/dockthread/raft/runner.py
+++ b/dockthread/raft/runner.py
@@ -142,8 +142,8 @@
     def _set_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        wait = max(MIN_TIMER_MS, self.core.next_deadline() - self._clock.now()) / 1000.0
-        self._timer = asyncio.get_running_loop().call_later(wait, self._on_timer)
+        wait_s = max(MIN_TIMER_MS, self.core.next_deadline() - self._clock.now()) / 1000.0
+        self._timer = asyncio.get_running_loop().call_later(wait_s, self._on_timer)
 
     def _on_timer(self) -> None:
         self._enqueue(self.core.tick(self._clock.now()))
@@ -201,9 +201,9 @@
     def _compact(self, index: int) -> None:
         """Replace the applied entries with a snapshot once there are enough of them."""
         core = self.core
-        entries_before_snapshot = max(
+        min_applied_entries = max(
             ENTRIES_BEFORE_SNAPSHOT, len(core.log.snapshot) // SNAPSHOT_BYTES_PER_ENTRY
         )
-        is_last = core.applied_index == index
-        if is_last and index - core.log.snapshot_index >= entries_before_snapshot:
+        is_last_applied = core.applied_index == index
+        if is_last_applied and index - core.log.snapshot_index >= min_applied_entries:
             self._enqueue(core.compact(index, self._state_machine.snapshot()))
--- a/dockthread/raft/server.py
+++ b/dockthread/raft/server.py
@@ -101,7 +101,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
         # Time at which the state machine was last known to include every committed command.
-        self._current_at = UNKNOWN_AGE_MS
+        self._up_to_date_at = UNKNOWN_AGE_MS
 
     def _open_storage(self) -> RaftStorage:
         directory = self._options.directory
@@ -258,8 +258,8 @@
         now = self._clock.now()
         window = self._quorum_window()
         if window is not None and self._runner.applied_index >= self._runner.core.commit_index:
-            self._current_at = max(self._current_at, now - window)
-        return now - self._current_at if self._current_at >= 0 else UNKNOWN_AGE_MS
+            self._up_to_date_at = max(self._up_to_date_at, now - window)
+        return now - self._up_to_date_at if self._up_to_date_at >= 0 else UNKNOWN_AGE_MS
 
     def _quorum_window(self) -> float | None:
         """Return the shortest window in ms, in whole heartbeats, in which a majority responded.
@@ -271,8 +271,8 @@
         if core.role is not Role.LEADER or not core.has_committed_in_term():
             return None
         interval = self._timing.heartbeat_interval_ms
-        rounds = int(self._timing.election_timeout_ms // interval)
-        for heartbeats in range(1, 1 + rounds):
+        max_heartbeats = int(self._timing.election_timeout_ms // interval)
+        for heartbeats in range(1, 1 + max_heartbeats):
             window = interval * heartbeats
             if core.has_quorum(core.responded_within(window) | {self.name}):
                 return window
@@ -331,7 +331,7 @@
             and self._runner.core.leader_id == message.sender
             and 0 < message.commit_index <= self._runner.applied_index
         ):
-            self._current_at = now
+            self._up_to_date_at = now
 
     def _accept_report(self, report: messages.StatusReport) -> None:
         """Pass a status report to the state machine if this member is the leader."""
--- a/dockthread/raft/storage.py
+++ b/dockthread/raft/storage.py
@@ -184,7 +184,7 @@
         self._write_snapshot_record()
 
     def _append(self, record: LogRecord) -> None:
-        _write_all(self._log, _frame(msgspec.msgpack.encode(record)))
+        _write_all(self._log, _frame_record(msgspec.msgpack.encode(record)))
         os.fdatasync(self._log)
 
     def _write_snapshot_record(self) -> None:
@@ -192,24 +192,24 @@
 
     def _replace_file(self, name: str, body: bytes) -> None:
         """Replace a file atomically with one that holds a single record, and sync it."""
-        temporary = self._folder / f"{name}.{secrets.token_hex(4)}"
-        handle = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_EXCL, FILE_MODE)
+        temporary_path = self._folder / f"{name}.{secrets.token_hex(4)}"
+        descriptor = os.open(temporary_path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, FILE_MODE)
         try:
-            _write_all(handle, _frame(body))
-            os.fsync(handle)
+            _write_all(descriptor, _frame_record(body))
+            os.fsync(descriptor)
         finally:
-            os.close(handle)
-        os.rename(temporary, self._folder / name)
-        folder = os.open(self._folder, os.O_RDONLY)
-        os.fsync(folder)
-        os.close(folder)
+            os.close(descriptor)
+        os.rename(temporary_path, self._folder / name)
+        folder_descriptor = os.open(self._folder, os.O_RDONLY)
+        os.fsync(folder_descriptor)
+        os.close(folder_descriptor)
 
     # Reading
 
     def _load(self) -> PersistentState:
         """Read both files, and delete temporary files that a crash left behind."""
-        for temporary in [*self._folder.glob("state.*"), *self._folder.glob("log.*")]:
-            temporary.unlink(missing_ok=True)
+        for temporary_path in [*self._folder.glob("state.*"), *self._folder.glob("log.*")]:
+            temporary_path.unlink(missing_ok=True)
         bodies, is_complete = self._read_records("state")
         if len(bodies) != 1 or not is_complete:
             raise RaftStorageError(f"{self._folder / 'state'} is cut short; {ADVICE_AFTER_LOSS}")
@@ -280,10 +280,10 @@
     return hashlib.blake2b(body, digest_size=CHECKSUM_BYTES).digest()
 
 
-def _frame(body: bytes) -> bytes:
+def _frame_record(body: bytes) -> bytes:
     return RECORD_HEADER.pack(len(body), _checksum(body)) + body
 
 
-def _write_all(handle: int, data: bytes) -> None:
+def _write_all(descriptor: int, data: bytes) -> None:
     while data:
-        data = data[os.write(handle, data) :]
+        data = data[os.write(descriptor, data) :]
--- a/dockthread/raft/transport.py
+++ b/dockthread/raft/transport.py
@@ -49,7 +49,7 @@
         self._chunks: Iterator[bytes] | None = None  # remaining chunks of the current snapshot
         self._snapshot_id = (0, 0)  # term and last index of the latest snapshot
         self._snapshot_sent_at = -SNAPSHOT_RETRY_S  # time when the last chunk was written
-        self._has_work = asyncio.Event()
+        self._has_queued_frames = asyncio.Event()
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def send(self, message: messages.Message) -> None:
@@ -61,13 +61,13 @@
             self._send_snapshot(message)
         else:
             self._queue.append(messages.pack(message, self._key))
-        self._has_work.set()
+        self._has_queued_frames.set()
 
     def _send_snapshot(self, message: messages.InstallSnapshot) -> None:
         """Start sending a snapshot in chunks, or send a heartbeat if it was sent recently."""
         snapshot_id = (message.term, message.last_index)
-        recently = time.monotonic() - self._snapshot_sent_at < SNAPSHOT_RETRY_S
-        if self._chunks is not None or (snapshot_id == self._snapshot_id and recently):
+        was_sent_recently = time.monotonic() - self._snapshot_sent_at < SNAPSHOT_RETRY_S
+        if self._chunks is not None or (snapshot_id == self._snapshot_id and was_sent_recently):
             heartbeat = messages.AppendEntries(
                 term=message.term,
                 sender=message.sender,
@@ -85,15 +85,15 @@
     async def _run(self) -> None:
         """Connect when a frame is queued, and write until the connection breaks."""
         while True:
-            await self._has_work.wait()
+            await self._has_queued_frames.wait()
             writer = None
             try:
                 async with asyncio.timeout(CONNECT_TIMEOUT_S):
                     address = self._address
                     _, writer = await asyncio.open_connection(address.host, address.port)
                 while True:
-                    await self._has_work.wait()
-                    self._has_work.clear()
+                    await self._has_queued_frames.wait()
+                    self._has_queued_frames.clear()
                     await self._write_queued(writer)
             except (OSError, TimeoutError):
                 self._queue.clear()  # the frames would be outdated after a reconnect
--- a/tests/maintenance/scheduler_driver.py
+++ b/tests/maintenance/scheduler_driver.py
@@ -51,7 +51,7 @@
         self, elapsed_ms: float = 500.0, reachable: tuple[str, ...] = MEMBERS, **fields: Any
     ) -> None:
         """Apply a leader's report of healthy zones; `fields` override its fields."""
-        known = {
+        report_fields = {
             "zones": (ZoneStatus("a", 6), ZoneStatus("b", 6)),
             "listed_targets": tuple(self.scheduler.requests),
             "grant_timeout_ms": 30_000.0,
@@ -59,7 +59,7 @@
             **fields,
         }
         number = self.scheduler.report_count + 1
-        report = LeaderReport(number, elapsed_ms, MEMBERS, reachable, **known)
+        report = LeaderReport(number, elapsed_ms, MEMBERS, reachable, **report_fields)
         self.apply(REPORT, report=report)
 
     def request(self, target: str) -> MaintenanceRequest:
@@ -72,7 +72,7 @@
         if request is not None:
             return request.state
         finished = reversed(self.scheduler.finished)
-        return next((one.state for one in finished if one.target == target), "")
+        return next((request.state for request in finished if request.target == target), "")
 
     def reason(self, target: str) -> str:
         """Return the text that tells operators why a request waits."""
--- a/tests/maintenance/test_aggregation.py
+++ b/tests/maintenance/test_aggregation.py
@@ -20,15 +20,17 @@
     return MemberObservation((zone,), ("x",))
 
 
-def test_an_observation_takes_a_majority_and_no_one_member_alone_is_believed() -> None:
-    three = {
+def test_an_observation_needs_a_majority_and_a_single_member_is_not_trusted() -> None:
+    three_observations = {
         "n0": observation(("x", "y")),
         "n1": observation(("x", "y"), ("y",), True, 4.0),
         "n2": observation(("x",)),
     }
     expected = ZoneStatus("a", 1, (), 8 * 5 / 3 / 4, False)
-    assert combine_observations(three, 5, 4.0) == ((expected,), ("x",))
-    four = {**three, "n3": observation(("x", "y"), ("y",), True)}
-    assert combine_observations(four, 5, 0.0)[0] == (ZoneStatus("a", 2, ("y",), -1.0, True),)
-    two = {"n0": three["n0"], "n1": three["n1"]}
-    assert combine_observations(two, 5, 4.0) == ((), ())
+    assert combine_observations(three_observations, 5, 4.0) == ((expected,), ("x",))
+    four_observations = {**three_observations, "n3": observation(("x", "y"), ("y",), True)}
+    assert combine_observations(four_observations, 5, 0.0)[0] == (
+        ZoneStatus("a", 2, ("y",), -1.0, True),
+    )
+    two_observations = {"n0": three_observations["n0"], "n1": three_observations["n1"]}
+    assert combine_observations(two_observations, 5, 4.0) == ((), ())
--- a/tests/maintenance/test_participant.py
+++ b/tests/maintenance/test_participant.py
@@ -25,10 +25,10 @@
 
 
 def report(number: int, elapsed_ms: float = 500.0) -> bytes:
-    content = LeaderReport(
+    leader_report = LeaderReport(
         number, elapsed_ms, MEMBERS, MEMBERS, (ZoneStatus("a", 4),), ("x", "y"), 30_000.0, 5_000.0
     )
-    return command(CommandAction.REPORT, report=content)
+    return command(CommandAction.REPORT, report=leader_report)
 
 
 def cluster(leader: str = "n0", idle: tuple[str, ...] = (), is_serving: bool = True) -> ClusterView:
@@ -48,10 +48,10 @@
 
 
 def proposals(actions: ParticipantActions) -> list[tuple[str, str]]:
-    return [(one.action, one.target) for one in actions.propose]
+    return [(proposal.action, proposal.target) for proposal in actions.propose]
 
 
-def test_a_drained_backend_is_confirmed_once_idle_and_again_until_the_state_has_it() -> None:
+def test_a_drained_backend_is_confirmed_once_idle_and_again_if_the_proposal_is_lost() -> None:
     participant = new_participant("n1")
     for index, data in enumerate(drained_log(("n0",)), 1):
         participant.on_entry_applied(0.0, index, data)
@@ -66,9 +66,7 @@
     )
 
 
-def test_a_start_drains_all_that_may_be_unavailable_until_its_log_is_known_to_be_committed() -> (
-    None
-):
+def test_at_startup_possibly_unavailable_backends_are_drained_until_the_log_is_committed() -> None:
     # Only 5 of the 7 entries are known to be committed. The last two, which end the maintenance of
     # x, may be replaced, so x may still be unavailable.
     log = [*drained_log(MEMBERS), command(CommandAction.COMPLETE, "x"), report(2)]
@@ -80,13 +78,15 @@
         participant.on_entry_applied(1.0, index, data)
         participant.on_log_advanced(index, 1)
     assert participant.update(2.0, cluster()).release == ["x"]
-    certain = new_participant("n1", "again")
-    certain.recover(b"", entries, 7, 7, 1)
-    assert certain.update(0.0, cluster("")).drain == [], "the complete log is known as committed"
+    participant_with_committed_log = new_participant("n1", "again")
+    participant_with_committed_log.recover(b"", entries, 7, 7, 1)
+    assert participant_with_committed_log.update(0.0, cluster("")).drain == [], (
+        "the complete log is known as committed"
+    )
 
 
 @pytest.mark.parametrize(
-    ("leader", "incarnation", "state", "wanted"),
+    ("leader", "incarnation", "state", "expected_action"),
     [
         ("n1", "a", "granted", "hand over"),
         ("n0", "a", "granted", "held"),
@@ -94,8 +94,8 @@
         ("n0", "b", "out", "back"),
     ],
 )
-def test_an_ingress_does_one_thing_for_its_own_restart(
-    leader: str, incarnation: str, state: str, wanted: str
+def test_an_ingress_takes_exactly_one_step_towards_its_own_restart(
+    leader: str, incarnation: str, state: str, expected_action: str
 ) -> None:
     participant = new_participant("n1", incarnation)
     log = [command(CommandAction.REQUEST, "n1", kind=TargetKind.INGRESS), report(1)]
@@ -105,10 +105,10 @@
     for index, data in enumerate(log, 1):
         participant.on_entry_applied(0.0, index, data)
     actions = participant.update(10.0, cluster(leader))
-    done = {
+    actions_by_name = {
         "hand over": actions.transfer_leadership,
         "stop": actions.stop,
         "held": proposals(actions) == [("held", "n1")],
     }
-    assert done.get(wanted, proposals(actions) == [("back", "n1")])
+    assert actions_by_name.get(expected_action, proposals(actions) == [("back", "n1")])
     assert sum([actions.transfer_leadership, actions.stop, bool(actions.propose)]) == 1
--- a/tests/maintenance/test_process_maintenance.py
+++ b/tests/maintenance/test_process_maintenance.py
@@ -12,37 +12,41 @@
 from tests.maintenance.cluster_scenarios import (
     GRANTED_STATES,
     all_have_drained,
-    call_work,
+    call_maintenance,
     every_member_knows_a_leader,
     is_unavailable_at,
-    play,
-    state_of,
-    until,
+    request_state,
+    run_scenario,
+    wait_until,
 )
 
 
 def test_two_backends_requested_at_once_are_granted_one_after_the_other(tmp_path: Path) -> None:
     async def scenario(cluster: ProcessCluster) -> None:
-        await until(lambda: every_member_knows_a_leader(cluster))
+        await wait_until(lambda: every_member_knows_a_leader(cluster))
         answers = await asyncio.gather(
-            call_work(cluster, "n0", "s-0"), call_work(cluster, "n1", "s-1")
+            call_maintenance(cluster, "n0", "s-0"), call_maintenance(cluster, "n1", "s-1")
         )
         assert {status for status, _ in answers} == {200}
-        states = {answer["target"]: answer["state"] for _, answer in answers}
+        states = {
+            expected_output["target"]: expected_output["state"] for _, expected_output in answers
+        }
         assert sum(state in GRANTED_STATES for state in states.values()) == 1, states
         first = next(uid for uid, state in states.items() if state in GRANTED_STATES)
         second = next(uid for uid, state in states.items() if state == "waiting")
-        waits = next(answer for _, answer in answers if answer["target"] == second)
-        assert waits["reason"] == f"{first} of hall-a is out, and 1 may be"
-        await until(lambda: all_have_drained(cluster, first, cluster.names))
-        assert (await call_work(cluster, "n2", first, "done"))[0] == 200
-        await until(lambda: all_have_drained(cluster, second, cluster.names))
-        assert (await call_work(cluster, "n0", "no-such"))[0] == 404
+        waiting_answer = next(
+            expected_output for _, expected_output in answers if expected_output["target"] == second
+        )
+        assert waiting_answer["reason"] == f"{first} of hall-a is out, and 1 may be"
+        await wait_until(lambda: all_have_drained(cluster, first, cluster.names))
+        assert (await call_maintenance(cluster, "n2", first, "done"))[0] == 200
+        await wait_until(lambda: all_have_drained(cluster, second, cluster.names))
+        assert (await call_maintenance(cluster, "n0", "no-such"))[0] == 404
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_an_ingress_that_is_no_member_does_not_start(tmp_path: Path) -> None:
+def test_an_ingress_that_is_not_listed_as_a_member_does_not_start(tmp_path: Path) -> None:
     async def scenario(cluster: ProcessCluster) -> None:
         cluster.kill("n2")
         ini = cluster.folder / "n2" / "dockthread.ini"
@@ -53,84 +57,86 @@
             in (cluster.folder / "n2" / "out").read_bytes()
         )
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_the_commands_lead_staff_through_maintenance(tmp_path: Path) -> None:
+def test_the_work_commands_take_a_backend_through_maintenance(tmp_path: Path) -> None:
     async def scenario(cluster: ProcessCluster) -> None:
-        await until(lambda: every_member_knows_a_leader(cluster))
-        for words, answer in (
+        await wait_until(lambda: every_member_knows_a_leader(cluster))
+        for arguments, expected_output in (
             ("work ask s-0 --why fan --for 1h", "s-0  "),
             ("work ask s-1", "s-1  waiting: s-0 of hall-a is out, and 1 may be"),
             ("work list", "s-0  out (fan)\ns-1  waiting: s-0 of hall-a is out, and 1 may be"),
             ("work withdraw s-1", "s-1  withdrawn"),
             ("work done s-0", "s-0  returning"),
         ):
-            if words == "work list":
-                await until(lambda: is_unavailable_at(cluster, "s-0", "n1"))
+            if arguments == "work list":
+                await wait_until(lambda: is_unavailable_at(cluster, "s-0", "n1"))
             command = [
                 sys.executable,
                 "-m",
                 "dockthread",
-                *words.split(),
+                *arguments.split(),
                 "--at",
                 str(cluster.admin["n1"]),
             ]
-            done = await asyncio.to_thread(
+            completed = await asyncio.to_thread(
                 subprocess.run, command, capture_output=True, text=True, timeout=30
             )
-            assert done.returncode == 0 and done.stdout.startswith(answer), (
-                words,
-                done.stdout,
-                done.stderr,
+            assert completed.returncode == 0 and completed.stdout.startswith(expected_output), (
+                arguments,
+                completed.stdout,
+                completed.stderr,
             )
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 def test_ingresses_restart_one_after_another_and_a_leader_transfers_leadership_first(
     tmp_path: Path,
 ) -> None:
     async def scenario(cluster: ProcessCluster) -> None:
-        await until(lambda: every_member_knows_a_leader(cluster))
+        await wait_until(lambda: every_member_knows_a_leader(cluster))
         leader = await cluster.leader()
         for name in cluster.names:
-            assert (await call_work(cluster, leader, name))[0] == 200
-        gone: list[str] = []
+            assert (await call_maintenance(cluster, leader, name))[0] == 200
+        exited_names: list[str] = []
 
-        async def supervised() -> bool:
+        async def restart_exited_ingresses() -> bool:
             """Restart each ingress that has exited, as a supervisor would.
 
             Return whether all maintenance requests are done.
             """
-            ended = [
+            exited = [
                 name for name, process in cluster.processes.items() if process.poll() is not None
             ]
-            assert len(ended) <= 1, f"{ended} are out of service at the same time"
-            for name in ended:
+            assert len(exited) <= 1, f"{exited} are out of service at the same time"
+            for name in exited:
                 assert cluster.processes[name].returncode == 0, "the shutdown must be graceful"
-                gone.append(name)
+                exited_names.append(name)
                 cluster.start(name)
-            states = [await state_of(cluster, cluster.names[0], name) for name in cluster.names]
+            states = [
+                await request_state(cluster, cluster.names[0], name) for name in cluster.names
+            ]
             return states == ["done"] * len(cluster.names)
 
-        await until(supervised, 90.0)
-        assert sorted(gone) == cluster.names
+        await wait_until(restart_exited_ingresses, 90.0)
+        assert sorted(exited_names) == cluster.names
 
-    play(tmp_path, scenario, is_watched=False)
+    run_scenario(tmp_path, scenario, watches_grants=False)
 
 
-def test_an_unavailable_backend_is_drained_from_the_start_also_in_a_minority(
+def test_an_unavailable_backend_is_drained_at_startup_even_without_a_majority(
     tmp_path: Path,
 ) -> None:
     async def scenario(cluster: ProcessCluster) -> None:
-        await until(lambda: every_member_knows_a_leader(cluster))
-        assert (await call_work(cluster, "n0", "s-0"))[0] == 200
-        await until(lambda: is_unavailable_at(cluster, "s-0", "n1"))
+        await wait_until(lambda: every_member_knows_a_leader(cluster))
+        assert (await call_maintenance(cluster, "n0", "s-0"))[0] == 200
+        await wait_until(lambda: is_unavailable_at(cluster, "s-0", "n1"))
         for name in cluster.names:
             cluster.kill(name)
         cluster.start("n1")
-        await until(lambda: is_ready(cluster, "n1"))
+        await wait_until(lambda: is_ready(cluster, "n1"))
         log = (cluster.folder / "n1" / "out").read_bytes().rpartition(b"management endpoint")[2]
         assert log.index(b"s-0 is drained") < log.index(b"starting -> serving")
         assert await cluster.call("n1", "POST", "/_backends/attach", {"target": "no-such"}) == (
@@ -138,7 +144,7 @@
             ANY,
         )
 
-    play(tmp_path, scenario, is_watched=False)
+    run_scenario(tmp_path, scenario, watches_grants=False)
 
 
 async def is_ready(cluster: ProcessCluster, name: str) -> bool:
--- a/tests/maintenance/test_scheduler_constraints.py
+++ b/tests/maintenance/test_scheduler_constraints.py
@@ -16,7 +16,7 @@
 )
 
 
-def test_the_urgent_is_granted_first_then_the_older_and_zones_are_independent() -> None:
+def test_requests_are_granted_by_urgency_then_age_and_zones_are_independent() -> None:
     driver = SchedulerDriver()
     requests: tuple[tuple[str, dict[str, Any]], ...] = (
         ("x", {}),
@@ -35,7 +35,7 @@
     assert driver.state("hot") == "withdrawn"
 
 
-def test_an_unreachable_member_is_waited_for_until_the_failure_timeout() -> None:
+def test_an_unreachable_member_is_awaited_until_the_failure_timeout() -> None:
     driver = SchedulerDriver()
     driver.apply(REQUEST, "x")
     driver.report()
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize(
-    ("observed", "why"),
+    ("report_fields", "expected_reason"),
     [
         ({"zones": (ZoneStatus("a", 6, ("z",)),)}, "z of a fails"),
         ({"zones": (ZoneStatus("a", 6, is_overloaded=True),)}, "requests wait too long in a"),
@@ -61,22 +61,22 @@
         ({"listed_targets": ()}, "fewer than half of the members see it"),
     ],
 )
-def test_nothing_is_granted_in_an_unsafe_zone_and_a_grant_is_revoked_until_it_is_drained(
-    observed: dict[str, Any], why: str
+def test_an_unsafe_zone_blocks_grants_and_revokes_a_grant_that_is_not_drained_yet(
+    report_fields: dict[str, Any], expected_reason: str
 ) -> None:
     driver = SchedulerDriver()
     driver.apply(REQUEST, "x")
-    driver.report(**observed)
-    assert (driver.state("x"), driver.reason("x")) == ("waiting", why)
+    driver.report(**report_fields)
+    assert (driver.state("x"), driver.reason("x")) == ("waiting", expected_reason)
     driver.report()
     assert driver.confirm(DRAINED, "x", ("n0",)) == "draining"
     # A grant is not revoked if the backend is no longer listed. A load of 4.1 does not revoke it
     # either, because a draining backend is not subtracted from the ready ones again.
-    if "listed_targets" not in observed and "4.1" not in str(observed):
-        driver.report(**observed)
+    if "listed_targets" not in report_fields and "4.1" not in str(report_fields):
+        driver.report(**report_fields)
         assert driver.state("x") == "waiting"
-        assert f"called back, as {why}" in driver.reason("x")
+        assert f"called back, as {expected_reason}" in driver.reason("x")
     driver.report()
     assert driver.confirm(DRAINED, "x") == "out"
-    driver.report(**observed)
+    driver.report(**report_fields)
     assert driver.state("x") == "out", "an unavailable target stays unavailable"
--- a/tests/maintenance/test_scheduler_life_cycle.py
+++ b/tests/maintenance/test_scheduler_life_cycle.py
@@ -15,14 +15,14 @@
 )
 
 
-def test_every_state_is_reached_and_only_final_states_are_never_left() -> None:
-    reached = set(TRANSITIONS.values()) | {RequestState.WAITING}
-    left = {state for state, _ in TRANSITIONS}
-    assert reached == set(RequestState)
-    assert set(RequestState) - left == set(FINAL_STATES)
+def test_every_state_is_reachable_and_only_final_states_have_no_transition() -> None:
+    reached_states = set(TRANSITIONS.values()) | {RequestState.WAITING}
+    left_states = {state for state, _ in TRANSITIONS}
+    assert reached_states == set(RequestState)
+    assert set(RequestState) - left_states == set(FINAL_STATES)
 
 
-def test_a_backend_is_unavailable_once_all_drained_it_and_away_until_it_is_warm() -> None:
+def test_a_backend_is_unavailable_once_all_drained_it_and_blocks_its_zone_until_warmed_up() -> None:
     driver = SchedulerDriver()
     assert driver.apply(REQUEST, "x", warm_up_ms=2_000.0) == "waiting"
     assert driver.reason("x") == "it is being looked at"
@@ -48,7 +48,7 @@
     assert (driver.state("x"), driver.state("y")) == ("done", "granted")
 
 
-def test_a_grant_that_is_not_drained_in_time_is_revoked_and_abandoned_at_the_third() -> None:
+def test_a_grant_that_is_not_drained_in_time_is_revoked_and_the_third_time_abandoned() -> None:
     driver = SchedulerDriver()
     driver.apply(REQUEST, "x")
     driver.report()
@@ -65,7 +65,9 @@
     assert not driver.scheduler.drained_backends()
 
 
-def test_work_that_takes_longer_than_said_is_overdue_and_stays_unavailable() -> None:
+def test_maintenance_that_exceeds_its_duration_is_overdue_and_the_target_stays_unavailable() -> (
+    None
+):
     driver = SchedulerDriver()
     driver.apply(REQUEST, "x", duration_ms=60_000.0)
     driver.report()
@@ -79,7 +81,7 @@
     assert driver.apply(COMPLETE, "x") == "returning"
 
 
-def test_an_ingress_confirms_its_own_restart_and_is_back_in_another_incarnation() -> None:
+def test_an_ingress_confirms_its_own_restart_and_returns_in_another_incarnation() -> None:
     driver = SchedulerDriver()
     driver.apply(REQUEST, "n1", zone="", kind=TargetKind.INGRESS)
     driver.report(reachable=("n0", "n1"))
--- a/tests/raft/test_elections.py
+++ b/tests/raft/test_elections.py
@@ -14,18 +14,18 @@
 from tests.raft.core_helpers import applied_indices, follower, grants_vote, leader, sent
 
 
-def test_vote_is_persisted_before_it_is_sent_and_given_once_a_term() -> None:
+def test_vote_is_persisted_before_it_is_sent_and_granted_once_per_term() -> None:
     core = follower()
     actions = core.step(5_000.0, VoteRequest(1, "b", 0, 0))
-    kinds = [type(action) for action in actions]
-    assert kinds.index(PersistEntries) < kinds.index(SendMessage)
+    action_types = [type(action) for action in actions]
+    assert action_types.index(PersistEntries) < action_types.index(SendMessage)
     votes = [action.voted_for for action in actions if isinstance(action, PersistEntries)]
     assert votes[-1] == "b"
-    second = core.step(5_001.0, VoteRequest(1, "c", 0, 0))
-    assert sent(second) == [VoteResponse(1, "a", False)]
+    second_response = core.step(5_001.0, VoteRequest(1, "c", 0, 0))
+    assert sent(second_response) == [VoteResponse(1, "a", False)]
 
 
-def test_vote_is_refused_for_an_older_log_and_while_a_leader_is_heard() -> None:
+def test_vote_is_refused_for_an_older_log_and_while_the_leader_is_alive() -> None:
     entries = [Entry(1, EntryKind.COMMAND), Entry(2, EntryKind.COMMAND)]
     core = follower(stored=PersistentState(term=2, entries=entries))
     assert not grants_vote(core, VoteRequest(3, "b", 5, 1))
--- a/tests/raft/test_fleet_options.py
+++ b/tests/raft/test_fleet_options.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "wrong"),
+    ("text", "expected_problem"),
     [
         ("members = a=127.0.0.1:1", "listen: is missing"),
         ("listen = nowhere", "listen: 'nowhere' is not an address"),
@@ -29,12 +29,15 @@
         ("listen = h:1\nmembers = a=h:1\ndirectory = d\nmost_out = 0", "most_out: is less than 1"),
     ],
 )
-def test_a_wrong_section_is_rejected_with_its_key(text: str, wrong: str) -> None:
-    problems = [str(p) for p in parse_operator_file(f"[fleet]\n{text}\n", "f.ini").errors]
-    assert any(wrong in problem for problem in problems), problems
+def test_an_invalid_fleet_section_is_rejected_with_the_key(
+    text: str, expected_problem: str
+) -> None:
+    parsed = parse_operator_file(f"[fleet]\n{text}\n", "f.ini")
+    problems = [str(problem) for problem in parsed.errors]
+    assert any(expected_problem in problem for problem in problems), problems
 
 
-def test_without_the_section_there_is_no_cluster_and_a_short_key_is_rejected(
+def test_a_missing_section_gives_default_options_and_a_short_key_is_rejected(
     tmp_path: Path,
 ) -> None:
     assert parse_operator_file("", "f.ini").section("fleet") == FleetOptions()
--- a/tests/raft/test_messages.py
+++ b/tests/raft/test_messages.py
@@ -14,16 +14,16 @@
 INSTALL = messages.InstallSnapshot(3, "n0", 90_000, 3, ("n0", "n1"), b"", 7)
 
 
-def test_message_is_read_as_it_was_sent_and_a_malformed_frame_says_why() -> None:
+def test_message_is_decoded_as_sent_and_a_malformed_frame_is_rejected_with_the_reason() -> None:
     message = AppendEntries(3, "n1", 4, 2, (Entry(3, EntryKind.COMMAND, b"x"),), 4, 9)
     frame = messages.pack(message, b"key")
     size = messages.FRAME_HEADER.size
     header, body = frame[:size], frame[size:]
     assert messages.length(header) == len(body)
     assert messages.unpack(header, body, b"key") == message
-    for key, changed in ((b"other", body), (b"key", body[:-1] + b"\x00"), (b"", body)):
+    for key, changed_body in ((b"other", body), (b"key", body[:-1] + b"\x00"), (b"", body)):
         with pytest.raises(MalformedFrameError, match="tag"):
-            messages.unpack(header, changed, key)
+            messages.unpack(header, changed_body, key)
     with pytest.raises(MalformedFrameError, match="version 9"):
         messages.length(messages.FRAME_HEADER.pack(3, 9, bytes(16)))
     too_large = messages.FRAME_HEADER.pack(messages.MAX_MESSAGE_BYTES + 1, 1, bytes(16))
@@ -37,16 +37,16 @@
 @pytest.mark.parametrize(
     "size", [1, messages.CHUNK_BYTES, messages.CHUNK_BYTES + 1, 3 * messages.CHUNK_BYTES]
 )
-def test_chunks_join_to_the_snapshot_that_was_split(size: int) -> None:
+def test_chunks_are_reassembled_into_the_original_snapshot(size: int) -> None:
     message = msgspec.structs.replace(INSTALL, snapshot=SNAPSHOT[:size])
     assembler = messages.SnapshotAssembler()
-    joined = []
+    results = []
     for frame in messages.split_snapshot(message, b""):
         header_size = messages.FRAME_HEADER.size
         chunk = messages.unpack(frame[:header_size], frame[header_size:])
         assert isinstance(chunk, messages.SnapshotChunk)
-        joined.append(assembler.add(chunk))
-    assert joined == [None] * (len(joined) - 1) + [message]
+        results.append(assembler.add(chunk))
+    assert results == [None] * (len(results) - 1) + [message]
 
 
 @pytest.mark.parametrize(
@@ -58,7 +58,7 @@
         {"data": b"x"},
     ],
 )
-def test_chunk_that_does_not_follow_the_last_one_is_malformed(change: dict[str, object]) -> None:
+def test_chunk_out_of_sequence_is_rejected_as_malformed(change: dict[str, object]) -> None:
     size = 2 * messages.CHUNK_BYTES
     data = SNAPSHOT[: messages.CHUNK_BYTES]
     assembler = messages.SnapshotAssembler()
--- a/tests/raft/test_progress.py
+++ b/tests/raft/test_progress.py
@@ -27,9 +27,9 @@
 
 def test_new_term_counts_every_member_as_having_responded() -> None:
     tracker = ProgressTracker()
-    tracker.of("old", next_index=1).accept(match_index=7)
+    tracker.get_or_create("old", next_index=1).accept(match_index=7)
     tracker.reset(("a", "b"), next_index=3, now=100.0)
-    tracker.of("late", next_index=3)
+    tracker.get_or_create("late", next_index=3)
     assert tracker.responded_within(50.0, now=149.0) == {"a", "b"}
     assert tracker.responded_within(50.0, now=150.0) == set()
-    assert (tracker.match_index("old"), tracker.holding(1)) == (0, set())
+    assert (tracker.match_index("old"), tracker.members_holding(1)) == (0, set())
--- a/tests/raft/test_proposals.py
+++ b/tests/raft/test_proposals.py
@@ -19,7 +19,7 @@
     asyncio.run(scenario())
 
 
-def test_outcome_is_unknown_once_the_leader_that_was_asked_leads_no_more() -> None:
+def test_outcome_is_unknown_once_the_leader_of_the_proposal_has_changed() -> None:
     async def scenario() -> None:
         proposals = PendingProposals()
         local = proposals.await_commit(index=4, term=2)
@@ -35,7 +35,7 @@
     asyncio.run(scenario())
 
 
-def test_caller_waits_until_the_index_is_applied_here() -> None:
+def test_caller_waits_until_the_index_is_applied_locally() -> None:
     async def scenario() -> None:
         proposals = PendingProposals()
         early, late = proposals.await_applied(3), proposals.await_applied(5)
--- a/tests/raft/test_replication.py
+++ b/tests/raft/test_replication.py
@@ -9,16 +9,18 @@
 from tests.raft.core_helpers import applied_indices, follower, leader
 
 
-def test_entry_of_an_older_term_is_not_committed_by_count() -> None:
+def test_entry_of_an_older_term_is_not_committed_by_counting_replicas() -> None:
     stored = PersistentState(term=1, entries=[Entry(1, EntryKind.COMMAND, b"old")])
     core = follower(stored=stored)
     core.tick(2_000.0)
     core.step(2_001.0, VoteResponse(2, "b", True, pre_vote=True))
     core.step(2_002.0, VoteResponse(2, "b", True))
-    old_entry = core.step(2_003.0, AppendEntriesResponse(2, "b", True, 1, 1))
-    assert not applied_indices(old_entry)
-    own_entry = core.step(2_004.0, AppendEntriesResponse(2, "b", True, 2, 1))
-    assert applied_indices(own_entry) == [1, 2], "committed with the first entry of the own term"
+    actions_for_old_entry = core.step(2_003.0, AppendEntriesResponse(2, "b", True, 1, 1))
+    assert not applied_indices(actions_for_old_entry)
+    actions_for_own_entry = core.step(2_004.0, AppendEntriesResponse(2, "b", True, 2, 1))
+    assert applied_indices(actions_for_own_entry) == [1, 2], (
+        "committed with the first entry of the own term"
+    )
 
 
 @pytest.mark.parametrize(
@@ -26,7 +28,7 @@
     [("a b c d", False), ("a b", True), ("a", False), ("b c d e", False), ("", False)],
     ids=["unresponsive voter added", "one removed", "two removed", "several changed", "none left"],
 )
-def test_voters_change_one_at_a_time_and_only_to_members_that_respond(
+def test_voters_change_one_at_a_time_and_only_to_responsive_members(
     voters: str, is_accepted: bool
 ) -> None:
     core = leader()
--- a/tests/raft/test_server.py
+++ b/tests/raft/test_server.py
@@ -39,34 +39,38 @@
     def on_leader_changed(self) -> None: ...
 
 
-def test_member_that_was_away_receives_a_snapshot_of_45_mb_and_persists_it(tmp_path: Path) -> None:
+def test_member_that_starts_late_receives_a_snapshot_of_45_mb_and_persists_it(
+    tmp_path: Path,
+) -> None:
     sockets = [reserve_port() for _ in range(3)]
     addresses = {
         f"n{number}": Address(*socket.getsockname()[:2]) for number, socket in enumerate(sockets)
     }
     members = tuple(f"{name}={address}" for name, address in addresses.items())
 
-    def server(name: str, state_machine: SnapshotStateMachine) -> RaftServer:
-        folder = tmp_path / name
-        if not folder.exists():
-            RaftStorage(folder, name, create=True).close()
-        options = FleetOptions(listen=str(addresses[name]), members=members, directory=str(folder))
+    def make_server(name: str, state_machine: SnapshotStateMachine) -> RaftServer:
+        directory = tmp_path / name
+        if not directory.exists():
+            RaftStorage(directory, name, create=True).close()
+        options = FleetOptions(
+            listen=str(addresses[name]), members=members, directory=str(directory)
+        )
         return RaftServer(name, options, Clock(), int(name[1]), state_machine)
 
     async def scenario() -> None:
         state_machines = {name: SnapshotStateMachine() for name in addresses}
-        pair = [server(name, state_machines[name]) for name in ("n0", "n1")]
-        for member in pair:
+        early_members = [make_server(name, state_machines[name]) for name in ("n0", "n1")]
+        for member in early_members:
             await member.open()
         for number in range(PROPOSALS):
-            assert await pair[0].propose(b"%d" % number, 20_000.0)
-        late = server("n2", state_machines["n2"])
-        await late.open()
+            assert await early_members[0].propose(b"%d" % number, 20_000.0)
+        late_member = make_server("n2", state_machines["n2"])
+        await late_member.open()
         async with asyncio.timeout(30):
             while state_machines["n2"].state != SNAPSHOT:
                 await asyncio.sleep(0.01)
-        assert late.status()["spoilt"] == 0
-        for member in [late, *pair]:
+        assert late_member.status()["spoilt"] == 0
+        for member in [late_member, *early_members]:
             await member.close()
 
     asyncio.run(scenario())
--- a/tests/raft/test_simulation.py
+++ b/tests/raft/test_simulation.py
@@ -22,12 +22,12 @@
 ]
 
 
-def fleet(*arguments: str) -> Result:
+def run_fleet_command(*arguments: str) -> Result:
     return CliRunner().invoke(lab, ["fleet", *arguments])
 
 
 @pytest.mark.parametrize("name", list(SCENARIOS))
-def test_no_rule_is_violated_in_some_seeds_of_each_scenario(name: str) -> None:
+def test_no_rule_is_violated_in_the_first_seeds_of_each_scenario(name: str) -> None:
     for chunk in play_seeds(play_seed, name, range(20 if "turns" in name else 60), jobs=1):
         assert not chunk.violating_seeds
 
@@ -39,22 +39,24 @@
 
 
 def test_replay_of_a_seed_prints_the_same_record_each_time() -> None:
-    first = fleet("replay", "work-agreement", "7")
-    assert first.exit_code == 0
-    assert first.output == fleet("replay", "work-agreement", "7").output
-    assert "applies" in first.output
+    first_result = run_fleet_command("replay", "work-agreement", "7")
+    assert first_result.exit_code == 0
+    assert first_result.output == run_fleet_command("replay", "work-agreement", "7").output
+    assert "applies" in first_result.output
 
 
 def test_seeds_command_reports_the_violation_of_a_seeded_defect_as_json() -> None:
-    found = fleet(
+    result = run_fleet_command(
         "seeds", "work-agreement", "--seeds", "0..3", "--plant", "small-majority", "--json"
     )
-    assert found.exit_code == 1
-    assert json.loads(found.output)["broken"][0]["rule"]
+    assert result.exit_code == 1
+    assert json.loads(result.output)["broken"][0]["rule"]
 
 
 def test_commands_list_scenarios_and_defects_and_reject_wrong_arguments() -> None:
-    assert fleet("scenarios").output.startswith("work-agreement")
-    assert fleet("seeds", "work-agreement", "--plant", "list").output.split()[0] in NAMES
-    assert fleet("seeds", "work-agreement", "--seeds", "9..3").exit_code == 2
-    assert fleet("seeds", "work-agreement", "--plant", "no-such").exit_code == 2
+    assert run_fleet_command("scenarios").output.startswith("work-agreement")
+    assert (
+        run_fleet_command("seeds", "work-agreement", "--plant", "list").output.split()[0] in NAMES
+    )
+    assert run_fleet_command("seeds", "work-agreement", "--seeds", "9..3").exit_code == 2
+    assert run_fleet_command("seeds", "work-agreement", "--plant", "no-such").exit_code == 2
