--- a/dockthread/maintenance/reasons.py
+++ b/dockthread/maintenance/reasons.py
@@ -134,8 +134,10 @@
     members: tuple[str, ...]
 
     def __str__(self) -> str:
-        members = _comma_separated(self.members)
-        return f"{GRANT_TIMEOUT_PREFIX}, as {members} did not say that it had drained it"
+        return (
+            f"{GRANT_TIMEOUT_PREFIX}, as {_comma_separated(self.members)}"
+            " did not say that it had drained it"
+        )
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/maintenance/test_participant.py
+++ b/tests/maintenance/test_participant.py
@@ -81,14 +81,14 @@
     participant_with_committed_log = new_participant("n1", "again")
     participant_with_committed_log.recover(b"", entries, 7, 7, 1)
     assert participant_with_committed_log.update(0.0, cluster("")).drain == [], (
-        "the complete log is known as committed"
+        "the complete log is known to be committed"
     )
 
 
 @pytest.mark.parametrize(
     ("leader", "incarnation", "state", "expected_action"),
     [
-        ("n1", "a", "granted", "hand over"),
+        ("n1", "a", "granted", "transfer"),
         ("n0", "a", "granted", "held"),
         ("n0", "a", "out", "stop"),
         ("n0", "b", "out", "back"),
@@ -106,7 +106,7 @@
         participant.on_entry_applied(0.0, index, data)
     actions = participant.update(10.0, cluster(leader))
     actions_by_name = {
-        "hand over": actions.transfer_leadership,
+        "transfer": actions.transfer_leadership,
         "stop": actions.stop,
         "held": proposals(actions) == [("held", "n1")],
     }
--- a/tests/maintenance/test_process_faults.py
+++ b/tests/maintenance/test_process_faults.py
@@ -1,4 +1,4 @@
-"""A cluster of real processes under faults: no more grants at once than the limit allows."""
+"""A cluster of real processes under faults: concurrent grants never exceed the limit."""
 
 from __future__ import annotations
 
@@ -137,7 +137,7 @@
         leader = await cluster.leader()
         other_members = [name for name in cluster.names if name != leader]
         cluster.signal(leader, signal.SIGSTOP)
-        # The stopped leader reads this call only after SIGCONT, when it has been replaced.
+        # The paused leader reads this call only after SIGCONT, when another leader is elected.
         call = asyncio.create_task(call_maintenance(cluster, leader, "s-0"))
         new_leader = await wait_until(lambda: cluster.leader(other_members))
         await wait_until(lambda: is_granted(cluster, new_leader, "s-1"))
--- a/tests/maintenance/test_scheduler_constraints.py
+++ b/tests/maintenance/test_scheduler_constraints.py
@@ -70,8 +70,8 @@
     assert (driver.state("x"), driver.reason("x")) == ("waiting", expected_reason)
     driver.report()
     assert driver.confirm(DRAINED, "x", ("n0",)) == "draining"
-    # A grant is not revoked if the backend is no longer listed. A load of 4.1 does not revoke it
-    # either, because a draining backend is not subtracted from the ready ones again.
+    # A grant is not revoked when the backend is no longer listed. A load of 4.1 does not revoke it
+    # either: `ready` does not include a draining backend, so all 6 ready backends carry the load.
     if "listed_targets" not in report_fields and "4.1" not in str(report_fields):
         driver.report(**report_fields)
         assert driver.state("x") == "waiting"
--- a/tests/raft/test_message_frames.py
+++ b/tests/raft/test_message_frames.py
@@ -21,5 +21,5 @@
             frame[: messages.FRAME_HEADER.size], frame[messages.FRAME_HEADER.size :], b"l" * 16
         )
     assert not isinstance(raised.value, messages.UnknownMessageError), (
-        "a frame with another key closes the connection"
+        "a frame with the wrong key must close the connection"
     )
--- a/tests/raft/test_replication.py
+++ b/tests/raft/test_replication.py
@@ -19,7 +19,7 @@
     assert not applied_indices(actions_for_old_entry)
     actions_for_own_entry = core.step(2_004.0, AppendEntriesResponse(2, "b", True, 2, 1))
     assert applied_indices(actions_for_own_entry) == [1, 2], (
-        "committed with the first entry of the own term"
+        "the first entry of the leader's own term commits the older one"
     )
 
 
