--- a/dockthread/maintenance/leader.py
+++ b/dockthread/maintenance/leader.py
@@ -64,8 +64,8 @@
         # Time when the last report was applied or this member became leader, whichever is later.
         self._last_report_at = now
         self._last_proposal_at = NEVER_MS
-        # Time since which less than a majority has observed the latest request; None if a majority
-        # has.
+        # Start of the time without a majority of observations of the latest request; None if there
+        # is a majority.
         self._incomplete_since: float | None = None
 
     def on_leadership_gained(self, now: float) -> None:
--- a/dockthread/maintenance/service.py
+++ b/dockthread/maintenance/service.py
@@ -1,6 +1,7 @@
-"""The I/O adapter of an ingress's maintenance participant: passes it events, runs its actions.
+"""The I/O adapter of an ingress's maintenance participant.
 
-All decisions are made in `participant.py`.
+It passes events to the participant and carries out its actions. All decisions are made in
+`participant.py`.
 """
 
 from __future__ import annotations
@@ -85,7 +86,7 @@
         return self.participant.scheduler
 
     async def open(self) -> None:
-        """Drain backends that are unavailable by the log on disk, then join the cluster.
+        """Drain backends that are unavailable according to the log on disk, then join the cluster.
 
         This happens before the ingress accepts its first request.
         """
@@ -140,7 +141,7 @@
         self._wake.set()
 
     def on_leader_changed(self) -> None:
-        """Update after a change of the leader."""
+        """Schedule an update, because the leader has changed."""
         self._wake.set()
 
     # Updates
--- a/dockthread/raft/storage.py
+++ b/dockthread/raft/storage.py
@@ -79,8 +79,8 @@
     """The directory of one member, locked while it is open.
 
     Only the operator creates a directory (`dockthread fleet init`); starting a member never does.
-    Otherwise a member that lost its disk could rejoin under its old name and vote a second time in a
-    term of which it has lost its vote.
+    Otherwise a member that lost its disk, and with it the record of its vote, could rejoin under its
+    old name and vote twice in a term.
 
     Attributes:
         persistent_state: the state on disk.
