--- a/dockthread/maintenance/admin_commands.py
+++ b/dockthread/maintenance/admin_commands.py
@@ -31,7 +31,7 @@
     from dockthread.raft.server import RaftServer
 
 JSON = b"application/json"
-ACTIONS = {
+ACTION_BY_OPERATION = {
     Operation.REQUEST_MAINTENANCE: CommandAction.REQUEST,
     Operation.FINISH_MAINTENANCE: CommandAction.COMPLETE,
     Operation.WITHDRAW_MAINTENANCE: CommandAction.WITHDRAW,
@@ -149,7 +149,7 @@
         Raises:
             CallError: The target is unknown, or the duration is not a valid number of seconds.
         """
-        action = ACTIONS[call.operation]
+        action = ACTION_BY_OPERATION[call.operation]
         zone = self._ingress.endpoints.zone_of(call.target)
         if action is CommandAction.REQUEST:
             if zone is None and call.target not in self._member.members:
--- a/dockthread/maintenance/leader.py
+++ b/dockthread/maintenance/leader.py
@@ -66,7 +66,7 @@
         self._last_proposal_at = NEVER_MS
         # Start of the time without a majority of observations of the latest request; None if there
         # is a majority.
-        self._incomplete_since: float | None = None
+        self._no_majority_since: float | None = None
 
     def on_leadership_gained(self, now: float) -> None:
         """Discard old observations, and measure the time of the first report from now on."""
@@ -88,10 +88,10 @@
         observations = self._recent_observations(now)
         has_unevaluated = has_unevaluated_requests(scheduler)
         interval_ms = report_interval_ms(scheduler)
-        self._track_completeness(now, cluster, scheduler, observations)
+        self._track_observation_majority(now, cluster, scheduler, observations)
         is_awaiting_observations = (
-            self._incomplete_since is not None
-            and now - self._incomplete_since < FIRST_REPORT_MAX_WAIT_MS
+            self._no_majority_since is not None
+            and now - self._no_majority_since < FIRST_REPORT_MAX_WAIT_MS
         )
         min_interval_ms = FIRST_REPORT_INTERVAL_MS if has_unevaluated else interval_ms
         if (
@@ -125,7 +125,7 @@
             if now - received_at <= OBSERVATION_VALIDITY_MS
         }
 
-    def _track_completeness(
+    def _track_observation_majority(
         self,
         now: float,
         cluster: ClusterView,
@@ -136,8 +136,8 @@
         current_count = sum(
             observation.latest_request_index >= latest for observation in observations.values()
         )
-        is_complete = 2 * current_count > len(cluster.members)
-        if is_complete or not has_unevaluated_requests(scheduler):
-            self._incomplete_since = None
-        elif self._incomplete_since is None:
-            self._incomplete_since = now
+        is_observed_by_majority = 2 * current_count > len(cluster.members)
+        if is_observed_by_majority or not has_unevaluated_requests(scheduler):
+            self._no_majority_since = None
+        elif self._no_majority_since is None:
+            self._no_majority_since = now
--- a/dockthread/maintenance/scheduler.py
+++ b/dockthread/maintenance/scheduler.py
@@ -58,8 +58,8 @@
     RequestEvent,
 )
 
-FINISHED_REQUESTS_KEPT = 64  # number of finished requests that a listing shows
-COMMAND_IDS_KEPT = 256  # number of recent command identifiers kept to recognize duplicates
+MAX_FINISHED_REQUESTS = 64  # number of finished requests that a listing shows
+MAX_COMMAND_IDS = 256  # number of recent command identifiers kept to recognize duplicates
 MAX_COMMENT_LENGTH = 200  # maximum number of characters of an operator's comment
 MAX_GRANT_TIMEOUTS = 3  # number of grant timeouts after which a request is abandoned
 NOT_TIMED_MS = -1.0  # `state_since_ms` until the first report after the state began
@@ -115,7 +115,7 @@
             if command.command_id in self.applied_command_ids:
                 return
             command_ids = [*self.applied_command_ids, command.command_id]
-            self.applied_command_ids = command_ids[-COMMAND_IDS_KEPT:]
+            self.applied_command_ids = command_ids[-MAX_COMMAND_IDS:]
         request = self.requests.get(command.target)
         if command.action is CommandAction.REPORT:
             self._apply_report(command.report)
@@ -160,7 +160,7 @@
     def _finish(self, request: MaintenanceRequest, event: RequestEvent) -> None:
         _transition(request, event)
         del self.requests[request.target]
-        self.finished = [*self.finished, request][-FINISHED_REQUESTS_KEPT:]
+        self.finished = [*self.finished, request][-MAX_FINISHED_REQUESTS:]
 
     # Reports
 
@@ -179,24 +179,24 @@
             # The state began at an unknown time after the previous report; measure from this one.
             if request.state_since_ms == NOT_TIMED_MS:
                 request.state_since_ms = self.clock_ms
-            self._advance_by_time(request)
+            self._apply_timeouts(request)
 
-    def _advance_by_time(self, request: MaintenanceRequest) -> None:
+    def _apply_timeouts(self, request: MaintenanceRequest) -> None:
         if request.state in REVOCABLE_STATES:
             revocation = self._revocation(request)
             if revocation is not None:
                 self._revoke(request, revocation)
         elif request.state is RequestState.UNAVAILABLE:
-            if request.duration_ms and _has_lasted(request, self.clock_ms, request.duration_ms):
+            if request.duration_ms and _has_elapsed(request, self.clock_ms, request.duration_ms):
                 _transition(request, RequestEvent.DURATION_EXCEEDED)
-        elif request.state is RequestState.WARMING_UP and _has_lasted(
+        elif request.state is RequestState.WARMING_UP and _has_elapsed(
             request, self.clock_ms, request.warm_up_ms
         ):
             self._finish(request, _warmed_up_event(request))
 
     def _revocation(self, request: MaintenanceRequest) -> Revocation | None:
         """Return why a grant has to be revoked; None if it remains valid."""
-        if _has_lasted(request, self.clock_ms, self.last_report.grant_timeout_ms):
+        if _has_elapsed(request, self.clock_ms, self.last_report.grant_timeout_ms):
             missing = self.confirming_members(request) - set(request.drained_by)
             return GrantTimedOut(tuple(sorted(missing)))
         if request.kind is TargetKind.INGRESS:
@@ -340,7 +340,7 @@
     )
 
 
-def _has_lasted(request: MaintenanceRequest, clock_ms: float, duration_ms: float) -> bool:
+def _has_elapsed(request: MaintenanceRequest, clock_ms: float, duration_ms: float) -> bool:
     return clock_ms >= request.state_since_ms + duration_ms
 
 
--- a/dockthread/raft/core.py
+++ b/dockthread/raft/core.py
@@ -218,7 +218,7 @@
             return False, self._take_actions()
         self._send_heartbeats()
         self._pending_reads.append(PendingRead(token, self.commit_index, self._heartbeat_round))
-        self._answer_reads()
+        self._complete_reads()
         return True, self._take_actions()
 
     def transfer_leadership(self, now: float) -> list[Action]:
@@ -521,7 +521,7 @@
         )
         if is_behind and progress.in_flight_round is None:
             self._send_entries(peer)
-        self._answer_reads()
+        self._complete_reads()
 
     def _advance_commit(self) -> None:
         """Commit up to the last entry of this term that a majority holds (section 5.4.2)."""
@@ -619,7 +619,7 @@
         )
         self._send(peer, message)
 
-    def _answer_reads(self) -> None:
+    def _complete_reads(self) -> None:
         """Complete, in order, the reads whose heartbeat round a majority has acknowledged."""
         while self._pending_reads:
             read = self._pending_reads[0]
--- a/dockthread/raft/transport.py
+++ b/dockthread/raft/transport.py
@@ -24,7 +24,7 @@
 from dockthread.raft import messages
 
 MAX_QUEUED_FRAMES: Final = 256  # maximum number of frames queued for one member
-RECONNECT_MS: Final = 200.0  # pause before a reconnect, randomized by plus or minus half
+RECONNECT_DELAY_MS: Final = 200.0  # pause before a reconnect, randomized by plus or minus half
 SNAPSHOT_RETRY_S: Final = 5.0  # minimum time before the same snapshot is sent again
 CONNECT_TIMEOUT_S: Final = 2.0
 DRAIN_TIMEOUT_S: Final = 5.0
@@ -99,7 +99,7 @@
                 self._queue.clear()  # the frames would be outdated after a reconnect
                 self._chunks = None
                 self._snapshot_id = (0, 0)
-                await asyncio.sleep(RECONNECT_MS * self._rng.uniform(0.5, 1.5) / 1000.0)
+                await asyncio.sleep(RECONNECT_DELAY_MS * self._rng.uniform(0.5, 1.5) / 1000.0)
             finally:
                 if writer is not None:
                     writer.close()
--- a/tests/maintenance/cluster_scenarios.py
+++ b/tests/maintenance/cluster_scenarios.py
@@ -13,11 +13,11 @@
 BACKENDS = [target(f"s-{number}", 6000 + number) for number in range(4)]  # all in zone hall-a
 TIMEOUTS_INI = "dead = 1500ms\nlapse = 20s\n"  # failure timeout and grant timeout
 GRANTED_STATES = ("granted", "draining", "out")
-PROGRESS_LIMIT_S = 40.0  # maximum time that a test waits for one condition
+WAIT_TIMEOUT_S = 40.0  # maximum time that a test waits for one condition
 
 
 async def wait_until(
-    condition: Callable[[], Awaitable[Any]], timeout_s: float = PROGRESS_LIMIT_S
+    condition: Callable[[], Awaitable[Any]], timeout_s: float = WAIT_TIMEOUT_S
 ) -> Any:
     """Wait until a condition returns a true value, and return that value."""
     async with asyncio.timeout(timeout_s):
--- a/tests/maintenance/test_scheduler_log.py
+++ b/tests/maintenance/test_scheduler_log.py
@@ -23,9 +23,9 @@
     SchedulerDriver,
 )
 
-STEPS = 150
+STEP_COUNT = 150
 SNAPSHOT_STEP = 75  # step at which a second scheduler is restored from a snapshot
-ACTIONS = (
+RANDOM_ACTIONS = (
     REQUEST,
     REQUEST,
     DRAINED,
@@ -77,7 +77,7 @@
     driver = SchedulerDriver()
     restored = MaintenanceScheduler()
     out_of_service: set[str] = set()
-    for step in range(STEPS):
+    for step in range(STEP_COUNT):
         apply_random_command(driver, rng)
         # A scheduler restored from a snapshot must stay equal to the original.
         if step == SNAPSHOT_STEP:
@@ -90,14 +90,16 @@
 
 def apply_random_command(driver: SchedulerDriver, rng: random.Random) -> None:
     target = f"m{rng.randrange(8)}"
-    action = rng.choice(ACTIONS)
+    action = rng.choice(RANDOM_ACTIONS)
     if action is REPORT:
         elapsed_ms = rng.choice((100.0, 500.0, 40_000.0))
         driver.report(elapsed_ms, tuple(rng.sample(MEMBERS, rng.randrange(1, 4))))
         return
     existing_request = driver.scheduler.requests.get(target)
     epoch = (
-        existing_request.epoch if existing_request and rng.random() < 0.9 else rng.randrange(STEPS)
+        existing_request.epoch
+        if existing_request and rng.random() < 0.9
+        else rng.randrange(STEP_COUNT)
     )
     driver.apply(
         action,
@@ -121,12 +123,16 @@
         if request.state != "waiting"
     }
     for zone in "ab":
-        in_zone = [request for request in scheduler.requests.values() if request.zone == zone]
+        requests_in_zone = [
+            request for request in scheduler.requests.values() if request.zone == zone
+        ]
         granted = {
             name for name, request in out_of_service.items() if request.zone == zone
         } - previously_out_of_service
-        out_of_service_in_zone = [request for request in in_zone if request.state != "waiting"]
+        out_of_service_in_zone = [
+            request for request in requests_in_zone if request.state != "waiting"
+        ]
         assert not granted or len(out_of_service_in_zone) <= min(
-            request.max_unavailable for request in in_zone
+            request.max_unavailable for request in requests_in_zone
         )
     return set(out_of_service)
--- a/tests/raft/test_messages.py
+++ b/tests/raft/test_messages.py
@@ -11,7 +11,7 @@
 from dockthread.raft.messages import AppendEntries, Entry, EntryKind, MalformedFrameError
 
 SNAPSHOT = random.Random(1).randbytes(3 * messages.CHUNK_BYTES)
-INSTALL = messages.InstallSnapshot(3, "n0", 90_000, 3, ("n0", "n1"), b"", 7)
+INSTALL_SNAPSHOT = messages.InstallSnapshot(3, "n0", 90_000, 3, ("n0", "n1"), b"", 7)
 
 
 def test_message_is_decoded_as_sent_and_a_malformed_frame_is_rejected_with_the_reason() -> None:
@@ -38,7 +38,7 @@
     "size", [1, messages.CHUNK_BYTES, messages.CHUNK_BYTES + 1, 3 * messages.CHUNK_BYTES]
 )
 def test_chunks_are_reassembled_into_the_original_snapshot(size: int) -> None:
-    message = msgspec.structs.replace(INSTALL, snapshot=SNAPSHOT[:size])
+    message = msgspec.structs.replace(INSTALL_SNAPSHOT, snapshot=SNAPSHOT[:size])
     assembler = messages.SnapshotAssembler()
     results = []
     for frame in messages.split_snapshot(message, b""):
@@ -62,7 +62,7 @@
     size = 2 * messages.CHUNK_BYTES
     data = SNAPSHOT[: messages.CHUNK_BYTES]
     assembler = messages.SnapshotAssembler()
-    assembler.add(messages.SnapshotChunk(INSTALL, 0, size, data))
-    second = messages.SnapshotChunk(INSTALL, 1, size, data)
+    assembler.add(messages.SnapshotChunk(INSTALL_SNAPSHOT, 0, size, data))
+    second = messages.SnapshotChunk(INSTALL_SNAPSHOT, 1, size, data)
     with pytest.raises(MalformedFrameError, match="does not follow"):
         assembler.add(msgspec.structs.replace(second, **change))
--- a/tests/raft/test_simulation.py
+++ b/tests/raft/test_simulation.py
@@ -17,7 +17,7 @@
     "vote-not-kept": [("work-agreement-five", 116)],
     "epoch-unchecked": [("work-agreement", 41)],
 }
-COMMON_RUNS = [
+DEFAULT_RUNS = [
     (name, seed) for seed in range(30) for name in ("work-agreement-five", "work-agreement")
 ]
 
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("defect", NAMES)
 def test_seeded_defect_is_found(defect: str) -> None:
-    runs = RARE_DEFECTS.get(defect, COMMON_RUNS)
+    runs = RARE_DEFECTS.get(defect, DEFAULT_RUNS)
     assert any(play_seed(name, seed, defect).violations for name, seed in runs)
 
 
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -14,7 +14,7 @@
 
 CHUNK_COUNT = 40
 SNAPSHOT = random.Random(1).randbytes(1024) * (CHUNK_COUNT * messages.CHUNK_BYTES // 1024)
-INSTALL = messages.InstallSnapshot(3, "n0", 90_000, 3, ("n0", "n1"), b"", 7)
+INSTALL_SNAPSHOT = messages.InstallSnapshot(3, "n0", 90_000, 3, ("n0", "n1"), b"", 7)
 
 
 def test_heartbeat_is_sent_between_chunks_and_a_snapshot_in_flight_is_not_sent_again() -> None:
@@ -33,7 +33,7 @@
         server = await asyncio.start_server(read_frames, "127.0.0.1", 0)
         address = Address(*server.sockets[0].getsockname()[:2])
         peer = PeerTransport(address, random.Random(1), b"", MessageCounts())
-        message = msgspec.structs.replace(INSTALL, snapshot=SNAPSHOT)
+        message = msgspec.structs.replace(INSTALL_SNAPSHOT, snapshot=SNAPSHOT)
         peer.send(message)
         async with asyncio.timeout(20):
             while len(received) < 3:
