--- a/dockthread/maintenance/commands.py
+++ b/dockthread/maintenance/commands.py
@@ -107,7 +107,7 @@
         sender: The member that proposes the command.
         urgency: Requests of higher urgency are granted first.
         max_unavailable: Maximum number of targets of the zone that may be out of service at once.
-        command_id: Identifier that recognizes a repeated proposal; an applied one is ignored.
+        command_id: Identifier of the command; a repeated proposal has the same and is ignored.
         kind: Kind of the target.
         duration_ms: Expected duration of maintenance; 0 if the operator gave none.
         warm_up_ms: Warm-up time of the target after maintenance.
--- a/dockthread/maintenance/participant.py
+++ b/dockthread/maintenance/participant.py
@@ -100,7 +100,7 @@
 
 
 class MaintenanceParticipant:
-    """Makes one ingress follow the replicated scheduler, and report while it is the leader.
+    """Decides what one ingress does to follow the scheduler, and its reports as leader.
 
     Args:
         name: Name of this ingress.
--- a/dockthread/maintenance/reasons.py
+++ b/dockthread/maintenance/reasons.py
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotListed:
-    """Less than a majority of the members has the backend in its endpoint list."""
+    """Fewer than a majority of the members list the backend."""
 
     def __str__(self) -> str:
         return "fewer than half of the members see it"
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneNotObserved:
-    """Less than a majority of the members has observed the zone."""
+    """Fewer than a majority of the members have observed the zone."""
 
     zone: str
 
--- a/dockthread/raft/options.py
+++ b/dockthread/raft/options.py
@@ -126,7 +126,7 @@
         if not 0 <= self.headroom < 1:
             yield KeyProblem(
                 "reserve",
-                "is not at least 0% and below 100%",
+                "is negative, or 100% or more",
                 "write the share of a zone's remaining capacity that must stay free",
             )
         if self.node_capacity < 0:
--- a/dockthread/raft/server.py
+++ b/dockthread/raft/server.py
@@ -59,7 +59,7 @@
         name: this member's name.
         storage: this member's directory, open until `close`.
         message_counts: counts of messages from and to the other members.
-        is_open: whether `open` has completed.
+        is_open: whether the member has been opened.
     """
 
     def __init__(
--- a/tests/maintenance/cluster_scenarios.py
+++ b/tests/maintenance/cluster_scenarios.py
@@ -34,7 +34,7 @@
 ) -> None:
     """Run a scenario on real processes.
 
-    With `watches_grants`, check all the time that no member sees more than one granted backend.
+    With `watches_grants`, also check repeatedly that no member sees more than one granted backend.
     """
 
     async def run() -> None:
