--- a/dockthread/maintenance/constraints.py
+++ b/dockthread/maintenance/constraints.py
@@ -1,4 +1,4 @@
-"""The constraints that a grant has to meet; the first one that is not met is returned as a reason."""
+"""The constraints on a grant; the first one that is violated is returned as the obstacle."""
 
 from __future__ import annotations
 
@@ -26,47 +26,51 @@
 
 
 class SchedulerState(Protocol):
-    """What the constraints look at; the scheduler has it."""
+    """The part of the scheduler's state that the constraints read."""
 
     @property
     def requests(self) -> Mapping[str, MaintenanceRequest]:
-        """The requests that are not finished, by target."""
+        """Unfinished requests, by target."""
         ...
 
     @property
     def unreachable_ms(self) -> Mapping[str, float]:
-        """For each member, how long it has been unreachable; 0 where it is reachable."""
+        """Time for which each member has been unreachable; 0 if it is reachable."""
         ...
 
     @property
     def last_report(self) -> LeaderReport:
-        """The latest report applied."""
+        """The most recently applied report."""
         ...
 
     def max_unavailable(self, zone: str, kind: TargetKind) -> int:
-        """Return how many targets of a zone and kind may be away at once."""
+        """Return how many targets of a zone and kind may be out of service at once."""
         ...
 
 
 def grant_obstacle(scheduler: SchedulerState, request: MaintenanceRequest) -> Obstacle | None:
-    """Return why a waiting request cannot be granted; None where it can."""
-    away = _away(scheduler, request)
-    if len(away) >= scheduler.max_unavailable(request.zone, request.kind):
+    """Return why a waiting request cannot be granted; None if it can."""
+    out_of_service = _requests_out_of_service(scheduler, request)
+    if len(out_of_service) >= scheduler.max_unavailable(request.zone, request.kind):
         is_ingress = request.kind is TargetKind.INGRESS
-        place = "ingresses" if is_ingress else request.zone or "no known zone"
-        return ZoneAtLimit(place, tuple(Occupant(one.target, one.state) for one in away))
+        group = "ingresses" if is_ingress else request.zone or "no known zone"
+        return ZoneAtLimit(
+            group, tuple(Occupant(other.target, other.state) for other in out_of_service)
+        )
     if not request.is_evaluated:
         return NotEvaluated()
     if request.kind is TargetKind.INGRESS:
-        unreachable = _unreachable_members(scheduler, but=request.target)
+        unreachable = _unreachable_members(scheduler, excluded_member=request.target)
         return MembersUnreachable(unreachable) if unreachable else None
     if request.target not in scheduler.last_report.listed_targets:
         return NotListed()
     return safety_obstacle(scheduler, request)
 
 
-def _away(scheduler: SchedulerState, request: MaintenanceRequest) -> list[MaintenanceRequest]:
-    """Return the requests of the same zone and kind whose targets are away, in the order of requests."""
+def _requests_out_of_service(
+    scheduler: SchedulerState, request: MaintenanceRequest
+) -> list[MaintenanceRequest]:
+    """Return the requests of the same zone and kind whose targets are out of service."""
     return [
         other
         for other in scheduler.requests.values()
@@ -76,30 +80,30 @@
     ]
 
 
-def _unreachable_members(scheduler: SchedulerState, but: str) -> tuple[str, ...]:
+def _unreachable_members(scheduler: SchedulerState, excluded_member: str) -> tuple[str, ...]:
     unreachable = (
         member for member, unreachable_ms in scheduler.unreachable_ms.items() if unreachable_ms
     )
-    return tuple(sorted(member for member in unreachable if member != but))
+    return tuple(sorted(member for member in unreachable if member != excluded_member))
 
 
 def safety_obstacle(scheduler: SchedulerState, request: MaintenanceRequest) -> Obstacle | None:
-    """Return why the zone of a backend cannot do without it; None where it can."""
+    """Return why it is unsafe for the zone to take a backend out of service; None if it is safe."""
     zones = (zone for zone in scheduler.last_report.zones if zone.name == request.zone)
     zone = next(zones, None)
     if zone is None:
         return ZoneNotObserved(request.zone)
-    away = {
+    out_of_service = {
         other.target
         for other in scheduler.requests.values()
         if other.zone == request.zone and other.state is not RequestState.WAITING
     }
-    failing = set(zone.failing) - away - {request.target}
+    failing = set(zone.failing) - out_of_service - {request.target}
     if failing:
         return BackendsFailing(tuple(sorted(failing)), request.zone)
     if zone.is_overloaded:
         return ZoneOverloaded(request.zone)
-    # A backend that is being drained is not counted as ready any more.
+    # `ready` includes the backend only while it waits: members do not count a drained backend.
     remaining = zone.ready - (request.state is RequestState.WAITING)
     limit = 1 - scheduler.last_report.headroom
     if zone.load >= 0 and zone.load > limit * remaining:
--- a/dockthread/maintenance/leader.py
+++ b/dockthread/maintenance/leader.py
@@ -1,4 +1,4 @@
-"""The reports that a leader proposes: when one is due, and what it says. Free of I/O."""
+"""Creates the reports that a leader proposes, without I/O."""
 
 from __future__ import annotations
 
@@ -13,35 +13,35 @@
 from dockthread.maintenance.scheduler import MaintenanceScheduler
 from dockthread.maintenance.transitions import UNAVAILABLE_STATES
 
-REPORT_INTERVAL_MS = 500.0  # while a request waits or is on its way
-IDLE_REPORT_INTERVAL_MS = 5_000.0  # while all that is unavailable stays so
-# Least time between reports while a request has not been evaluated: staff wait for the answer.
+REPORT_INTERVAL_MS = 500.0  # interval of reports while a request can progress
+IDLE_REPORT_INTERVAL_MS = 5_000.0  # interval of reports while all requested targets are unavailable
+# Minimum interval of reports while a request has not been evaluated and an operator waits for it.
 FIRST_REPORT_INTERVAL_MS = REPORT_INTERVAL_MS / 10
-OBSERVATION_VALIDITY_MS = 2.5 * REPORT_INTERVAL_MS  # for which an observation counts
-# For which the first report on a request waits until a majority has observed its zone.
-FIRST_REPORT_PATIENCE_MS = 2.0 * REPORT_INTERVAL_MS
-# A report moves the log's clock by at most so many intervals, however long ago the last one was.
+OBSERVATION_VALIDITY_MS = 2.5 * REPORT_INTERVAL_MS  # maximum age of an observation in a report
+# Maximum time for which the first report on a request waits until a majority has observed its zone.
+FIRST_REPORT_MAX_WAIT_MS = 2.0 * REPORT_INTERVAL_MS
+# A report advances the replicated time by at most this many intervals.
 MAX_INTERVALS_PER_REPORT = 2
-NEVER_MS = -1e18  # a time before any other
+NEVER_MS = -1e18  # time in ms that is earlier than any clock value
 
 
 def report_interval_ms(scheduler: MaintenanceScheduler) -> float:
-    """Return the time between reports as the requests stand."""
+    """Return the report interval for the current requests."""
     return REPORT_INTERVAL_MS if has_active_requests(scheduler) else IDLE_REPORT_INTERVAL_MS
 
 
 def has_active_requests(scheduler: MaintenanceScheduler) -> bool:
-    """Whether a request waits or is on its way; else its target stays out until staff act."""
+    """Return whether a request can progress without an operator: its target is not unavailable."""
     return any(request.state not in UNAVAILABLE_STATES for request in scheduler.requests.values())
 
 
 def has_unevaluated_requests(scheduler: MaintenanceScheduler) -> bool:
-    """Whether a request has not been seen by any report."""
+    """Return whether no report has been applied yet since some request was made."""
     return any(not request.is_evaluated for request in scheduler.requests.values())
 
 
 def latest_request_index(scheduler: MaintenanceScheduler) -> int:
-    """Return the log's index of the latest request; 0 where there is none."""
+    """Return the log index of the latest request; 0 if there is none."""
     return max(
         (request.requested_index for request in scheduler.requests.values()),
         default=0,
@@ -49,51 +49,55 @@
 
 
 class LeaderReporter:
-    """Decides when a leader proposes its next report, and fills it in.
+    """Decides when a leader proposes its next report, and creates that report.
 
     Args:
         name: Name of this member.
         options: Settings that reports carry.
-        now: Time in milliseconds.
+        now: Current time in milliseconds.
     """
 
     def __init__(self, name: str, options: MaintenanceOptions, now: float) -> None:
         self._name = name
         self._options = options
         self._observations: dict[str, tuple[float, MemberObservation]] = {}
-        # When the last report was applied, or this member became leader.
+        # Time when the last report was applied or this member became leader, whichever is later.
         self._last_report_at = now
         self._last_proposal_at = NEVER_MS
-        # Since when too few members have observed the latest request; None where enough have.
-        self._incomplete_since: float | None = None
+        # Start of the time without a majority of observations of the latest request; None if there
+        # is a majority.
+        self._no_majority_since: float | None = None
 
     def on_leadership_gained(self, now: float) -> None:
-        """Forget what another leadership observed, and count time from now on."""
+        """Discard old observations, and measure the time of the first report from now on."""
         self._last_report_at = now
         self._observations = {}
 
     def on_report_applied(self, now: float) -> None:
-        """Take note that a report has been applied."""
+        """Measure the time of the next report from now on."""
         self._last_report_at = now
 
     def on_observation(self, now: float, member: str, observation: MemberObservation) -> None:
-        """Take note of what a member observes."""
+        """Store a member's observation."""
         self._observations[member] = (now, observation)
 
     def next_report(
         self, now: float, cluster: ClusterView, scheduler: MaintenanceScheduler
     ) -> MaintenanceCommand | None:
-        """Return the report to propose now; None where none is due."""
+        """Return the report to propose now; None if none is due."""
         observations = self._recent_observations(now)
-        is_first = has_unevaluated_requests(scheduler)
+        has_unevaluated = has_unevaluated_requests(scheduler)
         interval_ms = report_interval_ms(scheduler)
-        self._track_completeness(now, cluster, scheduler, observations)
-        is_waiting = (
-            self._incomplete_since is not None
-            and now - self._incomplete_since < FIRST_REPORT_PATIENCE_MS
+        self._track_observation_majority(now, cluster, scheduler, observations)
+        is_awaiting_observations = (
+            self._no_majority_since is not None
+            and now - self._no_majority_since < FIRST_REPORT_MAX_WAIT_MS
         )
-        least_ms = FIRST_REPORT_INTERVAL_MS if is_first else interval_ms
-        if is_waiting or now - max(self._last_report_at, self._last_proposal_at) < least_ms:
+        min_interval_ms = FIRST_REPORT_INTERVAL_MS if has_unevaluated else interval_ms
+        if (
+            is_awaiting_observations
+            or now - max(self._last_report_at, self._last_proposal_at) < min_interval_ms
+        ):
             return None
         self._last_proposal_at = now
         zones: tuple[ZoneStatus, ...] = ()
@@ -121,7 +125,7 @@
             if now - received_at <= OBSERVATION_VALIDITY_MS
         }
 
-    def _track_completeness(
+    def _track_observation_majority(
         self,
         now: float,
         cluster: ClusterView,
@@ -129,9 +133,11 @@
         observations: dict[str, MemberObservation],
     ) -> None:
         latest = latest_request_index(scheduler)
-        current = sum(one.latest_request_index >= latest for one in observations.values())
-        is_complete = 2 * current > len(cluster.members)
-        if is_complete or not has_unevaluated_requests(scheduler):
-            self._incomplete_since = None
-        elif self._incomplete_since is None:
-            self._incomplete_since = now
+        current_count = sum(
+            observation.latest_request_index >= latest for observation in observations.values()
+        )
+        is_observed_by_majority = 2 * current_count > len(cluster.members)
+        if is_observed_by_majority or not has_unevaluated_requests(scheduler):
+            self._no_majority_since = None
+        elif self._no_majority_since is None:
+            self._no_majority_since = now
--- a/dockthread/maintenance/reasons.py
+++ b/dockthread/maintenance/reasons.py
@@ -1,8 +1,8 @@
-"""Words for staff: why a request waits, whom it waits for, why its grant was revoked.
+"""Reasons for operators: why a request waits, for which members, or why its grant was revoked.
 
-The scheduler decides and returns one of the types here; `str` words it. The texts are part of the
-replicated state and of the management endpoint's listing: members of two releases have to word a
-reason alike, so a text must not change.
+The scheduler returns a value of one of these types; `str` returns its text. The texts are part of
+the replicated state and of the management endpoint's listing. They must never change, because
+members of different releases have to produce the same state.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from dockthread.maintenance.transitions import DRAINED_STATES, REVOCABLE_STATES
 
 MS_PER_S = 1000.0
-GRANT_TIMEOUT_PREFIX = "its turn lapsed"  # how the text of `GrantTimedOut` begins
+GRANT_TIMEOUT_PREFIX = "its turn lapsed"  # prefix of the text of `GrantTimedOut`
 
 
 @dataclass(frozen=True, slots=True)
 class Occupant:
-    """A target that is away, and so occupies one of the places of its zone."""
+    """A target that is out of service and counts against its zone's limit."""
 
     target: str
     state: RequestState
@@ -31,19 +31,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneAtLimit:
-    """As many targets of the place are away as may be at once."""
+    """The maximum number of targets of a zone, or of ingresses, is out of service."""
 
-    place: str
+    group: str
     occupants: tuple[Occupant, ...]
 
     def __str__(self) -> str:
-        away = _joined(f"{one.target} of {self.place} is {one}" for one in self.occupants)
-        return f"{away}, and {len(self.occupants)} may be"
+        out_of_service = _comma_separated(
+            f"{occupant.target} of {self.group} is {occupant}" for occupant in self.occupants
+        )
+        return f"{out_of_service}, and {len(self.occupants)} may be"
 
 
 @dataclass(frozen=True, slots=True)
 class NotEvaluated:
-    """No report of a leader has come since the request."""
+    """No leader report has been applied since the request."""
 
     def __str__(self) -> str:
         return "it is being looked at"
@@ -51,17 +53,17 @@
 
 @dataclass(frozen=True, slots=True)
 class MembersUnreachable:
-    """An ingress may restart only while all others are reachable, and some are not."""
+    """An ingress may restart only while all other members are reachable, and some are not."""
 
     members: tuple[str, ...]
 
     def __str__(self) -> str:
-        return f"{_joined(self.members)} cannot be heard"
+        return f"{_comma_separated(self.members)} cannot be heard"
 
 
 @dataclass(frozen=True, slots=True)
 class NotListed:
-    """The endpoint list of too few members has the backend."""
+    """Fewer than a majority of the members list the backend."""
 
     def __str__(self) -> str:
         return "fewer than half of the members see it"
@@ -69,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneNotObserved:
-    """Too few members have reported on the zone."""
+    """Fewer than a majority of the members have observed the zone."""
 
     zone: str
 
@@ -79,13 +81,13 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendsFailing:
-    """Other backends of the zone fail."""
+    """Other backends of the zone are failing."""
 
     backends: tuple[str, ...]
     zone: str
 
     def __str__(self) -> str:
-        return f"{_joined(self.backends)} of {self.zone} fails"
+        return f"{_comma_separated(self.backends)} of {self.zone} fails"
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InsufficientCapacity:
-    """The remaining backends would carry more than `limit`; both are fractions of capacity."""
+    """The load of the remaining backends would exceed `limit`, a fraction of their capacity."""
 
     zone: str
     utilization: float
@@ -133,7 +135,8 @@
 
     def __str__(self) -> str:
         return (
-            f"{GRANT_TIMEOUT_PREFIX}, as {_joined(self.members)} did not say that it had drained it"
+            f"{GRANT_TIMEOUT_PREFIX}, as {_comma_separated(self.members)}"
+            " did not say that it had drained it"
         )
 
 
@@ -151,10 +154,10 @@
 
 
 class RequestStatus(Protocol):
-    """What an explanation looks at; the scheduler has it."""
+    """The part of the scheduler that an explanation uses."""
 
     def obstacle(self, request: MaintenanceRequest) -> Obstacle | None:
-        """Return why a waiting request is not granted; None where nothing stands against it."""
+        """Return why a waiting request cannot be granted; None if it can."""
         ...
 
     def confirming_members(self, request: MaintenanceRequest) -> set[str]:
@@ -163,23 +166,27 @@
 
 
 def explain(request: MaintenanceRequest, scheduler: RequestStatus) -> str:
-    """Say why a request waits, or whom it waits for; empty where there is nothing to say."""
+    """Return why a request waits, or which members it waits for; empty if it does not wait."""
     if request.state is RequestState.WAITING:
-        why = str(scheduler.obstacle(request) or "its turn comes with the next entry")
-        return f"{why} ({request.revocation_reason})" if request.revocation_reason else why
+        reason = str(scheduler.obstacle(request) or "its turn comes with the next entry")
+        return f"{reason} ({request.revocation_reason})" if request.revocation_reason else reason
     if request.state in REVOCABLE_STATES:
-        return _waiting_for(scheduler.confirming_members(request) - set(request.drained_by))
+        return _awaited_members_text(
+            scheduler.confirming_members(request) - set(request.drained_by)
+        )
     if request.state is RequestState.RETURNING:
-        return _waiting_for(scheduler.confirming_members(request) - set(request.released_by))
+        return _awaited_members_text(
+            scheduler.confirming_members(request) - set(request.released_by)
+        )
     if request.state is RequestState.OVERDUE:
         seconds = request.duration_ms / MS_PER_S
         return f"it was to take {seconds:.0f} s; say `done` or `withdraw` when it can serve"
     return ""
 
 
-def _waiting_for(members: Iterable[str]) -> str:
-    return f"waits for {_joined(sorted(members))}"
+def _awaited_members_text(members: Iterable[str]) -> str:
+    return f"waits for {_comma_separated(sorted(members))}"
 
 
-def _joined(names: Iterable[str]) -> str:
+def _comma_separated(names: Iterable[str]) -> str:
     return ", ".join(names) or "nobody"
--- a/tests/maintenance/test_scheduler_life_cycle.py
+++ b/tests/maintenance/test_scheduler_life_cycle.py
@@ -15,14 +15,14 @@
 )
 
 
-def test_every_state_is_reached_and_only_final_states_are_never_left() -> None:
-    reached = set(TRANSITIONS.values()) | {RequestState.WAITING}
-    left = {state for state, _ in TRANSITIONS}
-    assert reached == set(RequestState)
-    assert set(RequestState) - left == set(FINAL_STATES)
+def test_every_state_is_reachable_and_only_final_states_have_no_transition() -> None:
+    reached_states = set(TRANSITIONS.values()) | {RequestState.WAITING}
+    left_states = {state for state, _ in TRANSITIONS}
+    assert reached_states == set(RequestState)
+    assert set(RequestState) - left_states == set(FINAL_STATES)
 
 
-def test_a_backend_is_unavailable_once_all_drained_it_and_away_until_it_is_warm() -> None:
+def test_a_backend_is_unavailable_once_all_drained_it_and_blocks_its_zone_until_warmed_up() -> None:
     driver = SchedulerDriver()
     assert driver.apply(REQUEST, "x", warm_up_ms=2_000.0) == "waiting"
     assert driver.reason("x") == "it is being looked at"
@@ -33,7 +33,7 @@
     assert driver.confirm(DRAINED, "x", ("n0", "n1")) == "draining"
     assert driver.reason("x") == "waits for n2"
     assert driver.apply(DRAINED, "x", sender="n2", epoch=1) == "draining", (
-        "a confirmation under an older epoch counts for nothing"
+        "a confirmation with an older epoch is ignored"
     )
     assert driver.confirm(DRAINED, "x", ("n2",)) == "out"
     assert driver.scheduler.drained_backends() == {"x": 3}
@@ -41,20 +41,20 @@
     assert not driver.scheduler.drained_backends()
     assert driver.reason("y") == "x of a is coming back, and 1 may be"
     assert driver.confirm(RELEASED, "x") == "warming"
-    driver.report(1_900.0)  # it may have come back just before this
+    driver.report(1_900.0)  # the warm-up is measured from this report on
     driver.report(1_900.0)
     assert (driver.state("x"), driver.state("y")) == ("warming", "waiting")
     driver.report(100.0)
     assert (driver.state("x"), driver.state("y")) == ("done", "granted")
 
 
-def test_a_grant_that_is_not_drained_in_time_is_revoked_and_abandoned_at_the_third() -> None:
+def test_a_grant_that_is_not_drained_in_time_is_revoked_and_the_third_time_abandoned() -> None:
     driver = SchedulerDriver()
     driver.apply(REQUEST, "x")
     driver.report()
     for _ in range(2):
         driver.confirm(DRAINED, "x", ("n0", "n1"))
-        driver.report(30_000.0)  # its time counts from the report after it
+        driver.report(30_000.0)  # the grant's timeout is measured from this report on
         assert driver.state("x") == "draining"
         driver.report(30_000.0)
         assert driver.state("x") == "granted"
@@ -65,13 +65,15 @@
     assert not driver.scheduler.drained_backends()
 
 
-def test_work_that_takes_longer_than_said_is_overdue_and_stays_unavailable() -> None:
+def test_maintenance_that_exceeds_its_duration_is_overdue_and_the_target_stays_unavailable() -> (
+    None
+):
     driver = SchedulerDriver()
     driver.apply(REQUEST, "x", duration_ms=60_000.0)
     driver.report()
     assert driver.confirm(DRAINED, "x") == "out"
     driver.report(60_000.0)
-    assert driver.state("x") == "out", "it may have become unavailable just before the report"
+    assert driver.state("x") == "out", "the duration is measured from the first report on"
     driver.report(60_000.0)
     assert driver.state("x") == "overdue"
     assert "say `done`" in driver.reason("x")
@@ -79,7 +81,7 @@
     assert driver.apply(COMPLETE, "x") == "returning"
 
 
-def test_an_ingress_confirms_its_own_restart_and_is_back_in_another_incarnation() -> None:
+def test_an_ingress_confirms_its_own_restart_and_returns_in_another_incarnation() -> None:
     driver = SchedulerDriver()
     driver.apply(REQUEST, "n1", zone="", kind=TargetKind.INGRESS)
     driver.report(reachable=("n0", "n1"))
@@ -93,7 +95,7 @@
     assert not driver.scheduler.drained_backends()
     assert driver.apply(RESTARTED, "n1", sender="n1", epoch=epoch - 1) == "out"
     assert driver.apply(WITHDRAW, "n1") == "out", (
-        "it is ending: the next may not go before it is back"
+        "an ingress that is shutting down stays out of service until it has restarted"
     )
     assert driver.apply(RESTARTED, "n1", sender="n1", epoch=epoch) == "warming"
     driver.report()
--- a/tests/raft/test_elections.py
+++ b/tests/raft/test_elections.py
@@ -1,4 +1,4 @@
-"""Elections of the Raft core: votes, pre-votes, step down and leadership transfer."""
+"""Elections of the Raft core: votes, pre-votes, stepping down and leadership transfer."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 from tests.raft.core_helpers import applied_indices, follower, grants_vote, leader, sent
 
 
-def test_vote_is_persisted_before_it_is_sent_and_given_once_a_term() -> None:
+def test_vote_is_persisted_before_it_is_sent_and_granted_once_per_term() -> None:
     core = follower()
     actions = core.step(5_000.0, VoteRequest(1, "b", 0, 0))
-    kinds = [type(action) for action in actions]
-    assert kinds.index(PersistEntries) < kinds.index(SendMessage)
+    action_types = [type(action) for action in actions]
+    assert action_types.index(PersistEntries) < action_types.index(SendMessage)
     votes = [action.voted_for for action in actions if isinstance(action, PersistEntries)]
     assert votes[-1] == "b"
-    second = core.step(5_001.0, VoteRequest(1, "c", 0, 0))
-    assert sent(second) == [VoteResponse(1, "a", False)]
+    second_response = core.step(5_001.0, VoteRequest(1, "c", 0, 0))
+    assert sent(second_response) == [VoteResponse(1, "a", False)]
 
 
-def test_vote_is_refused_for_an_older_log_and_while_a_leader_is_heard() -> None:
+def test_vote_is_refused_for_an_older_log_and_while_the_leader_is_alive() -> None:
     entries = [Entry(1, EntryKind.COMMAND), Entry(2, EntryKind.COMMAND)]
     core = follower(stored=PersistentState(term=2, entries=entries))
     assert not grants_vote(core, VoteRequest(3, "b", 5, 1))
     assert grants_vote(core, VoteRequest(4, "b", 2, 2))
     core.step(9_000.0, AppendEntries(4, "c", 2, 2, (), 0, 1))
     assert core.step(9_100.0, VoteRequest(9, "b", 9, 4)) == []
-    assert core.term == 4, "a member cut off from its leader unseats nobody"
+    assert core.term == 4, "a member that lost contact with the leader must not depose it"
     transfer = VoteRequest(5, "b", 9, 4, leadership_transfer=True)
-    assert grants_vote(core, transfer, 9_200.0), "unless the leader told it to campaign"
+    assert grants_vote(core, transfer, 9_200.0), "the leader asked this candidate to campaign"
 
 
 def test_leader_without_a_majority_steps_down_and_commits_nothing() -> None:
