--- a/tests/policy/test_list_size.py
+++ b/tests/policy/test_list_size.py
@@ -283,10 +283,10 @@
     endless_text = b'{"targets": [' + b", ".join(
         [entry_text] * (MAX_OBJECT_BYTES // len(entry_text) + 20)
     )
-    with pytest.raises(DiscoveryError, match="does not end"):
+    with pytest.raises(DiscoveryError, match="an object is too large"):
         parse(WatchResponseParser(new_endpoint_list().codec.decode_endpoint), endless_text)
     parser, bytes_fed = WatchResponseParser(new_endpoint_list().codec.decode_endpoint), 0
-    with pytest.raises(DiscoveryError, match="does not end"):
+    with pytest.raises(DiscoveryError, match="an object is too large"):
         for piece in response_pieces(
             b'{"targets": ['
             + json.dumps(target("s-0", 1)).encode()
