--- a/dockthread/config/__init__.py
+++ b/dockthread/config/__init__.py
@@ -1,13 +1,13 @@
-"""Configuration: the platform's JSON and the operator's INI file, read, checked and typed.
+"""Configuration: reads and validates the platform's JSON and the operator's INI file.
 
-| module | what it owns |
+| module | contents |
 | --- | --- |
 | `address.py` | `host:port` and its sockets |
 | `ingress_config.py` | the types of one ingress's configuration |
 | `platform_settings.py` | the reader of the platform's JSON |
-| `ini_reader.py` | the reader of INI text, whatever the sections |
+| `ini_reader.py` | the reader of INI text for any set of section types |
 | `quantities.py` | durations, sizes and shares with their units |
-| `section_registry.py` | the sections of the operator's file, and the file itself |
+| `section_registry.py` | the sections of the operator's file, and the reader of the file |
 
-The type of each section stands with the subsystem that it configures.
+Each subsystem defines the types of the sections that configure it.
 """
--- a/dockthread/config/address.py
+++ b/dockthread/config/address.py
@@ -1,4 +1,4 @@
-"""A network address, `host:port`, and the sockets that belong to it."""
+"""Network addresses, `host:port`, and their sockets."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """The host and port of one side of a connection. An IPv6 host stands without brackets."""
+    """The host and port of one end of a connection. An IPv6 host is stored without brackets."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Read `host:port`, or `[host]:port` for IPv6.
+        """Parse `host:port`, or `[host]:port` for IPv6.
 
         Raises:
-            SettingsError: The text is no address.
+            SettingsError: The text is not an address.
         """
         host, _, port = text.rpartition(":")
         host = host.strip("[]")
@@ -38,8 +38,8 @@
     def listener(self, backlog: int | None) -> socket.socket:
         """Return a non-blocking socket bound to this address.
 
-        With a `backlog` the socket listens for connections. Without one it is a datagram socket,
-        which does not share its address.
+        With a `backlog` it is a stream socket that listens for connections. Without one it is a
+        datagram socket, whose address no other socket can bind.
 
         Raises:
             OSError: The address cannot be bound; no socket is left open.
@@ -61,7 +61,7 @@
 
 
 def host_port(text: str) -> tuple[str, int] | None:
-    """Return the parts of `HOST:PORT` or `[V6]:PORT`; None for text that is neither."""
+    """Return the host and port of `HOST:PORT` or `[V6]:PORT`, or None if the text is neither."""
     try:
         address = Address.parse(text)
     except SettingsError:
--- a/dockthread/config/ingress_config.py
+++ b/dockthread/config/ingress_config.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Names:
-    """The names that messages use, in the order by which the policy engine numbers them.
+    """The names used in messages; the policy engine uses their indexes as numbers.
 
     Attributes:
         kinds: The kinds of backends.
@@ -25,12 +25,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerAddresses:
-    """Where the ingresses of the tier exchange gossip.
+    """The addresses at which the ingresses exchange gossip.
 
     Attributes:
-        listen: Where this ingress receives.
-        peers: The addresses of all ingresses by number, including this one's own.
-        broadcast: An address that reaches all of them with one message, where there is one.
+        listen: The address at which this ingress receives gossip.
+        peers: The addresses of all ingresses, by number, including this ingress.
+        broadcast: An address that reaches all ingresses with one message, or None.
     """
 
     listen: Address
@@ -40,28 +40,28 @@
 
 @dataclass(frozen=True, slots=True)
 class IngressConfig:
-    """All that one ingress is configured with when it starts.
+    """The configuration with which an ingress starts.
 
     Attributes:
-        name: The name of this ingress among the others.
-        listen: Where it serves clients.
-        discovery: Where it polls for the list of backends.
+        name: The name of this ingress, which no other ingress has.
+        listen: The address at which it serves clients.
+        discovery: The address of discovery, from which it gets the list of backends.
         seed: The seed of the policy engine's random numbers.
-        max_sockets: How many sockets the platform lets the process open.
-        known_endpoints: The list of backends to start with, as discovery would send it.
+        max_sockets: The number of sockets that the platform lets the process open.
+        known_endpoints: The initial list of backends, in the format of a discovery message.
         policy_settings: The settings of the policy engine; their times are in seconds.
         names: The names of the classes, plans, zones and kinds in `policy_settings`.
-        memory_mb: How much memory the platform gives to the process, in MB.
-        max_request_units: The most units that one request may ask for.
-        counter: The address of the quota counter, where there is one.
-        peers: The addresses for gossip, where the ingresses exchange any.
-        counter_timeout_ms: How long a call to the quota counter may take.
-        connection_idle_ms: How long a backend keeps an idle connection open.
-        connect_timeout_ms: How long a connection to a backend may take to open.
-        max_open_requests: The most requests that are open at once.
-        management: Where the management server listens, where there is one.
-        inherited_listener_fd: The descriptor of a listening socket for clients that the platform
-            handed over, where it did.
+        memory_mb: The memory that the platform gives to the process, in MB.
+        max_request_units: The largest number of units that one request may cost.
+        counter: The address of the quota counter, or None.
+        peers: The addresses for gossip, or None if the ingresses exchange none.
+        counter_timeout_ms: The timeout of a call to the quota counter.
+        connection_idle_ms: The time for which a backend keeps an idle connection open.
+        connect_timeout_ms: The timeout for opening a connection to a backend.
+        max_open_requests: The largest number of concurrently open requests.
+        management: The address at which the management server listens, or None.
+        inherited_listener_fd: The file descriptor of a listening client socket that the platform
+            passed to the process, or None.
     """
 
     name: str
--- a/dockthread/config/ini_reader.py
+++ b/dockthread/config/ini_reader.py
@@ -1,11 +1,12 @@
-"""Reads INI text into typed sections, and reports everything that is wrong with it.
+"""Reads INI text into typed sections and reports all problems in it.
 
-`configparser` splits the text into sections of keys and texts. A heading is a kind, such as
-`telemetry`, or a kind and a name, such as `graphite main`. Each kind has a `msgspec.Struct`: its
-fields are the keys, their types decide how a text is read, and their defaults hold where a key is
-left out. Reading does not stop at the first problem, because `dockthread check` shows all of them.
+`configparser` splits the text into sections of keys and values. A heading is a kind, such as
+`telemetry`, or a kind and a name, such as `graphite main`. Each kind has a `msgspec.Struct` type:
+its fields are the keys, their types decide how a value is parsed, and their defaults apply to
+missing keys. Reading does not stop at the first problem, because `dockthread check` shows all of
+them.
 
-Problems between sections are found where the sections are joined (`section_registry.py`).
+`section_registry.py` finds the problems that involve several sections.
 """
 
 from __future__ import annotations
@@ -22,27 +23,27 @@
 
 from dockthread.config.quantities import Duration, Share, Size, parse_bool
 
-# A wrong path, such as that of a log, must not fill the memory.
+# Limits the file size, so that a mistaken path, such as that of a log file, cannot fill the memory.
 MAX_FILE_BYTES = 4 * 1024 * 1024
 
-# How alike two words have to be for one to be suggested in place of the other (difflib's ratio).
+# The least similarity, as difflib's ratio, at which a known name is suggested for an unknown one.
 MIN_SIMILARITY = 0.6
 
-# How much of a bad value is shown, so that a problem stays one line.
+# Characters of an invalid value that a problem shows, so that it stays one line.
 MAX_SHOWN_CHARACTERS = 80
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigProblem:
-    """What is wrong with a file; the text is one plain line.
+    """A problem in a file; `str` returns it as a single line.
 
     Attributes:
         file: The file's name.
-        section: The heading of the section; empty where the file as a whole is wrong.
-        key: The key; empty where the section as a whole is wrong.
-        reason: What is wrong.
-        remedy: What would do instead.
-        is_warning: Whether the file can be used all the same.
+        section: The heading of the section; empty if the problem concerns the whole file.
+        key: The key; empty if the problem concerns the whole section.
+        reason: Why the file is invalid.
+        remedy: A valid value, or how to solve the problem.
+        is_warning: Whether the file can be used despite the problem.
     """
 
     file: str
@@ -64,12 +65,12 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyProblem:
-    """What a section finds wrong with one of its keys.
+    """A problem with one key of a section.
 
     Attributes:
-        key: The key; empty where the section as a whole is wrong.
-        reason: What is wrong.
-        remedy: What would do instead.
+        key: The key; empty if the problem concerns the whole section.
+        reason: Why the value is invalid.
+        remedy: A valid value, or how to solve the problem.
     """
 
     key: str
@@ -78,20 +79,20 @@
 
 
 class Section(msgspec.Struct, frozen=True, kw_only=True):
-    """Base class of all sections: the fields are the keys."""
+    """Base class of all sections; the fields are the keys."""
 
     def problems(self) -> Iterable[KeyProblem]:
-        """Yield what is wrong with this section's values, alone and against each other."""
+        """Yield the problems of single values of this section and of combinations of them."""
         return ()
 
 
 @dataclass(frozen=True, slots=True)
 class SectionKind:
-    """How the sections of one kind are read.
+    """The type and the heading of the sections of one kind.
 
     Attributes:
-        struct: The type of the section.
-        named: Whether its headings carry a name; only then may a file have several.
+        struct: The type of the sections.
+        named: Whether the headings have a name; only then can a file have several such sections.
     """
 
     struct: type[Section]
@@ -100,13 +101,13 @@
 
 @dataclass(slots=True)
 class OperatorConfig:
-    """A file as it was read.
+    """The parsed sections of a file, and its problems.
 
     Attributes:
         file: The file's name.
-        sections: The sections by kind, then by name; the name is empty where the kind has none.
-        explicit_keys: The keys that the file sets itself, by kind and name of the section.
-        problems: Everything that is wrong with the file, warnings included.
+        sections: The sections by kind, then by name; the name is empty for kinds without names.
+        explicit_keys: The keys that the file sets, by kind and name of the section.
+        problems: All problems in the file, including warnings.
     """
 
     file: str
@@ -115,24 +116,24 @@
     problems: list[ConfigProblem] = field(default_factory=list)
 
     def section(self, kind: str) -> Any:
-        """Return the one section of a kind without names."""
+        """Return the only section of a kind without names."""
         return self.sections[kind][""]
 
     def named_sections(self, kind: str) -> dict[str, Any]:
-        """Return the sections of a kind by name; none where the file has none."""
+        """Return the sections of a kind by name; empty if the file has none."""
         return self.sections.get(kind, {})
 
     @property
     def errors(self) -> list[ConfigProblem]:
-        """The problems for which the file is rejected."""
+        """The problems because of which the file is rejected."""
         return [problem for problem in self.problems if not problem.is_warning]
 
 
 def read_sections(text: str, file: str, kinds: Mapping[str, SectionKind]) -> OperatorConfig:
-    """Read a file's text.
+    """Parse the text of a file.
 
-    A kind without names that the text leaves out has a section of defaults. `file` is only the
-    name that problems show.
+    If the text has no section of a kind without names, that section has its defaults. `file` is
+    only the file name that problems show.
     """
     config = OperatorConfig(file)
     parser = _new_parser()
@@ -155,33 +156,33 @@
         delimiters=("=",),
         comment_prefixes=("#", ";"),
         inline_comment_prefixes=("#", ";"),
-        default_section="\0",  # no heading can name it, so no section lends values to the others
+        default_section="\0",  # cannot be a heading, so no section provides defaults for others
         strict=True,
     )
-    # Keys stay as they are written, so that a near miss can be shown.
+    # Keys keep their case, so that messages show them as they are written.
     parser.optionxform = str  # type: ignore[assignment,method-assign]
     return parser
 
 
 def _syntax_problem(file: str, error: configparser.Error) -> ConfigProblem:
     if isinstance(error, configparser.DuplicateSectionError):
-        reason = f"stands twice (line {error.lineno})"
-        return ConfigProblem(file, error.section, "", reason, "join the two, or rename one")
+        reason = f"is defined twice (line {error.lineno})"
+        return ConfigProblem(file, error.section, "", reason, "merge them, or rename one")
     if isinstance(error, configparser.DuplicateOptionError):
-        reason = f"stands twice (line {error.lineno})"
-        return ConfigProblem(file, error.section, error.option, reason, "leave one")
+        reason = f"is set twice (line {error.lineno})"
+        return ConfigProblem(file, error.section, error.option, reason, "remove one")
     if isinstance(error, configparser.MissingSectionHeaderError):
-        reason = f"line {error.lineno} stands before any section"
-        return ConfigProblem(file, "", "", reason, "begin with a head such as [telemetry]")
+        reason = f"line {error.lineno} is outside any section"
+        return ConfigProblem(file, "", "", reason, "begin with a heading such as [telemetry]")
     lines = [str(number) for number, _ in getattr(error, "errors", [])]
-    reason = f"line {', '.join(lines)} cannot be read" if lines else str(error)
+    reason = f"line {', '.join(lines)} cannot be parsed" if lines else str(error)
     return ConfigProblem(file, "", "", reason, "write KEY = VALUE")
 
 
 def _read_section(
     config: OperatorConfig, kinds: Mapping[str, SectionKind], heading: str, texts: dict[str, str]
 ) -> None:
-    """Add a section to `config`, or its problems."""
+    """Parse a section and add it, or its problems, to `config`."""
     kind, _, name = heading.strip().partition(" ")
     name = name.strip()
     problem = _heading_problem(config, kinds, heading, kind, name)
@@ -206,14 +207,14 @@
         return ConfigProblem(config.file, heading, "", "takes no name", f"write [{kind}]")
     if name in config.sections.get(kind, {}):
         remedy = "give one of them another name"
-        return ConfigProblem(config.file, heading, "", "stands twice", remedy)
+        return ConfigProblem(config.file, heading, "", "is defined twice", remedy)
     return None
 
 
 def _parse_section(
     config: OperatorConfig, heading: str, struct: type[Section], texts: dict[str, str]
 ) -> Section | None:
-    """Return the section; None where it has a problem, which is added to `config`."""
+    """Return the section, or None if it has problems, which are added to `config`."""
     fields = {each.encode_name: each for each in msgspec.structs.fields(struct)}
     values: dict[str, Any] = {}
     bad_keys: set[str] = set()
@@ -236,7 +237,7 @@
             report(key, "is missing", f"write {key} = ...")
     if any(wanted.required and wanted.name not in values for wanted in fields.values()):
         return None
-    # Bad keys have their defaults here, so that the other keys are checked all the same.
+    # Invalid keys keep their defaults here, so that the other keys are still checked.
     section = struct(**values)
     for problem in section.problems():
         if problem.key not in bad_keys:
@@ -245,15 +246,15 @@
 
 
 def parse_value(text: str, wanted: Any) -> Any:
-    """Read one key's text as a value of its field's type.
+    """Parse the value of a key as its field's type.
 
     Args:
-        text: The text as the file has it.
-        wanted: The annotation of the field; `X | None` is read as `X`.
+        text: The value as written in the file.
+        wanted: The annotation of the field; `X | None` is treated as `X`.
 
     Raises:
-        ValueError: The text is no such value.
-        msgspec.ValidationError: As ValueError.
+        ValueError: The text is not a value of that type.
+        msgspec.ValidationError: Like ValueError.
     """
     alternatives = [each for each in typing.get_args(wanted) if each is not type(None)]
     if typing.get_origin(wanted) in (types.UnionType, Union) and len(alternatives) == 1:
@@ -270,7 +271,7 @@
     try:
         return msgspec.convert(text, wanted, strict=False)
     except msgspec.ValidationError as error:
-        raise ValueError(f"is not right: {str(error)[0].lower()}{str(error)[1:]}") from error
+        raise ValueError(f"is not valid: {str(error)[0].lower()}{str(error)[1:]}") from error
 
 
 def _parse_literal(text: str, choices: tuple[str, ...]) -> str:
@@ -282,7 +283,10 @@
 
 
 def _suggestion(word: str, known: Iterable[str]) -> str:
-    """Return a question that names the known word most like `word`; empty where none is alike."""
+    """Return a question that proposes the known name most similar to `word`.
+
+    The question is empty if no name is similar enough.
+    """
     close = difflib.get_close_matches(word, list(known), 1, MIN_SIMILARITY)
     return f"did you mean {close[0]}?" if close else ""
 
--- a/dockthread/config/platform_settings.py
+++ b/dockthread/config/platform_settings.py
@@ -1,7 +1,7 @@
-"""Reads the platform's JSON: the ingress's configuration, and the policy engine's settings in it.
+"""Reads the platform's JSON: the ingress's configuration, which contains the policy settings.
 
-The policy settings also reach the simulator's adapter, without a configuration around them. Times
-are in microseconds in the JSON. The policy engine takes seconds, the ingress itself milliseconds.
+The simulator's adapter reads policy settings that are not part of a configuration. Times are in
+microseconds in the JSON, in seconds in the policy engine, and in milliseconds in the ingress.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
     SafetyLimits,
 )
 
-# Microseconds, the JSON's unit of time.
+# In microseconds, the JSON's unit of time.
 SECOND = 1_000_000
 MILLISECOND = 1_000
 
-# A JSON object as it was decoded; every use checks what it takes from it.
+# A decoded JSON object, whose values have not been validated.
 JsonObject = dict[str, Any]
 
 # An ingress needs this many sockets for its listeners, discovery and a few clients and backends.
@@ -43,11 +43,11 @@
     `NODE_NAME`, `NODE_LISTEN`, `NODE_DISCOVERY` and `NODE_MANAGEMENT` override the file's values.
 
     Raises:
-        SettingsError: There is no such file, or it cannot be used.
+        SettingsError: The file does not exist or is not valid.
     """
     path = environ.get("NODE_CONFIG")
     if not path:
-        raise SettingsError("is not set: it names the configuration file", key="NODE_CONFIG")
+        raise SettingsError("is not set; it must name the configuration file", key="NODE_CONFIG")
     raw = _read_json(path)
     try:
         return _ingress_config(raw, environ)
@@ -63,23 +63,24 @@
 
 
 def reread_config(environ: Mapping[str, str]) -> IngressConfig:
-    """Read the configuration again, after SIGHUP.
+    """Read the configuration again after SIGHUP.
 
-    The environment is as old as the process, so only the file can say where discovery is now.
+    `NODE_DISCOVERY` is ignored: the environment cannot change while the process runs, so only the
+    file can have a new address of discovery.
 
     Raises:
-        SettingsError: As `read_config`.
+        SettingsError: Like `read_config`.
     """
     return read_config({name: value for name, value in environ.items() if name != "NODE_DISCOVERY"})
 
 
 def read_policy_settings_file(path: str) -> tuple[PolicySettings, Names]:
-    """Read the policy settings and the names of a file, to check an operator's file against them.
+    """Read policy settings and names from a file, to validate an operator's file against them.
 
-    The file is the platform's configuration, or its `settings` alone.
+    The file contains the platform's configuration, or only the value of its key `settings`.
 
     Raises:
-        SettingsError: The file cannot be read, or holds no settings.
+        SettingsError: The file cannot be read or contains no valid settings.
     """
     try:
         raw = json.loads(Path(path).read_bytes())
@@ -92,10 +93,10 @@
 
 
 def parse_policy_settings(text: bytes) -> PolicySettings:
-    """Read policy settings from their JSON text; keys that are not known are skipped.
+    """Parse policy settings from JSON text; unknown keys are ignored.
 
     Raises:
-        SettingsError: The text holds no settings.
+        SettingsError: The text contains no valid settings.
     """
     try:
         return _policy_settings(json.loads(text))
@@ -151,7 +152,7 @@
 def _max_sockets(machine: JsonObject) -> int:
     sockets: int = machine.get("sockets", 1024)
     if sockets < MIN_SOCKETS:
-        reason = f"is {sockets}, and an ingress needs at least {MIN_SOCKETS}"
+        reason = f"is {sockets}, but an ingress needs at least {MIN_SOCKETS}"
         raise SettingsError(reason, key="limits.sockets")
     return sockets
 
@@ -170,7 +171,7 @@
     if not listen or not peers:
         return None
     if not isinstance(peers, list) or len(peers) != ingress_count:
-        remedy = f"a list of {ingress_count} addresses, as settings.ReplicasOfMe, would do"
+        remedy = f"must be a list of {ingress_count} addresses, as settings.ReplicasOfMe says"
         raise SettingsError(f"is {peers!r}", key="peers", remedy=remedy)
     broadcast = _optional_address(raw.get("peers_all"))
     return PeerAddresses(Address.parse(listen), tuple(map(Address.parse, peers)), broadcast)
@@ -218,24 +219,24 @@
 
 
 def _check_ranges(classes: list[JsonObject], limits: JsonObject) -> None:
-    """Reject values with which the policy engine would compute nonsense."""
+    """Reject values with which the policy engine would compute meaningless results."""
     for number, request_class in enumerate(classes):
         for key in ("Aim", "HardLimit"):
             if not request_class[key] > 0:
                 raise SettingsError(
                     f"is {request_class[key]!r}",
                     key=f"settings.Classes[{number}].{key}",
-                    remedy="a time over 0 would do",
+                    remedy="must be a time above 0",
                 )
     if not limits.get("SendCap", 1) > 0:
         raise SettingsError(
             f"is {limits['SendCap']!r}",
             key="settings.Limits.SendCap",
-            remedy="1 attempt or more would do",
+            remedy="must be at least 1 attempt",
         )
     if not classes:
         raise SettingsError(
-            "is empty", key="settings.Classes", remedy="one class at least would do"
+            "is empty", key="settings.Classes", remedy="must have at least one class"
         )
 
 
--- a/dockthread/config/quantities.py
+++ b/dockthread/config/quantities.py
@@ -1,4 +1,4 @@
-"""Quantities with units, as the operator's file writes them: `250ms`, `10s`, `64KiB`, `5%`."""
+"""Quantities with units, as written in the operator's file: `250ms`, `10s`, `64KiB`, `5%`."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     "kb": 1_000,
     "mb": 1_000_000,
 }
-# The units in which a quantity is shown, the largest first.
+# The units in which a quantity is shown, largest first.
 SHOWN_DURATION_UNITS = (("h", 3_600_000), ("min", 60_000), ("s", 1_000))
 SHOWN_SIZE_UNITS = (("GiB", 1 << 30), ("MiB", 1 << 20), ("KiB", 1 << 10))
 QUANTITY = re.compile(r"([0-9]+(?:\.[0-9]+)?)\s*([A-Za-z]*)")
@@ -30,19 +30,19 @@
 
 
 class Duration(float):
-    """A length of time in milliseconds."""
+    """A duration in milliseconds."""
 
     @classmethod
     def parse(cls, text: str) -> Duration:
-        """Read a number with a unit of time, such as `250ms`.
+        """Parse a number with a unit of time, such as `250ms`.
 
         Raises:
-            ValueError: The text is no such number.
+            ValueError: The text is not a duration.
         """
         match = QUANTITY.fullmatch(text.strip())
         if match is None or match[2].lower() not in MILLISECONDS_BY_UNIT:
             raise ValueError(
-                "is not a duration: a number and one of us, ms, s, min, h, such as 250ms or 10s"
+                "is not a duration: write a number and a unit (us, ms, s, min, h), such as 250ms"
             )
         return cls(float(match[1]) * MILLISECONDS_BY_UNIT[match[2].lower()])
 
@@ -58,14 +58,16 @@
 
     @classmethod
     def parse(cls, text: str) -> Size:
-        """Read a number with a unit of size, such as `64KiB`.
+        """Parse a number with a unit of size, such as `64KiB`.
 
         Raises:
-            ValueError: The text is no such number.
+            ValueError: The text is not a size.
         """
         match = QUANTITY.fullmatch(text.strip())
         if match is None or match[2].lower() not in BYTES_BY_UNIT:
-            raise ValueError("is not a size: a number and one of B, KiB, MiB, GiB, such as 64KiB")
+            raise ValueError(
+                "is not a size: write a number and a unit (B, KiB, MiB, GiB), such as 64KiB"
+            )
         return cls(float(match[1]) * BYTES_BY_UNIT[match[2].lower()])
 
     def __str__(self) -> str:
@@ -76,18 +78,18 @@
 
 
 class Share(float):
-    """A part of a whole: `0.05` or `5%`."""
+    """A fraction, written as `0.05` or `5%`."""
 
     @classmethod
     def parse(cls, text: str) -> Share:
-        """Read a number, or a percentage.
+        """Parse a number or a percentage.
 
         Raises:
             ValueError: The text is neither.
         """
         match = SHARE.fullmatch(text.strip())
         if match is None:
-            raise ValueError("is no share: write a number such as 0.05, or 5%")
+            raise ValueError("is not a share: write a number such as 0.05, or 5%")
         return cls(float(match[1]) / (100.0 if match[2] else 1.0))
 
     def __str__(self) -> str:
@@ -95,7 +97,7 @@
 
 
 def parse_bool(text: str) -> bool:
-    """Read `yes` or `no`, or one of their synonyms, in any case.
+    """Parse `yes` or `no`, or one of their synonyms, in upper or lower case.
 
     Raises:
         ValueError: The text is neither.
--- a/dockthread/logs/__init__.py
+++ b/dockthread/logs/__init__.py
@@ -1,1 +1,1 @@
-"""The log: its options, its set-up, and single events at TRACE."""
+"""Logging: options, set-up, and a tracer that logs single events at level TRACE."""
--- a/dockthread/logs/options.py
+++ b/dockthread/logs/options.py
@@ -9,12 +9,13 @@
 
 
 class LogOptions(Section, frozen=True, kw_only=True):
-    """Where the log goes, in which form, and from which level on.
+    """The log's target, format and level.
 
     Attributes:
-        level: The lowest level that is logged; `DOCKTHREAD_LOG` wins where both are set.
-        form: `text` for people, or `json` for a collector: one object a line.
-        target: `stderr`, `stdout` or the path of a file, which is appended to.
+        level: The lowest level that is logged; the environment variable `DOCKTHREAD_LOG` overrides
+            it.
+        form: `text` for people, or `json` for a log collector, with one object per line.
+        target: `stderr`, `stdout` or the path of a file, to which lines are appended.
     """
 
     level: Literal["DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
@@ -22,6 +23,6 @@
     target: str = "stderr"
 
     def problems(self) -> Iterable[KeyProblem]:
-        """Yield a problem for a target that cannot be opened."""
+        """Yield a problem if the target is empty or has a null character."""
         if not self.target or "\0" in self.target:
-            yield KeyProblem("target", "is no target", "write stderr, stdout or a path")
+            yield KeyProblem("target", "is not a target", "write stderr, stdout or a path")
--- a/dockthread/logs/setup.py
+++ b/dockthread/logs/setup.py
@@ -1,4 +1,4 @@
-"""Sets the log up: text for people, or JSON lines for a collector."""
+"""Sets up logging as text for people or as JSON lines for a log collector."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 def set_up(level: str, options: LogOptions | None = None, **fields: str) -> None:
-    """Replace every sink by the one that the options name.
+    """Replace all sinks by the one that the options name.
 
-    `fields` are bound to every line; JSON shows them, text does not.
+    `fields` are bound to every line; they appear in JSON lines but not in text lines.
 
     Raises:
         SettingsError: The level is unknown, or the target cannot be opened.
@@ -31,7 +31,7 @@
     logger.configure(extra=fields)
     try:
         if form == "json":
-            stream: TextIO = sink if target in STREAMS else open(target, "a", buffering=1)  # noqa: SIM115  open to the end
+            stream: TextIO = sink if target in STREAMS else open(target, "a", buffering=1)  # noqa: SIM115  stays open until the process exits
             logger.add(
                 lambda message: print(as_json(message.record), file=stream, flush=True), level=level
             )
@@ -47,10 +47,10 @@
 
 
 def as_json(record: Any) -> str:
-    """Return a record as one line of JSON.
+    """Return a log record as one line of JSON.
 
-    It has time, level, message, module and the bound fields; for an exception also its type, its
-    text, and the file and line that raised it.
+    The line has the time, level, message, module and the bound fields. If the record has an
+    exception, the line also has its type and text, and the file and line that raised it.
     """
     line: dict[str, Any] = {
         "time": record["time"].isoformat(timespec="milliseconds"),
--- a/dockthread/logs/trace.py
+++ b/dockthread/logs/trace.py
@@ -1,4 +1,4 @@
-"""Single events in the log at TRACE, which `benchmarks/fleet_count.py` counts over all ingresses."""
+"""Logs single events at TRACE, which `benchmarks/fleet_count.py` counts over all ingresses."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class Tracer(Observer):
-    """Logs one line for each event: `trace EVENT KEY=VALUE ...`, times in milliseconds.
+    """Logs one line for each event: `trace EVENT KEY=VALUE ...`, with times in milliseconds.
 
-    It is set up only where the log's level is TRACE, and telemetry's observer replaces it where
-    receivers are configured. The keys are read by `benchmarks/fleet_count.py`.
+    It is used only if the log level is TRACE and no telemetry receivers are configured; otherwise
+    telemetry's observer replaces it. `benchmarks/fleet_count.py` reads the keys.
     """
 
     active = tracing = True
 
     def event(self, what: str, **figures: object) -> None:
-        """Log an event with its figures."""
+        """Log an event with its keys and values."""
         logger.trace(
             "trace {}", " ".join([what, *(f"{key}={figure}" for key, figure in figures.items())])
         )
@@ -58,5 +58,5 @@
         self.event("count", outcome=outcome.value.replace(" ", "-"), took=round(duration_ms, 1))
 
     def phase(self, name: str) -> None:
-        """Log the phase of the life cycle that begins."""
+        """Log the start of a phase of the ingress's life cycle."""
         self.event("phase", name=name)
--- a/dockthread/routes/__init__.py
+++ b/dockthread/routes/__init__.py
@@ -1,7 +1,8 @@
-"""Routes: named sets of requests with timeouts, attempts, hedges, budgets and limits of their own.
+"""Routes: named sets of requests with their own timeouts, attempts, hedges, budgets and limits.
 
-`options` is the section of the operator's file; `check` and `class_proof` prove a file against the
-settings, and `findings` are what they find; `layers` and `table` keep the routes in force and find
-a request's route; `bounds` implements the policy engine's `Route` for one request; `usage` is what
-the requests of a route share; `model_checker` checks all of them with the engine.
+`options` defines the section of the operator's file. `check` and `class_proof` validate routes
+against the settings and report `findings`. `layers` and `table` hold the active routes and find the
+route for a request. `bounds` implements the policy engine's `Route` protocol for one request.
+`usage` holds the state that the requests of a route share. `model_checker` tests these modules
+together with the engine.
 """
--- a/dockthread/routes/bounds.py
+++ b/dockthread/routes/bounds.py
@@ -1,12 +1,13 @@
-"""The bounds of one request: implements the policy engine's `Route` protocol.
+"""The bounds of one request, which implement the policy engine's `Route` protocol.
 
-The engine decides. Before it retries, hedges or admits a request it asks the request's bounds,
-which can only say no, or later. A request keeps the bounds with which it arrived until its final
-answer. Where the table has changed since (`Table.replace`), the next question finds that out: the
-request is matched again, and from then on the stricter of both routes applies. So a reload does not
-walk over the requests in flight, and cannot widen what one of them may do.
+The engine makes the decisions. Before it admits, retries or hedges a request it asks the request's
+bounds, which can only forbid or delay the action. A request keeps the bounds that it got on arrival
+until its final answer. If the table has changed since then (`Table.replace`), the next call notices
+it, matches the request again, and applies the stricter of the old and the new rules from then on.
+So a reload need not visit the requests in flight, and it never allows such a request more than
+before.
 
-Times are in seconds, as the engine's.
+Times are in seconds, as in the engine.
 """
 
 from __future__ import annotations
@@ -17,11 +18,11 @@
 from dockthread.routes.rules import RequestAttributes, Rules, stricter
 from dockthread.routes.usage import RouteUsage
 
-MAX_BACKOFF_DOUBLINGS = 30  # beyond it any wait is over every maximum
+MAX_BACKOFF_DOUBLINGS = 30  # with more, any backoff exceeds every permitted maximum
 
 
 class RuleSource(Protocol):
-    """What bounds ask of the table that they came from.
+    """The part of the route table that bounds use.
 
     Attributes:
         generation: A number that grows with each change of the table.
@@ -31,22 +32,23 @@
 
     @property
     def dropped(self) -> object:
-        """Routes that are gone and may still have open requests; true where there are any."""
+        """The removed routes that may still have open requests; truthy if there are any."""
         ...
 
     def rules_for(self, request: RequestAttributes) -> Rules:
-        """Return the rules that such a request would get now."""
+        """Return the rules that a request with these attributes would get now."""
         ...
 
     def forget_idle(self) -> None:
-        """Drop the state of the routes that are gone and have no open request."""
+        """Delete the usage of removed routes that have no open requests."""
         ...
 
 
 class Bounds:
     """The bounds of one request, from its arrival to its final answer.
 
-    Its public members are those of the `Route` protocol, and the name and time for the ingress.
+    The public members are those of the `Route` protocol, and the name and timeout that the ingress
+    reads.
     """
 
     __slots__ = (
@@ -81,7 +83,7 @@
 
     @property
     def rules(self) -> Rules:
-        """The stricter of the rules at the request's arrival and those since."""
+        """The strictest combination of the rules since the request's arrival."""
         if self._generation != self._table.generation:
             self._generation = self._table.generation
             self._rules = stricter(self._rules, self._table.rules_for(self._request))
@@ -89,17 +91,17 @@
 
     @property
     def timeout(self) -> float:
-        """The time (ms) for the request, as the ingress counts it; 0 sets no bound."""
+        """The timeout (ms) of the whole request, in the ingress's unit; 0 means no timeout."""
         return self._rules.timeout * 1000.0
 
     @property
     def attempt_timeout(self) -> float:
-        """The time (s) that one attempt may take; 0 sets no bound."""
+        """The timeout (s) of one attempt; 0 means no timeout."""
         return self.rules.attempt_timeout
 
     @property
     def restricts_backends(self) -> bool:
-        """Whether the request may go to some backends only."""
+        """Whether the request may go only to certain backends."""
         return bool(self._rules.zones or self._rules.kinds)
 
     def allows(self, endpoint: Endpoint) -> bool:
@@ -110,11 +112,11 @@
         )
 
     def enter(self, request: int, priority_weight: float, now: float) -> tuple[bool, int | None]:
-        """Let the request inside the concurrency limit, or queue it.
+        """Admit the request under the concurrency limit, or queue it.
 
         Returns:
-            Whether it is inside; and, if not, the request to reject for it: itself, another one
-            that waits, or None.
+            Whether the request was admitted, and the request to reject because the queue is full:
+            this one, another queued one, or None.
         """
         usage = self._usage
         if usage.limit.has_capacity:
@@ -131,26 +133,26 @@
 
     @property
     def max_queue_wait(self) -> float:
-        """The time (s) for which the request may wait for the concurrency limit."""
+        """The longest time (s) that the request may wait in the queue."""
         return self._rules.queue_wait
 
     def on_dequeued(self, now: float) -> None:
-        """Note that the request was taken from the queue and is inside the limit."""
+        """Record that the request was taken from the queue and admitted."""
         self._is_inside = True
         self._usage.queue_wait += now - self._queued_at
 
     def on_queue_timeout(self, request: int) -> None:
-        """Take the request out of the queue, as it has waited for `max_queue_wait`."""
+        """Remove the request from the queue after it has waited for `max_queue_wait`."""
         self._usage.queue.remove(request)
         self._usage.refused_limit += 1
 
     @property
     def is_queued(self) -> bool:
-        """Whether the request is not yet inside the concurrency limit."""
+        """Whether the request has not yet been admitted under the concurrency limit."""
         return not self._is_inside
 
     def release(self, request: int) -> list[int]:
-        """Finish the request and return the queued requests that are inside in its place."""
+        """Finish the request and return the queued requests that are admitted in its place."""
         usage = self._usage
         usage.open -= 1
         if self._table.dropped:
@@ -169,7 +171,7 @@
         return admitted
 
     def on_attempt_sent(self, number: int, now: float) -> None:
-        """Note that an attempt was sent; the first one fills the budgets."""
+        """Record that an attempt was sent; the first one adds tokens to the budgets."""
         usage = self._usage
         usage.attempts += 1
         if number > 0:
@@ -180,7 +182,7 @@
             usage.budget.on_first_attempt(now)
 
     def hedge_delay(self) -> float | None:
-        """Return the time (s) after which to hedge an attempt; None to leave it to the engine."""
+        """Return the time (s) after which to hedge an attempt, or None to let the engine choose."""
         rules = self.rules
         if not rules.hedging:
             return None
@@ -189,7 +191,7 @@
         return rules.fixed_hedge_delay or None
 
     def try_hedge(self, sent: int, now: float) -> bool:
-        """Return whether a hedged attempt may go now, after `sent` attempts; draw on the budget."""
+        """Return whether a hedge may be sent now, after `sent` attempts; takes budget tokens."""
         rules = self.rules
         usage = self._usage
         if rules.hedging is False or (rules.attempts and sent >= rules.attempts):
@@ -205,13 +207,14 @@
         return True
 
     def retry_delay(self, sent: int, outcome: Outcome, now: float) -> float | None:
-        """Return the time (s) to wait before the next attempt and draw on the retry budget.
+        """Take a token from the retry budget and return the backoff (s) before the next attempt.
 
-        The wait is drawn from a span that doubles with each attempt (full jitter). An attempt that
-        was never sent costs no budget, as no backend saw it.
+        The backoff has full jitter: it is drawn uniformly between 0 and a maximum that doubles with
+        each attempt. After an attempt that was never sent the retry takes no token, because no
+        backend saw that attempt.
 
         Returns:
-            None where there is to be no further attempt.
+            The backoff, or None if the request must not be retried.
         """
         rules = self.rules
         if rules.attempts and sent >= rules.attempts:
@@ -228,14 +231,14 @@
         return self._usage.rng.uniform(0.0, span)
 
     def may_still_retry(self, sent: int, outcome: Outcome) -> bool:
-        """Return whether the retry that `retry_delay` allowed is still allowed after the wait."""
+        """Return whether a retry that `retry_delay` allowed is still allowed after the backoff."""
         rules = self.rules
         if rules.attempts and sent >= rules.attempts:
             return False
         return rules.retry_on is None or outcome in rules.retry_on or outcome is Outcome.NOT_SENT
 
     def on_attempt_ended(self, number: int, outcome: Outcome, duration: float, now: float) -> None:
-        """Note how an attempt ended and its duration (s)."""
+        """Record the outcome and the duration (s) of an attempt."""
         usage = self._usage
         if outcome is Outcome.OK:
             if self._rules.hedge_percentile:
--- a/dockthread/routes/check.py
+++ b/dockthread/routes/check.py
@@ -1,7 +1,7 @@
-"""Proves routes: against the names of the settings, against each other, and against the settings.
+"""Validates routes against the settings and against each other.
 
-What one section can see alone is checked in `options`; the rules against the settings stand in
-`class_proof`.
+`options` checks what a single section shows by itself, and `class_proof` checks one route against
+the settings.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from dockthread.routes.ordered import shadowed_routes
 from dockthread.routes.position import file_positions
 
-NAME_SIMILARITY = 0.6  # of a known name, from which on it is proposed for an unknown one
+NAME_SIMILARITY = 0.6  # least similarity at which a known name is proposed for an unknown one
 
 
 def check(
     routes: Mapping[str, RouteOptions], settings: PolicySettings | None, names: Names | None
 ) -> list[Finding]:
-    """Return all that is wrong with the routes of a file, given in the file's order.
+    """Return the findings for the routes of a file, which are given in the file's order.
 
-    Without `settings` and `names` the routes are checked against each other only, and each name
+    Without `settings` and `names` the routes are checked only against each other, and every name
     that they use counts as known.
     """
     if settings is None or names is None:
@@ -48,10 +48,10 @@
 def check_one(
     name: str, route: RouteOptions, settings: PolicySettings, names: Names
 ) -> list[Finding]:
-    """Return all that is wrong with one route by itself.
+    """Return the findings for one route, without comparing it with other routes.
 
-    A route of another zone is checked as one of this zone, as a published route goes to all
-    ingresses.
+    A route for another zone is checked like one for this zone, because a published route is sent to
+    all ingresses.
     """
     unknown = list(_unknown_names(name, route, names))
     return unknown or list(ClassProof(name, route, settings, names).findings())
@@ -80,11 +80,11 @@
         for word in words:
             if word in known:
                 continue
-            what = f"no {key}"
+            reason = f"is not a known {key}"
             if key == "nodes":
-                what = "no kind of node and no hall: it could never be filled"
+                reason = "is neither a kind of node nor a hall, so no node could match"
             remedy = _proposed_name(word, known)
-            yield Finding(name, key, ProofRule.KNOWN_NAMES, f"{word!r} is {what}", remedy)
+            yield Finding(name, key, ProofRule.KNOWN_NAMES, f"{word!r} {reason}", remedy)
 
 
 def _proposed_name(word: str, known: tuple[str, ...]) -> str:
@@ -99,4 +99,4 @@
     positions = file_positions(routes)
     matchers = (numbers.matcher(name, route, positions[name]) for name, route in routes.items())
     for name, shadowed_by in shadowed_routes(matchers):
-        yield shadowed_finding(name, shadowed_by, "set it before that")
+        yield shadowed_finding(name, shadowed_by, "move this route before that one")
--- a/dockthread/routes/class_proof.py
+++ b/dockthread/routes/class_proof.py
@@ -1,4 +1,4 @@
-"""Proves one route against the settings, for each request class whose requests it can take."""
+"""Validates one route against the settings, for each request class that it can match."""
 
 from __future__ import annotations
 
@@ -14,17 +14,19 @@
 from dockthread.routes.rules import OUTCOMES_BY_NAME
 from dockthread.routes.worst_case import TIME_TOLERANCE, WorstCase, amplification, worst_case
 
-NEVER_RAN = frozenset((Outcome.AT_CAPACITY, Outcome.UNREACHABLE))  # after these nothing has run
-# A limit below this part of what one customer may need is an error; above it, only a warning.
+# Outcomes after which the request is known not to have run.
+NEVER_RAN = frozenset((Outcome.AT_CAPACITY, Outcome.UNREACHABLE))
+# A limit below this fraction of the concurrency that one customer may need is an error. A limit
+# between this fraction and the full need is only a warning.
 ERROR_PART = 0.5
-# Of a class's latency objective: an answer's usual time, as the policy engine assumes before it has
-# seen any.
+# The expected answer time, as a fraction of the class's latency objective. The policy engine
+# assumes the same fraction until it has seen an answer.
 USUAL_LATENCY_PART = 0.2
-MAX_AMPLIFICATION = 1.5  # attempts for each first attempt; more is worth a warning
+MAX_AMPLIFICATION = 1.5  # attempts per request; a higher factor gets a warning
 
 
 class ClassProof:
-    """The proof of one route whose names are all known to the settings."""
+    """Validates one route whose names are all defined in the settings."""
 
     def __init__(
         self, name: str, route: RouteOptions, settings: PolicySettings, names: Names
@@ -37,14 +39,14 @@
         self._rules = rules_from_options(name, route, numbers.zones, numbers.kinds)
 
     def findings(self) -> Iterator[Finding]:
-        """Yield all that is wrong with the route."""
+        """Yield every rule that the route violates."""
         route = self._route
         matched = list(self._matched_classes())
         if not matched:
             yield self._finding(
                 "verb",
                 ProofRule.MATCHES_A_CLASS,
-                f"{', '.join(route.verb)} goes with none of {', '.join(route.classes)}",
+                f"{', '.join(route.verb)} matches none of {', '.join(route.classes)}",
                 "leave verb out",
             )
             return
@@ -62,7 +64,7 @@
         return Finding(self._name, key, rule, counterexample, remedy, is_warning)
 
     def _matched_classes(self) -> Iterator[tuple[str, RequestClass]]:
-        """Yield the classes whose requests the route can take, by class and by verb."""
+        """Yield the name and settings of each class that the route's class and verb match."""
         route = self._route
         for name, request_class in zip(self._names.classes, self._settings.classes, strict=True):
             verb = "read" if request_class.effect is Effect.SAFE else "write"
@@ -78,13 +80,13 @@
                 "attempts",
                 ProofRule.ATTEMPT_LIMIT,
                 f"{route.attempts} is more than the settings allow",
-                f"{max_attempts} at most",
+                f"at most {max_attempts}",
             )
         if route.copies and not self._settings.may_hedge:
             yield self._finding(
                 "copies",
                 ProofRule.HEDGING_ALLOWED,
-                "yes, but the site allows no second copies",
+                "yes, but the site does not allow copies",
                 "no",
             )
 
@@ -126,7 +128,7 @@
             yield self._finding(
                 "attempts",
                 ProofRule.DEDUPLICATION_WINDOW,
-                f"{repeats} pass the window of {Duration(window * 1000)}: {reason}",
+                f"{repeats} exceed the window of {Duration(window * 1000)}: {reason}",
                 f"attempt_timeout = {_whole_milliseconds(window / attempts)}",
             )
         scope = request_class.deduplication_scope
@@ -134,14 +136,14 @@
             yield self._finding(
                 "nodes",
                 ProofRule.DEDUPLICATION_SCOPE,
-                f"may leave the group ({scope.value}) in which repeats are dropped: {reason}",
+                f"may leave the {scope.value} within which repeats are dropped: {reason}",
                 "leave nodes out",
             )
 
     def _time_findings(
         self, class_name: str, request_class: RequestClass, case: WorstCase
     ) -> Iterator[Finding]:
-        """Yield what is wrong with the times; the sums only where each time is right by itself."""
+        """Yield timeout problems; the total time is checked only if each timeout is valid."""
         route = self._route
         beyond_deadline = self._beyond_deadline(class_name, request_class)
         if beyond_deadline is not None:
@@ -151,7 +153,7 @@
             yield self._finding(
                 "queue_wait",
                 ProofRule.QUEUE_LEAVES_TIME,
-                f"{route.queue_wait} leaves {class_name} no time",
+                f"{route.queue_wait} leaves {class_name} no time for an attempt",
                 f"below {Duration(case.time_limit * 1000)}",
             )
             return
@@ -160,7 +162,7 @@
             yield self._finding(
                 "copy_after",
                 ProofRule.HEDGE_BEFORE_TIMEOUT,
-                f"{hedge_delay} is later than {class_name} waits",
+                f"{hedge_delay} is not before the attempt timeout for {class_name}",
                 f"below {Duration(case.attempt_timeout * 1000)}",
             )
         if case.exceeds_time_limit:
@@ -175,14 +177,17 @@
                     key,
                     ProofRule.WITHIN_DEADLINE,
                     f"{value} outlasts the client's deadline for {class_name}, {deadline}",
-                    f"{deadline} at most",
+                    f"at most {deadline}",
                 )
         return None
 
     def _worst_case_finding(
         self, class_name: str, request_class: RequestClass, case: WorstCase
     ) -> Finding:
-        """Return that the worst case is too long; a warning where only the route's time is over."""
+        """Return the finding that the worst case takes too long.
+
+        It is only a warning if the worst case exceeds the route's timeout but not the deadline.
+        """
         route = self._route
         is_beyond_deadline = case.total > request_class.deadline + TIME_TOLERANCE
         bound = f"timeout = {route.timeout}"
@@ -193,13 +198,16 @@
         return self._finding(
             "attempts" if route.attempts else "attempt_timeout",
             ProofRule.WORST_CASE_IN_TIME,
-            f"{_sum_of_times(case)} = {total} outlasts {bound}",
+            f"{_sum_of_times(case)} = {total} exceeds {bound}",
             _shorter_attempts(case),
             is_warning=not is_beyond_deadline,
         )
 
     def _limit_findings(self, class_name: str, request_class: RequestClass) -> Iterator[Finding]:
-        """Yield a limit under which one customer within its quota is not served (Little's law)."""
+        """Yield a finding if the limit is too low for one customer within its quota (Little's law).
+
+        The finding names the first plan for which the limit is too low.
+        """
         route = self._route
         limit = route.limit_max if route.adaptive else route.fixed_limit
         if limit is None:
@@ -215,8 +223,8 @@
                 yield self._finding(
                     "limit_max" if route.adaptive else "limit",
                     ProofRule.LIMIT_SERVES_QUOTA,
-                    f"{limit} at once serves {rate}; one firm of {name} alone may ask more",
-                    f"{int(needed) + 1} at least",
+                    f"{limit} concurrent requests serve {rate}; one firm of {name} may send more",
+                    f"at least {int(needed) + 1}",
                     is_warning=limit >= ERROR_PART * needed,
                 )
                 return
@@ -231,7 +239,7 @@
             yield self._finding(
                 "retry_budget",
                 ProofRule.BOUNDED_AMPLIFICATION,
-                f"in the worst case nodes see {factor:.2f} times the first tries",
+                f"in the worst case nodes see {factor:.2f} attempts per request",
                 "0.2 is usual",
                 is_warning=True,
             )
@@ -240,14 +248,14 @@
 def _sum_of_times(case: WorstCase) -> str:
     terms = [f"{case.attempts} attempts of {Duration(case.attempt_timeout * 1000)}"]
     if case.backoffs:
-        terms.append(f"{Duration(round(sum(case.backoffs) * 1000, 3))} of waits")
+        terms.append(f"{Duration(round(sum(case.backoffs) * 1000, 3))} of backoff")
     if case.queue_wait:
         terms.append(f"{Duration(case.queue_wait * 1000)} in the queue")
     return " + ".join(terms)
 
 
 def _shorter_attempts(case: WorstCase) -> str:
-    """Return a setting with which the worst case ends in time."""
+    """Return a setting that brings the worst case within its time limit or closer to it."""
     time_left = case.time_limit - case.queue_wait - sum(case.backoffs)
     attempt_timeout = time_left / case.attempts
     if attempt_timeout > MIN_TIMEOUT / 1000.0:
@@ -256,5 +264,5 @@
 
 
 def _whole_milliseconds(seconds: float) -> Duration:
-    """Return the time rounded down, so that what is proposed does."""
+    """Return the time rounded down, so that a proposed timeout is short enough."""
     return Duration(float(int(seconds * 1000.0)))
--- a/dockthread/routes/concurrency_limit.py
+++ b/dockthread/routes/concurrency_limit.py
@@ -1,47 +1,49 @@
 """Concurrency limits of routes, fixed or adaptive.
 
-The adaptive limit follows the gradient of the answer time (Netflix concurrency-limits, Gradient):
+The adaptive limit is the gradient algorithm of Netflix's concurrency-limits library:
 
     gradient = clamp(TOLERANCE * best / recent, MIN_GRADIENT, 1)
     limit    = (1 - SMOOTHING) * limit + SMOOTHING * (limit * gradient + sqrt(limit))
 
-once in `UPDATE_INTERVAL`. `recent` is a short mean of answer times; `best` is the least of these
-and rises by `BEST_LEAK` of itself a second. A long mean in its place (Gradient2) follows a jam
-upward and lets the limit grow to its end: measured here, 400 for a capacity of 80. A rejected or
-timed out attempt reduces the limit by a tenth, once in `REDUCTION_INTERVAL`. While less than half
-of the limit is in use it does not grow, as the answer times say nothing of a load that is not
-there. The limit never leaves its minimum and maximum.
+The limit is updated at most once per `UPDATE_INTERVAL`. `recent` is a moving average of the last
+few answer times. `best` is the minimum of `recent`; it grows by the fraction `BEST_LEAK` per
+second, so that an old minimum is forgotten. A long-term average in place of `best`, as in the
+Gradient2 algorithm, would rise during congestion and let the limit grow to its maximum: the limit
+reached 400 with a capacity of 80. A rejected or timed out attempt reduces the limit by a tenth, at
+most once per `REDUCTION_INTERVAL`. The limit does not grow while less than half of it is in use,
+because answer times at a low load say nothing about a higher load. It always stays between its
+minimum and its maximum.
 
-Nothing here does I/O. Times are in seconds.
+This module does no I/O. Times are in seconds.
 """
 
 from __future__ import annotations
 
 import math
 
-TOLERANCE = 1.5  # times the best answer time, up to which the limit grows
-SMOOTHING = 0.4  # weight of the new limit in the mean with the old one
-MIN_GRADIENT = 0.5  # so that one update cannot shut a route
-UPDATE_INTERVAL = 0.1  # s: the answers of one round trip tell of one limit
-RECENT_WEIGHT = 0.2  # of one more answer time in the short mean
-BEST_LEAK = 0.01  # part a second by which the best answer time is forgotten
-MIN_ANSWER_TIME = 1e-9  # s: keeps the division defined
-REDUCTION_FACTOR = 0.9  # of the limit that stays after a rejected or timed out attempt
-REDUCTION_INTERVAL = 0.1  # s between reductions: one jam rejects many attempts at once
-DEFAULT_MINIMUM = 4  # requests at once
-DEFAULT_MAXIMUM = 1000  # requests at once
-INITIAL_LIMIT = 20  # requests at once, before anything is known
+TOLERANCE = 1.5  # the gradient is 1 while `recent` is at most this multiple of `best`
+SMOOTHING = 0.4  # weight of the new limit in its average with the old limit
+MIN_GRADIENT = 0.5  # keeps a single update from closing a route
+UPDATE_INTERVAL = 0.1  # s; the answers within one round trip reflect the same limit
+RECENT_WEIGHT = 0.2  # weight of a new answer time in the moving average
+BEST_LEAK = 0.01  # growth of the best answer time, as a fraction per second
+MIN_ANSWER_TIME = 1e-9  # s; avoids a division by zero
+REDUCTION_FACTOR = 0.9  # multiplies the limit after a rejected or timed out attempt
+REDUCTION_INTERVAL = 0.1  # s; one overload rejects many attempts but should reduce the limit once
+DEFAULT_MINIMUM = 4  # concurrent requests
+DEFAULT_MAXIMUM = 1000  # concurrent requests
+INITIAL_LIMIT = 20  # concurrent requests, before the first answer time is known
 
 
 class ConcurrencyLimit:
-    """The number of a route's requests at once.
+    """Limits the number of concurrent requests of a route.
 
     Attributes:
-        is_adaptive: Whether the limit follows the answer times.
-        minimum: The least adaptive limit.
-        maximum: The largest adaptive limit.
-        limit: The present limit; infinite where the route has none.
-        inside: How many requests are inside the limit.
+        is_adaptive: Whether the limit adapts to the answer times.
+        minimum: The lower bound of an adaptive limit.
+        maximum: The upper bound of an adaptive limit.
+        limit: The current limit; infinite if the route has none.
+        inside: The number of admitted requests that have not finished.
     """
 
     __slots__ = (
@@ -64,7 +66,7 @@
         maximum: int = DEFAULT_MAXIMUM,
         adaptive: bool = False,
     ) -> None:
-        """Start with a fixed limit, an adaptive one, or none where `fixed` is None."""
+        """Create an adaptive limit if `adaptive`, else a fixed one; None means no limit."""
         self.is_adaptive = adaptive
         self.minimum = minimum
         self.maximum = maximum
@@ -79,7 +81,7 @@
         self._reduced_at = -math.inf
 
     def reconfigure(self, fixed: int | None, minimum: int, maximum: int, adaptive: bool) -> None:
-        """Take other figures after a reload; an adaptive limit goes on from where it stands."""
+        """Apply new settings after a reload; an adaptive limit keeps its current value."""
         self.minimum = minimum
         self.maximum = maximum
         if adaptive:
@@ -91,11 +93,11 @@
 
     @property
     def has_capacity(self) -> bool:
-        """Whether one more request may be inside."""
+        """Whether one more request can be admitted."""
         return self.limit == math.inf or self.inside < int(self.limit)
 
     def on_answer(self, duration: float, now: float) -> None:
-        """Let an adaptive limit follow the duration of a successful attempt."""
+        """Update an adaptive limit with the duration of a successful attempt."""
         if not self.is_adaptive:
             return
         self._note_answer_time(duration, now)
@@ -110,7 +112,7 @@
         self._change_to((1 - SMOOTHING) * self.limit + SMOOTHING * target)
 
     def on_overload(self, now: float) -> None:
-        """Reduce an adaptive limit, as a backend rejected an attempt or it timed out."""
+        """Reduce an adaptive limit after an attempt was rejected by a backend or timed out."""
         if self.is_adaptive and now - self._reduced_at >= REDUCTION_INTERVAL:
             self._reduced_at = now
             self._change_to(self.limit * REDUCTION_FACTOR)
--- a/dockthread/routes/explain.py
+++ b/dockthread/routes/explain.py
@@ -1,6 +1,7 @@
 """Explains the route of one request, for `check --explain`.
 
-It tells which route the request takes and why, its attempts over time, and its worst case.
+The explanation shows which route the request takes and why, a timeline of its attempts, and its
+worst case.
 """
 
 from __future__ import annotations
@@ -20,10 +21,10 @@
 
 
 def parse_request(text: str, settings: PolicySettings, names: Names) -> RequestAttributes:
-    """Read a request from text such as `c=seat-status,t=gross,units=2,firm=b4d6,r=1`.
+    """Parse a request such as `c=seat-status,t=gross,units=2,firm=b4d6,r=1`.
 
     Raises:
-        SettingsError: The text is no request of a known class and plan.
+        SettingsError: The text does not describe a request of a known class and plan.
     """
     try:
         terms = dict(pair.split("=", 1) for pair in text.replace(" ", "").split(","))
@@ -39,7 +40,7 @@
     except (KeyError, ValueError) as error:
         known = f"classes: {', '.join(names.classes)}; plans: {', '.join(names.plans)}"
         raise SettingsError(
-            f"{text!r} is no request, such as c=CLASS,t=PLAN,units=1; {known}"
+            f"{text!r} is not a valid request such as c=CLASS,t=PLAN,units=1; {known}"
         ) from error
 
 
@@ -62,7 +63,7 @@
     time_limit = Duration(case.time_limit * 1000.0)
     deadline = f"deadline for {names.classes[request.request_class]}"
     yield (
-        f"whole time: {time_limit} "
+        f"time limit: {time_limit} "
         f"(the client's {deadline} is {Duration(request_class.deadline * 1000)})"
     )
     yield from _timeline(case)
@@ -70,20 +71,20 @@
         yield f"copy: after {_hedge_delay(rules)}"
     if request_class.effect is not Effect.SAFE:
         effect = request_class.effect.value
-        yield f"effect: {effect}; only outcomes that prove it never ran are tried again"
+        yield f"effect: {effect}; retried only after outcomes that prove the request never ran"
     factor = amplification(budget_ratio, case.attempts)
     yield (
         f"worst case: {_duration(case.total)} of {time_limit}, {case.attempts} attempts, "
-        f"{factor:.2f} times the load at length"
+        f"{factor:.2f} times the load in the long run"
     )
 
 
 def _route_lines(
     table: Table, matcher: Matcher | None, request: RequestAttributes
 ) -> Iterator[str]:
-    """Yield the route, and for each one before it why it does not match."""
+    """Yield the route, and the mismatched keys of each route before it."""
     if matcher is None:
-        yield "route: none matches; what the class and the settings say holds"
+        yield "route: none matches; the settings of the class and the site apply"
         return
     yield f"route: {matcher.rules.name}"
     for earlier in table.before(matcher):
@@ -91,7 +92,7 @@
 
 
 def _timeline(case: WorstCase) -> Iterator[str]:
-    """Yield the wait in the queue, the attempts and the backoffs, each at its latest."""
+    """Yield the latest times of the wait in the queue, the attempts and the backoffs."""
     start = case.queue_wait
     if case.queue_wait:
         yield f"  0ms to {_duration(start)}: in the queue"
@@ -100,7 +101,7 @@
         yield f"  {_duration(start)} to {_duration(end)}: attempt 1"
         if case.attempts > 1:
             more = f"{case.attempts - 1} more within the same time"
-            yield f"  up to {more}, each after the one before has ended"
+            yield f"  up to {more}, each after the previous one has ended"
         return
     for number in range(case.attempts):
         end = start + case.attempt_timeout
@@ -109,7 +110,7 @@
         start = end
         if number < len(case.backoffs):
             end = start + case.backoffs[number]
-            yield f"  {_duration(start)} to {_duration(end)}: wait, drawn from 0 up to this"
+            yield f"  {_duration(start)} to {_duration(end)}: longest backoff, drawn from 0 upward"
             start = end
 
 
@@ -118,7 +119,7 @@
         return f"p{rules.hedge_percentile * 100:g} of this route's answer times"
     if rules.fixed_hedge_delay:
         return str(_duration(rules.fixed_hedge_delay))
-    return "the usual time"
+    return "the engine's default delay"
 
 
 def _duration(seconds: float) -> Duration:
--- a/dockthread/routes/findings.py
+++ b/dockthread/routes/findings.py
@@ -1,4 +1,4 @@
-"""What the proof of the routes finds: which rule a route breaks, by what, and what would do."""
+"""The findings of route validation: the broken rule, the counterexample and the remedy."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ProofRule(Enum):
-    """The rules that the proof holds routes to."""
+    """The rules that every route must satisfy."""
 
     KNOWN_NAMES = "each name is one of the settings"
     MATCHES_A_CLASS = "some request class can take the route"
@@ -30,15 +30,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One rule that one route breaks; its text is one plain line.
+    """A rule that a route breaks; `str` returns it as a single line.
 
     Attributes:
         route: The route's name.
-        key: The key of the route's section; empty where the route as a whole is wrong.
-        rule: The rule that is broken.
-        counterexample: The value and the case that break it.
-        remedy: The nearest value that would do.
-        is_warning: Whether the route can be used all the same.
+        key: The invalid key of the route's section; empty if the finding concerns the whole route.
+        rule: The broken rule.
+        counterexample: The value, and the case in which it breaks the rule.
+        remedy: The nearest valid value, or the change to make.
+        is_warning: Whether the route can be used despite the finding.
     """
 
     route: str
@@ -52,7 +52,7 @@
         return str(self.problem("")).removeprefix(": ")
 
     def problem(self, file: str) -> ConfigProblem:
-        """Return the finding as a problem of the operator's file of that name."""
+        """Return the finding as a problem of the operator's file named `file`."""
         section = f"route {self.route}"
         return ConfigProblem(
             file, section, self.key, self.counterexample, self.remedy, self.is_warning
@@ -60,6 +60,6 @@
 
 
 def shadowed_finding(route: str, shadowed_by: str, remedy: str) -> Finding:
-    """Return the finding that a route can never match, as an earlier one takes all its requests."""
+    """Return the finding that an earlier route takes all requests that `route` could match."""
     counterexample = f"can never match: [route {shadowed_by}] before it takes all its requests"
     return Finding(route, "", ProofRule.REACHABLE, counterexample, remedy)
--- a/dockthread/routes/layers.py
+++ b/dockthread/routes/layers.py
@@ -1,9 +1,10 @@
-"""The two layers of routes: those of the operator's file, and over them the published ones.
+"""The two layers of routes: the routes of the operator's file, and the published routes above them.
 
-A published route with the name of one in the file takes its place. Any other stands before the
-file's routes, ordered by name, so that every ingress has the same order whatever arrived first. A
-published route is proved alone: by its own rules against the settings, and for shadowing against
-the routes that may overlap it. So one change costs its own size, however many routes there are.
+A published route replaces the file's route of the same name, in its position. All other published
+routes come before the file's routes and are ordered by name, so that every ingress has the same
+order no matter in which order the routes arrived. Each published route is validated separately: its
+rules against the settings, and shadowing against the routes that may overlap it. The cost of a
+change therefore depends on the changed route and not on the total number of routes.
 """
 
 from __future__ import annotations
@@ -22,10 +23,10 @@
 
 
 class Layers:
-    """The routes of the file and the published ones, kept in force in one table.
+    """Merges the routes of the file and the published routes into one table.
 
     Attributes:
-        table: The routes in force at this ingress.
+        table: The active routes of this ingress.
         published: The published routes, by name.
     """
 
@@ -37,19 +38,19 @@
         self._numbers = NameNumbers(names)
         self._file: Mapping[str, RouteOptions] = {}
         self._file_positions: dict[str, Position] = {}
-        # The routes of all zones, for the proof; made when it is needed first.
+        # The routes of all zones, which validation needs; created on first use.
         self._all_zones: OrderedRoutes | None = None
 
     @classmethod
     def for_config(cls, config: IngressConfig) -> Layers:
-        """Return the layers of a new, empty table for the ingress of a configuration."""
+        """Return layers over a new, empty table for the ingress that `config` configures."""
         table = Table(config.names, config.policy_settings.zone, config.seed)
         return cls(table, config.policy_settings, config.names)
 
     def set_file(self, routes: Mapping[str, RouteOptions], now: float) -> None:
-        """Put other routes of the file in force, which are proved already.
+        """Replace the file's routes by `routes`, which have already been validated.
 
-        The published routes stay over them.
+        The published routes still take precedence over them.
         """
         former_names = self._file_positions.keys()
         self._file = routes
@@ -66,17 +67,18 @@
             self._put(name, self.published.get(name) or routes[name], now)
 
     def set_settings(self, settings: PolicySettings, names: Names) -> None:
-        """Prove further changes against these; each known name keeps its number."""
+        """Validate later changes against new settings; each existing name keeps its number."""
         self._settings = settings
         self._names = names
         self._numbers = NameNumbers(names)
         self.table.set_names(names)
 
     def put(self, name: str, route: RouteOptions, now: float) -> Finding | None:
-        """Put a published route in force, in place of the one with the same name.
+        """Add a published route, or replace the one with the same name.
 
         Returns:
-            Why the route is refused; then nothing is changed. None where it is in force.
+            The finding for which the route is refused and nothing is changed, or None if the route
+            is now active.
         """
         for finding in check_one(name, route, self._settings, self._names):
             if not finding.is_warning:
@@ -89,7 +91,7 @@
         return None
 
     def remove(self, name: str, now: float) -> None:
-        """Remove a published route; the file's route of that name is in force again."""
+        """Remove a published route; the file's route of that name, if any, becomes active again."""
         if self.published.pop(name, None) is None:
             return
         if name in self._file:
@@ -98,7 +100,7 @@
             self._take_out(name)
 
     def _shadowing(self, name: str, route: RouteOptions) -> Finding | None:
-        """Return whether the route could never match, or would leave another without requests."""
+        """Return a finding if the route could never match or would keep another from matching."""
         routes = self._routes_of_all_zones()
         matcher = self._numbers.matcher(name, route, self._position(name))
         former = routes.remove(name)
--- a/dockthread/routes/matcher.py
+++ b/dockthread/routes/matcher.py
@@ -1,4 +1,4 @@
-"""One route compiled for matching: which requests it takes, its position, and its rules."""
+"""A route compiled for matching: which requests it takes, its position, and its rules."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Matcher:
-    """Which requests one route takes; an empty set or None matches all.
+    """Matches requests against one route; an empty set or None matches every request.
 
     Attributes:
-        position: Where the route stands among the others.
-        rules: The limits that it sets for the requests that it takes.
+        position: The route's position in the matching order.
+        rules: The rules for the requests that the route takes.
         classes: Numbers of the request classes.
         plans: Numbers of the customers' plans.
-        writes: Whether the request is a write; both values may be in the set.
+        writes: {True} for writes only, {False} for reads only.
         customers: Numbers of the customers.
-        units: How many units the request may cost.
-        retry: Whether the client marked the request as a retry.
-        zones: Names of the zones whose ingresses have the route.
+        units: Costs of a request, in units.
+        retry: True for requests that the client marked as a retry, False for all others.
+        zones: Names of the zones whose ingresses use the route.
     """
 
     position: Position
@@ -39,7 +39,7 @@
     zones: frozenset[str] = frozenset()
 
     def matches_except_customer(self, request: RequestAttributes) -> bool:
-        """Return whether the request fits in all but the customer."""
+        """Return whether the request matches every condition except the customer."""
         return (
             (not self.classes or request.request_class in self.classes)
             and (not self.plans or request.plan in self.plans)
@@ -49,11 +49,11 @@
         )
 
     def matches_customer(self, request: RequestAttributes) -> bool:
-        """Return whether the request's customer fits."""
+        """Return whether the request's customer matches."""
         return not self.customers or request.customer in self.customers
 
     def mismatched_keys(self, request: RequestAttributes) -> list[str]:
-        """Return the keys of the route, as the operator's file has them, that do not fit."""
+        """Return the keys in the operator's file whose conditions the request does not match."""
         fits_by_key = {
             "class": not self.classes or request.request_class in self.classes,
             "plan": not self.plans or request.plan in self.plans,
@@ -65,7 +65,7 @@
         return [key for key, fits in fits_by_key.items() if not fits]
 
     def covers(self, other: Matcher) -> bool:
-        """Return whether this one matches every request that the other matches, zones apart."""
+        """Return whether this matches every request that `other` matches, ignoring zones."""
         return (
             _includes(self.classes, other.classes)
             and _includes(self.plans, other.plans)
@@ -88,25 +88,26 @@
 
 
 class NameNumbers:
-    """The numbers by which the policy engine knows the names of the settings."""
+    """Maps the names in the settings to the numbers that the policy engine uses."""
 
     def __init__(self, names: Names) -> None:
         self.classes = _numbered(names.classes)
         self.plans = _numbered(names.plans)
         self.zones = _numbered(names.zones)
         self.kinds = _numbered(names.kinds)
-        # Equal sets of the same key are one object, as thousands of routes may be alike in it.
+        # Equal sets of the same key share one object, because thousands of routes may have the
+        # same value for a key.
         self._shared_sets: dict[tuple[str, frozenset[Any]], frozenset[Any]] = {}
 
     def is_in_zone(self, options: RouteOptions, zone: int) -> bool:
-        """Return whether the ingresses of a zone have the route."""
+        """Return whether the ingresses of a zone use the route."""
         return not options.hall or zone in {self.zones[name] for name in options.hall}
 
     def matcher(self, name: str, options: RouteOptions, position: Position) -> Matcher:
         """Compile a route.
 
         Raises:
-            KeyError: The settings do not know a name. `check` finds this before.
+            KeyError: The settings do not define a name. `check` reports this beforehand.
         """
         return Matcher(
             position=position,
@@ -132,7 +133,7 @@
 def rules_from_options(
     name: str, options: RouteOptions, zones: Mapping[str, int], kinds: Mapping[str, int]
 ) -> Rules:
-    """Return the rules that the section of a route sets, with times in seconds.
+    """Return the rules that a route's section sets, with times in seconds.
 
     A name in `nodes` that is both a zone and a kind of backend means the zone.
     """
--- a/dockthread/routes/model_checker.py
+++ b/dockthread/routes/model_checker.py
@@ -1,18 +1,23 @@
 """A model checker for one request under a route: tries every order of events to a given depth.
 
-It drives the real policy engine and the real table, and takes the place of the network and the
-clock. It is stateless: each path is played from the start. After each step the invariants are
-checked. At the end of a path every attempt in flight times out and every timer fires, so that the
-request must end. At each step there may happen:
+It drives the real policy engine and the real route table, and simulates the network and the clock.
+It is stateless: each path is replayed from the start. The invariants are checked after each step.
+At the end of a path every attempt in flight times out and every timer fires, so that the request
+must end. The possible steps are:
 
-- an attempt in flight ends, in each way that an attempt can;
+- an attempt in flight ends with any of the possible outcomes;
 - the next timer fires;
-- the table is replaced by the next of `tables`, or the class becomes unsafe;
+- the table is replaced by the next of `tables`;
+- the class becomes unsafe;
 - the client disconnects.
 
-Invariants: never a second effect, no send after the end or past the deadline, no more attempts than
-the strictest table since the arrival allows, exactly one answer and that in time, no budget below
-zero.
+The invariants are:
+
+- the request never takes effect twice;
+- no attempt is sent after the request has ended or after the deadline;
+- no more attempts are sent than the strictest table since the request's arrival allows;
+- there is exactly one answer, and it is in time;
+- no budget is below zero.
 
 Times are in seconds.
 """
@@ -68,10 +73,10 @@
 BACKENDS = 3
 MAX_ATTEMPTS = 4
 TABLE_SEED = 7
-START = 100.0  # s on the clock at the arrival
-DEADLINE = 4.0  # s after the arrival
-ANSWER_SLACK = 0.05  # s after the deadline in which an answer still counts
-DRAIN_TIME = 1.0  # s after the deadline until which timers fire at the end of a path
+START = 100.0  # s; clock time at the request's arrival
+DEADLINE = 4.0  # s after the request's arrival
+ANSWER_SLACK = 0.05  # s after the deadline during which an answer still counts as in time
+DRAIN_TIME = 1.0  # s after the deadline during which timers still fire at the end of a path
 ATTEMPT_DURATION = 0.01  # s
 MAX_PATHS = 1_000_000
 
@@ -80,7 +85,7 @@
 
 
 class StepKind(Enum):
-    """What may happen; the value is its name in the text of a path."""
+    """The kinds of steps; the values are shown when a path is printed."""
 
     ATTEMPT_ENDS = "end"
     TIMER_FIRES = "timer"
@@ -94,9 +99,9 @@
     """One step of a path.
 
     Attributes:
-        kind: What happens.
-        target: The number of the attempt or of the table to which it happens; else 0.
-        outcome: How the attempt ends; None where none does.
+        kind: The kind of step.
+        target: The number of the attempt that ends or of the new table; 0 for other kinds.
+        outcome: The outcome of the attempt that ends; None for other kinds.
     """
 
     kind: StepKind
@@ -104,18 +109,18 @@
     outcome: Outcome | None = None
 
     def __str__(self) -> str:
-        what = self.kind.value
+        shown = self.kind.value
         if self.outcome is not None:
-            what = f"{what} {self.outcome.value} of"
-        return f"{what} {self.target}"
+            shown = f"{shown} {self.outcome.value} of"
+        return f"{shown} {self.target}"
 
 
 class InvariantError(DockthreadError):
     """An invariant does not hold.
 
     Attributes:
-        invariant: What happened that must not.
-        path: The steps that led to it.
+        invariant: The violation.
+        path: The steps that led to the violation.
     """
 
     def __init__(self, invariant: str, path: Sequence[Step]) -> None:
@@ -129,8 +134,8 @@
     """An attempt that the engine sent.
 
     Attributes:
-        is_in_flight: Whether it has not ended.
-        may_have_run: Whether a backend may have run the request.
+        is_in_flight: Whether the attempt has not ended.
+        may_have_run: Whether a backend may have run the request in this attempt.
     """
 
     is_in_flight: bool = True
@@ -138,11 +143,11 @@
 
 
 class RequestSimulation:
-    """One path: the engine, one request, and what became of it.
+    """Simulates one path: the engine, one request, and its attempts, timers and answers.
 
     Attributes:
-        engine: The policy engine that is driven.
-        table: The table of routes, from which the request's bounds come.
+        engine: The policy engine under test.
+        table: The route table that provides the request's bounds.
     """
 
     def __init__(
@@ -168,11 +173,11 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether the client has its answer or is gone."""
+        """Whether the client has its answer or has disconnected."""
         return bool(self._answers) or self._is_disconnected
 
     def choices(self) -> Iterator[Step]:
-        """Yield the steps that may happen next."""
+        """Yield the possible next steps."""
         for number, attempt in enumerate(self._attempts):
             if attempt.is_in_flight:
                 for outcome in OUTCOMES:
@@ -188,7 +193,7 @@
         yield Step(StepKind.CLIENT_DISCONNECTS)
 
     def take(self, step: Step) -> None:
-        """Let a step happen.
+        """Execute a step.
 
         Raises:
             InvariantError: An invariant does not hold.
@@ -209,7 +214,7 @@
         self._check_budgets()
 
     def finish(self) -> None:
-        """Let all attempts and timers come to their end.
+        """End all attempts and fire all timers.
 
         Raises:
             InvariantError: An invariant does not hold.
@@ -223,7 +228,7 @@
             raise InvariantError("no answer", self._path)
         has_open = any(usage.open for usage in self.table.spent.values())
         if self._bounds is not None and has_open:
-            raise InvariantError("a route that believes a request is open", self._path)
+            raise InvariantError("a route that counts a finished request as open", self._path)
 
     def _attributes(self) -> RequestAttributes:
         return RequestAttributes(
@@ -286,7 +291,7 @@
             self._send()
         elif isinstance(action, Reject):
             if self._is_unsafe and self._may_have_run():
-                raise InvariantError("a refusal of what may have run", self._path)
+                raise InvariantError("a rejection of a request that may have run", self._path)
             self._answer()
         elif isinstance(action, Fail):
             self._answer()
@@ -310,7 +315,7 @@
         if self._answers > 1:
             raise InvariantError("a second answer", self._path)
         if self._now > START + DEADLINE + ANSWER_SLACK:
-            raise InvariantError("an answer too late", self._path)
+            raise InvariantError("an answer after the deadline", self._path)
 
     def _may_have_run(self) -> bool:
         return any(attempt.may_have_run for attempt in self._attempts)
@@ -328,10 +333,10 @@
     make_engine: EngineFactory = lambda settings: PolicyEngine(settings, 1, START),
     max_paths: int = MAX_PATHS,
 ) -> int:
-    """Play all paths of at most `depth` steps and return how many there are.
+    """Simulate all paths of at most `depth` steps and return their number.
 
     Raises:
-        InvariantError: An invariant does not hold; the first path that shows it.
+        InvariantError: An invariant does not hold; the error has the first path found.
         OverflowError: There are more than `max_paths` paths.
     """
     paths = 0
--- a/dockthread/routes/options.py
+++ b/dockthread/routes/options.py
@@ -14,23 +14,24 @@
 CUSTOMER_PATTERN = re.compile(r"[0-9a-fA-F]{1,16}")
 UNITS_PATTERN = re.compile(r"([0-9]{1,6})(?:\.\.([0-9]{1,6}))?")
 PERCENTILE_PATTERN = re.compile(r"p([1-9][0-9]?(?:\.[0-9])?)")
-SHOWN_LENGTH = 40  # characters of a wrong value in a message
-MIN_TIMEOUT = 5.0  # ms: the round trip to a backend of the farthest zone, and its connection's
+SHOWN_LENGTH = 40  # characters of an invalid value that a message shows
+MIN_TIMEOUT = 5.0  # ms; one round trip to the farthest zone and one to open the connection
 CUSTOMERS_END = 1 << 33  # customer numbers are below this
-MAX_RETRY_FLOOR = 1000  # retries a second
-MAX_RETRY_BUDGET = 1  # retries for each first attempt: more would be most of the load
-MAX_HEDGE_SHARE = 0.5  # of the requests
-MAX_LIMIT = 100_000  # requests at once
-MAX_QUEUE = 10_000  # requests that wait
+MAX_RETRY_FLOOR = 1000  # retries per second
+MAX_RETRY_BUDGET = 1  # retries for each first attempt; with more, most of the load would be retries
+MAX_HEDGE_SHARE = 0.5  # fraction of the requests
+MAX_LIMIT = 100_000  # concurrent requests
+MAX_QUEUE = 10_000  # waiting requests
 ADAPTIVE = "adaptive"
 OutcomeName = Literal["error", "reset", "timeout", "turned-away", "unreachable"]
 
 
 class RouteOptions(Section, frozen=True, kw_only=True):
-    """The keys of a route: what it matches, and how it bounds what it matches.
+    """The keys of a route: the conditions that requests must match, and the limits for them.
 
-    A key of the first group that is left out matches all; one of the second group leaves what the
-    request's class and the settings say. `class` is the only key whose field has another name.
+    The fields up to `hall` are conditions; a missing condition matches every request. The fields
+    from `timeout` on are limits; if one is missing, the settings of the site and of the request's
+    class apply. Every field is named like its key, except `classes`, whose key is `class`.
     """
 
     classes: tuple[str, ...] = msgspec.field(default=(), name="class")
@@ -61,7 +62,7 @@
 
     @property
     def unit_range(self) -> range | None:
-        """The units that a request may cost; None where `units` is left out or malformed."""
+        """The units that a request may cost; None if `units` is missing or malformed."""
         found = UNITS_PATTERN.fullmatch(self.units) if self.units else None
         if found is None:
             return None
@@ -76,12 +77,12 @@
 
     @property
     def fixed_copy(self) -> Duration | None:
-        """The fixed time after which to hedge; None where it is a percentile or left out."""
+        """The fixed hedge delay; None if it is a percentile or missing."""
         return Duration.parse(self.copy_after) if self.copy_after and not self.percentile else None
 
     @property
     def percentile(self) -> float | None:
-        """The quantile (0 to 1) of answer times after which to hedge; None where it is fixed."""
+        """The quantile (0 to 1) of answer times that is the hedge delay; None if it is not one."""
         found = PERCENTILE_PATTERN.fullmatch(self.copy_after or "")
         return float(found[1]) / 100.0 if found else None
 
@@ -92,11 +93,11 @@
 
     @property
     def fixed_limit(self) -> int | None:
-        """The concurrency limit; None where it is adaptive or left out."""
+        """The fixed concurrency limit; None if it is adaptive or missing."""
         return int(self.limit) if self.limit is not None and not self.adaptive else None
 
     def problems(self) -> Iterable[KeyProblem]:
-        """Yield what the section alone shows to be wrong."""
+        """Yield the problems that can be found without the settings and the other routes."""
         yield from self._match_problems()
         yield from self._time_problems()
         yield from self._attempt_problems()
@@ -107,10 +108,10 @@
     def _match_problems(self) -> Iterable[KeyProblem]:
         for firm in self.firm:
             if not CUSTOMER_PATTERN.fullmatch(firm) or int(firm, 16) >= CUSTOMERS_END:
-                reason = f"{firm[:SHOWN_LENGTH]!r} is no firm"
-                yield KeyProblem("firm", reason, "hex digits of a number below 2^33")
+                reason = f"{firm[:SHOWN_LENGTH]!r} is not a firm's number"
+                yield KeyProblem("firm", reason, "write a number below 2^33 in hex digits")
         if self.units is not None and not self.unit_range:
-            reason = f"{self.units[:SHOWN_LENGTH]!r} is no number of units"
+            reason = f"{self.units[:SHOWN_LENGTH]!r} is not a number of units"
             yield KeyProblem("units", reason, "write 2, or 1..3")
 
     def _time_problems(self) -> Iterable[KeyProblem]:
@@ -119,34 +120,34 @@
             if value is not None and value < MIN_TIMEOUT:
                 yield _shorter_than_round_trip(key, value)
         if self.timeout and self.attempt_timeout and self.attempt_timeout > self.timeout:
-            reason = f"{self.attempt_timeout} is longer than the whole timeout"
-            yield KeyProblem("attempt_timeout", reason, f"{self.timeout}")
+            reason = f"{self.attempt_timeout} is longer than timeout"
+            yield KeyProblem("attempt_timeout", reason, f"at most {self.timeout}")
 
     def _attempt_problems(self) -> Iterable[KeyProblem]:
         if self.attempts is not None and self.attempts < 1:
             reason = f"{self.attempts} would never send a request on"
-            yield KeyProblem("attempts", reason, "1 is the least")
+            yield KeyProblem("attempts", reason, "at least 1")
         if self.backoff_max is not None and self.backoff is None:
-            reason = "bounds a wait that is not there"
+            reason = "needs backoff, which is not set"
             yield KeyProblem("backoff_max", reason, "set backoff, or leave it out")
         if self.backoff and self.backoff_max is not None and self.backoff_max < self.backoff:
-            reason = f"{self.backoff_max} is under backoff"
-            yield KeyProblem("backoff_max", reason, f"{self.backoff} at least")
+            reason = f"{self.backoff_max} is shorter than backoff"
+            yield KeyProblem("backoff_max", reason, f"at least {self.backoff}")
         if self.attempts == 1 and self.retry_on:
-            reason = "names outcomes, but attempts = 1 never tries again"
+            reason = "names outcomes, but attempts = 1 allows no retry"
             yield KeyProblem("retry_on", reason, "raise attempts, or leave it out")
 
     def _retry_budget_problems(self) -> Iterable[KeyProblem]:
         budget = self.retry_budget
         floor = self.retry_floor
         if floor is not None and not 0 <= floor <= MAX_RETRY_FLOOR:
-            yield KeyProblem("retry_floor", f"{floor:g} is out of range", "0 to 1000 a second")
+            yield KeyProblem("retry_floor", f"{floor:g} is out of range", "0 to 1000 per second")
         if budget is not None and budget > MAX_RETRY_BUDGET:
-            reason = f"{budget} lets retries alone exceed the fleet: {1 + budget:g} times"
-            yield KeyProblem("retry_budget", reason, "1 at most; 0.2 is usual")
+            reason = f"{budget} allows a load of {1 + budget:g} times the first attempts"
+            yield KeyProblem("retry_budget", reason, "at most 1; 0.2 is usual")
         allows_no_retry = budget is not None and not budget and not floor
         if allows_no_retry and (self.attempts or 0) > 1:
-            reason = "0 with no retry_floor starves attempts above 1"
+            reason = "0 without retry_floor allows no retry, but attempts is above 1"
             yield KeyProblem("retry_budget", reason, "0.2, or attempts = 1")
 
     def _hedge_problems(self) -> Iterable[KeyProblem]:
@@ -161,38 +162,38 @@
         for key in ("copy_after", "copy_share"):
             if getattr(self, key) is not None and not self.copies:
                 yield KeyProblem(
-                    key, "is set, but copies = no", "set copies = yes, or leave it out"
+                    key, "is set, but copies is not yes", "set copies = yes, or leave it out"
                 )
         if self.copy_share is not None and not 0 < self.copy_share <= MAX_HEDGE_SHARE:
             reason = f"{self.copy_share} is out of range"
-            yield KeyProblem("copy_share", reason, "above 0, 0.5 at most; 0.05 is usual")
+            yield KeyProblem("copy_share", reason, "above 0 and at most 0.5; 0.05 is usual")
         if self.copies and self.attempts == 1:
             reason = "yes needs a second attempt, but attempts = 1"
-            yield KeyProblem("copies", reason, "attempts = 2 at least")
+            yield KeyProblem("copies", reason, "at least attempts = 2")
 
     def _hedge_delay_problem(self, text: str) -> KeyProblem | None:
-        """Return why the text is no delay before which an attempt still waits."""
+        """Return the problem if the text is not a duration shorter than the set timeouts."""
         try:
             hedge_delay = Duration.parse(text)
         except ValueError:
-            reason = f"{text[:SHOWN_LENGTH]!r} is no wait"
+            reason = f"{text[:SHOWN_LENGTH]!r} is not a delay"
             return KeyProblem("copy_after", reason, "a duration such as 300ms, or p95")
         for key in ("attempt_timeout", "timeout"):
             timeout = getattr(self, key)
             if timeout is not None and hedge_delay >= timeout:
-                reason = f"{hedge_delay} is later than {key} = {timeout}"
+                reason = f"{hedge_delay} is not before {key} = {timeout}"
                 return KeyProblem("copy_after", reason, f"below {timeout}")
         return None
 
     def _limit_problems(self) -> Iterable[KeyProblem]:
         if self.limit is not None and not self.adaptive:
             if not self.limit.isdecimal() or not 1 <= int(self.limit) <= MAX_LIMIT:
-                reason = f"{self.limit[:SHOWN_LENGTH]!r} is no limit"
+                reason = f"{self.limit[:SHOWN_LENGTH]!r} is not a limit"
                 yield KeyProblem("limit", reason, "1 to 100000, or adaptive")
                 return
             yield from self._set_keys_problems(
                 ("limit_min", "limit_max"),
-                "bounds an adaptive limit, and limit is fixed",
+                "bounds an adaptive limit, but limit is fixed",
                 "limit = adaptive, or leave it out",
             )
         if self.limit is None:
@@ -204,7 +205,7 @@
     def _set_keys_problems(
         self, keys: Iterable[str], reason: str, remedy: str
     ) -> Iterable[KeyProblem]:
-        """Yield the same problem for each of the keys that is set."""
+        """Yield the same problem for each of `keys` that is set."""
         for key in keys:
             if getattr(self, key) is not None:
                 yield KeyProblem(key, reason, remedy)
@@ -213,21 +214,21 @@
         minimum = self.limit_min
         maximum = self.limit_max
         if minimum is not None and minimum < 1:
-            yield KeyProblem("limit_min", f"{minimum} would shut the route", "1 is the least")
+            yield KeyProblem("limit_min", f"{minimum} would block all requests", "at least 1")
         if minimum is not None and maximum is not None and minimum > maximum:
-            reason = f"{maximum} is under limit_min = {minimum}"
-            yield KeyProblem("limit_max", reason, f"{minimum} at least")
+            reason = f"{maximum} is below limit_min = {minimum}"
+            yield KeyProblem("limit_max", reason, f"at least {minimum}")
 
     def _queue_problems(self) -> Iterable[KeyProblem]:
         if self.queue is not None and not 0 <= self.queue <= MAX_QUEUE:
             yield KeyProblem("queue", f"{self.queue} is out of range", "0 to 10000")
         if self.queue_wait is not None and not self.queue:
-            reason = "is the wait in a queue that is not there"
+            reason = "needs queue, which is not set"
             yield KeyProblem("queue_wait", reason, "set queue, or leave it out")
         if self.queue and self.queue_wait is None:
-            yield KeyProblem("queue", "needs a stated wait", "set queue_wait")
+            yield KeyProblem("queue", "needs a longest wait", "set queue_wait")
 
 
 def _shorter_than_round_trip(key: str, value: Duration) -> KeyProblem:
-    reason = f"{value} is under the network's round trip"
-    return KeyProblem(key, reason, f"{MIN_TIMEOUT:g}ms is the least")
+    reason = f"{value} is shorter than the network's round trip"
+    return KeyProblem(key, reason, f"at least {MIN_TIMEOUT:g}ms")
--- a/dockthread/routes/ordered.py
+++ b/dockthread/routes/ordered.py
@@ -1,7 +1,7 @@
-"""The order of routes: keeps matchers sorted by position and indexed by name and by customer.
+"""Keeps matchers sorted by position and indexed by name and by customer.
 
-No other module sorts routes. The proof of one route and the change of one route look only at the
-routes that may overlap it, which the index by customer gives.
+Only this module sorts routes. When a route changes or is checked for shadowing, the index by
+customer restricts the search to the routes that may overlap it.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
     """Matchers in the order of their positions.
 
     Attributes:
-        matchers: All of them.
-        by_name: Each by its route's name.
-        by_customer: For each customer that a route names, the routes that name it.
-        for_any_customer: The routes that name no customer.
+        matchers: All matchers.
+        by_name: Each matcher by its route's name.
+        by_customer: The matchers that name a customer, by customer.
+        for_any_customer: The matchers that name no customer.
     """
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
         self.for_any_customer: list[Matcher] = []
 
     def put(self, matcher: Matcher) -> None:
-        """Add a matcher in place of the one with the same name, if there is one."""
+        """Add a matcher, or replace the one with the same name."""
         self.remove(matcher.rules.name)
         self.by_name[matcher.rules.name] = matcher
         insort(self.matchers, matcher, key=_position)
@@ -41,7 +41,7 @@
             insort(self.for_any_customer, matcher, key=_position)
 
     def remove(self, name: str) -> Matcher | None:
-        """Remove the matcher of that name and return it; None where there is none."""
+        """Remove and return the matcher of the given name, or return None if there is none."""
         matcher = self.by_name.pop(name, None)
         if matcher is None:
             return None
@@ -56,13 +56,13 @@
         return matcher
 
     def before(self, matcher: Matcher) -> list[Matcher]:
-        """Return the matchers that stand before `matcher`."""
+        """Return the matchers that come before `matcher`."""
         return self.matchers[: self._index(matcher)]
 
     def first_covering(self, matcher: Matcher) -> Matcher | None:
         """Return the first earlier matcher that takes all requests of `matcher`.
 
-        Only a matcher that names no customer, or names the same ones, can do so.
+        Such a matcher names no customer, or names at least all customers of `matcher`.
         """
         naming: list[Matcher] = []
         if matcher.customers:
@@ -73,9 +73,9 @@
         return min(covering, key=_position, default=None)
 
     def first_covered(self, matcher: Matcher) -> Matcher | None:
-        """Return the first later matcher whose requests `matcher` takes all.
+        """Return the first later matcher all of whose requests `matcher` takes.
 
-        A matcher that names no customer is compared with all later ones.
+        If `matcher` names no customer, it is compared with all later matchers.
         """
         others: Iterable[Matcher] = self.by_name.values()
         if matcher.customers:
@@ -94,7 +94,7 @@
     """Yield the name of each route that can never match, with the name of the route that shadows it.
 
     Args:
-        matchers: The matchers in their order.
+        matchers: The matchers, sorted by position.
     """
     before = OrderedRoutes()
     for matcher in matchers:
--- a/dockthread/routes/position.py
+++ b/dockthread/routes/position.py
@@ -1,4 +1,4 @@
-"""The position of a route among all others: the first route in this order that matches is taken."""
+"""The position of a route: a request takes the first route, in order of position, that matches."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Position(NamedTuple):
-    """Where a route stands; positions compare in the order of matching.
+    """The position of a route; positions sort in matching order.
 
     Attributes:
         layer: `PUBLISHED_LAYER` or `FILE_LAYER`.
@@ -24,7 +24,7 @@
 
 
 def published_position(name: str) -> Position:
-    """Return the position of a published route whose name the operator's file does not have."""
+    """Return the position of a published route that replaces no route of the operator's file."""
     return Position(PUBLISHED_LAYER, 0, name)
 
 
--- a/dockthread/routes/retry_budget.py
+++ b/dockthread/routes/retry_budget.py
@@ -1,31 +1,31 @@
-"""Retry budgets: which part of a route's load its retries and hedges may be.
+"""Retry budgets, which limit the retries and hedges of a route to a share of its load.
 
-After the budgets of Finagle and Envoy: a token bucket gets `ratio` of a token for each first
-attempt and `floor` tokens a second, and each further attempt takes one token. The bucket holds at
-most what `DEPOSIT_SPAN` seconds of the present load put in, so that a quiet hour does not pay for a
-storm. Over any time t with n first attempts at most  ratio * n + floor * t + capacity  tokens are
-taken.
+As in Finagle and Envoy, the budget is a token bucket. Each first attempt adds `ratio` tokens, each
+second adds `floor` tokens, and each retry or hedge takes one token. The bucket holds at most the
+tokens that the current load adds in `DEPOSIT_SPAN` seconds, so that tokens saved over a quiet hour
+cannot be spent on a retry storm. In any period of t seconds with n first attempts, at most
+ratio * n + floor * t + capacity  tokens are taken.
 
-Nothing here does I/O. Times are in seconds.
+This module does no I/O. Times are in seconds.
 """
 
 from __future__ import annotations
 
-DEPOSIT_SPAN = 10.0  # s of deposits that a bucket holds at most
-DEFAULT_RATIO = 0.2  # further attempts for each first attempt
-DEFAULT_FLOOR = 1.0  # further attempts a second, whatever the load
-MIN_CAPACITY = 2.0  # tokens, so that a route with little load can retry at all
+DEPOSIT_SPAN = 10.0  # s; the bucket's capacity is the tokens added in this time
+DEFAULT_RATIO = 0.2  # retries and hedges for each first attempt
+DEFAULT_FLOOR = 1.0  # retries and hedges per second at any load
+MIN_CAPACITY = 2.0  # tokens; lets a route with little load retry
 
 
 class RetryBudget:
-    """A token bucket that first attempts fill and further attempts empty.
+    """A token bucket that is filled by first attempts and emptied by retries and hedges.
 
     Attributes:
-        ratio: Tokens that each first attempt puts in.
-        floor: Tokens that each second puts in.
+        ratio: Tokens that each first attempt adds.
+        floor: Tokens that are added each second.
         left: Tokens in the bucket.
-        drawn: How many tokens were taken.
-        refused: How many further attempts found no token.
+        drawn: The number of tokens that were taken.
+        refused: The number of retries and hedges that were refused for lack of a token.
     """
 
     __slots__ = ("_first_attempt_rate", "_updated_at", "drawn", "floor", "left", "ratio", "refused")
@@ -34,23 +34,23 @@
         self.ratio = ratio
         self.floor = floor
         self._updated_at = now
-        self._first_attempt_rate = 0.0  # per second, decayed over the span
+        self._first_attempt_rate = 0.0  # per second, decays over DEPOSIT_SPAN
         self.left = self.capacity()
         self.drawn = 0
         self.refused = 0
 
     def reconfigure(self, ratio: float, floor: float) -> None:
-        """Take other figures after a reload; the tokens in the bucket stay."""
+        """Apply new settings after a reload; the bucket keeps its tokens."""
         self.ratio = ratio
         self.floor = floor
 
     def capacity(self) -> float:
-        """Return how many tokens the bucket can hold at the present load."""
+        """Return how many tokens the bucket can hold at the current load."""
         least = MIN_CAPACITY if self.ratio or self.floor else 0.0
         return max(least, (self.ratio * self._first_attempt_rate + self.floor) * DEPOSIT_SPAN)
 
     def on_first_attempt(self, now: float) -> None:
-        """Put in what one first attempt earns."""
+        """Add the tokens for one first attempt."""
         self._advance(now)
         self._first_attempt_rate += 1.0 / DEPOSIT_SPAN
         self.left = min(self.capacity(), self.left + self.ratio)
--- a/dockthread/routes/rules.py
+++ b/dockthread/routes/rules.py
@@ -1,4 +1,4 @@
-"""The rules that a route sets for its requests, and what of a request routes can match.
+"""The rules that a route sets for its requests, and the request attributes that routes match.
 
 Times are in seconds.
 """
@@ -10,7 +10,7 @@
 
 from dockthread.policy import Outcome
 
-# The values of the key `retry_on`.
+# The outcomes by the values of the key `retry_on`.
 OUTCOMES_BY_NAME = {
     "error": Outcome.ERROR,
     "reset": Outcome.RESET,
@@ -18,19 +18,19 @@
     "turned-away": Outcome.AT_CAPACITY,
     "unreachable": Outcome.UNREACHABLE,
 }
-DEFAULT_MAX_BACKOFF = 1.0  # s; longer only where the route's own backoff is
+DEFAULT_MAX_BACKOFF = 1.0  # s; a route whose `backoff` is longer uses that as the maximum
 
 
 class RequestAttributes(NamedTuple):
-    """What of a request routes can match.
+    """The attributes of a request that routes can match.
 
     Attributes:
-        request_class: The number of its class.
-        plan: The number of its customer's plan.
-        is_write: Whether it is a write.
+        request_class: The number of the request's class.
+        plan: The number of the customer's plan.
+        is_write: Whether the request is a write.
         customer: The customer's number.
-        units: The units that it costs.
-        is_retry: Whether the client marked it as a retry.
+        units: The units that the request costs.
+        is_retry: Whether the client marked the request as a retry.
     """
 
     request_class: int
@@ -43,23 +43,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The limits of one route, the same for all requests that take it; times are in seconds.
+    """The limits that a route sets for every request that takes it; times are in seconds.
 
     Attributes:
         name: The route's name.
-        timeout: The time for the request; 0 sets no bound.
-        attempt_timeout: The time for one attempt; 0 sets no bound.
-        attempts: The largest number of attempts; 0 leaves it to the settings.
-        retry_on: Outcomes after which to retry; None leaves it to the request's class.
-        backoff: The span from which the first wait between attempts is drawn; 0 means no wait.
-        max_backoff: The longest span, as each doubles the one before.
-        hedging: Whether requests are hedged; None leaves it to the settings.
-        fixed_hedge_delay: The time after which to hedge; 0 where it is not fixed.
-        hedge_percentile: The part of answers that are faster than the hedge delay; 0 for none.
-        hedge_share: The largest part of requests that may be hedged.
-        queue_wait: The time for which a request may wait for the concurrency limit.
-        zones: Numbers of the zones whose backends may be used; empty for no such limit.
-        kinds: Numbers of the kinds of backends that may be used; empty for no such limit.
+        timeout: The timeout of the whole request; 0 means no timeout.
+        attempt_timeout: The timeout of one attempt; 0 means no timeout.
+        attempts: The largest number of attempts; 0 uses the limit of the settings.
+        retry_on: The outcomes after which to retry; None lets the request's class decide.
+        backoff: The upper bound of the first backoff, which doubles per retry; 0 means no backoff.
+        max_backoff: The largest value that the doubled upper bound can reach.
+        hedging: Whether requests are hedged; None lets the settings decide.
+        fixed_hedge_delay: The fixed hedge delay; 0 if it is not fixed.
+        hedge_percentile: The quantile (0 to 1) of answer times that is the hedge delay; 0 if unset.
+        hedge_share: The largest fraction of requests that may be hedged.
+        queue_wait: The longest time that a request may wait in the queue.
+        zones: Numbers of the zones whose backends may be used; empty if all may be used.
+        kinds: Numbers of the kinds of backends that may be used; empty if all may be used.
     """
 
     name: str
@@ -79,10 +79,9 @@
 
 
 def stricter(first: Rules, second: Rules) -> Rules:
-    """Return rules that allow only what both allow, under the name of the first.
+    """Return rules that allow only what both rules allow, under the name of `first`.
 
-    The timeout, the queue wait and the backends stay those of the first, on which the client
-    counts.
+    The timeout, the queue wait and the backends are those of `first`, because clients rely on them.
     """
     if first == second:
         return first
@@ -105,7 +104,7 @@
 
 
 def _shorter(first: float, second: float) -> float:
-    """Return the smaller bound, where 0 means that there is none."""
+    """Return the smaller bound; 0 means unbounded."""
     return min(first, second) if first and second else first or second
 
 
--- a/dockthread/routes/table.py
+++ b/dockthread/routes/table.py
@@ -1,15 +1,16 @@
-"""The table of routes in force at one ingress: finds the route of a request.
-
-The first route that matches is taken. The index: a request's class, plan, verb, retry mark and
-units have few values, so for each combination that was met, the routes that could match are listed
-once, in their order, and kept. Customers would make that list long: routes that name customers are
-found by customer, and of those that name none only the first can match. So a match costs two
-look-ups, with one route or a thousand.
-
-When one route changes, each list whose combination it matches is repaired: for each of the route's
-customers the first match is looked up again among the routes that name the customer. A list is
-dropped, and made again by the next request of its combination, where that would cost more or where
-the route names no customer.
+"""The table of the routes that are active at one ingress; finds the route for a request.
+
+A request takes the first route that matches it. To avoid testing every route for every request,
+the table keeps an index. The class, plan, verb, retry mark and units of requests have few distinct
+combinations, so the first request of each combination computes which routes can match it, and the
+result is cached. A cached result maps each customer that a route names to the first such route. Of
+the routes that name no customer, only the first one can match, and it is stored separately. A match
+therefore costs two dictionary look-ups, with one route or a thousand.
+
+When a route changes, every cached result whose combination it matches is updated: for each customer
+of the route, the first match is looked up again among the routes that name this customer. If the
+route names no customer, or if the update would be too expensive, the cached result is dropped
+instead, and the next request of that combination computes it again.
 """
 
 from __future__ import annotations
@@ -37,12 +38,16 @@
 if TYPE_CHECKING:
     from dockthread.net.resp import RequestCommand
 
-MAX_REPAIRS = 20_000  # customers in all lists that one change looks up again
-MAX_COMBINATIONS = 4096  # kept at once: a site whose units have no bound must not fill the memory
-DEFAULT = "default"  # the name of what matches no route; it bounds nothing
+# Customer look-ups, over all cached results, that one changed route may cause. If it would cause
+# more, the cached results are dropped instead.
+MAX_REPAIRS = 20_000
+# Combinations in the index. It is bounded because a site whose units are unbounded would otherwise
+# fill the memory.
+MAX_COMBINATIONS = 4096
+DEFAULT = "default"  # name of the rules for requests that match no route; they limit nothing
 WRITE_COMMAND = b"API.WRITE"
 
-# Class, plan, verb, retry mark and units. A plain tuple, as one is made for each request.
+# Class, plan, verb, retry mark and units. It is a plain tuple because each request creates one.
 Combination = tuple[int, int, bool, bool, int]
 
 
@@ -51,8 +56,8 @@
     """The routes that can match one combination of class, plan, verb, retry mark and units.
 
     Attributes:
-        by_customer: The first route for each customer that is named.
-        for_others: The first route that names no customer; nothing behind it can match.
+        by_customer: The first matching route for each customer that a route names.
+        for_others: The first matching route that names no customer; later routes cannot match.
     """
 
     by_customer: dict[int, Matcher] = field(default_factory=dict)
@@ -60,12 +65,12 @@
 
 
 class Table:
-    """The routes of one ingress and what each has used.
+    """The routes of one ingress and the usage of each route.
 
     Attributes:
         generation: A number that grows with each change.
-        spent: What each route has used, by its name.
-        dropped: Names of the routes that are gone and have open requests.
+        spent: The usage of each route, by the route's name.
+        dropped: Names of removed routes that still have open requests.
     """
 
     def __init__(self, names: Names, zone: int, seed: int) -> None:
@@ -84,21 +89,21 @@
 
     @property
     def matchers(self) -> list[Matcher]:
-        """The routes in the order in which they are tried."""
+        """The routes in matching order."""
         return self._ordered.matchers
 
     def set_names(self, names: Names) -> None:
-        """Take the names of newer settings, in which each known name keeps its number."""
+        """Use the names of new settings, in which each existing name keeps its number."""
         self._numbers = NameNumbers(names)
 
     def replace(self, routes: Mapping[str, RouteOptions], now: float) -> None:
-        """Put other routes in force, in their order.
+        """Replace all routes by `routes`, which are matched in the given order.
 
-        What was used carries over by name. A route that is gone keeps its state until its last
-        request has its answer.
+        A route keeps the usage of the former route with the same name. The usage of a removed
+        route is kept until its last open request has been answered.
 
         Raises:
-            KeyError: The settings do not know a name. `check` finds this before.
+            KeyError: The settings do not define a name. `check` reports this beforehand.
         """
         positions = file_positions(routes)
         numbers = self._numbers
@@ -116,7 +121,7 @@
         self.forget_idle()
 
     def put(self, matcher: Matcher, options: RouteOptions, now: float) -> None:
-        """Put one route in force, made of `options`, in place of the one with the same name."""
+        """Add the route compiled from `options`, or replace the route with the same name."""
         name = matcher.rules.name
         if not self._numbers.is_in_zone(options, self._zone):
             self.remove(name)
@@ -129,14 +134,14 @@
         self.generation += 1
 
     def remove(self, name: str) -> None:
-        """Take out one route, if it is there; its state stays until it has no open request."""
+        """Remove a route if it exists; its usage is kept until it has no open requests."""
         if self._take_out(name):
             self.dropped.add(name)
             self.generation += 1
             self.forget_idle()
 
     def forget_idle(self) -> None:
-        """Drop the state of the routes that are gone and have no open request."""
+        """Delete the usage of removed routes that have no open requests."""
         if not self.dropped:
             return
         for name in [name for name in self.dropped if not self.spent[name].open]:
@@ -144,7 +149,7 @@
             self.dropped.discard(name)
 
     def find(self, request: RequestAttributes) -> Matcher | None:
-        """Return the route that a request takes; None where none matches."""
+        """Return the route that a request takes, or None if no route matches."""
         key = (
             request.request_class,
             request.plan,
@@ -160,12 +165,12 @@
         return candidates.by_customer.get(request.customer, candidates.for_others)
 
     def rules_for(self, request: RequestAttributes) -> Rules:
-        """Return the rules that a request gets; they bound nothing where no route matches."""
+        """Return the rules for a request; if no route matches, they limit nothing."""
         matcher = self.find(request)
         return matcher.rules if matcher is not None else self._default
 
     def bounds(self, command: RequestCommand) -> Bounds | None:
-        """Return the bounds of a request that arrives; None where no route matches."""
+        """Return the bounds of an arriving request, or None if no route matches."""
         request = RequestAttributes(
             command.request_class,
             command.plan,
@@ -180,7 +185,7 @@
         return Bounds(self, request, matcher.rules, self.spent[matcher.rules.name])
 
     def before(self, matcher: Matcher) -> list[Matcher]:
-        """Return the routes that are tried before this one."""
+        """Return the routes that are matched before this one."""
         return self._ordered.before(matcher)
 
     def _candidates(self, request: RequestAttributes) -> _Candidates:
@@ -203,7 +208,7 @@
         return True
 
     def _repair_index(self, changed: Matcher) -> None:
-        """Repair or drop the lists that `changed` is, or was, part of."""
+        """Update or drop the cached results that the added or removed route `changed` affects."""
         repairs = len(changed.customers) * len(self._index)
         must_drop = not changed.customers or repairs > MAX_REPAIRS
         for key, candidates in list(self._index.items()):
@@ -229,7 +234,7 @@
             candidates.by_customer.pop(customer, None)
 
     def _configure_usage(self, name: str, options: RouteOptions, now: float) -> None:
-        """Give a route's state the figures of its options; make the state where there is none."""
+        """Apply a route's options to its usage, which is created if it does not exist."""
         ratio = DEFAULT_RATIO if options.retry_budget is None else float(options.retry_budget)
         floor = DEFAULT_FLOOR if options.retry_floor is None else options.retry_floor
         hedge_share = 1.0 if options.copy_share is None else float(options.copy_share)
--- a/dockthread/routes/usage.py
+++ b/dockthread/routes/usage.py
@@ -1,4 +1,4 @@
-"""What the requests of one route share and have used: budgets, the concurrency limit and counters.
+"""The state that the requests of one route share: budgets, the concurrency limit and counters.
 
 Times are in seconds.
 """
@@ -13,32 +13,32 @@
 from dockthread.routes.retry_budget import RetryBudget
 from dockthread.routes.wait_queue import WaitQueue
 
-SKETCH_PERIOD = 2000  # answers after which the older sketch is dropped and a new one begins
-MIN_ANSWERS = 50  # before a percentile says anything
+SKETCH_PERIOD = 2000  # answers after which a new sketch is started and the older one is dropped
+MIN_ANSWERS = 50  # answers that a percentile needs to be meaningful
 SKETCH_ACCURACY = 0.02  # relative error of a percentile
-SKETCH_BINS = 256  # bounds the memory of a route
+SKETCH_BINS = 256  # bounds the memory that a route uses
 
 
 class RouteUsage:
-    """State of one route, kept by the route's name over reloads.
+    """The state of one route, which survives a reload if the route keeps its name.
 
-    The counters are read under their names for the metrics.
+    The metrics report the counters under their attribute names.
 
     Attributes:
-        budget: For retries and hedges; None where nothing bounds them.
-        copy_budget: For hedges alone.
+        budget: The budget for retries and hedges together; None if they are unbounded.
+        copy_budget: An additional budget for hedges.
         limit: The concurrency limit.
-        queue: The requests that wait for the limit.
-        rng: For the waits between attempts.
-        open: How many requests of the route have no final answer yet.
-        requests: How many requests took the route.
-        attempts: How many attempts were sent.
-        copies: How many of these were hedges.
-        copies_won: How many hedges succeeded.
-        queued: How many requests waited for the limit.
-        refused_limit: How many requests the limit refused.
-        refused_budget: How many retries and hedges a budget refused.
-        queue_wait: The time (s) waited in the queue by all requests together.
+        queue: The requests that wait for admission under the limit.
+        rng: The source of random backoffs.
+        open: The number of requests that have no final answer yet.
+        requests: The number of requests that took the route.
+        attempts: The number of attempts that were sent, including hedges.
+        copies: The number of hedges that were sent.
+        copies_won: The number of hedges that succeeded.
+        queued: The number of requests that were queued.
+        refused_limit: The number of requests rejected because of the limit or the queue.
+        refused_budget: The number of retries and hedges that a budget refused.
+        queue_wait: The total time (s) that requests spent in the queue before admission.
     """
 
     __slots__ = (
@@ -82,13 +82,13 @@
         self.refused_limit = 0
         self.refused_budget = 0
         self.queue_wait = 0.0
-        # The present sketch and the one before it. They are made with the first answer, as most of
-        # many routes are idle.
+        # The current and the previous sketch. They are created with the first answer, because most
+        # of many routes are idle.
         self._sketches: list[LogCollapsingLowestDenseDDSketch] = []
         self._answers = 0
 
     def note_answer_time(self, duration: float) -> None:
-        """Count the duration of a successful attempt for the percentiles."""
+        """Record the duration of a successful attempt for the percentiles."""
         if not self._sketches:
             self._sketches = [_new_sketch(), _new_sketch()]
         self._sketches[0].add(duration)
@@ -97,10 +97,10 @@
             self._sketches = [_new_sketch(), self._sketches[0]]
 
     def percentile(self, quantile: float) -> float | None:
-        """Return the answer time (s) of a quantile (0 to 1); None while too few are known."""
+        """Return a quantile (0 to 1) of the answer times (s), or None while too few are known."""
         if self._answers < MIN_ANSWERS:
             return None
-        # Early in a period the sketch of the period before knows more.
+        # At the start of a period the previous sketch is used, because it has more data.
         present, previous = self._sketches
         sketch = present if present.count >= MIN_ANSWERS else previous
         value = sketch.get_quantile_value(quantile)
--- a/dockthread/routes/wait_queue.py
+++ b/dockthread/routes/wait_queue.py
@@ -7,11 +7,11 @@
 
 
 class QueueEntry(NamedTuple):
-    """One request that waits; entries compare in the order in which they are taken.
+    """A waiting request; entries sort in the order in which they leave the queue.
 
     Attributes:
-        negated_weight: Minus its priority weight, as a heap gives its least entry first.
-        arrival: The number of its arrival; of equal weights the longest waiting goes first.
+        negated_weight: The negated priority weight, because a heap returns its least entry first.
+        arrival: The arrival number, which makes the queue first-in, first-out for equal weights.
         request: The request's number.
     """
 
@@ -21,7 +21,7 @@
 
 
 class WaitQueue:
-    """A bounded priority queue of requests: the greatest weight first, then the longest waiting.
+    """A bounded priority queue of requests: greatest weight first, then longest waiting first.
 
     Attributes:
         max_length: How many requests may wait.
@@ -32,8 +32,8 @@
     def __init__(self, max_length: int) -> None:
         self.max_length = max_length
         self._heap: list[QueueEntry] = []
-        # Requests that are still in the heap and wait no longer. It is empty for most queues, which
-        # then share one object.
+        # Requests that have left the queue but are still in the heap. This is an immutable set
+        # because it is empty for most queues, and all empty ones share one object.
         self._removed: frozenset[int] = frozenset()
         self._arrivals = 0
 
@@ -41,11 +41,11 @@
         return len(self._heap) - len(self._removed)
 
     def put(self, request: int, priority_weight: float) -> int | None:
-        """Let a request wait.
+        """Add a request to the queue.
 
         Returns:
-            The request to reject, as the queue is full: the one of the least weight, which may be
-            the new one. None where there is capacity.
+            None if the queue has room for the request; otherwise the request to reject, which is
+            the one with the least weight and may be the new one.
         """
         self._arrivals += 1
         entry = QueueEntry(-priority_weight, self._arrivals, request)
@@ -64,12 +64,12 @@
         return last.request
 
     def remove(self, request: int) -> None:
-        """Take out a request that waits no longer; it need not be in the queue."""
+        """Remove a request; does nothing if it is not in the queue."""
         if any(entry.request == request for entry in self._heap):
             self._removed |= {request}
 
     def pop(self) -> int | None:
-        """Take out the request that is next; None where none waits."""
+        """Remove and return the next request, or return None if the queue is empty."""
         while self._heap:
             request = heappop(self._heap).request
             if request not in self._removed:
--- a/dockthread/routes/worst_case.py
+++ b/dockthread/routes/worst_case.py
@@ -1,11 +1,11 @@
-"""The worst case of a route for a request class: how long a request takes, how much load it makes.
+"""The worst case of a route for a request class: the duration of a request and its load.
 
-With n attempts of at most T, backoffs b and a wait q in the queue the last attempt ends by
-q + n * T + sum(b).  A hedge runs beside its first attempt and begins at most the hedge delay later,
-so it ends by  q + delay + T;  it counts among the n. Where an attempt has no timeout of its own,
-the time limit of the request bounds it.
+With n attempts that each take at most T, backoffs b and a wait q in the queue, the last attempt
+ends by  q + n * T + sum(b).  A hedge runs in parallel with the first attempt and starts at most the
+hedge delay after it, so it ends by  q + delay + T.  A hedge counts as one of the n attempts. If the
+route has no attempt timeout, the time limit of the request bounds each attempt.
 
-Times are in seconds. All is computed, nothing measured.
+Times are in seconds. All values are computed from the settings, not measured.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 from dockthread.policy import PolicySettings, RequestClass
 from dockthread.routes.rules import Rules
 
-TIME_TOLERANCE = 1e-9  # s: sums of times are floating-point numbers
+TIME_TOLERANCE = 1e-9  # s; allows for the rounding errors of floating-point sums
 
 
 @dataclass(frozen=True, slots=True)
 class WorstCase:
-    """The longest course of one request; times are in seconds.
+    """The worst case of one request; times are in seconds.
 
     Attributes:
-        attempts: How many attempts there are.
-        attempt_timeout: The time for an attempt; the request's where it has none of its own.
-        backoffs: The longest waits between the attempts.
-        queue_wait: The longest wait for the concurrency limit.
-        time_limit: The client's deadline, or the route's timeout where it is shorter.
-        is_bounded: Whether each attempt has a timeout of its own.
-        hedge_delay: The fixed time after which a hedge goes; 0 where there is none.
+        attempts: The largest number of attempts.
+        attempt_timeout: The timeout of one attempt; the request's time limit if it has none.
+        backoffs: The longest backoffs between the attempts.
+        queue_wait: The longest wait in the queue.
+        time_limit: The client's deadline, or the route's timeout if that is shorter.
+        is_bounded: Whether attempts have their own timeout.
+        hedge_delay: The fixed hedge delay; 0 if there is none.
     """
 
     attempts: int
@@ -42,7 +42,7 @@
 
     @property
     def total(self) -> float:
-        """The time until the last attempt has ended."""
+        """The time from the request's arrival to the end of its last attempt."""
         if not self.is_bounded:
             return self.time_limit
         sequential = self.attempts * self.attempt_timeout + sum(self.backoffs)
@@ -51,12 +51,12 @@
 
     @property
     def exceeds_time_limit(self) -> bool:
-        """Whether the last attempt may end after the request's time limit."""
+        """Whether the last attempt can end after the request's time limit."""
         return self.total > self.time_limit + TIME_TOLERANCE
 
 
 def worst_case(rules: Rules, request_class: RequestClass, settings: PolicySettings) -> WorstCase:
-    """Return the worst case of a request of that class under a route's rules."""
+    """Return the worst case of a request of the given class under a route's rules."""
     time_limit = min(request_class.deadline, rules.timeout or request_class.deadline)
     attempts = min(rules.attempts or settings.max_attempts, settings.max_attempts)
     never_retries = rules.retry_on is not None and not rules.retry_on
@@ -77,5 +77,5 @@
 
 
 def amplification(budget_ratio: float, attempts: int) -> float:
-    """Return the most attempts for each first attempt, in the long run."""
+    """Return the long-run maximum number of attempts per request."""
     return min(float(attempts), 1.0 + budget_ratio)
--- a/tests/config/ingress_cluster.py
+++ b/tests/config/ingress_cluster.py
@@ -1,4 +1,4 @@
-"""Several policy engines with their backends, a quota counter and gossip between them, on one clock.
+"""Simulates several ingresses with backends, a quota counter and gossip under one clock.
 
 Times are in seconds.
 """
@@ -43,14 +43,15 @@
 GOSSIP_DELAYS = (0.001, 0.014)
 REPORTED_LOAD = 0.4
 
-# A backend reports a customer's use over this long, as it was this long ago.
+# A backend reports a customer's usage over this period.
 USAGE_WINDOW = 1.0
+# The reported period ended this long before the report.
 USAGE_REPORT_AGE = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class RequestKey:
-    """A request of the cluster: the number of its ingress, and its own."""
+    """Identifies a request in the cluster by the numbers of its ingress and of the request."""
 
     ingress: int
     request: int
@@ -58,21 +59,21 @@
 
 @dataclass(frozen=True, slots=True)
 class FirstAttempt:
-    """When the first attempt of a request was sent, and the request's units."""
+    """The time when the first attempt of a request was sent, and the request's units."""
 
     sent_at: float
     units: float
 
 
 class IngressCluster:
-    """Ingresses that serve one customer.
+    """Several ingresses that serve one customer.
 
     Attributes:
-        now: The time.
+        now: The simulated time.
         engines: The policy engines, by the number of their ingress.
-        attempted_backends: The backend of each attempt, in the order sent.
+        attempted_backends: The backend of each attempt, in sending order.
         first_attempts: The first attempt of each request that was admitted.
-        answers: The final answers of each request; more than one would be an error.
+        answers: The final answers of each request; more than one is an error of the engine.
     """
 
     def __init__(
@@ -90,7 +91,7 @@
         self._gossip_loss = gossip_loss
         self._backends_answer = backends_answer
         self._due: list[tuple[float, int, Callable[[], None]]] = []
-        self._last_number = 0  # of requests and of what is due
+        self._last_number = 0  # the last number given to a request or a scheduled callback
         self._counter_totals: dict[int, float] = defaultdict(float)
         self._units: dict[RequestKey, float] = {}
         self.engines = [
@@ -105,19 +106,19 @@
             self.handle(ingress, EndpointsListed(EndpointListKind.CACHED, endpoints))
 
     def run_until(self, until: float) -> None:
-        """Let everything happen that is due up to a time."""
+        """Advance the clock to `until` and run all callbacks that are due by then."""
         while self._due and self._due[0][0] <= until:
             self.now, _, callback = heapq.heappop(self._due)
             callback()
         self.now = until
 
     def handle(self, ingress: int, event: Event) -> None:
-        """Give an ingress an event and carry out what it asks for."""
+        """Pass an event to an ingress's policy engine and execute the returned actions."""
         for action in self.engines[ingress].handle(self.now, event):
             self._carry_out(ingress, action)
 
     def request(self, ingress: int, units: float, request_class: int, spread: int) -> None:
-        """Let a request arrive at an ingress; its customer uses `spread` ingresses."""
+        """Send a request to an ingress, from a customer that uses `spread` ingresses."""
         self._last_number += 1
         key = RequestKey(ingress, self._last_number)
         self.answers[key] = []
@@ -129,7 +130,7 @@
         self.handle(ingress, arrived)
 
     def admitted_units(self) -> float:
-        """Return the units of all requests that were sent on."""
+        """Return the total units of all admitted requests."""
         return sum(first.units for first in self.first_attempts.values())
 
     def _schedule(self, when: float, callback: Callable[[], None]) -> None:
@@ -194,7 +195,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """One request that a customer is about to send."""
+    """A request that a customer is about to send."""
 
     ingress: int
     units: float
@@ -204,7 +205,10 @@
 def demand(
     cluster: IngressCluster, spread: int, quotas: float, duration: float
 ) -> Iterator[Demand]:
-    """Yield requests of one customer at `quotas` times its quota, uneven over its ingresses."""
+    """Yield random requests of one customer, distributed unevenly over `spread` ingresses.
+
+    Their mean rate is `quotas` times the customer's quota. The clock advances to each request.
+    """
     plan = cluster.engines[0].settings.plans[0]
     weights = [1.0 / (number + 1) for number in range(spread)]
     rate = quotas * plan.rate / 2.0  # requests of 2 units on average
--- a/tests/config/test_any_deployment.py
+++ b/tests/config/test_any_deployment.py
@@ -1,4 +1,4 @@
-"""What holds for any deployment: several ingresses together under one clock, over drawn settings."""
+"""Properties of several ingresses with random settings, simulated under one clock."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 from tests.config.ingress_cluster import START, IngressCluster, RequestKey, demand
 
-DURATION = 24.0  # seconds of demand
+DURATION = 24.0  # s during which the customer sends requests
 CLASSES = (
     RequestClass(0.6, 2.0, priority_weight=1, effect=Effect.SAFE),
     RequestClass(
@@ -97,11 +97,11 @@
 def test_admitted_units_stay_near_the_quota_and_each_request_has_one_answer_at_thrice_the_quota(
     policy_settings: PolicySettings, seed: int
 ) -> None:
-    """Demand three times the quota of one customer.
+    """One customer sends three times its quota.
 
-    Where ingresses learn of each other's use, by gossip or the counter, they admit 0.7 to 1.25 of
-    the quota together. Otherwise they admit half of it at least: an even split strands the part of
-    the ingresses without demand.
+    If the ingresses learn of each other's usage by gossip or from the counter, together they admit
+    0.7 to 1.25 times the quota. Otherwise they admit at least half of it: the quota is split evenly
+    over the ingresses, and an ingress with little demand leaves a part of its share unused.
     """
     cluster = IngressCluster(policy_settings, seed)
     plan = policy_settings.plans[0]
@@ -174,12 +174,18 @@
         )
     above_cap = sum(count > plan.max_in_flight for count in in_flight) / len(in_flight)
     assert cluster.admitted_units() <= 1.25 * (plan.burst + plan.rate * DURATION)
-    assert above_cap < (0.12 if may_gossip else 1.0), "gossip tells of attempts in flight"
-    assert max(in_flight) >= plan.max_in_flight, "the cap is used"
+    assert above_cap < (0.12 if may_gossip else 1.0), (
+        "ingresses learn of attempts in flight elsewhere only by gossip"
+    )
+    assert max(in_flight) >= plan.max_in_flight, "the cap is reached"
 
 
 def test_a_silent_backend_counts_as_failed_after_a_share_of_the_latency_objective() -> None:
-    """Before any answer only the objective says what is usual: 0.2 of it, give or take 0.1."""
+    """The failure is detected between 1.05 and 1.15 times the latency objective.
+
+    Before its first answer, the policy engine can derive a backend's expected answer time only from
+    the latency objective: it is 0.2 of it, give or take 0.1.
+    """
     for objective in (0.6, 1.5, 3.0):
         classes = (RequestClass(objective, 4 * objective, effect=Effect.UNSAFE),)
         policy_settings = PolicySettings(0, 1, classes, (Plan(),), may_cancel=True)
@@ -214,5 +220,5 @@
         cluster.handle(0, reset)
         assert len(cluster.attempted_backends) == 1 + is_retried
         zones = {attempted % 2 for attempted in cluster.attempted_backends}
-        assert len(zones) == 1, "the other zone does not know the key"
+        assert len(zones) == 1, "the backends of the other zone do not know the key"
         assert cluster.answers[RequestKey(0, key.request)] == ([] if is_retried else ["no"])
--- a/tests/config/test_example_configurations.py
+++ b/tests/config/test_example_configurations.py
@@ -1,4 +1,4 @@
-"""The example configurations of the platform are read in full, and the policy engine uses them."""
+"""The platform's example configurations are read completely, and the policy engine accepts them."""
 
 from __future__ import annotations
 
--- a/tests/config/test_ingress_config.py
+++ b/tests/config/test_ingress_config.py
@@ -1,4 +1,4 @@
-"""The configuration of an ingress: errors in its file, and the environment."""
+"""The configuration of an ingress: errors in its file, and overrides by environment variables."""
 
 from __future__ import annotations
 
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file: what is read, and one plain line for each kind of problem."""
+"""The operator's file: parsed sections, and one line for each kind of problem."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         "[telemetry]\nfarewell = 1min",
         "[telemetry] farewell: 1min would hold up the exit; 5s is the most",
     ),
-    ("[telemetry]\nfirms = many", "[telemetry] firms: 'many' is not right: expected `int`"),
+    ("[telemetry]\nfirms = many", "[telemetry] firms: 'many' is not valid: expected `int`"),
     ("[telemetry]\nfirms = 5000", "[telemetry] firms: 5000 is out of range; 0 to 500 would do"),
     ("[telemetry]\nqueue = 1KiB", "[telemetry] queue: 1KiB holds no report; 16KiB is the least"),
     ("[telemetry main]", "[telemetry main] takes no name; write [telemetry]"),
@@ -49,11 +49,11 @@
     ),
     (GRAPHITE + "prefix = a..b", "[graphite main] prefix: 'a..b' is no path"),
     (GRAPHITE + "tags = perhaps", "[graphite main] tags: 'perhaps' is neither yes nor no"),
-    (GRAPHITE + GRAPHITE, "[graphite main] stands twice (line 3)"),
-    (GRAPHITE + "address = h:1", "[graphite main] address: stands twice (line 3)"),
+    (GRAPHITE + GRAPHITE, "[graphite main] is defined twice (line 3)"),
+    (GRAPHITE + "address = h:1", "[graphite main] address: is set twice (line 3)"),
     (
         GRAPHITE + "[graphite  main]\naddress = h:1",
-        "[graphite main] stands twice; give one of them",
+        "[graphite main] is defined twice; give one of them",
     ),
     (
         GRAPHITE + "[collectd main]\naddress = h:1",
@@ -74,8 +74,8 @@
     ("[collectd c]\naddress = h:1\nplugin = a/b", "[collectd c] plugin: 'a/b' is no plugin's name"),
     ("[log]\nlevel = LOUD", "[log] level: 'LOUD' is not one of DEBUG, INFO, WARNING, ERROR"),
     ("[log]\nform = xml", "[log] form: 'xml' is not one of text, json"),
-    ("interval = 1s", "line 1 stands before any section; begin with a head"),
-    ("[telemetry]\nwhat is this", "line 2 cannot be read; write KEY = VALUE"),
+    ("interval = 1s", "line 1 is outside any section; begin with a heading"),
+    ("[telemetry]\nwhat is this", "line 2 cannot be parsed; write KEY = VALUE"),
 ]
 
 
--- a/tests/config/test_platform_settings.py
+++ b/tests/config/test_platform_settings.py
@@ -1,4 +1,4 @@
-"""The platform's JSON: an error says file, key, what is wrong and what would do, as fields."""
+"""Errors in the platform's JSON have the file, key, reason and remedy as fields."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
     assert error.file == str(path)
     assert error.key == "settings.Classes[0].Aim"
     assert error.reason == "is -5"
-    assert error.remedy == "a time over 0 would do"
-    assert str(error) == f"{path}: settings.Classes[0].Aim is -5; a time over 0 would do"
+    assert error.remedy == "must be a time above 0"
+    assert str(error) == f"{path}: settings.Classes[0].Aim is -5; must be a time above 0"
 
 
 def test_a_missing_key_is_named_with_its_file(tmp_path: Path) -> None:
@@ -62,4 +62,4 @@
     with pytest.raises(SettingsError) as caught:
         read_config({})
     assert caught.value.key == "NODE_CONFIG"
-    assert str(caught.value) == "NODE_CONFIG is not set: it names the configuration file"
+    assert str(caught.value) == "NODE_CONFIG is not set; it must name the configuration file"
--- a/tests/config/test_quantities.py
+++ b/tests/config/test_quantities.py
@@ -1,4 +1,4 @@
-"""Quantities with units: read, shown, and rejected."""
+"""Quantities with units: parsing, formatting, and rejected texts."""
 
 from __future__ import annotations
 
--- a/tests/routes/routed_ingress.py
+++ b/tests/routes/routed_ingress.py
@@ -1,4 +1,4 @@
-"""An ingress on loopback that obeys the routes of a file, and backends that count requests."""
+"""An ingress on loopback that applies the routes of a file, and backends that count requests."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 ERROR = b"-ERR failed\r\n"
 STATUS = "[route s]\nclass = status\n"
 CHECKOUT = "[route c]\nclass = checkout\n"
-RETRY_FLOOR = "retry_floor = 100\n"  # so that the budget does not decide
+RETRY_FLOOR = "retry_floor = 100\n"  # so high that the retry budget never refuses an attempt
 
-# How a backend answers the arguments of a request; None closes the connection.
+# Returns a backend's reply to the arguments of a request; None closes the connection.
 Answer = Callable[[list[bytes]], Awaitable[bytes | None]]
 
 
 class CountingBackend(Backend):
-    """Counts how often each request arrives, by the request's id."""
+    """A backend that counts how often each request arrives, by the request's id."""
 
     def __init__(self, answer: Answer) -> None:
         super().__init__(answer)
@@ -38,17 +38,17 @@
 
     @property
     def attempts(self) -> int:
-        """How many attempts arrived."""
+        """The number of attempts that arrived."""
         return self.arrivals.total()
 
 
 def attempts_at(backends: list[CountingBackend]) -> int:
-    """Return how many attempts arrived at all backends."""
+    """Return the number of attempts that arrived at all backends together."""
     return sum(backend.attempts for backend in backends)
 
 
 def put_in_force(ingress: Ingress, text: str) -> Table:
-    """Have an ingress obey the routes of a file."""
+    """Replace the routes of an ingress by those in the text of an operator's file."""
     read = parse_operator_file(text, "test", ingress.config.policy_settings, ingress.config.names)
     assert not read.errors, read.errors
     table = ingress.routes
@@ -60,7 +60,7 @@
 
 
 def usage_of(ingress: Ingress, name: str) -> RouteUsage:
-    """Return what a route of the ingress has used."""
+    """Return the usage of a route of the ingress."""
     assert isinstance(ingress.routes, Table)
     return ingress.routes.spent[name]
 
@@ -69,7 +69,7 @@
 async def routed_ingress(
     text: str, *answers: Answer, **changes: Any
 ) -> AsyncIterator[tuple[Ingress, Client, list[CountingBackend]]]:
-    """Serve with the routes of a file and one backend for each answer."""
+    """Run an ingress with the routes of a file and one backend for each answer function."""
     backends = [CountingBackend(answer) for answer in answers]
     async with serving(*backends, **changes) as (ingress, client, _):
         put_in_force(ingress, text)
@@ -77,7 +77,7 @@
 
 
 def answers_with(reply: bytes) -> Answer:
-    """Return an answer that is always the same."""
+    """Return an answer function that always returns `reply`."""
 
     async def answer(args: list[bytes]) -> bytes | None:
         return reply
@@ -86,18 +86,18 @@
 
 
 async def closes_connection(args: list[bytes]) -> bytes | None:
-    """Close the connection in place of an answer."""
+    """Close the connection instead of answering."""
     return None
 
 
 async def never_answers(args: list[bytes]) -> bytes | None:
-    """Wait for ever."""
+    """Wait forever."""
     await asyncio.Event().wait()
     return None
 
 
 def answers_after(seconds: float, reply: bytes = OK) -> Answer:
-    """Return an answer that takes its time."""
+    """Return an answer function that returns `reply` after a delay."""
 
     async def answer(args: list[bytes]) -> bytes | None:
         await asyncio.sleep(seconds)
--- a/tests/routes/site_settings.py
+++ b/tests/routes/site_settings.py
@@ -1,4 +1,4 @@
-"""A site's settings with one class of each effect, and how the tests read routes for it."""
+"""Settings of a site with one class of each effect, and a reader of routes for this site."""
 
 from __future__ import annotations
 
@@ -34,12 +34,13 @@
     may_hedge=True,
     max_request_units=1.0,
 )
-# The first key of a route for one class: idempotent, not idempotent, idempotent by its key.
+# The key `class` of a route for the idempotent, the non-idempotent and the keyed class. Requests of
+# a keyed class are idempotent by their key.
 STATUS = "class = seat-status\n"
 CHECKOUT = "class = seat-checkout\n"
 KEYED = "class = keyed\n"
 
 
 def problems(text: str, settings: PolicySettings = SETTINGS) -> list[ConfigProblem]:
-    """Return what is wrong with an operator's file."""
+    """Return the problems of an operator's file."""
     return parse_operator_file(text, "r.ini", settings, NAMES).problems
--- a/tests/routes/tables.py
+++ b/tests/routes/tables.py
@@ -1,4 +1,4 @@
-"""Tables of routes without an ingress, and routes and requests drawn at random."""
+"""Route tables without an ingress, and a strategy for random routes."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 
 
 def table_of(routes: dict[str, RouteOptions], seed: int = 1) -> Table:
-    """Return a table with these routes in force at time 0."""
+    """Return a table with the given routes, created at time 0."""
     table = Table(NAMES, 0, seed)
     table.replace(routes, 0.0)
     return table
 
 
 def bounds_of(table: Table, name: str) -> Bounds:
-    """Return the bounds of a read that arrives and takes the route of that name."""
+    """Return the bounds of an arriving read, which must match the route of the given name."""
     return Bounds(table, READ, table.rules_for(READ), table.spent[name])
 
 
 @st.composite
 def route_options(draw: st.DrawFn) -> RouteOptions:
-    """Draw what a route matches."""
+    """Draw a route with random conditions and no limits."""
 
     def up_to_two(*values: Any) -> tuple[Any, ...]:
         return tuple(draw(st.lists(st.sampled_from(values), max_size=2, unique=True)))
@@ -50,7 +50,10 @@
 
 
 def shadowing_pairs(routes: dict[str, RouteOptions]) -> list[tuple[str, str]]:
-    """Return each route that can never match, with each earlier one that takes its requests."""
+    """Return the names of all pairs of routes of which the earlier one shadows the later one.
+
+    In each pair the shadowed route comes first.
+    """
     positions = file_positions(routes)
     numbers = NameNumbers(NAMES)
     matchers = [numbers.matcher(name, route, positions[name]) for name, route in routes.items()]
@@ -65,6 +68,6 @@
 def merged_layers(
     file: dict[str, RouteOptions], published: dict[str, RouteOptions]
 ) -> dict[str, RouteOptions]:
-    """Return the routes of both layers as one file would have them."""
+    """Return the routes of both layers in the order that one file with all of them would have."""
     first = {name: published[name] for name in sorted(published.keys() - file.keys())}
     return {**first, **{name: published.get(name, route) for name, route in file.items()}}
--- a/tests/routes/test_attempts_in_service.py
+++ b/tests/routes/test_attempts_in_service.py
@@ -1,4 +1,4 @@
-"""Hedges and attempt timeouts of routes in service: one answer, and a shorter tail."""
+"""Hedges and attempt timeouts in a running ingress: each request gets one answer."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 SLOW_ANSWER = 0.3  # s
 FAST_ANSWER = 0.01  # s
-SLOW_TIME = 0.25  # s from which on a request counts as slow
+SLOW_TIME = 0.25  # s; a request that takes longer counts as slow
 
 
 def test_a_hedge_and_its_first_attempt_that_answer_at_once_give_one_answer() -> None:
@@ -51,7 +51,9 @@
                 assert await client.answer() == b"value"
                 await until(lambda: not ingress.requests)
             client.send(b"PING")
-            assert await client.answer() == b"PONG", "no second answer came before it"
+            assert await client.answer() == b"PONG", (
+                "the next reply is the PONG and not a second answer"
+            )
 
     run(scenario())
 
@@ -82,7 +84,7 @@
             client,
             _,
         ):
-            # A listener whose queue is full never lets a connection come up.
+            # A listener whose accept queue is full never establishes another connection.
             full_listener = socket.socket()
             full_listener.bind(("127.0.0.1", 0))
             full_listener.listen(0)
@@ -101,7 +103,7 @@
 
 
 def test_hedges_shorten_the_tail_of_slow_answers_within_their_share_of_the_load() -> None:
-    """The first attempt of one request in twelve takes thirty times as long, at any backend."""
+    """The first attempt of one request in twelve is thirty times slower, at whichever backend."""
 
     async def scenario() -> None:
         arrived: set[bytes] = set()
--- a/tests/routes/test_bounds.py
+++ b/tests/routes/test_bounds.py
@@ -1,4 +1,4 @@
-"""The bounds of one request: the stricter of two rules, reloads, and waits between attempts."""
+"""The bounds of one request: the stricter of two rules, reloads, and backoffs."""
 
 from __future__ import annotations
 
@@ -64,13 +64,15 @@
     bounds = bounds_of(table, "r")
     table.replace({"r": RouteOptions(attempts=4)}, 1.0)
     assert bounds.retry_delay(2, Outcome.AT_CAPACITY, 1.0) is None, (
-        "the new route allows more, but not to this request"
+        "the new route allows more attempts, but not for a request that arrived before it"
     )
     assert bounds.retry_delay(1, Outcome.AT_CAPACITY, 1.0) == 0.0
     table.replace({"r": RouteOptions(attempts=1)}, 2.0)
     assert bounds.retry_delay(1, Outcome.AT_CAPACITY, 2.0) is None
     table.replace({}, 3.0)
-    assert bounds.retry_delay(1, Outcome.AT_CAPACITY, 3.0) is None, "a bound once met stays"
+    assert bounds.retry_delay(1, Outcome.AT_CAPACITY, 3.0) is None, (
+        "the strictest rules still apply"
+    )
 
 
 def test_waits_between_attempts_are_drawn_from_a_doubling_span() -> None:
@@ -107,7 +109,7 @@
         actions = engine.handle(arrival + 0.1, ended)
         if any(isinstance(action, Reject) for action in actions):
             rejected_at_once += 1
-    assert rejected_at_once > 40  # 56 of 60 waits would end after the deadline
+    assert rejected_at_once > 40  # backoffs are 0 to 60 s, so 56 of 60 end after the deadline
 
 
 def test_waits_come_from_the_tables_own_seed_and_repeat() -> None:
--- a/tests/routes/test_check.py
+++ b/tests/routes/test_check.py
@@ -1,4 +1,4 @@
-"""The proof of routes against each other and against the settings, and its typed findings."""
+"""Validation of routes against each other and against the settings, and its typed findings."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
             "[route a]\nfirm = 1,2,3\n[route b]\nfirm = 2\nverb = read",
             "[route b] can never match: [route a]",
         ),
-        ("[route a]\nplan = gross\n[route a]\nplan = klein", "[route a] stands twice (line 3)"),
+        ("[route a]\nplan = gross\n[route a]\nplan = klein", "[route a] is defined twice (line 3)"),
         ("[route]\nplan = gross", "[route] needs a name"),
     ],
 )
@@ -63,22 +63,22 @@
     lean = replace(SETTINGS, may_hedge=False, max_attempts=2)
     text = f"[route r]\n{STATUS}copies = yes\nattempts = 3\n"
     lines = [str(problem) for problem in problems(text, lean)]
-    assert any("the site allows no second copies; no" in line for line in lines)
-    assert any("3 is more than the settings allow; 2 at most" in line for line in lines)
+    assert any("the site does not allow copies; no" in line for line in lines)
+    assert any("3 is more than the settings allow; at most 2" in line for line in lines)
 
 
 def test_a_worst_case_beyond_the_routes_own_timeout_is_a_warning() -> None:
     keys = "timeout = 1s\nattempts = 2\nattempt_timeout = 700ms\n"
     (warning,) = problems(f"[route r]\n{STATUS}{keys}")
     assert warning.is_warning
-    expected = "2 attempts of 700ms = 1400ms outlasts timeout = 1s; attempt_timeout = 500ms"
+    expected = "2 attempts of 700ms = 1400ms exceeds timeout = 1s; attempt_timeout = 500ms"
     assert expected in str(warning)
 
 
 def test_a_budget_that_multiplies_the_load_is_a_warning() -> None:
     (warning,) = problems(f"[route r]\n{STATUS}retry_budget = 80%\n")
     assert warning.is_warning
-    assert "nodes see 1.80 times the first tries" in str(warning)
+    assert "nodes see 1.80 attempts per request" in str(warning)
 
 
 @pytest.mark.parametrize(
--- a/tests/routes/test_concurrency_limit.py
+++ b/tests/routes/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Adaptive concurrency limits: how they follow a capacity, and their bounds."""
+"""Adaptive concurrency limits: adaptation to a changing capacity, and the bounds of the limit."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 from dockthread.routes.concurrency_limit import ConcurrencyLimit
 
-ANSWER_TIME = 0.1  # s, below the capacity
+ANSWER_TIME = 0.1  # s, while the requests in flight do not exceed the capacity
 
 
 def run_closed_loop(limit: ConcurrencyLimit, capacity: float, seconds: float, now: float) -> float:
     """Keep as many requests in flight as the limit allows and return the time at the end.
 
-    Beyond the capacity requests only take longer.
+    If more requests are in flight than `capacity`, they take proportionally longer.
     """
     end = now + seconds
     while now < end:
--- a/tests/routes/test_explain.py
+++ b/tests/routes/test_explain.py
@@ -1,4 +1,4 @@
-"""The explanation of a request's route, and the bound on the load."""
+"""The explanation of a request's route, and the bound on the load amplification."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def test_a_request_of_an_unknown_class_is_refused() -> None:
-    with pytest.raises(SettingsError, match="is no request"):
+    with pytest.raises(SettingsError, match="is not a valid request"):
         parse_request("c=nothing,t=gross", SETTINGS, NAMES)
 
 
--- a/tests/routes/test_keys_in_service.py
+++ b/tests/routes/test_keys_in_service.py
@@ -1,4 +1,4 @@
-"""The keys of a route in service: how many attempts backends see, and what the client gets."""
+"""The keys of a route in a running ingress: the attempts at the backends and the client's reply."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     routed_ingress,
 )
 
-# The file, how the backends answer, the request's class, how many attempts the backends see, and how
-# the answer begins.
+# The operator's file, the answer function of the backends, the request's class, the number of
+# attempts that reach the backends, and the start of the client's reply.
 OBEYED = [
     (STATUS + "attempts = 1", answers_with(ERROR), "status", 1, "BUSY"),
     (STATUS + "attempts = 2\n" + RETRY_FLOOR, answers_with(ERROR), "status", 2, "BUSY"),
@@ -189,7 +189,7 @@
         async with routed_ingress(text, *answers) as (ingress, client, backends):
             for _ in range(10):
                 await client.call()
-            assert attempts_at(backends) == 10, "there is no backend in hall-b: the others serve"
+            assert attempts_at(backends) == 10, "no backend is in hall-b, so all backends serve"
             moved = target("s-1", int(backends[1].server.sockets[0].getsockname()[1]))
             ingress.dispatch(ingress.endpoints.apply(message(2, {**moved, "az": "hall-b"})))
             backends[0].arrivals.clear()
--- a/tests/routes/test_layers.py
+++ b/tests/routes/test_layers.py
@@ -1,4 +1,4 @@
-"""Published routes over those of the operator's file."""
+"""Published routes take precedence over the routes of the operator's file."""
 
 from __future__ import annotations
 
@@ -44,7 +44,11 @@
 def test_published_routes_are_refused_and_found_as_in_one_file_of_all_routes(
     data: st.DataObject,
 ) -> None:
-    """The lists of the table's index that were made before a change are repaired by it, too."""
+    """Random changes of published routes give the same routing as one file with all routes.
+
+    Every request is looked up after each change, so the test also fails if a cached result in the
+    table's index is not updated by the next change.
+    """
     file = {
         f"f{number}": data.draw(route_options()) for number in range(data.draw(st.integers(0, 3)))
     }
--- a/tests/routes/test_limits_in_service.py
+++ b/tests/routes/test_limits_in_service.py
@@ -1,4 +1,4 @@
-"""Concurrency limits and retry budgets of routes in service."""
+"""Concurrency limits and retry budgets of routes in a running ingress."""
 
 from __future__ import annotations
 
@@ -46,15 +46,15 @@
         ):
             usage = usage_of(ingress, "all")
             for _ in range(4):
-                client.ask()  # two are inside, two in the queue
+                client.ask()  # two requests are admitted and two are queued
             await until(lambda: len(usage.queue) == 2)
             weighty_client = await Client.open(ingress.address.port)
             weighty_client.asked += 1000
-            # It takes the place of one of less weight, which is rejected at once.
+            # This request displaces a queued one of lower weight, which is rejected immediately.
             weighty_client.ask("checkout")
             await until(lambda: usage.refused_limit == 1)
             assert len(usage.queue) == 2
-            clock.advance(1001)  # the wait is over for the two that are queued
+            clock.advance(1001)  # both queued requests have now waited for longer than queue_wait
             ingress.timers.run_due()
             assert (await weighty_client.answer()).startswith("BUSY")
             assert usage.refused_limit == 3
@@ -89,9 +89,9 @@
 def test_the_load_stays_within_the_budget_where_all_backends_reject_or_fail(
     reply: bytes, least_first_attempts: int
 ) -> None:
-    """Where all reject, the policy engine itself soon forwards little.
+    """If all backends reject requests, the policy engine itself soon forwards only a few.
 
-    After errors only the budget holds the load.
+    If they fail with errors, only the retry budget limits the load.
     """
 
     async def scenario() -> None:
@@ -104,7 +104,9 @@
             attempts = attempts_at(backends)
             first_attempts = len({number for backend in backends for number in backend.arrivals})
             assert first_attempts > least_first_attempts
-            initial_tokens = 10  # what 10 s of the floor put in
+            initial_tokens = (
+                10  # tokens that retry_floor adds in 10 s, the initial capacity of the bucket
+            )
             allowed = first_attempts + 0.2 * first_attempts + 1.0 * elapsed + initial_tokens
             assert attempts <= allowed
             budget = usage_of(ingress, "s").budget
--- a/tests/routes/test_model_checker.py
+++ b/tests/routes/test_model_checker.py
@@ -1,4 +1,4 @@
-"""All orders of events under routes, and seeded defects that the model checker finds."""
+"""The model checker finds no violation in the real code and finds each seeded defect."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     attempts=4, attempt_timeout=Duration(500), backoff=Duration(200), retry_floor=100.0
 )
 QUEUED = RouteOptions(limit="1", queue=1, queue_wait=Duration(100))
-# Each is the tables of one exploration: the first, and those that reloads put in its place.
+# The route tables of one exploration: the initial table, and those that replace it in order.
 HEDGE_TABLES = [{"r": HEDGED}, {"r": RouteOptions(attempts=1)}]
 BACKOFF_TABLES = [
     {"r": WITH_BACKOFF},
@@ -50,21 +50,21 @@
 
 
 class EffectIgnored(RouteConstraints):
-    """Seeded defect: every class counts as idempotent."""
+    """Seeded defect: every class is treated as idempotent."""
 
     def effect(self, pending: PendingRequest) -> Effect:
         return Effect.SAFE
 
 
 class EffectAtArrival(RouteConstraints):
-    """Seeded defect: a class that becomes unsafe is not looked at again."""
+    """Seeded defect: the class's effect is read at arrival and never again."""
 
     def effect(self, pending: PendingRequest) -> Effect:
         return pending.request_class.effect
 
 
 class FinishedRequestKept(AttemptManager):
-    """Seeded defect: a request with two attempts is not forgotten when it is finished."""
+    """Seeded defect: a finished request with two attempts is not deleted."""
 
     def finish(self, request: int) -> None:
         pending = self._requests.by_number.get(request)
@@ -133,7 +133,10 @@
 
 
 def test_a_finished_request_that_is_kept_is_found() -> None:
-    with pytest.raises(InvariantError, match="a second answer|a send after the end|believes"):
+    with pytest.raises(
+        InvariantError,
+        match="a second answer|a send after the end|counts a finished request as open",
+    ):
         explore(
             Effect.SAFE,
             HEDGE_TABLES,
@@ -146,5 +149,5 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(RouteConstraints, "leave", lambda self, pending: None)
-    with pytest.raises(InvariantError, match="believes a request is open"):
+    with pytest.raises(InvariantError, match="counts a finished request as open"):
         explore(Effect.SAFE, LIMIT_TABLES, 2)
--- a/tests/routes/test_reloads_in_service.py
+++ b/tests/routes/test_reloads_in_service.py
@@ -1,4 +1,4 @@
-"""Reloads of routes and of the effects of classes under load."""
+"""Reloads of routes and of class effects in a running ingress under load."""
 
 from __future__ import annotations
 
@@ -25,12 +25,13 @@
 from tests.test_daemon import start_program, wait_until_ready
 
 ROOT = Path(__file__).parents[2]
-# ms; so long that 150 unanswered requests are no overload, however slow the machine is.
+# Latency objective and deadline in microseconds. They are so long that 150 unanswered requests do
+# not count as an overload, even on a slow machine.
 LONG_TIMES = {"Aim": 30_000_000, "HardLimit": 30_000_000}
 
 
 def settings_with_status_effect(effect: str) -> dict[str, Any]:
-    """Return settings that allow hedges and much load, with this effect of the class status."""
+    """Return settings that allow hedges and a high load; `effect` is that of the class status."""
     status, checkout = (dict(one, **LONG_TIMES) for one in SETTINGS["Classes"])
     return {
         **SETTINGS,
@@ -41,12 +42,12 @@
 
 
 def arrivals_at(backends: list[CountingBackend]) -> Counter[bytes]:
-    """Return how often each request arrived at all backends."""
+    """Return how often each request arrived, summed over all backends."""
     return sum((backend.arrivals for backend in backends), Counter[bytes]())
 
 
 async def clients_with_requests(port: int) -> list[Client]:
-    """Return four clients of which each has sent 50 requests."""
+    """Return four clients, each of which has sent 50 requests."""
     clients = [await Client.open(port) for _ in range(4)]
     for number, client in enumerate(clients):
         client.asked += (number + 1) * 1000
@@ -56,7 +57,12 @@
 
 
 def test_a_class_that_becomes_unsafe_in_service_is_never_run_twice(tmp_path: Path) -> None:
-    """A reload by SIGHUP reaches 200 requests: in flight, in a backoff, and answered meanwhile."""
+    """A reload by SIGHUP makes the class unsafe while 200 requests are open or answered.
+
+    A request may already have run when its class becomes unsafe. If the ingress retried it by the
+    rules of its arrival, it would take effect twice. The requests are in flight, in a backoff, or
+    answered at the time of the reload.
+    """
     config = tmp_path / "config.json"
     file = tmp_path / "my.ini"
 
@@ -68,7 +74,7 @@
             if number % 4 == 0:
                 return OK
             if number % 4 == 1:
-                return ERROR  # the request then waits for its next attempt
+                return ERROR  # the request then waits in a backoff
             await is_unsafe.wait()
             return ERROR if number % 4 == 2 else None
 
@@ -96,8 +102,8 @@
             await wait_until_ready(address)
             port = int(address.rsplit(":")[-1])
             clients = await clients_with_requests(port)
-            # Each request has arrived at some backend. A second attempt may have, too, as some were
-            # answered by an error.
+            # Each request has arrived at a backend. After an error, its second attempt may also
+            # have arrived.
             await until(lambda: len(arrivals_at(backends)) == 200)
             write_files("side_effect", STATUS + "attempts = 1\nretry_on =\n")
             process.send_signal(signal.SIGHUP)
@@ -106,16 +112,16 @@
                 process.stdout.readline
             ):
                 assert process.poll() is None
-            await asyncio.sleep(0.3)  # what was sent before the change has arrived
+            await asyncio.sleep(0.3)  # lets attempts that were sent before the reload arrive
             arrivals_before = arrivals_at(backends)
             is_unsafe.set()
             replies = [await client.answer() for client in clients for _ in range(50)]
             assert len(replies) == 200
             assert all(reply is not None for reply in replies)
             assert arrivals_at(backends) == arrivals_before, (
-                "nothing that may have run was sent again after the change"
+                "no request that may have run is retried after the reload"
             )
-            # The class has become a write, which goes by the other command.
+            # The class now consists of writes, which need the other command.
             late_client = await Client.open(port)
             late_client.asked += 9000
             late_client.ask()
@@ -155,13 +161,13 @@
                 await asyncio.sleep(0.005)
             is_over.set()
             assert min(await asyncio.gather(*sending)) > 10
-            assert set(table.spent) == {"s", "x99"}, "the state of routes that are gone is dropped"
+            assert set(table.spent) == {"s", "x99"}, "the usage of removed routes is deleted"
 
     run(scenario())
 
 
 async def start_and_read_errors(environ: dict[str, str]) -> str:
-    """Start the program, which must end with exit code 2, and return what it wrote."""
+    """Start the program, which must exit with code 2, and return its standard error."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "dockthread", env=environ, stderr=asyncio.subprocess.PIPE, cwd=ROOT
     )
--- a/tests/routes/test_retry_budget.py
+++ b/tests/routes/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budgets: the bound on the retries, in steady load and after a quiet time."""
+"""Retry budgets limit retries under a steady load and after an idle period."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from dockthread.routes.retry_budget import DEPOSIT_SPAN, RetryBudget
 
-TOLERANCE = 1e-6  # tokens: sums of floating-point numbers
+TOLERANCE = 1e-6  # tokens; allows for the rounding errors of floating-point sums
 
 
 @given(
@@ -39,7 +39,7 @@
 
 def test_a_budget_in_steady_load_allows_its_ratio() -> None:
     budget = RetryBudget(0.2, 0.0, 0.0)
-    drawn = -2  # the tokens with which it starts
+    drawn = -2  # offsets the two tokens that the bucket holds initially
     for number in range(10_000):
         now = number / 100
         budget.on_first_attempt(now)
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -1,4 +1,4 @@
-"""The table of routes: its index, and what is kept when routes are replaced."""
+"""The route table: its index, and the usage that it keeps when routes are replaced."""
 
 from __future__ import annotations
 
@@ -40,8 +40,10 @@
     assert table.spent["x"] is usage
     assert usage.limit.limit == 9
     assert usage.limit.inside == 1
-    assert "y" not in table.spent, "a route without open requests is dropped at once"
+    assert "y" not in table.spent, (
+        "the usage of a route without open requests is deleted immediately"
+    )
     table.replace({}, 2.0)
-    assert "x" in table.spent, "a route with an open request is kept"
+    assert "x" in table.spent, "the usage of a route with an open request is kept"
     bounds.release(1)
     assert "x" not in table.spent
--- a/tests/routes/test_wait_queue.py
+++ b/tests/routes/test_wait_queue.py
@@ -1,4 +1,4 @@
-"""The queue of requests that wait for a concurrency limit."""
+"""The queue of requests that wait for admission under a concurrency limit."""
 
 from __future__ import annotations
 
@@ -20,7 +20,9 @@
         rejected = queue.put(request, float(weight))
         waiting[request] = weight
         if rejected is not None:
-            assert waiting[rejected] == min(waiting.values()), "one of the least weight is rejected"
+            assert waiting[rejected] == min(waiting.values()), (
+                "a request with the least weight is rejected"
+            )
             del waiting[rejected]
         if leaves and waiting:
             queue.remove(request)
