--- a/dockthread/config/ini_reader.py
+++ b/dockthread/config/ini_reader.py
@@ -54,12 +54,12 @@
     is_warning: bool = False
 
     def __str__(self) -> str:
-        where = (
+        location = (
             f"{self.file}: "
             + (self.section and f"[{self.section}] ")
             + (self.key and f"{self.key}: ")
         )
-        text = where + self.reason + (f"; {self.remedy}" if self.remedy else "")
+        text = location + self.reason + (f"; {self.remedy}" if self.remedy else "")
         return " ".join(text.split())
 
 
@@ -199,7 +199,7 @@
     config: OperatorConfig, kinds: Mapping[str, SectionKind], heading: str, kind: str, name: str
 ) -> ConfigProblem | None:
     if kind not in kinds:
-        remedy = _suggestion(kind, kinds) or _known_words(kinds)
+        remedy = _suggestion(kind, kinds) or _known_names(kinds)
         return ConfigProblem(config.file, heading, "", "is no section", remedy)
     if kinds[kind].named and not name:
         return ConfigProblem(config.file, heading, "", "needs a name", f"such as [{kind} main]")
@@ -225,7 +225,7 @@
 
     for key, text in texts.items():
         if key not in fields:
-            remedy = _suggestion(key, fields) or _known_words(fields)
+            remedy = _suggestion(key, fields) or _known_names(fields)
             report(key, "is no key of this section", remedy)
             continue
         try:
@@ -291,5 +291,5 @@
     return f"did you mean {close[0]}?" if close else ""
 
 
-def _known_words(known: Iterable[str]) -> str:
+def _known_names(known: Iterable[str]) -> str:
     return f"known: {', '.join(sorted(known))}"
--- a/dockthread/config/platform_settings.py
+++ b/dockthread/config/platform_settings.py
@@ -126,9 +126,9 @@
         raise SettingsError("is not an object", key="settings")
     limits = settings.get("Limits", {})
     domain = settings.get("Domain", {})
-    machine = raw.get("limits", {})
+    process_limits = raw.get("limits", {})
     return IngressConfig(
-        max_sockets=_max_sockets(machine),
+        max_sockets=_max_sockets(process_limits),
         name=environ.get("NODE_NAME") or raw["name"],
         listen=Address.parse(environ.get("NODE_LISTEN") or raw["listen"]),
         discovery=Address.parse(environ.get("NODE_DISCOVERY") or raw["discovery"]),
@@ -136,7 +136,7 @@
         known_endpoints=raw.get("known") or {"rev": 0, "all": True, "targets": []},
         policy_settings=_policy_settings(settings),
         names=_names(settings),
-        memory_mb=float(machine.get("memory_mb", 192.0)),
+        memory_mb=float(process_limits.get("memory_mb", 192.0)),
         max_request_units=int(domain.get("Largest", 1_000_000)),
         counter=_optional_address(raw.get("counter")),
         peers=_peer_addresses(raw, settings["ReplicasOfMe"]),
@@ -149,8 +149,8 @@
     )
 
 
-def _max_sockets(machine: JsonObject) -> int:
-    sockets: int = machine.get("sockets", 1024)
+def _max_sockets(process_limits: JsonObject) -> int:
+    sockets: int = process_limits.get("sockets", 1024)
     if sockets < MIN_SOCKETS:
         reason = f"is {sockets}, but an ingress needs at least {MIN_SOCKETS}"
         raise SettingsError(reason, key="limits.sockets")
--- a/dockthread/config/quantities.py
+++ b/dockthread/config/quantities.py
@@ -23,8 +23,8 @@
 # The units in which a quantity is shown, largest first.
 SHOWN_DURATION_UNITS = (("h", 3_600_000), ("min", 60_000), ("s", 1_000))
 SHOWN_SIZE_UNITS = (("GiB", 1 << 30), ("MiB", 1 << 20), ("KiB", 1 << 10))
-QUANTITY = re.compile(r"([0-9]+(?:\.[0-9]+)?)\s*([A-Za-z]*)")
-SHARE = re.compile(r"([0-9]+(?:\.[0-9]+)?)\s*(%?)")
+QUANTITY_PATTERN = re.compile(r"([0-9]+(?:\.[0-9]+)?)\s*([A-Za-z]*)")
+SHARE_PATTERN = re.compile(r"([0-9]+(?:\.[0-9]+)?)\s*(%?)")
 TRUE_WORDS = ("yes", "true", "on", "1")
 FALSE_WORDS = ("no", "false", "off", "0")
 
@@ -39,7 +39,7 @@
         Raises:
             ValueError: The text is not a duration.
         """
-        match = QUANTITY.fullmatch(text.strip())
+        match = QUANTITY_PATTERN.fullmatch(text.strip())
         if match is None or match[2].lower() not in MILLISECONDS_BY_UNIT:
             raise ValueError(
                 "is not a duration: write a number and a unit (us, ms, s, min, h), such as 250ms"
@@ -63,7 +63,7 @@
         Raises:
             ValueError: The text is not a size.
         """
-        match = QUANTITY.fullmatch(text.strip())
+        match = QUANTITY_PATTERN.fullmatch(text.strip())
         if match is None or match[2].lower() not in BYTES_BY_UNIT:
             raise ValueError(
                 "is not a size: write a number and a unit (B, KiB, MiB, GiB), such as 64KiB"
@@ -87,7 +87,7 @@
         Raises:
             ValueError: The text is neither.
         """
-        match = SHARE.fullmatch(text.strip())
+        match = SHARE_PATTERN.fullmatch(text.strip())
         if match is None:
             raise ValueError("is not a share: write a number such as 0.05, or 5%")
         return cls(float(match[1]) / (100.0 if match[2] else 1.0))
--- a/dockthread/logs/setup.py
+++ b/dockthread/logs/setup.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from dockthread.logs.options import LogOptions
 
-LINE = "{time:YYYY-MM-DDTHH:mm:ss.SSS} {level} {message}"
+LINE_FORMAT = "{time:YYYY-MM-DDTHH:mm:ss.SSS} {level} {message}"
 STREAMS = ("stderr", "stdout")
 
 
@@ -33,10 +33,11 @@
         if form == "json":
             stream: TextIO = sink if target in STREAMS else open(target, "a", buffering=1)  # noqa: SIM115  stays open until the process exits
             logger.add(
-                lambda message: print(as_json(message.record), file=stream, flush=True), level=level
+                lambda message: print(format_json(message.record), file=stream, flush=True),
+                level=level,
             )
         else:
-            logger.add(sink, level=level, format=LINE)
+            logger.add(sink, level=level, format=LINE_FORMAT)
     except ValueError as error:
         raise SettingsError(
             str(error), key="DOCKTHREAD_LOG", text=f"DOCKTHREAD_LOG: {error}"
@@ -46,7 +47,7 @@
         raise SettingsError(reason, section="log", key="target") from error
 
 
-def as_json(record: Any) -> str:
+def format_json(record: Any) -> str:
     """Return a log record as one line of JSON.
 
     The line has the time, level, message, module and the bound fields. If the record has an
@@ -64,9 +65,9 @@
         line["exception"] = (
             f"{exception.type.__name__}: {exception.value}" if exception.type else ""
         )
-        frame = exception.traceback
-        if frame is not None:
-            while frame.tb_next is not None:
-                frame = frame.tb_next
-            line["at"] = f"{frame.tb_frame.f_code.co_filename}:{frame.tb_lineno}"
+        traceback = exception.traceback
+        if traceback is not None:
+            while traceback.tb_next is not None:
+                traceback = traceback.tb_next
+            line["at"] = f"{traceback.tb_frame.f_code.co_filename}:{traceback.tb_lineno}"
     return json.dumps(line, default=str)
--- a/dockthread/routes/bounds.py
+++ b/dockthread/routes/bounds.py
@@ -31,7 +31,7 @@
     generation: int
 
     @property
-    def dropped(self) -> object:
+    def draining(self) -> object:
         """The removed routes that may still have open requests; truthy if there are any."""
         ...
 
@@ -39,7 +39,7 @@
         """Return the rules that a request with these attributes would get now."""
         ...
 
-    def forget_idle(self) -> None:
+    def delete_idle_usage(self) -> None:
         """Delete the usage of removed routes that have no open requests."""
         ...
 
@@ -54,7 +54,7 @@
     __slots__ = (
         "_generation",
         "_hedge_numbers",
-        "_is_inside",
+        "_is_admitted",
         "_queued_at",
         "_request",
         "_rules",
@@ -70,7 +70,7 @@
         self._rules = rules
         self._usage = usage
         self._generation = table.generation
-        self._is_inside = False
+        self._is_admitted = False
         self._queued_at = 0.0
         self._hedge_numbers: tuple[int, ...] = ()
         usage.open += 1
@@ -121,7 +121,7 @@
         usage = self._usage
         if usage.limit.has_capacity:
             usage.limit.inside += 1
-            self._is_inside = True
+            self._is_admitted = True
             return True, None
         self._queued_at = now
         rejected = usage.queue.put(request, priority_weight)
@@ -138,7 +138,7 @@
 
     def on_dequeued(self, now: float) -> None:
         """Record that the request was taken from the queue and admitted."""
-        self._is_inside = True
+        self._is_admitted = True
         self._usage.queue_wait += now - self._queued_at
 
     def on_queue_timeout(self, request: int) -> None:
@@ -149,25 +149,25 @@
     @property
     def is_queued(self) -> bool:
         """Whether the request has not yet been admitted under the concurrency limit."""
-        return not self._is_inside
+        return not self._is_admitted
 
     def release(self, request: int) -> list[int]:
         """Finish the request and return the queued requests that are admitted in its place."""
         usage = self._usage
         usage.open -= 1
-        if self._table.dropped:
-            self._table.forget_idle()
-        if not self._is_inside:
+        if self._table.draining:
+            self._table.delete_idle_usage()
+        if not self._is_admitted:
             usage.queue.remove(request)
             return []
         usage.limit.inside -= 1
         admitted: list[int] = []
         while usage.queue and usage.limit.has_capacity:
-            following = usage.queue.pop()
-            if following is None:
+            next_request = usage.queue.pop()
+            if next_request is None:
                 break
             usage.limit.inside += 1
-            admitted.append(following)
+            admitted.append(next_request)
         return admitted
 
     def on_attempt_sent(self, number: int, now: float) -> None:
@@ -177,7 +177,7 @@
         if number > 0:
             return
         if self._rules.hedge_share < 1.0:
-            usage.copy_budget.on_first_attempt(now)
+            usage.hedge_budget.on_first_attempt(now)
         if usage.budget is not None:
             usage.budget.on_first_attempt(now)
 
@@ -196,11 +196,11 @@
         usage = self._usage
         if rules.hedging is False or (rules.attempts and sent >= rules.attempts):
             return False
-        is_share_bounded = rules.hedging and rules.hedge_share < 1.0
-        if is_share_bounded and not usage.copy_budget.try_draw(now):
+        has_hedge_budget = rules.hedging and rules.hedge_share < 1.0
+        if has_hedge_budget and not usage.hedge_budget.try_take_token(now):
             usage.refused_budget += 1
             return False
-        if not self._try_draw(now):
+        if not self._try_take_token(now):
             return False
         self._hedge_numbers = (*self._hedge_numbers, sent)
         usage.copies += 1
@@ -222,13 +222,13 @@
         if outcome is not Outcome.NOT_SENT:
             if rules.retry_on is not None and outcome not in rules.retry_on:
                 return None
-            if not self._try_draw(now):
+            if not self._try_take_token(now):
                 return None
         if not rules.backoff:
             return 0.0
         doublings = min(sent - 1, MAX_BACKOFF_DOUBLINGS)
-        span = min(rules.max_backoff, rules.backoff * 2.0**doublings)
-        return self._usage.rng.uniform(0.0, span)
+        max_delay = min(rules.max_backoff, rules.backoff * 2.0**doublings)
+        return self._usage.rng.uniform(0.0, max_delay)
 
     def may_still_retry(self, sent: int, outcome: Outcome) -> bool:
         """Return whether a retry that `retry_delay` allowed is still allowed after the backoff."""
@@ -242,15 +242,15 @@
         usage = self._usage
         if outcome is Outcome.OK:
             if self._rules.hedge_percentile:
-                usage.note_answer_time(duration)
+                usage.record_answer_time(duration)
             usage.limit.on_answer(duration, now)
             usage.copies_won += number in self._hedge_numbers
         elif outcome in (Outcome.AT_CAPACITY, Outcome.TIMEOUT):
             usage.limit.on_overload(now)
 
-    def _try_draw(self, now: float) -> bool:
+    def _try_take_token(self, now: float) -> bool:
         budget = self._usage.budget
-        if budget is None or budget.try_draw(now):
+        if budget is None or budget.try_take_token(now):
             return True
         self._usage.refused_budget += 1
         return False
--- a/dockthread/routes/check.py
+++ b/dockthread/routes/check.py
@@ -11,14 +11,14 @@
 
 from dockthread.config.ingress_config import Names
 from dockthread.policy import PolicySettings
-from dockthread.routes.class_proof import ClassProof
-from dockthread.routes.findings import Finding, ProofRule, shadowed_finding
-from dockthread.routes.matcher import NameNumbers
+from dockthread.routes.class_proof import RouteValidator
+from dockthread.routes.findings import Finding, ValidationRule, shadowed_finding
+from dockthread.routes.matcher import NameNumbering
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.ordered import shadowed_routes
 from dockthread.routes.position import file_positions
 
-NAME_SIMILARITY = 0.6  # least similarity at which a known name is proposed for an unknown one
+MIN_SIMILARITY = 0.6  # least similarity at which a known name is proposed for an unknown one
 
 
 def check(
@@ -30,22 +30,22 @@
     that they use counts as known.
     """
     if settings is None or names is None:
-        names = _names_in(routes)
+        names = _names_used_by(routes)
     findings: list[Finding] = []
-    known: dict[str, RouteOptions] = {}
+    known_routes: dict[str, RouteOptions] = {}
     for name, route in routes.items():
-        unknown = list(_unknown_names(name, route, names))
-        findings += unknown
-        if not unknown:
-            known[name] = route
-    findings += _shadowed(known, names)
+        unknown_names = list(_unknown_name_findings(name, route, names))
+        findings += unknown_names
+        if not unknown_names:
+            known_routes[name] = route
+    findings += _shadowing_findings(known_routes, names)
     if settings is not None:
-        for name, route in known.items():
-            findings += ClassProof(name, route, settings, names).findings()
+        for name, route in known_routes.items():
+            findings += RouteValidator(name, route, settings, names).findings()
     return findings
 
 
-def check_one(
+def check_route(
     name: str, route: RouteOptions, settings: PolicySettings, names: Names
 ) -> list[Finding]:
     """Return the findings for one route, without comparing it with other routes.
@@ -53,11 +53,11 @@
     A route for another zone is checked like one for this zone, because a published route is sent to
     all ingresses.
     """
-    unknown = list(_unknown_names(name, route, names))
-    return unknown or list(ClassProof(name, route, settings, names).findings())
+    unknown_names = list(_unknown_name_findings(name, route, names))
+    return unknown_names or list(RouteValidator(name, route, settings, names).findings())
 
 
-def _names_in(routes: Mapping[str, RouteOptions]) -> Names:
+def _names_used_by(routes: Mapping[str, RouteOptions]) -> Names:
     return Names(
         classes=_union(route.classes for route in routes.values()),
         plans=_union(route.plan for route in routes.values()),
@@ -70,32 +70,32 @@
     return tuple(sorted({name for names in names_of_routes for name in names}))
 
 
-def _unknown_names(name: str, route: RouteOptions, names: Names) -> Iterator[Finding]:
-    for key, words, known in (
+def _unknown_name_findings(name: str, route: RouteOptions, names: Names) -> Iterator[Finding]:
+    for key, used_names, known in (
         ("class", route.classes, names.classes),
         ("plan", route.plan, names.plans),
         ("hall", route.hall, names.zones),
         ("nodes", route.nodes, names.zones + names.kinds),
     ):
-        for word in words:
-            if word in known:
+        for used_name in used_names:
+            if used_name in known:
                 continue
             reason = f"is not a known {key}"
             if key == "nodes":
                 reason = "is neither a kind of node nor a hall, so no node could match"
-            remedy = _proposed_name(word, known)
-            yield Finding(name, key, ProofRule.KNOWN_NAMES, f"{word!r} {reason}", remedy)
+            remedy = _suggestion(used_name, known)
+            yield Finding(name, key, ValidationRule.KNOWN_NAMES, f"{used_name!r} {reason}", remedy)
 
 
-def _proposed_name(word: str, known: tuple[str, ...]) -> str:
-    near = get_close_matches(word, known, 1, NAME_SIMILARITY)
-    if near:
-        return f"did you mean {near[0]}?"
+def _suggestion(used_name: str, known: tuple[str, ...]) -> str:
+    similar = get_close_matches(used_name, known, 1, MIN_SIMILARITY)
+    if similar:
+        return f"did you mean {similar[0]}?"
     return f"known: {', '.join(known) or 'none'}"
 
 
-def _shadowed(routes: Mapping[str, RouteOptions], names: Names) -> Iterator[Finding]:
-    numbers = NameNumbers(names)
+def _shadowing_findings(routes: Mapping[str, RouteOptions], names: Names) -> Iterator[Finding]:
+    numbers = NameNumbering(names)
     positions = file_positions(routes)
     matchers = (numbers.matcher(name, route, positions[name]) for name, route in routes.items())
     for name, shadowed_by in shadowed_routes(matchers):
--- a/dockthread/routes/class_proof.py
+++ b/dockthread/routes/class_proof.py
@@ -7,8 +7,8 @@
 from dockthread.config.ingress_config import Names
 from dockthread.config.quantities import Duration
 from dockthread.policy import DeduplicationScope, Effect, Outcome, PolicySettings, RequestClass
-from dockthread.routes.findings import Finding, ProofRule
-from dockthread.routes.matcher import NameNumbers, rules_from_options
+from dockthread.routes.findings import Finding, ValidationRule
+from dockthread.routes.matcher import NameNumbering, rules_from_options
 from dockthread.routes.options import MIN_TIMEOUT, RouteOptions
 from dockthread.routes.retry_budget import DEFAULT_RATIO
 from dockthread.routes.rules import OUTCOMES_BY_NAME
@@ -18,20 +18,20 @@
 NEVER_RAN = frozenset((Outcome.AT_CAPACITY, Outcome.UNREACHABLE))
 # A limit below this fraction of the concurrency that one customer may need is an error. A limit
 # between this fraction and the full need is only a warning.
-ERROR_PART = 0.5
+ERROR_FRACTION = 0.5
 # The expected answer time, as a fraction of the class's latency objective. The policy engine
 # assumes the same fraction until it has seen an answer.
-USUAL_LATENCY_PART = 0.2
+EXPECTED_LATENCY_FRACTION = 0.2
 MAX_AMPLIFICATION = 1.5  # attempts per request; a higher factor gets a warning
 
 
-class ClassProof:
+class RouteValidator:
     """Validates one route whose names are all defined in the settings."""
 
     def __init__(
         self, name: str, route: RouteOptions, settings: PolicySettings, names: Names
     ) -> None:
-        numbers = NameNumbers(names)
+        numbers = NameNumbering(names)
         self._name = name
         self._route = route
         self._settings = settings
@@ -45,12 +45,12 @@
         if not matched:
             yield self._finding(
                 "verb",
-                ProofRule.MATCHES_A_CLASS,
+                ValidationRule.MATCHES_A_CLASS,
                 f"{', '.join(route.verb)} matches none of {', '.join(route.classes)}",
                 "leave verb out",
             )
             return
-        yield from self._against_site()
+        yield from self._site_findings()
         for class_name, request_class in matched:
             yield from self._effect_findings(class_name, request_class)
             case = worst_case(self._rules, request_class, self._settings)
@@ -59,7 +59,12 @@
         yield from self._amplification_findings()
 
     def _finding(
-        self, key: str, rule: ProofRule, counterexample: str, remedy: str, is_warning: bool = False
+        self,
+        key: str,
+        rule: ValidationRule,
+        counterexample: str,
+        remedy: str,
+        is_warning: bool = False,
     ) -> Finding:
         return Finding(self._name, key, rule, counterexample, remedy, is_warning)
 
@@ -68,24 +73,24 @@
         route = self._route
         for name, request_class in zip(self._names.classes, self._settings.classes, strict=True):
             verb = "read" if request_class.effect is Effect.SAFE else "write"
-            has_class = not route.classes or name in route.classes
-            if has_class and (not route.verb or verb in route.verb):
+            matches_class = not route.classes or name in route.classes
+            if matches_class and (not route.verb or verb in route.verb):
                 yield name, request_class
 
-    def _against_site(self) -> Iterator[Finding]:
+    def _site_findings(self) -> Iterator[Finding]:
         route = self._route
         max_attempts = self._settings.max_attempts
         if (route.attempts or 0) > max_attempts:
             yield self._finding(
                 "attempts",
-                ProofRule.ATTEMPT_LIMIT,
+                ValidationRule.ATTEMPT_LIMIT,
                 f"{route.attempts} is more than the settings allow",
                 f"at most {max_attempts}",
             )
         if route.copies and not self._settings.may_hedge:
             yield self._finding(
                 "copies",
-                ProofRule.HEDGING_ALLOWED,
+                ValidationRule.HEDGING_ALLOWED,
                 "yes, but the site does not allow copies",
                 "no",
             )
@@ -100,19 +105,21 @@
         route = self._route
         reason = f"{class_name} must never run twice"
         may_have_run = [
-            word for word in route.retry_on or () if OUTCOMES_BY_NAME[word] not in NEVER_RAN
+            outcome_name
+            for outcome_name in route.retry_on or ()
+            if OUTCOMES_BY_NAME[outcome_name] not in NEVER_RAN
         ]
         if may_have_run:
             yield self._finding(
                 "retry_on",
-                ProofRule.NO_SECOND_EFFECT,
+                ValidationRule.NO_SECOND_EFFECT,
                 f"{', '.join(may_have_run)} would repeat a request that may have run: {reason}",
                 "turned-away, unreachable, or match safe classes only",
             )
         if route.copies:
             yield self._finding(
                 "copies",
-                ProofRule.NO_SECOND_EFFECT,
+                ValidationRule.NO_SECOND_EFFECT,
                 f"yes would run a request twice: {reason}",
                 "no",
             )
@@ -122,20 +129,20 @@
         reason = f"{class_name} is safe to repeat only by its key"
         window = request_class.deduplication_window
         attempts = route.attempts or 1
-        span = attempts * (route.attempt_timeout or 0.0) / 1000.0
-        if window and span > window:
-            repeats = f"{route.attempts} attempts of {route.attempt_timeout}"
+        total_time = attempts * (route.attempt_timeout or 0.0) / 1000.0
+        if window and total_time > window:
+            attempts_text = f"{route.attempts} attempts of {route.attempt_timeout}"
             yield self._finding(
                 "attempts",
-                ProofRule.DEDUPLICATION_WINDOW,
-                f"{repeats} exceed the window of {Duration(window * 1000)}: {reason}",
+                ValidationRule.DEDUPLICATION_WINDOW,
+                f"{attempts_text} exceed the window of {Duration(window * 1000)}: {reason}",
                 f"attempt_timeout = {_whole_milliseconds(window / attempts)}",
             )
         scope = request_class.deduplication_scope
         if scope is not DeduplicationScope.ALL and route.nodes:
             yield self._finding(
                 "nodes",
-                ProofRule.DEDUPLICATION_SCOPE,
+                ValidationRule.DEDUPLICATION_SCOPE,
                 f"may leave the {scope.value} within which repeats are dropped: {reason}",
                 "leave nodes out",
             )
@@ -145,37 +152,37 @@
     ) -> Iterator[Finding]:
         """Yield timeout problems; the total time is checked only if each timeout is valid."""
         route = self._route
-        beyond_deadline = self._beyond_deadline(class_name, request_class)
-        if beyond_deadline is not None:
-            yield beyond_deadline
+        deadline_finding = self._deadline_finding(class_name, request_class)
+        if deadline_finding is not None:
+            yield deadline_finding
             return
         if route.queue_wait is not None and route.queue_wait >= case.time_limit * 1000.0:
             yield self._finding(
                 "queue_wait",
-                ProofRule.QUEUE_LEAVES_TIME,
+                ValidationRule.QUEUE_LEAVES_TIME,
                 f"{route.queue_wait} leaves {class_name} no time for an attempt",
                 f"below {Duration(case.time_limit * 1000)}",
             )
             return
-        hedge_delay = route.fixed_copy
+        hedge_delay = route.fixed_hedge_delay
         if hedge_delay is not None and hedge_delay >= case.attempt_timeout * 1000.0:
             yield self._finding(
                 "copy_after",
-                ProofRule.HEDGE_BEFORE_TIMEOUT,
+                ValidationRule.HEDGE_BEFORE_TIMEOUT,
                 f"{hedge_delay} is not before the attempt timeout for {class_name}",
                 f"below {Duration(case.attempt_timeout * 1000)}",
             )
         if case.exceeds_time_limit:
             yield self._worst_case_finding(class_name, request_class, case)
 
-    def _beyond_deadline(self, class_name: str, request_class: RequestClass) -> Finding | None:
+    def _deadline_finding(self, class_name: str, request_class: RequestClass) -> Finding | None:
         deadline = Duration(request_class.deadline * 1000.0)
         for key in ("timeout", "attempt_timeout"):
             value = getattr(self._route, key)
             if value is not None and value > deadline:
                 return self._finding(
                     key,
-                    ProofRule.WITHIN_DEADLINE,
+                    ValidationRule.WITHIN_DEADLINE,
                     f"{value} outlasts the client's deadline for {class_name}, {deadline}",
                     f"at most {deadline}",
                 )
@@ -197,9 +204,9 @@
         total = Duration(round(case.total * 1000.0, 3))
         return self._finding(
             "attempts" if route.attempts else "attempt_timeout",
-            ProofRule.WORST_CASE_IN_TIME,
-            f"{_sum_of_times(case)} = {total} exceeds {bound}",
-            _shorter_attempts(case),
+            ValidationRule.WORST_CASE_IN_TIME,
+            f"{_format_sum(case)} = {total} exceeds {bound}",
+            _proposed_setting(case),
             is_warning=not is_beyond_deadline,
         )
 
@@ -209,11 +216,11 @@
         The finding names the first plan for which the limit is too low.
         """
         route = self._route
-        limit = route.limit_max if route.adaptive else route.fixed_limit
+        limit = route.limit_max if route.is_adaptive else route.fixed_limit
         if limit is None:
             return
         settings = self._settings
-        latency = USUAL_LATENCY_PART * request_class.latency_objective
+        latency = EXPECTED_LATENCY_FRACTION * request_class.latency_objective
         for name, plan in zip(self._names.plans, settings.plans, strict=True):
             if route.plan and name not in route.plan:
                 continue
@@ -221,11 +228,11 @@
             if plan.rate and limit < needed:
                 rate = f"{limit / latency:.3g} {class_name} a second"
                 yield self._finding(
-                    "limit_max" if route.adaptive else "limit",
-                    ProofRule.LIMIT_SERVES_QUOTA,
+                    "limit_max" if route.is_adaptive else "limit",
+                    ValidationRule.LIMIT_SERVES_QUOTA,
                     f"{limit} concurrent requests serve {rate}; one firm of {name} may send more",
                     f"at least {int(needed) + 1}",
-                    is_warning=limit >= ERROR_PART * needed,
+                    is_warning=limit >= ERROR_FRACTION * needed,
                 )
                 return
 
@@ -238,14 +245,14 @@
         if factor > MAX_AMPLIFICATION:
             yield self._finding(
                 "retry_budget",
-                ProofRule.BOUNDED_AMPLIFICATION,
+                ValidationRule.BOUNDED_AMPLIFICATION,
                 f"in the worst case nodes see {factor:.2f} attempts per request",
                 "0.2 is usual",
                 is_warning=True,
             )
 
 
-def _sum_of_times(case: WorstCase) -> str:
+def _format_sum(case: WorstCase) -> str:
     terms = [f"{case.attempts} attempts of {Duration(case.attempt_timeout * 1000)}"]
     if case.backoffs:
         terms.append(f"{Duration(round(sum(case.backoffs) * 1000, 3))} of backoff")
@@ -254,7 +261,7 @@
     return " + ".join(terms)
 
 
-def _shorter_attempts(case: WorstCase) -> str:
+def _proposed_setting(case: WorstCase) -> str:
     """Return a setting that brings the worst case within its time limit or closer to it."""
     time_left = case.time_limit - case.queue_wait - sum(case.backoffs)
     attempt_timeout = time_left / case.attempts
--- a/dockthread/routes/concurrency_limit.py
+++ b/dockthread/routes/concurrency_limit.py
@@ -6,7 +6,7 @@
     limit    = (1 - SMOOTHING) * limit + SMOOTHING * (limit * gradient + sqrt(limit))
 
 The limit is updated at most once per `UPDATE_INTERVAL`. `recent` is a moving average of the last
-few answer times. `best` is the minimum of `recent`; it grows by the fraction `BEST_LEAK` per
+few answer times. `best` is the minimum of `recent`; it grows by the fraction `BEST_GROWTH_RATE` per
 second, so that an old minimum is forgotten. A long-term average in place of `best`, as in the
 Gradient2 algorithm, would rise during congestion and let the limit grow to its maximum: the limit
 reached 400 with a capacity of 80. A rejected or timed out attempt reduces the limit by a tenth, at
@@ -26,12 +26,12 @@
 MIN_GRADIENT = 0.5  # keeps a single update from closing a route
 UPDATE_INTERVAL = 0.1  # s; the answers within one round trip reflect the same limit
 RECENT_WEIGHT = 0.2  # weight of a new answer time in the moving average
-BEST_LEAK = 0.01  # growth of the best answer time, as a fraction per second
+BEST_GROWTH_RATE = 0.01  # growth of the best answer time, as a fraction per second
 MIN_ANSWER_TIME = 1e-9  # s; avoids a division by zero
 REDUCTION_FACTOR = 0.9  # multiplies the limit after a rejected or timed out attempt
 REDUCTION_INTERVAL = 0.1  # s; one overload rejects many attempts but should reduce the limit once
-DEFAULT_MINIMUM = 4  # concurrent requests
-DEFAULT_MAXIMUM = 1000  # concurrent requests
+DEFAULT_MIN_LIMIT = 4  # concurrent requests
+DEFAULT_MAX_LIMIT = 1000  # concurrent requests
 INITIAL_LIMIT = 20  # concurrent requests, before the first answer time is known
 
 
@@ -48,7 +48,7 @@
 
     __slots__ = (
         "_best_answer_time",
-        "_best_at",
+        "_best_updated_at",
         "_recent_answer_time",
         "_reduced_at",
         "_updated_at",
@@ -62,8 +62,8 @@
     def __init__(
         self,
         fixed: int | None,
-        minimum: int = DEFAULT_MINIMUM,
-        maximum: int = DEFAULT_MAXIMUM,
+        minimum: int = DEFAULT_MIN_LIMIT,
+        maximum: int = DEFAULT_MAX_LIMIT,
         adaptive: bool = False,
     ) -> None:
         """Create an adaptive limit if `adaptive`, else a fixed one; None means no limit."""
@@ -76,7 +76,7 @@
         self.inside = 0
         self._recent_answer_time = 0.0
         self._best_answer_time = 0.0
-        self._best_at = 0.0
+        self._best_updated_at = 0.0
         self._updated_at = -math.inf
         self._reduced_at = -math.inf
 
@@ -85,8 +85,8 @@
         self.minimum = minimum
         self.maximum = maximum
         if adaptive:
-            present = self.limit if self.is_adaptive else INITIAL_LIMIT
-            self.limit = min(max(present, minimum), maximum)
+            current = self.limit if self.is_adaptive else INITIAL_LIMIT
+            self.limit = min(max(current, minimum), maximum)
         else:
             self.limit = math.inf if fixed is None else fixed
         self.is_adaptive = adaptive
@@ -100,7 +100,7 @@
         """Update an adaptive limit with the duration of a successful attempt."""
         if not self.is_adaptive:
             return
-        self._note_answer_time(duration, now)
+        self._record_answer_time(duration, now)
         if now - self._updated_at < UPDATE_INTERVAL:
             return
         self._updated_at = now
@@ -109,22 +109,26 @@
         if gradient >= 1.0 and self.inside < self.limit / 2:
             return
         target = self.limit * gradient + math.sqrt(self.limit)
-        self._change_to((1 - SMOOTHING) * self.limit + SMOOTHING * target)
+        self._set_limit((1 - SMOOTHING) * self.limit + SMOOTHING * target)
 
     def on_overload(self, now: float) -> None:
         """Reduce an adaptive limit after an attempt was rejected by a backend or timed out."""
         if self.is_adaptive and now - self._reduced_at >= REDUCTION_INTERVAL:
             self._reduced_at = now
-            self._change_to(self.limit * REDUCTION_FACTOR)
+            self._set_limit(self.limit * REDUCTION_FACTOR)
 
-    def _note_answer_time(self, duration: float, now: float) -> None:
+    def _record_answer_time(self, duration: float, now: float) -> None:
         if not self._recent_answer_time:
             self._recent_answer_time = duration
         else:
             self._recent_answer_time += RECENT_WEIGHT * (duration - self._recent_answer_time)
-        leaked = self._best_answer_time * (1.0 + BEST_LEAK * max(0.0, now - self._best_at))
-        self._best_answer_time = min(leaked or self._recent_answer_time, self._recent_answer_time)
-        self._best_at = now
-
-    def _change_to(self, limit: float) -> None:
+        grown_best = self._best_answer_time * (
+            1.0 + BEST_GROWTH_RATE * max(0.0, now - self._best_updated_at)
+        )
+        self._best_answer_time = min(
+            grown_best or self._recent_answer_time, self._recent_answer_time
+        )
+        self._best_updated_at = now
+
+    def _set_limit(self, limit: float) -> None:
         self.limit = min(float(self.maximum), max(float(self.minimum), limit))
--- a/dockthread/routes/explain.py
+++ b/dockthread/routes/explain.py
@@ -16,7 +16,7 @@
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.retry_budget import DEFAULT_RATIO
 from dockthread.routes.rules import RequestAttributes, Rules
-from dockthread.routes.table import DEFAULT, Table
+from dockthread.routes.table import DEFAULT_ROUTE, Table
 from dockthread.routes.worst_case import WorstCase, amplification, worst_case
 
 
@@ -55,7 +55,7 @@
     table.replace(routes, 0.0)
     matcher = table.find(request)
     yield from _route_lines(table, matcher, request)
-    rules = Rules(DEFAULT) if matcher is None else matcher.rules
+    rules = Rules(DEFAULT_ROUTE) if matcher is None else matcher.rules
     retry_budget = None if matcher is None else routes[rules.name].retry_budget
     budget_ratio = DEFAULT_RATIO if retry_budget is None else float(retry_budget)
     request_class = settings.classes[request.request_class]
@@ -87,7 +87,7 @@
         yield "route: none matches; the settings of the class and the site apply"
         return
     yield f"route: {matcher.rules.name}"
-    for earlier in table.before(matcher):
+    for earlier in table.matchers_before(matcher):
         yield f"  not {earlier.rules.name}: {', '.join(earlier.mismatched_keys(request))}"
 
 
@@ -96,12 +96,12 @@
     start = case.queue_wait
     if case.queue_wait:
         yield f"  0ms to {_duration(start)}: in the queue"
-    if not case.is_bounded:
+    if not case.has_attempt_timeout:
         end = min(start + case.attempt_timeout, case.time_limit)
         yield f"  {_duration(start)} to {_duration(end)}: attempt 1"
         if case.attempts > 1:
-            more = f"{case.attempts - 1} more within the same time"
-            yield f"  up to {more}, each after the previous one has ended"
+            remaining = f"{case.attempts - 1} more within the same time"
+            yield f"  up to {remaining}, each after the previous one has ended"
         return
     for number in range(case.attempts):
         end = start + case.attempt_timeout
--- a/dockthread/routes/findings.py
+++ b/dockthread/routes/findings.py
@@ -8,7 +8,7 @@
 from dockthread.config.ini_reader import ConfigProblem
 
 
-class ProofRule(Enum):
+class ValidationRule(Enum):
     """The rules that every route must satisfy."""
 
     KNOWN_NAMES = "each name is one of the settings"
@@ -43,7 +43,7 @@
 
     route: str
     key: str
-    rule: ProofRule
+    rule: ValidationRule
     counterexample: str
     remedy: str
     is_warning: bool = False
@@ -62,4 +62,4 @@
 def shadowed_finding(route: str, shadowed_by: str, remedy: str) -> Finding:
     """Return the finding that an earlier route takes all requests that `route` could match."""
     counterexample = f"can never match: [route {shadowed_by}] before it takes all its requests"
-    return Finding(route, "", ProofRule.REACHABLE, counterexample, remedy)
+    return Finding(route, "", ValidationRule.REACHABLE, counterexample, remedy)
--- a/dockthread/routes/layers.py
+++ b/dockthread/routes/layers.py
@@ -13,9 +13,9 @@
 
 from dockthread.config.ingress_config import IngressConfig, Names
 from dockthread.policy import PolicySettings
-from dockthread.routes.check import check_one
-from dockthread.routes.findings import Finding, ProofRule, shadowed_finding
-from dockthread.routes.matcher import NameNumbers
+from dockthread.routes.check import check_route
+from dockthread.routes.findings import Finding, ValidationRule, shadowed_finding
+from dockthread.routes.matcher import NameNumbering
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.ordered import OrderedRoutes
 from dockthread.routes.position import Position, file_positions, published_position
@@ -35,11 +35,11 @@
         self.published: dict[str, RouteOptions] = {}
         self._settings = settings
         self._names = names
-        self._numbers = NameNumbers(names)
-        self._file: Mapping[str, RouteOptions] = {}
+        self._numbers = NameNumbering(names)
+        self._file_routes: Mapping[str, RouteOptions] = {}
         self._file_positions: dict[str, Position] = {}
         # The routes of all zones, which validation needs; created on first use.
-        self._all_zones: OrderedRoutes | None = None
+        self._all_zone_routes: OrderedRoutes | None = None
 
     @classmethod
     def for_config(cls, config: IngressConfig) -> Layers:
@@ -53,14 +53,14 @@
         The published routes still take precedence over them.
         """
         former_names = self._file_positions.keys()
-        self._file = routes
+        self._file_routes = routes
         self._file_positions = file_positions(routes)
         if not self.published:
-            self._all_zones = None
+            self._all_zone_routes = None
             self.table.replace(routes, now)
             return
         for name in former_names - routes.keys() - self.published.keys():
-            self._take_out(name)
+            self._remove_from_table(name)
         # A published route whose name the file no longer has moves to the published layer.
         moved = (former_names & self.published.keys()) - routes.keys()
         for name in [*routes, *moved]:
@@ -70,7 +70,7 @@
         """Validate later changes against new settings; each existing name keeps its number."""
         self._settings = settings
         self._names = names
-        self._numbers = NameNumbers(names)
+        self._numbers = NameNumbering(names)
         self.table.set_names(names)
 
     def put(self, name: str, route: RouteOptions, now: float) -> Finding | None:
@@ -80,7 +80,7 @@
             The finding for which the route is refused and nothing is changed, or None if the route
             is now active.
         """
-        for finding in check_one(name, route, self._settings, self._names):
+        for finding in check_route(name, route, self._settings, self._names):
             if not finding.is_warning:
                 return finding
         shadowing = self._shadowing(name, route)
@@ -94,10 +94,10 @@
         """Remove a published route; the file's route of that name, if any, becomes active again."""
         if self.published.pop(name, None) is None:
             return
-        if name in self._file:
-            self._put(name, self._file[name], now)
+        if name in self._file_routes:
+            self._put(name, self._file_routes[name], now)
         else:
-            self._take_out(name)
+            self._remove_from_table(name)
 
     def _shadowing(self, name: str, route: RouteOptions) -> Finding | None:
         """Return a finding if the route could never match or would keep another from matching."""
@@ -113,25 +113,25 @@
         if covered is not None:
             counterexample = f"leaves none of its requests to [route {covered.rules.name}]"
             remedy = "delete that one first"
-            return Finding(name, "", ProofRule.LEAVES_REQUESTS, counterexample, remedy)
+            return Finding(name, "", ValidationRule.LEAVES_REQUESTS, counterexample, remedy)
         return None
 
     def _position(self, name: str) -> Position:
         return self._file_positions.get(name) or published_position(name)
 
     def _routes_of_all_zones(self) -> OrderedRoutes:
-        if self._all_zones is None:
-            self._all_zones = OrderedRoutes()
-            for name, route in self._file.items():
+        if self._all_zone_routes is None:
+            self._all_zone_routes = OrderedRoutes()
+            for name, route in self._file_routes.items():
                 position = self._file_positions[name]
-                self._all_zones.put(self._numbers.matcher(name, route, position))
-        return self._all_zones
+                self._all_zone_routes.put(self._numbers.matcher(name, route, position))
+        return self._all_zone_routes
 
     def _put(self, name: str, route: RouteOptions, now: float) -> None:
         matcher = self._numbers.matcher(name, route, self._position(name))
         self._routes_of_all_zones().put(matcher)
         self.table.put(matcher, route, now)
 
-    def _take_out(self, name: str) -> None:
+    def _remove_from_table(self, name: str) -> None:
         self._routes_of_all_zones().remove(name)
         self.table.remove(name)
--- a/dockthread/routes/matcher.py
+++ b/dockthread/routes/matcher.py
@@ -87,7 +87,7 @@
     return not wide or (bool(narrow) and narrow <= wide)
 
 
-class NameNumbers:
+class NameNumbering:
     """Maps the names in the settings to the numbers that the policy engine uses."""
 
     def __init__(self, names: Names) -> None:
@@ -112,16 +112,16 @@
         return Matcher(
             position=position,
             rules=rules_from_options(name, options, self.zones, self.kinds),
-            classes=self._shared("class", (self.classes[known] for known in options.classes)),
-            plans=self._shared("plan", (self.plans[known] for known in options.plan)),
-            writes=self._shared("verb", (verb == "write" for verb in options.verb)),
-            customers=options.firms,
+            classes=self._shared_set("class", (self.classes[known] for known in options.classes)),
+            plans=self._shared_set("plan", (self.plans[known] for known in options.plan)),
+            writes=self._shared_set("verb", (verb == "write" for verb in options.verb)),
+            customers=options.customer_numbers,
             units=options.unit_range,
             retry=options.retry,
-            zones=self._shared("hall", options.hall),
+            zones=self._shared_set("hall", options.hall),
         )
 
-    def _shared(self, key: str, members: Iterable[Any]) -> frozenset[Any]:
+    def _shared_set(self, key: str, members: Iterable[Any]) -> frozenset[Any]:
         found = frozenset(members)
         return self._shared_sets.setdefault((key, found), found)
 
@@ -150,8 +150,8 @@
         backoff=backoff,
         max_backoff=_seconds(options.backoff_max) or max(DEFAULT_MAX_BACKOFF, backoff),
         hedging=options.copies,
-        fixed_hedge_delay=_seconds(options.fixed_copy),
-        hedge_percentile=options.percentile or 0.0,
+        fixed_hedge_delay=_seconds(options.fixed_hedge_delay),
+        hedge_percentile=options.hedge_percentile or 0.0,
         hedge_share=1.0 if options.copy_share is None else float(options.copy_share),
         queue_wait=_seconds(options.queue_wait),
         zones=frozenset(zones[node] for node in options.nodes if node in zones),
--- a/dockthread/routes/model_checker.py
+++ b/dockthread/routes/model_checker.py
@@ -68,9 +68,9 @@
     Outcome.UNREACHABLE,
 )
 NAMES = Names(("class",), ("plan",), ("hall",), ("kind",))
-REQUEST = 1  # the number of the only request
-CUSTOMER = 9
-BACKENDS = 3
+REQUEST_NUMBER = 1  # the number of the only request
+CUSTOMER_NUMBER = 9
+BACKEND_COUNT = 3
 MAX_ATTEMPTS = 4
 TABLE_SEED = 7
 START = 100.0  # s; clock time at the request's arrival
@@ -158,25 +158,29 @@
         self._path: list[Step] = []
         self._attempts: list[SentAttempt] = []
         self._timers: list[SetTimer] = []
-        self._answers = 0
+        self._answer_count = 0
         self._is_disconnected = False
         self._table_number = 0
         self._is_unsafe = effect is Effect.UNSAFE
         self.table = Table(NAMES, 0, TABLE_SEED)
         self.table.replace(tables[0], self._now)
         self.engine = make_engine(_settings(effect))
-        ready = tuple(Endpoint(number, BackendState.READY) for number in range(1, BACKENDS + 1))
-        self._notify(EndpointsListed(EndpointListKind.FULL, ready))
+        endpoints = tuple(
+            Endpoint(number, BackendState.READY) for number in range(1, BACKEND_COUNT + 1)
+        )
+        self._notify(EndpointsListed(EndpointListKind.FULL, endpoints))
         self._bounds = self._bounds_at_arrival()
         self._max_attempts = self._allowed_attempts()
-        self._notify(RequestArrived(REQUEST, 0, 0, CUSTOMER, DEADLINE, route=self._bounds))
+        self._notify(
+            RequestArrived(REQUEST_NUMBER, 0, 0, CUSTOMER_NUMBER, DEADLINE, route=self._bounds)
+        )
 
     @property
-    def is_over(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether the client has its answer or has disconnected."""
-        return bool(self._answers) or self._is_disconnected
+        return bool(self._answer_count) or self._is_disconnected
 
-    def choices(self) -> Iterator[Step]:
+    def possible_steps(self) -> Iterator[Step]:
         """Yield the possible next steps."""
         for number, attempt in enumerate(self._attempts):
             if attempt.is_in_flight:
@@ -184,7 +188,7 @@
                     yield Step(StepKind.ATTEMPT_ENDS, number, outcome)
         if self._has_timer_before(START + DEADLINE + ANSWER_SLACK):
             yield Step(StepKind.TIMER_FIRES)
-        if self.is_over:
+        if self.has_ended:
             return
         if self._table_number + 1 < len(self._tables):
             yield Step(StepKind.TABLE_IS_REPLACED, self._table_number + 1)
@@ -192,7 +196,7 @@
             yield Step(StepKind.CLASS_BECOMES_UNSAFE)
         yield Step(StepKind.CLIENT_DISCONNECTS)
 
-    def take(self, step: Step) -> None:
+    def execute(self, step: Step) -> None:
         """Execute a step.
 
         Raises:
@@ -210,7 +214,7 @@
             self._make_class_unsafe()
         else:
             self._is_disconnected = True
-            self._notify(ClientDisconnected(REQUEST))
+            self._notify(ClientDisconnected(REQUEST_NUMBER))
         self._check_budgets()
 
     def finish(self) -> None:
@@ -224,7 +228,7 @@
             for number, attempt in enumerate(self._attempts):
                 if attempt.is_in_flight and self._now >= START + DEADLINE:
                     self._end_attempt(number, Outcome.TIMEOUT)
-        if not self.is_over:
+        if not self.has_ended:
             raise InvariantError("no answer", self._path)
         has_open = any(usage.open for usage in self.table.spent.values())
         if self._bounds is not None and has_open:
@@ -235,7 +239,7 @@
             request_class=0,
             plan=0,
             is_write=self._is_unsafe,
-            customer=CUSTOMER,
+            customer=CUSTOMER_NUMBER,
             units=1,
             is_retry=False,
         )
@@ -274,11 +278,13 @@
         attempt = self._attempts[number]
         attempt.is_in_flight = False
         attempt.may_have_run = outcome not in NEVER_RAN
-        if outcome is Outcome.OK and not self.is_over:
+        if outcome is Outcome.OK and not self.has_ended:
             self._answer()
-        is_finished = self.is_over
-        backend = 1 + number % BACKENDS
-        self._notify(AttemptEnded(REQUEST, number, backend, outcome, is_finished, ATTEMPT_DURATION))
+        is_finished = self.has_ended
+        backend = 1 + number % BACKEND_COUNT
+        self._notify(
+            AttemptEnded(REQUEST_NUMBER, number, backend, outcome, is_finished, ATTEMPT_DURATION)
+        )
 
     def _notify(self, event: Event) -> None:
         for action in self.engine.handle(self._now, event):
@@ -299,7 +305,7 @@
             self._end_attempt(action.attempt, Outcome.CANCELLED)
 
     def _send(self) -> None:
-        if self.is_over:
+        if self.has_ended:
             raise InvariantError("a send after the end", self._path)
         if self._now > START + DEADLINE:
             raise InvariantError("a send past the deadline", self._path)
@@ -311,8 +317,8 @@
             raise InvariantError(f"attempt {sent} of {self._max_attempts}", self._path)
 
     def _answer(self) -> None:
-        self._answers += 1
-        if self._answers > 1:
+        self._answer_count += 1
+        if self._answer_count > 1:
             raise InvariantError("a second answer", self._path)
         if self._now > START + DEADLINE + ANSWER_SLACK:
             raise InvariantError("an answer after the deadline", self._path)
@@ -340,18 +346,18 @@
         OverflowError: There are more than `max_paths` paths.
     """
     paths = 0
-    waiting: list[tuple[Step, ...]] = [()]
-    while waiting:
-        path = waiting.pop()
+    pending_paths: list[tuple[Step, ...]] = [()]
+    while pending_paths:
+        path = pending_paths.pop()
         simulation = RequestSimulation(effect, tables, make_engine)
         for step in path:
-            simulation.take(step)
-        following = list(simulation.choices()) if len(path) < depth else []
+            simulation.execute(step)
+        next_steps = list(simulation.possible_steps()) if len(path) < depth else []
         simulation.finish()
         paths += 1
         if paths > max_paths:
             raise OverflowError(f"more than {max_paths} paths")
-        waiting += [(*path, step) for step in following]
+        pending_paths += [(*path, step) for step in next_steps]
     return paths
 
 
--- a/dockthread/routes/options.py
+++ b/dockthread/routes/options.py
@@ -14,7 +14,7 @@
 CUSTOMER_PATTERN = re.compile(r"[0-9a-fA-F]{1,16}")
 UNITS_PATTERN = re.compile(r"([0-9]{1,6})(?:\.\.([0-9]{1,6}))?")
 PERCENTILE_PATTERN = re.compile(r"p([1-9][0-9]?(?:\.[0-9])?)")
-SHOWN_LENGTH = 40  # characters of an invalid value that a message shows
+MAX_SHOWN_LENGTH = 40  # characters of an invalid value that a message shows
 MIN_TIMEOUT = 5.0  # ms; one round trip to the farthest zone and one to open the connection
 CUSTOMERS_END = 1 << 33  # customer numbers are below this
 MAX_RETRY_FLOOR = 1000  # retries per second
@@ -63,38 +63,42 @@
     @property
     def unit_range(self) -> range | None:
         """The units that a request may cost; None if `units` is missing or malformed."""
-        found = UNITS_PATTERN.fullmatch(self.units) if self.units else None
-        if found is None:
+        match = UNITS_PATTERN.fullmatch(self.units) if self.units else None
+        if match is None:
             return None
-        first = int(found[1])
-        last = int(found[2] or found[1])
+        first = int(match[1])
+        last = int(match[2] or match[1])
         return range(first, last + 1)
 
     @property
-    def firms(self) -> frozenset[int]:
+    def customer_numbers(self) -> frozenset[int]:
         """The numbers of the customers that `firm` names."""
         return frozenset(int(firm, 16) for firm in self.firm)
 
     @property
-    def fixed_copy(self) -> Duration | None:
+    def fixed_hedge_delay(self) -> Duration | None:
         """The fixed hedge delay; None if it is a percentile or missing."""
-        return Duration.parse(self.copy_after) if self.copy_after and not self.percentile else None
+        return (
+            Duration.parse(self.copy_after)
+            if self.copy_after and not self.hedge_percentile
+            else None
+        )
 
     @property
-    def percentile(self) -> float | None:
+    def hedge_percentile(self) -> float | None:
         """The quantile (0 to 1) of answer times that is the hedge delay; None if it is not one."""
-        found = PERCENTILE_PATTERN.fullmatch(self.copy_after or "")
-        return float(found[1]) / 100.0 if found else None
+        match = PERCENTILE_PATTERN.fullmatch(self.copy_after or "")
+        return float(match[1]) / 100.0 if match else None
 
     @property
-    def adaptive(self) -> bool:
+    def is_adaptive(self) -> bool:
         """Whether the concurrency limit adapts to the answer times."""
         return self.limit == ADAPTIVE
 
     @property
     def fixed_limit(self) -> int | None:
         """The fixed concurrency limit; None if it is adaptive or missing."""
-        return int(self.limit) if self.limit is not None and not self.adaptive else None
+        return int(self.limit) if self.limit is not None and not self.is_adaptive else None
 
     def problems(self) -> Iterable[KeyProblem]:
         """Yield the problems that can be found without the settings and the other routes."""
@@ -108,17 +112,17 @@
     def _match_problems(self) -> Iterable[KeyProblem]:
         for firm in self.firm:
             if not CUSTOMER_PATTERN.fullmatch(firm) or int(firm, 16) >= CUSTOMERS_END:
-                reason = f"{firm[:SHOWN_LENGTH]!r} is not a firm's number"
+                reason = f"{firm[:MAX_SHOWN_LENGTH]!r} is not a firm's number"
                 yield KeyProblem("firm", reason, "write a number below 2^33 in hex digits")
         if self.units is not None and not self.unit_range:
-            reason = f"{self.units[:SHOWN_LENGTH]!r} is not a number of units"
+            reason = f"{self.units[:MAX_SHOWN_LENGTH]!r} is not a number of units"
             yield KeyProblem("units", reason, "write 2, or 1..3")
 
     def _time_problems(self) -> Iterable[KeyProblem]:
         for key in ("timeout", "attempt_timeout"):
             value = getattr(self, key)
             if value is not None and value < MIN_TIMEOUT:
-                yield _shorter_than_round_trip(key, value)
+                yield _round_trip_problem(key, value)
         if self.timeout and self.attempt_timeout and self.attempt_timeout > self.timeout:
             reason = f"{self.attempt_timeout} is longer than timeout"
             yield KeyProblem("attempt_timeout", reason, f"at most {self.timeout}")
@@ -151,14 +155,14 @@
             yield KeyProblem("retry_budget", reason, "0.2, or attempts = 1")
 
     def _hedge_problems(self) -> Iterable[KeyProblem]:
-        if self.copy_after is not None and self.percentile is None:
-            wrong_delay = self._hedge_delay_problem(self.copy_after)
-            if wrong_delay is not None:
-                yield wrong_delay
+        if self.copy_after is not None and self.hedge_percentile is None:
+            delay_problem = self._hedge_delay_problem(self.copy_after)
+            if delay_problem is not None:
+                yield delay_problem
                 return
             hedge_delay = Duration.parse(self.copy_after)
             if hedge_delay < MIN_TIMEOUT:
-                yield _shorter_than_round_trip("copy_after", hedge_delay)
+                yield _round_trip_problem("copy_after", hedge_delay)
         for key in ("copy_after", "copy_share"):
             if getattr(self, key) is not None and not self.copies:
                 yield KeyProblem(
@@ -176,7 +180,7 @@
         try:
             hedge_delay = Duration.parse(text)
         except ValueError:
-            reason = f"{text[:SHOWN_LENGTH]!r} is not a delay"
+            reason = f"{text[:MAX_SHOWN_LENGTH]!r} is not a delay"
             return KeyProblem("copy_after", reason, "a duration such as 300ms, or p95")
         for key in ("attempt_timeout", "timeout"):
             timeout = getattr(self, key)
@@ -186,23 +190,23 @@
         return None
 
     def _limit_problems(self) -> Iterable[KeyProblem]:
-        if self.limit is not None and not self.adaptive:
+        if self.limit is not None and not self.is_adaptive:
             if not self.limit.isdecimal() or not 1 <= int(self.limit) <= MAX_LIMIT:
-                reason = f"{self.limit[:SHOWN_LENGTH]!r} is not a limit"
+                reason = f"{self.limit[:MAX_SHOWN_LENGTH]!r} is not a limit"
                 yield KeyProblem("limit", reason, "1 to 100000, or adaptive")
                 return
-            yield from self._set_keys_problems(
+            yield from self._problems_of_set_keys(
                 ("limit_min", "limit_max"),
                 "bounds an adaptive limit, but limit is fixed",
                 "limit = adaptive, or leave it out",
             )
         if self.limit is None:
             keys = ("limit_min", "limit_max", "queue", "queue_wait")
-            yield from self._set_keys_problems(keys, "needs a limit", "set limit")
+            yield from self._problems_of_set_keys(keys, "needs a limit", "set limit")
         yield from self._limit_range_problems()
         yield from self._queue_problems()
 
-    def _set_keys_problems(
+    def _problems_of_set_keys(
         self, keys: Iterable[str], reason: str, remedy: str
     ) -> Iterable[KeyProblem]:
         """Yield the same problem for each of `keys` that is set."""
@@ -229,6 +233,6 @@
             yield KeyProblem("queue", "needs a longest wait", "set queue_wait")
 
 
-def _shorter_than_round_trip(key: str, value: Duration) -> KeyProblem:
+def _round_trip_problem(key: str, value: Duration) -> KeyProblem:
     reason = f"{value} is shorter than the network's round trip"
     return KeyProblem(key, reason, f"at least {MIN_TIMEOUT:g}ms")
--- a/dockthread/routes/ordered.py
+++ b/dockthread/routes/ordered.py
@@ -47,15 +47,15 @@
             return None
         del self.matchers[self._index(matcher)]
         for customer in matcher.customers:
-            naming = self.by_customer[customer]
-            naming.remove(matcher)
-            if not naming:
+            routes_of_customer = self.by_customer[customer]
+            routes_of_customer.remove(matcher)
+            if not routes_of_customer:
                 del self.by_customer[customer]
         if not matcher.customers:
             self.for_any_customer.remove(matcher)
         return matcher
 
-    def before(self, matcher: Matcher) -> list[Matcher]:
+    def matchers_before(self, matcher: Matcher) -> list[Matcher]:
         """Return the matchers that come before `matcher`."""
         return self.matchers[: self._index(matcher)]
 
@@ -64,10 +64,10 @@
 
         Such a matcher names no customer, or names at least all customers of `matcher`.
         """
-        naming: list[Matcher] = []
+        routes_of_customer: list[Matcher] = []
         if matcher.customers:
-            naming = self.by_customer.get(min(matcher.customers), [])
-        others = chain(self.for_any_customer, naming)
+            routes_of_customer = self.by_customer.get(min(matcher.customers), [])
+        others = chain(self.for_any_customer, routes_of_customer)
         earlier = (other for other in others if other.position < matcher.position)
         covering = (other for other in earlier if _covers_everywhere(other, matcher))
         return min(covering, key=_position, default=None)
@@ -96,11 +96,11 @@
     Args:
         matchers: The matchers, sorted by position.
     """
-    before = OrderedRoutes()
+    earlier_routes = OrderedRoutes()
     for matcher in matchers:
-        if (earlier := before.first_covering(matcher)) is not None:
+        if (earlier := earlier_routes.first_covering(matcher)) is not None:
             yield matcher.rules.name, earlier.rules.name
-        before.put(matcher)
+        earlier_routes.put(matcher)
 
 
 def _covers_everywhere(earlier: Matcher, later: Matcher) -> bool:
--- a/dockthread/routes/table.py
+++ b/dockthread/routes/table.py
@@ -23,11 +23,11 @@
 from dockthread.config.ingress_config import Names
 from dockthread.routes.bounds import Bounds
 from dockthread.routes.concurrency_limit import (
-    DEFAULT_MAXIMUM,
-    DEFAULT_MINIMUM,
+    DEFAULT_MAX_LIMIT,
+    DEFAULT_MIN_LIMIT,
     ConcurrencyLimit,
 )
-from dockthread.routes.matcher import Matcher, NameNumbers
+from dockthread.routes.matcher import Matcher, NameNumbering
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.ordered import OrderedRoutes
 from dockthread.routes.position import file_positions
@@ -44,7 +44,7 @@
 # Combinations in the index. It is bounded because a site whose units are unbounded would otherwise
 # fill the memory.
 MAX_COMBINATIONS = 4096
-DEFAULT = "default"  # name of the rules for requests that match no route; they limit nothing
+DEFAULT_ROUTE = "default"  # name of the rules for requests that match no route; they limit nothing
 WRITE_COMMAND = b"API.WRITE"
 
 # Class, plan, verb, retry mark and units. It is a plain tuple because each request creates one.
@@ -52,16 +52,16 @@
 
 
 @dataclass(slots=True)
-class _Candidates:
+class _CachedMatches:
     """The routes that can match one combination of class, plan, verb, retry mark and units.
 
     Attributes:
         by_customer: The first matching route for each customer that a route names.
-        for_others: The first matching route that names no customer; later routes cannot match.
+        for_any_customer: The first matching route that names no customer; later routes cannot match.
     """
 
     by_customer: dict[int, Matcher] = field(default_factory=dict)
-    for_others: Matcher | None = None
+    for_any_customer: Matcher | None = None
 
 
 class Table:
@@ -70,19 +70,19 @@
     Attributes:
         generation: A number that grows with each change.
         spent: The usage of each route, by the route's name.
-        dropped: Names of removed routes that still have open requests.
+        draining: Names of removed routes that still have open requests.
     """
 
     def __init__(self, names: Names, zone: int, seed: int) -> None:
-        self._numbers = NameNumbers(names)
+        self._numbers = NameNumbering(names)
         self._zone = zone
         self._rng = random.Random(seed)
         self.generation = 0
         self._ordered = OrderedRoutes()
-        self._index: dict[Combination, _Candidates] = {}
-        self._default = Rules(DEFAULT)
+        self._index: dict[Combination, _CachedMatches] = {}
+        self._default = Rules(DEFAULT_ROUTE)
         self.spent: dict[str, RouteUsage] = {}
-        self.dropped: set[str] = set()
+        self.draining: set[str] = set()
 
     def __bool__(self) -> bool:
         return bool(self._ordered.matchers)
@@ -94,7 +94,7 @@
 
     def set_names(self, names: Names) -> None:
         """Use the names of new settings, in which each existing name keeps its number."""
-        self._numbers = NameNumbers(names)
+        self._numbers = NameNumbering(names)
 
     def replace(self, routes: Mapping[str, RouteOptions], now: float) -> None:
         """Replace all routes by `routes`, which are matched in the given order.
@@ -117,8 +117,8 @@
         for matcher in ordered.matchers:
             name = matcher.rules.name
             self._configure_usage(name, routes[name], now)
-        self.dropped = self.spent.keys() - ordered.by_name.keys() - {DEFAULT}
-        self.forget_idle()
+        self.draining = self.spent.keys() - ordered.by_name.keys() - {DEFAULT_ROUTE}
+        self.delete_idle_usage()
 
     def put(self, matcher: Matcher, options: RouteOptions, now: float) -> None:
         """Add the route compiled from `options`, or replace the route with the same name."""
@@ -126,27 +126,27 @@
         if not self._numbers.is_in_zone(options, self._zone):
             self.remove(name)
             return
-        self._take_out(name)
+        self._remove_matcher(name)
         self._ordered.put(matcher)
         self._repair_index(matcher)
         self._configure_usage(name, options, now)
-        self.dropped.discard(name)
+        self.draining.discard(name)
         self.generation += 1
 
     def remove(self, name: str) -> None:
         """Remove a route if it exists; its usage is kept until it has no open requests."""
-        if self._take_out(name):
-            self.dropped.add(name)
+        if self._remove_matcher(name):
+            self.draining.add(name)
             self.generation += 1
-            self.forget_idle()
+            self.delete_idle_usage()
 
-    def forget_idle(self) -> None:
+    def delete_idle_usage(self) -> None:
         """Delete the usage of removed routes that have no open requests."""
-        if not self.dropped:
+        if not self.draining:
             return
-        for name in [name for name in self.dropped if not self.spent[name].open]:
+        for name in [name for name in self.draining if not self.spent[name].open]:
             del self.spent[name]
-            self.dropped.discard(name)
+            self.draining.discard(name)
 
     def find(self, request: RequestAttributes) -> Matcher | None:
         """Return the route that a request takes, or None if no route matches."""
@@ -161,8 +161,8 @@
         if candidates is None:
             if len(self._index) >= MAX_COMBINATIONS:
                 self._index.clear()
-            candidates = self._index[key] = self._candidates(request)
-        return candidates.by_customer.get(request.customer, candidates.for_others)
+            candidates = self._index[key] = self._find_candidates(request)
+        return candidates.by_customer.get(request.customer, candidates.for_any_customer)
 
     def rules_for(self, request: RequestAttributes) -> Rules:
         """Return the rules for a request; if no route matches, they limit nothing."""
@@ -184,23 +184,23 @@
             return None
         return Bounds(self, request, matcher.rules, self.spent[matcher.rules.name])
 
-    def before(self, matcher: Matcher) -> list[Matcher]:
+    def matchers_before(self, matcher: Matcher) -> list[Matcher]:
         """Return the routes that are matched before this one."""
-        return self._ordered.before(matcher)
+        return self._ordered.matchers_before(matcher)
 
-    def _candidates(self, request: RequestAttributes) -> _Candidates:
-        candidates = _Candidates()
+    def _find_candidates(self, request: RequestAttributes) -> _CachedMatches:
+        candidates = _CachedMatches()
         for matcher in self._ordered.matchers:
             if not matcher.matches_except_customer(request):
                 continue
             if not matcher.customers:
-                candidates.for_others = matcher
+                candidates.for_any_customer = matcher
                 break
             for customer in matcher.customers:
                 candidates.by_customer.setdefault(customer, matcher)
         return candidates
 
-    def _take_out(self, name: str) -> bool:
+    def _remove_matcher(self, name: str) -> bool:
         matcher = self._ordered.remove(name)
         if matcher is None:
             return False
@@ -223,13 +223,17 @@
                 self._repair_customer(candidates, request, customer)
 
     def _repair_customer(
-        self, candidates: _Candidates, request: RequestAttributes, customer: int
+        self, candidates: _CachedMatches, request: RequestAttributes, customer: int
     ) -> None:
-        naming = self._ordered.by_customer.get(customer, ())
-        found = next((route for route in naming if route.matches_except_customer(request)), None)
-        rest = candidates.for_others
-        if found is not None and (rest is None or found.position < rest.position):
-            candidates.by_customer[customer] = found
+        routes_of_customer = self._ordered.by_customer.get(customer, ())
+        first_match = next(
+            (route for route in routes_of_customer if route.matches_except_customer(request)), None
+        )
+        fallback = candidates.for_any_customer
+        if first_match is not None and (
+            fallback is None or first_match.position < fallback.position
+        ):
+            candidates.by_customer[customer] = first_match
         else:
             candidates.by_customer.pop(customer, None)
 
@@ -238,19 +242,21 @@
         ratio = DEFAULT_RATIO if options.retry_budget is None else float(options.retry_budget)
         floor = DEFAULT_FLOOR if options.retry_floor is None else options.retry_floor
         hedge_share = 1.0 if options.copy_share is None else float(options.copy_share)
-        fixed, adaptive = options.fixed_limit, options.adaptive
-        minimum = options.limit_min or min(DEFAULT_MINIMUM, options.limit_max or DEFAULT_MINIMUM)
-        maximum = options.limit_max or max(DEFAULT_MAXIMUM, options.limit_min or 0)
+        fixed, adaptive = options.fixed_limit, options.is_adaptive
+        minimum = options.limit_min or min(
+            DEFAULT_MIN_LIMIT, options.limit_max or DEFAULT_MIN_LIMIT
+        )
+        maximum = options.limit_max or max(DEFAULT_MAX_LIMIT, options.limit_min or 0)
         queue_length = options.queue or 0
         usage = self.spent.get(name)
         if usage is None:
             budget = RetryBudget(ratio, floor, now)
             limit = ConcurrencyLimit(fixed, minimum, maximum, adaptive)
             usage = RouteUsage(budget, limit, queue_length, now, self._rng)
-            usage.copy_budget.reconfigure(hedge_share, 0.0)
+            usage.hedge_budget.reconfigure(hedge_share, 0.0)
             self.spent[name] = usage
             return
-        usage.copy_budget.reconfigure(hedge_share, 0.0)
+        usage.hedge_budget.reconfigure(hedge_share, 0.0)
         usage.limit.reconfigure(fixed, minimum, maximum, adaptive)
         usage.queue.max_length = queue_length
         if usage.budget is None:
--- a/dockthread/routes/usage.py
+++ b/dockthread/routes/usage.py
@@ -26,7 +26,7 @@
 
     Attributes:
         budget: The budget for retries and hedges together; None if they are unbounded.
-        copy_budget: An additional budget for hedges.
+        hedge_budget: An additional budget for hedges.
         limit: The concurrency limit.
         queue: The requests that wait for admission under the limit.
         rng: The source of random backoffs.
@@ -48,7 +48,7 @@
         "budget",
         "copies",
         "copies_won",
-        "copy_budget",
+        "hedge_budget",
         "limit",
         "open",
         "queue",
@@ -69,7 +69,7 @@
         rng: random.Random,
     ) -> None:
         self.budget = budget
-        self.copy_budget = RetryBudget(1.0, 0.0, now)
+        self.hedge_budget = RetryBudget(1.0, 0.0, now)
         self.limit = limit
         self.queue = WaitQueue(max_queue_length)
         self.rng = rng
@@ -87,7 +87,7 @@
         self._sketches: list[LogCollapsingLowestDenseDDSketch] = []
         self._answers = 0
 
-    def note_answer_time(self, duration: float) -> None:
+    def record_answer_time(self, duration: float) -> None:
         """Record the duration of a successful attempt for the percentiles."""
         if not self._sketches:
             self._sketches = [_new_sketch(), _new_sketch()]
@@ -101,8 +101,8 @@
         if self._answers < MIN_ANSWERS:
             return None
         # At the start of a period the previous sketch is used, because it has more data.
-        present, previous = self._sketches
-        sketch = present if present.count >= MIN_ANSWERS else previous
+        current, previous = self._sketches
+        sketch = current if current.count >= MIN_ANSWERS else previous
         value = sketch.get_quantile_value(quantile)
         return float(value) if value is not None else None
 
--- a/dockthread/routes/wait_queue.py
+++ b/dockthread/routes/wait_queue.py
@@ -27,7 +27,7 @@
         max_length: How many requests may wait.
     """
 
-    __slots__ = ("_arrivals", "_heap", "_removed", "max_length")
+    __slots__ = ("_arrival_count", "_heap", "_removed", "max_length")
 
     def __init__(self, max_length: int) -> None:
         self.max_length = max_length
@@ -35,7 +35,7 @@
         # Requests that have left the queue but are still in the heap. This is an immutable set
         # because it is empty for most queues, and all empty ones share one object.
         self._removed: frozenset[int] = frozenset()
-        self._arrivals = 0
+        self._arrival_count = 0
 
     def __len__(self) -> int:
         return len(self._heap) - len(self._removed)
@@ -47,21 +47,21 @@
             None if the queue has room for the request; otherwise the request to reject, which is
             the one with the least weight and may be the new one.
         """
-        self._arrivals += 1
-        entry = QueueEntry(-priority_weight, self._arrivals, request)
+        self._arrival_count += 1
+        entry = QueueEntry(-priority_weight, self._arrival_count, request)
         if self.max_length <= 0:
             return request
         if len(self) < self.max_length:
             heappush(self._heap, entry)
             return None
-        self._drop_removed()
-        last = max(self._heap)
-        if entry >= last:
+        self._purge_removed()
+        lowest = max(self._heap)
+        if entry >= lowest:
             return request
-        self._heap.remove(last)
+        self._heap.remove(lowest)
         heapify(self._heap)
         heappush(self._heap, entry)
-        return last.request
+        return lowest.request
 
     def remove(self, request: int) -> None:
         """Remove a request; does nothing if it is not in the queue."""
@@ -77,7 +77,7 @@
             self._removed -= {request}
         return None
 
-    def _drop_removed(self) -> None:
+    def _purge_removed(self) -> None:
         if self._removed:
             self._heap = [entry for entry in self._heap if entry.request not in self._removed]
             self._removed = frozenset()
--- a/dockthread/routes/worst_case.py
+++ b/dockthread/routes/worst_case.py
@@ -28,7 +28,7 @@
         backoffs: The longest backoffs between the attempts.
         queue_wait: The longest wait in the queue.
         time_limit: The client's deadline, or the route's timeout if that is shorter.
-        is_bounded: Whether attempts have their own timeout.
+        has_attempt_timeout: Whether attempts have their own timeout.
         hedge_delay: The fixed hedge delay; 0 if there is none.
     """
 
@@ -37,13 +37,13 @@
     backoffs: tuple[float, ...]
     queue_wait: float
     time_limit: float
-    is_bounded: bool
+    has_attempt_timeout: bool
     hedge_delay: float
 
     @property
     def total(self) -> float:
         """The time from the request's arrival to the end of its last attempt."""
-        if not self.is_bounded:
+        if not self.has_attempt_timeout:
             return self.time_limit
         sequential = self.attempts * self.attempt_timeout + sum(self.backoffs)
         hedged = self.hedge_delay + self.attempt_timeout if self.hedge_delay else 0.0
@@ -71,7 +71,7 @@
         backoffs=backoffs if rules.backoff else (),
         queue_wait=rules.queue_wait,
         time_limit=time_limit,
-        is_bounded=bool(rules.attempt_timeout),
+        has_attempt_timeout=bool(rules.attempt_timeout),
         hedge_delay=rules.fixed_hedge_delay if rules.hedging else 0.0,
     )
 
--- a/tests/routes/tables.py
+++ b/tests/routes/tables.py
@@ -8,7 +8,7 @@
 
 from dockthread.config.ingress_config import Names
 from dockthread.routes.bounds import Bounds
-from dockthread.routes.matcher import NameNumbers
+from dockthread.routes.matcher import NameNumbering
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.position import file_positions
 from dockthread.routes.rules import RequestAttributes
@@ -55,7 +55,7 @@
     In each pair the shadowed route comes first.
     """
     positions = file_positions(routes)
-    numbers = NameNumbers(NAMES)
+    numbers = NameNumbering(NAMES)
     matchers = [numbers.matcher(name, route, positions[name]) for name, route in routes.items()]
     return [
         (later.rules.name, earlier.rules.name)
--- a/tests/routes/test_check.py
+++ b/tests/routes/test_check.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from dockthread.routes.check import check, check_one
-from dockthread.routes.findings import Finding, ProofRule
+from dockthread.routes.check import check, check_route
+from dockthread.routes.findings import Finding, ValidationRule
 from dockthread.routes.options import RouteOptions
 from dockthread.section_registry import parse_operator_file
 from tests.routes.site_settings import NAMES, SETTINGS, STATUS, problems
@@ -105,11 +105,11 @@
 
 def test_a_finding_has_its_route_key_rule_counterexample_and_remedy() -> None:
     route = RouteOptions(classes=("seat-checkout",), copies=True)
-    (finding,) = check_one("r", route, SETTINGS, NAMES)
+    (finding,) = check_route("r", route, SETTINGS, NAMES)
     assert finding == Finding(
         route="r",
         key="copies",
-        rule=ProofRule.NO_SECOND_EFFECT,
+        rule=ValidationRule.NO_SECOND_EFFECT,
         counterexample="yes would run a request twice: seat-checkout must never run twice",
         remedy="no",
     )
@@ -121,5 +121,5 @@
 def test_a_finding_of_a_file_has_the_same_text_behind_the_files_name() -> None:
     routes = {"a": RouteOptions(), "b": RouteOptions(plan=("gross",))}
     (finding,) = check(routes, SETTINGS, NAMES)
-    assert (finding.route, finding.key, finding.rule) == ("b", "", ProofRule.REACHABLE)
+    assert (finding.route, finding.key, finding.rule) == ("b", "", ValidationRule.REACHABLE)
     assert str(finding.problem("r.ini")) == f"r.ini: {finding}"
--- a/tests/routes/test_layers.py
+++ b/tests/routes/test_layers.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from dockthread.policy import Effect, Plan, PolicySettings, RequestClass
-from dockthread.routes.check import check_one
+from dockthread.routes.check import check_route
 from dockthread.routes.layers import Layers
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.rules import RequestAttributes, Rules
@@ -35,7 +35,7 @@
 
 
 def is_refused_as_a_file(name: str, routes: dict[str, RouteOptions]) -> bool:
-    findings = check_one(name, routes[name], SETTINGS, NAMES)
+    findings = check_route(name, routes[name], SETTINGS, NAMES)
     has_error = any(not finding.is_warning for finding in findings)
     return has_error or any(name in pair for pair in shadowing_pairs(routes))
 
--- a/tests/routes/test_limits_in_service.py
+++ b/tests/routes/test_limits_in_service.py
@@ -111,7 +111,7 @@
             assert attempts <= allowed
             budget = usage_of(ingress, "s").budget
             assert budget is not None
-            assert 0 < attempts - first_attempts <= budget.drawn
+            assert 0 < attempts - first_attempts <= budget.tokens_taken
             assert budget.refused or reply is BUSY
 
     run(scenario())
--- a/tests/routes/test_model_checker.py
+++ b/tests/routes/test_model_checker.py
@@ -126,7 +126,7 @@
         self.left -= 1.0
         return True
 
-    monkeypatch.setattr(RetryBudget, "try_draw", overdraw)
+    monkeypatch.setattr(RetryBudget, "try_take_token", overdraw)
     route = RouteOptions(retry_floor=0.0, retry_budget=Share(0.01))
     with pytest.raises(InvariantError, match="a budget below zero"):
         explore(Effect.SAFE, [{"r": route}], 3)
--- a/tests/routes/test_retry_budget.py
+++ b/tests/routes/test_retry_budget.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dockthread.routes.retry_budget import DEPOSIT_SPAN, RetryBudget
+from dockthread.routes.retry_budget import CAPACITY_PERIOD, RetryBudget
 
 TOLERANCE = 1e-6  # tokens; allows for the rounding errors of floating-point sums
 
@@ -21,27 +21,27 @@
 ) -> None:
     budget = RetryBudget(ratio, floor, 0.0)
     now = 0.0
-    initially = max(2.0 * bool(ratio or floor), floor * DEPOSIT_SPAN)
+    initially = max(2.0 * bool(ratio or floor), floor * CAPACITY_PERIOD)
     for first_attempts, (gap, draws) in enumerate(gaps_and_draws, 1):
         now += gap
         budget.on_first_attempt(now)
         for _ in range(draws):
-            budget.try_draw(now)
+            budget.try_take_token(now)
         assert budget.left >= 0
-        assert budget.drawn <= ratio * first_attempts + floor * now + initially + TOLERANCE
+        assert budget.tokens_taken <= ratio * first_attempts + floor * now + initially + TOLERANCE
 
 
 def test_a_quiet_hour_does_not_pay_for_a_storm() -> None:
     budget = RetryBudget(0.2, 1.0, 0.0)
-    drawn = sum(budget.try_draw(3600.0) for _ in range(1000))
-    assert drawn <= DEPOSIT_SPAN
+    tokens_taken = sum(budget.try_take_token(3600.0) for _ in range(1000))
+    assert tokens_taken <= CAPACITY_PERIOD
 
 
 def test_a_budget_in_steady_load_allows_its_ratio() -> None:
     budget = RetryBudget(0.2, 0.0, 0.0)
-    drawn = -2  # offsets the two tokens that the bucket holds initially
+    tokens_taken = -2  # offsets the two tokens that the bucket holds initially
     for number in range(10_000):
         now = number / 100
         budget.on_first_attempt(now)
-        drawn += budget.try_draw(now)
-    assert drawn / 10_000 == pytest.approx(0.2, abs=0.01)
+        tokens_taken += budget.try_take_token(now)
+    assert tokens_taken / 10_000 == pytest.approx(0.2, abs=0.01)
