--- a/tests/config/ingress_cluster.py
+++ b/tests/config/ingress_cluster.py
@@ -90,8 +90,8 @@
         self.answers: dict[RequestKey, list[str]] = {}
         self._gossip_loss = gossip_loss
         self._backends_answer = backends_answer
-        self._due: list[tuple[float, int, Callable[[], None]]] = []
-        self._last_number = 0  # the last number given to a request or a scheduled callback
+        self._scheduled: list[tuple[float, int, Callable[[], None]]] = []
+        self._last_sequence_number = 0  # the last number given to a request or a scheduled callback
         self._counter_totals: dict[int, float] = defaultdict(float)
         self._units: dict[RequestKey, float] = {}
         self.engines = [
@@ -107,8 +107,8 @@
 
     def run_until(self, until: float) -> None:
         """Advance the clock to `until` and run all callbacks that are due by then."""
-        while self._due and self._due[0][0] <= until:
-            self.now, _, callback = heapq.heappop(self._due)
+        while self._scheduled and self._scheduled[0][0] <= until:
+            self.now, _, callback = heapq.heappop(self._scheduled)
             callback()
         self.now = until
 
@@ -119,8 +119,8 @@
 
     def request(self, ingress: int, units: float, request_class: int, spread: int) -> None:
         """Send a request to an ingress, from a customer that uses `spread` ingresses."""
-        self._last_number += 1
-        key = RequestKey(ingress, self._last_number)
+        self._last_sequence_number += 1
+        key = RequestKey(ingress, self._last_sequence_number)
         self.answers[key] = []
         self._units[key] = units
         deadline = 4 * self.engines[ingress].settings.classes[request_class].latency_objective
@@ -133,9 +133,9 @@
         """Return the total units of all admitted requests."""
         return sum(first.units for first in self.first_attempts.values())
 
-    def _schedule(self, when: float, callback: Callable[[], None]) -> None:
-        self._last_number += 1
-        heapq.heappush(self._due, (when, self._last_number, callback))
+    def _schedule(self, due_at: float, callback: Callable[[], None]) -> None:
+        self._last_sequence_number += 1
+        heapq.heappush(self._scheduled, (due_at, self._last_sequence_number, callback))
 
     def _carry_out(self, ingress: int, action: Action) -> None:
         match action:
@@ -194,7 +194,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
+class PlannedRequest:
     """A request that a customer is about to send."""
 
     ingress: int
@@ -202,19 +202,19 @@
     request_class: int
 
 
-def demand(
-    cluster: IngressCluster, spread: int, quotas: float, duration: float
-) -> Iterator[Demand]:
+def random_requests(
+    cluster: IngressCluster, spread: int, quota_multiple: float, duration: float
+) -> Iterator[PlannedRequest]:
     """Yield random requests of one customer, distributed unevenly over `spread` ingresses.
 
-    Their mean rate is `quotas` times the customer's quota. The clock advances to each request.
+    Their mean rate is `quota_multiple` times the customer's quota. The clock advances to each request.
     """
     plan = cluster.engines[0].settings.plans[0]
     weights = [1.0 / (number + 1) for number in range(spread)]
-    rate = quotas * plan.rate / 2.0  # requests of 2 units on average
+    rate = quota_multiple * plan.rate / 2.0  # requests of 2 units on average
     start = cluster.now
     while cluster.now < start + duration:
         cluster.run_until(cluster.now + cluster.random.expovariate(rate))
         ingress = cluster.random.choices(range(spread), weights)[0]
         units = cluster.random.choice([1.0, 2.0, 3.0])
-        yield Demand(ingress, units, cluster.random.randrange(3))
+        yield PlannedRequest(ingress, units, cluster.random.randrange(3))
--- a/tests/config/test_any_deployment.py
+++ b/tests/config/test_any_deployment.py
@@ -18,7 +18,7 @@
     RequestClass,
     SafetyLimits,
 )
-from tests.config.ingress_cluster import START, IngressCluster, RequestKey, demand
+from tests.config.ingress_cluster import START, IngressCluster, RequestKey, random_requests
 
 DURATION = 24.0  # s during which the customer sends requests
 CLASSES = (
@@ -37,7 +37,7 @@
 MAX_LOAD_REPORT_FIELDS = 4
 
 
-def _draw_plan(rate: float, burst_seconds: float, has_ceiling: bool) -> Plan:
+def _build_plan(rate: float, burst_seconds: float, has_ceiling: bool) -> Plan:
     plan = Plan(rate=rate, burst=max(8.0, rate * burst_seconds), over_quota_cost=0.6)
     if not has_ceiling:
         return plan
@@ -46,7 +46,7 @@
     )
 
 
-def _draw_settings(
+def _build_settings(
     ingress_count: int,
     may_gossip: bool,
     may_use_counter: bool,
@@ -74,13 +74,13 @@
 
 def deployments() -> st.SearchStrategy[PolicySettings]:
     plans = st.builds(
-        _draw_plan,
+        _build_plan,
         st.sampled_from([4.0, 10.0, 30.0]),
         st.sampled_from([1.0, 2.0, 4.0]),
         st.booleans(),
     )
     return st.builds(
-        _draw_settings,
+        _build_settings,
         st.integers(1, 4),
         st.booleans(),
         st.booleans(),
@@ -94,7 +94,7 @@
     max_examples=40, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow]
 )
 @given(deployments(), st.integers(1, 1000))
-def test_admitted_units_stay_near_the_quota_and_each_request_has_one_answer_at_thrice_the_quota(
+def test_excess_demand_is_limited_to_about_the_quota_and_each_request_is_answered_once(
     policy_settings: PolicySettings, seed: int
 ) -> None:
     """One customer sends three times its quota.
@@ -106,14 +106,14 @@
     cluster = IngressCluster(policy_settings, seed)
     plan = policy_settings.plans[0]
     spread = policy_settings.ingress_count
-    for wanted in demand(cluster, spread, 3.0, DURATION):
-        cluster.request(wanted.ingress, wanted.units, wanted.request_class, spread)
+    for planned in random_requests(cluster, spread, 3.0, DURATION):
+        cluster.request(planned.ingress, planned.units, planned.request_class, spread)
     admitted = cluster.admitted_units()
     quota = plan.burst + plan.rate * DURATION
-    use_is_shared = spread == 1 or policy_settings.may_gossip or policy_settings.may_use_counter
+    is_usage_shared = spread == 1 or policy_settings.may_gossip or policy_settings.may_use_counter
     slack = policy_settings.max_request_units * spread
     assert admitted <= 1.25 * quota + slack
-    assert admitted >= (0.7 if use_is_shared else 0.5) * quota - slack
+    assert admitted >= (0.7 if is_usage_shared else 0.5) * quota - slack
     cluster.run_until(cluster.now + 4.0)
     assert all(len(answers) == 1 for answers in cluster.answers.values())
 
@@ -137,19 +137,21 @@
     )
     cluster = IngressCluster(replace(policy_settings, plans=(plan,)), seed, gossip_loss=0.2)
     spread = policy_settings.ingress_count
-    for wanted in demand(cluster, spread, 0.4, DURATION):
-        cluster.request(wanted.ingress, wanted.units, wanted.request_class, spread)
-    level = ceiling_burst
-    filled_at = START
+    for planned in random_requests(cluster, spread, 0.4, DURATION):
+        cluster.request(planned.ingress, planned.units, planned.request_class, spread)
+    token_balance = ceiling_burst
+    refilled_at = START
     for first in cluster.first_attempts.values():
-        refilled = level + ceiling_rate * (first.sent_at - filled_at)
-        level = min(ceiling_burst, refilled) - first.units
-        filled_at = first.sent_at
-        assert level >= -plan.ceiling_slack
+        refilled_balance = token_balance + ceiling_rate * (first.sent_at - refilled_at)
+        token_balance = min(ceiling_burst, refilled_balance) - first.units
+        refilled_at = first.sent_at
+        assert token_balance >= -plan.ceiling_slack
 
 
 @pytest.mark.parametrize("may_gossip", [True, False])
-def test_a_plan_with_a_cap_and_a_rate_keeps_both(may_gossip: bool) -> None:
+def test_a_plan_enforces_both_its_rate_and_its_limit_of_requests_in_flight(
+    may_gossip: bool,
+) -> None:
     plan = Plan(rate=20.0, burst=40.0, max_in_flight=3)
     policy_settings = PolicySettings(
         0,
@@ -163,8 +165,8 @@
     )
     cluster = IngressCluster(policy_settings, 4)
     in_flight: list[int] = []
-    for wanted in demand(cluster, 3, 3.0, DURATION):
-        cluster.request(wanted.ingress, wanted.units, wanted.request_class, 3)
+    for planned in random_requests(cluster, 3, 3.0, DURATION):
+        cluster.request(planned.ingress, planned.units, planned.request_class, 3)
         in_flight.append(
             sum(
                 customer.in_flight
@@ -186,15 +188,15 @@
     Before its first answer, the policy engine can derive a backend's expected answer time only from
     the latency objective: it is 0.2 of it, give or take 0.1.
     """
-    for objective in (0.6, 1.5, 3.0):
-        classes = (RequestClass(objective, 4 * objective, effect=Effect.UNSAFE),)
+    for latency_objective in (0.6, 1.5, 3.0):
+        classes = (RequestClass(latency_objective, 4 * latency_objective, effect=Effect.UNSAFE),)
         policy_settings = PolicySettings(0, 1, classes, (Plan(),), may_cancel=True)
         cluster = IngressCluster(policy_settings, 1, backends_answer=False)
         cluster.request(0, 1.0, 0, 1)
         backend = cluster.engines[0].backends.by_number[cluster.attempted_backends[0]]
-        cluster.run_until(START + 1.05 * objective)
+        cluster.run_until(START + 1.05 * latency_objective)
         assert backend.failure_fraction == 0.0
-        cluster.run_until(START + 1.15 * objective)
+        cluster.run_until(START + 1.15 * latency_objective)
         assert backend.failure_fraction > 0.4
 
 
--- a/tests/config/test_example_configurations.py
+++ b/tests/config/test_example_configurations.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("name", ["config.json", "formosa.json"])
-def test_an_example_configuration_is_read_in_full_and_its_requests_are_sent(name: str) -> None:
+def test_an_example_configuration_is_read_completely_and_its_requests_are_sent(name: str) -> None:
     path = EXAMPLES / name
     raw = json.loads(path.read_text())
     raw_settings = raw["settings"]
--- a/tests/config/test_ingress_config.py
+++ b/tests/config/test_ingress_config.py
@@ -27,7 +27,7 @@
         ({"settings": SETTINGS | {"Classes": []}}, "Classes is empty"),
     ],
 )  # fmt: skip
-def test_a_bad_configuration_raises_an_error_of_one_line(
+def test_an_invalid_configuration_raises_a_one_line_error(
     changes: dict[str, Any], expected_text: str, tmp_path: Path
 ) -> None:
     path = tmp_path / "config.json"
@@ -37,12 +37,12 @@
     assert len(str(caught.value).splitlines()) == 1
 
 
-def test_the_environment_overrides_the_file(tmp_path: Path) -> None:
+def test_environment_variables_override_the_file(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw_config(message(1, full=True), 9)))
     environ = {"NODE_CONFIG": str(path), "NODE_NAME": "n7", "NODE_LISTEN": "[::1]:5"}
-    read = read_config(environ)
-    assert (read.name, read.listen, read.seed, read.connection_idle_ms) == (
+    config = read_config(environ)
+    assert (config.name, config.listen, config.seed, config.connection_idle_ms) == (
         "n7",
         Address("::1", 5),
         0x8C1F,
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -86,7 +86,7 @@
     assert all("\n" not in line for line in lines)
 
 
-def test_all_problems_are_found_and_a_load_raises_the_first_with_the_number_of_the_others(
+def test_loading_raises_the_first_problem_and_the_number_of_further_problems(
     tmp_path: Path,
 ) -> None:
     path = tmp_path / "my.ini"
@@ -98,7 +98,7 @@
         load_operator_file(str(path))
 
 
-def test_keys_left_out_have_their_defaults_and_comments_are_ignored() -> None:
+def test_missing_keys_have_their_defaults_and_comments_are_ignored() -> None:
     text = "# mine\n[graphite main]  ; the graphs\naddress = [::1]:2003  # v6\n"
     config = parse_operator_file(text, "my.ini")
     assert not config.errors
--- a/tests/config/test_platform_settings.py
+++ b/tests/config/test_platform_settings.py
@@ -34,7 +34,7 @@
     assert str(error) == f"{path}: settings.Classes[0].Aim is -5; must be a time above 0"
 
 
-def test_a_missing_key_is_named_with_its_file(tmp_path: Path) -> None:
+def test_an_error_names_the_missing_key_and_the_file(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     raw = raw_config(NO_ENDPOINTS, 9)
     del raw["listen"]
@@ -44,7 +44,7 @@
     assert str(error) == f"{path}: 'listen' is missing"
 
 
-def test_a_file_that_is_not_json_is_named(tmp_path: Path) -> None:
+def test_an_error_names_the_file_that_is_not_json(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text("{")
     error = read_error(path)
@@ -52,13 +52,13 @@
     assert str(error).startswith(f"{path} is not JSON: ")
 
 
-def test_a_file_that_is_not_there_is_named(tmp_path: Path) -> None:
+def test_an_error_names_the_missing_file(tmp_path: Path) -> None:
     error = read_error(tmp_path / "none.json")
     assert error.file == str(tmp_path / "none.json")
     assert str(error) == f"cannot read {tmp_path / 'none.json'}: No such file or directory"
 
 
-def test_without_a_file_the_variable_that_names_it_is_the_key() -> None:
+def test_an_unset_configuration_variable_is_the_key_of_the_error() -> None:
     with pytest.raises(SettingsError) as caught:
         read_config({})
     assert caught.value.key == "NODE_CONFIG"
--- a/tests/routes/routed_ingress.py
+++ b/tests/routes/routed_ingress.py
@@ -22,13 +22,13 @@
 RETRY_FLOOR = "retry_floor = 100\n"  # so high that the retry budget never refuses an attempt
 
 # Returns a backend's reply to the arguments of a request; None closes the connection.
-Answer = Callable[[list[bytes]], Awaitable[bytes | None]]
+AnswerFunction = Callable[[list[bytes]], Awaitable[bytes | None]]
 
 
 class CountingBackend(Backend):
     """A backend that counts how often each request arrives, by the request's id."""
 
-    def __init__(self, answer: Answer) -> None:
+    def __init__(self, answer: AnswerFunction) -> None:
         super().__init__(answer)
         self.arrivals: Counter[bytes] = Counter()
 
@@ -47,7 +47,7 @@
     return sum(backend.attempts for backend in backends)
 
 
-def put_in_force(ingress: Ingress, text: str) -> Table:
+def replace_routes(ingress: Ingress, text: str) -> Table:
     """Replace the routes of an ingress by those in the text of an operator's file."""
     read = parse_operator_file(text, "test", ingress.config.policy_settings, ingress.config.names)
     assert not read.errors, read.errors
@@ -67,16 +67,16 @@
 
 @asynccontextmanager
 async def routed_ingress(
-    text: str, *answers: Answer, **changes: Any
+    text: str, *answers: AnswerFunction, **changes: Any
 ) -> AsyncIterator[tuple[Ingress, Client, list[CountingBackend]]]:
     """Run an ingress with the routes of a file and one backend for each answer function."""
     backends = [CountingBackend(answer) for answer in answers]
     async with serving(*backends, **changes) as (ingress, client, _):
-        put_in_force(ingress, text)
+        replace_routes(ingress, text)
         yield ingress, client, backends
 
 
-def answers_with(reply: bytes) -> Answer:
+def answers_with(reply: bytes) -> AnswerFunction:
     """Return an answer function that always returns `reply`."""
 
     async def answer(args: list[bytes]) -> bytes | None:
@@ -96,7 +96,7 @@
     return None
 
 
-def answers_after(seconds: float, reply: bytes = OK) -> Answer:
+def answers_after(seconds: float, reply: bytes = OK) -> AnswerFunction:
     """Return an answer function that returns `reply` after a delay."""
 
     async def answer(args: list[bytes]) -> bytes | None:
--- a/tests/routes/site_settings.py
+++ b/tests/routes/site_settings.py
@@ -41,6 +41,6 @@
 KEYED = "class = keyed\n"
 
 
-def problems(text: str, settings: PolicySettings = SETTINGS) -> list[ConfigProblem]:
+def parse_problems(text: str, settings: PolicySettings = SETTINGS) -> list[ConfigProblem]:
     """Return the problems of an operator's file."""
     return parse_operator_file(text, "r.ini", settings, NAMES).problems
--- a/tests/routes/tables.py
+++ b/tests/routes/tables.py
@@ -36,14 +36,14 @@
 def route_options(draw: st.DrawFn) -> RouteOptions:
     """Draw a route with random conditions and no limits."""
 
-    def up_to_two(*values: Any) -> tuple[Any, ...]:
+    def draw_up_to_two(*values: Any) -> tuple[Any, ...]:
         return tuple(draw(st.lists(st.sampled_from(values), max_size=2, unique=True)))
 
     return RouteOptions(
-        classes=up_to_two("a", "b"),
-        plan=up_to_two("k", "g"),
-        verb=up_to_two("read", "write"),
-        firm=up_to_two("1", "2", "3"),
+        classes=draw_up_to_two("a", "b"),
+        plan=draw_up_to_two("k", "g"),
+        verb=draw_up_to_two("read", "write"),
+        firm=draw_up_to_two("1", "2", "3"),
         units=draw(st.sampled_from([None, "1", "2", "1..2", "2..4"])),
         retry=draw(st.sampled_from([None, None, True, False])),
     )
--- a/tests/routes/test_attempts_in_service.py
+++ b/tests/routes/test_attempts_in_service.py
@@ -20,19 +20,19 @@
 
 SLOW_ANSWER = 0.3  # s
 FAST_ANSWER = 0.01  # s
-SLOW_TIME = 0.25  # s; a request that takes longer counts as slow
+SLOW_THRESHOLD = 0.25  # s; a request that takes longer counts as slow
 
 
-def test_a_hedge_and_its_first_attempt_that_answer_at_once_give_one_answer() -> None:
+def test_client_gets_one_answer_when_hedge_and_first_attempt_answer_simultaneously() -> None:
     async def scenario() -> None:
-        gate = asyncio.Event()
+        may_answer = asyncio.Event()
 
-        async def answers_at_the_gate(args: list[bytes]) -> bytes | None:
-            await gate.wait()
+        async def answers_when_allowed(args: list[bytes]) -> bytes | None:
+            await may_answer.wait()
             return OK
 
         text = STATUS + "copies = yes\ncopy_after = 20ms\nattempts = 2\n" + RETRY_FLOOR
-        async with routed_ingress(text, answers_at_the_gate, answers_at_the_gate) as (
+        async with routed_ingress(text, answers_when_allowed, answers_when_allowed) as (
             ingress,
             client,
             backends,
@@ -43,11 +43,11 @@
                 return sum(len(request.attempts) for request in requests)
 
             for _ in range(20):
-                gate.clear()
+                may_answer.clear()
                 client.ask()
                 await until(lambda: attempts_at(backends) % 2 == 0 and ingress.requests)
                 await until(lambda: sent_attempts() == 2)
-                gate.set()
+                may_answer.set()
                 assert await client.answer() == b"value"
                 await until(lambda: not ingress.requests)
             client.send(b"PING")
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("answer_time", [0.095, 0.1, 0.105])
-def test_a_backend_that_answers_as_the_attempt_times_out_gives_one_answer(
+def test_client_gets_one_answer_when_a_backend_answers_as_the_attempt_times_out(
     answer_time: float,
 ) -> None:
     async def scenario() -> None:
@@ -76,7 +76,7 @@
     run(scenario())
 
 
-def test_an_attempt_that_times_out_while_it_connects_is_retried_elsewhere() -> None:
+def test_an_attempt_that_times_out_while_connecting_is_retried_at_another_backend() -> None:
     async def scenario() -> None:
         keys = "attempts = 2\nattempt_timeout = 100ms\nretry_on = timeout, unreachable\n"
         async with routed_ingress(STATUS + keys + RETRY_FLOOR, answers_with(OK)) as (
@@ -102,7 +102,7 @@
     run(scenario())
 
 
-def test_hedges_shorten_the_tail_of_slow_answers_within_their_share_of_the_load() -> None:
+def test_hedges_reduce_slow_answers_without_exceeding_copy_share() -> None:
     """The first attempt of one request in twelve is thirty times slower, at whichever backend."""
 
     async def scenario() -> None:
@@ -130,7 +130,7 @@
                 await asyncio.gather(
                     *(send_requests(client, number) for number, client in enumerate(clients, 1))
                 )
-                slow = sum(duration > SLOW_TIME for duration in durations)
+                slow = sum(duration > SLOW_THRESHOLD for duration in durations)
                 return slow, attempts_at(backends)
 
         slow, attempts = await slow_answers_and_attempts(STATUS + "attempts = 1\n")
--- a/tests/routes/test_bounds.py
+++ b/tests/routes/test_bounds.py
@@ -41,7 +41,7 @@
 )
 
 
-def bounds_under(rules: Rules) -> Bounds:
+def bounds_with_rules(rules: Rules) -> Bounds:
     table = table_of({"r": RouteOptions()})
     return Bounds(table, READ, rules, table.spent["r"])
 
@@ -50,16 +50,16 @@
 def test_the_stricter_of_two_rules_allows_only_what_both_allow(
     first: Rules, second: Rules, sent: int, outcome: Outcome
 ) -> None:
-    both = bounds_under(stricter(first, second))
+    both = bounds_with_rules(stricter(first, second))
     if both.may_still_retry(sent, outcome):
-        assert bounds_under(first).may_still_retry(sent, outcome)
-        assert bounds_under(second).may_still_retry(sent, outcome)
+        assert bounds_with_rules(first).may_still_retry(sent, outcome)
+        assert bounds_with_rules(second).may_still_retry(sent, outcome)
     if both.try_hedge(sent, 0.0):
-        assert bounds_under(first).try_hedge(sent, 0.0)
-        assert bounds_under(second).try_hedge(sent, 0.0)
+        assert bounds_with_rules(first).try_hedge(sent, 0.0)
+        assert bounds_with_rules(second).try_hedge(sent, 0.0)
 
 
-def test_a_reload_narrows_a_request_in_flight_and_never_widens_it() -> None:
+def test_a_reload_can_tighten_but_not_relax_the_rules_of_a_request_in_flight() -> None:
     table = table_of({"r": RouteOptions(attempts=2)})
     bounds = bounds_of(table, "r")
     table.replace({"r": RouteOptions(attempts=4)}, 1.0)
@@ -75,19 +75,19 @@
     )
 
 
-def test_waits_between_attempts_are_drawn_from_a_doubling_span() -> None:
+def test_backoffs_are_random_up_to_a_maximum_that_doubles() -> None:
     route = RouteOptions(backoff=Duration(100), backoff_max=Duration(300), retry_floor=100.0)
     bounds = bounds_of(table_of({"r": route}), "r")
-    for sent, span in ((1, 0.1), (2, 0.2), (3, 0.3)):
-        drawn = [bounds.retry_delay(sent, Outcome.ERROR, number * 10.0) for number in range(200)]
-        waits = [wait for wait in drawn if wait is not None]
+    for sent, max_delay in ((1, 0.1), (2, 0.2), (3, 0.3)):
+        delays = [bounds.retry_delay(sent, Outcome.ERROR, number * 10.0) for number in range(200)]
+        waits = [wait for wait in delays if wait is not None]
         assert len(waits) == 200
-        assert max(waits) <= span
-        assert max(waits) > 0.9 * span
-        assert min(waits) < 0.1 * span
+        assert max(waits) <= max_delay
+        assert max(waits) > 0.9 * max_delay
+        assert min(waits) < 0.1 * max_delay
 
 
-def test_a_wait_that_would_end_after_the_deadline_does_not_delay_the_final_answer() -> None:
+def test_a_backoff_beyond_the_deadline_does_not_delay_the_final_answer() -> None:
     table = table_of({"r": RouteOptions(backoff=Duration(60_000), backoff_max=Duration(60_000))})
     request_class = RequestClass(latency_objective=1.5, deadline=4.0, effect=Effect.SAFE)
     settings = PolicySettings(
@@ -112,7 +112,7 @@
     assert rejected_at_once > 40  # backoffs are 0 to 60 s, so 56 of 60 end after the deadline
 
 
-def test_waits_come_from_the_tables_own_seed_and_repeat() -> None:
+def test_backoffs_depend_only_on_the_seed_of_the_table() -> None:
     def waits() -> list[float | None]:
         table = table_of({"r": RouteOptions(backoff=Duration(100), retry_floor=100.0)}, seed=5)
         bounds = bounds_of(table, "r")
--- a/tests/routes/test_check.py
+++ b/tests/routes/test_check.py
@@ -10,7 +10,7 @@
 from dockthread.routes.findings import Finding, ValidationRule
 from dockthread.routes.options import RouteOptions
 from dockthread.section_registry import parse_operator_file
-from tests.routes.site_settings import NAMES, SETTINGS, STATUS, problems
+from tests.routes.site_settings import NAMES, SETTINGS, STATUS, parse_problems
 
 
 @pytest.mark.parametrize(
@@ -39,7 +39,7 @@
 def test_routes_are_checked_against_each_other_with_and_without_settings(
     text: str, expected: str
 ) -> None:
-    assert any(expected in str(problem) for problem in problems(text))
+    assert any(expected in str(problem) for problem in parse_problems(text))
     without_settings = parse_operator_file(text, "r.ini").problems
     assert any(expected in str(problem) for problem in without_settings)
 
@@ -56,27 +56,27 @@
     ],
 )
 def test_routes_that_can_each_match_are_accepted(text: str) -> None:
-    assert not problems(text)
+    assert not parse_problems(text)
 
 
 def test_hedging_and_attempts_beyond_the_settings_are_refused() -> None:
-    lean = replace(SETTINGS, may_hedge=False, max_attempts=2)
+    strict_settings = replace(SETTINGS, may_hedge=False, max_attempts=2)
     text = f"[route r]\n{STATUS}copies = yes\nattempts = 3\n"
-    lines = [str(problem) for problem in problems(text, lean)]
+    lines = [str(problem) for problem in parse_problems(text, strict_settings)]
     assert any("the site does not allow copies; no" in line for line in lines)
     assert any("3 is more than the settings allow; at most 2" in line for line in lines)
 
 
-def test_a_worst_case_beyond_the_routes_own_timeout_is_a_warning() -> None:
+def test_a_worst_case_longer_than_the_timeout_of_the_route_is_a_warning() -> None:
     keys = "timeout = 1s\nattempts = 2\nattempt_timeout = 700ms\n"
-    (warning,) = problems(f"[route r]\n{STATUS}{keys}")
+    (warning,) = parse_problems(f"[route r]\n{STATUS}{keys}")
     assert warning.is_warning
     expected = "2 attempts of 700ms = 1400ms exceeds timeout = 1s; attempt_timeout = 500ms"
     assert expected in str(warning)
 
 
 def test_a_budget_that_multiplies_the_load_is_a_warning() -> None:
-    (warning,) = problems(f"[route r]\n{STATUS}retry_budget = 80%\n")
+    (warning,) = parse_problems(f"[route r]\n{STATUS}retry_budget = 80%\n")
     assert warning.is_warning
     assert "nodes see 1.80 attempts per request" in str(warning)
 
@@ -99,8 +99,8 @@
 def test_the_attempt_timeout_that_a_refusal_proposes_is_accepted(
     keys: str, proposed: str, proposed_keys: str
 ) -> None:
-    assert f" = {proposed}" in str(problems(f"[route r]\n{STATUS}{keys}\n")[0])
-    assert not problems(f"[route r]\n{STATUS}{proposed_keys}\n")
+    assert f" = {proposed}" in str(parse_problems(f"[route r]\n{STATUS}{keys}\n")[0])
+    assert not parse_problems(f"[route r]\n{STATUS}{proposed_keys}\n")
 
 
 def test_a_finding_has_its_route_key_rule_counterexample_and_remedy() -> None:
@@ -118,7 +118,7 @@
     )
 
 
-def test_a_finding_of_a_file_has_the_same_text_behind_the_files_name() -> None:
+def test_the_problem_of_a_file_is_the_text_of_the_finding_after_the_file_name() -> None:
     routes = {"a": RouteOptions(), "b": RouteOptions(plan=("gross",))}
     (finding,) = check(routes, SETTINGS, NAMES)
     assert (finding.route, finding.key, finding.rule) == ("b", "", ValidationRule.REACHABLE)
--- a/tests/routes/test_concurrency_limit.py
+++ b/tests/routes/test_concurrency_limit.py
@@ -26,15 +26,15 @@
     return now
 
 
-def test_an_adaptive_limit_follows_a_capacity_that_halves_and_returns_within_seconds() -> None:
+def test_an_adaptive_limit_adapts_within_seconds_when_capacity_halves_and_recovers() -> None:
     limit = ConcurrencyLimit(None, 4, 400, adaptive=True)
     now = run_closed_loop(limit, 80, 20, 0.0)
-    at_full_capacity = limit.limit
-    assert 60 <= at_full_capacity <= 200
+    full_capacity_limit = limit.limit
+    assert 60 <= full_capacity_limit <= 200
     now = run_closed_loop(limit, 40, 5, now)
-    assert limit.limit < 0.75 * at_full_capacity
+    assert limit.limit < 0.75 * full_capacity_limit
     run_closed_loop(limit, 80, 10, now)
-    assert limit.limit > 0.85 * at_full_capacity
+    assert limit.limit > 0.85 * full_capacity_limit
 
 
 @given(st.lists(st.tuples(st.booleans(), st.floats(0.001, 30.0)), max_size=300))
@@ -53,10 +53,10 @@
         assert 7 <= limit.limit <= 50
 
 
-def test_an_adaptive_limit_does_not_grow_while_little_of_it_is_used() -> None:
+def test_an_adaptive_limit_does_not_grow_while_most_of_it_is_unused() -> None:
     limit = ConcurrencyLimit(None, 4, 400, adaptive=True)
-    before = limit.limit
+    initial_limit = limit.limit
     for number in range(1000):
         limit.inside = 1
         limit.on_answer(0.1, number / 10)
-    assert limit.limit == before
+    assert limit.limit == initial_limit
--- a/tests/routes/test_explain.py
+++ b/tests/routes/test_explain.py
@@ -19,20 +19,20 @@
 ).named_sections("route")
 
 
-def explained(request: str) -> list[str]:
+def explanation_lines(request: str) -> list[str]:
     """Return the lines that explain a request's route."""
     return list(explain(ROUTES, SETTINGS, NAMES, parse_request(request, SETTINGS, NAMES)))
 
 
 def test_explain_shows_the_route_the_timeline_and_the_worst_case() -> None:
-    lines = explained("c=seat-status,t=gross,units=2")
+    lines = explanation_lines("c=seat-status,t=gross,units=2")
     assert lines[:2] == ["route: s", "  not vip: firm"]
     assert "  1050ms to 2050ms: attempt 2 at the latest" in lines
     assert lines[-1].startswith("worst case: 2050ms of 4s, 2 attempts, 1.20 times")
 
 
 def test_explain_shows_the_first_route_that_names_the_customer() -> None:
-    assert explained("c=keyed,t=klein,firm=b4d6")[0] == "route: vip"
+    assert explanation_lines("c=keyed,t=klein,firm=b4d6")[0] == "route: vip"
 
 
 def test_a_request_of_an_unknown_class_is_refused() -> None:
--- a/tests/routes/test_keys_in_service.py
+++ b/tests/routes/test_keys_in_service.py
@@ -15,7 +15,7 @@
     OK,
     RETRY_FLOOR,
     STATUS,
-    Answer,
+    AnswerFunction,
     answers_with,
     attempts_at,
     closes_connection,
@@ -25,7 +25,7 @@
 
 # The operator's file, the answer function of the backends, the request's class, the number of
 # attempts that reach the backends, and the start of the client's reply.
-OBEYED = [
+CASES = [
     (STATUS + "attempts = 1", answers_with(ERROR), "status", 1, "BUSY"),
     (STATUS + "attempts = 2\n" + RETRY_FLOOR, answers_with(ERROR), "status", 2, "BUSY"),
     (STATUS + "attempts = 3\n" + RETRY_FLOOR, answers_with(ERROR), "status", 3, "BUSY"),
@@ -164,9 +164,9 @@
 ]
 
 
-@pytest.mark.parametrize(("text", "answer", "request_class", "attempts", "expected"), OBEYED)
-def test_a_routes_keys_decide_how_many_attempts_backends_see(
-    text: str, answer: Answer, request_class: str, attempts: int, expected: str
+@pytest.mark.parametrize(("text", "answer", "request_class", "attempts", "expected"), CASES)
+def test_the_keys_of_a_route_determine_the_number_of_attempts(
+    text: str, answer: AnswerFunction, request_class: str, attempts: int, expected: str
 ) -> None:
     async def scenario() -> None:
         async with routed_ingress(text, *[answer] * 4) as (ingress, client, backends):
@@ -182,7 +182,7 @@
     run(scenario())
 
 
-def test_backends_beyond_the_routes_nodes_serve_only_where_there_are_none_of_these() -> None:
+def test_other_backends_serve_only_if_the_nodes_of_the_route_match_no_backend() -> None:
     async def scenario() -> None:
         text = STATUS + "nodes = hall-b"
         answers = (answers_with(OK), answers_with(OK))
--- a/tests/routes/test_layers.py
+++ b/tests/routes/test_layers.py
@@ -34,14 +34,14 @@
     return [table.rules_for(request) for request in REQUESTS]
 
 
-def is_refused_as_a_file(name: str, routes: dict[str, RouteOptions]) -> bool:
+def is_refused_in_one_file(name: str, routes: dict[str, RouteOptions]) -> bool:
     findings = check_route(name, routes[name], SETTINGS, NAMES)
     has_error = any(not finding.is_warning for finding in findings)
     return has_error or any(name in pair for pair in shadowing_pairs(routes))
 
 
 @given(st.data())
-def test_published_routes_are_refused_and_found_as_in_one_file_of_all_routes(
+def test_published_routes_are_refused_and_matched_as_in_one_file_with_all_routes(
     data: st.DataObject,
 ) -> None:
     """Random changes of published routes give the same routing as one file with all routes.
@@ -49,31 +49,31 @@
     Every request is looked up after each change, so the test also fails if a cached result in the
     table's index is not updated by the next change.
     """
-    file = {
+    file_routes = {
         f"f{number}": data.draw(route_options()) for number in range(data.draw(st.integers(0, 3)))
     }
-    shadowed = dict(shadowing_pairs(file))
-    file = {name: route for name, route in file.items() if name not in shadowed}
+    shadowed = dict(shadowing_pairs(file_routes))
+    file_routes = {name: route for name, route in file_routes.items() if name not in shadowed}
     layers = Layers(Table(NAMES, 0, 1), SETTINGS, NAMES)
-    layers.set_file(file, 0.0)
+    layers.set_file(file_routes, 0.0)
     for _ in range(data.draw(st.integers(1, 6))):
         name = data.draw(st.sampled_from(["f0", "f1", "a", "b", "c"]))
         if data.draw(st.integers(0, 3)) == 0:
             layers.remove(name, 0.0)
         else:
             route = data.draw(route_options())
-            before = merged_layers(file, layers.published)
-            after = merged_layers(file, {**layers.published, name: route})
+            routes_before = merged_layers(file_routes, layers.published)
+            routes_after = merged_layers(file_routes, {**layers.published, name: route})
             refusal = layers.put(name, route, 0.0)
-            assert (refusal is not None) == is_refused_as_a_file(name, after), (
+            assert (refusal is not None) == is_refused_in_one_file(name, routes_after), (
                 refusal,
-                before,
-                after,
+                routes_before,
+                routes_after,
             )
-        one_file = table_of(merged_layers(file, layers.published))
+        one_file = table_of(merged_layers(file_routes, layers.published))
         assert rules_of_all_requests(layers.table) == rules_of_all_requests(one_file)
-    before = merged_layers(file, layers.published)
-    longer_file = {"f9": RouteOptions(), **file}
-    layers.set_file(longer_file, 0.0)
-    one_file.replace(merged_layers(longer_file, layers.published), 0.0)
-    assert rules_of_all_requests(layers.table) == rules_of_all_requests(one_file), before
+    routes_before = merged_layers(file_routes, layers.published)
+    longer_file_routes = {"f9": RouteOptions(), **file_routes}
+    layers.set_file(longer_file_routes, 0.0)
+    one_file.replace(merged_layers(longer_file_routes, layers.published), 0.0)
+    assert rules_of_all_requests(layers.table) == rules_of_all_requests(one_file), routes_before
--- a/tests/routes/test_limits_in_service.py
+++ b/tests/routes/test_limits_in_service.py
@@ -23,12 +23,12 @@
 PLANS = [{"Name": "gross", "Refill": 1.0, "PeakUnits": 1000.0}]
 
 
-def test_a_request_beyond_the_limit_waits_by_weight_and_no_longer_than_stated() -> None:
+def test_requests_beyond_the_limit_are_queued_by_weight_until_queue_wait_expires() -> None:
     async def scenario() -> None:
-        gate = asyncio.Event()
+        may_answer = asyncio.Event()
 
-        async def answers_at_the_gate(args: list[bytes]) -> bytes | None:
-            await gate.wait()
+        async def answers_when_allowed(args: list[bytes]) -> bytes | None:
+            await may_answer.wait()
             return OK
 
         text = "[route all]\nlimit = 2\nqueue = 2\nqueue_wait = 1s\n"
@@ -39,7 +39,7 @@
             "Classes": [dict(status, Points=1), dict(checkout, Points=5)],
             "Packages": PLANS,
         }
-        async with routed_ingress(text, answers_at_the_gate, clock=clock, settings=settings) as (
+        async with routed_ingress(text, answers_when_allowed, clock=clock, settings=settings) as (
             ingress,
             client,
             backends,
@@ -48,17 +48,17 @@
             for _ in range(4):
                 client.ask()  # two requests are admitted and two are queued
             await until(lambda: len(usage.queue) == 2)
-            weighty_client = await Client.open(ingress.address.port)
-            weighty_client.asked += 1000
+            priority_client = await Client.open(ingress.address.port)
+            priority_client.asked += 1000
             # This request displaces a queued one of lower weight, which is rejected immediately.
-            weighty_client.ask("checkout")
+            priority_client.ask("checkout")
             await until(lambda: usage.refused_limit == 1)
             assert len(usage.queue) == 2
             clock.advance(1001)  # both queued requests have now waited for longer than queue_wait
             ingress.timers.run_due()
-            assert (await weighty_client.answer()).startswith("BUSY")
+            assert (await priority_client.answer()).startswith("BUSY")
             assert usage.refused_limit == 3
-            gate.set()
+            may_answer.set()
             replies = [await client.answer() for _ in range(4)]
             shown = [reply if isinstance(reply, bytes) else reply[:4] for reply in replies]
             assert shown == [b"value", b"value", "BUSY", "BUSY"]
@@ -67,7 +67,7 @@
     run(scenario())
 
 
-def test_a_finished_request_gives_its_place_in_the_limit_to_a_queued_one() -> None:
+def test_a_queued_request_is_admitted_when_another_request_finishes() -> None:
     async def scenario() -> None:
         text = "[route all]\nlimit = 1\nqueue = 20\nqueue_wait = 3s\nplan = gross\n"
         settings = {**SETTINGS, "Packages": PLANS}
@@ -85,9 +85,9 @@
     run(scenario())
 
 
-@pytest.mark.parametrize(("reply", "least_first_attempts"), [(BUSY, 0), (ERROR, 300)])
-def test_the_load_stays_within_the_budget_where_all_backends_reject_or_fail(
-    reply: bytes, least_first_attempts: int
+@pytest.mark.parametrize(("reply", "min_first_attempts"), [(BUSY, 0), (ERROR, 300)])
+def test_the_load_stays_within_the_budget_when_all_backends_reject_or_fail(
+    reply: bytes, min_first_attempts: int
 ) -> None:
     """If all backends reject requests, the policy engine itself soon forwards only a few.
 
@@ -103,7 +103,7 @@
             elapsed = asyncio.get_running_loop().time() - started_at
             attempts = attempts_at(backends)
             first_attempts = len({number for backend in backends for number in backend.arrivals})
-            assert first_attempts > least_first_attempts
+            assert first_attempts > min_first_attempts
             initial_tokens = (
                 10  # tokens that retry_floor adds in 10 s, the initial capacity of the bucket
             )
--- a/tests/routes/test_model_checker.py
+++ b/tests/routes/test_model_checker.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    ("effect", "tables", "depth", "least_paths"),
+    ("effect", "tables", "depth", "min_paths"),
     [
         (Effect.SAFE, [{}], 4, 1800),
         (Effect.SAFE, HEDGE_TABLES, 4, 3500),
@@ -43,10 +43,10 @@
         (Effect.SAFE, LIMIT_TABLES, 4, 3000),
     ],
 )
-def test_no_order_of_events_breaks_an_invariant(
-    effect: Effect, tables: list[dict[str, RouteOptions]], depth: int, least_paths: int
+def test_no_order_of_events_violates_an_invariant(
+    effect: Effect, tables: list[dict[str, RouteOptions]], depth: int, min_paths: int
 ) -> None:
-    assert explore(effect, tables, depth) >= least_paths
+    assert explore(effect, tables, depth) >= min_paths
 
 
 class EffectIgnored(RouteConstraints):
@@ -56,7 +56,7 @@
         return Effect.SAFE
 
 
-class EffectAtArrival(RouteConstraints):
+class EffectReadOnceAtArrival(RouteConstraints):
     """Seeded defect: the class's effect is read at arrival and never again."""
 
     def effect(self, pending: PendingRequest) -> Effect:
@@ -78,14 +78,14 @@
 
 
 class EngineWithEffectAtArrival(PolicyEngine):
-    routes_class = EffectAtArrival
+    routes_class = EffectReadOnceAtArrival
 
 
 class EngineKeepingRequests(PolicyEngine):
     attempts_class = FinishedRequestKept
 
 
-def test_a_hedge_of_an_unsafe_class_is_found() -> None:
+def test_model_checker_finds_a_hedge_of_an_unsafe_class() -> None:
     with pytest.raises(InvariantError, match="a second effect|a refusal of what may have run"):
         explore(
             Effect.UNSAFE,
@@ -95,7 +95,7 @@
         )
 
 
-def test_a_retry_of_a_class_that_became_unsafe_is_found() -> None:
+def test_model_checker_finds_a_retry_of_a_class_that_became_unsafe() -> None:
     with pytest.raises(InvariantError, match="a second effect|a refusal of what may have run"):
         explore(
             Effect.SAFE,
@@ -105,7 +105,7 @@
         )
 
 
-def test_a_request_that_keeps_the_rules_of_an_old_generation_is_found(
+def test_model_checker_finds_a_request_that_ignores_a_reload(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(bounds_module, "stricter", lambda first, second: first)
@@ -113,7 +113,7 @@
         explore(Effect.SAFE, HEDGE_TABLES, 3)
 
 
-def test_a_retry_that_is_not_asked_for_again_after_a_reload_is_found(
+def test_model_checker_finds_a_retry_that_is_not_checked_again_after_its_backoff(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(Bounds, "may_still_retry", lambda self, sent, outcome: True)
@@ -121,7 +121,7 @@
         explore(Effect.SAFE, BACKOFF_TABLES, 5)
 
 
-def test_an_overdrawn_budget_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_model_checker_finds_an_overdrawn_budget(monkeypatch: pytest.MonkeyPatch) -> None:
     def overdraw(self: RetryBudget, now: float) -> bool:
         self.left -= 1.0
         return True
@@ -132,7 +132,7 @@
         explore(Effect.SAFE, [{"r": route}], 3)
 
 
-def test_a_finished_request_that_is_kept_is_found() -> None:
+def test_model_checker_finds_a_finished_request_that_is_not_deleted() -> None:
     with pytest.raises(
         InvariantError,
         match="a second answer|a send after the end|counts a finished request as open",
@@ -145,7 +145,7 @@
         )
 
 
-def test_a_place_in_the_limit_that_is_not_released_is_found(
+def test_model_checker_finds_a_finished_request_that_still_counts_against_the_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(RouteConstraints, "leave", lambda self, pending: None)
--- a/tests/routes/test_refused_keys.py
+++ b/tests/routes/test_refused_keys.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from tests.routes.site_settings import CHECKOUT, KEYED, STATUS, problems
+from tests.routes.site_settings import CHECKOUT, KEYED, STATUS, parse_problems
 
 # The keys of a route, and a part of the error line that they cause.
-REFUSED = [
+INVALID_ROUTES = [
     # unsafe classes
     (CHECKOUT + "retry_on = timeout", "retry_on: timeout would repeat a request that may have run"),
     (CHECKOUT + "retry_on = reset, unreachable", "reset would repeat"),
@@ -164,9 +164,9 @@
 ]
 
 
-@pytest.mark.parametrize(("keys", "expected"), REFUSED)
-def test_a_route_that_breaks_a_rule_is_refused_with_its_reason(keys: str, expected: str) -> None:
+@pytest.mark.parametrize(("keys", "expected"), INVALID_ROUTES)
+def test_an_invalid_route_is_refused_with_a_reason(keys: str, expected: str) -> None:
     errors = [
-        str(problem) for problem in problems(f"[route r]\n{keys}\n") if not problem.is_warning
+        str(problem) for problem in parse_problems(f"[route r]\n{keys}\n") if not problem.is_warning
     ]
     assert any(expected in line and line.startswith("r.ini: [route r] ") for line in errors), errors
--- a/tests/routes/test_reloads_in_service.py
+++ b/tests/routes/test_reloads_in_service.py
@@ -19,7 +19,7 @@
     CountingBackend,
     answers_after,
     answers_with,
-    put_in_force,
+    replace_routes,
     routed_ingress,
 )
 from tests.test_daemon import start_program, wait_until_ready
@@ -32,7 +32,7 @@
 
 def settings_with_status_effect(effect: str) -> dict[str, Any]:
     """Return settings that allow hedges and a high load; `effect` is that of the class status."""
-    status, checkout = (dict(one, **LONG_TIMES) for one in SETTINGS["Classes"])
+    status, checkout = (dict(request_class, **LONG_TIMES) for request_class in SETTINGS["Classes"])
     return {
         **SETTINGS,
         "Limits": {**SETTINGS["Limits"], "SecondCopies": True},
@@ -56,7 +56,7 @@
     return clients
 
 
-def test_a_class_that_becomes_unsafe_in_service_is_never_run_twice(tmp_path: Path) -> None:
+def test_requests_of_a_class_that_becomes_unsafe_are_not_retried(tmp_path: Path) -> None:
     """A reload by SIGHUP makes the class unsafe while 200 requests are open or answered.
 
     A request may already have run when its class becomes unsafe. If the ingress retried it by the
@@ -80,10 +80,10 @@
 
         backends = [CountingBackend(answer_by_number) for _ in range(3)]
         discovery = Discovery()
-        listed = [
+        targets = [
             target(f"s-{number}", await backend.start()) for number, backend in enumerate(backends)
         ]
-        endpoints = message(1, *listed, full=True)
+        endpoints = message(1, *targets, full=True)
         discovery_port = await discovery.start()
 
         def write_files(effect: str, text: str) -> None:
@@ -143,13 +143,13 @@
             _,
             _,
         ):
-            is_over = asyncio.Event()
+            is_finished = asyncio.Event()
 
             async def send_requests(number: int) -> int:
                 client = await Client.open(ingress.address.port)
                 client.asked += number << 20
                 served = 0
-                while not is_over.is_set():
+                while not is_finished.is_set():
                     assert await client.call() == b"value"
                     served += 1
                 return served
@@ -157,9 +157,9 @@
             sending = [asyncio.create_task(send_requests(number)) for number in range(1, 5)]
             for number in range(100):
                 keys = f"attempts = {1 + number % 4}\nlimit = {20 + number}\n"
-                table = put_in_force(ingress, f"{STATUS}{keys}[route x{number}]\nplan = gross\n")
+                table = replace_routes(ingress, f"{STATUS}{keys}[route x{number}]\nplan = gross\n")
                 await asyncio.sleep(0.005)
-            is_over.set()
+            is_finished.set()
             assert min(await asyncio.gather(*sending)) > 10
             assert set(table.spent) == {"s", "x99"}, "the usage of removed routes is deleted"
 
@@ -177,7 +177,9 @@
     return errors
 
 
-def test_a_refused_route_ends_a_start_and_changes_nothing_in_a_reload(tmp_path: Path) -> None:
+def test_an_invalid_route_aborts_startup_and_leaves_routes_unchanged_on_reload(
+    tmp_path: Path,
+) -> None:
     file = tmp_path / "my.ini"
     file.write_text(CHECKOUT + "retry_on = timeout\n")
 
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -11,7 +11,7 @@
 
 
 @given(st.data())
-def test_the_index_finds_what_a_scan_finds(data: st.DataObject) -> None:
+def test_the_index_finds_the_same_route_as_a_linear_scan(data: st.DataObject) -> None:
     count = data.draw(st.integers(0, 8))
     table = table_of({f"r{number}": data.draw(route_options()) for number in range(count)})
     for _ in range(5):
@@ -31,7 +31,7 @@
         assert table.find(request) is next(matching, None)
 
 
-def test_usage_carries_over_by_name_and_is_dropped_with_the_last_request() -> None:
+def test_usage_is_kept_by_route_name_until_the_last_request_ends() -> None:
     table = table_of({"x": RouteOptions(limit="5"), "y": RouteOptions()})
     bounds = bounds_of(table, "x")
     assert bounds.enter(1, 1.0, 0.0) == (True, None)
