--- a/dockthread/routes/bounds.py
+++ b/dockthread/routes/bounds.py
@@ -36,7 +36,7 @@
         ...
 
     def rules_for(self, request: RequestAttributes) -> Rules:
-        """Return the rules that a request with these attributes would get now."""
+        """Return the rules that a request with the given attributes would get now."""
         ...
 
     def delete_idle_usage(self) -> None:
--- a/dockthread/routes/concurrency_limit.py
+++ b/dockthread/routes/concurrency_limit.py
@@ -1,6 +1,6 @@
 """Concurrency limits of routes, fixed or adaptive.
 
-The adaptive limit is the gradient algorithm of Netflix's concurrency-limits library:
+The adaptive limit uses the Gradient algorithm of Netflix's concurrency-limits library:
 
     gradient = clamp(TOLERANCE * best / recent, MIN_GRADIENT, 1)
     limit    = (1 - SMOOTHING) * limit + SMOOTHING * (limit * gradient + sqrt(limit))
@@ -23,7 +23,7 @@
 
 TOLERANCE = 1.5  # the gradient is 1 while `recent` is at most this multiple of `best`
 SMOOTHING = 0.4  # weight of the new limit in its average with the old limit
-MIN_GRADIENT = 0.5  # keeps a single update from closing a route
+MIN_GRADIENT = 0.5  # keeps a single update from blocking a route
 UPDATE_INTERVAL = 0.1  # s; the answers within one round trip reflect the same limit
 RECENT_WEIGHT = 0.2  # weight of a new answer time in the moving average
 BEST_GROWTH_RATE = 0.01  # growth of the best answer time, as a fraction per second
--- a/dockthread/routes/explain.py
+++ b/dockthread/routes/explain.py
@@ -1,4 +1,4 @@
-"""Explains the route of one request, for `check --explain`.
+"""Explains the route of one request, for the option `check --explain`.
 
 The explanation shows which route the request takes and why, a timeline of its attempts, and its
 worst case.
--- a/dockthread/routes/retry_budget.py
+++ b/dockthread/routes/retry_budget.py
@@ -42,7 +42,7 @@
         self.ratio = ratio
         self.floor = floor
         self._updated_at = now
-        self._first_attempt_rate = 0.0  # per second, decays over DEPOSIT_SPAN
+        self._first_attempt_rate = 0.0  # per second, decays over CAPACITY_PERIOD
         self.left = self.capacity()
         self.tokens_taken = 0
         self.refused = 0
--- a/dockthread/routes/wait_queue.py
+++ b/dockthread/routes/wait_queue.py
@@ -1,4 +1,4 @@
-"""The queue of the requests that wait for a route's concurrency limit."""
+"""The queue of requests that wait for admission under a route's concurrency limit."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     """A bounded priority queue of requests: greatest weight first, then longest waiting first.
 
     Attributes:
-        max_length: How many requests may wait.
+        max_length: The largest number of waiting requests.
     """
 
     __slots__ = ("_arrival_count", "_heap", "_removed", "max_length")
--- a/tests/routes/test_model_checker.py
+++ b/tests/routes/test_model_checker.py
@@ -86,7 +86,9 @@
 
 
 def test_model_checker_finds_a_hedge_of_an_unsafe_class() -> None:
-    with pytest.raises(InvariantError, match="a second effect|a refusal of what may have run"):
+    with pytest.raises(
+        InvariantError, match="a second effect|a rejection of a request that may have run"
+    ):
         explore(
             Effect.UNSAFE,
             HEDGE_TABLES,
@@ -96,7 +98,9 @@
 
 
 def test_model_checker_finds_a_retry_of_a_class_that_became_unsafe() -> None:
-    with pytest.raises(InvariantError, match="a second effect|a refusal of what may have run"):
+    with pytest.raises(
+        InvariantError, match="a second effect|a rejection of a request that may have run"
+    ):
         explore(
             Effect.SAFE,
             HEDGE_TABLES[:1],
--- a/tests/routes/test_reloads_in_service.py
+++ b/tests/routes/test_reloads_in_service.py
@@ -128,7 +128,7 @@
             assert "other command" in await late_client.answer()
             for client in (late_client, *clients):
                 client.send(b"PING")
-                assert await client.answer() == b"PONG", "each request got one answer"
+                assert await client.answer() == b"PONG", "each request gets exactly one answer"
 
     run(scenario())
 
