--- a/dockthread/config/ini_reader.py
+++ b/dockthread/config/ini_reader.py
@@ -180,7 +180,10 @@
 
 
 def _read_section(
-    config: OperatorConfig, kinds: Mapping[str, SectionKind], heading: str, texts: dict[str, str]
+    config: OperatorConfig,
+    kinds: Mapping[str, SectionKind],
+    heading: str,
+    raw_values: dict[str, str],
 ) -> None:
     """Parse a section and add it, or its problems, to `config`."""
     kind, _, name = heading.strip().partition(" ")
@@ -189,10 +192,10 @@
     if problem is not None:
         config.problems.append(problem)
         return
-    section = _parse_section(config, heading, kinds[kind].struct, texts)
+    section = _parse_section(config, heading, kinds[kind].struct, raw_values)
     if section is not None:
         config.sections.setdefault(kind, {})[name] = section
-        config.explicit_keys[kind, name] = set(texts)
+        config.explicit_keys[kind, name] = set(raw_values)
 
 
 def _heading_problem(
@@ -212,10 +215,10 @@
 
 
 def _parse_section(
-    config: OperatorConfig, heading: str, struct: type[Section], texts: dict[str, str]
+    config: OperatorConfig, heading: str, struct: type[Section], raw_values: dict[str, str]
 ) -> Section | None:
     """Return the section, or None if it has problems, which are added to `config`."""
-    fields = {each.encode_name: each for each in msgspec.structs.fields(struct)}
+    fields = {field_info.encode_name: field_info for field_info in msgspec.structs.fields(struct)}
     values: dict[str, Any] = {}
     bad_keys: set[str] = set()
 
@@ -223,7 +226,7 @@
         bad_keys.add(key)
         config.problems.append(ConfigProblem(config.file, heading, key, reason, remedy))
 
-    for key, text in texts.items():
+    for key, text in raw_values.items():
         if key not in fields:
             remedy = _suggestion(key, fields) or _known_names(fields)
             report(key, "is no key of this section", remedy)
@@ -232,10 +235,10 @@
             values[fields[key].name] = parse_value(text, fields[key].type)
         except (ValueError, msgspec.ValidationError) as error:
             report(key, f"{text[:MAX_SHOWN_CHARACTERS]!r} {error}")
-    for key, wanted in fields.items():
-        if wanted.required and key not in texts:
+    for key, field_info in fields.items():
+        if field_info.required and key not in raw_values:
             report(key, "is missing", f"write {key} = ...")
-    if any(wanted.required and wanted.name not in values for wanted in fields.values()):
+    if any(field_info.required and field_info.name not in values for field_info in fields.values()):
         return None
     # Invalid keys keep their defaults here, so that the other keys are still checked.
     section = struct(**values)
@@ -245,31 +248,31 @@
     return None if bad_keys else section
 
 
-def parse_value(text: str, wanted: Any) -> Any:
+def parse_value(text: str, field_type: Any) -> Any:
     """Parse the value of a key as its field's type.
 
     Args:
         text: The value as written in the file.
-        wanted: The annotation of the field; `X | None` is treated as `X`.
+        field_type: The annotation of the field; `X | None` is treated as `X`.
 
     Raises:
         ValueError: The text is not a value of that type.
         msgspec.ValidationError: Like ValueError.
     """
-    alternatives = [each for each in typing.get_args(wanted) if each is not type(None)]
-    if typing.get_origin(wanted) in (types.UnionType, Union) and len(alternatives) == 1:
-        wanted = alternatives[0]
-    if wanted in (Duration, Share, Size):
-        return wanted.parse(text)
-    if wanted is bool:
+    member_types = [member for member in typing.get_args(field_type) if member is not type(None)]
+    if typing.get_origin(field_type) in (types.UnionType, Union) and len(member_types) == 1:
+        field_type = member_types[0]
+    if field_type in (Duration, Share, Size):
+        return field_type.parse(text)
+    if field_type is bool:
         return parse_bool(text)
-    if typing.get_origin(wanted) in (tuple, list):
+    if typing.get_origin(field_type) in (tuple, list):
         parts = [part.strip() for part in text.split(",") if part.strip()]
-        return tuple(parse_value(part, typing.get_args(wanted)[0]) for part in parts)
-    if typing.get_origin(wanted) is typing.Literal:
-        return _parse_literal(text, typing.get_args(wanted))
+        return tuple(parse_value(part, typing.get_args(field_type)[0]) for part in parts)
+    if typing.get_origin(field_type) is typing.Literal:
+        return _parse_literal(text, typing.get_args(field_type))
     try:
-        return msgspec.convert(text, wanted, strict=False)
+        return msgspec.convert(text, field_type, strict=False)
     except msgspec.ValidationError as error:
         raise ValueError(f"is not valid: {str(error)[0].lower()}{str(error)[1:]}") from error
 
@@ -282,12 +285,12 @@
     return text
 
 
-def _suggestion(word: str, known: Iterable[str]) -> str:
-    """Return a question that proposes the known name most similar to `word`.
+def _suggestion(unknown_name: str, known: Iterable[str]) -> str:
+    """Return a question that proposes the known name most similar to `unknown_name`.
 
     The question is empty if no name is similar enough.
     """
-    close = difflib.get_close_matches(word, list(known), 1, MIN_SIMILARITY)
+    close = difflib.get_close_matches(unknown_name, list(known), 1, MIN_SIMILARITY)
     return f"did you mean {close[0]}?" if close else ""
 
 
--- a/dockthread/routes/check.py
+++ b/dockthread/routes/check.py
@@ -95,8 +95,8 @@
 
 
 def _shadowing_findings(routes: Mapping[str, RouteOptions], names: Names) -> Iterator[Finding]:
-    numbers = NameNumbering(names)
+    numbering = NameNumbering(names)
     positions = file_positions(routes)
-    matchers = (numbers.matcher(name, route, positions[name]) for name, route in routes.items())
+    matchers = (numbering.matcher(name, route, positions[name]) for name, route in routes.items())
     for name, shadowed_by in shadowed_routes(matchers):
         yield shadowed_finding(name, shadowed_by, "move this route before that one")
--- a/dockthread/routes/class_proof.py
+++ b/dockthread/routes/class_proof.py
@@ -31,12 +31,12 @@
     def __init__(
         self, name: str, route: RouteOptions, settings: PolicySettings, names: Names
     ) -> None:
-        numbers = NameNumbering(names)
+        numbering = NameNumbering(names)
         self._name = name
         self._route = route
         self._settings = settings
         self._names = names
-        self._rules = rules_from_options(name, route, numbers.zones, numbers.kinds)
+        self._rules = rules_from_options(name, route, numbering.zones, numbering.kinds)
 
     def findings(self) -> Iterator[Finding]:
         """Yield every rule that the route violates."""
@@ -224,15 +224,15 @@
         for name, plan in zip(self._names.plans, settings.plans, strict=True):
             if route.plan and name not in route.plan:
                 continue
-            needed = plan.rate / settings.max_request_units * latency / settings.ingress_count
-            if plan.rate and limit < needed:
+            needed_limit = plan.rate / settings.max_request_units * latency / settings.ingress_count
+            if plan.rate and limit < needed_limit:
                 rate = f"{limit / latency:.3g} {class_name} a second"
                 yield self._finding(
                     "limit_max" if route.is_adaptive else "limit",
                     ValidationRule.LIMIT_SERVES_QUOTA,
                     f"{limit} concurrent requests serve {rate}; one firm of {name} may send more",
-                    f"at least {int(needed) + 1}",
-                    is_warning=limit >= ERROR_FRACTION * needed,
+                    f"at least {int(needed_limit) + 1}",
+                    is_warning=limit >= ERROR_FRACTION * needed_limit,
                 )
                 return
 
--- a/dockthread/routes/concurrency_limit.py
+++ b/dockthread/routes/concurrency_limit.py
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        fixed: int | None,
+        fixed_limit: int | None,
         minimum: int = DEFAULT_MIN_LIMIT,
         maximum: int = DEFAULT_MAX_LIMIT,
         adaptive: bool = False,
@@ -70,7 +70,7 @@
         self.is_adaptive = adaptive
         self.minimum = minimum
         self.maximum = maximum
-        self.limit: float = math.inf if fixed is None else fixed
+        self.limit: float = math.inf if fixed_limit is None else fixed_limit
         if adaptive:
             self.limit = min(max(INITIAL_LIMIT, minimum), maximum)
         self.inside = 0
@@ -80,7 +80,9 @@
         self._updated_at = -math.inf
         self._reduced_at = -math.inf
 
-    def reconfigure(self, fixed: int | None, minimum: int, maximum: int, adaptive: bool) -> None:
+    def reconfigure(
+        self, fixed_limit: int | None, minimum: int, maximum: int, adaptive: bool
+    ) -> None:
         """Apply new settings after a reload; an adaptive limit keeps its current value."""
         self.minimum = minimum
         self.maximum = maximum
@@ -88,7 +90,7 @@
             current = self.limit if self.is_adaptive else INITIAL_LIMIT
             self.limit = min(max(current, minimum), maximum)
         else:
-            self.limit = math.inf if fixed is None else fixed
+            self.limit = math.inf if fixed_limit is None else fixed_limit
         self.is_adaptive = adaptive
 
     @property
--- a/dockthread/routes/layers.py
+++ b/dockthread/routes/layers.py
@@ -35,7 +35,7 @@
         self.published: dict[str, RouteOptions] = {}
         self._settings = settings
         self._names = names
-        self._numbers = NameNumbering(names)
+        self._numbering = NameNumbering(names)
         self._file_routes: Mapping[str, RouteOptions] = {}
         self._file_positions: dict[str, Position] = {}
         # The routes of all zones, which validation needs; created on first use.
@@ -62,15 +62,15 @@
         for name in former_names - routes.keys() - self.published.keys():
             self._remove_from_table(name)
         # A published route whose name the file no longer has moves to the published layer.
-        moved = (former_names & self.published.keys()) - routes.keys()
-        for name in [*routes, *moved]:
+        moved_to_published = (former_names & self.published.keys()) - routes.keys()
+        for name in [*routes, *moved_to_published]:
             self._put(name, self.published.get(name) or routes[name], now)
 
     def set_settings(self, settings: PolicySettings, names: Names) -> None:
         """Validate later changes against new settings; each existing name keeps its number."""
         self._settings = settings
         self._names = names
-        self._numbers = NameNumbering(names)
+        self._numbering = NameNumbering(names)
         self.table.set_names(names)
 
     def put(self, name: str, route: RouteOptions, now: float) -> Finding | None:
@@ -83,7 +83,7 @@
         for finding in check_route(name, route, self._settings, self._names):
             if not finding.is_warning:
                 return finding
-        shadowing = self._shadowing(name, route)
+        shadowing = self._shadowing_finding(name, route)
         if shadowing is not None:
             return shadowing
         self.published[name] = route
@@ -99,10 +99,10 @@
         else:
             self._remove_from_table(name)
 
-    def _shadowing(self, name: str, route: RouteOptions) -> Finding | None:
+    def _shadowing_finding(self, name: str, route: RouteOptions) -> Finding | None:
         """Return a finding if the route could never match or would keep another from matching."""
         routes = self._routes_of_all_zones()
-        matcher = self._numbers.matcher(name, route, self._position(name))
+        matcher = self._numbering.matcher(name, route, self._position(name))
         former = routes.remove(name)
         covering = routes.first_covering(matcher)
         covered = routes.first_covered(matcher)
@@ -124,11 +124,11 @@
             self._all_zone_routes = OrderedRoutes()
             for name, route in self._file_routes.items():
                 position = self._file_positions[name]
-                self._all_zone_routes.put(self._numbers.matcher(name, route, position))
+                self._all_zone_routes.put(self._numbering.matcher(name, route, position))
         return self._all_zone_routes
 
     def _put(self, name: str, route: RouteOptions, now: float) -> None:
-        matcher = self._numbers.matcher(name, route, self._position(name))
+        matcher = self._numbering.matcher(name, route, self._position(name))
         self._routes_of_all_zones().put(matcher)
         self.table.put(matcher, route, now)
 
--- a/dockthread/routes/matcher.py
+++ b/dockthread/routes/matcher.py
@@ -83,18 +83,18 @@
         return other.units[0] in self.units and other.units[-1] in self.units
 
 
-def _includes(wide: frozenset[int], narrow: frozenset[int]) -> bool:
-    return not wide or (bool(narrow) and narrow <= wide)
+def _includes(accepted: frozenset[int], other_accepted: frozenset[int]) -> bool:
+    return not accepted or (bool(other_accepted) and other_accepted <= accepted)
 
 
 class NameNumbering:
     """Maps the names in the settings to the numbers that the policy engine uses."""
 
     def __init__(self, names: Names) -> None:
-        self.classes = _numbered(names.classes)
-        self.plans = _numbered(names.plans)
-        self.zones = _numbered(names.zones)
-        self.kinds = _numbered(names.kinds)
+        self.classes = _number_names(names.classes)
+        self.plans = _number_names(names.plans)
+        self.zones = _number_names(names.zones)
+        self.kinds = _number_names(names.kinds)
         # Equal sets of the same key share one object, because thousands of routes may have the
         # same value for a key.
         self._shared_sets: dict[tuple[str, frozenset[Any]], frozenset[Any]] = {}
@@ -126,7 +126,7 @@
         return self._shared_sets.setdefault((key, found), found)
 
 
-def _numbered(names: Iterable[str]) -> dict[str, int]:
+def _number_names(names: Iterable[str]) -> dict[str, int]:
     return {name: number for number, name in enumerate(names)}
 
 
--- a/dockthread/routes/model_checker.py
+++ b/dockthread/routes/model_checker.py
@@ -234,7 +234,7 @@
         if self._bounds is not None and has_open:
             raise InvariantError("a route that counts a finished request as open", self._path)
 
-    def _attributes(self) -> RequestAttributes:
+    def _request_attributes(self) -> RequestAttributes:
         return RequestAttributes(
             request_class=0,
             plan=0,
@@ -245,14 +245,14 @@
         )
 
     def _bounds_at_arrival(self) -> Bounds | None:
-        request = self._attributes()
+        request = self._request_attributes()
         matcher = self.table.find(request)
         if matcher is None:
             return None
         return Bounds(self.table, request, matcher.rules, self.table.spent[matcher.rules.name])
 
     def _allowed_attempts(self) -> int:
-        return self.table.rules_for(self._attributes()).attempts or MAX_ATTEMPTS
+        return self.table.rules_for(self._request_attributes()).attempts or MAX_ATTEMPTS
 
     def _has_timer_before(self, end: float) -> bool:
         return any(timer.at < end for timer in self._timers)
--- a/dockthread/routes/rules.py
+++ b/dockthread/routes/rules.py
@@ -88,8 +88,8 @@
     return Rules(
         name=first.name,
         timeout=first.timeout,
-        attempt_timeout=_shorter(first.attempt_timeout, second.attempt_timeout),
-        attempts=int(_shorter(first.attempts, second.attempts)),
+        attempt_timeout=_smaller_bound(first.attempt_timeout, second.attempt_timeout),
+        attempts=int(_smaller_bound(first.attempts, second.attempts)),
         retry_on=_common_outcomes(first.retry_on, second.retry_on),
         backoff=max(first.backoff, second.backoff),
         max_backoff=max(first.max_backoff, second.max_backoff),
@@ -103,7 +103,7 @@
     )
 
 
-def _shorter(first: float, second: float) -> float:
+def _smaller_bound(first: float, second: float) -> float:
     """Return the smaller bound; 0 means unbounded."""
     return min(first, second) if first and second else first or second
 
--- a/dockthread/routes/table.py
+++ b/dockthread/routes/table.py
@@ -74,7 +74,7 @@
     """
 
     def __init__(self, names: Names, zone: int, seed: int) -> None:
-        self._numbers = NameNumbering(names)
+        self._numbering = NameNumbering(names)
         self._zone = zone
         self._rng = random.Random(seed)
         self.generation = 0
@@ -94,7 +94,7 @@
 
     def set_names(self, names: Names) -> None:
         """Use the names of new settings, in which each existing name keeps its number."""
-        self._numbers = NameNumbering(names)
+        self._numbering = NameNumbering(names)
 
     def replace(self, routes: Mapping[str, RouteOptions], now: float) -> None:
         """Replace all routes by `routes`, which are matched in the given order.
@@ -106,11 +106,11 @@
             KeyError: The settings do not define a name. `check` reports this beforehand.
         """
         positions = file_positions(routes)
-        numbers = self._numbers
+        numbering = self._numbering
         ordered = OrderedRoutes()
         for name, options in routes.items():
-            if numbers.is_in_zone(options, self._zone):
-                ordered.put(numbers.matcher(name, options, positions[name]))
+            if numbering.is_in_zone(options, self._zone):
+                ordered.put(numbering.matcher(name, options, positions[name]))
         self.generation += 1
         self._index = {}
         self._ordered = ordered
@@ -123,7 +123,7 @@
     def put(self, matcher: Matcher, options: RouteOptions, now: float) -> None:
         """Add the route compiled from `options`, or replace the route with the same name."""
         name = matcher.rules.name
-        if not self._numbers.is_in_zone(options, self._zone):
+        if not self._numbering.is_in_zone(options, self._zone):
             self.remove(name)
             return
         self._remove_matcher(name)
@@ -157,12 +157,12 @@
             request.is_retry,
             request.units,
         )
-        candidates = self._index.get(key)
-        if candidates is None:
+        matches = self._index.get(key)
+        if matches is None:
             if len(self._index) >= MAX_COMBINATIONS:
                 self._index.clear()
-            candidates = self._index[key] = self._find_candidates(request)
-        return candidates.by_customer.get(request.customer, candidates.for_any_customer)
+            matches = self._index[key] = self._compute_matches(request)
+        return matches.by_customer.get(request.customer, matches.for_any_customer)
 
     def rules_for(self, request: RequestAttributes) -> Rules:
         """Return the rules for a request; if no route matches, they limit nothing."""
@@ -188,17 +188,17 @@
         """Return the routes that are matched before this one."""
         return self._ordered.matchers_before(matcher)
 
-    def _find_candidates(self, request: RequestAttributes) -> _CachedMatches:
-        candidates = _CachedMatches()
+    def _compute_matches(self, request: RequestAttributes) -> _CachedMatches:
+        matches = _CachedMatches()
         for matcher in self._ordered.matchers:
             if not matcher.matches_except_customer(request):
                 continue
             if not matcher.customers:
-                candidates.for_any_customer = matcher
+                matches.for_any_customer = matcher
                 break
             for customer in matcher.customers:
-                candidates.by_customer.setdefault(customer, matcher)
-        return candidates
+                matches.by_customer.setdefault(customer, matcher)
+        return matches
 
     def _remove_matcher(self, name: str) -> bool:
         matcher = self._ordered.remove(name)
@@ -211,7 +211,7 @@
         """Update or drop the cached results that the added or removed route `changed` affects."""
         repairs = len(changed.customers) * len(self._index)
         must_drop = not changed.customers or repairs > MAX_REPAIRS
-        for key, candidates in list(self._index.items()):
+        for key, matches in list(self._index.items()):
             request_class, plan, is_write, is_retry, units = key
             request = RequestAttributes(request_class, plan, is_write, 0, units, is_retry)
             if not changed.matches_except_customer(request):
@@ -220,29 +220,29 @@
                 del self._index[key]
                 continue
             for customer in changed.customers:
-                self._repair_customer(candidates, request, customer)
+                self._repair_customer(matches, request, customer)
 
     def _repair_customer(
-        self, candidates: _CachedMatches, request: RequestAttributes, customer: int
+        self, matches: _CachedMatches, request: RequestAttributes, customer: int
     ) -> None:
         routes_of_customer = self._ordered.by_customer.get(customer, ())
         first_match = next(
             (route for route in routes_of_customer if route.matches_except_customer(request)), None
         )
-        fallback = candidates.for_any_customer
+        fallback = matches.for_any_customer
         if first_match is not None and (
             fallback is None or first_match.position < fallback.position
         ):
-            candidates.by_customer[customer] = first_match
+            matches.by_customer[customer] = first_match
         else:
-            candidates.by_customer.pop(customer, None)
+            matches.by_customer.pop(customer, None)
 
     def _configure_usage(self, name: str, options: RouteOptions, now: float) -> None:
         """Apply a route's options to its usage, which is created if it does not exist."""
         ratio = DEFAULT_RATIO if options.retry_budget is None else float(options.retry_budget)
         floor = DEFAULT_FLOOR if options.retry_floor is None else options.retry_floor
         hedge_share = 1.0 if options.copy_share is None else float(options.copy_share)
-        fixed, adaptive = options.fixed_limit, options.is_adaptive
+        fixed_limit, adaptive = options.fixed_limit, options.is_adaptive
         minimum = options.limit_min or min(
             DEFAULT_MIN_LIMIT, options.limit_max or DEFAULT_MIN_LIMIT
         )
@@ -251,13 +251,13 @@
         usage = self.spent.get(name)
         if usage is None:
             budget = RetryBudget(ratio, floor, now)
-            limit = ConcurrencyLimit(fixed, minimum, maximum, adaptive)
+            limit = ConcurrencyLimit(fixed_limit, minimum, maximum, adaptive)
             usage = RouteUsage(budget, limit, queue_length, now, self._rng)
             usage.hedge_budget.reconfigure(hedge_share, 0.0)
             self.spent[name] = usage
             return
         usage.hedge_budget.reconfigure(hedge_share, 0.0)
-        usage.limit.reconfigure(fixed, minimum, maximum, adaptive)
+        usage.limit.reconfigure(fixed_limit, minimum, maximum, adaptive)
         usage.queue.max_length = queue_length
         if usage.budget is None:
             usage.budget = RetryBudget(ratio, floor, now)
--- a/dockthread/routes/worst_case.py
+++ b/dockthread/routes/worst_case.py
@@ -45,9 +45,9 @@
         """The time from the request's arrival to the end of its last attempt."""
         if not self.has_attempt_timeout:
             return self.time_limit
-        sequential = self.attempts * self.attempt_timeout + sum(self.backoffs)
-        hedged = self.hedge_delay + self.attempt_timeout if self.hedge_delay else 0.0
-        return self.queue_wait + max(sequential, hedged)
+        sequential_time = self.attempts * self.attempt_timeout + sum(self.backoffs)
+        hedged_time = self.hedge_delay + self.attempt_timeout if self.hedge_delay else 0.0
+        return self.queue_wait + max(sequential_time, hedged_time)
 
     @property
     def exceeds_time_limit(self) -> bool:
--- a/tests/routes/tables.py
+++ b/tests/routes/tables.py
@@ -55,8 +55,8 @@
     In each pair the shadowed route comes first.
     """
     positions = file_positions(routes)
-    numbers = NameNumbering(NAMES)
-    matchers = [numbers.matcher(name, route, positions[name]) for name, route in routes.items()]
+    numbering = NameNumbering(NAMES)
+    matchers = [numbering.matcher(name, route, positions[name]) for name, route in routes.items()]
     return [
         (later.rules.name, earlier.rules.name)
         for number, earlier in enumerate(matchers)
--- a/tests/routes/test_keys_in_service.py
+++ b/tests/routes/test_keys_in_service.py
@@ -190,8 +190,8 @@
             for _ in range(10):
                 await client.call()
             assert attempts_at(backends) == 10, "no backend is in hall-b, so all backends serve"
-            moved = target("s-1", int(backends[1].server.sockets[0].getsockname()[1]))
-            ingress.dispatch(ingress.endpoints.apply(message(2, {**moved, "az": "hall-b"})))
+            moved_target = target("s-1", int(backends[1].server.sockets[0].getsockname()[1]))
+            ingress.dispatch(ingress.endpoints.apply(message(2, {**moved_target, "az": "hall-b"})))
             backends[0].arrivals.clear()
             for _ in range(20):
                 await client.call()
--- a/tests/routes/test_layers.py
+++ b/tests/routes/test_layers.py
@@ -70,10 +70,12 @@
                 routes_before,
                 routes_after,
             )
-        one_file = table_of(merged_layers(file_routes, layers.published))
-        assert rules_of_all_requests(layers.table) == rules_of_all_requests(one_file)
+        one_file_table = table_of(merged_layers(file_routes, layers.published))
+        assert rules_of_all_requests(layers.table) == rules_of_all_requests(one_file_table)
     routes_before = merged_layers(file_routes, layers.published)
     longer_file_routes = {"f9": RouteOptions(), **file_routes}
     layers.set_file(longer_file_routes, 0.0)
-    one_file.replace(merged_layers(longer_file_routes, layers.published), 0.0)
-    assert rules_of_all_requests(layers.table) == rules_of_all_requests(one_file), routes_before
+    one_file_table.replace(merged_layers(longer_file_routes, layers.published), 0.0)
+    assert rules_of_all_requests(layers.table) == rules_of_all_requests(one_file_table), (
+        routes_before
+    )
--- a/tests/routes/test_reloads_in_service.py
+++ b/tests/routes/test_reloads_in_service.py
@@ -122,11 +122,11 @@
                 "no request that may have run is retried after the reload"
             )
             # The class now consists of writes, which need the other command.
-            late_client = await Client.open(port)
-            late_client.asked += 9000
-            late_client.ask()
-            assert "other command" in await late_client.answer()
-            for client in (late_client, *clients):
+            new_client = await Client.open(port)
+            new_client.asked += 9000
+            new_client.ask()
+            assert "other command" in await new_client.answer()
+            for client in (new_client, *clients):
                 client.send(b"PING")
                 assert await client.answer() == b"PONG", "each request gets exactly one answer"
 
