--- a/dockthread/config/ini_reader.py
+++ b/dockthread/config/ini_reader.py
@@ -218,7 +218,7 @@
     config: OperatorConfig, heading: str, struct: type[Section], raw_values: dict[str, str]
 ) -> Section | None:
     """Return the section, or None if it has problems, which are added to `config`."""
-    fields = {field_info.encode_name: field_info for field_info in msgspec.structs.fields(struct)}
+    fields = {info.encode_name: info for info in msgspec.structs.fields(struct)}
     values: dict[str, Any] = {}
     bad_keys: set[str] = set()
 
--- a/dockthread/routes/findings.py
+++ b/dockthread/routes/findings.py
@@ -61,5 +61,5 @@
 
 def shadowed_finding(route: str, shadowed_by: str, remedy: str) -> Finding:
     """Return the finding that an earlier route takes all requests that `route` could match."""
-    counterexample = f"can never match: [route {shadowed_by}] before it takes all its requests"
+    counterexample = f"can never match: the earlier [route {shadowed_by}] takes all its requests"
     return Finding(route, "", ValidationRule.REACHABLE, counterexample, remedy)
--- a/dockthread/routes/layers.py
+++ b/dockthread/routes/layers.py
@@ -109,10 +109,10 @@
         if former is not None:
             routes.put(former)
         if covering is not None:
-            return shadowed_finding(name, covering.rules.name, "narrow that one first")
+            return shadowed_finding(name, covering.rules.name, "narrow that route first")
         if covered is not None:
             counterexample = f"leaves none of its requests to [route {covered.rules.name}]"
-            remedy = "delete that one first"
+            remedy = "delete that route first"
             return Finding(name, "", ValidationRule.LEAVES_REQUESTS, counterexample, remedy)
         return None
 
