--- a/dockthread/logs/setup.py
+++ b/dockthread/logs/setup.py
@@ -1,4 +1,4 @@
-"""Sets the log up: text for people, or JSON lines for a collector."""
+"""Sets up logging as text for people or as JSON lines for a log collector."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 if TYPE_CHECKING:
     from dockthread.logs.options import LogOptions
 
-LINE = "{time:YYYY-MM-DDTHH:mm:ss.SSS} {level} {message}"
+LINE_FORMAT = "{time:YYYY-MM-DDTHH:mm:ss.SSS} {level} {message}"
 STREAMS = ("stderr", "stdout")
 
 
 def set_up(level: str, options: LogOptions | None = None, **fields: str) -> None:
-    """Replace every sink by the one that the options name.
+    """Replace all sinks by the one that the options name.
 
-    `fields` are bound to every line; JSON shows them, text does not.
+    `fields` are bound to every line; they appear in JSON lines but not in text lines.
 
     Raises:
         SettingsError: The level is unknown, or the target cannot be opened.
@@ -31,12 +31,13 @@
     logger.configure(extra=fields)
     try:
         if form == "json":
-            stream: TextIO = sink if target in STREAMS else open(target, "a", buffering=1)  # noqa: SIM115  open to the end
+            stream: TextIO = sink if target in STREAMS else open(target, "a", buffering=1)  # noqa: SIM115  stays open until the process exits
             logger.add(
-                lambda message: print(as_json(message.record), file=stream, flush=True), level=level
+                lambda message: print(format_json(message.record), file=stream, flush=True),
+                level=level,
             )
         else:
-            logger.add(sink, level=level, format=LINE)
+            logger.add(sink, level=level, format=LINE_FORMAT)
     except ValueError as error:
         raise SettingsError(
             str(error), key="DOCKTHREAD_LOG", text=f"DOCKTHREAD_LOG: {error}"
@@ -46,11 +47,11 @@
         raise SettingsError(reason, section="log", key="target") from error
 
 
-def as_json(record: Any) -> str:
-    """Return a record as one line of JSON.
+def format_json(record: Any) -> str:
+    """Return a log record as one line of JSON.
 
-    It has time, level, message, module and the bound fields; for an exception also its type, its
-    text, and the file and line that raised it.
+    The line has the time, level, message, module and the bound fields. If the record has an
+    exception, the line also has its type and text, and the file and line that raised it.
     """
     line: dict[str, Any] = {
         "time": record["time"].isoformat(timespec="milliseconds"),
@@ -64,9 +65,9 @@
         line["exception"] = (
             f"{exception.type.__name__}: {exception.value}" if exception.type else ""
         )
-        frame = exception.traceback
-        if frame is not None:
-            while frame.tb_next is not None:
-                frame = frame.tb_next
-            line["at"] = f"{frame.tb_frame.f_code.co_filename}:{frame.tb_lineno}"
+        traceback = exception.traceback
+        if traceback is not None:
+            while traceback.tb_next is not None:
+                traceback = traceback.tb_next
+            line["at"] = f"{traceback.tb_frame.f_code.co_filename}:{traceback.tb_lineno}"
     return json.dumps(line, default=str)
--- a/dockthread/routes/matcher.py
+++ b/dockthread/routes/matcher.py
@@ -1,4 +1,4 @@
-"""One route compiled for matching: which requests it takes, its position, and its rules."""
+"""A route compiled for matching: which requests it takes, its position, and its rules."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Matcher:
-    """Which requests one route takes; an empty set or None matches all.
+    """Matches requests against one route; an empty set or None matches every request.
 
     Attributes:
-        position: Where the route stands among the others.
-        rules: The limits that it sets for the requests that it takes.
+        position: The route's position in the matching order.
+        rules: The rules for the requests that the route takes.
         classes: Numbers of the request classes.
         plans: Numbers of the customers' plans.
-        writes: Whether the request is a write; both values may be in the set.
+        writes: {True} for writes only, {False} for reads only.
         customers: Numbers of the customers.
-        units: How many units the request may cost.
-        retry: Whether the client marked the request as a retry.
-        zones: Names of the zones whose ingresses have the route.
+        units: Costs of a request, in units.
+        retry: True for requests that the client marked as a retry, False for all others.
+        zones: Names of the zones whose ingresses use the route.
     """
 
     position: Position
@@ -39,7 +39,7 @@
     zones: frozenset[str] = frozenset()
 
     def matches_except_customer(self, request: RequestAttributes) -> bool:
-        """Return whether the request fits in all but the customer."""
+        """Return whether the request matches every condition except the customer."""
         return (
             (not self.classes or request.request_class in self.classes)
             and (not self.plans or request.plan in self.plans)
@@ -49,11 +49,11 @@
         )
 
     def matches_customer(self, request: RequestAttributes) -> bool:
-        """Return whether the request's customer fits."""
+        """Return whether the request's customer matches."""
         return not self.customers or request.customer in self.customers
 
     def mismatched_keys(self, request: RequestAttributes) -> list[str]:
-        """Return the keys of the route, as the operator's file has them, that do not fit."""
+        """Return the keys in the operator's file whose conditions the request does not match."""
         fits_by_key = {
             "class": not self.classes or request.request_class in self.classes,
             "plan": not self.plans or request.plan in self.plans,
@@ -65,7 +65,7 @@
         return [key for key, fits in fits_by_key.items() if not fits]
 
     def covers(self, other: Matcher) -> bool:
-        """Return whether this one matches every request that the other matches, zones apart."""
+        """Return whether this matches every request that `other` matches, ignoring zones."""
         return (
             _includes(self.classes, other.classes)
             and _includes(self.plans, other.plans)
@@ -83,56 +83,57 @@
         return other.units[0] in self.units and other.units[-1] in self.units
 
 
-def _includes(wide: frozenset[int], narrow: frozenset[int]) -> bool:
-    return not wide or (bool(narrow) and narrow <= wide)
+def _includes(accepted: frozenset[int], other_accepted: frozenset[int]) -> bool:
+    return not accepted or (bool(other_accepted) and other_accepted <= accepted)
 
 
-class NameNumbers:
-    """The numbers by which the policy engine knows the names of the settings."""
+class NameNumbering:
+    """Maps the names in the settings to the numbers that the policy engine uses."""
 
     def __init__(self, names: Names) -> None:
-        self.classes = _numbered(names.classes)
-        self.plans = _numbered(names.plans)
-        self.zones = _numbered(names.zones)
-        self.kinds = _numbered(names.kinds)
-        # Equal sets of the same key are one object, as thousands of routes may be alike in it.
+        self.classes = _number_names(names.classes)
+        self.plans = _number_names(names.plans)
+        self.zones = _number_names(names.zones)
+        self.kinds = _number_names(names.kinds)
+        # Equal sets of the same key share one object, because thousands of routes may have the
+        # same value for a key.
         self._shared_sets: dict[tuple[str, frozenset[Any]], frozenset[Any]] = {}
 
     def is_in_zone(self, options: RouteOptions, zone: int) -> bool:
-        """Return whether the ingresses of a zone have the route."""
+        """Return whether the ingresses of a zone use the route."""
         return not options.hall or zone in {self.zones[name] for name in options.hall}
 
     def matcher(self, name: str, options: RouteOptions, position: Position) -> Matcher:
         """Compile a route.
 
         Raises:
-            KeyError: The settings do not know a name. `check` finds this before.
+            KeyError: The settings do not define a name. `check` reports this beforehand.
         """
         return Matcher(
             position=position,
             rules=rules_from_options(name, options, self.zones, self.kinds),
-            classes=self._shared("class", (self.classes[known] for known in options.classes)),
-            plans=self._shared("plan", (self.plans[known] for known in options.plan)),
-            writes=self._shared("verb", (verb == "write" for verb in options.verb)),
-            customers=options.firms,
+            classes=self._shared_set("class", (self.classes[known] for known in options.classes)),
+            plans=self._shared_set("plan", (self.plans[known] for known in options.plan)),
+            writes=self._shared_set("verb", (verb == "write" for verb in options.verb)),
+            customers=options.customer_numbers,
             units=options.unit_range,
             retry=options.retry,
-            zones=self._shared("hall", options.hall),
+            zones=self._shared_set("hall", options.hall),
         )
 
-    def _shared(self, key: str, members: Iterable[Any]) -> frozenset[Any]:
+    def _shared_set(self, key: str, members: Iterable[Any]) -> frozenset[Any]:
         found = frozenset(members)
         return self._shared_sets.setdefault((key, found), found)
 
 
-def _numbered(names: Iterable[str]) -> dict[str, int]:
+def _number_names(names: Iterable[str]) -> dict[str, int]:
     return {name: number for number, name in enumerate(names)}
 
 
 def rules_from_options(
     name: str, options: RouteOptions, zones: Mapping[str, int], kinds: Mapping[str, int]
 ) -> Rules:
-    """Return the rules that the section of a route sets, with times in seconds.
+    """Return the rules that a route's section sets, with times in seconds.
 
     A name in `nodes` that is both a zone and a kind of backend means the zone.
     """
@@ -149,8 +150,8 @@
         backoff=backoff,
         max_backoff=_seconds(options.backoff_max) or max(DEFAULT_MAX_BACKOFF, backoff),
         hedging=options.copies,
-        fixed_hedge_delay=_seconds(options.fixed_copy),
-        hedge_percentile=options.percentile or 0.0,
+        fixed_hedge_delay=_seconds(options.fixed_hedge_delay),
+        hedge_percentile=options.hedge_percentile or 0.0,
         hedge_share=1.0 if options.copy_share is None else float(options.copy_share),
         queue_wait=_seconds(options.queue_wait),
         zones=frozenset(zones[node] for node in options.nodes if node in zones),
--- a/dockthread/routes/model_checker.py
+++ b/dockthread/routes/model_checker.py
@@ -1,18 +1,23 @@
 """A model checker for one request under a route: tries every order of events to a given depth.
 
-It drives the real policy engine and the real table, and takes the place of the network and the
-clock. It is stateless: each path is played from the start. After each step the invariants are
-checked. At the end of a path every attempt in flight times out and every timer fires, so that the
-request must end. At each step there may happen:
+It drives the real policy engine and the real route table, and simulates the network and the clock.
+It is stateless: each path is replayed from the start. The invariants are checked after each step.
+At the end of a path every attempt in flight times out and every timer fires, so that the request
+must end. The possible steps are:
 
-- an attempt in flight ends, in each way that an attempt can;
+- an attempt in flight ends with any of the possible outcomes;
 - the next timer fires;
-- the table is replaced by the next of `tables`, or the class becomes unsafe;
+- the table is replaced by the next of `tables`;
+- the class becomes unsafe;
 - the client disconnects.
 
-Invariants: never a second effect, no send after the end or past the deadline, no more attempts than
-the strictest table since the arrival allows, exactly one answer and that in time, no budget below
-zero.
+The invariants are:
+
+- the request never takes effect twice;
+- no attempt is sent after the request has ended or after the deadline;
+- no more attempts are sent than the strictest table since the request's arrival allows;
+- there is exactly one answer, and it is in time;
+- no budget is below zero.
 
 Times are in seconds.
 """
@@ -63,15 +68,15 @@
     Outcome.UNREACHABLE,
 )
 NAMES = Names(("class",), ("plan",), ("hall",), ("kind",))
-REQUEST = 1  # the number of the only request
-CUSTOMER = 9
-BACKENDS = 3
+REQUEST_NUMBER = 1  # the number of the only request
+CUSTOMER_NUMBER = 9
+BACKEND_COUNT = 3
 MAX_ATTEMPTS = 4
 TABLE_SEED = 7
-START = 100.0  # s on the clock at the arrival
-DEADLINE = 4.0  # s after the arrival
-ANSWER_SLACK = 0.05  # s after the deadline in which an answer still counts
-DRAIN_TIME = 1.0  # s after the deadline until which timers fire at the end of a path
+START = 100.0  # s; clock time at the request's arrival
+DEADLINE = 4.0  # s after the request's arrival
+ANSWER_SLACK = 0.05  # s after the deadline during which an answer still counts as in time
+DRAIN_TIME = 1.0  # s after the deadline during which timers still fire at the end of a path
 ATTEMPT_DURATION = 0.01  # s
 MAX_PATHS = 1_000_000
 
@@ -80,7 +85,7 @@
 
 
 class StepKind(Enum):
-    """What may happen; the value is its name in the text of a path."""
+    """The kinds of steps; the values are shown when a path is printed."""
 
     ATTEMPT_ENDS = "end"
     TIMER_FIRES = "timer"
@@ -94,9 +99,9 @@
     """One step of a path.
 
     Attributes:
-        kind: What happens.
-        target: The number of the attempt or of the table to which it happens; else 0.
-        outcome: How the attempt ends; None where none does.
+        kind: The kind of step.
+        target: The number of the attempt that ends or of the new table; 0 for other kinds.
+        outcome: The outcome of the attempt that ends; None for other kinds.
     """
 
     kind: StepKind
@@ -104,18 +109,18 @@
     outcome: Outcome | None = None
 
     def __str__(self) -> str:
-        what = self.kind.value
+        shown = self.kind.value
         if self.outcome is not None:
-            what = f"{what} {self.outcome.value} of"
-        return f"{what} {self.target}"
+            shown = f"{shown} {self.outcome.value} of"
+        return f"{shown} {self.target}"
 
 
 class InvariantError(DockthreadError):
     """An invariant does not hold.
 
     Attributes:
-        invariant: What happened that must not.
-        path: The steps that led to it.
+        invariant: The violation.
+        path: The steps that led to the violation.
     """
 
     def __init__(self, invariant: str, path: Sequence[Step]) -> None:
@@ -129,8 +134,8 @@
     """An attempt that the engine sent.
 
     Attributes:
-        is_in_flight: Whether it has not ended.
-        may_have_run: Whether a backend may have run the request.
+        is_in_flight: Whether the attempt has not ended.
+        may_have_run: Whether a backend may have run the request in this attempt.
     """
 
     is_in_flight: bool = True
@@ -138,11 +143,11 @@
 
 
 class RequestSimulation:
-    """One path: the engine, one request, and what became of it.
+    """Simulates one path: the engine, one request, and its attempts, timers and answers.
 
     Attributes:
-        engine: The policy engine that is driven.
-        table: The table of routes, from which the request's bounds come.
+        engine: The policy engine under test.
+        table: The route table that provides the request's bounds.
     """
 
     def __init__(
@@ -153,33 +158,37 @@
         self._path: list[Step] = []
         self._attempts: list[SentAttempt] = []
         self._timers: list[SetTimer] = []
-        self._answers = 0
+        self._answer_count = 0
         self._is_disconnected = False
         self._table_number = 0
         self._is_unsafe = effect is Effect.UNSAFE
         self.table = Table(NAMES, 0, TABLE_SEED)
         self.table.replace(tables[0], self._now)
         self.engine = make_engine(_settings(effect))
-        ready = tuple(Endpoint(number, BackendState.READY) for number in range(1, BACKENDS + 1))
-        self._notify(EndpointsListed(EndpointListKind.FULL, ready))
+        endpoints = tuple(
+            Endpoint(number, BackendState.READY) for number in range(1, BACKEND_COUNT + 1)
+        )
+        self._notify(EndpointsListed(EndpointListKind.FULL, endpoints))
         self._bounds = self._bounds_at_arrival()
         self._max_attempts = self._allowed_attempts()
-        self._notify(RequestArrived(REQUEST, 0, 0, CUSTOMER, DEADLINE, route=self._bounds))
+        self._notify(
+            RequestArrived(REQUEST_NUMBER, 0, 0, CUSTOMER_NUMBER, DEADLINE, route=self._bounds)
+        )
 
     @property
-    def is_over(self) -> bool:
-        """Whether the client has its answer or is gone."""
-        return bool(self._answers) or self._is_disconnected
+    def has_ended(self) -> bool:
+        """Whether the client has its answer or has disconnected."""
+        return bool(self._answer_count) or self._is_disconnected
 
-    def choices(self) -> Iterator[Step]:
-        """Yield the steps that may happen next."""
+    def possible_steps(self) -> Iterator[Step]:
+        """Yield the possible next steps."""
         for number, attempt in enumerate(self._attempts):
             if attempt.is_in_flight:
                 for outcome in OUTCOMES:
                     yield Step(StepKind.ATTEMPT_ENDS, number, outcome)
         if self._has_timer_before(START + DEADLINE + ANSWER_SLACK):
             yield Step(StepKind.TIMER_FIRES)
-        if self.is_over:
+        if self.has_ended:
             return
         if self._table_number + 1 < len(self._tables):
             yield Step(StepKind.TABLE_IS_REPLACED, self._table_number + 1)
@@ -187,8 +196,8 @@
             yield Step(StepKind.CLASS_BECOMES_UNSAFE)
         yield Step(StepKind.CLIENT_DISCONNECTS)
 
-    def take(self, step: Step) -> None:
-        """Let a step happen.
+    def execute(self, step: Step) -> None:
+        """Execute a step.
 
         Raises:
             InvariantError: An invariant does not hold.
@@ -205,11 +214,11 @@
             self._make_class_unsafe()
         else:
             self._is_disconnected = True
-            self._notify(ClientDisconnected(REQUEST))
+            self._notify(ClientDisconnected(REQUEST_NUMBER))
         self._check_budgets()
 
     def finish(self) -> None:
-        """Let all attempts and timers come to their end.
+        """End all attempts and fire all timers.
 
         Raises:
             InvariantError: An invariant does not hold.
@@ -219,31 +228,31 @@
             for number, attempt in enumerate(self._attempts):
                 if attempt.is_in_flight and self._now >= START + DEADLINE:
                     self._end_attempt(number, Outcome.TIMEOUT)
-        if not self.is_over:
+        if not self.has_ended:
             raise InvariantError("no answer", self._path)
         has_open = any(usage.open for usage in self.table.spent.values())
         if self._bounds is not None and has_open:
-            raise InvariantError("a route that believes a request is open", self._path)
+            raise InvariantError("a route that counts a finished request as open", self._path)
 
-    def _attributes(self) -> RequestAttributes:
+    def _request_attributes(self) -> RequestAttributes:
         return RequestAttributes(
             request_class=0,
             plan=0,
             is_write=self._is_unsafe,
-            customer=CUSTOMER,
+            customer=CUSTOMER_NUMBER,
             units=1,
             is_retry=False,
         )
 
     def _bounds_at_arrival(self) -> Bounds | None:
-        request = self._attributes()
+        request = self._request_attributes()
         matcher = self.table.find(request)
         if matcher is None:
             return None
         return Bounds(self.table, request, matcher.rules, self.table.spent[matcher.rules.name])
 
     def _allowed_attempts(self) -> int:
-        return self.table.rules_for(self._attributes()).attempts or MAX_ATTEMPTS
+        return self.table.rules_for(self._request_attributes()).attempts or MAX_ATTEMPTS
 
     def _has_timer_before(self, end: float) -> bool:
         return any(timer.at < end for timer in self._timers)
@@ -269,11 +278,13 @@
         attempt = self._attempts[number]
         attempt.is_in_flight = False
         attempt.may_have_run = outcome not in NEVER_RAN
-        if outcome is Outcome.OK and not self.is_over:
+        if outcome is Outcome.OK and not self.has_ended:
             self._answer()
-        is_finished = self.is_over
-        backend = 1 + number % BACKENDS
-        self._notify(AttemptEnded(REQUEST, number, backend, outcome, is_finished, ATTEMPT_DURATION))
+        is_finished = self.has_ended
+        backend = 1 + number % BACKEND_COUNT
+        self._notify(
+            AttemptEnded(REQUEST_NUMBER, number, backend, outcome, is_finished, ATTEMPT_DURATION)
+        )
 
     def _notify(self, event: Event) -> None:
         for action in self.engine.handle(self._now, event):
@@ -286,7 +297,7 @@
             self._send()
         elif isinstance(action, Reject):
             if self._is_unsafe and self._may_have_run():
-                raise InvariantError("a refusal of what may have run", self._path)
+                raise InvariantError("a rejection of a request that may have run", self._path)
             self._answer()
         elif isinstance(action, Fail):
             self._answer()
@@ -294,7 +305,7 @@
             self._end_attempt(action.attempt, Outcome.CANCELLED)
 
     def _send(self) -> None:
-        if self.is_over:
+        if self.has_ended:
             raise InvariantError("a send after the end", self._path)
         if self._now > START + DEADLINE:
             raise InvariantError("a send past the deadline", self._path)
@@ -306,11 +317,11 @@
             raise InvariantError(f"attempt {sent} of {self._max_attempts}", self._path)
 
     def _answer(self) -> None:
-        self._answers += 1
-        if self._answers > 1:
+        self._answer_count += 1
+        if self._answer_count > 1:
             raise InvariantError("a second answer", self._path)
         if self._now > START + DEADLINE + ANSWER_SLACK:
-            raise InvariantError("an answer too late", self._path)
+            raise InvariantError("an answer after the deadline", self._path)
 
     def _may_have_run(self) -> bool:
         return any(attempt.may_have_run for attempt in self._attempts)
@@ -328,25 +339,25 @@
     make_engine: EngineFactory = lambda settings: PolicyEngine(settings, 1, START),
     max_paths: int = MAX_PATHS,
 ) -> int:
-    """Play all paths of at most `depth` steps and return how many there are.
+    """Simulate all paths of at most `depth` steps and return their number.
 
     Raises:
-        InvariantError: An invariant does not hold; the first path that shows it.
+        InvariantError: An invariant does not hold; the error has the first path found.
         OverflowError: There are more than `max_paths` paths.
     """
     paths = 0
-    waiting: list[tuple[Step, ...]] = [()]
-    while waiting:
-        path = waiting.pop()
+    pending_paths: list[tuple[Step, ...]] = [()]
+    while pending_paths:
+        path = pending_paths.pop()
         simulation = RequestSimulation(effect, tables, make_engine)
         for step in path:
-            simulation.take(step)
-        following = list(simulation.choices()) if len(path) < depth else []
+            simulation.execute(step)
+        next_steps = list(simulation.possible_steps()) if len(path) < depth else []
         simulation.finish()
         paths += 1
         if paths > max_paths:
             raise OverflowError(f"more than {max_paths} paths")
-        waiting += [(*path, step) for step in following]
+        pending_paths += [(*path, step) for step in next_steps]
     return paths
 
 
--- a/tests/config/ingress_cluster.py
+++ b/tests/config/ingress_cluster.py
@@ -1,4 +1,4 @@
-"""Several policy engines with their backends, a quota counter and gossip between them, on one clock.
+"""Simulates several ingresses with backends, a quota counter and gossip under one clock.
 
 Times are in seconds.
 """
@@ -35,22 +35,23 @@
 )
 
 START = 1000.0
-BACKENDS = 6
-FIRST_BACKEND = 100
-CUSTOMER = 7
+BACKEND_COUNT = 6
+FIRST_BACKEND_NUMBER = 100
+CUSTOMER_NUMBER = 7
 MEAN_SERVICE_TIME = 0.06
 COUNTER_DELAY = 0.002
 GOSSIP_DELAYS = (0.001, 0.014)
 REPORTED_LOAD = 0.4
 
-# A backend reports a customer's use over this long, as it was this long ago.
+# A backend reports a customer's usage over this period.
 USAGE_WINDOW = 1.0
+# The reported period ended this long before the report.
 USAGE_REPORT_AGE = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class RequestKey:
-    """A request of the cluster: the number of its ingress, and its own."""
+    """Identifies a request in the cluster by the numbers of its ingress and of the request."""
 
     ingress: int
     request: int
@@ -58,21 +59,21 @@
 
 @dataclass(frozen=True, slots=True)
 class FirstAttempt:
-    """When the first attempt of a request was sent, and the request's units."""
+    """The time when the first attempt of a request was sent, and the request's units."""
 
     sent_at: float
     units: float
 
 
 class IngressCluster:
-    """Ingresses that serve one customer.
+    """Several ingresses that serve one customer.
 
     Attributes:
-        now: The time.
+        now: The simulated time.
         engines: The policy engines, by the number of their ingress.
-        attempted_backends: The backend of each attempt, in the order sent.
+        attempted_backends: The backend of each attempt, in sending order.
         first_attempts: The first attempt of each request that was admitted.
-        answers: The final answers of each request; more than one would be an error.
+        answers: The final answers of each request; more than one is an error of the engine.
     """
 
     def __init__(
@@ -89,8 +90,8 @@
         self.answers: dict[RequestKey, list[str]] = {}
         self._gossip_loss = gossip_loss
         self._backends_answer = backends_answer
-        self._due: list[tuple[float, int, Callable[[], None]]] = []
-        self._last_number = 0  # of requests and of what is due
+        self._scheduled: list[tuple[float, int, Callable[[], None]]] = []
+        self._last_sequence_number = 0  # the last number given to a request or a scheduled callback
         self._counter_totals: dict[int, float] = defaultdict(float)
         self._units: dict[RequestKey, float] = {}
         self.engines = [
@@ -98,43 +99,45 @@
             for number in range(settings.ingress_count)
         ]
         endpoints = tuple(
-            Endpoint(FIRST_BACKEND + number, BackendState.READY, number % 2, 0, number % 2, 1.0)
-            for number in range(BACKENDS)
+            Endpoint(
+                FIRST_BACKEND_NUMBER + number, BackendState.READY, number % 2, 0, number % 2, 1.0
+            )
+            for number in range(BACKEND_COUNT)
         )
         for ingress in range(settings.ingress_count):
             self.handle(ingress, EndpointsListed(EndpointListKind.CACHED, endpoints))
 
     def run_until(self, until: float) -> None:
-        """Let everything happen that is due up to a time."""
-        while self._due and self._due[0][0] <= until:
-            self.now, _, callback = heapq.heappop(self._due)
+        """Advance the clock to `until` and run all callbacks that are due by then."""
+        while self._scheduled and self._scheduled[0][0] <= until:
+            self.now, _, callback = heapq.heappop(self._scheduled)
             callback()
         self.now = until
 
     def handle(self, ingress: int, event: Event) -> None:
-        """Give an ingress an event and carry out what it asks for."""
+        """Pass an event to an ingress's policy engine and execute the returned actions."""
         for action in self.engines[ingress].handle(self.now, event):
             self._carry_out(ingress, action)
 
     def request(self, ingress: int, units: float, request_class: int, spread: int) -> None:
-        """Let a request arrive at an ingress; its customer uses `spread` ingresses."""
-        self._last_number += 1
-        key = RequestKey(ingress, self._last_number)
+        """Send a request to an ingress, from a customer that uses `spread` ingresses."""
+        self._last_sequence_number += 1
+        key = RequestKey(ingress, self._last_sequence_number)
         self.answers[key] = []
         self._units[key] = units
         deadline = 4 * self.engines[ingress].settings.classes[request_class].latency_objective
         arrived = RequestArrived(
-            key.request, request_class, 0, CUSTOMER, deadline, units, spread, 0
+            key.request, request_class, 0, CUSTOMER_NUMBER, deadline, units, spread, 0
         )
         self.handle(ingress, arrived)
 
     def admitted_units(self) -> float:
-        """Return the units of all requests that were sent on."""
+        """Return the total units of all admitted requests."""
         return sum(first.units for first in self.first_attempts.values())
 
-    def _schedule(self, when: float, callback: Callable[[], None]) -> None:
-        self._last_number += 1
-        heapq.heappush(self._due, (when, self._last_number, callback))
+    def _schedule(self, due_at: float, callback: Callable[[], None]) -> None:
+        self._last_sequence_number += 1
+        heapq.heappush(self._scheduled, (due_at, self._last_sequence_number, callback))
 
     def _carry_out(self, ingress: int, action: Action) -> None:
         match action:
@@ -193,24 +196,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
-    """One request that a customer is about to send."""
+class PlannedRequest:
+    """A request that a customer is about to send."""
 
     ingress: int
     units: float
     request_class: int
 
 
-def demand(
-    cluster: IngressCluster, spread: int, quotas: float, duration: float
-) -> Iterator[Demand]:
-    """Yield requests of one customer at `quotas` times its quota, uneven over its ingresses."""
+def random_requests(
+    cluster: IngressCluster, spread: int, quota_multiple: float, duration: float
+) -> Iterator[PlannedRequest]:
+    """Yield random requests of one customer, distributed unevenly over `spread` ingresses.
+
+    Their mean rate is `quota_multiple` times the customer's quota. The clock advances to each request.
+    """
     plan = cluster.engines[0].settings.plans[0]
     weights = [1.0 / (number + 1) for number in range(spread)]
-    rate = quotas * plan.rate / 2.0  # requests of 2 units on average
+    rate = quota_multiple * plan.rate / 2.0  # requests of 2 units on average
     start = cluster.now
     while cluster.now < start + duration:
         cluster.run_until(cluster.now + cluster.random.expovariate(rate))
         ingress = cluster.random.choices(range(spread), weights)[0]
         units = cluster.random.choice([1.0, 2.0, 3.0])
-        yield Demand(ingress, units, cluster.random.randrange(3))
+        yield PlannedRequest(ingress, units, cluster.random.randrange(3))
--- a/tests/config/test_any_deployment.py
+++ b/tests/config/test_any_deployment.py
@@ -1,4 +1,4 @@
-"""What holds for any deployment: several ingresses together under one clock, over drawn settings."""
+"""Properties of several ingresses with random settings, simulated under one clock."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
     RequestClass,
     SafetyLimits,
 )
-from tests.config.ingress_cluster import START, IngressCluster, RequestKey, demand
+from tests.config.ingress_cluster import START, IngressCluster, RequestKey, random_requests
 
-DURATION = 24.0  # seconds of demand
+DURATION = 24.0  # s during which the customer sends requests
 CLASSES = (
     RequestClass(0.6, 2.0, priority_weight=1, effect=Effect.SAFE),
     RequestClass(
@@ -37,7 +37,7 @@
 MAX_LOAD_REPORT_FIELDS = 4
 
 
-def _draw_plan(rate: float, burst_seconds: float, has_ceiling: bool) -> Plan:
+def _build_plan(rate: float, burst_seconds: float, has_ceiling: bool) -> Plan:
     plan = Plan(rate=rate, burst=max(8.0, rate * burst_seconds), over_quota_cost=0.6)
     if not has_ceiling:
         return plan
@@ -46,7 +46,7 @@
     )
 
 
-def _draw_settings(
+def _build_settings(
     ingress_count: int,
     may_gossip: bool,
     may_use_counter: bool,
@@ -74,13 +74,13 @@
 
 def deployments() -> st.SearchStrategy[PolicySettings]:
     plans = st.builds(
-        _draw_plan,
+        _build_plan,
         st.sampled_from([4.0, 10.0, 30.0]),
         st.sampled_from([1.0, 2.0, 4.0]),
         st.booleans(),
     )
     return st.builds(
-        _draw_settings,
+        _build_settings,
         st.integers(1, 4),
         st.booleans(),
         st.booleans(),
@@ -94,26 +94,26 @@
     max_examples=40, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow]
 )
 @given(deployments(), st.integers(1, 1000))
-def test_admitted_units_stay_near_the_quota_and_each_request_has_one_answer_at_thrice_the_quota(
+def test_excess_demand_is_limited_to_about_the_quota_and_each_request_is_answered_once(
     policy_settings: PolicySettings, seed: int
 ) -> None:
-    """Demand three times the quota of one customer.
+    """One customer sends three times its quota.
 
-    Where ingresses learn of each other's use, by gossip or the counter, they admit 0.7 to 1.25 of
-    the quota together. Otherwise they admit half of it at least: an even split strands the part of
-    the ingresses without demand.
+    If the ingresses learn of each other's usage by gossip or from the counter, together they admit
+    0.7 to 1.25 times the quota. Otherwise they admit at least half of it: the quota is split evenly
+    over the ingresses, and an ingress with little demand leaves a part of its share unused.
     """
     cluster = IngressCluster(policy_settings, seed)
     plan = policy_settings.plans[0]
     spread = policy_settings.ingress_count
-    for wanted in demand(cluster, spread, 3.0, DURATION):
-        cluster.request(wanted.ingress, wanted.units, wanted.request_class, spread)
+    for planned in random_requests(cluster, spread, 3.0, DURATION):
+        cluster.request(planned.ingress, planned.units, planned.request_class, spread)
     admitted = cluster.admitted_units()
     quota = plan.burst + plan.rate * DURATION
-    use_is_shared = spread == 1 or policy_settings.may_gossip or policy_settings.may_use_counter
+    is_usage_shared = spread == 1 or policy_settings.may_gossip or policy_settings.may_use_counter
     slack = policy_settings.max_request_units * spread
     assert admitted <= 1.25 * quota + slack
-    assert admitted >= (0.7 if use_is_shared else 0.5) * quota - slack
+    assert admitted >= (0.7 if is_usage_shared else 0.5) * quota - slack
     cluster.run_until(cluster.now + 4.0)
     assert all(len(answers) == 1 for answers in cluster.answers.values())
 
@@ -129,7 +129,7 @@
     ceiling_burst = 24.0
     plan = replace(
         policy_settings.plans[0],
-        rate=60.0,  # so high that the ceiling binds before the quota
+        rate=60.0,  # so high that the ceiling is reached before the quota
         burst=200.0,
         ceiling_rate=ceiling_rate,
         ceiling_burst=ceiling_burst,
@@ -137,19 +137,21 @@
     )
     cluster = IngressCluster(replace(policy_settings, plans=(plan,)), seed, gossip_loss=0.2)
     spread = policy_settings.ingress_count
-    for wanted in demand(cluster, spread, 0.4, DURATION):
-        cluster.request(wanted.ingress, wanted.units, wanted.request_class, spread)
-    level = ceiling_burst
-    filled_at = START
+    for planned in random_requests(cluster, spread, 0.4, DURATION):
+        cluster.request(planned.ingress, planned.units, planned.request_class, spread)
+    token_balance = ceiling_burst
+    refilled_at = START
     for first in cluster.first_attempts.values():
-        refilled = level + ceiling_rate * (first.sent_at - filled_at)
-        level = min(ceiling_burst, refilled) - first.units
-        filled_at = first.sent_at
-        assert level >= -plan.ceiling_slack
+        refilled_balance = token_balance + ceiling_rate * (first.sent_at - refilled_at)
+        token_balance = min(ceiling_burst, refilled_balance) - first.units
+        refilled_at = first.sent_at
+        assert token_balance >= -plan.ceiling_slack
 
 
 @pytest.mark.parametrize("may_gossip", [True, False])
-def test_a_plan_with_a_cap_and_a_rate_keeps_both(may_gossip: bool) -> None:
+def test_a_plan_enforces_both_its_rate_and_its_limit_of_requests_in_flight(
+    may_gossip: bool,
+) -> None:
     plan = Plan(rate=20.0, burst=40.0, max_in_flight=3)
     policy_settings = PolicySettings(
         0,
@@ -163,8 +165,8 @@
     )
     cluster = IngressCluster(policy_settings, 4)
     in_flight: list[int] = []
-    for wanted in demand(cluster, 3, 3.0, DURATION):
-        cluster.request(wanted.ingress, wanted.units, wanted.request_class, 3)
+    for planned in random_requests(cluster, 3, 3.0, DURATION):
+        cluster.request(planned.ingress, planned.units, planned.request_class, 3)
         in_flight.append(
             sum(
                 customer.in_flight
@@ -174,21 +176,27 @@
         )
     above_cap = sum(count > plan.max_in_flight for count in in_flight) / len(in_flight)
     assert cluster.admitted_units() <= 1.25 * (plan.burst + plan.rate * DURATION)
-    assert above_cap < (0.12 if may_gossip else 1.0), "gossip tells of attempts in flight"
-    assert max(in_flight) >= plan.max_in_flight, "the cap is used"
+    assert above_cap < (0.12 if may_gossip else 1.0), (
+        "ingresses learn of attempts in flight elsewhere only by gossip"
+    )
+    assert max(in_flight) >= plan.max_in_flight, "the cap is reached"
 
 
 def test_a_silent_backend_counts_as_failed_after_a_share_of_the_latency_objective() -> None:
-    """Before any answer only the objective says what is usual: 0.2 of it, give or take 0.1."""
-    for objective in (0.6, 1.5, 3.0):
-        classes = (RequestClass(objective, 4 * objective, effect=Effect.UNSAFE),)
+    """The failure is detected between 1.05 and 1.15 times the latency objective.
+
+    Before its first answer, the policy engine can derive a backend's expected answer time only from
+    the latency objective: it is 0.2 of it, give or take 0.1.
+    """
+    for latency_objective in (0.6, 1.5, 3.0):
+        classes = (RequestClass(latency_objective, 4 * latency_objective, effect=Effect.UNSAFE),)
         policy_settings = PolicySettings(0, 1, classes, (Plan(),), may_cancel=True)
         cluster = IngressCluster(policy_settings, 1, backends_answer=False)
         cluster.request(0, 1.0, 0, 1)
         backend = cluster.engines[0].backends.by_number[cluster.attempted_backends[0]]
-        cluster.run_until(START + 1.05 * objective)
+        cluster.run_until(START + 1.05 * latency_objective)
         assert backend.failure_fraction == 0.0
-        cluster.run_until(START + 1.15 * objective)
+        cluster.run_until(START + 1.15 * latency_objective)
         assert backend.failure_fraction > 0.4
 
 
@@ -214,5 +222,5 @@
         cluster.handle(0, reset)
         assert len(cluster.attempted_backends) == 1 + is_retried
         zones = {attempted % 2 for attempted in cluster.attempted_backends}
-        assert len(zones) == 1, "the other zone does not know the key"
+        assert len(zones) == 1, "the backends of the other zone do not know the key"
         assert cluster.answers[RequestKey(0, key.request)] == ([] if is_retried else ["no"])
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file: what is read, and one plain line for each kind of problem."""
+"""The operator's file: parsed sections, and one line for each kind of problem."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         "[telemetry]\nfarewell = 1min",
         "[telemetry] farewell: 1min would hold up the exit; 5s is the most",
     ),
-    ("[telemetry]\nfirms = many", "[telemetry] firms: 'many' is not right: expected `int`"),
+    ("[telemetry]\nfirms = many", "[telemetry] firms: 'many' is not valid: expected `int`"),
     ("[telemetry]\nfirms = 5000", "[telemetry] firms: 5000 is out of range; 0 to 500 would do"),
     ("[telemetry]\nqueue = 1KiB", "[telemetry] queue: 1KiB holds no report; 16KiB is the least"),
     ("[telemetry main]", "[telemetry main] takes no name; write [telemetry]"),
@@ -49,11 +49,11 @@
     ),
     (GRAPHITE + "prefix = a..b", "[graphite main] prefix: 'a..b' is no path"),
     (GRAPHITE + "tags = perhaps", "[graphite main] tags: 'perhaps' is neither yes nor no"),
-    (GRAPHITE + GRAPHITE, "[graphite main] stands twice (line 3)"),
-    (GRAPHITE + "address = h:1", "[graphite main] address: stands twice (line 3)"),
+    (GRAPHITE + GRAPHITE, "[graphite main] is defined twice (line 3)"),
+    (GRAPHITE + "address = h:1", "[graphite main] address: is set twice (line 3)"),
     (
         GRAPHITE + "[graphite  main]\naddress = h:1",
-        "[graphite main] stands twice; give one of them",
+        "[graphite main] is defined twice; give one of them",
     ),
     (
         GRAPHITE + "[collectd main]\naddress = h:1",
@@ -74,8 +74,8 @@
     ("[collectd c]\naddress = h:1\nplugin = a/b", "[collectd c] plugin: 'a/b' is no plugin's name"),
     ("[log]\nlevel = LOUD", "[log] level: 'LOUD' is not one of DEBUG, INFO, WARNING, ERROR"),
     ("[log]\nform = xml", "[log] form: 'xml' is not one of text, json"),
-    ("interval = 1s", "line 1 stands before any section; begin with a head"),
-    ("[telemetry]\nwhat is this", "line 2 cannot be read; write KEY = VALUE"),
+    ("interval = 1s", "line 1 is outside any section; begin with a heading"),
+    ("[telemetry]\nwhat is this", "line 2 cannot be parsed; write KEY = VALUE"),
 ]
 
 
@@ -86,7 +86,7 @@
     assert all("\n" not in line for line in lines)
 
 
-def test_all_problems_are_found_and_a_load_raises_the_first_with_the_number_of_the_others(
+def test_loading_raises_the_first_problem_and_the_number_of_further_problems(
     tmp_path: Path,
 ) -> None:
     path = tmp_path / "my.ini"
@@ -98,7 +98,7 @@
         load_operator_file(str(path))
 
 
-def test_keys_left_out_have_their_defaults_and_comments_are_ignored() -> None:
+def test_missing_keys_have_their_defaults_and_comments_are_ignored() -> None:
     text = "# mine\n[graphite main]  ; the graphs\naddress = [::1]:2003  # v6\n"
     config = parse_operator_file(text, "my.ini")
     assert not config.errors
--- a/tests/routes/test_model_checker.py
+++ b/tests/routes/test_model_checker.py
@@ -1,4 +1,4 @@
-"""All orders of events under routes, and seeded defects that the model checker finds."""
+"""The model checker finds no violation in the real code and finds each seeded defect."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     attempts=4, attempt_timeout=Duration(500), backoff=Duration(200), retry_floor=100.0
 )
 QUEUED = RouteOptions(limit="1", queue=1, queue_wait=Duration(100))
-# Each is the tables of one exploration: the first, and those that reloads put in its place.
+# The route tables of one exploration: the initial table, and those that replace it in order.
 HEDGE_TABLES = [{"r": HEDGED}, {"r": RouteOptions(attempts=1)}]
 BACKOFF_TABLES = [
     {"r": WITH_BACKOFF},
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    ("effect", "tables", "depth", "least_paths"),
+    ("effect", "tables", "depth", "min_paths"),
     [
         (Effect.SAFE, [{}], 4, 1800),
         (Effect.SAFE, HEDGE_TABLES, 4, 3500),
@@ -43,28 +43,28 @@
         (Effect.SAFE, LIMIT_TABLES, 4, 3000),
     ],
 )
-def test_no_order_of_events_breaks_an_invariant(
-    effect: Effect, tables: list[dict[str, RouteOptions]], depth: int, least_paths: int
+def test_no_order_of_events_violates_an_invariant(
+    effect: Effect, tables: list[dict[str, RouteOptions]], depth: int, min_paths: int
 ) -> None:
-    assert explore(effect, tables, depth) >= least_paths
+    assert explore(effect, tables, depth) >= min_paths
 
 
 class EffectIgnored(RouteConstraints):
-    """Seeded defect: every class counts as idempotent."""
+    """Seeded defect: every class is treated as idempotent."""
 
     def effect(self, pending: PendingRequest) -> Effect:
         return Effect.SAFE
 
 
-class EffectAtArrival(RouteConstraints):
-    """Seeded defect: a class that becomes unsafe is not looked at again."""
+class EffectReadOnceAtArrival(RouteConstraints):
+    """Seeded defect: the class's effect is read at arrival and never again."""
 
     def effect(self, pending: PendingRequest) -> Effect:
         return pending.request_class.effect
 
 
 class FinishedRequestKept(AttemptManager):
-    """Seeded defect: a request with two attempts is not forgotten when it is finished."""
+    """Seeded defect: a finished request with two attempts is not deleted."""
 
     def finish(self, request: int) -> None:
         pending = self._requests.by_number.get(request)
@@ -78,15 +78,17 @@
 
 
 class EngineWithEffectAtArrival(PolicyEngine):
-    routes_class = EffectAtArrival
+    routes_class = EffectReadOnceAtArrival
 
 
 class EngineKeepingRequests(PolicyEngine):
     attempts_class = FinishedRequestKept
 
 
-def test_a_hedge_of_an_unsafe_class_is_found() -> None:
-    with pytest.raises(InvariantError, match="a second effect|a refusal of what may have run"):
+def test_model_checker_finds_a_hedge_of_an_unsafe_class() -> None:
+    with pytest.raises(
+        InvariantError, match="a second effect|a rejection of a request that may have run"
+    ):
         explore(
             Effect.UNSAFE,
             HEDGE_TABLES,
@@ -95,8 +97,10 @@
         )
 
 
-def test_a_retry_of_a_class_that_became_unsafe_is_found() -> None:
-    with pytest.raises(InvariantError, match="a second effect|a refusal of what may have run"):
+def test_model_checker_finds_a_retry_of_a_class_that_became_unsafe() -> None:
+    with pytest.raises(
+        InvariantError, match="a second effect|a rejection of a request that may have run"
+    ):
         explore(
             Effect.SAFE,
             HEDGE_TABLES[:1],
@@ -105,7 +109,7 @@
         )
 
 
-def test_a_request_that_keeps_the_rules_of_an_old_generation_is_found(
+def test_model_checker_finds_a_request_that_ignores_a_reload(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(bounds_module, "stricter", lambda first, second: first)
@@ -113,7 +117,7 @@
         explore(Effect.SAFE, HEDGE_TABLES, 3)
 
 
-def test_a_retry_that_is_not_asked_for_again_after_a_reload_is_found(
+def test_model_checker_finds_a_retry_that_is_not_checked_again_after_its_backoff(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(Bounds, "may_still_retry", lambda self, sent, outcome: True)
@@ -121,19 +125,22 @@
         explore(Effect.SAFE, BACKOFF_TABLES, 5)
 
 
-def test_an_overdrawn_budget_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_model_checker_finds_an_overdrawn_budget(monkeypatch: pytest.MonkeyPatch) -> None:
     def overdraw(self: RetryBudget, now: float) -> bool:
         self.left -= 1.0
         return True
 
-    monkeypatch.setattr(RetryBudget, "try_draw", overdraw)
+    monkeypatch.setattr(RetryBudget, "try_take_token", overdraw)
     route = RouteOptions(retry_floor=0.0, retry_budget=Share(0.01))
     with pytest.raises(InvariantError, match="a budget below zero"):
         explore(Effect.SAFE, [{"r": route}], 3)
 
 
-def test_a_finished_request_that_is_kept_is_found() -> None:
-    with pytest.raises(InvariantError, match="a second answer|a send after the end|believes"):
+def test_model_checker_finds_a_finished_request_that_is_not_deleted() -> None:
+    with pytest.raises(
+        InvariantError,
+        match="a second answer|a send after the end|counts a finished request as open",
+    ):
         explore(
             Effect.SAFE,
             HEDGE_TABLES,
@@ -142,9 +149,9 @@
         )
 
 
-def test_a_place_in_the_limit_that_is_not_released_is_found(
+def test_model_checker_finds_a_finished_request_that_still_counts_against_the_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(RouteConstraints, "leave", lambda self, pending: None)
-    with pytest.raises(InvariantError, match="believes a request is open"):
+    with pytest.raises(InvariantError, match="counts a finished request as open"):
         explore(Effect.SAFE, LIMIT_TABLES, 2)
