--- a/dockthread/telemetry/__init__.py
+++ b/dockthread/telemetry/__init__.py
@@ -1,11 +1,13 @@
-"""Telemetry: what an ingress counts, and how it is reported to Graphite and collectd.
+"""Telemetry: counts the events of an ingress and reports them to Graphite and collectd.
 
 * `catalogue` lists the metrics.
-* `tally` counts on a request's path, with `latency_histogram` and `heavy_hitters`.
-* `metrics_reader` and `process_metrics` read the counts as points, at a moment of `timestamps`.
-* `report_encoders` encode points, by `graphite`, `collectd` and `putval`.
-* `delivery_queue` and `sender` decide what a receiver is sent, and when.
-* `report_delivery` and `connections` send it.
-* `exporter` runs all of these beside an ingress, by the `options` of the operator's file.
+* `tally` counts requests, attempts and counter calls, with `latency_histogram` and
+  `heavy_hitters`.
+* `metrics_reader` and `process_metrics` read the current values as points.
+* `timestamps` gives each report its timestamp.
+* `report_encoders` encodes points in the formats of `graphite`, `collectd` and `putval`.
+* `delivery_queue` and `sender` decide which report is sent to a receiver, and when.
+* `report_delivery` sends the reports over `connections`.
+* `exporter` runs telemetry for an ingress; `options` defines its settings in the operator's file.
 * `receiver` is a stand-in for Graphite and collectd.
 """
--- a/dockthread/telemetry/catalogue.py
+++ b/dockthread/telemetry/catalogue.py
@@ -1,8 +1,12 @@
-"""The catalogue of metrics: path, kind, unit and meaning of each; nothing else is sent.
+"""The catalogue of all metrics that are sent: the path, kind, unit and meaning of each.
 
-A path is a tuple of parts; `{class}` and the like stand for names. A `derive` is a count that only
-grows within a life of an ingress; a `gauge` is a value at its moment. The kinds are collectd's, of
-its standard types.db.
+A path is a tuple of parts; placeholders such as `{class}` stand for names. A `derive` is a counter
+that never decreases within a telemetry session. A `gauge` is a current value that may rise and
+fall. Both kinds are defined in collectd's standard types.db.
+
+A telemetry session begins when counting starts, and all counters start at zero. Counting starts
+with the ingress or with the reload that adds the first receiver, and ends with the ingress or with
+the reload that removes the last receiver. The metric `life` is the start time of the session.
 
 Paths and meanings are shown by `dockthread metrics list` and used by dashboards, so they keep some
 terms that the code no longer uses.
@@ -18,28 +22,28 @@
 DERIVE = "derive"
 GAUGE = "gauge"
 
-# Characters of one part of a path.
+# Maximum number of characters in one part of a path.
 MAX_PART_LENGTH = 64
-# Bytes of the hash at the end of a part that was changed; it is written in hexadecimal.
+# Bytes of the hash, written in hexadecimal, that is appended to a name with unsafe characters.
 PART_HASH_BYTES = 4
-# Characters of that hash, with the dash before it.
+# Characters of the appended hash, including the dash before it.
 PART_SUFFIX_LENGTH = 1 + 2 * PART_HASH_BYTES
 SAFE_PART = re.compile(r"[A-Za-z0-9_-]{1,64}")
 UNSAFE_CHARACTERS = re.compile(r"[^A-Za-z0-9_-]+")
 
-# The path of the first point of each report.
+# The path of the metric with the start time of the session, the first point of each report.
 LIFE = ("life",)
-# Milliseconds: upper bounds of the buckets of latencies.
+# Upper bounds of the latency buckets, in milliseconds.
 BUCKET_BOUNDS_MS = (5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000)
 
 
 class Point(NamedTuple):
-    """One value of a metric at the moment of its report.
+    """One value of a metric at the time of its report.
 
     Attributes:
-        path: The parts of the metric's path, with names in place of `{class}` and the like.
+        path: The parts of the metric's path, with names in place of placeholders such as `{class}`.
         kind: `DERIVE` or `GAUGE`.
-        value: The value; whole for a `DERIVE`.
+        value: The value; a whole number for a `DERIVE`.
     """
 
     path: tuple[str, ...]
@@ -48,14 +52,14 @@
 
     @property
     def value_text(self) -> str:
-        """The value in decimal: whole numbers exactly, others to seven digits."""
+        """The value in decimal: whole numbers exactly, others with seven significant digits."""
         whole = int(self.value)
         return str(whole) if self.value == whole else f"{self.value:.7g}"
 
 
 @dataclass(frozen=True, slots=True)
 class Metric:
-    """A metric as an operator sees it."""
+    """A metric as it is listed for operators."""
 
     path: str
     kind: str
@@ -135,8 +139,9 @@
 def path_part(name: str) -> str:
     """Return a name as one part of a path.
 
-    A name of safe characters stays as it is. In any other the unsafe characters become `_`, and a
-    hash of the whole name (BLAKE2s) is appended, so that different names have different parts.
+    A name of 1 to 64 safe characters stays unchanged. In any other name each run of unsafe
+    characters is replaced by `_`, the result is shortened, and a BLAKE2s hash of the whole name is
+    appended, so that different names have different parts.
     """
     if SAFE_PART.fullmatch(name):
         return name
--- a/dockthread/telemetry/collectd/__init__.py
+++ b/dockthread/telemetry/collectd/__init__.py
@@ -1,9 +1,10 @@
-"""Collectd's binary network protocol, both ways: packets of parts, signed or encrypted.
+"""Encode and decode collectd's binary network protocol, with signed and encrypted packets.
 
 Sources: collectd's wiki, "Binary protocol", and its types.db. A packet is a sequence of parts. A
-part has a type (u16), a length (u16, which counts these four bytes too) and a payload. All numbers
-are big-endian but gauges, which are little-endian doubles. Strings end with NUL. Times are in
-2^-30 s. Each packet can be read by itself, because each begins with host and time.
+part has a type (u16), a length (u16, which includes these four bytes) and a payload. All numbers
+are big-endian except gauges, which are little-endian doubles. Strings end with NUL. High-resolution
+times are in units of 2^-30 s. Each encoded packet can be decoded by itself, because it contains the
+host and the time.
 """
 
 from dockthread.telemetry.collectd.packet_decoder import CollectdItem, Opener
--- a/dockthread/telemetry/collectd/packet_decoder.py
+++ b/dockthread/telemetry/collectd/packet_decoder.py
@@ -1,4 +1,4 @@
-"""Decode packets at a security level, as collectd's network plugin does."""
+"""Decode packets and enforce a security level, as collectd's network plugin does."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CollectdItem:
-    """One value or one notification, with the identifier that holds for it.
+    """One value or one notification, with its identifier.
 
     Attributes:
-        seconds: Its moment in Unix time.
+        seconds: The time of the value or notification in Unix seconds.
         interval: Seconds between two values of the series.
-        kind: The kind of a value, by its name in types.db.
+        kind: The kind of a value, such as `gauge` or `derive`; empty for a notification.
         message: The text of a notification; empty for a value.
         severity: The severity of a notification.
     """
@@ -55,11 +55,11 @@
 
 @dataclass(slots=True)
 class Opener:
-    """Decodes packets, and rejects those below its security level.
+    """Decodes packets, and rejects those below the required security level.
 
     Attributes:
-        security: The level that is required: `none`, `sign` or `encrypt`.
-        passwords: Passwords by user.
+        security: The required security level: `none`, `sign` or `encrypt`.
+        passwords: The password of each user.
     """
 
     security: str = "none"
@@ -69,7 +69,7 @@
         """Return all values and notifications of a packet.
 
         Raises:
-            PacketError: if any byte of the packet is wrong.
+            PacketError: if any part of the packet is invalid or not protected as required.
         """
         return list(_decode(self._open(packet)))
 
@@ -89,7 +89,7 @@
 
 
 def _decode(packet: bytes) -> Iterator[CollectdItem]:
-    # Each part but values and messages changes what holds for those that follow.
+    # Identifiers, times and severities apply to all values and messages that follow them.
     current = CollectdItem()
     for part_type, payload in _split_parts(packet):
         if part_type == PartType.MESSAGE:
@@ -102,7 +102,7 @@
 
 
 def _split_parts(packet: bytes) -> Iterator[tuple[int, bytes]]:
-    """Yield type and payload of each part."""
+    """Yield the type and the payload of each part."""
     start = 0
     while start < len(packet):
         if start + PART_HEADER.size > len(packet):
@@ -117,7 +117,7 @@
 def _change(  # noqa: C901, PLR0911 - one case for each type of part
     current: CollectdItem, part_type: int, payload: bytes
 ) -> CollectdItem:
-    """Return what holds after a part; parts of unknown types are skipped."""
+    """Return the item with the field of a part replaced; parts of unknown types are ignored."""
     match part_type:
         case PartType.HOST:
             return replace(current, host=_decode_string(payload))
@@ -156,7 +156,10 @@
 
 
 def _decode_values(payload: bytes) -> Iterator[tuple[str, float]]:
-    """Yield kind and value of each value: a count, the codes of all kinds, then all values."""
+    """Yield the kind and the number of each value.
+
+    The payload consists of a count, the codes of all kinds, and all numbers, in this order.
+    """
     count = int.from_bytes(payload[:VALUE_COUNT_BYTES], "big")
     if len(payload) != VALUE_COUNT_BYTES + (VALUE_KIND_BYTES + VALUE_BYTES) * count:
         raise PacketError("values of a wrong size")
--- a/dockthread/telemetry/collectd/packet_encoder.py
+++ b/dockthread/telemetry/collectd/packet_encoder.py
@@ -17,32 +17,33 @@
 )
 from dockthread.telemetry.collectd.security import PacketSealer
 
-# Characters of a type instance: the limit of collectd before version 5.5 and of many programs that
-# read its data.
+# Maximum number of characters in a type instance: the limit of collectd before version 5.5 and of
+# many programs that read its data.
 MAX_NAME_LENGTH = 63
-# Bytes of the hash at the end of a name that was shortened; it is written in hexadecimal.
+# Bytes of the hash, written in hexadecimal, that is appended to a shortened name.
 NAME_HASH_BYTES = 4
-# Characters of that hash, with the dash before it.
+# Characters of the appended hash, including the dash before it.
 NAME_SUFFIX_LENGTH = 1 + 2 * NAME_HASH_BYTES
-# Bytes of a string's text; its NUL makes 128, collectd's own limit.
+# Maximum number of bytes in a string without its NUL; with it, collectd's limit of 128 is reached.
 MAX_STRING_BYTES = 127
-# Type, length, number of values and kind of the value, which go before a single value.
+# The fields that precede a single value: part type, length, number of values and kind of value.
 SINGLE_VALUE_HEADER = struct.Struct("!HHHB")
-# Bytes of a part with a single value.
+# Size in bytes of a part with a single value.
 SINGLE_VALUE_BYTES = SINGLE_VALUE_HEADER.size + 8
 
 
 class SeriesName(NamedTuple):
-    """The two parts of collectd's identifier that a point's path becomes."""
+    """The two components of collectd's identifier that are made from the path of a point."""
 
     plugin_instance: str
     type_instance: str
 
 
 def series_name(path: tuple[str, ...]) -> SeriesName:
-    """Return the name of a path.
+    """Return the name of the series for a path.
 
-    A type instance that is too long ends in a hash, so that different paths have different names.
+    A type instance that is too long is shortened and a hash is appended, so that different paths
+    have different names.
     """
     if len(path) > 1:
         plugin_instance = path[0]
@@ -68,7 +69,7 @@
         self._sealer = sealer
 
     def packets(self, points: list[Point], seconds: float) -> Iterator[bytes]:
-        """Yield packets with all points at a moment in Unix seconds, each as full as it can be."""
+        """Yield packets that contain all points, with a timestamp in Unix seconds."""
         header = self._report_header(seconds)
         packet = bytearray(header)
         plugin_instance = ""
@@ -76,7 +77,7 @@
         for point in points:
             name = series_name(point.path)
             value = _string_part(PartType.TYPE_INSTANCE, name.type_instance) + _value_part(point)
-            # Plugin instance and type hold until they change, or until the packet ends.
+            # The plugin instance and the type apply until they change, or until the packet ends.
             changes = b""
             if name.plugin_instance != plugin_instance:
                 changes += _string_part(PartType.PLUGIN_INSTANCE, name.plugin_instance)
@@ -102,7 +103,7 @@
         )
 
     def notification(self, text: str, severity: int, seconds: float) -> bytes:
-        """Return the packet of a notification at a moment in Unix seconds."""
+        """Return the packet for a notification with a timestamp in Unix seconds."""
         return self._sealer.seal(
             _time_part(PartType.TIME_HIGH_RESOLUTION, seconds)
             + _number_part(PartType.SEVERITY, severity)
--- a/dockthread/telemetry/collectd/parts.py
+++ b/dockthread/telemetry/collectd/parts.py
@@ -1,4 +1,4 @@
-"""The parts of a packet: their types and their sizes, for writing and reading."""
+"""The types and sizes of a packet's parts, used by the encoder and the decoder."""
 
 from __future__ import annotations
 
@@ -7,38 +7,39 @@
 
 from dockthread.errors import DockthreadError
 
-# Bytes of the longest packet; collectd's default.
+# Maximum size of a packet in bytes: collectd's default.
 MAX_PACKET_BYTES = 1452
-# Units of times and intervals in a second.
+# Units per second of high-resolution times and intervals.
 TIME_UNITS_PER_SECOND = 1 << 30
 
-# Type and length, which begin each part.
+# The header of each part: its type and its length.
 PART_HEADER = struct.Struct("!HH")
-# A part with a number.
+# A part whose payload is a number.
 NUMBER_PART = struct.Struct("!HHQ")
-# Bytes of the payload of such a part.
+# Payload size in bytes of a part with a number.
 NUMBER_BYTES = 8
-# Bytes of a value, and of the code of its kind; a part of values has the codes first.
+# Size in bytes of a value.
 VALUE_BYTES = 8
+# Size in bytes of the code for the kind of a value; all codes precede the values.
 VALUE_KIND_BYTES = 1
-# Bytes of the number of values, which begins the payload of a part of values.
+# Size in bytes of the number of values, the first field in the payload of a part with values.
 VALUE_COUNT_BYTES = 2
 
-# Bytes of a signature: HMAC-SHA-256.
+# Size in bytes of a signature: HMAC-SHA-256.
 SIGNATURE_BYTES = 32
-# Bytes of the checksum in the encrypted part: SHA-1.
+# Size in bytes of the checksum in an encrypted part: SHA-1.
 CHECKSUM_BYTES = 20
-# Bytes of the initialization vector of AES in OFB mode.
+# Size in bytes of the initialization vector of AES in OFB mode.
 IV_BYTES = 16
-# Type, length and the length of the user's name, which begin the encrypted part.
+# The header of an encrypted part: its type, its length and the length of the user name.
 ENCRYPTION_HEADER = struct.Struct("!HHH")
 
 
 class PartType:
-    """The types of parts that are read or written; others are skipped.
+    """The types of parts that are encoded or decoded; the decoder ignores other types.
 
-    They are plain integers and not an enum, because an encoder looks up several of them for each
-    point on the event loop, and an enum's members cost several times as much.
+    They are plain integers because the encoder looks up several of them for each point on the event
+    loop, and looking up the members of an enum takes several times as long.
     """
 
     HOST = 0x0000
@@ -58,7 +59,7 @@
 
 
 class ValueKind:
-    """The codes of the kinds of values; plain integers, like `PartType`."""
+    """The codes for kinds of values; plain integers for the same reason as in `PartType`."""
 
     COUNTER = 0
     GAUGE = 1
@@ -75,4 +76,4 @@
 
 
 class PacketError(DockthreadError):
-    """Bytes that are not a valid packet, or are not signed or encrypted as required."""
+    """Raised for a packet that is invalid, or is not signed or encrypted as required."""
--- a/dockthread/telemetry/collectd/security.py
+++ b/dockthread/telemetry/collectd/security.py
@@ -1,9 +1,10 @@
 """Sign, encrypt, verify and decrypt packets.
 
-A signed packet begins with a part of type 0x0200: HMAC-SHA-256 over the user's name and all that
-follows, then the user's name. An encrypted packet is one part of type 0x0210: the length of the
-user's name, the name and the initialization vector in clear text, then, encrypted, the SHA-1 of
-the parts and the parts. The cipher is AES-256 in OFB mode; its key is the password's SHA-256.
+A signed packet begins with a part of type 0x0200, which holds an HMAC-SHA-256 and the user name.
+The HMAC covers the user name and all parts that follow. An encrypted packet is one part of type
+0x0210. It holds the length of the user name, the user name and the initialization vector in clear
+text, followed by the SHA-1 of the parts and the parts, both encrypted. The cipher is AES-256 in OFB
+mode; its key is the SHA-256 of the password.
 """
 
 from __future__ import annotations
@@ -26,19 +27,19 @@
     PartType,
 )
 
-# A signature's bytes but the user's name.
+# Size in bytes of a signature part without the user name.
 SIGNATURE_OVERHEAD = PART_HEADER.size + SIGNATURE_BYTES
-# An encrypted packet's bytes but the user's name and the parts.
+# Size in bytes of an encrypted packet without the user name and the parts.
 ENCRYPTION_OVERHEAD = ENCRYPTION_HEADER.size + IV_BYTES + CHECKSUM_BYTES
 
 
 @dataclass(frozen=True, slots=True)
 class PacketSealer:
-    """How packets are protected.
+    """Signs or encrypts packets, or leaves them unprotected.
 
     Attributes:
-        seal: Makes a packet of encoded parts.
-        capacity: The bytes that a packet has for parts.
+        seal: Returns the packet with the given encoded parts.
+        capacity: Maximum size in bytes of the parts in one packet.
     """
 
     seal: Callable[[bytes], bytes]
@@ -49,7 +50,7 @@
     """Return the sealer for a security level: `none`, `sign` or `encrypt`.
 
     Raises:
-        ImportError: if encryption is asked for without the extra `collectd`.
+        ImportError: if the level is `encrypt` and the extra `collectd` is not installed.
     """
     user_name = user.encode()
     if security == "sign":
@@ -83,7 +84,7 @@
 
 
 def _import_cipher() -> Callable[..., Any]:
-    """Return AES-256 in OFB mode of the package `cryptography`, as a function of key and IV.
+    """Return a function that creates an AES-256 cipher in OFB mode from a key and an IV.
 
     Raises:
         ImportError: if the extra `collectd` is not installed.
@@ -92,17 +93,17 @@
 
     try:
         from cryptography.hazmat.decrepit.ciphers.modes import OFB
-    except ImportError:  # older releases have it among the other modes
+    except ImportError:  # older releases of cryptography
         from cryptography.hazmat.primitives.ciphers.modes import OFB
 
     return lambda key, iv: Cipher(algorithms.AES(key), OFB(iv))
 
 
 def verify(packet: bytes, passwords: Mapping[str, bytes], is_required: bool) -> bytes:
-    """Return the parts of a signed packet.
+    """Verify the signature of a packet and return its parts.
 
     Raises:
-        PacketError: if the signature is wrong, cut short or by an unknown user.
+        PacketError: if the signature is wrong or truncated, or the user is unknown.
     """
     length = PART_HEADER.unpack_from(packet)[1]
     if not SIGNATURE_OVERHEAD < length <= len(packet):
@@ -111,7 +112,7 @@
     user_name = packet[SIGNATURE_OVERHEAD:length]
     parts = packet[length:]
     if not is_required and not passwords:
-        # Like collectd: a signature that is not required and cannot be checked is accepted.
+        # Like collectd, accept a signature that is not required and cannot be verified.
         return parts
     password = _password_of(user_name, passwords)
     expected = hmac.new(password, user_name + parts, hashlib.sha256).digest()
@@ -121,10 +122,10 @@
 
 
 def decrypt(packet: bytes, passwords: Mapping[str, bytes]) -> bytes:
-    """Return the parts of an encrypted packet.
+    """Decrypt a packet and return its parts.
 
     Raises:
-        PacketError: if the password is wrong, the user unknown or the packet cut short.
+        PacketError: if the password is wrong, the user is unknown or the packet is truncated.
         ImportError: if the extra `collectd` is not installed.
     """
     if len(packet) < ENCRYPTION_HEADER.size:
--- a/dockthread/telemetry/connections.py
+++ b/dockthread/telemetry/connections.py
@@ -1,7 +1,8 @@
 """Connections to receivers: TCP to Graphite, UDP or a unix socket to collectd.
 
-They do I/O and decide nothing. `open`, `send` and `finish` raise OSError, TimeoutError among them,
-when the receiver is gone or does not read.
+A connection only does I/O; the sender decides when to connect and what to send. `open`, `send` and
+`finish` raise OSError or its subclass TimeoutError when the receiver is unreachable or does not
+read.
 """
 
 from __future__ import annotations
@@ -15,43 +16,45 @@
 from dockthread.telemetry import putval
 from dockthread.telemetry.options import CollectdOptions, GraphiteOptions
 
-# Bytes written in one turn of the event loop.
+# Bytes written in one iteration of the event loop.
 BYTES_PER_TURN = 16 * 1024
-# Bytes of the kernel's send buffer. It is small, because what the kernel holds for a receiver that
-# never reads is lost with the connection.
+# Size of the kernel's send buffer. It is small because, when a receiver stops reading, the bytes in
+# the buffer are lost with the connection.
 SEND_BUFFER_BYTES = 64 * 1024
-# Bytes read at once from Graphite, which sends nothing, and from collectd's answers.
+# Bytes per read from Graphite, which sends no data; a read only detects the end of the connection.
 GRAPHITE_READ_BYTES = 4096
+# Bytes per read of collectd's replies.
 ANSWERS_READ_BYTES = 16384
-# Packets sent without a pause.
+# Packets sent before each pause.
 PACKETS_PER_TURN = 8
-# Seconds between two such groups of packets, so that a receiver's buffer keeps up.
+# Seconds between two groups of packets; keeps the receiver's socket buffer from overflowing.
 PACKET_PAUSE_SECONDS = 0.002
-# Seconds after the last packet in which the other machine's rejection (ICMP) comes back.
+# Seconds to wait after the last packet for an ICMP "port unreachable" from the receiver's host.
 REJECTION_WAIT_SECONDS = 0.02
 
 
 class Connection(Protocol):
-    """A connection to one receiver, which can be opened again after it was closed."""
+    """A connection to one receiver; it can be reopened after it was closed."""
 
     async def open(self) -> None:
         """Connect to the receiver."""
 
     async def send(self, chunks: tuple[bytes, ...]) -> None:
-        """Write a report."""
+        """Send the encoded chunks of a report."""
 
     async def finish(self) -> None:
-        """Announce the end of the stream, and wait until the receiver has seen it."""
+        """Signal the end of the stream, and wait until the receiver has seen it."""
 
     def close(self) -> None:
-        """Close the connection at once, if it is open."""
+        """Close the connection immediately if it is open."""
 
 
 class SocketConnection:
-    """One socket, or none.
+    """Base class of connections over one socket, which is None while the connection is closed.
 
-    `finish` does nothing here: of the receivers, one answers each command and another never tells
-    what it took.
+    `finish` does nothing by default. It is not needed for collectd's unix socket, where `send`
+    waits for a reply to each command, nor possible over UDP, where the receiver acknowledges
+    nothing.
     """
 
     def __init__(self) -> None:
@@ -59,21 +62,21 @@
 
     @property
     def _open_socket(self) -> socket.socket:
-        assert self._socket is not None, "the connection is open"
+        assert self._socket is not None, "the connection must be open"
         return self._socket
 
     async def finish(self) -> None:
-        """Do nothing."""
+        """Do nothing; a subclass overrides this if it needs to."""
 
     def close(self) -> None:
-        """Close the socket, if there is one."""
+        """Close the socket if it is open."""
         if self._socket is not None:
             self._socket.close()
             self._socket = None
 
 
 class GraphiteConnection(SocketConnection):
-    """A TCP connection to Graphite, which never answers."""
+    """A TCP connection to Graphite, which never sends a reply."""
 
     def __init__(self, host: str, port: int) -> None:
         super().__init__()
@@ -97,12 +100,12 @@
                 return
 
     async def send(self, chunks: tuple[bytes, ...]) -> None:
-        """Write a report, with other work between its pieces."""
+        """Send a report, yielding to the event loop after every `BYTES_PER_TURN` bytes."""
         open_socket = self._open_socket
         loop = asyncio.get_running_loop()
         with suppress(BlockingIOError):
-            # Graphite sends nothing, so anything to read is the end of the connection. When it is
-            # found here, the report is not written into a closed connection.
+            # Graphite sends no data, so an empty read means that it closed the connection. This
+            # check keeps the report from being written to a closed connection.
             if not open_socket.recv(GRAPHITE_READ_BYTES):
                 raise ConnectionResetError("the receiver closed the connection")
         for chunk in chunks:
@@ -111,7 +114,7 @@
                 await asyncio.sleep(0)
 
     async def finish(self) -> None:
-        """Shut down the sending side, and wait until Graphite closes the other."""
+        """Shut down the sending side, and wait until Graphite closes the connection."""
         open_socket = self._open_socket
         open_socket.shutdown(socket.SHUT_WR)
         while await asyncio.get_running_loop().sock_recv(open_socket, GRAPHITE_READ_BYTES):
@@ -119,9 +122,9 @@
 
 
 class CollectdPacketConnection(SocketConnection):
-    """Packets to collectd's network plugin, which never answers.
+    """Sends UDP packets to collectd's network plugin, which never replies.
 
-    The kernel reports a port on which nobody listens.
+    A failure is noticed only if the receiver's host reports a closed port.
     """
 
     def __init__(self, host: str, port: int) -> None:
@@ -130,9 +133,9 @@
         self._port = port
 
     async def open(self) -> None:
-        """Choose the host's address: IPv4 first, as collectd's default.
+        """Choose one of the host's addresses, preferring IPv4, collectd's default.
 
-        The other addresses cannot be tried, because a lost datagram goes unnoticed.
+        The remaining addresses cannot be tried, because a lost datagram goes unnoticed.
         """
         loop = asyncio.get_running_loop()
         found = await loop.getaddrinfo(self._host, self._port, type=socket.SOCK_DGRAM)
@@ -143,7 +146,7 @@
         self._socket.connect(address)
 
     async def send(self, chunks: tuple[bytes, ...]) -> None:
-        """Send each chunk as a packet, with a pause after every few."""
+        """Send each chunk as a packet, with a pause after every `PACKETS_PER_TURN` packets."""
         open_socket = self._open_socket
         for number, packet in enumerate(chunks, 1):
             try:
@@ -155,14 +158,14 @@
                 await asyncio.sleep(PACKET_PAUSE_SECONDS)
         await asyncio.sleep(REJECTION_WAIT_SECONDS)
         if code := open_socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-            raise OSError(code, "the receiver's machine refused the packets")
+            raise OSError(code, "the receiver's host rejected the packets")
 
 
 class CollectdCommandConnection(SocketConnection):
-    """Commands to collectd's unixsock plugin, which answers each.
+    """Sends commands to collectd's unixsock plugin, which replies to each.
 
     Attributes:
-        rejected: Commands that collectd did not accept.
+        rejected: Number of commands that collectd rejected.
     """
 
     def __init__(self, path: str) -> None:
@@ -171,12 +174,12 @@
         self._path = path
 
     async def open(self) -> None:
-        """Connect to the socket's path."""
+        """Connect to the unix socket."""
         self._socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         await asyncio.get_running_loop().sock_connect(self._socket, self._path)
 
     async def send(self, chunks: tuple[bytes, ...]) -> None:
-        """Write a report's commands, and wait until all are answered."""
+        """Send a report's commands, and wait for a reply to each."""
         open_socket = self._open_socket
         loop = asyncio.get_running_loop()
         answers = putval.Answers()
@@ -196,11 +199,11 @@
 
 
 def receiver_connection(options: GraphiteOptions | CollectdOptions) -> Connection:
-    """Return a closed connection to the address in a receiver's section."""
+    """Return the connection for a receiver's address; it is not opened yet."""
     if isinstance(options, CollectdOptions) and options.path:
         return CollectdCommandConnection(options.path)
     address = host_port(options.address)
-    assert address is not None, "checked when the file was read"
+    assert address is not None, "the address is validated when the file is read"
     if isinstance(options, GraphiteOptions):
         return GraphiteConnection(*address)
     return CollectdPacketConnection(*address)
--- a/dockthread/telemetry/delivery_queue.py
+++ b/dockthread/telemetry/delivery_queue.py
@@ -1,9 +1,9 @@
 """The bounded queue of reports for one receiver.
 
-Counts are cumulative, so a report between two others says nothing that the later one does not; only
-detail is lost with it. When the queue exceeds its bytes, every second report of the older half is
-dropped first. Only when that half has a single report left is the oldest dropped. The newest report
-always stays.
+Counts are cumulative, so dropping a report loses time resolution but no counts: the next report
+includes them. When the queue exceeds its size limit, every second report of its older half is
+dropped, the oldest first, until the queue fits. Once that half has shrunk to a single report, the
+oldest report is dropped. The newest report is never dropped.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-# Reports delivered last that are kept: what a connection that breaks may have lost.
+# Delivered reports that are kept to be sent again, because a broken connection may have lost them.
 KEPT_DELIVERED = 2
 
 
@@ -20,8 +20,8 @@
     """One report, encoded for one receiver.
 
     Attributes:
-        seconds: The moment at which the values were read, in Unix time.
-        chunks: The encoded bytes; each chunk is written by itself, in order.
+        seconds: The Unix time at which the values were read.
+        chunks: The encoded bytes; chunks are written one at a time, in order.
     """
 
     seconds: float
@@ -29,7 +29,7 @@
 
     @property
     def size(self) -> int:
-        """The bytes of all chunks."""
+        """The total size of all chunks in bytes."""
         return sum(map(len, self.chunks))
 
 
@@ -37,9 +37,9 @@
     """Reports that wait for one receiver, the oldest first.
 
     Attributes:
-        max_size: The most bytes that wait; a single report may exceed it.
-        size: The bytes that wait now.
-        dropped: Reports dropped since the start for want of space.
+        max_size: The size limit of the queue in bytes; a single report may exceed it.
+        size: The size of the waiting reports in bytes.
+        dropped: Number of reports dropped so far because the queue was full.
     """
 
     def __init__(self, max_size: int) -> None:
@@ -53,7 +53,7 @@
         return len(self._waiting)
 
     def enqueue(self, report: Report) -> None:
-        """Append the newest report, and drop older ones if the queue exceeds its size."""
+        """Append the newest report, and drop older ones if the queue exceeds its size limit."""
         self._waiting.append(report)
         self.size += report.size
         self._enforce_size()
@@ -63,7 +63,7 @@
             self._thin_older_half()
 
     def _thin_older_half(self) -> None:
-        """Drop every second report of the older half, the oldest first, until the size fits."""
+        """Drop every second report of the older half, oldest first, until the queue fits."""
         half = max(1, len(self._waiting) // 2)
         kept: list[Report] = []
         for index, report in enumerate(self._waiting):
@@ -79,9 +79,9 @@
         return self._waiting[0] if self._waiting else None
 
     def mark_delivered(self, report: Report) -> None:
-        """Remove a report that was written completely.
+        """Remove a report that was written completely, and keep it in case the connection breaks.
 
-        It may have been dropped while it was written; then there is nothing to remove.
+        The report may already have been dropped from the queue while it was being written.
         """
         if self._waiting and self._waiting[0] is report:
             self._waiting.popleft()
@@ -91,7 +91,8 @@
     def requeue_delivered(self) -> None:
         """Queue the last delivered reports again, in order, after a connection broke.
 
-        They may not have arrived. If they have, a point sent twice is stored once.
+        They may not have arrived. If they did, sending them twice is harmless, because a receiver
+        stores one value for each series and timestamp.
         """
         while self._delivered:
             report = self._delivered.pop()
--- a/dockthread/telemetry/exporter.py
+++ b/dockthread/telemetry/exporter.py
@@ -1,8 +1,9 @@
-"""Run telemetry beside an ingress: a report each interval, and one last report at the end.
+"""Run telemetry for an ingress: one report per interval, and a final report at shutdown.
 
-Counting happens only while there is a receiver. A life begins with the first receiver, at the start
-of the ingress or by a reload, and its first report holds explicit zeros. The last report is made
-after the last response, and has the time `farewell` of the operator's file to be delivered.
+Events are counted only while a receiver is configured. A telemetry session begins when the first
+receiver is configured, at the start of the ingress or by a reload. Its first report contains
+explicit zeros. The final report is made after the last response; the setting `farewell` in the
+operator's file bounds the time for its delivery.
 """
 
 from __future__ import annotations
@@ -27,20 +28,20 @@
     from dockthread.config.ini_reader import OperatorConfig
     from dockthread.net.ingress import Ingress
 
-# Seconds between two samples of the event loop's lag and of the counter's circuit.
+# Seconds between two samples of the event loop's lag and of the quota counter's circuit breaker.
 SAMPLE_SECONDS = 0.1
-# One part in so many of the ingress's memory is a receiver's queue, unless the file says otherwise.
+# By default the size limit of a receiver's queue is the ingress's memory divided by this number.
 MEMORY_PARTS = 64
-# Bytes of the smallest such queue.
+# Lower bound in bytes of the default size limit of a receiver's queue.
 MIN_QUEUE_BYTES = 64 * 1024
 BYTES_PER_MEBIBYTE = 1 << 20
 
 
 class Exporter:
-    """Counts, reads and reports; all of it is used from the ingress's event loop.
+    """Counts events and reports them to the receivers; runs on the ingress's event loop only.
 
     Attributes:
-        receivers: The receivers of the operator's file, by name.
+        receivers: The receivers configured in the operator's file, by name.
     """
 
     def __init__(self, ingress: Ingress) -> None:
@@ -52,21 +53,21 @@
         self._tally: Tally | None = None
         self._reader: MetricsReader | None = None
         self._timestamps: TimestampSource | None = None
-        self._reported_at_ms = 0.0  # of the ingress's clock
-        self._schedule_number = 0  # timers of an earlier schedule are ignored
+        self._reported_at_ms = 0.0  # time of the last report by the ingress's clock
+        self._schedule_number = 0  # identifies the current timer; older timers are ignored
         self._report_task: asyncio.Task[None] | None = None
         self._sampler: asyncio.TimerHandle | None = None
 
     @property
     def tally(self) -> Tally | None:
-        """The counts of the present life, or None while there is no receiver."""
+        """The counts of the current session, or None while no receiver is configured."""
         return self._tally
 
     def apply(self, operator_config: OperatorConfig) -> None:
-        """Take over the file's receivers and options.
+        """Apply the receivers and options of the operator's file.
 
         Raises:
-            SettingsError: if a receiver cannot be made; then everything stays as it was.
+            SettingsError: if a receiver cannot be created; then nothing is changed.
         """
         options: TelemetryOptions = operator_config.section("telemetry")
         named: Mapping[str, ReceiverOptions] = {
@@ -97,7 +98,7 @@
     def _changed_receivers(
         self, named: Mapping[str, ReceiverOptions], options: TelemetryOptions
     ) -> dict[str, Receiver]:
-        """Return a new receiver for each that is new or has other options than before."""
+        """Create a receiver for each section that is new or whose options changed."""
         config = self._ingress.config
         memory_share = config.memory_mb * BYTES_PER_MEBIBYTE // MEMORY_PARTS
         queue_bytes = int(options.queue or max(MIN_QUEUE_BYTES, memory_share))
@@ -136,7 +137,7 @@
                 f"{name} at {receiver.options.address}" for name, receiver in self.receivers.items()
             ),
         )
-        self._report()  # the zeros of this life
+        self._report()  # reports the explicit zeros of this session
         self._schedule()
         self._sample(time.monotonic() + SAMPLE_SECONDS)
 
@@ -153,7 +154,7 @@
         task.add_done_callback(self._drains.discard)
 
     async def _drain(self, receivers: list[Receiver]) -> None:
-        """Drain receivers within `farewell`, and stop them."""
+        """Drain receivers for at most the time `farewell`, then stop them."""
         drains = [self._loop.create_task(receiver.drain()) for receiver in receivers]
         if drains:
             await asyncio.wait(drains, timeout=self._options.farewell / 1000.0)
@@ -165,7 +166,7 @@
     def _schedule(self) -> None:
         """Schedule the next report at a multiple of the interval in Unix time.
 
-        So the points of all ingresses fall on the same seconds, and Graphite can add them up.
+        All ingresses then report at the same seconds, which lets Graphite add up their values.
         """
         self._schedule_number += 1
         clock = self._ingress.clock
@@ -184,7 +185,7 @@
     def _report(self) -> None:
         """Read the points now, and encode them in a task.
 
-        One report is encoded at a time: while the last one still is, this one is skipped.
+        If the previous report is still being encoded, this one is skipped.
         """
         if self._report_task is not None and not self._report_task.done():
             return
@@ -216,10 +217,12 @@
             receiver.notify(f"{self._ingress.config.name} is {name}", timestamp.seconds)
 
     def _sample(self, due: float) -> None:
-        """Sample the event loop's lag, by how late this call is, and the counter's circuit.
+        """Sample the event loop's lag and whether the quota counter's circuit breaker is open.
+
+        The lag is the time by which this call is late.
 
         Args:
-            due: When this call was due, in seconds of the monotonic clock.
+            due: The time at which this call was scheduled, in seconds of the monotonic clock.
         """
         tally = self._tally
         if tally is None:
@@ -234,9 +237,9 @@
         self._sampler = self._loop.call_later(max(0.0, due - now), self._sample, due)
 
     async def farewell(self) -> None:
-        """Report the last values after the last response, and drain the receivers.
+        """Make the final report after the last response, and drain the receivers.
 
-        The report may take the time `farewell` to encode, and the drain as long again.
+        Encoding the report and draining the receivers may each take up to the time `farewell`.
         """
         if self._tally is None:
             return
--- a/dockthread/telemetry/graphite.py
+++ b/dockthread/telemetry/graphite.py
@@ -1,8 +1,8 @@
 """Encode points for Graphite's carbon, as plain text or as pickles.
 
-Source: Graphite's documentation, "Feeding In Your Data". Plain text is a line `PATH VALUE SECONDS`
-for each point. A pickle is preceded by its length (four bytes, big-endian) and holds a list of
-`(path, (seconds, value))` in protocol 2; carbon takes 1 MiB by default.
+Source: Graphite's documentation, "Feeding In Your Data". In plain text each point is a line
+`PATH VALUE SECONDS`. A pickle is a list of `(path, (seconds, value))` in pickle protocol 2. It is
+preceded by its length (four bytes, big-endian). By default carbon accepts pickles of up to 1 MiB.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 from dockthread.telemetry.catalogue import Point
 
-# Points in one pickle, which stays far below the length that carbon takes.
+# Maximum number of points in one pickle, which keeps its size far below carbon's limit.
 POINTS_PER_PICKLE = 256
 PICKLE_PROTOCOL = 2
-# The length before each pickle.
+# The length that precedes each pickle.
 PICKLE_HEADER = struct.Struct("!I")
-# Names of the tags for a path's parts behind the first, by the first.
+# Names of the tags that hold the remaining parts of a path, by the path's first part.
 TAG_NAMES = {
     "answers": ("class", "plan", "outcome"),
     "why": ("class", "plan", "outcome", "reason"),
@@ -39,10 +39,10 @@
 
 
 def series(prefix: str, ingress: str, path: tuple[str, ...], tags: bool) -> str:
-    """Return the name of a path's series.
+    """Return the name of the series for a path.
 
     Without tags it is `PREFIX.INGRESS.a.b.c`. With tags it is `PREFIX.a;ingress=INGRESS;...`, where
-    the parts behind the first are values of tags.
+    the parts after the first are the values of tags.
     """
     if not tags:
         return ".".join((prefix, ingress, *path))
@@ -54,12 +54,12 @@
 
 
 def plaintext(named: Sequence[tuple[str, Point]], seconds: int) -> bytes:
-    """Encode points, each with the name of its series, as lines."""
+    """Encode pairs of a series name and a point as lines of plain text."""
     return "".join(f"{name} {point.value_text} {seconds}\n" for name, point in named).encode()
 
 
 def pickled(named: Sequence[tuple[str, Point]], seconds: int) -> bytes:
-    """Encode points, each with the name of its series, as pickles of `POINTS_PER_PICKLE`."""
+    """Encode pairs of a series name and a point as pickles of up to `POINTS_PER_PICKLE` points."""
     output = BytesIO()
     for start in range(0, len(named), POINTS_PER_PICKLE):
         rows = [
@@ -72,6 +72,6 @@
 
 
 def _whole_if_possible(value: float) -> float:
-    """Return a whole number as an int, whose pickle is shorter and exact."""
+    """Convert a whole number to an int, whose pickle is shorter and exact."""
     whole = int(value)
     return whole if value == whole else value
--- a/dockthread/telemetry/heavy_hitters.py
+++ b/dockthread/telemetry/heavy_hitters.py
@@ -1,12 +1,13 @@
-"""The customers that request most units in an interval, found in bounded memory.
+"""Finds the customers that request the most units in an interval, in bounded memory.
 
 The algorithm is Metwally's space-saving sketch (Metwally, Agrawal, El Abbadi: "Efficient
 Computation of Frequent and Top-k Elements in Data Streams", 2005, section 3). With a capacity of k
-entries, any customer that requested more than 1/k of all units has an entry. An entry's requested
-units are too high by at most its `error`, which is the smallest entry at the time it was made.
+entries, any customer that requested more than 1/k of all units has an entry. An entry may
+overestimate the requested units by at most its `error`: the requested units of the entry that it
+replaced.
 
-A table covers one interval and not the whole life of the process, so thousands of customers that
-appear only once leave nothing behind.
+A table covers one interval only, so customers that appear once do not accumulate over the process's
+lifetime.
 """
 
 from __future__ import annotations
@@ -15,10 +16,11 @@
 from heapq import heapify, heapreplace, nlargest
 from typing import TypeAlias
 
-# The policy engine's number of a plan, and a customer of that plan. A plain tuple, because one is
-# made for every request and a named tuple takes several times as long to make.
+# The policy engine's index of a plan, and the ID of a customer of that plan. It is a plain tuple
+# because one is created for every request, and creating a named tuple takes several times as long.
 CustomerKey: TypeAlias = tuple[int, int]
-# A heap entry: a customer's requested units at the time at which it was last looked at.
+# A heap entry: a customer's requested units when the entry was last updated, and the customer. The
+# current value may be higher.
 _LowerBound: TypeAlias = tuple[float, CustomerKey]
 
 
@@ -27,10 +29,10 @@
     """Units of one customer within one interval.
 
     Attributes:
-        requested: Units of its completed or abandoned requests; an upper bound.
-        forwarded: Units of those that were forwarded to backends.
-        rejected: Units of those that were rejected.
-        error: The most by which `requested` is too high.
+        requested: Upper bound of the units of its completed or abandoned requests.
+        forwarded: Units of requests that were forwarded to backends.
+        rejected: Units of requests that were rejected.
+        error: Maximum amount by which `requested` may be too high.
     """
 
     requested: float
@@ -40,11 +42,11 @@
 
 
 class HeavyHitters:
-    """Usage of the customers that request most.
+    """Usage of the customers that request the most units.
 
     Attributes:
-        capacity: The most entries of the table; at least 1.
-        usage: The entries.
+        capacity: Maximum number of entries in the table; at least 1.
+        usage: The entries of the table, by customer.
     """
 
     __slots__ = ("_lower_bounds", "capacity", "usage")
@@ -52,11 +54,11 @@
     def __init__(self, capacity: int) -> None:
         self.capacity = max(1, capacity)
         self.usage: dict[CustomerKey, CustomerUsage] = {}
-        # A heap, built when the table is full for the first time.
+        # A heap, built the first time that an entry must be replaced.
         self._lower_bounds: list[_LowerBound] | None = None
 
     def add_requested(self, plan: int, customer: int, units: float) -> None:
-        """Add the units of a request; make an entry for its customer if it has none."""
+        """Add the units of a request, and create an entry for its customer if there is none."""
         key = (plan, customer)
         usage = self.usage.get(key)
         if usage is not None:
@@ -67,15 +69,15 @@
             self._replace_smallest(key, units)
 
     def _replace_smallest(self, key: CustomerKey, units: float) -> None:
-        """Give the smallest entry's place to a new customer, with its units as the error."""
+        """Replace the smallest entry by one for a new customer, with the old units as its error."""
         if self._lower_bounds is None:
             self._lower_bounds = [
                 (usage.requested, present) for present, usage in self.usage.items()
             ]
             heapify(self._lower_bounds)
         heap = self._lower_bounds
-        # An outdated bound is raised to the present value. That happens to a customer at most as
-        # often as it made requests, so the loop's cost is constant on average.
+        # An outdated bound is raised to the current value. This happens at most once for each
+        # request, so the amortized number of iterations is constant.
         while True:
             bound, smallest = heap[0]
             requested = self.usage[smallest].requested
@@ -99,5 +101,5 @@
             usage.rejected += units
 
     def top(self, count: int) -> list[tuple[CustomerKey, CustomerUsage]]:
-        """Return the `count` customers that requested most, the largest first."""
+        """Return the `count` customers that requested the most units, largest first."""
         return nlargest(count, self.usage.items(), key=lambda entry: entry[1].requested)
--- a/dockthread/telemetry/latency_histogram.py
+++ b/dockthread/telemetry/latency_histogram.py
@@ -1,4 +1,4 @@
-"""A histogram of durations: quantiles of one interval, and buckets over the whole life.
+"""A histogram of durations: quantiles per interval, and cumulative counts per bucket.
 
 Quantiles come from DDSketch (Masson, Rim, Lee: "DDSketch", 2019), which bounds the relative error.
 """
@@ -11,18 +11,18 @@
 
 from dockthread.telemetry.catalogue import BUCKET_BOUNDS_MS
 
-# Relative error of a quantile.
+# Maximum relative error of a quantile.
 SKETCH_ACCURACY = 0.01
-# Bins of a sketch; beyond them the lowest are merged.
+# Maximum number of bins in a sketch; when there are more, the lowest bins are merged.
 SKETCH_MAX_BINS = 512
-# Durations that wait before they are added to sketch and buckets in one loop, which is cheaper.
+# Number of durations that are buffered and then added in one loop, which costs less per duration.
 BATCH_SIZE = 64
 
 
 class LatencyHistogram:
     """Durations of one kind, in milliseconds.
 
-    Durations wait in a short list and are added to sketch and buckets `BATCH_SIZE` at a time.
+    Durations are buffered, and added to the sketch and the buckets `BATCH_SIZE` at a time.
     """
 
     __slots__ = ("_buckets", "_longest", "_pending", "_sketch", "_sum")
@@ -34,7 +34,7 @@
         self.begin_interval()
 
     def begin_interval(self) -> None:
-        """Start a new interval: forget quantiles and the maximum, keep sum and buckets."""
+        """Start a new interval: reset the quantiles and the maximum, keep sum and buckets."""
         self.flush()
         self._sketch = LogCollapsingLowestDenseDDSketch(SKETCH_ACCURACY, SKETCH_MAX_BINS)
         self._longest = 0.0
@@ -46,11 +46,11 @@
             self.flush()
 
     def flush(self) -> None:
-        """Add the durations that wait to sketch, buckets, sum and maximum."""
+        """Add the buffered durations to the sketch, the buckets, the sum and the maximum."""
         pending = self._pending
         if not pending:
             return
-        # Bound to locals, because this loop runs for every request.
+        # Local variables are faster than attributes, and this loop runs for every request.
         buckets = self._buckets
         add_to_sketch = self._sketch.add
         for duration_ms in pending:
@@ -61,7 +61,7 @@
         pending.clear()
 
     def quantile(self, fraction: float) -> float:
-        """Return a quantile of the interval; 0 when nothing was recorded."""
+        """Return a quantile of the interval, or 0 if nothing was recorded."""
         self.flush()
         return min(float(self._sketch.get_quantile_value(fraction) or 0.0), self._longest)
 
@@ -73,12 +73,12 @@
 
     @property
     def sum(self) -> float:
-        """The sum of all durations over the life."""
+        """The sum of all durations since the histogram was created."""
         self.flush()
         return self._sum
 
     @property
     def buckets(self) -> list[int]:
-        """Counts over the life, by the upper bounds in `BUCKET_BOUNDS_MS`, and one beyond them."""
+        """Counts per bucket since creation; the last counts durations above `BUCKET_BOUNDS_MS`."""
         self.flush()
         return self._buckets
--- a/dockthread/telemetry/metrics_reader.py
+++ b/dockthread/telemetry/metrics_reader.py
@@ -1,7 +1,7 @@
-"""Reads an ingress and its counts at one moment, as the points of one report.
+"""Reads the current state and counts of an ingress as the points of one report.
 
-Reading changes nothing and decides nothing. Names of metrics and their meaning are in `catalogue`;
-some of them use former terms, which stay because dashboards depend on them.
+Reading does not change the ingress. The metrics' paths and meanings are listed in `catalogue`; some
+of them use former terms, which are kept because dashboards depend on them.
 """
 
 from __future__ import annotations
@@ -29,25 +29,25 @@
     from dockthread.net.ingress import Ingress
     from dockthread.telemetry.sender import Sender
 
-# Value of the metric `phase` by the name of the phase.
+# Value of the metric `phase` for each phase.
 PHASE_NUMBERS = {"starting": 1, "serving": 2, "lingering": 3, "draining": 4, "stopped": 5}
-# Routes that are reported at most, so that a report stays bounded.
+# Maximum number of reported routes, which bounds the size of a report.
 MAX_REPORTED_ROUTES = 50
-# Quantiles of latencies by the last part of the metric's path.
+# Reported latency quantiles, by the last part of the metric's path.
 LATENCY_QUANTILES = {"p50": 0.5, "p95": 0.95, "p99": 0.99}
-# Seconds of the shortest interval over which rates are taken.
+# Minimum interval in seconds that is used to compute rates; prevents a division by zero.
 MIN_INTERVAL_SECONDS = 0.001
-# The outcomes of attempts as parts of a path.
+# Each outcome of an attempt, and the part of a path that stands for it.
 OUTCOME_PARTS = {outcome: path_part(outcome.value.replace(" ", "-")) for outcome in Outcome}
-# The load report's field with the requests in flight at the backend.
+# The field of a backend's load report that holds its number of requests in flight.
 REQUESTS_IN_FLIGHT = "rif"
 
 
 class MetricsReader:
-    """Reads the points of one life of an ingress.
+    """Reads the points of one telemetry session of an ingress.
 
     Attributes:
-        life: The start of the life in Unix milliseconds.
+        life: The start time of the session in Unix milliseconds, reported as the metric `life`.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self._tally = tally
         self._reported_backends = reported_backends
         self._reported_customers = reported_customers
-        # The ingress counts these since its own start, and a life may begin later.
+        # The ingress counts these since its start, but a session may begin later.
         self._attempts_before = ingress.traffic.attempts_started
         self._hedges_before = ingress.traffic.hedges_started
         names = ingress.config.names
@@ -71,13 +71,13 @@
         self._plans = [path_part(name) for name in names.plans]
 
     def points(self, elapsed_ms: float, senders: Iterable[tuple[str, Sender]] = ()) -> list[Point]:
-        """Return all points of this moment.
+        """Return all points of a report.
 
-        The point `life` is the first: by it a receiver knows to which life the counts belong.
+        The point `life` comes first, and tells a receiver to which session the counts belong.
 
         Args:
-            elapsed_ms: The interval that ends now, over which rates by customer are taken.
-            senders: Names and senders of the receivers.
+            elapsed_ms: The length of the interval that ends now, used for the customers' rates.
+            senders: The name and the sender of each receiver.
         """
         self._tally.flush()
         return [
@@ -117,7 +117,7 @@
                 yield Point(("time", name, label), GAUGE, latencies.quantile(fraction))
             yield Point(("time", name, "max"), GAUGE, latencies.longest)
             yield Point(("time", name, "sum"), DERIVE, round(latencies.sum))
-            # The last bucket, beyond all bounds, has no point of its own.
+            # The last bucket counts durations above all bounds and is not reported.
             cumulative = accumulate(latencies.buckets)
             for bound_ms, count in zip(BUCKET_BOUNDS_MS, cumulative, strict=False):
                 yield Point(("time", name, f"le_{bound_ms}"), DERIVE, count)
@@ -150,7 +150,7 @@
             yield Point(("quota", name, "refused"), DERIVE, round(tally.units_rejected[plan]))
 
     def _customers(self, elapsed_ms: float) -> Iterator[Point]:
-        """Yield the rates of the customers that requested most in the interval."""
+        """Yield the rates of the customers that requested the most units in the interval."""
         heavy_hitters = self._tally.heavy_hitters
         seconds = max(elapsed_ms / 1000.0, MIN_INTERVAL_SECONDS)
         yield Point(("firms_seen",), GAUGE, len(heavy_hitters.usage))
@@ -182,9 +182,9 @@
                 yield Point((*path, "budget"), GAUGE, spent.budget.left)
 
     def _backends(self) -> Iterator[Point]:
-        """Yield the listed backends with most attempts in flight.
+        """Yield the points of the backends with the most attempts in flight.
 
-        The series of a backend that left the endpoint list end.
+        A backend that has left the endpoint list is no longer reported.
         """
         engine = self._ingress.engine
         now = self._ingress.clock.now() / 1000.0
--- a/dockthread/telemetry/options.py
+++ b/dockthread/telemetry/options.py
@@ -1,4 +1,4 @@
-"""The sections `[telemetry]`, `[graphite NAME]` and `[collectd NAME]` of the operator's file."""
+"""Settings in the sections `[telemetry]`, `[graphite NAME]` and `[collectd NAME]`."""
 
 from __future__ import annotations
 
@@ -9,38 +9,38 @@
 from dockthread.config.ini_reader import KeyProblem, Section
 from dockthread.config.quantities import Duration, Size
 
-# Limits of the time between two reports.
+# Limits of the interval between two reports.
 MIN_INTERVAL = Duration(100)
 MAX_INTERVAL = Duration(3_600_000)
-# The longest time that a last report may hold up the exit.
+# Maximum time that shutdown may wait for the final report to be delivered.
 MAX_FAREWELL = Duration(5_000)
-# The most customers, and the most backends, in one report, so that it stays bounded.
+# Maximum number of customers, and of backends, in one report, which bounds its size.
 MAX_REPORTED = 500
-# The smallest queue that holds a report.
+# Minimum queue size, which is enough for one report.
 MIN_QUEUE = Size(16 * 1024)
-# Characters of Graphite's prefix.
+# Maximum number of characters in Graphite's prefix.
 MAX_PREFIX_LENGTH = 128
-# Bytes of a user's name, which goes into each packet.
+# Maximum number of bytes in a user name, which is part of each packet.
 MAX_USER_BYTES = 256
-# Characters of a plugin's name.
+# Maximum number of characters in a plugin name.
 MAX_PLUGIN_LENGTH = 32
-# Begins the address of a unix socket.
+# Prefix of the address of a unix socket.
 UNIX_PREFIX = "unix:"
-# Bytes of the path of a unix socket: the kernel's limit without the NUL.
+# Maximum number of bytes in the path of a unix socket: the kernel's limit without the NUL.
 MAX_SOCKET_PATH_BYTES = 107
-# Bytes of a password's file that are read.
+# Maximum number of bytes that are read from a password file.
 MAX_PASSWORD_FILE_BYTES = 4096
 
 
 class TelemetryOptions(Section, frozen=True, kw_only=True):
-    """Settings that hold for all receivers.
+    """Settings that apply to all receivers.
 
     Attributes:
-        interval: The time between two reports.
-        farewell: The time in which the last report must be delivered.
-        firms: The customers whose rates are reported: those that requested most.
-        nodes: The backends that are reported: those with most attempts in flight.
-        queue: The most bytes that wait for one receiver; by default a 64th of the ingress's memory.
+        interval: The interval between two reports.
+        farewell: The time limit for delivering the final report at shutdown.
+        firms: Maximum number of customers reported; those that requested the most units.
+        nodes: Maximum number of backends reported; those with the most attempts in flight.
+        queue: The queue size for each receiver; by default 1/64 of the ingress's memory.
     """
 
     interval: Duration = Duration(10_000)
@@ -50,7 +50,7 @@
     queue: Size | None = None
 
     def problems(self) -> Iterable[KeyProblem]:
-        """Yield each value that is out of range."""
+        """Yield a problem for each value that is out of range."""
         if not MIN_INTERVAL <= self.interval <= MAX_INTERVAL:
             yield KeyProblem(
                 "interval",
@@ -72,11 +72,11 @@
     """A Graphite receiver.
 
     Attributes:
-        address: HOST:PORT of carbon.
-        protocol: The protocol of that port.
+        address: The HOST:PORT at which carbon listens.
+        protocol: The protocol that carbon expects at this port.
         prefix: The first parts of each path.
-        tags: Whether to write `prefix.answers;class=...;plan=...` in place of dotted paths, for a
-            Graphite with tags.
+        tags: Whether series have names such as `prefix.answers;class=...;plan=...` in place of
+            dotted paths, for a Graphite version that supports tags.
     """
 
     address: str
@@ -85,7 +85,7 @@
     tags: bool = False
 
     def problems(self) -> Iterable[KeyProblem]:
-        """Yield a wrong address or prefix."""
+        """Yield a problem for an invalid address or prefix."""
         yield from _address_problems(self.address, allow_unix=False)
         is_path = all(map(_is_prefix_part, self.prefix.split(".")))
         if not is_path or len(self.prefix) > MAX_PREFIX_LENGTH:
@@ -100,12 +100,12 @@
     """A collectd receiver.
 
     Attributes:
-        address: HOST:PORT of the network plugin, or `unix:PATH` of the unixsock plugin, which has
-            no security.
+        address: The HOST:PORT of the network plugin, or `unix:PATH` for the unixsock plugin, which
+            supports neither signing nor encryption.
         security: Whether packets are signed or encrypted.
-        user: The user who signs or encrypts.
-        password_file: The file whose first line is the user's password.
-        plugin: The plugin's name in collectd's identifiers.
+        user: The user name with which packets are signed or encrypted.
+        password_file: A file whose first line is the user's password.
+        plugin: The plugin name in collectd's identifiers.
     """
 
     address: str
@@ -116,7 +116,7 @@
 
     @property
     def path(self) -> str:
-        """The path of a unix socket, or empty."""
+        """The path of the unix socket; empty for a HOST:PORT."""
         return self.address.removeprefix(UNIX_PREFIX) if self._is_unix else ""
 
     @property
@@ -124,7 +124,7 @@
         return self.address.startswith(UNIX_PREFIX)
 
     def problems(self) -> Iterable[KeyProblem]:
-        """Yield each wrong value, and each that the security level lacks."""
+        """Yield a problem for each invalid value and each value missing for the security level."""
         yield from _address_problems(self.address, allow_unix=True)
         if self.security != "none":
             yield from self._security_problems()
@@ -146,7 +146,7 @@
             yield KeyProblem("password_file", is_needed, "name a file")
 
     def password(self) -> bytes:
-        """Return the first line of the password's file; empty if none is needed.
+        """Return the first line of the password file; empty if no password is needed.
 
         Raises:
             OSError: if the file cannot be read.
@@ -176,8 +176,8 @@
 
 
 def shared_names(graphite: Mapping[str, Any], collectd: Mapping[str, Any]) -> list[str]:
-    """Return the names of both a Graphite and a collectd receiver.
+    """Return the names that both a Graphite and a collectd receiver have.
 
-    They are not allowed: the metrics of the two receivers would be one series.
+    Such names are not allowed, because the metrics about both receivers would share their series.
     """
     return sorted(graphite.keys() & collectd.keys())
--- a/dockthread/telemetry/process_metrics.py
+++ b/dockthread/telemetry/process_metrics.py
@@ -1,4 +1,4 @@
-"""Figures of the process that the kernel reports: memory and file descriptors."""
+"""Memory and file descriptors of this process, as reported by the kernel."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def resident_bytes() -> int:
-    """Return the resident memory by the kernel's statm; 0 where that cannot be read."""
+    """Return the resident memory from /proc/self/statm, or 0 if that cannot be read."""
     try:
         with open("/proc/self/statm") as file:
             return int(file.read().split()[1]) * PAGE_BYTES
@@ -18,14 +18,14 @@
 
 
 def open_descriptors() -> int:
-    """Return the number of file descriptors that are open; 0 where the kernel does not tell."""
+    """Return the number of open file descriptors, or 0 if /proc/self/fd cannot be read."""
     try:
-        # One of those listed is the descriptor by which the folder is read.
+        # One of the listed descriptors is the one used to read the directory.
         return len(os.listdir("/proc/self/fd")) - 1
     except OSError:
         return 0
 
 
 def max_descriptors() -> int:
-    """Return the number of file descriptors that the process may have open."""
+    """Return the maximum number of file descriptors that the process may have open."""
     return resource.getrlimit(resource.RLIMIT_NOFILE)[0]
--- a/dockthread/telemetry/putval.py
+++ b/dockthread/telemetry/putval.py
@@ -1,7 +1,7 @@
-"""Commands of collectd's unixsock plugin, PUTVAL and PUTNOTIF, both ways.
+"""Encode and parse the commands PUTVAL and PUTNOTIF of collectd's unixsock plugin.
 
-Source: collectd-unixsock(5). Each command is a line. The answer is `STATUS TEXT`, where a status
-below 0 is an error, and any other is the number of lines that follow.
+Source: collectd-unixsock(5). Each command is a line. The reply is a line `STATUS TEXT`. A negative
+status is an error; any other status is the number of lines that follow.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
     Severity.OKAY: "okay",
 }
 SEVERITIES_BY_NAME = {name: severity for severity, name in SEVERITY_NAMES.items()}
-# Bytes of a line, of a command or an answer, that does not end.
+# Maximum number of bytes in a line, which is a command or a reply.
 MAX_LINE_BYTES = 64 * 1024
-# Seconds of the interval of values whose command names none; collectd's default.
+# Interval in seconds of a value whose command does not give one: collectd's default.
 DEFAULT_INTERVAL_SECONDS = 10.0
-# Characters of an unknown command that the answer repeats.
+# Maximum number of characters of an unknown command that the reply quotes.
 MAX_REPEATED_COMMAND = 32
-# Words of the shortest PUTVAL: the command, an identifier and a value.
+# A PUTVAL has at least three words: the command, an identifier and a value.
 MIN_PUTVAL_WORDS = 3
 
 
@@ -37,14 +37,14 @@
 
 
 def putval(host: str, plugin: str, point: Point, seconds: float, interval_seconds: float) -> bytes:
-    """Return the command for a point at a moment in Unix seconds."""
+    """Return the PUTVAL command for a point with a timestamp in Unix seconds."""
     identifier = _identifier(host, plugin, point)
     value = f"{seconds:.3f}:{point.value_text}"
     return f'PUTVAL "{identifier}" interval={interval_seconds:g} {value}\n'.encode()
 
 
 def putnotif(host: str, plugin: str, text: str, severity: int, seconds: float) -> bytes:
-    """Return the command for a notification at a moment in Unix seconds."""
+    """Return the PUTNOTIF command for a notification with a timestamp in Unix seconds."""
     severity_name = SEVERITY_NAMES[Severity(severity)]
     options = f"severity={severity_name} time={seconds:.3f} host={host} plugin={plugin}"
     return f'PUTNOTIF message="{text}" {options}\n'.encode()
@@ -52,12 +52,12 @@
 
 @dataclass(slots=True)
 class Answers:
-    """Counts the answers in a stream of bytes from collectd.
+    """Counts the replies in a stream of bytes from collectd.
 
     Attributes:
-        unread: The beginning of an answer that is not complete.
-        seen: Answers read.
-        refused: Those of them that are errors.
+        unread: The received part of a reply that is not complete yet.
+        seen: Number of replies received.
+        refused: Number of those replies that are errors.
     """
 
     unread: bytes = b""
@@ -65,10 +65,10 @@
     refused: int = 0
 
     def feed(self, data: bytes) -> None:
-        """Read the answers in the next bytes.
+        """Count the replies that are completed by the next bytes.
 
         Raises:
-            ValueError: if they are not answers.
+            ValueError: if a line is not a valid reply or is too long.
         """
         self.unread += data
         while (end := self.unread.find(b"\n")) >= 0:
@@ -76,18 +76,18 @@
             self.unread = self.unread[end + 1 :]
             answer = ANSWER.fullmatch(line)
             if answer is None:
-                raise ValueError("not an answer of collectd's")
+                raise ValueError("invalid reply from collectd")
             self.seen += 1
             self.refused += int(answer[1]) < 0
         if len(self.unread) > MAX_LINE_BYTES:
-            raise ValueError("a line does not end")
+            raise ValueError("a reply line exceeds the maximum length")
 
 
 def parse(line: str) -> list[CollectdItem]:
-    """Return the values, or the notification, of one command.
+    """Return the values or the notification of one command.
 
     Raises:
-        ValueError: if the command cannot be read; its text is fit for the answer.
+        ValueError: if the command is invalid; the error text can be sent as the reply.
     """
     words = shlex.split(line)
     command = words[0].upper() if words else ""
--- a/dockthread/telemetry/receiver/__init__.py
+++ b/dockthread/telemetry/receiver/__init__.py
@@ -1,5 +1,5 @@
-"""The stand-in for Graphite and collectd, for tests and trials.
+"""A stand-in for Graphite and collectd, for tests and experiments.
 
-`stand_in` listens and can misbehave, `decode` and `command_server` decode what arrives, and
-`ledger` keeps it.
+`stand_in` listens for connections and packets and can simulate faults. `decode` and
+`command_server` decode the received data, and `ledger` stores it.
 """
--- a/dockthread/telemetry/receiver/command_server.py
+++ b/dockthread/telemetry/receiver/command_server.py
@@ -1,4 +1,4 @@
-"""Collectd's side of a connection to its unixsock plugin."""
+"""The server side of a connection to collectd's unixsock plugin."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class CommandServer:
-    """Reads the commands of one connection into the ledger, and answers them."""
+    """Stores the values from the commands of one connection in the ledger, and sends replies."""
 
     def __init__(self, ledger: Ledger, source: str) -> None:
-        """Serve a connection whose values the ledger keeps under the name of a source."""
+        """Create the server of a connection; `source` is its source in the ledger."""
         self._ledger = ledger
         self._source = source
         self._unread = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return the answers to the commands that end in the next bytes.
+        """Return the replies to the commands that are completed by the next bytes.
 
         Raises:
-            DecodeError: if a command does not end.
+            DecodeError: if a line is too long.
         """
         *lines, self._unread = (self._unread + data).split(b"\n")
         if len(self._unread) > putval.MAX_LINE_BYTES:
--- a/dockthread/telemetry/receiver/decode.py
+++ b/dockthread/telemetry/receiver/decode.py
@@ -1,4 +1,4 @@
-"""Decode what Graphite's carbon takes: lines of plain text, and pickles."""
+"""Decode the formats that Graphite's carbon accepts: lines of plain text, and pickles."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 from dockthread.errors import DockthreadError
 
-# Bytes of a line that does not end.
+# Maximum size of a line in bytes.
 MAX_LINE_BYTES = 16 * 1024
-# Bytes of a pickle; carbon's default.
+# Maximum size of a pickle in bytes: carbon's default.
 MAX_PICKLE_BYTES = 1024 * 1024
-# The length before each pickle.
+# The length that precedes each pickle.
 PICKLE_HEADER = struct.Struct("!I")
-# What the pickle module raises for bytes that are not a pickle, and unpacking for other objects.
+# Exceptions raised for bytes that are not a pickle, and for pickles of other objects than points.
 UNPICKLING_ERRORS = (
     pickle.UnpicklingError,
     ValueError,
@@ -30,17 +30,17 @@
 
 
 class DecodeError(DockthreadError):
-    """Bytes that carbon would not take."""
+    """Raised for bytes that cannot be decoded, and for lines or pickles that are too long."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedPoint:
-    """One point as it arrived.
+    """One point as received.
 
     Attributes:
-        series: The full name of its series.
-        seconds: Its moment in Unix time.
-        value: Its value.
+        series: The full name of the series.
+        seconds: The timestamp in Unix seconds.
+        value: The value.
     """
 
     series: str
@@ -49,10 +49,10 @@
 
 
 class PlaintextDecoder:
-    """Decodes the plain text of one connection.
+    """Decodes the plain text from one connection.
 
     Attributes:
-        invalid_lines: Lines that were skipped because they could not be read.
+        invalid_lines: Number of lines that were skipped because they could not be decoded.
     """
 
     def __init__(self) -> None:
@@ -60,10 +60,10 @@
         self._unread = b""
 
     def feed(self, data: bytes) -> Iterator[ReceivedPoint]:
-        """Yield the points of the lines that end in the next bytes.
+        """Yield the points of the lines that are completed by the next bytes.
 
         Raises:
-            DecodeError: if a line does not end.
+            DecodeError: if a line is too long.
         """
         *lines, self._unread = (self._unread + data).split(b"\n")
         if len(self._unread) > MAX_LINE_BYTES:
@@ -77,7 +77,7 @@
 
 
 def _parse_line(line: bytes) -> ReceivedPoint | None:
-    """Return the point of a line, or None if it cannot be read."""
+    """Return the point of a line, or None if the line is invalid."""
     try:
         series, value, seconds = line.decode().split()
         point = ReceivedPoint(series, float(seconds), float(value))
@@ -88,9 +88,9 @@
 
 
 class _PlainUnpickler(pickle.Unpickler):
-    """Loads numbers, strings, tuples and lists only.
+    """Loads only built-in types such as numbers, strings, tuples and lists.
 
-    A pickle that names a class could run any code.
+    Loading a pickle that refers to a class or a function could execute arbitrary code.
     """
 
     def find_class(self, module: str, name: str) -> Any:
@@ -98,10 +98,10 @@
 
 
 class PickleDecoder:
-    """Decodes the pickles of one connection.
+    """Decodes the pickles from one connection.
 
     Attributes:
-        invalid_lines: Always 0, since a wrong pickle ends the connection.
+        invalid_lines: Always 0, because an invalid pickle ends the connection.
     """
 
     def __init__(self) -> None:
@@ -109,7 +109,7 @@
         self._unread = b""
 
     def feed(self, data: bytes) -> Iterator[ReceivedPoint]:
-        """Yield the points of the pickles that end in the next bytes.
+        """Yield the points of the pickles that are completed by the next bytes.
 
         Raises:
             DecodeError: if a pickle is too long or is not a list of points.
--- a/dockthread/telemetry/receiver/ledger.py
+++ b/dockthread/telemetry/receiver/ledger.py
@@ -1,8 +1,9 @@
-"""Keep the points that arrived, in SQLite, and add up counts over lives.
+"""Stores received points in SQLite, and adds up counts over telemetry sessions.
 
-A series is one over all lives of its ingress. Its values belong to the life that the ingress
-reported last: on the same stream for Graphite, at the same moment for collectd. The total of a
-count is the sum, over lives, of the value with the latest time in each.
+A counter starts at zero in each session of its ingress, but its series continues over all sessions.
+The point `life` tells to which session a value belongs. For Graphite it is the last one received
+from the ingress; for collectd it is the one with the same timestamp. The total of a counter is the
+sum of the last values, by timestamp, of all sessions.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from dockthread.telemetry.collectd import CollectdItem
 from dockthread.telemetry.receiver.decode import ReceivedPoint
 
-# Tables of the file, in which `life` is the start of a life in Unix milliseconds.
+# Tables of the file; `life` identifies a session by its start time in Unix milliseconds.
 SCHEMA = """
 create table if not exists points
   (id integer primary key, source text, series text, life integer, seconds real, value real);
@@ -24,14 +25,14 @@
 create table if not exists notes (seconds real, host text, severity integer, message text);
 create table if not exists faults (source text, kind text, many integer, primary key (source, kind));
 """
-# The value with the latest time, by source, series and life.
+# The value with the latest timestamp of each source, series and session.
 LAST_VALUES = """
 select source, series, life, value from (
   select source, series, life, value,
     row_number() over (partition by source, series, life order by seconds desc, id desc) as place
   from points) where place = 1
 """
-# How often a value of a series is below the one before it in the same life.
+# How often a value of a series is lower than the previous one in the same session.
 DECREASES = """
 select count(*) from (
   select value - lag(value) over (partition by source, series, life order by seconds, id) as step
@@ -39,24 +40,24 @@
 """
 
 
-# The tag with the name of the ingress, and the last part of the path of the point `life`.
+# The prefix of the tag that names the ingress, and the last part of the path of the point `life`.
 INGRESS_TAG = "ingress="
 LIFE = "life"
-# Milliseconds by which rounding may put a collectd time before the start of its life.
+# Milliseconds by which rounding may put a collectd timestamp before the start of its session.
 LIFE_TOLERANCE_MS = 1.0
-# The life of a point that arrived before any point `life`.
+# The session of a point that was received before any point `life`.
 UNKNOWN_LIFE = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Total:
-    """The total of a series over all lives.
+    """The total of a series over all telemetry sessions.
 
     Attributes:
-        source: The protocol by which it arrived.
+        source: The protocol by which the series was received.
         series: The name of the series.
-        value: The sum of the last value of each life.
-        lives: The number of lives.
+        value: The sum of the last values of all sessions.
+        lives: The number of sessions.
     """
 
     source: str
@@ -66,7 +67,7 @@
 
 
 class _Row(NamedTuple):
-    """A row of the table `points` without its id."""
+    """A row of the table `points` without its ID."""
 
     source: str
     series: str
@@ -76,7 +77,7 @@
 
 
 def _ingress_tag(series: str) -> str:
-    """Return the tag that names the ingress, or empty for a series without it."""
+    """Return the tag that names the ingress, or an empty string if the series has none."""
     for tag in series.split(";")[1:]:
         if tag.startswith(INGRESS_TAG):
             return tag
@@ -84,30 +85,30 @@
 
 
 class Ledger:
-    """The points, notifications and faults that a stand-in received.
+    """The points, notifications and faults that a stand-in recorded.
 
     Attributes:
-        seen: The number of points, by source.
+        seen: The number of points received, by source.
     """
 
     def __init__(self, path: str = ":memory:") -> None:
-        """Open a file of SQLite, or keep all in memory."""
+        """Open an SQLite database, by default in memory."""
         self.seen: Counter[str] = Counter()
         self._db = sqlite3.connect(path, isolation_level=None)
         self._db.execute("pragma synchronous = off")
         self._db.executescript(SCHEMA)
-        # For Graphite: the present life, by source and the ingress's tag or path.
+        # For Graphite: the current session for each source and tag or path prefix of an ingress.
         self._present_lives: dict[tuple[str, str], int] = {}
-        # For collectd: the life, by host and moment; and all lives, by host.
+        # For collectd: the session for each host and timestamp, and all sessions of each host.
         self._lives_by_moment: dict[tuple[str, float], int] = {}
         self._lives_by_host: dict[str, list[int]] = {}
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the database."""
         self._db.close()
 
     def add_graphite(self, source: str, points: Iterable[ReceivedPoint]) -> None:
-        """Keep points in the order in which they arrived on a stream."""
+        """Store points, given in the order in which they were received on a stream."""
         rows = []
         for point in points:
             path = point.series.split(";")[0]
@@ -121,7 +122,7 @@
     def _graphite_life(self, source: str, series: str) -> int:
         if ingress := _ingress_tag(series):
             return self._present_lives.get((source, ingress), UNKNOWN_LIFE)
-        # Without tags the path begins with the ingress's, but does not say how long that is.
+        # Without tags, the path begins with the prefix of the ingress, whose length is not known.
         end = series.rfind(".")
         while end > 0:
             life = self._present_lives.get((source, series[: end + 1]))
@@ -131,7 +132,7 @@
         return UNKNOWN_LIFE
 
     def add_collectd(self, source: str, items: Iterable[CollectdItem]) -> None:
-        """Keep values and notifications."""
+        """Store values and notifications."""
         rows = []
         for item in items:
             if item.message:
@@ -147,9 +148,9 @@
         self._add_rows(source, rows)
 
     def _collectd_life(self, item: CollectdItem) -> int:
-        """Return the life reported at the item's moment.
+        """Return the session that was reported with the item's timestamp.
 
-        If that packet was lost, it is the latest life that had begun by then.
+        If the packet with that report was lost, return the latest session that had begun by then.
         """
         life = self._lives_by_moment.get((item.host, item.seconds))
         if life is not None:
@@ -167,23 +168,23 @@
         self._db.execute("commit")
 
     def add_fault(self, source: str, kind: str) -> None:
-        """Count a fault of what arrived."""
+        """Count a fault, such as invalid data, a connection error or a simulated reset."""
         self._db.execute(
             "insert into faults values (?, ?, 1) on conflict do update set many = many + 1",
             (source, kind),
         )
 
     def faults(self) -> dict[tuple[str, str], int]:
-        """Return how often each fault happened, by source and kind."""
+        """Return how often each fault occurred, by source and kind."""
         rows = self._db.execute("select source, kind, many from faults")
         return {(source, kind): count for source, kind, count in rows}
 
     def notes(self) -> list[tuple[float, str, int, str]]:
-        """Return Unix seconds, host, severity and text of each notification, in order of time."""
+        """Return Unix seconds, host, severity and text of each notification, by time."""
         return list(self._db.execute("select * from notes order by seconds"))
 
     def totals(self, containing: str = "") -> list[Total]:
-        """Return totals by source and series, of the series whose name contains a text."""
+        """Return the totals of all series whose names contain a text, by source and series."""
         values_by_series: dict[tuple[str, str], list[float]] = {}
         for source, series, _, value in self._db.execute(LAST_VALUES):
             if containing in series:
@@ -194,11 +195,11 @@
         ]
 
     def steps_back(self, source: str, series: str) -> int:
-        """Return how often a value decreased within one life, which no count may do."""
+        """Return how often a value decreased within a session, which a counter never does."""
         return int(self._db.execute(DECREASES, (source, series)).fetchone()[0])
 
     def points(self, source: str, series: str) -> list[tuple[int, float, float]]:
-        """Return life, Unix seconds and value of each point, in the order of arrival."""
+        """Return session, Unix seconds and value of each point, in the order of arrival."""
         query = (
             "select life, seconds, value from points where source = ? and series = ? order by id"
         )
--- a/dockthread/telemetry/receiver/stand_in.py
+++ b/dockthread/telemetry/receiver/stand_in.py
@@ -1,12 +1,12 @@
-"""Listen as carbon and collectd do, and misbehave on demand.
+"""A server that stands in for carbon and collectd, and simulates faults on demand.
 
-How the stand-in can misbehave:
-  refuse   its ports are closed, and all connections reset
-  vanish   nothing is read or answered; what arrived meanwhile is lost, and all connections are
-           reset at the end
-  unread   connections are accepted and not read; what arrived is read at the end
+The kinds of faults:
+  refuse   all ports are closed, and all connections are reset
+  vanish   no data is read and no reply is sent; when the fault ends, the unread data is discarded
+           and all connections are reset
+  unread   connections are accepted but not read; when the fault ends, reading continues
   slow     1 KiB is read at a time, ten times a second
-  reset    each connection is reset in the middle of what it sends
+  reset    each connection is reset in the middle of the data that it sends
 """
 
 from __future__ import annotations
@@ -36,28 +36,29 @@
 RESET = "reset"
 KINDS = (REFUSE, VANISH, UNREAD, SLOW, RESET)
 
-# The protocols, which name the listeners, and the sources in the ledger.
+# Names of the protocols, used for the listeners and as sources in the ledger.
 PLAINTEXT = "plaintext"
 PICKLE = "pickle"
 COLLECTD = "collectd"
 UNIX = "putval"
 
-# Bytes read at once.
+# Maximum number of bytes in one read.
 READ_BYTES = 64 * 1024
-# Bytes read at once while slow, and the seconds between two reads.
+# During the fault `slow`: maximum number of bytes in one read, and seconds between two reads.
 SLOW_READ_BYTES = 1024
 SLOW_PAUSE_SECONDS = 0.1
-# Seconds between two packets while slow.
+# During the fault `slow`: seconds between two packets.
 SLOW_PACKET_PAUSE_SECONDS = 0.01
-# Bytes of a connection before its reset: within a report, and most often within a line.
+# During the fault `reset`: number of bytes that are processed before a connection is reset. This is
+# in the middle of a report, and usually in the middle of a line.
 RESET_AFTER_BYTES = 700
-# Seconds between two looks at whether reading is allowed again.
+# Seconds between two checks whether a fault still prevents reading.
 POLL_SECONDS = 0.01
-# Connections that wait to be accepted.
+# Maximum number of connections that wait to be accepted.
 LISTEN_BACKLOG = 64
-# Bytes of the kernel's buffer of packets.
+# Size in bytes of the kernel's receive buffer for packets.
 PACKET_BUFFER_BYTES = 1 << 20
-# SO_LINGER on, with 0 seconds: closing a socket resets its connection.
+# SO_LINGER with a timeout of 0 seconds: closing the socket resets the connection.
 LINGER_RESET = struct.pack("ii", 1, 0)
 
 StreamDecoder = PlaintextDecoder | PickleDecoder | CommandServer
@@ -65,12 +66,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """A time of misbehaviour.
+    """A fault and the time for which it lasts.
 
     Attributes:
-        kind: One of `KINDS`.
-        start: Seconds after the start of the stand-in.
-        length: Its duration in seconds.
+        kind: The kind of the fault, one of `KINDS`.
+        start: Start of the fault, in seconds after `StandIn.play` is called.
+        length: Duration of the fault in seconds.
     """
 
     kind: str
@@ -79,10 +80,10 @@
 
     @classmethod
     def parse(cls, text: str) -> Span:
-        """Return the span of a text such as `vanish@10s+60s`.
+        """Parse a text such as `vanish@10s+60s`.
 
         Raises:
-            ValueError: if the text is not a span.
+            ValueError: if the text is invalid.
         """
         from dockthread.config.quantities import Duration
 
@@ -96,12 +97,13 @@
 
 
 class StandIn:
-    """The stand-in receiver.
+    """A receiver for all protocols, which can simulate faults.
 
     Attributes:
-        ledger: Keeps what arrives.
-        addresses: Where it listens, by protocol, as written into an operator's file.
-        kind: How it misbehaves now, one of `KINDS`, or empty.
+        ledger: Stores the received points, notifications and faults.
+        addresses: The address for each protocol, in the format of the operator's file; for `putval`
+            the path of the socket alone.
+        kind: The kind of the current fault, one of `KINDS`, or empty.
     """
 
     def __init__(self, ledger: Ledger, opener: Opener | None = None) -> None:
@@ -114,7 +116,7 @@
         self._connections: dict[socket.socket, asyncio.Task[None]] = {}
 
     async def start(self, **wanted: str) -> None:
-        """Listen for each protocol: at HOST:PORT (port 0: any), or at a path for `putval`."""
+        """Listen for each protocol: on a HOST:PORT (port 0 for any), or on a path for `putval`."""
         for protocol, address in wanted.items():
             self._listen(protocol, address)
 
@@ -135,7 +137,7 @@
         self._tasks[protocol] = asyncio.get_running_loop().create_task(serving)
 
     async def play(self, spans: Iterable[Span]) -> None:
-        """Misbehave as the spans say, one after another."""
+        """Simulate the faults one after another, in the order of their start."""
         now = 0.0
         for span in sorted(spans, key=lambda span: span.start):
             await asyncio.sleep(max(0.0, span.start - now))
@@ -145,7 +147,7 @@
             now = span.start + span.length
 
     def misbehave(self, kind: str) -> None:
-        """Begin to misbehave in one of the ways in `KINDS`."""
+        """Begin to simulate a fault, one of `KINDS`."""
         self.kind = kind
         if kind != REFUSE:
             return
@@ -157,7 +159,7 @@
         self._reset_all()
 
     def behave(self) -> None:
-        """End the present misbehaviour."""
+        """End the current fault."""
         kind = self.kind
         self.kind = ""
         if kind == REFUSE:
@@ -174,7 +176,7 @@
                     pass
 
     def stop(self) -> None:
-        """Close all listeners, and reset all connections."""
+        """Close all listeners and reset all connections."""
         for task in self._tasks.values():
             task.cancel()
         for listener in self._listeners.values():
@@ -204,7 +206,7 @@
         return self.kind not in (VANISH, UNREAD)
 
     async def _wait_until_reading(self) -> None:
-        while not self._is_reading:  # noqa: ASYNC110 - polled, so that the times stay as they were
+        while not self._is_reading:  # noqa: ASYNC110 - polls a plain attribute
             await asyncio.sleep(POLL_SECONDS)
 
     async def _serve(self, protocol: str, connection: socket.socket) -> None:
@@ -216,7 +218,7 @@
         connection.close()
 
     async def _read_stream(self, protocol: str, connection: socket.socket) -> None:
-        """Read until the sender's end, or until the connection is to be reset."""
+        """Read until the sender closes the connection, or until it is reset by a fault."""
         loop = asyncio.get_running_loop()
         decoder = self._stream_decoder(protocol)
         bytes_read = 0
@@ -224,7 +226,7 @@
             await self._wait_until_reading()
             is_slow = self.kind == SLOW
             data = await loop.sock_recv(connection, SLOW_READ_BYTES if is_slow else READ_BYTES)
-            # The misbehaviour may have begun while the read waited.
+            # The fault may have begun while the read was waiting.
             await self._wait_until_reading()
             if not data:
                 return
@@ -251,7 +253,7 @@
     def _decode(
         self, decoder: PlaintextDecoder | PickleDecoder, data: bytes
     ) -> list[ReceivedPoint]:
-        """Return the points in the data, and count the lines that cannot be read."""
+        """Return the points in the data, and record a fault for each invalid line."""
         invalid_before = decoder.invalid_lines
         points = list(decoder.feed(data))
         for _ in range(decoder.invalid_lines - invalid_before):
--- a/dockthread/telemetry/report_delivery.py
+++ b/dockthread/telemetry/report_delivery.py
@@ -1,7 +1,7 @@
-"""Deliver reports to one receiver of the operator's file, in a task of its own.
+"""Delivers reports to the receivers of the operator's file; each receiver has its own task.
 
-The sender decides what is sent and when; here its actions are carried out. No request ever waits
-for a receiver.
+The sender decides what is sent and when, and this module performs its actions. No request ever
+waits for a receiver.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 from dockthread.telemetry.sender import Action, ActionKind, Event, Sender, SenderState
 from dockthread.telemetry.timestamps import Timestamp
 
-# Points encoded in one turn of the event loop.
+# Maximum number of points encoded in one iteration of the event loop.
 POINTS_PER_TURN = 64
-# Seconds in which a report must be taken or a connection established.
+# Timeout in seconds for connecting to a receiver, and for sending a report.
 STALL_TIMEOUT_SECONDS = 10.0
 
 NO_ACTION = Action(ActionKind.NOTHING)
@@ -31,15 +31,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceiverSettings:
-    """What a receiver is made from.
+    """Settings from which a receiver is created.
 
     Attributes:
-        name: The name of its section.
-        options: The keys of its section.
+        name: The name in the receiver's section head.
+        options: The options in the receiver's section.
         ingress: The name of this ingress.
-        interval_ms: The time between two reports.
-        queue_bytes: The most bytes that wait for it.
-        seed: Seed of the jitter between attempts to connect.
+        interval_ms: The interval between two reports.
+        queue_bytes: The size limit of the receiver's queue.
+        seed: Seed of the random jitter in the backoff between connection attempts.
     """
 
     name: str
@@ -51,19 +51,19 @@
 
 
 class Receiver:
-    """One receiver; its task runs from `start` until it is drained or stopped.
+    """One receiver, whose task runs from `start` until it is drained or stopped.
 
     Attributes:
-        name: The name of its section.
-        options: The keys of its section.
-        sender: Decides what is sent, and when.
+        name: The name in the receiver's section head.
+        options: The options in the receiver's section.
+        sender: The state machine that decides what is sent, and when.
     """
 
     def __init__(self, settings: ReceiverSettings) -> None:
-        """Prepare the receiver.
+        """Create the receiver without starting its task.
 
         Raises:
-            SettingsError: if a password cannot be read or a package is missing.
+            SettingsError: if the password cannot be read or a package is missing.
         """
         self.name = settings.name
         self.options = settings.options
@@ -77,11 +77,11 @@
         self._loss_was_logged = False
 
     def start(self) -> None:
-        """Start the task."""
+        """Start the task that delivers reports."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def report(self, points: list[Point], timestamp: Timestamp) -> None:
-        """Encode a report, a slice in each turn of the event loop, and queue it."""
+        """Encode a report in slices, yielding to the event loop after each, and queue it."""
         chunks: list[bytes] = []
         for start in range(0, len(points), POINTS_PER_TURN):
             chunks += self._encoder.encode(points[start : start + POINTS_PER_TURN], timestamp)
@@ -89,7 +89,7 @@
         self._enqueue(Report(timestamp.seconds, tuple(chunks)))
 
     def notify(self, text: str, seconds: float, severity: Severity = Severity.OKAY) -> None:
-        """Queue a notification, if the receiver takes them."""
+        """Queue a notification if the receiver supports them."""
         if self._encoder.supports_notifications:
             chunk = self._encoder.encode_notification(text, severity, seconds)
             self._enqueue(Report(seconds, (chunk,)))
@@ -103,13 +103,13 @@
             self._wake.set()
 
     async def drain(self) -> None:
-        """Send what is queued, and end. The caller bounds the time."""
+        """Send all queued reports and end the task; the caller sets a time limit."""
         self._schedule(self.sender.drain())
         if self._task is not None and self.sender.state is not SenderState.ENDED:
             await asyncio.wait([self._task])
 
     def stop(self) -> None:
-        """End at once, and close the connection."""
+        """Cancel the task and close the connection immediately."""
         if self._task is not None:
             self._task.cancel()
         self._connection.close()
@@ -128,7 +128,7 @@
         return action
 
     async def _carry_out(self, action: Action) -> Action:
-        """Carry out an action and return the one that follows."""
+        """Perform an action and return the one that follows."""
         if action.kind is ActionKind.BACK_OFF:
             return await self._back_off(action.backoff_ms)
         try:
@@ -140,19 +140,19 @@
             return self.sender.handle(Event.FAILED)
         if event is Event.DELIVERED and self._loss_was_logged:
             self._loss_was_logged = False
-            logger.bind(receiver=self.name).info("receiver {} takes reports again", self.name)
+            logger.bind(receiver=self.name).info("receiver {} accepts reports again", self.name)
         return self.sender.handle(event)
 
     async def _back_off(self, backoff_ms: float) -> Action:
         with suppress(TimeoutError):
             await asyncio.wait_for(self._wake.wait(), backoff_ms / 1000.0)
-        # While it backs off, the sender has another action only for a drain, which begins at once.
+        # Only a drain produces an action during a backoff; the action is performed at once.
         if self._wake.is_set():
             return self._take_action()
         return self.sender.handle(Event.BACKOFF_ELAPSED)
 
     async def _perform(self, action: Action) -> Event:
-        """Do the I/O of an action and return what came of it.
+        """Do the I/O of an action and return the resulting event.
 
         Raises:
             OSError: if the receiver cannot be reached, closed the connection or does not read.
@@ -164,14 +164,18 @@
             await self._connection.finish()
             self._connection.close()
             return Event.CLOSED
-        assert action.report is not None, "SEND has a report"
+        assert action.report is not None, "SEND must have a report"
         await self._connection.send(action.report.chunks)
         self.sender.delivery_queue.mark_delivered(action.report)
         return Event.DELIVERED
 
     def _log_loss(self, error: OSError) -> None:
-        """Warn once for each loss, not for each failed attempt."""
+        """Log the first failure as a warning, and further ones as debug until a delivery."""
         bound = logger.bind(receiver=self.name)
         log = bound.debug if self._loss_was_logged else bound.warning
         self._loss_was_logged = True
-        log("receiver {} is lost: {}; reports wait", self.name, error or type(error).__name__)
+        log(
+            "connection to receiver {} failed: {}; reports are queued",
+            self.name,
+            error or type(error).__name__,
+        )
--- a/dockthread/telemetry/report_encoders.py
+++ b/dockthread/telemetry/report_encoders.py
@@ -1,7 +1,6 @@
-"""Encode points and notifications as the bytes that one receiver takes.
+"""Encoders of points and notifications, one for each kind of receiver.
 
-There is an encoder for each kind of receiver. Each encodes a slice of a report per call, so that a
-long report does not hold up the event loop.
+Each call encodes a slice of a report, so that a long report does not block the event loop.
 """
 
 from __future__ import annotations
@@ -19,23 +18,23 @@
 
 
 class ReportEncoder(Protocol):
-    """Encodes for one receiver.
+    """Encodes points and notifications for one receiver.
 
     Attributes:
-        supports_notifications: Whether the receiver takes notifications.
+        supports_notifications: Whether the receiver accepts notifications.
     """
 
     supports_notifications: bool
 
     def encode(self, points: Sequence[Point], timestamp: Timestamp) -> Iterator[bytes]:
-        """Yield the chunks of a slice of a report."""
+        """Encode a slice of a report, and yield it in chunks."""
 
     def encode_notification(self, text: str, severity: int, seconds: float) -> bytes:
-        """Return the bytes of a notification at a moment in Unix seconds."""
+        """Encode a notification with a timestamp in Unix seconds."""
 
 
 class GraphiteEncoder:
-    """Encodes for Graphite, which knows no notifications."""
+    """Encodes points for Graphite, which does not support notifications."""
 
     supports_notifications = False
 
@@ -46,7 +45,7 @@
         self._encode_series = graphite.pickled if is_pickle else graphite.plaintext
 
     def encode(self, points: Sequence[Point], timestamp: Timestamp) -> Iterator[bytes]:
-        """Yield one chunk with all points, at the whole second."""
+        """Yield one chunk with all points, using the timestamp in whole seconds."""
         prefix = self._options.prefix
         tags = self._options.tags
         named = [
@@ -60,12 +59,12 @@
 
 
 class CollectdPacketEncoder:
-    """Encodes packets for collectd's network plugin."""
+    """Encodes points and notifications as packets for collectd's network plugin."""
 
     supports_notifications = True
 
     def __init__(self, options: CollectdOptions, ingress: str, interval_ms: float) -> None:
-        """Read the password if one is needed.
+        """Create the encoder, reading the password if one is needed.
 
         Raises:
             SettingsError: if the password cannot be read or a package is missing.
@@ -87,16 +86,16 @@
         )
 
     def encode(self, points: Sequence[Point], timestamp: Timestamp) -> Iterator[bytes]:
-        """Yield packets, each a chunk of its own."""
+        """Yield packets; each packet is one chunk."""
         return self._packet_encoder.packets(list(points), timestamp.seconds)
 
     def encode_notification(self, text: str, severity: int, seconds: float) -> bytes:
-        """Return one packet."""
+        """Return the notification as one packet."""
         return self._packet_encoder.notification(text, severity, seconds)
 
 
 class PutvalEncoder:
-    """Encodes commands for collectd's unixsock plugin."""
+    """Encodes points and notifications as commands for collectd's unixsock plugin."""
 
     supports_notifications = True
 
@@ -115,7 +114,7 @@
         )
 
     def encode_notification(self, text: str, severity: int, seconds: float) -> bytes:
-        """Return one command."""
+        """Return the notification as one command."""
         return putval.putnotif(self._host, self._plugin, text, severity, seconds)
 
 
@@ -123,7 +122,7 @@
     """Return the encoder for a receiver.
 
     Raises:
-        SettingsError: if a password cannot be read or a package is missing.
+        SettingsError: if the password cannot be read or a package is missing.
     """
     if isinstance(options, GraphiteOptions):
         return GraphiteEncoder(options, ingress)
--- a/dockthread/telemetry/sender.py
+++ b/dockthread/telemetry/sender.py
@@ -1,12 +1,11 @@
-"""The state machine that decides what one receiver is sent, and when; it does no I/O.
-
-Theory of operation. An event goes in and one action comes out. A receiver is disconnected until
-there is something to send. Then a connection is attempted. When an attempt fails or a connection
-breaks, the sender waits before the next attempt; the wait doubles with each failure up to a bound,
-with full jitter, so that many ingresses do not return in one instant. Reports are sent one at a
-time. When a connection breaks, the last reports delivered over it are sent again. A drain asks for
-the end: what is queued is still sent as long as the receiver takes it, and a wait is cut short. The
-caller bounds the time of a drain.
+"""The state machine that decides what is sent to one receiver, and when; it does no I/O.
+
+Each event results in one action. The sender stays disconnected until a report is queued, and then
+connects. When connecting fails or a connection breaks, it backs off before the next attempt. The
+backoff doubles with each failure up to a maximum. Random jitter keeps many ingresses from
+reconnecting at the same time. Reports are sent one at a time. When a connection breaks, the last
+delivered reports are sent again. A drain ends the current backoff, sends all queued reports and
+then closes the connection. The caller sets a time limit for a drain.
 """
 
 from __future__ import annotations
@@ -17,44 +16,45 @@
 
 from dockthread.telemetry.delivery_queue import DeliveryQueue, Report
 
-# Milliseconds of the first wait, before jitter.
+# Maximum of the first backoff in milliseconds, before jitter.
 INITIAL_BACKOFF_MS = 250.0
-# Milliseconds that a wait never exceeds.
+# Maximum of any backoff in milliseconds.
 MAX_BACKOFF_MS = 15_000.0
-# Part of a wait that jitter leaves at least.
+# Lower bound of the random factor by which a backoff is multiplied; the upper bound is 1.
 MIN_JITTER = 0.1
-# Doublings that are counted; far beyond `MAX_BACKOFF_MS`, and small enough for a float.
+# Maximum number of times that the backoff is doubled: enough to reach `MAX_BACKOFF_MS`, and small
+# enough to prevent an overflow.
 MAX_DOUBLINGS = 16
-# Milliseconds of each wait during a drain, whose time is short.
+# Backoff in milliseconds during a drain; it is short because the time for a drain is limited.
 DRAIN_BACKOFF_MS = 50.0
 
 
 class SenderState(Enum):
-    """What the sender is doing."""
+    """States of the sender."""
 
-    DISCONNECTED = "disconnected"  # without a connection, and with nothing to send
+    DISCONNECTED = "disconnected"  # not connected, and no report is queued
     CONNECTING = "connecting"
-    IDLE = "idle"  # connected, with nothing to send
+    IDLE = "idle"  # connected, and no report is queued
     SENDING = "sending"
-    BACKING_OFF = "backing off"  # waiting for the next attempt to connect
-    CLOSING = "closing"  # all is delivered; waiting for the receiver to see the end
+    BACKING_OFF = "backing off"  # waiting before the next connection attempt
+    CLOSING = "closing"  # all is written; waiting for the receiver to see the end of the stream
     ENDED = "ended"
 
 
 class Event(Enum):
-    """What happened to the queue or the connection."""
+    """Changes of the queue or the connection, which drive the state machine."""
 
     QUEUED = "queued"
     CONNECTED = "connected"
-    FAILED = "failed"  # the connection was not established, broke or stalled
+    FAILED = "failed"  # connecting failed, or the connection broke or timed out
     DELIVERED = "delivered"  # a report was written completely
     BACKOFF_ELAPSED = "backoff elapsed"
-    DRAIN_REQUESTED = "drain requested"  # nothing more will be queued
-    CLOSED = "closed"  # the receiver has seen the end
+    DRAIN_REQUESTED = "drain requested"  # no more reports will be queued
+    CLOSED = "closed"  # the receiver has seen the end of the stream
 
 
 class ActionKind(Enum):
-    """What the caller is to do."""
+    """Kinds of actions that the caller performs."""
 
     NOTHING = "nothing"
     CONNECT = "connect"
@@ -65,12 +65,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """What the caller is to do next.
+    """The action that the caller performs next.
 
     Attributes:
-        kind: What to do.
-        report: The report to send, with `SEND`.
-        backoff_ms: The time to wait, with `BACK_OFF`.
+        kind: The kind of the action.
+        report: The report to send, if the kind is `SEND`.
+        backoff_ms: The time to wait, if the kind is `BACK_OFF`.
     """
 
     kind: ActionKind
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Transition:
-    """The next state, or None to stay, and what to do on the way."""
+    """The next state, or None to keep the current one, and the action to perform."""
 
     state: SenderState | None
     action: ActionKind = ActionKind.NOTHING
@@ -93,7 +93,7 @@
 CLOSE = Transition(SenderState.CLOSING, ActionKind.CLOSE)
 END = Transition(SenderState.ENDED)
 
-# Where nothing is queued, CONNECT and SEND are replaced; see `Sender._without_report`.
+# When no report is queued, CONNECT and SEND are replaced; see `Sender._without_report`.
 TRANSITIONS: dict[tuple[SenderState, Event], Transition] = {
     (SenderState.DISCONNECTED, Event.QUEUED): CONNECT,
     (SenderState.DISCONNECTED, Event.DRAIN_REQUESTED): END,
@@ -112,21 +112,21 @@
     (SenderState.BACKING_OFF, Event.BACKOFF_ELAPSED): CONNECT,
     (SenderState.BACKING_OFF, Event.DRAIN_REQUESTED): CONNECT,
     (SenderState.CLOSING, Event.CLOSED): END,
-    # The connection broke before the receiver saw the end: the last reports are sent again.
+    # The connection broke before the receiver saw its end, so the last reports are sent again.
     (SenderState.CLOSING, Event.FAILED): BACK_OFF,
 }
 
 
 class Sender:
-    """The state machine of one receiver.
+    """The state machine for one receiver.
 
     Attributes:
-        delivery_queue: The reports that wait for the receiver.
-        state: What the sender is doing.
-        is_draining: Whether the end was asked for.
-        failures: Failed connections in a row.
-        sent: Reports delivered since the start.
-        lost: Connections that failed or broke since the start.
+        delivery_queue: The reports that are waiting for the receiver.
+        state: The current state.
+        is_draining: Whether a drain was requested.
+        failures: Number of consecutive failures; reset when a report is delivered.
+        sent: Number of reports delivered since the sender was created.
+        lost: Number of connections that failed or broke since the sender was created.
     """
 
     def __init__(self, delivery_queue: DeliveryQueue, rng: random.Random) -> None:
@@ -139,20 +139,20 @@
         self._rng = rng
 
     def enqueue(self, report: Report) -> Action:
-        """Queue a report and return what to do."""
+        """Queue a report and return the next action."""
         self.delivery_queue.enqueue(report)
         return self.handle(Event.QUEUED)
 
     def drain(self) -> Action:
-        """Send what is queued and end; return what to do first."""
+        """Request a drain and return the next action."""
         self.is_draining = True
         return self.handle(Event.DRAIN_REQUESTED)
 
     def handle(self, event: Event) -> Action:
-        """Go to the next state and return what to do.
+        """Change to the next state and return the next action.
 
         Raises:
-            KeyError: if the event cannot happen in the present state.
+            KeyError: if the event cannot occur in the current state.
         """
         transition = TRANSITIONS[self.state, event]
         self._count(event)
@@ -176,7 +176,7 @@
             self.sent += 1
 
     def _without_report(self, transition: Transition) -> Transition:
-        """Replace a transition that needs a report while none is queued."""
+        """Return the transition to use while no report is queued."""
         if transition.action is ActionKind.SEND:
             return CLOSE if self.is_draining else Transition(SenderState.IDLE)
         if transition.action is ActionKind.CONNECT:
@@ -184,7 +184,7 @@
         return transition
 
     def _next_backoff_ms(self) -> float:
-        """Return a random wait of a span that doubles with each failure (full jitter)."""
+        """Return a backoff that doubles with each failure and has random jitter."""
         if self.is_draining:
             return DRAIN_BACKOFF_MS
         doublings = min(self.failures - 1, MAX_DOUBLINGS)
--- a/dockthread/telemetry/tally.py
+++ b/dockthread/telemetry/tally.py
@@ -1,6 +1,7 @@
-"""The counts of one life of an ingress, from the start of telemetry to its end.
+"""The counts of one telemetry session of an ingress.
 
-Adding to a count is all that happens on a request's path; `reading` turns the counts into points.
+While a request is handled, telemetry only updates these counts; `metrics_reader` turns them into
+points.
 """
 
 from __future__ import annotations
@@ -14,25 +15,27 @@
 from dockthread.telemetry.heavy_hitters import HeavyHitters
 from dockthread.telemetry.latency_histogram import LatencyHistogram
 
-# Completed requests that wait before they are counted in one loop, which is cheaper.
+# Number of completed requests that are buffered and then counted in one loop, which costs less per
+# request.
 BATCH_SIZE = 64
-# Entries of the table of heavy hitters for each customer that is reported.
+# Entries in the heavy hitters table per reported customer.
 ENTRIES_PER_REPORTED_CUSTOMER = 8
-# Reasons by class, plan and outcome; a further one is counted under `OTHER_REASON`.
+# Maximum number of reasons, on average, per class, plan and outcome; further reasons are counted
+# under `OTHER_REASON`.
 MAX_REASONS = 32
 OTHER_REASON = "other"
 
 
-# Class, plan and outcome; class and plan. Plain tuples, because one is made for every request and a
-# named tuple takes several times as long to make.
+# Keys of class, plan and outcome, and of class and plan. They are plain tuples because one is
+# created for every request, and creating a named tuple takes several times as long.
 AnswerKey: TypeAlias = tuple[int, int, str]
 ClassAndPlan: TypeAlias = tuple[int, int]
-# The arguments of `request_completed`, as a plain tuple for the same reason.
+# The arguments of `request_completed`, as a plain tuple because creating it is faster.
 _CompletedRequest: TypeAlias = tuple[int, int, int, str, str, float, float, bool]
 
 
 class ReasonKey(NamedTuple):
-    """Policy engine's numbers of class and plan, an outcome and its reason."""
+    """The policy engine's indexes of a class and a plan, with an outcome and its reason."""
 
     request_class: int
     plan: int
@@ -41,26 +44,26 @@
 
 
 class Tally(Observer):
-    """All counts of one life.
+    """All counts of one telemetry session.
 
-    Lists are indexed by the policy engine's numbers of classes or plans.
+    Lists are indexed by the policy engine's indexes of classes or plans.
 
     Attributes:
-        answers: Completed requests.
-        reasons: Rejected and failed requests by reason.
-        disconnected: Requests whose client disconnected before the response.
-        late: Served requests that took longer than their class's latency objective.
+        answers: Number of completed requests by class, plan and outcome.
+        reasons: Number of rejected and failed requests by class, plan, outcome and reason.
+        disconnected: Number of requests whose client disconnected before the response.
+        late: Number of served requests that exceeded their class's latency objective, by class.
         latencies: Latencies of served requests, by class.
         units_requested: Units of all completed or abandoned requests, by plan.
-        units_forwarded: Units of those that were forwarded, by plan.
-        units_rejected: Units of those that were rejected, by plan.
-        attempts: Attempts ended.
-        counter_calls: Calls to the quota counter.
-        counter_latencies: Latencies of these calls.
-        event_loop_lags: Delays of the event loop.
-        circuit_open_ms: Time in which the quota counter was not called.
-        heavy_hitters: The customers that requested most in the current interval.
-        on_phase: Called with the name of each phase that the ingress enters.
+        units_forwarded: Units of requests that were forwarded, by plan.
+        units_rejected: Units of requests that were rejected, by plan.
+        attempts: Number of ended attempts by outcome.
+        counter_calls: Number of ended calls to the quota counter by outcome.
+        counter_latencies: Latencies of calls to the quota counter.
+        event_loop_lags: Lags of the event loop.
+        circuit_open_ms: Time for which the quota counter's circuit breaker was open.
+        heavy_hitters: The customers that requested the most units in the current interval.
+        on_phase: Callback that receives the name of each phase that the ingress enters.
     """
 
     active = True
@@ -100,7 +103,7 @@
         return HeavyHitters(self._reported_customers * ENTRIES_PER_REPORTED_CUSTOMER)
 
     def begin_interval(self) -> None:
-        """Start a new interval: reset what is kept for one interval only."""
+        """Start a new interval: reset the quantiles, the maxima and the heavy hitters."""
         self.flush()
         for histogram in (*self.latencies, self.counter_latencies, self.event_loop_lags):
             histogram.begin_interval()
@@ -117,7 +120,7 @@
         units: float,
         was_forwarded: bool,
     ) -> None:
-        """Keep a completed request until `BATCH_SIZE` of them are counted together."""
+        """Buffer a completed request; `BATCH_SIZE` of them are counted together."""
         self._pending.append(
             (request_class, plan, customer, outcome, reason, duration_ms, units, was_forwarded)
         )
@@ -125,12 +128,12 @@
             self.flush()
 
     def flush(self) -> None:
-        """Count the completed requests that wait.
+        """Count the buffered requests.
 
-        In one loop, whose code stays in the processor's cache, a request costs a third of what it
-        costs alone.
+        Counting many requests in one loop, whose code stays in the processor's cache, takes a third
+        of the time per request that counting each one alone takes.
         """
-        # Bound to locals, because this loop runs for every request.
+        # Local variables are faster than attributes, and this loop runs for every request.
         answers = self.answers
         latencies = self.latencies
         late = self.late
@@ -173,12 +176,12 @@
     def client_disconnected(
         self, request_class: int, plan: int, customer: int, units: float, was_forwarded: bool
     ) -> None:
-        """Count a client that closed its connection before its response."""
+        """Count a request whose client closed its connection before the response."""
         self.disconnected[request_class, plan] += 1
         self._add_units(plan, customer, units, was_forwarded)
 
     def attempt_ended(self, outcome: Outcome) -> None:
-        """Count an attempt at a backend that ended."""
+        """Count an attempt that ended."""
         self.attempts[outcome] += 1
 
     def counter_call_ended(self, outcome: Outcome, duration_ms: float) -> None:
@@ -187,5 +190,5 @@
         self.counter_latencies.add(duration_ms)
 
     def phase(self, name: str) -> None:
-        """Pass on the phase that the ingress entered."""
+        """Pass the name of the phase that the ingress entered to `on_phase`."""
         self.on_phase(name)
--- a/dockthread/telemetry/timestamps.py
+++ b/dockthread/telemetry/timestamps.py
@@ -1,13 +1,14 @@
-"""Timestamps of reports, which follow the system's clock and never go back within a life.
+"""Timestamps of reports, which follow the system clock and never decrease within a session.
 
-A life is the time from the start of counting to its end. Graphite stores whole seconds. The first
-report of a life is given the next full second, and later ones the current second. The zeros of a
-life therefore never fall on the second of the previous life, which ended earlier. Collectd stores
-2^-30 s and rejects a value that is not newer than the last one of its series, so there each
-timestamp is later than the one before.
+A telemetry session lasts from the start of counting to its end. Graphite stores whole seconds. The
+first report of a session is stamped with the next full second, and later reports with the current
+second. The initial zeros of a session therefore never overwrite the last values of the previous
+session, which ended before that second. Collectd stores times in units of 2^-30 s and rejects a
+value that is not newer than the last value of its series, so timestamps for collectd strictly
+increase.
 
-When the system's clock steps forward, the timestamps follow. When it steps back, they go on at half
-the pace of time until the clock has caught up.
+When the system clock is set forward, the timestamps jump with it. When it is set back, the
+timestamps advance at half speed until the clock has caught up.
 """
 
 from __future__ import annotations
@@ -15,20 +16,20 @@
 from math import ceil, floor
 from typing import NamedTuple
 
-# Seconds by which a report made on a full second may come early by the system's clock.
+# Seconds by which a report that is due on a full second may be early by the system clock.
 FULL_SECOND_TOLERANCE = 0.05
-# Seconds by which two timestamps differ at least.
+# Minimum difference between two timestamps in seconds.
 MIN_STEP = 0.001
-# Pace of the timestamps while the system's clock is behind them, as a part of the pace of time.
+# Speed of the timestamps relative to real time while the system clock is behind them.
 CATCH_UP_PACE = 0.5
 
 
 class Timestamp(NamedTuple):
-    """One moment in Unix time, for both kinds of receivers.
+    """A Unix time, in the precision of each kind of receiver.
 
     Attributes:
-        seconds: For collectd; strictly increasing.
-        whole_second: For Graphite; never decreasing.
+        seconds: The time for collectd; strictly increasing.
+        whole_second: The time for Graphite; never decreasing.
     """
 
     seconds: float
@@ -36,17 +37,17 @@
 
 
 class TimestampSource:
-    """Gives the timestamps of one life."""
+    """Generates the timestamps of one session."""
 
     def __init__(self, unix: float, monotonic: float) -> None:
-        """Start a life at the present readings of both clocks, in seconds."""
+        """Start a session at the current values of both clocks, in seconds."""
         self._last_seconds = unix
         self._last_monotonic = monotonic
         self._whole_second = ceil(unix)
         self._has_given_first = False
 
     def next(self, unix: float, monotonic: float) -> Timestamp:
-        """Return the timestamp for the present readings of both clocks, in seconds."""
+        """Return the timestamp for the current values of both clocks, in seconds."""
         elapsed = max(0.0, monotonic - self._last_monotonic)
         seconds = max(unix, self._last_seconds + elapsed * CATCH_UP_PACE)
         self._last_seconds = max(seconds, self._last_seconds + MIN_STEP)
