--- a/tests/telemetry/samples.py
+++ b/tests/telemetry/samples.py
@@ -1,4 +1,4 @@
-"""Points and reports that several telemetry tests use."""
+"""Sample points and reports shared by the telemetry tests."""
 
 from __future__ import annotations
 
@@ -13,5 +13,5 @@
 
 
 def report(seconds: float, size: int = 100) -> Report:
-    """Return a report of one chunk."""
+    """Return a report with one chunk of the given size."""
     return Report(seconds, (b"x" * size,))
--- a/tests/telemetry/support.py
+++ b/tests/telemetry/support.py
@@ -1,4 +1,4 @@
-"""Load, programs and receivers for the tests of telemetry over sockets."""
+"""Load generators, processes and receivers for telemetry tests over sockets."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 ROOT = Path(__file__).parents[2]
 PROTOCOLS = ("plaintext", "pickle", "collectd", "putval")
 PASSWORD = b"a password of the test's own"
-# A quota so small that some are refused: all three outcomes come up.
+# The quota of klein is so small that some requests are rejected, so all three outcomes occur.
 PLANS = [
     {"Name": "gross", "Refill": 1000.0, "PeakUnits": 1000.0},
     {"Name": "klein", "Refill": 1.0, "PeakUnits": 4.0},
@@ -44,7 +44,7 @@
 
 
 def operator_file(stand_in: StandIn, folder: Path, interval: str = "200ms", **more: str) -> str:
-    """Return a file with every address of the stand-in; `more` are keys of `[telemetry]`."""
+    """Return an operator's file with all receivers; `more` are settings of `[telemetry]`."""
     addresses = stand_in.addresses
     parts = [f"[telemetry]\ninterval = {interval}\n"]
     parts += [f"{key} = {value}\n" for key, value in more.items()]
@@ -64,7 +64,7 @@
 
 @asynccontextmanager
 async def running_stand_in(folder: Path, *protocols: str) -> AsyncIterator[tuple[StandIn, Ledger]]:
-    """Run a stand-in on the loopback for the protocols."""
+    """Run a stand-in receiver for the protocols, on the loopback interface."""
     ledger = Ledger()
     stand_in = StandIn(ledger, Opener("encrypt", {"ops": PASSWORD}))
     wanted = {name: "127.0.0.1:0" for name in protocols if name != "putval"}
@@ -79,14 +79,14 @@
 
 
 def series_name(protocol: str, kind: str, plan: str, outcome: str) -> str:
-    """Return the name of the series that counts answers, as a receiver of the protocol has it."""
+    """Return the name of the series with the number of responses, as sent over the protocol."""
     if protocol in ("plaintext", "pickle"):
         return f"dockthread.n0.answers.{kind}.{plan}.{outcome}"
     return f"n0/dockthread-answers/derive-{kind}.{plan}.{outcome}"
 
 
 def answer_totals(ledger: Ledger, protocol: str) -> dict[tuple[str, str, str], float]:
-    """Return the receiver's counts of answers by class, plan and outcome."""
+    """Return the total number of responses by class, plan and outcome, as received."""
     values = {total.series: total.value for total in ledger.totals() if total.source == protocol}
     keys = product(("status", "checkout"), ("gross", "klein"), ("served", "refused", "failed"))
     names = {key: series_name(protocol, *key) for key in keys}
@@ -94,20 +94,20 @@
 
 
 async def fail_some_checkouts(args: list[bytes]) -> bytes | None:
-    """Fail one checkout in eight, which for its class is final, and serve the others."""
+    """Fail one in eight checkouts, which are not retried, and serve all other requests."""
     if args[0] == b"API.WRITE" and int(args[2], 16) % 8 == 1:
         return b"-ERR failed\r\n"
     return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$24\r\ninflight=7,qps=2,queue=1\r\n"
 
 
 class Load:
-    """Closed-loop clients that count every answer they get.
+    """Closed-loop clients that count the responses they receive.
 
     Attributes:
-        answers: Answers by class, plan and outcome.
-        asked: Requests sent.
-        slowest: Seconds of the longest wait for an answer.
-        stopped: Whether the clients are to send no further request.
+        answers: Number of responses by class, plan and outcome.
+        asked: Number of requests sent.
+        slowest: The longest time in seconds until a response.
+        stopped: Whether the clients must stop sending requests.
     """
 
     def __init__(self, port: int) -> None:
@@ -138,7 +138,7 @@
 
 
 def outcome_of(answer: object) -> str:
-    """Return the outcome that an answer means, by its name in the metrics' paths."""
+    """Return the outcome of a response, as named in the paths of the metrics."""
     if isinstance(answer, bytes):
         return "served"
     is_rejected = isinstance(answer, str) and answer.startswith("BUSY")
@@ -147,7 +147,7 @@
 
 @asynccontextmanager
 async def running_program(folder: Path) -> AsyncIterator[tuple[Callable[[], Any], Discovery]]:
-    """Yield a function that starts the program, again and again, against one backend."""
+    """Run a backend and discovery, and yield a function that starts an ingress process."""
     backend = Backend(fail_some_checkouts)
     discovery = Discovery()
     known = message(1, target("s-0", await backend.start()), full=True)
@@ -162,14 +162,14 @@
         )  # fmt: skip
         assert process.stderr is not None
         while b"listens on" not in (line := await process.stderr.readline()):
-            assert line, "it ended without listening"
+            assert line, "the process ended before it listened"
         return process, int(line.rsplit(b":", 1)[1])
 
     yield start, discovery
 
 
 async def run_load(port: int, seconds: float, end: Callable[[], None]) -> Load:
-    """Run eight clients, call `end` after some seconds, and return when all have their answers."""
+    """Run eight clients, call `end` after `seconds`, and wait until the clients have ended."""
     load = Load(port)
     clients = [asyncio.create_task(load.client(number)) for number in range(8)]
     await asyncio.sleep(seconds)
@@ -187,7 +187,7 @@
     interval: str = "200ms",
     **changes: Any,
 ) -> AsyncIterator[tuple[Any, Any, Client, StandIn, Ledger]]:
-    """Run an ingress and its exporter in this process."""
+    """Run an ingress with an exporter in this process, and a stand-in receiver."""
     async with running_stand_in(folder, *protocols) as (stand_in, ledger):
         settings = {**SETTINGS, "Packages": PLANS}
         async with serving(
--- a/tests/telemetry/test_catalogue.py
+++ b/tests/telemetry/test_catalogue.py
@@ -1,4 +1,4 @@
-"""Names as parts of a path, and the list of metrics."""
+"""Conversion of names to parts of a path, and uniqueness of the metrics' paths."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     found = path_part(name)
     assert 0 < len(found) <= 64
     assert found.replace("-", "").replace("_", "").isalnum()
-    assert found != path_part(name + "x"), "different names stay different"
+    assert found != path_part(name + "x"), "different names must give different parts"
     assert path_part(found) == found
 
 
--- a/tests/telemetry/test_collectd.py
+++ b/tests/telemetry/test_collectd.py
@@ -1,4 +1,4 @@
-"""Packets, both ways: values, signatures and encryption."""
+"""Encoding and decoding of collectd packets: values, signatures and encryption."""
 
 from __future__ import annotations
 
@@ -33,7 +33,9 @@
     sent = packets(security, points)
     assert len(sent) > 5
     assert max(map(len, sent)) <= collectd.MAX_PACKET_BYTES
-    assert min(map(len, sent[:-1])) > collectd.MAX_PACKET_BYTES - 120, "packets are filled"
+    assert min(map(len, sent[:-1])) > collectd.MAX_PACKET_BYTES - 120, (
+        "each packet but the last must be nearly full"
+    )
     items = [item for packet in sent for item in Opener(security, {"ops": b"secret"}).read(packet)]
     assert [(item.kind, item.value) for item in items] == [
         (point.kind, point.value) for point in points
@@ -88,7 +90,7 @@
             found = opener.read(packet[:size])
         except PacketError:
             continue
-        # cut between two parts
+        # Without protection, a packet that is truncated between two parts is valid.
         assert security == "none" and found == Opener().read(packet)[: len(found)]
 
 
--- a/tests/telemetry/test_daemon_reports.py
+++ b/tests/telemetry/test_daemon_reports.py
@@ -1,4 +1,7 @@
-"""Totals that receivers have against the answers that clients got, over restarts and faults."""
+"""Totals at the receivers equal the responses that clients got, over restarts and faults.
+
+These tests run the ingress as a process of its own.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +35,7 @@
         ):
             (tmp_path / "my.ini").write_text(operator_file(stand_in, tmp_path))
             answers = AnswerCounts()
-            for _ in range(3):  # two restarts in mid-load
+            for _ in range(3):  # two restarts under load
                 process, port = await start()
                 terminate = partial(process.send_signal, signal.SIGTERM)
                 load = await run_load(port, 0.7, terminate)
@@ -45,7 +48,9 @@
             assert answers["checkout", "gross", "failed"]
             for protocol in PROTOCOLS:
                 found = answer_totals(ledger, protocol)
-                assert len(found) == 12, "explicit zeros for every class, plan and outcome"
+                assert len(found) == 12, (
+                    "each class, plan and outcome must be reported, also if it is zero"
+                )
                 assert (
                     Counter({key: int(value) for key, value in found.items() if value}) == answers
                 ), protocol
@@ -63,7 +68,7 @@
                 assert first_values == [0.0] * 3
             assert not ledger.faults()
             notes = [text for _, _, _, text in ledger.notes()]
-            # three lives, two receivers that know notifications
+            # Each of the three processes notifies the two collectd receivers.
             assert notes.count("n0 is draining") == 6
 
     run(scenario())
@@ -97,11 +102,12 @@
             await asyncio.wait(tasks, timeout=20)
             for protocol in ("plaintext", "putval"):
                 found = answer_totals(ledger, protocol)
-                # 8: answered, and not yet read
+                # Each of the 8 clients may have one response that was counted but not yet read.
                 assert all(found[key] <= load.answers[key] + 8 for key in found)
                 missing = sum(load.answers.values()) - sum(found.values())
                 assert sum(found.values()) > 0
-                # One interval, and the moment for which an answer is on its way.
+                # `rates` counts responses per 0.1 s. One interval of 1 s may be missing, and 0.2 s
+                # are allowed for responses in flight.
                 assert missing <= 12 * max(rates)
 
     run(scenario())
@@ -141,6 +147,6 @@
                     )
                     == load.answers
                 )
-            assert during < 0.5  # an answer that waited for the receiver would have taken 1.2 s
+            assert during < 0.5  # a response that waited for the receiver would take 1.2 s
 
     run(scenario())
--- a/tests/telemetry/test_delivery_queue.py
+++ b/tests/telemetry/test_delivery_queue.py
@@ -1,4 +1,4 @@
-"""The bound and the order of the reports that wait."""
+"""Size limit and order of the queue of reports."""
 
 from __future__ import annotations
 
--- a/tests/telemetry/test_exporter.py
+++ b/tests/telemetry/test_exporter.py
@@ -1,4 +1,4 @@
-"""The exporter beside an ingress in this process: reloads, bounds and counts."""
+"""Reloads, size limits and counts of the exporter, with an ingress in the test process."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
             for _ in range(5):
                 await client.call()
             moved = operator_file(second, tmp_path)
-            # The old receiver is drained, and the new one continues.
+            # The old receiver is drained, and the new one receives all further reports.
             exporter.apply(parse_operator_file(moved, "test"))
             for _ in range(3):
                 await client.call()
@@ -63,7 +63,7 @@
             assert exporter.tally is None and not ingress.observer.active
             seen = second_ledger.seen["plaintext"]
             await client.call()
-            # A new life, which begins at zero.
+            # Adding a receiver begins a new session, whose counts start at zero.
             exporter.apply(parse_operator_file(operator_file(first, tmp_path), "test"))
             await client.call()
             await until(
@@ -125,7 +125,7 @@
                 for _, seconds, _ in ledger.points("plaintext", series_name("plaintext", *name))
             ]
             assert len(timestamps) > 6, (
-                "points of the minute arrived with the times of their reports"
+                "reports queued during the outage must arrive with their own timestamps"
             )
             assert timestamps == sorted(timestamps)
 
@@ -156,7 +156,7 @@
             points = exporter._reader.points(1000.0)
             backends = {point.path[1] for point in points if point.path[0] == "nodes"}
             assert backends == {"s-99-0", "s-99-1", "s-99-2"}, (
-                "the series of a backend that left end"
+                "only backends in the endpoint list must be reported"
             )
             assert len({point.path[2] for point in points if point.path[0] == "firms"}) == 20
             assert len(tally.heavy_hitters.usage) <= 160
@@ -180,7 +180,7 @@
             assert tally is not None
             client.ask()
             client.asked -= 1
-            client.ask()  # the same id, while the first is open
+            client.ask()  # a duplicate ID while the first request is still open
             ingress.requests.limits.max_body_bytes = 1000
             client.ask(body=b"x" * 2000)
             disconnecting = await Client.open(ingress.address.port)
--- a/tests/telemetry/test_graphite.py
+++ b/tests/telemetry/test_graphite.py
@@ -1,4 +1,4 @@
-"""Points as Graphite takes them: plain text, tags and pickles."""
+"""Encoding of points for Graphite: plain text, tags and pickles."""
 
 from __future__ import annotations
 
@@ -42,6 +42,6 @@
     assert pickle.loads(data[4 : 4 + size])[3] == ("s3", (7, 3))
     assert data[4:6] == b"\x80\x02"
     reader, found = PickleDecoder(), list[ReceivedPoint]()
-    for at in range(0, len(data), 100):  # in pieces
+    for at in range(0, len(data), 100):  # each read returns a part of a pickle
         found += reader.feed(data[at : at + 100])
     assert found == [ReceivedPoint(f"s{index}", 7.0, float(index)) for index in range(600)]
--- a/tests/telemetry/test_graphite_decoding.py
+++ b/tests/telemetry/test_graphite_decoding.py
@@ -1,4 +1,4 @@
-"""What the stand-in accepts and rejects as Graphite."""
+"""Decoding of valid and invalid Graphite data by the stand-in receiver."""
 
 from __future__ import annotations
 
--- a/tests/telemetry/test_heavy_hitters.py
+++ b/tests/telemetry/test_heavy_hitters.py
@@ -1,4 +1,4 @@
-"""The bound and the error of the customers that request most."""
+"""Size limit and error bound of the heavy hitters table."""
 
 from __future__ import annotations
 
--- a/tests/telemetry/test_latency_histogram.py
+++ b/tests/telemetry/test_latency_histogram.py
@@ -1,4 +1,4 @@
-"""Quantiles and buckets of latencies."""
+"""Accuracy of quantiles, and counts per bucket."""
 
 from __future__ import annotations
 
@@ -15,4 +15,6 @@
     assert histogram.quantile(0.99) == pytest.approx(990, rel=0.011)
     histogram.begin_interval()
     assert (histogram.quantile(0.5), histogram.longest) == (0.0, 0.0)
-    assert histogram.buckets[:3] == [5, 5, 10], "up to 5, 10 and 20 ms, over the life"
+    assert histogram.buckets[:3] == [5, 5, 10], (
+        "counts up to 5, 10 and 20 ms must be kept over intervals"
+    )
--- a/tests/telemetry/test_ledger.py
+++ b/tests/telemetry/test_ledger.py
@@ -1,4 +1,4 @@
-"""Totals over lives."""
+"""Totals over several telemetry sessions."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     report(1000, 1, 0)
     report(1000, 2, 5)
     report(1000, 3, 9)
-    report(1000, 2, 5)  # sent again
+    report(1000, 2, 5)  # the same point is sent again
     report(4000, 4, 0)
     report(4000, 5, 2)
     ledger.add_graphite(
--- a/tests/telemetry/test_putval.py
+++ b/tests/telemetry/test_putval.py
@@ -1,4 +1,4 @@
-"""Commands of the unixsock plugin, both ways."""
+"""Encoding and parsing of commands of collectd's unixsock plugin."""
 
 from __future__ import annotations
 
--- a/tests/telemetry/test_sender.py
+++ b/tests/telemetry/test_sender.py
@@ -1,4 +1,4 @@
-"""The sender's transitions and waits."""
+"""State transitions and backoffs of the sender."""
 
 from __future__ import annotations
 
@@ -54,9 +54,9 @@
 @pytest.mark.parametrize(
     ("events", "kinds"),
     [
-        ((), [ActionKind.NOTHING]),  # connecting: goes on, then sends, then closes
+        ((), [ActionKind.NOTHING]),  # continues to connect, then sends and closes
         ((Event.CONNECTED, Event.DELIVERED), [ActionKind.CLOSE]),
-        ((Event.FAILED,), [ActionKind.CONNECT]),  # the wait is cut short
+        ((Event.FAILED,), [ActionKind.CONNECT]),  # the drain ends the backoff
     ],
 )
 def test_a_drain_sends_what_is_queued_and_then_closes(
@@ -66,7 +66,7 @@
     assert [sender.drain().kind] == kinds
     if sender.state is SenderState.CLOSING:
         assert sender.handle(Event.FAILED).kind is ActionKind.BACK_OFF, (
-            "broken at the end: the last reports go once more"
+            "the last reports must be sent again when the connection breaks while closing"
         )
         assert len(sender.delivery_queue) == 1
 
--- a/tests/telemetry/test_stand_in.py
+++ b/tests/telemetry/test_stand_in.py
@@ -1,4 +1,4 @@
-"""The stand-in receiver: its faults, and what it rejects."""
+"""The stand-in receiver: parsing of faults, and rejection of invalid packets."""
 
 from __future__ import annotations
 
--- a/tests/telemetry/test_timestamps.py
+++ b/tests/telemetry/test_timestamps.py
@@ -1,4 +1,4 @@
-"""Timestamps while the system's clock steps."""
+"""Timestamps when the system clock is set forward or back."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     assert TimestampSource(108.1, 0.0).next(108.1, 0.0).whole_second == 109
     assert TimestampSource(107.92, 0.0).next(107.92, 0.0).whole_second > second
     assert first_life.next(109.98, 9.78).whole_second == 110, (
-        "a report on a full second is not stamped with the one before"
+        "a report slightly before a full second must be stamped with that second"
     )
 
 
@@ -38,5 +38,7 @@
 def test_timestamps_go_on_at_half_pace_after_a_step_back_until_the_clock_catches_up() -> None:
     source = TimestampSource(1000.0, 0.0)
     source.next(1000.0, 0.0)
-    assert source.next(980.0, 10.0).seconds == pytest.approx(1005.0, abs=0.01)  # 30 s behind
+    assert source.next(980.0, 10.0).seconds == pytest.approx(
+        1005.0, abs=0.01
+    )  # 10 s later; the clock was set back by 30 s
     assert source.next(1040.0, 70.0).seconds == 1040.0
