--- a/dockthread/telemetry/catalogue.py
+++ b/dockthread/telemetry/catalogue.py
@@ -32,7 +32,7 @@
 UNSAFE_CHARACTERS = re.compile(r"[^A-Za-z0-9_-]+")
 
 # The path of the metric with the start time of the session, the first point of each report.
-LIFE = ("life",)
+LIFE_PATH = ("life",)
 # Upper bounds of the latency buckets, in milliseconds.
 BUCKET_BOUNDS_MS = (5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000)
 
@@ -53,8 +53,8 @@
     @property
     def value_text(self) -> str:
         """The value in decimal: whole numbers exactly, others with seven significant digits."""
-        whole = int(self.value)
-        return str(whole) if self.value == whole else f"{self.value:.7g}"
+        integer = int(self.value)
+        return str(integer) if self.value == integer else f"{self.value:.7g}"
 
 
 @dataclass(frozen=True, slots=True)
--- a/dockthread/telemetry/collectd/packet_decoder.py
+++ b/dockthread/telemetry/collectd/packet_decoder.py
@@ -26,7 +26,7 @@
     """One value or one notification, with its identifier.
 
     Attributes:
-        seconds: The time of the value or notification in Unix seconds.
+        unix_seconds: The time of the value or notification in Unix seconds.
         interval: Seconds between two values of the series.
         kind: The kind of a value, such as `gauge` or `derive`; empty for a notification.
         message: The text of a notification; empty for a value.
@@ -38,7 +38,7 @@
     plugin_instance: str = ""
     type: str = ""
     type_instance: str = ""
-    seconds: float = 0.0
+    unix_seconds: float = 0.0
     interval: float = 0.0
     kind: str = ""
     value: float = 0.0
@@ -65,15 +65,15 @@
     security: str = "none"
     passwords: dict[str, bytes] = field(default_factory=dict)
 
-    def read(self, packet: bytes) -> list[CollectdItem]:
+    def decode_packet(self, packet: bytes) -> list[CollectdItem]:
         """Return all values and notifications of a packet.
 
         Raises:
             PacketError: if any part of the packet is invalid or not protected as required.
         """
-        return list(_decode(self._open(packet)))
+        return list(_decode(self._remove_protection(packet)))
 
-    def _open(self, packet: bytes) -> bytes:
+    def _remove_protection(self, packet: bytes) -> bytes:
         part_type = None
         if len(packet) >= PART_HEADER.size:
             part_type = PART_HEADER.unpack_from(packet)[0]
@@ -98,7 +98,7 @@
             for kind, value in _decode_values(payload):
                 yield replace(current, kind=kind, value=value)
         else:
-            current = _change(current, part_type, payload)
+            current = _apply_part(current, part_type, payload)
 
 
 def _split_parts(packet: bytes) -> Iterator[tuple[int, bytes]]:
@@ -114,7 +114,7 @@
         start += length
 
 
-def _change(  # noqa: C901, PLR0911 - one case for each type of part
+def _apply_part(  # noqa: C901, PLR0911 - one case for each type of part
     current: CollectdItem, part_type: int, payload: bytes
 ) -> CollectdItem:
     """Return the item with the field of a part replaced; parts of unknown types are ignored."""
@@ -130,9 +130,9 @@
         case PartType.TYPE_INSTANCE:
             return replace(current, type_instance=_decode_string(payload))
         case PartType.TIME:
-            return replace(current, seconds=float(_decode_number(payload)))
+            return replace(current, unix_seconds=float(_decode_number(payload)))
         case PartType.TIME_HIGH_RESOLUTION:
-            return replace(current, seconds=_decode_number(payload) / TIME_UNITS_PER_SECOND)
+            return replace(current, unix_seconds=_decode_number(payload) / TIME_UNITS_PER_SECOND)
         case PartType.INTERVAL:
             return replace(current, interval=float(_decode_number(payload)))
         case PartType.INTERVAL_HIGH_RESOLUTION:
--- a/dockthread/telemetry/collectd/packet_encoder.py
+++ b/dockthread/telemetry/collectd/packet_encoder.py
@@ -19,7 +19,7 @@
 
 # Maximum number of characters in a type instance: the limit of collectd before version 5.5 and of
 # many programs that read its data.
-MAX_NAME_LENGTH = 63
+MAX_TYPE_INSTANCE_LENGTH = 63
 # Bytes of the hash, written in hexadecimal, that is appended to a shortened name.
 NAME_HASH_BYTES = 4
 # Characters of the appended hash, including the dash before it.
@@ -51,9 +51,9 @@
     else:
         plugin_instance = ""
         type_instance = path[0]
-    if len(type_instance) > MAX_NAME_LENGTH:
+    if len(type_instance) > MAX_TYPE_INSTANCE_LENGTH:
         digest = hashlib.blake2s(type_instance.encode(), digest_size=NAME_HASH_BYTES).hexdigest()
-        type_instance = f"{type_instance[: MAX_NAME_LENGTH - NAME_SUFFIX_LENGTH]}-{digest}"
+        type_instance = f"{type_instance[: MAX_TYPE_INSTANCE_LENGTH - NAME_SUFFIX_LENGTH]}-{digest}"
     return SeriesName(plugin_instance, type_instance)
 
 
@@ -68,9 +68,9 @@
         self._interval_seconds = interval_seconds
         self._sealer = sealer
 
-    def packets(self, points: list[Point], seconds: float) -> Iterator[bytes]:
+    def packets(self, points: list[Point], unix_seconds: float) -> Iterator[bytes]:
         """Yield packets that contain all points, with a timestamp in Unix seconds."""
-        header = self._report_header(seconds)
+        header = self._report_header(unix_seconds)
         packet = bytearray(header)
         plugin_instance = ""
         kind = ""
@@ -78,34 +78,34 @@
             name = series_name(point.path)
             value = _string_part(PartType.TYPE_INSTANCE, name.type_instance) + _value_part(point)
             # The plugin instance and the type apply until they change, or until the packet ends.
-            changes = b""
+            changed_parts = b""
             if name.plugin_instance != plugin_instance:
-                changes += _string_part(PartType.PLUGIN_INSTANCE, name.plugin_instance)
+                changed_parts += _string_part(PartType.PLUGIN_INSTANCE, name.plugin_instance)
             if point.kind != kind:
-                changes += _string_part(PartType.TYPE, point.kind)
-            if len(packet) + len(changes) + len(value) > self._sealer.capacity:
+                changed_parts += _string_part(PartType.TYPE, point.kind)
+            if len(packet) + len(changed_parts) + len(value) > self._sealer.capacity:
                 yield self._sealer.seal(bytes(packet))
                 packet = bytearray(header)
-                changes = _string_part(PartType.PLUGIN_INSTANCE, name.plugin_instance)
-                changes += _string_part(PartType.TYPE, point.kind)
-            packet += changes + value
+                changed_parts = _string_part(PartType.PLUGIN_INSTANCE, name.plugin_instance)
+                changed_parts += _string_part(PartType.TYPE, point.kind)
+            packet += changed_parts + value
             plugin_instance = name.plugin_instance
             kind = point.kind
         if len(packet) > len(header):
             yield self._sealer.seal(bytes(packet))
 
-    def _report_header(self, seconds: float) -> bytes:
+    def _report_header(self, unix_seconds: float) -> bytes:
         return (
             _string_part(PartType.HOST, self._host)
-            + _time_part(PartType.TIME_HIGH_RESOLUTION, seconds)
+            + _time_part(PartType.TIME_HIGH_RESOLUTION, unix_seconds)
             + _time_part(PartType.INTERVAL_HIGH_RESOLUTION, self._interval_seconds)
             + _string_part(PartType.PLUGIN, self._plugin)
         )
 
-    def notification(self, text: str, severity: int, seconds: float) -> bytes:
+    def notification(self, text: str, severity: int, unix_seconds: float) -> bytes:
         """Return the packet for a notification with a timestamp in Unix seconds."""
         return self._sealer.seal(
-            _time_part(PartType.TIME_HIGH_RESOLUTION, seconds)
+            _time_part(PartType.TIME_HIGH_RESOLUTION, unix_seconds)
             + _number_part(PartType.SEVERITY, severity)
             + _string_part(PartType.HOST, self._host)
             + _string_part(PartType.PLUGIN, self._plugin)
@@ -122,8 +122,8 @@
     return NUMBER_PART.pack(part_type, NUMBER_PART.size, number)
 
 
-def _time_part(part_type: int, seconds: float) -> bytes:
-    return _number_part(part_type, round(seconds * TIME_UNITS_PER_SECOND))
+def _time_part(part_type: int, unix_seconds: float) -> bytes:
+    return _number_part(part_type, round(unix_seconds * TIME_UNITS_PER_SECOND))
 
 
 def _value_part(point: Point) -> bytes:
--- a/dockthread/telemetry/collectd/security.py
+++ b/dockthread/telemetry/collectd/security.py
@@ -114,7 +114,7 @@
     if not is_required and not passwords:
         # Like collectd, accept a signature that is not required and cannot be verified.
         return parts
-    password = _password_of(user_name, passwords)
+    password = _find_password(user_name, passwords)
     expected = hmac.new(password, user_name + parts, hashlib.sha256).digest()
     if not hmac.compare_digest(digest, expected):
         raise PacketError("a wrong signature")
@@ -138,7 +138,7 @@
     iv = packet[iv_start : iv_start + IV_BYTES]
     encrypted = packet[iv_start + IV_BYTES :]
     cipher = _import_cipher()
-    key = hashlib.sha256(_password_of(user_name, passwords)).digest()
+    key = hashlib.sha256(_find_password(user_name, passwords)).digest()
     decryptor = cipher(key, iv).decryptor()
     clear_text: bytes = decryptor.update(encrypted) + decryptor.finalize()
     checksum = clear_text[:CHECKSUM_BYTES]
@@ -148,7 +148,7 @@
     return parts
 
 
-def _password_of(user_name: bytes, passwords: Mapping[str, bytes]) -> bytes:
+def _find_password(user_name: bytes, passwords: Mapping[str, bytes]) -> bytes:
     password = passwords.get(user_name.decode("utf-8", "replace"))
     if password is None:
         raise PacketError("an unknown user")
--- a/dockthread/telemetry/connections.py
+++ b/dockthread/telemetry/connections.py
@@ -17,16 +17,16 @@
 from dockthread.telemetry.options import CollectdOptions, GraphiteOptions
 
 # Bytes written in one iteration of the event loop.
-BYTES_PER_TURN = 16 * 1024
+WRITE_SLICE_BYTES = 16 * 1024
 # Size of the kernel's send buffer. It is small because, when a receiver stops reading, the bytes in
 # the buffer are lost with the connection.
 SEND_BUFFER_BYTES = 64 * 1024
 # Bytes per read from Graphite, which sends no data; a read only detects the end of the connection.
 GRAPHITE_READ_BYTES = 4096
 # Bytes per read of collectd's replies.
-ANSWERS_READ_BYTES = 16384
+REPLIES_READ_BYTES = 16384
 # Packets sent before each pause.
-PACKETS_PER_TURN = 8
+PACKETS_PER_BURST = 8
 # Seconds between two groups of packets; keeps the receiver's socket buffer from overflowing.
 PACKET_PAUSE_SECONDS = 0.002
 # Seconds to wait after the last packet for an ICMP "port unreachable" from the receiver's host.
@@ -86,21 +86,21 @@
     async def open(self) -> None:
         """Connect to the first of the host's addresses that accepts."""
         loop = asyncio.get_running_loop()
-        found = await loop.getaddrinfo(self._host, self._port, type=socket.SOCK_STREAM)
-        for number, (family, kind, protocol, _, address) in enumerate(found, 1):
+        addresses = await loop.getaddrinfo(self._host, self._port, type=socket.SOCK_STREAM)
+        for number, (family, kind, protocol, _, address) in enumerate(addresses, 1):
             self._socket = socket.socket(family, kind | socket.SOCK_NONBLOCK, protocol)
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
             try:
                 await loop.sock_connect(self._socket, address)
             except OSError:
                 self.close()
-                if number == len(found):
+                if number == len(addresses):
                     raise
             else:
                 return
 
     async def send(self, chunks: tuple[bytes, ...]) -> None:
-        """Send a report, yielding to the event loop after every `BYTES_PER_TURN` bytes."""
+        """Send a report, yielding to the event loop after every `WRITE_SLICE_BYTES` bytes."""
         open_socket = self._open_socket
         loop = asyncio.get_running_loop()
         with suppress(BlockingIOError):
@@ -109,8 +109,8 @@
             if not open_socket.recv(GRAPHITE_READ_BYTES):
                 raise ConnectionResetError("the receiver closed the connection")
         for chunk in chunks:
-            for start in range(0, len(chunk), BYTES_PER_TURN):
-                await loop.sock_sendall(open_socket, chunk[start : start + BYTES_PER_TURN])
+            for start in range(0, len(chunk), WRITE_SLICE_BYTES):
+                await loop.sock_sendall(open_socket, chunk[start : start + WRITE_SLICE_BYTES])
                 await asyncio.sleep(0)
 
     async def finish(self) -> None:
@@ -138,15 +138,15 @@
         The remaining addresses cannot be tried, because a lost datagram goes unnoticed.
         """
         loop = asyncio.get_running_loop()
-        found = await loop.getaddrinfo(self._host, self._port, type=socket.SOCK_DGRAM)
+        addresses = await loop.getaddrinfo(self._host, self._port, type=socket.SOCK_DGRAM)
         family, kind, protocol, _, address = min(
-            found, key=lambda candidate: candidate[0] != socket.AF_INET
+            addresses, key=lambda candidate: candidate[0] != socket.AF_INET
         )
         self._socket = socket.socket(family, kind | socket.SOCK_NONBLOCK, protocol)
         self._socket.connect(address)
 
     async def send(self, chunks: tuple[bytes, ...]) -> None:
-        """Send each chunk as a packet, with a pause after every `PACKETS_PER_TURN` packets."""
+        """Send each chunk as a packet, with a pause after every `PACKETS_PER_BURST` packets."""
         open_socket = self._open_socket
         for number, packet in enumerate(chunks, 1):
             try:
@@ -154,7 +154,7 @@
             except BlockingIOError:
                 await asyncio.sleep(PACKET_PAUSE_SECONDS)
                 open_socket.send(packet)
-            if number % PACKETS_PER_TURN == 0:
+            if number % PACKETS_PER_BURST == 0:
                 await asyncio.sleep(PACKET_PAUSE_SECONDS)
         await asyncio.sleep(REJECTION_WAIT_SECONDS)
         if code := open_socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
@@ -182,23 +182,23 @@
         """Send a report's commands, and wait for a reply to each."""
         open_socket = self._open_socket
         loop = asyncio.get_running_loop()
-        answers = putval.Answers()
+        replies = putval.ReplyCounter()
         commands = 0
         for chunk in chunks:
             commands += chunk.count(b"\n")
             await loop.sock_sendall(open_socket, chunk)
             try:
-                while answers.seen < commands:
-                    data = await loop.sock_recv(open_socket, ANSWERS_READ_BYTES)
+                while replies.received < commands:
+                    data = await loop.sock_recv(open_socket, REPLIES_READ_BYTES)
                     if not data:
                         raise ConnectionResetError("collectd closed the connection")
-                    answers.feed(data)
+                    replies.feed(data)
             except ValueError as error:
                 raise ConnectionAbortedError(str(error)) from error
-        self.rejected += answers.refused
+        self.rejected += replies.rejected
 
 
-def receiver_connection(options: GraphiteOptions | CollectdOptions) -> Connection:
+def create_connection(options: GraphiteOptions | CollectdOptions) -> Connection:
     """Return the connection for a receiver's address; it is not opened yet."""
     if isinstance(options, CollectdOptions) and options.path:
         return CollectdCommandConnection(options.path)
--- a/dockthread/telemetry/delivery_queue.py
+++ b/dockthread/telemetry/delivery_queue.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 # Delivered reports that are kept to be sent again, because a broken connection may have lost them.
-KEPT_DELIVERED = 2
+MAX_REDELIVERED_REPORTS = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,11 +20,11 @@
     """One report, encoded for one receiver.
 
     Attributes:
-        seconds: The Unix time at which the values were read.
+        unix_seconds: The Unix time at which the values were read.
         chunks: The encoded bytes; chunks are written one at a time, in order.
     """
 
-    seconds: float
+    unix_seconds: float
     chunks: tuple[bytes, ...]
 
     @property
@@ -47,7 +47,7 @@
         self.size = 0
         self.dropped = 0
         self._waiting: deque[Report] = deque()
-        self._delivered: deque[Report] = deque(maxlen=KEPT_DELIVERED)
+        self._delivered: deque[Report] = deque(maxlen=MAX_REDELIVERED_REPORTS)
 
     def __len__(self) -> int:
         return len(self._waiting)
@@ -64,10 +64,10 @@
 
     def _thin_older_half(self) -> None:
         """Drop every second report of the older half, oldest first, until the queue fits."""
-        half = max(1, len(self._waiting) // 2)
+        half_length = max(1, len(self._waiting) // 2)
         kept: list[Report] = []
         for index, report in enumerate(self._waiting):
-            if index < half and index % 2 == 0 and self.size > self.max_size:
+            if index < half_length and index % 2 == 0 and self.size > self.max_size:
                 self.size -= report.size
                 self.dropped += 1
             else:
@@ -96,7 +96,7 @@
         """
         while self._delivered:
             report = self._delivered.pop()
-            if not self._waiting or report.seconds < self._waiting[0].seconds:
+            if not self._waiting or report.unix_seconds < self._waiting[0].unix_seconds:
                 self._waiting.appendleft(report)
                 self.size += report.size
         self._enforce_size()
--- a/dockthread/telemetry/exporter.py
+++ b/dockthread/telemetry/exporter.py
@@ -31,7 +31,7 @@
 # Seconds between two samples of the event loop's lag and of the quota counter's circuit breaker.
 SAMPLE_SECONDS = 0.1
 # By default the size limit of a receiver's queue is the ingress's memory divided by this number.
-MEMORY_PARTS = 64
+QUEUE_MEMORY_DIVISOR = 64
 # Lower bound in bytes of the default size limit of a receiver's queue.
 MIN_QUEUE_BYTES = 64 * 1024
 BYTES_PER_MEBIBYTE = 1 << 20
@@ -49,14 +49,14 @@
         self._ingress = ingress
         self._loop = asyncio.get_running_loop()
         self._options = TelemetryOptions()
-        self._drains: set[asyncio.Task[None]] = set()
+        self._drain_tasks: set[asyncio.Task[None]] = set()
         self._tally: Tally | None = None
         self._reader: MetricsReader | None = None
         self._timestamps: TimestampSource | None = None
-        self._reported_at_ms = 0.0  # time of the last report by the ingress's clock
-        self._schedule_number = 0  # identifies the current timer; older timers are ignored
+        self._last_report_ms = 0.0  # time of the last report by the ingress's clock
+        self._timer_id = 0  # identifies the current timer; older timers are ignored
         self._report_task: asyncio.Task[None] | None = None
-        self._sampler: asyncio.TimerHandle | None = None
+        self._sample_timer: asyncio.TimerHandle | None = None
 
     @property
     def tally(self) -> Tally | None:
@@ -70,43 +70,45 @@
             SettingsError: if a receiver cannot be created; then nothing is changed.
         """
         options: TelemetryOptions = operator_config.section("telemetry")
-        named: Mapping[str, ReceiverOptions] = {
+        options_by_name: Mapping[str, ReceiverOptions] = {
             **operator_config.named_sections("graphite"),
             **operator_config.named_sections("collectd"),
         }
-        changed = self._changed_receivers(named, options)
+        changed = self._changed_receivers(options_by_name, options)
         removed = [
             receiver
             for name, receiver in self.receivers.items()
-            if name not in named or name in changed
+            if name not in options_by_name or name in changed
         ]
-        self.receivers = {name: changed.get(name) or self.receivers[name] for name in named}
+        self.receivers = {
+            name: changed.get(name) or self.receivers[name] for name in options_by_name
+        }
         self._options = options
         for receiver in removed:
             self._drain_in_background(receiver)
         for receiver in changed.values():
             receiver.start()
         if not self.receivers:
-            self._end_life()
+            self._end_session()
         elif self._tally is None:
-            self._begin_life()
+            self._begin_session()
         elif changed:
-            self._schedule_number += 1
+            self._timer_id += 1
             self._report()
-            self._schedule()
+            self._schedule_report()
 
     def _changed_receivers(
-        self, named: Mapping[str, ReceiverOptions], options: TelemetryOptions
+        self, options_by_name: Mapping[str, ReceiverOptions], options: TelemetryOptions
     ) -> dict[str, Receiver]:
         """Create a receiver for each section that is new or whose options changed."""
         config = self._ingress.config
-        memory_share = config.memory_mb * BYTES_PER_MEBIBYTE // MEMORY_PARTS
+        memory_share = config.memory_mb * BYTES_PER_MEBIBYTE // QUEUE_MEMORY_DIVISOR
         queue_bytes = int(options.queue or max(MIN_QUEUE_BYTES, memory_share))
         interval_changed = self._options.interval != options.interval
         changed = {}
-        for number, (name, receiver_options) in enumerate(named.items()):
-            present = self.receivers.get(name)
-            if present and present.options == receiver_options and not interval_changed:
+        for number, (name, receiver_options) in enumerate(options_by_name.items()):
+            current = self.receivers.get(name)
+            if current and current.options == receiver_options and not interval_changed:
                 continue
             settings = ReceiverSettings(
                 name=name,
@@ -119,7 +121,7 @@
             changed[name] = Receiver(settings)
         return changed
 
-    def _begin_life(self) -> None:
+    def _begin_session(self) -> None:
         ingress = self._ingress
         options = self._options
         classes = ingress.config.policy_settings.classes
@@ -128,7 +130,7 @@
         unix_ms = now_ms + ingress.clock.unix_offset
         self._timestamps = TimestampSource(unix_ms / 1000.0, now_ms / 1000.0)
         self._reader = MetricsReader(ingress, self._tally, unix_ms, options.nodes, options.firms)
-        self._reported_at_ms = now_ms
+        self._last_report_ms = now_ms
         self._tally.on_phase = self._notify_phase
         ingress.observe(self._tally)
         logger.info(
@@ -138,48 +140,46 @@
             ),
         )
         self._report()  # reports the explicit zeros of this session
-        self._schedule()
+        self._schedule_report()
         self._sample(time.monotonic() + SAMPLE_SECONDS)
 
-    def _end_life(self) -> None:
-        self._schedule_number += 1
+    def _end_session(self) -> None:
+        self._timer_id += 1
         self._tally = None
-        if self._sampler is not None:
-            self._sampler.cancel()
+        if self._sample_timer is not None:
+            self._sample_timer.cancel()
         self._ingress.observe(Observer())
 
     def _drain_in_background(self, receiver: Receiver) -> None:
         task = self._loop.create_task(self._drain([receiver]))
-        self._drains.add(task)
-        task.add_done_callback(self._drains.discard)
+        self._drain_tasks.add(task)
+        task.add_done_callback(self._drain_tasks.discard)
 
     async def _drain(self, receivers: list[Receiver]) -> None:
         """Drain receivers for at most the time `farewell`, then stop them."""
-        drains = [self._loop.create_task(receiver.drain()) for receiver in receivers]
-        if drains:
-            await asyncio.wait(drains, timeout=self._options.farewell / 1000.0)
-        for drain in drains:
-            drain.cancel()
+        drain_tasks = [self._loop.create_task(receiver.drain()) for receiver in receivers]
+        if drain_tasks:
+            await asyncio.wait(drain_tasks, timeout=self._options.farewell / 1000.0)
+        for task in drain_tasks:
+            task.cancel()
         for receiver in receivers:
             receiver.stop()
 
-    def _schedule(self) -> None:
+    def _schedule_report(self) -> None:
         """Schedule the next report at a multiple of the interval in Unix time.
 
         All ingresses then report at the same seconds, which lets Graphite add up their values.
         """
-        self._schedule_number += 1
+        self._timer_id += 1
         clock = self._ingress.clock
         interval_ms = self._options.interval
         unix_ms = clock.now() + clock.unix_offset
         due_unix_ms = (floor(unix_ms / interval_ms) + 1) * interval_ms
-        self._ingress.call_at(
-            due_unix_ms - clock.unix_offset, self._on_report_due, self._schedule_number
-        )
+        self._ingress.call_at(due_unix_ms - clock.unix_offset, self._on_report_due, self._timer_id)
 
-    def _on_report_due(self, schedule_number: int) -> None:
-        if schedule_number == self._schedule_number:
-            self._schedule()
+    def _on_report_due(self, timer_id: int) -> None:
+        if timer_id == self._timer_id:
+            self._schedule_report()
             self._report()
 
     def _report(self) -> None:
@@ -193,9 +193,9 @@
             return
         now_ms = self._ingress.clock.now()
         senders = [(name, receiver.sender) for name, receiver in self.receivers.items()]
-        points = self._reader.points(now_ms - self._reported_at_ms, senders)
+        points = self._reader.points(now_ms - self._last_report_ms, senders)
         self._tally.begin_interval()
-        self._reported_at_ms = now_ms
+        self._last_report_ms = now_ms
         timestamp = self._next_timestamp(self._timestamps)
         receivers = list(self.receivers.values())
 
@@ -214,7 +214,7 @@
             return
         timestamp = self._next_timestamp(self._timestamps)
         for receiver in self.receivers.values():
-            receiver.notify(f"{self._ingress.config.name} is {name}", timestamp.seconds)
+            receiver.notify(f"{self._ingress.config.name} is {name}", timestamp.unix_seconds)
 
     def _sample(self, due: float) -> None:
         """Sample the event loop's lag and whether the quota counter's circuit breaker is open.
@@ -234,7 +234,7 @@
             if open_until > self._ingress.clock.now() / 1000.0:
                 tally.circuit_open_ms += SAMPLE_SECONDS * 1000.0
             due = now + SAMPLE_SECONDS
-        self._sampler = self._loop.call_later(max(0.0, due - now), self._sample, due)
+        self._sample_timer = self._loop.call_later(max(0.0, due - now), self._sample, due)
 
     async def farewell(self) -> None:
         """Make the final report after the last response, and drain the receivers.
@@ -253,4 +253,4 @@
         except TimeoutError:
             pass
         await self._drain(list(self.receivers.values()))
-        self._end_life()
+        self._end_session()
--- a/dockthread/telemetry/graphite.py
+++ b/dockthread/telemetry/graphite.py
@@ -38,40 +38,42 @@
 }
 
 
-def series(prefix: str, ingress: str, path: tuple[str, ...], tags: bool) -> str:
+def series_name(prefix: str, ingress: str, path: tuple[str, ...], use_tags: bool) -> str:
     """Return the name of the series for a path.
 
     Without tags it is `PREFIX.INGRESS.a.b.c`. With tags it is `PREFIX.a;ingress=INGRESS;...`, where
     the parts after the first are the values of tags.
     """
-    if not tags:
+    if not use_tags:
         return ".".join((prefix, ingress, *path))
-    names = TAG_NAMES.get(path[0], ())
-    if len(names) != len(path) - 1:
+    tag_names = TAG_NAMES.get(path[0], ())
+    if len(tag_names) != len(path) - 1:
         return ";".join((".".join((prefix, *path)), f"ingress={ingress}"))
-    pairs = [f"{name}={value}" for name, value in zip(names, path[1:], strict=True)]
-    return ";".join((f"{prefix}.{path[0]}", f"ingress={ingress}", *pairs))
+    tag_pairs = [f"{name}={value}" for name, value in zip(tag_names, path[1:], strict=True)]
+    return ";".join((f"{prefix}.{path[0]}", f"ingress={ingress}", *tag_pairs))
 
 
-def plaintext(named: Sequence[tuple[str, Point]], seconds: int) -> bytes:
+def encode_plaintext(named_points: Sequence[tuple[str, Point]], unix_seconds: int) -> bytes:
     """Encode pairs of a series name and a point as lines of plain text."""
-    return "".join(f"{name} {point.value_text} {seconds}\n" for name, point in named).encode()
+    return "".join(
+        f"{name} {point.value_text} {unix_seconds}\n" for name, point in named_points
+    ).encode()
 
 
-def pickled(named: Sequence[tuple[str, Point]], seconds: int) -> bytes:
+def encode_pickles(named_points: Sequence[tuple[str, Point]], unix_seconds: int) -> bytes:
     """Encode pairs of a series name and a point as pickles of up to `POINTS_PER_PICKLE` points."""
     output = BytesIO()
-    for start in range(0, len(named), POINTS_PER_PICKLE):
+    for start in range(0, len(named_points), POINTS_PER_PICKLE):
         rows = [
-            (name, (seconds, _whole_if_possible(point.value)))
-            for name, point in named[start : start + POINTS_PER_PICKLE]
+            (name, (unix_seconds, _int_if_whole(point.value)))
+            for name, point in named_points[start : start + POINTS_PER_PICKLE]
         ]
         data = dumps(rows, PICKLE_PROTOCOL)
         output.write(PICKLE_HEADER.pack(len(data)) + data)
     return output.getvalue()
 
 
-def _whole_if_possible(value: float) -> float:
+def _int_if_whole(value: float) -> float:
     """Convert a whole number to an int, whose pickle is shorter and exact."""
-    whole = int(value)
-    return whole if value == whole else value
+    integer = int(value)
+    return integer if value == integer else value
--- a/dockthread/telemetry/heavy_hitters.py
+++ b/dockthread/telemetry/heavy_hitters.py
@@ -72,19 +72,19 @@
         """Replace the smallest entry by one for a new customer, with the old units as its error."""
         if self._lower_bounds is None:
             self._lower_bounds = [
-                (usage.requested, present) for present, usage in self.usage.items()
+                (usage.requested, entry_key) for entry_key, usage in self.usage.items()
             ]
             heapify(self._lower_bounds)
         heap = self._lower_bounds
         # An outdated bound is raised to the current value. This happens at most once for each
         # request, so the amortized number of iterations is constant.
         while True:
-            bound, smallest = heap[0]
-            requested = self.usage[smallest].requested
+            bound, smallest_key = heap[0]
+            requested = self.usage[smallest_key].requested
             if requested <= bound:
                 break
-            heapreplace(heap, (requested, smallest))
-        del self.usage[smallest]
+            heapreplace(heap, (requested, smallest_key))
+        del self.usage[smallest_key]
         self.usage[key] = CustomerUsage(requested + units, 0.0, 0.0, requested)
         heapreplace(heap, (requested + units, key))
 
--- a/dockthread/telemetry/metrics_reader.py
+++ b/dockthread/telemetry/metrics_reader.py
@@ -19,7 +19,7 @@
     BUCKET_BOUNDS_MS,
     DERIVE,
     GAUGE,
-    LIFE,
+    LIFE_PATH,
     Point,
     path_part,
 )
@@ -38,9 +38,9 @@
 # Minimum interval in seconds that is used to compute rates; prevents a division by zero.
 MIN_INTERVAL_SECONDS = 0.001
 # Each outcome of an attempt, and the part of a path that stands for it.
-OUTCOME_PARTS = {outcome: path_part(outcome.value.replace(" ", "-")) for outcome in Outcome}
+OUTCOME_PATH_PARTS = {outcome: path_part(outcome.value.replace(" ", "-")) for outcome in Outcome}
 # The field of a backend's load report that holds its number of requests in flight.
-REQUESTS_IN_FLIGHT = "rif"
+IN_FLIGHT_FIELD = "rif"
 
 
 class MetricsReader:
@@ -54,18 +54,18 @@
         self,
         ingress: Ingress,
         tally: Tally,
-        life: float,
+        session_start_ms: float,
         reported_backends: int,
         reported_customers: int,
     ) -> None:
-        self.life = int(life)
+        self.session_start_ms = int(session_start_ms)
         self._ingress = ingress
         self._tally = tally
         self._reported_backends = reported_backends
         self._reported_customers = reported_customers
         # The ingress counts these since its start, but a session may begin later.
-        self._attempts_before = ingress.traffic.attempts_started
-        self._hedges_before = ingress.traffic.hedges_started
+        self._initial_attempts = ingress.traffic.attempts_started
+        self._initial_hedges = ingress.traffic.hedges_started
         names = ingress.config.names
         self._classes = [path_part(name) for name in names.classes]
         self._plans = [path_part(name) for name in names.plans]
@@ -81,26 +81,26 @@
         """
         self._tally.flush()
         return [
-            Point(LIFE, GAUGE, self.life),
+            Point(LIFE_PATH, GAUGE, self.session_start_ms),
             Point(("phase",), GAUGE, PHASE_NUMBERS[self._ingress.lifecycle.phase.value]),
-            *self._answers(),
-            *self._latencies(),
-            *self._attempts(),
-            *self._counter(),
-            *self._quotas(),
-            *self._customers(elapsed_ms),
-            *self._routes(),
-            *self._backends(),
-            *self._connections(),
-            *self._requests(),
-            *self._process(),
-            *self._receivers(senders),
+            *self._response_points(),
+            *self._latency_points(),
+            *self._attempt_points(),
+            *self._counter_points(),
+            *self._quota_points(),
+            *self._customer_points(elapsed_ms),
+            *self._route_points(),
+            *self._backend_points(),
+            *self._connection_points(),
+            *self._request_points(),
+            *self._process_points(),
+            *self._receiver_points(senders),
         ]
 
-    def _answers(self) -> Iterator[Point]:
+    def _response_points(self) -> Iterator[Point]:
         classes = self._classes
         plans = self._plans
-        for (request_class, plan, outcome), count in self._tally.answers.items():
+        for (request_class, plan, outcome), count in self._tally.responses.items():
             yield Point(("answers", classes[request_class], plans[plan], outcome), DERIVE, count)
         for key, count in self._tally.reasons.items():
             reason = path_part(key.reason.replace(" ", "-"))
@@ -109,9 +109,11 @@
         for (request_class, plan), count in self._tally.disconnected.items():
             yield Point(("gone", classes[request_class], plans[plan]), DERIVE, count)
 
-    def _latencies(self) -> Iterator[Point]:
+    def _latency_points(self) -> Iterator[Point]:
         tally = self._tally
-        for name, late, latencies in zip(self._classes, tally.late, tally.latencies, strict=True):
+        for name, late, latencies in zip(
+            self._classes, tally.late_responses, tally.latencies, strict=True
+        ):
             yield Point(("late", name), DERIVE, late)
             for label, fraction in LATENCY_QUANTILES.items():
                 yield Point(("time", name, label), GAUGE, latencies.quantile(fraction))
@@ -122,19 +124,19 @@
             for bound_ms, count in zip(BUCKET_BOUNDS_MS, cumulative, strict=False):
                 yield Point(("time", name, f"le_{bound_ms}"), DERIVE, count)
 
-    def _attempts(self) -> Iterator[Point]:
+    def _attempt_points(self) -> Iterator[Point]:
         traffic = self._ingress.traffic
-        attempts = traffic.attempts_started - self._attempts_before
-        hedges = traffic.hedges_started - self._hedges_before
+        attempts = traffic.attempts_started - self._initial_attempts
+        hedges = traffic.hedges_started - self._initial_hedges
         yield Point(("attempts", "started"), DERIVE, attempts)
         yield Point(("attempts", "copies"), DERIVE, hedges)
-        for outcome, label in OUTCOME_PARTS.items():
+        for outcome, label in OUTCOME_PATH_PARTS.items():
             yield Point(("attempts", label), DERIVE, self._tally.attempts[outcome])
             if self._ingress.config.counter is not None:
                 count = self._tally.counter_calls[outcome]
                 yield Point(("counter", "calls", label), DERIVE, count)
 
-    def _counter(self) -> Iterator[Point]:
+    def _counter_points(self) -> Iterator[Point]:
         if self._ingress.config.counter is None:
             return
         latencies = self._tally.counter_latencies
@@ -142,61 +144,61 @@
         yield Point(("counter", "p99"), GAUGE, latencies.quantile(0.99))
         yield Point(("counter", "muted"), DERIVE, round(self._tally.circuit_open_ms))
 
-    def _quotas(self) -> Iterator[Point]:
+    def _quota_points(self) -> Iterator[Point]:
         tally = self._tally
         for plan, name in enumerate(self._plans):
             yield Point(("quota", name, "asked"), DERIVE, round(tally.units_requested[plan]))
             yield Point(("quota", name, "sent_on"), DERIVE, round(tally.units_forwarded[plan]))
             yield Point(("quota", name, "refused"), DERIVE, round(tally.units_rejected[plan]))
 
-    def _customers(self, elapsed_ms: float) -> Iterator[Point]:
+    def _customer_points(self, elapsed_ms: float) -> Iterator[Point]:
         """Yield the rates of the customers that requested the most units in the interval."""
         heavy_hitters = self._tally.heavy_hitters
-        seconds = max(elapsed_ms / 1000.0, MIN_INTERVAL_SECONDS)
+        interval_seconds = max(elapsed_ms / 1000.0, MIN_INTERVAL_SECONDS)
         yield Point(("firms_seen",), GAUGE, len(heavy_hitters.usage))
         for (plan, customer), usage in heavy_hitters.top(self._reported_customers):
             path = ("firms", self._plans[plan], f"{customer:x}")
-            yield Point((*path, "asked"), GAUGE, usage.requested / seconds)
-            yield Point((*path, "sent_on"), GAUGE, usage.forwarded / seconds)
-            yield Point((*path, "refused"), GAUGE, usage.rejected / seconds)
+            yield Point((*path, "asked"), GAUGE, usage.requested / interval_seconds)
+            yield Point((*path, "sent_on"), GAUGE, usage.forwarded / interval_seconds)
+            yield Point((*path, "refused"), GAUGE, usage.rejected / interval_seconds)
 
-    def _routes(self) -> Iterator[Point]:
+    def _route_points(self) -> Iterator[Point]:
         if (routes := self._ingress.routes) is None:
             return
-        for name, spent in list(routes.spent.items())[:MAX_REPORTED_ROUTES]:
+        for name, usage in list(routes.spent.items())[:MAX_REPORTED_ROUTES]:
             path = ("routes", path_part(name))
-            yield Point((*path, "requests"), DERIVE, spent.requests)
-            yield Point((*path, "attempts"), DERIVE, spent.attempts)
-            yield Point((*path, "copies"), DERIVE, spent.copies)
-            yield Point((*path, "copies_won"), DERIVE, spent.copies_won)
-            yield Point((*path, "queued"), DERIVE, spent.queued)
-            yield Point((*path, "refused_limit"), DERIVE, spent.refused_limit)
-            yield Point((*path, "refused_budget"), DERIVE, spent.refused_budget)
-            yield Point((*path, "queue_wait"), DERIVE, round(spent.queue_wait * 1000.0))
-            yield Point((*path, "open"), GAUGE, spent.open)
-            yield Point((*path, "inside"), GAUGE, spent.limit.inside)
-            yield Point((*path, "queue"), GAUGE, len(spent.queue))
-            if isfinite(spent.limit.limit):
-                yield Point((*path, "limit"), GAUGE, spent.limit.limit)
-            if spent.budget is not None:
-                yield Point((*path, "budget"), GAUGE, spent.budget.left)
-
-    def _backends(self) -> Iterator[Point]:
+            yield Point((*path, "requests"), DERIVE, usage.requests)
+            yield Point((*path, "attempts"), DERIVE, usage.attempts)
+            yield Point((*path, "copies"), DERIVE, usage.copies)
+            yield Point((*path, "copies_won"), DERIVE, usage.copies_won)
+            yield Point((*path, "queued"), DERIVE, usage.queued)
+            yield Point((*path, "refused_limit"), DERIVE, usage.refused_limit)
+            yield Point((*path, "refused_budget"), DERIVE, usage.refused_budget)
+            yield Point((*path, "queue_wait"), DERIVE, round(usage.queue_wait * 1000.0))
+            yield Point((*path, "open"), GAUGE, usage.open)
+            yield Point((*path, "inside"), GAUGE, usage.limit.inside)
+            yield Point((*path, "queue"), GAUGE, len(usage.queue))
+            if isfinite(usage.limit.limit):
+                yield Point((*path, "limit"), GAUGE, usage.limit.limit)
+            if usage.budget is not None:
+                yield Point((*path, "budget"), GAUGE, usage.budget.left)
+
+    def _backend_points(self) -> Iterator[Point]:
         """Yield the points of the backends with the most attempts in flight.
 
         A backend that has left the endpoint list is no longer reported.
         """
         engine = self._ingress.engine
         now = self._ingress.clock.now() / 1000.0
-        known = engine.backends.by_number
-        listed = [
-            (endpoint.uid, known[endpoint.number])
+        backends = engine.backends.by_number
+        listed_backends = [
+            (endpoint.uid, backends[endpoint.number])
             for endpoint in self._ingress.endpoints.by_number.values()
-            if endpoint.state is not BackendState.REMOVED and endpoint.number in known
+            if endpoint.state is not BackendState.REMOVED and endpoint.number in backends
         ]
-        listed.sort(key=lambda entry: -entry[1].in_flight)
-        in_flight_position = engine.outcomes.load_reports.positions.get(REQUESTS_IN_FLIGHT, -1)
-        for uid, backend in listed[: self._reported_backends]:
+        listed_backends.sort(key=lambda entry: -entry[1].in_flight)
+        in_flight_position = engine.outcomes.load_reports.positions.get(IN_FLIGHT_FIELD, -1)
+        for uid, backend in listed_backends[: self._reported_backends]:
             path = ("nodes", path_part(uid))
             is_full = any(until > now for until in backend.at_capacity_until.values())
             yield Point((*path, "out"), GAUGE, backend.in_flight)
@@ -207,7 +209,7 @@
                 yield Point((*path, "inflight"), GAUGE, backend.report[in_flight_position])
                 yield Point((*path, "report_age"), GAUGE, age_ms)
 
-    def _connections(self) -> Iterator[Point]:
+    def _connection_points(self) -> Iterator[Point]:
         traffic = self._ingress.traffic
         yield Point(("connections", "clients"), GAUGE, self._ingress.client_connections)
         yield Point(("connections", "nodes"), GAUGE, len(self._ingress.connection_pool))
@@ -217,7 +219,7 @@
         yield Point(("messages", "out"), DERIVE, traffic.gossip_sent)
         yield Point(("messages", "odd"), DERIVE, traffic.gossip_rejected)
 
-    def _requests(self) -> Iterator[Point]:
+    def _request_points(self) -> Iterator[Point]:
         traffic = self._ingress.traffic
         yield Point(("requests", "open"), GAUGE, len(self._ingress.requests))
         yield Point(("requests", "bodies"), GAUGE, self._ingress.requests.body_bytes)
@@ -227,7 +229,7 @@
         yield Point(("bytes", "nodes", "in"), DERIVE, traffic.backend_bytes_in)
         yield Point(("bytes", "nodes", "out"), DERIVE, traffic.backend_bytes_out)
 
-    def _process(self) -> Iterator[Point]:
+    def _process_points(self) -> Iterator[Point]:
         lags = self._tally.event_loop_lags
         yield Point(("loop", "p50"), GAUGE, lags.quantile(0.5))
         yield Point(("loop", "p99"), GAUGE, lags.quantile(0.99))
@@ -240,10 +242,10 @@
             yield Point(("garbage", str(number)), DERIVE, generation["collections"])
 
     @staticmethod
-    def _receivers(senders: Iterable[tuple[str, Sender]]) -> Iterator[Point]:
+    def _receiver_points(senders: Iterable[tuple[str, Sender]]) -> Iterator[Point]:
         for name, sender in senders:
             path = ("telemetry", path_part(name))
-            yield Point((*path, "sent"), DERIVE, sender.sent)
+            yield Point((*path, "sent"), DERIVE, sender.reports_sent)
             yield Point((*path, "dropped"), DERIVE, sender.delivery_queue.dropped)
             yield Point((*path, "queued"), GAUGE, sender.delivery_queue.size)
-            yield Point((*path, "lost"), DERIVE, sender.lost)
+            yield Point((*path, "lost"), DERIVE, sender.connections_lost)
--- a/dockthread/telemetry/options.py
+++ b/dockthread/telemetry/options.py
@@ -87,8 +87,8 @@
     def problems(self) -> Iterable[KeyProblem]:
         """Yield a problem for an invalid address or prefix."""
         yield from _address_problems(self.address, allow_unix=False)
-        is_path = all(map(_is_prefix_part, self.prefix.split(".")))
-        if not is_path or len(self.prefix) > MAX_PREFIX_LENGTH:
+        is_valid = all(map(_is_prefix_part, self.prefix.split(".")))
+        if not is_valid or len(self.prefix) > MAX_PREFIX_LENGTH:
             yield KeyProblem(
                 "prefix",
                 f"{self.prefix[:40]!r} is no path",
@@ -128,8 +128,8 @@
         yield from _address_problems(self.address, allow_unix=True)
         if self.security != "none":
             yield from self._security_problems()
-        is_name = self.plugin.replace("_", "").isalnum()
-        if not is_name or len(self.plugin) > MAX_PLUGIN_LENGTH:
+        is_valid = self.plugin.replace("_", "").isalnum()
+        if not is_valid or len(self.plugin) > MAX_PLUGIN_LENGTH:
             yield KeyProblem(
                 "plugin",
                 f"{self.plugin[:40]!r} is no plugin's name",
@@ -139,11 +139,11 @@
     def _security_problems(self) -> Iterable[KeyProblem]:
         if self.path:
             yield KeyProblem("security", "a unix socket knows none", "write none, or leave it out")
-        is_needed = f"is needed for security = {self.security}"
+        reason = f"is needed for security = {self.security}"
         if not self.user or len(self.user.encode()) > MAX_USER_BYTES:
-            yield KeyProblem("user", is_needed, f"a name of {MAX_USER_BYTES} bytes at most")
+            yield KeyProblem("user", reason, f"a name of {MAX_USER_BYTES} bytes at most")
         if not self.password_file:
-            yield KeyProblem("password_file", is_needed, "name a file")
+            yield KeyProblem("password_file", reason, "name a file")
 
     def password(self) -> bytes:
         """Return the first line of the password file; empty if no password is needed.
@@ -171,8 +171,8 @@
                 f"unix:/PATH, {MAX_SOCKET_PATH_BYTES} bytes at most",
             )
     elif host_port(address) is None:
-        accepted = "HOST:PORT" + (" or unix:/PATH" if allow_unix else "")
-        yield KeyProblem("address", f"{address[:80]!r} is no address", f"write {accepted}")
+        expected_format = "HOST:PORT" + (" or unix:/PATH" if allow_unix else "")
+        yield KeyProblem("address", f"{address[:80]!r} is no address", f"write {expected_format}")
 
 
 def shared_names(graphite: Mapping[str, Any], collectd: Mapping[str, Any]) -> list[str]:
--- a/dockthread/telemetry/putval.py
+++ b/dockthread/telemetry/putval.py
@@ -13,7 +13,7 @@
 from dockthread.telemetry.catalogue import Point
 from dockthread.telemetry.collectd import CollectdItem, Severity, series_name
 
-ANSWER = re.compile(rb"(-?[0-9]{1,9}) [^\n]*\n")
+REPLY_PATTERN = re.compile(rb"(-?[0-9]{1,9}) [^\n]*\n")
 SEVERITY_NAMES = {
     Severity.FAILURE: "failure",
     Severity.WARNING: "warning",
@@ -25,7 +25,7 @@
 # Interval in seconds of a value whose command does not give one: collectd's default.
 DEFAULT_INTERVAL_SECONDS = 10.0
 # Maximum number of characters of an unknown command that the reply quotes.
-MAX_REPEATED_COMMAND = 32
+MAX_QUOTED_COMMAND_LENGTH = 32
 # A PUTVAL has at least three words: the command, an identifier and a value.
 MIN_PUTVAL_WORDS = 3
 
@@ -36,33 +36,35 @@
     return f"{host}/{plugin_name}/{point.kind}-{name.type_instance}"
 
 
-def putval(host: str, plugin: str, point: Point, seconds: float, interval_seconds: float) -> bytes:
+def encode_putval(
+    host: str, plugin: str, point: Point, unix_seconds: float, interval_seconds: float
+) -> bytes:
     """Return the PUTVAL command for a point with a timestamp in Unix seconds."""
     identifier = _identifier(host, plugin, point)
-    value = f"{seconds:.3f}:{point.value_text}"
+    value = f"{unix_seconds:.3f}:{point.value_text}"
     return f'PUTVAL "{identifier}" interval={interval_seconds:g} {value}\n'.encode()
 
 
-def putnotif(host: str, plugin: str, text: str, severity: int, seconds: float) -> bytes:
+def encode_putnotif(host: str, plugin: str, text: str, severity: int, unix_seconds: float) -> bytes:
     """Return the PUTNOTIF command for a notification with a timestamp in Unix seconds."""
     severity_name = SEVERITY_NAMES[Severity(severity)]
-    options = f"severity={severity_name} time={seconds:.3f} host={host} plugin={plugin}"
+    options = f"severity={severity_name} time={unix_seconds:.3f} host={host} plugin={plugin}"
     return f'PUTNOTIF message="{text}" {options}\n'.encode()
 
 
 @dataclass(slots=True)
-class Answers:
+class ReplyCounter:
     """Counts the replies in a stream of bytes from collectd.
 
     Attributes:
-        unread: The received part of a reply that is not complete yet.
-        seen: Number of replies received.
-        refused: Number of those replies that are errors.
+        incomplete: The received part of a reply that is not complete yet.
+        received: Number of replies received.
+        rejected: Number of those replies that are errors.
     """
 
-    unread: bytes = b""
-    seen: int = 0
-    refused: int = 0
+    incomplete: bytes = b""
+    received: int = 0
+    rejected: int = 0
 
     def feed(self, data: bytes) -> None:
         """Count the replies that are completed by the next bytes.
@@ -70,20 +72,20 @@
         Raises:
             ValueError: if a line is not a valid reply or is too long.
         """
-        self.unread += data
-        while (end := self.unread.find(b"\n")) >= 0:
-            line = self.unread[: end + 1]
-            self.unread = self.unread[end + 1 :]
-            answer = ANSWER.fullmatch(line)
-            if answer is None:
+        self.incomplete += data
+        while (end := self.incomplete.find(b"\n")) >= 0:
+            line = self.incomplete[: end + 1]
+            self.incomplete = self.incomplete[end + 1 :]
+            reply = REPLY_PATTERN.fullmatch(line)
+            if reply is None:
                 raise ValueError("invalid reply from collectd")
-            self.seen += 1
-            self.refused += int(answer[1]) < 0
-        if len(self.unread) > MAX_LINE_BYTES:
+            self.received += 1
+            self.rejected += int(reply[1]) < 0
+        if len(self.incomplete) > MAX_LINE_BYTES:
             raise ValueError("a reply line exceeds the maximum length")
 
 
-def parse(line: str) -> list[CollectdItem]:
+def parse_command(line: str) -> list[CollectdItem]:
     """Return the values or the notification of one command.
 
     Raises:
@@ -95,7 +97,7 @@
         return [_parse_putnotif(words[1:])]
     if command == "PUTVAL":
         return _parse_putval(words)
-    raise ValueError(f"Unknown command: {command[:MAX_REPEATED_COMMAND]}")
+    raise ValueError(f"Unknown command: {command[:MAX_QUOTED_COMMAND_LENGTH]}")
 
 
 def _parse_putnotif(words: list[str]) -> CollectdItem:
@@ -106,7 +108,7 @@
     return CollectdItem(
         host=options.get("host", ""),
         plugin=options.get("plugin", ""),
-        seconds=float(options.get("time", "0")),
+        unix_seconds=float(options.get("time", "0")),
         message=options["message"],
         severity=severity,
     )
@@ -125,7 +127,7 @@
             key, _, text = word.partition("=")
             interval = float(text) if key == "interval" else interval
             continue
-        seconds, _, value = word.partition(":")
+        unix_seconds, _, value = word.partition(":")
         if not value:
             raise ValueError("No values")
         item = CollectdItem(
@@ -134,7 +136,7 @@
             plugin_instance=plugin_instance,
             type=type_,
             type_instance=type_instance,
-            seconds=float(seconds),
+            unix_seconds=float(unix_seconds),
             interval=interval,
             kind=type_,
             value=float(value),
--- a/dockthread/telemetry/receiver/command_server.py
+++ b/dockthread/telemetry/receiver/command_server.py
@@ -14,7 +14,7 @@
         """Create the server of a connection; `source` is its source in the ledger."""
         self._ledger = ledger
         self._source = source
-        self._unread = b""
+        self._incomplete_line = b""
 
     def feed(self, data: bytes) -> bytes:
         """Return the replies to the commands that are completed by the next bytes.
@@ -22,18 +22,18 @@
         Raises:
             DecodeError: if a line is too long.
         """
-        *lines, self._unread = (self._unread + data).split(b"\n")
-        if len(self._unread) > putval.MAX_LINE_BYTES:
+        *lines, self._incomplete_line = (self._incomplete_line + data).split(b"\n")
+        if len(self._incomplete_line) > putval.MAX_LINE_BYTES:
             raise DecodeError("a line does not end")
-        return "".join(map(self._answer, lines)).encode()
+        return "".join(map(self._reply_to, lines)).encode()
 
-    def _answer(self, line: bytes) -> str:
+    def _reply_to(self, line: bytes) -> str:
         try:
-            items = putval.parse(line.decode())
+            items = putval.parse_command(line.decode())
         except ValueError as error:
             self._ledger.add_fault(self._source, "a command that cannot be read")
             return f"-1 {error}\n"
-        self._ledger.add_collectd(self._source, items)
+        self._ledger.add_collectd_items(self._source, items)
         count = sum(not item.message for item in items)
         plural = "" if count == 1 else "s"
         return f"0 Success: {count} value{plural} has been dispatched.\n"
--- a/dockthread/telemetry/receiver/decode.py
+++ b/dockthread/telemetry/receiver/decode.py
@@ -39,12 +39,12 @@
 
     Attributes:
         series: The full name of the series.
-        seconds: The timestamp in Unix seconds.
+        unix_seconds: The timestamp in Unix seconds.
         value: The value.
     """
 
     series: str
-    seconds: float
+    unix_seconds: float
     value: float
 
 
@@ -57,7 +57,7 @@
 
     def __init__(self) -> None:
         self.invalid_lines = 0
-        self._unread = b""
+        self._incomplete = b""
 
     def feed(self, data: bytes) -> Iterator[ReceivedPoint]:
         """Yield the points of the lines that are completed by the next bytes.
@@ -65,8 +65,8 @@
         Raises:
             DecodeError: if a line is too long.
         """
-        *lines, self._unread = (self._unread + data).split(b"\n")
-        if len(self._unread) > MAX_LINE_BYTES:
+        *lines, self._incomplete = (self._incomplete + data).split(b"\n")
+        if len(self._incomplete) > MAX_LINE_BYTES:
             raise DecodeError("a line does not end")
         for line in lines:
             point = _parse_line(line)
@@ -79,11 +79,11 @@
 def _parse_line(line: bytes) -> ReceivedPoint | None:
     """Return the point of a line, or None if the line is invalid."""
     try:
-        series, value, seconds = line.decode().split()
-        point = ReceivedPoint(series, float(seconds), float(value))
+        series, value, unix_seconds = line.decode().split()
+        point = ReceivedPoint(series, float(unix_seconds), float(value))
     except ValueError:
         return None
-    is_finite = isfinite(point.seconds) and isfinite(point.value)
+    is_finite = isfinite(point.unix_seconds) and isfinite(point.value)
     return point if is_finite else None
 
 
@@ -106,7 +106,7 @@
 
     def __init__(self) -> None:
         self.invalid_lines = 0
-        self._unread = b""
+        self._incomplete = b""
 
     def feed(self, data: bytes) -> Iterator[ReceivedPoint]:
         """Yield the points of the pickles that are completed by the next bytes.
@@ -114,24 +114,24 @@
         Raises:
             DecodeError: if a pickle is too long or is not a list of points.
         """
-        self._unread += data
-        while len(self._unread) >= PICKLE_HEADER.size:
-            (size,) = PICKLE_HEADER.unpack_from(self._unread)
+        self._incomplete += data
+        while len(self._incomplete) >= PICKLE_HEADER.size:
+            (size,) = PICKLE_HEADER.unpack_from(self._incomplete)
             if size > MAX_PICKLE_BYTES:
                 raise DecodeError(f"a pickle of {size} bytes")
             end = PICKLE_HEADER.size + size
-            if len(self._unread) < end:
+            if len(self._incomplete) < end:
                 return
-            encoded = self._unread[PICKLE_HEADER.size : end]
-            self._unread = self._unread[end:]
+            encoded = self._incomplete[PICKLE_HEADER.size : end]
+            self._incomplete = self._incomplete[end:]
             yield from _load_points(encoded)
 
 
 def _load_points(encoded: bytes) -> list[ReceivedPoint]:
     try:
         return [
-            ReceivedPoint(str(series), float(seconds), float(value))
-            for series, (seconds, value) in _PlainUnpickler(io.BytesIO(encoded)).load()
+            ReceivedPoint(str(series), float(unix_seconds), float(value))
+            for series, (unix_seconds, value) in _PlainUnpickler(io.BytesIO(encoded)).load()
         ]
     except UNPICKLING_ERRORS as error:
         raise DecodeError(f"not a pickle of points: {error}") from error
--- a/dockthread/telemetry/receiver/ledger.py
+++ b/dockthread/telemetry/receiver/ledger.py
@@ -42,11 +42,11 @@
 
 # The prefix of the tag that names the ingress, and the last part of the path of the point `life`.
 INGRESS_TAG = "ingress="
-LIFE = "life"
+LIFE_METRIC = "life"
 # Milliseconds by which rounding may put a collectd timestamp before the start of its session.
-LIFE_TOLERANCE_MS = 1.0
+SESSION_START_TOLERANCE_MS = 1.0
 # The session of a point that was received before any point `life`.
-UNKNOWN_LIFE = 0
+UNKNOWN_SESSION = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,8 +71,8 @@
 
     source: str
     series: str
-    life: int
-    seconds: float
+    session: int
+    unix_seconds: float
     value: float
 
 
@@ -98,66 +98,72 @@
         self._db.execute("pragma synchronous = off")
         self._db.executescript(SCHEMA)
         # For Graphite: the current session for each source and tag or path prefix of an ingress.
-        self._present_lives: dict[tuple[str, str], int] = {}
+        self._current_sessions: dict[tuple[str, str], int] = {}
         # For collectd: the session for each host and timestamp, and all sessions of each host.
-        self._lives_by_moment: dict[tuple[str, float], int] = {}
-        self._lives_by_host: dict[str, list[int]] = {}
+        self._sessions_by_time: dict[tuple[str, float], int] = {}
+        self._sessions_by_host: dict[str, list[int]] = {}
 
     def close(self) -> None:
         """Close the database."""
         self._db.close()
 
-    def add_graphite(self, source: str, points: Iterable[ReceivedPoint]) -> None:
+    def add_graphite_points(self, source: str, points: Iterable[ReceivedPoint]) -> None:
         """Store points, given in the order in which they were received on a stream."""
         rows = []
         for point in points:
             path = point.series.split(";")[0]
-            if path.endswith(f".{LIFE}"):
-                ingress = _ingress_tag(point.series) or path.removesuffix(LIFE)
-                self._present_lives[source, ingress] = int(point.value)
-            life = self._graphite_life(source, point.series)
-            rows.append(_Row(source, point.series, life, point.seconds, point.value))
+            if path.endswith(f".{LIFE_METRIC}"):
+                ingress = _ingress_tag(point.series) or path.removesuffix(LIFE_METRIC)
+                self._current_sessions[source, ingress] = int(point.value)
+            session = self._graphite_session(source, point.series)
+            rows.append(_Row(source, point.series, session, point.unix_seconds, point.value))
         self._add_rows(source, rows)
 
-    def _graphite_life(self, source: str, series: str) -> int:
+    def _graphite_session(self, source: str, series: str) -> int:
         if ingress := _ingress_tag(series):
-            return self._present_lives.get((source, ingress), UNKNOWN_LIFE)
+            return self._current_sessions.get((source, ingress), UNKNOWN_SESSION)
         # Without tags, the path begins with the prefix of the ingress, whose length is not known.
         end = series.rfind(".")
         while end > 0:
-            life = self._present_lives.get((source, series[: end + 1]))
-            if life is not None:
-                return life
+            session = self._current_sessions.get((source, series[: end + 1]))
+            if session is not None:
+                return session
             end = series.rfind(".", 0, end)
-        return UNKNOWN_LIFE
+        return UNKNOWN_SESSION
 
-    def add_collectd(self, source: str, items: Iterable[CollectdItem]) -> None:
+    def add_collectd_items(self, source: str, items: Iterable[CollectdItem]) -> None:
         """Store values and notifications."""
         rows = []
         for item in items:
             if item.message:
-                note = (item.seconds, item.host, item.severity, item.message)
-                self._db.execute("insert into notes values (?, ?, ?, ?)", note)
+                notification = (item.unix_seconds, item.host, item.severity, item.message)
+                self._db.execute("insert into notes values (?, ?, ?, ?)", notification)
                 continue
-            if item.type_instance == LIFE and not item.plugin_instance:
-                life = int(item.value)
-                self._lives_by_moment[item.host, item.seconds] = life
-                self._lives_by_host.setdefault(item.host, []).append(life)
+            if item.type_instance == LIFE_METRIC and not item.plugin_instance:
+                session = int(item.value)
+                self._sessions_by_time[item.host, item.unix_seconds] = session
+                self._sessions_by_host.setdefault(item.host, []).append(session)
             series = f"{item.host}/{item.name}"
-            rows.append(_Row(source, series, self._collectd_life(item), item.seconds, item.value))
+            rows.append(
+                _Row(source, series, self._collectd_session(item), item.unix_seconds, item.value)
+            )
         self._add_rows(source, rows)
 
-    def _collectd_life(self, item: CollectdItem) -> int:
+    def _collectd_session(self, item: CollectdItem) -> int:
         """Return the session that was reported with the item's timestamp.
 
         If the packet with that report was lost, return the latest session that had begun by then.
         """
-        life = self._lives_by_moment.get((item.host, item.seconds))
-        if life is not None:
-            return life
-        latest = item.seconds * 1000.0 + LIFE_TOLERANCE_MS
-        begun = [life for life in self._lives_by_host.get(item.host, ()) if life <= latest]
-        return max(begun, default=UNKNOWN_LIFE)
+        session = self._sessions_by_time.get((item.host, item.unix_seconds))
+        if session is not None:
+            return session
+        latest_start_ms = item.unix_seconds * 1000.0 + SESSION_START_TOLERANCE_MS
+        earlier_sessions = [
+            session
+            for session in self._sessions_by_host.get(item.host, ())
+            if session <= latest_start_ms
+        ]
+        return max(earlier_sessions, default=UNKNOWN_SESSION)
 
     def _add_rows(self, source: str, rows: list[_Row]) -> None:
         self.seen[source] += len(rows)
@@ -179,22 +185,22 @@
         rows = self._db.execute("select source, kind, many from faults")
         return {(source, kind): count for source, kind, count in rows}
 
-    def notes(self) -> list[tuple[float, str, int, str]]:
+    def notifications(self) -> list[tuple[float, str, int, str]]:
         """Return Unix seconds, host, severity and text of each notification, by time."""
         return list(self._db.execute("select * from notes order by seconds"))
 
-    def totals(self, containing: str = "") -> list[Total]:
+    def totals(self, name_part: str = "") -> list[Total]:
         """Return the totals of all series whose names contain a text, by source and series."""
         values_by_series: dict[tuple[str, str], list[float]] = {}
         for source, series, _, value in self._db.execute(LAST_VALUES):
-            if containing in series:
+            if name_part in series:
                 values_by_series.setdefault((source, series), []).append(value)
         return [
             Total(source, series, sum(values), len(values))
             for (source, series), values in sorted(values_by_series.items())
         ]
 
-    def steps_back(self, source: str, series: str) -> int:
+    def count_decreases(self, source: str, series: str) -> int:
         """Return how often a value decreased within a session, which a counter never does."""
         return int(self._db.execute(DECREASES, (source, series)).fetchone()[0])
 
--- a/dockthread/telemetry/receiver/stand_in.py
+++ b/dockthread/telemetry/receiver/stand_in.py
@@ -71,12 +71,12 @@
     Attributes:
         kind: The kind of the fault, one of `KINDS`.
         start: Start of the fault, in seconds after `StandIn.play` is called.
-        length: Duration of the fault in seconds.
+        duration: Duration of the fault in seconds.
     """
 
     kind: str
     start: float
-    length: float
+    duration: float
 
     @classmethod
     def parse(cls, text: str) -> Span:
@@ -87,13 +87,13 @@
         """
         from dockthread.config.quantities import Duration
 
-        kind, at, times = text.partition("@")
-        start, plus, length = times.partition("+")
-        if kind not in KINDS or not at or not plus:
+        kind, at_sign, times = text.partition("@")
+        start, plus, duration = times.partition("+")
+        if kind not in KINDS or not at_sign or not plus:
             raise ValueError(
                 f"{text!r} is not KIND@START+LENGTH, with KIND one of {', '.join(KINDS)}"
             )
-        return cls(kind, Duration.parse(start) / 1000.0, Duration.parse(length) / 1000.0)
+        return cls(kind, Duration.parse(start) / 1000.0, Duration.parse(duration) / 1000.0)
 
 
 class StandIn:
@@ -103,21 +103,21 @@
         ledger: Stores the received points, notifications and faults.
         addresses: The address for each protocol, in the format of the operator's file; for `putval`
             the path of the socket alone.
-        kind: The kind of the current fault, one of `KINDS`, or empty.
+        fault_kind: The kind of the current fault, one of `KINDS`, or empty.
     """
 
     def __init__(self, ledger: Ledger, opener: Opener | None = None) -> None:
         self.ledger = ledger
         self.addresses: dict[str, str] = {}
-        self.kind = ""
+        self.fault_kind = ""
         self._opener = opener or Opener()
         self._listeners: dict[str, socket.socket] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._connections: dict[socket.socket, asyncio.Task[None]] = {}
 
-    async def start(self, **wanted: str) -> None:
+    async def start(self, **addresses: str) -> None:
         """Listen for each protocol: on a HOST:PORT (port 0 for any), or on a path for `putval`."""
-        for protocol, address in wanted.items():
+        for protocol, address in addresses.items():
             self._listen(protocol, address)
 
     def _listen(self, protocol: str, address: str) -> None:
@@ -129,12 +129,12 @@
             host, _, _ = address.rpartition(":")
             self.addresses[protocol] = f"{host}:{listener.getsockname()[1]}"
         if protocol == COLLECTD:
-            serving = self._serve_packets(listener)
+            coroutine = self._serve_packets(listener)
         else:
             listener.listen(LISTEN_BACKLOG)
-            serving = self._accept(protocol, listener)
+            coroutine = self._accept(protocol, listener)
         self._listeners[protocol] = listener
-        self._tasks[protocol] = asyncio.get_running_loop().create_task(serving)
+        self._tasks[protocol] = asyncio.get_running_loop().create_task(coroutine)
 
     async def play(self, spans: Iterable[Span]) -> None:
         """Simulate the faults one after another, in the order of their start."""
@@ -142,13 +142,13 @@
         for span in sorted(spans, key=lambda span: span.start):
             await asyncio.sleep(max(0.0, span.start - now))
             self.misbehave(span.kind)
-            await asyncio.sleep(span.length)
+            await asyncio.sleep(span.duration)
             self.behave()
-            now = span.start + span.length
+            now = span.start + span.duration
 
     def misbehave(self, kind: str) -> None:
         """Begin to simulate a fault, one of `KINDS`."""
-        self.kind = kind
+        self.fault_kind = kind
         if kind != REFUSE:
             return
         for protocol in list(self._listeners):
@@ -160,8 +160,8 @@
 
     def behave(self) -> None:
         """End the current fault."""
-        kind = self.kind
-        self.kind = ""
+        kind = self.fault_kind
+        self.fault_kind = ""
         if kind == REFUSE:
             for protocol, address in self.addresses.items():
                 self._listen(protocol, address)
@@ -202,11 +202,11 @@
             self._connections[connection] = loop.create_task(self._serve(protocol, connection))
 
     @property
-    def _is_reading(self) -> bool:
-        return self.kind not in (VANISH, UNREAD)
+    def _reading_allowed(self) -> bool:
+        return self.fault_kind not in (VANISH, UNREAD)
 
-    async def _wait_until_reading(self) -> None:
-        while not self._is_reading:  # noqa: ASYNC110 - polls a plain attribute
+    async def _wait_until_reading_allowed(self) -> None:
+        while not self._reading_allowed:  # noqa: ASYNC110 - polls a plain attribute
             await asyncio.sleep(POLL_SECONDS)
 
     async def _serve(self, protocol: str, connection: socket.socket) -> None:
@@ -223,21 +223,21 @@
         decoder = self._stream_decoder(protocol)
         bytes_read = 0
         while True:
-            await self._wait_until_reading()
-            is_slow = self.kind == SLOW
+            await self._wait_until_reading_allowed()
+            is_slow = self.fault_kind == SLOW
             data = await loop.sock_recv(connection, SLOW_READ_BYTES if is_slow else READ_BYTES)
             # The fault may have begun while the read was waiting.
-            await self._wait_until_reading()
+            await self._wait_until_reading_allowed()
             if not data:
                 return
             bytes_read += len(data)
-            must_reset = self.kind == RESET and bytes_read > RESET_AFTER_BYTES
+            must_reset = self.fault_kind == RESET and bytes_read > RESET_AFTER_BYTES
             if must_reset:
                 data = data[:RESET_AFTER_BYTES]
             if isinstance(decoder, CommandServer):
                 await loop.sock_sendall(connection, decoder.feed(data))
             else:
-                self.ledger.add_graphite(protocol, self._decode(decoder, data))
+                self.ledger.add_graphite_points(protocol, self._decode(decoder, data))
             if must_reset:
                 self.ledger.add_fault(protocol, "reset")
                 self._reset(connection)
@@ -264,15 +264,15 @@
         loop = asyncio.get_running_loop()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, PACKET_BUFFER_BYTES)
         while True:
-            await self._wait_until_reading()
+            await self._wait_until_reading_allowed()
             packet = await loop.sock_recv(listener, READ_BYTES)
-            if not self._is_reading:
+            if not self._reading_allowed:
                 continue
             try:
-                self.ledger.add_collectd(COLLECTD, self._opener.read(packet))
+                self.ledger.add_collectd_items(COLLECTD, self._opener.decode_packet(packet))
             except PacketError as error:
                 self.ledger.add_fault(COLLECTD, str(error))
-            if self.kind == SLOW:
+            if self.fault_kind == SLOW:
                 await asyncio.sleep(SLOW_PACKET_PAUSE_SECONDS)
 
 
--- a/dockthread/telemetry/report_delivery.py
+++ b/dockthread/telemetry/report_delivery.py
@@ -15,16 +15,16 @@
 
 from dockthread.telemetry.catalogue import Point
 from dockthread.telemetry.collectd import Severity
-from dockthread.telemetry.connections import receiver_connection
+from dockthread.telemetry.connections import create_connection
 from dockthread.telemetry.delivery_queue import DeliveryQueue, Report
 from dockthread.telemetry.report_encoders import ReceiverOptions, report_encoder
 from dockthread.telemetry.sender import Action, ActionKind, Event, Sender, SenderState
 from dockthread.telemetry.timestamps import Timestamp
 
 # Maximum number of points encoded in one iteration of the event loop.
-POINTS_PER_TURN = 64
+POINTS_PER_LOOP_ITERATION = 64
 # Timeout in seconds for connecting to a receiver, and for sending a report.
-STALL_TIMEOUT_SECONDS = 10.0
+IO_TIMEOUT_SECONDS = 10.0
 
 NO_ACTION = Action(ActionKind.NOTHING)
 
@@ -68,13 +68,13 @@
         self.name = settings.name
         self.options = settings.options
         self._encoder = report_encoder(settings.options, settings.ingress, settings.interval_ms)
-        self._connection = receiver_connection(settings.options)
+        self._connection = create_connection(settings.options)
         queue = DeliveryQueue(settings.queue_bytes)
         self.sender = Sender(queue, random.Random(settings.seed))
-        self._wake = asyncio.Event()
+        self._wake_event = asyncio.Event()
         self._next_action = NO_ACTION
         self._task: asyncio.Task[None] | None = None
-        self._loss_was_logged = False
+        self._failure_was_logged = False
 
     def start(self) -> None:
         """Start the task that delivers reports."""
@@ -83,28 +83,30 @@
     async def report(self, points: list[Point], timestamp: Timestamp) -> None:
         """Encode a report in slices, yielding to the event loop after each, and queue it."""
         chunks: list[bytes] = []
-        for start in range(0, len(points), POINTS_PER_TURN):
-            chunks += self._encoder.encode(points[start : start + POINTS_PER_TURN], timestamp)
+        for start in range(0, len(points), POINTS_PER_LOOP_ITERATION):
+            chunks += self._encoder.encode(
+                points[start : start + POINTS_PER_LOOP_ITERATION], timestamp
+            )
             await asyncio.sleep(0)
-        self._enqueue(Report(timestamp.seconds, tuple(chunks)))
+        self._enqueue(Report(timestamp.unix_seconds, tuple(chunks)))
 
-    def notify(self, text: str, seconds: float, severity: Severity = Severity.OKAY) -> None:
+    def notify(self, text: str, unix_seconds: float, severity: Severity = Severity.OKAY) -> None:
         """Queue a notification if the receiver supports them."""
         if self._encoder.supports_notifications:
-            chunk = self._encoder.encode_notification(text, severity, seconds)
-            self._enqueue(Report(seconds, (chunk,)))
+            chunk = self._encoder.encode_notification(text, severity, unix_seconds)
+            self._enqueue(Report(unix_seconds, (chunk,)))
 
     def _enqueue(self, report: Report) -> None:
-        self._schedule(self.sender.enqueue(report))
+        self._set_next_action(self.sender.enqueue(report))
 
-    def _schedule(self, action: Action) -> None:
+    def _set_next_action(self, action: Action) -> None:
         if action.kind is not ActionKind.NOTHING:
             self._next_action = action
-            self._wake.set()
+            self._wake_event.set()
 
     async def drain(self) -> None:
         """Send all queued reports and end the task; the caller sets a time limit."""
-        self._schedule(self.sender.drain())
+        self._set_next_action(self.sender.drain())
         if self._task is not None and self.sender.state is not SenderState.ENDED:
             await asyncio.wait([self._task])
 
@@ -116,42 +118,42 @@
 
     async def _run(self) -> None:
         while self.sender.state is not SenderState.ENDED:
-            await self._wake.wait()
+            await self._wake_event.wait()
             action = self._take_action()
             while action.kind is not ActionKind.NOTHING:
-                action = await self._carry_out(action)
+                action = await self._perform_action(action)
 
     def _take_action(self) -> Action:
-        self._wake.clear()
+        self._wake_event.clear()
         action = self._next_action
         self._next_action = NO_ACTION
         return action
 
-    async def _carry_out(self, action: Action) -> Action:
+    async def _perform_action(self, action: Action) -> Action:
         """Perform an action and return the one that follows."""
         if action.kind is ActionKind.BACK_OFF:
             return await self._back_off(action.backoff_ms)
         try:
-            async with asyncio.timeout(STALL_TIMEOUT_SECONDS):
-                event = await self._perform(action)
+            async with asyncio.timeout(IO_TIMEOUT_SECONDS):
+                event = await self._perform_io(action)
         except OSError as error:
             self._connection.close()
-            self._log_loss(error)
+            self._log_failure(error)
             return self.sender.handle(Event.FAILED)
-        if event is Event.DELIVERED and self._loss_was_logged:
-            self._loss_was_logged = False
+        if event is Event.DELIVERED and self._failure_was_logged:
+            self._failure_was_logged = False
             logger.bind(receiver=self.name).info("receiver {} accepts reports again", self.name)
         return self.sender.handle(event)
 
     async def _back_off(self, backoff_ms: float) -> Action:
         with suppress(TimeoutError):
-            await asyncio.wait_for(self._wake.wait(), backoff_ms / 1000.0)
+            await asyncio.wait_for(self._wake_event.wait(), backoff_ms / 1000.0)
         # Only a drain produces an action during a backoff; the action is performed at once.
-        if self._wake.is_set():
+        if self._wake_event.is_set():
             return self._take_action()
         return self.sender.handle(Event.BACKOFF_ELAPSED)
 
-    async def _perform(self, action: Action) -> Event:
+    async def _perform_io(self, action: Action) -> Event:
         """Do the I/O of an action and return the resulting event.
 
         Raises:
@@ -169,12 +171,12 @@
         self.sender.delivery_queue.mark_delivered(action.report)
         return Event.DELIVERED
 
-    def _log_loss(self, error: OSError) -> None:
+    def _log_failure(self, error: OSError) -> None:
         """Log the first failure as a warning, and further ones as debug until a delivery."""
-        bound = logger.bind(receiver=self.name)
-        log = bound.debug if self._loss_was_logged else bound.warning
-        self._loss_was_logged = True
-        log(
+        bound_logger = logger.bind(receiver=self.name)
+        log_failure = bound_logger.debug if self._failure_was_logged else bound_logger.warning
+        self._failure_was_logged = True
+        log_failure(
             "connection to receiver {} failed: {}; reports are queued",
             self.name,
             error or type(error).__name__,
--- a/dockthread/telemetry/report_encoders.py
+++ b/dockthread/telemetry/report_encoders.py
@@ -29,7 +29,7 @@
     def encode(self, points: Sequence[Point], timestamp: Timestamp) -> Iterator[bytes]:
         """Encode a slice of a report, and yield it in chunks."""
 
-    def encode_notification(self, text: str, severity: int, seconds: float) -> bytes:
+    def encode_notification(self, text: str, severity: int, unix_seconds: float) -> bytes:
         """Encode a notification with a timestamp in Unix seconds."""
 
 
@@ -42,18 +42,19 @@
         self._options = options
         self._ingress = path_part(ingress)
         is_pickle = options.protocol == "pickle"
-        self._encode_series = graphite.pickled if is_pickle else graphite.plaintext
+        self._encode_points = graphite.encode_pickles if is_pickle else graphite.encode_plaintext
 
     def encode(self, points: Sequence[Point], timestamp: Timestamp) -> Iterator[bytes]:
         """Yield one chunk with all points, using the timestamp in whole seconds."""
         prefix = self._options.prefix
         tags = self._options.tags
-        named = [
-            (graphite.series(prefix, self._ingress, point.path, tags), point) for point in points
+        named_points = [
+            (graphite.series_name(prefix, self._ingress, point.path, tags), point)
+            for point in points
         ]
-        yield self._encode_series(named, timestamp.whole_second)
+        yield self._encode_points(named_points, timestamp.whole_second)
 
-    def encode_notification(self, text: str, severity: int, seconds: float) -> bytes:
+    def encode_notification(self, text: str, severity: int, unix_seconds: float) -> bytes:
         """Raise NotImplementedError; see `supports_notifications`."""
         raise NotImplementedError
 
@@ -87,11 +88,11 @@
 
     def encode(self, points: Sequence[Point], timestamp: Timestamp) -> Iterator[bytes]:
         """Yield packets; each packet is one chunk."""
-        return self._packet_encoder.packets(list(points), timestamp.seconds)
+        return self._packet_encoder.packets(list(points), timestamp.unix_seconds)
 
-    def encode_notification(self, text: str, severity: int, seconds: float) -> bytes:
+    def encode_notification(self, text: str, severity: int, unix_seconds: float) -> bytes:
         """Return the notification as one packet."""
-        return self._packet_encoder.notification(text, severity, seconds)
+        return self._packet_encoder.notification(text, severity, unix_seconds)
 
 
 class PutvalEncoder:
@@ -107,15 +108,15 @@
     def encode(self, points: Sequence[Point], timestamp: Timestamp) -> Iterator[bytes]:
         """Yield one chunk with a command for each point."""
         yield b"".join(
-            putval.putval(
-                self._host, self._plugin, point, timestamp.seconds, self._interval_seconds
+            putval.encode_putval(
+                self._host, self._plugin, point, timestamp.unix_seconds, self._interval_seconds
             )
             for point in points
         )
 
-    def encode_notification(self, text: str, severity: int, seconds: float) -> bytes:
+    def encode_notification(self, text: str, severity: int, unix_seconds: float) -> bytes:
         """Return the notification as one command."""
-        return putval.putnotif(self._host, self._plugin, text, severity, seconds)
+        return putval.encode_putnotif(self._host, self._plugin, text, severity, unix_seconds)
 
 
 def report_encoder(options: ReceiverOptions, ingress: str, interval_ms: float) -> ReportEncoder:
--- a/dockthread/telemetry/sender.py
+++ b/dockthread/telemetry/sender.py
@@ -21,7 +21,7 @@
 # Maximum of any backoff in milliseconds.
 MAX_BACKOFF_MS = 15_000.0
 # Lower bound of the random factor by which a backoff is multiplied; the upper bound is 1.
-MIN_JITTER = 0.1
+MIN_JITTER_FACTOR = 0.1
 # Maximum number of times that the backoff is doubled: enough to reach `MAX_BACKOFF_MS`, and small
 # enough to prevent an overflow.
 MAX_DOUBLINGS = 16
@@ -93,7 +93,7 @@
 CLOSE = Transition(SenderState.CLOSING, ActionKind.CLOSE)
 END = Transition(SenderState.ENDED)
 
-# When no report is queued, CONNECT and SEND are replaced; see `Sender._without_report`.
+# When no report is queued, CONNECT and SEND are replaced; see `Sender._transition_without_report`.
 TRANSITIONS: dict[tuple[SenderState, Event], Transition] = {
     (SenderState.DISCONNECTED, Event.QUEUED): CONNECT,
     (SenderState.DISCONNECTED, Event.DRAIN_REQUESTED): END,
@@ -124,18 +124,18 @@
         delivery_queue: The reports that are waiting for the receiver.
         state: The current state.
         is_draining: Whether a drain was requested.
-        failures: Number of consecutive failures; reset when a report is delivered.
-        sent: Number of reports delivered since the sender was created.
-        lost: Number of connections that failed or broke since the sender was created.
+        consecutive_failures: Number of consecutive failures; reset when a report is delivered.
+        reports_sent: Number of reports delivered since the sender was created.
+        connections_lost: Number of connections that failed or broke since the sender was created.
     """
 
     def __init__(self, delivery_queue: DeliveryQueue, rng: random.Random) -> None:
         self.delivery_queue = delivery_queue
         self.state = SenderState.DISCONNECTED
         self.is_draining = False
-        self.failures = 0
-        self.sent = 0
-        self.lost = 0
+        self.consecutive_failures = 0
+        self.reports_sent = 0
+        self.connections_lost = 0
         self._rng = rng
 
     def enqueue(self, report: Report) -> Action:
@@ -155,10 +155,10 @@
             KeyError: if the event cannot occur in the current state.
         """
         transition = TRANSITIONS[self.state, event]
-        self._count(event)
+        self._update_counts(event)
         report = self.delivery_queue.peek()
         if report is None:
-            transition = self._without_report(transition)
+            transition = self._transition_without_report(transition)
         self.state = transition.state or self.state
         if transition.action is ActionKind.BACK_OFF:
             return Action(transition.action, backoff_ms=self._next_backoff_ms())
@@ -166,16 +166,16 @@
             return Action(transition.action, report)
         return Action(transition.action)
 
-    def _count(self, event: Event) -> None:
+    def _update_counts(self, event: Event) -> None:
         if event is Event.FAILED:
-            self.failures += 1
-            self.lost += 1
+            self.consecutive_failures += 1
+            self.connections_lost += 1
             self.delivery_queue.requeue_delivered()
         elif event is Event.DELIVERED:
-            self.failures = 0
-            self.sent += 1
+            self.consecutive_failures = 0
+            self.reports_sent += 1
 
-    def _without_report(self, transition: Transition) -> Transition:
+    def _transition_without_report(self, transition: Transition) -> Transition:
         """Return the transition to use while no report is queued."""
         if transition.action is ActionKind.SEND:
             return CLOSE if self.is_draining else Transition(SenderState.IDLE)
@@ -187,6 +187,6 @@
         """Return a backoff that doubles with each failure and has random jitter."""
         if self.is_draining:
             return DRAIN_BACKOFF_MS
-        doublings = min(self.failures - 1, MAX_DOUBLINGS)
-        span_ms = min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2**doublings)
-        return float(span_ms * self._rng.uniform(MIN_JITTER, 1.0))
+        doublings = min(self.consecutive_failures - 1, MAX_DOUBLINGS)
+        nominal_backoff_ms = min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2**doublings)
+        return float(nominal_backoff_ms * self._rng.uniform(MIN_JITTER_FACTOR, 1.0))
--- a/dockthread/telemetry/tally.py
+++ b/dockthread/telemetry/tally.py
@@ -28,7 +28,7 @@
 
 # Keys of class, plan and outcome, and of class and plan. They are plain tuples because one is
 # created for every request, and creating a named tuple takes several times as long.
-AnswerKey: TypeAlias = tuple[int, int, str]
+ResponseKey: TypeAlias = tuple[int, int, str]
 ClassAndPlan: TypeAlias = tuple[int, int]
 # The arguments of `request_completed`, as a plain tuple because creating it is faster.
 _CompletedRequest: TypeAlias = tuple[int, int, int, str, str, float, float, bool]
@@ -49,10 +49,10 @@
     Lists are indexed by the policy engine's indexes of classes or plans.
 
     Attributes:
-        answers: Number of completed requests by class, plan and outcome.
+        responses: Number of completed requests by class, plan and outcome.
         reasons: Number of rejected and failed requests by class, plan, outcome and reason.
         disconnected: Number of requests whose client disconnected before the response.
-        late: Number of served requests that exceeded their class's latency objective, by class.
+        late_responses: Number of served requests that exceeded the latency objective, by class.
         latencies: Latencies of served requests, by class.
         units_requested: Units of all completed or abandoned requests, by plan.
         units_forwarded: Units of requests that were forwarded, by plan.
@@ -76,12 +76,12 @@
             for request_class in range(len(classes))
             for plan in range(plan_count)
         ]
-        self.answers: dict[AnswerKey, int] = {
+        self.responses: dict[ResponseKey, int] = {
             (*pair, outcome): 0 for pair in pairs for outcome in OUTCOMES
         }
         self.reasons: Counter[ReasonKey] = Counter()
         self.disconnected = dict.fromkeys(pairs, 0)
-        self.late = [0] * len(classes)
+        self.late_responses = [0] * len(classes)
         self.latencies = [LatencyHistogram() for _ in classes]
         self.units_requested = [0.0] * plan_count
         self.units_forwarded = [0.0] * plan_count
@@ -134,9 +134,9 @@
         of the time per request that counting each one alone takes.
         """
         # Local variables are faster than attributes, and this loop runs for every request.
-        answers = self.answers
+        responses = self.responses
         latencies = self.latencies
-        late = self.late
+        late_responses = self.late_responses
         objectives_ms = self._objectives_ms
         for (
             request_class,
@@ -148,11 +148,11 @@
             units,
             was_forwarded,
         ) in self._pending:
-            answers[request_class, plan, outcome] += 1
+            responses[request_class, plan, outcome] += 1
             self._add_units(plan, customer, units, was_forwarded)
             if outcome == SERVED:
                 latencies[request_class].add(duration_ms)
-                late[request_class] += duration_ms > objectives_ms[request_class]
+                late_responses[request_class] += duration_ms > objectives_ms[request_class]
                 continue
             self._add_reason(ReasonKey(request_class, plan, outcome, reason))
             if outcome == REJECTED:
@@ -161,7 +161,7 @@
         self._pending.clear()
 
     def _add_reason(self, key: ReasonKey) -> None:
-        if key not in self.reasons and len(self.reasons) >= MAX_REASONS * len(self.answers):
+        if key not in self.reasons and len(self.reasons) >= MAX_REASONS * len(self.responses):
             key = key._replace(reason=OTHER_REASON)
         self.reasons[key] += 1
 
--- a/dockthread/telemetry/timestamps.py
+++ b/dockthread/telemetry/timestamps.py
@@ -21,39 +21,39 @@
 # Minimum difference between two timestamps in seconds.
 MIN_STEP = 0.001
 # Speed of the timestamps relative to real time while the system clock is behind them.
-CATCH_UP_PACE = 0.5
+CATCH_UP_SPEED = 0.5
 
 
 class Timestamp(NamedTuple):
     """A Unix time, in the precision of each kind of receiver.
 
     Attributes:
-        seconds: The time for collectd; strictly increasing.
+        unix_seconds: The time for collectd; strictly increasing.
         whole_second: The time for Graphite; never decreasing.
     """
 
-    seconds: float
+    unix_seconds: float
     whole_second: int
 
 
 class TimestampSource:
     """Generates the timestamps of one session."""
 
-    def __init__(self, unix: float, monotonic: float) -> None:
+    def __init__(self, unix_now: float, monotonic_now: float) -> None:
         """Start a session at the current values of both clocks, in seconds."""
-        self._last_seconds = unix
-        self._last_monotonic = monotonic
-        self._whole_second = ceil(unix)
-        self._has_given_first = False
+        self._last_unix_seconds = unix_now
+        self._last_monotonic = monotonic_now
+        self._whole_second = ceil(unix_now)
+        self._has_emitted_first = False
 
-    def next(self, unix: float, monotonic: float) -> Timestamp:
+    def next(self, unix_now: float, monotonic_now: float) -> Timestamp:
         """Return the timestamp for the current values of both clocks, in seconds."""
-        elapsed = max(0.0, monotonic - self._last_monotonic)
-        seconds = max(unix, self._last_seconds + elapsed * CATCH_UP_PACE)
-        self._last_seconds = max(seconds, self._last_seconds + MIN_STEP)
-        self._last_monotonic = monotonic
-        if self._has_given_first:
-            current_second = floor(self._last_seconds + FULL_SECOND_TOLERANCE)
+        elapsed = max(0.0, monotonic_now - self._last_monotonic)
+        unix_seconds = max(unix_now, self._last_unix_seconds + elapsed * CATCH_UP_SPEED)
+        self._last_unix_seconds = max(unix_seconds, self._last_unix_seconds + MIN_STEP)
+        self._last_monotonic = monotonic_now
+        if self._has_emitted_first:
+            current_second = floor(self._last_unix_seconds + FULL_SECOND_TOLERANCE)
             self._whole_second = max(self._whole_second, current_second)
-        self._has_given_first = True
-        return Timestamp(self._last_seconds, self._whole_second)
+        self._has_emitted_first = True
+        return Timestamp(self._last_unix_seconds, self._whole_second)
--- a/tests/telemetry/samples.py
+++ b/tests/telemetry/samples.py
@@ -12,6 +12,6 @@
 ]
 
 
-def report(seconds: float, size: int = 100) -> Report:
+def report(unix_seconds: float, size: int = 100) -> Report:
     """Return a report with one chunk of the given size."""
-    return Report(seconds, (b"x" * size,))
+    return Report(unix_seconds, (b"x" * size,))
--- a/tests/telemetry/support.py
+++ b/tests/telemetry/support.py
@@ -40,26 +40,32 @@
     {"Name": "klein", "Refill": 1.0, "PeakUnits": 4.0},
 ]
 
-AnswerCounts = Counter[tuple[str, str, str]]
+ResponseCounts = Counter[tuple[str, str, str]]
 
 
-def operator_file(stand_in: StandIn, folder: Path, interval: str = "200ms", **more: str) -> str:
-    """Return an operator's file with all receivers; `more` are settings of `[telemetry]`."""
+def operator_file(
+    stand_in: StandIn, folder: Path, interval: str = "200ms", **telemetry_settings: str
+) -> str:
+    """Return an operator's file with all receivers and settings of the section `[telemetry]`."""
     addresses = stand_in.addresses
-    parts = [f"[telemetry]\ninterval = {interval}\n"]
-    parts += [f"{key} = {value}\n" for key, value in more.items()]
+    sections = [f"[telemetry]\ninterval = {interval}\n"]
+    sections += [f"{key} = {value}\n" for key, value in telemetry_settings.items()]
     for protocol in ("plaintext", "pickle"):
         if protocol in addresses:
-            parts.append(
+            sections.append(
                 f"[graphite {protocol}]\naddress = {addresses[protocol]}\nprotocol = {protocol}\n"
             )
     if "collectd" in addresses:
         (folder / "password").write_bytes(PASSWORD + b"\n")
-        sealed = f"security = encrypt\nuser = ops\npassword_file = {folder / 'password'}\n"
-        parts.append(f"[collectd packets]\naddress = {addresses['collectd']}\n{sealed}")
+        security_settings = (
+            f"security = encrypt\nuser = ops\npassword_file = {folder / 'password'}\n"
+        )
+        sections.append(
+            f"[collectd packets]\naddress = {addresses['collectd']}\n{security_settings}"
+        )
     if "putval" in addresses:
-        parts.append(f"[collectd lines]\naddress = unix:{addresses['putval']}\n")
-    return "".join(parts)
+        sections.append(f"[collectd lines]\naddress = unix:{addresses['putval']}\n")
+    return "".join(sections)
 
 
 @asynccontextmanager
@@ -67,10 +73,10 @@
     """Run a stand-in receiver for the protocols, on the loopback interface."""
     ledger = Ledger()
     stand_in = StandIn(ledger, Opener("encrypt", {"ops": PASSWORD}))
-    wanted = {name: "127.0.0.1:0" for name in protocols if name != "putval"}
+    addresses = {name: "127.0.0.1:0" for name in protocols if name != "putval"}
     if "putval" in protocols:
-        wanted["putval"] = str(folder / "s")
-    await stand_in.start(**wanted)
+        addresses["putval"] = str(folder / "s")
+    await stand_in.start(**addresses)
     try:
         yield stand_in, ledger
     finally:
@@ -78,19 +84,19 @@
         ledger.close()
 
 
-def series_name(protocol: str, kind: str, plan: str, outcome: str) -> str:
+def response_series_name(protocol: str, request_class: str, plan: str, outcome: str) -> str:
     """Return the name of the series with the number of responses, as sent over the protocol."""
     if protocol in ("plaintext", "pickle"):
-        return f"dockthread.n0.answers.{kind}.{plan}.{outcome}"
-    return f"n0/dockthread-answers/derive-{kind}.{plan}.{outcome}"
+        return f"dockthread.n0.answers.{request_class}.{plan}.{outcome}"
+    return f"n0/dockthread-answers/derive-{request_class}.{plan}.{outcome}"
 
 
-def answer_totals(ledger: Ledger, protocol: str) -> dict[tuple[str, str, str], float]:
+def response_totals(ledger: Ledger, protocol: str) -> dict[tuple[str, str, str], float]:
     """Return the total number of responses by class, plan and outcome, as received."""
     values = {total.series: total.value for total in ledger.totals() if total.source == protocol}
     keys = product(("status", "checkout"), ("gross", "klein"), ("served", "refused", "failed"))
-    names = {key: series_name(protocol, *key) for key in keys}
-    return {key: values[name] for key, name in names.items() if name in values}
+    series_names = {key: response_series_name(protocol, *key) for key in keys}
+    return {key: values[name] for key, name in series_names.items() if name in values}
 
 
 async def fail_some_checkouts(args: list[bytes]) -> bytes | None:
@@ -100,60 +106,62 @@
     return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$24\r\ninflight=7,qps=2,queue=1\r\n"
 
 
-class Load:
+class LoadGenerator:
     """Closed-loop clients that count the responses they receive.
 
     Attributes:
-        answers: Number of responses by class, plan and outcome.
-        asked: Number of requests sent.
-        slowest: The longest time in seconds until a response.
+        responses: Number of responses by class, plan and outcome.
+        requests_sent: Number of requests sent.
+        max_latency: The longest time in seconds until a response.
         stopped: Whether the clients must stop sending requests.
     """
 
     def __init__(self, port: int) -> None:
         self.port = port
-        self.answers = AnswerCounts()
-        self.asked = 0
-        self.slowest = 0.0
+        self.responses = ResponseCounts()
+        self.requests_sent = 0
+        self.max_latency = 0.0
         self.stopped = False
 
-    async def client(self, number: int) -> None:
+    async def run_client(self, number: int) -> None:
         """Send requests of all classes and plans until the load is stopped."""
         with suppress(OSError):
             client = await Client.open(self.port)
             while not self.stopped:
-                self.asked += 1
-                kind = ("status", "checkout")[self.asked % 2]
-                plan = ("gross", "klein")[(self.asked // 2) % 2]
-                verb = b"API.READ" if kind == "status" else b"API.WRITE"
-                terms = f"c={kind},t={plan},d=4000,units=1,spread=1,first=0".encode()
+                self.requests_sent += 1
+                request_class = ("status", "checkout")[self.requests_sent % 2]
+                plan = ("gross", "klein")[(self.requests_sent // 2) % 2]
+                verb = b"API.READ" if request_class == "status" else b"API.WRITE"
+                options = f"c={request_class},t={plan},d=4000,units=1,spread=1,first=0".encode()
                 customer = b"%016x" % (1000 * (plan == "klein") + number)
                 started = time.monotonic()
-                client.send(verb, customer, b"%016x" % (number << 32 | self.asked), terms)
-                answer = await client.answer()
-                if answer is None:
+                client.send(verb, customer, b"%016x" % (number << 32 | self.requests_sent), options)
+                response = await client.answer()
+                if response is None:
                     return
-                self.slowest = max(self.slowest, time.monotonic() - started)
-                self.answers[kind, plan, outcome_of(answer)] += 1
+                self.max_latency = max(self.max_latency, time.monotonic() - started)
+                self.responses[request_class, plan, response_outcome(response)] += 1
 
 
-def outcome_of(answer: object) -> str:
+def response_outcome(response: object) -> str:
     """Return the outcome of a response, as named in the paths of the metrics."""
-    if isinstance(answer, bytes):
+    if isinstance(response, bytes):
         return "served"
-    is_rejected = isinstance(answer, str) and answer.startswith("BUSY")
+    is_rejected = isinstance(response, str) and response.startswith("BUSY")
     return "refused" if is_rejected else "failed"
 
 
 @asynccontextmanager
-async def running_program(folder: Path) -> AsyncIterator[tuple[Callable[[], Any], Discovery]]:
+async def ingress_launcher(folder: Path) -> AsyncIterator[tuple[Callable[[], Any], Discovery]]:
     """Run a backend and discovery, and yield a function that starts an ingress process."""
     backend = Backend(fail_some_checkouts)
     discovery = Discovery()
-    known = message(1, target("s-0", await backend.start()), full=True)
+    endpoint_list = message(1, target("s-0", await backend.start()), full=True)
     config = folder / "config.json"
     settings = {**SETTINGS, "Packages": PLANS}
-    config.write_text(json.dumps(raw_config(known, await discovery.start(), settings=settings)))
+    config.write_text(
+        json.dumps(raw_config(endpoint_list, await discovery.start(), settings=settings))
+    )
 
     async def start() -> tuple[asyncio.subprocess.Process, int]:
         process = await asyncio.create_subprocess_exec(
@@ -168,12 +176,12 @@
     yield start, discovery
 
 
-async def run_load(port: int, seconds: float, end: Callable[[], None]) -> Load:
-    """Run eight clients, call `end` after `seconds`, and wait until the clients have ended."""
-    load = Load(port)
-    clients = [asyncio.create_task(load.client(number)) for number in range(8)]
+async def run_load(port: int, seconds: float, terminate: Callable[[], None]) -> LoadGenerator:
+    """Run eight clients, call `terminate` after `seconds`, and wait for the clients to end."""
+    load = LoadGenerator(port)
+    clients = [asyncio.create_task(load.run_client(number)) for number in range(8)]
     await asyncio.sleep(seconds)
-    end()
+    terminate()
     await asyncio.wait(clients, timeout=20)
     load.stopped = True
     return load
--- a/tests/telemetry/test_collectd.py
+++ b/tests/telemetry/test_collectd.py
@@ -13,16 +13,18 @@
 from dockthread.telemetry.collectd import Opener, PacketEncoder, PacketError, packet_sealer
 from tests.telemetry.samples import POINTS
 
-SECURITIES = ["none", "sign", "encrypt"]
+SECURITY_LEVELS = ["none", "sign", "encrypt"]
 
 
-def packets(security: str, points: list[Point], password: bytes = b"secret") -> list[bytes]:
+def encode_packets(security: str, points: list[Point], password: bytes = b"secret") -> list[bytes]:
     sealer = packet_sealer(security, "ops", password)
     return list(PacketEncoder("n0", "dockthread", 10.0, sealer).packets(points, 1_700_000_000.5))
 
 
-@pytest.mark.parametrize("security", SECURITIES)
-def test_packets_decode_to_the_points_and_are_full_but_never_too_long(security: str) -> None:
+@pytest.mark.parametrize("security", SECURITY_LEVELS)
+def test_packets_decode_to_the_same_points_and_are_filled_up_to_the_size_limit(
+    security: str,
+) -> None:
     points = [
         *POINTS,
         *(
@@ -30,24 +32,28 @@
             for number in range(300)
         ),
     ]
-    sent = packets(security, points)
+    sent = encode_packets(security, points)
     assert len(sent) > 5
     assert max(map(len, sent)) <= collectd.MAX_PACKET_BYTES
     assert min(map(len, sent[:-1])) > collectd.MAX_PACKET_BYTES - 120, (
         "each packet but the last must be nearly full"
     )
-    items = [item for packet in sent for item in Opener(security, {"ops": b"secret"}).read(packet)]
+    items = [
+        item
+        for packet in sent
+        for item in Opener(security, {"ops": b"secret"}).decode_packet(packet)
+    ]
     assert [(item.kind, item.value) for item in items] == [
         (point.kind, point.value) for point in points
     ]
-    assert {(item.host, item.seconds, item.interval) for item in items} == {
+    assert {(item.host, item.unix_seconds, item.interval) for item in items} == {
         ("n0", 1_700_000_000.5, 10.0)
     }
     assert items[1].name == "dockthread-answers/derive-seat-status.gross.served"
 
 
-def test_the_bytes_of_an_unprotected_packet() -> None:
-    (packet,) = packets("none", [Point(("cpu", "used"), DERIVE, -2)])
+def test_unprotected_packet_has_the_documented_bytes() -> None:
+    (packet,) = encode_packets("none", [Point(("cpu", "used"), DERIVE, -2)])
     assert packet == (
         b"\0\0\0\x07n0\0"
         + b"\0\x08\0\x0c" + (1_700_000_000 * (1 << 30) + (1 << 29)).to_bytes(8, "big")
@@ -61,7 +67,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sent", "required", "password", "wrong"),
+    ("sent", "required", "password", "error"),
     [
         ("none", "sign", b"secret", "not signed"),
         ("none", "encrypt", b"secret", "not encrypted"),
@@ -70,38 +76,38 @@
         ("encrypt", "encrypt", b"other", "wrong password"),
     ],
 )
-def test_packets_below_the_security_level_or_by_another_password_are_rejected(
-    sent: str, required: str, password: bytes, wrong: str
+def test_packets_with_too_low_security_or_a_wrong_password_are_rejected(
+    sent: str, required: str, password: bytes, error: str
 ) -> None:
-    with pytest.raises(PacketError, match=wrong):
-        Opener(required, {"ops": password}).read(packets(sent, POINTS)[0])
+    with pytest.raises(PacketError, match=error):
+        Opener(required, {"ops": password}).decode_packet(encode_packets(sent, POINTS)[0])
     with pytest.raises(PacketError):
-        Opener(required, {"else": b"secret"}).read(
-            packets(required if sent == "none" else sent, POINTS)[0]
+        Opener(required, {"else": b"secret"}).decode_packet(
+            encode_packets(required if sent == "none" else sent, POINTS)[0]
         )
 
 
-@pytest.mark.parametrize("security", SECURITIES)
-def test_no_beginning_of_a_protected_packet_is_accepted(security: str) -> None:
-    (packet,) = packets(security, POINTS)
+@pytest.mark.parametrize("security", SECURITY_LEVELS)
+def test_truncated_protected_packets_are_rejected(security: str) -> None:
+    (packet,) = encode_packets(security, POINTS)
     opener = Opener(security, {"ops": b"secret"})
     for size in range(1, len(packet)):
         try:
-            found = opener.read(packet[:size])
+            items = opener.decode_packet(packet[:size])
         except PacketError:
             continue
         # Without protection, a packet that is truncated between two parts is valid.
-        assert security == "none" and found == Opener().read(packet)[: len(found)]
+        assert security == "none" and items == Opener().decode_packet(packet)[: len(items)]
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_decoded_or_raise_a_packet_error(data: bytes) -> None:
-    for security in SECURITIES:
+def test_random_bytes_raise_no_error_other_than_packet_error(data: bytes) -> None:
+    for security in SECURITY_LEVELS:
         with suppress(PacketError):
-            Opener(security, {"ops": b"secret"}).read(data)
+            Opener(security, {"ops": b"secret"}).decode_packet(data)
 
 
-def test_long_type_instances_are_shortened_and_stay_different() -> None:
-    long = ("why", "c" * 60, "p" * 60)
-    assert len(collectd.series_name((*long, "a")).type_instance) == 63
-    assert collectd.series_name((*long, "a")) != collectd.series_name((*long, "b"))
+def test_long_type_instances_are_shortened_and_stay_distinct() -> None:
+    long_path = ("why", "c" * 60, "p" * 60)
+    assert len(collectd.series_name((*long_path, "a")).type_instance) == 63
+    assert collectd.series_name((*long_path, "a")) != collectd.series_name((*long_path, "b"))
--- a/tests/telemetry/test_exporter.py
+++ b/tests/telemetry/test_exporter.py
@@ -20,61 +20,61 @@
     until,
 )
 from tests.telemetry.support import (
-    answer_totals,
     operator_file,
+    response_series_name,
+    response_totals,
     running_exporter,
     running_stand_in,
-    series_name,
 )
 
 
-def test_reloads_that_move_remove_and_add_receivers_lose_no_count(tmp_path: Path) -> None:
+def test_reloads_that_move_remove_and_add_receivers_lose_no_counts(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with (
             running_exporter(tmp_path, "plaintext") as (
                 ingress,
                 exporter,
                 client,
-                first,
+                first_stand_in,
                 first_ledger,
             ),
-            running_stand_in(tmp_path, "plaintext", "pickle") as (second, second_ledger),
+            running_stand_in(tmp_path, "plaintext", "pickle") as (second_stand_in, second_ledger),
         ):
             for _ in range(5):
                 await client.call()
-            moved = operator_file(second, tmp_path)
+            moved_file = operator_file(second_stand_in, tmp_path)
             # The old receiver is drained, and the new one receives all further reports.
-            exporter.apply(parse_operator_file(moved, "test"))
+            exporter.apply(parse_operator_file(moved_file, "test"))
             for _ in range(3):
                 await client.call()
             await until(
                 lambda: (
-                    answer_totals(second_ledger, "plaintext").get(("status", "gross", "served"))
+                    response_totals(second_ledger, "plaintext").get(("status", "gross", "served"))
                     == 8
                 )
             )
             await until(
                 lambda: (
-                    answer_totals(second_ledger, "pickle").get(("status", "gross", "served")) == 8
+                    response_totals(second_ledger, "pickle").get(("status", "gross", "served")) == 8
                 )
             )
             exporter.apply(parse_operator_file("", "test"))
-            await until(lambda: not exporter._drains)
+            await until(lambda: not exporter._drain_tasks)
             assert exporter.tally is None and not ingress.observer.active
-            seen = second_ledger.seen["plaintext"]
+            points_before = second_ledger.seen["plaintext"]
             await client.call()
             # Adding a receiver begins a new session, whose counts start at zero.
-            exporter.apply(parse_operator_file(operator_file(first, tmp_path), "test"))
+            exporter.apply(parse_operator_file(operator_file(first_stand_in, tmp_path), "test"))
             await client.call()
             await until(
                 lambda: (
                     first_ledger.points(
-                        "plaintext", series_name("plaintext", "status", "gross", "served")
+                        "plaintext", response_series_name("plaintext", "status", "gross", "served")
                     )[-1][2]
                     == 1
                 )
             )
-            assert second_ledger.seen["plaintext"] == seen
+            assert second_ledger.seen["plaintext"] == points_before
 
     run(scenario())
 
@@ -83,20 +83,20 @@
     async def scenario() -> None:
         async with running_exporter(tmp_path, "plaintext") as (_, exporter, client, _, ledger):
             before = dict(exporter.receivers)
-            bad = "[graphite new]\naddress = 127.0.0.1:1\n[collectd c]\naddress = 127.0.0.1:1\nsecurity = sign\n"
-            bad += "user = u\npassword_file = /no/such/file\n"
+            bad_file = "[graphite new]\naddress = 127.0.0.1:1\n[collectd c]\naddress = 127.0.0.1:1\nsecurity = sign\n"
+            bad_file += "user = u\npassword_file = /no/such/file\n"
             with pytest.raises(Exception, match="/no/such/file cannot be read"):
-                exporter.apply(parse_operator_file(bad, "test"))
+                exporter.apply(parse_operator_file(bad_file, "test"))
             assert exporter.receivers == before
             await client.call()
             await until(
-                lambda: answer_totals(ledger, "plaintext").get(("status", "gross", "served")) == 1
+                lambda: response_totals(ledger, "plaintext").get(("status", "gross", "served")) == 1
             )
 
     run(scenario())
 
 
-def test_a_minute_without_the_receiver_keeps_the_queue_bounded_and_the_totals_right(
+def test_receiver_outage_of_a_minute_keeps_the_queue_bounded_and_the_totals_correct(
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
@@ -106,7 +106,7 @@
         ):  # fmt: skip
             sender = exporter.receivers["plaintext"].sender
             sender.delivery_queue.max_size = 200_000
-            await until(lambda: sender.sent)
+            await until(lambda: sender.reports_sent)
             stand_in.misbehave("refuse")
             for _ in range(60):
                 await client.call()
@@ -118,11 +118,13 @@
             stand_in.behave()
             clock.advance(1000)
             ingress.timers.run_due()
-            name = ("status", "gross", "served")
-            await until(lambda: answer_totals(ledger, "plaintext").get(name) == 60)
+            totals_key = ("status", "gross", "served")
+            await until(lambda: response_totals(ledger, "plaintext").get(totals_key) == 60)
             timestamps = [
-                seconds
-                for _, seconds, _ in ledger.points("plaintext", series_name("plaintext", *name))
+                unix_seconds
+                for _, unix_seconds, _ in ledger.points(
+                    "plaintext", response_series_name("plaintext", *totals_key)
+                )
             ]
             assert len(timestamps) > 6, (
                 "reports queued during the outage must arrive with their own timestamps"
@@ -132,7 +134,7 @@
     run(scenario())
 
 
-def test_a_report_stays_bounded_after_many_customers_and_replaced_backends(
+def test_report_size_stays_bounded_with_many_customers_and_replaced_backends(
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
@@ -165,7 +167,7 @@
     run(scenario())
 
 
-def test_requests_that_the_policy_engine_never_sees_are_counted() -> None:
+def test_requests_that_do_not_reach_the_policy_engine_are_counted() -> None:
     async def scenario() -> None:
         gate = asyncio.Event()
 
@@ -201,7 +203,7 @@
                 (0, 0, "refused", "bodies"): 1,
             }
             assert [
-                tally.answers[0, 0, outcome] for outcome in ("served", "refused", "failed")
+                tally.responses[0, 0, outcome] for outcome in ("served", "refused", "failed")
             ] == [1, 1, 1]
             assert (tally.units_requested, tally.units_forwarded, tally.units_rejected) == (
                 [8.0],
--- a/tests/telemetry/test_graphite_decoding.py
+++ b/tests/telemetry/test_graphite_decoding.py
@@ -14,19 +14,19 @@
 )
 
 
-def test_an_invalid_line_is_counted_and_the_following_are_read() -> None:
-    lines = PlaintextDecoder()
-    assert [point.series for point in lines.feed(b"a 1 2\nnonsense\nb nan 2\nc 1 2\nd 1")] == [
+def test_invalid_lines_are_counted_and_later_lines_are_decoded() -> None:
+    decoder = PlaintextDecoder()
+    assert [point.series for point in decoder.feed(b"a 1 2\nnonsense\nb nan 2\nc 1 2\nd 1")] == [
         "a",
         "c",
     ]
-    assert lines.invalid_lines == 2
-    assert [point.series for point in lines.feed(b" 2\n")] == ["d"]
+    assert decoder.invalid_lines == 2
+    assert [point.series for point in decoder.feed(b" 2\n")] == ["d"]
 
 
 @pytest.mark.parametrize(
-    "rows", [pickle.dumps(OSError), pickle.dumps([1]), b"\x80\x02", pickle.dumps([("a", 1)])]
+    "encoded", [pickle.dumps(OSError), pickle.dumps([1]), b"\x80\x02", pickle.dumps([("a", 1)])]
 )
-def test_a_pickle_that_is_not_a_list_of_points_is_rejected(rows: bytes) -> None:
+def test_a_pickle_that_is_not_a_list_of_points_is_rejected(encoded: bytes) -> None:
     with pytest.raises(DecodeError):
-        list(PickleDecoder().feed(struct.pack("!I", len(rows)) + rows))
+        list(PickleDecoder().feed(struct.pack("!I", len(encoded)) + encoded))
--- a/tests/telemetry/test_heavy_hitters.py
+++ b/tests/telemetry/test_heavy_hitters.py
@@ -9,7 +9,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 40), st.integers(1, 9)), max_size=300))
-def test_the_table_is_bounded_and_each_entry_is_within_its_error(
+def test_table_size_is_bounded_and_each_estimate_is_within_its_error(
     requests: list[tuple[int, int]],
 ) -> None:
     actual: dict[int, int] = {}
--- a/tests/telemetry/test_latency_histogram.py
+++ b/tests/telemetry/test_latency_histogram.py
@@ -7,7 +7,7 @@
 from dockthread.telemetry.latency_histogram import LatencyHistogram
 
 
-def test_quantiles_are_within_one_percent_and_buckets_survive_an_interval() -> None:
+def test_quantiles_are_within_one_percent_and_buckets_are_kept_over_intervals() -> None:
     histogram = LatencyHistogram()
     for duration_ms in range(1, 1001):
         histogram.add(float(duration_ms))
--- a/tests/telemetry/test_sender.py
+++ b/tests/telemetry/test_sender.py
@@ -30,12 +30,12 @@
         ActionKind.SEND,
         ActionKind.NOTHING,
     ]
-    assert (sender.state, sender.sent) == (SenderState.IDLE, 1)
+    assert (sender.state, sender.reports_sent) == (SenderState.IDLE, 1)
 
 
-def test_backoffs_double_to_a_bound_with_jitter_until_a_report_is_delivered() -> None:
-    failing = [Event.FAILED, Event.BACKOFF_ELAPSED] * 12
-    sender, actions = drive_sender(*failing)
+def test_backoffs_double_up_to_a_maximum_with_jitter_until_a_delivery() -> None:
+    failure_events = [Event.FAILED, Event.BACKOFF_ELAPSED] * 12
+    sender, actions = drive_sender(*failure_events)
     backoffs = [action.backoff_ms for action in actions if action.kind is ActionKind.BACK_OFF]
     assert all(
         0.1 * 250 * 2**failures <= backoff_ms <= 250 * 2**failures
@@ -48,22 +48,22 @@
     assert first is not None
     sender.delivery_queue.mark_delivered(first)
     sender.handle(Event.DELIVERED)
-    assert sender.failures == 0
+    assert sender.consecutive_failures == 0
 
 
 @pytest.mark.parametrize(
-    ("events", "kinds"),
+    ("events", "expected_kinds"),
     [
         ((), [ActionKind.NOTHING]),  # continues to connect, then sends and closes
         ((Event.CONNECTED, Event.DELIVERED), [ActionKind.CLOSE]),
         ((Event.FAILED,), [ActionKind.CONNECT]),  # the drain ends the backoff
     ],
 )
-def test_a_drain_sends_what_is_queued_and_then_closes(
-    events: tuple[Event, ...], kinds: list[ActionKind]
+def test_drain_sends_all_queued_reports_and_then_closes(
+    events: tuple[Event, ...], expected_kinds: list[ActionKind]
 ) -> None:
     sender, _ = drive_sender(*events)
-    assert [sender.drain().kind] == kinds
+    assert [sender.drain().kind] == expected_kinds
     if sender.state is SenderState.CLOSING:
         assert sender.handle(Event.FAILED).kind is ActionKind.BACK_OFF, (
             "the last reports must be sent again when the connection breaks while closing"
@@ -71,9 +71,9 @@
         assert len(sender.delivery_queue) == 1
 
 
-def test_every_state_but_the_last_has_a_transition_and_each_connection_may_fail() -> None:
-    with_transition = {state for state, _ in TRANSITIONS}
-    assert with_transition == set(SenderState) - {SenderState.ENDED}
+def test_every_state_but_ended_has_transitions_and_connection_states_handle_failure() -> None:
+    states_with_transitions = {state for state, _ in TRANSITIONS}
+    assert states_with_transitions == set(SenderState) - {SenderState.ENDED}
     for state in (
         SenderState.CONNECTING,
         SenderState.SENDING,
--- a/tests/telemetry/test_stand_in.py
+++ b/tests/telemetry/test_stand_in.py
@@ -15,12 +15,12 @@
 
 
 @pytest.mark.parametrize("text", ["", "vanish", "vanish@1s", "sulk@1s+1s", "vanish@1+1s"])
-def test_a_text_that_is_not_a_span_is_rejected(text: str) -> None:
+def test_invalid_fault_text_is_rejected(text: str) -> None:
     with pytest.raises(ValueError):
         Span.parse(text)
 
 
-def test_packets_sealed_wrongly_or_cut_short_are_counted_and_change_no_total(
+def test_wrongly_protected_or_truncated_packets_are_counted_and_change_no_total(
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
@@ -31,16 +31,16 @@
                 Point(("answers", "a", "b", "served"), "derive", 7),
             ]
 
-            def send(security: str, password: bytes, cut: int = 0) -> None:
+            def send(security: str, password: bytes, truncated_bytes: int = 0) -> None:
                 sealer = packet_sealer(security, "ops", password)
                 (packet,) = PacketEncoder("n0", "dockthread", 1.0, sealer).packets(points, 9.0)
-                with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
-                    sock.sendto(packet[: len(packet) - cut], (host, int(port)))
+                with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp_socket:
+                    udp_socket.sendto(packet[: len(packet) - truncated_bytes], (host, int(port)))
 
             send("encrypt", b"another password")
             send("sign", PASSWORD)
             send("none", b"")
-            send("encrypt", PASSWORD, cut=3)
+            send("encrypt", PASSWORD, truncated_bytes=3)
             await until(lambda: sum(ledger.faults().values()) == 4)
             assert not ledger.totals()
             send("encrypt", PASSWORD)
