--- a/dockthread/telemetry/metrics_reader.py
+++ b/dockthread/telemetry/metrics_reader.py
@@ -111,10 +111,10 @@
 
     def _latency_points(self) -> Iterator[Point]:
         tally = self._tally
-        for name, late, latencies in zip(
+        for name, late_count, latencies in zip(
             self._classes, tally.late_responses, tally.latencies, strict=True
         ):
-            yield Point(("late", name), DERIVE, late)
+            yield Point(("late", name), DERIVE, late_count)
             for label, fraction in LATENCY_QUANTILES.items():
                 yield Point(("time", name, label), GAUGE, latencies.quantile(fraction))
             yield Point(("time", name, "max"), GAUGE, latencies.longest)
--- a/dockthread/telemetry/options.py
+++ b/dockthread/telemetry/options.py
@@ -15,7 +15,7 @@
 # Maximum time that shutdown may wait for the final report to be delivered.
 MAX_FAREWELL = Duration(5_000)
 # Maximum number of customers, and of backends, in one report, which bounds its size.
-MAX_REPORTED = 500
+MAX_REPORTED_ENTRIES = 500
 # Minimum queue size, which is enough for one report.
 MIN_QUEUE = Size(16 * 1024)
 # Maximum number of characters in Graphite's prefix.
@@ -62,8 +62,10 @@
                 "farewell", f"{self.farewell} would hold up the exit", f"{MAX_FAREWELL} is the most"
             )
         for key, count in (("firms", self.firms), ("nodes", self.nodes)):
-            if not 0 <= count <= MAX_REPORTED:
-                yield KeyProblem(key, f"{count} is out of range", f"0 to {MAX_REPORTED} would do")
+            if not 0 <= count <= MAX_REPORTED_ENTRIES:
+                yield KeyProblem(
+                    key, f"{count} is out of range", f"0 to {MAX_REPORTED_ENTRIES} would do"
+                )
         if self.queue is not None and self.queue < MIN_QUEUE:
             yield KeyProblem("queue", f"{self.queue} holds no report", f"{MIN_QUEUE} is the least")
 
--- a/dockthread/telemetry/receiver/ledger.py
+++ b/dockthread/telemetry/receiver/ledger.py
@@ -26,14 +26,14 @@
 create table if not exists faults (source text, kind text, many integer, primary key (source, kind));
 """
 # The value with the latest timestamp of each source, series and session.
-LAST_VALUES = """
+LAST_VALUES_QUERY = """
 select source, series, life, value from (
   select source, series, life, value,
     row_number() over (partition by source, series, life order by seconds desc, id desc) as place
   from points) where place = 1
 """
 # How often a value of a series is lower than the previous one in the same session.
-DECREASES = """
+DECREASES_QUERY = """
 select count(*) from (
   select value - lag(value) over (partition by source, series, life order by seconds, id) as step
   from points where source = ? and series = ?) where step < 0
@@ -192,7 +192,7 @@
     def totals(self, name_part: str = "") -> list[Total]:
         """Return the totals of all series whose names contain a text, by source and series."""
         values_by_series: dict[tuple[str, str], list[float]] = {}
-        for source, series, _, value in self._db.execute(LAST_VALUES):
+        for source, series, _, value in self._db.execute(LAST_VALUES_QUERY):
             if name_part in series:
                 values_by_series.setdefault((source, series), []).append(value)
         return [
@@ -202,7 +202,7 @@
 
     def count_decreases(self, source: str, series: str) -> int:
         """Return how often a value decreased within a session, which a counter never does."""
-        return int(self._db.execute(DECREASES, (source, series)).fetchone()[0])
+        return int(self._db.execute(DECREASES_QUERY, (source, series)).fetchone()[0])
 
     def points(self, source: str, series: str) -> list[tuple[int, float, float]]:
         """Return session, Unix seconds and value of each point, in the order of arrival."""
--- a/dockthread/telemetry/receiver/stand_in.py
+++ b/dockthread/telemetry/receiver/stand_in.py
@@ -59,7 +59,7 @@
 # Size in bytes of the kernel's receive buffer for packets.
 PACKET_BUFFER_BYTES = 1 << 20
 # SO_LINGER with a timeout of 0 seconds: closing the socket resets the connection.
-LINGER_RESET = struct.pack("ii", 1, 0)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 StreamDecoder = PlaintextDecoder | PickleDecoder | CommandServer
 
@@ -87,9 +87,9 @@
         """
         from dockthread.config.quantities import Duration
 
-        kind, at_sign, times = text.partition("@")
-        start, plus, duration = times.partition("+")
-        if kind not in KINDS or not at_sign or not plus:
+        kind, at_sign, start_and_duration = text.partition("@")
+        start, plus_sign, duration = start_and_duration.partition("+")
+        if kind not in KINDS or not at_sign or not plus_sign:
             raise ValueError(
                 f"{text!r} is not KIND@START+LENGTH, with KIND one of {', '.join(KINDS)}"
             )
@@ -191,7 +191,7 @@
     def _reset(self, connection: socket.socket) -> None:
         self._connections.pop(connection, None)
         with suppress(OSError):
-            connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+            connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         connection.close()
 
     async def _accept(self, protocol: str, listener: socket.socket) -> None:
--- a/dockthread/telemetry/timestamps.py
+++ b/dockthread/telemetry/timestamps.py
@@ -17,9 +17,9 @@
 from typing import NamedTuple
 
 # Seconds by which a report that is due on a full second may be early by the system clock.
-FULL_SECOND_TOLERANCE = 0.05
+FULL_SECOND_TOLERANCE_SECONDS = 0.05
 # Minimum difference between two timestamps in seconds.
-MIN_STEP = 0.001
+MIN_STEP_SECONDS = 0.001
 # Speed of the timestamps relative to real time while the system clock is behind them.
 CATCH_UP_SPEED = 0.5
 
@@ -50,10 +50,10 @@
         """Return the timestamp for the current values of both clocks, in seconds."""
         elapsed = max(0.0, monotonic_now - self._last_monotonic)
         unix_seconds = max(unix_now, self._last_unix_seconds + elapsed * CATCH_UP_SPEED)
-        self._last_unix_seconds = max(unix_seconds, self._last_unix_seconds + MIN_STEP)
+        self._last_unix_seconds = max(unix_seconds, self._last_unix_seconds + MIN_STEP_SECONDS)
         self._last_monotonic = monotonic_now
         if self._has_emitted_first:
-            current_second = floor(self._last_unix_seconds + FULL_SECOND_TOLERANCE)
+            current_second = floor(self._last_unix_seconds + FULL_SECOND_TOLERANCE_SECONDS)
             self._whole_second = max(self._whole_second, current_second)
         self._has_emitted_first = True
         return Timestamp(self._last_unix_seconds, self._whole_second)
--- a/tests/telemetry/support.py
+++ b/tests/telemetry/support.py
@@ -163,7 +163,7 @@
         json.dumps(raw_config(endpoint_list, await discovery.start(), settings=settings))
     )
 
-    async def start() -> tuple[asyncio.subprocess.Process, int]:
+    async def start_ingress() -> tuple[asyncio.subprocess.Process, int]:
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "dockthread", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
             env={**os.environ, "NODE_CONFIG": str(config), "DOCKTHREAD_CONFIG": str(folder / "my.ini")},
@@ -173,7 +173,7 @@
             assert line, "the process ended before it listened"
         return process, int(line.rsplit(b":", 1)[1])
 
-    yield start, discovery
+    yield start_ingress, discovery
 
 
 async def run_load(port: int, seconds: float, terminate: Callable[[], None]) -> LoadGenerator:
--- a/tests/telemetry/test_daemon_reports.py
+++ b/tests/telemetry/test_daemon_reports.py
@@ -31,12 +31,12 @@
     async def scenario() -> None:
         async with (
             running_stand_in(tmp_path, *PROTOCOLS) as (stand_in, ledger),
-            ingress_launcher(tmp_path) as (start, _),
+            ingress_launcher(tmp_path) as (start_ingress, _),
         ):
             (tmp_path / "my.ini").write_text(operator_file(stand_in, tmp_path))
             responses = ResponseCounts()
             for _ in range(3):  # two restarts under load
-                process, port = await start()
+                process, port = await start_ingress()
                 terminate = partial(process.send_signal, signal.SIGTERM)
                 load = await run_load(port, 0.7, terminate)
                 assert await process.wait() == 0
@@ -83,17 +83,17 @@
     async def scenario() -> None:
         async with (
             running_stand_in(tmp_path, "plaintext", "putval") as (stand_in, ledger),
-            ingress_launcher(tmp_path) as (start, _),
+            ingress_launcher(tmp_path) as (start_ingress, _),
         ):
             (tmp_path / "my.ini").write_text(operator_file(stand_in, tmp_path, "1s"))
-            process, port = await start()
+            process, port = await start_ingress()
             rates = list[int]()
 
             async def sample_rates(load: LoadGenerator) -> None:
                 while not load.stopped:
-                    before = sum(load.responses.values())
+                    count_before = sum(load.responses.values())
                     await asyncio.sleep(0.1)
-                    rates.append(sum(load.responses.values()) - before)
+                    rates.append(sum(load.responses.values()) - count_before)
 
             load = LoadGenerator(port)
             tasks = [asyncio.create_task(load.run_client(number)) for number in range(8)]
@@ -123,11 +123,11 @@
     async def scenario() -> None:
         async with (
             running_stand_in(tmp_path, "plaintext", "pickle") as (stand_in, ledger),
-            ingress_launcher(tmp_path) as (start, _),
+            ingress_launcher(tmp_path) as (start_ingress, _),
         ):
             text = operator_file(stand_in, tmp_path, "100ms", queue="64KiB", farewell="3s")
             (tmp_path / "my.ini").write_text(text)
-            process, port = await start()
+            process, port = await start_ingress()
             load = LoadGenerator(port)
             clients = [asyncio.create_task(load.run_client(number)) for number in range(4)]
             await asyncio.sleep(0.4)
--- a/tests/telemetry/test_delivery_queue.py
+++ b/tests/telemetry/test_delivery_queue.py
@@ -56,9 +56,9 @@
     for number in range(4):
         delivery_queue.enqueue(report(float(number)))
     for _ in range(3):
-        first = delivery_queue.peek()
-        assert first is not None
-        delivery_queue.mark_delivered(first)
+        oldest = delivery_queue.peek()
+        assert oldest is not None
+        delivery_queue.mark_delivered(oldest)
     delivery_queue.requeue_delivered()
     assert [waiting_report.unix_seconds for waiting_report in delivery_queue._waiting] == [1, 2, 3]
     assert delivery_queue.size == 300
--- a/tests/telemetry/test_exporter.py
+++ b/tests/telemetry/test_exporter.py
@@ -42,9 +42,9 @@
         ):
             for _ in range(5):
                 await client.call()
-            moved_file = operator_file(second_stand_in, tmp_path)
+            moved_config = operator_file(second_stand_in, tmp_path)
             # The old receiver is drained, and the new one receives all further reports.
-            exporter.apply(parse_operator_file(moved_file, "test"))
+            exporter.apply(parse_operator_file(moved_config, "test"))
             for _ in range(3):
                 await client.call()
             await until(
@@ -82,12 +82,12 @@
 def test_a_reload_with_an_unreadable_password_changes_nothing(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with running_exporter(tmp_path, "plaintext") as (_, exporter, client, _, ledger):
-            before = dict(exporter.receivers)
-            bad_file = "[graphite new]\naddress = 127.0.0.1:1\n[collectd c]\naddress = 127.0.0.1:1\nsecurity = sign\n"
-            bad_file += "user = u\npassword_file = /no/such/file\n"
+            receivers_before = dict(exporter.receivers)
+            bad_ini = "[graphite new]\naddress = 127.0.0.1:1\n[collectd c]\naddress = 127.0.0.1:1\nsecurity = sign\n"
+            bad_ini += "user = u\npassword_file = /no/such/file\n"
             with pytest.raises(Exception, match="/no/such/file cannot be read"):
-                exporter.apply(parse_operator_file(bad_file, "test"))
-            assert exporter.receivers == before
+                exporter.apply(parse_operator_file(bad_ini, "test"))
+            assert exporter.receivers == receivers_before
             await client.call()
             await until(
                 lambda: response_totals(ledger, "plaintext").get(("status", "gross", "served")) == 1
@@ -150,10 +150,10 @@
                 tally.request_completed(
                     0, 0, customer, "refused", f"reason-{customer}", 0.0, 1.0, False
                 )
-            for round_number in range(100):
-                targets = [target(f"s-{round_number}-{number}", 1 + number) for number in range(3)]
+            for update_number in range(100):
+                targets = [target(f"s-{update_number}-{number}", 1 + number) for number in range(3)]
                 ingress.dispatch(
-                    ingress.endpoints.apply(message(round_number + 2, *targets, full=True))
+                    ingress.endpoints.apply(message(update_number + 2, *targets, full=True))
                 )
             points = exporter._reader.points(1000.0)
             backends = {point.path[1] for point in points if point.path[0] == "nodes"}
@@ -171,11 +171,11 @@
     async def scenario() -> None:
         gate = asyncio.Event()
 
-        async def answer_when_open(args: list[bytes]) -> bytes | None:
+        async def respond_when_gate_opens(args: list[bytes]) -> bytes | None:
             await gate.wait()
             return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
-        async with serving(Backend(answer_when_open)) as (ingress, client, _):
+        async with serving(Backend(respond_when_gate_opens)) as (ingress, client, _):
             exporter = Exporter(ingress)
             exporter.apply(parse_operator_file("[graphite g]\naddress = 127.0.0.1:9\n", "test"))
             tally = exporter.tally
@@ -185,11 +185,11 @@
             client.ask()  # a duplicate ID while the first request is still open
             ingress.requests.limits.max_body_bytes = 1000
             client.ask(body=b"x" * 2000)
-            disconnecting = await Client.open(ingress.address.port)
-            disconnecting.asked += 100
-            disconnecting.ask()
+            disconnecting_client = await Client.open(ingress.address.port)
+            disconnecting_client.asked += 100
+            disconnecting_client.ask()
             await until(lambda: len(ingress.requests) == 2)
-            disconnecting.writer.close()
+            disconnecting_client.writer.close()
             await until(lambda: tally.disconnected[0, 0])
             gate.set()
             assert [await client.answer() for _ in range(3)] == [
--- a/tests/telemetry/test_sender.py
+++ b/tests/telemetry/test_sender.py
@@ -16,9 +16,9 @@
     actions = [sender.enqueue(report(1.0))]
     for event in events:
         if event is Event.DELIVERED:
-            first = sender.delivery_queue.peek()
-            assert first is not None
-            sender.delivery_queue.mark_delivered(first)
+            oldest = sender.delivery_queue.peek()
+            assert oldest is not None
+            sender.delivery_queue.mark_delivered(oldest)
         actions.append(sender.handle(event))
     return sender, actions
 
@@ -44,9 +44,9 @@
     assert max(backoffs) <= 15_000.0
     assert len(set(backoffs)) == 12
     sender.handle(Event.CONNECTED)
-    first = sender.delivery_queue.peek()
-    assert first is not None
-    sender.delivery_queue.mark_delivered(first)
+    oldest = sender.delivery_queue.peek()
+    assert oldest is not None
+    sender.delivery_queue.mark_delivered(oldest)
     sender.handle(Event.DELIVERED)
     assert sender.consecutive_failures == 0
 
