--- a/dockthread/telemetry/connections.py
+++ b/dockthread/telemetry/connections.py
@@ -84,7 +84,7 @@
         self._port = port
 
     async def open(self) -> None:
-        """Connect to the first of the host's addresses that accepts."""
+        """Connect to the first of the host's addresses that accepts a connection."""
         loop = asyncio.get_running_loop()
         addresses = await loop.getaddrinfo(self._host, self._port, type=socket.SOCK_STREAM)
         for number, (family, kind, protocol, _, address) in enumerate(addresses, 1):
--- a/dockthread/telemetry/exporter.py
+++ b/dockthread/telemetry/exporter.py
@@ -38,7 +38,9 @@
 
 
 class Exporter:
-    """Counts events and reports them to the receivers; runs on the ingress's event loop only.
+    """Counts the events of an ingress and reports the counts to all receivers.
+
+    All methods must be called from the ingress's event loop.
 
     Attributes:
         receivers: The receivers configured in the operator's file, by name.
@@ -53,7 +55,7 @@
         self._tally: Tally | None = None
         self._reader: MetricsReader | None = None
         self._timestamps: TimestampSource | None = None
-        self._last_report_ms = 0.0  # time of the last report by the ingress's clock
+        self._last_report_ms = 0.0  # time of the last report, by the ingress's clock
         self._timer_id = 0  # identifies the current timer; older timers are ignored
         self._report_task: asyncio.Task[None] | None = None
         self._sample_timer: asyncio.TimerHandle | None = None
@@ -134,7 +136,7 @@
         self._tally.on_phase = self._notify_phase
         ingress.observe(self._tally)
         logger.info(
-            "telemetry to {}",
+            "reporting telemetry to {}",
             ", ".join(
                 f"{name} at {receiver.options.address}" for name, receiver in self.receivers.items()
             ),
--- a/dockthread/telemetry/heavy_hitters.py
+++ b/dockthread/telemetry/heavy_hitters.py
@@ -19,8 +19,8 @@
 # The policy engine's index of a plan, and the ID of a customer of that plan. It is a plain tuple
 # because one is created for every request, and creating a named tuple takes several times as long.
 CustomerKey: TypeAlias = tuple[int, int]
-# A heap entry: a customer's requested units when the entry was last updated, and the customer. The
-# current value may be higher.
+# A heap entry: the requested units of a customer when the heap entry was last updated, and the
+# customer. The current number of units may be higher.
 _LowerBound: TypeAlias = tuple[float, CustomerKey]
 
 
--- a/dockthread/telemetry/options.py
+++ b/dockthread/telemetry/options.py
@@ -40,7 +40,7 @@
         farewell: The time limit for delivering the final report at shutdown.
         firms: Maximum number of customers reported; those that requested the most units.
         nodes: Maximum number of backends reported; those with the most attempts in flight.
-        queue: The queue size for each receiver; by default 1/64 of the ingress's memory.
+        queue: Maximum queue size for each receiver; by default 1/64 of the ingress's memory.
     """
 
     interval: Duration = Duration(10_000)
@@ -126,7 +126,7 @@
         return self.address.startswith(UNIX_PREFIX)
 
     def problems(self) -> Iterable[KeyProblem]:
-        """Yield a problem for each invalid value and each value missing for the security level."""
+        """Yield a problem for each invalid value and each value that `security` needs but lacks."""
         yield from _address_problems(self.address, allow_unix=True)
         if self.security != "none":
             yield from self._security_problems()
--- a/dockthread/telemetry/receiver/command_server.py
+++ b/dockthread/telemetry/receiver/command_server.py
@@ -11,7 +11,7 @@
     """Stores the values from the commands of one connection in the ledger, and sends replies."""
 
     def __init__(self, ledger: Ledger, source: str) -> None:
-        """Create the server of a connection; `source` is its source in the ledger."""
+        """Create the server for a connection; `source` names the protocol in the ledger."""
         self._ledger = ledger
         self._source = source
         self._incomplete_line = b""
--- a/dockthread/telemetry/receiver/decode.py
+++ b/dockthread/telemetry/receiver/decode.py
@@ -18,7 +18,7 @@
 MAX_PICKLE_BYTES = 1024 * 1024
 # The length that precedes each pickle.
 PICKLE_HEADER = struct.Struct("!I")
-# Exceptions raised for bytes that are not a pickle, and for pickles of other objects than points.
+# Exceptions raised for bytes that are not a pickle, and for pickles that do not contain points.
 UNPICKLING_ERRORS = (
     pickle.UnpicklingError,
     ValueError,
--- a/dockthread/telemetry/receiver/ledger.py
+++ b/dockthread/telemetry/receiver/ledger.py
@@ -186,11 +186,11 @@
         return {(source, kind): count for source, kind, count in rows}
 
     def notifications(self) -> list[tuple[float, str, int, str]]:
-        """Return Unix seconds, host, severity and text of each notification, by time."""
+        """Return the Unix time, host, severity and text of each notification, ordered by time."""
         return list(self._db.execute("select * from notes order by seconds"))
 
     def totals(self, name_part: str = "") -> list[Total]:
-        """Return the totals of all series whose names contain a text, by source and series."""
+        """Return the totals of all series whose names contain `name_part`, sorted."""
         values_by_series: dict[tuple[str, str], list[float]] = {}
         for source, series, _, value in self._db.execute(LAST_VALUES_QUERY):
             if name_part in series:
@@ -205,7 +205,7 @@
         return int(self._db.execute(DECREASES_QUERY, (source, series)).fetchone()[0])
 
     def points(self, source: str, series: str) -> list[tuple[int, float, float]]:
-        """Return session, Unix seconds and value of each point, in the order of arrival."""
+        """Return the session, Unix time and value of each point, in the order of arrival."""
         query = (
             "select life, seconds, value from points where source = ? and series = ? order by id"
         )
--- a/dockthread/telemetry/report_delivery.py
+++ b/dockthread/telemetry/report_delivery.py
@@ -172,7 +172,7 @@
         return Event.DELIVERED
 
     def _log_failure(self, error: OSError) -> None:
-        """Log the first failure as a warning, and further ones as debug until a delivery."""
+        """Log the first failure as a warning, and later ones at debug level until a delivery."""
         bound_logger = logger.bind(receiver=self.name)
         log_failure = bound_logger.debug if self._failure_was_logged else bound_logger.warning
         self._failure_was_logged = True
--- a/dockthread/telemetry/sender.py
+++ b/dockthread/telemetry/sender.py
@@ -16,9 +16,9 @@
 
 from dockthread.telemetry.delivery_queue import DeliveryQueue, Report
 
-# Maximum of the first backoff in milliseconds, before jitter.
+# First backoff in milliseconds, before jitter.
 INITIAL_BACKOFF_MS = 250.0
-# Maximum of any backoff in milliseconds.
+# Maximum backoff in milliseconds, before jitter.
 MAX_BACKOFF_MS = 15_000.0
 # Lower bound of the random factor by which a backoff is multiplied; the upper bound is 1.
 MIN_JITTER_FACTOR = 0.1
--- a/dockthread/telemetry/tally.py
+++ b/dockthread/telemetry/tally.py
@@ -46,7 +46,7 @@
 class Tally(Observer):
     """All counts of one telemetry session.
 
-    Lists are indexed by the policy engine's indexes of classes or plans.
+    Lists by class or by plan use the policy engine's indexes.
 
     Attributes:
         responses: Number of completed requests by class, plan and outcome.
--- a/dockthread/telemetry/timestamps.py
+++ b/dockthread/telemetry/timestamps.py
@@ -25,7 +25,7 @@
 
 
 class Timestamp(NamedTuple):
-    """A Unix time, in the precision of each kind of receiver.
+    """The time of a report, in the precision that each kind of receiver stores.
 
     Attributes:
         unix_seconds: The time for collectd; strictly increasing.
--- a/tests/telemetry/support.py
+++ b/tests/telemetry/support.py
@@ -34,7 +34,7 @@
 ROOT = Path(__file__).parents[2]
 PROTOCOLS = ("plaintext", "pickle", "collectd", "putval")
 PASSWORD = b"a password of the test's own"
-# The quota of klein is so small that some requests are rejected, so all three outcomes occur.
+# Plan klein has so small a quota that some requests are rejected, so all three outcomes occur.
 PLANS = [
     {"Name": "gross", "Refill": 1000.0, "PeakUnits": 1000.0},
     {"Name": "klein", "Refill": 1.0, "PeakUnits": 4.0},
@@ -85,14 +85,14 @@
 
 
 def response_series_name(protocol: str, request_class: str, plan: str, outcome: str) -> str:
-    """Return the name of the series with the number of responses, as sent over the protocol."""
+    """Return the name of the series that holds the number of responses, for a protocol."""
     if protocol in ("plaintext", "pickle"):
         return f"dockthread.n0.answers.{request_class}.{plan}.{outcome}"
     return f"n0/dockthread-answers/derive-{request_class}.{plan}.{outcome}"
 
 
 def response_totals(ledger: Ledger, protocol: str) -> dict[tuple[str, str, str], float]:
-    """Return the total number of responses by class, plan and outcome, as received."""
+    """Return the number of responses at a receiver, by class, plan and outcome."""
     values = {total.series: total.value for total in ledger.totals() if total.source == protocol}
     keys = product(("status", "checkout"), ("gross", "klein"), ("served", "refused", "failed"))
     series_names = {key: response_series_name(protocol, *key) for key in keys}
@@ -170,7 +170,7 @@
         )  # fmt: skip
         assert process.stderr is not None
         while b"listens on" not in (line := await process.stderr.readline()):
-            assert line, "the process ended before it listened"
+            assert line, "the process exited before it listened"
         return process, int(line.rsplit(b":", 1)[1])
 
     yield start_ingress, discovery
--- a/tests/telemetry/test_daemon_reports.py
+++ b/tests/telemetry/test_daemon_reports.py
@@ -1,6 +1,6 @@
-"""Totals at the receivers equal the responses that clients got, over restarts and faults.
+"""Totals at the receivers must match the responses to clients, despite restarts and faults.
 
-These tests run the ingress as a process of its own.
+The ingress runs in a separate process.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
             for protocol in PROTOCOLS:
                 totals = response_totals(ledger, protocol)
                 assert len(totals) == 12, (
-                    "each class, plan and outcome must be reported, also if it is zero"
+                    "every class, plan and outcome must be reported, even when the count is zero"
                 )
                 assert (
                     Counter({key: int(value) for key, value in totals.items() if value})
