--- a/dockthread/telemetry/metrics_reader.py
+++ b/dockthread/telemetry/metrics_reader.py
@@ -47,7 +47,7 @@
     """Reads the points of one telemetry session of an ingress.
 
     Attributes:
-        life: The start time of the session in Unix milliseconds, reported as the metric `life`.
+        session_start_ms: The start time of the session in Unix milliseconds, reported as the metric `life`.
     """
 
     def __init__(
