--- a/dockthread/telemetry/graphite.py
+++ b/dockthread/telemetry/graphite.py
@@ -1,8 +1,8 @@
 """Encode points for Graphite's carbon, as plain text or as pickles.
 
-Source: Graphite's documentation, "Feeding In Your Data". Plain text is a line `PATH VALUE SECONDS`
-for each point. A pickle is preceded by its length (four bytes, big-endian) and holds a list of
-`(path, (seconds, value))` in protocol 2; carbon takes 1 MiB by default.
+Source: Graphite's documentation, "Feeding In Your Data". In plain text each point is a line
+`PATH VALUE SECONDS`. A pickle is a list of `(path, (seconds, value))` in pickle protocol 2. It is
+preceded by its length (four bytes, big-endian). By default carbon accepts pickles of up to 1 MiB.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 from dockthread.telemetry.catalogue import Point
 
-# Points in one pickle, which stays far below the length that carbon takes.
+# Maximum number of points in one pickle, which keeps its size far below carbon's limit.
 POINTS_PER_PICKLE = 256
 PICKLE_PROTOCOL = 2
-# The length before each pickle.
+# The length that precedes each pickle.
 PICKLE_HEADER = struct.Struct("!I")
-# Names of the tags for a path's parts behind the first, by the first.
+# Names of the tags that hold the remaining parts of a path, by the path's first part.
 TAG_NAMES = {
     "answers": ("class", "plan", "outcome"),
     "why": ("class", "plan", "outcome", "reason"),
@@ -38,40 +38,42 @@
 }
 
 
-def series(prefix: str, ingress: str, path: tuple[str, ...], tags: bool) -> str:
-    """Return the name of a path's series.
+def series_name(prefix: str, ingress: str, path: tuple[str, ...], use_tags: bool) -> str:
+    """Return the name of the series for a path.
 
     Without tags it is `PREFIX.INGRESS.a.b.c`. With tags it is `PREFIX.a;ingress=INGRESS;...`, where
-    the parts behind the first are values of tags.
+    the parts after the first are the values of tags.
     """
-    if not tags:
+    if not use_tags:
         return ".".join((prefix, ingress, *path))
-    names = TAG_NAMES.get(path[0], ())
-    if len(names) != len(path) - 1:
+    tag_names = TAG_NAMES.get(path[0], ())
+    if len(tag_names) != len(path) - 1:
         return ";".join((".".join((prefix, *path)), f"ingress={ingress}"))
-    pairs = [f"{name}={value}" for name, value in zip(names, path[1:], strict=True)]
-    return ";".join((f"{prefix}.{path[0]}", f"ingress={ingress}", *pairs))
+    tag_pairs = [f"{name}={value}" for name, value in zip(tag_names, path[1:], strict=True)]
+    return ";".join((f"{prefix}.{path[0]}", f"ingress={ingress}", *tag_pairs))
 
 
-def plaintext(named: Sequence[tuple[str, Point]], seconds: int) -> bytes:
-    """Encode points, each with the name of its series, as lines."""
-    return "".join(f"{name} {point.value_text} {seconds}\n" for name, point in named).encode()
+def encode_plaintext(named_points: Sequence[tuple[str, Point]], unix_seconds: int) -> bytes:
+    """Encode pairs of a series name and a point as lines of plain text."""
+    return "".join(
+        f"{name} {point.value_text} {unix_seconds}\n" for name, point in named_points
+    ).encode()
 
 
-def pickled(named: Sequence[tuple[str, Point]], seconds: int) -> bytes:
-    """Encode points, each with the name of its series, as pickles of `POINTS_PER_PICKLE`."""
+def encode_pickles(named_points: Sequence[tuple[str, Point]], unix_seconds: int) -> bytes:
+    """Encode pairs of a series name and a point as pickles of up to `POINTS_PER_PICKLE` points."""
     output = BytesIO()
-    for start in range(0, len(named), POINTS_PER_PICKLE):
+    for start in range(0, len(named_points), POINTS_PER_PICKLE):
         rows = [
-            (name, (seconds, _whole_if_possible(point.value)))
-            for name, point in named[start : start + POINTS_PER_PICKLE]
+            (name, (unix_seconds, _int_if_whole(point.value)))
+            for name, point in named_points[start : start + POINTS_PER_PICKLE]
         ]
         data = dumps(rows, PICKLE_PROTOCOL)
         output.write(PICKLE_HEADER.pack(len(data)) + data)
     return output.getvalue()
 
 
-def _whole_if_possible(value: float) -> float:
-    """Return a whole number as an int, whose pickle is shorter and exact."""
-    whole = int(value)
-    return whole if value == whole else value
+def _int_if_whole(value: float) -> float:
+    """Convert a whole number to an int, whose pickle is shorter and exact."""
+    integer = int(value)
+    return integer if value == integer else value
--- a/dockthread/telemetry/receiver/decode.py
+++ b/dockthread/telemetry/receiver/decode.py
@@ -1,4 +1,4 @@
-"""Decode what Graphite's carbon takes: lines of plain text, and pickles."""
+"""Decode the formats that Graphite's carbon accepts: lines of plain text, and pickles."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 from dockthread.errors import DockthreadError
 
-# Bytes of a line that does not end.
+# Maximum size of a line in bytes.
 MAX_LINE_BYTES = 16 * 1024
-# Bytes of a pickle; carbon's default.
+# Maximum size of a pickle in bytes: carbon's default.
 MAX_PICKLE_BYTES = 1024 * 1024
-# The length before each pickle.
+# The length that precedes each pickle.
 PICKLE_HEADER = struct.Struct("!I")
-# What the pickle module raises for bytes that are not a pickle, and unpacking for other objects.
+# Exceptions raised for bytes that are not a pickle, and for pickles that do not contain points.
 UNPICKLING_ERRORS = (
     pickle.UnpicklingError,
     ValueError,
@@ -30,43 +30,43 @@
 
 
 class DecodeError(DockthreadError):
-    """Bytes that carbon would not take."""
+    """Raised for bytes that cannot be decoded, and for lines or pickles that are too long."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedPoint:
-    """One point as it arrived.
+    """One point as received.
 
     Attributes:
-        series: The full name of its series.
-        seconds: Its moment in Unix time.
-        value: Its value.
+        series: The full name of the series.
+        unix_seconds: The timestamp in Unix seconds.
+        value: The value.
     """
 
     series: str
-    seconds: float
+    unix_seconds: float
     value: float
 
 
 class PlaintextDecoder:
-    """Decodes the plain text of one connection.
+    """Decodes the plain text from one connection.
 
     Attributes:
-        invalid_lines: Lines that were skipped because they could not be read.
+        invalid_lines: Number of lines that were skipped because they could not be decoded.
     """
 
     def __init__(self) -> None:
         self.invalid_lines = 0
-        self._unread = b""
+        self._incomplete = b""
 
     def feed(self, data: bytes) -> Iterator[ReceivedPoint]:
-        """Yield the points of the lines that end in the next bytes.
+        """Yield the points of the lines that are completed by the next bytes.
 
         Raises:
-            DecodeError: if a line does not end.
+            DecodeError: if a line is too long.
         """
-        *lines, self._unread = (self._unread + data).split(b"\n")
-        if len(self._unread) > MAX_LINE_BYTES:
+        *lines, self._incomplete = (self._incomplete + data).split(b"\n")
+        if len(self._incomplete) > MAX_LINE_BYTES:
             raise DecodeError("a line does not end")
         for line in lines:
             point = _parse_line(line)
@@ -77,20 +77,20 @@
 
 
 def _parse_line(line: bytes) -> ReceivedPoint | None:
-    """Return the point of a line, or None if it cannot be read."""
+    """Return the point of a line, or None if the line is invalid."""
     try:
-        series, value, seconds = line.decode().split()
-        point = ReceivedPoint(series, float(seconds), float(value))
+        series, value, unix_seconds = line.decode().split()
+        point = ReceivedPoint(series, float(unix_seconds), float(value))
     except ValueError:
         return None
-    is_finite = isfinite(point.seconds) and isfinite(point.value)
+    is_finite = isfinite(point.unix_seconds) and isfinite(point.value)
     return point if is_finite else None
 
 
 class _PlainUnpickler(pickle.Unpickler):
-    """Loads numbers, strings, tuples and lists only.
+    """Loads only built-in types such as numbers, strings, tuples and lists.
 
-    A pickle that names a class could run any code.
+    Loading a pickle that refers to a class or a function could execute arbitrary code.
     """
 
     def find_class(self, module: str, name: str) -> Any:
@@ -98,40 +98,40 @@
 
 
 class PickleDecoder:
-    """Decodes the pickles of one connection.
+    """Decodes the pickles from one connection.
 
     Attributes:
-        invalid_lines: Always 0, since a wrong pickle ends the connection.
+        invalid_lines: Always 0, because an invalid pickle ends the connection.
     """
 
     def __init__(self) -> None:
         self.invalid_lines = 0
-        self._unread = b""
+        self._incomplete = b""
 
     def feed(self, data: bytes) -> Iterator[ReceivedPoint]:
-        """Yield the points of the pickles that end in the next bytes.
+        """Yield the points of the pickles that are completed by the next bytes.
 
         Raises:
             DecodeError: if a pickle is too long or is not a list of points.
         """
-        self._unread += data
-        while len(self._unread) >= PICKLE_HEADER.size:
-            (size,) = PICKLE_HEADER.unpack_from(self._unread)
+        self._incomplete += data
+        while len(self._incomplete) >= PICKLE_HEADER.size:
+            (size,) = PICKLE_HEADER.unpack_from(self._incomplete)
             if size > MAX_PICKLE_BYTES:
                 raise DecodeError(f"a pickle of {size} bytes")
             end = PICKLE_HEADER.size + size
-            if len(self._unread) < end:
+            if len(self._incomplete) < end:
                 return
-            encoded = self._unread[PICKLE_HEADER.size : end]
-            self._unread = self._unread[end:]
+            encoded = self._incomplete[PICKLE_HEADER.size : end]
+            self._incomplete = self._incomplete[end:]
             yield from _load_points(encoded)
 
 
 def _load_points(encoded: bytes) -> list[ReceivedPoint]:
     try:
         return [
-            ReceivedPoint(str(series), float(seconds), float(value))
-            for series, (seconds, value) in _PlainUnpickler(io.BytesIO(encoded)).load()
+            ReceivedPoint(str(series), float(unix_seconds), float(value))
+            for series, (unix_seconds, value) in _PlainUnpickler(io.BytesIO(encoded)).load()
         ]
     except UNPICKLING_ERRORS as error:
         raise DecodeError(f"not a pickle of points: {error}") from error
--- a/dockthread/telemetry/receiver/stand_in.py
+++ b/dockthread/telemetry/receiver/stand_in.py
@@ -1,12 +1,12 @@
-"""Listen as carbon and collectd do, and misbehave on demand.
+"""A server that stands in for carbon and collectd, and simulates faults on demand.
 
-How the stand-in can misbehave:
-  refuse   its ports are closed, and all connections reset
-  vanish   nothing is read or answered; what arrived meanwhile is lost, and all connections are
-           reset at the end
-  unread   connections are accepted and not read; what arrived is read at the end
+The kinds of faults:
+  refuse   all ports are closed, and all connections are reset
+  vanish   no data is read and no reply is sent; when the fault ends, the unread data is discarded
+           and all connections are reset
+  unread   connections are accepted but not read; when the fault ends, reading continues
   slow     1 KiB is read at a time, ten times a second
-  reset    each connection is reset in the middle of what it sends
+  reset    each connection is reset in the middle of the data that it sends
 """
 
 from __future__ import annotations
@@ -36,86 +36,88 @@
 RESET = "reset"
 KINDS = (REFUSE, VANISH, UNREAD, SLOW, RESET)
 
-# The protocols, which name the listeners, and the sources in the ledger.
+# Names of the protocols, used for the listeners and as sources in the ledger.
 PLAINTEXT = "plaintext"
 PICKLE = "pickle"
 COLLECTD = "collectd"
 UNIX = "putval"
 
-# Bytes read at once.
+# Maximum number of bytes in one read.
 READ_BYTES = 64 * 1024
-# Bytes read at once while slow, and the seconds between two reads.
+# During the fault `slow`: maximum number of bytes in one read, and seconds between two reads.
 SLOW_READ_BYTES = 1024
 SLOW_PAUSE_SECONDS = 0.1
-# Seconds between two packets while slow.
+# During the fault `slow`: seconds between two packets.
 SLOW_PACKET_PAUSE_SECONDS = 0.01
-# Bytes of a connection before its reset: within a report, and most often within a line.
+# During the fault `reset`: number of bytes that are processed before a connection is reset. This is
+# in the middle of a report, and usually in the middle of a line.
 RESET_AFTER_BYTES = 700
-# Seconds between two looks at whether reading is allowed again.
+# Seconds between two checks whether a fault still prevents reading.
 POLL_SECONDS = 0.01
-# Connections that wait to be accepted.
+# Maximum number of connections that wait to be accepted.
 LISTEN_BACKLOG = 64
-# Bytes of the kernel's buffer of packets.
+# Size in bytes of the kernel's receive buffer for packets.
 PACKET_BUFFER_BYTES = 1 << 20
-# SO_LINGER on, with 0 seconds: closing a socket resets its connection.
-LINGER_RESET = struct.pack("ii", 1, 0)
+# SO_LINGER with a timeout of 0 seconds: closing the socket resets the connection.
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 StreamDecoder = PlaintextDecoder | PickleDecoder | CommandServer
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """A time of misbehaviour.
+    """A fault and the time for which it lasts.
 
     Attributes:
-        kind: One of `KINDS`.
-        start: Seconds after the start of the stand-in.
-        length: Its duration in seconds.
+        kind: The kind of the fault, one of `KINDS`.
+        start: Start of the fault, in seconds after `StandIn.play` is called.
+        duration: Duration of the fault in seconds.
     """
 
     kind: str
     start: float
-    length: float
+    duration: float
 
     @classmethod
     def parse(cls, text: str) -> Span:
-        """Return the span of a text such as `vanish@10s+60s`.
+        """Parse a text such as `vanish@10s+60s`.
 
         Raises:
-            ValueError: if the text is not a span.
+            ValueError: if the text is invalid.
         """
         from dockthread.config.quantities import Duration
 
-        kind, at, times = text.partition("@")
-        start, plus, length = times.partition("+")
-        if kind not in KINDS or not at or not plus:
+        kind, at_sign, start_and_duration = text.partition("@")
+        start, plus_sign, duration = start_and_duration.partition("+")
+        if kind not in KINDS or not at_sign or not plus_sign:
             raise ValueError(
                 f"{text!r} is not KIND@START+LENGTH, with KIND one of {', '.join(KINDS)}"
             )
-        return cls(kind, Duration.parse(start) / 1000.0, Duration.parse(length) / 1000.0)
+        return cls(kind, Duration.parse(start) / 1000.0, Duration.parse(duration) / 1000.0)
 
 
 class StandIn:
-    """The stand-in receiver.
+    """A receiver for all protocols, which can simulate faults.
 
     Attributes:
-        ledger: Keeps what arrives.
-        addresses: Where it listens, by protocol, as written into an operator's file.
-        kind: How it misbehaves now, one of `KINDS`, or empty.
+        ledger: Stores the received points, notifications and faults.
+        addresses: The address for each protocol, in the format of the operator's file; for `putval`
+            the path of the socket alone.
+        fault_kind: The kind of the current fault, one of `KINDS`, or empty.
     """
 
     def __init__(self, ledger: Ledger, opener: Opener | None = None) -> None:
         self.ledger = ledger
         self.addresses: dict[str, str] = {}
-        self.kind = ""
+        self.fault_kind = ""
         self._opener = opener or Opener()
         self._listeners: dict[str, socket.socket] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._connections: dict[socket.socket, asyncio.Task[None]] = {}
 
-    async def start(self, **wanted: str) -> None:
-        """Listen for each protocol: at HOST:PORT (port 0: any), or at a path for `putval`."""
-        for protocol, address in wanted.items():
+    async def start(self, **addresses: str) -> None:
+        """Listen for each protocol: on a HOST:PORT (port 0 for any), or on a path for `putval`."""
+        for protocol, address in addresses.items():
             self._listen(protocol, address)
 
     def _listen(self, protocol: str, address: str) -> None:
@@ -127,26 +129,26 @@
             host, _, _ = address.rpartition(":")
             self.addresses[protocol] = f"{host}:{listener.getsockname()[1]}"
         if protocol == COLLECTD:
-            serving = self._serve_packets(listener)
+            coroutine = self._serve_packets(listener)
         else:
             listener.listen(LISTEN_BACKLOG)
-            serving = self._accept(protocol, listener)
+            coroutine = self._accept(protocol, listener)
         self._listeners[protocol] = listener
-        self._tasks[protocol] = asyncio.get_running_loop().create_task(serving)
+        self._tasks[protocol] = asyncio.get_running_loop().create_task(coroutine)
 
     async def play(self, spans: Iterable[Span]) -> None:
-        """Misbehave as the spans say, one after another."""
+        """Simulate the faults one after another, in the order of their start."""
         now = 0.0
         for span in sorted(spans, key=lambda span: span.start):
             await asyncio.sleep(max(0.0, span.start - now))
             self.misbehave(span.kind)
-            await asyncio.sleep(span.length)
+            await asyncio.sleep(span.duration)
             self.behave()
-            now = span.start + span.length
+            now = span.start + span.duration
 
     def misbehave(self, kind: str) -> None:
-        """Begin to misbehave in one of the ways in `KINDS`."""
-        self.kind = kind
+        """Begin to simulate a fault, one of `KINDS`."""
+        self.fault_kind = kind
         if kind != REFUSE:
             return
         for protocol in list(self._listeners):
@@ -157,9 +159,9 @@
         self._reset_all()
 
     def behave(self) -> None:
-        """End the present misbehaviour."""
-        kind = self.kind
-        self.kind = ""
+        """End the current fault."""
+        kind = self.fault_kind
+        self.fault_kind = ""
         if kind == REFUSE:
             for protocol, address in self.addresses.items():
                 self._listen(protocol, address)
@@ -174,7 +176,7 @@
                     pass
 
     def stop(self) -> None:
-        """Close all listeners, and reset all connections."""
+        """Close all listeners and reset all connections."""
         for task in self._tasks.values():
             task.cancel()
         for listener in self._listeners.values():
@@ -189,7 +191,7 @@
     def _reset(self, connection: socket.socket) -> None:
         self._connections.pop(connection, None)
         with suppress(OSError):
-            connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+            connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         connection.close()
 
     async def _accept(self, protocol: str, listener: socket.socket) -> None:
@@ -200,11 +202,11 @@
             self._connections[connection] = loop.create_task(self._serve(protocol, connection))
 
     @property
-    def _is_reading(self) -> bool:
-        return self.kind not in (VANISH, UNREAD)
+    def _reading_allowed(self) -> bool:
+        return self.fault_kind not in (VANISH, UNREAD)
 
-    async def _wait_until_reading(self) -> None:
-        while not self._is_reading:  # noqa: ASYNC110 - polled, so that the times stay as they were
+    async def _wait_until_reading_allowed(self) -> None:
+        while not self._reading_allowed:  # noqa: ASYNC110 - polls a plain attribute
             await asyncio.sleep(POLL_SECONDS)
 
     async def _serve(self, protocol: str, connection: socket.socket) -> None:
@@ -216,26 +218,26 @@
         connection.close()
 
     async def _read_stream(self, protocol: str, connection: socket.socket) -> None:
-        """Read until the sender's end, or until the connection is to be reset."""
+        """Read until the sender closes the connection, or until it is reset by a fault."""
         loop = asyncio.get_running_loop()
         decoder = self._stream_decoder(protocol)
         bytes_read = 0
         while True:
-            await self._wait_until_reading()
-            is_slow = self.kind == SLOW
+            await self._wait_until_reading_allowed()
+            is_slow = self.fault_kind == SLOW
             data = await loop.sock_recv(connection, SLOW_READ_BYTES if is_slow else READ_BYTES)
-            # The misbehaviour may have begun while the read waited.
-            await self._wait_until_reading()
+            # The fault may have begun while the read was waiting.
+            await self._wait_until_reading_allowed()
             if not data:
                 return
             bytes_read += len(data)
-            must_reset = self.kind == RESET and bytes_read > RESET_AFTER_BYTES
+            must_reset = self.fault_kind == RESET and bytes_read > RESET_AFTER_BYTES
             if must_reset:
                 data = data[:RESET_AFTER_BYTES]
             if isinstance(decoder, CommandServer):
                 await loop.sock_sendall(connection, decoder.feed(data))
             else:
-                self.ledger.add_graphite(protocol, self._decode(decoder, data))
+                self.ledger.add_graphite_points(protocol, self._decode(decoder, data))
             if must_reset:
                 self.ledger.add_fault(protocol, "reset")
                 self._reset(connection)
@@ -251,7 +253,7 @@
     def _decode(
         self, decoder: PlaintextDecoder | PickleDecoder, data: bytes
     ) -> list[ReceivedPoint]:
-        """Return the points in the data, and count the lines that cannot be read."""
+        """Return the points in the data, and record a fault for each invalid line."""
         invalid_before = decoder.invalid_lines
         points = list(decoder.feed(data))
         for _ in range(decoder.invalid_lines - invalid_before):
@@ -262,15 +264,15 @@
         loop = asyncio.get_running_loop()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, PACKET_BUFFER_BYTES)
         while True:
-            await self._wait_until_reading()
+            await self._wait_until_reading_allowed()
             packet = await loop.sock_recv(listener, READ_BYTES)
-            if not self._is_reading:
+            if not self._reading_allowed:
                 continue
             try:
-                self.ledger.add_collectd(COLLECTD, self._opener.read(packet))
+                self.ledger.add_collectd_items(COLLECTD, self._opener.decode_packet(packet))
             except PacketError as error:
                 self.ledger.add_fault(COLLECTD, str(error))
-            if self.kind == SLOW:
+            if self.fault_kind == SLOW:
                 await asyncio.sleep(SLOW_PACKET_PAUSE_SECONDS)
 
 
--- a/tests/telemetry/samples.py
+++ b/tests/telemetry/samples.py
@@ -1,4 +1,4 @@
-"""Points and reports that several telemetry tests use."""
+"""Sample points and reports shared by the telemetry tests."""
 
 from __future__ import annotations
 
@@ -12,6 +12,6 @@
 ]
 
 
-def report(seconds: float, size: int = 100) -> Report:
-    """Return a report of one chunk."""
-    return Report(seconds, (b"x" * size,))
+def report(unix_seconds: float, size: int = 100) -> Report:
+    """Return a report with one chunk of the given size."""
+    return Report(unix_seconds, (b"x" * size,))
--- a/tests/telemetry/test_exporter.py
+++ b/tests/telemetry/test_exporter.py
@@ -1,4 +1,4 @@
-"""The exporter beside an ingress in this process: reloads, bounds and counts."""
+"""Reloads, size limits and counts of the exporter, with an ingress in the test process."""
 
 from __future__ import annotations
 
@@ -20,61 +20,61 @@
     until,
 )
 from tests.telemetry.support import (
-    answer_totals,
     operator_file,
+    response_series_name,
+    response_totals,
     running_exporter,
     running_stand_in,
-    series_name,
 )
 
 
-def test_reloads_that_move_remove_and_add_receivers_lose_no_count(tmp_path: Path) -> None:
+def test_reloads_that_move_remove_and_add_receivers_lose_no_counts(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with (
             running_exporter(tmp_path, "plaintext") as (
                 ingress,
                 exporter,
                 client,
-                first,
+                first_stand_in,
                 first_ledger,
             ),
-            running_stand_in(tmp_path, "plaintext", "pickle") as (second, second_ledger),
+            running_stand_in(tmp_path, "plaintext", "pickle") as (second_stand_in, second_ledger),
         ):
             for _ in range(5):
                 await client.call()
-            moved = operator_file(second, tmp_path)
-            # The old receiver is drained, and the new one continues.
-            exporter.apply(parse_operator_file(moved, "test"))
+            moved_config = operator_file(second_stand_in, tmp_path)
+            # The old receiver is drained, and the new one receives all further reports.
+            exporter.apply(parse_operator_file(moved_config, "test"))
             for _ in range(3):
                 await client.call()
             await until(
                 lambda: (
-                    answer_totals(second_ledger, "plaintext").get(("status", "gross", "served"))
+                    response_totals(second_ledger, "plaintext").get(("status", "gross", "served"))
                     == 8
                 )
             )
             await until(
                 lambda: (
-                    answer_totals(second_ledger, "pickle").get(("status", "gross", "served")) == 8
+                    response_totals(second_ledger, "pickle").get(("status", "gross", "served")) == 8
                 )
             )
             exporter.apply(parse_operator_file("", "test"))
-            await until(lambda: not exporter._drains)
+            await until(lambda: not exporter._drain_tasks)
             assert exporter.tally is None and not ingress.observer.active
-            seen = second_ledger.seen["plaintext"]
+            points_before = second_ledger.seen["plaintext"]
             await client.call()
-            # A new life, which begins at zero.
-            exporter.apply(parse_operator_file(operator_file(first, tmp_path), "test"))
+            # Adding a receiver begins a new session, whose counts start at zero.
+            exporter.apply(parse_operator_file(operator_file(first_stand_in, tmp_path), "test"))
             await client.call()
             await until(
                 lambda: (
                     first_ledger.points(
-                        "plaintext", series_name("plaintext", "status", "gross", "served")
+                        "plaintext", response_series_name("plaintext", "status", "gross", "served")
                     )[-1][2]
                     == 1
                 )
             )
-            assert second_ledger.seen["plaintext"] == seen
+            assert second_ledger.seen["plaintext"] == points_before
 
     run(scenario())
 
@@ -82,21 +82,21 @@
 def test_a_reload_with_an_unreadable_password_changes_nothing(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with running_exporter(tmp_path, "plaintext") as (_, exporter, client, _, ledger):
-            before = dict(exporter.receivers)
-            bad = "[graphite new]\naddress = 127.0.0.1:1\n[collectd c]\naddress = 127.0.0.1:1\nsecurity = sign\n"
-            bad += "user = u\npassword_file = /no/such/file\n"
+            receivers_before = dict(exporter.receivers)
+            bad_ini = "[graphite new]\naddress = 127.0.0.1:1\n[collectd c]\naddress = 127.0.0.1:1\nsecurity = sign\n"
+            bad_ini += "user = u\npassword_file = /no/such/file\n"
             with pytest.raises(Exception, match="/no/such/file cannot be read"):
-                exporter.apply(parse_operator_file(bad, "test"))
-            assert exporter.receivers == before
+                exporter.apply(parse_operator_file(bad_ini, "test"))
+            assert exporter.receivers == receivers_before
             await client.call()
             await until(
-                lambda: answer_totals(ledger, "plaintext").get(("status", "gross", "served")) == 1
+                lambda: response_totals(ledger, "plaintext").get(("status", "gross", "served")) == 1
             )
 
     run(scenario())
 
 
-def test_a_minute_without_the_receiver_keeps_the_queue_bounded_and_the_totals_right(
+def test_receiver_outage_of_a_minute_keeps_the_queue_bounded_and_the_totals_correct(
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
@@ -106,7 +106,7 @@
         ):  # fmt: skip
             sender = exporter.receivers["plaintext"].sender
             sender.delivery_queue.max_size = 200_000
-            await until(lambda: sender.sent)
+            await until(lambda: sender.reports_sent)
             stand_in.misbehave("refuse")
             for _ in range(60):
                 await client.call()
@@ -118,21 +118,23 @@
             stand_in.behave()
             clock.advance(1000)
             ingress.timers.run_due()
-            name = ("status", "gross", "served")
-            await until(lambda: answer_totals(ledger, "plaintext").get(name) == 60)
+            totals_key = ("status", "gross", "served")
+            await until(lambda: response_totals(ledger, "plaintext").get(totals_key) == 60)
             timestamps = [
-                seconds
-                for _, seconds, _ in ledger.points("plaintext", series_name("plaintext", *name))
+                unix_seconds
+                for _, unix_seconds, _ in ledger.points(
+                    "plaintext", response_series_name("plaintext", *totals_key)
+                )
             ]
             assert len(timestamps) > 6, (
-                "points of the minute arrived with the times of their reports"
+                "reports queued during the outage must arrive with their own timestamps"
             )
             assert timestamps == sorted(timestamps)
 
     run(scenario())
 
 
-def test_a_report_stays_bounded_after_many_customers_and_replaced_backends(
+def test_report_size_stays_bounded_with_many_customers_and_replaced_backends(
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
@@ -148,15 +150,15 @@
                 tally.request_completed(
                     0, 0, customer, "refused", f"reason-{customer}", 0.0, 1.0, False
                 )
-            for round_number in range(100):
-                targets = [target(f"s-{round_number}-{number}", 1 + number) for number in range(3)]
+            for update_number in range(100):
+                targets = [target(f"s-{update_number}-{number}", 1 + number) for number in range(3)]
                 ingress.dispatch(
-                    ingress.endpoints.apply(message(round_number + 2, *targets, full=True))
+                    ingress.endpoints.apply(message(update_number + 2, *targets, full=True))
                 )
             points = exporter._reader.points(1000.0)
             backends = {point.path[1] for point in points if point.path[0] == "nodes"}
             assert backends == {"s-99-0", "s-99-1", "s-99-2"}, (
-                "the series of a backend that left end"
+                "only backends in the endpoint list must be reported"
             )
             assert len({point.path[2] for point in points if point.path[0] == "firms"}) == 20
             assert len(tally.heavy_hitters.usage) <= 160
@@ -165,29 +167,29 @@
     run(scenario())
 
 
-def test_requests_that_the_policy_engine_never_sees_are_counted() -> None:
+def test_requests_that_do_not_reach_the_policy_engine_are_counted() -> None:
     async def scenario() -> None:
         gate = asyncio.Event()
 
-        async def answer_when_open(args: list[bytes]) -> bytes | None:
+        async def respond_when_gate_opens(args: list[bytes]) -> bytes | None:
             await gate.wait()
             return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
-        async with serving(Backend(answer_when_open)) as (ingress, client, _):
+        async with serving(Backend(respond_when_gate_opens)) as (ingress, client, _):
             exporter = Exporter(ingress)
             exporter.apply(parse_operator_file("[graphite g]\naddress = 127.0.0.1:9\n", "test"))
             tally = exporter.tally
             assert tally is not None
             client.ask()
             client.asked -= 1
-            client.ask()  # the same id, while the first is open
+            client.ask()  # a duplicate ID while the first request is still open
             ingress.requests.limits.max_body_bytes = 1000
             client.ask(body=b"x" * 2000)
-            disconnecting = await Client.open(ingress.address.port)
-            disconnecting.asked += 100
-            disconnecting.ask()
+            disconnecting_client = await Client.open(ingress.address.port)
+            disconnecting_client.asked += 100
+            disconnecting_client.ask()
             await until(lambda: len(ingress.requests) == 2)
-            disconnecting.writer.close()
+            disconnecting_client.writer.close()
             await until(lambda: tally.disconnected[0, 0])
             gate.set()
             assert [await client.answer() for _ in range(3)] == [
@@ -201,7 +203,7 @@
                 (0, 0, "refused", "bodies"): 1,
             }
             assert [
-                tally.answers[0, 0, outcome] for outcome in ("served", "refused", "failed")
+                tally.responses[0, 0, outcome] for outcome in ("served", "refused", "failed")
             ] == [1, 1, 1]
             assert (tally.units_requested, tally.units_forwarded, tally.units_rejected) == (
                 [8.0],
