--- a/dockthread/lab/__init__.py
+++ b/dockthread/lab/__init__.py
@@ -1,6 +1,7 @@
 """The laboratory: load generator, simulations, rehearsals on processes and scale runs.
 
-`arrivals` draws when which request is to start; `load` sends them and measures latencies;
-`load_result` holds what became of them; `processes` sends one load from several processes; `seeds`
-plays a simulated scenario with many seeds.
+`arrivals` generates the arrival times of requests; `load` sends the requests and measures their
+latencies; `load_result` aggregates outcomes and latencies; `processes` sends one load from several
+processes; `event_queue` is the clock of the simulations; `seeds` runs a simulated scenario with many
+seeds.
 """
--- a/dockthread/lab/arrivals.py
+++ b/dockthread/lab/arrivals.py
@@ -1,9 +1,9 @@
-"""Draws from a seed, or reads from a trace, when which request starts; does not send it.
+"""Generates the requests of a load and their start times, from a seed or from a trace file.
 
-Arrivals are a Poisson process whose rate is piecewise linear: gaps of a unit process are drawn from
-the exponential distribution and carried through the inverse of the rate's integral (Çinlar 1975,
-"Introduction to Stochastic Processes"). So the same seed gives the same arrivals whatever responses
-come, and a slower server does not slow the load down.
+Sending them is the task of `load`. Arrivals are a Poisson process with a piecewise linear rate: the
+gaps of a unit-rate process are drawn from the exponential distribution and mapped to times by the
+inverse of the integrated rate (Çinlar 1975, "Introduction to Stochastic Processes"). The arrivals of
+a seed therefore do not depend on the responses, and a slow server does not slow the load down.
 
 Times are in seconds from the start of the load.
 """
@@ -21,46 +21,46 @@
 from dockthread.clock import MILLISECONDS
 from dockthread.config.quantities import Duration
 
-# Requests a second that a shape may reach.
+# Maximum rate of a rate shape, in requests per second.
 MAX_RATE: Final = 100_000.0
-# Requests that a shape may have in all.
+# Maximum number of requests that a rate shape may generate.
 MAX_REQUESTS: Final = 50_000_000
-# Change of the rate, per second and second, below which it counts as constant.
+# Slope below which the rate counts as constant, in requests per second squared.
 MIN_SLOPE: Final = 1e-12
-# Ingresses that the requests of one customer are spread over at most.
+# Maximum number of ingresses over which the requests of one customer are spread.
 MAX_SPREAD: Final = 3
-# First line of a trace, in the order of the fields of `Arrival`.
+# Header line of a trace, in the order of the fields of `Arrival`.
 TRACE_COLUMNS: Final = ("at", "request_class", "plan", "firm", "units", "spread", "first")
-# Number of a trace's line after the one with the columns.
+# Line number of the first arrival in a trace, after the header.
 FIRST_TRACE_LINE: Final = 2
 
-# Names and how often each is drawn, relative to the others.
+# Names with their relative weights in a random draw.
 NamedWeights: TypeAlias = tuple[tuple[str, float], ...]
 
 
 class RateShapeError(ValueError):
-    """A text is not a shape of rates."""
+    """A text is not a valid rate shape."""
 
 
 class WeightsError(ValueError):
-    """A text is not a list of names and weights."""
+    """A text is not a valid list of names and weights."""
 
 
 class TraceError(ValueError):
-    """A trace has a line that is not an arrival in its order."""
+    """A line of a trace is not a valid arrival or is out of order."""
 
 
 class Arrival(NamedTuple):
     """One request of a load.
 
     Attributes:
-        at: when it starts.
-        request_class: the name of its class.
-        plan: the name of its customer's plan.
-        customer: the number of its customer.
-        units: what it counts against the customer's quota.
-        spread: how many ingresses the customer's requests are spread over.
-        first_ingress: the first of these.
+        at: the start time.
+        request_class: the name of the request class.
+        plan: the name of the customer's plan.
+        customer: the customer's number.
+        units: units that the request takes from the customer's quota.
+        spread: number of ingresses over which the customer's requests are spread.
+        first_ingress: number of the first of these ingresses.
     """
 
     at: float
@@ -74,7 +74,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RateSegment:
-    """`length` seconds in which the rate goes in a straight line between two requests a second."""
+    """A segment of `length` seconds in which the rate changes linearly.
+
+    `begin_rate` and `end_rate` are in requests per second.
+    """
 
     length: float
     begin_rate: float
@@ -82,11 +85,11 @@
 
     @property
     def expected_requests(self) -> float:
-        """How many requests are expected to arrive in it."""
+        """Expected number of requests that arrive in the segment."""
         return self.length * (self.begin_rate + self.end_rate) / 2.0
 
     def time_of(self, expected_count: float) -> float:
-        """Return the time into the segment by which so many requests are expected."""
+        """Return the time since the segment's start at which this many requests are expected."""
         slope = (self.end_rate - self.begin_rate) / self.length
         if abs(slope) < MIN_SLOPE:
             return expected_count / self.begin_rate
@@ -95,14 +98,14 @@
 
 
 def parse_rate_shape(text: str) -> tuple[RateSegment, ...]:
-    """Parse `140@60s` or `100>300@30s`, or several of them with commas between.
+    """Parse a comma-separated list of segments such as `140@60s` or `100>300@30s`.
 
     Raises:
-        RateShapeError: the text is something else, or a number is out of range.
+        RateShapeError: the text has another form, or a number is out of range.
     """
     segments = tuple(_parse_segment(part.strip()) for part in text.split(","))
     if sum(segment.expected_requests for segment in segments) > MAX_REQUESTS:
-        raise RateShapeError(f"{text!r} asks for more than {MAX_REQUESTS} requests")
+        raise RateShapeError(f"{text!r} generates more than {MAX_REQUESTS} requests")
     return segments
 
 
@@ -115,20 +118,24 @@
         length = Duration.parse(length_text) / MILLISECONDS
     except ValueError as error:
         raise RateShapeError(
-            f"{text!r} is no piece of load: write 140@60s, or 100>300@30s"
+            f"{text!r} is not a segment of a rate shape: write 140@60s or 100>300@30s"
         ) from error
     are_rates_valid = (
         0 <= begin_rate <= MAX_RATE and 0 <= end_rate <= MAX_RATE and begin_rate + end_rate > 0
     )
     if not are_rates_valid or not length > 0:
-        raise RateShapeError(f"{text!r} is out of range: rates from 0 to {MAX_RATE:g}, not both 0")
+        raise RateShapeError(
+            f"{text!r} is out of range: rates must be from 0 to {MAX_RATE:g} and not both 0,"
+            " and the duration must be above 0"
+        )
     return RateSegment(length, begin_rate, end_rate)
 
 
 def poisson_times(segments: Sequence[RateSegment], rng: random.Random) -> Iterator[float]:
-    """Draw the times of a Poisson process, in their order."""
+    """Draw the arrival times of a Poisson process in ascending order."""
     segment_begin = 0.0
-    # Expected requests from the last arrival, or from the segment's begin, to the next arrival.
+    # Expected number of requests between the last arrival, or the segment's start if that is later,
+    # and the next arrival.
     gap = rng.expovariate(1.0)
     for segment in segments:
         expected_so_far = 0.0
@@ -142,15 +149,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestMix:
-    """Which requests arrive.
+    """The distributions from which the attributes of requests are drawn.
 
     Attributes:
-        classes: request classes by weight.
-        plans: customers' plans by weight.
-        customer_count: customers of each plan.
-        skew: 0 draws all customers alike; more prefers the first ones, Zipf-like.
-        max_units: a request's units are drawn from 1 to this.
-        ingress_count: ingresses over which customers are spread.
+        classes: request classes with their weights.
+        plans: plans with their weights.
+        customer_count: number of customers of each plan.
+        skew: 0 draws all customers with equal probability; larger values prefer customers with low
+            numbers, as a Zipf distribution does.
+        max_units: upper bound of a request's units, which are drawn uniformly from 1.
+        ingress_count: number of ingresses over which customers are spread.
     """
 
     classes: NamedWeights
@@ -161,7 +169,7 @@
     ingress_count: int = 1
 
     def draw(self, rng: random.Random, at: float) -> Arrival:
-        """Draw a request that arrives at a time."""
+        """Draw a request that arrives at this time."""
         request_class = _draw_name(rng, self.classes)
         plan = _draw_name(rng, self.plans)
         rank = int(self.customer_count * rng.random() ** (1.0 + self.skew))
@@ -181,10 +189,10 @@
 
 
 def parse_weights(text: str) -> NamedWeights:
-    """Parse `seat-status:3,seat-checkout:1`; a weight that is left out is 1.
+    """Parse a list such as `seat-status:3,seat-checkout:1`; an omitted weight is 1.
 
     Raises:
-        WeightsError: the text is something else, or a weight is not above 0.
+        WeightsError: the text has another form, or a weight is not above 0.
     """
     return tuple(_parse_weight(part.strip()) for part in text.split(","))
 
@@ -194,16 +202,17 @@
     try:
         weight = float(weight_text or 1.0)
     except ValueError as error:
-        raise WeightsError(f"{text!r} is no NAME:WEIGHT") from error
+        raise WeightsError(f"{text!r} is not of the form NAME:WEIGHT") from error
     if not name or weight <= 0:
-        raise WeightsError(f"{text!r} is no NAME:WEIGHT with a weight above 0")
+        raise WeightsError(f"{text!r} is not of the form NAME:WEIGHT with a weight above 0")
     return name, weight
 
 
 def draw_arrivals(segments: Sequence[RateSegment], mix: RequestMix, seed: int) -> Iterator[Arrival]:
     """Draw the arrivals of a seed.
 
-    Times and requests have random sources of their own, so that another mix keeps the times.
+    Times and requests use separate random generators, so that a change of the mix does not change
+    the arrival times.
     """
     times_rng = random.Random(f"{seed} times")
     requests_rng = random.Random(f"{seed} requests")
@@ -212,10 +221,10 @@
 
 
 def read_trace(path: Path) -> Iterator[Arrival]:
-    """Read a CSV file with the columns of `TRACE_COLUMNS`, in the order of time.
+    """Read arrivals, ordered by time, from a CSV file with the columns `TRACE_COLUMNS`.
 
     Raises:
-        TraceError: a line is not an arrival, or is earlier than the one before.
+        TraceError: a line is not a valid arrival, or is earlier than the previous line.
     """
     with path.open(newline="") as file:
         previous_at = 0.0
@@ -223,9 +232,11 @@
             try:
                 arrival = _parse_row(row)
             except (KeyError, ValueError, TypeError) as error:
-                raise TraceError(f"{path}: line {line_number} is no arrival: {error!r}") from error
+                raise TraceError(
+                    f"{path}: line {line_number} is not a valid arrival: {error!r}"
+                ) from error
             if arrival.at < previous_at:
-                raise TraceError(f"{path}: line {line_number} goes back in time")
+                raise TraceError(f"{path}: line {line_number} is earlier than the previous line")
             previous_at = arrival.at
             yield arrival
 
@@ -243,7 +254,7 @@
 
 
 def write_trace(path: Path, arrivals: Iterable[Arrival]) -> int:
-    """Write arrivals to a CSV file that `read_trace` reads, and return how many there were."""
+    """Write arrivals to a CSV file that `read_trace` can read, and return their number."""
     count = 0
     with path.open("w", newline="") as file:
         writer = csv.writer(file)
--- a/dockthread/lab/load.py
+++ b/dockthread/lab/load.py
@@ -1,8 +1,8 @@
-"""Sends arrivals when they are due, whatever became of those before: an open-loop load generator.
+"""An open-loop load generator: sends each request when it is due, whether or not others have ended.
 
-It speaks RESP2 as clients do. A request is sent by an idle connection, or by a new one up to a
-bound; beyond that it waits for a connection while its latency runs on. A client gives up at its
-deadline and closes the connection. Times are in seconds.
+It uses RESP2 as clients do. A request is sent on an idle connection or, up to a maximum number of
+connections, on a new one; otherwise it waits for a connection, and the waiting time counts in its
+latency. A client gives up at its deadline and closes the connection. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -20,28 +20,28 @@
 from dockthread.lab.arrivals import Arrival
 from dockthread.lab.load_result import LoadResult, RequestOutcome
 
-# What the parser returns until a reply is complete.
+# Value that the parser returns while a reply is incomplete.
 INCOMPLETE: Final = object()
-# Seconds after the last deadline in which responses that are on their way may still come.
+# Seconds after the last deadline for which the generator still waits for responses.
 RESPONSE_ALLOWANCE: Final = 0.5
-# Seconds before a start for which waiting on the event loop is no longer worth it.
+# Minimum remaining time, in seconds, for which the generator sleeps before it starts a request.
 MIN_SLEEP: Final = 0.0005
-# Seconds between two looks at whether the last responses have come.
+# Seconds between two checks whether the last responses have arrived.
 DRAIN_POLL_INTERVAL: Final = 0.005
-# Requests after which progress is reported and the event loop gets its turn.
+# Number of requests after which the generator reports progress and yields to the event loop.
 PROGRESS_INTERVAL: Final = 64
 
 
 @dataclass(frozen=True, slots=True)
 class LoadTarget:
-    """Where a load goes.
+    """The server to which a load is sent, and how clients send it.
 
     Attributes:
-        host: the address to connect to.
-        port: its port.
-        deadlines: seconds until a client gives up, by request class.
-        write_classes: request classes that are sent by `API.WRITE`.
-        max_connections: connections that may be open at once.
+        host: the server's address.
+        port: the server's port.
+        deadlines: seconds after which a client gives up, by request class.
+        write_classes: request classes that are sent with the command `API.WRITE`.
+        max_connections: maximum number of open connections.
     """
 
     host: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingArrival:
-    """A request that has to be sent, and when it was due by `time.perf_counter`."""
+    """A request that has not been sent yet, and its due time by `time.perf_counter`."""
 
     arrival: Arrival
     due: float
@@ -61,17 +61,19 @@
 
 @dataclass(frozen=True, slots=True)
 class InFlightRequest:
-    """A request that was sent, and the timer of its deadline."""
+    """A request that was sent, and its deadline timer."""
 
     pending: PendingArrival
     deadline_timer: asyncio.TimerHandle
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection, with one request at a time, so that a deadline closes only its own request.
+    """A connection that carries one request at a time.
+
+    A request that reaches its deadline closes the connection, which then affects no other request.
 
     Attributes:
-        transport: asyncio's transport, from `connection_made` on.
+        transport: the asyncio transport, set by `connection_made`.
     """
 
     transport: asyncio.Transport
@@ -86,11 +88,11 @@
         self._reader = hiredis.Reader(notEnoughData=INCOMPLETE)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
-        self.transport = transport  # type: ignore[assignment]  # uvloop has a class of its own
+        """Store the transport."""
+        self.transport = transport  # type: ignore[assignment]  # uvloop's transport class differs
 
     def data_received(self, data: bytes) -> None:
-        """Pass on a complete reply; bytes that cannot be parsed end the connection."""
+        """Report a complete reply; abort the connection if the data cannot be parsed."""
         self._reader.feed(data)
         try:
             response = self._reader.gets()
@@ -101,12 +103,12 @@
             self._on_response(self, response)
 
     def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002  asyncio's interface
-        """Report the end of the connection."""
+        """Report that the connection is closed."""
         self._on_lost(self)
 
 
 def classify_response(response: object) -> RequestOutcome:
-    """Return what a response means by the protocol."""
+    """Return the outcome that a response represents in the protocol."""
     if isinstance(response, hiredis.ReplyError):
         is_rejected = str(response).split(" ")[0] == "BUSY"
         return RequestOutcome.REJECTED if is_rejected else RequestOutcome.FAILED
@@ -116,7 +118,7 @@
 
 
 def encode_request(arrival: Arrival, target: LoadTarget, request_id: int) -> bytes:
-    """Encode a request as clients do."""
+    """Encode a request in RESP2 as clients do."""
     verb = b"API.WRITE" if arrival.request_class in target.write_classes else b"API.READ"
     deadline_ms = target.deadlines[arrival.request_class] * MILLISECONDS
     terms = (
@@ -137,13 +139,14 @@
         request_id_step: int = 1,
         on_progress: Callable[[int], None] | None = None,
     ) -> None:
-        """Prepare a load; call it in a running event loop.
+        """Prepare a load; must be called in a running event loop.
 
         Args:
-            target: where it goes.
-            request_id_base: the number of the first request, less one step.
-            request_id_step: what each request's number grows by, so that processes never share one.
-            on_progress: is called now and then with the number of requests that were started.
+            target: the server to which the load is sent.
+            request_id_base: the id of the first request minus `request_id_step`.
+            request_id_step: the difference between successive request ids; with the number of
+                processes as step, no two processes use the same id.
+            on_progress: called every `PROGRESS_INTERVAL` requests with the number of started requests.
         """
         self._target = target
         self._request_id = request_id_base
@@ -159,7 +162,7 @@
         self._in_flight: dict[ClientConnection, InFlightRequest] = {}
 
     async def run(self, arrivals: Iterable[Arrival]) -> LoadResult:
-        """Send all requests in their time, wait for the last responses and return the result."""
+        """Send all requests when they are due, wait for the last responses and return the result."""
         begun_at = time.perf_counter()
         cpu_at_begin = time.process_time()
         last_deadline = await self._send_all(arrivals, begun_at)
@@ -170,7 +173,7 @@
         return self._result
 
     async def _send_all(self, arrivals: Iterable[Arrival], begun_at: float) -> float:
-        """Start each request in its time and return the latest deadline of all."""
+        """Start each request when it is due and return the latest deadline."""
         last_deadline = 0.0
         for arrival in arrivals:
             due = begun_at + arrival.at
@@ -186,7 +189,7 @@
 
     async def _drain(self, until: float) -> None:
         """Wait for the last responses, then close all connections."""
-        while (self._in_flight or self._waiting) and time.perf_counter() < until:  # noqa: ASYNC110  it ends by time, too
+        while (self._in_flight or self._waiting) and time.perf_counter() < until:  # noqa: ASYNC110  the wait also has a time limit
             await asyncio.sleep(DRAIN_POLL_INTERVAL)
         for connection in list(self._open):
             connection.transport.abort()
@@ -229,7 +232,7 @@
         self._send_next(connection)
 
     def _send_next(self, connection: ClientConnection) -> None:
-        """Send the request that has waited longest and is not past its deadline, if there is one."""
+        """Send the longest-waiting request whose deadline has not passed, or become idle."""
         now = time.perf_counter()
         while self._waiting:
             pending = self._waiting.popleft()
@@ -250,7 +253,7 @@
     def _end(
         self, connection: ClientConnection, outcome: RequestOutcome, latency: float | None = None
     ) -> None:
-        """Count the connection's request, if it has one in flight, as ended."""
+        """Record the outcome of the connection's request, if one is in flight."""
         request = self._in_flight.pop(connection, None)
         if request is not None:
             request.deadline_timer.cancel()
@@ -260,7 +263,7 @@
     def _on_response(self, connection: ClientConnection, response: object) -> None:
         request = self._in_flight.get(connection)
         if request is None:
-            return  # its client has given up
+            return  # The client has given up already.
         latency = time.perf_counter() - request.pending.due
         self._end(connection, classify_response(response), latency)
         self._send_next(connection)
--- a/dockthread/lab/load_result.py
+++ b/dockthread/lab/load_result.py
@@ -1,8 +1,8 @@
-"""What became of a load's requests: counts and latencies, which are summed over processes.
+"""Outcomes and latencies of a load's requests, which can be merged over several processes.
 
-Latencies are kept in HdrHistogram (Gil Tene), in microseconds. They run from the intended start of
-each request, so that a stall of the server, or of the load generator, is in the latency of every
-request that it touched.
+Latencies are recorded in an HdrHistogram (Gil Tene), in microseconds. They are measured from the due
+time of each request, so that a stall of the server or of the load generator shows in the latency of
+every request that it delayed.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-# Shortest and longest time of a histogram, in microseconds; the longest is 5 min.
+# Shortest and longest time that a histogram records, in microseconds; the longest is 5 min.
 MIN_RECORDED_US: Final = 1
 MAX_RECORDED_US: Final = 300_000_000
-# Decimal digits to which a histogram keeps a time.
+# Significant decimal digits of a recorded time.
 SIGNIFICANT_DIGITS: Final = 3
-MICROSECONDS: Final = 1e6  # in a second
-# Seconds; with a 99th percentile of the starts' lateness above it a run says nothing.
+MICROSECONDS: Final = 1e6  # Microseconds per second.
+# Maximum 99th percentile of start lateness for a run to be valid, in seconds.
 MAX_START_LATENESS: Final = 0.010
-# Percentiles of a summary, by their keys.
+# Percentiles of a summary, by their JSON keys.
 PERCENTILES: Final = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p99.9": 99.9, "max": 100.0}
 
-# The JSON object of a summary, or of a result on its way between processes.
+# The JSON object of a summary, or of a result that one process sends to another.
 JsonObject: TypeAlias = dict[str, Any]
 
 
 class RequestOutcome(StrEnum):
-    """What became of a request, by the words of the summary.
+    """The outcome of a request; the values are keys of the summary.
 
-    `LOST`: the connection ended before the response. `LATE`: no response came within the client's
+    `LOST`: the connection closed before the response. `LATE`: no response arrived by the client's
     deadline. `UNSENT`: no connection could be opened.
     """
 
@@ -67,15 +67,15 @@
 
 @dataclass
 class LoadResult:
-    """What became of the requests of one load, or of several that were merged.
+    """The result of one load, or of several loads that were merged.
 
     Attributes:
-        counts: requests by class and outcome.
-        latencies: histograms of the answered requests, by class.
-        start_lateness: histogram of how long after their time requests were started.
-        request_count: requests that were started.
-        seconds: how long the load lasted.
-        connection_count: connections that were opened.
+        counts: number of requests by class and outcome.
+        latencies: latency histograms of the answered requests, by class.
+        start_lateness: histogram of the delays between due time and start of requests.
+        request_count: number of started requests.
+        seconds: duration of the load.
+        connection_count: number of opened connections.
         cpu_seconds: CPU time of the load generator.
     """
 
@@ -90,25 +90,25 @@
     def record_outcome(
         self, request_class: str, outcome: RequestOutcome, latency: float | None = None
     ) -> None:
-        """Count a request that has ended; `latency` in seconds, None if no response came."""
+        """Count a request that has ended; `latency` is in seconds, or None without a response."""
         self.counts[request_class, outcome.value] += 1
         if latency is not None:
             _record(self._latencies_of(request_class), latency)
 
     def record_start(self, lateness: float) -> None:
-        """Count a request that was started so many seconds after its time."""
+        """Count a request that was started `lateness` seconds after its due time."""
         self.request_count += 1
         _record(self.start_lateness, lateness)
 
     def _latencies_of(self, request_class: str) -> Any:
-        # Not by setdefault: a histogram is too large to create one for each request.
+        # setdefault would create a histogram for each request, which is too large for that.
         if request_class not in self.latencies:
             self.latencies[request_class] = new_histogram()
         return self.latencies[request_class]
 
     @property
     def void_reason(self) -> str:
-        """Why the run says nothing of the server; empty if it does say something."""
+        """Why the run is not a valid measurement of the server; empty if the run is valid."""
         lateness = self.start_lateness.get_value_at_percentile(99.0) / MICROSECONDS
         if self.request_count and lateness > MAX_START_LATENESS:
             return (
@@ -118,11 +118,11 @@
         return ""
 
     def total(self, outcome: str) -> int:
-        """Return how many requests of all classes had this outcome."""
+        """Return the number of requests of all classes that had this outcome."""
         return sum(count for (_, counted), count in self.counts.items() if counted == outcome)
 
     def to_json(self) -> JsonObject:
-        """Return a JSON object from which another process merges this result."""
+        """Return a JSON object that another process can merge into its own result."""
         return {
             "counts": [[*key, count] for key, count in self.counts.items()],
             "times": {
@@ -136,7 +136,7 @@
         }
 
     def merge(self, encoded: JsonObject) -> None:
-        """Add the result of another process, as `to_json` gave it."""
+        """Add the result of another process, as returned by its `to_json`."""
         for name, outcome, count in encoded["counts"]:
             self.counts[name, outcome] += count
         for name, text in encoded["times"].items():
@@ -148,7 +148,7 @@
         self.cpu_seconds += encoded["cpu"]
 
     def summary(self) -> JsonObject:
-        """Return the JSON object that is shown to users; latencies in milliseconds."""
+        """Return the JSON object that is shown to users; latencies are in milliseconds."""
         request_classes = sorted({name for name, _ in self.counts})
         return {
             "asked": self.request_count,
--- a/dockthread/lab/processes.py
+++ b/dockthread/lab/processes.py
@@ -1,4 +1,4 @@
-"""Sends one load from several processes: each draws the same arrivals and sends its share."""
+"""Sends one load from several processes: each generates all arrivals and sends its own share."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 from dockthread.lab.load import LoadGenerator, LoadTarget
 from dockthread.lab.load_result import JsonObject, LoadResult
 
-# Seconds that the processes have to come up before the first request starts.
+# Seconds that the processes have to start before the first request is due.
 STARTUP_TIME: Final = 0.6
-# Low bits of the first request's number that hold the process's share.
+# Number of low bits of the first request id that hold the share's index.
 SHARE_BITS: Final = 12
-# Largest number of a request: 64 bits.
+# Largest request id: 64 bits.
 MAX_REQUEST_ID: Final = (1 << 64) - 1
 NANOSECONDS_PER_MICROSECOND: Final = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class LoadPlan:
-    """What is to be sent: drawn from a seed, or read from a trace.
+    """The requests of a load, drawn from a seed or read from a trace.
 
     Attributes:
-        target: where it goes.
-        seed: what the arrivals are drawn from.
-        segments: their rates.
-        mix: which requests they are; may be None with a trace.
-        trace: a file of arrivals that are sent instead.
+        target: the server to which the load is sent.
+        seed: the seed from which arrivals are drawn.
+        segments: the rate of arrivals over time.
+        mix: the mix of requests; may be None if there is a trace.
+        trace: a trace file whose arrivals are sent instead of drawn ones.
     """
 
     target: LoadTarget
@@ -44,19 +44,19 @@
     trace: Path | None = None
 
     def arrivals(self) -> Iterator[Arrival]:
-        """Return all requests of all processes, in their order."""
+        """Return the requests of all processes, ordered by time."""
         if self.trace is not None:
             return read_trace(self.trace)
-        assert self.mix is not None, "without a trace there is a mix"
+        assert self.mix is not None, "a load without a trace needs a mix"
         return draw_arrivals(self.segments, self.mix, self.seed)
 
 
 async def send_share(
     plan: LoadPlan, share: int, share_count: int, on_progress: Callable[[int], None] | None = None
 ) -> LoadResult:
-    """Send every `share_count`-th arrival from number `share` on.
+    """Send every `share_count`-th arrival, beginning with the arrival at index `share`.
 
-    The requests' numbers differ from those of the other shares and of other runs.
+    The request ids differ from those of the other shares and of other runs.
     """
     now_us = time.time_ns() // NANOSECONDS_PER_MICROSECOND
     request_id_base = (now_us << SHARE_BITS | share) & MAX_REQUEST_ID
@@ -70,7 +70,7 @@
 
 
 def send_from_processes(plan: LoadPlan, process_count: int) -> LoadResult:
-    """Send a load from so many processes, and return the merged result when all have ended."""
+    """Send a load from `process_count` processes and return their merged result."""
     total = LoadResult()
     begin_at = time.time() + STARTUP_TIME
     context = multiprocessing.get_context("spawn")
--- a/dockthread/lab/seeds.py
+++ b/dockthread/lab/seeds.py
@@ -1,4 +1,4 @@
-"""Runs a simulated scenario with many seeds over processes, and says which violated a rule."""
+"""Runs a simulated scenario with many seeds in several processes, and reports rule violations."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 from dockthread.lab.raft.checker import RuleViolation
 
-# Seeds that a process runs before it reports, unless the caller says otherwise.
+# Default number of seeds that a process runs before it reports.
 DEFAULT_CHUNK_SIZE: Final = 10
 
 
 @dataclass(frozen=True, slots=True)
 class PlayedSeed:
-    """What one seed gave, the same each time.
+    """The result of one seed, which is the same in each run.
 
     Attributes:
-        violations: the rules that it violated, in the order in which they were found.
-        record: what happened, line by line.
+        violations: the rule violations, in the order in which they were found.
+        record: the recorded events, one per line.
     """
 
     violations: tuple[RuleViolation, ...]
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ViolatingSeed:
-    """A seed and the first rule that it violated."""
+    """A seed and its first rule violation."""
 
     seed: int
     violation: RuleViolation
@@ -37,13 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SeedChunk:
-    """Seeds that one process ran: how many, and those that violated a rule."""
+    """The number of seeds in a chunk that one process ran, and its violating seeds."""
 
     seed_count: int
     violating_seeds: tuple[ViolatingSeed, ...]
 
 
-# Runs a seed: the scenario's name, the seed, and the name of a seeded defect or "".
+# Function that runs one seed; its arguments are the scenario's name, the seed, and the name of a
+# seeded defect or "".
 PlaySeed: TypeAlias = Callable[[str, int, str], PlayedSeed]
 
 
@@ -55,7 +56,7 @@
     return SeedChunk(len(seeds), violating_seeds)
 
 
-def play_seeds(  # noqa: PLR0913  callers of several scenarios name the last ones
+def play_seeds(  # noqa: PLR0913  the last two have defaults
     play_seed: PlaySeed,
     scenario: str,
     seeds: range,
@@ -63,15 +64,16 @@
     seeded_defect: str = "",
     chunk_size: int = DEFAULT_CHUNK_SIZE,
 ) -> Iterator[SeedChunk]:
-    """Run seeds of a scenario and yield chunk by chunk, in the order of the seeds.
+    """Run seeds of a scenario and yield the result of each chunk, in the order of the seeds.
 
     Args:
-        play_seed: runs one seed; a function of a module, as other processes import it.
+        play_seed: runs one seed; must be a module-level function, because it is pickled for the
+            processes.
         scenario: the scenario's name.
-        seeds: the seeds.
-        jobs: how many processes run them; 1 runs them in this one.
+        seeds: the seeds to run.
+        jobs: number of processes; with 1 the seeds run in the current process.
         seeded_defect: the name of a seeded defect, or "".
-        chunk_size: seeds that a process runs before it reports.
+        chunk_size: number of seeds that a process runs before it reports.
     """
     chunks = [seeds[start : start + chunk_size] for start in range(0, len(seeds), chunk_size)]
     if jobs == 1:
--- a/tests/lab/test_lab_load.py
+++ b/tests/lab/test_lab_load.py
@@ -1,4 +1,4 @@
-"""The load generator: arrivals from a seed, an open loop that hides no stall, and void runs."""
+"""Tests of the load generator: arrivals drawn from a seed, traces, open-loop latency and results."""
 
 from __future__ import annotations
 
@@ -43,19 +43,19 @@
 @pytest.mark.parametrize(
     "text", ["", "140", "140@", "x@1s", "1>@1s", "0@1s", "-1@1s", "140@1", "2e5@1s", "1e5@1h"]
 )
-def test_text_that_is_no_rate_shape_is_rejected(text: str) -> None:
+def test_invalid_rate_shape_is_rejected(text: str) -> None:
     with pytest.raises(RateShapeError):
         parse_rate_shape(text)
 
 
 @pytest.mark.parametrize("text", ["a:0", "a:x", ":1", ""])
-def test_text_that_is_no_list_of_weights_is_rejected(text: str) -> None:
+def test_invalid_list_of_weights_is_rejected(text: str) -> None:
     with pytest.raises(WeightsError):
         parse_weights(text)
 
 
 @given(st.floats(1, 500), st.floats(1, 500), st.integers(0, 9))
-def test_arrivals_come_in_order_and_in_number_as_the_shape_says(
+def test_arrivals_are_ordered_and_their_number_matches_the_rate_shape(
     begin_rate: float, end_rate: float, seed: int
 ) -> None:
     segments = parse_rate_shape(f"{begin_rate}>{end_rate}@10s,{end_rate}@5s")
@@ -66,23 +66,23 @@
     assert abs(len(times) - expected) <= 6 * expected**0.5 + 6
 
 
-def test_rate_that_rises_from_zero_puts_three_quarters_into_its_second_half() -> None:
+def test_rate_rising_from_zero_puts_three_quarters_of_arrivals_in_the_second_half() -> None:
     segments = parse_rate_shape("0>2000@10s")
     times = [arrival.at for arrival in draw_arrivals(segments, MIX, 1)]
     assert sum(at > 5 for at in times) / len(times) == pytest.approx(0.75, abs=0.02)
 
 
-def test_seed_repeats_its_arrivals_and_another_mix_keeps_the_times() -> None:
+def test_seed_repeats_its_arrivals_and_another_mix_keeps_the_arrival_times() -> None:
     segments = parse_rate_shape("100@5s")
     arrivals = list(draw_arrivals(segments, MIX, 7))
     assert arrivals == list(draw_arrivals(segments, MIX, 7))
     assert arrivals != list(draw_arrivals(segments, MIX, 8))
     other_mix = RequestMix((("seat-status", 1.0),), (("gross", 1.0),))
-    others = list(draw_arrivals(segments, other_mix, 7))
-    assert [arrival.at for arrival in others] == [arrival.at for arrival in arrivals]
+    other_arrivals = list(draw_arrivals(segments, other_mix, 7))
+    assert [arrival.at for arrival in other_arrivals] == [arrival.at for arrival in arrivals]
 
 
-def test_trace_is_read_as_written(tmp_path: Path) -> None:
+def test_trace_that_is_written_can_be_read_again(tmp_path: Path) -> None:
     path = tmp_path / "t.csv"
     arrivals = list(draw_arrivals(parse_rate_shape("50@2s"), MIX, 3))
     assert write_trace(path, arrivals) == len(arrivals)
@@ -97,11 +97,11 @@
 @pytest.mark.parametrize(
     ("line", "message"),
     [
-        ("x,a,b,1,1,1,0", "line 3 is no arrival"),
-        ("0.5,a,b,1,1,1,0", "line 3 goes back in time"),
+        ("x,a,b,1,1,1,0", "line 3 is not a valid arrival"),
+        ("0.5,a,b,1,1,1,0", "line 3 is earlier than the previous line"),
     ],
 )
-def test_bad_line_of_a_trace_is_named(tmp_path: Path, line: str, message: str) -> None:
+def test_error_names_the_invalid_line_of_a_trace(tmp_path: Path, line: str, message: str) -> None:
     path = tmp_path / "t.csv"
     path.write_text(f"{','.join(TRACE_COLUMNS)}\n1.0,a,b,1,1,1,0\n{line}\n")
     with pytest.raises(TraceError, match=message):
@@ -119,17 +119,21 @@
     return LoadTarget("127.0.0.1", port, DEADLINES, frozenset())
 
 
-def test_stall_is_in_the_latency_of_every_request_that_it_touched() -> None:
-    """A closed loop would see one slow response; the open one sees all that were due in the stall."""
+def test_stall_shows_in_the_latency_of_every_request_that_it_delays() -> None:
+    """Guards against a load generator that waits for responses before it sends more requests.
+
+    Such a closed loop would measure one slow response; the open loop measures every request that
+    was due during the stall.
+    """
 
     async def scenario() -> None:
-        begun: list[float] = []
+        request_times: list[float] = []
 
         async def stall(args: list[bytes]) -> bytes | None:
             now = asyncio.get_running_loop().time()
-            begun.append(now)
-            stall_end = begun[0] + 0.9
-            if 0.3 < now - begun[0] < 0.9:
+            request_times.append(now)
+            stall_end = request_times[0] + 0.9
+            if 0.3 < now - request_times[0] < 0.9:
                 await asyncio.sleep(stall_end - now)
             return VALUE
 
@@ -137,14 +141,14 @@
         result = await LoadGenerator(target_at(port), 1).run(arrivals_at_rate(100, 1.5))
         summary = result.summary()
         assert summary["outcomes"]["served"] == 150
-        # 60 of 150 were due in the 600 ms, and waited 300 ms on average.
+        # 60 of the 150 requests were due during the stall of 600 ms and waited 300 ms on average.
         assert summary["times_ms"]["seat-status"]["p90"] > 350
         assert summary["times_ms"]["seat-status"]["max"] > 550
 
     run(scenario())
 
 
-def test_every_request_has_one_outcome() -> None:
+def test_every_request_is_counted_with_one_outcome() -> None:
     async def respond_by_customer(args: list[bytes]) -> bytes | None:
         responses = {
             1: VALUE,
@@ -171,7 +175,7 @@
     run(scenario())
 
 
-def test_request_without_a_response_in_time_is_late_and_its_connection_is_closed() -> None:
+def test_request_without_response_by_its_deadline_is_late_and_its_connection_is_closed() -> None:
     async def scenario() -> None:
         async def hang(args: list[bytes]) -> bytes | None:
             await asyncio.Event().wait()
@@ -181,14 +185,16 @@
         port = await backend.start()
         target = LoadTarget("127.0.0.1", port, {"seat-status": 0.2}, frozenset(), max_connections=4)
         result = await LoadGenerator(target, 1).run(arrivals_at_rate(40, 0.5))
-        assert result.total(RequestOutcome.LATE) == 20, "those that waited for a connection, too"
+        assert result.total(RequestOutcome.LATE) == 20, (
+            "requests that waited for a connection are late, too"
+        )
         await asyncio.sleep(0.05)
         assert backend.closed == backend.opened
 
     run(scenario())
 
 
-def test_requests_are_unsent_where_nothing_listens() -> None:
+def test_requests_are_unsent_if_no_server_listens() -> None:
     async def scenario() -> None:
         result = await LoadGenerator(target_at(1), 1).run(arrivals_at_rate(100, 0.2))
         assert result.total(RequestOutcome.UNSENT) == 20
@@ -196,7 +202,7 @@
     run(scenario())
 
 
-def test_run_is_void_if_one_start_in_a_hundred_was_late() -> None:
+def test_run_is_void_if_more_than_one_percent_of_starts_are_late() -> None:
     punctual = LoadResult()
     late = LoadResult()
     for number in range(1000):
@@ -208,14 +214,14 @@
 
 def test_results_of_processes_are_merged() -> None:
     total = LoadResult()
-    for part_number in range(2):
-        part = LoadResult()
+    for process_number in range(2):
+        result = LoadResult()
         for number in range(100):
-            part.record_start(0.001)
-            latency = 0.001 * (number + 1) + part_number
-            part.record_outcome("c", RequestOutcome.SERVED, latency)
-        part.seconds = 1.0 + part_number
-        total.merge(json.loads(json.dumps(part.to_json())))
+            result.record_start(0.001)
+            latency = 0.001 * (number + 1) + process_number
+            result.record_outcome("c", RequestOutcome.SERVED, latency)
+        result.seconds = 1.0 + process_number
+        total.merge(json.loads(json.dumps(result.to_json())))
     assert total.request_count == 200
     assert total.total(RequestOutcome.SERVED) == 200
     assert total.seconds == 2.0
@@ -234,7 +240,7 @@
         (7, "failed"),
     ],
 )
-def test_response_is_classified_by_the_protocol(response: Any, outcome: str) -> None:
+def test_response_is_classified_as_the_protocol_defines(response: Any, outcome: str) -> None:
     assert classify_response(response) == outcome
 
 
@@ -256,16 +262,16 @@
         )
         stdout, _ = await process.communicate()
         summary = json.loads(stdout)
-        assert process.returncode in (0, 2)  # 2: this machine was too busy
+        assert process.returncode in (0, 2)  # 2: the run is void because this machine was too busy
         arrival_count = len(list(read_trace(trace)))
         assert summary["outcomes"]["served"] == summary["asked"] == arrival_count
         request_ids = [args[2] for args in backend.seen]
-        assert len(set(request_ids)) == len(request_ids), "no request id twice"
+        assert len(set(request_ids)) == len(request_ids), "two requests have the same id"
 
     run(scenario())
 
 
-def test_load_command_names_a_bad_address() -> None:
+def test_load_command_reports_an_invalid_address() -> None:
     completed = subprocess.run(
         [sys.executable, "-m", "dockthread", "lab", "load", "nowhere"],
         cwd=ROOT,
