--- a/dockthread/lab/maintenance/__init__.py
+++ b/dockthread/lab/maintenance/__init__.py
@@ -1,1 +1,1 @@
-"""The maintenance laboratory: simulated and as real processes."""
+"""Tools that test planned maintenance in a simulation and on real processes."""
--- a/dockthread/lab/maintenance/backend_faults.py
+++ b/dockthread/lab/maintenance/backend_faults.py
@@ -1,4 +1,4 @@
-"""Faults of simulated backends: some fail for a while, and zones are overloaded for a while."""
+"""Injects temporary faults of simulated backends: failing backends and overloaded zones."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 from dockthread.lab.maintenance.environment import SimulationEnvironment
 
-BACKEND_FAILURE = "fail"  # a fault: a backend fails for a while
-OVERLOAD = "press"  # a fault: zones are overloaded for a while
-FAILING_MS = (200.0, 4_000.0)  # least and most time for which a backend fails
-OVERLOAD_MS = (100.0, 1_500.0)  # least and most time for which zones are overloaded
+BACKEND_FAILURE = "fail"  # Name of the fault in which a backend fails temporarily.
+OVERLOAD = "press"  # Name of the fault in which all zones are overloaded temporarily.
+FAILING_MS = (200.0, 4_000.0)  # Minimum and maximum duration of a backend failure.
+OVERLOAD_MS = (100.0, 1_500.0)  # Minimum and maximum duration of an overload.
 
 
 class BackendFaults:
-    """Injects the faults and ends each after a random time.
+    """Injects faults and ends each of them after a random time.
 
     Args:
-        simulation: Where they are scheduled.
+        simulation: The simulation in which faults are scheduled.
         backends: Backends that may fail.
 
     Attributes:
-        handlers: What injects each fault, by its name.
-        failing: Backends that fail now.
-        is_overloaded: Zones are overloaded now.
+        handlers: The function that injects each fault, by the fault's name.
+        failing: Backends that are failing now.
+        is_overloaded: Whether the zones are overloaded now.
     """
 
     def __init__(self, simulation: SimulationEnvironment, backends: Sequence[str]) -> None:
--- a/dockthread/lab/maintenance/checker.py
+++ b/dockthread/lab/maintenance/checker.py
@@ -1,17 +1,20 @@
-"""Checks planned maintenance by what backends, members and staff did; shares no code with what it checks.
-
-The rules, by name:
-
-- `zone`: backends of one zone that staff have switched off, or that warm up, are never more than
-  allowed;
-- `used`: a member that says it has drained a backend sends nothing there while it is switched off;
-- `idle`: nor has it a request in flight there when the backend is switched off;
-- `dead`: a member whose confirmation was not awaited had been unreachable for long;
-- `once`: what staff requested once is one request;
-- `early`: no grant times out before its time;
-- `ingresses`: one ingress at a time is away for its own restart;
-- `alike`: at the end all members hold the same state, and drain what it says;
-- `progress`: at the end no request of staff is unfinished.
+"""Checks planned maintenance from the actions of backends, members and staff.
+
+The checker shares no code with the maintenance scheduler and the participants that it checks. The
+rules, by name:
+
+- `zone`: no more backends of a zone than allowed are switched off by staff or warming up;
+- `used`: a member that has confirmed that it drained a backend sends no request to it while the
+  backend is switched off;
+- `idle`: a member that has confirmed that it drained a backend has no request in flight there when
+  the backend is switched off;
+- `dead`: if a backend is switched off without the confirmation of a member, that member has been
+  unreachable for at least the failure timeout;
+- `once`: a request that staff made once appears in the log as one maintenance request;
+- `early`: no grant times out before the grant timeout;
+- `ingresses`: at most one ingress at a time is down for its own restart;
+- `alike`: at the end all members have the same state and drain the backends that the state lists;
+- `progress`: at the end no maintenance request is unfinished.
 """
 
 from __future__ import annotations
@@ -24,13 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the rules allow.
+    """The limits that the rules check.
 
     Attributes:
-        max_unavailable: Backends of a zone that may be away at once.
-        warm_up_ms: For how long a backend that is back counts as away.
-        failure_timeout_ms: Least time for which a member that was not awaited was unreachable.
-        grant_timeout_ms: Least time after which a grant may time out.
+        max_unavailable: Maximum number of unavailable backends in a zone.
+        warm_up_ms: Time for which a backend counts as unavailable after it is switched on.
+        failure_timeout_ms: Minimum time that a member must be unreachable before a backend may be
+            switched off without its confirmation.
+        grant_timeout_ms: Minimum time between a grant and its timeout.
     """
 
     max_unavailable: int
@@ -41,15 +45,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SwitchOff:
-    """Staff switch a backend off.
+    """The event that staff switch a backend off.
 
     Attributes:
-        at_ms: When.
-        backend: Which.
-        drained_by: Members that say they have drained it.
+        at_ms: Time of the event.
+        backend: The backend that is switched off.
+        drained_by: Members that have confirmed that they drained the backend.
         members: All members.
-        in_flight: Requests in flight there, by member.
-        unreachable_ms: For how long of late each member was down, stalled or hard to reach.
+        in_flight: Number of requests in flight at the backend, by member.
+        unreachable_ms: How long each member has recently been down, stalled or hard to reach.
     """
 
     at_ms: float
@@ -62,14 +66,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalState:
-    """What the members and staff hold at the end.
+    """The state of members and staff at the end of a run.
 
     Attributes:
-        at_ms: When.
+        at_ms: Time of the end.
         snapshots: Snapshot of each member's state.
-        drained: What each member drains.
-        expected: What the state says is drained.
-        unfinished: Targets of requests of staff that are not finished.
+        drained: The backends that each member drains.
+        expected: The backends that have to be drained according to the replicated state.
+        unfinished: Targets of maintenance requests that are not finished.
     """
 
     at_ms: float
@@ -80,12 +84,12 @@
 
 
 class MaintenanceChecker:
-    """Takes note of what happens, and of each rule that is broken.
+    """Receives the events of a run and records each rule violation.
 
     Args:
         zone_of: Zone of each backend.
-        limits: What the rules allow.
-        violations: Where violations of rules are added.
+        limits: The limits that the rules check.
+        violations: List to which rule violations are appended.
 
     Attributes:
         switched_off: Backends that are switched off, each with the members that have drained it.
@@ -98,16 +102,19 @@
         self._limits = limits
         self._violations = violations
         self.switched_off: dict[str, Collection[str]] = {}
-        self._warm_at: dict[str, float] = {}  # by backend that has come back
-        self._request_index: dict[str, int] = {}  # by staff's comment
-        self._granted_at: dict[tuple[str, int], float] = {}  # by backend and epoch
+        # End of the warm-up of each backend that was switched on again.
+        self._warm_at: dict[str, float] = {}
+        # Log index of each maintenance request, by the comment of staff.
+        self._request_index: dict[str, int] = {}
+        # Time of each grant, by target and epoch.
+        self._granted_at: dict[tuple[str, int], float] = {}
         self._restarting: set[str] = set()
 
     def _break(self, rule: str, at_ms: float, detail: str) -> None:
         self._violations.append(RuleViolation(rule, at_ms, detail))
 
     def on_switched_off(self, event: SwitchOff) -> None:
-        """Check the rules `zone`, `idle` and `dead` as staff switch a backend off."""
+        """Check the rules `zone`, `idle` and `dead` when staff switch a backend off."""
         self.switched_off[event.backend] = event.drained_by
         self._check_zone(event.at_ms, self._zone_of[event.backend])
         for member in event.members:
@@ -116,12 +123,16 @@
                 self._break(
                     "idle",
                     event.at_ms,
-                    f"{member} has {event.in_flight[member]} out at {event.backend}, which is pulled",
+                    f"{member} has {event.in_flight[member]} requests in flight at"
+                    f" {event.backend}, which is switched off",
                 )
             unreachable_ms = event.unreachable_ms.get(member, 0.0)
             if not has_drained and unreachable_ms < self._limits.failure_timeout_ms:
                 self._break(
-                    "dead", event.at_ms, f"{event.backend} is out without {member}, which was there"
+                    "dead",
+                    event.at_ms,
+                    f"{event.backend} is switched off without a confirmation from {member},"
+                    " which was reachable",
                 )
 
     def _check_zone(self, at_ms: float, zone: str) -> None:
@@ -133,61 +144,74 @@
         )
         limit = self._limits.max_unavailable
         if len(away) > limit:
-            self._break("zone", at_ms, f"{', '.join(away)} of {zone} are away, and {limit} may be")
+            self._break(
+                "zone",
+                at_ms,
+                f"{', '.join(away)} in zone {zone} are unavailable, but at most {limit} may be",
+            )
 
     def on_switched_on(self, at_ms: float, backend: str) -> None:
-        """Take note that staff have switched a backend on again."""
+        """Record that staff have switched a backend on again."""
         self.switched_off.pop(backend, None)
         self._warm_at[backend] = at_ms + self._limits.warm_up_ms
 
     def on_request_sent(self, at_ms: float, member: str, backend: str) -> None:
-        """Check the rule `used` as a member sends a request to a backend."""
+        """Check the rule `used` when a member sends a request to a backend."""
         if member in self.switched_off.get(backend, ()):
-            self._break("used", at_ms, f"{member} sends to {backend}, which it said it holds")
+            self._break(
+                "used",
+                at_ms,
+                f"{member} sends a request to {backend}, which it has confirmed as drained",
+            )
 
     def on_maintenance_requested(self, at_ms: float, comment: str, index: int) -> None:
-        """Check the rule `once` as a member knows a request of staff at an index of the log."""
+        """Check the rule `once` when a member has applied a maintenance request at a log index."""
         known = self._request_index.setdefault(comment, index)
         if known != index:
-            self._break("once", at_ms, f"{comment} is a request at {known} and at {index}")
+            self._break(
+                "once", at_ms, f"{comment} is a request at log index {known} and at {index}"
+            )
 
     def on_granted(self, at_ms: float, target: str, epoch: int) -> None:
-        """Take note of a grant."""
+        """Record the time of a grant."""
         self._granted_at.setdefault((target, epoch), at_ms)
 
     def on_grant_timed_out(self, at_ms: float, target: str, epoch: int) -> None:
-        """Check the rule `early` as a grant times out."""
+        """Check the rule `early` when a grant times out."""
         lasted_ms = at_ms - self._granted_at.get((target, epoch), at_ms)
         limit_ms = self._limits.grant_timeout_ms
         if lasted_ms < limit_ms:
             self._break(
-                "early", at_ms, f"{target}'s turn lapses after {lasted_ms:.0f} ms of {limit_ms:.0f}"
+                "early",
+                at_ms,
+                f"the grant of {target} timed out after {lasted_ms:.0f} ms,"
+                f" before the timeout of {limit_ms:.0f} ms",
             )
 
     def on_restart_begun(self, at_ms: float, ingress: str) -> None:
-        """Check the rule `ingresses` as an ingress shuts down for its own restart."""
+        """Check the rule `ingresses` when an ingress shuts down for its own restart."""
         self._restarting.add(ingress)
         if len(self._restarting) > 1:
             names = ", ".join(sorted(self._restarting))
-            self._break("ingresses", at_ms, f"{names} are away in their turns")
+            self._break("ingresses", at_ms, f"{names} restart at the same time")
 
     def on_started(self, ingress: str) -> None:
-        """Take note that an ingress runs again."""
+        """Record that an ingress has started."""
         self._restarting.discard(ingress)
 
     def on_end(self, final: FinalState) -> None:
-        """Check the rules `alike` and `progress` at the end."""
+        """Check the rules `alike` and `progress` at the end of the run."""
         if len(set(final.snapshots.values())) > 1:
             names = ", ".join(final.snapshots)
-            self._break("alike", final.at_ms, f"the orders of {names} differ")
+            self._break("alike", final.at_ms, f"the states of {names} differ")
         for member, drained in final.drained.items():
             if set(drained) != set(final.expected):
                 expected = sorted(final.expected)
                 self._break(
                     "alike",
                     final.at_ms,
-                    f"{member} holds {sorted(drained)}, and {expected} are out",
+                    f"{member} drains {sorted(drained)} instead of {expected}",
                 )
         if final.unfinished:
             names = ", ".join(sorted(final.unfinished))
-            self._break("progress", final.at_ms, f"{names} came to no end")
+            self._break("progress", final.at_ms, f"requests for {names} are not finished")
--- a/dockthread/lab/maintenance/environment.py
+++ b/dockthread/lab/maintenance/environment.py
@@ -1,4 +1,4 @@
-"""What staff, traffic and faults of backends need of the simulation that they take part in."""
+"""The interface of the simulation for simulated staff, traffic and backend faults."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 
 class MemberIncarnation(Protocol):
-    """One life of a member's process."""
+    """A member between one start of its process and the next."""
 
     @property
     def participant(self) -> MaintenanceParticipant:
-        """The member's participant."""
+        """The member's maintenance participant."""
         ...
 
     @property
     def in_flight(self) -> Counter[str]:
-        """The member's requests in flight, by backend."""
+        """Number of the member's requests in flight, by backend."""
         ...
 
 
 class SimulationEnvironment(Protocol):
-    """The simulation; times are in milliseconds of its clock."""
+    """The simulation as seen by its components; times are in simulated milliseconds."""
 
     rng: random.Random
     now: float
@@ -38,33 +38,33 @@
 
     @property
     def incarnations(self) -> Mapping[str, MemberIncarnation]:
-        """The present incarnation of each member."""
+        """The latest incarnation of each member."""
         ...
 
     def schedule(self, delay_ms: float, callback: Callable[..., None], *args: Any) -> None:
-        """Run a callback later in simulated time."""
+        """Schedule a callback with these arguments after a delay from now."""
         ...
 
     def record_event(self, text: str) -> None:
-        """Append a line to the record."""
+        """Append a line to the record of events."""
         ...
 
     def random_member(self) -> SimulatedMember | None:
-        """Return a running member; None where none runs."""
+        """Return a random running member, or None if no member can be used."""
         ...
 
     def scheduler_of(self, member: SimulatedMember) -> MaintenanceScheduler:
-        """Return the member's replica of the scheduler."""
+        """Return a member's replica of the scheduler."""
         ...
 
     def propose_to_leader(self, member: SimulatedMember, command: MaintenanceCommand) -> None:
-        """Propose a command as staff at a member do."""
+        """Propose a command through a member, which forwards it to its leader."""
         ...
 
     def in_flight_at(self, backend: str) -> dict[str, int]:
-        """Return the requests in flight at a backend, by member."""
+        """Return the number of requests in flight at a backend, by member."""
         ...
 
     def unreachable_ms(self) -> dict[str, float]:
-        """Return for each member how long it has been unreachable."""
+        """Return how long each member has recently been unreachable."""
         ...
--- a/dockthread/lab/maintenance/process_cluster.py
+++ b/dockthread/lab/maintenance/process_cluster.py
@@ -1,8 +1,8 @@
-"""Starts real ingresses as one cluster, each link between them through a relay, and puts faults there.
+"""Runs a cluster of real ingress processes and injects faults into the links between them.
 
-Each process is ended by its own id. Its configuration lists backends of the caller's choosing, which
-need not exist: what is rehearsed is how the ingresses agree among themselves. Everything is on
-loopback, at ports of the system's choosing.
+Every link passes through a relay that can be cut or delayed. The caller chooses the backends in the
+ingresses' configuration; they need not exist, because the cluster tests consensus between the
+ingresses. All processes listen on loopback, at ports that the operating system assigns.
 """
 
 from __future__ import annotations
@@ -24,25 +24,26 @@
 from dockthread.raft.storage import RaftStorage
 
 HOST = "127.0.0.1"
-NO_ANSWER = 0  # in place of a status, where the process does not answer
+NO_ANSWER = 0  # Status code that stands for a missing response.
 OK = 200
 CALL_TIMEOUT_S = 6.0
-STATUS_TIMEOUT_S = 0.5  # of calls that only look
-MAX_SOCKETS = 512  # of each process
+STATUS_TIMEOUT_S = 0.5  # Timeout of read-only calls.
+MAX_SOCKETS = 512  # Maximum number of sockets of each process.
 
 
 class Link(NamedTuple):
-    """One direction between two ingresses."""
+    """One direction of the connection between two ingresses."""
 
     sender: str
     receiver: str
 
 
 def reserve_port() -> socket.socket:
-    """Bind a port that a process started here may listen at while the socket is held.
+    """Reserve a free port for a process that is started later.
 
-    The system gives it to nobody else: a port that was only found free was now and then taken by an
-    outgoing connection before the process came up.
+    The returned socket is bound but does not listen. While it is open, the operating system assigns
+    its port to no other socket, but a process may listen there with SO_REUSEADDR. If the port were
+    only looked up and released, an outgoing connection could take it before the process starts.
     """
     reservation = socket.socket()
     reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -51,22 +52,22 @@
 
 
 class ProcessCluster:
-    """Ingresses of one cluster, as processes.
+    """A cluster of ingress processes.
 
     Args:
-        folder: Where each process has a folder of its own.
+        folder: Directory in which each process has its own subdirectory.
         size: Number of ingresses.
-        settings: The platform's settings, for all of them.
-        targets: What discovery lists, in its own form.
-        max_unavailable: Backends of one zone that may be unavailable at once.
-        more: Further lines of the section `[fleet]`.
+        settings: The platform's settings for all ingresses.
+        targets: The configured endpoint list, as entries in discovery's format.
+        max_unavailable: Maximum number of unavailable backends in a zone.
+        more: Additional lines of the section `[fleet]`.
 
     Attributes:
-        folder: Where each process has a folder of its own.
+        folder: Directory in which each process has its own subdirectory.
         names: Names of the ingresses.
         client: Address of each ingress for requests.
         admin: Address of each ingress's admin endpoint.
-        links: The relay of each direction between two ingresses.
+        links: The relay of each link.
         processes: Processes that were started and not killed, by name.
     """
 
@@ -102,14 +103,14 @@
         return Address(*self._reservations[-1].getsockname()[:2])
 
     async def open(self) -> None:
-        """Open the links and start all ingresses."""
+        """Open all links and start all ingresses."""
         for link in self.links.values():
             await link.open()
         for name in self.names:
             self.start(name)
 
     async def close(self) -> None:
-        """Kill all ingresses and close the links."""
+        """Kill all ingresses and close all links."""
         for name in list(self.processes):
             self.kill(name)
         for link in self.links.values():
@@ -118,11 +119,11 @@
             reservation.close()
 
     def start(self, name: str, ini_text: str = "") -> None:
-        """Start an ingress with whatever its folder holds from before.
+        """Start an ingress; it recovers the state that a previous process left in its directory.
 
         Args:
             name: The ingress.
-            ini_text: Text of the operator's INI file, in place of the cluster's own.
+            ini_text: Text of the operator's INI file; empty for the default of this cluster.
         """
         home = self.folder / name
         if not (home / "log").exists():
@@ -175,26 +176,31 @@
         self.processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kill an ingress and wait for its end."""
+        """Kill an ingress and wait until its process has ended."""
         process = self.processes.pop(name)
         process.kill()
         process.wait()
 
     def cut(self, side: set[str], both: bool = True) -> None:
-        """Cut the links from `side` to the others and, if `both`, back; all other links are healed."""
+        """Cut the links from the ingresses in `side` to those outside, and heal all other links.
+
+        Args:
+            side: Names of ingresses.
+            both: Whether the links in the opposite direction are cut, too.
+        """
         for link, relay in self.links.items():
             is_outward = link.sender in side and link.receiver not in side
             is_inward = link.receiver in side and link.sender not in side
             relay.is_cut = is_outward or (both and is_inward)
 
     def heal(self) -> None:
-        """End all cuts and delays."""
+        """Remove all cuts and delays."""
         for relay in self.links.values():
             relay.is_cut = False
             relay.delay_ms = 0.0
 
     def delay(self, delay_ms: float) -> None:
-        """Delay each piece on every link."""
+        """Delay data on every link."""
         for relay in self.links.values():
             relay.delay_ms = delay_ms
 
@@ -209,8 +215,8 @@
         """Call an ingress's admin endpoint.
 
         Returns:
-            The status, and the JSON object or text of the answer; status 0 where the process does
-            not answer in time.
+            The status code and the JSON object or text of the response; the status code is 0 if the
+            process does not respond in time.
         """
         data = json.dumps(body).encode() if body is not None else b""
         head = f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(data)}\r\n\r\n"
@@ -231,12 +237,16 @@
         return status, json.loads(text) if is_json else text.decode()
 
     async def look(self, name: str, path: str) -> Any:
-        """Return the JSON object of a call that only looks; None where there is no answer."""
+        """Send a GET request and return the JSON object, or None if there is no valid response."""
         status, content = await self.call(name, "GET", path, time_limit_s=STATUS_TIMEOUT_S)
         return content if status == OK else None
 
     async def leader(self, among: list[str] | None = None) -> str:
-        """Return the leader of the highest term that any of them knows; empty where none leads."""
+        """Return the name of the leader with the highest term, or "" if no ingress is leader.
+
+        Args:
+            among: Names of the ingresses to ask; by default all running ones.
+        """
         highest_term = -1
         leader = ""
         for name in among or [name for name in self.names if name in self.processes]:
@@ -249,10 +259,10 @@
     async def drained_targets(
         self, name: str, states: Sequence[str] = DRAINED_STATES
     ) -> set[str] | None:
-        """Return the targets whose requests are in some states, as one ingress knows them.
+        """Return the targets of one ingress's maintenance requests that are in one of the states.
 
         Returns:
-            Their names; None where the ingress does not answer.
+            Names of the targets, or None if the ingress does not respond.
         """
         listing = await self.look(name, "/_work")
         if listing is None:
--- a/dockthread/lab/maintenance/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -1,18 +1,19 @@
-"""Plays a scenario on real processes, with links that can be cut and staff who switch backends off.
-
-Staff request maintenance at one member, look at any that answers for what became of their own
-request (by their comment on it), switch a backend off once it is unavailable, say done after the
-work, and make every call again that was not answered. A light load goes to each ingress meanwhile.
-An ingress that ends by itself is started again, as a supervisor would. The rules, by name:
-
-- `zone`: backends of a zone that are switched off are never more than allowed;
-- `used`: nothing comes to a backend that is switched off, where every living member has said that
-  it has drained it;
-- `ingresses`: one ingress at a time is away for its own restart;
-- `lost`: no request to an ingress that was never killed or stopped fails, is lost or gets no answer
-  in its time;
-- `alike`: at the end all members say the same;
-- `progress`: at the end every request of staff is finished.
+"""Plays a scenario on real processes, with faulty links and staff who switch backends off.
+
+Simulated staff request maintenance at one member and poll any member that responds for the state of
+their request, which they identify by their comment. They switch a backend off when it is
+unavailable, report completion after the work, and retry every call that was not answered. Meanwhile
+each ingress receives a light load. An ingress that exits by itself is restarted, as by a process
+supervisor. The rules, by name:
+
+- `zone`: no more backends of a zone than allowed are switched off;
+- `used`: if every running member has confirmed that it drained a backend, the backend receives no
+  request while it is switched off;
+- `ingresses`: at most one ingress at a time is down for its own restart;
+- `lost`: no request to an ingress that was never killed or stopped fails, is lost or exceeds its
+  deadline;
+- `alike`: at the end all members report the same maintenance requests;
+- `progress`: at the end every maintenance request is finished.
 """
 
 from __future__ import annotations
@@ -50,16 +51,17 @@
     "Models": ["type-a"],
     "Period": 4000,
 }
-TIMEOUTS_INI = "dead = 1500ms\nlapse = 15s\n"  # further lines of `[fleet]`
+TIMEOUTS_INI = "dead = 1500ms\nlapse = 15s\n"  # Additional lines of the section `[fleet]`.
 MS_PER_S = 1000.0
-ELECTION_LIMIT_S = 30.0  # until every member knows a leader
-CALM_LIMIT_S = 30.0  # after the last step, until every request is finished
-LOOK_INTERVAL_S = 0.1  # between looks of staff and of the supervisor
-RETRY_S = 2.0  # after which staff make a call again
-REQUEST_TIMEOUT_S = 4.0  # of the load's requests
-CUSTOMERS = 7  # of the load
-IDENTIFIERS_PER_INGRESS = 40  # bits of a request's identifier that are an ingress's own
-DETAIL_LENGTH = 600  # characters of a broken rule's detail
+ELECTION_LIMIT_S = 30.0  # Maximum time until every member knows a leader.
+CALM_LIMIT_S = 30.0  # Maximum time from the last step until every request is finished.
+LOOK_INTERVAL_S = 0.1  # Poll interval of staff and of the supervisor.
+RETRY_S = 2.0  # Minimum time before staff retry a call.
+REQUEST_TIMEOUT_S = 4.0  # Deadline of the load's requests.
+CUSTOMERS = 7  # Number of customers in the load.
+# Number of low bits of a request id that count the requests to one ingress.
+IDENTIFIERS_PER_INGRESS = 40
+DETAIL_LENGTH = 600  # Maximum length of a violation's detail, in characters.
 SIGNALS = {
     StepVerb.STOP: signal.SIGSTOP,
     StepVerb.CONTINUE: signal.SIGCONT,
@@ -68,18 +70,18 @@
 
 
 class VoidRunError(DockthreadError):
-    """The run says nothing: it could not be set up, or the tool itself fell behind."""
+    """The run is not a valid test, because the cluster elected no leader."""
 
 
 @dataclass
 class RehearsalResult:
-    """What came of a run.
+    """The result of a run.
 
     Attributes:
-        broken: Rules that were broken.
-        record: What happened, one line each, with the time in milliseconds.
-        served: Requests of the load that were served.
-        sent: Requests of the load.
+        broken: The rule violations.
+        record: The events, one per line, each with its time in milliseconds.
+        served: Number of served requests of the load.
+        sent: Number of sent requests of the load.
     """
 
     broken: list[RuleViolation] = field(default_factory=list)
@@ -92,8 +94,8 @@
     """One run of a scenario.
 
     Args:
-        folder: Where the processes have their folders.
-        scenario: What is played.
+        folder: Directory in which each process has its own subdirectory.
+        scenario: The scenario to play.
     """
 
     def __init__(self, folder: Path, scenario: PlannedScenario) -> None:
@@ -109,16 +111,20 @@
         }
         self._cluster: ProcessCluster
         self._tasks: list[asyncio.Task[Any]] = []
-        self._disturbed: set[str] = set()  # ingresses that were killed, stopped or told to end
-        self._restarted: set[str] = set()  # ingresses that ended by themselves
-        self._killed: set[str] = set()  # by the scenario, until it starts them
-        self._restarting: set[str] = set()  # ended by themselves and not ready yet
+        # Ingresses that the scenario has ever killed or sent a signal.
+        self._disturbed: set[str] = set()
+        # Ingresses that have ever exited by themselves.
+        self._restarted: set[str] = set()
+        # Ingresses that the scenario killed and has not started again.
+        self._killed: set[str] = set()
+        # Ingresses that exited by themselves and are not ready again.
+        self._restarting: set[str] = set()
 
     async def play(self) -> RehearsalResult:
         """Play the scenario to its end.
 
         Raises:
-            VoidRunError: The processes elected no leader.
+            VoidRunError: The cluster elected no leader.
         """
         for backend in self._backends.values():
             await backend.open()
@@ -146,9 +152,11 @@
         try:
             await asyncio.wait_for(self._wait_for_leader(), ELECTION_LIMIT_S)
         except TimeoutError as error:
-            raise VoidRunError(f"the fleet has no leader after {ELECTION_LIMIT_S:.0f} s") from error
+            raise VoidRunError(
+                f"the cluster has no leader after {ELECTION_LIMIT_S:.0f} s"
+            ) from error
         self._begun_at = time.monotonic()
-        self._note("a leader stands")
+        self._note("a leader is elected")
         names = self._cluster.names if self._settings.load else []
         loads = [asyncio.create_task(self._send_load(name)) for name in names]
         supervisor = asyncio.create_task(self._supervise())
@@ -205,7 +213,7 @@
                     self._disturb(step.verb, name)
 
     async def _named(self, operand: str) -> list[str]:
-        """Return the targets that an operand stands for just now."""
+        """Return the targets that an operand stands for at present."""
         if operand == "all":
             return list(self._cluster.names)
         if operand not in ("leader", "follower"):
@@ -221,7 +229,7 @@
             self._cluster.start(name)
 
     def _disturb(self, verb: StepVerb, name: str) -> None:
-        """Kill an ingress that runs, or send it a signal."""
+        """Kill a running ingress, or send it a signal."""
         if name not in self._cluster.processes or name in self._killed:
             return
         self._disturbed.add(name)
@@ -232,7 +240,7 @@
             self._cluster.signal(name, SIGNALS[verb])
 
     async def _supervise(self) -> None:
-        """Start each ingress again that ends by itself; it is away until it is ready."""
+        """Restart each ingress that exits by itself, and poll it until it is ready."""
         while True:
             for name, process in list(self._cluster.processes.items()):
                 if name not in self._killed and process.poll() is not None:
@@ -246,16 +254,16 @@
     def _restart(self, name: str, exit_code: int) -> None:
         self._restarted.add(name)
         self._restarting.add(name)
-        self._note(f"{name} has ended with {exit_code}")
+        self._note(f"{name} has exited with code {exit_code}")
         if len(self._restarting) > 1:
             names = ", ".join(sorted(self._restarting))
-            self._break("ingresses", f"{names} are away at once")
+            self._break("ingresses", f"{names} restart at the same time")
         self._cluster.start(name)
 
     # Staff
 
     async def _call(self, call: str, target: str, comment: str) -> bool:
-        """Make a call at one member after another until one says yes."""
+        """Call one member after another until one accepts the call; return whether one did."""
         body = {"target": target, "why": comment}
         for name in list(self._cluster.processes):
             status, _ = await self._cluster.call(name, "POST", f"/_work/{call}", body)
@@ -264,7 +272,7 @@
         return False
 
     async def _find_request(self, comment: str) -> Mapping[str, Any] | None:
-        """Return the request with staff's comment, as the first member that knows it has it."""
+        """Return the request with this comment from the first member that knows it, or None."""
         for name in list(self._cluster.processes):
             listing = await self._cluster.look(name, "/_work")
             for request in [*listing["work"], *listing["over"]] if listing else []:
@@ -273,7 +281,7 @@
         return None
 
     async def _request_maintenance(self, target: str) -> None:
-        """Play staff who want a target out of service, to the end of their request."""
+        """Act as staff who request maintenance of a target, until their request is finished."""
         comment = f"{target}/{len(self._result.record)}"
         called_at: float | None = None
         has_worked = False
@@ -298,7 +306,7 @@
             await asyncio.sleep(LOOK_INTERVAL_S)
 
     async def _work_at(self, target: str, drained_by: Sequence[str]) -> None:
-        """Switch a backend off, work at it, and switch it on; check the rules `zone` and `used`."""
+        """Switch a backend off for the time of the work; check the rules `zone` and `used`."""
         backend = self._backends[target]
         away = [
             other.uid
@@ -306,18 +314,23 @@
             if other.is_switched_off and other.zone == backend.zone
         ]
         if len(away) >= self._settings.most_out:
-            self._break("zone", f"{target} of {backend.zone} is out with {', '.join(away)}")
+            self._break(
+                "zone",
+                f"{target} in {backend.zone} is switched off together with {', '.join(away)}",
+            )
         backend.switch_off()
         used_before = backend.used_while_off_count
         alive = set(self._cluster.processes) - self._killed
-        self._note(f"{target} is pulled, held by {', '.join(drained_by)}")
+        self._note(f"{target} is switched off, drained by {', '.join(drained_by)}")
         await asyncio.sleep(float(self._settings.work) / MS_PER_S)
         used_count = backend.used_while_off_count - used_before
         if used_count > 0 and alive <= set(drained_by):
-            self._break("used", f"{used_count} came to {target}, which all said they hold")
+            self._break(
+                "used", f"{target} was used {used_count} times, although all members had drained it"
+            )
         backend.switch_on()
 
-    # The load, and the end
+    # Load and final checks
 
     async def _send_load(self, name: str) -> None:
         rate = self._settings.load
@@ -340,7 +353,8 @@
         counts = ", ".join(f"{count} {outcome}" for outcome, count in totals.items())
         self._note(f"requests to {name}: {counts}")
         checked = [RequestOutcome.FAILED, RequestOutcome.LOST, RequestOutcome.LATE]
-        # An ingress that restarts takes no new connection for a while, and answers all that it took.
+        # An ingress that restarts accepts no new connections for a while, but it still answers the
+        # requests that it has accepted.
         if name not in self._restarted:
             checked.append(RequestOutcome.UNSENT)
         bad = {outcome: totals[outcome] for outcome in checked if outcome in totals}
@@ -348,7 +362,7 @@
             self._break("lost", f"of {result.request_count} requests to {name}: {json.dumps(bad)}")
 
     async def _check_end(self) -> None:
-        """End all faults; check the rules `alike` and `progress`."""
+        """End all faults, and check the rules `alike` and `progress`."""
         self._cluster.heal()
         for name in list(self._cluster.processes):
             if name not in self._killed:
@@ -362,7 +376,7 @@
             listings = [await self._cluster.look(name, "/_work") for name in self._cluster.names]
             are_alike = None not in listings and len(set(map(json.dumps, listings))) == 1
             if are_alike and not listings[0]["work"]:
-                self._note("all is over, and all say the same")
+                self._note("all requests are finished, and all members report the same")
                 return
             await asyncio.sleep(LOOK_INTERVAL_S)
         names_and_listings = zip(self._cluster.names, listings, strict=True)
--- a/dockthread/lab/maintenance/relay.py
+++ b/dockthread/lab/maintenance/relay.py
@@ -1,4 +1,4 @@
-"""Links between processes that can be cut and delayed: one TCP relay for each direction of a link."""
+"""TCP relays that cut or delay the links between processes, one relay for each direction."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 HOST = "127.0.0.1"
 READ_BYTES = 65536
-CUT_POLL_S = 0.02  # between looks whether a cut link is healed
+CUT_POLL_S = 0.02  # Interval between two checks whether a cut link is healed.
 MS_PER_S = 1000.0
 
 
 class Relay:
-    """Carries what one process sends to another.
+    """Forwards the data that one process sends to another.
 
     Args:
-        receiver: Address of the process that is reached through the relay.
+        receiver: Address of the process to which data is forwarded.
 
     Attributes:
-        is_cut: Nothing passes; open connections stay open and are silent, as on a cut link.
-        delay_ms: How long each piece waits, in its order.
-        port: Where the relay listens, once it is open.
+        is_cut: Whether the link is cut: no data passes, but open connections stay open.
+        delay_ms: Delay of each chunk of data; the order of chunks is kept.
+        port: Port at which the relay listens, set by `open`.
     """
 
     def __init__(self, receiver: Address) -> None:
@@ -33,12 +33,12 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def open(self) -> None:
-        """Listen at a port of the system's choosing."""
+        """Listen at a port that the operating system assigns."""
         self._server = await asyncio.start_server(self._relay, HOST, 0)
         self.port = int(self._server.sockets[0].getsockname()[1])
 
     def close(self) -> None:
-        """Stop listening and end all connections."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
@@ -50,7 +50,7 @@
         self._tasks.add(task)
         onward: asyncio.StreamWriter | None = None
         try:
-            await self._wait_until_healed()  # a connection over a cut link never comes up
+            await self._wait_until_healed()  # No connection is established over a cut link.
             _, onward = await asyncio.open_connection(self._receiver.host, self._receiver.port)
             while piece := await reader.read(READ_BYTES):
                 if self.delay_ms:
@@ -67,5 +67,5 @@
                 onward.close()
 
     async def _wait_until_healed(self) -> None:
-        while self.is_cut:  # noqa: ASYNC110  a link is cut and healed by setting the attribute
+        while self.is_cut:  # noqa: ASYNC110  callers set the attribute without an event
             await asyncio.sleep(CUT_POLL_S)
--- a/dockthread/lab/maintenance/scenario.py
+++ b/dockthread/lab/maintenance/scenario.py
@@ -1,6 +1,6 @@
-"""Scenarios of real processes, as INI: who takes part, and what staff and faults do when.
+"""Scenarios for clusters of real processes: cluster size, and timed actions of staff and faults.
 
-The only I/O is reading the scenarios that come with the program.
+A scenario is an INI file. This module does no I/O except for reading the shipped scenarios.
 
     [scenario]
     about = the leader dies between grant and drain
@@ -19,8 +19,9 @@
     every = 3s
     until = 15s
 
-A step is a time, a word of `StepVerb` and its operands. `leader` is whoever leads then, `follower`
-the first that does not, `all` each. What `[faults]` draws is decided by the seed alone.
+A step consists of a time, a verb of `StepVerb` and its operands. The operand `leader` stands for the
+leader at that time, `follower` for the first ingress that is not the leader, and `all` for all
+ingresses. The faults that `[faults]` draws depend only on the seed.
 """
 
 from __future__ import annotations
@@ -37,15 +38,16 @@
 
 CLUSTER_SIZES = (1, 3, 5, 7)
 MAX_BACKENDS = 32
-MIN_DURATION_MS = 1_000  # of a scenario
-MAX_DURATION_MS = 600_000
-MIN_FAULT_INTERVAL_MS = 200  # shorter, faults would overlap
-FAULT_LENGTHS = (0.4, 0.9)  # least and most length of a drawn fault, in intervals
-DRAWN_DELAYS_MS = (20, 50, 200)
+MIN_DURATION_MS = 1_000  # Minimum duration of a scenario.
+MAX_DURATION_MS = 600_000  # Maximum duration of a scenario.
+MIN_FAULT_INTERVAL_MS = 200  # At shorter intervals faults would overlap.
+# Minimum and maximum duration of a drawn fault, as a fraction of the fault interval.
+FAULT_LENGTHS = (0.4, 0.9)
+DRAWN_DELAYS_MS = (20, 50, 200)  # Link delays from which a delay fault draws.
 
 
 class OperandKind(StrEnum):
-    """What a step's operands name; the values are words of error texts."""
+    """The kind of a step's operands; the values appear in error texts."""
 
     TARGETS = "targets"
     INGRESSES = "ingresses"
@@ -55,7 +57,7 @@
 
 
 class StepVerb(StrEnum):
-    """What happens in a step; the values are the words of the scenario's file."""
+    """The action of a step; the values are the verbs in the scenario file."""
 
     ASK = "ask"
     WITHDRAW = "withdraw"
@@ -87,7 +89,7 @@
     StepVerb.MEND: OperandKind.BACKENDS,
     StepVerb.END: OperandKind.INGRESSES,
 }
-# Faults that `[faults]` may draw, each with the step that ends it.
+# The verb that ends each fault that `[faults]` may draw.
 ENDED_BY: dict[str, StepVerb] = {
     StepVerb.KILL: StepVerb.START,
     StepVerb.STOP: StepVerb.CONTINUE,
@@ -103,8 +105,8 @@
     """One step of a scenario.
 
     Attributes:
-        at_ms: When, from when a leader is elected.
-        verb: What happens.
+        at_ms: Time of the step, counted from the first election of a leader.
+        verb: The action.
         operands: Targets, ingresses or backends, or a delay in milliseconds.
     """
 
@@ -114,18 +116,18 @@
 
 
 class ScenarioSection(Section, frozen=True, kw_only=True):
-    """The section `[scenario]`; the names of the fields are its keys.
+    """The section `[scenario]`; the field names are its keys.
 
     Attributes:
-        about: One line for the list of scenarios.
+        about: One-line description for the list of scenarios.
         ingresses: Number of ingresses.
         machines: Number of backends.
-        zones: Number of zones among which the backends are spread.
-        lasts: For how long requests are sent.
-        load: Requests a second to each ingress.
-        work: For how long staff work at a backend.
-        most_out: Backends of one zone that may be unavailable at once.
-        steps: One step a line.
+        zones: Number of zones over which the backends are spread.
+        lasts: Time for which requests are sent.
+        load: Requests per second to each ingress.
+        work: Time for which staff work at a backend.
+        most_out: Maximum number of unavailable backends in a zone.
+        steps: The steps, one per line.
     """
 
     about: str = ""
@@ -144,24 +146,30 @@
             yield KeyProblem("ingresses", f"is {self.ingresses}", "write 1, 3, 5 or 7")
         if not 1 <= self.zones <= self.machines <= MAX_BACKENDS:
             found = f"is {self.machines} in {self.zones} zones"
-            yield KeyProblem("machines", found, "write 1 to 32, and no more zones")
+            yield KeyProblem(
+                "machines", found, "write 1 to 32 machines, and no more zones than machines"
+            )
         if not MIN_DURATION_MS <= self.lasts <= MAX_DURATION_MS:
-            yield KeyProblem("lasts", "is not from 1s to 10min", "write for how long it is played")
+            yield KeyProblem(
+                "lasts", "is not from 1s to 10min", "write the duration of the scenario"
+            )
         for text in _lines(self.steps):
             fault = step_fault(text, self.machines)
             if fault:
                 yield KeyProblem(
-                    "steps", f"{text!r} {fault}", "write TIME and " + ", ".join(OPERANDS)
+                    "steps",
+                    f"{text!r} {fault}",
+                    "write TIME, a verb and its operands; verbs are " + ", ".join(OPERANDS),
                 )
 
 
 class FaultsSection(Section, frozen=True, kw_only=True):
-    """The section `[faults]`: faults drawn by the seed; the names of the fields are its keys.
+    """The section `[faults]`: faults drawn from the seed; the field names are its keys.
 
     Attributes:
-        kinds: Which faults.
-        every: Time between two faults.
-        until: After which no fault begins.
+        kinds: Verbs of the faults that may be drawn.
+        every: Time between the starts of two faults.
+        until: Time after which no fault starts.
     """
 
     kinds: tuple[str, ...] = ()
@@ -173,21 +181,23 @@
         for kind in self.kinds:
             if kind not in ENDED_BY:
                 yield KeyProblem(
-                    "kinds", f"{kind!r} is none", "write some of " + ", ".join(ENDED_BY)
+                    "kinds", f"{kind!r} is not a fault", "write some of " + ", ".join(ENDED_BY)
                 )
         if self.every < MIN_FAULT_INTERVAL_MS:
-            yield KeyProblem("every", "is under 200ms", "faults would stand on each other")
+            yield KeyProblem(
+                "every", "is under 200ms", "write 200ms or more, so that faults do not overlap"
+            )
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedScenario:
-    """A scenario as it is to be played with one seed.
+    """A scenario with the faults that one seed draws.
 
     Attributes:
-        name: Name of the scenario, or its file.
-        settings: Its section `[scenario]`.
+        name: Name or file of the scenario.
+        settings: The section `[scenario]`.
         ingresses: Number of ingresses.
-        steps: All steps, those of the drawn faults too, in the order of time.
+        steps: All steps, including those of the drawn faults, ordered by time.
     """
 
     name: str
@@ -197,11 +207,11 @@
 
 
 class ScenarioError(DockthreadError):
-    """What is wrong with a scenario, one line for each fault."""
+    """A scenario is invalid; the message has one line for each problem."""
 
 
 def step_fault(text: str, backend_count: int) -> str:
-    """Return what is wrong with a step; empty where nothing is."""
+    """Return a description of the problem with a step, or "" if the step is valid."""
     time, verb, *operands = _split_step(text)
     try:
         Duration.parse(time)
@@ -209,19 +219,19 @@
         return f"{time!r} {error}"
     kind = OPERANDS.get(verb)
     if kind is None:
-        return f"has no word {verb!r}"
+        return f"has the unknown verb {verb!r}"
     if kind is OperandKind.DELAY_MS:
         is_number = len(operands) == 1 and operands[0].isdigit()
-        return "" if is_number else "takes a number of ms"
+        return "" if is_number else "takes one number of milliseconds"
     if bool(operands) != bool(kind):
         return f"takes {kind or 'nothing'}"
     known = _known_operands(kind, backend_count)
     unknown = next((operand for operand in operands if operand not in known), None)
-    return f"takes {kind}, and {unknown!r} is none" if unknown is not None else ""
+    return f"takes {kind}, but {unknown!r} is unknown" if unknown is not None else ""
 
 
 def _split_step(text: str) -> list[str]:
-    """Return time, verb and operands; a missing time or verb is empty."""
+    """Return time, verb and operands; a missing time or verb is ""."""
     words = text.split()
     return [*words, "", ""][:2] + words[2:]
 
@@ -242,17 +252,17 @@
 
 
 def parse_scenario(text: str, name: str, ingresses: int = 0, seed: int = 0) -> PlannedScenario:
-    """Read a scenario and draw its faults.
+    """Parse a scenario and draw its faults.
 
     Args:
-        text: The scenario in INI.
-        name: Its name or file, for errors.
-        ingresses: Number of ingresses, in place of the scenario's own; 0 for that.
-        seed: Decides the drawn faults.
+        text: The scenario in INI format.
+        name: The scenario's name or file, for error messages.
+        ingresses: Number of ingresses; 0 uses the number in the scenario.
+        seed: The seed from which faults are drawn.
 
     Raises:
-        ScenarioError: The scenario is wrong; names the file, the key, what is wrong and what would
-            do.
+        ScenarioError: The scenario is invalid; the message names the file, the key, the problem and
+            valid values.
     """
     found = read_sections(
         text, name, {"scenario": SectionKind(ScenarioSection), "faults": SectionKind(FaultsSection)}
@@ -262,7 +272,9 @@
     settings: ScenarioSection = found.section("scenario")
     size = ingresses or settings.ingresses
     if size not in CLUSTER_SIZES:
-        raise ScenarioError(f"{name}: {size} ingresses; write 1, 3, 5 or 7")
+        raise ScenarioError(
+            f"{name}: {size} is not a valid number of ingresses; write 1, 3, 5 or 7"
+        )
     steps = [_parse_step(line) for line in _lines(settings.steps)]
     drawn = _drawn_steps(found.section("faults"), random.Random(seed), size, settings.machines)
     ordered = sorted([*steps, *drawn], key=lambda step: step.at_ms)
@@ -297,7 +309,7 @@
 
 
 def shipped_scenarios() -> dict[str, str]:
-    """Return the texts of the scenarios that come with the program, by name."""
+    """Return the texts of the scenarios that are shipped with the program, by name."""
     folder = resources.files("dockthread.lab.maintenance") / "scenarios"
     files = sorted(
         (file for file in folder.iterdir() if file.name.endswith(".ini")),
--- a/dockthread/lab/maintenance/seeded_defects.py
+++ b/dockthread/lab/maintenance/seeded_defects.py
@@ -1,7 +1,8 @@
-"""Seeded defects of planned maintenance, each of which the checker has to find.
+"""Seeded defects of planned maintenance that the checker has to find.
 
-A simulation replaces the scheduler or the participant by one of these classes; the program never
-does. The keys of the tables are words of the command line.
+A simulation can replace the scheduler or the participant with one of these classes; the program
+itself never uses them. The keys of `SCHEDULERS` and `PARTICIPANTS` are the names of the defects on
+the command line.
 """
 
 from __future__ import annotations
@@ -24,24 +25,24 @@
 
 
 class UnavailableAfterFirstConfirmation(MaintenanceScheduler):
-    """Takes a backend for unavailable once the first member has drained it."""
+    """Treats a backend as unavailable as soon as the first member has drained it."""
 
     def confirming_members(self, request: MaintenanceRequest) -> set[str]:
-        """Return who has drained it, in place of who has to."""
+        """Return the members that have drained the backend instead of those that have to."""
         if request.state is RequestState.DRAINING:
             return set(request.drained_by)
         return super().confirming_members(request)
 
 
 class ReportAppliedTwice(MaintenanceScheduler):
-    """Applies a report whatever its number."""
+    """Applies every report, even if its number shows that it was applied before."""
 
     def _apply_report(self, report: LeaderReport) -> None:
         super()._apply_report(msgspec.structs.replace(report, number=self.report_count + 1))
 
 
 class WarmUpIgnored(MaintenanceScheduler):
-    """Takes a backend for warm as soon as it is back."""
+    """Treats a backend as warm as soon as it is back in service."""
 
     def _advance(self, index: int) -> None:
         for request in self.requests.values():
@@ -50,24 +51,24 @@
 
 
 class UnreachableCountsAsFailed(MaintenanceScheduler):
-    """Does not wait for a member that was unreachable for a moment."""
+    """Does not wait for the confirmation of a member that is unreachable for a moment."""
 
     def confirming_members(self, request: MaintenanceRequest) -> set[str]:
-        """Leave out whoever is unreachable now."""
+        """Return the confirming members without those that are unreachable now."""
         confirming = super().confirming_members(request)
         return {member for member in confirming if not self.unreachable_ms.get(member)}
 
 
 class OneMoreUnavailable(MaintenanceScheduler):
-    """Grants one more of a zone than allowed."""
+    """Grants maintenance to one more backend of a zone than allowed."""
 
     def max_unavailable(self, zone: str, kind: TargetKind = TargetKind.BACKEND) -> int:
-        """Return one more than allowed."""
+        """Return the allowed number plus 1."""
         return super().max_unavailable(zone, kind) + 1
 
 
 class ElapsedSinceStart(MaintenanceParticipant):
-    """Reports all the time since the leader started as elapsed."""
+    """Reports the time since the leader started as elapsed, not the time since its last report."""
 
     def _report(self, now: float, cluster: ClusterView, actions: ParticipantActions) -> None:
         super()._report(now, cluster, actions)
@@ -77,7 +78,7 @@
 
 
 class StartDrainsNothing(MaintenanceParticipant):
-    """Drains nothing at a start until it is told how far the log is committed."""
+    """Drains no backends after a start until the leader sends the commit index."""
 
     def recover(
         self,
@@ -87,23 +88,23 @@
         last_index: int,
         last_term: int,
     ) -> None:
-        """Ignore what the disk holds."""
+        """Ignore the state on disk."""
 
 
 class ConfirmsWhileBusy(MaintenanceParticipant):
-    """Says that it has drained a backend while its requests are in flight there."""
+    """Confirms that it has drained a backend while it still has requests in flight there."""
 
     def update(self, now: float, cluster: ClusterView) -> ParticipantActions:
-        """Take every drained backend for idle."""
+        """Treat every draining backend as idle."""
         drained = self.drained | set(self.scheduler.drained_backends())
         return super().update(now, replace(cluster, idle_backends=drained))
 
 
 class ReleasesOverdue(MaintenanceParticipant):
-    """Sends requests to a backend whose work takes longer than staff said."""
+    """Sends requests to a backend whose maintenance takes longer than staff announced."""
 
     def update(self, now: float, cluster: ClusterView) -> ParticipantActions:
-        """Drop the overdue backends from what is drained."""
+        """Remove the overdue backends from the drained backends."""
         actions = super().update(now, cluster)
         self.drained -= {
             request.target
@@ -114,7 +115,7 @@
 
 
 class RestartedInSameIncarnation(MaintenanceParticipant):
-    """Says that it has restarted when it is about to stop."""
+    """Reports that it has restarted when it is only about to stop."""
 
     def _handle_own_request(
         self,
--- a/dockthread/lab/maintenance/simulation.py
+++ b/dockthread/lab/maintenance/simulation.py
@@ -1,9 +1,9 @@
-"""Planned maintenance on the simulated network: members with their participants, backends and staff.
+"""Simulates planned maintenance on the simulated network, with members, backends and staff.
 
-Beside the faults of the raft simulation there are backends that fail for a while, and zones that
-are overloaded. Each member sends requests to backends that it does not drain; a request lasts some
-milliseconds, now and then long. An ingress that shuts down for its own restart is started again.
-The seed decides everything: one seed, one course of events. Times are in milliseconds.
+In addition to the faults of the Raft simulation, backends fail and zones are overloaded temporarily.
+Members send requests to backends that they do not drain; most requests take some milliseconds, a few
+much longer. An ingress that shuts down for its own restart is started again. A run depends only on
+its seed. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -36,15 +36,15 @@
 OPTIONS = MaintenanceOptions(
     backend_capacity=0.0, headroom=0.2, grant_timeout_ms=4_000.0, failure_timeout_ms=2_000.0
 )
-WARM_UP_MS = 800.0  # of a backend that comes back
-CALM_MS = 40_000.0  # after all faults, in which every request has to be finished
+WARM_UP_MS = 800.0  # Warm-up time of a backend that is switched on again.
+CALM_MS = 40_000.0  # Time after the last fault within which every request has to be finished.
 BACKEND_COUNT = 6
 ZONE_NAMES = "ab"
 ZONE_OF = {f"m{index}": ZONE_NAMES[index % len(ZONE_NAMES)] for index in range(BACKEND_COUNT)}
-UPDATE_INTERVAL_MS = 60.0  # between updates of a participant
-FIRST_FAULT_MS = 400.0
-RESTART_MS = (300.0, 1_500.0)  # least and most time until an ingress is started again
-# Their order decides which random draw turns each on.
+UPDATE_INTERVAL_MS = 60.0  # Interval between two updates of a participant.
+FIRST_FAULT_MS = 400.0  # Time of the first fault.
+RESTART_MS = (300.0, 1_500.0)  # Minimum and maximum downtime of an ingress that restarts.
+# The order decides which random draw enables each fault, so a new order changes every seed.
 FAULTS = (
     Fault.CUT,
     Fault.ONE_WAY_CUT,
@@ -60,23 +60,29 @@
     BACKEND_FAILURE,
     OVERLOAD,
 )
-FAULT_FRACTION = 0.4  # of the faults that a seed turns on
-# Links on which members surely reach each other.
+FAULT_FRACTION = 0.4  # Probability that a seed enables a fault.
+# Up to this loss rate and mean delay, members that can run are considered reachable.
 CALM_LOSS = 0.1
 CALM_DELAY_MS = 50.0
-CLOCK_SLACK_MS = 60.0  # by which times may differ that are told on the way
+# Tolerance of the checker for times that members measure from messages, which arrive with a delay.
+CLOCK_SLACK_MS = 60.0
 
 
 @dataclass(slots=True)
 class Incarnation:
-    """What a member has beside its log, in one life of its process."""
+    """The state of a member between one start of its process and the next, except for its log.
+
+    Attributes:
+        participant: The member's maintenance participant.
+        in_flight: Number of the member's requests in flight, by backend.
+    """
 
     participant: MaintenanceParticipant
-    in_flight: Counter[str] = field(default_factory=Counter)  # own requests, by backend
+    in_flight: Counter[str] = field(default_factory=Counter)
 
 
 class MaintenanceSimulation(RaftSimulation):
-    """One seed's course of members, backends and staff.
+    """A simulation run of members, backends and staff with one seed.
 
     Attributes:
         maintenance_checker: Checks the rules of planned maintenance.
@@ -90,7 +96,7 @@
         super().__init__(seed, size, seeded_defect, faults)
         drawn = tuple(fault for fault in FAULTS if self.rng.random() < FAULT_FRACTION)
         self.faults = drawn if faults is None else faults
-        # A command proposed again is known by its identifier.
+        # A retried command may appear in the log twice; the scheduler detects it by its id.
         self.checker.commands_are_unique = False
         limits = Limits(
             max_unavailable=1,
@@ -107,7 +113,7 @@
         self._reachability = Reachability(UPDATE_INTERVAL_MS, OPTIONS.failure_timeout_ms)
 
     def run(self) -> list[RuleViolation]:
-        """Play the seed to its end, or to the first broken rule."""
+        """Run the simulation to its end or to the first rule violation."""
         self.schedule(SEND_INTERVAL_MS, self._traffic.send_request)
         self.schedule(STAFF_INTERVAL_MS, self._staff.look)
         self.schedule(UPDATE_INTERVAL_MS, self._look_who_is_reachable)
@@ -130,33 +136,40 @@
         first = next(iter(running.values()), None)
         return FinalState(
             at_ms=self.now,
-            snapshots={name: one.scheduler.snapshot() for name, one in running.items()},
-            drained={name: one.drained for name, one in running.items()},
+            snapshots={
+                name: participant.scheduler.snapshot() for name, participant in running.items()
+            },
+            drained={name: participant.drained for name, participant in running.items()},
             expected=first.scheduler.drained_backends() if first is not None else {},
             unfinished=self._staff.unfinished_targets(),
         )
 
-    # What staff use
+    # Interface for staff and traffic
 
     def random_member(self) -> SimulatedMember | None:
-        """Return a running member; None where there is none, or the drawn one is stalled."""
+        """Return a random running member, or None if there is none or the drawn one is stalled."""
         member = self.random_running_member()
         return None if member is None or member.is_stalled else member
 
     def scheduler_of(self, member: SimulatedMember) -> MaintenanceScheduler:
-        """Return the scheduler of a member."""
+        """Return a member's replica of the scheduler."""
         return self.incarnations[member.name].participant.scheduler
 
     def in_flight_at(self, backend: str) -> dict[str, int]:
-        """Return the requests in flight at a backend, by member."""
-        return {name: one.in_flight[backend] for name, one in self.incarnations.items()}
+        """Return the number of requests in flight at a backend, by member."""
+        return {
+            name: incarnation.in_flight[backend] for name, incarnation in self.incarnations.items()
+        }
 
     def unreachable_ms(self) -> dict[str, float]:
-        """Return for how long of late each member was out of reach."""
+        """Return how long each member has recently been unreachable."""
         return {name: self._reachability.unreachable_ms(self.now, name) for name in self.voters}
 
     def propose_to_leader(self, member: SimulatedMember, command: MaintenanceCommand) -> None:
-        """Send a command to whoever leads as far as a member knows; may be lost, late or doubled."""
+        """Send a command to the leader that a member knows.
+
+        The message may be lost, delayed or duplicated.
+        """
         if member.core is None or not member.core.leader_id:
             return
         leader = member.core.leader_id
@@ -171,7 +184,7 @@
     # Members
 
     def start_member(self, member: SimulatedMember) -> None:
-        """Start a member with a new participant, which recovers from its disk."""
+        """Start a member with a new participant that recovers from the member's disk."""
         if member.is_removed or member.core is not None:
             return
         scheduler = SCHEDULERS.get(self.seeded_defect, MaintenanceScheduler)()
@@ -185,7 +198,7 @@
         self._update_regularly(member, member.incarnation)
 
     def on_entry_applied(self, member: SimulatedMember, index: int, entry: Entry) -> None:
-        """Apply a committed entry to a member's participant, and check what it changed."""
+        """Apply a committed entry to a member's participant, and check the changed requests."""
         super().on_entry_applied(member, index, entry)
         participant = self.incarnations[member.name].participant
         if entry.kind == EntryKind.COMMAND:
@@ -203,7 +216,7 @@
         self._update(member)
 
     def on_snapshot_restored(self, member: SimulatedMember, index: int, snapshot: bytes) -> None:
-        """Replace a member's state by a snapshot."""
+        """Replace a member's state with a snapshot."""
         member.applied_index = index
         member.applied_commands = []
         participant = self.incarnations[member.name].participant
@@ -252,7 +265,7 @@
             self.schedule(self.rng.uniform(*RESTART_MS), self.start_member, member)
 
     def _arrives(self, sender: str, receiver: str) -> bool:
-        """Draw whether a message arrives."""
+        """Return whether a message arrives; the loss of messages is random."""
         if (sender, receiver) in self.network.cuts:
             return False
         return sender == receiver or self.rng.random() >= self.network.loss_rate
@@ -298,7 +311,7 @@
     # Reachability
 
     def _look_who_is_reachable(self) -> None:
-        """Take note which members surely reach each other now."""
+        """Record which members are known to be reachable now."""
         self.schedule(UPDATE_INTERVAL_MS, self._look_who_is_reachable)
         if (
             self.network.cuts
@@ -320,7 +333,10 @@
     request: MaintenanceRequest,
     before: tuple[RequestState, int] | None,
 ) -> None:
-    """Tell the checker of a request after an entry; `before` is its state and epoch before it."""
+    """Report a request to the checker after an entry was applied.
+
+    `before` is the state and epoch of the request before the entry, or None if there was no request.
+    """
     checker.on_maintenance_requested(now, request.comment, request.requested_index)
     if request.state is RequestState.GRANTED:
         checker.on_granted(now, request.target, request.epoch)
--- a/dockthread/lab/maintenance/staff.py
+++ b/dockthread/lab/maintenance/staff.py
@@ -1,7 +1,7 @@
-"""Simulated staff: they request maintenance, switch backends off and on, and say that work is done.
+"""Simulates staff who request maintenance, switch backends off and on, and report completed work.
 
-Staff ask at any member, and look at any for what became of their own request, which they know by
-their comment on it. A call that is not answered is made again under the same identifier.
+Staff make each call at a random member and poll random members for the state of their requests,
+which they identify by their comment. A call without effect is retried with the same command id.
 """
 
 from __future__ import annotations
@@ -23,22 +23,23 @@
 if TYPE_CHECKING:
     from dockthread.lab.raft.cluster import SimulatedMember
 
-STAFF_INTERVAL_MS = 350.0  # mean time between looks of staff
-RETRY_MS = 2_500.0  # after which staff make a call again
-MAX_OPEN_TASKS = 4  # tasks of staff at once
-INGRESS_FRACTION = 0.2  # of the tasks that may be about an ingress
-REGRET_FRACTION = 0.15  # of the tasks that staff withdraw as soon as they are known
-URGENCIES = 3  # urgencies 0, 1, ...
-DURATIONS_MS = (0.0, 1_000.0)  # that staff say; the work itself takes as long as it does
-WORK_MS = (300.0, 2_500.0)  # least and most time of the work at a backend
-NEVER_MS = -1e18  # a time before any other
+STAFF_INTERVAL_MS = 350.0  # Mean poll interval of staff.
+RETRY_MS = 2_500.0  # Minimum time before staff retry a call.
+MAX_OPEN_TASKS = 4  # Maximum number of unfinished tasks.
+INGRESS_FRACTION = 0.2  # Probability that the target of a task may be an ingress.
+REGRET_FRACTION = 0.15  # Probability that staff withdraw a request as soon as members know it.
+URGENCIES = 3  # Number of urgency levels, counted from 0.
+# Durations that staff may announce; the actual duration of the work does not depend on them.
+DURATIONS_MS = (0.0, 1_000.0)
+WORK_MS = (300.0, 2_500.0)  # Minimum and maximum duration of the work at a backend.
+NEVER_MS = -1e18  # Earlier than any simulated time.
 
 
 class StaffStep(Enum):
-    """What staff do next about a target."""
+    """The next step of a task."""
 
     REQUEST = auto()
-    WATCH = auto()  # an ingress restarts and comes back by itself
+    WATCH = auto()  # Wait until the ingress has restarted by itself.
     WORK = auto()
     COMPLETE = auto()
     FINISHED = auto()
@@ -46,15 +47,15 @@
 
 @dataclass(slots=True)
 class StaffTask:
-    """What one of staff wants: a target out of service, work done there, and back.
+    """A task of staff: take a target out of service, work at it and return it to service.
 
     Attributes:
-        comment: Staff's words, by which they know their request.
+        comment: Comment by which staff identify their request.
         target: The backend or ingress.
-        command: The request.
-        step: What comes next.
-        called_at: When staff last made a call about it.
-        is_regretted: Staff withdraw it as soon as it is known.
+        command: The command that requests the maintenance.
+        step: The next step.
+        called_at: Time of the last call for this task.
+        is_regretted: Whether staff withdraw the request as soon as members know it.
     """
 
     comment: str
@@ -66,13 +67,13 @@
 
 
 class Staff:
-    """All staff of a simulation.
+    """The staff of a simulation.
 
     Args:
-        simulation: Where they work.
+        simulation: The simulation.
         zone_of: Zone of each backend.
-        warm_up_ms: How long a backend warms up after the work.
-        until_ms: When staff stop to request more.
+        warm_up_ms: Warm-up time of a backend after the work.
+        until_ms: Time after which staff request no more maintenance.
     """
 
     def __init__(
@@ -96,7 +97,7 @@
         return [task for task in self._tasks if task.step is not StaffStep.FINISHED]
 
     def look(self) -> None:
-        """Go on with every task, and now and then begin another."""
+        """Advance every unfinished task and add a task while fewer than the maximum are open."""
         simulation = self._simulation
         simulation.schedule(simulation.rng.uniform(0.5, 1.5) * STAFF_INTERVAL_MS, self.look)
         unfinished = self._unfinished()
@@ -148,7 +149,7 @@
             self._call(member, task, _about(task, CommandAction.COMPLETE, "done"))
 
     def _call(self, member: SimulatedMember, task: StaffTask, command: MaintenanceCommand) -> None:
-        """Make a call, unless it was made a short time ago."""
+        """Make a call for a task, unless the last call was less than `RETRY_MS` ago."""
         now = self._simulation.now
         if now - task.called_at >= RETRY_MS:
             task.called_at = now
@@ -177,14 +178,14 @@
                 unreachable_ms=simulation.unreachable_ms(),
             )
         )
-        simulation.record_event(f"{task.target} is pulled, held by {request.drained_by}")
+        simulation.record_event(f"{task.target} is switched off, drained by {request.drained_by}")
         task.step = StaffStep.WORK
         simulation.schedule(simulation.rng.uniform(*WORK_MS), self._switch_on, task)
 
     def _switch_on(self, task: StaffTask) -> None:
         simulation = self._simulation
         simulation.maintenance_checker.on_switched_on(simulation.now, task.target)
-        simulation.record_event(f"{task.target} is back")
+        simulation.record_event(f"{task.target} is switched on")
         task.step = StaffStep.COMPLETE
         task.called_at = NEVER_MS
 
--- a/dockthread/lab/maintenance/stand_in.py
+++ b/dockthread/lab/maintenance/stand_in.py
@@ -1,6 +1,6 @@
-"""A backend's stand-in that can be switched off or made to fail, and counts what came meanwhile.
+"""A test backend that can be switched off or made to fail, and counts requests while it is off.
 
-It speaks RESP2 on loopback.
+It serves RESP2 on loopback.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 
 HOST = "127.0.0.1"
 READ_BYTES = 65536
-WORK_S = 0.005  # for which each request takes
+WORK_S = 0.005  # Default service time of a request.
 FAILURE = b"-ERR ill\r\n"
 ANSWER = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
 
 class StandInBackend:
-    """One backend.
+    """A test backend.
 
     Args:
-        uid: Its identifier.
-        zone: Its zone.
-        work_s: For how many seconds each request takes.
+        uid: Identifier of the backend in the endpoint list.
+        zone: Zone of the backend.
+        work_s: Service time of a request in seconds.
 
     Attributes:
-        is_switched_off: Connections and requests are broken off, and counted.
-        is_failing: Requests are answered with an error.
-        served_count: Requests answered.
-        used_while_off_count: Connections and requests that came while it was switched off.
-        address: Where it listens, once it is open.
+        is_switched_off: Whether the backend aborts and counts all connections and requests.
+        is_failing: Whether the backend answers every request with an error.
+        served_count: Number of answered requests.
+        used_while_off_count: Number of connections and requests while it was switched off.
+        address: Address at which the backend listens, set by `open`.
     """
 
     def __init__(self, uid: str, zone: str, work_s: float = WORK_S) -> None:
@@ -48,27 +48,27 @@
         self.address = Address(HOST, 0)
 
     async def open(self) -> None:
-        """Listen at a port of the system's choosing."""
+        """Listen at a port that the operating system assigns."""
         self._server = await asyncio.start_server(self._serve, HOST, 0)
         self.address = Address(*self._server.sockets[0].getsockname()[:2])
 
     def close(self) -> None:
-        """Stop listening and break all connections."""
+        """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
         self._break_connections()
 
     def switch_off(self) -> None:
-        """Break all connections, and count what comes from now on."""
+        """Abort all connections, and count further connections and requests instead of serving."""
         self.is_switched_off = True
         self._break_connections()
 
     def switch_on(self) -> None:
-        """Serve again."""
+        """Serve requests again."""
         self.is_switched_off = False
 
     def listed(self) -> dict[str, object]:
-        """Return its entry of the endpoint list, as discovery words it."""
+        """Return the backend's entry in the endpoint list, in discovery's format."""
         return {
             "uid": self.uid,
             "endpoint": str(self.address),
--- a/dockthread/lab/maintenance/traffic.py
+++ b/dockthread/lab/maintenance/traffic.py
@@ -1,4 +1,4 @@
-"""Simulated requests: members send them to backends that they do not drain."""
+"""Simulates the requests that members send to backends that they do not drain."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from dockthread.lab.maintenance.environment import SimulationEnvironment
 
-SEND_INTERVAL_MS = 25.0  # mean time between requests of all members
-SHORT_REQUEST_MS = 30.0  # mean time of most requests
-SHORT_FRACTION = 0.95  # of the requests
-LONG_REQUEST_MS = (200.0, 1_500.0)  # least and most time of the others
+SEND_INTERVAL_MS = 25.0  # Mean time between two requests, counted over all members.
+SHORT_REQUEST_MS = 30.0  # Mean duration of a short request.
+SHORT_FRACTION = 0.95  # Probability that a request is short.
+LONG_REQUEST_MS = (200.0, 1_500.0)  # Minimum and maximum duration of a long request.
 
 
 class Traffic:
-    """The requests of all members.
+    """Generates the requests of all members.
 
     Args:
-        simulation: Whose members send requests.
-        backends: Where they go.
+        simulation: The simulation whose members send requests.
+        backends: Backends to which requests are sent.
     """
 
     def __init__(self, simulation: SimulationEnvironment, backends: Sequence[str]) -> None:
@@ -25,7 +25,7 @@
         self._backends = backends
 
     def send_request(self) -> None:
-        """Let a random member send a request, and schedule the next."""
+        """Send a request from a random member, and schedule the next request."""
         simulation = self._simulation
         rng = simulation.rng
         simulation.schedule(rng.uniform(0.5, 1.5) * SEND_INTERVAL_MS, self.send_request)
--- a/tests/lab/test_maintenance_simulation.py
+++ b/tests/lab/test_maintenance_simulation.py
@@ -1,4 +1,4 @@
-"""Planned maintenance on the simulated network: each seeded defect is found, each seed repeats."""
+"""Tests of simulated planned maintenance: the checker finds seeded defects, and seeds repeat."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from dockthread.lab.maintenance.seeded_defects import NAMES
 from dockthread.lab.raft.seeds import play_seed
 
-# The scenario and the seed in which each defect is found.
+# The scenario and the seed in which the checker finds each defect.
 FOUND = {
     "out-at-the-first-word": ("work-turns", 2),
     "tick-twice": ("work-turns-five", 4),
@@ -23,13 +23,13 @@
 
 
 @pytest.mark.parametrize("defect", NAMES)
-def test_each_seeded_defect_is_found_and_its_seed_holds_without_it(defect: str) -> None:
-    name, seed = FOUND[defect]
-    assert play_seed(name, seed, defect).violations
-    assert not play_seed(name, seed).violations
+def test_checker_finds_each_seeded_defect_and_no_violation_without_it(defect: str) -> None:
+    scenario, seed = FOUND[defect]
+    assert play_seed(scenario, seed, defect).violations
+    assert not play_seed(scenario, seed).violations
 
 
-def test_a_seed_gives_the_same_record_each_time() -> None:
-    first, again = (play_seed("work-turns", 3) for _ in range(2))
-    assert first == again
-    assert any("is pulled" in line for line in first.record)
+def test_same_seed_gives_the_same_record() -> None:
+    first, second = (play_seed("work-turns", 3) for _ in range(2))
+    assert first == second
+    assert any("is switched off" in line for line in first.record)
--- a/tests/lab/test_rehearsal.py
+++ b/tests/lab/test_rehearsal.py
@@ -1,4 +1,4 @@
-"""Scenarios of real processes: read, checked, played, and checked by what backends saw."""
+"""Tests of scenarios on real processes: parsing, validation, a short run and its rules."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 SHORT = """
 [scenario]
-about = the leader dies right after a grant
+about = the leader is killed right after a grant
 machines = 3
 lasts = 5s
 work = 300ms
@@ -34,52 +34,52 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "wrong"),
+    ("text", "message"),
     [
         ("[scenario]\ningresses = 4", "ingresses: is 4"),
         ("[scenario]\nmachines = 0", "machines: is 0 in 1 zones"),
         ("[scenario]\nlasts = 10ms", "lasts: is not from 1s"),
         ("[scenario]\nsteps =\n  soon ask m0", "'soon' is not a duration"),
-        ("[scenario]\nsteps =\n  1s explode m0", "has no word 'explode'"),
-        ("[scenario]\nsteps =\n  1s ask m9", "takes targets, and 'm9' is none"),
+        ("[scenario]\nsteps =\n  1s explode m0", "has the unknown verb 'explode'"),
+        ("[scenario]\nsteps =\n  1s ask m9", "takes targets, but 'm9' is unknown"),
         ("[scenario]\nsteps =\n  1s kill", "takes ingresses"),
         ("[scenario]\nsteps =\n  1s heal n0", "takes nothing"),
-        ("[scenario]\nsteps =\n  1s delay much", "takes a number of ms"),
-        ("[faults]\nkinds = kill, flood", "'flood' is none"),
+        ("[scenario]\nsteps =\n  1s delay much", "takes one number of milliseconds"),
+        ("[faults]\nkinds = kill, flood", "'flood' is not a fault"),
         ("[scenarios]", "is no section"),
     ],
 )
-def test_a_scenario_that_is_wrong_is_rejected_with_its_key(text: str, wrong: str) -> None:
-    with pytest.raises(ScenarioError, match=wrong.replace("(", r"\(")):
+def test_invalid_scenario_is_rejected_and_the_error_names_its_key(text: str, message: str) -> None:
+    with pytest.raises(ScenarioError, match=message.replace("(", r"\(")):
         parse_scenario(text, "f.ini")
 
 
-def test_steps_are_in_order_of_time_and_drawn_faults_depend_on_the_seed_and_end() -> None:
-    played = parse_scenario(SHORT, "f.ini")
-    assert [step.verb for step in played.steps] == [
+def test_steps_are_ordered_by_time_and_drawn_faults_depend_on_the_seed_and_end() -> None:
+    scenario = parse_scenario(SHORT, "f.ini")
+    assert [step.verb for step in scenario.steps] == [
         "ask",
         "kill",
         "start",
-    ] and played.ingresses == 3
-    assert played.steps[0] == Step(500.0, StepVerb.ASK, ("m0", "m1"))
+    ] and scenario.ingresses == 3
+    assert scenario.steps[0] == Step(500.0, StepVerb.ASK, ("m0", "m1"))
     drawn = "[faults]\nkinds = kill, stop, cut, delay\nevery = 1s\nuntil = 9s"
-    first, again, other = (parse_scenario(drawn, "f.ini", 5, seed).steps for seed in (1, 1, 2))
-    assert first == again != other
-    for begins, ends in (("kill", "start"), ("stop", "continue")):
-        assert sum(step.verb == begins for step in first) == sum(
-            step.verb == ends for step in first
+    first, repeated, other = (parse_scenario(drawn, "f.ini", 5, seed).steps for seed in (1, 1, 2))
+    assert first == repeated != other
+    for fault_verb, end_verb in (("kill", "start"), ("stop", "continue")):
+        assert sum(step.verb == fault_verb for step in first) == sum(
+            step.verb == end_verb for step in first
         )
     for name, text in shipped_scenarios().items():
         assert name.startswith("work-") and parse_scenario(text, name).settings.about
 
 
-def test_a_short_scenario_plays_on_processes_by_the_command(tmp_path: Path) -> None:
+def test_command_plays_a_short_scenario_on_processes(tmp_path: Path) -> None:
     (tmp_path / "short.ini").write_text(SHORT)
-    played = CliRunner().invoke(lab, ["fleet", "run", str(tmp_path / "short.ini"), "--json"])
-    assert played.exit_code == 0, played.output
-    told = json.loads(played.output)
-    assert told["broken"] == [] and told["served"] > 100
-    assert sum("is pulled" in line for line in told["record"]) == 2
+    run = CliRunner().invoke(lab, ["fleet", "run", str(tmp_path / "short.ini"), "--json"])
+    assert run.exit_code == 0, run.output
+    result = json.loads(run.output)
+    assert result["broken"] == [] and result["served"] > 100
+    assert sum("is switched off" in line for line in result["record"]) == 2
     assert CliRunner().invoke(lab, ["fleet", "run", "no-such"]).exit_code == 2
     (tmp_path / "bad.ini").write_text("[scenario]\ningresses = 2")
     assert (
@@ -88,7 +88,9 @@
     )
 
 
-def test_two_switched_off_in_a_zone_and_a_request_to_one_break_rules(tmp_path: Path) -> None:
+def test_second_switched_off_backend_of_a_zone_and_a_request_to_a_drained_one_violate_rules(
+    tmp_path: Path,
+) -> None:
     async def scenario() -> None:
         rehearsal = Rehearsal(tmp_path, parse_scenario(SHORT, "f.ini"))
         rehearsal._cluster = type("Cluster", (), {"processes": {"n0": None, "n1": None}})()
@@ -96,11 +98,11 @@
             await backend.open()
         first = asyncio.create_task(rehearsal._work_at("m0", ["n0", "n1"]))
         await asyncio.sleep(0.05)
-        await use(rehearsal._backends["m0"])
-        # n1 had not confirmed that it drained the backend: what comes is not checked
+        await open_connection_until_closed(rehearsal._backends["m0"])
+        # n1 has not confirmed that it drained m1, so requests to m1 would not violate `used`.
         await rehearsal._work_at("m1", ["n0"])
         await first
-        assert sorted(one.rule for one in rehearsal._result.broken) == ["used", "zone"]
+        assert sorted(violation.rule for violation in rehearsal._result.broken) == ["used", "zone"]
         assert not any(backend.is_switched_off for backend in rehearsal._backends.values())
         for backend in rehearsal._backends.values():
             backend.close()
@@ -108,7 +110,7 @@
     asyncio.run(asyncio.wait_for(scenario(), 30))
 
 
-async def use(backend: StandInBackend) -> None:
+async def open_connection_until_closed(backend: StandInBackend) -> None:
     reader, writer = await asyncio.open_connection(backend.address.host, backend.address.port)
     try:
         assert await reader.read(1) == b""
