--- a/dockthread/lab/slow_start/__init__.py
+++ b/dockthread/lab/slow_start/__init__.py
@@ -1,1 +1,1 @@
-"""The slow-start laboratory: simulated backends that warm up, and waves of restarted ingresses."""
+"""Simulations of backends that warm up and of ingresses that restart at the same time."""
--- a/dockthread/lab/slow_start/checker.py
+++ b/dockthread/lab/slow_start/checker.py
@@ -1,12 +1,13 @@
-"""Judges what a fleet sends to backends that warm up; shares no code with what it judges.
+"""Checks the load that ingresses send to backends that warm up.
 
-Let N be the work that the limits allow a backend in `overload_time`: `overload_multiple` times what
-it can serve then, if it warms up as slowly as the limits say. The backend is overloaded when more
-than N + 2 * sqrt(N) + 2 arrives in that time; the terms after N allow for chance. The rule is
-violated by an overload of which more than two thirds came from ingresses that had been notified of
-the backend's start. Other overloads are only counted.
+The checker shares no code with the policy engine that it checks. Let N be the work that the limits
+allow a backend to receive in `overload_time`: `overload_multiple` times the work that it can serve
+in this time if it warms up as slowly as the limits assume. The backend is overloaded if more than
+N + 2 * sqrt(N) + 2 arrives in this time; the terms after N allow for random variation. An overload
+violates the rule if more than two thirds of it come from ingresses that had been notified of the
+backend's start. Other overloads are only counted.
 
-Work is measured in requests of mean work, time in seconds.
+The unit of work is a request of mean work; times are in seconds.
 """
 
 from __future__ import annotations
@@ -16,23 +17,24 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-# Share of an overload's work, from ingresses that were notified, above which the rule is violated.
+# Maximum share of an overload's work that may come from ingresses that were notified of the start.
 MAX_NOTIFIED_SHARE: Final = 2 / 3
-# Standard deviations of a Poisson count that are put down to chance.
+# Standard deviations of a Poisson count that are attributed to random variation.
 CHANCE_DEVIATIONS: Final = 2
-# Requests beyond those that are put down to chance, as small counts are not normally distributed.
+# Additional requests that are attributed to random variation, because small counts are not normally
+# distributed.
 CHANCE_REQUESTS: Final = 2
 
 
 @dataclass(frozen=True, slots=True)
 class WarmUpLimits:
-    """What the settings say of backends that warm up.
+    """The settings for backends that warm up.
 
     Attributes:
-        cold_capacity: the fraction of its capacity that a backend has at its start.
-        warm_up_time: seconds until it has all of it.
-        overload_multiple: how many times what it can serve it may be sent.
-        overload_time: seconds over which that is counted.
+        cold_capacity: the fraction of its full capacity that a backend has at its start.
+        warm_up_time: seconds until a backend has its full capacity.
+        overload_multiple: maximum ratio of the work sent to a backend to the work it can serve.
+        overload_time: seconds over which this work is summed.
     """
 
     cold_capacity: float = 0.22
@@ -43,7 +45,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that reached a backend, from an ingress that was notified of its start or not."""
+    """A request that arrived at a backend.
+
+    Attributes:
+        at: the time of arrival.
+        work: the request's work.
+        was_sender_notified: whether the ingress had been notified of the backend's start.
+    """
 
     at: float
     work: float
@@ -52,13 +60,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Overload:
-    """The first time that a backend was sent more than it is allowed.
+    """The first overload of a backend.
 
     Attributes:
-        at: when.
-        backend: its number.
-        work: what arrived within `overload_time`.
-        allowed_work: N.
+        at: the time at which the overload was found.
+        backend: the backend's number.
+        work: the work that arrived within `overload_time`.
+        allowed_work: the work N that the limits allow.
         notified_share: the share of `work` from ingresses that were notified of the start.
     """
 
@@ -70,20 +78,20 @@
 
     @property
     def violates_rule(self) -> bool:
-        """Whether ingresses that knew of the start caused it."""
+        """Whether ingresses that had been notified of the start caused the overload."""
         return self.notified_share > MAX_NOTIFIED_SHARE
 
 
 @dataclass(slots=True)
 class WarmingBackend:
-    """A backend from its start on.
+    """A backend that has started cold.
 
     Attributes:
-        started_at: when.
-        capacity: requests of mean work that it serves in a second, once warm.
-        arrivals: those of the last `overload_time`.
-        overload: the first one, if there was any.
-        peak_load: the most work that arrived within `overload_time`, divided by N.
+        started_at: the time of the start.
+        capacity: requests of mean work that the backend serves per second when it is warm.
+        arrivals: the requests that arrived within the last `overload_time`.
+        overload: the first overload, or None.
+        peak_load: the maximum work that arrived within `overload_time`, divided by N.
     """
 
     started_at: float
@@ -94,11 +102,11 @@
 
 
 class SlowStartChecker:
-    """Counts the work that arrives at backends while they warm up.
+    """Sums the work that arrives at backends while they warm up, and finds overloads.
 
     Attributes:
-        limits: what the settings allow.
-        backends: those that started, by number.
+        limits: the settings for backends that warm up.
+        backends: the backends that have started cold, by number.
     """
 
     def __init__(self, limits: WarmUpLimits) -> None:
@@ -106,18 +114,19 @@
         self.backends: dict[int, WarmingBackend] = {}
 
     def backend_started(self, backend: int, at: float, capacity: float) -> None:
-        """A backend starts to warm up; `capacity` in requests of mean work in a second."""
+        """Record that a backend starts cold; `capacity` is in requests of mean work per second."""
         self.backends[backend] = WarmingBackend(at, capacity)
 
     def least_capacity(self, age: float) -> float:
-        """Return the fraction of its capacity that a backend of this age has at least."""
+        """Return the minimum fraction of its full capacity that a backend has at this age."""
         gained = (1 - self.limits.cold_capacity) * age / self.limits.warm_up_time
         return min(1.0, self.limits.cold_capacity + gained)
 
     def allowed_work(self, backend: WarmingBackend, at: float) -> float:
-        """Return N for the `overload_time` that ends at a time.
+        """Return N for the period of `overload_time` that ends at `at`.
 
-        The least capacity rises in a straight line, so its mean is that of its two ends.
+        The minimum capacity rises linearly, so its mean is the mean of its values at both ends of
+        the period.
         """
         age = at - backend.started_at
         age_at_begin = max(0.0, age - self.limits.overload_time)
@@ -132,7 +141,7 @@
     def request_arrived(
         self, backend_number: int, at: float, work: float, was_sender_notified: bool
     ) -> None:
-        """Count a request at a backend; ignored unless the backend warms up."""
+        """Count a request that arrives at a backend; ignored unless the backend is warming up."""
         backend = self.backends.get(backend_number)
         if backend is None or not 0.0 <= at - backend.started_at < self.limits.warm_up_time:
             return
--- a/dockthread/lab/slow_start/restart_wave.py
+++ b/dockthread/lab/slow_start/restart_wave.py
@@ -1,17 +1,20 @@
-"""Simulates a wave of restarted ingresses before one discovery service: when each is ready.
+"""Simulates ingresses that restart at the same time and poll discovery for an endpoint list.
 
-The program's own `policy/backoff.py` and the times of `net/discovery_watch.py` are used; the rest
-of the watch is modelled here. An ingress is ready once it has an endpoint list. Where lists are
-pushed, the list that its configuration holds counts after half the drain grace; where they are
-polled for, at once. A failed poll is followed by a backoff; one that gets no response stays open
-through the backoff that would follow it.
+The simulation measures when each ingress is ready, that is, when it has an endpoint list. It uses
+the production code of `policy/backoff.py` and the time constants of `net/discovery_watch.py`, and
+models the other behaviour of the discovery watch.
 
-Discovery works on one poll after another, `service_time_ms` each, also on those whose caller has
-left. It rejects a poll at once when `queue_limit` others wait. A poll that has waited for
-`queue_timeout_ms` fails, or gets no response if discovery `is_silent`. Where lists are pushed, each
-ingress polls an agent of its own, which responds at once, and not at all during the outage.
+The list in an ingress's configuration becomes valid after half the drain grace if lists are pushed,
+and immediately if ingresses poll for lists. After a failed poll the ingress backs off and polls
+again. A poll without a response also starts a backoff, but stays open until the backoff is over.
 
-Times are in milliseconds from the restart.
+Discovery processes polls one after another, each for `service_time_ms`, even if the caller has
+abandoned its poll. It rejects a poll immediately if `queue_limit` other polls are waiting. A poll
+that has waited for `queue_timeout_ms` fails, or gets no response if discovery `is_silent`. If lists
+are pushed, each ingress polls its own agent instead, which responds immediately, or after the outage
+if there is one.
+
+Times are in milliseconds since the restart.
 """
 
 from __future__ import annotations
@@ -32,27 +35,28 @@
 )
 from dockthread.policy.backoff import Backoff
 
-# ms from an ingress to discovery and back.
+# Network round-trip time between an ingress and discovery.
 ROUND_TRIP_MS: Final = 2.0
-# ms that a run lasts.
+# Duration of a run.
 END_MS: Final = 60_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class RestartWave:
-    """What is restarted, and how discovery behaves.
+    """A set of ingresses that restart at the same time, and the behaviour of discovery.
 
     Attributes:
-        fleet_size: ingresses of the fleet.
-        restarted_count: those that restart, all at once.
-        is_list_pushed: each ingress has an agent that pushes its list; else all poll one service.
-        has_known_list: the ingresses' configuration holds a list.
-        outage_ms: how long discovery cannot be reached at first.
-        service_time_ms: how long discovery works on a poll.
-        queue_timeout_ms: how long a poll waits for discovery at most.
-        queue_limit: polls that may wait; discovery rejects further ones.
-        is_silent: polls that waited too long get no response.
-        drain_grace_ms: the setting of this name.
+        fleet_size: number of all ingresses.
+        restarted_count: number of ingresses that restart.
+        is_list_pushed: whether each ingress has an agent that pushes its list; otherwise all
+            ingresses poll one service.
+        has_known_list: whether the ingresses' configuration contains an endpoint list.
+        outage_ms: time after the restart for which discovery is unreachable.
+        service_time_ms: time that discovery needs for a poll.
+        queue_timeout_ms: maximum time that a poll waits in discovery's queue.
+        queue_limit: maximum number of waiting polls; discovery rejects further polls.
+        is_silent: whether polls that exceed `queue_timeout_ms` get no response.
+        drain_grace_ms: the ingresses' drain grace setting.
     """
 
     fleet_size: int = 200
@@ -69,16 +73,16 @@
 
 @dataclass(slots=True)
 class RestartedIngress:
-    """One ingress of the wave.
+    """An ingress that restarts.
 
     Attributes:
-        backoff: the delays between its polls.
-        ready_at_ms: when it was ready.
-        listed_at_ms: when it had the present list.
-        poll_count: polls that it began.
-        first_poll_at_ms: when it began the first.
-        backoff_ms: the sum of its backoffs.
-        open_poll: the number of the poll that is in flight.
+        backoff: the backoff that determines the delays between polls.
+        ready_at_ms: time at which the ingress became ready.
+        listed_at_ms: time at which the ingress received the list from discovery.
+        poll_count: number of started polls.
+        first_poll_at_ms: start of the first poll.
+        backoff_ms: sum of all backoff delays.
+        open_poll: number of the poll in flight, or None.
     """
 
     backoff: Backoff
@@ -92,24 +96,24 @@
 
 @dataclass(frozen=True, slots=True)
 class WaveResult:
-    """What one seed gave: the ingresses, and how often they polled together."""
+    """The result of one seed: the ingresses and the total number of their polls."""
 
     ingresses: list[RestartedIngress]
     poll_count: int
 
     def ready_within(self, limit_ms: float) -> float:
-        """Return the fraction of the ingresses that were ready by then."""
+        """Return the fraction of ingresses that were ready at this time."""
         ready_count = sum(ingress.ready_at_ms <= limit_ms for ingress in self.ingresses)
         return ready_count / len(self.ingresses)
 
     def listed_within(self, limit_ms: float) -> float:
-        """Return the fraction of the ingresses that had the present list by then."""
+        """Return the fraction of ingresses that had received the list from discovery by this time."""
         listed_count = sum(ingress.listed_at_ms <= limit_ms for ingress in self.ingresses)
         return listed_count / len(self.ingresses)
 
 
 class RestartWaveSimulation:
-    """One run of a wave; the same seed gives the same run."""
+    """One run of a restart wave; the same seed gives the same run."""
 
     def __init__(
         self, seed: int, wave: RestartWave, backoff_class: type[Backoff] = Backoff
@@ -117,7 +121,8 @@
         self._wave = wave
         self._events = EventQueue()
         self._poll_count = 0
-        self._discovery_free_at = wave.outage_ms  # when it is done with all polls that it took
+        # Time at which discovery will have processed all accepted polls.
+        self._discovery_free_at = wave.outage_ms
         self._known_list_delay = wave.drain_grace_ms / 2
         self._response_timeout = (
             SILENCE_TIMEOUT_MS if wave.is_list_pushed else FIRST_ANSWER_TIMEOUT_MS
@@ -140,7 +145,7 @@
         return ingresses
 
     def play(self) -> WaveResult:
-        """Run to the end and return what it gave."""
+        """Run to the end and return the result."""
         for ingress in self._ingresses:
             self._start(ingress)
         self._events.run_until(END_MS)
@@ -171,7 +176,7 @@
     def _enqueue_at_discovery(self, ingress: RestartedIngress, poll: int) -> None:
         wave = self._wave
         now = self._events.now
-        # In the outage nothing rejects a poll, and the time that it waits counts from the end on.
+        # No poll is rejected during the outage, and its waiting time counts from the outage's end.
         arrives_at = max(now, wave.outage_ms)
         waiting_time = 0.0 if now < wave.outage_ms else max(0.0, self._discovery_free_at - now)
         if waiting_time > wave.queue_limit * wave.service_time_ms:
@@ -206,18 +211,19 @@
             self._back_off(ingress, MAX_WAIT_MS - self._response_timeout)
 
     def _back_off(self, ingress: RestartedIngress, max_delay: float) -> None:
-        # Discovery accepts connections here, also in its outage, which the watch takes for overload.
+        # In this model discovery accepts connections even during its outage. The discovery watch
+        # treats connections without responses as an overload, with an unlimited backoff.
         is_overloaded = self._events.now - ingress.first_poll_at_ms > OVERLOAD_AFTER_MS
         delay = ingress.backoff.retry_delay(inf if is_overloaded else max_delay)
         ingress.backoff_ms += delay
         self._events.schedule(delay, self._on_backoff_over, ingress, ingress.open_poll)
 
     def _on_backoff_over(self, ingress: RestartedIngress, open_poll: int | None) -> None:
-        """Poll again, unless a poll that stayed open through the backoff was answered meanwhile."""
+        """Poll again unless the poll that stayed open during the backoff has been answered."""
         if ingress.open_poll == open_poll and ingress.listed_at_ms == inf:
             self._poll(ingress)
 
 
 def play_waves(seeds: range, wave: RestartWave) -> list[WaveResult]:
-    """Run a wave with each of these seeds."""
+    """Run a restart wave with each seed."""
     return [RestartWaveSimulation(seed, wave).play() for seed in seeds]
--- a/dockthread/lab/slow_start/scenario.py
+++ b/dockthread/lab/slow_start/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios of the simulated slow start, and their draw from a seed."""
+"""Scenarios of the slow-start simulation, and their random generation from a seed."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from dataclasses import dataclass
 from typing import Final
 
-# Seconds that a core of speed 1 works on a mean request.
+# Seconds that a core of speed 1 needs for a request of mean work.
 MEAN_WORK: Final = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class BackendKind:
-    """Backends that are alike: their cores, and how fast each works (1 is usual)."""
+    """A kind of backend: the number of its cores, and their speed relative to a normal core."""
 
     cores: int
     speed: float
 
     @property
     def capacity(self) -> float:
-        """Requests of mean work in a second, once warm."""
+        """Requests of mean work that a warm backend serves per second."""
         return self.cores * self.speed / MEAN_WORK
 
 
@@ -30,22 +30,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A fleet before backends of which some start cold, all at one moment. Times in seconds.
+    """Ingresses and backends, of which some start cold at the same time. Times are in seconds.
 
     Attributes:
-        ingress_count: ingresses of the fleet.
-        backend_count: backends, cold ones and warm ones.
-        cold_fraction: the probability of each backend that it is one that starts cold.
-        load: requested work divided by what all backends serve once warm.
-        burst_factor: factor of the load from the start of the cold backends on.
-        is_restart: the cold backends served before, under the same number.
-        downtime: how long they were unreachable before, if so.
-        latency_objective: time within which an answer is wanted.
-        late_fraction: the probability of each ingress that it is notified late of the start.
-        notification_delay: how late these are notified.
+        ingress_count: number of ingresses.
+        backend_count: number of all backends, cold and warm.
+        cold_fraction: probability that a backend starts cold.
+        load: requested work divided by the work that all backends serve when they are warm.
+        burst_factor: factor by which the load increases at the start of the cold backends.
+        is_restart: whether the cold backends served before, under the same number.
+        downtime: time for which restarted backends were unreachable before their start.
+        latency_objective: latency objective of the request class.
+        late_fraction: probability that an ingress is notified late of the start.
+        notification_delay: delay of late notifications.
         traffic_deviation: standard deviation of an ingress's traffic, divided by its mean.
-        has_load_reports: responses hold load reports.
-        kinds: the kinds of backends, in turn.
+        has_load_reports: whether responses contain load reports.
+        kinds: kinds of backends, which are assigned in rotation.
     """
 
     ingress_count: int
@@ -63,21 +63,22 @@
     kinds: tuple[BackendKind, ...] = ONE_KIND
 
 
-# How many backends a drawn scenario has, by the number of ingresses.
+# Number of backends in a drawn scenario, by the number of ingresses.
 BACKEND_COUNTS: Final = {3: 12, 30: 30, 200: 100}
-# Fewest backends of any other number of ingresses.
+# Minimum number of backends for any other number of ingresses.
 MIN_BACKEND_COUNT: Final = 12
 COLD_FRACTIONS: Final = (0.1, 0.3, 0.6, 0.9, 1.0)
-# Keeps seeds of different fleet sizes apart.
+# Factor that gives different random seeds to different numbers of ingresses.
 SEED_STRIDE: Final = 1_000
 
 
 def draw_scenario(seed: int, ingress_count: int, cold_fraction: float | None = None) -> Scenario:
-    """Draw a scenario; `cold_fraction` is drawn too where it is None."""
+    """Draw a scenario; if `cold_fraction` is None, it is drawn, too."""
     rng = random.Random(seed * SEED_STRIDE + ingress_count)
     is_restart = rng.random() < 0.6
     drawn_fraction = rng.choice(COLD_FRACTIONS)
-    # The order of the arguments is that of the draws: another one would change every seed.
+    # The arguments are evaluated in the order of the random draws; another order would change the
+    # scenario of every seed.
     return Scenario(
         ingress_count,
         BACKEND_COUNTS.get(ingress_count, max(MIN_BACKEND_COUNT, ingress_count // 2)),
--- a/dockthread/lab/slow_start/seeded_defects.py
+++ b/dockthread/lab/slow_start/seeded_defects.py
@@ -1,7 +1,7 @@
-"""Seeded defects of slow start.
+"""Seeded defects of slow start that the checker has to find.
 
-The checker has to find each of them, which shows that it sees such faults. The program itself never
-loads this module. The names are words of the command line.
+The program itself never loads this module. The keys of `DEFECTIVE_ENGINES` are the names of the
+defects on the command line.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class FullWeight(SlowStart):
-    """Gives a backend that warms up the weight of a warm one."""
+    """Gives a backend that is warming up the weight of a warm backend."""
 
     def weight(self, backend: Backend) -> float:  # noqa: ARG002  the defect
         """Return the slow-start weight of a warm backend."""
@@ -23,34 +23,34 @@
 
 
 class UnlimitedAttempts(SlowStart):
-    """Sends every request to a pool without a warm backend, and at once those that waited."""
+    """Sends all requests immediately, including waiting ones, even if no backend is warm."""
 
     def attempts_available(self, total_weight: float) -> float:  # noqa: ARG002  the defect
-        """Return that any number of attempts may be sent."""
+        """Allow any number of attempts."""
         return inf
 
 
 class FleetWideRamp(SlowStart):
-    """Has each ingress send what the whole fleet may send."""
+    """Lets each ingress send as much as the recovery ramp allows all ingresses together."""
 
     def _new_ramp(self) -> RecoveryRamp:
         return RecoveryRamp(self._context.settings.safety, 1, self._context.now)
 
 
 class FullWeightEngine(PolicyEngine):
-    """Counts backends that warm up as warm."""
+    """A policy engine that treats backends that are warming up as warm."""
 
     slow_start_class = FullWeight
 
 
 class UnlimitedAttemptsEngine(PolicyEngine):
-    """Sends every request to a pool without a warm backend."""
+    """A policy engine that sends all requests immediately, even if no backend is warm."""
 
     slow_start_class = UnlimitedAttempts
 
 
 class FleetWideRampEngine(PolicyEngine):
-    """Takes the whole fleet's recovery ramp for this ingress's own."""
+    """A policy engine that uses the recovery ramp of all ingresses for itself alone."""
 
     slow_start_class = FleetWideRamp
 
--- a/dockthread/lab/slow_start/seeds.py
+++ b/dockthread/lab/slow_start/seeds.py
@@ -1,4 +1,4 @@
-"""Seeds of the simulated slow start: the run of one, many over processes, and what they gave."""
+"""Runs the slow-start simulation with one seed, or with many seeds in several processes."""
 
 from __future__ import annotations
 
@@ -15,17 +15,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SeedResult:
-    """What one seed of a scenario gave.
+    """The result of a scenario with one seed.
 
     Attributes:
         seed: the seed.
         scenario: the scenario.
-        cold_count: backends that started cold.
-        overloads: those that the checker found.
-        peak_load: the most work that any backend was sent in the checker's time, divided by N.
-        used_capacity: work that the cold backends served, divided by what they could serve.
-        in_time: the fraction of the requests that were answered in time.
-        achievable: the largest `in_time` that the capacity of all backends allows.
+        cold_count: number of backends that started cold.
+        overloads: overloads that the checker found.
+        peak_load: the maximum work that any backend received in the checker's `overload_time`,
+            divided by the allowed work N.
+        used_capacity: work that the cold backends served, divided by the work they could serve.
+        in_time: the fraction of requests that were answered within the latency objective.
+        achievable: the maximum of `in_time` that the capacity of all backends allows.
     """
 
     seed: int
@@ -44,10 +45,10 @@
 
 
 def play_seed(seed: int, scenario: Scenario, seeded_defect: str = "") -> SeedResult:
-    """Run one seed of a scenario, with a seeded defect or without.
+    """Run a scenario with one seed and, if its name is not "", with a seeded defect.
 
     Raises:
-        KeyError: there is no seeded defect of this name.
+        KeyError: no seeded defect has this name.
     """
     engine_class = DEFECTIVE_ENGINES[seeded_defect] if seeded_defect else PolicyEngine
     simulation = SlowStartSimulation(seed, scenario, engine_class=engine_class)
@@ -79,7 +80,7 @@
 def play_seeds(
     seeds: range, ingress_count: int, cold_fraction: float | None, seeded_defect: str, jobs: int
 ) -> list[SeedResult]:
-    """Draw a scenario for each seed and run it, over so many processes, in the seeds' order."""
+    """Draw and run a scenario for each seed in `jobs` processes; results are ordered by seed."""
     count = len(seeds)
     with ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
         results = pool.map(
--- a/dockthread/lab/slow_start/simulated_backend.py
+++ b/dockthread/lab/slow_start/simulated_backend.py
@@ -1,4 +1,4 @@
-"""A simulated backend: a queue before some cores, which work slowly while it warms up."""
+"""A simulated backend: a queue and several cores, which are slower while the backend warms up."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 
 from dockthread.lab.slow_start.scenario import BackendKind
 
-# Requests that a backend holds for each core, waiting ones too; it rejects those beyond.
+# Maximum number of in-flight requests per core, including waiting ones; more are rejected.
 MAX_REQUESTS_PER_CORE: Final = 24
 
 
 @dataclass(slots=True)
 class SimulatedBackend:
-    """A backend and its queue. Times in seconds.
+    """A backend and its queue. Times are in seconds.
 
     Attributes:
-        number: its number in the endpoint list.
-        kind: its cores and their speed.
-        core_free_at: for each core, when it is done with what it has.
-        in_flight: requests that it works on or that wait.
-        incarnation: how often its process was restarted.
-        is_up: it can be reached.
-        served_work: requests of mean work that it served since the cold backends' start.
+        number: the backend's number in the endpoint list.
+        kind: number and speed of the cores.
+        core_free_at: for each core, the time at which it will have served its assigned requests.
+        in_flight: number of requests that are being served or are waiting.
+        incarnation: number of restarts of the backend's process.
+        is_up: whether the backend is reachable.
+        served_work: work that the backend served since the start of the cold backends, in requests
+            of mean work.
     """
 
     number: int
@@ -36,23 +37,23 @@
 
     @property
     def is_at_capacity(self) -> bool:
-        """Whether it rejects the next request."""
+        """Whether the backend rejects the next request."""
         return self.in_flight >= MAX_REQUESTS_PER_CORE * self.kind.cores
 
     def restart(self, now: float) -> None:
-        """Start a new process with an empty queue."""
+        """Restart the backend's process, with an empty queue."""
         self.core_free_at = [now] * self.kind.cores
         self.in_flight = 0
         self.is_up = True
         self.incarnation += 1
 
     def enqueue(self, now: float, work: float, capacity_at: Callable[[float], float]) -> float:
-        """Take a request and return when it is served.
+        """Accept a request and return the time at which it will have been served.
 
         Args:
-            now: the present time.
-            work: seconds that a core of speed 1 needs for it.
-            capacity_at: the fraction of its capacity that the backend has at a time.
+            now: the current time.
+            work: seconds that a core of speed 1 needs for the request.
+            capacity_at: returns the fraction of its full capacity that the backend has at a time.
         """
         self.in_flight += 1
         core = min(range(self.kind.cores), key=self.core_free_at.__getitem__)
@@ -61,6 +62,6 @@
         return self.core_free_at[core]
 
     def load_report(self) -> tuple[float, float, float]:
-        """Return requests in flight, capacity in requests a second, and requests that wait."""
+        """Return requests in flight, capacity in requests per second, and waiting requests."""
         waiting = max(0, self.in_flight - self.kind.cores)
         return float(self.in_flight), self.kind.capacity, float(waiting)
--- a/dockthread/lab/slow_start/simulation.py
+++ b/dockthread/lab/slow_start/simulation.py
@@ -1,8 +1,9 @@
-"""Simulates a fleet of policy engines before backends that start cold, without sockets.
+"""Simulates, without sockets, the policy engines of many ingresses and backends that start cold.
 
-Each ingress is a `PolicyEngine` with a random source of its own. Its attempts take `TRAVEL_TIME` to
-a `SimulatedBackend`, which warms up as slowly as the limits allow. Some ingresses get more traffic
-than others, and some are notified late of the start. All times are in seconds.
+Each ingress is a `PolicyEngine` with its own random generator. Its attempts reach a
+`SimulatedBackend` after `TRAVEL_TIME`; the backend warms up as slowly as the limits allow. Some
+ingresses receive more traffic than others, and some are notified late of the start. All times are in
+seconds.
 """
 
 from __future__ import annotations
@@ -37,19 +38,19 @@
     TimerFired,
 )
 
-# Seconds from an ingress to a backend, or back.
+# Network delay between an ingress and a backend in one direction, in seconds.
 TRAVEL_TIME: Final = 0.002
-# The clock at the begin of a run.
+# Time of the simulated clock at the start of a run.
 BEGIN: Final = 1_000.0
-# Seconds from the begin to the start of the cold backends.
+# Seconds from the start of a run to the start of the cold backends.
 LEAD_TIME: Final = 10.0
 # Seconds from the start of the cold backends to the end of the run.
 OBSERVED_TIME: Final = 16.0
-# A request's deadline, in latency objectives.
+# Deadline of a request, as a multiple of the latency objective.
 DEADLINE_OBJECTIVES: Final = 3.0
-# The customer of all requests.
+# Customer number of all requests.
 CUSTOMER: Final = 7
-# Bound of the seeds of the engines' random sources.
+# Upper bound of the random seeds of the policy engines.
 ENGINE_SEEDS: Final = 1 << 30
 
 
@@ -58,11 +59,11 @@
     """A request of a client.
 
     Attributes:
-        arrived_at: when it came to its ingress.
-        work: seconds that a core of speed 1 needs for it.
-        is_counted: it came after the start of the cold backends.
-        attempt_count: attempts that were sent.
-        is_answered: it has its final answer.
+        arrived_at: time of arrival at the ingress.
+        work: seconds that a core of speed 1 needs for the request.
+        is_counted: whether the request arrived after the start of the cold backends.
+        attempt_count: number of sent attempts.
+        is_answered: whether the client has received a response.
     """
 
     arrived_at: float
@@ -74,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One attempt in flight: `number` counts those of its request from 0."""
+    """An attempt in flight; `number` is its index among the attempts of its request."""
 
     ingress: int
     request: int
@@ -85,7 +86,7 @@
 
 @dataclass(slots=True)
 class RequestCounts:
-    """Requests that came after the start of the cold backends, by what became of them."""
+    """Numbers of requests that arrived after the start of the cold backends, by outcome."""
 
     arrived: int = 0
     in_time: int = 0
@@ -98,11 +99,11 @@
 
     Attributes:
         scenario: the scenario.
-        checker: judges what the backends are sent.
-        counts: what became of the requests.
+        checker: the checker of the load on backends that warm up.
+        counts: numbers of requests by outcome.
         backends: all backends, by number.
-        cold_backends: those that start cold.
-        capacity: requests of mean work in a second that all backends serve once warm.
+        cold_backends: the backends that start cold.
+        capacity: requests of mean work that all backends serve per second when they are warm.
     """
 
     def __init__(
@@ -120,7 +121,7 @@
         self._requests: dict[int, SimulatedRequest] = {}
         self.backends = self._create_backends()
         self.capacity = sum(backend.kind.capacity for backend in self.backends.values())
-        # The order of the draws is part of a seed.
+        # Another order of the random draws would change the run of every seed.
         self._rng = random.Random(seed)
         self.cold_backends = self._draw_cold_backends()
         self._engines = [
@@ -147,12 +148,12 @@
         return drawn or [self.backends[1]]
 
     def _draw_traffic_weights(self) -> list[float]:
-        """Draw each ingress's traffic from a gamma distribution of mean 1."""
+        """Draw the relative traffic of each ingress from a gamma distribution with mean 1."""
         shape = 1 / self.scenario.traffic_deviation**2
         return [self._rng.gammavariate(shape, 1 / shape) for _ in self._engines]
 
     def _draw_notification_times(self) -> list[float]:
-        """Draw when each ingress is notified of the start of the cold backends."""
+        """Draw the time at which each ingress is notified of the start of the cold backends."""
         times = []
         for _ in self._engines:
             is_late = self._rng.random() < self.scenario.late_fraction
@@ -258,7 +259,7 @@
         self._dispatch(ingress, RequestArrived(number, 0, 0, CUSTOMER, deadline))
 
     def _dispatch(self, ingress: int, event: Event) -> None:
-        """Pass an event to an ingress's engine and carry out its actions."""
+        """Pass an event to an ingress's engine and execute the resulting actions."""
         for action in self._engines[ingress].handle(self._events.now, event):
             match action:
                 case SendAttempt():
@@ -298,7 +299,7 @@
         self._events.schedule_at(served_at, self._on_attempt_served, attempt, backend.incarnation)
 
     def _capacity_at(self, backend: SimulatedBackend, time: float) -> float:
-        """Return the fraction of its capacity that a backend has at a time."""
+        """Return the fraction of its full capacity that a backend has at this time."""
         warming = self.checker.backends.get(backend.number)
         if warming is None:
             return 1.0
@@ -342,6 +343,6 @@
         self._dispatch(attempt.ingress, event)
 
     def _on_attempt_timeout(self, attempt: Attempt) -> None:
-        """End an attempt that its ingress no longer waits for; its backend works on."""
+        """End an attempt at its timeout; the backend continues to serve it."""
         if not self._requests[attempt.request].is_answered:
             self._on_attempt_ended(attempt, Outcome.TIMEOUT, ())
--- a/tests/lab/test_restart_wave.py
+++ b/tests/lab/test_restart_wave.py
@@ -1,4 +1,4 @@
-"""Ingresses that restart all at once: how many are ready in time, by their backoff."""
+"""Tests that ingresses which restart at the same time back off and become ready in time."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize("outage_ms", [0.0, 4_000.0, 20_000.0])
 @pytest.mark.parametrize("is_list_pushed", [True, False])
-def test_ingresses_with_a_known_list_are_ready_in_a_second_whatever_discovery_does(
+def test_ingresses_with_a_known_list_are_ready_within_a_second_despite_a_discovery_outage(
     is_list_pushed: bool, outage_ms: float
 ) -> None:
     wave = RestartWave(is_list_pushed=is_list_pushed, outage_ms=outage_ms)
@@ -52,49 +52,56 @@
 
 
 @pytest.mark.parametrize("is_silent", [True, False])
-def test_thirty_ingresses_without_a_list_are_ready_in_ten_seconds_before_one_discovery(
+def test_most_of_thirty_ingresses_without_a_list_are_ready_within_ten_seconds(
     is_silent: bool,
 ) -> None:
     results = play_waves(SEEDS, RestartWave(30, 30, has_known_list=False, is_silent=is_silent))
     assert median_ready_within(10_000.0, results) >= 0.9
 
 
-def test_two_hundred_ingresses_without_a_list_get_what_discovery_can_serve_and_poll_seldom() -> (
+def test_two_hundred_ingresses_without_a_list_poll_rarely_while_discovery_is_the_bottleneck() -> (
     None
 ):
-    """Nine in ten cannot be ready in 10 s: one in 0.13 s is 77 of 200 at the most."""
+    """Guards against ingresses that poll an overloaded discovery service too often.
+
+    Discovery serves one poll in 0.13 s, so at most 77 of 200 ingresses can be ready within 10 s, and
+    not nine in ten as in smaller clusters.
+    """
     for result in play_waves(SEEDS, RestartWave(has_known_list=False)):
         assert result.ready_within(10_000.0) <= 77 / 200
-        assert result.poll_count <= 10 * 200, "in a minute ten polls of each, at the most"
+        assert result.poll_count <= 10 * 200, "more than ten polls per ingress in a minute"
 
 
 @pytest.mark.parametrize("outage_ms", [0.0, 8_000.0])
-def test_discovery_with_more_callers_than_it_can_serve_serves_some_in_the_end(
+def test_overloaded_discovery_eventually_serves_some_ingresses(
     outage_ms: float,
 ) -> None:
-    """If all polled again within 6 s, discovery would work on abandoned polls only."""
+    """Guards against a backoff so short that no ingress ever gets a list.
+
+    If all ingresses polled again within 6 s, discovery would process only abandoned polls.
+    """
     results = play_waves(SEEDS, RestartWave(restarted_count=140, outage_ms=outage_ms))
     assert median_listed_within(20_000.0, results) < 0.2
     assert median_listed_within(59_000.0, results) > 0.1, (
-        "0.0 or 0.07 where all come back within 6 s"
+        "the fraction is 0.0 or 0.07 if all ingresses poll again within 6 s"
     )
 
 
 class FixedShortBackoff(Backoff):
-    """Seeded defect: a delay that neither grows nor varies."""
+    """Seeded defect: a backoff delay that neither grows nor varies."""
 
     def retry_delay(self, max_delay: float = inf) -> float:
         return 250.0
 
 
-def test_fixed_short_backoff_shows_in_the_number_of_polls() -> None:
+def test_fixed_short_backoff_increases_the_number_of_polls() -> None:
     wave = RestartWave(has_known_list=False)
     result = RestartWaveSimulation(1, wave, FixedShortBackoff).play()
     assert result.poll_count > 40 * 200
 
 
 class StartedWatch(NamedTuple):
-    """The program's own watch, started at 0 with a known list, and the timers that it set."""
+    """A real discovery watch, started at time 0 with a known list, and the timers that it set."""
 
     watch: DiscoveryWatch
     timers: list[float]
@@ -134,7 +141,7 @@
 
 
 @pytest.mark.parametrize("is_list_pushed", [True, False])
-def test_simulated_ingress_is_ready_when_the_discovery_watch_has_a_list(
+def test_simulated_ingress_is_ready_at_the_time_at_which_the_discovery_watch_has_a_list(
     is_list_pushed: bool,
 ) -> None:
     started = start_watch(is_list_pushed, [TARGET])
@@ -146,10 +153,12 @@
     assert ingress.ready_at_ms > 9_000.0
 
 
-def test_one_seed_gives_the_same_backoffs_each_time() -> None:
+def test_same_seed_gives_the_same_backoffs() -> None:
     wave = RestartWave(has_known_list=False)
     first, second = (RestartWaveSimulation(3, wave).play() for _ in range(2))
     assert [ingress.ready_at_ms for ingress in first.ingresses] == [
         ingress.ready_at_ms for ingress in second.ingresses
     ]
-    assert len({ingress.backoff_ms for ingress in first.ingresses}) > 100, "no two draw alike"
+    assert len({ingress.backoff_ms for ingress in first.ingresses}) > 100, (
+        "ingresses draw the same delays"
+    )
--- a/tests/lab/test_slow_start_simulation.py
+++ b/tests/lab/test_slow_start_simulation.py
@@ -1,4 +1,4 @@
-"""Slow start under the sum of all ingresses, and requests that wait while there is no backend."""
+"""Tests of slow start with the combined load of many ingresses, and of the slow-start checker."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FleetSize(NamedTuple):
-    """Ingresses, their backends, and how many seeds a test runs with them."""
+    """The number of ingresses and backends, and the number of seeds that a test runs with them."""
 
     ingress_count: int
     backend_count: int
@@ -25,7 +25,7 @@
 
 LARGEST_SIZE = FleetSize(200, 20, 1)
 SIZES = (FleetSize(3, 12, 8), FleetSize(30, 12, 4), LARGEST_SIZE)
-# All backends were down, requests wait for them, and more arrive than they can serve.
+# All backends restart while requests wait for them, and more requests arrive than they can serve.
 ALL_COLD = Scenario(
     3,
     12,
@@ -59,10 +59,12 @@
 
 
 @pytest.mark.parametrize("plan", [OPEN_PLAN, RATE_PLAN])
-def test_request_that_waited_long_is_admitted_after_its_customer_expired(plan: int) -> None:
+def test_request_that_waits_for_a_backend_is_admitted_after_its_customer_state_expired(
+    plan: int,
+) -> None:
     ingress = IngressHarness(replace(SETTINGS, may_gossip=False), backends=0)
     request = ingress.send_request(plan=plan, remaining_time=30.0)
-    # a bucket of 8 units is full again after 4 s, and so its customer as good as new
+    # A token bucket of 8 units is full again after 4 s; then the state of its customer expires.
     ingress.run_until(ingress.now + 8.0)
     ingress.list_endpoints(endpoint(0))
     assert ingress.is_admitted(request)
@@ -72,7 +74,7 @@
 def test_backends_that_all_restart_cold_are_neither_overloaded_nor_idle(size: FleetSize) -> None:
     for result in play_seeds(ALL_COLD, size):
         assert not result.overloads
-        assert result.used_capacity > 0.3, "they are not left idle for it"
+        assert result.used_capacity > 0.3, "the cold backends are mostly idle"
 
 
 @pytest.mark.parametrize("size", SIZES)
@@ -89,7 +91,7 @@
     assert any(result.violations for result in play_seeds(ALL_COLD, size, seeded_defect))
 
 
-def test_checker_finds_an_engine_that_takes_the_fleets_ramp_for_its_own() -> None:
+def test_checker_finds_an_engine_that_uses_the_ramp_of_all_ingresses_alone() -> None:
     results = play_seeds(ALL_COLD, LARGEST_SIZE, "each-as-if-alone")
     assert any(result.violations for result in results)
 
@@ -100,7 +102,7 @@
 
 
 def overloads_of(arrival_times: list[float], was_sender_notified: bool = True) -> list[Overload]:
-    """Overloads of a backend that starts at 100 s, serves 16 requests a second and gets these."""
+    """Return the overloads of a backend that starts at 100 s and serves 16 requests per second."""
     checker = SlowStartChecker(CHECKED_LIMITS)
     checker.backend_started(1, 100.0, 16.0)
     for at in arrival_times:
@@ -108,28 +110,33 @@
     return checker.overloads
 
 
-def test_checker_compares_work_in_any_period_with_the_least_capacity() -> None:
+def test_checker_compares_the_work_in_any_period_with_the_minimum_capacity() -> None:
     checker = SlowStartChecker(CHECKED_LIMITS)
     least_capacities = [checker.least_capacity(age) for age in (0.0, 5.0, 15.0, 99.0)]
     assert least_capacities == [0.25, 0.5, 1.0, 1.0]
-    # At the start N is 2 x 0.25 x 16 a second x 2 s = 16, and 2 x 4 + 2 more are put down to
-    # chance.
+    # At the start N is 2 x 0.25 x 16 requests per second x 2 s = 16, and 2 x 4 + 2 more requests are
+    # attributed to random variation.
     assert not overloads_of([100.0] * 26)
     (overload,) = overloads_of([100.0] * 27)
     assert overload.allowed_work == pytest.approx(16.0)
     assert overload.violates_rule
-    assert not overloads_of([100.0] * 26 + [102.0] * 26), "a period is over after 2 s"
+    assert not overloads_of([100.0] * 26 + [102.0] * 26), (
+        "requests from more than 2 s ago are counted"
+    )
     assert not overloads_of([100.0] * 27, was_sender_notified=False)[0].violates_rule
-    assert not overloads_of([115.0] * 999), "it is warm by then"
+    assert not overloads_of([115.0] * 999), "a warm backend is checked"
 
 
 def attempts_allowed_to_fleet(ingress_count: int, total_weight: float) -> float:
-    """Attempts in 3 s by the ramps of a fleet that saw 20 warm backends serve 600 a second."""
+    """Return how many attempts the recovery ramps of all ingresses allow together in 3 s.
+
+    Before, 20 warm backends served 200 requests per second.
+    """
     safety = SafetyLimits(
         cold_capacity=0.2, warm_up_time=10.0, overload_multiple=3.0, overload_time=3.0
     )
     ramp = RecoveryRamp(safety, ingress_count, 0.0)
-    for response in range(1, 12_001):  # 60 s, spread evenly over the ingresses
+    for response in range(1, 12_001):  # 60 s of responses, spread evenly.
         if response % ingress_count == 0:
             ramp.on_response(response / 200, 20.0, 0.3)
     sent = 0
@@ -144,11 +151,11 @@
     return sent * ingress_count
 
 
-def test_ramps_of_all_ingresses_allow_together_the_same_whatever_their_number() -> None:
-    # Each backend served 10 a second; all of them cold are allowed 3 times a fifth of it in each
-    # second.
+def test_recovery_ramps_allow_the_same_total_for_any_number_of_ingresses() -> None:
+    # Each of 20 backends served 10 requests per second. While all of them are cold, the allowed rate
+    # is 3 times a fifth of that, over 3 s.
     budget = 3.0 * 0.2 * 20 * 10.0 * 3.0
     for ingress_count in (3, 30):
         allowed = attempts_allowed_to_fleet(ingress_count, 0.2 * 20)
         assert 0.6 * budget < allowed <= budget + ingress_count
-    assert attempts_allowed_to_fleet(30, 0.0) <= 30, "there is no backend"
+    assert attempts_allowed_to_fleet(30, 0.0) <= 30, "attempts are allowed without any backend"
