--- a/dockthread/lab/arrivals.py
+++ b/dockthread/lab/arrivals.py
@@ -32,7 +32,7 @@
 # Header line of a trace, in the order of the fields of `Arrival`.
 TRACE_COLUMNS: Final = ("at", "request_class", "plan", "firm", "units", "spread", "first")
 # Line number of the first arrival in a trace, after the header.
-FIRST_TRACE_LINE: Final = 2
+FIRST_ARRIVAL_LINE: Final = 2
 
 # Names with their relative weights in a random draw.
 NamedWeights: TypeAlias = tuple[tuple[str, float], ...]
@@ -76,25 +76,25 @@
 class RateSegment:
     """A segment of `length` seconds in which the rate changes linearly.
 
-    `begin_rate` and `end_rate` are in requests per second.
+    `start_rate` and `end_rate` are in requests per second.
     """
 
     length: float
-    begin_rate: float
+    start_rate: float
     end_rate: float
 
     @property
     def expected_requests(self) -> float:
         """Expected number of requests that arrive in the segment."""
-        return self.length * (self.begin_rate + self.end_rate) / 2.0
+        return self.length * (self.start_rate + self.end_rate) / 2.0
 
-    def time_of(self, expected_count: float) -> float:
+    def time_at(self, expected_count: float) -> float:
         """Return the time since the segment's start at which this many requests are expected."""
-        slope = (self.end_rate - self.begin_rate) / self.length
+        slope = (self.end_rate - self.start_rate) / self.length
         if abs(slope) < MIN_SLOPE:
-            return expected_count / self.begin_rate
-        squared_rate = max(0.0, self.begin_rate**2 + 2.0 * slope * expected_count)
-        return (sqrt(squared_rate) - self.begin_rate) / slope
+            return expected_count / self.start_rate
+        squared_rate = max(0.0, self.start_rate**2 + 2.0 * slope * expected_count)
+        return (sqrt(squared_rate) - self.start_rate) / slope
 
 
 def parse_rate_shape(text: str) -> tuple[RateSegment, ...]:
@@ -111,29 +111,29 @@
 
 def _parse_segment(text: str) -> RateSegment:
     rates, _, length_text = text.partition("@")
-    begin_text, arrow, end_text = rates.partition(">")
+    start_text, arrow, end_text = rates.partition(">")
     try:
-        begin_rate = float(begin_text)
-        end_rate = float(end_text if arrow else begin_text)
+        start_rate = float(start_text)
+        end_rate = float(end_text if arrow else start_text)
         length = Duration.parse(length_text) / MILLISECONDS
     except ValueError as error:
         raise RateShapeError(
             f"{text!r} is not a segment of a rate shape: write 140@60s or 100>300@30s"
         ) from error
     are_rates_valid = (
-        0 <= begin_rate <= MAX_RATE and 0 <= end_rate <= MAX_RATE and begin_rate + end_rate > 0
+        0 <= start_rate <= MAX_RATE and 0 <= end_rate <= MAX_RATE and start_rate + end_rate > 0
     )
     if not are_rates_valid or not length > 0:
         raise RateShapeError(
             f"{text!r} is out of range: rates must be from 0 to {MAX_RATE:g} and not both 0,"
             " and the duration must be above 0"
         )
-    return RateSegment(length, begin_rate, end_rate)
+    return RateSegment(length, start_rate, end_rate)
 
 
 def poisson_times(segments: Sequence[RateSegment], rng: random.Random) -> Iterator[float]:
     """Draw the arrival times of a Poisson process in ascending order."""
-    segment_begin = 0.0
+    segment_start = 0.0
     # Expected number of requests between the last arrival, or the segment's start if that is later,
     # and the next arrival.
     gap = rng.expovariate(1.0)
@@ -141,10 +141,10 @@
         expected_so_far = 0.0
         while expected_so_far + gap <= segment.expected_requests:
             expected_so_far += gap
-            yield segment_begin + segment.time_of(expected_so_far)
+            yield segment_start + segment.time_at(expected_so_far)
             gap = rng.expovariate(1.0)
         gap -= segment.expected_requests - expected_so_far
-        segment_begin += segment.length
+        segment_start += segment.length
 
 
 @dataclass(frozen=True, slots=True)
@@ -228,7 +228,7 @@
     """
     with path.open(newline="") as file:
         previous_at = 0.0
-        for line_number, row in enumerate(csv.DictReader(file), FIRST_TRACE_LINE):
+        for line_number, row in enumerate(csv.DictReader(file), FIRST_ARRIVAL_LINE):
             try:
                 arrival = _parse_row(row)
             except (KeyError, ValueError, TypeError) as error:
--- a/dockthread/lab/event_queue.py
+++ b/dockthread/lab/event_queue.py
@@ -17,8 +17,8 @@
     def __init__(self, start: float = 0.0) -> None:
         self.now = start
         # Callbacks of the same time run in the order in which they were scheduled.
-        self._scheduled_count = 0
-        self._scheduled: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._sequence_number = 0
+        self._callbacks: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
 
     def schedule(self, delay: float, callback: Callable[..., None], *args: Any) -> None:
         """Schedule a callback with these arguments after a delay from now."""
@@ -26,13 +26,13 @@
 
     def schedule_at(self, time: float, callback: Callable[..., None], *args: Any) -> None:
         """Schedule a callback with these arguments at an absolute time."""
-        self._scheduled_count += 1
-        heappush(self._scheduled, (time, self._scheduled_count, callback, args))
+        self._sequence_number += 1
+        heappush(self._callbacks, (time, self._sequence_number, callback, args))
 
     def run_until(self, end: float) -> None:
         """Run every callback that is due up to `end`, or until `should_stop` returns True."""
-        while self._scheduled and self._scheduled[0][0] <= end and not self.should_stop():
-            self.now, _, callback, args = heappop(self._scheduled)
+        while self._callbacks and self._callbacks[0][0] <= end and not self.should_stop():
+            self.now, _, callback, args = heappop(self._callbacks)
             callback(*args)
         self.now = max(self.now, end)
 
--- a/dockthread/lab/load.py
+++ b/dockthread/lab/load.py
@@ -23,11 +23,11 @@
 # Value that the parser returns while a reply is incomplete.
 INCOMPLETE: Final = object()
 # Seconds after the last deadline for which the generator still waits for responses.
-RESPONSE_ALLOWANCE: Final = 0.5
+RESPONSE_GRACE_S: Final = 0.5
 # Minimum remaining time, in seconds, for which the generator sleeps before it starts a request.
-MIN_SLEEP: Final = 0.0005
+MIN_SLEEP_S: Final = 0.0005
 # Seconds between two checks whether the last responses have arrived.
-DRAIN_POLL_INTERVAL: Final = 0.005
+DRAIN_POLL_INTERVAL_S: Final = 0.005
 # Number of requests after which the generator reports progress and yields to the event loop.
 PROGRESS_INTERVAL: Final = 64
 
@@ -81,10 +81,10 @@
     def __init__(
         self,
         on_response: Callable[[ClientConnection, object], None],
-        on_lost: Callable[[ClientConnection], None],
+        on_closed: Callable[[ClientConnection], None],
     ) -> None:
         self._on_response = on_response
-        self._on_lost = on_lost
+        self._on_closed = on_closed
         self._reader = hiredis.Reader(notEnoughData=INCOMPLETE)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -104,7 +104,7 @@
 
     def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002  asyncio's interface
         """Report that the connection is closed."""
-        self._on_lost(self)
+        self._on_closed(self)
 
 
 def classify_response(response: object) -> RequestOutcome:
@@ -121,11 +121,11 @@
     """Encode a request in RESP2 as clients do."""
     verb = b"API.WRITE" if arrival.request_class in target.write_classes else b"API.READ"
     deadline_ms = target.deadlines[arrival.request_class] * MILLISECONDS
-    terms = (
+    parameters = (
         f"c={arrival.request_class},t={arrival.plan},d={deadline_ms:.0f},units={arrival.units}"
         f",spread={arrival.spread},first={arrival.first_ingress}"
     )
-    args = (verb, b"%016x" % arrival.customer, b"%016x" % request_id, terms.encode())
+    args = (verb, b"%016x" % arrival.customer, b"%016x" % request_id, parameters.encode())
     return b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(arg), arg) for arg in args)
 
 
@@ -154,34 +154,34 @@
         self._on_progress = on_progress or (lambda _request_count: None)
         self._loop = asyncio.get_running_loop()
         self._result = LoadResult()
-        self._idle: list[ClientConnection] = []
-        self._open: set[ClientConnection] = set()
+        self._idle_connections: list[ClientConnection] = []
+        self._open_connections: set[ClientConnection] = set()
         self._opening_count = 0
         self._connect_tasks: set[asyncio.Task[None]] = set()
-        self._waiting: deque[PendingArrival] = deque()
-        self._in_flight: dict[ClientConnection, InFlightRequest] = {}
+        self._waiting_arrivals: deque[PendingArrival] = deque()
+        self._requests_in_flight: dict[ClientConnection, InFlightRequest] = {}
 
     async def run(self, arrivals: Iterable[Arrival]) -> LoadResult:
         """Send all requests when they are due, wait for the last responses and return the result."""
-        begun_at = time.perf_counter()
-        cpu_at_begin = time.process_time()
-        last_deadline = await self._send_all(arrivals, begun_at)
-        await self._drain(last_deadline + RESPONSE_ALLOWANCE)
-        self._result.seconds = time.perf_counter() - begun_at
-        self._result.cpu_seconds = time.process_time() - cpu_at_begin
+        started_at = time.perf_counter()
+        cpu_at_start = time.process_time()
+        last_deadline = await self._send_all(arrivals, started_at)
+        await self._drain(last_deadline + RESPONSE_GRACE_S)
+        self._result.seconds = time.perf_counter() - started_at
+        self._result.cpu_seconds = time.process_time() - cpu_at_start
         self._on_progress(self._result.request_count)
         return self._result
 
-    async def _send_all(self, arrivals: Iterable[Arrival], begun_at: float) -> float:
+    async def _send_all(self, arrivals: Iterable[Arrival], started_at: float) -> float:
         """Start each request when it is due and return the latest deadline."""
         last_deadline = 0.0
         for arrival in arrivals:
-            due = begun_at + arrival.at
-            while (remaining := due - time.perf_counter()) > MIN_SLEEP:  # noqa: ASYNC110  a sleep may end early
+            due = started_at + arrival.at
+            while (remaining := due - time.perf_counter()) > MIN_SLEEP_S:  # noqa: ASYNC110  a sleep may end early
                 await asyncio.sleep(remaining)
             self._result.record_start(time.perf_counter() - due)
             last_deadline = max(last_deadline, due + self._deadline_of(arrival))
-            self._start(PendingArrival(arrival, due))
+            self._start_request(PendingArrival(arrival, due))
             if self._result.request_count % PROGRESS_INTERVAL == 0:
                 self._on_progress(self._result.request_count)
                 await asyncio.sleep(0)
@@ -189,25 +189,25 @@
 
     async def _drain(self, until: float) -> None:
         """Wait for the last responses, then close all connections."""
-        while (self._in_flight or self._waiting) and time.perf_counter() < until:  # noqa: ASYNC110  the wait also has a time limit
-            await asyncio.sleep(DRAIN_POLL_INTERVAL)
-        for connection in list(self._open):
+        while (self._requests_in_flight or self._waiting_arrivals) and time.perf_counter() < until:  # noqa: ASYNC110  the wait also has a time limit
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
+        for connection in list(self._open_connections):
             connection.transport.abort()
         await asyncio.sleep(0)
-        for pending in self._waiting:
+        for pending in self._waiting_arrivals:
             self._result.record_outcome(pending.arrival.request_class, RequestOutcome.LATE)
 
     def _deadline_of(self, arrival: Arrival) -> float:
         return self._target.deadlines[arrival.request_class]
 
-    def _start(self, pending: PendingArrival) -> None:
-        while self._idle:
-            connection = self._idle.pop()
+    def _start_request(self, pending: PendingArrival) -> None:
+        while self._idle_connections:
+            connection = self._idle_connections.pop()
             if not connection.transport.is_closing():
                 self._send(connection, pending)
                 return
-        self._waiting.append(pending)
-        if len(self._open) + self._opening_count < self._target.max_connections:
+        self._waiting_arrivals.append(pending)
+        if len(self._open_connections) + self._opening_count < self._target.max_connections:
             self._opening_count += 1
             task = self._loop.create_task(self._connect())
             self._connect_tasks.add(task)
@@ -216,63 +216,63 @@
     async def _connect(self) -> None:
         try:
             _, connection = await self._loop.create_connection(
-                lambda: ClientConnection(self._on_response, self._on_lost),
+                lambda: ClientConnection(self._on_response, self._on_closed),
                 self._target.host,
                 self._target.port,
             )
         except OSError:
             self._opening_count -= 1
-            if self._waiting:
-                pending = self._waiting.popleft()
+            if self._waiting_arrivals:
+                pending = self._waiting_arrivals.popleft()
                 self._result.record_outcome(pending.arrival.request_class, RequestOutcome.UNSENT)
             return
         self._opening_count -= 1
-        self._open.add(connection)
+        self._open_connections.add(connection)
         self._result.connection_count += 1
         self._send_next(connection)
 
     def _send_next(self, connection: ClientConnection) -> None:
         """Send the longest-waiting request whose deadline has not passed, or become idle."""
         now = time.perf_counter()
-        while self._waiting:
-            pending = self._waiting.popleft()
+        while self._waiting_arrivals:
+            pending = self._waiting_arrivals.popleft()
             if now - pending.due < self._deadline_of(pending.arrival):
                 self._send(connection, pending)
                 return
             self._result.record_outcome(pending.arrival.request_class, RequestOutcome.LATE)
-        self._idle.append(connection)
+        self._idle_connections.append(connection)
 
     def _send(self, connection: ClientConnection, pending: PendingArrival) -> None:
         self._request_id += self._request_id_step
         deadline = pending.due + self._deadline_of(pending.arrival)
         remaining = max(0.0, deadline - time.perf_counter())
         timer = self._loop.call_later(remaining, self._on_deadline, connection)
-        self._in_flight[connection] = InFlightRequest(pending, timer)
+        self._requests_in_flight[connection] = InFlightRequest(pending, timer)
         connection.transport.write(encode_request(pending.arrival, self._target, self._request_id))
 
-    def _end(
+    def _finish_request(
         self, connection: ClientConnection, outcome: RequestOutcome, latency: float | None = None
     ) -> None:
         """Record the outcome of the connection's request, if one is in flight."""
-        request = self._in_flight.pop(connection, None)
+        request = self._requests_in_flight.pop(connection, None)
         if request is not None:
             request.deadline_timer.cancel()
             request_class = request.pending.arrival.request_class
             self._result.record_outcome(request_class, outcome, latency)
 
     def _on_response(self, connection: ClientConnection, response: object) -> None:
-        request = self._in_flight.get(connection)
+        request = self._requests_in_flight.get(connection)
         if request is None:
             return  # The client has given up already.
         latency = time.perf_counter() - request.pending.due
-        self._end(connection, classify_response(response), latency)
+        self._finish_request(connection, classify_response(response), latency)
         self._send_next(connection)
 
     def _on_deadline(self, connection: ClientConnection) -> None:
-        if connection in self._in_flight:
-            self._end(connection, RequestOutcome.LATE)
+        if connection in self._requests_in_flight:
+            self._finish_request(connection, RequestOutcome.LATE)
             connection.transport.abort()
 
-    def _on_lost(self, connection: ClientConnection) -> None:
-        self._open.discard(connection)
-        self._end(connection, RequestOutcome.LOST)
+    def _on_closed(self, connection: ClientConnection) -> None:
+        self._open_connections.discard(connection)
+        self._finish_request(connection, RequestOutcome.LOST)
--- a/dockthread/lab/load_result.py
+++ b/dockthread/lab/load_result.py
@@ -19,9 +19,9 @@
 MAX_RECORDED_US: Final = 300_000_000
 # Significant decimal digits of a recorded time.
 SIGNIFICANT_DIGITS: Final = 3
-MICROSECONDS: Final = 1e6  # Microseconds per second.
+MICROSECONDS_PER_SECOND: Final = 1e6
 # Maximum 99th percentile of start lateness for a run to be valid, in seconds.
-MAX_START_LATENESS: Final = 0.010
+MAX_START_LATENESS_S: Final = 0.010
 # Percentiles of a summary, by their JSON keys.
 PERCENTILES: Final = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p99.9": 99.9, "max": 100.0}
 
@@ -54,7 +54,7 @@
 
 
 def _record(histogram: Any, seconds: float) -> None:
-    microseconds = int(seconds * MICROSECONDS)
+    microseconds = int(seconds * MICROSECONDS_PER_SECOND)
     histogram.record_value(min(MAX_RECORDED_US, max(MIN_RECORDED_US, microseconds)))
 
 
@@ -93,14 +93,14 @@
         """Count a request that has ended; `latency` is in seconds, or None without a response."""
         self.counts[request_class, outcome.value] += 1
         if latency is not None:
-            _record(self._latencies_of(request_class), latency)
+            _record(self._latency_histogram(request_class), latency)
 
     def record_start(self, lateness: float) -> None:
         """Count a request that was started `lateness` seconds after its due time."""
         self.request_count += 1
         _record(self.start_lateness, lateness)
 
-    def _latencies_of(self, request_class: str) -> Any:
+    def _latency_histogram(self, request_class: str) -> Any:
         # setdefault would create a histogram for each request, which is too large for that.
         if request_class not in self.latencies:
             self.latencies[request_class] = new_histogram()
@@ -109,8 +109,8 @@
     @property
     def void_reason(self) -> str:
         """Why the run is not a valid measurement of the server; empty if the run is valid."""
-        lateness = self.start_lateness.get_value_at_percentile(99.0) / MICROSECONDS
-        if self.request_count and lateness > MAX_START_LATENESS:
+        lateness = self.start_lateness.get_value_at_percentile(99.0) / MICROSECONDS_PER_SECOND
+        if self.request_count and lateness > MAX_START_LATENESS_S:
             return (
                 "the tool itself fell behind:"
                 f" one start in a hundred was {lateness * 1e3:.0f} ms late or more"
@@ -140,7 +140,7 @@
         for name, outcome, count in encoded["counts"]:
             self.counts[name, outcome] += count
         for name, text in encoded["times"].items():
-            self._latencies_of(name).decode_and_add(text.encode())
+            self._latency_histogram(name).decode_and_add(text.encode())
         self.start_lateness.decode_and_add(encoded["lateness"].encode())
         self.request_count += encoded["asked"]
         self.seconds = max(self.seconds, encoded["seconds"])
@@ -154,7 +154,7 @@
             "asked": self.request_count,
             "seconds": round(self.seconds, 3),
             "outcomes": {outcome.value: self.total(outcome) for outcome in RequestOutcome},
-            "by_class": {name: self._outcomes_of(name) for name in request_classes},
+            "by_class": {name: self._outcome_counts(name) for name in request_classes},
             "times_ms": {
                 name: _percentiles_ms(histogram)
                 for name, histogram in sorted(self.latencies.items())
@@ -162,12 +162,12 @@
             "start_lateness_ms": _percentiles_ms(self.start_lateness),
             "connections": self.connection_count,
             "tool_cpu_us_per_request": round(
-                self.cpu_seconds / max(1, self.request_count) * MICROSECONDS, 1
+                self.cpu_seconds / max(1, self.request_count) * MICROSECONDS_PER_SECOND, 1
             ),
             "void": self.void_reason,
         }
 
-    def _outcomes_of(self, request_class: str) -> dict[str, int]:
+    def _outcome_counts(self, request_class: str) -> dict[str, int]:
         return {
             outcome.value: self.counts[request_class, outcome.value]
             for outcome in RequestOutcome
--- a/dockthread/lab/maintenance/backend_faults.py
+++ b/dockthread/lab/maintenance/backend_faults.py
@@ -8,8 +8,8 @@
 
 BACKEND_FAILURE = "fail"  # Name of the fault in which a backend fails temporarily.
 OVERLOAD = "press"  # Name of the fault in which all zones are overloaded temporarily.
-FAILING_MS = (200.0, 4_000.0)  # Minimum and maximum duration of a backend failure.
-OVERLOAD_MS = (100.0, 1_500.0)  # Minimum and maximum duration of an overload.
+FAILURE_DURATION_MS = (200.0, 4_000.0)  # Minimum and maximum duration of a backend failure.
+OVERLOAD_DURATION_MS = (100.0, 1_500.0)  # Minimum and maximum duration of an overload.
 
 
 class BackendFaults:
@@ -44,11 +44,11 @@
         rng = self._simulation.rng
         backend = rng.choice(self._backends)
         self.failing.add(backend)
-        self._simulation.schedule(rng.uniform(*FAILING_MS), self.failing.discard, backend)
+        self._simulation.schedule(rng.uniform(*FAILURE_DURATION_MS), self.failing.discard, backend)
 
     def _overload_zones(self) -> None:
         self.is_overloaded = True
-        duration_ms = self._simulation.rng.uniform(*OVERLOAD_MS)
+        duration_ms = self._simulation.rng.uniform(*OVERLOAD_DURATION_MS)
         self._simulation.schedule(duration_ms, self._end_overload)
 
     def _end_overload(self) -> None:
--- a/dockthread/lab/maintenance/checker.py
+++ b/dockthread/lab/maintenance/checker.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class MaintenanceLimits:
     """The limits that the rules check.
 
     Attributes:
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SwitchOff:
+class SwitchOffEvent:
     """The event that staff switch a backend off.
 
     Attributes:
@@ -72,14 +72,14 @@
         at_ms: Time of the end.
         snapshots: Snapshot of each member's state.
         drained: The backends that each member drains.
-        expected: The backends that have to be drained according to the replicated state.
+        expected_drained: The backends that have to be drained according to the replicated state.
         unfinished: Targets of maintenance requests that are not finished.
     """
 
     at_ms: float
     snapshots: Mapping[str, bytes]
     drained: Mapping[str, Collection[str]]
-    expected: Collection[str]
+    expected_drained: Collection[str]
     unfinished: Collection[str]
 
 
@@ -96,31 +96,31 @@
     """
 
     def __init__(
-        self, zone_of: Mapping[str, str], limits: Limits, violations: list[RuleViolation]
+        self, zone_of: Mapping[str, str], limits: MaintenanceLimits, violations: list[RuleViolation]
     ) -> None:
         self._zone_of = zone_of
         self._limits = limits
         self._violations = violations
         self.switched_off: dict[str, Collection[str]] = {}
         # End of the warm-up of each backend that was switched on again.
-        self._warm_at: dict[str, float] = {}
+        self._warm_up_ends: dict[str, float] = {}
         # Log index of each maintenance request, by the comment of staff.
         self._request_index: dict[str, int] = {}
         # Time of each grant, by target and epoch.
         self._granted_at: dict[tuple[str, int], float] = {}
         self._restarting: set[str] = set()
 
-    def _break(self, rule: str, at_ms: float, detail: str) -> None:
+    def _report_violation(self, rule: str, at_ms: float, detail: str) -> None:
         self._violations.append(RuleViolation(rule, at_ms, detail))
 
-    def on_switched_off(self, event: SwitchOff) -> None:
+    def on_switched_off(self, event: SwitchOffEvent) -> None:
         """Check the rules `zone`, `idle` and `dead` when staff switch a backend off."""
         self.switched_off[event.backend] = event.drained_by
         self._check_zone(event.at_ms, self._zone_of[event.backend])
         for member in event.members:
             has_drained = member in event.drained_by
             if has_drained and event.in_flight.get(member):
-                self._break(
+                self._report_violation(
                     "idle",
                     event.at_ms,
                     f"{member} has {event.in_flight[member]} requests in flight at"
@@ -128,7 +128,7 @@
                 )
             unreachable_ms = event.unreachable_ms.get(member, 0.0)
             if not has_drained and unreachable_ms < self._limits.failure_timeout_ms:
-                self._break(
+                self._report_violation(
                     "dead",
                     event.at_ms,
                     f"{event.backend} is switched off without a confirmation from {member},"
@@ -136,29 +136,31 @@
                 )
 
     def _check_zone(self, at_ms: float, zone: str) -> None:
-        warming_up = {backend for backend, warm_at in self._warm_at.items() if warm_at > at_ms}
-        away = sorted(
+        warming_up = {
+            backend for backend, warm_up_end in self._warm_up_ends.items() if warm_up_end > at_ms
+        }
+        unavailable = sorted(
             backend
             for backend in {*self.switched_off, *warming_up}
             if self._zone_of[backend] == zone
         )
         limit = self._limits.max_unavailable
-        if len(away) > limit:
-            self._break(
+        if len(unavailable) > limit:
+            self._report_violation(
                 "zone",
                 at_ms,
-                f"{', '.join(away)} in zone {zone} are unavailable, but at most {limit} may be",
+                f"{', '.join(unavailable)} in zone {zone} are unavailable, but at most {limit} may be",
             )
 
     def on_switched_on(self, at_ms: float, backend: str) -> None:
         """Record that staff have switched a backend on again."""
         self.switched_off.pop(backend, None)
-        self._warm_at[backend] = at_ms + self._limits.warm_up_ms
+        self._warm_up_ends[backend] = at_ms + self._limits.warm_up_ms
 
     def on_request_sent(self, at_ms: float, member: str, backend: str) -> None:
         """Check the rule `used` when a member sends a request to a backend."""
         if member in self.switched_off.get(backend, ()):
-            self._break(
+            self._report_violation(
                 "used",
                 at_ms,
                 f"{member} sends a request to {backend}, which it has confirmed as drained",
@@ -166,10 +168,10 @@
 
     def on_maintenance_requested(self, at_ms: float, comment: str, index: int) -> None:
         """Check the rule `once` when a member has applied a maintenance request at a log index."""
-        known = self._request_index.setdefault(comment, index)
-        if known != index:
-            self._break(
-                "once", at_ms, f"{comment} is a request at log index {known} and at {index}"
+        first_index = self._request_index.setdefault(comment, index)
+        if first_index != index:
+            self._report_violation(
+                "once", at_ms, f"{comment} is a request at log index {first_index} and at {index}"
             )
 
     def on_granted(self, at_ms: float, target: str, epoch: int) -> None:
@@ -181,19 +183,19 @@
         lasted_ms = at_ms - self._granted_at.get((target, epoch), at_ms)
         limit_ms = self._limits.grant_timeout_ms
         if lasted_ms < limit_ms:
-            self._break(
+            self._report_violation(
                 "early",
                 at_ms,
                 f"the grant of {target} timed out after {lasted_ms:.0f} ms,"
                 f" before the timeout of {limit_ms:.0f} ms",
             )
 
-    def on_restart_begun(self, at_ms: float, ingress: str) -> None:
+    def on_restart_started(self, at_ms: float, ingress: str) -> None:
         """Check the rule `ingresses` when an ingress shuts down for its own restart."""
         self._restarting.add(ingress)
         if len(self._restarting) > 1:
             names = ", ".join(sorted(self._restarting))
-            self._break("ingresses", at_ms, f"{names} restart at the same time")
+            self._report_violation("ingresses", at_ms, f"{names} restart at the same time")
 
     def on_started(self, ingress: str) -> None:
         """Record that an ingress has started."""
@@ -203,15 +205,17 @@
         """Check the rules `alike` and `progress` at the end of the run."""
         if len(set(final.snapshots.values())) > 1:
             names = ", ".join(final.snapshots)
-            self._break("alike", final.at_ms, f"the states of {names} differ")
+            self._report_violation("alike", final.at_ms, f"the states of {names} differ")
         for member, drained in final.drained.items():
-            if set(drained) != set(final.expected):
-                expected = sorted(final.expected)
-                self._break(
+            if set(drained) != set(final.expected_drained):
+                expected = sorted(final.expected_drained)
+                self._report_violation(
                     "alike",
                     final.at_ms,
                     f"{member} drains {sorted(drained)} instead of {expected}",
                 )
         if final.unfinished:
             names = ", ".join(sorted(final.unfinished))
-            self._break("progress", final.at_ms, f"requests for {names} are not finished")
+            self._report_violation(
+                "progress", final.at_ms, f"requests for {names} are not finished"
+            )
--- a/dockthread/lab/maintenance/process_cluster.py
+++ b/dockthread/lab/maintenance/process_cluster.py
@@ -24,7 +24,7 @@
 from dockthread.raft.storage import RaftStorage
 
 HOST = "127.0.0.1"
-NO_ANSWER = 0  # Status code that stands for a missing response.
+NO_RESPONSE = 0  # Status code that stands for a missing response.
 OK = 200
 CALL_TIMEOUT_S = 6.0
 STATUS_TIMEOUT_S = 0.5  # Timeout of read-only calls.
@@ -87,11 +87,11 @@
         self._max_unavailable = max_unavailable
         self._more = more
         self._reservations: list[socket.socket] = []
-        self._peer = {name: self._reserve_address() for name in self.names}
+        self._peer_addresses = {name: self._reserve_address() for name in self.names}
         self.client = {name: self._reserve_address() for name in self.names}
         self.admin = {name: self._reserve_address() for name in self.names}
         self.links = {
-            Link(sender, receiver): Relay(self._peer[receiver])
+            Link(sender, receiver): Relay(self._peer_addresses[receiver])
             for sender in self.names
             for receiver in self.names
             if sender != receiver
@@ -104,8 +104,8 @@
 
     async def open(self) -> None:
         """Open all links and start all ingresses."""
-        for link in self.links.values():
-            await link.open()
+        for relay in self.links.values():
+            await relay.open()
         for name in self.names:
             self.start(name)
 
@@ -113,8 +113,8 @@
         """Kill all ingresses and close all links."""
         for name in list(self.processes):
             self.kill(name)
-        for link in self.links.values():
-            link.close()
+        for relay in self.links.values():
+            relay.close()
         for reservation in self._reservations:
             reservation.close()
 
@@ -125,17 +125,21 @@
             name: The ingress.
             ini_text: Text of the operator's INI file; empty for the default of this cluster.
         """
-        home = self.folder / name
-        if not (home / "log").exists():
-            RaftStorage(home / "log", name, create=True).close()
-        (home / "tmp").mkdir(parents=True, exist_ok=True)
-        ini = home / "dockthread.ini"
-        ini.write_text(ini_text or self._ini_text(name))
-        config = home / "config.json"
-        config.write_text(json.dumps(self._config(name)))
-        environment = {**os.environ, "NODE_CONFIG": str(config), "TMPDIR": str(home / "tmp")}
-        command = [sys.executable, "-m", "dockthread", "--config", str(ini), "serve"]
-        with (home / "out").open("ab") as out:
+        process_folder = self.folder / name
+        if not (process_folder / "log").exists():
+            RaftStorage(process_folder / "log", name, create=True).close()
+        (process_folder / "tmp").mkdir(parents=True, exist_ok=True)
+        ini_path = process_folder / "dockthread.ini"
+        ini_path.write_text(ini_text or self._ini_text(name))
+        config_path = process_folder / "config.json"
+        config_path.write_text(json.dumps(self._config(name)))
+        environment = {
+            **os.environ,
+            "NODE_CONFIG": str(config_path),
+            "TMPDIR": str(process_folder / "tmp"),
+        }
+        command = [sys.executable, "-m", "dockthread", "--config", str(ini_path), "serve"]
+        with (process_folder / "out").open("ab") as out:
             self.processes[name] = subprocess.Popen(
                 command, env=environment, stdout=out, stderr=out
             )
@@ -146,10 +150,10 @@
             for link, relay in self.links.items()
             if link.sender == name
         }
-        addresses[name] = str(self._peer[name])
+        addresses[name] = str(self._peer_addresses[name])
         members = ", ".join(f"{other}={addresses[other]}" for other in self.names)
         return (
-            f"[fleet]\nlisten = {self._peer[name]}\nmembers = {members}\n"
+            f"[fleet]\nlisten = {self._peer_addresses[name]}\nmembers = {members}\n"
             f"directory = {self.folder / name / 'log'}\n"
             f"most_out = {self._max_unavailable}\n{self._more}"
         )
@@ -219,24 +223,24 @@
             process does not respond in time.
         """
         data = json.dumps(body).encode() if body is not None else b""
-        head = f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(data)}\r\n\r\n"
+        request_head = f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(data)}\r\n\r\n"
         address = self.admin[name]
         try:
             async with asyncio.timeout(time_limit_s):
                 reader, writer = await asyncio.open_connection(address.host, address.port)
-                writer.write(head.encode() + data)
-                answer = await reader.read()
+                writer.write(request_head.encode() + data)
+                response = await reader.read()
                 writer.close()
         except (OSError, TimeoutError):
-            return NO_ANSWER, None
-        answer_head, _, text = answer.partition(b"\r\n\r\n")
-        if not answer_head:
-            return NO_ANSWER, None
-        status = int(answer_head.split()[1])
+            return NO_RESPONSE, None
+        response_head, _, text = response.partition(b"\r\n\r\n")
+        if not response_head:
+            return NO_RESPONSE, None
+        status = int(response_head.split()[1])
         is_json = status == OK and text.startswith(b"{")
         return status, json.loads(text) if is_json else text.decode()
 
-    async def look(self, name: str, path: str) -> Any:
+    async def get_json(self, name: str, path: str) -> Any:
         """Send a GET request and return the JSON object, or None if there is no valid response."""
         status, content = await self.call(name, "GET", path, time_limit_s=STATUS_TIMEOUT_S)
         return content if status == OK else None
@@ -250,7 +254,7 @@
         highest_term = -1
         leader = ""
         for name in among or [name for name in self.names if name in self.processes]:
-            status = await self.look(name, "/_fleet")
+            status = await self.get_json(name, "/_fleet")
             if status and status["role"] == "leader" and status["term"] > highest_term:
                 highest_term = status["term"]
                 leader = name
@@ -264,7 +268,7 @@
         Returns:
             Names of the targets, or None if the ingress does not respond.
         """
-        listing = await self.look(name, "/_work")
+        listing = await self.get_json(name, "/_work")
         if listing is None:
             return None
         return {request["target"] for request in listing["work"] if request["state"] in states}
--- a/dockthread/lab/maintenance/reachability.py
+++ b/dockthread/lab/maintenance/reachability.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 # Number of check intervals without contact after which a member counts as unreachable.
-LONGEST_GAP_INTERVALS = 2
+MAX_MISSED_CHECKS = 2
 NEVER_MS = -1e18  # Earlier than any simulated time.
 
 
@@ -11,18 +11,18 @@
     """Remembers when each member was last known to be reachable.
 
     Args:
-        look_interval_ms: Time between two checks of reachability.
+        check_interval_ms: Time between two checks of reachability.
         memory_ms: Time for which an unreachable period is remembered after its end.
     """
 
-    def __init__(self, look_interval_ms: float, memory_ms: float) -> None:
-        self._gap_limit_ms = LONGEST_GAP_INTERVALS * look_interval_ms
+    def __init__(self, check_interval_ms: float, memory_ms: float) -> None:
+        self._gap_limit_ms = MAX_MISSED_CHECKS * check_interval_ms
         self._memory_ms = memory_ms
         self._last_reached_at: dict[str, float] = {}
         # Duration and end of the last unreachable period, by member.
         self._gaps: dict[str, tuple[float, float]] = {}
 
-    def on_reached(self, now: float, member: str) -> None:
+    def on_reachable(self, now: float, member: str) -> None:
         """Record that a member is known to be reachable now."""
         gap_ms = now - self._last_reached_at.get(member, 0.0)
         if gap_ms > self._gap_limit_ms:
--- a/dockthread/lab/maintenance/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -53,19 +53,19 @@
 }
 TIMEOUTS_INI = "dead = 1500ms\nlapse = 15s\n"  # Additional lines of the section `[fleet]`.
 MS_PER_S = 1000.0
-ELECTION_LIMIT_S = 30.0  # Maximum time until every member knows a leader.
-CALM_LIMIT_S = 30.0  # Maximum time from the last step until every request is finished.
-LOOK_INTERVAL_S = 0.1  # Poll interval of staff and of the supervisor.
-RETRY_S = 2.0  # Minimum time before staff retry a call.
+ELECTION_TIMEOUT_S = 30.0  # Maximum time until every member knows a leader.
+COMPLETION_TIMEOUT_S = 30.0  # Maximum time from the last step until every request is finished.
+POLL_INTERVAL_S = 0.1  # Poll interval of staff and of the supervisor.
+RETRY_INTERVAL_S = 2.0  # Minimum time before staff retry a call.
 REQUEST_TIMEOUT_S = 4.0  # Deadline of the load's requests.
-CUSTOMERS = 7  # Number of customers in the load.
+CUSTOMER_COUNT = 7  # Number of customers in the load.
 # Number of low bits of a request id that count the requests to one ingress.
-IDENTIFIERS_PER_INGRESS = 40
-DETAIL_LENGTH = 600  # Maximum length of a violation's detail, in characters.
+REQUEST_ID_BITS = 40
+MAX_DETAIL_LENGTH = 600  # Maximum length of a violation's detail, in characters.
 SIGNALS = {
     StepVerb.STOP: signal.SIGSTOP,
     StepVerb.CONTINUE: signal.SIGCONT,
-    StepVerb.END: signal.SIGTERM,
+    StepVerb.TERMINATE: signal.SIGTERM,
 }
 
 
@@ -112,7 +112,7 @@
         self._cluster: ProcessCluster
         self._tasks: list[asyncio.Task[Any]] = []
         # Ingresses that the scenario has ever killed or sent a signal.
-        self._disturbed: set[str] = set()
+        self._faulted: set[str] = set()
         # Ingresses that have ever exited by themselves.
         self._restarted: set[str] = set()
         # Ingresses that the scenario killed and has not started again.
@@ -150,13 +150,13 @@
 
     async def _play_steps(self) -> None:
         try:
-            await asyncio.wait_for(self._wait_for_leader(), ELECTION_LIMIT_S)
+            await asyncio.wait_for(self._wait_for_leader(), ELECTION_TIMEOUT_S)
         except TimeoutError as error:
             raise VoidRunError(
-                f"the cluster has no leader after {ELECTION_LIMIT_S:.0f} s"
+                f"the cluster has no leader after {ELECTION_TIMEOUT_S:.0f} s"
             ) from error
         self._begun_at = time.monotonic()
-        self._note("a leader is elected")
+        self._record_event("a leader is elected")
         names = self._cluster.names if self._settings.load else []
         loads = [asyncio.create_task(self._send_load(name)) for name in names]
         supervisor = asyncio.create_task(self._supervise())
@@ -168,30 +168,30 @@
 
     async def _wait_for_leader(self) -> None:
         while True:
-            states = [await self._cluster.look(name, "/_fleet") for name in self._cluster.names]
+            states = [await self._cluster.get_json(name, "/_fleet") for name in self._cluster.names]
             if all(state and state["leader"] for state in states):
                 return
-            await asyncio.sleep(LOOK_INTERVAL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     @property
     def _now_ms(self) -> float:
         return (time.monotonic() - self._begun_at) * MS_PER_S
 
-    def _note(self, text: str) -> None:
+    def _record_event(self, text: str) -> None:
         self._result.record.append(f"{self._now_ms:8.0f} {text}")
 
-    def _break(self, rule: str, detail: str) -> None:
-        self._note(f"BROKEN {rule}: {detail}")
+    def _report_violation(self, rule: str, detail: str) -> None:
+        self._record_event(f"BROKEN {rule}: {detail}")
         self._result.broken.append(RuleViolation(rule, self._now_ms, detail))
 
     # Steps
 
     async def _play_step(self, step: Step) -> None:  # noqa: C901  one branch for each verb
         await asyncio.sleep(max(0.0, step.at_ms - self._now_ms) / MS_PER_S)
-        names = [name for operand in step.operands for name in await self._named(operand)]
-        self._note(" ".join((step.verb, *names)))
+        names = [name for operand in step.operands for name in await self._resolve_operand(operand)]
+        self._record_event(" ".join((step.verb, *names)))
         match step.verb:
-            case StepVerb.ASK:
+            case StepVerb.REQUEST:
                 await asyncio.gather(*(self._request_maintenance(name) for name in names))
             case StepVerb.WITHDRAW:
                 for name in names:
@@ -202,7 +202,7 @@
                 self._cluster.cut(set(names), both=step.verb is StepVerb.CUT)
             case StepVerb.DELAY:
                 self._cluster.delay(float(step.operands[0]))
-            case StepVerb.FAIL | StepVerb.MEND:
+            case StepVerb.FAIL | StepVerb.RECOVER:
                 for name in names:
                     self._backends[name].is_failing = step.verb is StepVerb.FAIL
             case StepVerb.START:
@@ -210,9 +210,9 @@
                     self._start(name)
             case _:
                 for name in names:
-                    self._disturb(step.verb, name)
+                    self._kill_or_signal(step.verb, name)
 
-    async def _named(self, operand: str) -> list[str]:
+    async def _resolve_operand(self, operand: str) -> list[str]:
         """Return the targets that an operand stands for at present."""
         if operand == "all":
             return list(self._cluster.names)
@@ -228,11 +228,11 @@
             self._killed.discard(name)
             self._cluster.start(name)
 
-    def _disturb(self, verb: StepVerb, name: str) -> None:
+    def _kill_or_signal(self, verb: StepVerb, name: str) -> None:
         """Kill a running ingress, or send it a signal."""
         if name not in self._cluster.processes or name in self._killed:
             return
-        self._disturbed.add(name)
+        self._faulted.add(name)
         if verb is StepVerb.KILL:
             self._killed.add(name)
             self._cluster.kill(name)
@@ -249,15 +249,15 @@
                 status, _ = await self._cluster.call(name, "GET", "/_ready", time_limit_s=0.5)
                 if status == OK:
                     self._restarting.discard(name)
-            await asyncio.sleep(LOOK_INTERVAL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def _restart(self, name: str, exit_code: int) -> None:
         self._restarted.add(name)
         self._restarting.add(name)
-        self._note(f"{name} has exited with code {exit_code}")
+        self._record_event(f"{name} has exited with code {exit_code}")
         if len(self._restarting) > 1:
             names = ", ".join(sorted(self._restarting))
-            self._break("ingresses", f"{names} restart at the same time")
+            self._report_violation("ingresses", f"{names} restart at the same time")
         self._cluster.start(name)
 
     # Staff
@@ -274,7 +274,7 @@
     async def _find_request(self, comment: str) -> Mapping[str, Any] | None:
         """Return the request with this comment from the first member that knows it, or None."""
         for name in list(self._cluster.processes):
-            listing = await self._cluster.look(name, "/_work")
+            listing = await self._cluster.get_json(name, "/_work")
             for request in [*listing["work"], *listing["over"]] if listing else []:
                 if request["why"] == comment:
                     return dict(request)
@@ -288,10 +288,10 @@
         while True:
             request = await self._find_request(comment)
             state = request["state"] if request is not None else ""
-            may_call = called_at is None or time.monotonic() - called_at > RETRY_S
+            may_call = called_at is None or time.monotonic() - called_at > RETRY_INTERVAL_S
             is_unavailable = state in UNAVAILABLE_STATES
             if state in FINAL_STATES:
-                self._note(f"{target} is {state}")
+                self._record_event(f"{target} is {state}")
                 return
             if request is None and may_call:
                 called_at = time.monotonic()
@@ -299,13 +299,13 @@
             elif request is not None and is_unavailable and not has_worked:
                 if target in self._backends:
                     has_worked = True
-                    await self._work_at(target, request["held"])
+                    await self._work_at_backend(target, request["held"])
             elif is_unavailable and has_worked and may_call:
                 called_at = time.monotonic()
                 await self._call("done", target, comment)
-            await asyncio.sleep(LOOK_INTERVAL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _work_at(self, target: str, drained_by: Sequence[str]) -> None:
+    async def _work_at_backend(self, target: str, drained_by: Sequence[str]) -> None:
         """Switch a backend off for the time of the work; check the rules `zone` and `used`."""
         backend = self._backends[target]
         away = [
@@ -314,19 +314,21 @@
             if other.is_switched_off and other.zone == backend.zone
         ]
         if len(away) >= self._settings.most_out:
-            self._break(
+            self._report_violation(
                 "zone",
                 f"{target} in {backend.zone} is switched off together with {', '.join(away)}",
             )
         backend.switch_off()
         used_before = backend.used_while_off_count
         alive = set(self._cluster.processes) - self._killed
-        self._note(f"{target} is switched off, drained by {', '.join(drained_by)}")
+        self._record_event(f"{target} is switched off, drained by {', '.join(drained_by)}")
         await asyncio.sleep(float(self._settings.work) / MS_PER_S)
         used_count = backend.used_while_off_count - used_before
         if used_count > 0 and alive <= set(drained_by):
-            self._break(
-                "used", f"{target} was used {used_count} times, although all members had drained it"
+            self._report_violation(
+                "used",
+                f"{used_count} connections or requests reached {target},"
+                " although all members had drained it",
             )
         backend.switch_on()
 
@@ -336,13 +338,13 @@
         rate = self._settings.load
         count = int(float(self._settings.lasts) / MS_PER_S * rate)
         arrivals = (
-            Arrival(number / rate, "status", "gross", 1 + number % CUSTOMERS, 1, 1, 0)
+            Arrival(number / rate, "status", "gross", 1 + number % CUSTOMER_COUNT, 1, 1, 0)
             for number in range(count)
         )
         port = self._cluster.client[name].port
         target = LoadTarget(HOST, port, {"status": REQUEST_TIMEOUT_S}, frozenset())
-        first_identifier = 1 + (self._cluster.names.index(name) << IDENTIFIERS_PER_INGRESS)
-        self._check_load(name, await LoadGenerator(target, first_identifier).run(arrivals))
+        request_id_base = 1 + (self._cluster.names.index(name) << REQUEST_ID_BITS)
+        self._check_load(name, await LoadGenerator(target, request_id_base).run(arrivals))
 
     def _check_load(self, name: str, result: LoadResult) -> None:
         self._result.sent += result.request_count
@@ -351,15 +353,17 @@
             outcome: result.total(outcome) for outcome in RequestOutcome if result.total(outcome)
         }
         counts = ", ".join(f"{count} {outcome}" for outcome, count in totals.items())
-        self._note(f"requests to {name}: {counts}")
+        self._record_event(f"requests to {name}: {counts}")
         checked = [RequestOutcome.FAILED, RequestOutcome.LOST, RequestOutcome.LATE]
         # An ingress that restarts accepts no new connections for a while, but it still answers the
         # requests that it has accepted.
         if name not in self._restarted:
             checked.append(RequestOutcome.UNSENT)
         bad = {outcome: totals[outcome] for outcome in checked if outcome in totals}
-        if bad and name not in self._disturbed:
-            self._break("lost", f"of {result.request_count} requests to {name}: {json.dumps(bad)}")
+        if bad and name not in self._faulted:
+            self._report_violation(
+                "lost", f"of {result.request_count} requests to {name}: {json.dumps(bad)}"
+            )
 
     async def _check_end(self) -> None:
         """End all faults, and check the rules `alike` and `progress`."""
@@ -369,16 +373,18 @@
                 self._cluster.signal(name, signal.SIGCONT)
         for name in list(self._killed):
             self._start(name)
-        are_alike = False
+        are_equal = False
         listings: list[Any] = []
-        deadline = time.monotonic() + CALM_LIMIT_S
+        deadline = time.monotonic() + COMPLETION_TIMEOUT_S
         while time.monotonic() < deadline:
-            listings = [await self._cluster.look(name, "/_work") for name in self._cluster.names]
-            are_alike = None not in listings and len(set(map(json.dumps, listings))) == 1
-            if are_alike and not listings[0]["work"]:
-                self._note("all requests are finished, and all members report the same")
+            listings = [
+                await self._cluster.get_json(name, "/_work") for name in self._cluster.names
+            ]
+            are_equal = None not in listings and len(set(map(json.dumps, listings))) == 1
+            if are_equal and not listings[0]["work"]:
+                self._record_event("all requests are finished, and all members report the same")
                 return
-            await asyncio.sleep(LOOK_INTERVAL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         names_and_listings = zip(self._cluster.names, listings, strict=True)
         detail = "; ".join(f"{name}: {listing}" for name, listing in names_and_listings)
-        self._break("progress" if are_alike else "alike", detail[:DETAIL_LENGTH])
+        self._report_violation("progress" if are_equal else "alike", detail[:MAX_DETAIL_LENGTH])
--- a/dockthread/lab/maintenance/relay.py
+++ b/dockthread/lab/maintenance/relay.py
@@ -8,7 +8,7 @@
 
 HOST = "127.0.0.1"
 READ_BYTES = 65536
-CUT_POLL_S = 0.02  # Interval between two checks whether a cut link is healed.
+CUT_POLL_INTERVAL_S = 0.02  # Interval between two checks whether a cut link is healed.
 MS_PER_S = 1000.0
 
 
@@ -34,7 +34,7 @@
 
     async def open(self) -> None:
         """Listen at a port that the operating system assigns."""
-        self._server = await asyncio.start_server(self._relay, HOST, 0)
+        self._server = await asyncio.start_server(self._forward, HOST, 0)
         self.port = int(self._server.sockets[0].getsockname()[1])
 
     def close(self) -> None:
@@ -44,28 +44,30 @@
         for task in list(self._tasks):
             task.cancel()
 
-    async def _relay(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
-        onward: asyncio.StreamWriter | None = None
+        receiver_writer: asyncio.StreamWriter | None = None
         try:
             await self._wait_until_healed()  # No connection is established over a cut link.
-            _, onward = await asyncio.open_connection(self._receiver.host, self._receiver.port)
-            while piece := await reader.read(READ_BYTES):
+            _, receiver_writer = await asyncio.open_connection(
+                self._receiver.host, self._receiver.port
+            )
+            while chunk := await reader.read(READ_BYTES):
                 if self.delay_ms:
                     await asyncio.sleep(self.delay_ms / MS_PER_S)
                 await self._wait_until_healed()
-                onward.write(piece)
-                await onward.drain()
+                receiver_writer.write(chunk)
+                await receiver_writer.drain()
         except (OSError, asyncio.CancelledError):
             pass
         finally:
             self._tasks.discard(task)
             writer.close()
-            if onward is not None:
-                onward.close()
+            if receiver_writer is not None:
+                receiver_writer.close()
 
     async def _wait_until_healed(self) -> None:
         while self.is_cut:  # noqa: ASYNC110  callers set the attribute without an event
-            await asyncio.sleep(CUT_POLL_S)
+            await asyncio.sleep(CUT_POLL_INTERVAL_S)
--- a/dockthread/lab/maintenance/scenario.py
+++ b/dockthread/lab/maintenance/scenario.py
@@ -42,8 +42,8 @@
 MAX_DURATION_MS = 600_000  # Maximum duration of a scenario.
 MIN_FAULT_INTERVAL_MS = 200  # At shorter intervals faults would overlap.
 # Minimum and maximum duration of a drawn fault, as a fraction of the fault interval.
-FAULT_LENGTHS = (0.4, 0.9)
-DRAWN_DELAYS_MS = (20, 50, 200)  # Link delays from which a delay fault draws.
+FAULT_DURATION_FRACTIONS = (0.4, 0.9)
+FAULT_DELAYS_MS = (20, 50, 200)  # Link delays from which a delay fault draws.
 
 
 class OperandKind(StrEnum):
@@ -59,7 +59,7 @@
 class StepVerb(StrEnum):
     """The action of a step; the values are the verbs in the scenario file."""
 
-    ASK = "ask"
+    REQUEST = "ask"
     WITHDRAW = "withdraw"
     KILL = "kill"
     START = "start"
@@ -70,12 +70,12 @@
     HEAL = "heal"
     DELAY = "delay"
     FAIL = "fail"
-    MEND = "mend"
-    END = "end"
+    RECOVER = "mend"
+    TERMINATE = "end"
 
 
-OPERANDS: dict[str, OperandKind] = {
-    StepVerb.ASK: OperandKind.TARGETS,
+OPERAND_KINDS: dict[str, OperandKind] = {
+    StepVerb.REQUEST: OperandKind.TARGETS,
     StepVerb.WITHDRAW: OperandKind.TARGETS,
     StepVerb.KILL: OperandKind.INGRESSES,
     StepVerb.START: OperandKind.INGRESSES,
@@ -86,17 +86,17 @@
     StepVerb.HEAL: OperandKind.NOTHING,
     StepVerb.DELAY: OperandKind.DELAY_MS,
     StepVerb.FAIL: OperandKind.BACKENDS,
-    StepVerb.MEND: OperandKind.BACKENDS,
-    StepVerb.END: OperandKind.INGRESSES,
+    StepVerb.RECOVER: OperandKind.BACKENDS,
+    StepVerb.TERMINATE: OperandKind.INGRESSES,
 }
 # The verb that ends each fault that `[faults]` may draw.
-ENDED_BY: dict[str, StepVerb] = {
+END_VERBS: dict[str, StepVerb] = {
     StepVerb.KILL: StepVerb.START,
     StepVerb.STOP: StepVerb.CONTINUE,
     StepVerb.CUT: StepVerb.HEAL,
     StepVerb.CUT_FROM: StepVerb.HEAL,
     StepVerb.DELAY: StepVerb.HEAL,
-    StepVerb.FAIL: StepVerb.MEND,
+    StepVerb.FAIL: StepVerb.RECOVER,
 }
 
 
@@ -153,13 +153,13 @@
             yield KeyProblem(
                 "lasts", "is not from 1s to 10min", "write the duration of the scenario"
             )
-        for text in _lines(self.steps):
-            fault = step_fault(text, self.machines)
-            if fault:
+        for text in _nonempty_lines(self.steps):
+            problem = step_problem(text, self.machines)
+            if problem:
                 yield KeyProblem(
                     "steps",
-                    f"{text!r} {fault}",
-                    "write TIME, a verb and its operands; verbs are " + ", ".join(OPERANDS),
+                    f"{text!r} {problem}",
+                    "write TIME, a verb and its operands; verbs are " + ", ".join(OPERAND_KINDS),
                 )
 
 
@@ -179,9 +179,9 @@
     def problems(self) -> Iterable[KeyProblem]:
         """Yield the key, what is wrong and what would do, for each fault."""
         for kind in self.kinds:
-            if kind not in ENDED_BY:
+            if kind not in END_VERBS:
                 yield KeyProblem(
-                    "kinds", f"{kind!r} is not a fault", "write some of " + ", ".join(ENDED_BY)
+                    "kinds", f"{kind!r} is not a fault", "write some of " + ", ".join(END_VERBS)
                 )
         if self.every < MIN_FAULT_INTERVAL_MS:
             yield KeyProblem(
@@ -210,14 +210,14 @@
     """A scenario is invalid; the message has one line for each problem."""
 
 
-def step_fault(text: str, backend_count: int) -> str:
+def step_problem(text: str, backend_count: int) -> str:
     """Return a description of the problem with a step, or "" if the step is valid."""
     time, verb, *operands = _split_step(text)
     try:
         Duration.parse(time)
     except ValueError as error:
         return f"{time!r} {error}"
-    kind = OPERANDS.get(verb)
+    kind = OPERAND_KINDS.get(verb)
     if kind is None:
         return f"has the unknown verb {verb!r}"
     if kind is OperandKind.DELAY_MS:
@@ -264,24 +264,26 @@
         ScenarioError: The scenario is invalid; the message names the file, the key, the problem and
             valid values.
     """
-    found = read_sections(
+    sections = read_sections(
         text, name, {"scenario": SectionKind(ScenarioSection), "faults": SectionKind(FaultsSection)}
     )
-    if found.errors:
-        raise ScenarioError("\n".join(str(problem) for problem in found.errors))
-    settings: ScenarioSection = found.section("scenario")
+    if sections.errors:
+        raise ScenarioError("\n".join(str(problem) for problem in sections.errors))
+    settings: ScenarioSection = sections.section("scenario")
     size = ingresses or settings.ingresses
     if size not in CLUSTER_SIZES:
         raise ScenarioError(
             f"{name}: {size} is not a valid number of ingresses; write 1, 3, 5 or 7"
         )
-    steps = [_parse_step(line) for line in _lines(settings.steps)]
-    drawn = _drawn_steps(found.section("faults"), random.Random(seed), size, settings.machines)
-    ordered = sorted([*steps, *drawn], key=lambda step: step.at_ms)
-    return PlannedScenario(name, settings, size, tuple(ordered))
+    steps = [_parse_step(line) for line in _nonempty_lines(settings.steps)]
+    drawn = _draw_fault_steps(
+        sections.section("faults"), random.Random(seed), size, settings.machines
+    )
+    ordered_steps = sorted([*steps, *drawn], key=lambda step: step.at_ms)
+    return PlannedScenario(name, settings, size, tuple(ordered_steps))
 
 
-def _lines(text: str) -> list[str]:
+def _nonempty_lines(text: str) -> list[str]:
     return [line.strip() for line in text.split("\n") if line.strip()]
 
 
@@ -290,21 +292,21 @@
     return Step(float(Duration.parse(time)), StepVerb(verb), tuple(operands))
 
 
-def _drawn_steps(
+def _draw_fault_steps(
     faults: FaultsSection, rng: random.Random, size: int, backend_count: int
 ) -> Iterator[Step]:
     at_ms = float(faults.every)
     while faults.kinds and at_ms < faults.until:
         kind = StepVerb(rng.choice(faults.kinds))
-        ends_at_ms = at_ms + float(faults.every) * rng.uniform(*FAULT_LENGTHS)
+        ends_at_ms = at_ms + float(faults.every) * rng.uniform(*FAULT_DURATION_FRACTIONS)
         ingress = f"n{rng.randrange(size)}"
-        delay_ms = str(rng.choice(DRAWN_DELAYS_MS))
+        delay_ms = str(rng.choice(FAULT_DELAYS_MS))
         backend = f"m{rng.randrange(backend_count)}"
-        by_kind = {StepVerb.DELAY: delay_ms, StepVerb.FAIL: backend}
-        operands = (by_kind.get(kind, ingress),)
-        end = ENDED_BY[kind]
+        operand_by_kind = {StepVerb.DELAY: delay_ms, StepVerb.FAIL: backend}
+        operands = (operand_by_kind.get(kind, ingress),)
+        end_verb = END_VERBS[kind]
         yield Step(at_ms, kind, operands)
-        yield Step(ends_at_ms, end, () if end is StepVerb.HEAL else operands)
+        yield Step(ends_at_ms, end_verb, () if end_verb is StepVerb.HEAL else operands)
         at_ms += float(faults.every)
 
 
--- a/dockthread/lab/maintenance/seeded_defects.py
+++ b/dockthread/lab/maintenance/seeded_defects.py
@@ -59,7 +59,7 @@
         return {member for member in confirming if not self.unreachable_ms.get(member)}
 
 
-class OneMoreUnavailable(MaintenanceScheduler):
+class ExceedsMaxUnavailable(MaintenanceScheduler):
     """Grants maintenance to one more backend of a zone than allowed."""
 
     def max_unavailable(self, zone: str, kind: TargetKind = TargetKind.BACKEND) -> int:
@@ -67,7 +67,7 @@
         return super().max_unavailable(zone, kind) + 1
 
 
-class ElapsedSinceStart(MaintenanceParticipant):
+class ReportsTimeSinceStart(MaintenanceParticipant):
     """Reports the time since the leader started as elapsed, not the time since its last report."""
 
     def _report(self, now: float, cluster: ClusterView, actions: ParticipantActions) -> None:
@@ -77,7 +77,7 @@
             actions.report = msgspec.structs.replace(actions.report, report=report)
 
 
-class StartDrainsNothing(MaintenanceParticipant):
+class RecoveryIgnoresDisk(MaintenanceParticipant):
     """Drains no backends after a start until the leader sends the commit index."""
 
     def recover(
@@ -100,7 +100,7 @@
         return super().update(now, replace(cluster, idle_backends=drained))
 
 
-class ReleasesOverdue(MaintenanceParticipant):
+class SendsToOverdueBackends(MaintenanceParticipant):
     """Sends requests to a backend whose maintenance takes longer than staff announced."""
 
     def update(self, now: float, cluster: ClusterView) -> ParticipantActions:
@@ -114,7 +114,7 @@
         return actions
 
 
-class RestartedInSameIncarnation(MaintenanceParticipant):
+class ReportsRestartBeforeStop(MaintenanceParticipant):
     """Reports that it has restarted when it is only about to stop."""
 
     def _handle_own_request(
@@ -134,13 +134,13 @@
     "tick-twice": ReportAppliedTwice,
     "warm-is-back": WarmUpIgnored,
     "silent-is-dead": UnreachableCountsAsFailed,
-    "one-more-out": OneMoreUnavailable,
+    "one-more-out": ExceedsMaxUnavailable,
 }
 PARTICIPANTS: dict[str, type[MaintenanceParticipant]] = {
-    "ticks-of-a-life": ElapsedSinceStart,
-    "start-holds-nothing": StartDrainsNothing,
+    "ticks-of-a-life": ReportsTimeSinceStart,
+    "start-holds-nothing": RecoveryIgnoresDisk,
     "held-while-busy": ConfirmsWhileBusy,
-    "frees-what-is-overdue": ReleasesOverdue,
-    "back-in-the-same-life": RestartedInSameIncarnation,
+    "frees-what-is-overdue": SendsToOverdueBackends,
+    "back-in-the-same-life": ReportsRestartBeforeStop,
 }
 NAMES = (*SCHEDULERS, *PARTICIPANTS)
--- a/dockthread/lab/maintenance/simulation.py
+++ b/dockthread/lab/maintenance/simulation.py
@@ -14,10 +14,10 @@
 import msgspec
 
 from dockthread.lab.maintenance.backend_faults import BACKEND_FAILURE, OVERLOAD, BackendFaults
-from dockthread.lab.maintenance.checker import FinalState, Limits, MaintenanceChecker
+from dockthread.lab.maintenance.checker import FinalState, MaintenanceChecker, MaintenanceLimits
 from dockthread.lab.maintenance.reachability import Reachability
 from dockthread.lab.maintenance.seeded_defects import PARTICIPANTS, SCHEDULERS
-from dockthread.lab.maintenance.staff import STAFF_INTERVAL_MS, Staff
+from dockthread.lab.maintenance.staff import STAFF_POLL_INTERVAL_MS, Staff
 from dockthread.lab.maintenance.traffic import SEND_INTERVAL_MS, Traffic
 from dockthread.lab.raft.checker import RuleViolation
 from dockthread.lab.raft.cluster import SimulatedMember
@@ -37,13 +37,13 @@
     backend_capacity=0.0, headroom=0.2, grant_timeout_ms=4_000.0, failure_timeout_ms=2_000.0
 )
 WARM_UP_MS = 800.0  # Warm-up time of a backend that is switched on again.
-CALM_MS = 40_000.0  # Time after the last fault within which every request has to be finished.
+COMPLETION_MS = 40_000.0  # Time after the last fault within which every request has to be finished.
 BACKEND_COUNT = 6
 ZONE_NAMES = "ab"
 ZONE_OF = {f"m{index}": ZONE_NAMES[index % len(ZONE_NAMES)] for index in range(BACKEND_COUNT)}
 UPDATE_INTERVAL_MS = 60.0  # Interval between two updates of a participant.
 FIRST_FAULT_MS = 400.0  # Time of the first fault.
-RESTART_MS = (300.0, 1_500.0)  # Minimum and maximum downtime of an ingress that restarts.
+RESTART_DOWNTIME_MS = (300.0, 1_500.0)  # Minimum and maximum downtime of an ingress that restarts.
 # The order decides which random draw enables each fault, so a new order changes every seed.
 FAULTS = (
     Fault.CUT,
@@ -60,10 +60,10 @@
     BACKEND_FAILURE,
     OVERLOAD,
 )
-FAULT_FRACTION = 0.4  # Probability that a seed enables a fault.
+FAULT_PROBABILITY = 0.4  # Probability that a seed enables a fault.
 # Up to this loss rate and mean delay, members that can run are considered reachable.
-CALM_LOSS = 0.1
-CALM_DELAY_MS = 50.0
+MAX_RELIABLE_LOSS_RATE = 0.1
+MAX_RELIABLE_DELAY_MS = 50.0
 # Tolerance of the checker for times that members measure from messages, which arrive with a delay.
 CLOCK_SLACK_MS = 60.0
 
@@ -94,11 +94,11 @@
         self, seed: int, size: int, seeded_defect: str = "", faults: tuple[str, ...] | None = None
     ) -> None:
         super().__init__(seed, size, seeded_defect, faults)
-        drawn = tuple(fault for fault in FAULTS if self.rng.random() < FAULT_FRACTION)
-        self.faults = drawn if faults is None else faults
+        drawn_faults = tuple(fault for fault in FAULTS if self.rng.random() < FAULT_PROBABILITY)
+        self.faults = drawn_faults if faults is None else faults
         # A retried command may appear in the log twice; the scheduler detects it by its id.
         self.checker.commands_are_unique = False
-        limits = Limits(
+        limits = MaintenanceLimits(
             max_unavailable=1,
             warm_up_ms=WARM_UP_MS,
             failure_timeout_ms=OPTIONS.failure_timeout_ms - CLOCK_SLACK_MS,
@@ -115,15 +115,15 @@
     def run(self) -> list[RuleViolation]:
         """Run the simulation to its end or to the first rule violation."""
         self.schedule(SEND_INTERVAL_MS, self._traffic.send_request)
-        self.schedule(STAFF_INTERVAL_MS, self._staff.look)
-        self.schedule(UPDATE_INTERVAL_MS, self._look_who_is_reachable)
+        self.schedule(STAFF_POLL_INTERVAL_MS, self._staff.poll)
+        self.schedule(UPDATE_INTERVAL_MS, self._check_reachability)
         for name in self.voters:
             self.start_member(self.members[name])
         self.schedule(FIRST_FAULT_MS, self.fault_injector.inject)
         self.run_until(FAULT_PHASE_MS)
         self.fault_injector.end_all()
         self.backend_faults.end_all()
-        self.run_until(FAULT_PHASE_MS + CALM_MS)
+        self.run_until(FAULT_PHASE_MS + COMPLETION_MS)
         self.maintenance_checker.on_end(self._final_state())
         return self.checker.violations
 
@@ -140,7 +140,7 @@
                 name: participant.scheduler.snapshot() for name, participant in running.items()
             },
             drained={name: participant.drained for name, participant in running.items()},
-            expected=first.scheduler.drained_backends() if first is not None else {},
+            expected_drained=first.scheduler.drained_backends() if first is not None else {},
             unfinished=self._staff.unfinished_targets(),
         )
 
@@ -173,7 +173,7 @@
         if member.core is None or not member.core.leader_id:
             return
         leader = member.core.leader_id
-        if not self._arrives(member.name, leader):
+        if not self._is_delivered(member.name, leader):
             return
         data = msgspec.msgpack.encode(command)
         for _ in range(1 + (self.rng.random() < self.network.duplication_rate)):
@@ -195,7 +195,7 @@
         participant.recover(member.disk.snapshot, *member.disk.command_replay())
         super().start_member(member)
         self.maintenance_checker.on_started(member.name)
-        self._update_regularly(member, member.incarnation)
+        self._update_periodically(member, member.incarnation)
 
     def on_entry_applied(self, member: SimulatedMember, index: int, entry: Entry) -> None:
         """Apply a committed entry to a member's participant, and check the changed requests."""
@@ -203,14 +203,14 @@
         participant = self.incarnations[member.name].participant
         if entry.kind == EntryKind.COMMAND:
             scheduler = participant.scheduler
-            before = {
+            previous_states = {
                 request.target: (request.state, request.epoch)
                 for request in scheduler.requests.values()
             }
             participant.on_entry_applied(self.now, index, entry.data)
             for request in [*scheduler.requests.values(), *scheduler.finished]:
-                _check_request(
-                    self.maintenance_checker, self.now, request, before.get(request.target)
+                _report_request(
+                    self.maintenance_checker, self.now, request, previous_states.get(request.target)
                 )
         participant.on_log_advanced(index, entry.term)
         self._update(member)
@@ -228,10 +228,10 @@
         """Return a snapshot of a member's state."""
         return self.scheduler_of(member).snapshot()
 
-    def _update_regularly(self, member: SimulatedMember, number: int) -> None:
+    def _update_periodically(self, member: SimulatedMember, number: int) -> None:
         if member.core is not None and member.incarnation == number:
             self._update(member)
-            self.schedule(UPDATE_INTERVAL_MS, self._update_regularly, member, number)
+            self.schedule(UPDATE_INTERVAL_MS, self._update_periodically, member, number)
 
     def _update(self, member: SimulatedMember) -> None:
         if member.core is None or member.is_stalled:
@@ -260,11 +260,11 @@
         if actions.transfer_leadership and member.core is not None:
             self.carry_out(member, core.transfer_leadership(self.now))
         if actions.stop and member.core is not None:
-            self.maintenance_checker.on_restart_begun(self.now, member.name)
+            self.maintenance_checker.on_restart_started(self.now, member.name)
             self.kill_member(member)
-            self.schedule(self.rng.uniform(*RESTART_MS), self.start_member, member)
+            self.schedule(self.rng.uniform(*RESTART_DOWNTIME_MS), self.start_member, member)
 
-    def _arrives(self, sender: str, receiver: str) -> bool:
+    def _is_delivered(self, sender: str, receiver: str) -> bool:
         """Return whether a message arrives; the loss of messages is random."""
         if (sender, receiver) in self.network.cuts:
             return False
@@ -275,17 +275,18 @@
         zone_by_backend = participant.zone_by_requested_backend()
         observation = MemberObservation(
             zones=tuple(
-                self._observe(participant, zone) for zone in sorted(set(zone_by_backend.values()))
+                self._observe_zone(participant, zone)
+                for zone in sorted(set(zone_by_backend.values()))
             ),
             listed=tuple(sorted(zone_by_backend)),
             latest_request_index=participant.latest_request_index(),
         )
-        if self._arrives(member.name, leader):
+        if self._is_delivered(member.name, leader):
             data = msgspec.msgpack.encode(observation)
             delay_ms = self.rng.expovariate(1 / self.network.mean_delay_ms)
             self.schedule(delay_ms, self._receive_observation, leader, member.name, data)
 
-    def _observe(self, participant: MaintenanceParticipant, zone: str) -> ZoneObservation:
+    def _observe_zone(self, participant: MaintenanceParticipant, zone: str) -> ZoneObservation:
         ready = tuple(
             backend
             for backend in ZONE_OF
@@ -310,13 +311,13 @@
 
     # Reachability
 
-    def _look_who_is_reachable(self) -> None:
+    def _check_reachability(self) -> None:
         """Record which members are known to be reachable now."""
-        self.schedule(UPDATE_INTERVAL_MS, self._look_who_is_reachable)
+        self.schedule(UPDATE_INTERVAL_MS, self._check_reachability)
         if (
             self.network.cuts
-            or self.network.loss_rate > CALM_LOSS
-            or self.network.mean_delay_ms > CALM_DELAY_MS
+            or self.network.loss_rate > MAX_RELIABLE_LOSS_RATE
+            or self.network.mean_delay_ms > MAX_RELIABLE_DELAY_MS
         ):
             return
         leaders = {member.name for member, _ in self.running_leaders()}
@@ -324,24 +325,24 @@
             if member.core is None or member.is_stalled:
                 continue
             if member.core.leader_id in leaders:
-                self._reachability.on_reached(self.now, member.name)
+                self._reachability.on_reachable(self.now, member.name)
 
 
-def _check_request(
+def _report_request(
     checker: MaintenanceChecker,
     now: float,
     request: MaintenanceRequest,
-    before: tuple[RequestState, int] | None,
+    previous: tuple[RequestState, int] | None,
 ) -> None:
     """Report a request to the checker after an entry was applied.
 
-    `before` is the state and epoch of the request before the entry, or None if there was no request.
+    `previous` is the state and epoch of the request before the entry, or None if there was no request.
     """
     checker.on_maintenance_requested(now, request.comment, request.requested_index)
     if request.state is RequestState.GRANTED:
         checker.on_granted(now, request.target, request.epoch)
-    if before is not None and _has_timed_out(request) and before[0] in REVOCABLE_STATES:
-        checker.on_grant_timed_out(now, request.target, before[1])
+    if previous is not None and _has_timed_out(request) and previous[0] in REVOCABLE_STATES:
+        checker.on_grant_timed_out(now, request.target, previous[1])
 
 
 def _has_timed_out(request: MaintenanceRequest) -> bool:
--- a/dockthread/lab/maintenance/staff.py
+++ b/dockthread/lab/maintenance/staff.py
@@ -10,7 +10,7 @@
 from enum import Enum, auto
 from typing import TYPE_CHECKING
 
-from dockthread.lab.maintenance.checker import SwitchOff
+from dockthread.lab.maintenance.checker import SwitchOffEvent
 from dockthread.lab.maintenance.environment import SimulationEnvironment
 from dockthread.maintenance.commands import (
     CommandAction,
@@ -23,15 +23,16 @@
 if TYPE_CHECKING:
     from dockthread.lab.raft.cluster import SimulatedMember
 
-STAFF_INTERVAL_MS = 350.0  # Mean poll interval of staff.
-RETRY_MS = 2_500.0  # Minimum time before staff retry a call.
+STAFF_POLL_INTERVAL_MS = 350.0  # Mean poll interval of staff.
+RETRY_INTERVAL_MS = 2_500.0  # Minimum time before staff retry a call.
 MAX_OPEN_TASKS = 4  # Maximum number of unfinished tasks.
-INGRESS_FRACTION = 0.2  # Probability that the target of a task may be an ingress.
-REGRET_FRACTION = 0.15  # Probability that staff withdraw a request as soon as members know it.
-URGENCIES = 3  # Number of urgency levels, counted from 0.
+INGRESS_PROBABILITY = 0.2  # Probability that the target of a task may be an ingress.
+# Probability that staff withdraw a request as soon as members know it.
+WITHDRAWAL_PROBABILITY = 0.15
+URGENCY_COUNT = 3  # Number of urgency levels, counted from 0.
 # Durations that staff may announce; the actual duration of the work does not depend on them.
-DURATIONS_MS = (0.0, 1_000.0)
-WORK_MS = (300.0, 2_500.0)  # Minimum and maximum duration of the work at a backend.
+ANNOUNCED_DURATIONS_MS = (0.0, 1_000.0)
+WORK_DURATION_MS = (300.0, 2_500.0)  # Minimum and maximum duration of the work at a backend.
 NEVER_MS = -1e18  # Earlier than any simulated time.
 
 
@@ -39,7 +40,7 @@
     """The next step of a task."""
 
     REQUEST = auto()
-    WATCH = auto()  # Wait until the ingress has restarted by itself.
+    AWAIT_RESTART = auto()  # Wait until the ingress has restarted by itself.
     WORK = auto()
     COMPLETE = auto()
     FINISHED = auto()
@@ -55,7 +56,7 @@
         command: The command that requests the maintenance.
         step: The next step.
         called_at: Time of the last call for this task.
-        is_regretted: Whether staff withdraw the request as soon as members know it.
+        will_withdraw: Whether staff withdraw the request as soon as members know it.
     """
 
     comment: str
@@ -63,7 +64,7 @@
     command: MaintenanceCommand
     step: StaffStep = StaffStep.REQUEST
     called_at: float = NEVER_MS
-    is_regretted: bool = False
+    will_withdraw: bool = False
 
 
 class Staff:
@@ -96,22 +97,22 @@
     def _unfinished(self) -> list[StaffTask]:
         return [task for task in self._tasks if task.step is not StaffStep.FINISHED]
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Advance every unfinished task and add a task while fewer than the maximum are open."""
         simulation = self._simulation
-        simulation.schedule(simulation.rng.uniform(0.5, 1.5) * STAFF_INTERVAL_MS, self.look)
+        simulation.schedule(simulation.rng.uniform(0.5, 1.5) * STAFF_POLL_INTERVAL_MS, self.poll)
         unfinished = self._unfinished()
         if simulation.now < self._until_ms and len(unfinished) < MAX_OPEN_TASKS:
             self._tasks.append(self._new_task({task.target for task in unfinished}))
         for task in unfinished:
-            self._go_on_with(task)
+            self._advance_task(task)
 
-    def _new_task(self, busy: set[str]) -> StaffTask:
+    def _new_task(self, busy_targets: set[str]) -> StaffTask:
         rng = self._simulation.rng
-        free = sorted({*self._zone_of, *self._simulation.voters} - busy)
-        may_be_ingress = rng.random() < INGRESS_FRACTION
-        backends = [target for target in free if target in self._zone_of]
-        target = rng.choice(free if may_be_ingress else backends or free)
+        free_targets = sorted({*self._zone_of, *self._simulation.voters} - busy_targets)
+        may_be_ingress = rng.random() < INGRESS_PROBABILITY
+        backends = [target for target in free_targets if target in self._zone_of]
+        target = rng.choice(free_targets if may_be_ingress else backends or free_targets)
         comment = f"w{len(self._tasks) + 1}"
         is_backend = target in self._zone_of
         command = MaintenanceCommand(
@@ -120,15 +121,17 @@
             self._zone_of.get(target, ""),
             comment,
             "staff",
-            rng.randrange(URGENCIES),
+            rng.randrange(URGENCY_COUNT),
             command_id=comment,
             kind=TargetKind.BACKEND if is_backend else TargetKind.INGRESS,
-            duration_ms=rng.choice(DURATIONS_MS),
+            duration_ms=rng.choice(ANNOUNCED_DURATIONS_MS),
             warm_up_ms=self._warm_up_ms if is_backend else 0.0,
         )
-        return StaffTask(comment, target, command, is_regretted=rng.random() < REGRET_FRACTION)
+        return StaffTask(
+            comment, target, command, will_withdraw=rng.random() < WITHDRAWAL_PROBABILITY
+        )
 
-    def _go_on_with(self, task: StaffTask) -> None:
+    def _advance_task(self, task: StaffTask) -> None:
         member = self._simulation.random_member()
         if member is None:
             return
@@ -144,32 +147,32 @@
             if request is None:
                 self._call(member, task, task.command)
             else:
-                self._follow(member, task, request)
+                self._handle_request(member, task, request)
         elif task.step is StaffStep.COMPLETE:
-            self._call(member, task, _about(task, CommandAction.COMPLETE, "done"))
+            self._call(member, task, _command_for(task, CommandAction.COMPLETE, "done"))
 
     def _call(self, member: SimulatedMember, task: StaffTask, command: MaintenanceCommand) -> None:
-        """Make a call for a task, unless the last call was less than `RETRY_MS` ago."""
+        """Make a call for a task, unless the last call was less than `RETRY_INTERVAL_MS` ago."""
         now = self._simulation.now
-        if now - task.called_at >= RETRY_MS:
+        if now - task.called_at >= RETRY_INTERVAL_MS:
             task.called_at = now
             self._simulation.propose_to_leader(member, command)
 
-    def _follow(
+    def _handle_request(
         self, member: SimulatedMember, task: StaffTask, request: MaintenanceRequest
     ) -> None:
-        if task.is_regretted:
-            withdrawal = _about(task, CommandAction.WITHDRAW, "withdraw")
+        if task.will_withdraw:
+            withdrawal = _command_for(task, CommandAction.WITHDRAW, "withdraw")
             self._simulation.propose_to_leader(member, withdrawal)
         elif task.target not in self._zone_of:
-            task.step = StaffStep.WATCH
+            task.step = StaffStep.AWAIT_RESTART
         elif request.state in UNAVAILABLE_STATES:
             self._switch_off(task, request)
 
     def _switch_off(self, task: StaffTask, request: MaintenanceRequest) -> None:
         simulation = self._simulation
         simulation.maintenance_checker.on_switched_off(
-            SwitchOff(
+            SwitchOffEvent(
                 at_ms=simulation.now,
                 backend=task.target,
                 drained_by=request.drained_by,
@@ -180,7 +183,7 @@
         )
         simulation.record_event(f"{task.target} is switched off, drained by {request.drained_by}")
         task.step = StaffStep.WORK
-        simulation.schedule(simulation.rng.uniform(*WORK_MS), self._switch_on, task)
+        simulation.schedule(simulation.rng.uniform(*WORK_DURATION_MS), self._switch_on, task)
 
     def _switch_on(self, task: StaffTask) -> None:
         simulation = self._simulation
@@ -190,5 +193,5 @@
         task.called_at = NEVER_MS
 
 
-def _about(task: StaffTask, action: CommandAction, suffix: str) -> MaintenanceCommand:
+def _command_for(task: StaffTask, action: CommandAction, suffix: str) -> MaintenanceCommand:
     return MaintenanceCommand(action, task.target, command_id=f"{task.comment}/{suffix}")
--- a/dockthread/lab/maintenance/stand_in.py
+++ b/dockthread/lab/maintenance/stand_in.py
@@ -14,9 +14,9 @@
 
 HOST = "127.0.0.1"
 READ_BYTES = 65536
-WORK_S = 0.005  # Default service time of a request.
-FAILURE = b"-ERR ill\r\n"
-ANSWER = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
+DEFAULT_SERVICE_TIME_S = 0.005
+ERROR_RESPONSE = b"-ERR ill\r\n"
+RESPONSE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
 
 class StandInBackend:
@@ -25,7 +25,7 @@
     Args:
         uid: Identifier of the backend in the endpoint list.
         zone: Zone of the backend.
-        work_s: Service time of a request in seconds.
+        service_time_s: Service time of a request in seconds.
 
     Attributes:
         is_switched_off: Whether the backend aborts and counts all connections and requests.
@@ -35,10 +35,10 @@
         address: Address at which the backend listens, set by `open`.
     """
 
-    def __init__(self, uid: str, zone: str, work_s: float = WORK_S) -> None:
+    def __init__(self, uid: str, zone: str, service_time_s: float = DEFAULT_SERVICE_TIME_S) -> None:
         self.uid = uid
         self.zone = zone
-        self._work_s = work_s
+        self._service_time_s = service_time_s
         self.is_switched_off = False
         self.is_failing = False
         self.served_count = 0
@@ -89,12 +89,14 @@
         self._connections.add(writer)
         try:
             with suppress(OSError, hiredis.ProtocolError, asyncio.CancelledError):
-                await self._answer_all(reader, writer)
+                await self._serve_requests(reader, writer)
         finally:
             self._connections.discard(writer)
             writer.transport.abort()
 
-    async def _answer_all(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_requests(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         parser = hiredis.Reader()
         while data := await reader.read(READ_BYTES):
             parser.feed(data)
@@ -102,6 +104,6 @@
                 if self.is_switched_off:
                     self.used_while_off_count += 1
                     return
-                await asyncio.sleep(self._work_s)
+                await asyncio.sleep(self._service_time_s)
                 self.served_count += 1
-                writer.write(FAILURE if self.is_failing else ANSWER)
+                writer.write(ERROR_RESPONSE if self.is_failing else RESPONSE)
--- a/dockthread/lab/maintenance/traffic.py
+++ b/dockthread/lab/maintenance/traffic.py
@@ -7,8 +7,8 @@
 from dockthread.lab.maintenance.environment import SimulationEnvironment
 
 SEND_INTERVAL_MS = 25.0  # Mean time between two requests, counted over all members.
-SHORT_REQUEST_MS = 30.0  # Mean duration of a short request.
-SHORT_FRACTION = 0.95  # Probability that a request is short.
+MEAN_SHORT_REQUEST_MS = 30.0  # Mean duration of a short request.
+SHORT_PROBABILITY = 0.95  # Probability that a request is short.
 LONG_REQUEST_MS = (200.0, 1_500.0)  # Minimum and maximum duration of a long request.
 
 
@@ -42,6 +42,6 @@
 
     def _draw_duration_ms(self) -> float:
         rng = self._simulation.rng
-        if rng.random() < SHORT_FRACTION:
-            return rng.expovariate(1 / SHORT_REQUEST_MS)
+        if rng.random() < SHORT_PROBABILITY:
+            return rng.expovariate(1 / MEAN_SHORT_REQUEST_MS)
         return rng.uniform(*LONG_REQUEST_MS)
--- a/dockthread/lab/processes.py
+++ b/dockthread/lab/processes.py
@@ -17,7 +17,7 @@
 from dockthread.lab.load_result import JsonObject, LoadResult
 
 # Seconds that the processes have to start before the first request is due.
-STARTUP_TIME: Final = 0.6
+STARTUP_TIME_S: Final = 0.6
 # Number of low bits of the first request id that hold the share's index.
 SHARE_BITS: Final = 12
 # Largest request id: 64 bits.
@@ -64,19 +64,19 @@
     return await generator.run(islice(plan.arrivals(), share, None, share_count))
 
 
-def _run_process(plan: LoadPlan, share: int, share_count: int, begin_at: float) -> JsonObject:
-    time.sleep(max(0.0, begin_at - time.time()))
+def _run_process(plan: LoadPlan, share: int, share_count: int, start_at: float) -> JsonObject:
+    time.sleep(max(0.0, start_at - time.time()))
     return asyncio.run(send_share(plan, share, share_count)).to_json()
 
 
 def send_from_processes(plan: LoadPlan, process_count: int) -> LoadResult:
     """Send a load from `process_count` processes and return their merged result."""
     total = LoadResult()
-    begin_at = time.time() + STARTUP_TIME
+    start_at = time.time() + STARTUP_TIME_S
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(process_count, mp_context=context) as pool:
         futures = [
-            pool.submit(_run_process, plan, share, process_count, begin_at)
+            pool.submit(_run_process, plan, share, process_count, start_at)
             for share in range(process_count)
         ]
         for future in futures:
--- a/dockthread/lab/slow_start/checker.py
+++ b/dockthread/lab/slow_start/checker.py
@@ -113,14 +113,14 @@
         self.limits = limits
         self.backends: dict[int, WarmingBackend] = {}
 
-    def backend_started(self, backend: int, at: float, capacity: float) -> None:
+    def on_backend_started(self, backend: int, at: float, capacity: float) -> None:
         """Record that a backend starts cold; `capacity` is in requests of mean work per second."""
         self.backends[backend] = WarmingBackend(at, capacity)
 
-    def least_capacity(self, age: float) -> float:
+    def min_capacity(self, age: float) -> float:
         """Return the minimum fraction of its full capacity that a backend has at this age."""
-        gained = (1 - self.limits.cold_capacity) * age / self.limits.warm_up_time
-        return min(1.0, self.limits.cold_capacity + gained)
+        gained_capacity = (1 - self.limits.cold_capacity) * age / self.limits.warm_up_time
+        return min(1.0, self.limits.cold_capacity + gained_capacity)
 
     def allowed_work(self, backend: WarmingBackend, at: float) -> float:
         """Return N for the period of `overload_time` that ends at `at`.
@@ -129,8 +129,8 @@
         the period.
         """
         age = at - backend.started_at
-        age_at_begin = max(0.0, age - self.limits.overload_time)
-        mean_capacity = (self.least_capacity(age_at_begin) + self.least_capacity(age)) / 2
+        age_at_start = max(0.0, age - self.limits.overload_time)
+        mean_capacity = (self.min_capacity(age_at_start) + self.min_capacity(age)) / 2
         return (
             self.limits.overload_multiple
             * mean_capacity
@@ -138,7 +138,7 @@
             * self.limits.overload_time
         )
 
-    def request_arrived(
+    def on_request_arrived(
         self, backend_number: int, at: float, work: float, was_sender_notified: bool
     ) -> None:
         """Count a request that arrives at a backend; ignored unless the backend is warming up."""
@@ -152,7 +152,7 @@
         total_work = sum(arrival.work for arrival in arrivals)
         allowed_work = self.allowed_work(backend, at)
         backend.peak_load = max(backend.peak_load, total_work / allowed_work)
-        if backend.overload is None and total_work > _most_by_chance(allowed_work):
+        if backend.overload is None and total_work > _overload_threshold(allowed_work):
             notified_work = sum(arrival.work for arrival in arrivals if arrival.was_sender_notified)
             backend.overload = Overload(
                 at, backend_number, total_work, allowed_work, notified_work / total_work
@@ -166,5 +166,5 @@
         ]
 
 
-def _most_by_chance(allowed_work: float) -> float:
+def _overload_threshold(allowed_work: float) -> float:
     return allowed_work + CHANCE_DEVIATIONS * math.sqrt(allowed_work) + CHANCE_REQUESTS
--- a/dockthread/lab/slow_start/restart_wave.py
+++ b/dockthread/lab/slow_start/restart_wave.py
@@ -38,7 +38,7 @@
 # Network round-trip time between an ingress and discovery.
 ROUND_TRIP_MS: Final = 2.0
 # Duration of a run.
-END_MS: Final = 60_000.0
+RUN_DURATION_MS: Final = 60_000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -148,7 +148,7 @@
         """Run to the end and return the result."""
         for ingress in self._ingresses:
             self._start(ingress)
-        self._events.run_until(END_MS)
+        self._events.run_until(RUN_DURATION_MS)
         return WaveResult(self._ingresses, self._poll_count)
 
     def _start(self, ingress: RestartedIngress) -> None:
--- a/dockthread/lab/slow_start/seeds.py
+++ b/dockthread/lab/slow_start/seeds.py
@@ -9,7 +9,7 @@
 from dockthread.lab.slow_start.checker import Overload
 from dockthread.lab.slow_start.scenario import Scenario, draw_scenario
 from dockthread.lab.slow_start.seeded_defects import DEFECTIVE_ENGINES
-from dockthread.lab.slow_start.simulation import OBSERVED_TIME, SlowStartSimulation
+from dockthread.lab.slow_start.simulation import OBSERVATION_TIME, SlowStartSimulation
 from dockthread.policy import PolicyEngine
 
 
@@ -53,11 +53,11 @@
     engine_class = DEFECTIVE_ENGINES[seeded_defect] if seeded_defect else PolicyEngine
     simulation = SlowStartSimulation(seed, scenario, engine_class=engine_class)
     checker = simulation.play()
-    mean_capacity = (checker.least_capacity(0.0) + checker.least_capacity(OBSERVED_TIME)) / 2
-    warm_up_seconds = mean_capacity * OBSERVED_TIME
+    mean_capacity = (checker.min_capacity(0.0) + checker.min_capacity(OBSERVATION_TIME)) / 2
+    full_capacity_seconds = mean_capacity * OBSERVATION_TIME
     cold_capacity = sum(backend.kind.capacity for backend in simulation.cold_backends)
-    cold_work = cold_capacity * warm_up_seconds
-    warm_work = (simulation.capacity - cold_capacity) * OBSERVED_TIME
+    cold_work = cold_capacity * full_capacity_seconds
+    warm_work = (simulation.capacity - cold_capacity) * OBSERVATION_TIME
     arrived = max(1, simulation.counts.arrived)
     return SeedResult(
         seed,
--- a/dockthread/lab/slow_start/simulated_backend.py
+++ b/dockthread/lab/slow_start/simulated_backend.py
@@ -57,8 +57,8 @@
         """
         self.in_flight += 1
         core = min(range(self.kind.cores), key=self.core_free_at.__getitem__)
-        begin = max(now, self.core_free_at[core])
-        self.core_free_at[core] = begin + work / (self.kind.speed * capacity_at(begin))
+        start = max(now, self.core_free_at[core])
+        self.core_free_at[core] = start + work / (self.kind.speed * capacity_at(start))
         return self.core_free_at[core]
 
     def load_report(self) -> tuple[float, float, float]:
--- a/dockthread/lab/slow_start/simulation.py
+++ b/dockthread/lab/slow_start/simulation.py
@@ -1,7 +1,7 @@
 """Simulates, without sockets, the policy engines of many ingresses and backends that start cold.
 
 Each ingress is a `PolicyEngine` with its own random generator. Its attempts reach a
-`SimulatedBackend` after `TRAVEL_TIME`; the backend warms up as slowly as the limits allow. Some
+`SimulatedBackend` after `NETWORK_DELAY`; the backend warms up as slowly as the limits allow. Some
 ingresses receive more traffic than others, and some are notified late of the start. All times are in
 seconds.
 """
@@ -39,19 +39,19 @@
 )
 
 # Network delay between an ingress and a backend in one direction, in seconds.
-TRAVEL_TIME: Final = 0.002
+NETWORK_DELAY: Final = 0.002
 # Time of the simulated clock at the start of a run.
-BEGIN: Final = 1_000.0
+START_TIME: Final = 1_000.0
 # Seconds from the start of a run to the start of the cold backends.
-LEAD_TIME: Final = 10.0
+TIME_BEFORE_COLD_START: Final = 10.0
 # Seconds from the start of the cold backends to the end of the run.
-OBSERVED_TIME: Final = 16.0
+OBSERVATION_TIME: Final = 16.0
 # Deadline of a request, as a multiple of the latency objective.
-DEADLINE_OBJECTIVES: Final = 3.0
+DEADLINE_FACTOR: Final = 3.0
 # Customer number of all requests.
 CUSTOMER: Final = 7
 # Upper bound of the random seeds of the policy engines.
-ENGINE_SEEDS: Final = 1 << 30
+ENGINE_SEED_LIMIT: Final = 1 << 30
 
 
 @dataclass(slots=True)
@@ -116,8 +116,8 @@
         self.scenario = scenario
         self.checker = SlowStartChecker(limits or WarmUpLimits())
         self.counts = RequestCounts()
-        self._events = EventQueue(BEGIN)
-        self._cold_start_at = BEGIN + LEAD_TIME
+        self._events = EventQueue(START_TIME)
+        self._cold_start_at = START_TIME + TIME_BEFORE_COLD_START
         self._requests: dict[int, SimulatedRequest] = {}
         self.backends = self._create_backends()
         self.capacity = sum(backend.kind.capacity for backend in self.backends.values())
@@ -125,7 +125,7 @@
         self._rng = random.Random(seed)
         self.cold_backends = self._draw_cold_backends()
         self._engines = [
-            engine_class(self._settings(number), self._rng.randrange(ENGINE_SEEDS), BEGIN)
+            engine_class(self._settings(number), self._rng.randrange(ENGINE_SEED_LIMIT), START_TIME)
             for number in range(scenario.ingress_count)
         ]
         self._traffic_weights = self._draw_traffic_weights()
@@ -136,7 +136,7 @@
         backends = {}
         for index in range(self.scenario.backend_count):
             kind = kinds[index % len(kinds)]
-            backends[index + 1] = SimulatedBackend(index + 1, kind, [BEGIN] * kind.cores)
+            backends[index + 1] = SimulatedBackend(index + 1, kind, [START_TIME] * kind.cores)
         return backends
 
     def _draw_cold_backends(self) -> list[SimulatedBackend]:
@@ -165,7 +165,7 @@
         scenario = self.scenario
         request_class = RequestClass(
             latency_objective=scenario.latency_objective,
-            deadline=DEADLINE_OBJECTIVES * scenario.latency_objective,
+            deadline=DEADLINE_FACTOR * scenario.latency_objective,
             effect=Effect.SAFE,
         )
         safety = SafetyLimits(
@@ -195,14 +195,14 @@
             for backend in self.backends.values()
             if self.scenario.is_restart or backend.number not in cold_numbers
         )
-        self._notify_all_at(BEGIN, EndpointsListed(EndpointListKind.FULL, listed))
+        self._notify_all_at(START_TIME, EndpointsListed(EndpointListKind.FULL, listed))
         if self.scenario.is_restart:
             self._events.schedule_at(
                 self._cold_start_at - self.scenario.downtime, self._stop_cold_backends
             )
         self._events.schedule_at(self._cold_start_at, self._start_cold_backends)
-        self._events.schedule_at(BEGIN, self._on_request_due)
-        self._events.run_until(self._cold_start_at + OBSERVED_TIME)
+        self._events.schedule_at(START_TIME, self._on_request_due)
+        self._events.run_until(self._cold_start_at + OBSERVATION_TIME)
         return self.checker
 
     # Discovery
@@ -234,7 +234,7 @@
         now = self._events.now
         for backend in self.cold_backends:
             backend.restart(now)
-            self.checker.backend_started(backend.number, now, backend.kind.capacity)
+            self.checker.on_backend_started(backend.number, now, backend.kind.capacity)
         listed = tuple(
             self._endpoint(backend, self._cold_start_at) for backend in self.cold_backends
         )
@@ -255,7 +255,7 @@
         work = self._rng.expovariate(1 / MEAN_WORK)
         self._requests[number] = SimulatedRequest(now, work, is_counted)
         self.counts.arrived += is_counted
-        deadline = DEADLINE_OBJECTIVES * self.scenario.latency_objective
+        deadline = DEADLINE_FACTOR * self.scenario.latency_objective
         self._dispatch(ingress, RequestArrived(number, 0, 0, CUSTOMER, deadline))
 
     def _dispatch(self, ingress: int, event: Event) -> None:
@@ -278,7 +278,7 @@
         backend = self.backends[action.backend]
         attempt = Attempt(ingress, action.request, request.attempt_count, backend, now)
         request.attempt_count += 1
-        self._events.schedule_at(now + TRAVEL_TIME, self._on_attempt_received, attempt)
+        self._events.schedule_at(now + NETWORK_DELAY, self._on_attempt_received, attempt)
         self._events.schedule_at(now + action.timeout, self._on_attempt_timeout, attempt)
 
     # Attempts at backends
@@ -291,7 +291,7 @@
             self._respond(attempt, Outcome.UNREACHABLE)
             return
         was_sender_notified = now >= self._notified_at[attempt.ingress]
-        self.checker.request_arrived(backend.number, now, work / MEAN_WORK, was_sender_notified)
+        self.checker.on_request_arrived(backend.number, now, work / MEAN_WORK, was_sender_notified)
         if backend.is_at_capacity:
             self._respond(attempt, Outcome.AT_CAPACITY)
             return
@@ -300,10 +300,10 @@
 
     def _capacity_at(self, backend: SimulatedBackend, time: float) -> float:
         """Return the fraction of its full capacity that a backend has at this time."""
-        warming = self.checker.backends.get(backend.number)
-        if warming is None:
+        warming_backend = self.checker.backends.get(backend.number)
+        if warming_backend is None:
             return 1.0
-        return self.checker.least_capacity(time - warming.started_at)
+        return self.checker.min_capacity(time - warming_backend.started_at)
 
     def _on_attempt_served(self, attempt: Attempt, incarnation: int) -> None:
         backend = attempt.backend
@@ -318,7 +318,7 @@
     def _respond(self, attempt: Attempt, outcome: Outcome) -> None:
         load_report = attempt.backend.load_report() if self.scenario.has_load_reports else ()
         self._events.schedule_at(
-            self._events.now + TRAVEL_TIME, self._on_attempt_ended, attempt, outcome, load_report
+            self._events.now + NETWORK_DELAY, self._on_attempt_ended, attempt, outcome, load_report
         )
 
     def _on_attempt_ended(
--- a/tests/lab/test_lab_load.py
+++ b/tests/lab/test_lab_load.py
@@ -56,9 +56,9 @@
 
 @given(st.floats(1, 500), st.floats(1, 500), st.integers(0, 9))
 def test_arrivals_are_ordered_and_their_number_matches_the_rate_shape(
-    begin_rate: float, end_rate: float, seed: int
+    start_rate: float, end_rate: float, seed: int
 ) -> None:
-    segments = parse_rate_shape(f"{begin_rate}>{end_rate}@10s,{end_rate}@5s")
+    segments = parse_rate_shape(f"{start_rate}>{end_rate}@10s,{end_rate}@5s")
     times = [arrival.at for arrival in draw_arrivals(segments, MIX, seed)]
     expected = sum(segment.expected_requests for segment in segments)
     assert times == sorted(times)
--- a/tests/lab/test_maintenance_simulation.py
+++ b/tests/lab/test_maintenance_simulation.py
@@ -8,7 +8,7 @@
 from dockthread.lab.raft.seeds import play_seed
 
 # The scenario and the seed in which the checker finds each defect.
-FOUND = {
+VIOLATING_SEEDS = {
     "out-at-the-first-word": ("work-turns", 2),
     "tick-twice": ("work-turns-five", 4),
     "warm-is-back": ("work-turns", 0),
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("defect", NAMES)
 def test_checker_finds_each_seeded_defect_and_no_violation_without_it(defect: str) -> None:
-    scenario, seed = FOUND[defect]
+    scenario, seed = VIOLATING_SEEDS[defect]
     assert play_seed(scenario, seed, defect).violations
     assert not play_seed(scenario, seed).violations
 
--- a/tests/lab/test_rehearsal.py
+++ b/tests/lab/test_rehearsal.py
@@ -20,7 +20,7 @@
 )
 from dockthread.lab.maintenance.stand_in import StandInBackend
 
-SHORT = """
+SHORT_SCENARIO = """
 [scenario]
 about = the leader is killed right after a grant
 machines = 3
@@ -55,13 +55,13 @@
 
 
 def test_steps_are_ordered_by_time_and_drawn_faults_depend_on_the_seed_and_end() -> None:
-    scenario = parse_scenario(SHORT, "f.ini")
+    scenario = parse_scenario(SHORT_SCENARIO, "f.ini")
     assert [step.verb for step in scenario.steps] == [
         "ask",
         "kill",
         "start",
     ] and scenario.ingresses == 3
-    assert scenario.steps[0] == Step(500.0, StepVerb.ASK, ("m0", "m1"))
+    assert scenario.steps[0] == Step(500.0, StepVerb.REQUEST, ("m0", "m1"))
     drawn = "[faults]\nkinds = kill, stop, cut, delay\nevery = 1s\nuntil = 9s"
     first, repeated, other = (parse_scenario(drawn, "f.ini", 5, seed).steps for seed in (1, 1, 2))
     assert first == repeated != other
@@ -74,7 +74,7 @@
 
 
 def test_command_plays_a_short_scenario_on_processes(tmp_path: Path) -> None:
-    (tmp_path / "short.ini").write_text(SHORT)
+    (tmp_path / "short.ini").write_text(SHORT_SCENARIO)
     run = CliRunner().invoke(lab, ["fleet", "run", str(tmp_path / "short.ini"), "--json"])
     assert run.exit_code == 0, run.output
     result = json.loads(run.output)
@@ -92,15 +92,15 @@
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
-        rehearsal = Rehearsal(tmp_path, parse_scenario(SHORT, "f.ini"))
+        rehearsal = Rehearsal(tmp_path, parse_scenario(SHORT_SCENARIO, "f.ini"))
         rehearsal._cluster = type("Cluster", (), {"processes": {"n0": None, "n1": None}})()
         for backend in rehearsal._backends.values():
             await backend.open()
-        first = asyncio.create_task(rehearsal._work_at("m0", ["n0", "n1"]))
+        first = asyncio.create_task(rehearsal._work_at_backend("m0", ["n0", "n1"]))
         await asyncio.sleep(0.05)
         await open_connection_until_closed(rehearsal._backends["m0"])
         # n1 has not confirmed that it drained m1, so requests to m1 would not violate `used`.
-        await rehearsal._work_at("m1", ["n0"])
+        await rehearsal._work_at_backend("m1", ["n0"])
         await first
         assert sorted(violation.rule for violation in rehearsal._result.broken) == ["used", "zone"]
         assert not any(backend.is_switched_off for backend in rehearsal._backends.values())
--- a/tests/lab/test_slow_start_simulation.py
+++ b/tests/lab/test_slow_start_simulation.py
@@ -96,24 +96,24 @@
     assert any(result.violations for result in results)
 
 
-CHECKED_LIMITS = WarmUpLimits(
+TEST_LIMITS = WarmUpLimits(
     cold_capacity=0.25, warm_up_time=15.0, overload_multiple=2.0, overload_time=2.0
 )
 
 
 def overloads_of(arrival_times: list[float], was_sender_notified: bool = True) -> list[Overload]:
     """Return the overloads of a backend that starts at 100 s and serves 16 requests per second."""
-    checker = SlowStartChecker(CHECKED_LIMITS)
-    checker.backend_started(1, 100.0, 16.0)
+    checker = SlowStartChecker(TEST_LIMITS)
+    checker.on_backend_started(1, 100.0, 16.0)
     for at in arrival_times:
-        checker.request_arrived(1, at, 1.0, was_sender_notified)
+        checker.on_request_arrived(1, at, 1.0, was_sender_notified)
     return checker.overloads
 
 
 def test_checker_compares_the_work_in_any_period_with_the_minimum_capacity() -> None:
-    checker = SlowStartChecker(CHECKED_LIMITS)
-    least_capacities = [checker.least_capacity(age) for age in (0.0, 5.0, 15.0, 99.0)]
-    assert least_capacities == [0.25, 0.5, 1.0, 1.0]
+    checker = SlowStartChecker(TEST_LIMITS)
+    min_capacities = [checker.min_capacity(age) for age in (0.0, 5.0, 15.0, 99.0)]
+    assert min_capacities == [0.25, 0.5, 1.0, 1.0]
     # At the start N is 2 x 0.25 x 16 requests per second x 2 s = 16, and 2 x 4 + 2 more requests are
     # attributed to random variation.
     assert not overloads_of([100.0] * 26)
