--- a/dockthread/lab/__init__.py
+++ b/dockthread/lab/__init__.py
@@ -1,4 +1,4 @@
-"""The laboratory: load generator, simulations, rehearsals on processes and scale runs.
+"""Test tools: a load generator, simulations, scenarios on real processes, and scale runs.
 
 `arrivals` generates the arrival times of requests; `load` sends the requests and measures their
 latencies; `load_result` aggregates outcomes and latencies; `processes` sends one load from several
--- a/dockthread/lab/maintenance/process_cluster.py
+++ b/dockthread/lab/maintenance/process_cluster.py
@@ -1,8 +1,8 @@
 """Runs a cluster of real ingress processes and injects faults into the links between them.
 
 Every link passes through a relay that can be cut or delayed. The caller chooses the backends in the
-ingresses' configuration; they need not exist, because the cluster tests consensus between the
-ingresses. All processes listen on loopback, at ports that the operating system assigns.
+ingresses' configuration; they need not exist, because maintenance is coordinated between the
+ingresses alone. All processes listen on loopback, at ports that the operating system assigns.
 """
 
 from __future__ import annotations
--- a/dockthread/lab/maintenance/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -117,7 +117,7 @@
         self._restarted: set[str] = set()
         # Ingresses that the scenario killed and has not started again.
         self._killed: set[str] = set()
-        # Ingresses that exited by themselves and are not ready again.
+        # Ingresses that exited by themselves and are not yet ready again.
         self._restarting: set[str] = set()
 
     async def play(self) -> RehearsalResult:
--- a/dockthread/lab/maintenance/scenario.py
+++ b/dockthread/lab/maintenance/scenario.py
@@ -141,7 +141,7 @@
     steps: str = ""
 
     def problems(self) -> Iterable[KeyProblem]:
-        """Yield the key, what is wrong and what would do, for each fault."""
+        """Yield a problem for each key with an invalid value."""
         if self.ingresses not in CLUSTER_SIZES:
             yield KeyProblem("ingresses", f"is {self.ingresses}", "write 1, 3, 5 or 7")
         if not 1 <= self.zones <= self.machines <= MAX_BACKENDS:
@@ -177,7 +177,7 @@
     until: Duration = Duration(10_000.0)
 
     def problems(self) -> Iterable[KeyProblem]:
-        """Yield the key, what is wrong and what would do, for each fault."""
+        """Yield a problem for each key with an invalid value."""
         for kind in self.kinds:
             if kind not in END_VERBS:
                 yield KeyProblem(
--- a/dockthread/lab/maintenance/simulation.py
+++ b/dockthread/lab/maintenance/simulation.py
@@ -61,7 +61,7 @@
     OVERLOAD,
 )
 FAULT_PROBABILITY = 0.4  # Probability that a seed enables a fault.
-# Up to this loss rate and mean delay, members that can run are considered reachable.
+# Running members that know the leader count as reachable up to this loss rate and mean delay.
 MAX_RELIABLE_LOSS_RATE = 0.1
 MAX_RELIABLE_DELAY_MS = 50.0
 # Tolerance of the checker for times that members measure from messages, which arrive with a delay.
--- a/dockthread/lab/slow_start/restart_wave.py
+++ b/dockthread/lab/slow_start/restart_wave.py
@@ -1,11 +1,11 @@
 """Simulates ingresses that restart at the same time and poll discovery for an endpoint list.
 
 The simulation measures when each ingress is ready, that is, when it has an endpoint list. It uses
-the production code of `policy/backoff.py` and the time constants of `net/discovery_watch.py`, and
-models the other behaviour of the discovery watch.
+the production code of `policy/backoff.py` and the time constants of `net/discovery_watch.py`; the
+remaining behaviour of the discovery watch is modelled here.
 
-The list in an ingress's configuration becomes valid after half the drain grace if lists are pushed,
-and immediately if ingresses poll for lists. After a failed poll the ingress backs off and polls
+An ingress starts to use the list in its configuration after half the drain grace if lists are
+pushed, and immediately if ingresses poll for lists. After a failed poll the ingress backs off and polls
 again. A poll without a response also starts a backoff, but stays open until the backoff is over.
 
 Discovery processes polls one after another, each for `service_time_ms`, even if the caller has
--- a/dockthread/lab/slow_start/seeds.py
+++ b/dockthread/lab/slow_start/seeds.py
@@ -45,7 +45,7 @@
 
 
 def play_seed(seed: int, scenario: Scenario, seeded_defect: str = "") -> SeedResult:
-    """Run a scenario with one seed and, if its name is not "", with a seeded defect.
+    """Run a scenario with one seed, and with a seeded defect unless its name is "".
 
     Raises:
         KeyError: no seeded defect has this name.
--- a/tests/lab/test_slow_start_simulation.py
+++ b/tests/lab/test_slow_start_simulation.py
@@ -130,13 +130,13 @@
 def attempts_allowed_to_fleet(ingress_count: int, total_weight: float) -> float:
     """Return how many attempts the recovery ramps of all ingresses allow together in 3 s.
 
-    Before, 20 warm backends served 200 requests per second.
+    Before that, 20 warm backends have served 200 requests per second for 60 s.
     """
     safety = SafetyLimits(
         cold_capacity=0.2, warm_up_time=10.0, overload_multiple=3.0, overload_time=3.0
     )
     ramp = RecoveryRamp(safety, ingress_count, 0.0)
-    for response in range(1, 12_001):  # 60 s of responses, spread evenly.
+    for response in range(1, 12_001):  # 60 s of responses, evenly distributed over the ingresses
         if response % ingress_count == 0:
             ramp.on_response(response / 200, 20.0, 0.3)
     sent = 0
