--- a/dockthread/lab/maintenance/process_cluster.py
+++ b/dockthread/lab/maintenance/process_cluster.py
@@ -151,7 +151,7 @@
             if link.sender == name
         }
         addresses[name] = str(self._peer_addresses[name])
-        members = ", ".join(f"{other}={addresses[other]}" for other in self.names)
+        members = ", ".join(f"{member}={addresses[member]}" for member in self.names)
         return (
             f"[fleet]\nlisten = {self._peer_addresses[name]}\nmembers = {members}\n"
             f"directory = {self.folder / name / 'log'}\n"
--- a/dockthread/lab/maintenance/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -102,7 +102,7 @@
         self._settings = scenario.settings
         self._scenario = scenario
         self._result = RehearsalResult()
-        self._begun_at = time.monotonic()
+        self._started_at = time.monotonic()
         self._folder = folder
         self._zones = [f"hall-{chr(ord('a') + number)}" for number in range(self._settings.zones)]
         self._backends = {
@@ -155,7 +155,7 @@
             raise VoidRunError(
                 f"the cluster has no leader after {ELECTION_TIMEOUT_S:.0f} s"
             ) from error
-        self._begun_at = time.monotonic()
+        self._started_at = time.monotonic()
         self._record_event("a leader is elected")
         names = self._cluster.names if self._settings.load else []
         loads = [asyncio.create_task(self._send_load(name)) for name in names]
@@ -175,7 +175,7 @@
 
     @property
     def _now_ms(self) -> float:
-        return (time.monotonic() - self._begun_at) * MS_PER_S
+        return (time.monotonic() - self._started_at) * MS_PER_S
 
     def _record_event(self, text: str) -> None:
         self._result.record.append(f"{self._now_ms:8.0f} {text}")
@@ -308,26 +308,26 @@
     async def _work_at_backend(self, target: str, drained_by: Sequence[str]) -> None:
         """Switch a backend off for the time of the work; check the rules `zone` and `used`."""
         backend = self._backends[target]
-        away = [
+        backends_off = [
             other.uid
             for other in self._backends.values()
             if other.is_switched_off and other.zone == backend.zone
         ]
-        if len(away) >= self._settings.most_out:
+        if len(backends_off) >= self._settings.most_out:
             self._report_violation(
                 "zone",
-                f"{target} in {backend.zone} is switched off together with {', '.join(away)}",
+                f"{target} in {backend.zone} is switched off together with {', '.join(backends_off)}",
             )
         backend.switch_off()
-        used_before = backend.used_while_off_count
-        alive = set(self._cluster.processes) - self._killed
+        uses_before = backend.used_while_off_count
+        running = set(self._cluster.processes) - self._killed
         self._record_event(f"{target} is switched off, drained by {', '.join(drained_by)}")
         await asyncio.sleep(float(self._settings.work) / MS_PER_S)
-        used_count = backend.used_while_off_count - used_before
-        if used_count > 0 and alive <= set(drained_by):
+        use_count = backend.used_while_off_count - uses_before
+        if use_count > 0 and running <= set(drained_by):
             self._report_violation(
                 "used",
-                f"{used_count} connections or requests reached {target},"
+                f"{use_count} connections or requests reached {target},"
                 " although all members had drained it",
             )
         backend.switch_on()
@@ -354,15 +354,15 @@
         }
         counts = ", ".join(f"{count} {outcome}" for outcome, count in totals.items())
         self._record_event(f"requests to {name}: {counts}")
-        checked = [RequestOutcome.FAILED, RequestOutcome.LOST, RequestOutcome.LATE]
+        checked_outcomes = [RequestOutcome.FAILED, RequestOutcome.LOST, RequestOutcome.LATE]
         # An ingress that restarts accepts no new connections for a while, but it still answers the
         # requests that it has accepted.
         if name not in self._restarted:
-            checked.append(RequestOutcome.UNSENT)
-        bad = {outcome: totals[outcome] for outcome in checked if outcome in totals}
-        if bad and name not in self._faulted:
+            checked_outcomes.append(RequestOutcome.UNSENT)
+        failures = {outcome: totals[outcome] for outcome in checked_outcomes if outcome in totals}
+        if failures and name not in self._faulted:
             self._report_violation(
-                "lost", f"of {result.request_count} requests to {name}: {json.dumps(bad)}"
+                "lost", f"of {result.request_count} requests to {name}: {json.dumps(failures)}"
             )
 
     async def _check_end(self) -> None:
--- a/dockthread/lab/maintenance/simulation.py
+++ b/dockthread/lab/maintenance/simulation.py
@@ -133,14 +133,16 @@
             for name, incarnation in self.incarnations.items()
             if self.members[name].core is not None
         }
-        first = next(iter(running.values()), None)
+        first_participant = next(iter(running.values()), None)
         return FinalState(
             at_ms=self.now,
             snapshots={
                 name: participant.scheduler.snapshot() for name, participant in running.items()
             },
             drained={name: participant.drained for name, participant in running.items()},
-            expected_drained=first.scheduler.drained_backends() if first is not None else {},
+            expected_drained=first_participant.scheduler.drained_backends()
+            if first_participant is not None
+            else {},
             unfinished=self._staff.unfinished_targets(),
         )
 
--- a/tests/lab/test_slow_start_simulation.py
+++ b/tests/lab/test_slow_start_simulation.py
@@ -15,7 +15,7 @@
 from tests.policy.harness import OPEN_PLAN, RATE_PLAN, SETTINGS, IngressHarness, endpoint
 
 
-class FleetSize(NamedTuple):
+class ClusterSize(NamedTuple):
     """The number of ingresses and backends, and the number of seeds that a test runs with them."""
 
     ingress_count: int
@@ -23,8 +23,8 @@
     seed_count: int
 
 
-LARGEST_SIZE = FleetSize(200, 20, 1)
-SIZES = (FleetSize(3, 12, 8), FleetSize(30, 12, 4), LARGEST_SIZE)
+LARGEST_SIZE = ClusterSize(200, 20, 1)
+SIZES = (ClusterSize(3, 12, 8), ClusterSize(30, 12, 4), LARGEST_SIZE)
 # All backends restart while requests wait for them, and more requests arrive than they can serve.
 ALL_COLD = Scenario(
     3,
@@ -52,7 +52,7 @@
 )
 
 
-def play_seeds(scenario: Scenario, size: FleetSize, seeded_defect: str = "") -> list[SeedResult]:
+def play_seeds(scenario: Scenario, size: ClusterSize, seeded_defect: str = "") -> list[SeedResult]:
     scenario = replace(scenario, ingress_count=size.ingress_count, backend_count=size.backend_count)
     seeds = range(1, size.seed_count + 1)
     return [play_seed(seed, scenario, seeded_defect) for seed in seeds]
@@ -71,14 +71,14 @@
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_backends_that_all_restart_cold_are_neither_overloaded_nor_idle(size: FleetSize) -> None:
+def test_backends_that_all_restart_cold_are_neither_overloaded_nor_idle(size: ClusterSize) -> None:
     for result in play_seeds(ALL_COLD, size):
         assert not result.overloads
         assert result.used_capacity > 0.3, "the cold backends are mostly idle"
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_cold_backends_beside_warm_ones_are_neither_overloaded_nor_idle(size: FleetSize) -> None:
+def test_cold_backends_beside_warm_ones_are_neither_overloaded_nor_idle(size: ClusterSize) -> None:
     for result in play_seeds(HALF_COLD, size):
         assert not result.overloads
         assert result.used_capacity > 0.2
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("seeded_defect", ["warmth-ignored", "unbounded"])
-def test_checker_finds_an_engine_without_slow_start(size: FleetSize, seeded_defect: str) -> None:
+def test_checker_finds_an_engine_without_slow_start(size: ClusterSize, seeded_defect: str) -> None:
     assert any(result.violations for result in play_seeds(ALL_COLD, size, seeded_defect))
 
 
@@ -127,7 +127,7 @@
     assert not overloads_of([115.0] * 999), "a warm backend is checked"
 
 
-def attempts_allowed_to_fleet(ingress_count: int, total_weight: float) -> float:
+def attempts_allowed_to_all_ingresses(ingress_count: int, total_weight: float) -> float:
     """Return how many attempts the recovery ramps of all ingresses allow together in 3 s.
 
     Before that, 20 warm backends have served 200 requests per second for 60 s.
@@ -156,6 +156,8 @@
     # is 3 times a fifth of that, over 3 s.
     budget = 3.0 * 0.2 * 20 * 10.0 * 3.0
     for ingress_count in (3, 30):
-        allowed = attempts_allowed_to_fleet(ingress_count, 0.2 * 20)
+        allowed = attempts_allowed_to_all_ingresses(ingress_count, 0.2 * 20)
         assert 0.6 * budget < allowed <= budget + ingress_count
-    assert attempts_allowed_to_fleet(30, 0.0) <= 30, "attempts are allowed without any backend"
+    assert attempts_allowed_to_all_ingresses(30, 0.0) <= 30, (
+        "more than one attempt per ingress is allowed without a backend"
+    )
