--- a/dockthread/lab/load.py
+++ b/dockthread/lab/load.py
@@ -232,7 +232,7 @@
         self._send_next(connection)
 
     def _send_next(self, connection: ClientConnection) -> None:
-        """Send the longest-waiting request whose deadline has not passed, or become idle."""
+        """Send the longest-waiting request before its deadline, or mark the connection as idle."""
         now = time.perf_counter()
         while self._waiting_arrivals:
             pending = self._waiting_arrivals.popleft()
--- a/dockthread/lab/maintenance/reachability.py
+++ b/dockthread/lab/maintenance/reachability.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-# Number of check intervals without contact after which a member counts as unreachable.
+# Number of check intervals after which a member without contact counts as unreachable.
 MAX_MISSED_CHECKS = 2
 NEVER_MS = -1e18  # Earlier than any simulated time.
 
--- a/dockthread/lab/maintenance/staff.py
+++ b/dockthread/lab/maintenance/staff.py
@@ -74,7 +74,7 @@
         simulation: The simulation.
         zone_of: Zone of each backend.
         warm_up_ms: Warm-up time of a backend after the work.
-        until_ms: Time after which staff request no more maintenance.
+        until_ms: Time after which staff create no more tasks.
     """
 
     def __init__(
@@ -98,7 +98,7 @@
         return [task for task in self._tasks if task.step is not StaffStep.FINISHED]
 
     def poll(self) -> None:
-        """Advance every unfinished task and add a task while fewer than the maximum are open."""
+        """Advance every unfinished task, and add a task if fewer than `MAX_OPEN_TASKS` are open."""
         simulation = self._simulation
         simulation.schedule(simulation.rng.uniform(0.5, 1.5) * STAFF_POLL_INTERVAL_MS, self.poll)
         unfinished = self._unfinished()
