--- a/dockthread/lab/maintenance/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -1,18 +1,19 @@
-"""Plays a scenario on real processes, with links that can be cut and staff who switch backends off.
-
-Staff request maintenance at one member, look at any that answers for what became of their own
-request (by their comment on it), switch a backend off once it is unavailable, say done after the
-work, and make every call again that was not answered. A light load goes to each ingress meanwhile.
-An ingress that ends by itself is started again, as a supervisor would. The rules, by name:
-
-- `zone`: backends of a zone that are switched off are never more than allowed;
-- `used`: nothing comes to a backend that is switched off, where every living member has said that
-  it has drained it;
-- `ingresses`: one ingress at a time is away for its own restart;
-- `lost`: no request to an ingress that was never killed or stopped fails, is lost or gets no answer
-  in its time;
-- `alike`: at the end all members say the same;
-- `progress`: at the end every request of staff is finished.
+"""Plays a scenario on real processes, with faulty links and staff who switch backends off.
+
+Simulated staff request maintenance at one member and poll any member that responds for the state of
+their request, which they identify by their comment. They switch a backend off when it is
+unavailable, report completion after the work, and retry every call that was not answered. Meanwhile
+each ingress receives a light load. An ingress that exits by itself is restarted, as by a process
+supervisor. The rules, by name:
+
+- `zone`: no more backends of a zone than allowed are switched off;
+- `used`: if every running member has confirmed that it drained a backend, the backend receives no
+  request while it is switched off;
+- `ingresses`: at most one ingress at a time is down for its own restart;
+- `lost`: no request to an ingress that was never killed or stopped fails, is lost or exceeds its
+  deadline;
+- `alike`: at the end all members report the same maintenance requests;
+- `progress`: at the end every maintenance request is finished.
 """
 
 from __future__ import annotations
@@ -50,36 +51,37 @@
     "Models": ["type-a"],
     "Period": 4000,
 }
-TIMEOUTS_INI = "dead = 1500ms\nlapse = 15s\n"  # further lines of `[fleet]`
+TIMEOUTS_INI = "dead = 1500ms\nlapse = 15s\n"  # Additional lines of the section `[fleet]`.
 MS_PER_S = 1000.0
-ELECTION_LIMIT_S = 30.0  # until every member knows a leader
-CALM_LIMIT_S = 30.0  # after the last step, until every request is finished
-LOOK_INTERVAL_S = 0.1  # between looks of staff and of the supervisor
-RETRY_S = 2.0  # after which staff make a call again
-REQUEST_TIMEOUT_S = 4.0  # of the load's requests
-CUSTOMERS = 7  # of the load
-IDENTIFIERS_PER_INGRESS = 40  # bits of a request's identifier that are an ingress's own
-DETAIL_LENGTH = 600  # characters of a broken rule's detail
+ELECTION_TIMEOUT_S = 30.0  # Maximum time until every member knows a leader.
+COMPLETION_TIMEOUT_S = 30.0  # Maximum time from the last step until every request is finished.
+POLL_INTERVAL_S = 0.1  # Poll interval of staff and of the supervisor.
+RETRY_INTERVAL_S = 2.0  # Minimum time before staff retry a call.
+REQUEST_TIMEOUT_S = 4.0  # Deadline of the load's requests.
+CUSTOMER_COUNT = 7  # Number of customers in the load.
+# Number of low bits of a request id that count the requests to one ingress.
+REQUEST_ID_BITS = 40
+MAX_DETAIL_LENGTH = 600  # Maximum length of a violation's detail, in characters.
 SIGNALS = {
     StepVerb.STOP: signal.SIGSTOP,
     StepVerb.CONTINUE: signal.SIGCONT,
-    StepVerb.END: signal.SIGTERM,
+    StepVerb.TERMINATE: signal.SIGTERM,
 }
 
 
 class VoidRunError(DockthreadError):
-    """The run says nothing: it could not be set up, or the tool itself fell behind."""
+    """The run is not a valid test, because the cluster elected no leader."""
 
 
 @dataclass
 class RehearsalResult:
-    """What came of a run.
+    """The result of a run.
 
     Attributes:
-        broken: Rules that were broken.
-        record: What happened, one line each, with the time in milliseconds.
-        served: Requests of the load that were served.
-        sent: Requests of the load.
+        broken: The rule violations.
+        record: The events, one per line, each with its time in milliseconds.
+        served: Number of served requests of the load.
+        sent: Number of sent requests of the load.
     """
 
     broken: list[RuleViolation] = field(default_factory=list)
@@ -92,15 +94,15 @@
     """One run of a scenario.
 
     Args:
-        folder: Where the processes have their folders.
-        scenario: What is played.
+        folder: Directory in which each process has its own subdirectory.
+        scenario: The scenario to play.
     """
 
     def __init__(self, folder: Path, scenario: PlannedScenario) -> None:
         self._settings = scenario.settings
         self._scenario = scenario
         self._result = RehearsalResult()
-        self._begun_at = time.monotonic()
+        self._started_at = time.monotonic()
         self._folder = folder
         self._zones = [f"hall-{chr(ord('a') + number)}" for number in range(self._settings.zones)]
         self._backends = {
@@ -109,16 +111,20 @@
         }
         self._cluster: ProcessCluster
         self._tasks: list[asyncio.Task[Any]] = []
-        self._disturbed: set[str] = set()  # ingresses that were killed, stopped or told to end
-        self._restarted: set[str] = set()  # ingresses that ended by themselves
-        self._killed: set[str] = set()  # by the scenario, until it starts them
-        self._restarting: set[str] = set()  # ended by themselves and not ready yet
+        # Ingresses that the scenario has ever killed or sent a signal.
+        self._faulted: set[str] = set()
+        # Ingresses that have ever exited by themselves.
+        self._restarted: set[str] = set()
+        # Ingresses that the scenario killed and has not started again.
+        self._killed: set[str] = set()
+        # Ingresses that exited by themselves and are not yet ready again.
+        self._restarting: set[str] = set()
 
     async def play(self) -> RehearsalResult:
         """Play the scenario to its end.
 
         Raises:
-            VoidRunError: The processes elected no leader.
+            VoidRunError: The cluster elected no leader.
         """
         for backend in self._backends.values():
             await backend.open()
@@ -144,11 +150,13 @@
 
     async def _play_steps(self) -> None:
         try:
-            await asyncio.wait_for(self._wait_for_leader(), ELECTION_LIMIT_S)
+            await asyncio.wait_for(self._wait_for_leader(), ELECTION_TIMEOUT_S)
         except TimeoutError as error:
-            raise VoidRunError(f"the fleet has no leader after {ELECTION_LIMIT_S:.0f} s") from error
-        self._begun_at = time.monotonic()
-        self._note("a leader stands")
+            raise VoidRunError(
+                f"the cluster has no leader after {ELECTION_TIMEOUT_S:.0f} s"
+            ) from error
+        self._started_at = time.monotonic()
+        self._record_event("a leader is elected")
         names = self._cluster.names if self._settings.load else []
         loads = [asyncio.create_task(self._send_load(name)) for name in names]
         supervisor = asyncio.create_task(self._supervise())
@@ -160,30 +168,30 @@
 
     async def _wait_for_leader(self) -> None:
         while True:
-            states = [await self._cluster.look(name, "/_fleet") for name in self._cluster.names]
+            states = [await self._cluster.get_json(name, "/_fleet") for name in self._cluster.names]
             if all(state and state["leader"] for state in states):
                 return
-            await asyncio.sleep(LOOK_INTERVAL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     @property
     def _now_ms(self) -> float:
-        return (time.monotonic() - self._begun_at) * MS_PER_S
+        return (time.monotonic() - self._started_at) * MS_PER_S
 
-    def _note(self, text: str) -> None:
+    def _record_event(self, text: str) -> None:
         self._result.record.append(f"{self._now_ms:8.0f} {text}")
 
-    def _break(self, rule: str, detail: str) -> None:
-        self._note(f"BROKEN {rule}: {detail}")
+    def _report_violation(self, rule: str, detail: str) -> None:
+        self._record_event(f"BROKEN {rule}: {detail}")
         self._result.broken.append(RuleViolation(rule, self._now_ms, detail))
 
     # Steps
 
     async def _play_step(self, step: Step) -> None:  # noqa: C901  one branch for each verb
         await asyncio.sleep(max(0.0, step.at_ms - self._now_ms) / MS_PER_S)
-        names = [name for operand in step.operands for name in await self._named(operand)]
-        self._note(" ".join((step.verb, *names)))
+        names = [name for operand in step.operands for name in await self._resolve_operand(operand)]
+        self._record_event(" ".join((step.verb, *names)))
         match step.verb:
-            case StepVerb.ASK:
+            case StepVerb.REQUEST:
                 await asyncio.gather(*(self._request_maintenance(name) for name in names))
             case StepVerb.WITHDRAW:
                 for name in names:
@@ -194,7 +202,7 @@
                 self._cluster.cut(set(names), both=step.verb is StepVerb.CUT)
             case StepVerb.DELAY:
                 self._cluster.delay(float(step.operands[0]))
-            case StepVerb.FAIL | StepVerb.MEND:
+            case StepVerb.FAIL | StepVerb.RECOVER:
                 for name in names:
                     self._backends[name].is_failing = step.verb is StepVerb.FAIL
             case StepVerb.START:
@@ -202,10 +210,10 @@
                     self._start(name)
             case _:
                 for name in names:
-                    self._disturb(step.verb, name)
+                    self._kill_or_signal(step.verb, name)
 
-    async def _named(self, operand: str) -> list[str]:
-        """Return the targets that an operand stands for just now."""
+    async def _resolve_operand(self, operand: str) -> list[str]:
+        """Return the targets that an operand stands for at present."""
         if operand == "all":
             return list(self._cluster.names)
         if operand not in ("leader", "follower"):
@@ -220,11 +228,11 @@
             self._killed.discard(name)
             self._cluster.start(name)
 
-    def _disturb(self, verb: StepVerb, name: str) -> None:
-        """Kill an ingress that runs, or send it a signal."""
+    def _kill_or_signal(self, verb: StepVerb, name: str) -> None:
+        """Kill a running ingress, or send it a signal."""
         if name not in self._cluster.processes or name in self._killed:
             return
-        self._disturbed.add(name)
+        self._faulted.add(name)
         if verb is StepVerb.KILL:
             self._killed.add(name)
             self._cluster.kill(name)
@@ -232,7 +240,7 @@
             self._cluster.signal(name, SIGNALS[verb])
 
     async def _supervise(self) -> None:
-        """Start each ingress again that ends by itself; it is away until it is ready."""
+        """Restart each ingress that exits by itself, and poll it until it is ready."""
         while True:
             for name, process in list(self._cluster.processes.items()):
                 if name not in self._killed and process.poll() is not None:
@@ -241,21 +249,21 @@
                 status, _ = await self._cluster.call(name, "GET", "/_ready", time_limit_s=0.5)
                 if status == OK:
                     self._restarting.discard(name)
-            await asyncio.sleep(LOOK_INTERVAL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def _restart(self, name: str, exit_code: int) -> None:
         self._restarted.add(name)
         self._restarting.add(name)
-        self._note(f"{name} has ended with {exit_code}")
+        self._record_event(f"{name} has exited with code {exit_code}")
         if len(self._restarting) > 1:
             names = ", ".join(sorted(self._restarting))
-            self._break("ingresses", f"{names} are away at once")
+            self._report_violation("ingresses", f"{names} restart at the same time")
         self._cluster.start(name)
 
     # Staff
 
     async def _call(self, call: str, target: str, comment: str) -> bool:
-        """Make a call at one member after another until one says yes."""
+        """Call one member after another until one accepts the call; return whether one did."""
         body = {"target": target, "why": comment}
         for name in list(self._cluster.processes):
             status, _ = await self._cluster.call(name, "POST", f"/_work/{call}", body)
@@ -264,26 +272,26 @@
         return False
 
     async def _find_request(self, comment: str) -> Mapping[str, Any] | None:
-        """Return the request with staff's comment, as the first member that knows it has it."""
+        """Return the request with this comment from the first member that knows it, or None."""
         for name in list(self._cluster.processes):
-            listing = await self._cluster.look(name, "/_work")
+            listing = await self._cluster.get_json(name, "/_work")
             for request in [*listing["work"], *listing["over"]] if listing else []:
                 if request["why"] == comment:
                     return dict(request)
         return None
 
     async def _request_maintenance(self, target: str) -> None:
-        """Play staff who want a target out of service, to the end of their request."""
+        """Act as staff who request maintenance of a target, until their request is finished."""
         comment = f"{target}/{len(self._result.record)}"
         called_at: float | None = None
         has_worked = False
         while True:
             request = await self._find_request(comment)
             state = request["state"] if request is not None else ""
-            may_call = called_at is None or time.monotonic() - called_at > RETRY_S
+            may_call = called_at is None or time.monotonic() - called_at > RETRY_INTERVAL_S
             is_unavailable = state in UNAVAILABLE_STATES
             if state in FINAL_STATES:
-                self._note(f"{target} is {state}")
+                self._record_event(f"{target} is {state}")
                 return
             if request is None and may_call:
                 called_at = time.monotonic()
@@ -291,45 +299,52 @@
             elif request is not None and is_unavailable and not has_worked:
                 if target in self._backends:
                     has_worked = True
-                    await self._work_at(target, request["held"])
+                    await self._work_at_backend(target, request["held"])
             elif is_unavailable and has_worked and may_call:
                 called_at = time.monotonic()
                 await self._call("done", target, comment)
-            await asyncio.sleep(LOOK_INTERVAL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _work_at(self, target: str, drained_by: Sequence[str]) -> None:
-        """Switch a backend off, work at it, and switch it on; check the rules `zone` and `used`."""
+    async def _work_at_backend(self, target: str, drained_by: Sequence[str]) -> None:
+        """Switch a backend off for the time of the work; check the rules `zone` and `used`."""
         backend = self._backends[target]
-        away = [
+        backends_off = [
             other.uid
             for other in self._backends.values()
             if other.is_switched_off and other.zone == backend.zone
         ]
-        if len(away) >= self._settings.most_out:
-            self._break("zone", f"{target} of {backend.zone} is out with {', '.join(away)}")
+        if len(backends_off) >= self._settings.most_out:
+            self._report_violation(
+                "zone",
+                f"{target} in {backend.zone} is switched off together with {', '.join(backends_off)}",
+            )
         backend.switch_off()
-        used_before = backend.used_while_off_count
-        alive = set(self._cluster.processes) - self._killed
-        self._note(f"{target} is pulled, held by {', '.join(drained_by)}")
+        uses_before = backend.used_while_off_count
+        running = set(self._cluster.processes) - self._killed
+        self._record_event(f"{target} is switched off, drained by {', '.join(drained_by)}")
         await asyncio.sleep(float(self._settings.work) / MS_PER_S)
-        used_count = backend.used_while_off_count - used_before
-        if used_count > 0 and alive <= set(drained_by):
-            self._break("used", f"{used_count} came to {target}, which all said they hold")
+        use_count = backend.used_while_off_count - uses_before
+        if use_count > 0 and running <= set(drained_by):
+            self._report_violation(
+                "used",
+                f"{use_count} connections or requests reached {target},"
+                " although all members had drained it",
+            )
         backend.switch_on()
 
-    # The load, and the end
+    # Load and final checks
 
     async def _send_load(self, name: str) -> None:
         rate = self._settings.load
         count = int(float(self._settings.lasts) / MS_PER_S * rate)
         arrivals = (
-            Arrival(number / rate, "status", "gross", 1 + number % CUSTOMERS, 1, 1, 0)
+            Arrival(number / rate, "status", "gross", 1 + number % CUSTOMER_COUNT, 1, 1, 0)
             for number in range(count)
         )
         port = self._cluster.client[name].port
         target = LoadTarget(HOST, port, {"status": REQUEST_TIMEOUT_S}, frozenset())
-        first_identifier = 1 + (self._cluster.names.index(name) << IDENTIFIERS_PER_INGRESS)
-        self._check_load(name, await LoadGenerator(target, first_identifier).run(arrivals))
+        request_id_base = 1 + (self._cluster.names.index(name) << REQUEST_ID_BITS)
+        self._check_load(name, await LoadGenerator(target, request_id_base).run(arrivals))
 
     def _check_load(self, name: str, result: LoadResult) -> None:
         self._result.sent += result.request_count
@@ -338,33 +353,38 @@
             outcome: result.total(outcome) for outcome in RequestOutcome if result.total(outcome)
         }
         counts = ", ".join(f"{count} {outcome}" for outcome, count in totals.items())
-        self._note(f"requests to {name}: {counts}")
-        checked = [RequestOutcome.FAILED, RequestOutcome.LOST, RequestOutcome.LATE]
-        # An ingress that restarts takes no new connection for a while, and answers all that it took.
+        self._record_event(f"requests to {name}: {counts}")
+        checked_outcomes = [RequestOutcome.FAILED, RequestOutcome.LOST, RequestOutcome.LATE]
+        # An ingress that restarts accepts no new connections for a while, but it still answers the
+        # requests that it has accepted.
         if name not in self._restarted:
-            checked.append(RequestOutcome.UNSENT)
-        bad = {outcome: totals[outcome] for outcome in checked if outcome in totals}
-        if bad and name not in self._disturbed:
-            self._break("lost", f"of {result.request_count} requests to {name}: {json.dumps(bad)}")
+            checked_outcomes.append(RequestOutcome.UNSENT)
+        failures = {outcome: totals[outcome] for outcome in checked_outcomes if outcome in totals}
+        if failures and name not in self._faulted:
+            self._report_violation(
+                "lost", f"of {result.request_count} requests to {name}: {json.dumps(failures)}"
+            )
 
     async def _check_end(self) -> None:
-        """End all faults; check the rules `alike` and `progress`."""
+        """End all faults, and check the rules `alike` and `progress`."""
         self._cluster.heal()
         for name in list(self._cluster.processes):
             if name not in self._killed:
                 self._cluster.signal(name, signal.SIGCONT)
         for name in list(self._killed):
             self._start(name)
-        are_alike = False
+        are_equal = False
         listings: list[Any] = []
-        deadline = time.monotonic() + CALM_LIMIT_S
+        deadline = time.monotonic() + COMPLETION_TIMEOUT_S
         while time.monotonic() < deadline:
-            listings = [await self._cluster.look(name, "/_work") for name in self._cluster.names]
-            are_alike = None not in listings and len(set(map(json.dumps, listings))) == 1
-            if are_alike and not listings[0]["work"]:
-                self._note("all is over, and all say the same")
+            listings = [
+                await self._cluster.get_json(name, "/_work") for name in self._cluster.names
+            ]
+            are_equal = None not in listings and len(set(map(json.dumps, listings))) == 1
+            if are_equal and not listings[0]["work"]:
+                self._record_event("all requests are finished, and all members report the same")
                 return
-            await asyncio.sleep(LOOK_INTERVAL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         names_and_listings = zip(self._cluster.names, listings, strict=True)
         detail = "; ".join(f"{name}: {listing}" for name, listing in names_and_listings)
-        self._break("progress" if are_alike else "alike", detail[:DETAIL_LENGTH])
+        self._report_violation("progress" if are_equal else "alike", detail[:MAX_DETAIL_LENGTH])
--- a/dockthread/lab/slow_start/simulation.py
+++ b/dockthread/lab/slow_start/simulation.py
@@ -1,8 +1,9 @@
-"""Simulates a fleet of policy engines before backends that start cold, without sockets.
+"""Simulates, without sockets, the policy engines of many ingresses and backends that start cold.
 
-Each ingress is a `PolicyEngine` with a random source of its own. Its attempts take `TRAVEL_TIME` to
-a `SimulatedBackend`, which warms up as slowly as the limits allow. Some ingresses get more traffic
-than others, and some are notified late of the start. All times are in seconds.
+Each ingress is a `PolicyEngine` with its own random generator. Its attempts reach a
+`SimulatedBackend` after `NETWORK_DELAY`; the backend warms up as slowly as the limits allow. Some
+ingresses receive more traffic than others, and some are notified late of the start. All times are in
+seconds.
 """
 
 from __future__ import annotations
@@ -37,20 +38,20 @@
     TimerFired,
 )
 
-# Seconds from an ingress to a backend, or back.
-TRAVEL_TIME: Final = 0.002
-# The clock at the begin of a run.
-BEGIN: Final = 1_000.0
-# Seconds from the begin to the start of the cold backends.
-LEAD_TIME: Final = 10.0
+# Network delay between an ingress and a backend in one direction, in seconds.
+NETWORK_DELAY: Final = 0.002
+# Time of the simulated clock at the start of a run.
+START_TIME: Final = 1_000.0
+# Seconds from the start of a run to the start of the cold backends.
+TIME_BEFORE_COLD_START: Final = 10.0
 # Seconds from the start of the cold backends to the end of the run.
-OBSERVED_TIME: Final = 16.0
-# A request's deadline, in latency objectives.
-DEADLINE_OBJECTIVES: Final = 3.0
-# The customer of all requests.
+OBSERVATION_TIME: Final = 16.0
+# Deadline of a request, as a multiple of the latency objective.
+DEADLINE_FACTOR: Final = 3.0
+# Customer number of all requests.
 CUSTOMER: Final = 7
-# Bound of the seeds of the engines' random sources.
-ENGINE_SEEDS: Final = 1 << 30
+# Upper bound of the random seeds of the policy engines.
+ENGINE_SEED_LIMIT: Final = 1 << 30
 
 
 @dataclass(slots=True)
@@ -58,11 +59,11 @@
     """A request of a client.
 
     Attributes:
-        arrived_at: when it came to its ingress.
-        work: seconds that a core of speed 1 needs for it.
-        is_counted: it came after the start of the cold backends.
-        attempt_count: attempts that were sent.
-        is_answered: it has its final answer.
+        arrived_at: time of arrival at the ingress.
+        work: seconds that a core of speed 1 needs for the request.
+        is_counted: whether the request arrived after the start of the cold backends.
+        attempt_count: number of sent attempts.
+        is_answered: whether the client has received a response.
     """
 
     arrived_at: float
@@ -74,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One attempt in flight: `number` counts those of its request from 0."""
+    """An attempt in flight; `number` is its index among the attempts of its request."""
 
     ingress: int
     request: int
@@ -85,7 +86,7 @@
 
 @dataclass(slots=True)
 class RequestCounts:
-    """Requests that came after the start of the cold backends, by what became of them."""
+    """Numbers of requests that arrived after the start of the cold backends, by outcome."""
 
     arrived: int = 0
     in_time: int = 0
@@ -98,11 +99,11 @@
 
     Attributes:
         scenario: the scenario.
-        checker: judges what the backends are sent.
-        counts: what became of the requests.
+        checker: the checker of the load on backends that warm up.
+        counts: numbers of requests by outcome.
         backends: all backends, by number.
-        cold_backends: those that start cold.
-        capacity: requests of mean work in a second that all backends serve once warm.
+        cold_backends: the backends that start cold.
+        capacity: requests of mean work that all backends serve per second when they are warm.
     """
 
     def __init__(
@@ -115,16 +116,16 @@
         self.scenario = scenario
         self.checker = SlowStartChecker(limits or WarmUpLimits())
         self.counts = RequestCounts()
-        self._events = EventQueue(BEGIN)
-        self._cold_start_at = BEGIN + LEAD_TIME
+        self._events = EventQueue(START_TIME)
+        self._cold_start_at = START_TIME + TIME_BEFORE_COLD_START
         self._requests: dict[int, SimulatedRequest] = {}
         self.backends = self._create_backends()
         self.capacity = sum(backend.kind.capacity for backend in self.backends.values())
-        # The order of the draws is part of a seed.
+        # Another order of the random draws would change the run of every seed.
         self._rng = random.Random(seed)
         self.cold_backends = self._draw_cold_backends()
         self._engines = [
-            engine_class(self._settings(number), self._rng.randrange(ENGINE_SEEDS), BEGIN)
+            engine_class(self._settings(number), self._rng.randrange(ENGINE_SEED_LIMIT), START_TIME)
             for number in range(scenario.ingress_count)
         ]
         self._traffic_weights = self._draw_traffic_weights()
@@ -135,7 +136,7 @@
         backends = {}
         for index in range(self.scenario.backend_count):
             kind = kinds[index % len(kinds)]
-            backends[index + 1] = SimulatedBackend(index + 1, kind, [BEGIN] * kind.cores)
+            backends[index + 1] = SimulatedBackend(index + 1, kind, [START_TIME] * kind.cores)
         return backends
 
     def _draw_cold_backends(self) -> list[SimulatedBackend]:
@@ -147,12 +148,12 @@
         return drawn or [self.backends[1]]
 
     def _draw_traffic_weights(self) -> list[float]:
-        """Draw each ingress's traffic from a gamma distribution of mean 1."""
+        """Draw the relative traffic of each ingress from a gamma distribution with mean 1."""
         shape = 1 / self.scenario.traffic_deviation**2
         return [self._rng.gammavariate(shape, 1 / shape) for _ in self._engines]
 
     def _draw_notification_times(self) -> list[float]:
-        """Draw when each ingress is notified of the start of the cold backends."""
+        """Draw the time at which each ingress is notified of the start of the cold backends."""
         times = []
         for _ in self._engines:
             is_late = self._rng.random() < self.scenario.late_fraction
@@ -164,7 +165,7 @@
         scenario = self.scenario
         request_class = RequestClass(
             latency_objective=scenario.latency_objective,
-            deadline=DEADLINE_OBJECTIVES * scenario.latency_objective,
+            deadline=DEADLINE_FACTOR * scenario.latency_objective,
             effect=Effect.SAFE,
         )
         safety = SafetyLimits(
@@ -194,14 +195,14 @@
             for backend in self.backends.values()
             if self.scenario.is_restart or backend.number not in cold_numbers
         )
-        self._notify_all_at(BEGIN, EndpointsListed(EndpointListKind.FULL, listed))
+        self._notify_all_at(START_TIME, EndpointsListed(EndpointListKind.FULL, listed))
         if self.scenario.is_restart:
             self._events.schedule_at(
                 self._cold_start_at - self.scenario.downtime, self._stop_cold_backends
             )
         self._events.schedule_at(self._cold_start_at, self._start_cold_backends)
-        self._events.schedule_at(BEGIN, self._on_request_due)
-        self._events.run_until(self._cold_start_at + OBSERVED_TIME)
+        self._events.schedule_at(START_TIME, self._on_request_due)
+        self._events.run_until(self._cold_start_at + OBSERVATION_TIME)
         return self.checker
 
     # Discovery
@@ -233,7 +234,7 @@
         now = self._events.now
         for backend in self.cold_backends:
             backend.restart(now)
-            self.checker.backend_started(backend.number, now, backend.kind.capacity)
+            self.checker.on_backend_started(backend.number, now, backend.kind.capacity)
         listed = tuple(
             self._endpoint(backend, self._cold_start_at) for backend in self.cold_backends
         )
@@ -254,11 +255,11 @@
         work = self._rng.expovariate(1 / MEAN_WORK)
         self._requests[number] = SimulatedRequest(now, work, is_counted)
         self.counts.arrived += is_counted
-        deadline = DEADLINE_OBJECTIVES * self.scenario.latency_objective
+        deadline = DEADLINE_FACTOR * self.scenario.latency_objective
         self._dispatch(ingress, RequestArrived(number, 0, 0, CUSTOMER, deadline))
 
     def _dispatch(self, ingress: int, event: Event) -> None:
-        """Pass an event to an ingress's engine and carry out its actions."""
+        """Pass an event to an ingress's engine and execute the resulting actions."""
         for action in self._engines[ingress].handle(self._events.now, event):
             match action:
                 case SendAttempt():
@@ -277,7 +278,7 @@
         backend = self.backends[action.backend]
         attempt = Attempt(ingress, action.request, request.attempt_count, backend, now)
         request.attempt_count += 1
-        self._events.schedule_at(now + TRAVEL_TIME, self._on_attempt_received, attempt)
+        self._events.schedule_at(now + NETWORK_DELAY, self._on_attempt_received, attempt)
         self._events.schedule_at(now + action.timeout, self._on_attempt_timeout, attempt)
 
     # Attempts at backends
@@ -290,7 +291,7 @@
             self._respond(attempt, Outcome.UNREACHABLE)
             return
         was_sender_notified = now >= self._notified_at[attempt.ingress]
-        self.checker.request_arrived(backend.number, now, work / MEAN_WORK, was_sender_notified)
+        self.checker.on_request_arrived(backend.number, now, work / MEAN_WORK, was_sender_notified)
         if backend.is_at_capacity:
             self._respond(attempt, Outcome.AT_CAPACITY)
             return
@@ -298,11 +299,11 @@
         self._events.schedule_at(served_at, self._on_attempt_served, attempt, backend.incarnation)
 
     def _capacity_at(self, backend: SimulatedBackend, time: float) -> float:
-        """Return the fraction of its capacity that a backend has at a time."""
-        warming = self.checker.backends.get(backend.number)
-        if warming is None:
+        """Return the fraction of its full capacity that a backend has at this time."""
+        warming_backend = self.checker.backends.get(backend.number)
+        if warming_backend is None:
             return 1.0
-        return self.checker.least_capacity(time - warming.started_at)
+        return self.checker.min_capacity(time - warming_backend.started_at)
 
     def _on_attempt_served(self, attempt: Attempt, incarnation: int) -> None:
         backend = attempt.backend
@@ -317,7 +318,7 @@
     def _respond(self, attempt: Attempt, outcome: Outcome) -> None:
         load_report = attempt.backend.load_report() if self.scenario.has_load_reports else ()
         self._events.schedule_at(
-            self._events.now + TRAVEL_TIME, self._on_attempt_ended, attempt, outcome, load_report
+            self._events.now + NETWORK_DELAY, self._on_attempt_ended, attempt, outcome, load_report
         )
 
     def _on_attempt_ended(
@@ -342,6 +343,6 @@
         self._dispatch(attempt.ingress, event)
 
     def _on_attempt_timeout(self, attempt: Attempt) -> None:
-        """End an attempt that its ingress no longer waits for; its backend works on."""
+        """End an attempt at its timeout; the backend continues to serve it."""
         if not self._requests[attempt.request].is_answered:
             self._on_attempt_ended(attempt, Outcome.TIMEOUT, ())
