--- a/dockthread/lab/control_plane/checker.py
+++ b/dockthread/lab/control_plane/checker.py
@@ -1,18 +1,24 @@
-"""Judges what a simulated control plane did. Shares no code with what it judges.
+"""Checks the behavior of a simulated control plane against rules.
 
-The rules, by the names that a violation has:
+The checker shares no code with the control plane, so that a bug cannot hide in both.
 
-* `once`: a token has one outcome, each revision belongs to one token, and no revision to none.
+The rules, by the names that violations report:
+
+* `once`: each token has exactly one outcome, and each revision belongs to exactly one token.
 * `expected`: an accepted change replaced the revision that its publisher expected.
-* `no-older`: within one history neither a process's table nor any of its resources goes back to an
-  older revision, and no process returns to a history that it left.
-* `in-force`: at the end of the bound an ingress has applied exactly what was last published, except
-  for what it rejected: there it may have an older valid version (of the history before as well) or
-  none.
-* `told`: the server of an ingress knows what the ingress rejected.
-* `within`: a change is applied within the bound at every ingress that no fault concerns.
-* `budget`: the snapshot chunks that one incarnation of a server sends keep to its burst and rate.
-* `progress`: every published change has an outcome at the end.
+* `no-older`: within one history, neither a process's table nor any of its resources goes back to an
+  older revision, and no process returns to a history that it has left.
+* `in-force`: when the convergence bound ends, an ingress has applied exactly the latest published
+  content. For a resource that it rejected, it may have an older valid version (also one from an
+  earlier history) or none.
+* `told`: the server of an ingress knows which resources the ingress rejected.
+* `within`: every ingress that no fault affects applies each change within the bound.
+* `budget`: the snapshot chunks that one incarnation of a server sends stay within its burst and
+  rate.
+* `progress`: every published change has an outcome at the end of the run.
+
+A history is the sequence of revisions of one log. A new history begins when all voters lose their
+disks.
 """
 
 from __future__ import annotations
@@ -28,13 +34,13 @@
 
 MS_PER_SECOND: Final = 1_000.0
 SHOWN_ITEMS: Final = 5
-"""Items of a list that a violation names."""
+"""Maximum number of list items that the detail of a violation names."""
 SHOWN_UNKNOWN: Final = 3
-"""Unknown resources that a violation names."""
+"""Maximum number of unknown resources that the detail of a violation names."""
 
 
 class Rule(StrEnum):
-    """Names of the rules, as they are reported."""
+    """Rules, by the names that violations report."""
 
     ONCE = "once"
     EXPECTED = "expected"
@@ -54,7 +60,7 @@
 
 
 class AppliedResource(Protocol):
-    """A resource as an ingress is given it."""
+    """A resource that an ingress receives and applies."""
 
     @property
     def kind(self) -> str:
@@ -70,19 +76,20 @@
 
     @property
     def body(self) -> bytes | None:
-        """Content; None where it was deleted."""
+        """Content; None if the resource was deleted."""
 
 
 @dataclass(slots=True)
 class RequestedChange:
-    """A change as its publisher requested it.
+    """A change that a publisher requested.
 
     Attributes:
         kind: Kind of the resource.
         name: Name of the resource.
         body: Content; None deletes the resource.
-        expected: Revision that it replaces; -1 for any.
-        revision: Outcome: its revision, 0 for a rejection, None while it is not known.
+        expected: Revision that the change is to replace; -1 accepts any revision.
+        revision: Outcome: the revision of the accepted change, 0 if it was rejected, None while the
+            outcome is unknown.
     """
 
     kind: str
@@ -98,19 +105,19 @@
 
     @property
     def is_invalid(self) -> bool:
-        """Whether ingresses reject it."""
+        """Whether ingresses reject the change."""
         return self.body is not None and self.body.startswith(INVALID_PREFIX)
 
 
 @dataclass(slots=True)
 class _ProcessState:
-    """How far a process has come.
+    """State that a process has reached.
 
     Attributes:
-        epoch: History of its table.
+        epoch: Identifier of the history of its table.
         revision: Revision of its table.
-        resources: Revisions of the applied resources.
-        left_epochs: Histories that it left.
+        resources: Revisions of the resources that it has applied.
+        left_epochs: Epochs of the histories that it has left.
     """
 
     epoch: str = ""
@@ -121,7 +128,12 @@
 
 @dataclass(slots=True)
 class _Bucket:
-    """How much of a burst is used up."""
+    """Leaky bucket that measures the bytes sent in excess of the allowed rate.
+
+    Attributes:
+        at: Time of the last update, in ms.
+        level: Bytes in the bucket at that time.
+    """
 
     at: float
     level: float = 0.0
@@ -134,12 +146,12 @@
 
 @dataclass(frozen=True, slots=True)
 class IngressObservation:
-    """What an ingress has applied.
+    """State of an ingress at the time of a check.
 
     Attributes:
         name: Name of the ingress.
-        bodies: Applied content.
-        rejected: What it rejected, as its server knows.
+        bodies: Content of the applied resources.
+        rejected: Resources that the ingress rejected, according to its server.
     """
 
     name: str
@@ -148,11 +160,11 @@
 
 
 class ConvergenceRange(NamedTuple):
-    """Which changes an ingress must and may have applied.
+    """Revisions up to which an ingress must have, and may have, applied changes.
 
     Attributes:
         due: Changes up to this revision must be applied.
-        latest: Changes up to this revision may be.
+        latest: Changes after `due`, up to this revision, may be applied.
     """
 
     due: int
@@ -160,17 +172,22 @@
 
 
 class Checker:
-    """Collects facts and the violations that they show.
-
-    `burst` is in bytes, `rate` in bytes a second, `chunk` the most bytes of one snapshot chunk.
+    """Records the events of a run and the rule violations that they prove.
 
     Attributes:
-        violations: The rules that were broken.
+        violations: Rules that were violated.
         requested: Requested changes by token.
-        snapshot_bytes: Bytes of all snapshot chunks.
+        snapshot_bytes: Total size of all snapshot chunks.
     """
 
     def __init__(self, burst: float, rate: float, chunk: float) -> None:
+        """Create a checker for servers with the given snapshot budget.
+
+        Args:
+            burst: Burst of the snapshot budget, in bytes.
+            rate: Rate of the snapshot budget, in bytes per second.
+            chunk: Maximum size of one snapshot chunk, in bytes.
+        """
         self._burst = burst
         self._rate = rate / MS_PER_SECOND
         self._chunk = chunk
@@ -178,11 +195,11 @@
         self.requested: dict[str, RequestedChange] = {}
         self.snapshot_bytes = 0
         self._token_of: dict[int, str] = {}  # by revision
-        self._earlier_valid: dict[Key, set[bytes | None]] = {}  # bodies of earlier histories
+        self._earlier_valid: dict[Key, set[bytes | None]] = {}  # in earlier histories
         self._processes: dict[str, _ProcessState] = {}
         self._buckets: dict[_ServerIncarnation, _Bucket] = {}
         self._accepted_revisions: list[int] = []
-        self._accepted_at: list[float] = []  # of these revisions, by the first voter
+        self._accepted_at: list[float] = []  # parallel list: when the first voter accepted each
 
     def _report(self, rule: Rule, at: float, detail: str) -> None:
         self.violations.append(RuleViolation(rule, at, detail))
@@ -197,15 +214,15 @@
         """Record the outcome that a publisher received: a revision, or 0 for a rejection."""
         change = self.requested[token]
         if change.revision is not None and change.revision != revision:
-            self._report(Rule.ONCE, at, f"{token} is {change.revision}, and then {revision}")
+            self._report(Rule.ONCE, at, f"{token} has outcome {change.revision}, then {revision}")
         if change.revision is None:
             change.revision = revision
         if revision > 0 and self._token_of.setdefault(revision, token) != token:
             other = self._token_of[revision]
-            self._report(Rule.ONCE, at, f"revision {revision} is of {other} and of {token}")
+            self._report(Rule.ONCE, at, f"revision {revision} belongs to {other} and to {token}")
 
     def on_history_lost(self) -> None:
-        """Record that the voters lost the log: what was accepted before counts no more."""
+        """Record that the voters lost the log, and forget all changes that had an outcome."""
         for key, changes in self._accepted_changes().items():
             bodies = {change.body for change in changes if not change.is_invalid}
             self._earlier_valid.setdefault(key, set()).update(bodies)
@@ -217,7 +234,7 @@
         self._accepted_at = []
 
     def _accepted_changes(self) -> dict[Key, list[RequestedChange]]:
-        """Return the accepted changes by resource, the oldest first."""
+        """Return the accepted changes of each resource, oldest first."""
         found: dict[Key, list[RequestedChange]] = {}
         for revision in sorted(self._token_of):
             change = self.requested[self._token_of[revision]]
@@ -225,7 +242,12 @@
         return found
 
     def check_log(self, at: float, last_revision: int) -> None:
-        """Check the outcomes when no change is under way."""
+        """Check the outcomes of all changes, once none is in flight.
+
+        Args:
+            at: Time of the check, in ms.
+            last_revision: Latest revision that the voters accepted.
+        """
         waiting = [token for token, one in self.requested.items() if one.revision is None]
         if waiting:
             shown = ", ".join(waiting[:SHOWN_ITEMS])
@@ -237,8 +259,8 @@
             self._report(
                 Rule.ONCE,
                 at,
-                f"voters are at {last_revision}, of {len(self._token_of)} known; "
-                f"without a token: {missing[:SHOWN_ITEMS]}",
+                f"voters are at revision {last_revision}, {len(self._token_of)} revisions have a "
+                f"token; revisions without a token: {missing[:SHOWN_ITEMS]}",
             )
         for key, changes in self._accepted_changes().items():
             self._check_expected(at, key, changes)
@@ -247,7 +269,7 @@
         current = 0
         for change in changes:
             if change.expected >= 0 and change.expected != current:
-                detail = f"{key} at {current} was replaced by a change for {change.expected}"
+                detail = f"{key} at revision {current} was replaced; {change.expected} was expected"
                 self._report(Rule.EXPECTED, at, detail)
             current = 0 if change.body is None else change.revision or 0
 
@@ -256,17 +278,17 @@
     def on_started(
         self, name: str, epoch: str, revision: int, resources: Mapping[Key, int]
     ) -> None:
-        """Record that a process starts, with what its disk holds."""
+        """Record that a process starts with the state on its disk."""
         self._processes[name] = _ProcessState(epoch, revision, dict(resources))
 
     def on_table(self, at: float, name: str, epoch: str, revision: int) -> None:
-        """Record that a process received a table up to a revision."""
+        """Record that the table of a process reached a revision."""
         state = self._processes[name]
         if state.epoch == epoch and revision < state.revision:
-            detail = f"{name} came from revision {state.revision} to {revision}"
+            detail = f"{name} went back from revision {state.revision} to {revision}"
             self._report(Rule.NO_OLDER, at, detail)
         if epoch in state.left_epochs:
-            detail = f"{name} came from history {state.epoch} back to {epoch}"
+            detail = f"{name} went back from history {state.epoch} to {epoch}"
             self._report(Rule.NO_OLDER, at, detail)
         if state.epoch not in ("", epoch):
             state.left_epochs.add(state.epoch)
@@ -275,28 +297,28 @@
         state.revision = revision
 
     def on_resource_applied(self, at: float, name: str, resource: AppliedResource) -> None:
-        """Record that an ingress applies a resource, or deletes it."""
+        """Record that an ingress applies or deletes a resource."""
         applied = self._processes[name].resources
         key = Key(resource.kind, resource.name)
         if resource.revision < applied.get(key, 0):
-            detail = f"{name} applies {key} of revision {resource.revision} over {applied[key]}"
+            detail = f"{name} applies {key} at revision {resource.revision} over {applied[key]}"
             self._report(Rule.NO_OLDER, at, detail)
         applied[key] = resource.revision
 
     def check_convergence(
         self, at: float, observed: IngressObservation, expected: ConvergenceRange
     ) -> None:
-        """Check what an ingress had applied at a time, once all outcomes are known.
+        """Check the state that an ingress had at time `at`, once all outcomes are known.
 
-        Each resource is as its last change up to `expected.due` left it, or as one of those behind
-        it up to `expected.latest`, which were under way.
+        Each resource has to match its last change up to `expected.due`, or any of its later changes
+        up to `expected.latest`, which were in flight at that time.
         """
         accepted = self._accepted_changes()
         for key, changes in accepted.items():
             self._check_resource(at, observed, expected, key, changes)
         unknown = [key for key in observed.bodies if key not in accepted]
         if unknown:
-            detail = f"{observed.name} has {unknown[:SHOWN_UNKNOWN]}, which nobody published"
+            detail = f"{observed.name} has {unknown[:SHOWN_UNKNOWN]}, which no publisher published"
             self._report(Rule.IN_FORCE, at, detail)
 
     def _check_resource(
@@ -314,10 +336,10 @@
         allowed = known[len(settled) - 1 :]
         if not any(self._may_follow(change, known, observed, key) for change in allowed):
             body = observed.bodies.get(key)
-            detail = f"{observed.name} has {body!r} as {key}: {_describe(allowed)}"
+            detail = f"{observed.name} has {body!r} for {key}; expected: {_describe(allowed)}"
             self._report(Rule.IN_FORCE, at, detail)
         if settled == known and known[-1].is_invalid and key not in observed.rejected:
-            detail = f"{observed.name} rejected {key}, and its server does not know"
+            detail = f"{observed.name} rejected {key}, but its server does not know it"
             self._report(Rule.TOLD, at, detail)
 
     def _may_follow(
@@ -327,9 +349,9 @@
         observed: IngressObservation,
         key: Key,
     ) -> bool:
-        """Return whether an ingress may have this content after a change.
+        """Return whether the observed content of a resource is allowed after a change.
 
-        After an invalid one it may have an older valid version, or none.
+        After an invalid change, the ingress may have any older valid version or none.
         """
         body = observed.bodies.get(key)
         if not change.is_invalid:
@@ -338,20 +360,22 @@
         return body is None or body in valid | self._earlier_valid.get(key, set())
 
     def on_accepted(self, at: float, revision: int) -> None:
-        """Record that a voter accepted a change; the first to reach a revision counts."""
+        """Record that a voter accepted a change; only the first voter at a revision counts."""
         if revision > (self._accepted_revisions[-1] if self._accepted_revisions else 0):
             self._accepted_revisions.append(revision)
             self._accepted_at.append(at)
 
     def check_within_bound(self, at: float, name: str, revision: int, since: float) -> None:
-        """Check that an ingress at `revision` has every change accepted before `since`."""
+        """Check that `revision` of an ingress covers all changes accepted before `since`."""
         count = bisect_left(self._accepted_at, since)
         if count and revision < self._accepted_revisions[count - 1]:
             due = self._accepted_revisions[count - 1]
-            detail = f"{name} is at {revision}, and {due} was accepted before {since:.0f} ms"
+            detail = (
+                f"{name} is at revision {revision}, but {due} was accepted before {since:.0f} ms"
+            )
             self._report(Rule.WITHIN, at, detail)
 
-    # Cost
+    # Snapshot budget
 
     def on_snapshot_chunk(self, at: float, server: str, incarnation: int, size: int) -> None:
         """Record that a server sends a chunk of a snapshot."""
@@ -362,10 +386,12 @@
         self.snapshot_bytes += size
         limit = self._burst + self._chunk
         if bucket.level > limit:
-            detail = f"{server} sent {bucket.level:.0f} bytes beyond its rate, {limit:.0f} may be"
+            detail = (
+                f"{server} exceeded its rate by {bucket.level:.0f} bytes; {limit:.0f} are allowed"
+            )
             self._report(Rule.BUDGET, at, detail)
 
 
 def _describe(changes: list[RequestedChange]) -> str:
-    """Return changes as text."""
+    """Return the contents that the changes allow, as text for a violation."""
     return " or ".join(f"revision {change.revision} is {change.body!r}" for change in changes)
--- a/dockthread/lab/control_plane/cluster.py
+++ b/dockthread/lab/control_plane/cluster.py
@@ -1,4 +1,4 @@
-"""All processes of a simulated control plane, spread over regions and zones."""
+"""All processes of a simulated control plane, distributed over regions and zones."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class Cluster:
-    """One voter in each region, and distributors and ingresses in its zones.
+    """The processes: one voter per region, and distributors and ingresses in the zones.
 
     Attributes:
-        voters: The voters.
-        distributors: The distributors.
-        ingresses: The ingresses.
-        processes: All of them, in this order.
-        histories: How many histories of revisions there were: one more for each log begun anew.
+        voters: Voters, one per region.
+        distributors: Distributors of all regions.
+        ingresses: Ingresses of all regions.
+        processes: All voters, then all distributors, then all ingresses.
+        histories: Number of histories so far; each loss of the log begins a new history.
     """
 
     def __init__(self, environment: Environment) -> None:
@@ -48,7 +48,7 @@
         return process
 
     def _spread(self, process_type: type[ProcessT], prefix: str, count: int) -> list[ProcessT]:
-        """Place `count` processes in each region."""
+        """Create `count` processes in each region, in its zones in turn."""
         return [
             self._place(process_type, f"{prefix}-{region}-{number}", region, number)
             for region in self._environment.settings.regions
@@ -56,5 +56,5 @@
         ]
 
     def revision(self) -> int:
-        """Return the latest revision that any voter accepted."""
+        """Return the highest revision that any voter has accepted."""
         return max(voter.state_machine.table.revision for voter in self.voters)
--- a/dockthread/lab/control_plane/distributor.py
+++ b/dockthread/lab/control_plane/distributor.py
@@ -1,4 +1,4 @@
-"""A simulated distributor: receives from a voter and serves ingresses, without a disk."""
+"""A simulated distributor, which receives the table from a voter and serves it to ingresses."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class Distributor(ServingProcess):
-    """A distributor.
+    """A distributor; it stores nothing on disk.
 
     Attributes:
-        receiver: The I/O of its subscriber.
+        receiver: I/O adapter of its subscriber.
     """
 
     receiver: SubscriberAdapter
 
     def initialize(self) -> None:
-        """Begin with an empty table."""
+        """Start with an empty table."""
         environment = self.environment
         table = ResourceTable(max_tombstones=environment.settings.max_tombstones)
         environment.checker.on_started(self.name, "", 0, {})
@@ -27,12 +27,12 @@
         self.server = FanOutAdapter(self, environment.make_fan_out(table))
 
     def next_timer_at(self) -> float:
-        """Return when `on_timer` is due."""
+        """Return the time at which `on_timer` is due."""
         subscriber = self.receiver.subscriber
         return min(subscriber.next_timer_at(), self.server.fan_out.next_timer_at())
 
     def on_timer(self) -> None:
-        """Do what is due."""
+        """Run the due timers of the subscriber and of the fan-out."""
         now = self.environment.clock.now
         if self.receiver.subscriber.next_timer_at() <= now:
             self._on_changed(self.receiver.on_timer())
@@ -41,12 +41,12 @@
             self.server.on_timer()
 
     def on_opened(self, connection: Connection) -> None:
-        """Subscribe at a voter."""
+        """Subscribe to a voter."""
         self._on_changed(self.receiver.on_opened(connection))
         self.after_event()
 
     def on_frame(self, connection: Connection, data: bytes) -> None:
-        """Handle a frame of a subscriber or of the voter."""
+        """Handle a frame from a subscriber or from the voter."""
         if self.server.owns(connection):
             self.update_table_age()
             self.server.on_frame(connection, data)
@@ -55,7 +55,7 @@
         self.after_event()
 
     def on_broken(self, connection: Connection) -> None:
-        """Handle a broken connection of a subscriber or of the voter."""
+        """Handle a broken connection to a subscriber or to the voter."""
         if self.server.owns(connection):
             self.server.on_broken(connection)
         elif self.receiver.owns(connection):
@@ -63,12 +63,12 @@
         self.after_event()
 
     def update_table_age(self) -> None:
-        """Report the subscriber's age to the fan-out."""
+        """Pass the age of the subscriber's table on to the fan-out."""
         now = self.environment.clock.now
         self.server.fan_out.set_table_age(now, self.receiver.subscriber.age(now))
 
     def _on_changed(self, batches: list[ResourcesChanged]) -> None:
-        """Acknowledge batches at once: a distributor applies nothing."""
+        """Acknowledge batches immediately, as a distributor only forwards resources."""
         now = self.environment.clock.now
         for batch in batches:
             self.environment.checker.on_table(now, self.name, batch.epoch, batch.revision)
--- a/dockthread/lab/control_plane/environment.py
+++ b/dockthread/lab/control_plane/environment.py
@@ -1,4 +1,4 @@
-"""What all simulated processes share: time, chance, network, checker, record and settings."""
+"""State that all simulated processes share: clock, random generator, network and checker."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
 from dockthread.lab.control_plane.settings import KINDS, SimulationSettings
 
 CHUNK_TOLERANCE = 2.0
-"""Times the limit that a chunk may have with its overhead."""
+"""Factor by which a chunk, including its overhead, may exceed the configured chunk size."""
 
 
 def _accept_any(_name: str, _body: bytes) -> str:
-    """Reject nothing: the voters of a simulation know no schemas."""
+    """Accept any body, as voters of a simulation have no schemas."""
     return ""
 
 
 class Environment:
-    """The surroundings of simulated processes, which it can look up by name.
+    """Shared state of all processes of one run, and factories for their components.
 
     Attributes:
-        settings: Size and limits.
-        defect: Classes of the simulated parts.
-        rng: The one source of chance, so that a seed determines a run.
+        settings: Size and limits of the control plane.
+        defect: Classes of the components, at least one of them defective if the run has a defect.
+        rng: The only source of randomness, so that the seed determines the run.
         clock: Simulated time.
         network: Connections between processes.
-        checker: Judges the run.
-        record: Lines of the run.
+        checker: Checks the rules.
+        record: Lines that describe the events of the run.
         processes: All processes by name.
         voter_names: Names of the voters.
-        distributors: The distributors.
+        distributors: All distributors.
     """
 
     def __init__(self, seed: int, settings: SimulationSettings, defect: SeededDefect) -> None:
@@ -57,15 +57,15 @@
         self.distributors: Sequence[Endpoint] = ()
 
     def note(self, text: str) -> None:
-        """Add a line to the record."""
+        """Add a line with the current time to the record."""
         self.record.append(f"{self.clock.now:11.3f} {text}")
 
     def voter_servers(self) -> list[CandidateServer]:
-        """Return the servers of a distributor."""
+        """Return the servers that a distributor can subscribe to."""
         return [CandidateServer(name) for name in self.voter_names]
 
     def distributor_servers(self, region: str) -> list[CandidateServer]:
-        """Return the servers of an ingress; those of its region are near."""
+        """Return the servers that an ingress can subscribe to, preferring those in its region."""
         return [CandidateServer(one.name, int(one.region != region)) for one in self.distributors]
 
     def make_subscriber(
@@ -75,7 +75,7 @@
         table: ResourceTable,
         rejections: Sequence[Rejection] = (),
     ) -> Subscriber:
-        """Return the subscriber of a process that starts with `table`."""
+        """Create the subscriber of a process; it starts with `table`."""
         rng = random.Random(self.rng.random())
         settings = SubscriberSettings(
             process.name, process.region, process.zone, self.settings.times
@@ -83,12 +83,12 @@
         return self.defect.subscriber(settings, servers, rng, self.clock.now, table, rejections)
 
     def make_fan_out(self, table: ResourceTable) -> FanOut:
-        """Return a fan-out of `table`."""
+        """Create a fan-out that serves `table`."""
         rng = random.Random(self.rng.random())
         return self.defect.fan_out(table, self.settings.limits, rng, b"", self.clock.now)
 
     def make_state_machine(self) -> PublishStateMachine:
-        """Return the empty state machine of a voter."""
+        """Create an empty state machine for a voter."""
         rng = random.Random(self.rng.random())
         validators = dict.fromkeys(KINDS, _accept_any)
         return self.defect.state_machine(
--- a/dockthread/lab/control_plane/faults.py
+++ b/dockthread/lab/control_plane/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a simulated control plane, drawn from its seed."""
+"""Injects faults into a simulated control plane; the seed determines every random choice."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Range(NamedTuple):
-    """Bounds of a time in ms."""
+    """Bounds of a uniformly drawn value, in ms."""
 
     shortest: float
     longest: float
@@ -35,7 +35,10 @@
     "uplink",
     "history",
 )
-"""Faults of scenarios in which many strike at once; the order is part of what a seed means."""
+"""Faults of scenarios in which many faults overlap.
+
+The order affects which faults a seed draws, so it must stay the same.
+"""
 SINGLE_FAULTS: Final = (
     "break",
     "kill",
@@ -47,45 +50,44 @@
     "uplink",
     "region",
 )
-"""Faults of the scenario in which one strikes at a time."""
+"""Faults of the scenario that injects one fault at a time."""
 HOUR: Final = 3_600_000.0
 """One hour in ms."""
 LAST_HISTORY: Final = 18_000.0
-"""Time of a run in ms after which no new history begins, so that changes can follow it."""
+"""Latest time in ms at which the log may be lost, so that changes in the new history follow."""
 STALL_TIME: Final = Range(100.0, 12_000.0)
-"""For how long a process is stalled."""
+"""Duration for which a process is stalled."""
 RESTART_TIME: Final = Range(50.0, 3_000.0)
-"""After which a process that died is started."""
+"""Delay before a killed process is started again."""
 QUICK_RESTART_TIME: Final = Range(50.0, 300.0)
-"""After which the processes of a quick wave are started."""
+"""Delay before the ingresses of a quick restart wave are started again."""
 UPLINK_TIME: Final = Range(2_000.0, 12_000.0)
-"""For how long a distributor reaches no voter."""
+"""Duration for which a distributor cannot reach any voter."""
 OUTAGE_TIME: Final = Range(500.0, 12_000.0)
-"""For how long a zone, or the links between regions, are lost."""
+"""Duration of the outage of a zone or of the links between regions."""
 CORRUPTION_TIME: Final = 500.0
-"""For how long frames are corrupted, in ms."""
+"""Duration for which frames are corrupted, in ms."""
 CORRUPTION_RATE: Final = 0.02
-"""Probability that a frame is corrupted meanwhile."""
+"""Probability that a frame is corrupted while frame corruption lasts."""
 MEAN_DELAYS: Final = (1.0, 5.0, 50.0)
-"""Mean delays of the network in ms."""
+"""Mean queueing delays that the fault `delay` chooses from, in ms."""
 WAVE_SHARES: Final = (0.1, 0.3, 1.0)
-"""Shares of the ingresses that a wave restarts."""
+"""Fractions of the ingresses that a restart wave restarts."""
 MAX_BROKEN: Final = 5
-"""Connections that break at once."""
+"""Maximum number of connections that break at the same time."""
 VOTER_RESTART_SHARE: Final = 0.7
-"""Share of the voters that are restarted at once."""
+"""Probability that a voter is restarted when several voters are."""
 SLOWNESS: Final = Range(0.05, 0.8)
-"""Time in ms that each byte to a slow ingress takes."""
+"""Transfer time per byte to a slow ingress, in ms."""
 
 
 class FaultInjector:
-    """Strikes a cluster with faults that end by themselves.
+    """Injects faults into a cluster; most of them end by themselves.
 
-    It has one short method for each kind of fault, named in one table, which is why it has more
-    than twenty.
+    It has more than twenty methods because each kind of fault has a short method of its own.
 
     Attributes:
-        unaffected_since: Until when a fault concerned a process itself, by its name.
+        unaffected_since: Time at which the last fault of a process itself ends, by process name.
     """
 
     def __init__(self, environment: Environment, cluster: Cluster) -> None:
@@ -115,23 +117,23 @@
         }
 
     def strike(self, fault: str) -> None:
-        """Begin a fault."""
+        """Inject a fault."""
         self._environment.note(f"fault {fault}")
         self._handlers[fault]()
 
     def heal(self) -> None:
-        """End all faults."""
+        """End all faults: heal the network, and resume and start all processes."""
         self._network.heal()
         for process in self._cluster.processes:
             process.resume(process.incarnation)
             process.start()
 
     def cut_regions_for_hour(self) -> None:
-        """Cut regions from each other for an hour."""
+        """Cut random pairs of regions from each other for an hour."""
         self._cut_regions(HOUR)
 
     def _affect(self, process: SimulatedProcess, until: float) -> None:
-        """Record that a fault concerns a process itself until a time."""
+        """Record that a fault affects a process itself until a time."""
         previous = self.unaffected_since.get(process.name, 0.0)
         self.unaffected_since[process.name] = max(previous, until)
 
@@ -162,7 +164,7 @@
         self._clock.call_later(duration, process.resume, process.incarnation)
 
     def _restart_ingresses(self) -> None:
-        """Restart many ingresses at once."""
+        """Restart a random part of the ingresses in a short time."""
         share = self._rng.choice(WAVE_SHARES)
         within = self._rng.choice((QUICK_RESTART_TIME, RESTART_TIME))
         for ingress in self._cluster.ingresses:
@@ -170,7 +172,7 @@
                 self._restart(ingress, within)
 
     def _lose_zone(self) -> None:
-        """Lose a zone: its network, and in half of the cases its power as well."""
+        """Isolate a zone from the network, and with probability 0.5 kill its processes as well."""
         zones = sorted({process.zone for process in self._cluster.processes})
         zone = self._rng.choice(zones)
         duration = self._rng.uniform(*OUTAGE_TIME)
@@ -189,14 +191,14 @@
         self._cut_regions(self._rng.uniform(*OUTAGE_TIME))
 
     def _cut_regions(self, duration: float) -> None:
-        """Cut some pairs of regions from each other."""
+        """Cut random pairs of regions from each other."""
         pairs = [frozenset(pair) for pair in combinations(self._environment.settings.regions, 2)]
         cut = set(self._rng.sample(pairs, self._rng.randrange(1, len(pairs) + 1)))
         self._network.cut_regions |= cut
         self._clock.call_later(duration, self._network.cut_regions.difference_update, cut)
 
     def _isolate_region(self) -> None:
-        """Cut one region from all others."""
+        """Cut one region off from all other regions."""
         regions = self._environment.settings.regions
         region = self._rng.choice(regions)
         duration = self._rng.uniform(*OUTAGE_TIME)
@@ -212,7 +214,7 @@
             self._restart(distributor)
 
     def _cut_uplink(self) -> None:
-        """Cut a distributor from all voters; its ingresses reach it."""
+        """Cut a distributor off from all voters, while its ingresses can still reach it."""
         distributor = self._rng.choice(self._cluster.distributors)
         links = {frozenset((distributor.name, voter.name)) for voter in self._cluster.voters}
         self._network.cut_links |= links
@@ -228,7 +230,7 @@
                 self._restart(voter)
 
     def _lose_history(self) -> None:
-        """Lose the disks of all voters, so that they begin a new log; once in a run."""
+        """Lose the disks of all voters, so that they begin a new log; at most once per run."""
         if self._cluster.histories > 1 or self._clock.now > LAST_HISTORY:
             return
         self._cluster.histories += 1
@@ -248,7 +250,7 @@
         self._clock.call_later(CORRUPTION_TIME, self._network.stop_corruption)
 
     def _damage_cache(self) -> None:
-        """Lose an entry of a cache, and restart its ingress."""
+        """Remove an entry from the cache of an ingress, and restart the ingress."""
         ingress = self._rng.choice(self._cluster.ingresses)
         cache = ingress.cache
         if cache is None or not cache.entries:
--- a/dockthread/lab/control_plane/ingress.py
+++ b/dockthread/lab/control_plane/ingress.py
@@ -1,4 +1,4 @@
-"""A simulated ingress: applies what it receives, rejects what is invalid, may have a cache."""
+"""A simulated ingress, which applies the resources that it receives and rejects invalid ones."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 from dockthread.lab.control_plane.settings import INVALID_PREFIX
 
 SAVE_INTERVAL: Final = 1_500.0
-"""Time in ms between two writes of the cache."""
+"""Interval between writes of the cache, in ms."""
 MAX_APPLY_TIME: Final = 60.0
-"""Longest time in ms that applying a batch takes."""
+"""Maximum time to apply a batch, in ms."""
 
 
 @dataclass(frozen=True, slots=True)
 class DiskCache:
-    """What is on the disk of an ingress.
+    """State of an ingress that survives a restart.
 
     Attributes:
-        epoch: History of the table.
+        epoch: Identifier of the history of the table.
         revision: Revision of the table.
         horizon: Revision of the newest tombstone that was dropped.
         entries: Live resources and tombstones.
-        applied: What was applied.
-        rejections: What was rejected.
+        applied: Resources that were applied.
+        rejections: Resources that were rejected.
     """
 
     epoch: str
@@ -43,14 +43,14 @@
 
 
 class Ingress(SimulatedProcess):
-    """An ingress.
+    """An ingress, with or without a cache on disk.
 
     Attributes:
-        has_cache: Whether it writes a cache.
-        cache: What is on its disk.
-        applied: What it has applied.
+        has_cache: Whether it writes a cache to disk.
+        cache: Cache on its disk; None if it has not written one.
+        applied: Resources that it has applied.
         revision: Revision that it has applied.
-        receiver: The I/O of its subscriber.
+        receiver: I/O adapter of its subscriber.
     """
 
     has_cache = False
@@ -60,7 +60,7 @@
     receiver: SubscriberAdapter
 
     def initialize(self) -> None:
-        """Begin with what is on the disk."""
+        """Start with the cache on disk, or with an empty table if there is none."""
         environment = self.environment
         table = ResourceTable(max_tombstones=environment.settings.max_tombstones)
         self.applied = {}
@@ -69,7 +69,8 @@
         rejections: tuple[Rejection, ...] = ()
         if self.cache is not None:
             rejections = self._load(self.cache, table)
-        # A version that is applied in place of a rejected one may be of another history.
+        # For a rejected resource, the applied version may come from an earlier history, whose
+        # revisions are not comparable.
         rejected = {Key(rejection.kind, rejection.name) for rejection in rejections}
         revisions = {
             key: resource.revision for key, resource in self.applied.items() if key not in rejected
@@ -82,39 +83,39 @@
             environment.clock.call_later(SAVE_INTERVAL, self._save, self.incarnation)
 
     def _load(self, cache: DiskCache, table: ResourceTable) -> tuple[Rejection, ...]:
-        """Load a cache and return its rejections."""
+        """Load a cache into the ingress and its table, and return the rejections in the cache."""
         self.revision = cache.revision
         self.applied = dict(cache.applied)
         table.load(cache.epoch, cache.revision, cache.horizon, cache.entries)
         return cache.rejections
 
     def next_timer_at(self) -> float:
-        """Return when `on_timer` is due."""
+        """Return the time at which `on_timer` is due."""
         return self.receiver.subscriber.next_timer_at()
 
     def on_timer(self) -> None:
-        """Do what is due."""
+        """Run the due timers of the subscriber."""
         self._enqueue(self.receiver.on_timer())
 
     def on_opened(self, connection: Connection) -> None:
-        """Subscribe at a distributor."""
+        """Subscribe to a distributor."""
         self._enqueue(self.receiver.on_opened(connection))
         self.after_event()
 
     def on_frame(self, connection: Connection, data: bytes) -> None:
-        """Handle a frame of the distributor."""
+        """Handle a frame from the distributor."""
         if self.receiver.owns(connection):
             self._enqueue(self.receiver.on_frame(connection, data))
         self.after_event()
 
     def on_broken(self, connection: Connection) -> None:
-        """Handle a broken connection."""
+        """Handle a broken connection to the distributor."""
         if self.receiver.owns(connection):
             self._enqueue(self.receiver.on_broken(connection))
         self.after_event()
 
     def bodies(self) -> dict[Key, bytes]:
-        """Return the content that is applied."""
+        """Return the content of the applied resources."""
         return {key: resource.body or b"" for key, resource in self.applied.items()}
 
     def _enqueue(self, batches: Sequence[ResourcesChanged]) -> None:
@@ -124,7 +125,7 @@
             self.environment.clock.call_later(delay, self._apply_next, self.incarnation)
 
     def _apply_next(self, incarnation: int) -> None:
-        """Apply the oldest batch that waits."""
+        """Apply the oldest waiting batch; wait while the process is stalled."""
         if not self.is_up or self.incarnation != incarnation:
             return
         if self.is_stalled:
@@ -138,7 +139,7 @@
         for resource in batch.resources:
             if resource.body is not None and resource.body.startswith(INVALID_PREFIX):
                 rejections.append(
-                    Rejection(resource.kind, resource.name, resource.revision, "its body is bad")
+                    Rejection(resource.kind, resource.name, resource.revision, "body is invalid")
                 )
             else:
                 self._apply(now, resource)
@@ -155,7 +156,7 @@
             self.applied[key] = resource
 
     def _save(self, incarnation: int) -> None:
-        """Write the cache while the table is complete and applied."""
+        """Write the cache if the table is complete and fully applied, and schedule the next write."""
         if self.incarnation != incarnation or not self.is_up:
             return
         self.environment.clock.call_later(SAVE_INTERVAL, self._save, incarnation)
--- a/dockthread/lab/control_plane/network.py
+++ b/dockthread/lab/control_plane/network.py
@@ -1,9 +1,10 @@
-"""A simulated network between processes in zones, whose connections are delayed, cut or broken.
+"""A simulated network whose connections can be delayed, cut or broken.
 
-A connection carries frames in order in each direction. While its ends cannot reach each other
-neither notices; what was sent waits and arrives later, as TCP retransmits. An end whose process
-died is noticed as broken once it can be reached. A process that is stalled (SIGSTOP) takes
-connections and frames into its kernel's buffers and answers nothing. Times are in ms.
+A connection carries frames in order in each direction. While its ends cannot reach each other,
+neither end notices; frames wait and arrive later, because TCP would retransmit them. If the process
+of one end dies, the other end sees a broken connection once the two machines can reach each other.
+Connections and frames to a stalled process (SIGSTOP) wait in its kernel's buffers until it resumes.
+Times are in ms.
 """
 
 from __future__ import annotations
@@ -16,19 +17,19 @@
 from typing import Any, Final, NamedTuple, Protocol
 
 RETRY_INTERVAL: Final = 200.0
-"""Time in ms between attempts to deliver what cannot reach its end."""
+"""Interval between attempts to reach an unreachable or stalled process, in ms."""
 WINDOW_BYTES: Final = 3_000
-"""Bytes in flight on a connection from which on its sender has to wait."""
+"""Bytes in flight in one direction of a connection at which its sender has to wait."""
 MEAN_DELAY: Final = 5.0
-"""Mean queueing delay of a frame in ms, without faults."""
+"""Mean queueing delay of a frame without faults, in ms."""
 REGION_DISTANCE: Final = 4.0
-"""Times the latency within a region that a frame takes to another one."""
+"""Ratio of the propagation delay between regions to that within a region."""
 ORDER_DELAY: Final = 1.0
-"""Time in ms after which a break is tried again that must not overtake sent frames."""
+"""Interval at which a break checks whether the frames sent before it have arrived, in ms."""
 
 
 class _Event(NamedTuple):
-    """A call at a time; the number keeps the order of those at the same time."""
+    """A scheduled call; `number` orders calls that are scheduled for the same time."""
 
     at: float
     number: int
@@ -37,7 +38,7 @@
 
 
 class SimulatedClock:
-    """Simulated time and the calls that are planned in it.
+    """Simulated time and the calls that are scheduled in it.
 
     Attributes:
         now: Current time in ms.
@@ -49,13 +50,13 @@
         self._events: list[_Event] = []  # a heap
 
     def call_later(self, delay: float, callback: Callable[..., None], *arguments: Any) -> None:
-        """Plan a call after `delay` ms."""
+        """Schedule a call after `delay` ms."""
         self._count += 1
         event = _Event(self.now + max(0.0, delay), self._count, callback, arguments)
         heappush(self._events, event)
 
     def run_until(self, end: float, may_continue: Callable[[], bool]) -> None:
-        """Make the planned calls up to a time, while `may_continue` returns True."""
+        """Run the scheduled calls up to time `end`, as long as `may_continue` returns True."""
         while self._events and self._events[0].at <= end and may_continue():
             event = heappop(self._events)
             self.now = event.at
@@ -64,15 +65,15 @@
 
 
 class Endpoint(Protocol):
-    """A process as the network knows it.
+    """Interface of a process to the network.
 
     Attributes:
         name: Name of the process.
         region: Region of its machine.
         zone: Zone of its machine.
-        incarnation: How often it was started.
-        is_up: Whether it runs.
-        is_stalled: Whether it is held by SIGSTOP.
+        incarnation: Number of times that the process was started.
+        is_up: Whether the process runs; true for a stalled process too.
+        is_stalled: Whether the process is stopped by SIGSTOP.
     """
 
     name: str
@@ -86,16 +87,16 @@
         """Handle a connection that another process opened."""
 
     def on_opened(self, connection: Connection) -> None:
-        """Handle that a connection of its own is open."""
+        """Handle that a connection that this process opened is established."""
 
     def on_frame(self, connection: Connection, data: bytes) -> None:
         """Handle a frame."""
 
     def on_broken(self, connection: Connection) -> None:
-        """Handle that the other end closed the connection, or died."""
+        """Handle that the connection broke, or that the other end closed it or died."""
 
     def on_writable(self, connection: Connection) -> None:
-        """Handle that a frame arrived, so that there is capacity for the next."""
+        """Handle that a sent frame arrived, which frees capacity for further frames."""
 
 
 @dataclass(slots=True)
@@ -104,23 +105,23 @@
 
     frames: deque[bytes] = field(default_factory=deque)
     in_flight: int = 0  # bytes
-    is_moving: bool = False  # the first frame is on its way
+    is_moving: bool = False  # whether the first frame is being transmitted
 
 
 @dataclass(slots=True, eq=False)
 class Connection:
-    """A connection of two processes.
+    """A connection between two processes.
 
     Attributes:
         client: Process that opened it.
         server: Process that accepts it.
-        number: Number that the client gave it.
-        connection_id: Number among all connections of the simulation.
+        number: Number that the client uses for the connection.
+        connection_id: Number that is unique among all connections of the simulation.
         client_incarnation: Incarnation of the client that opened it.
-        server_incarnation: Incarnation of the server that accepted it; -1 before.
+        server_incarnation: Incarnation of the server that accepted it; -1 until it is accepted.
         directions: Frames in flight, by the name of the sender.
-        slowness: Time in ms that each byte to the client takes.
-        closed_by: Names of the ends that gave it up.
+        slowness: Transfer time per byte to the client, in ms.
+        closed_by: Names of the ends that closed the connection or saw it break.
     """
 
     client: Endpoint
@@ -134,27 +135,27 @@
     closed_by: set[str] = field(default_factory=set)
 
     def other(self, end: Endpoint) -> Endpoint:
-        """Return the other end."""
+        """Return the process at the other end."""
         return self.server if end is self.client else self.client
 
     def is_alive_at(self, end: Endpoint) -> bool:
-        """Return whether the process of an end still has the connection."""
+        """Return whether one end still has the connection open."""
         is_client = end is self.client
         incarnation = self.client_incarnation if is_client else self.server_incarnation
         return end.is_up and end.incarnation == incarnation and end.name not in self.closed_by
 
 
 class Network:
-    """Which processes reach each other, how fast, and what is in flight.
+    """Connections between processes, and the faults that affect them.
 
     Attributes:
         mean_delay: Mean queueing delay of a frame in ms.
-        cut_regions: Pairs of regions that do not reach each other.
-        cut_links: Pairs of processes that do not reach each other.
-        dark_zones: Zones that nothing reaches.
-        slowness: Time in ms that each byte takes, by the client that receives it.
+        cut_regions: Pairs of regions that cannot reach each other.
+        cut_links: Pairs of processes that cannot reach each other.
+        dark_zones: Zones whose processes can neither reach nor be reached by any process.
+        slowness: Transfer time per byte in ms, by the name of the receiving client.
         corruption_rate: Probability that a frame arrives corrupted.
-        connections: Connections that both ends know, by their id.
+        connections: Connections that the server has accepted, by `connection_id`.
     """
 
     def __init__(self, clock: SimulatedClock, rng: random.Random) -> None:
@@ -181,11 +182,11 @@
         self.corruption_rate = 0.0
 
     def stop_corruption(self) -> None:
-        """Deliver frames as they were sent."""
+        """Stop corrupting frames."""
         self.corruption_rate = 0.0
 
     def can_reach(self, one: Endpoint, other: Endpoint) -> bool:
-        """Return whether two processes reach each other."""
+        """Return whether two processes can reach each other."""
         if one.zone in self.dark_zones or other.zone in self.dark_zones:
             return False
         if frozenset((one.name, other.name)) in self.cut_links:
@@ -193,13 +194,13 @@
         return frozenset((one.region, other.region)) not in self.cut_regions
 
     def latency(self, one: Endpoint, other: Endpoint) -> float:
-        """Draw the latency of a frame in ms."""
+        """Return a random latency for a frame between two processes, in ms."""
         distance = 1.0 if one.region == other.region else REGION_DISTANCE
         propagation = self._rng.uniform(0.2, 1.0) * distance
         return propagation + self._rng.expovariate(1.0 / self.mean_delay)
 
     def connect(self, client: Endpoint, server: Endpoint, number: int) -> Connection:
-        """Open a connection; `Endpoint.on_opened` or `on_broken` follows."""
+        """Open a connection; the client's `on_opened` or `on_broken` is called later."""
         self._count += 1
         directions = {client.name: _Direction(), server.name: _Direction()}
         connection = Connection(
@@ -223,11 +224,11 @@
         self._move(connection, sender)
 
     def has_capacity(self, connection: Connection, sender: Endpoint) -> bool:
-        """Return whether a sender may send without waiting."""
+        """Return whether a sender may send another frame without waiting."""
         return connection.directions[sender.name].in_flight < WINDOW_BYTES
 
     def close(self, connection: Connection, end: Endpoint) -> None:
-        """Close one end; the other notices when it can be reached."""
+        """Close one end of a connection; the other end notices once it can be reached."""
         connection.closed_by.add(end.name)
         delay = self.latency(end, connection.other(end))
         self._clock.call_later(delay, self._notify_broken, connection, end)
@@ -239,7 +240,7 @@
             self.close(connection, end)
 
     def break_one(self) -> None:
-        """Break a connection, drawn at random, for both ends."""
+        """Break a random connection at both ends."""
         if self.connections:
             connection = self.connections[self._rng.choice(sorted(self.connections))]
             self._clock.call_later(0.0, self._notify_broken, connection, connection.client)
@@ -271,7 +272,7 @@
             client.on_opened(connection)
 
     def _move(self, connection: Connection, sender: Endpoint) -> None:
-        """Put the first waiting frame on its way."""
+        """Start to transmit the first waiting frame, unless a frame is being transmitted."""
         direction = connection.directions[sender.name]
         if direction.is_moving or not direction.frames:
             return
@@ -303,7 +304,7 @@
         self._move(connection, sender)
 
     def _notify_broken(self, connection: Connection, broken_end: Endpoint) -> None:
-        """Have the other end notice that the connection is broken."""
+        """Tell the end opposite `broken_end` that the connection broke, once it can be reached."""
         receiver = connection.other(broken_end)
         if not connection.is_alive_at(receiver):
             self.connections.pop(connection.connection_id, None)
@@ -312,7 +313,7 @@
             self._clock.call_later(RETRY_INTERVAL, self._notify_broken, connection, broken_end)
             return
         if connection.directions[broken_end.name].frames and broken_end.is_up:
-            # The break arrives behind what was sent before.
+            # The break must not overtake frames that were sent before it.
             self._clock.call_later(ORDER_DELAY, self._notify_broken, connection, broken_end)
             return
         connection.closed_by.add(receiver.name)
--- a/dockthread/lab/control_plane/nodes.py
+++ b/dockthread/lab/control_plane/nodes.py
@@ -1,6 +1,6 @@
-"""Simulated processes, and the I/O around the subscriber and the fan-out of each.
+"""Simulated processes, and the I/O adapters of their subscribers and fan-outs.
 
-They do what sockets and timers do in the program and decide nothing.
+They replace the sockets and timers of the program and contain no protocol logic.
 """
 
 from __future__ import annotations
@@ -30,21 +30,22 @@
 from dockthread.lab.control_plane.network import Connection
 
 MIN_TIMER_DELAY: Final = 1.0
-"""Time in ms between two runs of a process's timer."""
+"""Minimum delay before the timer of a process runs, in ms."""
 NO_TIMER: Final = float("inf")
+"""Time of a timer that is not scheduled."""
 
 
 class SimulatedProcess(ABC):
-    """One process on a machine; it implements `network.Endpoint`.
+    """A process on a machine; it implements `network.Endpoint`.
 
     Attributes:
-        environment: What all processes share.
+        environment: State that all processes share.
         name: Name of the process.
         region: Region of its machine.
         zone: Zone of its machine.
-        incarnation: How often it was started.
-        is_up: Whether it runs.
-        is_stalled: Whether it is held by SIGSTOP.
+        incarnation: Number of times that the process was started.
+        is_up: Whether the process runs; true for a stalled process too.
+        is_stalled: Whether the process is stopped by SIGSTOP.
     """
 
     def __init__(self, environment: Environment, name: str, region: str, zone: str) -> None:
@@ -58,7 +59,7 @@
         self._timer_at = NO_TIMER
 
     def start(self) -> None:
-        """Start the process unless it runs."""
+        """Start the process unless it is running."""
         if self.is_up:
             return
         self.incarnation += 1
@@ -70,26 +71,26 @@
         self.after_event()
 
     def kill(self) -> None:
-        """End the process as SIGKILL does."""
+        """End the process abruptly, as SIGKILL does."""
         if self.is_up:
             self.is_up = False
-            self.environment.note(f"{self.name} dies")
+            self.environment.note(f"{self.name} is killed")
             self.environment.network.on_died(self)
 
     def stall(self) -> None:
-        """Hold the process as SIGSTOP does."""
+        """Stop the process temporarily, as SIGSTOP does."""
         self.is_stalled = True
         self.environment.note(f"{self.name} is stalled")
 
     def resume(self, incarnation: int) -> None:
-        """Let a stalled process run on, if it is still this incarnation."""
+        """Resume the process if it is stalled and still in this incarnation."""
         if self.is_up and self.incarnation == incarnation and self.is_stalled:
             self.is_stalled = False
-            self.environment.note(f"{self.name} runs on")
+            self.environment.note(f"{self.name} resumes")
             self.after_event()
 
     def after_event(self) -> None:
-        """Send what may be sent now, and plan the timer."""
+        """Send pending updates and schedule the timer."""
         if not self.is_up or self.is_stalled:
             return
         self.send_pending()
@@ -110,24 +111,24 @@
 
     @abstractmethod
     def initialize(self) -> None:
-        """Begin an incarnation that knows only what is on its disk."""
+        """Initialize a new incarnation from the state on disk alone."""
 
     @abstractmethod
     def next_timer_at(self) -> float:
-        """Return when `on_timer` is due."""
+        """Return the time at which `on_timer` is due."""
 
     @abstractmethod
     def on_timer(self) -> None:
-        """Do what is due."""
+        """Run the due timers."""
 
     def send_pending(self) -> None:  # noqa: B027  optional
-        """Send nothing; processes that serve override this."""
+        """Send nothing; processes that serve subscribers override this."""
 
     def on_accepted(self, connection: Connection) -> None:  # noqa: B027  optional
-        """Do nothing: no process connects to this one."""
+        """Do nothing; processes that accept connections override this."""
 
     def on_opened(self, connection: Connection) -> None:  # noqa: B027  optional
-        """Do nothing: this process connects to none."""
+        """Do nothing; processes that open connections override this."""
 
     @abstractmethod
     def on_frame(self, connection: Connection, data: bytes) -> None:
@@ -138,24 +139,24 @@
         """Handle a broken connection."""
 
     def on_writable(self, connection: Connection) -> None:  # noqa: B027  optional
-        """Do nothing: nothing waits for capacity."""
+        """Do nothing; processes with frames that wait for capacity override this."""
 
 
 def decode_frame(data: bytes) -> Message:
-    """Return the message of a frame.
+    """Decode the message in a frame.
 
     Raises:
-        MalformedFrameError: The bytes are no frame.
+        MalformedFrameError: The bytes are not a valid frame.
     """
     head = data[: FRAME_HEADER.size]
     body = data[FRAME_HEADER.size :]
     if codec.length(head) != len(body):
-        raise MalformedFrameError("another length")
+        raise MalformedFrameError("wrong length")
     return codec.unpack(head, body)
 
 
 class _ServedState(NamedTuple):
-    """State of a table when it was last served."""
+    """State of the table when updates were last sent to all subscribers."""
 
     epoch: str = ""
     revision: int = 0
@@ -163,10 +164,10 @@
 
 
 class FanOutAdapter:
-    """The I/O of a `FanOut`.
+    """I/O adapter of a `FanOut`: numbers its connections and sends its frames.
 
     Attributes:
-        fan_out: Decides what is sent.
+        fan_out: Protocol logic that decides which frames are sent.
     """
 
     def __init__(self, process: SimulatedProcess, fan_out: FanOut) -> None:
@@ -180,17 +181,17 @@
         self._snapshots: set[int] = set()  # connections on which a snapshot is being sent
 
     def owns(self, connection: Connection) -> bool:
-        """Return whether a connection was accepted here."""
+        """Return whether a connection was accepted by this adapter."""
         return connection.connection_id in self._numbers
 
     def on_accepted(self, connection: Connection) -> None:
-        """Number a connection."""
+        """Assign a number to an accepted connection."""
         self._last_number += 1
         self._numbers[connection.connection_id] = self._last_number
         self._connections[self._last_number] = connection
 
     def on_frame(self, connection: Connection, data: bytes) -> None:
-        """Handle a frame; the connection is closed where it is malformed or unexpected."""
+        """Handle a frame, and close the connection if the frame is malformed or unexpected."""
         number = self._numbers[connection.connection_id]
         try:
             self._handle(connection, number, decode_frame(data))
@@ -213,20 +214,20 @@
             raise UnexpectedMessageError(type(message).__name__)
 
     def on_broken(self, connection: Connection) -> None:
-        """Forget a connection."""
+        """Remove a broken connection."""
         number = self._numbers.pop(connection.connection_id)
         del self._connections[number]
         self._snapshots.discard(number)
         self.fan_out.on_closed(self._environment.clock.now, number)
 
     def on_timer(self) -> None:
-        """Close overdue connections and send what is due."""
+        """Close the connections of silent subscribers, and send the frames that are due."""
         for overdue in self.fan_out.on_timer(self._environment.clock.now):
             self._close(overdue.connection)
         self._send_to_all()
 
     def send_pending(self) -> None:
-        """Send where the table has changed."""
+        """Send updates to all subscribers if the table has changed."""
         table = self.fan_out.table
         state = _ServedState(table.epoch, table.revision, table.is_complete)
         if state != self._served:
@@ -234,7 +235,7 @@
             self._send_to_all()
 
     def send_to(self, connection: Connection) -> None:
-        """Send frames while the connection has capacity."""
+        """Send frames as long as the connection has capacity."""
         number = self._numbers.get(connection.connection_id)
         if number is None:
             return
@@ -251,7 +252,7 @@
             self.send_to(connection)
 
     def _report_snapshot(self, number: int, frame: bytes) -> None:
-        """Have the checker count what snapshots cost."""
+        """Report the size of a snapshot chunk to the checker, which checks the budget."""
         message = decode_frame(frame)
         if not isinstance(message, Update):
             return
@@ -274,10 +275,10 @@
 
 
 class SubscriberAdapter:
-    """The I/O of a `Subscriber`; each method returns what has to be applied.
+    """I/O adapter of a `Subscriber`; event handlers return the batches of resources to apply.
 
     Attributes:
-        subscriber: Decides what is received.
+        subscriber: Protocol logic that decides when to connect and which resources to apply.
     """
 
     def __init__(self, process: SimulatedProcess, subscriber: Subscriber) -> None:
@@ -287,11 +288,11 @@
         self._connections: dict[int, Connection] = {}  # by number
 
     def owns(self, connection: Connection) -> bool:
-        """Return whether a connection was opened here."""
+        """Return whether a connection was opened by this adapter."""
         return self._connections.get(connection.number) is connection
 
     def on_opened(self, connection: Connection) -> list[ResourcesChanged]:
-        """Handle that a connection is open."""
+        """Handle that a connection is established."""
         now = self._environment.clock.now
         return self.execute(self.subscriber.on_connected(now, connection.number))
 
@@ -312,11 +313,11 @@
         return self.execute(self.subscriber.on_disconnected(now, connection.number))
 
     def on_timer(self) -> list[ResourcesChanged]:
-        """Do what is due."""
+        """Run the due timers of the subscriber."""
         return self.execute(self.subscriber.on_timer(self._environment.clock.now))
 
     def execute(self, actions: list[Action]) -> list[ResourcesChanged]:
-        """Carry out what concerns connections, and return what has to be applied."""
+        """Execute the actions on connections, and return the batches of resources to apply."""
         network = self._environment.network
         changed = []
         for action in actions:
@@ -337,34 +338,34 @@
     def _disconnect(self, number: int, reason: str) -> None:
         connection = self._connections.pop(number)
         server = connection.server.name
-        self._environment.note(f"{self._process.name} leaves {server}: {reason}")
+        self._environment.note(f"{self._process.name} disconnects from {server}: {reason}")
         self._environment.network.close(connection, self._process)
 
 
 class ServingProcess(SimulatedProcess):
-    """A process with subscribers: a distributor or a voter.
+    """A process that serves subscribers: a distributor or a voter.
 
     Attributes:
-        server: The I/O of its fan-out.
+        server: I/O adapter of its fan-out.
     """
 
     server: FanOutAdapter
 
     @abstractmethod
     def update_table_age(self) -> None:
-        """Report to the fan-out how old its table is."""
+        """Tell the fan-out the age of its table."""
 
     def send_pending(self) -> None:
-        """Send where the table has changed."""
+        """Send updates to all subscribers if the table has changed."""
         self.update_table_age()
         self.server.send_pending()
 
     def on_accepted(self, connection: Connection) -> None:
-        """Accept a connection of a subscriber."""
+        """Accept a connection from a subscriber."""
         self.server.on_accepted(connection)
 
     def on_writable(self, connection: Connection) -> None:
-        """Send more to a subscriber."""
+        """Send waiting frames to a subscriber."""
         if self.server.owns(connection):
             self.update_table_age()
             self.server.send_to(connection)
--- a/dockthread/lab/control_plane/publisher.py
+++ b/dockthread/lab/control_plane/publisher.py
@@ -1,4 +1,4 @@
-"""A simulated publisher: requests changes and retries with the same token until it has an outcome."""
+"""A simulated publisher, which retries each change with the same token until it has an outcome."""
 
 from __future__ import annotations
 
@@ -12,35 +12,35 @@
 from dockthread.lab.control_plane.settings import INVALID_PREFIX, KINDS
 
 RETRY_INTERVAL: Final = 300.0
-"""Time in ms after which a request without a response is sent again, give or take half."""
+"""Mean time before a request without a response is retried, in ms, with a jitter of ±50 %."""
 RESPONSE_LOSS: Final = 0.1
 """Probability that a response is lost."""
 NAMES: Final = 20
-"""Names of each kind."""
+"""Number of resource names of each kind."""
 CHANGE_INTERVAL: Final = 200.0
-"""Time in ms between changes, give or take half."""
+"""Mean interval between changes, in ms, with a jitter of ±50 %."""
 DELETED_SHARE: Final = 0.15
-"""Share of the changes that delete a resource."""
+"""Fraction of the changes that delete a resource."""
 INVALID_SHARE: Final = 0.07
-"""Share of the changes that ingresses reject."""
+"""Fraction of the changes that ingresses reject."""
 EXPECTING_SHARE: Final = 0.2
-"""Share of the changes that expect a revision."""
+"""Fraction of the changes that are conditional on an expected revision."""
 SLOW_REQUEST_SHARE: Final = 0.1
-"""Share of the requests that take long."""
+"""Fraction of the requests that have a high latency."""
 MAX_LATENCY: Final = 10.0
-"""Longest time in ms that a request or a response usually takes."""
+"""Maximum latency of a normal request or of a response, in ms."""
 MAX_SLOW_LATENCY: Final = 400.0
-"""Longest time in ms that a slow request takes."""
+"""Maximum latency of a slow request, in ms."""
 MAX_PADDING: Final = 60
-"""Bytes by which bodies differ in length."""
+"""Exclusive upper bound of the random padding of a body, in bytes."""
 
 
 class Publisher:
-    """Draws its changes from the simulation's seed.
+    """Publishes random changes through random voters.
 
     Attributes:
-        interval: Time in ms between changes, give or take half.
-        is_active: Whether it requests changes by itself.
+        interval: Mean interval between changes, in ms, with a jitter of ±50 %.
+        is_active: Whether `run` goes on to request changes.
     """
 
     def __init__(self, environment: Environment, cluster: Cluster) -> None:
@@ -51,14 +51,14 @@
         self.is_active = True
 
     def run(self) -> None:
-        """Request a change, and plan the next one."""
+        """Request a change and schedule the next one, until the publisher is inactive."""
         if self.is_active:
             delay = self.interval * self._environment.rng.uniform(0.5, 1.5)
             self._environment.clock.call_later(delay, self.run)
             self.request_change()
 
     def request_change(self) -> None:
-        """Request a change of a random resource."""
+        """Request a random change of a random resource."""
         rng = self._environment.rng
         self._count += 1
         kind = rng.choice(KINDS)
@@ -77,7 +77,7 @@
         self._send(PublishRequest(token, kind, name, body, expected))
 
     def _last_known_revision(self, kind: str, name: str) -> int:
-        """Return the revision that the publisher believes the resource to have; 0 for none."""
+        """Return the last revision of a resource that the publisher knows, or 0 if it has none."""
         accepted = [
             change
             for change in self._environment.checker.requested.values()
@@ -89,7 +89,7 @@
         return last.revision or 0
 
     def _send(self, request: PublishRequest) -> None:
-        """Send a request to a random voter, and plan a retry."""
+        """Send a request to a random voter and schedule a retry, unless it has an outcome."""
         change = self._environment.checker.requested.get(request.token)
         if change is None or change.revision is not None:
             return
@@ -109,7 +109,7 @@
             voter.publish(request, self._on_reply)
 
     def _on_reply(self, response: PublishResponse) -> None:
-        """Have a response arrive unless it is lost."""
+        """Schedule the arrival of a response, unless it is lost or has no outcome."""
         rng = self._environment.rng
         if response.revision != OUTCOME_UNKNOWN and rng.random() >= RESPONSE_LOSS:
             latency = rng.uniform(1.0, MAX_LATENCY)
--- a/dockthread/lab/control_plane/seeded_defects.py
+++ b/dockthread/lab/control_plane/seeded_defects.py
@@ -1,7 +1,8 @@
-"""Defects of the control plane that the checker has to find; never part of the program.
+"""Deliberate bugs in the control plane that the checker has to find.
 
-Each defect replaces one part of a simulated control plane by a subclass with one mistake. That the
-checker finds every one of them shows that its rules have teeth.
+Each seeded defect replaces components of a simulated control plane with subclasses that contain a
+bug. Tests check that the checker finds every one of them, which shows that its rules are effective.
+The program itself never loads this module.
 """
 
 from __future__ import annotations
@@ -31,19 +32,19 @@
 from dockthread.control_plane.update_assembler import AssemblyResult, UpdateAssembler
 
 FOREVER_MS: Final = 1e12
-"""A time, or a rate, that no simulation reaches."""
+"""A timeout in ms that no simulation reaches; also used as a rate and a burst that none exceeds."""
 
 
 @dataclass(frozen=True, slots=True)
 class SeededDefect:
-    """The parts of a simulation, one of them defective.
+    """Classes of the components of a simulation, and the scenario that reveals their defect.
 
     Attributes:
-        scenario: Scenario that is to find it.
-        faults: Faults that bring it out; None for those of the scenario.
-        subscriber: Class of the subscribers.
-        fan_out: Class of the servers' fan-outs.
-        state_machine: Class of the voters' state machines.
+        scenario: Name of the scenario that reveals the defect.
+        faults: Faults that reveal the defect; None for the faults of the scenario.
+        subscriber: Class of all subscribers.
+        fan_out: Class of the fan-outs of all servers.
+        state_machine: Class of the state machines of all voters.
     """
 
     scenario: str = "drawn"
@@ -54,14 +55,14 @@
 
 
 class ResumesFromSentCursor(FanOut):
-    """Resumes behind what it returned for an earlier connection, whether that arrived or not."""
+    """Resumes after the last revision sent on an earlier connection, even if it never arrived."""
 
     def __init__(self, *args: Any, **options: Any) -> None:
         super().__init__(*args, **options)
-        self._sent: dict[str, tuple[str, int]] = {}  # epoch and revision by subscriber
+        self._sent: dict[str, tuple[str, int]] = {}  # epoch and revision, by subscriber name
 
     def subscribe(self, now: float, connection: int, message: Subscribe) -> RetryLater | None:
-        """Subscribe with the revision that was returned last."""
+        """Subscribe with the revision that was last sent to this subscriber."""
         epoch, revision = self._sent.get(message.name, ("", 0))
         if epoch == message.epoch and revision > message.revision > 0:
             message = Subscribe(
@@ -70,7 +71,7 @@
         return super().subscribe(now, connection, message)
 
     def on_closed(self, now: float, connection: int) -> None:
-        """Remember the cursor."""
+        """Remember the cursor of the closed connection."""
         cursor = self._cursors.get(connection)
         if cursor is not None:
             self._sent[cursor.record.subscription.name] = (cursor.epoch, cursor.revision)
@@ -78,10 +79,10 @@
 
 
 class DeletionIgnoringAssembler(UpdateAssembler):
-    """Reports no deletions of a snapshot."""
+    """Does not report the deletions that a snapshot contains."""
 
     def add(self, update: Update) -> AssemblyResult:
-        """Leave out the tombstones."""
+        """Add an update, and remove the tombstones from the result of a snapshot."""
         result = super().add(update)
         if not result.snapshot or result.changed is None:
             return result
@@ -90,19 +91,19 @@
 
 
 class DeletionIgnoringReceiver(TableReceiver):
-    """Uses the assembler that reports no deletions of a snapshot."""
+    """Uses the assembler that does not report the deletions in a snapshot."""
 
     assembler_type = DeletionIgnoringAssembler
 
 
 class IgnoresDeletions(Subscriber):
-    """Keeps applied what a snapshot does not name."""
+    """Keeps resources applied that a snapshot no longer contains."""
 
     receiver_type = DeletionIgnoringReceiver
 
 
 class RevertingAssembler(UpdateAssembler):
-    """Lets an older snapshot replace the table."""
+    """Lets an older snapshot replace a newer table."""
 
     def _end_chunk(self, update: Update, staged: ResourceTable) -> AssemblyResult:
         if update.complete:
@@ -111,13 +112,13 @@
 
 
 class RevertingReceiver(TableReceiver):
-    """Uses the assembler that lets an older snapshot replace the table."""
+    """Uses the assembler that lets an older snapshot replace a newer table."""
 
     assembler_type = RevertingAssembler
 
 
 class AppliesOutdatedSnapshots(Subscriber):
-    """Applies a snapshot whatever its revision."""
+    """Applies a snapshot even if it is older than the table."""
 
     receiver_type = RevertingReceiver
 
@@ -126,36 +127,36 @@
     """Sends its own snapshot to a subscriber that holds a newer revision."""
 
     def subscribe(self, now: float, connection: int, message: Subscribe) -> RetryLater | None:
-        """Take a newer revision for none."""
+        """Treat a subscriber with a newer revision as one without a table."""
         if message.revision > self.table.revision:
             message = Subscribe(message.name, message.epoch, 0)
         return super().subscribe(now, connection, message)
 
 
 class UncheckedDigestAssembler(UpdateAssembler):
-    """Compares no digest after a delta."""
+    """Does not verify the digest after a delta."""
 
     def _end_delta(self, update: Update) -> AssemblyResult:
         return AssemblyResult(update.resources)
 
 
 class UncheckedDigestReceiver(TableReceiver):
-    """Uses the assembler that compares no digest after a delta."""
+    """Uses the assembler that does not verify the digest after a delta."""
 
     assembler_type = UncheckedDigestAssembler
 
 
 class IgnoresDigests(Subscriber):
-    """Compares no digest after a delta."""
+    """Does not verify the digest after a delta."""
 
     receiver_type = UncheckedDigestReceiver
 
 
 class IgnoresSubscribedDigest(FanOut):
-    """Reads no digest of a subscription."""
+    """Does not verify the digest of a subscription."""
 
     def subscribe(self, now: float, connection: int, message: Subscribe) -> RetryLater | None:
-        """Drop the digest."""
+        """Subscribe without the digest."""
         without_digest = Subscribe(
             message.name, message.epoch, message.revision, NO_DIGEST, message.region, message.zone
         )
@@ -163,23 +164,23 @@
 
 
 class ForgetsTokens(PublishStateMachine):
-    """Restores no outcomes."""
+    """Loses the outcomes of all tokens when it restores a snapshot."""
 
     def restore(self, index: int, state: bytes) -> None:
-        """Restore the table alone."""
+        """Restore only the table."""
         super().restore(index, state)
         self._outcomes.clear()
 
 
 class IgnoresExpectedRevision(PublishStateMachine):
-    """Accepts a change whatever revision it expects."""
+    """Accepts a change even if the expected revision does not match."""
 
     def _conflict(self, request: PublishRequest) -> str:  # noqa: ARG002  that is the defect
         return ""
 
 
 class IgnoresBudget(FanOut):
-    """Sends snapshots at any rate."""
+    """Sends snapshots without a rate limit."""
 
     def __init__(self, *args: Any, **options: Any) -> None:
         super().__init__(*args, **options)
@@ -188,7 +189,11 @@
 
 
 class IgnoresSilence(Subscriber):
-    """Notices neither silence nor the age that grows with it; either alone meets the bound."""
+    """Never leaves a silent server.
+
+    Both the silence timeout and the staleness limit are disabled, because either one alone keeps
+    ingresses within the bound.
+    """
 
     def __init__(
         self,
@@ -216,21 +221,21 @@
 
 
 class AnyEpochReceiver(TableReceiver):
-    """Accepts any epoch."""
+    """Accepts updates of any epoch, even of a history that it has left."""
 
     def accepts_epoch(self, update: Update, is_server_current: bool) -> bool:  # noqa: ARG002  the defect
-        """Accept it."""
+        """Return True for every update."""
         return True
 
 
 class AcceptsAnyHistory(Subscriber):
-    """Accepts whatever history a server has."""
+    """Returns to an old history if its server still has it."""
 
     receiver_type = AnyEpochReceiver
 
 
 class ServesStaleSnapshot(FanOut):
-    """Takes the cached snapshot for the current table."""
+    """Treats a cached snapshot as the current table, and skips the changes after it."""
 
     def _end_snapshot(self, cursor: Any, snapshot: EncodedSnapshot) -> None:
         super()._end_snapshot(cursor, snapshot)
@@ -238,14 +243,14 @@
 
 
 class UnboundedDeltaCache(EncodedFrameCache):
-    """Reuses the first delta that followed a revision forever."""
+    """Caches the first delta after each revision and never refreshes it."""
 
     def __init__(self, table: ResourceTable, chunk_bytes: int, key: bytes) -> None:
         super().__init__(table, chunk_bytes, key)
         self._first_deltas: dict[int, DeltaFrame] = {}
 
     def delta(self, revision: int) -> DeltaFrame:
-        """Return the first delta, as if it led to the current revision."""
+        """Return the cached delta, labelled with the current revision."""
         first = self._first_deltas.get(revision)
         if first is None:
             first = super().delta(revision)
@@ -254,7 +259,7 @@
 
 
 class ServesStaleDeltas(FanOut):
-    """Sends what once followed a revision forever."""
+    """Sends outdated deltas from a cache that is never refreshed."""
 
     def __init__(self, *args: Any, **options: Any) -> None:
         super().__init__(*args, **options)
@@ -262,7 +267,7 @@
 
 
 class HastyAssembler(UpdateAssembler):
-    """Replaces the table with each chunk of a snapshot."""
+    """Replaces the table after each chunk of a snapshot instead of after the last one."""
 
     def _end_chunk(self, update: Update, staged: ResourceTable) -> AssemblyResult:  # noqa: ARG002  the defect
         staged.is_complete = True
@@ -273,19 +278,19 @@
 
 
 class HastyReceiver(TableReceiver):
-    """Uses the assembler that replaces the table with each chunk."""
+    """Uses the assembler that replaces the table after each chunk."""
 
     assembler_type = HastyAssembler
 
 
 class AppliesFirstChunk(Subscriber):
-    """Replaces everything by the first chunk of a snapshot."""
+    """Replaces the whole table with the first chunk of a snapshot."""
 
     receiver_type = HastyReceiver
 
 
 class HidesRejections(Subscriber):
-    """Acknowledges without its rejections."""
+    """Does not report rejections to its server."""
 
     def on_applied(
         self,
@@ -293,15 +298,15 @@
         batch: int,
         rejected: Sequence[Rejection] = (),  # noqa: ARG002  that is the defect
     ) -> list[Action]:
-        """Acknowledge as if nothing was rejected."""
+        """Acknowledge the batch as if no resource was rejected."""
         return super().on_applied(now, batch, ())
 
 
 class ClaimsFreshness(FanOut):
-    """Reports in heartbeats that the table is fresh, whatever is known."""
+    """Reports in heartbeats that the table is up to date, regardless of its age."""
 
     def set_table_age(self, now: float, age: float) -> None:  # noqa: ARG002  that is the defect
-        """Set an age of zero."""
+        """Set the age to zero."""
         super().set_table_age(now, 0.0)
 
 
@@ -328,5 +333,6 @@
     "parts-at-once": SeededDefect(faults=("rot", "regions"), subscriber=AppliesFirstChunk),
     "rejections-untold": SeededDefect(subscriber=HidesRejections),
 }
-"""The defects by the names of the command line."""
+"""Seeded defects by their names on the command line."""
 NAMES: Final = tuple(SEEDED_DEFECTS)
+"""Names of all seeded defects."""
--- a/dockthread/lab/control_plane/seeds.py
+++ b/dockthread/lab/control_plane/seeds.py
@@ -1,4 +1,4 @@
-"""Scenarios of the simulated control plane, and how one seed of a scenario is run."""
+"""Scenarios of the simulated control plane, and a function that runs one seed of a scenario."""
 
 from __future__ import annotations
 
@@ -12,7 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A scenario of the command line, and what goes wrong in it."""
+    """A scenario that the command line offers.
+
+    Attributes:
+        about: One-line description for the command line.
+        options: Options of its runs.
+    """
 
     about: str
     options: RunOptions
@@ -20,20 +25,23 @@
 
 SCENARIOS: Final = {
     "drawn": Scenario(
-        "a random part of all faults a seed, at once; the bound holds after them", RunOptions()
+        "a subset of the faults for each seed, overlapping; the bound holds after they end",
+        RunOptions(),
     ),
     "single": Scenario(
-        "one fault at a time; the bound holds meanwhile", RunOptions(has_single_faults=True)
+        "one fault at a time; the bound holds for unaffected ingresses even during the fault",
+        RunOptions(has_single_faults=True),
     ),
     "hour": Scenario(
-        "regions cut for an hour, changes meanwhile", RunOptions(cuts_regions_for_hour=True)
+        "a subset of the faults for each seed, and a cut between regions that lasts an hour",
+        RunOptions(cuts_regions_for_hour=True),
     ),
 }
-"""The scenarios by the names of the command line."""
+"""Scenarios by their names on the command line."""
 
 
 def play_seed(name: str, seed: int, seeded_defect: str = "") -> PlayedSeed:
-    """Run one seed of a scenario, with the named defect where there is one."""
+    """Run one seed of a scenario, with the named seeded defect unless the name is empty."""
     defect = SEEDED_DEFECTS[seeded_defect] if seeded_defect else SeededDefect()
     simulation = Simulation(seed, defect, SCENARIOS[name].options)
     violations = simulation.run()
--- a/dockthread/lab/control_plane/settings.py
+++ b/dockthread/lab/control_plane/settings.py
@@ -11,7 +11,7 @@
 KINDS: Final = ("route", "tenant")
 """Kinds of the resources that are published."""
 INVALID_PREFIX: Final = b"bad"
-"""Begins the bodies that ingresses reject."""
+"""Prefix of the bodies that ingresses reject as invalid."""
 FAN_OUT_LIMITS: Final = FanOutLimits(
     max_subscribers=16,
     snapshot_rate=5_000.0,
@@ -21,22 +21,22 @@
     retry_after_min=50.0,
     retry_after_max=1_500.0,
 )
-"""Limits small enough that simulations reach them."""
+"""Fan-out limits that are small enough for simulations to reach them."""
 
 
 @dataclass(frozen=True, slots=True)
 class SimulationSettings:
-    """Size and limits; the limits are small, so that they are reached.
+    """Size and limits of a run; the limits are small enough to be reached.
 
     Attributes:
-        regions: Regions, each with one voter.
-        zones: Zones of a region.
-        distributors: Distributors of a region.
-        ingresses: Ingresses of a region.
-        max_tombstones: Tombstones that a table keeps.
-        max_tokens: Outcomes that the voters remember.
-        limits: Limits of each server's fan-out.
-        times: Times of each subscriber.
+        regions: Names of the regions; each has one voter.
+        zones: Number of zones per region.
+        distributors: Number of distributors per region.
+        ingresses: Number of ingresses per region.
+        max_tombstones: Maximum number of tombstones that a table keeps.
+        max_tokens: Maximum number of outcomes that the voters remember, one per token.
+        limits: Limits of the fan-out of each server.
+        times: Timeouts and intervals of each subscriber.
     """
 
     regions: tuple[str, ...] = ("east", "north", "west")
--- a/dockthread/lab/control_plane/simulation.py
+++ b/dockthread/lab/control_plane/simulation.py
@@ -1,15 +1,16 @@
-"""Runs a control plane in simulated time: one seed, one course of events.
-
-There are three voters with the real replicated log, one in each region; distributors; ingresses in
-the zones of the regions; and one publisher. Each seed draws the faults that may strike. Scenario
-`single` strikes one at a time, and checks meanwhile that every ingress which no fault concerns
-stays within the bound. Everything random comes from the seed and time is simulated, so two runs of
-one seed write the same record. Times are in ms.
-
-The bound after all faults follows from the constants: a server's silence is noticed (2,500), or a
-connection that was being opened fails (1,000); the backoff ends (2,000 at most); the next
-connection is opened and answered (under 100); the snapshots of a wave of all ingresses are sent
-(2,200, by the simulation's budget). Voters elect a leader (1,800) meanwhile. 6,800 in all.
+"""Runs a control plane in simulated time; the seed determines the course of events.
+
+A run has three voters with the real Raft core, one per region, distributors and ingresses in the
+zones of the regions, and one publisher. Each seed draws the kinds of faults that may occur.
+Scenario `single` injects one fault at a time and checks during the faults that every unaffected
+ingress stays within the convergence bound. All random choices derive from the seed and time is
+simulated, so two runs of one seed write the same record. Times are in ms.
+
+The convergence bound after all faults is the sum of the longest possible delays: the silence
+timeout of a server (2,500; the timeout of a connection attempt is only 1,000), the backoff (at most
+2,000), opening the next connection and its first response (under 100), and sending snapshots to all
+ingresses after a restart wave (2,200 with the snapshot budget of the simulation). The sum is 6,800.
+Voters elect a leader (1,800) in parallel.
 """
 
 from __future__ import annotations
@@ -32,43 +33,47 @@
 from dockthread.lab.raft.checker import RuleViolation
 
 BOUND: Final = 7_000.0
-"""Within which all converge after the faults, and a change is applied beside one fault."""
+"""Maximum time to converge after all faults, or to apply a change during a single fault, in ms."""
 CALM_BOUND: Final = 2_500.0
-"""Within which a change is applied while there is no fault."""
+"""Maximum time to apply a change without faults, in ms."""
 OUTCOME_BOUND: Final = 20_000.0
-"""Within which a publisher that retries has an outcome while there is no fault."""
+"""Maximum time to get the outcome of a change, including retries, without faults, in ms."""
 WARM_UP: Final = 5_000.0
-"""Before the faults."""
+"""Duration of the phase before the first fault, in ms."""
 MAX_START_DELAY: Final = 300.0
-"""Within which all processes are started."""
+"""Maximum delay before a process is first started, in ms."""
 PUBLISHER_START: Final = 1_000.0
-"""When the publisher starts."""
+"""Time at which the publisher starts, in ms."""
 FAULT_PHASE: Final = 20_000.0
-"""For which faults strike."""
+"""Duration of the phase in which faults are injected, in ms."""
 MEAN_FAULT_INTERVAL: Final = 1_200.0
-"""Between faults, on average."""
+"""Mean interval between overlapping faults, in ms."""
 SINGLE_FAULT_INTERVAL: Final = 17_000.0
-"""Between faults of scenario `single`: one fault and the bound after it."""
+"""Interval between the faults of scenario `single`, in ms.
+
+It covers one fault and the convergence bound after it.
+"""
 SINGLE_FAULT_COUNT: Final = 4
-"""Faults of scenario `single`."""
+"""Number of faults in scenario `single`."""
 OBSERVATION_INTERVAL: Final = 250.0
-"""Between checks of the bound."""
+"""Interval between checks of the convergence bound or of pending outcomes, in ms."""
 HOUR_CHANGE_INTERVAL: Final = 60_000.0
-"""Between changes while regions are cut for an hour."""
+"""Mean interval between changes during the cut that lasts an hour, in ms."""
 FAULT_PROBABILITY: Final = 0.4
-"""With which each kind of fault may strike in a run."""
+"""Probability that a run enables a kind of fault."""
 FINAL_CHANGES: Final = 3
-"""Changes that are published once all faults have ended."""
+"""Number of changes that are published after all faults have ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunOptions:
-    """What goes wrong in a run.
+    """Options that select the faults of a run.
 
     Attributes:
-        has_single_faults: Whether faults strike one at a time.
-        cuts_regions_for_hour: Whether regions are cut for an hour besides.
-        faults: Kinds of faults that may strike; None to draw them.
+        has_single_faults: Whether faults are injected one at a time.
+        cuts_regions_for_hour: Whether regions are also cut off from each other for an hour.
+        faults: Kinds of faults that may occur; None to use those of the seeded defect, or else to
+            draw them.
     """
 
     has_single_faults: bool = False
@@ -77,10 +82,10 @@
 
 
 class Simulation:
-    """One run.
+    """One run of a simulated control plane.
 
     Attributes:
-        faults: Kinds of faults that may strike.
+        faults: Kinds of faults that may occur in this run.
     """
 
     def __init__(self, seed: int, defect: SeededDefect, options: RunOptions) -> None:
@@ -98,7 +103,7 @@
 
     @property
     def record(self) -> list[str]:
-        """Lines of the run."""
+        """Lines that describe the events of the run."""
         return self._environment.record
 
     def run(self) -> list[RuleViolation]:
@@ -106,7 +111,7 @@
         try:
             self._run_phases()
         except (IndexError, ValueError, KeyError, AssertionError, AttributeError) as error:
-            detail = f"a core ends with {error!r}"
+            detail = f"the control plane raised {error!r}"
             self._checker.violations.append(RuleViolation("crash", self._clock.now, detail))
         return self._checker.violations
 
@@ -151,7 +156,7 @@
             self._run_until(WARM_UP + HOUR)
 
     def _check_recovery(self) -> None:
-        """Check that all ingresses converge within the bound after the faults."""
+        """Check that all ingresses converge within the bound after the last fault ends."""
         self._run_until(self._clock.now + BOUND - CALM_BOUND)
         due = self._cluster.revision()
         self._run_until(self._clock.now + CALM_BOUND)
@@ -165,7 +170,7 @@
         self._clock.run_until(end, lambda: not self._checker.violations)
 
     def _run_until_outcomes(self) -> None:
-        """Run until every change has an outcome, or had long enough for one."""
+        """Run until every change has an outcome, but at most for `OUTCOME_BOUND`."""
         end = self._clock.now + OUTCOME_BOUND
         while self._clock.now < end and self._has_pending_changes():
             self._run_until(self._clock.now + OBSERVATION_INTERVAL)
@@ -174,7 +179,7 @@
         return any(change.revision is None for change in self._checker.requested.values())
 
     def _strike(self, end: float) -> None:
-        """Strike with a fault, and plan the next one."""
+        """Inject a random fault and schedule the next one, unless the fault phase has ended."""
         if self._clock.now >= end:
             return
         if self._options.has_single_faults:
@@ -186,9 +191,9 @@
             self._injector.strike(self._rng.choice(self.faults))
 
     def _check_bound(self, end: float) -> None:
-        """Check every ingress that no fault concerned for the time of the bound.
+        """Check every ingress that no fault has affected for the duration of the bound.
 
-        It has to have applied what was accepted before that time.
+        Such an ingress must have applied every change that was accepted more than `BOUND` ms ago.
         """
         now = self._clock.now
         if now >= end:
@@ -200,7 +205,7 @@
                 self._checker.check_within_bound(now, ingress.name, ingress.revision, now - BOUND)
 
     def _observe(self) -> list[IngressObservation]:
-        """Return what each ingress has applied, and what its server knows to be rejected."""
+        """Return what each ingress has applied, and which rejections its server knows of."""
         rejected: dict[str, set[Key]] = {}
         for distributor in self._cluster.distributors:
             for status in distributor.server.fan_out.status(self._clock.now):
--- a/dockthread/lab/control_plane/voter.py
+++ b/dockthread/lab/control_plane/voter.py
@@ -1,4 +1,4 @@
-"""A simulated voter: the replicated log with the real state machine, served to distributors."""
+"""A simulated voter, which runs the real Raft core and state machine and serves distributors."""
 
 from __future__ import annotations
 
@@ -32,19 +32,19 @@
 
 RAFT_TIMING: Final = RaftTiming(election_timeout_ms=600.0, heartbeat_interval_ms=200.0)
 MAX_LOG_ENTRIES: Final = 40
-"""Applied entries before a snapshot replaces them."""
+"""Number of applied log entries above which a snapshot replaces them."""
 
 Reply = Callable[[PublishResponse], None]
 
 
 class Voter(ServingProcess):
-    """A voter whose writes to disk take effect at once.
+    """A voter whose writes to disk are durable immediately.
 
     Attributes:
-        peers: All voters by name, this one included.
-        disk: What is on its disk.
-        core: Its member of the replicated log.
-        state_machine: Accepted resources.
+        peers: All voters by name, including this one.
+        disk: Content of its disk.
+        core: Its Raft core.
+        state_machine: State machine that holds the accepted resources and outcomes.
     """
 
     peers: Mapping[str, Voter]
@@ -53,7 +53,7 @@
     state_machine: PublishStateMachine
 
     def initialize(self) -> None:
-        """Begin with what is on the disk."""
+        """Start from the state on disk; the first incarnation has an empty disk."""
         if self.incarnation == 1:
             self.disk = PersistentState()
         environment = self.environment
@@ -68,19 +68,19 @@
         fan_out = environment.make_fan_out(self.state_machine.table)
         self.server = FanOutAdapter(self, fan_out)
         self._replies: dict[str, list[Reply]] = {}  # by token
-        self._complete_at: float | None = None  # when the table was last known to be complete
+        self._complete_at: float | None = None  # when the table was last complete
 
     def lose_disk(self) -> None:
-        """Die, and lose the disk."""
+        """Kill the process and erase its disk."""
         self.kill()
         self.disk = PersistentState()
 
     def next_timer_at(self) -> float:
-        """Return when `on_timer` is due."""
+        """Return the time at which `on_timer` is due."""
         return min(self.core.next_deadline(), self.server.fan_out.next_timer_at())
 
     def on_timer(self) -> None:
-        """Do what is due."""
+        """Run the due timers of the Raft core and of the fan-out."""
         now = self.environment.clock.now
         if self.core.next_deadline() <= now:
             self._execute(self.core.tick(now))
@@ -89,20 +89,20 @@
             self.server.on_timer()
 
     def on_frame(self, connection: Connection, data: bytes) -> None:
-        """Handle a frame of a subscriber."""
+        """Handle a frame from a subscriber."""
         if self.server.owns(connection):
             self.update_table_age()
             self.server.on_frame(connection, data)
         self.after_event()
 
     def on_broken(self, connection: Connection) -> None:
-        """Handle a broken connection of a subscriber."""
+        """Handle a broken connection to a subscriber."""
         if self.server.owns(connection):
             self.server.on_broken(connection)
         self.after_event()
 
     def on_raft_message(self, incarnation: int, message: RaftMessage) -> None:
-        """Handle a message of another voter, sent to this incarnation."""
+        """Handle a message that another voter sent to this incarnation."""
         if not self.is_up or self.incarnation != incarnation:
             return
         clock = self.environment.clock
@@ -115,29 +115,29 @@
         self.after_event()
 
     def publish(self, request: PublishRequest, reply: Reply) -> None:
-        """Take a change; only a leader proposes it."""
+        """Handle a publish request; only the leader proposes the change."""
         token = request.token
         reason = self.state_machine.rejection_reason(request)
         if reason:
             reply(PublishResponse(token, REJECTED, reason))
             return
         if self.core.role is not Role.LEADER:
-            reply(PublishResponse(token, OUTCOME_UNKNOWN, "another leads"))
+            reply(PublishResponse(token, OUTCOME_UNKNOWN, "not the leader"))
             return
         proposal = self.state_machine.encode_proposal(request)
         index, actions = self.core.propose(self.environment.clock.now, proposal)
         if index is None:
-            reply(PublishResponse(token, OUTCOME_UNKNOWN, "another is to lead"))
+            reply(PublishResponse(token, OUTCOME_UNKNOWN, "leadership is being transferred"))
         else:
             self._replies.setdefault(token, []).append(reply)
         self._execute(actions)
         self.after_event()
 
     def update_table_age(self) -> None:
-        """Report to the fan-out how old the table is.
+        """Tell the fan-out the age of the table.
 
-        A leader that has committed an entry of its term knows it to be complete while a majority
-        responds.
+        A leader that has committed an entry of its term knows that its table is complete, as long
+        as a majority responds.
         """
         now = self.environment.clock.now
         core = self.core
--- a/tests/lab/test_control_plane_simulation.py
+++ b/tests/lab/test_control_plane_simulation.py
@@ -1,4 +1,4 @@
-"""The control plane in simulated time: no rule is violated, and seeded defects are found."""
+"""Simulated control planes under faults: no rule is violated, and seeded defects are found."""
 
 from __future__ import annotations
 
