--- a/dockthread/lab/raft/__init__.py
+++ b/dockthread/lab/raft/__init__.py
@@ -1,1 +1,1 @@
-"""The Raft cluster of the rehearsal kit: simulated members under faults, and their checker."""
+"""A simulated Raft cluster under faults, and a checker of the properties that Raft guarantees."""
--- a/dockthread/lab/raft/client.py
+++ b/dockthread/lab/raft/client.py
@@ -1,4 +1,4 @@
-"""The simulated client: proposes commands and asks for reads at whoever leads."""
+"""A simulated client, which sends proposals and reads to leaders."""
 
 from __future__ import annotations
 
@@ -9,12 +9,18 @@
 from dockthread.lab.raft.cluster import SimulatedCluster
 
 MEAN_REQUEST_INTERVAL_MS: Final = 40.0
-READ_CHANCE: Final = 0.3  # of a request to be a read
+READ_CHANCE: Final = 0.3  # probability that a request is a read
 
 
 @dataclass(frozen=True, slots=True)
 class ProposedCommand:
-    """A command of the client; `number` counts them from 1, `at_ms` is when it was proposed."""
+    """A command that the client proposed.
+
+    Attributes:
+        number: Number of the command, starting at 1.
+        at_ms: Time of the proposal.
+        data: Content of the command.
+    """
 
     number: int
     at_ms: float
@@ -22,10 +28,10 @@
 
 
 class SimulatedClient:
-    """Sends one request after another, and remembers what it proposed.
+    """Sends requests at random intervals and remembers the commands that it proposed.
 
     Attributes:
-        commands: how many commands it has proposed.
+        commands: Number of commands proposed so far.
     """
 
     def __init__(self, cluster: SimulatedCluster, checker: RaftChecker) -> None:
@@ -36,7 +42,7 @@
         self._proposed: list[ProposedCommand] = []
 
     def send_request(self) -> None:
-        """Send a read or a command to a random leader, if any, and schedule the next request."""
+        """Send a read or a command to a random leader, if there is one, and schedule the next."""
         cluster = self._cluster
         delay = cluster.rng.uniform(0.5, 1.5) * MEAN_REQUEST_INTERVAL_MS
         cluster.schedule(delay, self.send_request)
@@ -56,7 +62,7 @@
         cluster.carry_out(member, actions)
 
     def first_command_after(self, number: int, until_ms: float) -> bytes | None:
-        """Return the first command behind a number that was proposed by a time, or None."""
+        """Return the first command after `number` if it was proposed by `until_ms`, or None."""
         for command in self._proposed:
             if command.number > number and command.at_ms <= until_ms:
                 return command.data
--- a/dockthread/lab/raft/cluster.py
+++ b/dockthread/lab/raft/cluster.py
@@ -1,4 +1,4 @@
-"""The simulated members, and what faults and clients may do with them."""
+"""Simulated members, and the interface of the cluster to faults and clients."""
 
 from __future__ import annotations
 
@@ -15,18 +15,20 @@
 
 @dataclass(slots=True)
 class SimulatedMember:
-    """One identity in the cluster; its disk outlives its process.
+    """A member of the cluster; its disk outlives its process.
 
     Attributes:
-        core: None while the process is down.
-        disk: what a restart finds.
-        unsynced: writes that have not reached the disk; only a seeded defect leaves any.
-        incarnation: counts starts of the process.
-        applied_commands: the state of its state machine, all commands in order.
-        is_stalled: the process neither runs nor reads messages.
-        is_removed: the identity is gone for good, as its disk is lost.
-        inbox: messages that came while it was stalled.
-        tick_deadline: time in ms for which its next tick is scheduled.
+        name: Name of the member.
+        core: Its Raft core; None while the process is down.
+        disk: Content of its disk, from which it restarts.
+        unsynced: Writes that have not reached the disk; only a seeded defect delays writes.
+        incarnation: Number of times that the process was started.
+        applied_commands: State of its state machine: all applied commands in order.
+        applied_index: Index of the last applied entry.
+        is_stalled: Whether the process is paused; it then neither runs timers nor reads messages.
+        is_removed: Whether the member is gone permanently because its disk was lost.
+        inbox: Messages that arrived while it was stalled.
+        tick_deadline: Time for which its next tick is scheduled, in ms.
     """
 
     name: str
@@ -43,14 +45,15 @@
 
 
 class SimulatedCluster(Protocol):
-    """What faults and clients need of a simulation.
+    """Interface of a simulation to its faults and clients.
 
     Attributes:
-        now: simulated time in ms.
-        rng: the source of all that is random in this run.
-        members: every identity that ever was, by name.
-        faults: names of the faults that may happen in this run.
-        seeded_defect: name of the defect that this run has, or empty.
+        now: Simulated time in ms.
+        rng: Source of all randomness in this run.
+        network: Network between the members.
+        members: All members by name, including removed ones.
+        faults: Names of the faults that may occur in this run.
+        seeded_defect: Name of the seeded defect of this run, or empty.
     """
 
     now: float
@@ -61,34 +64,34 @@
     seeded_defect: str
 
     def schedule(self, delay_ms: float, callback: Callable[..., None], *args: Any) -> None:
-        """Run a callback later in simulated time."""
+        """Schedule a callback after a delay in simulated time."""
 
     def record_event(self, text: str) -> None:
-        """Add a line to the record of the run."""
+        """Add a line with the current time to the record of the run."""
 
     def start_member(self, member: SimulatedMember, /) -> None:
-        """Start a member's process from its disk, unless it runs or is removed."""
+        """Start a member's process from its disk, unless it is running or removed."""
 
     def kill_member(self, member: SimulatedMember, /) -> None:
-        """End a member's process without warning."""
+        """Kill a member's process abruptly."""
 
     def tick_member(self, member: SimulatedMember, incarnation: int, /) -> None:
-        """Let a member's core handle its timers."""
+        """Let a member's core handle its due timers."""
 
     def deliver(self, to: str, message: Message, /) -> None:
-        """Hand a message to a member's core, or to its inbox while it is stalled."""
+        """Pass a message to a member's core, or to its inbox if the member is stalled."""
 
     def carry_out(self, member: SimulatedMember, actions: list[Action], /) -> None:
-        """Carry out what a member's core returned."""
+        """Carry out the actions that a member's core returned."""
 
     def snapshot_of(self, member: SimulatedMember, /) -> bytes:
         """Return a snapshot of a member's state machine."""
 
     def running_leaders(self) -> list[tuple[SimulatedMember, RaftCore]]:
-        """Return all members that believe that they lead and are not stalled."""
+        """Return all members that consider themselves leader and are not stalled."""
 
     def random_running_member(self) -> SimulatedMember | None:
         """Return a random member whose process is up, or None."""
 
     def newest_voters(self) -> tuple[str, ...]:
-        """Return the voters as the member that applied most knows them."""
+        """Return the voters according to the running member with the highest applied index."""
--- a/dockthread/lab/raft/faults.py
+++ b/dockthread/lab/raft/faults.py
@@ -1,7 +1,7 @@
-"""Faults of the network and of processes that a simulation injects at random times.
+"""Faults of the network and of processes, injected at random times.
 
-Swarm testing (Groce et al., 2012): each seed turns on a random subset of the faults, so that rare
-combinations come up. Every random choice is drawn from the simulation's generator.
+The simulation uses swarm testing (Groce et al., 2012): each seed enables a random subset of the
+faults, so that rare combinations occur. All random choices come from the simulation's generator.
 """
 
 from __future__ import annotations
@@ -15,7 +15,10 @@
 
 
 class Fault(StrEnum):
-    """Kinds of faults; their order decides which random draw turns each on."""
+    """Kinds of faults.
+
+    Their order determines which random draw enables each fault, so it must stay the same.
+    """
 
     CUT = "cut"
     ONE_WAY_CUT = "one-way"
@@ -35,9 +38,11 @@
 FAULTS: Final = tuple(Fault)
 NETWORK_FAULTS: Final = (Fault.CUT, Fault.ONE_WAY_CUT, Fault.LOSS, Fault.DELAY)
 
-FAULT_PHASE_MS: Final = 20_000.0  # the start of a run, in which faults happen
+FAULT_PHASE_MS: Final = 20_000.0  # duration of the initial phase of a run in which faults occur
 MEAN_FAULT_INTERVAL_MS: Final = 400.0
-CUT_CHANCE: Final = 0.3  # of each direction between two members, in a one-way cut
+CUT_CHANCE: Final = (
+    0.3  # probability that a one-way cut includes a given direction between two members
+)
 CUT_DURATION_MS: Final = (200, 4000)
 LOSS_RATES: Final = (0.0, 0.1, 0.3, 0.6)
 MEAN_DELAYS_MS: Final = (1.0, 5.0, 50.0, 200.0)
@@ -45,15 +50,15 @@
 CRASH_DURATION_MS: Final = (10, 3000)
 CRASH_ALL_DURATION_MS: Final = (10, 1500)
 STALL_DURATION_MS: Final = (100, 5000)
-COMPACTION_CHANCE: Final = 0.5  # of each member
-RESTART_DELAYS_MS: Final = (2.0, 20.0, 2000.0)  # at most, after a crash at a write
+COMPACTION_CHANCE: Final = 0.5  # probability that a member compacts its log
+RESTART_DELAYS_MS: Final = (2.0, 20.0, 2000.0)  # upper bounds after a crash during a write
 
 
 class FaultInjector:
     """Injects faults into a simulated cluster until the fault phase ends.
 
     Attributes:
-        handlers: what injects each fault, by its name; a simulation may add its own.
+        handlers: Functions that inject the faults, by fault name; a simulation may add its own.
     """
 
     def __init__(self, cluster: SimulatedCluster) -> None:
@@ -76,7 +81,7 @@
         }
 
     def inject(self) -> None:
-        """Inject one random fault, and schedule the next."""
+        """Inject a random fault and schedule the next, unless the fault phase has ended."""
         cluster = self._cluster
         if cluster.now >= FAULT_PHASE_MS:
             return
@@ -84,11 +89,11 @@
         if cluster.faults:
             fault = self._rng.choice(cluster.faults)
             cluster.record_event(f"fault {fault}")
-            if fault != Fault.TORN_WRITE:  # its crashes come at writes instead
+            if fault != Fault.TORN_WRITE:  # it crashes members during writes instead
                 self.handlers[fault]()
 
     def end_all(self) -> None:
-        """End every fault: heal the network, resume and start all members."""
+        """End all faults: heal the network, and resume and start all members."""
         cluster = self._cluster
         cluster.record_event("all faults end")
         cluster.network.heal()
@@ -98,7 +103,7 @@
             cluster.start_member(member)
 
     def is_torn_write(self, chance: float) -> bool:
-        """Draw whether the process crashes at the write at hand."""
+        """Return True with probability `chance` if the fault `torn` is enabled and may still occur."""
         return (
             Fault.TORN_WRITE in self._cluster.faults
             and self._cluster.now < FAULT_PHASE_MS
@@ -106,7 +111,7 @@
         )
 
     def crash_at_write(self, member: SimulatedMember) -> None:
-        """Kill a member in the middle of a write, and start it again later."""
+        """Kill a member during a write, and start it again later."""
         self._cluster.kill_member(member)
         delay = self._rng.choice(RESTART_DELAYS_MS) * self._rng.random()
         self._cluster.schedule(delay, self._cluster.start_member, member)
@@ -114,7 +119,7 @@
     # The network
 
     def _cut(self) -> None:
-        """Cut the members into two sides."""
+        """Partition the members into two random sides."""
         names = list(self._cluster.members)
         side: set[str] = set()
         if len(names) > 1:
@@ -129,7 +134,7 @@
         self._cluster.schedule(self._rng.uniform(*CUT_DURATION_MS), network.cuts.clear)
 
     def _cut_one_way(self) -> None:
-        """Cut random directions between members."""
+        """Cut random directions between pairs of members."""
         names = list(self._cluster.members)
         cut = {
             (sender, receiver)
@@ -172,7 +177,7 @@
             self._cluster.schedule(delay, self._resume, member, member.incarnation)
 
     def _resume(self, member: SimulatedMember, incarnation: int) -> None:
-        """End a stall, unless the process ended meanwhile; it first reads its inbox."""
+        """Resume a stalled member and deliver its inbox, unless its process has ended meanwhile."""
         if member.incarnation != incarnation or not member.is_stalled or member.core is None:
             return
         inbox = member.inbox
@@ -186,7 +191,7 @@
     # The log
 
     def _compact(self) -> None:
-        """Have random members replace their applied entries by a snapshot."""
+        """Let random members replace their applied entries with a snapshot."""
         cluster = self._cluster
         for member in list(cluster.members.values()):
             core = member.core
--- a/dockthread/lab/raft/membership.py
+++ b/dockthread/lab/raft/membership.py
@@ -1,7 +1,7 @@
-"""Faults that change who votes: lost disks, and voters added and removed.
+"""Faults that change the set of voters: lost disks, and voters that are added or removed.
 
-They stay within what Raft can bear: a disk is lost only where a majority of every set of voters
-that stands in any log is left.
+They respect the failure assumptions of Raft: a disk is lost only if a majority remains of every set
+of voters that is the latest in some member's log.
 """
 
 from __future__ import annotations
@@ -14,23 +14,24 @@
 from dockthread.raft.log import RaftLog
 from dockthread.raft.messages import EntryKind
 
-RESTART_DELAY_MS: Final = (10, 500)  # after a disk was lost
-FIRST_REPLACEMENT_MS: Final = 600.0  # after a disk was lost, until an operator replaces the voter
+RESTART_DELAY_MS: Final = (10, 500)  # between the loss of a disk and the start of a new member
+# Delay between the loss of a disk and the first attempt of an operator to replace the voter.
+FIRST_REPLACEMENT_MS: Final = 600.0
 REPLACEMENT_RETRY_MS: Final = 400.0
-LEAST_VOTERS: Final = 2  # fewer are not left by a removal
-FEW_VOTERS: Final = 3  # above this many, a voter is always removed
+LEAST_VOTERS: Final = 2  # a removal never leaves fewer voters than this
+FEW_VOTERS: Final = 3  # with more voters than this, a change always removes one
 
 
 class MembershipFaults:
-    """Loses disks and changes voters of a simulated cluster."""
+    """Injects lost disks and changes of the voters into a simulated cluster."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self._cluster = cluster
 
     def lose_disk(self) -> None:
-        """Lose a random member's disk, and start a new identity that takes its place.
+        """Erase the disk of a random member, and start a new member that replaces it.
 
-        The new identity has no vote until a majority has added it.
+        The new member has no vote until a majority has added it.
         """
         cluster = self._cluster
         member = cluster.random_running_member()
@@ -49,12 +50,12 @@
         cluster.schedule(FIRST_REPLACEMENT_MS, self._replace_voter, member.name, new.name)
 
     def change_voters(self) -> None:
-        """Have each leader remove a random voter, or add a member that is up."""
+        """Let each leader remove a random voter or add a running member as a voter."""
         cluster = self._cluster
         for member, core in cluster.running_leaders():
             voters = set(core.voters)
             if any(cluster.members[name].is_removed for name in voters):
-                continue  # lost voters are replaced first
+                continue  # a voter that lost its disk must be replaced first
             candidates = [
                 other.name
                 for other in cluster.members.values()
@@ -68,9 +69,10 @@
                 self._propose_voters(member, core, voters ^ change)
 
     def _may_lose(self, name: str) -> bool:
-        """Return whether every set of voters in any log keeps a majority without this member.
+        """Return whether a member may lose its disk.
 
-        A set that has lost a voter before may lose no other.
+        The latest set of voters in every log must keep a majority without this member, and must not
+        contain a member that has already lost its disk.
         """
         members = self._cluster.members.values()
         remaining = [member for member in members if not member.is_removed]
@@ -87,7 +89,7 @@
         )
 
     def _replace_voter(self, old: str, new: str) -> None:
-        """Ask every leader to add the new voter, then to remove the old one, until both stand."""
+        """Ask every leader to add the new voter and then to remove the old one; retry until done."""
         cluster = self._cluster
         voters = cluster.newest_voters()
         if new in voters and old not in voters:
--- a/dockthread/lab/raft/network.py
+++ b/dockthread/lab/raft/network.py
@@ -1,4 +1,4 @@
-"""The simulated network between members: cuts, loss, delay and duplication of messages."""
+"""A simulated network between members that can cut links and lose, delay or duplicate messages."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from dockthread.raft.messages import Message
 
 DEFAULT_MEAN_DELAY_MS: Final = 5.0
-# ms that every message takes at least and at most, before the random delay
+# Bounds of the propagation delay of a message; the random queueing delay is added to it.
 LEAST_TRANSIT_MS: Final = 0.2
 MOST_TRANSIT_MS: Final = 1.0
 
 
 class SimulatedNetwork:
-    """Delivers messages between members as its faults allow.
+    """Delivers messages between members, subject to the current network faults.
 
     Attributes:
-        cuts: pairs of sender and receiver between which nothing passes.
-        loss_rate: chance that a message is lost.
-        mean_delay_ms: mean of the exponentially distributed delay.
-        duplication_rate: chance that a message arrives twice.
+        cuts: Pairs of sender and receiver whose messages are dropped.
+        loss_rate: Probability that a message is lost.
+        mean_delay_ms: Mean of the exponentially distributed queueing delay.
+        duplication_rate: Probability that a message is delivered twice.
     """
 
     def __init__(self, events: EventQueue, rng: random.Random) -> None:
@@ -36,7 +36,7 @@
     def send(
         self, sender: str, to: str, message: Message, deliver: Callable[[str, Message], None]
     ) -> None:
-        """Schedule the delivery of a message, or drop it."""
+        """Schedule the delivery of a message, unless a cut or a loss drops it."""
         if (sender, to) in self.cuts or self._rng.random() < self.loss_rate:
             return
         copies = 1 + (self._rng.random() < self.duplication_rate)
@@ -46,7 +46,7 @@
             self._events.schedule(transit + delay, deliver, to, message)
 
     def heal(self) -> None:
-        """End all cuts, loss, extra delay and duplication."""
+        """End all cuts, losses, additional delays and duplication."""
         self.cuts.clear()
         self.loss_rate = 0.0
         self.mean_delay_ms = DEFAULT_MEAN_DELAY_MS
--- a/dockthread/lab/raft/seeded_defects.py
+++ b/dockthread/lab/raft/seeded_defects.py
@@ -1,7 +1,8 @@
-"""Seeded defects of the Raft core and of what carries its actions out.
+"""Deliberate bugs in the Raft core and in the code that executes its actions.
 
-The checker has to find each of them, which shows that it sees such faults. The program itself never
-loads this module. The names are words of the command line.
+Tests check that the checker finds each of these seeded defects, which shows that its rules are
+effective. The program itself never loads this module. The names of the defects are values of a
+command-line option.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class VoteTwice(RaftCore):
-    """Votes again in a term in which it has voted for another member."""
+    """Votes for a second candidate in the same term."""
 
     def _handle_vote_request(self, request: VoteRequest) -> None:
         if not request.pre_vote and self.voted_for != self.member_id:
@@ -26,7 +27,7 @@
 
 
 class VoteNotPersisted(RaftCore):
-    """Sends a vote that is not on disk."""
+    """Sends a vote without writing it to disk first."""
 
     def _handle_vote_request(self, request: VoteRequest) -> None:
         may_vote = self.voted_for in ("", request.sender)
@@ -39,22 +40,22 @@
 
 
 class AnyLogLeads(RaftCore):
-    """Votes for candidates whose log is older than its own."""
+    """Votes for candidates whose log is less up to date than its own."""
 
     def _is_log_up_to_date(self, request: VoteRequest) -> bool:  # noqa: ARG002  the defect
         return True
 
 
 class SmallMajority(RaftCore):
-    """Takes one member less than a majority for a majority."""
+    """Accepts one member fewer than a majority as a quorum."""
 
     def has_quorum(self, members: Iterable[str]) -> bool:
-        """Return whether these members and one more are a majority of the voters."""
+        """Return whether these members plus one more would be a majority of the voters."""
         return 2 * len(set(members) & set(self.voters)) + 2 > len(self.voters)
 
 
 class PreviousEntryUnchecked(RaftCore):
-    """Appends entries without comparing the term of the entry before them."""
+    """Appends entries without checking the term of the preceding entry."""
 
     def _accept_entries(self, message: AppendEntries) -> tuple[bool, int]:
         if self.log.snapshot_index <= message.previous_index <= self.log.last_index:
@@ -64,7 +65,7 @@
 
 
 class ConflictNotTruncated(RaftCore):
-    """Keeps entries that conflict with the leader's, and appends only behind them."""
+    """Keeps entries that conflict with the leader's log, and only appends later entries."""
 
     def _accept_entries(self, message: AppendEntries) -> tuple[bool, int]:
         log = self.log
@@ -81,27 +82,27 @@
 
 
 class TermUnchecked(RaftCore):
-    """Takes the entries of a leader of an older term for those of the current one."""
+    """Accepts entries from the leader of an older term as if it were the current leader."""
 
     def step(self, now: float, message: Message) -> list[Action]:
-        """Handle a message of another member."""
+        """Handle a message from another member."""
         if isinstance(message, AppendEntries) and message.term < self.term:
             message = msgspec.structs.replace(message, term=self.term)
         return super().step(now, message)
 
 
 class ReadAtOnce(RaftCore):
-    """Answers reads without confirming that it still leads."""
+    """Answers reads without confirming its leadership with a quorum."""
 
     def read_index(self, now: float, token: int) -> tuple[bool, list[Action]]:  # noqa: ARG002  the defect
-        """Answer with the commit index as it is."""
+        """Answer immediately with the current commit index."""
         if self.role is not Role.LEADER:
             return False, []
         return True, [ReadIndexReady(token, self.commit_index)]
 
 
 class CommitTooFar(RaftCore):
-    """Commits entries that the leader has not confirmed to be equal to its own."""
+    """Commits entries that have not been matched against the leader's log."""
 
     def _accept_entries(self, message: AppendEntries) -> tuple[bool, int]:
         success, match_index = super()._accept_entries(message)
@@ -110,17 +111,17 @@
 
 
 class ManyChangesAtOnce(RaftCore):
-    """Allows any change of voters at any time."""
+    """Allows any change of the voters at any time."""
 
     def _may_change_voters(self, voters: tuple[str, ...]) -> bool:  # noqa: ARG002  the defect
         return True
 
 
 class SnapshotTooOld(RaftCore):
-    """Drops one entry more than its snapshot holds."""
+    """Creates snapshots that lack the last command that they replace."""
 
     def compact(self, index: int, snapshot: bytes) -> list[Action]:
-        """Replace the entries up to `index` by a snapshot without the last command."""
+        """Replace the entries up to `index` with a snapshot without the last command."""
         return super().compact(index, snapshot.rpartition(b"\x00")[0])
 
 
@@ -137,6 +138,6 @@
     "many-changes-at-once": ManyChangesAtOnce,
     "snapshot-too-old": SnapshotTooOld,
 }
-# A right core whose actions the simulation carries out wrongly.
+# Defects of the simulation, which executes the actions of a correct core wrongly.
 ADAPTER_DEFECTS: Final = ("fsync-left-out", "sent-before-kept", "same-name-without-memory")
 NAMES: Final = (*DEFECTIVE_CORES, *ADAPTER_DEFECTS)
--- a/dockthread/lab/raft/seeds.py
+++ b/dockthread/lab/raft/seeds.py
@@ -1,4 +1,4 @@
-"""Scenarios of the simulated Raft cluster and of maintenance on it, and the run of one seed."""
+"""Scenarios of simulated Raft clusters, with or without planned maintenance on them."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A simulated cluster that is run with many seeds.
+    """A scenario that the command line offers, to be run with many seeds.
 
     Attributes:
-        about: one line for the command line.
-        size: how many members it starts with.
-        faults: those of every seed; None where each seed draws its own.
-        simulation: the class that runs a seed.
+        about: One-line description for the command line.
+        size: Number of members at the start.
+        faults: Faults that occur with every seed; None if each seed draws its own.
+        simulation: Class that runs a seed.
     """
 
     about: str
@@ -35,7 +35,7 @@
     Fault.VOTER_CHANGE,
     Fault.COMPACTION,
 )
-# `press` and `fail` are faults of the simulated maintenance.
+# `press` (overloaded zones) and `fail` (failing backends) are faults of the maintenance simulation.
 LINK_FAULTS: Final = (
     Fault.ONE_WAY_CUT,
     Fault.LOSS,
@@ -48,25 +48,34 @@
 )
 
 SCENARIOS: Final = {
-    "work-agreement": Scenario("three voters, a random part of all faults a seed", 3),
-    "work-agreement-five": Scenario("five voters, a random part of all faults a seed", 5),
+    "work-agreement": Scenario("three voters, a random subset of all faults for each seed", 3),
+    "work-agreement-five": Scenario("five voters, a random subset of all faults for each seed", 5),
     "work-agreement-cuts": Scenario(
-        "five voters, cuts both ways and one, loss and delay", 5, NETWORK_FAULTS
+        "five voters with two-way and one-way cuts, loss and delay", 5, NETWORK_FAULTS
+    ),
+    "work-agreement-crashes": Scenario(
+        "three voters that stall or crash, also during writes and votes", 3, CRASH_FAULTS
+    ),
+    "work-agreement-moves": Scenario(
+        "voters that are replaced while members crash", 3, MEMBERSHIP_FAULTS
     ),
-    "work-agreement-crashes": Scenario("three voters killed at writes and votes", 3, CRASH_FAULTS),
-    "work-agreement-moves": Scenario("voters replaced while members die", 3, MEMBERSHIP_FAULTS),
     "work-turns": Scenario(
-        "turns of work, a random part of all faults a seed", 3, None, MaintenanceSimulation
+        "planned maintenance, a random subset of all faults for each seed",
+        3,
+        None,
+        MaintenanceSimulation,
+    ),
+    "work-turns-five": Scenario(
+        "planned maintenance with five members", 5, None, MaintenanceSimulation
     ),
-    "work-turns-five": Scenario("turns of work with five members", 5, None, MaintenanceSimulation),
     "work-turns-links": Scenario(
-        "turns of work over links that lose, delay and double",
+        "planned maintenance over links that lose, delay and duplicate messages",
         3,
         LINK_FAULTS,
         MaintenanceSimulation,
     ),
     "work-turns-crashes": Scenario(
-        "turns of work while members die and stall",
+        "planned maintenance while members crash and stall",
         3,
         (*CRASH_FAULTS, "fail"),
         MaintenanceSimulation,
@@ -75,10 +84,10 @@
 
 
 def play_seed(name: str, seed: int, seeded_defect: str = "") -> PlayedSeed:
-    """Run one seed of a scenario, with a seeded defect or without.
+    """Run one seed of a scenario, with the named seeded defect unless the name is empty.
 
     Raises:
-        KeyError: there is no scenario of this name.
+        KeyError: There is no scenario with this name.
     """
     scenario = SCENARIOS[name]
     simulation = scenario.simulation(seed, scenario.size, seeded_defect, scenario.faults)
--- a/dockthread/lab/raft/simulation.py
+++ b/dockthread/lab/raft/simulation.py
@@ -1,8 +1,8 @@
-"""Raft members on a simulated network, with simulated disks and clocks: one seed, one run.
+"""Runs Raft members on a simulated network, with simulated disks and clocks.
 
-All that is random comes from the seed, and time is the event queue's, so two runs of one seed write
-the same record. A write to disk takes effect completely or not at all, and a member may be killed
-before or after each. Times are in ms.
+All randomness comes from the seed, and the event queue provides the time, so two runs of one seed
+write the same record. A write to disk is atomic, and a member may be killed before or after any
+write. Times are in ms.
 """
 
 from __future__ import annotations
@@ -39,25 +39,31 @@
 from dockthread.raft.core import RaftCore
 from dockthread.raft.messages import Entry, EntryKind, Message, VoteResponse
 
-CALM_PHASE_MS: Final = 6_000.0  # after the faults; in its course everything has to recover
-FAULT_CHANCE: Final = 0.4  # of each fault to be turned on in a seed
-TORN_WRITE_CHANCE: Final = 0.006  # of a crash at each write
-TORN_VOTE_CHANCE: Final = 0.15  # of a crash right after a vote was sent
-SYNC_CHANCE: Final = 0.3  # of a write to reach the disk, with the defect `fsync-left-out`
-COMMAND_SEPARATOR: Final = b"\x00"  # between commands of a snapshot
+CALM_PHASE_MS: Final = 6_000.0  # time after the faults in which the cluster must recover
+FAULT_CHANCE: Final = 0.4  # probability that a seed enables a fault
+TORN_WRITE_CHANCE: Final = 0.006  # probability of a crash during a write
+TORN_VOTE_CHANCE: Final = 0.15  # probability of a crash right after a vote is sent
+SYNC_CHANCE: Final = 0.3  # probability that a write is synced, with defect `fsync-left-out`
+COMMAND_SEPARATOR: Final = b"\x00"  # between the commands in a snapshot
 
 
 class RaftSimulation(EventQueue):
-    """One run of a cluster under faults, and the checker that judges it.
+    """One run of a cluster under faults, with the checker that checks the rules of Raft.
 
-    Subclasses put another state machine on the log by `on_entry_applied`, `on_snapshot_restored`
+    Subclasses replace the state machine by overriding `on_entry_applied`, `on_snapshot_restored`
     and `snapshot_of`, and add faults to `fault_injector.handlers`.
 
     Attributes:
-        voters: names of the first voters.
-        members: every identity that ever was, by name.
-        faults: names of the faults that may happen in this run.
-        record: what happened, a line for each event with its time in ms.
+        rng: Source of all randomness in this run.
+        seeded_defect: Name of the seeded defect of this run, or empty.
+        voters: Names of the initial voters.
+        members: All members by name, including removed ones.
+        checker: Checker of the rules of Raft.
+        faults: Names of the faults that may occur in this run.
+        network: Network between the members.
+        fault_injector: Injects the faults.
+        client: Sends requests to the cluster.
+        record: Events of the run, one line per event with its time in ms.
     """
 
     def __init__(
@@ -83,11 +89,11 @@
         self.record: list[str] = []
 
     def play(self) -> list[RuleViolation]:
-        """Run to the end or to the first violation; a crash of a core is a violation too."""
+        """Run until the end or the first violation; an exception of a core is a violation too."""
         try:
             return self.run()
         except (IndexError, ValueError, KeyError, AssertionError) as error:
-            violation = RuleViolation("crash", self.now, f"the core ends with {error!r}")
+            violation = RuleViolation("crash", self.now, f"the core raised {error!r}")
             self.checker.violations.append(violation)
             return self.checker.violations
 
@@ -100,7 +106,7 @@
         self.run_until(FAULT_PHASE_MS)
         self.fault_injector.end_all()
         self.run_until(FAULT_PHASE_MS + CALM_PHASE_MS / 2)
-        # All is well from here on: what is proposed now has to be applied by all.
+        # The cluster has recovered: all voters must apply the commands proposed from here on.
         last_command = self.client.commands
         self.run_until(FAULT_PHASE_MS + CALM_PHASE_MS)
         voters = self.newest_voters()
@@ -110,21 +116,21 @@
             if member.core and member.name in voters
         }
         command = self.client.first_command_after(last_command, self.now - CALM_PHASE_MS / 4)
-        self.checker.ended(self.now, command or b"nothing at all", applied)
+        self.checker.ended(self.now, command or b"no command", applied)
         return self.checker.violations
 
     def should_stop(self) -> bool:
-        """Return whether a rule was violated."""
+        """Return whether a rule has been violated."""
         return bool(self.checker.violations)
 
     def record_event(self, text: str) -> None:
-        """Add a line to the record, with the time."""
+        """Add a line with the current time to the record."""
         self.record.append(f"{self.now:10.3f} {text}")
 
     # Members
 
     def start_member(self, member: SimulatedMember) -> None:
-        """Start a member's process from its disk, unless it runs or is removed."""
+        """Start a member's process from its disk, unless it is running or removed."""
         if member.is_removed or member.core is not None:
             return
         member.incarnation += 1
@@ -142,14 +148,14 @@
         self.tick_member(member, member.incarnation)
 
     def kill_member(self, member: SimulatedMember) -> None:
-        """End a member's process without warning; writes that are not synced are lost."""
+        """Kill a member's process abruptly; its unsynced writes are lost."""
         if member.core is not None:
-            self.record_event(f"{member.name} dies")
+            self.record_event(f"{member.name} is killed")
             member.core = None
             member.unsynced = []
 
     def tick_member(self, member: SimulatedMember, incarnation: int) -> None:
-        """Let a member's core handle its timers, and schedule the next tick."""
+        """Let a member's core handle its due timers, and schedule the next tick."""
         if member.core is None or member.incarnation != incarnation or member.is_stalled:
             return
         if member.core.next_deadline() <= self.now:
@@ -162,7 +168,7 @@
             self.schedule(delay, self.tick_member, member, incarnation)
 
     def deliver(self, to: str, message: Message) -> None:
-        """Hand a message to a member's core, or to its inbox while it is stalled."""
+        """Pass a message to a member's core, or to its inbox if the member is stalled."""
         member = self.members[to]
         if member.core is None:
             return
@@ -172,7 +178,7 @@
             self.carry_out(member, member.core.step(self.now, message))
 
     def running_leaders(self) -> list[tuple[SimulatedMember, RaftCore]]:
-        """Return all members that believe that they lead and are not stalled."""
+        """Return all members that consider themselves leader and are not stalled."""
         return [
             (member, member.core)
             for member in self.members.values()
@@ -185,17 +191,17 @@
         return self.rng.choice(running) if running else None
 
     def newest_voters(self) -> tuple[str, ...]:
-        """Return the voters as the running member that applied most knows them."""
+        """Return the voters according to the running member with the highest applied index."""
         running = [member for member in self.members.values() if member.core is not None]
         newest = max(running, key=lambda member: member.applied_index, default=None)
         if newest is None or newest.core is None:
             return ()
         return newest.core.log.voters_at(newest.applied_index)
 
-    # Actions of a core
+    # Actions of the Raft core
 
     def carry_out(self, member: SimulatedMember, actions: list[Action]) -> None:
-        """Carry out what a member's core returned, as long as its process lives."""
+        """Carry out the actions that a member's core returned, until its process ends."""
         incarnation = member.incarnation
         if self.seeded_defect == "sent-before-kept":
             actions = sorted(actions, key=lambda action: not isinstance(action, SendMessage))
@@ -248,7 +254,7 @@
         self.record_event(f"{member.name} applies {index} {applied}")
 
     def on_snapshot_restored(self, member: SimulatedMember, index: int, snapshot: bytes) -> None:
-        """Replace a member's state machine by a snapshot."""
+        """Replace the state of a member's state machine with a snapshot."""
         commands = [command for command in snapshot.split(COMMAND_SEPARATOR) if command]
         member.applied_index = index
         member.applied_commands = commands
@@ -261,9 +267,9 @@
     # Disks
 
     def _persist(self, member: SimulatedMember, write: PersistEntries | PersistSnapshot) -> None:
-        """Write to a member's disk; the process may crash before or after it."""
+        """Write to a member's disk; the process may crash before or after the write."""
         is_torn = self.fault_injector.is_torn_write(TORN_WRITE_CHANCE)
-        if is_torn and self.rng.random() < 0.5:  # it crashes before the write took effect
+        if is_torn and self.rng.random() < 0.5:  # it crashes before the write takes effect
             self.fault_injector.crash_at_write(member)
             return
         member.unsynced.append(write)
@@ -283,6 +289,6 @@
 
 
 def _terms_on_disk(member: SimulatedMember) -> dict[int, int]:
-    """Return the term of each entry on a member's disk, by its index."""
+    """Return the term of each entry on a member's disk, by index."""
     first = member.disk.snapshot_index + 1
     return {index: entry.term for index, entry in enumerate(member.disk.entries, first)}
