--- a/dockthread/lab/control_plane/checker.py
+++ b/dockthread/lab/control_plane/checker.py
@@ -33,22 +33,22 @@
 from dockthread.lab.raft.checker import RuleViolation
 
 MS_PER_SECOND: Final = 1_000.0
-SHOWN_ITEMS: Final = 5
+MAX_LISTED_ITEMS: Final = 5
 """Maximum number of list items that the detail of a violation names."""
-SHOWN_UNKNOWN: Final = 3
+MAX_LISTED_UNKNOWN: Final = 3
 """Maximum number of unknown resources that the detail of a violation names."""
 
 
 class Rule(StrEnum):
     """Rules, by the names that violations report."""
 
-    ONCE = "once"
-    EXPECTED = "expected"
-    NO_OLDER = "no-older"
-    IN_FORCE = "in-force"
-    TOLD = "told"
-    WITHIN = "within"
-    BUDGET = "budget"
+    SINGLE_OUTCOME = "once"
+    EXPECTED_REVISION = "expected"
+    NO_REGRESSION = "no-older"
+    CONVERGED = "in-force"
+    REJECTION_REPORTED = "told"
+    WITHIN_BOUND = "within"
+    SNAPSHOT_BUDGET = "budget"
     PROGRESS = "progress"
 
 
@@ -87,7 +87,7 @@
         kind: Kind of the resource.
         name: Name of the resource.
         body: Content; None deletes the resource.
-        expected: Revision that the change is to replace; -1 accepts any revision.
+        expected_revision: Revision that the change is to replace; -1 accepts any revision.
         revision: Outcome: the revision of the accepted change, 0 if it was rejected, None while the
             outcome is unknown.
     """
@@ -95,7 +95,7 @@
     kind: str
     name: str
     body: bytes | None
-    expected: int
+    expected_revision: int
     revision: int | None = None
 
     @property
@@ -127,15 +127,15 @@
 
 
 @dataclass(slots=True)
-class _Bucket:
+class _LeakyBucket:
     """Leaky bucket that measures the bytes sent in excess of the allowed rate.
 
     Attributes:
-        at: Time of the last update, in ms.
+        updated_at: Time of the last update, in ms.
         level: Bytes in the bucket at that time.
     """
 
-    at: float
+    updated_at: float
     level: float = 0.0
 
 
@@ -163,12 +163,12 @@
     """Revisions up to which an ingress must have, and may have, applied changes.
 
     Attributes:
-        due: Changes up to this revision must be applied.
-        latest: Changes after `due`, up to this revision, may be applied.
+        due_revision: Changes up to this revision must be applied.
+        latest_revision: Changes after `due_revision`, up to this revision, may be applied.
     """
 
-    due: int
-    latest: int
+    due_revision: int
+    latest_revision: int
 
 
 class Checker:
@@ -176,91 +176,105 @@
 
     Attributes:
         violations: Rules that were violated.
-        requested: Requested changes by token.
+        requested_changes: Requested changes by token.
         snapshot_bytes: Total size of all snapshot chunks.
     """
 
-    def __init__(self, burst: float, rate: float, chunk: float) -> None:
+    def __init__(self, burst_bytes: float, bytes_per_second: float, max_chunk_bytes: float) -> None:
         """Create a checker for servers with the given snapshot budget.
 
         Args:
-            burst: Burst of the snapshot budget, in bytes.
-            rate: Rate of the snapshot budget, in bytes per second.
-            chunk: Maximum size of one snapshot chunk, in bytes.
+            burst_bytes: Burst of the snapshot budget, in bytes.
+            bytes_per_second: Rate of the snapshot budget, in bytes per second.
+            max_chunk_bytes: Maximum size of one snapshot chunk, in bytes.
         """
-        self._burst = burst
-        self._rate = rate / MS_PER_SECOND
-        self._chunk = chunk
+        self._burst_bytes = burst_bytes
+        self._bytes_per_ms = bytes_per_second / MS_PER_SECOND
+        self._max_chunk_bytes = max_chunk_bytes
         self.violations: list[RuleViolation] = []
-        self.requested: dict[str, RequestedChange] = {}
+        self.requested_changes: dict[str, RequestedChange] = {}
         self.snapshot_bytes = 0
-        self._token_of: dict[int, str] = {}  # by revision
-        self._earlier_valid: dict[Key, set[bytes | None]] = {}  # in earlier histories
+        self._token_by_revision: dict[int, str] = {}
+        # Valid bodies of each resource in earlier histories.
+        self._earlier_valid_bodies: dict[Key, set[bytes | None]] = {}
         self._processes: dict[str, _ProcessState] = {}
-        self._buckets: dict[_ServerIncarnation, _Bucket] = {}
+        self._buckets: dict[_ServerIncarnation, _LeakyBucket] = {}
         self._accepted_revisions: list[int] = []
-        self._accepted_at: list[float] = []  # parallel list: when the first voter accepted each
+        # Times in ms at which the first voter accepted each of `_accepted_revisions`.
+        self._acceptance_times: list[float] = []
 
     def _report(self, rule: Rule, at: float, detail: str) -> None:
         self.violations.append(RuleViolation(rule, at, detail))
 
     # Publishing
 
-    def on_request(self, token: str, change: RequestedChange) -> None:
+    def on_change_requested(self, token: str, change: RequestedChange) -> None:
         """Record that a change is requested."""
-        self.requested.setdefault(token, change)
+        self.requested_changes.setdefault(token, change)
 
-    def on_response(self, at: float, token: str, revision: int) -> None:
+    def on_outcome_received(self, at: float, token: str, revision: int) -> None:
         """Record the outcome that a publisher received: a revision, or 0 for a rejection."""
-        change = self.requested[token]
+        change = self.requested_changes[token]
         if change.revision is not None and change.revision != revision:
-            self._report(Rule.ONCE, at, f"{token} has outcome {change.revision}, then {revision}")
+            self._report(
+                Rule.SINGLE_OUTCOME, at, f"{token} has outcome {change.revision}, then {revision}"
+            )
         if change.revision is None:
             change.revision = revision
-        if revision > 0 and self._token_of.setdefault(revision, token) != token:
-            other = self._token_of[revision]
-            self._report(Rule.ONCE, at, f"revision {revision} belongs to {other} and to {token}")
+        if revision > 0 and self._token_by_revision.setdefault(revision, token) != token:
+            other_token = self._token_by_revision[revision]
+            self._report(
+                Rule.SINGLE_OUTCOME,
+                at,
+                f"revision {revision} belongs to {other_token} and to {token}",
+            )
 
     def on_history_lost(self) -> None:
         """Record that the voters lost the log, and forget all changes that had an outcome."""
         for key, changes in self._accepted_changes().items():
             bodies = {change.body for change in changes if not change.is_invalid}
-            self._earlier_valid.setdefault(key, set()).update(bodies)
-        self.requested = {
-            token: change for token, change in self.requested.items() if change.revision is None
+            self._earlier_valid_bodies.setdefault(key, set()).update(bodies)
+        self.requested_changes = {
+            token: change
+            for token, change in self.requested_changes.items()
+            if change.revision is None
         }
-        self._token_of = {}
+        self._token_by_revision = {}
         self._accepted_revisions = []
-        self._accepted_at = []
+        self._acceptance_times = []
 
     def _accepted_changes(self) -> dict[Key, list[RequestedChange]]:
         """Return the accepted changes of each resource, oldest first."""
-        found: dict[Key, list[RequestedChange]] = {}
-        for revision in sorted(self._token_of):
-            change = self.requested[self._token_of[revision]]
-            found.setdefault(change.key, []).append(change)
-        return found
+        changes_by_key: dict[Key, list[RequestedChange]] = {}
+        for revision in sorted(self._token_by_revision):
+            change = self.requested_changes[self._token_by_revision[revision]]
+            changes_by_key.setdefault(change.key, []).append(change)
+        return changes_by_key
 
-    def check_log(self, at: float, last_revision: int) -> None:
+    def check_outcomes(self, at: float, last_revision: int) -> None:
         """Check the outcomes of all changes, once none is in flight.
 
         Args:
             at: Time of the check, in ms.
             last_revision: Latest revision that the voters accepted.
         """
-        waiting = [token for token, one in self.requested.items() if one.revision is None]
-        if waiting:
-            shown = ", ".join(waiting[:SHOWN_ITEMS])
-            self._report(Rule.PROGRESS, at, f"{shown} have no outcome")
+        pending_tokens = [
+            token for token, change in self.requested_changes.items() if change.revision is None
+        ]
+        if pending_tokens:
+            listed_tokens = ", ".join(pending_tokens[:MAX_LISTED_ITEMS])
+            self._report(Rule.PROGRESS, at, f"{listed_tokens} have no outcome")
             return
         revisions = range(1, last_revision + 1)
-        if sorted(self._token_of) != list(revisions):
-            missing = [revision for revision in revisions if revision not in self._token_of]
+        if sorted(self._token_by_revision) != list(revisions):
+            missing_revisions = [
+                revision for revision in revisions if revision not in self._token_by_revision
+            ]
             self._report(
-                Rule.ONCE,
+                Rule.SINGLE_OUTCOME,
                 at,
-                f"voters are at revision {last_revision}, {len(self._token_of)} revisions have a "
-                f"token; revisions without a token: {missing[:SHOWN_ITEMS]}",
+                f"voters are at revision {last_revision}, {len(self._token_by_revision)} revisions "
+                f"have a token; revisions without a token: {missing_revisions[:MAX_LISTED_ITEMS]}",
             )
         for key, changes in self._accepted_changes().items():
             self._check_expected(at, key, changes)
@@ -268,28 +282,31 @@
     def _check_expected(self, at: float, key: Key, changes: list[RequestedChange]) -> None:
         current = 0
         for change in changes:
-            if change.expected >= 0 and change.expected != current:
-                detail = f"{key} at revision {current} was replaced; {change.expected} was expected"
-                self._report(Rule.EXPECTED, at, detail)
+            if change.expected_revision >= 0 and change.expected_revision != current:
+                detail = (
+                    f"{key} at revision {current} was replaced; "
+                    f"{change.expected_revision} was expected"
+                )
+                self._report(Rule.EXPECTED_REVISION, at, detail)
             current = 0 if change.body is None else change.revision or 0
 
     # Receiving
 
-    def on_started(
+    def on_process_started(
         self, name: str, epoch: str, revision: int, resources: Mapping[Key, int]
     ) -> None:
         """Record that a process starts with the state on its disk."""
         self._processes[name] = _ProcessState(epoch, revision, dict(resources))
 
-    def on_table(self, at: float, name: str, epoch: str, revision: int) -> None:
+    def on_table_received(self, at: float, name: str, epoch: str, revision: int) -> None:
         """Record that the table of a process reached a revision."""
         state = self._processes[name]
         if state.epoch == epoch and revision < state.revision:
             detail = f"{name} went back from revision {state.revision} to {revision}"
-            self._report(Rule.NO_OLDER, at, detail)
+            self._report(Rule.NO_REGRESSION, at, detail)
         if epoch in state.left_epochs:
             detail = f"{name} went back from history {state.epoch} to {epoch}"
-            self._report(Rule.NO_OLDER, at, detail)
+            self._report(Rule.NO_REGRESSION, at, detail)
         if state.epoch not in ("", epoch):
             state.left_epochs.add(state.epoch)
             state.resources.clear()
@@ -302,50 +319,69 @@
         key = Key(resource.kind, resource.name)
         if resource.revision < applied.get(key, 0):
             detail = f"{name} applies {key} at revision {resource.revision} over {applied[key]}"
-            self._report(Rule.NO_OLDER, at, detail)
+            self._report(Rule.NO_REGRESSION, at, detail)
         applied[key] = resource.revision
 
     def check_convergence(
-        self, at: float, observed: IngressObservation, expected: ConvergenceRange
+        self, at: float, observed: IngressObservation, expected_range: ConvergenceRange
     ) -> None:
         """Check the state that an ingress had at time `at`, once all outcomes are known.
 
-        Each resource has to match its last change up to `expected.due`, or any of its later changes
-        up to `expected.latest`, which were in flight at that time.
+        Each resource has to match its last change up to `expected_range.due_revision`, or any of
+        its later changes up to `expected_range.latest_revision`, which were in flight at that time.
         """
         accepted = self._accepted_changes()
         for key, changes in accepted.items():
-            self._check_resource(at, observed, expected, key, changes)
-        unknown = [key for key in observed.bodies if key not in accepted]
-        if unknown:
-            detail = f"{observed.name} has {unknown[:SHOWN_UNKNOWN]}, which no publisher published"
-            self._report(Rule.IN_FORCE, at, detail)
+            self._check_resource(at, observed, expected_range, key, changes)
+        unknown_keys = [key for key in observed.bodies if key not in accepted]
+        if unknown_keys:
+            detail = (
+                f"{observed.name} has {unknown_keys[:MAX_LISTED_UNKNOWN]}, "
+                f"which no publisher published"
+            )
+            self._report(Rule.CONVERGED, at, detail)
 
     def _check_resource(
         self,
         at: float,
         observed: IngressObservation,
-        expected: ConvergenceRange,
+        expected_range: ConvergenceRange,
         key: Key,
         changes: list[RequestedChange],
     ) -> None:
-        known = [change for change in changes if (change.revision or 0) <= expected.latest]
-        settled = [change for change in known if (change.revision or 0) <= expected.due]
-        if not settled:
+        possible_changes = [
+            change for change in changes if (change.revision or 0) <= expected_range.latest_revision
+        ]
+        due_changes = [
+            change
+            for change in possible_changes
+            if (change.revision or 0) <= expected_range.due_revision
+        ]
+        if not due_changes:
             return
-        allowed = known[len(settled) - 1 :]
-        if not any(self._may_follow(change, known, observed, key) for change in allowed):
+        allowed_changes = possible_changes[len(due_changes) - 1 :]
+        if not any(
+            self._is_allowed_after(change, possible_changes, observed, key)
+            for change in allowed_changes
+        ):
             body = observed.bodies.get(key)
-            detail = f"{observed.name} has {body!r} for {key}; expected: {_describe(allowed)}"
-            self._report(Rule.IN_FORCE, at, detail)
-        if settled == known and known[-1].is_invalid and key not in observed.rejected:
+            detail = (
+                f"{observed.name} has {body!r} for {key}; "
+                f"expected: {_describe_changes(allowed_changes)}"
+            )
+            self._report(Rule.CONVERGED, at, detail)
+        if (
+            due_changes == possible_changes
+            and possible_changes[-1].is_invalid
+            and key not in observed.rejected
+        ):
             detail = f"{observed.name} rejected {key}, but its server does not know it"
-            self._report(Rule.TOLD, at, detail)
+            self._report(Rule.REJECTION_REPORTED, at, detail)
 
-    def _may_follow(
+    def _is_allowed_after(
         self,
         change: RequestedChange,
-        known: list[RequestedChange],
+        possible_changes: list[RequestedChange],
         observed: IngressObservation,
         key: Key,
     ) -> bool:
@@ -356,42 +392,45 @@
         body = observed.bodies.get(key)
         if not change.is_invalid:
             return body == change.body
-        valid = {one.body for one in known if not one.is_invalid}
-        return body is None or body in valid | self._earlier_valid.get(key, set())
+        valid_bodies = {other.body for other in possible_changes if not other.is_invalid}
+        return body is None or body in valid_bodies | self._earlier_valid_bodies.get(key, set())
 
-    def on_accepted(self, at: float, revision: int) -> None:
+    def on_change_accepted(self, at: float, revision: int) -> None:
         """Record that a voter accepted a change; only the first voter at a revision counts."""
         if revision > (self._accepted_revisions[-1] if self._accepted_revisions else 0):
             self._accepted_revisions.append(revision)
-            self._accepted_at.append(at)
+            self._acceptance_times.append(at)
 
-    def check_within_bound(self, at: float, name: str, revision: int, since: float) -> None:
-        """Check that `revision` of an ingress covers all changes accepted before `since`."""
-        count = bisect_left(self._accepted_at, since)
-        if count and revision < self._accepted_revisions[count - 1]:
-            due = self._accepted_revisions[count - 1]
+    def check_within_bound(
+        self, at: float, name: str, revision: int, accepted_before: float
+    ) -> None:
+        """Check that the revision of an ingress covers all changes accepted before a time."""
+        due_count = bisect_left(self._acceptance_times, accepted_before)
+        if due_count and revision < self._accepted_revisions[due_count - 1]:
+            due_revision = self._accepted_revisions[due_count - 1]
             detail = (
-                f"{name} is at revision {revision}, but {due} was accepted before {since:.0f} ms"
+                f"{name} is at revision {revision}, "
+                f"but {due_revision} was accepted before {accepted_before:.0f} ms"
             )
-            self._report(Rule.WITHIN, at, detail)
+            self._report(Rule.WITHIN_BOUND, at, detail)
 
     # Snapshot budget
 
     def on_snapshot_chunk(self, at: float, server: str, incarnation: int, size: int) -> None:
         """Record that a server sends a chunk of a snapshot."""
-        bucket = self._buckets.setdefault(_ServerIncarnation(server, incarnation), _Bucket(at))
-        drained = (at - bucket.at) * self._rate
-        bucket.level = max(0.0, bucket.level - drained) + size
-        bucket.at = at
+        bucket = self._buckets.setdefault(_ServerIncarnation(server, incarnation), _LeakyBucket(at))
+        drained_bytes = (at - bucket.updated_at) * self._bytes_per_ms
+        bucket.level = max(0.0, bucket.level - drained_bytes) + size
+        bucket.updated_at = at
         self.snapshot_bytes += size
-        limit = self._burst + self._chunk
+        limit = self._burst_bytes + self._max_chunk_bytes
         if bucket.level > limit:
             detail = (
                 f"{server} exceeded its rate by {bucket.level:.0f} bytes; {limit:.0f} are allowed"
             )
-            self._report(Rule.BUDGET, at, detail)
+            self._report(Rule.SNAPSHOT_BUDGET, at, detail)
 
 
-def _describe(changes: list[RequestedChange]) -> str:
+def _describe_changes(changes: list[RequestedChange]) -> str:
     """Return the contents that the changes allow, as text for a violation."""
     return " or ".join(f"revision {change.revision} is {change.body!r}" for change in changes)
--- a/dockthread/lab/control_plane/cluster.py
+++ b/dockthread/lab/control_plane/cluster.py
@@ -21,17 +21,21 @@
         distributors: Distributors of all regions.
         ingresses: Ingresses of all regions.
         processes: All voters, then all distributors, then all ingresses.
-        histories: Number of histories so far; each loss of the log begins a new history.
+        history_count: Number of histories so far; each loss of the log begins a new history.
     """
 
     def __init__(self, environment: Environment) -> None:
         self._environment = environment
         settings = environment.settings
         self.processes: list[SimulatedProcess] = []
-        self.histories = 1
-        self.voters = [self._place(Voter, f"v-{region}", region, 0) for region in settings.regions]
-        self.distributors = self._spread(Distributor, "d", settings.distributors)
-        self.ingresses = self._spread(Ingress, "i", settings.ingresses)
+        self.history_count = 1
+        self.voters = [
+            self._add_process(Voter, f"v-{region}", region, 0) for region in settings.regions
+        ]
+        self.distributors = self._add_to_each_region(
+            Distributor, "d", settings.distributors_per_region
+        )
+        self.ingresses = self._add_to_each_region(Ingress, "i", settings.ingresses_per_region)
         for ingress in self.ingresses:
             ingress.has_cache = environment.rng.random() < 0.5
         peers = {voter.name: voter for voter in self.voters}
@@ -40,21 +44,25 @@
         environment.voter_names = tuple(peers)
         environment.distributors = self.distributors
 
-    def _place(self, process_type: type[ProcessT], name: str, region: str, number: int) -> ProcessT:
-        zone = f"{region}-{number % self._environment.settings.zones}"
+    def _add_process(
+        self, process_type: type[ProcessT], name: str, region: str, index: int
+    ) -> ProcessT:
+        zone = f"{region}-{index % self._environment.settings.zones_per_region}"
         process = process_type(self._environment, name, region, zone)
         self.processes.append(process)
         self._environment.processes[name] = process
         return process
 
-    def _spread(self, process_type: type[ProcessT], prefix: str, count: int) -> list[ProcessT]:
+    def _add_to_each_region(
+        self, process_type: type[ProcessT], prefix: str, count: int
+    ) -> list[ProcessT]:
         """Create `count` processes in each region, in its zones in turn."""
         return [
-            self._place(process_type, f"{prefix}-{region}-{number}", region, number)
+            self._add_process(process_type, f"{prefix}-{region}-{index}", region, index)
             for region in self._environment.settings.regions
-            for number in range(count)
+            for index in range(count)
         ]
 
-    def revision(self) -> int:
+    def latest_revision(self) -> int:
         """Return the highest revision that any voter has accepted."""
         return max(voter.state_machine.table.revision for voter in self.voters)
--- a/dockthread/lab/control_plane/environment.py
+++ b/dockthread/lab/control_plane/environment.py
@@ -17,7 +17,7 @@
 from dockthread.lab.control_plane.seeded_defects import SeededDefect
 from dockthread.lab.control_plane.settings import KINDS, SimulationSettings
 
-CHUNK_TOLERANCE = 2.0
+CHUNK_OVERHEAD_FACTOR = 2.0
 """Factor by which a chunk, including its overhead, may exceed the configured chunk size."""
 
 
@@ -48,15 +48,15 @@
         self.rng = random.Random(seed)
         self.clock = SimulatedClock()
         self.network = Network(self.clock, self.rng)
-        limits = settings.limits
-        chunk = limits.chunk_bytes * CHUNK_TOLERANCE
-        self.checker = Checker(limits.snapshot_burst, limits.snapshot_rate, chunk)
+        limits = settings.fan_out_limits
+        max_chunk_bytes = limits.chunk_bytes * CHUNK_OVERHEAD_FACTOR
+        self.checker = Checker(limits.snapshot_burst, limits.snapshot_rate, max_chunk_bytes)
         self.record: list[str] = []
         self.processes: dict[str, Endpoint] = {}
         self.voter_names: tuple[str, ...] = ()
         self.distributors: Sequence[Endpoint] = ()
 
-    def note(self, text: str) -> None:
+    def record_event(self, text: str) -> None:
         """Add a line with the current time to the record."""
         self.record.append(f"{self.clock.now:11.3f} {text}")
 
@@ -66,7 +66,10 @@
 
     def distributor_servers(self, region: str) -> list[CandidateServer]:
         """Return the servers that an ingress can subscribe to, preferring those in its region."""
-        return [CandidateServer(one.name, int(one.region != region)) for one in self.distributors]
+        return [
+            CandidateServer(distributor.name, int(distributor.region != region))
+            for distributor in self.distributors
+        ]
 
     def make_subscriber(
         self,
@@ -78,14 +81,14 @@
         """Create the subscriber of a process; it starts with `table`."""
         rng = random.Random(self.rng.random())
         settings = SubscriberSettings(
-            process.name, process.region, process.zone, self.settings.times
+            process.name, process.region, process.zone, self.settings.subscriber_times
         )
         return self.defect.subscriber(settings, servers, rng, self.clock.now, table, rejections)
 
     def make_fan_out(self, table: ResourceTable) -> FanOut:
         """Create a fan-out that serves `table`."""
         rng = random.Random(self.rng.random())
-        return self.defect.fan_out(table, self.settings.limits, rng, b"", self.clock.now)
+        return self.defect.fan_out(table, self.settings.fan_out_limits, rng, b"", self.clock.now)
 
     def make_state_machine(self) -> PublishStateMachine:
         """Create an empty state machine for a voter."""
--- a/dockthread/lab/control_plane/nodes.py
+++ b/dockthread/lab/control_plane/nodes.py
@@ -66,7 +66,7 @@
         self.is_up = True
         self.is_stalled = False
         self._timer_at = NO_TIMER
-        self.environment.note(f"{self.name} starts")
+        self.environment.record_event(f"{self.name} starts")
         self.initialize()
         self.after_event()
 
@@ -74,19 +74,19 @@
         """End the process abruptly, as SIGKILL does."""
         if self.is_up:
             self.is_up = False
-            self.environment.note(f"{self.name} is killed")
+            self.environment.record_event(f"{self.name} is killed")
             self.environment.network.on_died(self)
 
     def stall(self) -> None:
         """Stop the process temporarily, as SIGSTOP does."""
         self.is_stalled = True
-        self.environment.note(f"{self.name} is stalled")
+        self.environment.record_event(f"{self.name} is stalled")
 
     def resume(self, incarnation: int) -> None:
         """Resume the process if it is stalled and still in this incarnation."""
         if self.is_up and self.incarnation == incarnation and self.is_stalled:
             self.is_stalled = False
-            self.environment.note(f"{self.name} resumes")
+            self.environment.record_event(f"{self.name} resumes")
             self.after_event()
 
     def after_event(self) -> None:
@@ -148,14 +148,14 @@
     Raises:
         MalformedFrameError: The bytes are not a valid frame.
     """
-    head = data[: FRAME_HEADER.size]
+    header = data[: FRAME_HEADER.size]
     body = data[FRAME_HEADER.size :]
-    if codec.length(head) != len(body):
+    if codec.length(header) != len(body):
         raise MalformedFrameError("wrong length")
-    return codec.unpack(head, body)
+    return codec.unpack(header, body)
 
 
-class _ServedState(NamedTuple):
+class _TableState(NamedTuple):
     """State of the table when updates were last sent to all subscribers."""
 
     epoch: str = ""
@@ -174,33 +174,34 @@
         self._process = process
         self._environment = process.environment
         self.fan_out = fan_out
-        self._numbers: dict[int, int] = {}  # by the connection's id
-        self._connections: dict[int, Connection] = {}  # by number
+        self._number_by_connection_id: dict[int, int] = {}
+        self._connections: dict[int, Connection] = {}  # by connection number
         self._last_number = 0
-        self._served = _ServedState()
-        self._snapshots: set[int] = set()  # connections on which a snapshot is being sent
+        self._last_sent_state = _TableState()
+        # Numbers of the connections on which a snapshot is being sent.
+        self._snapshot_connections: set[int] = set()
 
     def owns(self, connection: Connection) -> bool:
         """Return whether a connection was accepted by this adapter."""
-        return connection.connection_id in self._numbers
+        return connection.connection_id in self._number_by_connection_id
 
     def on_accepted(self, connection: Connection) -> None:
         """Assign a number to an accepted connection."""
         self._last_number += 1
-        self._numbers[connection.connection_id] = self._last_number
+        self._number_by_connection_id[connection.connection_id] = self._last_number
         self._connections[self._last_number] = connection
 
     def on_frame(self, connection: Connection, data: bytes) -> None:
         """Handle a frame, and close the connection if the frame is malformed or unexpected."""
-        number = self._numbers[connection.connection_id]
+        number = self._number_by_connection_id[connection.connection_id]
         try:
-            self._handle(connection, number, decode_frame(data))
+            self._handle_message(connection, number, decode_frame(data))
         except (MalformedFrameError, UnexpectedMessageError):
             self._close(number)
         else:
             self.send_to(connection)
 
-    def _handle(self, connection: Connection, number: int, message: Message) -> None:
+    def _handle_message(self, connection: Connection, number: int, message: Message) -> None:
         now = self._environment.clock.now
         if isinstance(message, Subscribe):
             retry_later = self.fan_out.subscribe(now, number, message)
@@ -215,9 +216,9 @@
 
     def on_broken(self, connection: Connection) -> None:
         """Remove a broken connection."""
-        number = self._numbers.pop(connection.connection_id)
+        number = self._number_by_connection_id.pop(connection.connection_id)
         del self._connections[number]
-        self._snapshots.discard(number)
+        self._snapshot_connections.discard(number)
         self.fan_out.on_closed(self._environment.clock.now, number)
 
     def on_timer(self) -> None:
@@ -229,14 +230,14 @@
     def send_pending(self) -> None:
         """Send updates to all subscribers if the table has changed."""
         table = self.fan_out.table
-        state = _ServedState(table.epoch, table.revision, table.is_complete)
-        if state != self._served:
-            self._served = state
+        state = _TableState(table.epoch, table.revision, table.is_complete)
+        if state != self._last_sent_state:
+            self._last_sent_state = state
             self._send_to_all()
 
     def send_to(self, connection: Connection) -> None:
         """Send frames as long as the connection has capacity."""
-        number = self._numbers.get(connection.connection_id)
+        number = self._number_by_connection_id.get(connection.connection_id)
         if number is None:
             return
         network = self._environment.network
@@ -244,21 +245,21 @@
             frame = self.fan_out.next_frame(self._environment.clock.now, number)
             if frame is None:
                 return
-            self._report_snapshot(number, frame)
+            self._report_snapshot_chunk(number, frame)
             network.send(connection, self._process, frame)
 
     def _send_to_all(self) -> None:
         for connection in list(self._connections.values()):
             self.send_to(connection)
 
-    def _report_snapshot(self, number: int, frame: bytes) -> None:
+    def _report_snapshot_chunk(self, number: int, frame: bytes) -> None:
         """Report the size of a snapshot chunk to the checker, which checks the budget."""
         message = decode_frame(frame)
         if not isinstance(message, Update):
             return
         if message.snapshot:
-            self._snapshots.add(number)
-        if number in self._snapshots:
+            self._snapshot_connections.add(number)
+        if number in self._snapshot_connections:
             self._environment.checker.on_snapshot_chunk(
                 self._environment.clock.now,
                 self._process.name,
@@ -266,7 +267,7 @@
                 len(frame),
             )
         if message.complete:
-            self._snapshots.discard(number)
+            self._snapshot_connections.discard(number)
 
     def _close(self, number: int) -> None:
         connection = self._connections[number]
@@ -285,14 +286,14 @@
         self._process = process
         self._environment = process.environment
         self.subscriber = subscriber
-        self._connections: dict[int, Connection] = {}  # by number
+        self._connections: dict[int, Connection] = {}  # by connection number
 
     def owns(self, connection: Connection) -> bool:
         """Return whether a connection was opened by this adapter."""
         return self._connections.get(connection.number) is connection
 
     def on_opened(self, connection: Connection) -> list[ResourcesChanged]:
-        """Handle that a connection is established."""
+        """Handle the establishment of a connection."""
         now = self._environment.clock.now
         return self.execute(self.subscriber.on_connected(now, connection.number))
 
@@ -319,7 +320,7 @@
     def execute(self, actions: list[Action]) -> list[ResourcesChanged]:
         """Execute the actions on connections, and return the batches of resources to apply."""
         network = self._environment.network
-        changed = []
+        batches = []
         for action in actions:
             match action:
                 case Connect(number, server):
@@ -332,13 +333,13 @@
                 case Disconnect(number, reason):
                     self._disconnect(number, reason)
                 case ResourcesChanged():
-                    changed.append(action)
-        return changed
+                    batches.append(action)
+        return batches
 
     def _disconnect(self, number: int, reason: str) -> None:
         connection = self._connections.pop(number)
         server = connection.server.name
-        self._environment.note(f"{self._process.name} disconnects from {server}: {reason}")
+        self._environment.record_event(f"{self._process.name} disconnects from {server}: {reason}")
         self._environment.network.close(connection, self._process)
 
 
@@ -346,10 +347,10 @@
     """A process that serves subscribers: a distributor or a voter.
 
     Attributes:
-        server: I/O adapter of its fan-out.
+        fan_out_adapter: I/O adapter of its fan-out.
     """
 
-    server: FanOutAdapter
+    fan_out_adapter: FanOutAdapter
 
     @abstractmethod
     def update_table_age(self) -> None:
@@ -358,15 +359,15 @@
     def send_pending(self) -> None:
         """Send updates to all subscribers if the table has changed."""
         self.update_table_age()
-        self.server.send_pending()
+        self.fan_out_adapter.send_pending()
 
     def on_accepted(self, connection: Connection) -> None:
         """Accept a connection from a subscriber."""
-        self.server.on_accepted(connection)
+        self.fan_out_adapter.on_accepted(connection)
 
     def on_writable(self, connection: Connection) -> None:
         """Send waiting frames to a subscriber."""
-        if self.server.owns(connection):
+        if self.fan_out_adapter.owns(connection):
             self.update_table_age()
-            self.server.send_to(connection)
+            self.fan_out_adapter.send_to(connection)
         self.after_event()
--- a/dockthread/lab/control_plane/publisher.py
+++ b/dockthread/lab/control_plane/publisher.py
@@ -11,27 +11,27 @@
 from dockthread.lab.control_plane.environment import Environment
 from dockthread.lab.control_plane.settings import INVALID_PREFIX, KINDS
 
-RETRY_INTERVAL: Final = 300.0
+REQUEST_RETRY_INTERVAL: Final = 300.0
 """Mean time before a request without a response is retried, in ms, with a jitter of ±50 %."""
-RESPONSE_LOSS: Final = 0.1
+RESPONSE_LOSS_PROBABILITY: Final = 0.1
 """Probability that a response is lost."""
-NAMES: Final = 20
+NAMES_PER_KIND: Final = 20
 """Number of resource names of each kind."""
 CHANGE_INTERVAL: Final = 200.0
 """Mean interval between changes, in ms, with a jitter of ±50 %."""
-DELETED_SHARE: Final = 0.15
+DELETION_FRACTION: Final = 0.15
 """Fraction of the changes that delete a resource."""
-INVALID_SHARE: Final = 0.07
+INVALID_FRACTION: Final = 0.07
 """Fraction of the changes that ingresses reject."""
-EXPECTING_SHARE: Final = 0.2
+CONDITIONAL_FRACTION: Final = 0.2
 """Fraction of the changes that are conditional on an expected revision."""
-SLOW_REQUEST_SHARE: Final = 0.1
+SLOW_REQUEST_FRACTION: Final = 0.1
 """Fraction of the requests that have a high latency."""
-MAX_LATENCY: Final = 10.0
+MAX_NORMAL_LATENCY: Final = 10.0
 """Maximum latency of a normal request or of a response, in ms."""
 MAX_SLOW_LATENCY: Final = 400.0
 """Maximum latency of a slow request, in ms."""
-MAX_PADDING: Final = 60
+PADDING_LIMIT: Final = 60
 """Exclusive upper bound of the random padding of a body, in bytes."""
 
 
@@ -46,7 +46,7 @@
     def __init__(self, environment: Environment, cluster: Cluster) -> None:
         self._environment = environment
         self._cluster = cluster
-        self._count = 0
+        self._change_count = 0
         self.interval = CHANGE_INTERVAL
         self.is_active = True
 
@@ -60,27 +60,29 @@
     def request_change(self) -> None:
         """Request a random change of a random resource."""
         rng = self._environment.rng
-        self._count += 1
+        self._change_count += 1
         kind = rng.choice(KINDS)
-        name = f"n{rng.randrange(NAMES)}"
-        body: bytes | None = b"%d " % self._count + b"x" * rng.randrange(MAX_PADDING)
-        drawn = rng.random()
-        if drawn < DELETED_SHARE:
+        name = f"n{rng.randrange(NAMES_PER_KIND)}"
+        body: bytes | None = b"%d " % self._change_count + b"x" * rng.randrange(PADDING_LIMIT)
+        draw = rng.random()
+        if draw < DELETION_FRACTION:
             body = None
-        elif drawn < DELETED_SHARE + INVALID_SHARE:
-            body = INVALID_PREFIX + b" %d" % self._count
-        expects = rng.random() < EXPECTING_SHARE
-        expected = self._last_known_revision(kind, name) if expects else ANY_REVISION
-        token = f"t{self._count}"
-        change = RequestedChange(kind, name, body, expected)
-        self._environment.checker.on_request(token, change)
-        self._send(PublishRequest(token, kind, name, body, expected))
+        elif draw < DELETION_FRACTION + INVALID_FRACTION:
+            body = INVALID_PREFIX + b" %d" % self._change_count
+        is_conditional = rng.random() < CONDITIONAL_FRACTION
+        expected_revision = (
+            self._last_known_revision(kind, name) if is_conditional else ANY_REVISION
+        )
+        token = f"t{self._change_count}"
+        change = RequestedChange(kind, name, body, expected_revision)
+        self._environment.checker.on_change_requested(token, change)
+        self._send(PublishRequest(token, kind, name, body, expected_revision))
 
     def _last_known_revision(self, kind: str, name: str) -> int:
         """Return the last revision of a resource that the publisher knows, or 0 if it has none."""
         accepted = [
             change
-            for change in self._environment.checker.requested.values()
+            for change in self._environment.checker.requested_changes.values()
             if change.revision and change.key == (kind, name)
         ]
         last = max(accepted, key=lambda change: change.revision or 0, default=None)
@@ -90,36 +92,42 @@
 
     def _send(self, request: PublishRequest) -> None:
         """Send a request to a random voter and schedule a retry, unless it has an outcome."""
-        change = self._environment.checker.requested.get(request.token)
+        change = self._environment.checker.requested_changes.get(request.token)
         if change is None or change.revision is not None:
             return
         rng = self._environment.rng
         clock = self._environment.clock
         voter = rng.choice(self._cluster.voters)
-        clock.call_later(RETRY_INTERVAL * rng.uniform(0.5, 1.5), self._send, request)
-        is_dark = voter.zone in self._environment.network.dark_zones
-        if voter.is_up and not voter.is_stalled and not is_dark:
-            is_slow = rng.random() < SLOW_REQUEST_SHARE
-            latency = rng.uniform(1.0, MAX_SLOW_LATENCY if is_slow else MAX_LATENCY)
-            clock.call_later(latency, self._on_arrival, voter.name, request)
+        clock.call_later(REQUEST_RETRY_INTERVAL * rng.uniform(0.5, 1.5), self._send, request)
+        is_isolated = voter.zone in self._environment.network.isolated_zones
+        if voter.is_up and not voter.is_stalled and not is_isolated:
+            is_slow = rng.random() < SLOW_REQUEST_FRACTION
+            latency = rng.uniform(1.0, MAX_SLOW_LATENCY if is_slow else MAX_NORMAL_LATENCY)
+            clock.call_later(latency, self._deliver_request, voter.name, request)
 
-    def _on_arrival(self, voter_name: str, request: PublishRequest) -> None:
-        voter = next(one for one in self._cluster.voters if one.name == voter_name)
+    def _deliver_request(self, voter_name: str, request: PublishRequest) -> None:
+        voter = next(
+            candidate for candidate in self._cluster.voters if candidate.name == voter_name
+        )
         if voter.is_up and not voter.is_stalled:
-            voter.publish(request, self._on_reply)
+            voter.publish(request, self._send_response)
 
-    def _on_reply(self, response: PublishResponse) -> None:
+    def _send_response(self, response: PublishResponse) -> None:
         """Schedule the arrival of a response, unless it is lost or has no outcome."""
         rng = self._environment.rng
-        if response.revision != OUTCOME_UNKNOWN and rng.random() >= RESPONSE_LOSS:
-            latency = rng.uniform(1.0, MAX_LATENCY)
+        if response.revision != OUTCOME_UNKNOWN and rng.random() >= RESPONSE_LOSS_PROBABILITY:
+            latency = rng.uniform(1.0, MAX_NORMAL_LATENCY)
             self._environment.clock.call_later(
-                latency, self._on_response, response, self._cluster.histories
+                latency, self._on_response, response, self._cluster.history_count
             )
 
-    def _on_response(self, response: PublishResponse, history: int) -> None:
-        if history != self._cluster.histories:
+    def _on_response(self, response: PublishResponse, history_number: int) -> None:
+        if history_number != self._cluster.history_count:
             return
         environment = self._environment
-        environment.note(f"{response.token} has outcome {response.revision} {response.reason}")
-        environment.checker.on_response(environment.clock.now, response.token, response.revision)
+        environment.record_event(
+            f"{response.token} has outcome {response.revision} {response.reason}"
+        )
+        environment.checker.on_outcome_received(
+            environment.clock.now, response.token, response.revision
+        )
--- a/dockthread/lab/control_plane/seeded_defects.py
+++ b/dockthread/lab/control_plane/seeded_defects.py
@@ -31,7 +31,7 @@
 from dockthread.control_plane.table_receiver import TableReceiver
 from dockthread.control_plane.update_assembler import AssemblyResult, UpdateAssembler
 
-FOREVER_MS: Final = 1e12
+UNREACHABLE_LIMIT: Final = 1e12
 """A timeout in ms that no simulation reaches; also used as a rate and a burst that none exceeds."""
 
 
@@ -163,7 +163,7 @@
         return super().subscribe(now, connection, without_digest)
 
 
-class ForgetsTokens(PublishStateMachine):
+class LosesOutcomes(PublishStateMachine):
     """Loses the outcomes of all tokens when it restores a snapshot."""
 
     def restore(self, index: int, state: bytes) -> None:
@@ -184,11 +184,11 @@
 
     def __init__(self, *args: Any, **options: Any) -> None:
         super().__init__(*args, **options)
-        self._budget._rate = FOREVER_MS
-        self._budget._burst = FOREVER_MS
+        self._budget._rate = UNREACHABLE_LIMIT
+        self._budget._burst = UNREACHABLE_LIMIT
 
 
-class IgnoresSilence(Subscriber):
+class KeepsSilentServer(Subscriber):
     """Never leaves a silent server.
 
     Both the silence timeout and the staleness limit are disabled, because either one alone keeps
@@ -202,11 +202,13 @@
         rng: random.Random,
         *args: Any,
     ) -> None:
-        times = replace(settings.times, silence_timeout=FOREVER_MS, staleness_limit=FOREVER_MS)
+        times = replace(
+            settings.times, silence_timeout=UNREACHABLE_LIMIT, staleness_limit=UNREACHABLE_LIMIT
+        )
         super().__init__(replace(settings, times=times), servers, rng, *args)
 
 
-class StaysWithStaleServer(Subscriber):
+class KeepsStaleServer(Subscriber):
     """Never leaves a stale server."""
 
     def __init__(
@@ -216,7 +218,7 @@
         rng: random.Random,
         *args: Any,
     ) -> None:
-        times = replace(settings.times, staleness_limit=FOREVER_MS)
+        times = replace(settings.times, staleness_limit=UNREACHABLE_LIMIT)
         super().__init__(replace(settings, times=times), servers, rng, *args)
 
 
@@ -242,7 +244,7 @@
         cursor.revision = self.table.revision
 
 
-class UnboundedDeltaCache(EncodedFrameCache):
+class UnrefreshedDeltaCache(EncodedFrameCache):
     """Caches the first delta after each revision and never refreshes it."""
 
     def __init__(self, table: ResourceTable, chunk_bytes: int, key: bytes) -> None:
@@ -263,10 +265,10 @@
 
     def __init__(self, *args: Any, **options: Any) -> None:
         super().__init__(*args, **options)
-        self._frames = UnboundedDeltaCache(self.table, self._limits.chunk_bytes, self._key)
+        self._frames = UnrefreshedDeltaCache(self.table, self._limits.chunk_bytes, self._key)
 
 
-class HastyAssembler(UpdateAssembler):
+class PrematureAssembler(UpdateAssembler):
     """Replaces the table after each chunk of a snapshot instead of after the last one."""
 
     def _end_chunk(self, update: Update, staged: ResourceTable) -> AssemblyResult:  # noqa: ARG002  the defect
@@ -277,19 +279,19 @@
         return AssemblyResult(changed, snapshot=True)
 
 
-class HastyReceiver(TableReceiver):
+class PrematureReceiver(TableReceiver):
     """Uses the assembler that replaces the table after each chunk."""
 
-    assembler_type = HastyAssembler
+    assembler_type = PrematureAssembler
 
 
 class AppliesFirstChunk(Subscriber):
     """Replaces the whole table with the first chunk of a snapshot."""
 
-    receiver_type = HastyReceiver
+    receiver_type = PrematureReceiver
 
 
-class HidesRejections(Subscriber):
+class OmitsRejections(Subscriber):
     """Does not report rejections to its server."""
 
     def on_applied(
@@ -302,7 +304,7 @@
         return super().on_applied(now, batch, ())
 
 
-class ClaimsFreshness(FanOut):
+class ReportsZeroAge(FanOut):
     """Reports in heartbeats that the table is up to date, regardless of its age."""
 
     def set_table_age(self, now: float, age: float) -> None:  # noqa: ARG002  that is the defect
@@ -319,19 +321,19 @@
     "digest-not-compared": SeededDefect(
         faults=("rot",), subscriber=IgnoresDigests, fan_out=IgnoresSubscribedDigest
     ),
-    "tokens-forgotten": SeededDefect(faults=("voters",), state_machine=ForgetsTokens),
+    "tokens-forgotten": SeededDefect(faults=("voters",), state_machine=LosesOutcomes),
     "expected-unchecked": SeededDefect(state_machine=IgnoresExpectedRevision),
     "budget-ignored": SeededDefect(faults=("wave",), fan_out=IgnoresBudget),
-    "silence-unnoticed": SeededDefect("single", ("stall", "zone"), subscriber=IgnoresSilence),
-    "stale-server-kept": SeededDefect("single", ("uplink",), subscriber=StaysWithStaleServer),
-    "always-fresh": SeededDefect("single", ("uplink",), fan_out=ClaimsFreshness),
+    "silence-unnoticed": SeededDefect("single", ("stall", "zone"), subscriber=KeepsSilentServer),
+    "stale-server-kept": SeededDefect("single", ("uplink",), subscriber=KeepsStaleServer),
+    "always-fresh": SeededDefect("single", ("uplink",), fan_out=ReportsZeroAge),
     "any-history": SeededDefect(
         faults=("history", "uplink", "break", "distributors"), subscriber=AcceptsAnyHistory
     ),
     "stale-snapshot-served": SeededDefect(fan_out=ServesStaleSnapshot, subscriber=IgnoresDigests),
     "stale-deltas": SeededDefect(fan_out=ServesStaleDeltas, subscriber=IgnoresDigests),
     "parts-at-once": SeededDefect(faults=("rot", "regions"), subscriber=AppliesFirstChunk),
-    "rejections-untold": SeededDefect(subscriber=HidesRejections),
+    "rejections-untold": SeededDefect(subscriber=OmitsRejections),
 }
 """Seeded defects by their names on the command line."""
 NAMES: Final = tuple(SEEDED_DEFECTS)
--- a/dockthread/lab/control_plane/seeds.py
+++ b/dockthread/lab/control_plane/seeds.py
@@ -30,7 +30,7 @@
     ),
     "single": Scenario(
         "one fault at a time; the bound holds for unaffected ingresses even during the fault",
-        RunOptions(has_single_faults=True),
+        RunOptions(one_fault_at_a_time=True),
     ),
     "hour": Scenario(
         "a subset of the faults for each seed, and a cut between regions that lasts an hour",
--- a/dockthread/lab/control_plane/settings.py
+++ b/dockthread/lab/control_plane/settings.py
@@ -30,20 +30,20 @@
 
     Attributes:
         regions: Names of the regions; each has one voter.
-        zones: Number of zones per region.
-        distributors: Number of distributors per region.
-        ingresses: Number of ingresses per region.
+        zones_per_region: Number of zones per region.
+        distributors_per_region: Number of distributors per region.
+        ingresses_per_region: Number of ingresses per region.
         max_tombstones: Maximum number of tombstones that a table keeps.
         max_tokens: Maximum number of outcomes that the voters remember, one per token.
-        limits: Limits of the fan-out of each server.
-        times: Timeouts and intervals of each subscriber.
+        fan_out_limits: Limits of the fan-out of each server.
+        subscriber_times: Timeouts and intervals of each subscriber.
     """
 
     regions: tuple[str, ...] = ("east", "north", "west")
-    zones: int = 2
-    distributors: int = 2
-    ingresses: int = 8
+    zones_per_region: int = 2
+    distributors_per_region: int = 2
+    ingresses_per_region: int = 8
     max_tombstones: int = 3
     max_tokens: int = 4_096
-    limits: FanOutLimits = FAN_OUT_LIMITS
-    times: SubscriberTimes = field(default_factory=SubscriberTimes)
+    fan_out_limits: FanOutLimits = FAN_OUT_LIMITS
+    subscriber_times: SubscriberTimes = field(default_factory=SubscriberTimes)
--- a/dockthread/lab/control_plane/voter.py
+++ b/dockthread/lab/control_plane/voter.py
@@ -13,7 +13,7 @@
     REJECTED,
     PublishStateMachine,
 )
-from dockthread.lab.control_plane.network import RETRY_INTERVAL, Connection
+from dockthread.lab.control_plane.network import DELIVERY_RETRY_INTERVAL, Connection
 from dockthread.lab.control_plane.nodes import FanOutAdapter, ServingProcess
 from dockthread.raft.actions import (
     Action,
@@ -31,10 +31,10 @@
 from dockthread.raft.messages import Message as RaftMessage
 
 RAFT_TIMING: Final = RaftTiming(election_timeout_ms=600.0, heartbeat_interval_ms=200.0)
-MAX_LOG_ENTRIES: Final = 40
+MAX_APPLIED_LOG_ENTRIES: Final = 40
 """Number of applied log entries above which a snapshot replaces them."""
 
-Reply = Callable[[PublishResponse], None]
+ReplyCallback = Callable[[PublishResponse], None]
 
 
 class Voter(ServingProcess):
@@ -66,9 +66,9 @@
         if stored.snapshot_index:
             self.state_machine.restore(stored.snapshot_index, stored.snapshot)
         fan_out = environment.make_fan_out(self.state_machine.table)
-        self.server = FanOutAdapter(self, fan_out)
-        self._replies: dict[str, list[Reply]] = {}  # by token
-        self._complete_at: float | None = None  # when the table was last complete
+        self.fan_out_adapter = FanOutAdapter(self, fan_out)
+        self._replies: dict[str, list[ReplyCallback]] = {}  # by token
+        self._last_complete_at: float | None = None  # when the table was last complete
 
     def lose_disk(self) -> None:
         """Kill the process and erase its disk."""
@@ -77,7 +77,7 @@
 
     def next_timer_at(self) -> float:
         """Return the time at which `on_timer` is due."""
-        return min(self.core.next_deadline(), self.server.fan_out.next_timer_at())
+        return min(self.core.next_deadline(), self.fan_out_adapter.fan_out.next_timer_at())
 
     def on_timer(self) -> None:
         """Run the due timers of the Raft core and of the fan-out."""
@@ -85,20 +85,20 @@
         if self.core.next_deadline() <= now:
             self._execute(self.core.tick(now))
         self.update_table_age()
-        if self.server.fan_out.next_timer_at() <= now:
-            self.server.on_timer()
+        if self.fan_out_adapter.fan_out.next_timer_at() <= now:
+            self.fan_out_adapter.on_timer()
 
     def on_frame(self, connection: Connection, data: bytes) -> None:
         """Handle a frame from a subscriber."""
-        if self.server.owns(connection):
+        if self.fan_out_adapter.owns(connection):
             self.update_table_age()
-            self.server.on_frame(connection, data)
+            self.fan_out_adapter.on_frame(connection, data)
         self.after_event()
 
     def on_broken(self, connection: Connection) -> None:
         """Handle a broken connection to a subscriber."""
-        if self.server.owns(connection):
-            self.server.on_broken(connection)
+        if self.fan_out_adapter.owns(connection):
+            self.fan_out_adapter.on_broken(connection)
         self.after_event()
 
     def on_raft_message(self, incarnation: int, message: RaftMessage) -> None:
@@ -107,14 +107,14 @@
             return
         clock = self.environment.clock
         if self.is_stalled:
-            clock.call_later(RETRY_INTERVAL, self.on_raft_message, incarnation, message)
+            clock.call_later(DELIVERY_RETRY_INTERVAL, self.on_raft_message, incarnation, message)
             return
         self._execute(self.core.step(clock.now, message))
         if isinstance(message, AppendEntries) and message.commit_index <= self.core.applied_index:
-            self._complete_at = clock.now
+            self._last_complete_at = clock.now
         self.after_event()
 
-    def publish(self, request: PublishRequest, reply: Reply) -> None:
+    def publish(self, request: PublishRequest, reply: ReplyCallback) -> None:
         """Handle a publish request; only the leader proposes the change."""
         token = request.token
         reason = self.state_machine.rejection_reason(request)
@@ -144,9 +144,9 @@
         if core.role is Role.LEADER and core.log.term_at(core.commit_index) == core.term:
             responding = core.responded_within(RAFT_TIMING.election_timeout_ms) | {self.name}
             if core.has_quorum(responding):
-                self._complete_at = now
-        age = AGE_UNKNOWN if self._complete_at is None else now - self._complete_at
-        self.server.fan_out.set_table_age(now, age)
+                self._last_complete_at = now
+        age = AGE_UNKNOWN if self._last_complete_at is None else now - self._last_complete_at
+        self.fan_out_adapter.fan_out.set_table_age(now, age)
 
     def _execute(self, actions: list[Action]) -> None:
         for action in actions:
@@ -156,17 +156,17 @@
                 case PersistSnapshot():
                     self.disk.persist_snapshot(action)
                 case SendMessage(to, message):
-                    self._send(to, message)
+                    self._send_raft_message(to, message)
                 case ApplyEntry(index, entry):
                     if entry.kind == EntryKind.COMMAND:
-                        self._apply(index, entry.data)
+                        self._apply_command(index, entry.data)
                 case RestoreSnapshot(index, state):
                     self.state_machine.restore(index, state)
         applied_index = self.core.applied_index
-        if applied_index - self.core.log.snapshot_index > MAX_LOG_ENTRIES:
+        if applied_index - self.core.log.snapshot_index > MAX_APPLIED_LOG_ENTRIES:
             self._execute(self.core.compact(applied_index, self.state_machine.state()))
 
-    def _send(self, to: str, message: RaftMessage) -> None:
+    def _send_raft_message(self, to: str, message: RaftMessage) -> None:
         receiver = self.peers[to]
         network = self.environment.network
         if receiver.is_up and network.can_reach(self, receiver):
@@ -175,10 +175,10 @@
                 delay, receiver.on_raft_message, receiver.incarnation, message
             )
 
-    def _apply(self, index: int, data: bytes) -> None:
+    def _apply_command(self, index: int, data: bytes) -> None:
         self.state_machine.apply(index, data)
         revision = self.state_machine.table.revision
-        self.environment.checker.on_accepted(self.environment.clock.now, revision)
+        self.environment.checker.on_change_accepted(self.environment.clock.now, revision)
         for token in list(self._replies):
             response = self.state_machine.response_for(token)
             if response is not None:
--- a/tests/lab/test_control_plane_simulation.py
+++ b/tests/lab/test_control_plane_simulation.py
@@ -13,21 +13,21 @@
 from dockthread.lab.control_plane.seeds import play_seed
 from dockthread.lab.seeds import play_seeds
 
-SEEDS_OF_A_DEFECT = range(0, 4)
+SEEDS_PER_DEFECT = range(0, 4)
 
 
 @pytest.mark.parametrize(("scenario", "seeds"), [("drawn", range(0, 8)), ("single", range(0, 2))])
 def test_no_seed_violates_a_rule(scenario: str, seeds: range) -> None:
     chunks = list(play_seeds(play_seed, scenario, seeds, 1))
     assert sum(chunk.seed_count for chunk in chunks) == len(seeds)
-    assert [found for chunk in chunks for found in chunk.violating_seeds] == []
+    assert [violating_seed for chunk in chunks for violating_seed in chunk.violating_seeds] == []
 
 
 @pytest.mark.parametrize("defect", SEEDED_DEFECTS)
 def test_seeded_defect_is_found(defect: str) -> None:
     assert any(
         play_seed(SEEDED_DEFECTS[defect].scenario, seed, defect).violations
-        for seed in SEEDS_OF_A_DEFECT
+        for seed in SEEDS_PER_DEFECT
     )
 
 
@@ -35,18 +35,21 @@
     replayed = CliRunner().invoke(lab, ["distribution", "replay", "3", "--json"])
     assert replayed.exit_code == 0
     assert tuple(json.loads(replayed.output)["record"]) == play_seed("drawn", 3).record
-    found = CliRunner().invoke(
+    with_defect = CliRunner().invoke(
         lab, ["distribution", "seeds", "--seeds", "3..3", "--plant", "older-applied", "--json"]
     )
-    assert found.exit_code == 1 and json.loads(found.output)["broken"][0]["rule"] == "no-older"
+    assert (
+        with_defect.exit_code == 1
+        and json.loads(with_defect.output)["broken"][0]["rule"] == "no-older"
+    )
     assert CliRunner().invoke(lab, ["distribution", "seeds", "--plant", "nothing"]).exit_code == 2
 
 
 def test_checker_reports_two_outcomes_of_a_token_and_an_exceeded_budget() -> None:
-    checker = Checker(burst=1_000.0, rate=100.0, chunk=100.0)
-    checker.on_request("t1", RequestedChange("route", "r1", b"one", -1))
-    checker.on_response(1.0, "t1", 1)
-    checker.on_response(2.0, "t1", 2)
+    checker = Checker(burst_bytes=1_000.0, bytes_per_second=100.0, max_chunk_bytes=100.0)
+    checker.on_change_requested("t1", RequestedChange("route", "r1", b"one", -1))
+    checker.on_outcome_received(1.0, "t1", 1)
+    checker.on_outcome_received(2.0, "t1", 2)
     for at in range(12):
         checker.on_snapshot_chunk(float(at), "d1", 1, 100)
-    assert [one.rule for one in checker.violations] == ["once", "budget"]
+    assert [violation.rule for violation in checker.violations] == ["once", "budget"]
