--- a/dockthread/lab/raft/checker.py
+++ b/dockthread/lab/raft/checker.py
@@ -28,12 +28,12 @@
 
     ONE_LEADER = "one-leader"
     ONE_VOTE = "one-vote"
-    ALIKE = "alike"
+    LOG_MATCHING = "alike"
     IN_ORDER = "in-order"
     DURABLE = "durable"
     FRESH_READ = "fresh-read"
-    ONCE = "once"
-    TERMS_RISE = "terms-rise"
+    SINGLE_APPLICATION = "once"
+    MONOTONIC_TERM = "terms-rise"
     PROGRESS = "progress"
 
 
@@ -71,40 +71,38 @@
         self.commands_are_unique = True
         self.violations: list[RuleViolation] = []
         self._leaders: dict[int, str] = {}  # by term
-        self._votes: dict[tuple[str, int], str] = {}  # by voter and term
+        self._granted_votes: dict[tuple[str, int], str] = {}  # by voter and term
         self.log: dict[int, tuple[int, bytes]] = {}
-        self._indices: dict[bytes, int] = {}  # by command
-        self._applied: dict[
-            tuple[str, int], int
-        ] = {}  # last applied index, by member and incarnation
-        self._reads: dict[int, int] = {}  # index that a read must reflect, by token
-        self._terms: dict[str, int] = {}  # term on disk, by member
-        self._highest_index = 0  # highest index that any member has applied
-
-    def became_leader(self, at_ms: float, member: str, term: int) -> None:
+        self._command_indices: dict[bytes, int] = {}  # by command
+        self._last_applied: dict[tuple[str, int], int] = {}  # index, by member and incarnation
+        self._read_indices: dict[int, int] = {}  # index that a read must reflect, by token
+        self._persisted_terms: dict[str, int] = {}  # term on disk, by member
+        self._highest_applied_index = 0
+
+    def leader_elected(self, at_ms: float, member: str, term: int) -> None:
         """Record that a member became the leader of a term."""
         leader = self._leaders.setdefault(term, member)
         if leader != member:
-            self._violated(
+            self._add_violation(
                 Rule.ONE_LEADER, at_ms, f"{member} and {leader} are leaders of term {term}"
             )
 
-    def voted(self, at_ms: float, voter: str, term: int, candidate: str) -> None:
+    def vote_granted(self, at_ms: float, voter: str, term: int, candidate: str) -> None:
         """Record that a voter granted its vote to a candidate."""
-        first = self._votes.setdefault((voter, term), candidate)
-        if first != candidate:
-            detail = f"{voter} voted for {first} and {candidate} in term {term}"
-            self._violated(Rule.ONE_VOTE, at_ms, detail)
+        first_candidate = self._granted_votes.setdefault((voter, term), candidate)
+        if first_candidate != candidate:
+            detail = f"{voter} voted for {first_candidate} and {candidate} in term {term}"
+            self._add_violation(Rule.ONE_VOTE, at_ms, detail)
 
-    def persisted_term(self, at_ms: float, member: str, term: int) -> None:
+    def term_persisted(self, at_ms: float, member: str, term: int) -> None:
         """Record that a member wrote a term to its disk."""
-        highest = self._terms.get(member, 0)
-        if term < highest:
-            detail = f"{member} persisted term {term} after term {highest}"
-            self._violated(Rule.TERMS_RISE, at_ms, detail)
-        self._terms[member] = max(term, highest)
+        highest_term = self._persisted_terms.get(member, 0)
+        if term < highest_term:
+            detail = f"{member} persisted term {term} after term {highest_term}"
+            self._add_violation(Rule.MONOTONIC_TERM, at_ms, detail)
+        self._persisted_terms[member] = max(term, highest_term)
 
-    def restored(
+    def snapshot_restored(
         self,
         at_ms: float,
         member: str,
@@ -128,21 +126,21 @@
         )
         if commands != expected:
             detail = f"{member} restored a snapshot up to {index} that differs from the applied log"
-            self._violated(Rule.ALIKE, at_ms, detail)
-        self._applied[member, incarnation] = index
+            self._add_violation(Rule.LOG_MATCHING, at_ms, detail)
+        self._last_applied[member, incarnation] = index
 
     def restarted(self, member: str, incarnation: int, index: int) -> None:
         """Record that a member restored a snapshot, without checking its content."""
-        self._applied[member, incarnation] = index
+        self._last_applied[member, incarnation] = index
 
-    def applied(  # noqa: PLR0913  all describe one event, which one caller reports
+    def entry_applied(  # noqa: PLR0913  all describe one event, which one caller reports
         self,
         at_ms: float,
         member: str,
         incarnation: int,
         index: int,
         entry: tuple[int, bytes],
-        disks: Mapping[str, Mapping[int, int]],
+        terms_on_disk: Mapping[str, Mapping[int, int]],
     ) -> None:
         """Record that a member applied an entry.
 
@@ -152,52 +150,63 @@
             incarnation: Number of the start of its process.
             index: Index of the entry.
             entry: Term and command; the command is empty for other kinds of entries.
-            disks: Term of each entry on disk, by member and index.
+            terms_on_disk: Term of each entry on disk, by member and index.
         """
-        previous = self._applied.get((member, incarnation), 0)
-        if index != previous + 1:
-            self._violated(Rule.IN_ORDER, at_ms, f"{member} applied {index} after {previous}")
-        self._applied[member, incarnation] = index
+        previous_index = self._last_applied.get((member, incarnation), 0)
+        if index != previous_index + 1:
+            self._add_violation(
+                Rule.IN_ORDER, at_ms, f"{member} applied {index} after {previous_index}"
+            )
+        self._last_applied[member, incarnation] = index
         if index not in self.log:
-            self._applied_first(at_ms, member, index, entry, disks)
+            self._check_first_application(at_ms, member, index, entry, terms_on_disk)
         elif self.log[index] != entry:
             detail = f"{member} applied {entry} at {index}; another applied {self.log[index]} there"
-            self._violated(Rule.ALIKE, at_ms, detail)
+            self._add_violation(Rule.LOG_MATCHING, at_ms, detail)
 
-    def _applied_first(
+    def _check_first_application(
         self,
         at_ms: float,
         member: str,
         index: int,
         entry: tuple[int, bytes],
-        disks: Mapping[str, Mapping[int, int]],
+        terms_on_disk: Mapping[str, Mapping[int, int]],
     ) -> None:
         """Check an entry that no member has applied before, and add it to the log."""
         term, command = entry
         self.log[index] = entry
-        self._highest_index = max(self._highest_index, index)
+        self._highest_applied_index = max(self._highest_applied_index, index)
         if command:
-            if self.commands_are_unique and command in self._indices:
-                detail = f"{command!r} is in the log at {self._indices[command]} and {index}"
-                self._violated(Rule.ONCE, at_ms, detail)
-            self._indices[command] = index
-        copies = sum(disks.get(voter, {}).get(index) == term for voter in self._voters)
-        if self.voters_are_fixed and 2 * copies <= len(self._voters):
-            detail = f"{member} applied {index}, which {copies} of {len(self._voters)} persisted"
-            self._violated(Rule.DURABLE, at_ms, detail)
+            if self.commands_are_unique and command in self._command_indices:
+                detail = (
+                    f"{command!r} is in the log at {self._command_indices[command]} and {index}"
+                )
+                self._add_violation(Rule.SINGLE_APPLICATION, at_ms, detail)
+            self._command_indices[command] = index
+        persisted_count = sum(
+            terms_on_disk.get(voter, {}).get(index) == term for voter in self._voters
+        )
+        if self.voters_are_fixed and 2 * persisted_count <= len(self._voters):
+            detail = (
+                f"{member} applied {index}, "
+                f"which {persisted_count} of {len(self._voters)} voters persisted"
+            )
+            self._add_violation(Rule.DURABLE, at_ms, detail)
 
     def read_requested(self, token: int) -> None:
         """Record that a client requested a read, which must reflect all entries applied so far."""
-        self._reads[token] = self._highest_index
+        self._read_indices[token] = self._highest_applied_index
 
     def read_answered(self, at_ms: float, member: str, token: int, index: int) -> None:
         """Record that a member answered a read with its state after `index`."""
-        expected = self._reads[token]
-        if index < expected:
-            detail = f"{member} answered a read at {index}, but {expected} was already applied"
-            self._violated(Rule.FRESH_READ, at_ms, detail)
+        required_index = self._read_indices[token]
+        if index < required_index:
+            detail = (
+                f"{member} answered a read at {index}, but {required_index} was already applied"
+            )
+            self._add_violation(Rule.FRESH_READ, at_ms, detail)
 
-    def ended(self, at_ms: float, last_command: bytes, applied: Mapping[str, int]) -> None:
+    def check_progress(self, at_ms: float, last_command: bytes, applied: Mapping[str, int]) -> None:
         """Check the progress of the cluster at the end of the run.
 
         Args:
@@ -205,14 +214,18 @@
             last_command: Command that was proposed after all faults had ended.
             applied: Last applied index of each running voter, by name.
         """
-        index = self._indices.get(last_command)
+        index = self._command_indices.get(last_command)
         if index is None:
             detail = f"no member applied {last_command!r}, which was proposed after all faults"
-            self._violated(Rule.PROGRESS, at_ms, detail)
+            self._add_violation(Rule.PROGRESS, at_ms, detail)
             return
-        behind = [member for member, last_applied in applied.items() if last_applied < index]
-        if behind:
-            self._violated(Rule.PROGRESS, at_ms, f"{', '.join(behind)} did not apply {index}")
+        lagging_members = [
+            member for member, last_applied in applied.items() if last_applied < index
+        ]
+        if lagging_members:
+            self._add_violation(
+                Rule.PROGRESS, at_ms, f"{', '.join(lagging_members)} did not apply {index}"
+            )
 
-    def _violated(self, rule: Rule, at_ms: float, detail: str) -> None:
+    def _add_violation(self, rule: Rule, at_ms: float, detail: str) -> None:
         self.violations.append(RuleViolation(rule.value, at_ms, detail))
--- a/dockthread/lab/raft/client.py
+++ b/dockthread/lab/raft/client.py
@@ -9,7 +9,7 @@
 from dockthread.lab.raft.cluster import SimulatedCluster
 
 MEAN_REQUEST_INTERVAL_MS: Final = 40.0
-READ_CHANCE: Final = 0.3  # probability that a request is a read
+READ_PROBABILITY: Final = 0.3  # probability that a request is a read
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,15 +31,15 @@
     """Sends requests at random intervals and remembers the commands that it proposed.
 
     Attributes:
-        commands: Number of commands proposed so far.
+        command_count: Number of commands proposed so far.
     """
 
     def __init__(self, cluster: SimulatedCluster, checker: RaftChecker) -> None:
         self._cluster = cluster
         self._checker = checker
-        self.commands = 0
-        self._reads = 0
-        self._proposed: list[ProposedCommand] = []
+        self.command_count = 0
+        self._read_count = 0
+        self._proposed_commands: list[ProposedCommand] = []
 
     def send_request(self) -> None:
         """Send a read or a command to a random leader, if there is one, and schedule the next."""
@@ -50,20 +50,20 @@
         if not leaders:
             return
         member, core = cluster.rng.choice(leaders)
-        if cluster.rng.random() < READ_CHANCE:
-            self._reads += 1
-            self._checker.read_requested(self._reads)
-            _, actions = core.read_index(cluster.now, self._reads)
+        if cluster.rng.random() < READ_PROBABILITY:
+            self._read_count += 1
+            self._checker.read_requested(self._read_count)
+            _, actions = core.read_index(cluster.now, self._read_count)
         else:
-            self.commands += 1
-            data = b"c%d" % self.commands
-            self._proposed.append(ProposedCommand(self.commands, cluster.now, data))
+            self.command_count += 1
+            data = b"c%d" % self.command_count
+            self._proposed_commands.append(ProposedCommand(self.command_count, cluster.now, data))
             _, actions = core.propose(cluster.now, data)
         cluster.carry_out(member, actions)
 
     def first_command_after(self, number: int, until_ms: float) -> bytes | None:
         """Return the first command after `number` if it was proposed by `until_ms`, or None."""
-        for command in self._proposed:
+        for command in self._proposed_commands:
             if command.number > number and command.at_ms <= until_ms:
                 return command.data
         return None
--- a/dockthread/lab/raft/faults.py
+++ b/dockthread/lab/raft/faults.py
@@ -40,18 +40,17 @@
 
 FAULT_PHASE_MS: Final = 20_000.0  # duration of the initial phase of a run in which faults occur
 MEAN_FAULT_INTERVAL_MS: Final = 400.0
-CUT_CHANCE: Final = (
-    0.3  # probability that a one-way cut includes a given direction between two members
-)
-CUT_DURATION_MS: Final = (200, 4000)
+# Probability that a one-way cut drops messages from a given sender to a given receiver.
+ONE_WAY_CUT_PROBABILITY: Final = 0.3
+CUT_DURATION_RANGE_MS: Final = (200, 4000)
 LOSS_RATES: Final = (0.0, 0.1, 0.3, 0.6)
 MEAN_DELAYS_MS: Final = (1.0, 5.0, 50.0, 200.0)
 DUPLICATION_RATES: Final = (0.0, 0.3)
-CRASH_DURATION_MS: Final = (10, 3000)
-CRASH_ALL_DURATION_MS: Final = (10, 1500)
-STALL_DURATION_MS: Final = (100, 5000)
-COMPACTION_CHANCE: Final = 0.5  # probability that a member compacts its log
-RESTART_DELAYS_MS: Final = (2.0, 20.0, 2000.0)  # upper bounds after a crash during a write
+CRASH_DURATION_RANGE_MS: Final = (10, 3000)
+CRASH_ALL_DURATION_RANGE_MS: Final = (10, 1500)
+STALL_DURATION_RANGE_MS: Final = (100, 5000)
+COMPACTION_PROBABILITY: Final = 0.5  # probability that a member compacts its log
+MAX_RESTART_DELAYS_MS: Final = (2.0, 20.0, 2000.0)  # for crashes during a write
 
 
 class FaultInjector:
@@ -66,16 +65,16 @@
         self._rng = cluster.rng
         membership = MembershipFaults(cluster)
         self.handlers: dict[str, Callable[[], None]] = {
-            Fault.CUT: self._cut,
+            Fault.CUT: self._partition,
             Fault.ONE_WAY_CUT: self._cut_one_way,
-            Fault.LOSS: self._lose_messages,
-            Fault.DELAY: self._delay_messages,
-            Fault.DUPLICATION: self._duplicate_messages,
-            Fault.CRASH: self._crash,
+            Fault.LOSS: self._set_loss_rate,
+            Fault.DELAY: self._set_mean_delay,
+            Fault.DUPLICATION: self._set_duplication_rate,
+            Fault.CRASH: self._crash_random_member,
             Fault.CRASH_ALL: self._crash_all,
-            Fault.STALL: self._stall,
+            Fault.STALL: self._stall_random_member,
             Fault.DISK_LOSS: membership.lose_disk,
-            Fault.COMPACTION: self._compact,
+            Fault.COMPACTION: self._compact_logs,
             Fault.VOTER_CHANGE: membership.change_voters,
             Fault.LEADERSHIP_TRANSFER: self._transfer_leadership,
         }
@@ -102,36 +101,36 @@
                 self._resume(member, member.incarnation)
             cluster.start_member(member)
 
-    def is_torn_write(self, chance: float) -> bool:
-        """Return True with probability `chance` if the fault `torn` is enabled and may still occur."""
+    def draw_torn_write(self, probability: float) -> bool:
+        """Return True with the given probability while the fault `torn` can occur."""
         return (
             Fault.TORN_WRITE in self._cluster.faults
             and self._cluster.now < FAULT_PHASE_MS
-            and self._rng.random() < chance
+            and self._rng.random() < probability
         )
 
     def crash_at_write(self, member: SimulatedMember) -> None:
         """Kill a member during a write, and start it again later."""
         self._cluster.kill_member(member)
-        delay = self._rng.choice(RESTART_DELAYS_MS) * self._rng.random()
+        delay = self._rng.choice(MAX_RESTART_DELAYS_MS) * self._rng.random()
         self._cluster.schedule(delay, self._cluster.start_member, member)
 
     # The network
 
-    def _cut(self) -> None:
+    def _partition(self) -> None:
         """Partition the members into two random sides."""
         names = list(self._cluster.members)
-        side: set[str] = set()
+        one_side: set[str] = set()
         if len(names) > 1:
-            side = set(self._rng.sample(names, self._rng.randrange(1, len(names))))
+            one_side = set(self._rng.sample(names, self._rng.randrange(1, len(names))))
         network = self._cluster.network
         network.cuts = {
             (sender, receiver)
             for sender in names
             for receiver in names
-            if (sender in side) != (receiver in side)
+            if (sender in one_side) != (receiver in one_side)
         }
-        self._cluster.schedule(self._rng.uniform(*CUT_DURATION_MS), network.cuts.clear)
+        self._cluster.schedule(self._rng.uniform(*CUT_DURATION_RANGE_MS), network.cuts.clear)
 
     def _cut_one_way(self) -> None:
         """Cut random directions between pairs of members."""
@@ -140,40 +139,42 @@
             (sender, receiver)
             for sender in names
             for receiver in names
-            if sender != receiver and self._rng.random() < CUT_CHANCE
+            if sender != receiver and self._rng.random() < ONE_WAY_CUT_PROBABILITY
         }
         cuts = self._cluster.network.cuts
         cuts |= cut
-        self._cluster.schedule(self._rng.uniform(*CUT_DURATION_MS), cuts.difference_update, cut)
+        self._cluster.schedule(
+            self._rng.uniform(*CUT_DURATION_RANGE_MS), cuts.difference_update, cut
+        )
 
-    def _lose_messages(self) -> None:
+    def _set_loss_rate(self) -> None:
         self._cluster.network.loss_rate = self._rng.choice(LOSS_RATES)
 
-    def _delay_messages(self) -> None:
+    def _set_mean_delay(self) -> None:
         self._cluster.network.mean_delay_ms = self._rng.choice(MEAN_DELAYS_MS)
 
-    def _duplicate_messages(self) -> None:
+    def _set_duplication_rate(self) -> None:
         self._cluster.network.duplication_rate = self._rng.choice(DUPLICATION_RATES)
 
     # Processes
 
-    def _crash(self) -> None:
+    def _crash_random_member(self) -> None:
         if member := self._cluster.random_running_member():
             self._cluster.kill_member(member)
-            delay = self._rng.uniform(*CRASH_DURATION_MS)
+            delay = self._rng.uniform(*CRASH_DURATION_RANGE_MS)
             self._cluster.schedule(delay, self._cluster.start_member, member)
 
     def _crash_all(self) -> None:
         for member in list(self._cluster.members.values()):
             self._cluster.kill_member(member)
-            delay = self._rng.uniform(*CRASH_ALL_DURATION_MS)
+            delay = self._rng.uniform(*CRASH_ALL_DURATION_RANGE_MS)
             self._cluster.schedule(delay, self._cluster.start_member, member)
 
-    def _stall(self) -> None:
+    def _stall_random_member(self) -> None:
         member = self._cluster.random_running_member()
         if member is not None and not member.is_stalled:
             member.is_stalled = True
-            delay = self._rng.uniform(*STALL_DURATION_MS)
+            delay = self._rng.uniform(*STALL_DURATION_RANGE_MS)
             self._cluster.schedule(delay, self._resume, member, member.incarnation)
 
     def _resume(self, member: SimulatedMember, incarnation: int) -> None:
@@ -190,12 +191,12 @@
 
     # The log
 
-    def _compact(self) -> None:
+    def _compact_logs(self) -> None:
         """Let random members replace their applied entries with a snapshot."""
         cluster = self._cluster
         for member in list(cluster.members.values()):
             core = member.core
-            if core is None or member.is_stalled or self._rng.random() >= COMPACTION_CHANCE:
+            if core is None or member.is_stalled or self._rng.random() >= COMPACTION_PROBABILITY:
                 continue
             snapshot = cluster.snapshot_of(member)
             cluster.carry_out(member, core.compact(member.applied_index, snapshot))
--- a/dockthread/lab/raft/membership.py
+++ b/dockthread/lab/raft/membership.py
@@ -14,12 +14,13 @@
 from dockthread.raft.log import RaftLog
 from dockthread.raft.messages import EntryKind
 
-RESTART_DELAY_MS: Final = (10, 500)  # between the loss of a disk and the start of a new member
+# Bounds of the delay between the loss of a disk and the start of the replacing member.
+RESTART_DELAY_RANGE_MS: Final = (10, 500)
 # Delay between the loss of a disk and the first attempt of an operator to replace the voter.
-FIRST_REPLACEMENT_MS: Final = 600.0
-REPLACEMENT_RETRY_MS: Final = 400.0
-LEAST_VOTERS: Final = 2  # a removal never leaves fewer voters than this
-FEW_VOTERS: Final = 3  # with more voters than this, a change always removes one
+REPLACEMENT_DELAY_MS: Final = 600.0
+REPLACEMENT_RETRY_INTERVAL_MS: Final = 400.0
+MIN_VOTERS: Final = 2  # a removal never leaves fewer voters than this
+REMOVAL_THRESHOLD: Final = 3  # with more voters than this, a change always removes a voter
 
 
 class MembershipFaults:
@@ -35,19 +36,21 @@
         """
         cluster = self._cluster
         member = cluster.random_running_member()
-        if member is None or not self._may_lose(member.name):
+        if member is None or not self._may_lose_disk(member.name):
             return
         cluster.kill_member(member)
         if cluster.seeded_defect == "same-name-without-memory":
             member.disk = PersistentState()
-            delay = cluster.rng.uniform(*RESTART_DELAY_MS)
+            delay = cluster.rng.uniform(*RESTART_DELAY_RANGE_MS)
             cluster.schedule(delay, cluster.start_member, member)
             return
         member.is_removed = True
-        new = SimulatedMember(f"{member.name.split('.')[0]}.{len(cluster.members)}")
-        cluster.members[new.name] = new
-        cluster.schedule(cluster.rng.uniform(*RESTART_DELAY_MS), cluster.start_member, new)
-        cluster.schedule(FIRST_REPLACEMENT_MS, self._replace_voter, member.name, new.name)
+        replacement = SimulatedMember(f"{member.name.split('.')[0]}.{len(cluster.members)}")
+        cluster.members[replacement.name] = replacement
+        cluster.schedule(
+            cluster.rng.uniform(*RESTART_DELAY_RANGE_MS), cluster.start_member, replacement
+        )
+        cluster.schedule(REPLACEMENT_DELAY_MS, self._replace_voter, member.name, replacement.name)
 
     def change_voters(self) -> None:
         """Let each leader remove a random voter or add a running member as a voter."""
@@ -61,14 +64,18 @@
                 for other in cluster.members.values()
                 if other.core is not None and other.name not in voters
             ]
-            removes = len(voters) > FEW_VOTERS or (len(voters) > LEAST_VOTERS and not candidates)
-            change = {cluster.rng.choice(sorted(voters))} if removes else set(candidates[:1])
+            is_removal = len(voters) > REMOVAL_THRESHOLD or (
+                len(voters) > MIN_VOTERS and not candidates
+            )
+            changed_names = (
+                {cluster.rng.choice(sorted(voters))} if is_removal else set(candidates[:1])
+            )
             if cluster.seeded_defect == "many-changes-at-once":
-                change = set(cluster.rng.sample(sorted(cluster.members), 2))
-            if voters ^ change:
-                self._propose_voters(member, core, voters ^ change)
+                changed_names = set(cluster.rng.sample(sorted(cluster.members), 2))
+            if voters ^ changed_names:
+                self._propose_voters(member, core, voters ^ changed_names)
 
-    def _may_lose(self, name: str) -> bool:
+    def _may_lose_disk(self, name: str) -> bool:
         """Return whether a member may lose its disk.
 
         The latest set of voters in every log must keep a majority without this member, and must not
@@ -80,26 +87,30 @@
             member.core.log if member.core else RaftLog(member.disk, ()) for member in remaining
         ]
         voter_sets = {log.voters_at(log.last_index) for log in logs}
-        left = {member.name for member in remaining} - {name}
-        lost = {member.name for member in members if member.is_removed}
+        remaining_names = {member.name for member in remaining} - {name}
+        removed_names = {member.name for member in members if member.is_removed}
         return all(
-            2 * len(left & set(voters)) > len(voters) and not lost & set(voters)
+            2 * len(remaining_names & set(voters)) > len(voters) and not removed_names & set(voters)
             for voters in voter_sets
             if voters
         )
 
-    def _replace_voter(self, old: str, new: str) -> None:
-        """Ask every leader to add the new voter and then to remove the old one; retry until done."""
+    def _replace_voter(self, old_voter: str, new_voter: str) -> None:
+        """Ask every leader to add the new voter and then remove the old one; retry until done."""
         cluster = self._cluster
         voters = cluster.newest_voters()
-        if new in voters and old not in voters:
+        if new_voter in voters and old_voter not in voters:
             return
-        cluster.schedule(REPLACEMENT_RETRY_MS, self._replace_voter, old, new)
+        cluster.schedule(REPLACEMENT_RETRY_INTERVAL_MS, self._replace_voter, old_voter, new_voter)
         for member, core in cluster.running_leaders():
-            core.learners.add(new)
-            current = set(core.voters)
-            wanted = current - {old} if new in current else current | {new}
-            self._propose_voters(member, core, wanted)
+            core.learners.add(new_voter)
+            current_voters = set(core.voters)
+            next_voters = (
+                current_voters - {old_voter}
+                if new_voter in current_voters
+                else current_voters | {new_voter}
+            )
+            self._propose_voters(member, core, next_voters)
 
     def _propose_voters(self, member: SimulatedMember, core: RaftCore, voters: set[str]) -> None:
         data = " ".join(sorted(voters)).encode()
--- a/dockthread/lab/raft/network.py
+++ b/dockthread/lab/raft/network.py
@@ -11,8 +11,8 @@
 
 DEFAULT_MEAN_DELAY_MS: Final = 5.0
 # Bounds of the propagation delay of a message; the random queueing delay is added to it.
-LEAST_TRANSIT_MS: Final = 0.2
-MOST_TRANSIT_MS: Final = 1.0
+MIN_PROPAGATION_MS: Final = 0.2
+MAX_PROPAGATION_MS: Final = 1.0
 
 
 class SimulatedNetwork:
@@ -25,8 +25,8 @@
         duplication_rate: Probability that a message is delivered twice.
     """
 
-    def __init__(self, events: EventQueue, rng: random.Random) -> None:
-        self._events = events
+    def __init__(self, event_queue: EventQueue, rng: random.Random) -> None:
+        self._event_queue = event_queue
         self._rng = rng
         self.cuts: set[tuple[str, str]] = set()
         self.loss_rate = 0.0
@@ -41,9 +41,9 @@
             return
         copies = 1 + (self._rng.random() < self.duplication_rate)
         for _ in range(copies):
-            transit = self._rng.uniform(LEAST_TRANSIT_MS, MOST_TRANSIT_MS)
+            propagation = self._rng.uniform(MIN_PROPAGATION_MS, MAX_PROPAGATION_MS)
             delay = self._rng.expovariate(1 / self.mean_delay_ms)
-            self._events.schedule(transit + delay, deliver, to, message)
+            self._event_queue.schedule(propagation + delay, deliver, to, message)
 
     def heal(self) -> None:
         """End all cuts, losses, additional delays and duplication."""
--- a/dockthread/lab/raft/seeded_defects.py
+++ b/dockthread/lab/raft/seeded_defects.py
@@ -39,7 +39,7 @@
         self._send(request.sender, VoteResponse(self.term, self.member_id, True))
 
 
-class AnyLogLeads(RaftCore):
+class StaleLogAccepted(RaftCore):
     """Votes for candidates whose log is less up to date than its own."""
 
     def _is_log_up_to_date(self, request: VoteRequest) -> bool:  # noqa: ARG002  the defect
@@ -91,7 +91,7 @@
         return super().step(now, message)
 
 
-class ReadAtOnce(RaftCore):
+class ReadWithoutQuorum(RaftCore):
     """Answers reads without confirming its leadership with a quorum."""
 
     def read_index(self, now: float, token: int) -> tuple[bool, list[Action]]:  # noqa: ARG002  the defect
@@ -101,7 +101,7 @@
         return True, [ReadIndexReady(token, self.commit_index)]
 
 
-class CommitTooFar(RaftCore):
+class UnmatchedEntriesCommitted(RaftCore):
     """Commits entries that have not been matched against the leader's log."""
 
     def _accept_entries(self, message: AppendEntries) -> tuple[bool, int]:
@@ -110,14 +110,14 @@
         return success, match_index
 
 
-class ManyChangesAtOnce(RaftCore):
+class UnrestrictedVoterChanges(RaftCore):
     """Allows any change of the voters at any time."""
 
     def _may_change_voters(self, voters: tuple[str, ...]) -> bool:  # noqa: ARG002  the defect
         return True
 
 
-class SnapshotTooOld(RaftCore):
+class CommandMissingInSnapshot(RaftCore):
     """Creates snapshots that lack the last command that they replace."""
 
     def compact(self, index: int, snapshot: bytes) -> list[Action]:
@@ -128,16 +128,16 @@
 DEFECTIVE_CORES: Final[dict[str, type[RaftCore]]] = {
     "vote-twice": VoteTwice,
     "vote-not-kept": VoteNotPersisted,
-    "any-log-leads": AnyLogLeads,
+    "any-log-leads": StaleLogAccepted,
     "small-majority": SmallMajority,
     "before-unchecked": PreviousEntryUnchecked,
     "conflict-kept": ConflictNotTruncated,
     "epoch-unchecked": TermUnchecked,
-    "read-at-once": ReadAtOnce,
-    "commit-too-far": CommitTooFar,
-    "many-changes-at-once": ManyChangesAtOnce,
-    "snapshot-too-old": SnapshotTooOld,
+    "read-at-once": ReadWithoutQuorum,
+    "commit-too-far": UnmatchedEntriesCommitted,
+    "many-changes-at-once": UnrestrictedVoterChanges,
+    "snapshot-too-old": CommandMissingInSnapshot,
 }
 # Defects of the simulation, which executes the actions of a correct core wrongly.
-ADAPTER_DEFECTS: Final = ("fsync-left-out", "sent-before-kept", "same-name-without-memory")
-NAMES: Final = (*DEFECTIVE_CORES, *ADAPTER_DEFECTS)
+SIMULATION_DEFECTS: Final = ("fsync-left-out", "sent-before-kept", "same-name-without-memory")
+NAMES: Final = (*DEFECTIVE_CORES, *SIMULATION_DEFECTS)
--- a/dockthread/lab/raft/simulation.py
+++ b/dockthread/lab/raft/simulation.py
@@ -39,11 +39,11 @@
 from dockthread.raft.core import RaftCore
 from dockthread.raft.messages import Entry, EntryKind, Message, VoteResponse
 
-CALM_PHASE_MS: Final = 6_000.0  # time after the faults in which the cluster must recover
-FAULT_CHANCE: Final = 0.4  # probability that a seed enables a fault
-TORN_WRITE_CHANCE: Final = 0.006  # probability of a crash during a write
-TORN_VOTE_CHANCE: Final = 0.15  # probability of a crash right after a vote is sent
-SYNC_CHANCE: Final = 0.3  # probability that a write is synced, with defect `fsync-left-out`
+RECOVERY_PHASE_MS: Final = 6_000.0  # time after the faults in which the cluster must recover
+FAULT_PROBABILITY: Final = 0.4  # probability that a seed enables a fault
+TORN_WRITE_PROBABILITY: Final = 0.006  # probability of a crash during a write
+CRASH_AFTER_VOTE_PROBABILITY: Final = 0.15  # probability of a crash right after a vote is sent
+SYNC_PROBABILITY: Final = 0.3  # probability that a write is synced, with defect `fsync-left-out`
 COMMAND_SEPARATOR: Final = b"\x00"  # between the commands in a snapshot
 
 
@@ -79,8 +79,8 @@
         self.voters = tuple(f"n{number}" for number in range(size))
         self.members = {name: SimulatedMember(name) for name in self.voters}
         self.checker = RaftChecker(self.voters)
-        drawn = tuple(fault for fault in FAULTS if self.rng.random() < FAULT_CHANCE)
-        self.faults: tuple[str, ...] = drawn if faults is None else faults
+        drawn_faults = tuple(fault for fault in FAULTS if self.rng.random() < FAULT_PROBABILITY)
+        self.faults: tuple[str, ...] = drawn_faults if faults is None else faults
         changes_voters = {Fault.VOTER_CHANGE, Fault.DISK_LOSS} & set(self.faults)
         self.checker.voters_are_fixed = not changes_voters
         self.network = SimulatedNetwork(self, self.rng)
@@ -105,18 +105,20 @@
         self.schedule(MEAN_FAULT_INTERVAL_MS, self.fault_injector.inject)
         self.run_until(FAULT_PHASE_MS)
         self.fault_injector.end_all()
-        self.run_until(FAULT_PHASE_MS + CALM_PHASE_MS / 2)
+        self.run_until(FAULT_PHASE_MS + RECOVERY_PHASE_MS / 2)
         # The cluster has recovered: all voters must apply the commands proposed from here on.
-        last_command = self.client.commands
-        self.run_until(FAULT_PHASE_MS + CALM_PHASE_MS)
+        last_command_number = self.client.command_count
+        self.run_until(FAULT_PHASE_MS + RECOVERY_PHASE_MS)
         voters = self.newest_voters()
-        applied = {
+        applied_by_member = {
             member.name: member.applied_index
             for member in self.members.values()
             if member.core and member.name in voters
         }
-        command = self.client.first_command_after(last_command, self.now - CALM_PHASE_MS / 4)
-        self.checker.ended(self.now, command or b"no command", applied)
+        command = self.client.first_command_after(
+            last_command_number, self.now - RECOVERY_PHASE_MS / 4
+        )
+        self.checker.check_progress(self.now, command or b"no command", applied_by_member)
         return self.checker.violations
 
     def should_stop(self) -> bool:
@@ -229,36 +231,40 @@
             case RoleChanged(role, term, _):
                 self.record_event(f"{member.name} is {role.value} in term {term}")
                 if role is Role.LEADER:
-                    self.checker.became_leader(self.now, member.name, term)
+                    self.checker.leader_elected(self.now, member.name, term)
 
     def _send_message(self, member: SimulatedMember, to: str, message: Message) -> None:
         is_vote = isinstance(message, VoteResponse) and not message.pre_vote
         if isinstance(message, VoteResponse) and is_vote and message.granted:
-            self.checker.voted(self.now, member.name, message.term, to)
+            self.checker.vote_granted(self.now, member.name, message.term, to)
         if to in self.members:
             self.network.send(member.name, to, message, self.deliver)
-        if is_vote and self.fault_injector.is_torn_write(TORN_VOTE_CHANCE):
+        if is_vote and self.fault_injector.draw_torn_write(CRASH_AFTER_VOTE_PROBABILITY):
             self.fault_injector.crash_at_write(member)
 
     def on_entry_applied(self, member: SimulatedMember, index: int, entry: Entry) -> None:
         """Apply a committed entry to a member's state machine."""
         command = entry.data if entry.kind == EntryKind.COMMAND else b""
-        applied = (entry.term, command)
-        disks: dict[str, dict[int, int]] = {}
+        term_and_command = (entry.term, command)
+        terms_on_disk: dict[str, dict[int, int]] = {}
         if index not in self.checker.log and self.checker.voters_are_fixed:
-            disks = {name: _terms_on_disk(other) for name, other in self.members.items()}
-        self.checker.applied(self.now, member.name, member.incarnation, index, applied, disks)
+            terms_on_disk = {name: _terms_on_disk(other) for name, other in self.members.items()}
+        self.checker.entry_applied(
+            self.now, member.name, member.incarnation, index, term_and_command, terms_on_disk
+        )
         member.applied_index = index
         if command:
             member.applied_commands = [*member.applied_commands, command]
-        self.record_event(f"{member.name} applies {index} {applied}")
+        self.record_event(f"{member.name} applies {index} {term_and_command}")
 
     def on_snapshot_restored(self, member: SimulatedMember, index: int, snapshot: bytes) -> None:
         """Replace the state of a member's state machine with a snapshot."""
         commands = [command for command in snapshot.split(COMMAND_SEPARATOR) if command]
         member.applied_index = index
         member.applied_commands = commands
-        self.checker.restored(self.now, member.name, member.incarnation, index, tuple(commands))
+        self.checker.snapshot_restored(
+            self.now, member.name, member.incarnation, index, tuple(commands)
+        )
 
     def snapshot_of(self, member: SimulatedMember) -> bytes:
         """Return a snapshot of a member's state machine."""
@@ -268,21 +274,21 @@
 
     def _persist(self, member: SimulatedMember, write: PersistEntries | PersistSnapshot) -> None:
         """Write to a member's disk; the process may crash before or after the write."""
-        is_torn = self.fault_injector.is_torn_write(TORN_WRITE_CHANCE)
-        if is_torn and self.rng.random() < 0.5:  # it crashes before the write takes effect
+        crashes = self.fault_injector.draw_torn_write(TORN_WRITE_PROBABILITY)
+        if crashes and self.rng.random() < 0.5:  # it crashes before the write takes effect
             self.fault_injector.crash_at_write(member)
             return
         member.unsynced.append(write)
-        if self.seeded_defect != "fsync-left-out" or self.rng.random() < SYNC_CHANCE:
+        if self.seeded_defect != "fsync-left-out" or self.rng.random() < SYNC_PROBABILITY:
             for unsynced in member.unsynced:
-                self._sync(member, unsynced)
+                self._sync_write(member, unsynced)
             member.unsynced = []
-        if is_torn:
+        if crashes:
             self.fault_injector.crash_at_write(member)
 
-    def _sync(self, member: SimulatedMember, write: PersistEntries | PersistSnapshot) -> None:
+    def _sync_write(self, member: SimulatedMember, write: PersistEntries | PersistSnapshot) -> None:
         if isinstance(write, PersistEntries):
-            self.checker.persisted_term(self.now, member.name, write.term)
+            self.checker.term_persisted(self.now, member.name, write.term)
             member.disk.persist_entries(write)
         else:
             member.disk.persist_snapshot(write)
