--- a/dockthread/lab/control_plane/checker.py
+++ b/dockthread/lab/control_plane/checker.py
@@ -52,7 +52,7 @@
     PROGRESS = "progress"
 
 
-class Key(NamedTuple):
+class ResourceKey(NamedTuple):
     """Kind and name of a resource."""
 
     kind: str
@@ -99,9 +99,9 @@
     revision: int | None = None
 
     @property
-    def key(self) -> Key:
+    def key(self) -> ResourceKey:
         """Key of the resource."""
-        return Key(self.kind, self.name)
+        return ResourceKey(self.kind, self.name)
 
     @property
     def is_invalid(self) -> bool:
@@ -122,7 +122,7 @@
 
     epoch: str = ""
     revision: int = 0
-    resources: dict[Key, int] = field(default_factory=dict)
+    resources: dict[ResourceKey, int] = field(default_factory=dict)
     left_epochs: set[str] = field(default_factory=set)
 
 
@@ -155,8 +155,8 @@
     """
 
     name: str
-    bodies: Mapping[Key, bytes]
-    rejected: Collection[Key]
+    bodies: Mapping[ResourceKey, bytes]
+    rejected: Collection[ResourceKey]
 
 
 class ConvergenceRange(NamedTuple):
@@ -171,9 +171,11 @@
     latest_revision: int
 
 
-class Checker:
+class ControlPlaneChecker:
     """Records the events of a run and the rule violations that they prove.
 
+    All times `at_ms` are in ms of simulated time.
+
     Attributes:
         violations: Rules that were violated.
         requested_changes: Requested changes by token.
@@ -196,15 +198,15 @@
         self.snapshot_bytes = 0
         self._token_by_revision: dict[int, str] = {}
         # Valid bodies of each resource in earlier histories.
-        self._earlier_valid_bodies: dict[Key, set[bytes | None]] = {}
+        self._earlier_valid_bodies: dict[ResourceKey, set[bytes | None]] = {}
         self._processes: dict[str, _ProcessState] = {}
         self._buckets: dict[_ServerIncarnation, _LeakyBucket] = {}
         self._accepted_revisions: list[int] = []
         # Times in ms at which the first voter accepted each of `_accepted_revisions`.
         self._acceptance_times: list[float] = []
 
-    def _report(self, rule: Rule, at: float, detail: str) -> None:
-        self.violations.append(RuleViolation(rule, at, detail))
+    def _report(self, rule: Rule, at_ms: float, detail: str) -> None:
+        self.violations.append(RuleViolation(rule, at_ms, detail))
 
     # Publishing
 
@@ -212,12 +214,14 @@
         """Record that a change is requested."""
         self.requested_changes.setdefault(token, change)
 
-    def on_outcome_received(self, at: float, token: str, revision: int) -> None:
+    def on_outcome_received(self, at_ms: float, token: str, revision: int) -> None:
         """Record the outcome that a publisher received: a revision, or 0 for a rejection."""
         change = self.requested_changes[token]
         if change.revision is not None and change.revision != revision:
             self._report(
-                Rule.SINGLE_OUTCOME, at, f"{token} has outcome {change.revision}, then {revision}"
+                Rule.SINGLE_OUTCOME,
+                at_ms,
+                f"{token} has outcome {change.revision}, then {revision}",
             )
         if change.revision is None:
             change.revision = revision
@@ -225,7 +229,7 @@
             other_token = self._token_by_revision[revision]
             self._report(
                 Rule.SINGLE_OUTCOME,
-                at,
+                at_ms,
                 f"revision {revision} belongs to {other_token} and to {token}",
             )
 
@@ -243,19 +247,19 @@
         self._accepted_revisions = []
         self._acceptance_times = []
 
-    def _accepted_changes(self) -> dict[Key, list[RequestedChange]]:
+    def _accepted_changes(self) -> dict[ResourceKey, list[RequestedChange]]:
         """Return the accepted changes of each resource, oldest first."""
-        changes_by_key: dict[Key, list[RequestedChange]] = {}
+        changes_by_key: dict[ResourceKey, list[RequestedChange]] = {}
         for revision in sorted(self._token_by_revision):
             change = self.requested_changes[self._token_by_revision[revision]]
             changes_by_key.setdefault(change.key, []).append(change)
         return changes_by_key
 
-    def check_outcomes(self, at: float, last_revision: int) -> None:
+    def check_outcomes(self, at_ms: float, last_revision: int) -> None:
         """Check the outcomes of all changes, once none is in flight.
 
         Args:
-            at: Time of the check, in ms.
+            at_ms: Time of the check.
             last_revision: Latest revision that the voters accepted.
         """
         pending_tokens = [
@@ -263,7 +267,7 @@
         ]
         if pending_tokens:
             listed_tokens = ", ".join(pending_tokens[:MAX_LISTED_ITEMS])
-            self._report(Rule.PROGRESS, at, f"{listed_tokens} have no outcome")
+            self._report(Rule.PROGRESS, at_ms, f"{listed_tokens} have no outcome")
             return
         revisions = range(1, last_revision + 1)
         if sorted(self._token_by_revision) != list(revisions):
@@ -272,81 +276,83 @@
             ]
             self._report(
                 Rule.SINGLE_OUTCOME,
-                at,
+                at_ms,
                 f"voters are at revision {last_revision}, {len(self._token_by_revision)} revisions "
                 f"have a token; revisions without a token: {missing_revisions[:MAX_LISTED_ITEMS]}",
             )
         for key, changes in self._accepted_changes().items():
-            self._check_expected(at, key, changes)
+            self._check_expected_revisions(at_ms, key, changes)
 
-    def _check_expected(self, at: float, key: Key, changes: list[RequestedChange]) -> None:
-        current = 0
+    def _check_expected_revisions(
+        self, at_ms: float, key: ResourceKey, changes: list[RequestedChange]
+    ) -> None:
+        current_revision = 0
         for change in changes:
-            if change.expected_revision >= 0 and change.expected_revision != current:
+            if change.expected_revision >= 0 and change.expected_revision != current_revision:
                 detail = (
-                    f"{key} at revision {current} was replaced; "
+                    f"{key} at revision {current_revision} was replaced; "
                     f"{change.expected_revision} was expected"
                 )
-                self._report(Rule.EXPECTED_REVISION, at, detail)
-            current = 0 if change.body is None else change.revision or 0
+                self._report(Rule.EXPECTED_REVISION, at_ms, detail)
+            current_revision = 0 if change.body is None else change.revision or 0
 
     # Receiving
 
     def on_process_started(
-        self, name: str, epoch: str, revision: int, resources: Mapping[Key, int]
+        self, name: str, epoch: str, revision: int, resources: Mapping[ResourceKey, int]
     ) -> None:
         """Record that a process starts with the state on its disk."""
         self._processes[name] = _ProcessState(epoch, revision, dict(resources))
 
-    def on_table_received(self, at: float, name: str, epoch: str, revision: int) -> None:
+    def on_table_received(self, at_ms: float, name: str, epoch: str, revision: int) -> None:
         """Record that the table of a process reached a revision."""
         state = self._processes[name]
         if state.epoch == epoch and revision < state.revision:
             detail = f"{name} went back from revision {state.revision} to {revision}"
-            self._report(Rule.NO_REGRESSION, at, detail)
+            self._report(Rule.NO_REGRESSION, at_ms, detail)
         if epoch in state.left_epochs:
             detail = f"{name} went back from history {state.epoch} to {epoch}"
-            self._report(Rule.NO_REGRESSION, at, detail)
+            self._report(Rule.NO_REGRESSION, at_ms, detail)
         if state.epoch not in ("", epoch):
             state.left_epochs.add(state.epoch)
             state.resources.clear()
         state.epoch = epoch
         state.revision = revision
 
-    def on_resource_applied(self, at: float, name: str, resource: AppliedResource) -> None:
+    def on_resource_applied(self, at_ms: float, name: str, resource: AppliedResource) -> None:
         """Record that an ingress applies or deletes a resource."""
         applied = self._processes[name].resources
-        key = Key(resource.kind, resource.name)
+        key = ResourceKey(resource.kind, resource.name)
         if resource.revision < applied.get(key, 0):
             detail = f"{name} applies {key} at revision {resource.revision} over {applied[key]}"
-            self._report(Rule.NO_REGRESSION, at, detail)
+            self._report(Rule.NO_REGRESSION, at_ms, detail)
         applied[key] = resource.revision
 
     def check_convergence(
-        self, at: float, observed: IngressObservation, expected_range: ConvergenceRange
+        self, at_ms: float, observed: IngressObservation, expected_range: ConvergenceRange
     ) -> None:
-        """Check the state that an ingress had at time `at`, once all outcomes are known.
+        """Check the state that an ingress had at time `at_ms`, once all outcomes are known.
 
         Each resource has to match its last change up to `expected_range.due_revision`, or any of
         its later changes up to `expected_range.latest_revision`, which were in flight at that time.
         """
         accepted = self._accepted_changes()
         for key, changes in accepted.items():
-            self._check_resource(at, observed, expected_range, key, changes)
+            self._check_resource(at_ms, observed, expected_range, key, changes)
         unknown_keys = [key for key in observed.bodies if key not in accepted]
         if unknown_keys:
             detail = (
                 f"{observed.name} has {unknown_keys[:MAX_LISTED_UNKNOWN]}, "
                 f"which no publisher published"
             )
-            self._report(Rule.CONVERGED, at, detail)
+            self._report(Rule.CONVERGED, at_ms, detail)
 
     def _check_resource(
         self,
-        at: float,
+        at_ms: float,
         observed: IngressObservation,
         expected_range: ConvergenceRange,
-        key: Key,
+        key: ResourceKey,
         changes: list[RequestedChange],
     ) -> None:
         possible_changes = [
@@ -369,21 +375,21 @@
                 f"{observed.name} has {body!r} for {key}; "
                 f"expected: {_describe_changes(allowed_changes)}"
             )
-            self._report(Rule.CONVERGED, at, detail)
+            self._report(Rule.CONVERGED, at_ms, detail)
         if (
             due_changes == possible_changes
             and possible_changes[-1].is_invalid
             and key not in observed.rejected
         ):
             detail = f"{observed.name} rejected {key}, but its server does not know it"
-            self._report(Rule.REJECTION_REPORTED, at, detail)
+            self._report(Rule.REJECTION_REPORTED, at_ms, detail)
 
     def _is_allowed_after(
         self,
         change: RequestedChange,
         possible_changes: list[RequestedChange],
         observed: IngressObservation,
-        key: Key,
+        key: ResourceKey,
     ) -> bool:
         """Return whether the observed content of a resource is allowed after a change.
 
@@ -395,14 +401,14 @@
         valid_bodies = {other.body for other in possible_changes if not other.is_invalid}
         return body is None or body in valid_bodies | self._earlier_valid_bodies.get(key, set())
 
-    def on_change_accepted(self, at: float, revision: int) -> None:
+    def on_change_accepted(self, at_ms: float, revision: int) -> None:
         """Record that a voter accepted a change; only the first voter at a revision counts."""
         if revision > (self._accepted_revisions[-1] if self._accepted_revisions else 0):
             self._accepted_revisions.append(revision)
-            self._acceptance_times.append(at)
+            self._acceptance_times.append(at_ms)
 
     def check_within_bound(
-        self, at: float, name: str, revision: int, accepted_before: float
+        self, at_ms: float, name: str, revision: int, accepted_before: float
     ) -> None:
         """Check that the revision of an ingress covers all changes accepted before a time."""
         due_count = bisect_left(self._acceptance_times, accepted_before)
@@ -412,23 +418,25 @@
                 f"{name} is at revision {revision}, "
                 f"but {due_revision} was accepted before {accepted_before:.0f} ms"
             )
-            self._report(Rule.WITHIN_BOUND, at, detail)
+            self._report(Rule.WITHIN_BOUND, at_ms, detail)
 
     # Snapshot budget
 
-    def on_snapshot_chunk(self, at: float, server: str, incarnation: int, size: int) -> None:
+    def on_snapshot_chunk(self, at_ms: float, server: str, incarnation: int, size: int) -> None:
         """Record that a server sends a chunk of a snapshot."""
-        bucket = self._buckets.setdefault(_ServerIncarnation(server, incarnation), _LeakyBucket(at))
-        drained_bytes = (at - bucket.updated_at) * self._bytes_per_ms
+        bucket = self._buckets.setdefault(
+            _ServerIncarnation(server, incarnation), _LeakyBucket(at_ms)
+        )
+        drained_bytes = (at_ms - bucket.updated_at) * self._bytes_per_ms
         bucket.level = max(0.0, bucket.level - drained_bytes) + size
-        bucket.updated_at = at
+        bucket.updated_at = at_ms
         self.snapshot_bytes += size
         limit = self._burst_bytes + self._max_chunk_bytes
         if bucket.level > limit:
             detail = (
                 f"{server} exceeded its rate by {bucket.level:.0f} bytes; {limit:.0f} are allowed"
             )
-            self._report(Rule.SNAPSHOT_BUDGET, at, detail)
+            self._report(Rule.SNAPSHOT_BUDGET, at_ms, detail)
 
 
 def _describe_changes(changes: list[RequestedChange]) -> str:
--- a/dockthread/lab/control_plane/environment.py
+++ b/dockthread/lab/control_plane/environment.py
@@ -12,10 +12,10 @@
 from dockthread.control_plane.server_selection import CandidateServer
 from dockthread.control_plane.subscriber import Subscriber
 from dockthread.control_plane.subscriber_settings import SubscriberSettings
-from dockthread.lab.control_plane.checker import Checker
+from dockthread.lab.control_plane.checker import ControlPlaneChecker
 from dockthread.lab.control_plane.network import Endpoint, Network, SimulatedClock
 from dockthread.lab.control_plane.seeded_defects import SeededDefect
-from dockthread.lab.control_plane.settings import KINDS, SimulationSettings
+from dockthread.lab.control_plane.settings import RESOURCE_KINDS, SimulationSettings
 
 CHUNK_OVERHEAD_FACTOR = 2.0
 """Factor by which a chunk, including its overhead, may exceed the configured chunk size."""
@@ -50,7 +50,9 @@
         self.network = Network(self.clock, self.rng)
         limits = settings.fan_out_limits
         max_chunk_bytes = limits.chunk_bytes * CHUNK_OVERHEAD_FACTOR
-        self.checker = Checker(limits.snapshot_burst, limits.snapshot_rate, max_chunk_bytes)
+        self.checker = ControlPlaneChecker(
+            limits.snapshot_burst, limits.snapshot_rate, max_chunk_bytes
+        )
         self.record: list[str] = []
         self.processes: dict[str, Endpoint] = {}
         self.voter_names: tuple[str, ...] = ()
@@ -93,7 +95,7 @@
     def make_state_machine(self) -> PublishStateMachine:
         """Create an empty state machine for a voter."""
         rng = random.Random(self.rng.random())
-        validators = dict.fromkeys(KINDS, _accept_any)
+        validators = dict.fromkeys(RESOURCE_KINDS, _accept_any)
         return self.defect.state_machine(
             validators, rng, self.settings.max_tokens, self.settings.max_tombstones
         )
--- a/dockthread/lab/control_plane/ingress.py
+++ b/dockthread/lab/control_plane/ingress.py
@@ -10,7 +10,7 @@
 from dockthread.control_plane.messages import Rejection, Resource
 from dockthread.control_plane.resource_table import ResourceTable
 from dockthread.control_plane.subscriber_actions import ResourcesChanged
-from dockthread.lab.control_plane.checker import Key
+from dockthread.lab.control_plane.checker import ResourceKey
 from dockthread.lab.control_plane.network import Connection
 from dockthread.lab.control_plane.nodes import SimulatedProcess, SubscriberAdapter
 from dockthread.lab.control_plane.settings import INVALID_PREFIX
@@ -38,7 +38,7 @@
     revision: int
     horizon: int
     entries: tuple[Resource, ...]
-    applied: dict[Key, Resource]
+    applied: dict[ResourceKey, Resource]
     rejections: tuple[Rejection, ...]
 
 
@@ -55,7 +55,7 @@
 
     has_cache = False
     cache: DiskCache | None = None
-    applied: dict[Key, Resource]
+    applied: dict[ResourceKey, Resource]
     revision: int
     subscriber_adapter: SubscriberAdapter
 
@@ -71,7 +71,7 @@
             rejections = self._load_cache(self.cache, table)
         # For a rejected resource, the applied version may come from an earlier history, whose
         # revisions are not comparable.
-        rejected = {Key(rejection.kind, rejection.name) for rejection in rejections}
+        rejected = {ResourceKey(rejection.kind, rejection.name) for rejection in rejections}
         revisions = {
             key: resource.revision for key, resource in self.applied.items() if key not in rejected
         }
@@ -114,7 +114,7 @@
             self._schedule_batches(self.subscriber_adapter.on_broken(connection))
         self.after_event()
 
-    def applied_bodies(self) -> dict[Key, bytes]:
+    def applied_bodies(self) -> dict[ResourceKey, bytes]:
         """Return the content of the applied resources."""
         return {key: resource.body or b"" for key, resource in self.applied.items()}
 
@@ -148,7 +148,7 @@
         self.after_event()
 
     def _apply_resource(self, now: float, resource: Resource) -> None:
-        key = Key(resource.kind, resource.name)
+        key = ResourceKey(resource.kind, resource.name)
         self.environment.checker.on_resource_applied(now, self.name, resource)
         if resource.body is None:
             self.applied.pop(key, None)
--- a/dockthread/lab/control_plane/network.py
+++ b/dockthread/lab/control_plane/network.py
@@ -31,7 +31,7 @@
 class _Event(NamedTuple):
     """A scheduled call; `sequence_number` orders calls that are scheduled for the same time."""
 
-    at: float
+    due_at: float
     sequence_number: int
     callback: Callable[..., None]
     arguments: tuple[Any, ...]
@@ -57,9 +57,9 @@
 
     def run_until(self, end: float, should_continue: Callable[[], bool]) -> None:
         """Run the scheduled calls up to time `end`, as long as `should_continue` returns True."""
-        while self._events and self._events[0].at <= end and should_continue():
+        while self._events and self._events[0].due_at <= end and should_continue():
             event = heappop(self._events)
-            self.now = event.at
+            self.now = event.due_at
             event.callback(*event.arguments)
         self.now = max(self.now, end)
 
@@ -195,8 +195,8 @@
 
     def latency(self, first: Endpoint, second: Endpoint) -> float:
         """Return a random latency for a frame between two processes, in ms."""
-        factor = 1.0 if first.region == second.region else CROSS_REGION_FACTOR
-        propagation = self._rng.uniform(0.2, 1.0) * factor
+        distance_factor = 1.0 if first.region == second.region else CROSS_REGION_FACTOR
+        propagation = self._rng.uniform(0.2, 1.0) * distance_factor
         return propagation + self._rng.expovariate(1.0 / self.mean_queueing_delay)
 
     def connect(self, client: Endpoint, server: Endpoint, number: int) -> Connection:
@@ -264,14 +264,14 @@
             connection.server_incarnation = server.incarnation
             self.connections[connection.connection_id] = connection
             server.on_accepted(connection)
-            self._clock.call_later(self.latency(server, client), self._open, connection)
+            self._clock.call_later(self.latency(server, client), self._complete_open, connection)
 
-    def _open(self, connection: Connection) -> None:
+    def _complete_open(self, connection: Connection) -> None:
         client = connection.client
         if not connection.is_alive_at(client):
             return
         if client.is_stalled or not self.can_reach(client, connection.server):
-            self._clock.call_later(DELIVERY_RETRY_INTERVAL, self._open, connection)
+            self._clock.call_later(DELIVERY_RETRY_INTERVAL, self._complete_open, connection)
         else:
             client.on_opened(connection)
 
--- a/dockthread/lab/control_plane/publisher.py
+++ b/dockthread/lab/control_plane/publisher.py
@@ -9,7 +9,7 @@
 from dockthread.lab.control_plane.checker import RequestedChange
 from dockthread.lab.control_plane.cluster import Cluster
 from dockthread.lab.control_plane.environment import Environment
-from dockthread.lab.control_plane.settings import INVALID_PREFIX, KINDS
+from dockthread.lab.control_plane.settings import INVALID_PREFIX, RESOURCE_KINDS
 
 REQUEST_RETRY_INTERVAL: Final = 300.0
 """Mean time before a request without a response is retried, in ms, with a jitter of ±50 %."""
@@ -61,7 +61,7 @@
         """Request a random change of a random resource."""
         rng = self._environment.rng
         self._change_count += 1
-        kind = rng.choice(KINDS)
+        kind = rng.choice(RESOURCE_KINDS)
         name = f"n{rng.randrange(NAMES_PER_KIND)}"
         body: bytes | None = b"%d " % self._change_count + b"x" * rng.randrange(PADDING_LIMIT)
         draw = rng.random()
--- a/dockthread/lab/control_plane/settings.py
+++ b/dockthread/lab/control_plane/settings.py
@@ -8,7 +8,7 @@
 from dockthread.control_plane.fanout import FanOutLimits
 from dockthread.control_plane.subscriber_settings import SubscriberTimes
 
-KINDS: Final = ("route", "tenant")
+RESOURCE_KINDS: Final = ("route", "tenant")
 """Kinds of the resources that are published."""
 INVALID_PREFIX: Final = b"bad"
 """Prefix of the bodies that ingresses reject as invalid."""
--- a/dockthread/lab/control_plane/simulation.py
+++ b/dockthread/lab/control_plane/simulation.py
@@ -22,7 +22,7 @@
 from dockthread.lab.control_plane.checker import (
     ConvergenceRange,
     IngressObservation,
-    Key,
+    ResourceKey,
 )
 from dockthread.lab.control_plane.cluster import Cluster
 from dockthread.lab.control_plane.environment import Environment
@@ -171,11 +171,11 @@
         self._run_until(self._clock.now + CONVERGENCE_BOUND - FAULT_FREE_BOUND)
         due_revision = self._cluster.latest_revision()
         self._run_until(self._clock.now + FAULT_FREE_BOUND)
-        at = self._clock.now
+        at_ms = self._clock.now
         expected_range = ConvergenceRange(due_revision, self._cluster.latest_revision())
         observations = self._observe_ingresses()
         self._run_until_outcomes()
-        self._check_convergence(at, observations, expected_range)
+        self._check_convergence(at_ms, observations, expected_range)
 
     def _run_until(self, end: float) -> None:
         self._clock.run_until(end, lambda: not self._checker.violations)
@@ -220,11 +220,13 @@
 
     def _observe_ingresses(self) -> list[IngressObservation]:
         """Return what each ingress has applied, and which rejections its server knows of."""
-        rejected: dict[str, set[Key]] = {}
+        rejected: dict[str, set[ResourceKey]] = {}
         for distributor in self._cluster.distributors:
             for status in distributor.fan_out_adapter.fan_out.status(self._clock.now):
                 if status.connected:
-                    keys = {Key(rejection.kind, rejection.name) for rejection in status.rejected}
+                    keys = {
+                        ResourceKey(rejection.kind, rejection.name) for rejection in status.rejected
+                    }
                     rejected[status.name] = keys
         return [
             IngressObservation(
@@ -234,8 +236,8 @@
         ]
 
     def _check_convergence(
-        self, at: float, observations: list[IngressObservation], expected_range: ConvergenceRange
+        self, at_ms: float, observations: list[IngressObservation], expected_range: ConvergenceRange
     ) -> None:
         if not self._checker.violations:
             for observed in observations:
-                self._checker.check_convergence(at, observed, expected_range)
+                self._checker.check_convergence(at_ms, observed, expected_range)
--- a/dockthread/lab/raft/simulation.py
+++ b/dockthread/lab/raft/simulation.py
@@ -296,5 +296,5 @@
 
 def _terms_on_disk(member: SimulatedMember) -> dict[int, int]:
     """Return the term of each entry on a member's disk, by index."""
-    first = member.disk.snapshot_index + 1
-    return {index: entry.term for index, entry in enumerate(member.disk.entries, first)}
+    first_index = member.disk.snapshot_index + 1
+    return {index: entry.term for index, entry in enumerate(member.disk.entries, first_index)}
--- a/tests/lab/test_control_plane_simulation.py
+++ b/tests/lab/test_control_plane_simulation.py
@@ -8,7 +8,7 @@
 from click.testing import CliRunner
 
 from dockthread.cli.lab import lab
-from dockthread.lab.control_plane.checker import Checker, RequestedChange
+from dockthread.lab.control_plane.checker import ControlPlaneChecker, RequestedChange
 from dockthread.lab.control_plane.seeded_defects import SEEDED_DEFECTS
 from dockthread.lab.control_plane.seeds import play_seed
 from dockthread.lab.seeds import play_seeds
@@ -31,7 +31,7 @@
     )
 
 
-def test_replay_command_shows_the_same_record_for_a_seed_each_time() -> None:
+def test_commands_replay_a_seed_find_a_seeded_defect_and_reject_an_unknown_one() -> None:
     replayed = CliRunner().invoke(lab, ["distribution", "replay", "3", "--json"])
     assert replayed.exit_code == 0
     assert tuple(json.loads(replayed.output)["record"]) == play_seed("drawn", 3).record
@@ -46,10 +46,12 @@
 
 
 def test_checker_reports_two_outcomes_of_a_token_and_an_exceeded_budget() -> None:
-    checker = Checker(burst_bytes=1_000.0, bytes_per_second=100.0, max_chunk_bytes=100.0)
+    checker = ControlPlaneChecker(
+        burst_bytes=1_000.0, bytes_per_second=100.0, max_chunk_bytes=100.0
+    )
     checker.on_change_requested("t1", RequestedChange("route", "r1", b"one", -1))
     checker.on_outcome_received(1.0, "t1", 1)
     checker.on_outcome_received(2.0, "t1", 2)
-    for at in range(12):
-        checker.on_snapshot_chunk(float(at), "d1", 1, 100)
+    for at_ms in range(12):
+        checker.on_snapshot_chunk(float(at_ms), "d1", 1, 100)
     assert [violation.rule for violation in checker.violations] == ["once", "budget"]
