--- a/dockthread/lab/control_plane/checker.py
+++ b/dockthread/lab/control_plane/checker.py
@@ -1,6 +1,6 @@
 """Checks the behavior of a simulated control plane against rules.
 
-The checker shares no code with the control plane, so that a bug cannot hide in both.
+The checker shares no code with the control plane, so that one bug cannot affect both.
 
 The rules, by the names that violations report:
 
--- a/dockthread/lab/control_plane/faults.py
+++ b/dockthread/lab/control_plane/faults.py
@@ -68,7 +68,7 @@
 CORRUPTION_DURATION: Final = 500.0
 """Duration for which frames are corrupted, in ms."""
 CORRUPTION_RATE: Final = 0.02
-"""Probability that a frame is corrupted while frame corruption lasts."""
+"""Probability that a frame is corrupted during the fault `spoil`."""
 MEAN_QUEUEING_DELAYS: Final = (1.0, 5.0, 50.0)
 """Mean queueing delays that the fault `delay` chooses from, in ms."""
 RESTART_WAVE_FRACTIONS: Final = (0.1, 0.3, 1.0)
--- a/dockthread/lab/control_plane/seeded_defects.py
+++ b/dockthread/lab/control_plane/seeded_defects.py
@@ -175,7 +175,7 @@
 class IgnoresExpectedRevision(PublishStateMachine):
     """Accepts a change even if the expected revision does not match."""
 
-    def _conflict(self, request: PublishRequest) -> str:  # noqa: ARG002  that is the defect
+    def _conflict(self, request: PublishRequest) -> str:  # noqa: ARG002  the defect ignores it
         return ""
 
 
@@ -225,7 +225,7 @@
 class AnyEpochReceiver(TableReceiver):
     """Accepts updates of any epoch, even of a history that it has left."""
 
-    def accepts_epoch(self, update: Update, is_server_current: bool) -> bool:  # noqa: ARG002  the defect
+    def accepts_epoch(self, update: Update, is_server_current: bool) -> bool:  # noqa: ARG002  the defect ignores it
         """Return True for every update."""
         return True
 
@@ -271,7 +271,7 @@
 class PrematureAssembler(UpdateAssembler):
     """Replaces the table after each chunk of a snapshot instead of after the last one."""
 
-    def _end_chunk(self, update: Update, staged: ResourceTable) -> AssemblyResult:  # noqa: ARG002  the defect
+    def _end_chunk(self, update: Update, staged: ResourceTable) -> AssemblyResult:  # noqa: ARG002  the defect ignores it
         staged.is_complete = True
         changed = self._table.difference(staged)
         self._table.replace_with(staged)
@@ -298,7 +298,7 @@
         self,
         now: float,
         batch: int,
-        rejected: Sequence[Rejection] = (),  # noqa: ARG002  that is the defect
+        rejected: Sequence[Rejection] = (),  # noqa: ARG002  the defect ignores it
     ) -> list[Action]:
         """Acknowledge the batch as if no resource was rejected."""
         return super().on_applied(now, batch, ())
@@ -307,7 +307,7 @@
 class ReportsZeroAge(FanOut):
     """Reports in heartbeats that the table is up to date, regardless of its age."""
 
-    def set_table_age(self, now: float, age: float) -> None:  # noqa: ARG002  that is the defect
+    def set_table_age(self, now: float, age: float) -> None:  # noqa: ARG002  the defect ignores it
         """Set the age to zero."""
         super().set_table_age(now, 0.0)
 
--- a/dockthread/lab/raft/checker.py
+++ b/dockthread/lab/raft/checker.py
@@ -1,6 +1,6 @@
 """Checks the behavior of Raft members against rules, based on the events that they report.
 
-The checker shares no code with the Raft implementation, so that a bug cannot hide in both.
+The checker shares no code with the Raft implementation, so that one bug cannot affect both.
 
 The rules, by the names that violations report:
 
--- a/dockthread/lab/raft/seeded_defects.py
+++ b/dockthread/lab/raft/seeded_defects.py
@@ -42,7 +42,7 @@
 class StaleLogAccepted(RaftCore):
     """Votes for candidates whose log is less up to date than its own."""
 
-    def _is_log_up_to_date(self, request: VoteRequest) -> bool:  # noqa: ARG002  the defect
+    def _is_log_up_to_date(self, request: VoteRequest) -> bool:  # noqa: ARG002  the defect ignores it
         return True
 
 
@@ -94,7 +94,7 @@
 class ReadWithoutQuorum(RaftCore):
     """Answers reads without confirming its leadership with a quorum."""
 
-    def read_index(self, now: float, token: int) -> tuple[bool, list[Action]]:  # noqa: ARG002  the defect
+    def read_index(self, now: float, token: int) -> tuple[bool, list[Action]]:  # noqa: ARG002  the defect ignores it
         """Answer immediately with the current commit index."""
         if self.role is not Role.LEADER:
             return False, []
@@ -113,7 +113,7 @@
 class UnrestrictedVoterChanges(RaftCore):
     """Allows any change of the voters at any time."""
 
-    def _may_change_voters(self, voters: tuple[str, ...]) -> bool:  # noqa: ARG002  the defect
+    def _may_change_voters(self, voters: tuple[str, ...]) -> bool:  # noqa: ARG002  the defect ignores it
         return True
 
 
