--- a/dockthread/lab/control_plane/faults.py
+++ b/dockthread/lab/control_plane/faults.py
@@ -107,7 +107,7 @@
             "regions": self._cut_region_pairs,
             "region": self._isolate_region,
             "distributors": self._restart_distributors,
-            "voter": self._restart_one_voter,
+            "voter": self._restart_random_voter,
             "voters": self._restart_voters,
             "slow": self._slow_ingress,
             "spoil": self._corrupt_frames,
@@ -134,8 +134,8 @@
 
     def _mark_affected(self, process: SimulatedProcess, until: float) -> None:
         """Record that a fault affects a process itself until a time."""
-        previous = self.unaffected_since.get(process.name, 0.0)
-        self.unaffected_since[process.name] = max(previous, until)
+        previous_end = self.unaffected_since.get(process.name, 0.0)
+        self.unaffected_since[process.name] = max(previous_end, until)
 
     def _restart(
         self, process: SimulatedProcess, delay_range: UniformRange = RESTART_DELAY
@@ -195,18 +195,22 @@
     def _cut_region_pairs_for(self, duration: float) -> None:
         """Cut random pairs of regions from each other."""
         pairs = [frozenset(pair) for pair in combinations(self._environment.settings.regions, 2)]
-        cut = set(self._rng.sample(pairs, self._rng.randrange(1, len(pairs) + 1)))
-        self._network.cut_region_pairs |= cut
-        self._clock.call_later(duration, self._network.cut_region_pairs.difference_update, cut)
+        cut_pairs = set(self._rng.sample(pairs, self._rng.randrange(1, len(pairs) + 1)))
+        self._network.cut_region_pairs |= cut_pairs
+        self._clock.call_later(
+            duration, self._network.cut_region_pairs.difference_update, cut_pairs
+        )
 
     def _isolate_region(self) -> None:
         """Cut one region off from all other regions."""
         regions = self._environment.settings.regions
         region = self._rng.choice(regions)
         duration = self._rng.uniform(*OUTAGE_DURATION)
-        cut = {frozenset((region, other)) for other in regions if other != region}
-        self._network.cut_region_pairs |= cut
-        self._clock.call_later(duration, self._network.cut_region_pairs.difference_update, cut)
+        cut_pairs = {frozenset((region, other)) for other in regions if other != region}
+        self._network.cut_region_pairs |= cut_pairs
+        self._clock.call_later(
+            duration, self._network.cut_region_pairs.difference_update, cut_pairs
+        )
         for process in self._cluster.processes:
             if process.region == region:
                 self._mark_affected(process, self._clock.now + duration)
@@ -223,7 +227,7 @@
         duration = self._rng.uniform(*UPLINK_CUT_DURATION)
         self._clock.call_later(duration, self._network.cut_links.difference_update, links)
 
-    def _restart_one_voter(self) -> None:
+    def _restart_random_voter(self) -> None:
         self._restart(self._rng.choice(self._cluster.voters))
 
     def _restart_voters(self) -> None:
--- a/dockthread/lab/control_plane/nodes.py
+++ b/dockthread/lab/control_plane/nodes.py
@@ -100,8 +100,8 @@
             self._timer_at = due
             clock.call_later(due - clock.now, self._on_timer_due, self.incarnation, due)
 
-    def _on_timer_due(self, incarnation: int, at: float) -> None:
-        if not self.is_up or self.incarnation != incarnation or at != self._timer_at:
+    def _on_timer_due(self, incarnation: int, due_at: float) -> None:
+        if not self.is_up or self.incarnation != incarnation or due_at != self._timer_at:
             return
         self._timer_at = NO_TIMER
         if not self.is_stalled:
@@ -176,7 +176,7 @@
         self.fan_out = fan_out
         self._number_by_connection_id: dict[int, int] = {}
         self._connections: dict[int, Connection] = {}  # by connection number
-        self._last_number = 0
+        self._last_connection_number = 0
         self._last_sent_state = _TableState()
         # Numbers of the connections on which a snapshot is being sent.
         self._snapshot_connections: set[int] = set()
@@ -187,9 +187,9 @@
 
     def on_accepted(self, connection: Connection) -> None:
         """Assign a number to an accepted connection."""
-        self._last_number += 1
-        self._number_by_connection_id[connection.connection_id] = self._last_number
-        self._connections[self._last_number] = connection
+        self._last_connection_number += 1
+        self._number_by_connection_id[connection.connection_id] = self._last_connection_number
+        self._connections[self._last_connection_number] = connection
 
     def on_frame(self, connection: Connection, data: bytes) -> None:
         """Handle a frame, and close the connection if the frame is malformed or unexpected."""
--- a/dockthread/lab/control_plane/publisher.py
+++ b/dockthread/lab/control_plane/publisher.py
@@ -80,15 +80,15 @@
 
     def _last_known_revision(self, kind: str, name: str) -> int:
         """Return the last revision of a resource that the publisher knows, or 0 if it has none."""
-        accepted = [
+        accepted_changes = [
             change
             for change in self._environment.checker.requested_changes.values()
             if change.revision and change.key == (kind, name)
         ]
-        last = max(accepted, key=lambda change: change.revision or 0, default=None)
-        if last is None or last.body is None:
+        last_change = max(accepted_changes, key=lambda change: change.revision or 0, default=None)
+        if last_change is None or last_change.body is None:
             return 0
-        return last.revision or 0
+        return last_change.revision or 0
 
     def _send(self, request: PublishRequest) -> None:
         """Send a request to a random voter and schedule a retry, unless it has an outcome."""
--- a/dockthread/lab/control_plane/seeded_defects.py
+++ b/dockthread/lab/control_plane/seeded_defects.py
@@ -59,11 +59,12 @@
 
     def __init__(self, *args: Any, **options: Any) -> None:
         super().__init__(*args, **options)
-        self._sent: dict[str, tuple[str, int]] = {}  # epoch and revision, by subscriber name
+        # Epoch and revision last sent to each subscriber, by name.
+        self._sent_cursors: dict[str, tuple[str, int]] = {}
 
     def subscribe(self, now: float, connection: int, message: Subscribe) -> RetryLater | None:
         """Subscribe with the revision that was last sent to this subscriber."""
-        epoch, revision = self._sent.get(message.name, ("", 0))
+        epoch, revision = self._sent_cursors.get(message.name, ("", 0))
         if epoch == message.epoch and revision > message.revision > 0:
             message = Subscribe(
                 message.name, epoch, revision, NO_DIGEST, message.region, message.zone
@@ -74,7 +75,7 @@
         """Remember the cursor of the closed connection."""
         cursor = self._cursors.get(connection)
         if cursor is not None:
-            self._sent[cursor.record.subscription.name] = (cursor.epoch, cursor.revision)
+            self._sent_cursors[cursor.record.subscription.name] = (cursor.epoch, cursor.revision)
         super().on_closed(now, connection)
 
 
@@ -86,8 +87,8 @@
         result = super().add(update)
         if not result.snapshot or result.changed is None:
             return result
-        live = tuple(resource for resource in result.changed if resource.body is not None)
-        return AssemblyResult(live, snapshot=True)
+        live_resources = tuple(resource for resource in result.changed if resource.body is not None)
+        return AssemblyResult(live_resources, snapshot=True)
 
 
 class DeletionIgnoringReceiver(TableReceiver):
@@ -253,11 +254,11 @@
 
     def delta(self, revision: int) -> DeltaFrame:
         """Return the cached delta, labelled with the current revision."""
-        first = self._first_deltas.get(revision)
-        if first is None:
-            first = super().delta(revision)
-            self._first_deltas[revision] = first
-        return replace(first, revision=self._table.revision)
+        first_delta = self._first_deltas.get(revision)
+        if first_delta is None:
+            first_delta = super().delta(revision)
+            self._first_deltas[revision] = first_delta
+        return replace(first_delta, revision=self._table.revision)
 
 
 class ServesStaleDeltas(FanOut):
--- a/dockthread/lab/control_plane/simulation.py
+++ b/dockthread/lab/control_plane/simulation.py
@@ -62,7 +62,7 @@
 """Number of faults in scenario `single`."""
 OBSERVATION_INTERVAL: Final = 250.0
 """Interval between checks of the convergence bound or of pending outcomes, in ms."""
-HOUR_CHANGE_INTERVAL: Final = 60_000.0
+HOUR_CUT_CHANGE_INTERVAL: Final = 60_000.0
 """Mean interval between changes during the cut that lasts an hour, in ms."""
 FAULT_PROBABILITY: Final = 0.4
 """Probability that a run enables a kind of fault."""
@@ -161,7 +161,7 @@
             self._clock.call_later(0.0, self._check_convergence_bound, end)
         if self._options.cuts_regions_for_hour:
             self._injector.cut_regions_for_hour()
-            self._publisher.interval = HOUR_CHANGE_INTERVAL
+            self._publisher.interval = HOUR_CUT_CHANGE_INTERVAL
         self._run_until(end)
         if self._options.cuts_regions_for_hour:
             self._run_until(WARM_UP_DURATION + HOUR_MS)
--- a/dockthread/lab/control_plane/voter.py
+++ b/dockthread/lab/control_plane/voter.py
@@ -57,17 +57,22 @@
         if self.incarnation == 1:
             self.disk = PersistentState()
         environment = self.environment
-        stored = replace(self.disk, entries=list(self.disk.entries))
+        stored_state = replace(self.disk, entries=list(self.disk.entries))
         rng = random.Random(environment.rng.random())
         self.core = RaftCore(
-            self.name, environment.voter_names, stored, RAFT_TIMING, rng, environment.clock.now
+            self.name,
+            environment.voter_names,
+            stored_state,
+            RAFT_TIMING,
+            rng,
+            environment.clock.now,
         )
         self.state_machine = environment.make_state_machine()
-        if stored.snapshot_index:
-            self.state_machine.restore(stored.snapshot_index, stored.snapshot)
+        if stored_state.snapshot_index:
+            self.state_machine.restore(stored_state.snapshot_index, stored_state.snapshot)
         fan_out = environment.make_fan_out(self.state_machine.table)
         self.fan_out_adapter = FanOutAdapter(self, fan_out)
-        self._replies: dict[str, list[ReplyCallback]] = {}  # by token
+        self._reply_callbacks: dict[str, list[ReplyCallback]] = {}  # by token
         self._last_complete_at: float | None = None  # when the table was last complete
 
     def lose_disk(self) -> None:
@@ -129,7 +134,7 @@
         if index is None:
             reply(PublishResponse(token, OUTCOME_UNKNOWN, "leadership is being transferred"))
         else:
-            self._replies.setdefault(token, []).append(reply)
+            self._reply_callbacks.setdefault(token, []).append(reply)
         self._execute(actions)
         self.after_event()
 
@@ -142,8 +147,8 @@
         now = self.environment.clock.now
         core = self.core
         if core.role is Role.LEADER and core.log.term_at(core.commit_index) == core.term:
-            responding = core.responded_within(RAFT_TIMING.election_timeout_ms) | {self.name}
-            if core.has_quorum(responding):
+            responding_voters = core.responded_within(RAFT_TIMING.election_timeout_ms) | {self.name}
+            if core.has_quorum(responding_voters):
                 self._last_complete_at = now
         age = AGE_UNKNOWN if self._last_complete_at is None else now - self._last_complete_at
         self.fan_out_adapter.fan_out.set_table_age(now, age)
@@ -179,8 +184,8 @@
         self.state_machine.apply(index, data)
         revision = self.state_machine.table.revision
         self.environment.checker.on_change_accepted(self.environment.clock.now, revision)
-        for token in list(self._replies):
+        for token in list(self._reply_callbacks):
             response = self.state_machine.response_for(token)
             if response is not None:
-                for reply in self._replies.pop(token):
+                for reply in self._reply_callbacks.pop(token):
                     reply(response)
--- a/dockthread/lab/raft/checker.py
+++ b/dockthread/lab/raft/checker.py
@@ -119,12 +119,12 @@
             index: Index of the last entry in the snapshot.
             commands: All commands in the snapshot, in order.
         """
-        expected = tuple(
+        expected_commands = tuple(
             self.log[entry_index][1]
             for entry_index in sorted(self.log)
             if entry_index <= index and self.log[entry_index][1]
         )
-        if commands != expected:
+        if commands != expected_commands:
             detail = f"{member} restored a snapshot up to {index} that differs from the applied log"
             self._add_violation(Rule.LOG_MATCHING, at_ms, detail)
         self._last_applied[member, incarnation] = index
@@ -206,13 +206,15 @@
             )
             self._add_violation(Rule.FRESH_READ, at_ms, detail)
 
-    def check_progress(self, at_ms: float, last_command: bytes, applied: Mapping[str, int]) -> None:
+    def check_progress(
+        self, at_ms: float, last_command: bytes, applied_indices: Mapping[str, int]
+    ) -> None:
         """Check the progress of the cluster at the end of the run.
 
         Args:
             at_ms: Time of the end.
             last_command: Command that was proposed after all faults had ended.
-            applied: Last applied index of each running voter, by name.
+            applied_indices: Last applied index of each running voter, by name.
         """
         index = self._command_indices.get(last_command)
         if index is None:
@@ -220,7 +222,7 @@
             self._add_violation(Rule.PROGRESS, at_ms, detail)
             return
         lagging_members = [
-            member for member, last_applied in applied.items() if last_applied < index
+            member for member, last_applied in applied_indices.items() if last_applied < index
         ]
         if lagging_members:
             self._add_violation(
--- a/dockthread/lab/raft/faults.py
+++ b/dockthread/lab/raft/faults.py
@@ -135,16 +135,16 @@
     def _cut_one_way(self) -> None:
         """Cut random directions between pairs of members."""
         names = list(self._cluster.members)
-        cut = {
+        cut_directions = {
             (sender, receiver)
             for sender in names
             for receiver in names
             if sender != receiver and self._rng.random() < ONE_WAY_CUT_PROBABILITY
         }
         cuts = self._cluster.network.cuts
-        cuts |= cut
+        cuts |= cut_directions
         self._cluster.schedule(
-            self._rng.uniform(*CUT_DURATION_RANGE_MS), cuts.difference_update, cut
+            self._rng.uniform(*CUT_DURATION_RANGE_MS), cuts.difference_update, cut_directions
         )
 
     def _set_loss_rate(self) -> None:
--- a/dockthread/lab/raft/simulation.py
+++ b/dockthread/lab/raft/simulation.py
@@ -139,14 +139,14 @@
         member.is_stalled = False
         member.inbox = []
         member.tick_deadline = -1.0
-        stored = replace(member.disk, entries=list(member.disk.entries))
+        stored_state = replace(member.disk, entries=list(member.disk.entries))
         core_type = DEFECTIVE_CORES.get(self.seeded_defect, RaftCore)
         rng = random.Random(self.rng.random())
         voters = self.voters if member.name in self.voters else ()
-        member.core = core_type(member.name, voters, stored, RaftTiming(), rng, self.now)
-        self.on_snapshot_restored(member, stored.snapshot_index, stored.snapshot)
+        member.core = core_type(member.name, voters, stored_state, RaftTiming(), rng, self.now)
+        self.on_snapshot_restored(member, stored_state.snapshot_index, stored_state.snapshot)
         last_index = member.core.log.last_index
-        self.record_event(f"{member.name} starts, term {stored.term}, {last_index} entries")
+        self.record_event(f"{member.name} starts, term {stored_state.term}, {last_index} entries")
         self.tick_member(member, member.incarnation)
 
     def kill_member(self, member: SimulatedMember) -> None:
@@ -234,12 +234,12 @@
                     self.checker.leader_elected(self.now, member.name, term)
 
     def _send_message(self, member: SimulatedMember, to: str, message: Message) -> None:
-        is_vote = isinstance(message, VoteResponse) and not message.pre_vote
-        if isinstance(message, VoteResponse) and is_vote and message.granted:
+        is_vote_response = isinstance(message, VoteResponse) and not message.pre_vote
+        if isinstance(message, VoteResponse) and is_vote_response and message.granted:
             self.checker.vote_granted(self.now, member.name, message.term, to)
         if to in self.members:
             self.network.send(member.name, to, message, self.deliver)
-        if is_vote and self.fault_injector.draw_torn_write(CRASH_AFTER_VOTE_PROBABILITY):
+        if is_vote_response and self.fault_injector.draw_torn_write(CRASH_AFTER_VOTE_PROBABILITY):
             self.fault_injector.crash_at_write(member)
 
     def on_entry_applied(self, member: SimulatedMember, index: int, entry: Entry) -> None:
