--- a/dockthread/lab/control_plane/environment.py
+++ b/dockthread/lab/control_plane/environment.py
@@ -1,4 +1,4 @@
-"""What all simulated processes share: time, chance, network, checker, record and settings."""
+"""State that all simulated processes share: clock, random generator, network and checker."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 from dockthread.control_plane.server_selection import CandidateServer
 from dockthread.control_plane.subscriber import Subscriber
 from dockthread.control_plane.subscriber_settings import SubscriberSettings
-from dockthread.lab.control_plane.checker import Checker
+from dockthread.lab.control_plane.checker import ControlPlaneChecker
 from dockthread.lab.control_plane.network import Endpoint, Network, SimulatedClock
 from dockthread.lab.control_plane.seeded_defects import SeededDefect
-from dockthread.lab.control_plane.settings import KINDS, SimulationSettings
+from dockthread.lab.control_plane.settings import RESOURCE_KINDS, SimulationSettings
 
-CHUNK_TOLERANCE = 2.0
-"""Times the limit that a chunk may have with its overhead."""
+CHUNK_OVERHEAD_FACTOR = 2.0
+"""Factor by which a chunk, including its overhead, may exceed the configured chunk size."""
 
 
 def _accept_any(_name: str, _body: bytes) -> str:
-    """Reject nothing: the voters of a simulation know no schemas."""
+    """Accept any body, as voters of a simulation have no schemas."""
     return ""
 
 
 class Environment:
-    """The surroundings of simulated processes, which it can look up by name.
+    """Shared state of all processes of one run, and factories for their components.
 
     Attributes:
-        settings: Size and limits.
-        defect: Classes of the simulated parts.
-        rng: The one source of chance, so that a seed determines a run.
+        settings: Size and limits of the control plane.
+        defect: Classes of the components, at least one of them defective if the run has a defect.
+        rng: The only source of randomness, so that the seed determines the run.
         clock: Simulated time.
         network: Connections between processes.
-        checker: Judges the run.
-        record: Lines of the run.
+        checker: Checks the rules.
+        record: Lines that describe the events of the run.
         processes: All processes by name.
         voter_names: Names of the voters.
-        distributors: The distributors.
+        distributors: All distributors.
     """
 
     def __init__(self, seed: int, settings: SimulationSettings, defect: SeededDefect) -> None:
@@ -48,25 +48,30 @@
         self.rng = random.Random(seed)
         self.clock = SimulatedClock()
         self.network = Network(self.clock, self.rng)
-        limits = settings.limits
-        chunk = limits.chunk_bytes * CHUNK_TOLERANCE
-        self.checker = Checker(limits.snapshot_burst, limits.snapshot_rate, chunk)
+        limits = settings.fan_out_limits
+        max_chunk_bytes = limits.chunk_bytes * CHUNK_OVERHEAD_FACTOR
+        self.checker = ControlPlaneChecker(
+            limits.snapshot_burst, limits.snapshot_rate, max_chunk_bytes
+        )
         self.record: list[str] = []
         self.processes: dict[str, Endpoint] = {}
         self.voter_names: tuple[str, ...] = ()
         self.distributors: Sequence[Endpoint] = ()
 
-    def note(self, text: str) -> None:
-        """Add a line to the record."""
+    def record_event(self, text: str) -> None:
+        """Add a line with the current time to the record."""
         self.record.append(f"{self.clock.now:11.3f} {text}")
 
     def voter_servers(self) -> list[CandidateServer]:
-        """Return the servers of a distributor."""
+        """Return the servers that a distributor can subscribe to."""
         return [CandidateServer(name) for name in self.voter_names]
 
     def distributor_servers(self, region: str) -> list[CandidateServer]:
-        """Return the servers of an ingress; those of its region are near."""
-        return [CandidateServer(one.name, int(one.region != region)) for one in self.distributors]
+        """Return the servers that an ingress can subscribe to, preferring those in its region."""
+        return [
+            CandidateServer(distributor.name, int(distributor.region != region))
+            for distributor in self.distributors
+        ]
 
     def make_subscriber(
         self,
@@ -75,22 +80,22 @@
         table: ResourceTable,
         rejections: Sequence[Rejection] = (),
     ) -> Subscriber:
-        """Return the subscriber of a process that starts with `table`."""
+        """Create the subscriber of a process; it starts with `table`."""
         rng = random.Random(self.rng.random())
         settings = SubscriberSettings(
-            process.name, process.region, process.zone, self.settings.times
+            process.name, process.region, process.zone, self.settings.subscriber_times
         )
         return self.defect.subscriber(settings, servers, rng, self.clock.now, table, rejections)
 
     def make_fan_out(self, table: ResourceTable) -> FanOut:
-        """Return a fan-out of `table`."""
+        """Create a fan-out that serves `table`."""
         rng = random.Random(self.rng.random())
-        return self.defect.fan_out(table, self.settings.limits, rng, b"", self.clock.now)
+        return self.defect.fan_out(table, self.settings.fan_out_limits, rng, b"", self.clock.now)
 
     def make_state_machine(self) -> PublishStateMachine:
-        """Return the empty state machine of a voter."""
+        """Create an empty state machine for a voter."""
         rng = random.Random(self.rng.random())
-        validators = dict.fromkeys(KINDS, _accept_any)
+        validators = dict.fromkeys(RESOURCE_KINDS, _accept_any)
         return self.defect.state_machine(
             validators, rng, self.settings.max_tokens, self.settings.max_tombstones
         )
--- a/dockthread/lab/control_plane/simulation.py
+++ b/dockthread/lab/control_plane/simulation.py
@@ -1,15 +1,16 @@
-"""Runs a control plane in simulated time: one seed, one course of events.
-
-There are three voters with the real replicated log, one in each region; distributors; ingresses in
-the zones of the regions; and one publisher. Each seed draws the faults that may strike. Scenario
-`single` strikes one at a time, and checks meanwhile that every ingress which no fault concerns
-stays within the bound. Everything random comes from the seed and time is simulated, so two runs of
-one seed write the same record. Times are in ms.
-
-The bound after all faults follows from the constants: a server's silence is noticed (2,500), or a
-connection that was being opened fails (1,000); the backoff ends (2,000 at most); the next
-connection is opened and answered (under 100); the snapshots of a wave of all ingresses are sent
-(2,200, by the simulation's budget). Voters elect a leader (1,800) meanwhile. 6,800 in all.
+"""Runs a control plane in simulated time; the seed determines the course of events.
+
+A run has three voters with the real Raft core, one per region, distributors and ingresses in the
+zones of the regions, and one publisher. Each seed draws the kinds of faults that may occur.
+Scenario `single` injects one fault at a time and checks during the faults that every unaffected
+ingress stays within the convergence bound. All random choices derive from the seed and time is
+simulated, so two runs of one seed write the same record. Times are in ms.
+
+The convergence bound after all faults is the sum of the longest possible delays: the silence
+timeout of a server (2,500; the timeout of a connection attempt is only 1,000), the backoff (at most
+2,000), opening the next connection and its first response (under 100), and sending snapshots to all
+ingresses after a restart wave (2,200 with the snapshot budget of the simulation). The sum is 6,800.
+Voters elect a leader (1,800) in parallel.
 """
 
 from __future__ import annotations
@@ -21,66 +22,75 @@
 from dockthread.lab.control_plane.checker import (
     ConvergenceRange,
     IngressObservation,
-    Key,
+    ResourceKey,
 )
 from dockthread.lab.control_plane.cluster import Cluster
 from dockthread.lab.control_plane.environment import Environment
-from dockthread.lab.control_plane.faults import FAULTS, HOUR, SINGLE_FAULTS, FaultInjector
+from dockthread.lab.control_plane.faults import (
+    HOUR_MS,
+    OVERLAPPING_FAULTS,
+    SINGLE_FAULTS,
+    FaultInjector,
+)
 from dockthread.lab.control_plane.publisher import Publisher
 from dockthread.lab.control_plane.seeded_defects import SeededDefect
 from dockthread.lab.control_plane.settings import SimulationSettings
 from dockthread.lab.raft.checker import RuleViolation
 
-BOUND: Final = 7_000.0
-"""Within which all converge after the faults, and a change is applied beside one fault."""
-CALM_BOUND: Final = 2_500.0
-"""Within which a change is applied while there is no fault."""
+CONVERGENCE_BOUND: Final = 7_000.0
+"""Maximum time to converge after all faults, or to apply a change during a single fault, in ms."""
+FAULT_FREE_BOUND: Final = 2_500.0
+"""Maximum time to apply a change without faults, in ms."""
 OUTCOME_BOUND: Final = 20_000.0
-"""Within which a publisher that retries has an outcome while there is no fault."""
-WARM_UP: Final = 5_000.0
-"""Before the faults."""
+"""Maximum time to get the outcome of a change, including retries, without faults, in ms."""
+WARM_UP_DURATION: Final = 5_000.0
+"""Duration of the phase before the first fault, in ms."""
 MAX_START_DELAY: Final = 300.0
-"""Within which all processes are started."""
+"""Maximum delay before a process is first started, in ms."""
 PUBLISHER_START: Final = 1_000.0
-"""When the publisher starts."""
-FAULT_PHASE: Final = 20_000.0
-"""For which faults strike."""
+"""Time at which the publisher starts, in ms."""
+FAULT_PHASE_DURATION: Final = 20_000.0
+"""Duration of the phase in which faults are injected, in ms."""
 MEAN_FAULT_INTERVAL: Final = 1_200.0
-"""Between faults, on average."""
+"""Mean interval between overlapping faults, in ms."""
 SINGLE_FAULT_INTERVAL: Final = 17_000.0
-"""Between faults of scenario `single`: one fault and the bound after it."""
+"""Interval between the faults of scenario `single`, in ms.
+
+It covers one fault and the convergence bound after it.
+"""
 SINGLE_FAULT_COUNT: Final = 4
-"""Faults of scenario `single`."""
+"""Number of faults in scenario `single`."""
 OBSERVATION_INTERVAL: Final = 250.0
-"""Between checks of the bound."""
-HOUR_CHANGE_INTERVAL: Final = 60_000.0
-"""Between changes while regions are cut for an hour."""
+"""Interval between checks of the convergence bound or of pending outcomes, in ms."""
+HOUR_CUT_CHANGE_INTERVAL: Final = 60_000.0
+"""Mean interval between changes during the cut that lasts an hour, in ms."""
 FAULT_PROBABILITY: Final = 0.4
-"""With which each kind of fault may strike in a run."""
-FINAL_CHANGES: Final = 3
-"""Changes that are published once all faults have ended."""
+"""Probability that a run enables a kind of fault."""
+FINAL_CHANGE_COUNT: Final = 3
+"""Number of changes that are published after all faults have ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunOptions:
-    """What goes wrong in a run.
+    """Options that select the faults of a run.
 
     Attributes:
-        has_single_faults: Whether faults strike one at a time.
-        cuts_regions_for_hour: Whether regions are cut for an hour besides.
-        faults: Kinds of faults that may strike; None to draw them.
+        one_fault_at_a_time: Whether faults are injected one at a time.
+        cuts_regions_for_hour: Whether regions are also cut off from each other for an hour.
+        faults: Kinds of faults that may occur; None to use those of the seeded defect, or else to
+            draw them.
     """
 
-    has_single_faults: bool = False
+    one_fault_at_a_time: bool = False
     cuts_regions_for_hour: bool = False
     faults: Sequence[str] | None = None
 
 
 class Simulation:
-    """One run.
+    """One run of a simulated control plane.
 
     Attributes:
-        faults: Kinds of faults that may strike.
+        faults: Kinds of faults that may occur in this run.
     """
 
     def __init__(self, seed: int, defect: SeededDefect, options: RunOptions) -> None:
@@ -89,16 +99,16 @@
         self._checker = self._environment.checker
         self._rng = self._environment.rng
         self._options = options
-        drawn = self._draw_faults()
-        chosen = defect.faults if options.faults is None else tuple(options.faults)
-        self.faults = drawn if chosen is None else chosen
+        drawn_faults = self._draw_faults()
+        selected_faults = defect.faults if options.faults is None else tuple(options.faults)
+        self.faults = drawn_faults if selected_faults is None else selected_faults
         self._cluster = Cluster(self._environment)
         self._publisher = Publisher(self._environment, self._cluster)
         self._injector = FaultInjector(self._environment, self._cluster)
 
     @property
     def record(self) -> list[str]:
-        """Lines of the run."""
+        """Lines that describe the events of the run."""
         return self._environment.record
 
     def run(self) -> list[RuleViolation]:
@@ -106,115 +116,128 @@
         try:
             self._run_phases()
         except (IndexError, ValueError, KeyError, AssertionError, AttributeError) as error:
-            detail = f"a core ends with {error!r}"
+            detail = f"the control plane raised {error!r}"
             self._checker.violations.append(RuleViolation("crash", self._clock.now, detail))
         return self._checker.violations
 
     def _draw_faults(self) -> tuple[str, ...]:
-        if self._options.has_single_faults:
+        if self._options.one_fault_at_a_time:
             return SINGLE_FAULTS
-        return tuple(fault for fault in FAULTS if self._rng.random() < FAULT_PROBABILITY)
+        return tuple(
+            fault for fault in OVERLAPPING_FAULTS if self._rng.random() < FAULT_PROBABILITY
+        )
 
     def _run_phases(self) -> None:
         self._warm_up()
         self._run_faults()
-        self._environment.note("all faults end")
+        self._environment.record_event("all faults end")
         self._publisher.is_active = False
-        self._injector.heal()
+        self._injector.end_all()
         self._check_recovery()
-        for _ in range(FINAL_CHANGES):
+        for _ in range(FINAL_CHANGE_COUNT):
             self._publisher.request_change()
         self._run_until_outcomes()
-        self._run_until(self._clock.now + CALM_BOUND)
-        last = self._cluster.revision()
-        self._check_convergence(self._clock.now, self._observe(), ConvergenceRange(last, last))
-        self._checker.check_log(self._clock.now, last)
+        self._run_until(self._clock.now + FAULT_FREE_BOUND)
+        last_revision = self._cluster.latest_revision()
+        self._check_convergence(
+            self._clock.now,
+            self._observe_ingresses(),
+            ConvergenceRange(last_revision, last_revision),
+        )
+        self._checker.check_outcomes(self._clock.now, last_revision)
 
     def _warm_up(self) -> None:
         for process in self._cluster.processes:
             self._clock.call_later(self._rng.uniform(0.0, MAX_START_DELAY), process.start)
         self._clock.call_later(PUBLISHER_START, self._publisher.run)
-        self._run_until(WARM_UP)
+        self._run_until(WARM_UP_DURATION)
 
     def _run_faults(self) -> None:
-        is_single = self._options.has_single_faults
-        duration = SINGLE_FAULT_INTERVAL * SINGLE_FAULT_COUNT if is_single else FAULT_PHASE
-        end = WARM_UP + duration
-        self._clock.call_later(0.0, self._strike, end)
+        is_single = self._options.one_fault_at_a_time
+        duration = SINGLE_FAULT_INTERVAL * SINGLE_FAULT_COUNT if is_single else FAULT_PHASE_DURATION
+        end = WARM_UP_DURATION + duration
+        self._clock.call_later(0.0, self._inject_fault, end)
         if is_single:
-            self._clock.call_later(0.0, self._check_bound, end)
+            self._clock.call_later(0.0, self._check_convergence_bound, end)
         if self._options.cuts_regions_for_hour:
             self._injector.cut_regions_for_hour()
-            self._publisher.interval = HOUR_CHANGE_INTERVAL
+            self._publisher.interval = HOUR_CUT_CHANGE_INTERVAL
         self._run_until(end)
         if self._options.cuts_regions_for_hour:
-            self._run_until(WARM_UP + HOUR)
+            self._run_until(WARM_UP_DURATION + HOUR_MS)
 
     def _check_recovery(self) -> None:
-        """Check that all ingresses converge within the bound after the faults."""
-        self._run_until(self._clock.now + BOUND - CALM_BOUND)
-        due = self._cluster.revision()
-        self._run_until(self._clock.now + CALM_BOUND)
-        at = self._clock.now
-        expected = ConvergenceRange(due, self._cluster.revision())
-        observations = self._observe()
+        """Check that all ingresses converge within the bound after the last fault ends."""
+        self._run_until(self._clock.now + CONVERGENCE_BOUND - FAULT_FREE_BOUND)
+        due_revision = self._cluster.latest_revision()
+        self._run_until(self._clock.now + FAULT_FREE_BOUND)
+        at_ms = self._clock.now
+        expected_range = ConvergenceRange(due_revision, self._cluster.latest_revision())
+        observations = self._observe_ingresses()
         self._run_until_outcomes()
-        self._check_convergence(at, observations, expected)
+        self._check_convergence(at_ms, observations, expected_range)
 
     def _run_until(self, end: float) -> None:
         self._clock.run_until(end, lambda: not self._checker.violations)
 
     def _run_until_outcomes(self) -> None:
-        """Run until every change has an outcome, or had long enough for one."""
+        """Run until every change has an outcome, but at most for `OUTCOME_BOUND`."""
         end = self._clock.now + OUTCOME_BOUND
         while self._clock.now < end and self._has_pending_changes():
             self._run_until(self._clock.now + OBSERVATION_INTERVAL)
 
     def _has_pending_changes(self) -> bool:
-        return any(change.revision is None for change in self._checker.requested.values())
+        return any(change.revision is None for change in self._checker.requested_changes.values())
 
-    def _strike(self, end: float) -> None:
-        """Strike with a fault, and plan the next one."""
+    def _inject_fault(self, end: float) -> None:
+        """Inject a random fault and schedule the next one, unless the fault phase has ended."""
         if self._clock.now >= end:
             return
-        if self._options.has_single_faults:
+        if self._options.one_fault_at_a_time:
             delay = SINGLE_FAULT_INTERVAL
         else:
             delay = self._rng.expovariate(1.0 / MEAN_FAULT_INTERVAL)
-        self._clock.call_later(delay, self._strike, end)
+        self._clock.call_later(delay, self._inject_fault, end)
         if self.faults:
-            self._injector.strike(self._rng.choice(self.faults))
+            self._injector.inject(self._rng.choice(self.faults))
 
-    def _check_bound(self, end: float) -> None:
-        """Check every ingress that no fault concerned for the time of the bound.
+    def _check_convergence_bound(self, end: float) -> None:
+        """Check every ingress that no fault has affected for the duration of the bound.
 
-        It has to have applied what was accepted before that time.
+        Such an ingress must have applied every change that was accepted more than
+        `CONVERGENCE_BOUND` ms ago.
         """
         now = self._clock.now
         if now >= end:
             return
-        self._clock.call_later(OBSERVATION_INTERVAL, self._check_bound, end)
+        self._clock.call_later(OBSERVATION_INTERVAL, self._check_convergence_bound, end)
         for ingress in self._cluster.ingresses:
             unaffected_since = self._injector.unaffected_since.get(ingress.name, 0.0)
-            if ingress.is_up and unaffected_since + BOUND <= now:
-                self._checker.check_within_bound(now, ingress.name, ingress.revision, now - BOUND)
-
-    def _observe(self) -> list[IngressObservation]:
-        """Return what each ingress has applied, and what its server knows to be rejected."""
-        rejected: dict[str, set[Key]] = {}
+            if ingress.is_up and unaffected_since + CONVERGENCE_BOUND <= now:
+                self._checker.check_within_bound(
+                    now, ingress.name, ingress.revision, now - CONVERGENCE_BOUND
+                )
+
+    def _observe_ingresses(self) -> list[IngressObservation]:
+        """Return what each ingress has applied, and which rejections its server knows of."""
+        rejected: dict[str, set[ResourceKey]] = {}
         for distributor in self._cluster.distributors:
-            for status in distributor.server.fan_out.status(self._clock.now):
+            for status in distributor.fan_out_adapter.fan_out.status(self._clock.now):
                 if status.connected:
-                    keys = {Key(one.kind, one.name) for one in status.rejected}
+                    keys = {
+                        ResourceKey(rejection.kind, rejection.name) for rejection in status.rejected
+                    }
                     rejected[status.name] = keys
         return [
-            IngressObservation(ingress.name, ingress.bodies(), rejected.get(ingress.name, set()))
+            IngressObservation(
+                ingress.name, ingress.applied_bodies(), rejected.get(ingress.name, set())
+            )
             for ingress in self._cluster.ingresses
         ]
 
     def _check_convergence(
-        self, at: float, observations: list[IngressObservation], expected: ConvergenceRange
+        self, at_ms: float, observations: list[IngressObservation], expected_range: ConvergenceRange
     ) -> None:
         if not self._checker.violations:
             for observed in observations:
-                self._checker.check_convergence(at, observed, expected)
+                self._checker.check_convergence(at_ms, observed, expected_range)
--- a/dockthread/lab/raft/simulation.py
+++ b/dockthread/lab/raft/simulation.py
@@ -1,8 +1,8 @@
-"""Raft members on a simulated network, with simulated disks and clocks: one seed, one run.
+"""Runs Raft members on a simulated network, with simulated disks and clocks.
 
-All that is random comes from the seed, and time is the event queue's, so two runs of one seed write
-the same record. A write to disk takes effect completely or not at all, and a member may be killed
-before or after each. Times are in ms.
+All randomness comes from the seed, and the event queue provides the time, so two runs of one seed
+write the same record. A write to disk is atomic, and a member may be killed before or after any
+write. Times are in ms.
 """
 
 from __future__ import annotations
@@ -39,25 +39,31 @@
 from dockthread.raft.core import RaftCore
 from dockthread.raft.messages import Entry, EntryKind, Message, VoteResponse
 
-CALM_PHASE_MS: Final = 6_000.0  # after the faults; in its course everything has to recover
-FAULT_CHANCE: Final = 0.4  # of each fault to be turned on in a seed
-TORN_WRITE_CHANCE: Final = 0.006  # of a crash at each write
-TORN_VOTE_CHANCE: Final = 0.15  # of a crash right after a vote was sent
-SYNC_CHANCE: Final = 0.3  # of a write to reach the disk, with the defect `fsync-left-out`
-COMMAND_SEPARATOR: Final = b"\x00"  # between commands of a snapshot
+RECOVERY_PHASE_MS: Final = 6_000.0  # time after the faults in which the cluster must recover
+FAULT_PROBABILITY: Final = 0.4  # probability that a seed enables a fault
+TORN_WRITE_PROBABILITY: Final = 0.006  # probability of a crash during a write
+CRASH_AFTER_VOTE_PROBABILITY: Final = 0.15  # probability of a crash right after a vote is sent
+SYNC_PROBABILITY: Final = 0.3  # probability that a write is synced, with defect `fsync-left-out`
+COMMAND_SEPARATOR: Final = b"\x00"  # between the commands in a snapshot
 
 
 class RaftSimulation(EventQueue):
-    """One run of a cluster under faults, and the checker that judges it.
+    """One run of a cluster under faults, with the checker that checks the rules of Raft.
 
-    Subclasses put another state machine on the log by `on_entry_applied`, `on_snapshot_restored`
+    Subclasses replace the state machine by overriding `on_entry_applied`, `on_snapshot_restored`
     and `snapshot_of`, and add faults to `fault_injector.handlers`.
 
     Attributes:
-        voters: names of the first voters.
-        members: every identity that ever was, by name.
-        faults: names of the faults that may happen in this run.
-        record: what happened, a line for each event with its time in ms.
+        rng: Source of all randomness in this run.
+        seeded_defect: Name of the seeded defect of this run, or empty.
+        voters: Names of the initial voters.
+        members: All members by name, including removed ones.
+        checker: Checker of the rules of Raft.
+        faults: Names of the faults that may occur in this run.
+        network: Network between the members.
+        fault_injector: Injects the faults.
+        client: Sends requests to the cluster.
+        record: Events of the run, one line per event with its time in ms.
     """
 
     def __init__(
@@ -73,8 +79,8 @@
         self.voters = tuple(f"n{number}" for number in range(size))
         self.members = {name: SimulatedMember(name) for name in self.voters}
         self.checker = RaftChecker(self.voters)
-        drawn = tuple(fault for fault in FAULTS if self.rng.random() < FAULT_CHANCE)
-        self.faults: tuple[str, ...] = drawn if faults is None else faults
+        drawn_faults = tuple(fault for fault in FAULTS if self.rng.random() < FAULT_PROBABILITY)
+        self.faults: tuple[str, ...] = drawn_faults if faults is None else faults
         changes_voters = {Fault.VOTER_CHANGE, Fault.DISK_LOSS} & set(self.faults)
         self.checker.voters_are_fixed = not changes_voters
         self.network = SimulatedNetwork(self, self.rng)
@@ -83,11 +89,11 @@
         self.record: list[str] = []
 
     def play(self) -> list[RuleViolation]:
-        """Run to the end or to the first violation; a crash of a core is a violation too."""
+        """Run until the end or the first violation; an exception of a core is a violation too."""
         try:
             return self.run()
         except (IndexError, ValueError, KeyError, AssertionError) as error:
-            violation = RuleViolation("crash", self.now, f"the core ends with {error!r}")
+            violation = RuleViolation("crash", self.now, f"the core raised {error!r}")
             self.checker.violations.append(violation)
             return self.checker.violations
 
@@ -99,57 +105,59 @@
         self.schedule(MEAN_FAULT_INTERVAL_MS, self.fault_injector.inject)
         self.run_until(FAULT_PHASE_MS)
         self.fault_injector.end_all()
-        self.run_until(FAULT_PHASE_MS + CALM_PHASE_MS / 2)
-        # All is well from here on: what is proposed now has to be applied by all.
-        last_command = self.client.commands
-        self.run_until(FAULT_PHASE_MS + CALM_PHASE_MS)
+        self.run_until(FAULT_PHASE_MS + RECOVERY_PHASE_MS / 2)
+        # The cluster has recovered: all voters must apply the commands proposed from here on.
+        last_command_number = self.client.command_count
+        self.run_until(FAULT_PHASE_MS + RECOVERY_PHASE_MS)
         voters = self.newest_voters()
-        applied = {
+        applied_by_member = {
             member.name: member.applied_index
             for member in self.members.values()
             if member.core and member.name in voters
         }
-        command = self.client.first_command_after(last_command, self.now - CALM_PHASE_MS / 4)
-        self.checker.ended(self.now, command or b"nothing at all", applied)
+        command = self.client.first_command_after(
+            last_command_number, self.now - RECOVERY_PHASE_MS / 4
+        )
+        self.checker.check_progress(self.now, command or b"no command", applied_by_member)
         return self.checker.violations
 
     def should_stop(self) -> bool:
-        """Return whether a rule was violated."""
+        """Return whether a rule has been violated."""
         return bool(self.checker.violations)
 
     def record_event(self, text: str) -> None:
-        """Add a line to the record, with the time."""
+        """Add a line with the current time to the record."""
         self.record.append(f"{self.now:10.3f} {text}")
 
     # Members
 
     def start_member(self, member: SimulatedMember) -> None:
-        """Start a member's process from its disk, unless it runs or is removed."""
+        """Start a member's process from its disk, unless it is running or removed."""
         if member.is_removed or member.core is not None:
             return
         member.incarnation += 1
         member.is_stalled = False
         member.inbox = []
         member.tick_deadline = -1.0
-        stored = replace(member.disk, entries=list(member.disk.entries))
+        stored_state = replace(member.disk, entries=list(member.disk.entries))
         core_type = DEFECTIVE_CORES.get(self.seeded_defect, RaftCore)
         rng = random.Random(self.rng.random())
         voters = self.voters if member.name in self.voters else ()
-        member.core = core_type(member.name, voters, stored, RaftTiming(), rng, self.now)
-        self.on_snapshot_restored(member, stored.snapshot_index, stored.snapshot)
+        member.core = core_type(member.name, voters, stored_state, RaftTiming(), rng, self.now)
+        self.on_snapshot_restored(member, stored_state.snapshot_index, stored_state.snapshot)
         last_index = member.core.log.last_index
-        self.record_event(f"{member.name} starts, term {stored.term}, {last_index} entries")
+        self.record_event(f"{member.name} starts, term {stored_state.term}, {last_index} entries")
         self.tick_member(member, member.incarnation)
 
     def kill_member(self, member: SimulatedMember) -> None:
-        """End a member's process without warning; writes that are not synced are lost."""
+        """Kill a member's process abruptly; its unsynced writes are lost."""
         if member.core is not None:
-            self.record_event(f"{member.name} dies")
+            self.record_event(f"{member.name} is killed")
             member.core = None
             member.unsynced = []
 
     def tick_member(self, member: SimulatedMember, incarnation: int) -> None:
-        """Let a member's core handle its timers, and schedule the next tick."""
+        """Let a member's core handle its due timers, and schedule the next tick."""
         if member.core is None or member.incarnation != incarnation or member.is_stalled:
             return
         if member.core.next_deadline() <= self.now:
@@ -162,7 +170,7 @@
             self.schedule(delay, self.tick_member, member, incarnation)
 
     def deliver(self, to: str, message: Message) -> None:
-        """Hand a message to a member's core, or to its inbox while it is stalled."""
+        """Pass a message to a member's core, or to its inbox if the member is stalled."""
         member = self.members[to]
         if member.core is None:
             return
@@ -172,7 +180,7 @@
             self.carry_out(member, member.core.step(self.now, message))
 
     def running_leaders(self) -> list[tuple[SimulatedMember, RaftCore]]:
-        """Return all members that believe that they lead and are not stalled."""
+        """Return all members that consider themselves leader and are not stalled."""
         return [
             (member, member.core)
             for member in self.members.values()
@@ -185,17 +193,17 @@
         return self.rng.choice(running) if running else None
 
     def newest_voters(self) -> tuple[str, ...]:
-        """Return the voters as the running member that applied most knows them."""
+        """Return the voters according to the running member with the highest applied index."""
         running = [member for member in self.members.values() if member.core is not None]
         newest = max(running, key=lambda member: member.applied_index, default=None)
         if newest is None or newest.core is None:
             return ()
         return newest.core.log.voters_at(newest.applied_index)
 
-    # Actions of a core
+    # Actions of the Raft core
 
     def carry_out(self, member: SimulatedMember, actions: list[Action]) -> None:
-        """Carry out what a member's core returned, as long as its process lives."""
+        """Carry out the actions that a member's core returned, until its process ends."""
         incarnation = member.incarnation
         if self.seeded_defect == "sent-before-kept":
             actions = sorted(actions, key=lambda action: not isinstance(action, SendMessage))
@@ -223,36 +231,40 @@
             case RoleChanged(role, term, _):
                 self.record_event(f"{member.name} is {role.value} in term {term}")
                 if role is Role.LEADER:
-                    self.checker.became_leader(self.now, member.name, term)
+                    self.checker.leader_elected(self.now, member.name, term)
 
     def _send_message(self, member: SimulatedMember, to: str, message: Message) -> None:
-        is_vote = isinstance(message, VoteResponse) and not message.pre_vote
-        if isinstance(message, VoteResponse) and is_vote and message.granted:
-            self.checker.voted(self.now, member.name, message.term, to)
+        is_vote_response = isinstance(message, VoteResponse) and not message.pre_vote
+        if isinstance(message, VoteResponse) and is_vote_response and message.granted:
+            self.checker.vote_granted(self.now, member.name, message.term, to)
         if to in self.members:
             self.network.send(member.name, to, message, self.deliver)
-        if is_vote and self.fault_injector.is_torn_write(TORN_VOTE_CHANCE):
+        if is_vote_response and self.fault_injector.draw_torn_write(CRASH_AFTER_VOTE_PROBABILITY):
             self.fault_injector.crash_at_write(member)
 
     def on_entry_applied(self, member: SimulatedMember, index: int, entry: Entry) -> None:
         """Apply a committed entry to a member's state machine."""
         command = entry.data if entry.kind == EntryKind.COMMAND else b""
-        applied = (entry.term, command)
-        disks: dict[str, dict[int, int]] = {}
+        term_and_command = (entry.term, command)
+        terms_on_disk: dict[str, dict[int, int]] = {}
         if index not in self.checker.log and self.checker.voters_are_fixed:
-            disks = {name: _terms_on_disk(other) for name, other in self.members.items()}
-        self.checker.applied(self.now, member.name, member.incarnation, index, applied, disks)
+            terms_on_disk = {name: _terms_on_disk(other) for name, other in self.members.items()}
+        self.checker.entry_applied(
+            self.now, member.name, member.incarnation, index, term_and_command, terms_on_disk
+        )
         member.applied_index = index
         if command:
             member.applied_commands = [*member.applied_commands, command]
-        self.record_event(f"{member.name} applies {index} {applied}")
+        self.record_event(f"{member.name} applies {index} {term_and_command}")
 
     def on_snapshot_restored(self, member: SimulatedMember, index: int, snapshot: bytes) -> None:
-        """Replace a member's state machine by a snapshot."""
+        """Replace the state of a member's state machine with a snapshot."""
         commands = [command for command in snapshot.split(COMMAND_SEPARATOR) if command]
         member.applied_index = index
         member.applied_commands = commands
-        self.checker.restored(self.now, member.name, member.incarnation, index, tuple(commands))
+        self.checker.snapshot_restored(
+            self.now, member.name, member.incarnation, index, tuple(commands)
+        )
 
     def snapshot_of(self, member: SimulatedMember) -> bytes:
         """Return a snapshot of a member's state machine."""
@@ -261,28 +273,28 @@
     # Disks
 
     def _persist(self, member: SimulatedMember, write: PersistEntries | PersistSnapshot) -> None:
-        """Write to a member's disk; the process may crash before or after it."""
-        is_torn = self.fault_injector.is_torn_write(TORN_WRITE_CHANCE)
-        if is_torn and self.rng.random() < 0.5:  # it crashes before the write took effect
+        """Write to a member's disk; the process may crash before or after the write."""
+        crashes = self.fault_injector.draw_torn_write(TORN_WRITE_PROBABILITY)
+        if crashes and self.rng.random() < 0.5:  # it crashes before the write takes effect
             self.fault_injector.crash_at_write(member)
             return
         member.unsynced.append(write)
-        if self.seeded_defect != "fsync-left-out" or self.rng.random() < SYNC_CHANCE:
+        if self.seeded_defect != "fsync-left-out" or self.rng.random() < SYNC_PROBABILITY:
             for unsynced in member.unsynced:
-                self._sync(member, unsynced)
+                self._sync_write(member, unsynced)
             member.unsynced = []
-        if is_torn:
+        if crashes:
             self.fault_injector.crash_at_write(member)
 
-    def _sync(self, member: SimulatedMember, write: PersistEntries | PersistSnapshot) -> None:
+    def _sync_write(self, member: SimulatedMember, write: PersistEntries | PersistSnapshot) -> None:
         if isinstance(write, PersistEntries):
-            self.checker.persisted_term(self.now, member.name, write.term)
+            self.checker.term_persisted(self.now, member.name, write.term)
             member.disk.persist_entries(write)
         else:
             member.disk.persist_snapshot(write)
 
 
 def _terms_on_disk(member: SimulatedMember) -> dict[int, int]:
-    """Return the term of each entry on a member's disk, by its index."""
-    first = member.disk.snapshot_index + 1
-    return {index: entry.term for index, entry in enumerate(member.disk.entries, first)}
+    """Return the term of each entry on a member's disk, by index."""
+    first_index = member.disk.snapshot_index + 1
+    return {index: entry.term for index, entry in enumerate(member.disk.entries, first_index)}
