--- a/dockthread/cli/__init__.py
+++ b/dockthread/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line, on click. An ingress that is started without a command never imports it."""
+"""The command line, built on click. `python -m dockthread` without a command never imports it."""
--- a/dockthread/cli/admin_request.py
+++ b/dockthread/cli/admin_request.py
@@ -1,4 +1,4 @@
-"""Requests of the command line to the management endpoint of one ingress."""
+"""Requests from the command line to the management endpoint of one ingress."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 from dockthread.errors import DockthreadError
 
 REQUEST_TIMEOUT: Final = 10.0
-"""Time in s for connecting and for each wait for the response."""
+"""Timeout in s for connecting and for each read of the response."""
 UNKNOWN_COMMAND_TEXT: Final = "no such call"
-"""Begin of the response of an ingress that does not know the path, as it has no `[fleet]`."""
+"""Start of the response to an unknown path, such as that of an ingress without `[fleet]`."""
 
 endpoint_option: Callable[[Callable[..., Any]], Callable[..., Any]] = click.option(
     "--at",
     "endpoint",
     required=True,
-    callback=parse_with(partial(parse_address, expected="HOST:PORT of a management door")),
+    callback=parse_with(partial(parse_address, expected="HOST:PORT of a management endpoint")),
     metavar="HOST:PORT",
-    help="A management door.",
+    help="Management endpoint of an ingress.",
 )
 
 
 class AdminRequestError(DockthreadError):
-    """An ingress rejected a request, or cannot be reached; the text says which one and why."""
+    """An ingress rejected a request or cannot be reached; the message says which one and why."""
 
 
 def send_admin_request(
@@ -68,7 +68,7 @@
 def send_admin_request_or_exit(
     endpoint: Address, method: str, path: str, body: Mapping[str, object] | None = None
 ) -> Any:
-    """Do as `send_admin_request`, but end the program with one line where it fails."""
+    """Like `send_admin_request`, but print one line and exit if the request fails."""
     try:
         return send_admin_request(endpoint, method, path, body)
     except AdminRequestError as error:
--- a/dockthread/cli/completion.py
+++ b/dockthread/cli/completion.py
@@ -10,7 +10,7 @@
 @click.argument("shell", type=click.Choice(["bash", "zsh", "fish"]))
 @click.pass_context
 def completion(ctx: click.Context, shell: str) -> None:
-    """Print the completion script of a shell: eval "$(dockthread completion bash)"."""
+    """Print a shell's completion script, to be used as eval "$(dockthread completion bash)"."""
     completion_class = get_completion_class(shell)
     assert completion_class is not None, "click supports all three shells"
     root_command = ctx.find_root().command
--- a/dockthread/cli/control.py
+++ b/dockthread/cli/control.py
@@ -1,7 +1,7 @@
-"""The commands `dockthread control`: the servers of the control plane, and requests to them.
+"""The commands `dockthread control`, which run a control-plane server or send requests to some.
 
-Exit codes: 0 done; 1 rejected, or a server or subscriber lags or cannot be reached; 2 wrong
-arguments.
+Exit codes: 0 success; 1 the request was rejected, or a server or subscriber lags or cannot be
+reached; 2 invalid arguments.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 def _parse_servers(
     _context: click.Context, _parameter: click.Parameter, values: tuple[str, ...]
 ) -> list[Address]:
-    """Return the addresses of `HOST:PORT,...`, which may be given more than once."""
+    """Return the addresses of all `--servers` options, each of the form `HOST:PORT,...`."""
     texts = [text.strip() for value in values for text in value.split(",")]
     try:
         return [parse_address(text) for text in texts if text]
@@ -38,7 +38,7 @@
 def _read_key_option(
     _context: click.Context, _parameter: click.Parameter, path: str | None
 ) -> bytes:
-    """Return the key of a file, or an empty one without a file."""
+    """Return the key that a file holds, or an empty key if no file is given."""
     try:
         return read_key(path or "")
     except ValueError as error:
@@ -51,38 +51,38 @@
     multiple=True,
     callback=_parse_servers,
     metavar="HOST:PORT,...",
-    help="To be asked.",
+    help="Control-plane servers that receive the request.",
 )
 key_option = click.option(
     "--key-file",
     "key",
     callback=_read_key_option,
     metavar="FILE",
-    help="The key that all share.",
+    help="File with the key that all servers share.",
 )
-control_json_option = json_option("As JSON.")
+control_json_option = json_option("Print JSON.")
 
 
 @click.group()
 def control() -> None:
-    """Configuration of all ingresses: published once, in force everywhere."""
+    """Publish and inspect the configuration that all ingresses share."""
 
 
 @control.command()
 @config_option
 @click.pass_context
 def serve(ctx: click.Context, file: str | None) -> None:
-    """Serve as the voter or distributor that [control] of the operator's file names, until SIGTERM
-    or SIGINT.
+    """Run the voter or distributor that section [control] of the operator's file configures, until
+    SIGTERM or SIGINT.
 
-    Exit codes: 0 ended as told, 1 cannot listen, 2 a bad configuration.
+    Exit codes: 0 stopped by a signal, 1 cannot listen, 2 invalid configuration.
     """  # noqa: D205  shown as the help text
     from dockthread.control_plane_daemon import serve as run_daemon
     from dockthread.section_registry import operator_file_path
 
     path = operator_file_path(os.environ, file or ctx.find_root().obj)
     if path is None:
-        raise click.UsageError("name the operator's file: --config FILE, or DOCKTHREAD_CONFIG")
+        raise click.UsageError("--config FILE or DOCKTHREAD_CONFIG must name the operator's file")
     ctx.exit(run_daemon(path))
 
 
@@ -90,18 +90,21 @@
 @click.argument("kind")
 @click.argument("name")
 @click.option(
-    "--body", type=click.File("rb"), metavar="FILE", help="The resource; - for standard input."
+    "--body",
+    type=click.File("rb"),
+    metavar="FILE",
+    help="File with the resource's body; - for standard input.",
 )
-@click.option("--delete", "is_deletion", is_flag=True, help="Delete it.")
+@click.option("--delete", "is_deletion", is_flag=True, help="Delete the resource.")
 @click.option(
     "--expected",
     "expected_revision",
     type=click.IntRange(0),
-    help="The revision that it replaces; 0 for none there.",
+    help="Publish only if the resource has this revision; 0: only if it does not exist.",
 )
 @servers_option
 @key_option
-def publish(  # noqa: PLR0913  one for each option
+def publish(  # noqa: PLR0913  one parameter for each option
     kind: str,
     name: str,
     body: BinaryIO | None,
@@ -110,12 +113,12 @@
     servers: list[Address],
     key: bytes,
 ) -> None:
-    """Publish a resource, or delete it; SERVERS are voters. Says the revision by which it was
-    accepted.
+    """Publish or delete a resource, and print the revision at which the change was accepted.
+    SERVERS must be voters.
     """  # noqa: D205  shown as the help text
     if (body is None) != is_deletion:
         raise click.UsageError("give either --body or --delete")
-    # One byte over the limit, so that a body that is too long is rejected and not cut.
+    # Reads one byte over the limit, so that a body that is too long is rejected and not truncated.
     data = None if body is None else body.read(MAX_BODY_BYTES + 1)
     expected = ANY_REVISION if expected_revision is None else expected_revision
     request = admin_client.new_request(kind, name, data, expected)
@@ -135,15 +138,15 @@
 def print_resources(
     kind: str, name: str, servers: list[Address], key: bytes, as_json: bool
 ) -> None:
-    """Show what a server holds of a kind: one resource with its body, or the names and revisions of
-    all.
+    """Show the resources of one kind that a server holds: the body of resource NAME, or without
+    NAME the names and revisions of all.
     """  # noqa: D205  shown as the help text
     try:
         resources = asyncio.run(admin_client.lookup(servers, kind, name, key))
     except admin_client.NoResponseError as error:
         exit_with_error(str(error))
     if name and not resources:
-        exit_with_error(f"{kind} {name}: none")
+        exit_with_error(f"{kind} {name}: no such resource")
     lines = [_body_text(resources[0])] if name else _resource_lines(resources)
     print_result(as_json, [_resource_json(resource) for resource in resources], lines)
 
@@ -172,7 +175,7 @@
 @key_option
 @control_json_option
 def status(servers: list[Address], key: bytes, as_json: bool) -> None:
-    """What is in force where, and who lags, by all servers given."""
+    """Show the revision that each server and subscriber has applied, and which of them lag."""
     overview = asyncio.run(admin_client.fetch_overview(servers, key))
     print_result(as_json, overview_json(overview), overview_lines(overview))
     if not overview.is_healthy:
--- a/dockthread/cli/control_status.py
+++ b/dockthread/cli/control_status.py
@@ -11,13 +11,13 @@
 from dockthread.control_plane.messages import StatusResponse, SubscriberStatus
 
 MAX_SUBSCRIBERS_SHOWN: Final = 20
-"""Lagging subscribers that the text shows; JSON shows all."""
+"""Maximum number of lagging subscribers in the text output; JSON lists all of them."""
 MS_PER_S: Final = 1000
 """Milliseconds in a second."""
 
 
 def overview_json(overview: ControlPlaneOverview) -> JsonObject:
-    """Return the status of all servers and subscribers for JSON."""
+    """Return the status of all servers and subscribers as a JSON object."""
     return {
         "epoch": overview.epoch,
         "revision": overview.revision,
@@ -75,7 +75,7 @@
     for subscriber in lagging[:MAX_SUBSCRIBERS_SHOWN]:
         yield from _lagging_subscriber_lines(subscriber, overview)
     if len(lagging) > MAX_SUBSCRIBERS_SHOWN:
-        yield f"and {len(lagging) - MAX_SUBSCRIBERS_SHOWN} more: --json tells them all"
+        yield f"and {len(lagging) - MAX_SUBSCRIBERS_SHOWN} more: --json lists all of them"
 
 
 def _server_lines(overview: ControlPlaneOverview) -> Iterator[str]:
@@ -90,7 +90,7 @@
 
 
 def _zone_lines(overview: ControlPlaneOverview) -> Iterator[str]:
-    """Yield for each zone how many of its subscribers have applied the newest revision."""
+    """Yield a line for each zone: how many of its subscribers have applied the newest revision."""
     subscribers = Counter[tuple[str, str]]()
     up_to_date = Counter[tuple[str, str]]()
     for subscriber in overview.subscribers:
@@ -105,7 +105,7 @@
 def _lagging_subscriber_lines(
     subscriber: SubscriberStatus, overview: ControlPlaneOverview
 ) -> Iterator[str]:
-    """Yield how a subscriber lags, and each resource that it rejects."""
+    """Yield lines that say how far a subscriber lags and which resources it rejects."""
     name = subscriber.name
     revision = subscriber.revision
     if not subscriber.connected:
--- a/dockthread/cli/daemon.py
+++ b/dockthread/cli/daemon.py
@@ -11,10 +11,10 @@
 @config_option
 @click.pass_context
 def serve(ctx: click.Context, file: str | None) -> None:
-    """Serve as one ingress, until SIGTERM or SIGINT.
+    """Run one ingress until SIGTERM or SIGINT.
 
-    SIGHUP reads both files again; where one is bad, all stays as it was. Exit codes: 0 ended as
-    told, 1 cannot listen, 2 a bad configuration.
+    SIGHUP reloads both configuration files; if either is invalid, neither takes effect. Exit codes:
+    0 stopped by a signal, 1 cannot listen, 2 invalid configuration.
     """
     from dockthread.daemon import serve as run_daemon
 
--- a/dockthread/cli/effective_settings.py
+++ b/dockthread/cli/effective_settings.py
@@ -21,7 +21,7 @@
     Attributes:
         key: Name of the setting.
         value: Its value.
-        variable: The environment variable that overrides the platform's JSON; empty for none.
+        variable: The environment variable that overrides the platform's JSON; empty if none does.
     """
 
     key: str
@@ -30,11 +30,11 @@
 
 
 def operator_lines(operator_config: OperatorConfig, path: str | None) -> Iterator[str]:
-    """Yield every section of the operator's file with all keys, as a valid operator's file.
+    """Yield every section with all its keys, in the format of the operator's file.
 
     Args:
-        operator_config: What the file says.
-        path: The file; None where there is none and all keys have their defaults.
+        operator_config: The parsed operator's file.
+        path: Path of the file; None if there is no file, so that all keys have their defaults.
     """
     for kind in SECTION_KINDS:
         for name, section in operator_config.named_sections(kind).items():
@@ -54,7 +54,7 @@
 
 
 def _format_value(value: object) -> str:
-    """Return a value as the operator's file writes it."""
+    """Return a value in the syntax of the operator's file."""
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, tuple):
@@ -63,17 +63,17 @@
 
 
 def platform_lines() -> Iterator[str]:
-    """Yield what the platform's JSON and the environment say of the ingress itself, as comments."""
+    """Yield the ingress settings of the platform's JSON and the environment, as INI comments."""
     json_path = os.environ.get("NODE_CONFIG")
     if not json_path:
-        yield "# NODE_CONFIG is not set: the platform's part is not known here"
+        yield "# NODE_CONFIG is not set: the platform's settings are unknown"
         return
     try:
         settings = _platform_settings()
     except SettingsError as error:
-        yield f"# the platform's part cannot be read: {error}"
+        yield f"# the platform's settings cannot be read: {error}"
         return
-    yield "# the platform's part"
+    yield "# the platform's settings"
     for setting in settings:
         is_overridden = bool(setting.variable and os.environ.get(setting.variable))
         source = setting.variable if is_overridden else json_path
@@ -81,7 +81,7 @@
 
 
 def _platform_settings() -> list[PlatformSetting]:
-    """Return the platform's settings; raises SettingsError where they cannot be read."""
+    """Return the platform's settings; raise SettingsError if they cannot be read."""
     config = read_config(os.environ)
     return [
         PlatformSetting("name", config.name, "NODE_NAME"),
--- a/dockthread/cli/files.py
+++ b/dockthread/cli/files.py
@@ -1,4 +1,4 @@
-"""The commands `dockthread check` and `dockthread config show`, which read the two files."""
+"""The commands `dockthread check` and `dockthread config show`, on the configuration files."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 
 EXIT_INVALID_FILE: Final = 2
-"""Exit code where the operator's file would be rejected."""
+"""Exit code if the operator's file is invalid."""
 
 
 @click.command()
@@ -28,22 +28,22 @@
 @click.option(
     "--settings",
     metavar="JSON",
-    help="The platform's configuration, or its settings: proves routes too.",
+    help="The platform's configuration or settings file; routes are then checked against it.",
 )
 @click.option(
     "--explain",
     metavar="REQUEST",
-    help="Show a request's route, such as c=seat-status,t=gross,units=2.",
+    help="Show the route of this request, for example c=seat-status,t=gross,units=2.",
 )
 @click.pass_context
 def check(ctx: click.Context, file: str, settings: str | None, explain: str | None) -> None:
-    """Check an operator's file: every fault, one line each.
+    """Check an operator's file, and print one line for each problem.
 
-    Exit codes: 0 the file is good (warnings aside), 2 it would be refused.
+    Exit codes: 0 the file is valid, perhaps with warnings; 2 the file is invalid.
     """
     settings = settings or os.environ.get("NODE_CONFIG")
     if explain and not settings:
-        raise click.UsageError("--explain needs --settings, or NODE_CONFIG")
+        raise click.UsageError("--explain needs --settings or NODE_CONFIG")
     policy_settings, names = read_policy_settings_file(settings) if settings else (None, None)
     operator_config = read_operator_file(file, policy_settings, names)
     for line in _problem_lines(operator_config):
@@ -69,14 +69,14 @@
 
 @click.group()
 def config() -> None:
-    """What holds."""
+    """Inspect the configuration."""
 
 
 @config.command("show")
 @config_option
 @click.pass_context
 def print_config(ctx: click.Context, file: str | None) -> None:
-    """Show every key that holds, and where it comes from. The text is itself a good operator's
+    """Show every setting in effect and its source. The output is itself a valid operator's
     file.
     """  # noqa: D205  shown as the help text
     path = operator_file_path(os.environ, file or ctx.find_root().obj)
--- a/dockthread/cli/fleet.py
+++ b/dockthread/cli/fleet.py
@@ -1,6 +1,6 @@
-"""The commands `dockthread fleet`: the directory of a member, and what a member knows.
+"""The commands `dockthread fleet`, which create a member's directory and show a member's status.
 
-Exit codes: 0 done; 1 the ingress rejects the request or cannot be reached; 2 wrong arguments.
+Exit codes: 0 success; 1 the ingress rejects the request or cannot be reached; 2 invalid arguments.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 
 class MemberStatus(TypedDict):
-    """What the text shows of a member's status in the JSON of the management endpoint.
+    """The fields of a member's status in the management endpoint's JSON that the text shows.
 
     Attributes:
         name: Name of the member.
         role: Its role in the Raft group.
         term: Its Raft term.
-        leader: Name of the leader; empty or None where it knows none.
+        leader: Name of the leader; empty or None if the member knows no leader.
         voters: Names of the voters.
         last: Index of its last log entry.
         commit: Its commit index.
@@ -43,14 +43,14 @@
 
 @click.group()
 def fleet() -> None:
-    """The ingresses among themselves."""
+    """Set up and inspect the members of a fleet of ingresses."""
 
 
 @fleet.command()
 @click.argument("directory", metavar="FOLDER", type=click.Path(path_type=Path))
-@click.option("--name", required=True, help="The ingress that the folder is for.")
+@click.option("--name", required=True, help="Name of the ingress that will own the folder.")
 def init(directory: Path, name: str) -> None:
-    """Make the folder of a member that never had one. One that lost its folder needs a new name."""
+    """Create the folder of a new member. A member that lost its folder must take a new name."""
     from dockthread.raft.storage import RaftStorage, RaftStorageError
 
     try:
@@ -62,9 +62,9 @@
 
 @fleet.command()
 @endpoint_option
-@json_option("As the ingress says it.")
+@json_option("Print the ingress's JSON response.")
 def status(endpoint: Address, as_json: bool) -> None:
-    """What one member knows: its role, the term, who leads, the voters, how far the log is."""
+    """Show one member's role, term, leader, voters and log indexes."""
     member_status = send_admin_request_or_exit(endpoint, "GET", "/_fleet")
     print_result(as_json, member_status, _status_lines(member_status))
 
@@ -73,5 +73,5 @@
     leader = member["leader"] or "nobody"
     yield f"{member['name']} is {member['role']} in term {member['term']}, led by {leader}"
     yield f"voters: {', '.join(member['voters'])}"
-    log = f"{member['last']} entries, {member['commit']} agreed, {member['applied']} applied"
+    log = f"{member['last']} entries, {member['commit']} committed, {member['applied']} applied"
     yield f"log: {log}"
--- a/dockthread/cli/lab.py
+++ b/dockthread/cli/lab.py
@@ -1,4 +1,4 @@
-"""`dockthread lab`: the laboratory's commands."""
+"""The commands `dockthread lab`, which test ingresses under load and under injected faults."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 @click.group()
 def lab() -> None:
-    """Put an ingress under known load."""
+    """Test ingresses under a known load and under injected faults."""
 
 
 lab.add_command(distribution)
@@ -44,7 +44,7 @@
 
 
 def parsed(parse: Any) -> Any:
-    """A click callback from a parser that raises ValueError."""
+    """Return a click callback that parses a text; the parser raises ValueError or SettingsError."""
 
     def callback(ctx: click.Context, param: click.Parameter, value: Any) -> Any:
         try:
@@ -56,6 +56,7 @@
 
 
 def address(text: str) -> Address:
+    """Return the address that a text names; raise ValueError if it is not one."""
     found = host_port(text)
     if found is None:
         raise ValueError(f"{text!r} is no address: write HOST:PORT")
@@ -69,12 +70,12 @@
     default="140@10s",
     show_default=True,
     callback=parsed(parse_rate_shape),
-    help="Or 100>300@30s,300@1min.",
+    help="Requests per second over time; 100>300@30s,300@1min is a ramp, then a constant rate.",
 )
 @click.option(
     "--trace",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    help="Recorded ones instead.",
+    help="Send the arrivals of this recorded trace instead of generated ones.",
 )
 @click.option(
     "--record",
@@ -82,7 +83,12 @@
     help="Write the arrivals as a trace.",
 )
 @click.option(
-    "--class", "classes", default=CLASSES, show_default=True, callback=parsed(parse_weights)
+    "--class",
+    "classes",
+    default=CLASSES,
+    show_default=True,
+    callback=parsed(parse_weights),
+    help="Request classes and their weights.",
 )
 @click.option(
     "--plan",
@@ -90,38 +96,48 @@
     default="klein:2,mittel:1,gross:1",
     show_default=True,
     callback=parsed(parse_weights),
+    help="Plans and their weights.",
 )
 @click.option(
     "--firms",
     default=200,
     show_default=True,
     type=click.IntRange(1, 1_000_000),
-    help="Of each plan.",
+    help="Number of customers of each plan.",
 )
 @click.option(
     "--skew",
     default=0.0,
     show_default=True,
     type=click.FloatRange(0, 10),
-    help="0: all firms alike.",
+    help="Skew of the load over customers; 0 gives all the same load.",
 )
 @click.option(
     "--units",
     default=1,
     show_default=True,
     type=click.IntRange(1, 1_000),
-    help="Of a request, at most.",
+    help="Maximum units of a request.",
+)
+@click.option(
+    "--gateways",
+    default=1,
+    show_default=True,
+    type=click.IntRange(1, 1_000),
+    help="Number of ingresses over which each customer spreads its requests.",
 )
-@click.option("--gateways", default=1, show_default=True, type=click.IntRange(1, 1_000))
 @click.option(
     "--deadline",
     default=DEADLINES,
     show_default=True,
     callback=parsed(parse_weights),
-    help="Seconds by class.",
+    help="Deadline of each class, in seconds.",
 )
 @click.option(
-    "--write", default="seat-checkout", show_default=True, help="Classes that go by API.WRITE."
+    "--write",
+    default="seat-checkout",
+    show_default=True,
+    help="Classes that are sent with the verb API.WRITE.",
 )
 @click.option(
     "--settings",
@@ -133,11 +149,19 @@
     default=1000,
     show_default=True,
     type=click.IntRange(1, 100_000),
-    help="Of a process.",
+    help="Maximum number of connections of a sending process.",
+)
+@click.option(
+    "--processes",
+    default=1,
+    show_default=True,
+    type=click.IntRange(1, 64),
+    help="Number of processes that send the load.",
+)
+@click.option(
+    "--seed", default=1, show_default=True, help="Seed of the random arrivals and customers."
 )
-@click.option("--processes", default=1, show_default=True, type=click.IntRange(1, 64))
-@click.option("--seed", default=1, show_default=True)
-@click.option("--json", "as_json", is_flag=True, help="The summary as one JSON object.")
+@click.option("--json", "as_json", is_flag=True, help="Print the summary as one JSON object.")
 @click.pass_context
 def load(
     ctx: click.Context,
@@ -159,10 +183,11 @@
     seed: int,
     as_json: bool,
 ) -> None:
-    """Send an open-loop load to an ingress, or to any address that speaks the protocol.
+    """Send an open-loop load to an ingress, or to any other server of the same protocol.
 
-    Times run from the intended start of each request, so that no stall is hidden. Exit codes: 0
-    done, 1 nothing was answered, 2 the run is void since the tool itself fell behind, or bad words.
+    Latencies count from the intended start of each request, so that no stall is hidden. Exit codes:
+    0 success; 1 no request was answered; 2 the run is void because the load generator fell behind,
+    or the arguments are invalid.
     """
     deadlines, writes = dict(deadline), frozenset(filter(None, write.split(",")))
     if settings:
@@ -203,6 +228,7 @@
 
 
 def _send(plan: LoadPlan, processes: int, expected: float | None) -> LoadResult:
+    """Send the load; a single process shows its progress towards the expected request count."""
     if processes > 1:
         return send_from_processes(plan, processes)
     from rich.console import Console
@@ -222,6 +248,7 @@
 
 
 def lines(result: LoadResult) -> list[str]:
+    """Return the summary of a load run as text."""
     found = result.summary()
     counts = ", ".join(
         f"{found['outcomes'][outcome]} {outcome}"
@@ -235,8 +262,8 @@
         shown = ", ".join(f"{word} {value:g}" for word, value in times.items())
         out.append(f"{name}: {found['by_class'][name]}; ms from the intended start: {shown}")
     late = found["start_lateness_ms"]
-    out.append(f"starts late by ms: p50 {late['p50']:g}, p99 {late['p99']:g}, max {late['max']:g}; "
-               f"{found['tool_cpu_us_per_request']:g} us of the tool's CPU a request")  # fmt: skip
+    out.append(f"start lateness, ms: p50 {late['p50']:g}, p99 {late['p99']:g}, max {late['max']:g}; "
+               f"{found['tool_cpu_us_per_request']:g} us of load generator CPU per request")  # fmt: skip
     if found["void"]:
         out.append(f"void: {found['void']}")
     return out
--- a/dockthread/cli/lab_distribution.py
+++ b/dockthread/cli/lab_distribution.py
@@ -1,6 +1,7 @@
-"""`dockthread lab distribution`: voters, distributors and ingresses of control under faults, in
-simulated time. Exit codes: 0 all held; 1 a rule broke (with a planted bug: it was found); 2 the
-arguments are wrong.
+"""The commands `dockthread lab distribution`, which simulate the control plane under faults.
+
+Voters, distributors and ingresses run in simulated time. Exit codes: 0 no rule was violated; 1 a
+rule was violated (with --plant: the seeded defect was found); 2 the arguments are invalid.
 """
 
 from __future__ import annotations
@@ -15,17 +16,17 @@
 
 @click.group("distribution")
 def distribution() -> None:
-    """Play the distribution of control with faults in it."""
+    """Simulate the distribution of configuration under faults."""
 
 
 def plant_of(ctx: click.Context, param: click.Parameter, value: str) -> str:
-    """A planted bug's name, or the list of them and the end."""
+    """Return the value of `--plant`; for `list`, print the names of all seeded defects and exit."""
     if value == "list":
         for name in NAMES:
-            click.echo(f"{name}  a planted bug, for scenario {SEEDED_DEFECTS[name].scenario}")
+            click.echo(f"{name}  a seeded defect, for scenario {SEEDED_DEFECTS[name].scenario}")
         ctx.exit(0)
     if value and value not in NAMES:
-        raise click.BadParameter(f"{value!r} is none of: {', '.join(NAMES)}")
+        raise click.BadParameter(f"{value!r} is not one of: {', '.join(NAMES)}")
     return value
 
 
@@ -34,20 +35,20 @@
     default="drawn",
     show_default=True,
     type=click.Choice(list(SCENARIOS)),
-    help="What goes wrong.",
+    help="Scenario, which determines the faults.",
 )
 plant_option = click.option(
     "--plant",
     default="",
     callback=plant_of,
     metavar="NAME",
-    help="A planted bug to be found, or `list`.",
+    help="Plant this seeded defect in the code under test; `list` prints all names.",
 )
 
 
 @distribution.command()
 def scenarios() -> None:
-    """The scenarios, the name first."""
+    """List the scenarios, each with its description."""
     for name, scenario in SCENARIOS.items():
         click.echo(f"{name}  {scenario.about}")
 
@@ -59,9 +60,7 @@
 @plant_option
 @json_option
 def seeds(scenario: str, seeds: range, jobs: int, plant: str, as_json: bool) -> None:
-    """Play many seeds; each one that breaks a rule is named. With a planted bug the first that
-    finds it ends it.
-    """
+    """Run many seeds, and print each seed that violates a rule. With --plant, stop at the first."""
     show_seeds(scenario, play_seeds(play_seed, scenario, seeds, jobs, plant), plant, as_json)
 
 
@@ -71,5 +70,5 @@
 @plant_option
 @json_option
 def replay(seed: int, scenario: str, plant: str, as_json: bool) -> None:
-    """One seed's course, line by line; the same each time."""
+    """Print the events of one seed line by line. Every replay of a seed is the same."""
     show_replay(play_seed(scenario, seed, plant), as_json)
--- a/dockthread/cli/lab_fleet.py
+++ b/dockthread/cli/lab_fleet.py
@@ -1,6 +1,7 @@
-"""`dockthread lab fleet`: members of a fleet under faults, in simulated time and on real processes.
-Exit codes: 0 all held; 1 a rule broke (with a planted bug: it was found); 2 the arguments are
-wrong.
+"""The commands `dockthread lab fleet`, which test the members of a fleet under faults.
+
+Members run in simulated time or as real processes. Exit codes: 0 no rule was violated; 1 a rule was
+violated (with --plant: the seeded defect was found); 2 the arguments are invalid.
 """
 
 from __future__ import annotations
@@ -27,20 +28,20 @@
 from dockthread.lab.raft.seeds import SCENARIOS, play_seed
 from dockthread.lab.seeds import play_seeds
 
-VOID = 2  # exit code
-CHUNK = 25  # seeds that a process plays before it tells
+VOID = 2  # Exit code of a run that is void.
+CHUNK = 25  # Number of seeds that a worker process runs before it reports its results.
 NAMES = (*AGREEMENT, *seeded_defects.NAMES)
 
 
 @click.group("fleet")
 def fleet() -> None:
-    """Rehearse many members together, with faults between them."""
+    """Test several members together, with faults between them."""
 
 
 @fleet.command()
 def scenarios() -> None:
-    """The shipped scenarios, the name first: for `seeds` and `replay`, in simulated time, and for
-    `run`, on processes.
+    """List the shipped scenarios with their descriptions. Those marked (run) are for `run`, on real
+    processes; the others are for `seeds` and `replay`, in simulated time.
     """
     for name, scenario in SCENARIOS.items():
         click.echo(f"{name}  {scenario.about}")
@@ -50,17 +51,21 @@
 
 scenario_argument = click.argument("scenario", type=click.Choice(list(SCENARIOS)))
 plant_option = click.option(
-    "--plant", default="", metavar="NAME", help="A planted bug to be found, or `list`."
+    "--plant",
+    default="",
+    metavar="NAME",
+    help="Plant this seeded defect in the code under test; `list` prints all names.",
 )
 
 
 def planted(name: str) -> str:
+    """Return the value of `--plant`; for `list`, print the names of all seeded defects and exit."""
     if name == "list":
         for one in NAMES:
-            click.echo(f"{one}  a planted bug")
+            click.echo(f"{one}  a seeded defect")
         raise SystemExit(0)
     if name and name not in NAMES:
-        raise click.BadParameter(f"--plant {name!r} is none of: {', '.join(NAMES)}")
+        raise click.BadParameter(f"--plant {name!r} is not one of: {', '.join(NAMES)}")
     return name
 
 
@@ -71,9 +76,7 @@
 @plant_option
 @json_option
 def seeds(scenario: str, seeds: range, jobs: int, plant: str, as_json: bool) -> None:
-    """Play many seeds; each one that breaks a rule is named. With a planted bug the first that
-    finds it ends it.
-    """
+    """Run many seeds, and print each seed that violates a rule. With --plant, stop at the first."""
     plant = planted(plant)
     show_seeds(scenario, play_seeds(play_seed, scenario, seeds, jobs, plant, CHUNK), plant, as_json)
 
@@ -83,21 +86,22 @@
 @click.option(
     "--ingresses",
     type=click.IntRange(1, 7),
-    help="In place of the scenario's own number: 1, 3, 5 or 7.",
+    help="Number of ingresses (1, 3, 5 or 7) that replaces the scenario's own.",
 )
 @click.option(
     "--seed",
     default=0,
     show_default=True,
     type=click.IntRange(0),
-    help="For the faults that are drawn.",
+    help="Seed of the faults that are drawn at random.",
 )
 @json_option
 def run(scenario: str, ingresses: int | None, seed: int, as_json: bool) -> None:
-    """Play a scenario on real processes on loopback, with faults between them. SCENARIO: a shipped
-    one, or an INI file.
+    """Run a scenario on real processes on loopback, with faults between them. SCENARIO is the name
+    of a shipped scenario or an INI file.
 
-    Exit codes: 0 all held; 1 a rule broke; 2 the scenario is wrong, or the run is void.
+    Exit codes: 0 no rule was violated; 1 a rule was violated; 2 the scenario is invalid, or the run
+    is void.
     """
     from dockthread.lab.maintenance.rehearsal import Rehearsal, RehearsalResult, VoidRunError
 
@@ -107,7 +111,7 @@
         played = parse_scenario(text, scenario, ingresses or 0, seed)
     except OSError as error:
         raise click.BadParameter(
-            f"{scenario}: no shipped scenario, and no file: {error.strerror}"
+            f"{scenario}: neither a shipped scenario nor a readable file: {error.strerror}"
         ) from error
     except ScenarioError as error:
         raise click.BadParameter(str(error)) from error
@@ -132,7 +136,7 @@
     else:
         click.echo("\n".join(verdict.record))
         click.echo(
-            f"{scenario}: {verdict.served} of {verdict.sent} requests served, {len(broken)} rules broken"
+            f"{scenario}: {verdict.served} of {verdict.sent} requests served, {len(broken)} rules violated"
         )
     sys.exit(BROKE if broken else 0)
 
@@ -143,5 +147,5 @@
 @plant_option
 @json_option
 def replay(scenario: str, seed: int, plant: str, as_json: bool) -> None:
-    """One seed's course, line by line; the same each time."""
+    """Print the events of one seed line by line. Every replay of a seed is the same."""
     show_replay(play_seed(scenario, seed, planted(plant)), as_json)
--- a/dockthread/cli/lab_seeds.py
+++ b/dockthread/cli/lab_seeds.py
@@ -1,6 +1,4 @@
-"""What the commands that play seeds have in common: their options, and how they show what was
-found.
-"""
+"""Options and output that the commands which run simulation seeds share."""
 
 from __future__ import annotations
 
@@ -13,44 +11,56 @@
 from dockthread.lab.raft.checker import RuleViolation
 from dockthread.lab.seeds import PlayedSeed, SeedChunk, ViolatingSeed
 
-BROKE = 1  # exit code: a rule broke; with a planted bug, it was found
-LONGEST = 1_000_000  # seeds in one run
+BROKE = 1  # Exit code if a rule was violated, or with --plant if the seeded defect was found.
+LONGEST = 1_000_000  # Maximum number of seeds in one run.
 
-json_option = click.option("--json", "as_json", is_flag=True, help="One line of JSON.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print one line of JSON.")
 
 
 def worded(broken: RuleViolation) -> dict[str, str | float]:
-    """A broken rule for JSON."""
+    """Return a rule violation as a JSON object."""
     return {"rule": broken.rule, "at": round(broken.at_ms, 3), "detail": broken.detail}
 
 
 def line_of(broken: RuleViolation) -> str:
-    """A broken rule for a person."""
+    """Return a rule violation as text."""
     return f"{broken.rule} at {broken.at_ms:.0f} ms: {broken.detail}"
 
 
 def seeds_of(ctx: click.Context, param: click.Parameter, value: str) -> range:
-    """The value of `--seeds`: SEED or FIRST..LAST."""
+    """Return the seeds of the option `--seeds`, written as SEED or FIRST..LAST."""
     first, dots, last = value.partition("..")
     if not first.isdigit() or (dots and not last.isdigit()):
         raise click.BadParameter(f"{value!r}: write SEED or FIRST..LAST")
     found = range(int(first), int(last or first) + 1)
     if not 0 < len(found) <= LONGEST:
-        raise click.BadParameter(f"{value!r}: from 1 to {LONGEST} seeds, the first before the last")
+        raise click.BadParameter(
+            f"{value!r}: FIRST must not exceed LAST, and a run has at most {LONGEST} seeds"
+        )
     return found
 
 
 seeds_option = click.option(
-    "--seeds", default="0..99", show_default=True, callback=seeds_of, metavar="A..B"
+    "--seeds",
+    default="0..99",
+    show_default=True,
+    callback=seeds_of,
+    metavar="A..B",
+    help="Seeds to run.",
 )
 jobs_option = click.option(
-    "--jobs", default=1, show_default=True, type=click.IntRange(1, 64), help="Processes."
+    "--jobs",
+    default=1,
+    show_default=True,
+    type=click.IntRange(1, 64),
+    help="Number of worker processes.",
 )
 
 
 def show_seeds(scenario: str, chunks: Iterable[SeedChunk], plant: str, as_json: bool) -> None:
-    """Play on to the end, or with a planted bug to the first seed that finds it; show that, and end
-    the program.
+    """Run all chunks of seeds, print the violations, and exit.
+
+    With a seeded defect, stop after the first chunk in which a seed finds it.
     """
     played = 0
     found: list[ViolatingSeed] = []
@@ -67,12 +77,12 @@
     else:
         for one in found:
             click.echo(f"seed {one.seed}: {line_of(one.violation)}")
-        click.echo(f"{played} seeds of {scenario}, {len(found)} broke a rule")
+        click.echo(f"{played} seeds of {scenario}, {len(found)} violated a rule")
     sys.exit(BROKE if found else 0)
 
 
 def show_replay(played: PlayedSeed, as_json: bool) -> None:
-    """Show one seed's course, line by line, and end the program."""
+    """Print the events of one seed and its rule violations, and exit."""
     if as_json:
         click.echo(
             json.dumps(
@@ -81,6 +91,6 @@
         )
     else:
         click.echo(
-            "\n".join([*played.record, *(f"BROKEN {line_of(one)}" for one in played.violations)])
+            "\n".join([*played.record, *(f"VIOLATED {line_of(one)}" for one in played.violations)])
         )
     sys.exit(BROKE if played.violations else 0)
--- a/dockthread/cli/main.py
+++ b/dockthread/cli/main.py
@@ -40,24 +40,24 @@
 }
 """The subcommands, in the order in which the help lists them."""
 EXIT_ABORTED: Final = 1
-"""Exit code where the user interrupted a command."""
+"""Exit code if the user interrupts a command."""
 EXIT_INVALID_INPUT: Final = 2
-"""Exit code where the arguments or a configuration file are wrong."""
+"""Exit code if the arguments or a configuration file are invalid."""
 
 
 class LazyGroup(click.Group):
     """A group that imports a subcommand only when it is used, so that `serve` starts fast."""
 
-    def list_commands(self, ctx: click.Context) -> list[str]:  # noqa: ARG002  of click's interface
+    def list_commands(self, ctx: click.Context) -> list[str]:  # noqa: ARG002  set by click
         """Return the names of the subcommands."""
         return list(COMMAND_LOCATIONS)
 
     def get_command(
         self,
-        ctx: click.Context,  # noqa: ARG002  of click's interface
+        ctx: click.Context,  # noqa: ARG002  set by click
         cmd_name: str,
     ) -> click.Command | None:
-        """Import and return a subcommand; None where there is none of that name."""
+        """Import and return a subcommand; None if no subcommand has this name."""
         location = COMMAND_LOCATIONS.get(cmd_name)
         if location is None:
             return None
@@ -67,7 +67,7 @@
 
 
 def installed_version() -> str:
-    """Return the version of the installed package, or that none is installed."""
+    """Return the version of the installed package, or the text "not installed"."""
     try:
         return metadata.version("dockthread")
     except metadata.PackageNotFoundError:
@@ -75,7 +75,7 @@
 
 
 def print_version(context: click.Context, _parameter: click.Parameter, is_given: bool) -> None:
-    """Print the version and end the program, where `--version` is given."""
+    """Print the version and exit, if `--version` is given."""
     if is_given:
         click.echo(f"dockthread {installed_version()}")
         context.exit()
@@ -85,7 +85,7 @@
     cls=LazyGroup,
     invoke_without_command=True,
     context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100},
-    epilog="Exit codes: 0 done, 1 cannot listen or a run failed, 2 bad words or a bad file.",
+    epilog="Exit codes: 0 success, 1 cannot listen or a run failed, 2 invalid arguments or file.",
 )
 @config_option
 @click.option(
@@ -94,20 +94,20 @@
     expose_value=False,
     is_eager=True,
     callback=print_version,
-    help="Show the version.",
+    help="Print the version and exit.",
 )
 @click.pass_context
 def cli(ctx: click.Context, file: str | None) -> None:
-    """The ingress of a licence pool, and the tools to run it.
+    """Run the ingress of a licence pool, or one of its tools.
 
-    Without a command it serves. NODE_CONFIG names the platform's JSON, DOCKTHREAD_CONFIG or
-    --config the operator's INI file.
+    Without a command, the ingress runs. NODE_CONFIG names the platform's JSON file;
+    DOCKTHREAD_CONFIG or --config names the operator's INI file.
 
     \b
     First steps:
-      dockthread check my.ini              all that is wrong with a file
-      dockthread config show --config my.ini   what would hold, and where it comes from
-      dockthread metrics receive           a stand-in Graphite and collectd on loopback
+      dockthread check my.ini              list all problems of a file
+      dockthread config show --config my.ini   show the settings in effect and their sources
+      dockthread metrics receive           run a stand-in Graphite and collectd on loopback
       NODE_CONFIG=node.json dockthread serve --config my.ini
     """  # noqa: D301  click needs the backspace character itself
     ctx.obj = file
@@ -120,7 +120,7 @@
 def run(arguments: list[str]) -> int:
     """Run the command line and return its exit code.
 
-    An error that users cause themselves is printed as one line on standard error.
+    A user error, such as an invalid file, is printed as one line on standard error.
     """
     try:
         code = cli.main(args=arguments, prog_name="dockthread", standalone_mode=False)
@@ -136,6 +136,6 @@
         print(f"dockthread: {error}", file=sys.stderr)
         return EXIT_INVALID_INPUT
     except BrokenPipeError:
-        # The reader of the output has ended; without this, Python would fail to flush at its end.
+        # The reader of the output has exited; without this, Python's flush at exit would fail.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return 0
--- a/dockthread/cli/metrics.py
+++ b/dockthread/cli/metrics.py
@@ -1,4 +1,4 @@
-"""`dockthread metrics`: the list of them, and the stand-in that receives them."""
+"""The commands `dockthread metrics`: the list of all metrics, and a stand-in receiver for them."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 @click.group()
 def metrics() -> None:
-    """What an ingress counts, and a receiver to try it with."""
+    """List the metrics of an ingress, or receive them with a stand-in receiver."""
 
 
 @metrics.command("list")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a line.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per line.")
 def list_(as_json: bool) -> None:
-    """Every metric: path behind PREFIX.INGRESS, kind, unit, meaning."""
+    """List all metrics with path, kind, unit and meaning. PREFIX.INGRESS precedes each path."""
     width = max(len(m.path) for m in METRICS)
     for m in METRICS:
         if as_json:
@@ -46,6 +46,8 @@
 
 
 class SpanType(click.ParamType[Span]):
+    """A period of misbehaviour, written as KIND@START+LENGTH."""
+
     name = "span"
 
     def convert(self, value: Any, param: Any, ctx: Any) -> Span:
@@ -56,6 +58,8 @@
 
 
 class DurationType(click.ParamType[Duration]):
+    """A duration with its unit, such as 60s."""
+
     name = "duration"
 
     def convert(self, value: Any, param: Any, ctx: Any) -> Duration:
@@ -67,37 +71,61 @@
 
 @metrics.command()
 @click.option(
-    "--plaintext", default="127.0.0.1:0", show_default=True, help="Graphite's lines; '' for none."
+    "--plaintext",
+    default="127.0.0.1:0",
+    show_default=True,
+    help="Address for Graphite's plaintext protocol; '' for none.",
+)
+@click.option(
+    "--pickle",
+    default="127.0.0.1:0",
+    show_default=True,
+    help="Address for Graphite's pickle protocol; '' for none.",
 )
 @click.option(
-    "--pickle", default="127.0.0.1:0", show_default=True, help="Graphite's pickles; '' for none."
+    "--collectd",
+    default="127.0.0.1:0",
+    show_default=True,
+    help="Address for collectd's packets; '' for none.",
 )
+@click.option("--unix", default="", help="Path of a Unix socket that accepts PUTVAL commands.")
 @click.option(
-    "--collectd", default="127.0.0.1:0", show_default=True, help="Collectd's packets; '' for none."
+    "--security",
+    type=click.Choice(["none", "sign", "encrypt"]),
+    default="none",
+    show_default=True,
+    help="Security that collectd's packets must have.",
 )
-@click.option("--unix", default="", help="Path of a socket that takes PUTVAL.")
+@click.option("--user", default="", help="User name of signed and encrypted packets.")
 @click.option(
-    "--security", type=click.Choice(["none", "sign", "encrypt"]), default="none", show_default=True
+    "--password-file",
+    type=click.Path(exists=True, dir_okay=False),
+    help="File whose first line is the user's password.",
 )
-@click.option("--user", default="", help="For signed and encrypted packets.")
-@click.option("--password-file", type=click.Path(exists=True, dir_okay=False))
 @click.option(
-    "--store", default=":memory:", show_default=True, help="An SQLite file that keeps what comes."
+    "--store",
+    default=":memory:",
+    show_default=True,
+    help="SQLite file for the received points.",
 )
 @click.option(
-    "--for", "span", type=DurationType(), default=None, help="End after so long, such as 60s."
+    "--for",
+    "span",
+    type=DurationType(),
+    default=None,
+    help="Exit after this time, such as 60s.",
 )
 @click.option(
     "--misbehave",
     type=SpanType(),
     multiple=True,
     metavar="KIND@START+LENGTH",
-    help=f"Such as vanish@10s+60s. Kinds: {', '.join(KINDS)}.",
+    help=f"Misbehave for a while, such as vanish@10s+60s. Kinds: {', '.join(KINDS)}.",
 )
 @click.option(
-    "--only", default="", help="Print only totals of series with this text in their name."
+    "--only", default="", help="Print only totals of series whose name contains this text."
 )
-@click.option("--json", "as_json", is_flag=True, help="Totals as one JSON object.")
+@click.option("--json", "as_json", is_flag=True, help="Print the totals as one JSON object.")
 def receive(
     plaintext: str,
     pickle: str,
@@ -112,10 +140,10 @@
     only: str,
     as_json: bool,
 ) -> None:
-    """Play Graphite and collectd, and print the totals of all counts over all lives at the end.
+    """Receive metrics as Graphite and collectd would, and print the total of each counter at the end.
 
-    Prints where it listens, one line a protocol, then waits for SIGINT, SIGTERM or the end of
-    --for.
+    A total covers all restarts of an ingress. The command prints the address of each protocol, one
+    per line, and then runs until SIGINT, SIGTERM or the end of --for.
     """
     passwords = {}
     if password_file:
@@ -137,6 +165,7 @@
 async def _receive(
     stand_in: StandIn, wanted: dict[str, str], spans: tuple[Span, ...], length: Duration | None
 ) -> None:
+    """Receive metrics until a signal or the end of the time, and misbehave in the given periods."""
     end, loop = asyncio.Event(), asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, end.set)
@@ -148,11 +177,12 @@
     with suppress(TimeoutError):
         await asyncio.wait_for(end.wait(), length / 1000.0 if length else None)
     playing.cancel()
-    await asyncio.sleep(0.05)  # for what is in the sockets to be read
+    await asyncio.sleep(0.05)  # Leaves time to read the data that is still in the sockets.
     stand_in.stop()
 
 
 def report(ledger: Ledger, only: str, as_json: bool) -> None:
+    """Print the totals, the faults and the number of points of a ledger."""
     totals = ledger.totals(only)
     if as_json:
         found: dict[str, dict[str, float]] = {}
@@ -162,7 +192,8 @@
         click.echo(json.dumps({"totals": found, "faults": faults, "points": dict(ledger.seen)}))
         return
     for total in totals:
-        click.echo(f"{total.source:<9}  {total.value:>14.10g}  {total.lives} lives  {total.series}")
+        value = f"{total.value:>14.10g}"
+        click.echo(f"{total.source:<9}  {value}  {total.lives} process runs  {total.series}")
     for (source, kind), many in ledger.faults().items():
         click.echo(f"{source:<9}  {many:>14}  faults: {kind}")
-    click.echo(f"{sum(ledger.seen.values())} points in all")
+    click.echo(f"{sum(ledger.seen.values())} points in total")
--- a/dockthread/cli/options.py
+++ b/dockthread/cli/options.py
@@ -1,4 +1,4 @@
-"""Options of the command line that several command groups share, and parsers of their values."""
+"""Command-line options that several command groups share, and parsers for their values."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 Value = TypeVar("Value")
 OptionCallback = Callable[[click.Context, click.Parameter, Any], Any]
-"""What click calls with the text of an option; `Any`, as an option that is not given has None."""
+"""A callback that click calls with an option's text, or with None if the option is not given."""
 
 config_option = click.option(
-    "--config", "file", metavar="FILE", help="The operator's file, before DOCKTHREAD_CONFIG."
+    "--config", "file", metavar="FILE", help="The operator's file; overrides DOCKTHREAD_CONFIG."
 )
 
 
@@ -25,10 +25,10 @@
 
 
 def parse_with(parse: Callable[[str], Value]) -> OptionCallback:
-    """Return a click callback that parses a text, and leaves an option that is not given at None.
+    """Return a click callback that parses an option's text and returns None for an absent option.
 
-    The parser raises ValueError or SettingsError for a text that it rejects; click then ends the
-    command with that error's text.
+    The parser raises ValueError or SettingsError for invalid text; click then ends the command with
+    that error's message.
     """
 
     def parse_option(
@@ -48,10 +48,10 @@
 
     Args:
         text: The address, such as `127.0.0.1:8080`.
-        expected: What the error says that the user should write.
+        expected: The expected format, for the error message.
 
     Raises:
-        ValueError: The text is no address.
+        ValueError: The text is not an address.
     """
     found = host_port(text)
     if found is None:
--- a/dockthread/cli/output.py
+++ b/dockthread/cli/output.py
@@ -1,4 +1,4 @@
-"""How commands print results, as JSON for scripts or as text for people, and end with an error."""
+"""Output of commands: results as JSON for scripts or as text for people, and errors."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 import click
 
 EXIT_FAILED: Final = 1
-"""Exit code where what was asked for was rejected, or cannot be done."""
+"""Exit code if the request was rejected or could not be carried out."""
 JsonObject: TypeAlias = dict[str, object]
-"""What a command prints as one JSON object."""
+"""A JSON object that a command prints."""
 
 
 def print_result(as_json: bool, content: object, lines: Iterable[str]) -> None:
@@ -20,8 +20,8 @@
 
     Args:
         as_json: Whether the user asked for JSON.
-        content: The result as `json.dumps` takes it, printed on one line.
-        lines: The result as text. They are not made where JSON is printed, if they are a generator.
+        content: The result as a value that `json.dumps` accepts; it is printed on one line.
+        lines: The result as text. A generator is not evaluated if JSON is printed.
     """
     if as_json:
         click.echo(json.dumps(content))
@@ -31,6 +31,6 @@
 
 
 def exit_with_error(text: str, exit_code: int = EXIT_FAILED) -> NoReturn:
-    """Print a text on standard error and end the program."""
+    """Print a text on standard error and exit."""
     click.echo(text, err=True)
     sys.exit(exit_code)
--- a/dockthread/cli/work.py
+++ b/dockthread/cli/work.py
@@ -1,6 +1,6 @@
-"""The commands `dockthread work`: requests for maintenance, and the offline plan of a list.
+"""The commands `dockthread work`: maintenance requests, and offline planning of their order.
 
-Exit codes: 0 done; 1 the ingress rejects the request or cannot be reached; 2 wrong arguments.
+Exit codes: 0 success; 1 the ingress rejects the request or cannot be reached; 2 invalid arguments.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 MS_PER_S: Final = 1000.0
 """Milliseconds in a second."""
 
-response_json_option = json_option("As the ingress says it.")
+response_json_option = json_option("Print the ingress's JSON response.")
 
 
 class ListedRequest(TypedDict):
-    """What the text shows of a maintenance request in the JSON of the management endpoint.
+    """The fields of a maintenance request in the management endpoint's JSON that the text shows.
 
     Attributes:
-        target: The backend or ingress to be taken out of service.
+        target: The backend or ingress to take out of service.
         state: State of the request.
-        why: Comment of whoever made the request.
+        why: Comment of the person or tool that made the request.
         reason: Why the request is in this state.
     """
 
@@ -43,7 +43,7 @@
 
 
 def _parse_duration_s(text: str) -> float:
-    """Return a duration in s, 0 for an empty text; raises ValueError."""
+    """Return a duration in s, or 0 for an empty text; raise ValueError if it is invalid."""
     if not text:
         return 0.0
     try:
@@ -59,36 +59,36 @@
 
 
 def _propose(command: str, body: JsonObject, endpoint: Address, as_json: bool) -> None:
-    """Have the ingresses agree on a maintenance command, and print the request's new state."""
+    """Send a maintenance command to the fleet's Raft log, and print the request's new state."""
     response = send_admin_request_or_exit(endpoint, "POST", f"/_work/{command}", body)
     print_result(as_json, response, (_request_line(request) for request in [response]))
 
 
 @click.group()
 def work() -> None:
-    """The order of work: which machine is taken out when, settled among the ingresses."""
+    """Schedule maintenance: the ingresses agree on the order in which machines are taken out."""
 
 
 @work.command()
 @click.argument("target")
-@click.option("--why", "comment", default="", help="For whoever looks.")
+@click.option("--why", "comment", default="", help="Comment that is shown with the request.")
 @click.option(
     "--urgency",
     default=0,
     show_default=True,
     type=click.IntRange(-100, 100),
-    help="Higher goes first.",
+    help="Requests with a higher urgency are granted first.",
 )
 @click.option(
     "--for",
     "duration_s",
     callback=parse_with(_parse_duration_s),
     metavar="TIME",
-    help="How long it is to take, such as 2h.",
+    help="Expected duration of the maintenance, such as 2h.",
 )
 @endpoint_option
 @response_json_option
-def ask(  # noqa: PLR0913  one for each option
+def ask(  # noqa: PLR0913  one parameter for each option
     target: str,
     comment: str,
     urgency: int,
@@ -96,7 +96,7 @@
     endpoint: Address,
     as_json: bool,
 ) -> None:
-    """Ask for the turn of a licence node or of an ingress. Asked twice it is one request."""
+    """Request maintenance of a licence node or an ingress. Asking again adds no second request."""
     body: JsonObject = {
         "target": target,
         "why": comment,
@@ -111,7 +111,7 @@
 @endpoint_option
 @response_json_option
 def done(target: str, endpoint: Address, as_json: bool) -> None:
-    """The work is done: the machine comes back, cold."""
+    """Report that the maintenance is done; the machine returns to service with a slow start."""
     _propose("done", {"target": target}, endpoint, as_json)
 
 
@@ -120,7 +120,7 @@
 @endpoint_option
 @response_json_option
 def withdraw(target: str, endpoint: Address, as_json: bool) -> None:
-    """Take a request back; a machine that is out comes back."""
+    """Withdraw a request; a machine that is out returns to service."""
     _propose("withdraw", {"target": target}, endpoint, as_json)
 
 
@@ -128,7 +128,7 @@
 @endpoint_option
 @response_json_option
 def list_requests(endpoint: Address, as_json: bool) -> None:
-    """What is asked for, granted, and lately over."""
+    """List waiting, granted and recently finished requests."""
     listing = send_admin_request_or_exit(endpoint, "GET", "/_work")
     lines = (_request_line(request) for key in ("work", "over") for request in listing[key])
     print_result(as_json, listing, lines)
@@ -142,12 +142,12 @@
     default=1,
     show_default=True,
     type=click.IntRange(1),
-    help="Of one zone at once.",
+    help="Maximum number of machines of one zone that are out at once.",
 )
 @response_json_option
 def plan(file: Path, max_unavailable: int, as_json: bool) -> None:
-    """Offline: in what order the machines of FILE would go, and why each waits. A line: MACHINE
-    ZONE [URGENCY].
+    """Show offline in which order the machines of FILE would be taken out, and why each one waits.
+    Each line of FILE reads MACHINE ZONE [URGENCY].
     """  # noqa: D205  shown as the help text
     from dockthread.maintenance.plan import plan_rounds, read_plan
 
