--- a/dockthread/cli/lab.py
+++ b/dockthread/cli/lab.py
@@ -28,9 +28,11 @@
 from dockthread.lab.processes import LoadPlan, send_from_processes, send_share
 from dockthread.policy import Effect
 
-BAD_RUN, VOID = 1, 2
-CLASSES = "seat-status:3,seat-checkout:1"
-DEADLINES = "seat-status:4,seat-checkout:12"
+EXIT_NO_RESPONSE = 1
+EXIT_INVALID_RUN = 2
+DEFAULT_CLASSES = "seat-status:3,seat-checkout:1"
+DEFAULT_DEADLINES = "seat-status:4,seat-checkout:12"
+PROGRESS_INTERVAL_S = 0.2
 
 
 @click.group()
@@ -43,7 +45,7 @@
 lab.add_command(scale)
 
 
-def parsed(parse: Any) -> Any:
+def option_callback(parse: Any) -> Any:
     """Return a click callback that parses a text; the parser raises ValueError or SettingsError."""
 
     def callback(ctx: click.Context, param: click.Parameter, value: Any) -> Any:
@@ -55,21 +57,21 @@
     return callback
 
 
-def address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """Return the address that a text names; raise ValueError if it is not one."""
-    found = host_port(text)
-    if found is None:
+    host_and_port = host_port(text)
+    if host_and_port is None:
         raise ValueError(f"{text!r} is no address: write HOST:PORT")
-    return Address(*found)
+    return Address(*host_and_port)
 
 
 @lab.command()
-@click.argument("where", metavar="ADDRESS", callback=parsed(address))
+@click.argument("target", metavar="ADDRESS", callback=option_callback(parse_address))
 @click.option(
     "--rate",
     default="140@10s",
     show_default=True,
-    callback=parsed(parse_rate_shape),
+    callback=option_callback(parse_rate_shape),
     help="Requests per second over time; 100>300@30s,300@1min is a ramp, then a constant rate.",
 )
 @click.option(
@@ -85,9 +87,9 @@
 @click.option(
     "--class",
     "classes",
-    default=CLASSES,
+    default=DEFAULT_CLASSES,
     show_default=True,
-    callback=parsed(parse_weights),
+    callback=option_callback(parse_weights),
     help="Request classes and their weights.",
 )
 @click.option(
@@ -95,7 +97,7 @@
     "plans",
     default="klein:2,mittel:1,gross:1",
     show_default=True,
-    callback=parsed(parse_weights),
+    callback=option_callback(parse_weights),
     help="Plans and their weights.",
 )
 @click.option(
@@ -128,9 +130,9 @@
 )
 @click.option(
     "--deadline",
-    default=DEADLINES,
+    default=DEFAULT_DEADLINES,
     show_default=True,
-    callback=parsed(parse_weights),
+    callback=option_callback(parse_weights),
     help="Deadline of each class, in seconds.",
 )
 @click.option(
@@ -165,7 +167,7 @@
 @click.pass_context
 def load(
     ctx: click.Context,
-    where: Address,
+    target: Address,
     rate: Any,
     trace: Path | None,
     record: Path | None,
@@ -189,81 +191,90 @@
     0 success; 1 no request was answered; 2 the run is void because the load generator fell behind,
     or the arguments are invalid.
     """
-    deadlines, writes = dict(deadline), frozenset(filter(None, write.split(",")))
+    deadlines = dict(deadline)
+    write_classes = frozenset(filter(None, write.split(",")))
     if settings:
-        told, names = read_policy_settings_file(settings)
-        pairs = list(zip(names.classes, told.classes, strict=True))
-        deadlines = {name: one.deadline for name, one in pairs}
-        writes = frozenset(name for name, one in pairs if one.effect is not Effect.SAFE)
+        policy_settings, names = read_policy_settings_file(settings)
+        classes_by_name = list(zip(names.classes, policy_settings.classes, strict=True))
+        deadlines = {name: request_class.deadline for name, request_class in classes_by_name}
+        write_classes = frozenset(
+            name
+            for name, request_class in classes_by_name
+            if request_class.effect is not Effect.SAFE
+        )
     mix = RequestMix(classes, plans, firms, skew, units, gateways)
-    plan = LoadPlan(
-        LoadTarget(where.host, where.port, deadlines, writes, connections), seed, rate, mix, trace
-    )
+    load_target = LoadTarget(target.host, target.port, deadlines, write_classes, connections)
+    plan = LoadPlan(load_target, seed, rate, mix, trace)
     try:
-        named = (
-            {one.request_class for one in read_trace(trace)}
+        sent_classes = (
+            {arrival.request_class for arrival in read_trace(trace)}
             if trace
             else {name for name, _ in classes}
         )
     except ValueError as error:
         raise click.ClickException(str(error)) from error
-    if unknown := sorted(named - deadlines.keys()):
+    if unknown := sorted(sent_classes - deadlines.keys()):
         raise click.UsageError(
             f"no deadline is known for {', '.join(unknown)}: set --deadline or --settings"
         )
     if record:
         click.echo(f"{write_trace(record, plan.arrivals())} arrivals written to {record}", err=True)
-    result = _send(
-        plan, processes, sum(segment.expected_requests for segment in rate) if not trace else None
-    )
+    expected_requests = sum(segment.expected_requests for segment in rate) if not trace else None
+    result = _send(plan, processes, expected_requests)
     if as_json:
         click.echo(json.dumps(result.summary()))
     else:
-        for line in lines(result):
+        for line in summary_lines(result):
             click.echo(line)
     if result.void_reason:
-        ctx.exit(VOID)
+        ctx.exit(EXIT_INVALID_RUN)
     if not any(result.total(outcome) for outcome in ANSWERED):
-        ctx.exit(BAD_RUN)
+        ctx.exit(EXIT_NO_RESPONSE)
 
 
-def _send(plan: LoadPlan, processes: int, expected: float | None) -> LoadResult:
+def _send(plan: LoadPlan, processes: int, expected_requests: float | None) -> LoadResult:
     """Send the load; a single process shows its progress towards the expected request count."""
     if processes > 1:
         return send_from_processes(plan, processes)
     from rich.console import Console
     from rich.progress import Progress
 
-    shown = 0.0
-    with Progress(console=Console(stderr=True), transient=True) as bar:
-        task = bar.add_task("requests", total=expected)
+    updated_at = 0.0
+    with Progress(console=Console(stderr=True), transient=True) as progress:
+        task = progress.add_task("requests", total=expected_requests)
 
-        def progress(asked: int) -> None:
-            nonlocal shown
-            if time.monotonic() - shown > 0.2:
-                shown = time.monotonic()
-                bar.update(task, completed=asked)
+        def show_progress(sent_requests: int) -> None:
+            """Update the progress bar, at most every `PROGRESS_INTERVAL_S`."""
+            nonlocal updated_at
+            if time.monotonic() - updated_at > PROGRESS_INTERVAL_S:
+                updated_at = time.monotonic()
+                progress.update(task, completed=sent_requests)
 
-        return asyncio.run(send_share(plan, 0, 1, progress))
+        return asyncio.run(send_share(plan, 0, 1, show_progress))
 
 
-def lines(result: LoadResult) -> list[str]:
+def summary_lines(result: LoadResult) -> list[str]:
     """Return the summary of a load run as text."""
-    found = result.summary()
+    summary = result.summary()
     counts = ", ".join(
-        f"{found['outcomes'][outcome]} {outcome}"
+        f"{summary['outcomes'][outcome]} {outcome}"
         for outcome in RequestOutcome
-        if found["outcomes"][outcome]
+        if summary["outcomes"][outcome]
     )
-    out = [
-        f"{found['asked']} requests in {found['seconds']:g} s over {found['connections']} connections: {counts}"
+    lines = [
+        f"{summary['asked']} requests in {summary['seconds']:g} s "
+        f"over {summary['connections']} connections: {counts}"
     ]
-    for name, times in found["times_ms"].items():
-        shown = ", ".join(f"{word} {value:g}" for word, value in times.items())
-        out.append(f"{name}: {found['by_class'][name]}; ms from the intended start: {shown}")
-    late = found["start_lateness_ms"]
-    out.append(f"start lateness, ms: p50 {late['p50']:g}, p99 {late['p99']:g}, max {late['max']:g}; "
-               f"{found['tool_cpu_us_per_request']:g} us of load generator CPU per request")  # fmt: skip
-    if found["void"]:
-        out.append(f"void: {found['void']}")
-    return out
+    for class_name, quantiles in summary["times_ms"].items():
+        times = ", ".join(f"{quantile} {value:g}" for quantile, value in quantiles.items())
+        outcomes = summary["by_class"][class_name]
+        lines.append(f"{class_name}: {outcomes}; ms from the intended start: {times}")
+    lateness = summary["start_lateness_ms"]
+    lines.append(
+        f"start lateness, ms: p50 {lateness['p50']:g}, p99 {lateness['p99']:g}, "
+        f"max {lateness['max']:g}; "
+        f"{summary['tool_cpu_us_per_request']:g} us of load generator CPU per request"
+    )
+    if summary["void"]:
+        lines.append(f"void: {summary['void']}")
+    return lines
--- a/dockthread/cli/lab_distribution.py
+++ b/dockthread/cli/lab_distribution.py
@@ -19,7 +19,7 @@
     """Simulate the distribution of configuration under faults."""
 
 
-def plant_of(ctx: click.Context, param: click.Parameter, value: str) -> str:
+def parse_plant_option(ctx: click.Context, param: click.Parameter, value: str) -> str:
     """Return the value of `--plant`; for `list`, print the names of all seeded defects and exit."""
     if value == "list":
         for name in NAMES:
@@ -40,7 +40,7 @@
 plant_option = click.option(
     "--plant",
     default="",
-    callback=plant_of,
+    callback=parse_plant_option,
     metavar="NAME",
     help="Plant this seeded defect in the code under test; `list` prints all names.",
 )
--- a/dockthread/cli/lab_fleet.py
+++ b/dockthread/cli/lab_fleet.py
@@ -15,7 +15,7 @@
 import click
 
 from dockthread.cli.lab_seeds import (
-    BROKE,
+    EXIT_VIOLATION,
     jobs_option,
     json_option,
     seeds_option,
@@ -24,13 +24,13 @@
 )
 from dockthread.lab.maintenance import seeded_defects
 from dockthread.lab.maintenance.scenario import ScenarioError, parse_scenario, shipped_scenarios
-from dockthread.lab.raft.seeded_defects import NAMES as AGREEMENT
+from dockthread.lab.raft.seeded_defects import NAMES as RAFT_DEFECT_NAMES
 from dockthread.lab.raft.seeds import SCENARIOS, play_seed
 from dockthread.lab.seeds import play_seeds
 
-VOID = 2  # Exit code of a run that is void.
-CHUNK = 25  # Number of seeds that a worker process runs before it reports its results.
-NAMES = (*AGREEMENT, *seeded_defects.NAMES)
+EXIT_VOID = 2  # Exit code of a run that is void.
+CHUNK_SIZE = 25  # Number of seeds that a worker process runs before it reports its results.
+DEFECT_NAMES = (*RAFT_DEFECT_NAMES, *seeded_defects.NAMES)
 
 
 @click.group("fleet")
@@ -58,14 +58,14 @@
 )
 
 
-def planted(name: str) -> str:
+def parse_plant_option(name: str) -> str:
     """Return the value of `--plant`; for `list`, print the names of all seeded defects and exit."""
     if name == "list":
-        for one in NAMES:
-            click.echo(f"{one}  a seeded defect")
+        for defect in DEFECT_NAMES:
+            click.echo(f"{defect}  a seeded defect")
         raise SystemExit(0)
-    if name and name not in NAMES:
-        raise click.BadParameter(f"--plant {name!r} is not one of: {', '.join(NAMES)}")
+    if name and name not in DEFECT_NAMES:
+        raise click.BadParameter(f"--plant {name!r} is not one of: {', '.join(DEFECT_NAMES)}")
     return name
 
 
@@ -77,8 +77,10 @@
 @json_option
 def seeds(scenario: str, seeds: range, jobs: int, plant: str, as_json: bool) -> None:
     """Run many seeds, and print each seed that violates a rule. With --plant, stop at the first."""
-    plant = planted(plant)
-    show_seeds(scenario, play_seeds(play_seed, scenario, seeds, jobs, plant, CHUNK), plant, as_json)
+    plant = parse_plant_option(plant)
+    show_seeds(
+        scenario, play_seeds(play_seed, scenario, seeds, jobs, plant, CHUNK_SIZE), plant, as_json
+    )
 
 
 @fleet.command()
@@ -105,10 +107,10 @@
     """
     from dockthread.lab.maintenance.rehearsal import Rehearsal, RehearsalResult, VoidRunError
 
-    known = shipped_scenarios()
+    shipped = shipped_scenarios()
     try:
-        text = known[scenario] if scenario in known else Path(scenario).read_text()
-        played = parse_scenario(text, scenario, ingresses or 0, seed)
+        text = shipped[scenario] if scenario in shipped else Path(scenario).read_text()
+        parsed_scenario = parse_scenario(text, scenario, ingresses or 0, seed)
     except OSError as error:
         raise click.BadParameter(
             f"{scenario}: neither a shipped scenario nor a readable file: {error.strerror}"
@@ -117,28 +119,36 @@
         raise click.BadParameter(str(error)) from error
 
     async def rehearse(folder: str) -> RehearsalResult:
-        return await Rehearsal(Path(folder), played).play()
+        return await Rehearsal(Path(folder), parsed_scenario).play()
 
     try:
         with TemporaryDirectory() as folder:
-            verdict = asyncio.run(rehearse(folder))
+            result = asyncio.run(rehearse(folder))
     except VoidRunError as error:
         click.echo(f"{scenario}: void: {error}", err=True)
-        sys.exit(VOID)
-    broken = [{"rule": b.rule, "at": round(b.at_ms), "detail": b.detail} for b in verdict.broken]
+        sys.exit(EXIT_VOID)
+    violations = [
+        {"rule": violation.rule, "at": round(violation.at_ms), "detail": violation.detail}
+        for violation in result.broken
+    ]
     if as_json:
-        told = {"scenario": scenario, "ingresses": played.ingresses, "seed": seed, "broken": broken}
-        click.echo(
-            json.dumps(
-                {**told, "asked": verdict.sent, "served": verdict.served, "record": verdict.record}
-            )
-        )
+        content = {
+            "scenario": scenario,
+            "ingresses": parsed_scenario.ingresses,
+            "seed": seed,
+            "broken": violations,
+            "asked": result.sent,
+            "served": result.served,
+            "record": result.record,
+        }
+        click.echo(json.dumps(content))
     else:
-        click.echo("\n".join(verdict.record))
+        click.echo("\n".join(result.record))
         click.echo(
-            f"{scenario}: {verdict.served} of {verdict.sent} requests served, {len(broken)} rules violated"
+            f"{scenario}: {result.served} of {result.sent} requests served, "
+            f"{len(violations)} rules violated"
         )
-    sys.exit(BROKE if broken else 0)
+    sys.exit(EXIT_VIOLATION if violations else 0)
 
 
 @fleet.command()
@@ -148,4 +158,4 @@
 @json_option
 def replay(scenario: str, seed: int, plant: str, as_json: bool) -> None:
     """Print the events of one seed line by line. Every replay of a seed is the same."""
-    show_replay(play_seed(scenario, seed, planted(plant)), as_json)
+    show_replay(play_seed(scenario, seed, parse_plant_option(plant)), as_json)
--- a/dockthread/cli/lab_seeds.py
+++ b/dockthread/cli/lab_seeds.py
@@ -11,40 +11,42 @@
 from dockthread.lab.raft.checker import RuleViolation
 from dockthread.lab.seeds import PlayedSeed, SeedChunk, ViolatingSeed
 
-BROKE = 1  # Exit code if a rule was violated, or with --plant if the seeded defect was found.
-LONGEST = 1_000_000  # Maximum number of seeds in one run.
+EXIT_VIOLATION = (
+    1  # Exit code if a rule was violated, or with --plant if the seeded defect was found.
+)
+MAX_SEEDS = 1_000_000  # Maximum number of seeds in one run.
 
 json_option = click.option("--json", "as_json", is_flag=True, help="Print one line of JSON.")
 
 
-def worded(broken: RuleViolation) -> dict[str, str | float]:
+def violation_json(violation: RuleViolation) -> dict[str, str | float]:
     """Return a rule violation as a JSON object."""
-    return {"rule": broken.rule, "at": round(broken.at_ms, 3), "detail": broken.detail}
+    return {"rule": violation.rule, "at": round(violation.at_ms, 3), "detail": violation.detail}
 
 
-def line_of(broken: RuleViolation) -> str:
+def violation_line(violation: RuleViolation) -> str:
     """Return a rule violation as text."""
-    return f"{broken.rule} at {broken.at_ms:.0f} ms: {broken.detail}"
+    return f"{violation.rule} at {violation.at_ms:.0f} ms: {violation.detail}"
 
 
-def seeds_of(ctx: click.Context, param: click.Parameter, value: str) -> range:
+def parse_seeds(ctx: click.Context, param: click.Parameter, value: str) -> range:
     """Return the seeds of the option `--seeds`, written as SEED or FIRST..LAST."""
-    first, dots, last = value.partition("..")
-    if not first.isdigit() or (dots and not last.isdigit()):
+    first, separator, last = value.partition("..")
+    if not first.isdigit() or (separator and not last.isdigit()):
         raise click.BadParameter(f"{value!r}: write SEED or FIRST..LAST")
-    found = range(int(first), int(last or first) + 1)
-    if not 0 < len(found) <= LONGEST:
+    seeds = range(int(first), int(last or first) + 1)
+    if not 0 < len(seeds) <= MAX_SEEDS:
         raise click.BadParameter(
-            f"{value!r}: FIRST must not exceed LAST, and a run has at most {LONGEST} seeds"
+            f"{value!r}: FIRST must not exceed LAST, and a run has at most {MAX_SEEDS} seeds"
         )
-    return found
+    return seeds
 
 
 seeds_option = click.option(
     "--seeds",
     default="0..99",
     show_default=True,
-    callback=seeds_of,
+    callback=parse_seeds,
     metavar="A..B",
     help="Seeds to run.",
 )
@@ -62,35 +64,40 @@
 
     With a seeded defect, stop after the first chunk in which a seed finds it.
     """
-    played = 0
-    found: list[ViolatingSeed] = []
+    seed_count = 0
+    violating_seeds: list[ViolatingSeed] = []
     for chunk in chunks:
-        played += chunk.seed_count
-        found += chunk.violating_seeds
-        if plant and found:
+        seed_count += chunk.seed_count
+        violating_seeds += chunk.violating_seeds
+        if plant and violating_seeds:
             break
     if as_json:
-        broken = [{"seed": one.seed, **worded(one.violation)} for one in found]
-        click.echo(
-            json.dumps({"scenario": scenario, "plant": plant, "played": played, "broken": broken})
-        )
+        violations = [
+            {"seed": violating.seed, **violation_json(violating.violation)}
+            for violating in violating_seeds
+        ]
+        content = {
+            "scenario": scenario,
+            "plant": plant,
+            "played": seed_count,
+            "broken": violations,
+        }
+        click.echo(json.dumps(content))
     else:
-        for one in found:
-            click.echo(f"seed {one.seed}: {line_of(one.violation)}")
-        click.echo(f"{played} seeds of {scenario}, {len(found)} violated a rule")
-    sys.exit(BROKE if found else 0)
+        for violating in violating_seeds:
+            click.echo(f"seed {violating.seed}: {violation_line(violating.violation)}")
+        click.echo(f"{seed_count} seeds of {scenario}, {len(violating_seeds)} violated a rule")
+    sys.exit(EXIT_VIOLATION if violating_seeds else 0)
 
 
 def show_replay(played: PlayedSeed, as_json: bool) -> None:
     """Print the events of one seed and its rule violations, and exit."""
     if as_json:
-        click.echo(
-            json.dumps(
-                {"record": played.record, "broken": [worded(one) for one in played.violations]}
-            )
-        )
+        violations = [violation_json(violation) for violation in played.violations]
+        click.echo(json.dumps({"record": played.record, "broken": violations}))
     else:
-        click.echo(
-            "\n".join([*played.record, *(f"VIOLATED {line_of(one)}" for one in played.violations)])
-        )
-    sys.exit(BROKE if played.violations else 0)
+        violation_lines = [
+            f"VIOLATED {violation_line(violation)}" for violation in played.violations
+        ]
+        click.echo("\n".join([*played.record, *violation_lines]))
+    sys.exit(EXIT_VIOLATION if played.violations else 0)
--- a/dockthread/cli/metrics.py
+++ b/dockthread/cli/metrics.py
@@ -33,16 +33,15 @@
 
 @metrics.command("list")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object per line.")
-def list_(as_json: bool) -> None:
+def list_metrics(as_json: bool) -> None:
     """List all metrics with path, kind, unit and meaning. PREFIX.INGRESS precedes each path."""
-    width = max(len(m.path) for m in METRICS)
-    for m in METRICS:
+    path_width = max(len(metric.path) for metric in METRICS)
+    for metric in METRICS:
+        path, kind, unit, meaning = metric.path, metric.kind, metric.unit, metric.meaning
         if as_json:
-            click.echo(
-                json.dumps({"path": m.path, "kind": m.kind, "unit": m.unit, "meaning": m.meaning})
-            )
+            click.echo(json.dumps({"path": path, "kind": kind, "unit": unit, "meaning": meaning}))
         else:
-            click.echo(f"{m.path:<{width}}  {m.kind:<6}  {m.unit:<11}  {m.meaning}")
+            click.echo(f"{path:<{path_width}}  {kind:<6}  {unit:<11}  {meaning}")
 
 
 class SpanType(click.ParamType[Span]):
@@ -110,7 +109,7 @@
 )
 @click.option(
     "--for",
-    "span",
+    "duration",
     type=DurationType(),
     default=None,
     help="Exit after this time, such as 60s.",
@@ -135,7 +134,7 @@
     user: str,
     password_file: str | None,
     store: str,
-    span: Duration | None,
+    duration: Duration | None,
     misbehave: tuple[Span, ...],
     only: str,
     as_json: bool,
@@ -151,49 +150,53 @@
             passwords[user] = file.read().split(b"\n")[0]
     ledger = Ledger(store)
     stand_in = StandIn(ledger, Opener(security, passwords))
-    wanted = {PLAINTEXT: plaintext, PICKLE: pickle, COLLECTD: collectd, UNIX: unix}
+    options = {PLAINTEXT: plaintext, PICKLE: pickle, COLLECTD: collectd, UNIX: unix}
+    addresses = {protocol: address for protocol, address in options.items() if address}
     try:
-        asyncio.run(
-            _receive(stand_in, {name: at for name, at in wanted.items() if at}, misbehave, span)
-        )
+        asyncio.run(_receive(stand_in, addresses, misbehave, duration))
     except OSError as error:
         raise click.ClickException(f"cannot listen: {error}") from error
-    report(ledger, only, as_json)
+    print_totals(ledger, only, as_json)
     ledger.close()
 
 
 async def _receive(
-    stand_in: StandIn, wanted: dict[str, str], spans: tuple[Span, ...], length: Duration | None
+    stand_in: StandIn,
+    addresses: dict[str, str],
+    misbehaviour: tuple[Span, ...],
+    duration: Duration | None,
 ) -> None:
     """Receive metrics until a signal or the end of the time, and misbehave in the given periods."""
-    end, loop = asyncio.Event(), asyncio.get_running_loop()
-    for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, end.set)
-    await stand_in.start(**wanted)
+    stop_requested = asyncio.Event()
+    loop = asyncio.get_running_loop()
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    await stand_in.start(**addresses)
     for protocol, address in stand_in.addresses.items():
         click.echo(f"{protocol} at {address}")
     sys.stdout.flush()
-    playing = loop.create_task(stand_in.play(spans))
+    misbehaving = loop.create_task(stand_in.play(misbehaviour))
     with suppress(TimeoutError):
-        await asyncio.wait_for(end.wait(), length / 1000.0 if length else None)
-    playing.cancel()
+        await asyncio.wait_for(stop_requested.wait(), duration / 1000.0 if duration else None)
+    misbehaving.cancel()
     await asyncio.sleep(0.05)  # Leaves time to read the data that is still in the sockets.
     stand_in.stop()
 
 
-def report(ledger: Ledger, only: str, as_json: bool) -> None:
+def print_totals(ledger: Ledger, only: str, as_json: bool) -> None:
     """Print the totals, the faults and the number of points of a ledger."""
     totals = ledger.totals(only)
     if as_json:
-        found: dict[str, dict[str, float]] = {}
+        totals_by_source: dict[str, dict[str, float]] = {}
         for total in totals:
-            found.setdefault(total.source, {})[total.series] = total.value
-        faults = {f"{source}: {kind}": many for (source, kind), many in ledger.faults().items()}
-        click.echo(json.dumps({"totals": found, "faults": faults, "points": dict(ledger.seen)}))
+            totals_by_source.setdefault(total.source, {})[total.series] = total.value
+        faults = {f"{source}: {kind}": count for (source, kind), count in ledger.faults().items()}
+        content = {"totals": totals_by_source, "faults": faults, "points": dict(ledger.seen)}
+        click.echo(json.dumps(content))
         return
     for total in totals:
         value = f"{total.value:>14.10g}"
         click.echo(f"{total.source:<9}  {value}  {total.lives} process runs  {total.series}")
-    for (source, kind), many in ledger.faults().items():
-        click.echo(f"{source:<9}  {many:>14}  faults: {kind}")
+    for (source, kind), count in ledger.faults().items():
+        click.echo(f"{source:<9}  {count:>14}  faults: {kind}")
     click.echo(f"{sum(ledger.seen.values())} points in total")
