--- a/tests/benchmarks/test_regress.py
+++ b/tests/benchmarks/test_regress.py
@@ -1,4 +1,4 @@
-"""The regression test's own verdicts, from journal entries made up here; no bench."""
+"""Tests of `benchmarks.regress` on made-up journal entries and a stand-in kit; no bench runs."""
 
 from __future__ import annotations
 
@@ -18,6 +18,7 @@
 
 
 def day(**more: Any) -> dict[str, Any]:
+    """Return a day of a journal entry on which every rule was kept, with changed fields."""
     return {"name": "churn", "rules": KEPT_RULES, "fault": None, **more}
 
 
@@ -63,8 +64,16 @@
     [
         (RunResult(0.94, 3), RecordedScores("", [0.96]), True),
         (RunResult(0.92, 3), RecordedScores("", [0.96]), False),
-        (RunResult(0.92, 3), RecordedScores("", [0.98, 0.94], 0.05), True),  # within its own noise
-        (RunResult(0.94, 3), RecordedScores("", [0.96], 0.01), False),  # beyond it
+        (
+            RunResult(0.92, 3),
+            RecordedScores("", [0.98, 0.94], 0.05),
+            True,
+        ),  # Falls by less than the bench's own noise.
+        (
+            RunResult(0.94, 3),
+            RecordedScores("", [0.96], 0.01),
+            False,
+        ),  # Falls by more than the bench's own noise.
         (RunResult(0.10, 3), RecordedScores(), True),
         (RunResult(0.99, 3, ("drain 1",)), RecordedScores("", [0.96]), False),
     ],
@@ -103,8 +112,11 @@
 
 
 def kit(folder: Path, score: float) -> Path:
-    """A stand-in for the kit: each bench notes how it was called, fails where `fails` or the want
-    of `plays` in its call says so, else writes a journal entry and says which.
+    """Write a stand-in for the kit and return its folder.
+
+    Each bench appends its command line to the file `calls`. It fails if its command line contains
+    the text in the file `fails`, or does not contain the text in the file `plays`. Otherwise it
+    writes a journal entry and prints its snapshot.
     """
     entry = json.dumps({"score": score, "days": [day()]})
     for name in ("fails", "plays", "calls"):
@@ -157,10 +169,12 @@
     (folder / "fails").write_text(last)
     assert regress.main([str(folder), "--full"]) == 2
     (folder / "fails").write_text("")
-    (folder / "plays").write_text(last)  # the others must not be played again
+    (folder / "plays").write_text(last)  # Every other bench would fail if it ran again.
     assert regress.main([str(folder), "--full", "--keep"]) == 0
     assert len(recorded_scores.load(tmp_path / "kept.json")["full"]) == len(regress.RUNS)
-    assert regress.main([str(folder), "--full"]) == 2, "what is judged is played anew"
+    assert regress.main([str(folder), "--full"]) == 2, (
+        "a completed test leaves no results to resume from"
+    )
 
 
 def test_each_run_is_called_at_its_size_and_with_its_site(
@@ -189,7 +203,7 @@
 
 
 def test_a_site_of_this_projects_own_names_nothing_of_the_others() -> None:
-    """Else what is fitted to one deployment would show nowhere."""
+    """No two sites share a class name, so that tuning to one deployment shows at the others."""
     sites = sorted((regress.SCORES_FILE.parent.parent / regress.OWN_SITES).glob("*.toml"))
     named = [[k["name"] for k in tomllib.loads(site.read_text())["class"]] for site in sites]
     assert len(sites) >= 2 and len({name for names in named for name in names}) == sum(
--- a/tests/byte_cases.py
+++ b/tests/byte_cases.py
@@ -1,8 +1,8 @@
-"""One value for each form in which this program writes bytes to disk or to another process.
+"""Values of every type that this program encodes for a file or for another process.
 
-Every struct is built with keyword arguments: with positional ones, two fields that change places
-would keep their bytes here and change their meaning. Names of cases are keys of
-`data/bytes-3e9c598.json` and stay as they are when a type is renamed.
+Every struct is built with keyword arguments. With positional ones, swapping two fields would not
+change the bytes here, although it changes their meaning. The names of cases are keys of
+`data/bytes-3e9c598.json` and stay the same when a type is renamed.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
 from dockthread.raft import storage
 
 KEY: Final = b"a key of the stream"
-PLANS: Final = 3  # plans that the reader of a gossip datagram knows
+PLANS: Final = 3  # Number of plans that the reader of a gossip datagram knows.
 DIGEST: Final = bytes(range(16))
 
 
 @dataclass(frozen=True, slots=True)
 class ByteCodec:
-    """How values of one form become bytes, and values again."""
+    """The encoder and the decoder of one encoding."""
 
     encode: Callable[[Any], bytes]
     decode: Callable[[bytes], Any]
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """A value whose bytes are checked in under `name`."""
+    """A value whose expected bytes are stored under `name`."""
 
     name: str
     value: Any
@@ -54,7 +54,7 @@
 
 
 def _record(kind: Any) -> ByteCodec:
-    """A struct in msgpack with nothing around it."""
+    """Return the codec of a struct that is encoded in msgpack without a frame."""
     return ByteCodec(msgspec.msgpack.encode, lambda data: msgspec.msgpack.decode(data, type=kind))
 
 
@@ -117,7 +117,7 @@
 MAINTENANCE_STATE: Final = ByteCodec(_encode_maintenance_state, _decode_maintenance_state)
 GOSSIP: Final = ByteCodec(_encode_gossip, lambda data: gossip.decode_message(data, PLANS))
 
-# The agreed log: its stream and its records on disk
+# The Raft log: messages between members, and records on disk
 
 ENTRIES: Final = (
     raft_messages.Entry(term=2, kind=raft_messages.EntryKind.COMMAND, data=b"command"),
@@ -277,7 +277,7 @@
     ),
 )
 
-# Maintenance: commands of its log, its state, and what members show their leader
+# Maintenance: commands in the Raft log, the scheduler's state, and the members' observations
 
 ZONE: Final = ZoneStatus(name="z1", ready=5, failing=("b3",), load=2.5, is_overloaded=True)
 TICK: Final = LeaderReport(
@@ -454,7 +454,7 @@
     ),
 )
 
-# The distribution: its stream, its log, its cache
+# Distribution of configuration: messages, proposals and state in the Raft log, and the cache file
 
 ROUTE: Final = messages.Resource(kind="route", name="slow", revision=41, body=b'{"attempts": 2}')
 DELETED: Final = messages.Resource(kind="address", name="counter", revision=42, body=None)
@@ -568,7 +568,7 @@
 SUSPECTS: Final = [
     (gossip.backend_code(1), 0.2),
     (gossip.backend_code(77), 1.0),
-]  # rates that a byte holds exactly
+]  # Failure rates that one byte represents exactly.
 NARROW_REPORT: Final = gossip.CustomerReport(
     customer=2**32 - 1,
     plan=2,
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line as a person and a script use it."""
+"""Tests of the command line as a subprocess: output, exit codes and imported modules."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 
 
 def dockthread(*words: str, **environ: str) -> subprocess.CompletedProcess[str]:
+    """Run a command with additional environment variables."""
     return subprocess.run(
         [sys.executable, "-m", "dockthread", *words],
         cwd=ROOT,
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""The peers of an ingress on loopback ports: backends, discovery, a client, and the ingress itself."""
+"""An ingress and its peers on loopback ports: backends, a discovery and a client."""
 
 from __future__ import annotations
 
@@ -46,8 +46,8 @@
     },
     "Stats": {"Names": ["rif", "rate", "q"], "Source": "inline"},
 }
-KEY = b"00000000b4d65521"  # the customer of a client's requests, as clients write it
-FIRST_ID = 0x9B1F03AA5C7E2D41  # of a client's requests; each next one is one higher
+KEY = b"00000000b4d65521"  # The customer of a client's requests, as clients encode it.
+FIRST_ID = 0x9B1F03AA5C7E2D41  # The id of a client's first request; ids increase by one.
 SCENARIO_TIMEOUT_S = 30
 POLL_INTERVAL_S = 0.005
 READ_BYTES = 65536
@@ -55,7 +55,7 @@
 
 
 def run(scenario: Coroutine[Any, Any, None]) -> None:
-    """Run a test's scenario in an event loop of its own; it fails after `SCENARIO_TIMEOUT_S`."""
+    """Run a test's scenario in a new event loop; fail if it takes over `SCENARIO_TIMEOUT_S`."""
 
     async def bounded() -> None:
         await asyncio.wait_for(scenario, SCENARIO_TIMEOUT_S)
@@ -71,7 +71,7 @@
 
 
 def target(uid: str, port: int, state: str = "active", boot_ms: int = 0) -> dict[str, Any]:
-    """Return one backend as discovery lists it, under its key `targets`."""
+    """Return one backend in the form in which discovery lists it under the key `targets`."""
     return {
         "uid": uid,
         "endpoint": f"127.0.0.1:{port}",
@@ -82,12 +82,12 @@
 
 
 def message(rev: int, *targets: dict[str, Any], full: bool = False) -> dict[str, Any]:
-    """Return an endpoint list, or changes to it, as discovery sends them."""
+    """Return a full endpoint list, or changes to one, in the form in which discovery sends it."""
     return {"rev": rev, "all": full, "targets": list(targets)}
 
 
 def raw_config(known: dict[str, Any], discovery: int, **changes: Any) -> dict[str, Any]:
-    """Return the configuration of an ingress as the platform writes it, with `changes`."""
+    """Return the configuration of an ingress in the platform's JSON form, with `changes`."""
     raw = {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -98,7 +98,7 @@
 
 
 def config(known: dict[str, Any], discovery: int = 9, **changes: Any) -> IngressConfig:
-    """Return the configuration of an ingress, read from a file as at its start."""
+    """Return the configuration of an ingress, read from a file as an ingress does when it starts."""
     with TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(raw_config(known, discovery, **changes)))
@@ -106,7 +106,7 @@
 
 
 def command(*args: bytes) -> bytes:
-    """Return a command as clients write it."""
+    """Return a command as clients encode it."""
     parts = [b"$%d\r\n%b\r\n" % (len(arg), arg) for arg in args]
     return b"*%d\r\n%b" % (len(args), b"".join(parts))
 
@@ -114,25 +114,28 @@
 def request(
     number: int, kind: str = "status", d: int = 4000, body: bytes | None = None, key: bytes = KEY
 ) -> bytes:
-    """Return a request as clients write it; `d` is its deadline in milliseconds."""
+    """Return a request as clients encode it; `d` is its deadline in milliseconds."""
     terms = b"c=%b,t=gross,d=%d,units=2,spread=3,first=1" % (kind.encode(), d)
     verb = b"API.READ" if kind == "status" else b"API.WRITE"
     return command(verb, key, b"%016x" % number, terms, *([body] if body is not None else []))
 
 
 async def serves(args: list[bytes]) -> bytes | None:
-    """Return a backend's reply to a command; None would close the connection."""
+    """Reply to any command as a backend that serves it.
+
+    It is the default of `Backend.answer`, which may also return None to close the connection.
+    """
     return b"*3\r\n$5\r\nvalue\r\n$7\r\nused=37\r\n$24\r\ninflight=7,qps=2,queue=1\r\n"
 
 
 class Backend:
-    """A backend that replies by `answer`, and keeps the commands it has received in `seen`."""
+    """A backend that replies with the result of `answer`, and stores received commands in `seen`."""
 
     def __init__(self, answer: Callable[[list[bytes]], Awaitable[bytes | None]] = serves) -> None:
         self.answer = answer
         self.seen: list[list[bytes]] = []
-        self.opened = 0  # connections, since the start
-        self.closed = 0
+        self.opened = 0  # Number of connections that were opened.
+        self.closed = 0  # Number of connections that were closed.
         self.writers: list[asyncio.StreamWriter] = []
 
     async def start(self) -> int:
@@ -167,9 +170,9 @@
 
 
 class Discovery:
-    """Discovery that keeps each watch open, and sends what a test pushes.
+    """A discovery that keeps each watch open and sends the events that a test pushes.
 
-    The first `refuses` calls are closed without a response.
+    It closes the first `refuses` calls without a response.
     """
 
     def __init__(self, refuses: int = 0) -> None:
@@ -216,7 +219,7 @@
         self.writer.write(command(*args))
 
     async def answer(self) -> Any:
-        """Return the next response: a value, the text of an error, or None at the stream's end."""
+        """Return the next response: a value, an error's text, or None if the connection closed."""
         while (response := self.parser.gets()) is False:
             data = await self.reader.read(READ_BYTES)
             if not data:
@@ -247,7 +250,7 @@
 ) -> AsyncIterator[tuple[Ingress, Client, Discovery]]:
     """Run an ingress with these backends; yield it, a client connected to it, and its discovery.
 
-    Without `wait` the ingress listens, but may have no endpoint list yet.
+    With `wait=False` the ingress listens, but may not have an endpoint list yet.
     """
     discovery = Discovery(refuses)
     targets = [target(f"s-{n}", await backend.start()) for n, backend in enumerate(backends)]
--- a/tests/test_byte_compatibility.py
+++ b/tests/test_byte_compatibility.py
@@ -1,8 +1,8 @@
-"""Bytes on disk and between processes stay those of commit 3e9c598, whatever the types are called.
+"""Files and messages keep the encoding of commit 3e9c598, whatever the types are called.
 
-`data/bytes-3e9c598.json` holds hexadecimal by name, written by that commit. Releases run beside
-each other while a fleet is upgraded, and a start reads what the release before wrote, so an entry
-may be added there and none changed.
+`data/bytes-3e9c598.json` holds the bytes that this commit wrote, in hexadecimal by name. During an
+upgrade of a fleet, several releases run at the same time, and a new release reads the files of the
+previous one. So entries may be added there, but none may be changed.
 """
 
 from __future__ import annotations
@@ -79,17 +79,19 @@
     assert decoded == case.value
 
 
-# Files and machines whose bytes take more than one value
+# Files and state machines whose bytes depend on several values
 
 
 def raft_files(folder: Path) -> dict[str, bytes]:
-    """What a member's directory holds, by file; the lock is empty."""
+    """Return the content of each file in a member's directory, except the empty lock file."""
     return {path.name: path.read_bytes() for path in folder.iterdir() if path.name != "lock"}
 
 
 def written_raft_files(folder: Path) -> Iterator[tuple[str, dict[str, bytes], PersistentState]]:
-    """A directory after it is made, after term, vote and entries, and after a snapshot; and what is
-    stored then.
+    """Yield a member's files and the state that they store, at three points in time.
+
+    The points are after the directory is created, after term, vote and entries are stored, and
+    after a snapshot.
     """
     store = RaftStorage(folder, "n1", create=True)
     entries = byte_cases.ENTRIES
@@ -145,7 +147,8 @@
 
 
 def snapshot_in_parts() -> list[bytes]:
-    state = bytes(range(256)) * 2_100  # two full parts and one of 13,312 bytes
+    """Return the frames of a snapshot that needs several chunks."""
+    state = bytes(range(256)) * 2_100  # Two full chunks and one of 13,312 bytes.
     return list(
         raft_messages.split_snapshot(
             msgspec.structs.replace(byte_cases.SNAPSHOT, snapshot=state), byte_cases.KEY
@@ -155,9 +158,8 @@
 
 def test_a_snapshot_is_cut_at_the_same_places() -> None:
     frames = snapshot_in_parts()
-    assert (
-        blake2b(b"".join(frames)).digest() == WRITTEN["raft.stream.parts.blake2b"]
-    )  # 540 KB themselves
+    # The frames are 540 KB long, so only their hash is stored.
+    assert blake2b(b"".join(frames)).digest() == WRITTEN["raft.stream.parts.blake2b"]
     assembly = raft_messages.SnapshotAssembler()
     for frame in frames:
         part = raft_messages.unpack(
@@ -170,8 +172,11 @@
 
 
 def maintenance_commands() -> list[MaintenanceCommand]:
-    """A request that is granted, called back, granted, lapses, is carried out and warms up; one
-    that is withdrawn; and an ingress that restarts.
+    """Return the commands of three maintenance requests with different histories.
+
+    The request for `b1` is granted and revoked, its second grant times out, and it is then carried
+    out and warms up. The request for `b3` is withdrawn. The third request is for an ingress, which
+    restarts.
     """
     zone, sick = (
         ZoneStatus(name="z1", ready=4, load=1.0),
@@ -247,7 +252,7 @@
 
 
 def maintenance_history() -> list[bytes]:
-    """The states after each command of `maintenance_commands`, each with its length before it."""
+    """Return the state after each of `maintenance_commands`, each preceded by its length."""
     scheduler, states = MaintenanceScheduler(), list[bytes]()
     for index, command in enumerate(maintenance_commands(), 1):
         scheduler.apply(index, msgspec.msgpack.encode(command))
@@ -257,14 +262,15 @@
 
 
 def test_the_same_maintenance_commands_lead_to_the_same_states() -> None:
-    """Members of two releases apply one log, texts of reasons included: a member may restore what
-    another packed.
+    """Members of two releases apply the same log, so all bytes of their states must be equal.
+
+    This includes the texts of reasons. A member may restore a snapshot that another one wrote.
     """
     assert b"".join(maintenance_history()) == WRITTEN["maintenance.history"]
 
 
 def maintenance_listing() -> bytes:
-    """The management endpoint's JSON of what is asked for; its keys are names of fields."""
+    """Return the management endpoint's JSON of all requests, whose keys are names of fields."""
     scheduler = MaintenanceScheduler()
     scheduler.restore(WRITTEN["maintenance.state"])
     listed = listing(scheduler)
@@ -276,8 +282,9 @@
 
 
 def published() -> tuple[list[bytes], PublishStateMachine]:
-    """Entries of the distribution's log, and the machine after them: changes accepted, refused and
-    repeated.
+    """Return log entries of the distribution, and the state machine after it has applied them.
+
+    They are changes that are accepted, rejected and repeated.
     """
     machine = PublishStateMachine(VALIDATORS, random.Random(7), max_tombstones=1)
     changes = [
@@ -317,12 +324,12 @@
 
 
 def held(table: ResourceTable) -> tuple[object, ...]:
-    """All that a table is compared by."""
+    """Return all properties by which two tables are compared."""
     return table.epoch, table.revision, table.horizon, table.digest, list(table.entries())
 
 
 def resource_table() -> ResourceTable:
-    """Three live resources and a tombstone."""
+    """Return a table with three live resources and a tombstone."""
     table = ResourceTable("e1")
     for number in range(3):
         table.put(
@@ -337,7 +344,7 @@
 
 
 def table_frames(part: int) -> list[bytes]:
-    """Frames of a snapshot in parts of so many bytes, and of what lacks behind revision 12."""
+    """Return the frames of a snapshot in chunks of `part` bytes, and the delta since revision 12."""
     frames = EncodedFrameCache(resource_table(), part, byte_cases.KEY)
     snapshot, found = frames.snapshot(), list[bytes]()
     while (frame := snapshot.frame(len(found))) is not None:
@@ -358,8 +365,9 @@
 
 
 async def write_cache(directory: Path) -> Path:
-    """A file written anew, and a change appended to it; its name has characters that a file's may
-    not.
+    """Write a cache file, append a change to it, and return its path.
+
+    The name of the ingress has characters that a file name must not have.
     """
     table = resource_table()
     kept = (messages.Resource(kind="route", name="r0", revision=10, body=b"{}"),)
@@ -407,7 +415,10 @@
 
 
 def written_held_file(folder: Path) -> bytes:
-    """The file of a process at which two backends are detached; `$TMPDIR` is `folder`."""
+    """Return the file that an ingress writes when two backends are detached.
+
+    `$TMPDIR` must be `folder`.
+    """
     known = message(1, target("s-0", 9), target("s-1", 10), full=True)
 
     async def detach() -> bytes:
@@ -419,7 +430,7 @@
     return asyncio.run(detach())
 
 
-# Bodies of resources: written by publishers, so only read here
+# Bodies of resources, which publishers write and this program only reads
 
 ROUTE_BODY: Final = {
     "class": ["cheap", "heavy"], "plan": "basic", "verb": "read", "firm": "1f, 2a", "units": "1..3", "retry": True,
@@ -451,7 +462,7 @@
 
 
 def structs_within(value: object) -> Iterator[msgspec.Struct]:
-    """A value's structs, itself included."""
+    """Yield all structs within a value, including the value itself."""
     if isinstance(value, msgspec.Struct):
         yield value
         value = msgspec.structs.astuple(value)
@@ -461,8 +472,9 @@
 
 
 def encoded_structs() -> list[type[msgspec.Struct]]:
-    """Every struct of the program but for sections of the operator's file, which are read and never
-    written.
+    """Return every struct of the program that is encoded.
+
+    Sections of the operator's file are excluded, because the program only reads them.
     """
     for module in pkgutil.walk_packages(dockthread.__path__, "dockthread."):
         if not module.name.startswith("dockthread.lab") and not module.name.endswith("__main__"):
@@ -484,7 +496,7 @@
 
 
 def is_default(field: msgspec.structs.FieldInfo, value: object) -> bool:
-    """Whether a field has its default; of one without a default, whether it is empty."""
+    """Return whether a field has its default, or is empty if it has no default."""
     return not value if field.required else bool(value == field.default)
 
 
@@ -497,8 +509,10 @@
     "kind", ENCODED_STRUCTS, ids=lambda kind: f"{kind.__module__}.{kind.__name__}"
 )
 def test_every_struct_has_telling_cases(kind: type[msgspec.Struct]) -> None:
-    """One instance has no default or empty field, one has all defaults, and no two fields can be
-    swapped unseen.
+    """The cases of each struct detect a lost default and two fields that change places.
+
+    One instance has neither default nor empty fields, one has all defaults, and any two fields
+    differ in some instance.
     """
     instances = [instance for instance in INSTANCES if type(instance) is kind]
     fields = msgspec.structs.fields(kind)
@@ -509,17 +523,19 @@
     for first, second in combinations(fields, 2):
         assert any(
             repr(getattr(one, first.name)) != repr(getattr(one, second.name)) for one in instances
-        ), f"{first.name} and {second.name} are alike in all cases"
+        ), f"{first.name} and {second.name} are equal in all cases"
 
 
 @pytest.mark.parametrize(
     "kind", ENCODED_STRUCTS, ids=lambda kind: f"{kind.__module__}.{kind.__name__}"
 )
 def test_no_struct_shows_its_names(kind: type[msgspec.Struct]) -> None:
-    """Each struct is an array, in which a place stands for a field's name, and each tag is
-    explicit: so classes and fields may be renamed as they are. A struct with `tag=True` needs
-    `tag="CurrentName"` before its class is renamed; one that is encoded as a map needs `rename=` or
-    `field(name=...)` before its fields are. There is neither.
+    """Classes and fields may be renamed, because their names are not encoded.
+
+    Each struct is encoded as an array, in which a field is identified by its position, and has an
+    explicit tag or none. A struct with `tag=True` would need `tag="CurrentName"` before its class is
+    renamed, and a struct that is encoded as a map would need `rename=` or `field(name=...)` before
+    its fields are renamed.
     """
     assert kind.__struct_config__.array_like
     assert kind.__struct_config__.tag not in (kind.__name__, kind.__qualname__)
--- a/tests/test_external_names.py
+++ b/tests/test_external_names.py
@@ -1,8 +1,8 @@
-"""Names that leave the process stay letter for letter, whatever the code calls them.
+"""Names that other processes, files or operators see do not change when the code is renamed.
 
-`data/external_names.txt` lists them, one a line. Each line has to be a string, a tag, a field, a
-class or a command of the program, a key of the deploy file or a shipped scenario, and the list has
-to hold every key of the INI file, every command and option, and every metric of the catalogue.
+`data/external_names.txt` lists these names, one per line. Each one must be a string, tag, field,
+class or command of the program, a key of the deploy file, or a shipped scenario. The list must
+contain every key of the INI file, every command and option, and every metric of the catalogue.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 def command_names(command: click.Command) -> Iterator[str]:
-    """Yield the options of a command, and the names and options of the commands below it."""
+    """Yield the options of a command, and the names and options of all its subcommands."""
     for parameter in command.params:
         for option in (*parameter.opts, *parameter.secondary_opts):
             if option.startswith("-"):
@@ -46,6 +46,7 @@
 
 
 def docstrings(tree: ast.Module) -> set[ast.AST]:
+    """Return the nodes of all docstrings of a module."""
     return {
         node.body[0].value
         for node in ast.walk(tree)
@@ -57,7 +58,7 @@
 
 
 def names_in_source(text: str) -> Iterator[str]:
-    """Yield the strings that are no docstrings, their words, and names of fields and classes."""
+    """Yield all strings except docstrings, the words in them, and names of fields and classes."""
     tree = ast.parse(text)
     passed_over = docstrings(tree)
     for node in ast.walk(tree):
--- a/tests/test_import_direction.py
+++ b/tests/test_import_direction.py
@@ -1,6 +1,7 @@
-"""Packages import in one direction only, and no modules import each other in a circle.
+"""Packages import only packages of lower layers, and no modules import each other in a cycle.
 
-Imports inside functions and for type checking count as well: they say what a reader has to know.
+Imports inside functions and for type checking count as well, since they are dependencies that a
+reader has to know.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 import pytest
 
 ROOT = Path(__file__).parents[1]
-# From the lowest layer up. A package imports packages of lower layers only.
+# Packages by layer, the lowest first. A package may import only packages of lower layers.
 LAYERS: tuple[frozenset[str], ...] = tuple(
     frozenset(names.split())
     for names in (
@@ -35,6 +36,7 @@
 
 
 def module_name(path: Path) -> str:
+    """Return the full name of the module in a file."""
     parts = path.relative_to(ROOT).with_suffix("").parts
     return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
 
@@ -43,6 +45,7 @@
 
 
 def imported_modules(path: Path) -> Iterator[str]:
+    """Yield the modules of this program that a file imports."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names if alias.name in MODULES)
@@ -53,15 +56,17 @@
 
 
 def package(module: str) -> str:
+    """Return the package or top-level module that contains a module; empty for the root."""
     return module.split(".")[1] if "." in module else ""
 
 
 def layer(module: str) -> int:
+    """Return the number of the layer of a module; 0 is the lowest."""
     return next(number for number, names in enumerate(LAYERS) if package(module) in names)
 
 
 def cycle_through(start: str, imports: dict[str, set[str]]) -> list[str]:
-    """Return the modules of one circle of imports that begins at `start`; empty if there is none."""
+    """Return the modules of an import cycle that begins at `start`; empty if there is none."""
     paths = [[start]]
     seen: set[str] = set()
     while paths:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests that are known to fail are passed over, and nothing else is (tests/conftest.py)."""
+"""Only the tests that KNOWN-RED.txt lists may fail (tests/conftest.py)."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
         (
             f"{RED} | a cause | 7\ntests/test_it.py::test_gone | a cause | 7\n",
             4,
-            "test_gone is no test here",
+            "test_gone does not exist",
         ),
         (
             f"{RED} | a cause | 7\ntests/test_gone.py::test_red | a cause | 7\n",
             4,
-            "test_gone.py::test_red is no",
+            "test_gone.py::test_red does not exist",
         ),
-        (f"{RED} | a cause | 7\n" * 4, 4, "4 lines, where 1 to 3 may stand"),
-        (f"{RED} | a cause\n", 4, "line 1: want TEST | CAUSE | ISSUE"),
-        ("", 4, "0 lines, where 1 to 3 may stand"),
+        (f"{RED} | a cause | 7\n" * 4, 4, "4 lines instead of 1 to 3"),
+        (f"{RED} | a cause\n", 4, "line 1: expected TEST | CAUSE | ISSUE"),
+        ("", 4, "0 lines instead of 1 to 3"),
     ],
 )
 def test_only_what_is_named_as_red_is_passed_over(
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""The example in the README runs and prints the documented output."""
 
 from __future__ import annotations
 
