--- a/tests/benchmarks/test_regress.py
+++ b/tests/benchmarks/test_regress.py
@@ -17,13 +17,13 @@
 KEPT_RULES = {"drain": 0, "dup": 0}
 
 
-def day(**more: Any) -> dict[str, Any]:
+def day(**changed_fields: Any) -> dict[str, Any]:
     """Return a day of a journal entry on which every rule was kept, with changed fields."""
-    return {"name": "churn", "rules": KEPT_RULES, "fault": None, **more}
+    return {"name": "churn", "rules": KEPT_RULES, "fault": None, **changed_fields}
 
 
 @pytest.mark.parametrize(
-    ("entry", "found"),
+    ("entry", "expected"),
     [
         ({"score": 0.96, "days": [day()]}, RunResult(0.96, 1)),
         (
@@ -50,17 +50,19 @@
         ),
     ],
 )
-def test_an_entry_is_read(entry: dict[str, Any], found: RunResult) -> None:
-    assert regress.parse_entry(entry) == found
+def test_a_journal_entry_is_parsed_to_its_result(
+    entry: dict[str, Any], expected: RunResult
+) -> None:
+    assert regress.parse_entry(entry) == expected
 
 
-def test_an_entry_without_a_figure_is_no_result() -> None:
+def test_a_journal_entry_without_a_score_is_rejected() -> None:
     with pytest.raises(ValueError, match="c0ffee"):
         regress.parse_entry({"id": "c0ffee", "score": None, "figures": {}, "error": "killed"})
 
 
 @pytest.mark.parametrize(
-    ("found", "kept", "good"),
+    ("result", "recorded", "is_expected_to_hold"),
     [
         (RunResult(0.94, 3), RecordedScores("", [0.96]), True),
         (RunResult(0.92, 3), RecordedScores("", [0.96]), False),
@@ -78,23 +80,23 @@
         (RunResult(0.99, 3, ("drain 1",)), RecordedScores("", [0.96]), False),
     ],
 )
-def test_a_fall_beyond_the_noise_or_a_broken_rule_fails(
-    found: RunResult, kept: RecordedScores, good: bool
+def test_a_run_fails_if_its_score_falls_beyond_the_noise_or_a_rule_is_violated(
+    result: RunResult, recorded: RecordedScores, is_expected_to_hold: bool
 ) -> None:
-    assert regress.holds(found, kept) is good
-    assert ("holds" in regress.format_table([("run", kept, found)])) is good
+    assert regress.holds(result, recorded) is is_expected_to_hold
+    assert ("holds" in regress.format_table([("run", recorded, result)])) is is_expected_to_hold
 
 
-def test_the_noise_is_the_spread_of_one_trees_runs_and_outlives_it() -> None:
-    kept = RecordedScores()
+def test_the_noise_is_the_spread_of_one_trees_scores_and_is_kept_for_the_next_tree() -> None:
+    recorded = RecordedScores()
     for score in (0.90, 0.94):
-        kept.add("a", score)
-    assert kept.noise is None
-    kept.add("a", 0.91)
-    assert kept.noise == pytest.approx(0.04)
-    kept.add("b", 0.5)
-    assert kept.scores == [0.5]
-    assert kept.noise == pytest.approx(0.04)
+        recorded.add("a", score)
+    assert recorded.noise is None
+    recorded.add("a", 0.91)
+    assert recorded.noise == pytest.approx(0.04)
+    recorded.add("b", 0.5)
+    assert recorded.scores == [0.5]
+    assert recorded.noise == pytest.approx(0.04)
 
 
 @pytest.mark.parametrize(
@@ -107,11 +109,11 @@
         ("dockthread/policy/admission.py", {"module", "sockets", "days", "fleet"}),
     ],
 )
-def test_a_change_makes_due_what_plays_it(path: str, groups: set[str]) -> None:
+def test_a_changed_file_requires_the_benches_that_run_it(path: str, groups: set[str]) -> None:
     assert recorded_scores.groups_to_run([path]) == groups
 
 
-def kit(folder: Path, score: float) -> Path:
+def write_kit(folder: Path, score: float) -> Path:
     """Write a stand-in for the kit and return its folder.
 
     Each bench appends its command line to the file `calls`. It fails if its command line contains
@@ -136,19 +138,19 @@
     return folder
 
 
-def test_runs_are_played_judged_and_kept(
+def test_scores_are_recorded_only_if_all_runs_hold(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (tmp_path / "journal").mkdir()
     monkeypatch.setattr(regress, "ROOT", tmp_path)
     monkeypatch.setattr(regress, "SCORES_FILE", tmp_path / "kept.json")
-    assert regress.main([str(kit(tmp_path / "kit", 0.9)), "--keep"]) == 0
-    kept = recorded_scores.load(tmp_path / "kept.json")
-    assert {name: k.scores for name, k in kept["quick"].items()} == {
+    assert regress.main([str(write_kit(tmp_path / "kit", 0.9)), "--keep"]) == 0
+    recorded = recorded_scores.load(tmp_path / "kept.json")
+    assert {name: run_scores.scores for name, run_scores in recorded["quick"].items()} == {
         run.name: [0.9] for run in regress.RUNS
     }
-    assert not kept["full"]
-    assert regress.main([str(kit(tmp_path / "kit", 0.8)), "--keep", "--only", "module"]) == 1
+    assert not recorded["full"]
+    assert regress.main([str(write_kit(tmp_path / "kit", 0.8)), "--keep", "--only", "module"]) == 1
     assert "0.8" not in (tmp_path / "kept.json").read_text()
     assert regress.main([str(tmp_path / "nowhere")]) == 2
     assert regress.main([str(tmp_path / "kit"), "--only", "no such run"]) == 2
@@ -158,18 +160,19 @@
     assert "kept.json" in capsys.readouterr().err
 
 
-def test_a_run_cut_off_goes_on_with_what_is_missing(
+def test_an_interrupted_test_resumes_with_the_missing_runs(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     (tmp_path / "journal").mkdir()
     monkeypatch.setattr(regress, "ROOT", tmp_path)
     monkeypatch.setattr(regress, "SCORES_FILE", tmp_path / "kept.json")
-    folder, last = kit(tmp_path / "kit", 0.9), " ".join(regress.RUNS[-1].panel)
-    last = f"{regress.RUNS[-1].site} {last}"
-    (folder / "fails").write_text(last)
+    folder = write_kit(tmp_path / "kit", 0.9)
+    last_run = regress.RUNS[-1]
+    last_arguments = f"{last_run.site} {' '.join(last_run.panel)}"
+    (folder / "fails").write_text(last_arguments)
     assert regress.main([str(folder), "--full"]) == 2
     (folder / "fails").write_text("")
-    (folder / "plays").write_text(last)  # Every other bench would fail if it ran again.
+    (folder / "plays").write_text(last_arguments)  # Every other bench would fail if it ran again.
     assert regress.main([str(folder), "--full", "--keep"]) == 0
     assert len(recorded_scores.load(tmp_path / "kept.json")["full"]) == len(regress.RUNS)
     assert regress.main([str(folder), "--full"]) == 2, (
@@ -177,13 +180,13 @@
     )
 
 
-def test_each_run_is_called_at_its_size_and_with_its_site(
+def test_each_run_is_called_with_its_size_and_site(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     (tmp_path / "journal").mkdir()
     monkeypatch.setattr(regress, "ROOT", tmp_path)
     monkeypatch.setattr(regress, "SCORES_FILE", tmp_path / "kept.json")
-    folder = kit(tmp_path / "kit", 0.9)
+    folder = write_kit(tmp_path / "kit", 0.9)
     assert regress.main([str(folder)]) == 0
     calls = (folder / "calls").read_text().splitlines()
     own = f"score {tmp_path}/deploy/sites/reede-lotsen.toml"
@@ -202,10 +205,13 @@
     assert "--quick" not in (folder / "calls").read_text()
 
 
-def test_a_site_of_this_projects_own_names_nothing_of_the_others() -> None:
+def test_the_projects_own_sites_share_no_class_names() -> None:
     """No two sites share a class name, so that tuning to one deployment shows at the others."""
     sites = sorted((regress.SCORES_FILE.parent.parent / regress.OWN_SITES).glob("*.toml"))
-    named = [[k["name"] for k in tomllib.loads(site.read_text())["class"]] for site in sites]
-    assert len(sites) >= 2 and len({name for names in named for name in names}) == sum(
-        map(len, named)
+    class_names = [
+        [request_class["name"] for request_class in tomllib.loads(site.read_text())["class"]]
+        for site in sites
+    ]
+    assert len(sites) >= 2 and len({name for names in class_names for name in names}) == sum(
+        map(len, class_names)
     )
--- a/tests/byte_cases.py
+++ b/tests/byte_cases.py
@@ -32,7 +32,7 @@
 from dockthread.raft import storage
 
 KEY: Final = b"a key of the stream"
-PLANS: Final = 3  # Number of plans that the reader of a gossip datagram knows.
+PLAN_COUNT: Final = 3  # Number of plans that the reader of a gossip datagram knows.
 DIGEST: Final = bytes(range(16))
 
 
@@ -53,25 +53,25 @@
     codec: ByteCodec
 
 
-def _record(kind: Any) -> ByteCodec:
+def _msgpack_codec(kind: Any) -> ByteCodec:
     """Return the codec of a struct that is encoded in msgpack without a frame."""
     return ByteCodec(msgspec.msgpack.encode, lambda data: msgspec.msgpack.decode(data, type=kind))
 
 
-def _raft_stream(key: bytes) -> ByteCodec:
+def _raft_stream_codec(key: bytes) -> ByteCodec:
     def decode(data: bytes) -> raft_messages.Frame:
-        head, body = data[: FRAME_HEADER.size], data[FRAME_HEADER.size :]
-        assert raft_messages.length(head) == len(body)
-        return raft_messages.unpack(head, body, key)
+        header, body = data[: FRAME_HEADER.size], data[FRAME_HEADER.size :]
+        assert raft_messages.length(header) == len(body)
+        return raft_messages.unpack(header, body, key)
 
     return ByteCodec(lambda message: raft_messages.pack(message, key), decode)
 
 
-def _distribution_stream(key: bytes) -> ByteCodec:
+def _distribution_stream_codec(key: bytes) -> ByteCodec:
     def decode(data: bytes) -> messages.Message:
-        head, body = data[: FRAME_HEADER.size], data[FRAME_HEADER.size :]
-        assert messages.codec.length(head) == len(body)
-        return messages.codec.unpack(head, body, key)
+        header, body = data[: FRAME_HEADER.size], data[FRAME_HEADER.size :]
+        assert messages.codec.length(header) == len(body)
+        return messages.codec.unpack(header, body, key)
 
     return ByteCodec(lambda message: messages.codec.pack(message, key), decode)
 
@@ -110,12 +110,12 @@
     return gossip.encode_message(message.incarnation, message.suspects, message.reports)
 
 
-RAFT_STREAM: Final = _raft_stream(KEY)
-DISTRIBUTION_STREAM: Final = _distribution_stream(KEY)
-CACHE_RECORD: Final = _record(cache_file.CacheRecord)
+RAFT_STREAM: Final = _raft_stream_codec(KEY)
+DISTRIBUTION_STREAM: Final = _distribution_stream_codec(KEY)
+CACHE_RECORD: Final = _msgpack_codec(cache_file.CacheRecord)
 MAINTENANCE_COMMAND: Final = ByteCodec(msgspec.msgpack.encode, decode_command)
 MAINTENANCE_STATE: Final = ByteCodec(_encode_maintenance_state, _decode_maintenance_state)
-GOSSIP: Final = ByteCodec(_encode_gossip, lambda data: gossip.decode_message(data, PLANS))
+GOSSIP: Final = ByteCodec(_encode_gossip, lambda data: gossip.decode_message(data, PLAN_COUNT))
 
 # The Raft log: messages between members, and records on disk
 
@@ -229,10 +229,12 @@
 
 RAFT_DISK_CASES: Final = (
     Case(
-        "raft.stream.without-key", raft_messages.TimeoutNow(term=5, sender="n0"), _raft_stream(b"")
+        "raft.stream.without-key",
+        raft_messages.TimeoutNow(term=5, sender="n0"),
+        _raft_stream_codec(b""),
     ),
     *(
-        Case(f"raft.entry.{number}", entry, _record(raft_messages.Entry))
+        Case(f"raft.entry.{number}", entry, _msgpack_codec(raft_messages.Entry))
         for number, entry in enumerate(ENTRIES)
     ),
     Case(
@@ -247,7 +249,7 @@
             voters=("n0", "n1"),
             snapshot=b"state",
         ),
-        _record(storage.SnapshotRecord),
+        _msgpack_codec(storage.SnapshotRecord),
     ),
     Case(
         "raft.disk.state.new",
@@ -261,26 +263,26 @@
             voters=(),
             snapshot=b"",
         ),
-        _record(storage.SnapshotRecord),
+        _msgpack_codec(storage.SnapshotRecord),
     ),
     Case(
         "raft.disk.record",
         storage.LogRecord(
             number=7, term=5, voted_for="n0", first_index=301, entries=ENTRIES, commit_index=300
         ),
-        _record(storage.LogRecord),
+        _msgpack_codec(storage.LogRecord),
     ),
     Case(
         "raft.disk.record.defaults",
         storage.LogRecord(number=7, term=5, voted_for="n0", first_index=301, entries=()),
-        _record(storage.LogRecord),
+        _msgpack_codec(storage.LogRecord),
     ),
 )
 
 # Maintenance: commands in the Raft log, the scheduler's state, and the members' observations
 
 ZONE: Final = ZoneStatus(name="z1", ready=5, failing=("b3",), load=2.5, is_overloaded=True)
-TICK: Final = LeaderReport(
+LEADER_REPORT: Final = LeaderReport(
     number=9,
     elapsed_ms=500.5,
     members=("n0", "n1", "n2"),
@@ -313,7 +315,7 @@
     incarnation="0123456789abcdef",
     is_evaluated=True,
 )
-STATES_UNDER_WAY: Final = (
+ACTIVE_STATES: Final = (
     "waiting",
     "granted",
     "draining",
@@ -322,7 +324,7 @@
     "returning",
     "warming",
 )
-STATES_OVER: Final = ("done", "withdrawn", "abandoned")
+FINAL_STATES: Final = ("done", "withdrawn", "abandoned")
 
 
 def _requests(states: tuple[str, ...]) -> list[MaintenanceRequest]:
@@ -349,7 +351,7 @@
             warm_up_ms=30_000.5,
             epoch=301,
             incarnation="0123456789abcdef",
-            report=TICK,
+            report=LEADER_REPORT,
         ),
         MAINTENANCE_COMMAND,
     ),
@@ -385,7 +387,7 @@
     ),
     Case(
         "maintenance.command.tick",
-        MaintenanceCommand(action=CommandAction.REPORT, report=TICK),
+        MaintenanceCommand(action=CommandAction.REPORT, report=LEADER_REPORT),
         MAINTENANCE_COMMAND,
     ),
     Case(
@@ -396,13 +398,13 @@
     Case(
         "maintenance.state",
         (
-            _requests(STATES_UNDER_WAY),
-            _requests(STATES_OVER),
+            _requests(ACTIVE_STATES),
+            _requests(FINAL_STATES),
             ["89abcdef", "76543210"],
             4_500.5,
             9,
             {"n0": 0.0, "n2": 1_000.5},
-            TICK,
+            LEADER_REPORT,
         ),
         MAINTENANCE_STATE,
     ),
@@ -445,19 +447,19 @@
             listed=("b1",),
             latest_request_index=300,
         ),
-        _record(MemberObservation),
+        _msgpack_codec(MemberObservation),
     ),
     Case(
         "maintenance.observation.defaults",
         MemberObservation(zones=(), listed=()),
-        _record(MemberObservation),
+        _msgpack_codec(MemberObservation),
     ),
 )
 
 # Distribution of configuration: messages, proposals and state in the Raft log, and the cache file
 
 ROUTE: Final = messages.Resource(kind="route", name="slow", revision=41, body=b'{"attempts": 2}')
-DELETED: Final = messages.Resource(kind="address", name="counter", revision=42, body=None)
+DELETED_ADDRESS: Final = messages.Resource(kind="address", name="counter", revision=42, body=None)
 REJECTION: Final = messages.Rejection(
     kind="route", name="slow", revision=41, reason="attempts: 0 is too few"
 )
@@ -480,8 +482,8 @@
         (
             "update",
             messages.Update(
-                epoch="e1", revision=43, resources=(ROUTE, DELETED), snapshot=True, complete=False, digest=DIGEST,
-                horizon=39,
+                epoch="e1", revision=43, resources=(ROUTE, DELETED_ADDRESS), snapshot=True, complete=False,
+                digest=DIGEST, horizon=39,
             ),
         ),
         ("update.defaults", messages.Update(epoch="e1", revision=42, resources=())),
@@ -523,11 +525,13 @@
 )  # fmt: skip
 
 DISTRIBUTION_DISK_CASES: Final = (
-    Case("distribution.stream.without-key", messages.StatusRequest(), _distribution_stream(b"")),
+    Case(
+        "distribution.stream.without-key", messages.StatusRequest(), _distribution_stream_codec(b"")
+    ),
     Case(
         "distribution.log.proposal",
         publish_state_machine.Proposal(publish=PUBLISH, nonce=b"\x01\x02\x03\x04\x05\x06\x07\x08"),
-        _record(publish_state_machine.Proposal),
+        _msgpack_codec(publish_state_machine.Proposal),
     ),
     Case(
         "distribution.log.state",
@@ -535,18 +539,18 @@
             epoch="e1",
             revision=42,
             horizon=39,
-            entries=(ROUTE, DELETED),
+            entries=(ROUTE, DELETED_ADDRESS),
             outcomes=(
                 publish_state_machine.Outcome(token="t1", revision=41, reason="a reason"),
                 publish_state_machine.Outcome(token="t2", revision=42),
             ),
         ),
-        _record(publish_state_machine.State),
+        _msgpack_codec(publish_state_machine.State),
     ),
     Case("distribution.cache.head", cache_file.CacheHeader(version=1, name="in-1"), CACHE_RECORD),
     Case(
         "distribution.cache.part",
-        cache_file.CacheChunk(resources=(ROUTE, DELETED)),
+        cache_file.CacheChunk(resources=(ROUTE, DELETED_ADDRESS)),
         CACHE_RECORD,
     ),
     Case(
@@ -582,10 +586,10 @@
 GOSSIP_CASES: Final = tuple(
     Case(
         f"gossip.{name}",
-        gossip.GossipMessage(incarnation=life, suspects=suspects, reports=reports),
+        gossip.GossipMessage(incarnation=incarnation, suspects=suspects, reports=reports),
         GOSSIP,
     )
-    for name, life, suspects, reports in (
+    for name, incarnation, suspects, reports in (
         ("narrow", 9, list[tuple[bytes, float]](), [NARROW_REPORT]),
         (
             "narrow.suspects",
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,36 +14,41 @@
 settings.load_profile("same")
 
 ROOT = Path(__file__).parent.parent
-FILE, MOST = ROOT / "KNOWN-RED.txt", 3
+KNOWN_RED_FILE = ROOT / "KNOWN-RED.txt"
+MAX_KNOWN_RED = 3
 
 
-def known() -> dict[str, str]:
+def read_known_red() -> dict[str, str]:
     """Return the cause of each test that `KNOWN-RED.txt` lists."""
-    lines = FILE.read_text().splitlines() if FILE.exists() else []
-    parts = [[part.strip() for part in line.split("|")] for line in lines]
-    if FILE.exists() and not 0 < len(parts) <= MOST:
+    lines = KNOWN_RED_FILE.read_text().splitlines() if KNOWN_RED_FILE.exists() else []
+    rows = [[field.strip() for field in line.split("|")] for line in lines]
+    if KNOWN_RED_FILE.exists() and not 0 < len(rows) <= MAX_KNOWN_RED:
         raise pytest.UsageError(
-            f"{FILE.name}: {len(parts)} lines instead of 1 to {MOST}; remove the file if it is empty"
+            f"{KNOWN_RED_FILE.name}: {len(rows)} lines instead of 1 to {MAX_KNOWN_RED}; "
+            "remove the file if it is empty"
         )
-    for number, part in enumerate(parts, 1):
-        if len(part) != 3 or not all(part):
-            raise pytest.UsageError(f"{FILE.name}, line {number}: expected TEST | CAUSE | ISSUE")
-    return {test: f"{cause} ({issue})" for test, cause, issue in parts}
+    for line_number, fields in enumerate(rows, 1):
+        if len(fields) != 3 or not all(fields):
+            raise pytest.UsageError(
+                f"{KNOWN_RED_FILE.name}, line {line_number}: expected TEST | CAUSE | ISSUE"
+            )
+    return {test: f"{cause} ({issue})" for test, cause, issue in rows}
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     """Mark the listed tests as expected failures; fail if one of them does not exist."""
-    files, red = {item.nodeid.split("::")[0] for item in items}, known()
+    collected_files = {item.nodeid.split("::")[0] for item in items}
+    causes = read_known_red()
     for item in items:
-        if (cause := red.pop(item.nodeid, None)) is not None:
+        if (cause := causes.pop(item.nodeid, None)) is not None:
             item.add_marker(pytest.mark.xfail(reason=cause, strict=True))
-    for test in red:
+    for test in causes:
         file = test.split("::")[0]
-        if file in files or not (ROOT / file).is_file():
-            raise pytest.UsageError(f"{FILE.name}: {test} does not exist")
+        if file in collected_files or not (ROOT / file).is_file():
+            raise pytest.UsageError(f"{KNOWN_RED_FILE.name}: {test} does not exist")
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
     """Print the listed tests with their causes."""
-    for test, cause in known().items():
+    for test, cause in read_known_red().items():
         terminalreporter.write_line(f"KNOWN RED {test}: {cause}")
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -57,11 +57,11 @@
 def run(scenario: Coroutine[Any, Any, None]) -> None:
     """Run a test's scenario in a new event loop; fail if it takes over `SCENARIO_TIMEOUT_S`."""
 
-    async def bounded() -> None:
+    async def run_with_timeout() -> None:
         await asyncio.wait_for(scenario, SCENARIO_TIMEOUT_S)
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(bounded())
+        runner.run(run_with_timeout())
 
 
 async def until(condition: Callable[[], object]) -> None:
@@ -147,18 +147,18 @@
         self.opened += 1
         self.writers.append(writer)
         parser = hiredis.Reader()
-        answering: asyncio.Task[None] | None = None
+        answer_task: asyncio.Task[None] | None = None
         try:
             while data := await reader.read(READ_BYTES):
                 parser.feed(data)
                 while args := parser.gets():
                     self.seen.append(args)
-                    answering = asyncio.create_task(self._answer(args, writer))
+                    answer_task = asyncio.create_task(self._answer(args, writer))
         except ConnectionError:
             pass
         self.closed += 1
-        if answering is not None:
-            answering.cancel()
+        if answer_task is not None:
+            answer_task.cancel()
         writer.close()
 
     async def _answer(self, args: list[bytes], writer: asyncio.StreamWriter) -> None:
@@ -186,8 +186,8 @@
         return int(self.server.sockets[0].getsockname()[1])
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        head = await reader.readuntil(b"\r\n\r\n")
-        self.paths.append(head.split(b" ")[1])
+        request_head = await reader.readuntil(b"\r\n\r\n")
+        self.paths.append(request_head.split(b" ")[1])
         if len(self.paths) <= self.refuses:
             writer.close()
             return
@@ -256,7 +256,7 @@
     targets = [target(f"s-{n}", await backend.start()) for n, backend in enumerate(backends)]
     known = message(1, *targets, full=True)
     ingress = Ingress(config(known, await discovery.start(), **changes), clock or Clock())
-    running = asyncio.create_task(ingress.run())
+    ingress_task = asyncio.create_task(ingress.run())
     await until(
         lambda: ingress.lifecycle.ready and (not wait or (ingress.ready and discovery.writers))
     )
@@ -264,5 +264,5 @@
     try:
         yield ingress, client, discovery
     finally:
-        running.cancel()
-        await asyncio.gather(running, return_exceptions=True)
+        ingress_task.cancel()
+        await asyncio.gather(ingress_task, return_exceptions=True)
--- a/tests/test_byte_compatibility.py
+++ b/tests/test_byte_compatibility.py
@@ -51,7 +51,7 @@
 from tests.byte_cases import CASES, Case
 from tests.loopback import config, message, target
 
-WRITTEN: Final[dict[str, bytes]] = {
+EXPECTED_BYTES: Final[dict[str, bytes]] = {
     name: bytes.fromhex(text)
     for name, text in json.loads(
         (Path(__file__).parent / "data" / "bytes-3e9c598.json").read_bytes()
@@ -69,12 +69,12 @@
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case.name)
 def test_a_value_is_encoded_to_the_same_bytes(case: Case) -> None:
-    assert case.codec.encode(case.value) == WRITTEN[case.name]
+    assert case.codec.encode(case.value) == EXPECTED_BYTES[case.name]
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case.name)
 def test_bytes_are_decoded_to_the_same_value(case: Case) -> None:
-    decoded = case.codec.decode(WRITTEN[case.name])
+    decoded = case.codec.decode(EXPECTED_BYTES[case.name])
     assert type(decoded) is type(case.value)
     assert decoded == case.value
 
@@ -126,10 +126,12 @@
     store.close()
 
 
-def test_the_directory_of_the_agreed_log(tmp_path: Path) -> None:
+def test_the_raft_directory_is_written_and_read_as_before(tmp_path: Path) -> None:
     for name, files, expected in written_raft_files(tmp_path / "written"):
         known = {
-            file: data for file, data in WRITTEN.items() if file.startswith(f"raft.files.{name}/")
+            file: data
+            for file, data in EXPECTED_BYTES.items()
+            if file.startswith(f"raft.files.{name}/")
         }
         assert {f"raft.files.{name}/{file}": data for file, data in files.items()} == known
         folder = tmp_path / name
@@ -141,12 +143,12 @@
         store.close()
 
 
-def test_voters_are_read_from_their_entry() -> None:
-    entry = msgspec.msgpack.decode(WRITTEN["raft.entry.1"], type=raft_messages.Entry)
+def test_voters_are_read_from_a_stored_log_entry() -> None:
+    entry = msgspec.msgpack.decode(EXPECTED_BYTES["raft.entry.1"], type=raft_messages.Entry)
     assert RaftLog(PersistentState(entries=[entry]), ["n9"]).voters_at(1) == ("n0", "n1", "n2")
 
 
-def snapshot_in_parts() -> list[bytes]:
+def snapshot_chunks() -> list[bytes]:
     """Return the frames of a snapshot that needs several chunks."""
     state = bytes(range(256)) * 2_100  # Two full chunks and one of 13,312 bytes.
     return list(
@@ -156,19 +158,19 @@
     )
 
 
-def test_a_snapshot_is_cut_at_the_same_places() -> None:
-    frames = snapshot_in_parts()
+def test_a_snapshot_is_split_into_the_same_chunks() -> None:
+    frames = snapshot_chunks()
     # The frames are 540 KB long, so only their hash is stored.
-    assert blake2b(b"".join(frames)).digest() == WRITTEN["raft.stream.parts.blake2b"]
+    assert blake2b(b"".join(frames)).digest() == EXPECTED_BYTES["raft.stream.parts.blake2b"]
     assembly = raft_messages.SnapshotAssembler()
     for frame in frames:
-        part = raft_messages.unpack(
+        chunk = raft_messages.unpack(
             frame[: FRAME_HEADER.size], frame[FRAME_HEADER.size :], byte_cases.KEY
         )
-        assert isinstance(part, raft_messages.SnapshotChunk)
-        whole = assembly.add(part)
-    assert whole is not None
-    assert whole.snapshot == bytes(range(256)) * 2_100
+        assert isinstance(chunk, raft_messages.SnapshotChunk)
+        assembled = assembly.add(chunk)
+    assert assembled is not None
+    assert assembled.snapshot == bytes(range(256)) * 2_100
 
 
 def maintenance_commands() -> list[MaintenanceCommand]:
@@ -178,26 +180,24 @@
     out and warms up. The request for `b3` is withdrawn. The third request is for an ingress, which
     restarts.
     """
-    zone, sick = (
-        ZoneStatus(name="z1", ready=4, load=1.0),
-        ZoneStatus(name="z1", ready=4, failing=("b2",), load=1.0),
-    )
+    zone = ZoneStatus(name="z1", ready=4, load=1.0)
+    failing_zone = ZoneStatus(name="z1", ready=4, failing=("b2",), load=1.0)
 
-    def tick(
+    def leader_report(
         number: int, zones: tuple[ZoneStatus, ...] = (zone,), elapsed: float = 500.0
     ) -> MaintenanceCommand:
         members = ("n0", "n1")
-        seen = ("b1", "b3")
-        told = LeaderReport(
+        listed_targets = ("b1", "b3")
+        report = LeaderReport(
             number=number,
             elapsed_ms=elapsed,
             members=members,
             reachable=members,
             zones=zones,
-            listed_targets=seen,
+            listed_targets=listed_targets,
             grant_timeout_ms=900.0,
         )
-        return MaintenanceCommand(action=CommandAction.REPORT, report=told)
+        return MaintenanceCommand(action=CommandAction.REPORT, report=report)
 
     return [
         MaintenanceCommand(
@@ -219,26 +219,26 @@
             command_id="aa",
         ),
         MaintenanceCommand(action=CommandAction.REQUEST, target="b3", zone="z1", urgency=-1),
-        tick(1),
-        tick(2, (sick,)),
-        tick(3),
-        tick(4, elapsed=300.0),
-        tick(5, (sick,), elapsed=1_000.0),
-        tick(6),
+        leader_report(1),
+        leader_report(2, (failing_zone,)),
+        leader_report(3),
+        leader_report(4, elapsed=300.0),
+        leader_report(5, (failing_zone,), elapsed=1_000.0),
+        leader_report(6),
         MaintenanceCommand(action=CommandAction.DRAINED, target="b1", sender="n0", epoch=9),
         MaintenanceCommand(action=CommandAction.DRAINED, target="b1", sender="n1", epoch=9),
-        tick(7),
-        tick(8, elapsed=800.0),
+        leader_report(7),
+        leader_report(8, elapsed=800.0),
         MaintenanceCommand(action=CommandAction.COMPLETE, target="b1"),
         MaintenanceCommand(action=CommandAction.RELEASED, target="b1", sender="n1", epoch=9),
         MaintenanceCommand(action=CommandAction.RELEASED, target="b1", sender="n0", epoch=9),
-        tick(9),
+        leader_report(9),
         MaintenanceCommand(action=CommandAction.WITHDRAW, target="b3"),
-        tick(10),
+        leader_report(10),
         MaintenanceCommand(
             action=CommandAction.REQUEST, target="n1", kind=TargetKind.INGRESS, warm_up_ms=100.0
         ),
-        tick(11),
+        leader_report(11),
         MaintenanceCommand(
             action=CommandAction.DRAINED,
             target="n1",
@@ -247,13 +247,14 @@
             incarnation="0123456789abcdef",
         ),
         MaintenanceCommand(action=CommandAction.RESTARTED, target="n1", sender="n1", epoch=20),
-        tick(12),
+        leader_report(12),
     ]
 
 
 def maintenance_history() -> list[bytes]:
     """Return the state after each of `maintenance_commands`, each preceded by its length."""
-    scheduler, states = MaintenanceScheduler(), list[bytes]()
+    scheduler = MaintenanceScheduler()
+    states: list[bytes] = []
     for index, command in enumerate(maintenance_commands(), 1):
         scheduler.apply(index, msgspec.msgpack.encode(command))
         state = scheduler.snapshot()
@@ -266,19 +267,19 @@
 
     This includes the texts of reasons. A member may restore a snapshot that another one wrote.
     """
-    assert b"".join(maintenance_history()) == WRITTEN["maintenance.history"]
+    assert b"".join(maintenance_history()) == EXPECTED_BYTES["maintenance.history"]
 
 
 def maintenance_listing() -> bytes:
     """Return the management endpoint's JSON of all requests, whose keys are names of fields."""
     scheduler = MaintenanceScheduler()
-    scheduler.restore(WRITTEN["maintenance.state"])
+    scheduler.restore(EXPECTED_BYTES["maintenance.state"])
     listed = listing(scheduler)
     return json.dumps(listed, sort_keys=True).encode()
 
 
 def test_the_management_listing_keeps_its_keys() -> None:
-    assert maintenance_listing() == WRITTEN["maintenance.listing.json"]
+    assert maintenance_listing() == EXPECTED_BYTES["maintenance.listing.json"]
 
 
 def published() -> tuple[list[bytes], PublishStateMachine]:
@@ -315,15 +316,15 @@
 
 def test_the_same_changes_lead_to_the_same_publish_state() -> None:
     proposals, machine = published()
-    assert proposals[0] == WRITTEN["distribution.log.first-proposal"]
-    assert machine.state() == WRITTEN["distribution.log.history-state"]
+    assert proposals[0] == EXPECTED_BYTES["distribution.log.first-proposal"]
+    assert machine.state() == EXPECTED_BYTES["distribution.log.history-state"]
     restored = PublishStateMachine(VALIDATORS, random.Random(8), max_tombstones=1)
-    restored.restore(10, WRITTEN["distribution.log.history-state"])
-    assert held(restored.table) == held(machine.table)
+    restored.restore(10, EXPECTED_BYTES["distribution.log.history-state"])
+    assert table_properties(restored.table) == table_properties(machine.table)
     assert restored.response_for("t2") == machine.response_for("t2") is not None
 
 
-def held(table: ResourceTable) -> tuple[object, ...]:
+def table_properties(table: ResourceTable) -> tuple[object, ...]:
     """Return all properties by which two tables are compared."""
     return table.epoch, table.revision, table.horizon, table.digest, list(table.entries())
 
@@ -343,36 +344,37 @@
     return table
 
 
-def table_frames(part: int) -> list[bytes]:
-    """Return the frames of a snapshot in chunks of `part` bytes, and the delta since revision 12."""
-    frames = EncodedFrameCache(resource_table(), part, byte_cases.KEY)
-    snapshot, found = frames.snapshot(), list[bytes]()
-    while (frame := snapshot.frame(len(found))) is not None:
-        found.append(frame)
-    return [*found, frames.delta(12).frame]
+def table_frames(chunk_bytes: int) -> list[bytes]:
+    """Return the frames of a snapshot in chunks of `chunk_bytes`, and the delta since revision 12."""
+    frame_cache = EncodedFrameCache(resource_table(), chunk_bytes, byte_cases.KEY)
+    snapshot = frame_cache.snapshot()
+    frames: list[bytes] = []
+    while (frame := snapshot.frame(len(frames))) is not None:
+        frames.append(frame)
+    return [*frames, frame_cache.delta(12).frame]
 
 
 def test_a_table_is_sent_in_the_same_frames() -> None:
     *snapshot, delta = table_frames(60)
-    assert b"".join(snapshot) == WRITTEN["distribution.frames.snapshot"]
-    assert delta == WRITTEN["distribution.frames.delta"]
+    assert b"".join(snapshot) == EXPECTED_BYTES["distribution.frames.snapshot"]
+    assert delta == EXPECTED_BYTES["distribution.frames.delta"]
     table = ResourceTable()
     assembler = UpdateAssembler(table)
     for frame in snapshot:
         update = byte_cases.DISTRIBUTION_STREAM.decode(frame)
         assembler.add(update)
-    assert held(table) == held(resource_table())
+    assert table_properties(table) == table_properties(resource_table())
 
 
-async def write_cache(directory: Path) -> Path:
+async def write_cache_file(directory: Path) -> Path:
     """Write a cache file, append a change to it, and return its path.
 
     The name of the ingress has characters that a file name must not have.
     """
     table = resource_table()
-    kept = (messages.Resource(kind="route", name="r0", revision=10, body=b"{}"),)
+    last_good = (messages.Resource(kind="route", name="r0", revision=10, body=b"{}"),)
     file = snapshot_cache.SnapshotCache(directory, "in/1 a", 0.0)
-    file.save(table, (), kept)
+    file.save(table, (), last_good)
     change = messages.Resource(
         kind="address", name="counter", revision=26, body=b'{"address": "h:1"}'
     )
@@ -382,39 +384,44 @@
     return file.path
 
 
-def test_the_cache_of_the_distribution(tmp_path: Path) -> None:
-    path = asyncio.run(write_cache(tmp_path))
+def test_the_cache_file_is_written_and_read_as_before(tmp_path: Path) -> None:
+    path = asyncio.run(write_cache_file(tmp_path))
     assert path == tmp_path / "in%2F1%20a.cache"
-    assert path.read_bytes() == WRITTEN["distribution.cache.file"]
-    path.write_bytes(WRITTEN["distribution.cache.file"])
-    found = cache_file.read_snapshot(path, "in/1 a")
+    assert path.read_bytes() == EXPECTED_BYTES["distribution.cache.file"]
+    path.write_bytes(EXPECTED_BYTES["distribution.cache.file"])
+    snapshot = cache_file.read_snapshot(path, "in/1 a")
     table = resource_table()
     table.put(
         messages.Resource(kind="address", name="counter", revision=26, body=b'{"address": "h:1"}')
     )
-    assert found is not None
-    assert (held(found.table), found.last_good) == (held(table), ())
-    first_commit = WRITTEN["distribution.cache.file.first-state"]
+    assert snapshot is not None
+    assert (table_properties(snapshot.table), snapshot.last_good) == (table_properties(table), ())
+    first_commit = EXPECTED_BYTES["distribution.cache.file.first-state"]
     path.write_bytes(first_commit)
-    found = cache_file.read_snapshot(path, "in/1 a")
-    assert found is not None
-    kept = (messages.Resource(kind="route", name="r0", revision=10, body=b"{}"),)
-    assert (held(found.table), found.last_good) == (held(resource_table()), kept)
+    snapshot = cache_file.read_snapshot(path, "in/1 a")
+    assert snapshot is not None
+    last_good = (messages.Resource(kind="route", name="r0", revision=10, body=b"{}"),)
+    assert (table_properties(snapshot.table), snapshot.last_good) == (
+        table_properties(resource_table()),
+        last_good,
+    )
 
 
-def test_backends_held_by_hand(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_detached_backends_are_stored_and_read_as_before(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    assert written_held_file(tmp_path) == WRITTEN["held-backends.file"]
-    (tmp_path / "dockthread-held.json").write_bytes(WRITTEN["held-backends.file"])
+    assert write_detached_backends(tmp_path) == EXPECTED_BYTES["held-backends.file"]
+    (tmp_path / "dockthread-held.json").write_bytes(EXPECTED_BYTES["held-backends.file"])
     known = message(1, target("s-0", 9), target("s-1", 10), full=True)
 
-    async def held_at_start() -> set[str]:
+    async def excluded_at_start() -> set[str]:
         return Daemon(config(known), None, None).ingress.endpoints.excluded_uids
 
-    assert asyncio.run(held_at_start()) == {"s-0", "s-1"}
+    assert asyncio.run(excluded_at_start()) == {"s-0", "s-1"}
 
 
-def written_held_file(folder: Path) -> bytes:
+def write_detached_backends(folder: Path) -> bytes:
     """Return the file that an ingress writes when two backends are detached.
 
     `$TMPDIR` must be `folder`.
@@ -441,9 +448,9 @@
 }  # fmt: skip
 
 
-def test_the_body_of_a_route() -> None:
+def test_the_body_of_a_route_is_parsed_as_before() -> None:
     assert set(ROUTE_BODY) == {field.encode_name for field in msgspec.structs.fields(RouteOptions)}
-    assert parse_route("slow", WRITTEN["distribution.resource.route"]) == RouteOptions(
+    assert parse_route("slow", EXPECTED_BYTES["distribution.resource.route"]) == RouteOptions(
         classes=("cheap", "heavy"), plan=("basic",), verb=("read",), firm=("1f", "2a"), units="1..3", retry=True,
         hall=("h1",), timeout=Duration(2_000), attempt_timeout=Duration(500), attempts=3,
         retry_on=("error", "turned-away"), backoff=Duration(10), backoff_max=Duration(50), copies=True,
@@ -453,8 +460,8 @@
 
 
 @pytest.mark.parametrize("name", ["counter", "discovery"])
-def test_the_body_of_an_address(name: str) -> None:
-    assert parse_address(name, WRITTEN["distribution.resource.address"]) == Address("h", 1)
+def test_the_body_of_an_address_is_parsed_as_before(name: str) -> None:
+    assert parse_address(name, EXPECTED_BYTES["distribution.resource.address"]) == Address("h", 1)
     assert set(VALIDATORS) == {"address", "route"}
 
 
@@ -467,8 +474,8 @@
         yield value
         value = msgspec.structs.astuple(value)
     if isinstance(value, list | tuple):
-        for one in value:
-            yield from structs_within(one)
+        for item in value:
+            yield from structs_within(item)
 
 
 def encoded_structs() -> list[type[msgspec.Struct]]:
@@ -480,14 +487,16 @@
         if not module.name.startswith("dockthread.lab") and not module.name.endswith("__main__"):
             importlib.import_module(module.name)
 
-    def below(kind: type[msgspec.Struct]) -> Iterator[type[msgspec.Struct]]:
-        for found in kind.__subclasses__():
-            yield found
-            yield from below(found)
+    def subclasses_of(kind: type[msgspec.Struct]) -> Iterator[type[msgspec.Struct]]:
+        for subclass in kind.__subclasses__():
+            yield subclass
+            yield from subclasses_of(subclass)
 
-    own = [kind for kind in below(msgspec.Struct) if kind.__module__.startswith("dockthread.")]
+    own_structs = [
+        kind for kind in subclasses_of(msgspec.Struct) if kind.__module__.startswith("dockthread.")
+    ]
     return sorted(
-        (kind for kind in own if not issubclass(kind, Section)), key=lambda kind: str(kind)
+        (kind for kind in own_structs if not issubclass(kind, Section)), key=lambda kind: str(kind)
     )
 
 
@@ -508,7 +517,9 @@
 @pytest.mark.parametrize(
     "kind", ENCODED_STRUCTS, ids=lambda kind: f"{kind.__module__}.{kind.__name__}"
 )
-def test_every_struct_has_telling_cases(kind: type[msgspec.Struct]) -> None:
+def test_cases_of_each_struct_detect_lost_defaults_and_swapped_fields(
+    kind: type[msgspec.Struct],
+) -> None:
     """The cases of each struct detect a lost default and two fields that change places.
 
     One instance has neither default nor empty fields, one has all defaults, and any two fields
@@ -518,18 +529,25 @@
     fields = msgspec.structs.fields(kind)
     defaults = [field for field in fields if not field.required]
     assert instances
-    assert any(not any(is_default(f, getattr(one, f.name)) for f in fields) for one in instances)
-    assert any(all(is_default(f, getattr(one, f.name)) for f in defaults) for one in instances)
+    assert any(
+        not any(is_default(field, getattr(item, field.name)) for field in fields)
+        for item in instances
+    )
+    assert any(
+        all(is_default(field, getattr(item, field.name)) for field in defaults)
+        for item in instances
+    )
     for first, second in combinations(fields, 2):
         assert any(
-            repr(getattr(one, first.name)) != repr(getattr(one, second.name)) for one in instances
+            repr(getattr(item, first.name)) != repr(getattr(item, second.name))
+            for item in instances
         ), f"{first.name} and {second.name} are equal in all cases"
 
 
 @pytest.mark.parametrize(
     "kind", ENCODED_STRUCTS, ids=lambda kind: f"{kind.__module__}.{kind.__name__}"
 )
-def test_no_struct_shows_its_names(kind: type[msgspec.Struct]) -> None:
+def test_no_struct_encodes_the_names_of_its_class_or_fields(kind: type[msgspec.Struct]) -> None:
     """Classes and fields may be renamed, because their names are not encoded.
 
     Each struct is encoded as an array, in which a field is identified by its position, and has an
@@ -541,7 +559,7 @@
     assert kind.__struct_config__.tag not in (kind.__name__, kind.__qualname__)
 
 
-def test_names_of_cases_and_bytes_agree() -> None:
+def test_case_names_are_unique_and_have_expected_bytes() -> None:
     names = [case.name for case in CASES]
     assert len(names) == len(set(names))
-    assert set(names) <= set(WRITTEN)
+    assert set(names) <= set(EXPECTED_BYTES)
--- a/tests/test_import_direction.py
+++ b/tests/test_import_direction.py
@@ -96,7 +96,7 @@
     assert not upward
 
 
-def test_no_modules_import_each_other_in_a_circle() -> None:
+def test_no_modules_import_each_other_in_a_cycle() -> None:
     imports = {module: set(imported_modules(path)) - {module} for module, path in MODULES.items()}
     cycles = [cycle for module in MODULES if (cycle := cycle_through(module, imports))]
     assert not cycles
