--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that can be repeated: each prints its figures, and writes nothing."""
+"""Repeatable measurements, each of which prints its figures."""
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -1,4 +1,4 @@
-"""Simulates how many seeds overload cold backends with the joint load of a fleet of policy engines.
+"""Simulates whether a fleet of policy engines together overloads cold backends, over many seeds.
 
 No test runs this benchmark.
 
@@ -36,7 +36,7 @@
 
 
 def scenario_text(scenario: Scenario) -> str:
-    """Return a scenario as text. Its field names are older than those of the code."""
+    """Return a scenario as text. The field names in the text are older than those in the code."""
     kinds = [f"Kind(cores={kind.cores}, speed={kind.speed})" for kind in scenario.kinds]
     kinds_text = f"({', '.join(kinds)}{',' if len(kinds) == 1 else ''})"
     return (
--- a/benchmarks/fleet_count.py
+++ b/benchmarks/fleet_count.py
@@ -7,9 +7,9 @@
 ...`, where SECONDS counts from the start of the day.
 
 Prints the events of the fleet by step of the day, and the calls by node. For each plan it then
-prints the units that were sent on although the customer's token bucket was empty, and the units that
-were refused although it was not. The buckets are replayed from the answers of all ingresses in the
-order in which the requests arrived, so they are as exact as the log's milliseconds.
+prints the units that were sent on, those sent on although the customer's token bucket held too few,
+and those refused, by the fill of the bucket. The buckets are replayed from the answers of all
+ingresses in the order in which the requests arrived, so they are as exact as the log's milliseconds.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class Plan:
-    """A plan and the units of its requests, by what became of them."""
+    """A plan and its units: sent on, sent on beyond the token buckets, and refused."""
 
     name: str
     rate: float
--- a/benchmarks/followers.py
+++ b/benchmarks/followers.py
@@ -1,4 +1,4 @@
-"""Measures the cost of a Raft leader whose log every ingress follows, without distributors between.
+"""Measures the cost of a Raft leader if every ingress follows its log without distributors.
 
     python -m benchmarks.followers [--followers N ...] [--seconds S] [--changes RATE] [--json]
 
@@ -23,7 +23,7 @@
 VOTERS = tuple(f"voter{i}" for i in range(5))
 FOLLOWER_COUNTS = (0, 100, 400, 1600)
 CHANGE_BODY = bytes(300)  # Body of one change, as large as the section of a route.
-# Applied entries after which the log is compacted, as in fleet/member.py.
+# Applied entries after which the log is compacted, like ENTRIES_BEFORE_SNAPSHOT in raft/runner.py.
 COMPACTION_INTERVAL = 512
 
 
--- a/benchmarks/kept.py
+++ b/benchmarks/kept.py
@@ -57,7 +57,7 @@
 
     @property
     def min_score(self) -> float | None:
-        """The lowest score that is no regression; None if no score is recorded."""
+        """The lowest score that is not a regression; None if no score is recorded."""
         noise = DEFAULT_NOISE if self.noise is None else self.noise
         return None if self.mean is None else self.mean - noise
 
--- a/benchmarks/list_size.py
+++ b/benchmarks/list_size.py
@@ -1,6 +1,6 @@
 """Measures the cost of an ingress by the length of its endpoint list.
 
-Measured are reading the list, applying one change, housekeeping, memory and one decision.
+It measures reading the list, applying one change, housekeeping, memory and one decision.
 
     python -m benchmarks.list_size [--sizes 200,2400,8000,24000] [--served] [--json FILE]
 
@@ -90,7 +90,7 @@
 
 
 def full_list(size: int) -> dict[str, Any]:
-    """Return a full endpoint list, in which one backend in three has a start time, long ago."""
+    """Return a full endpoint list, in which one backend in three started long ago."""
     targets = [
         listed_backend(number, boot_ms=0 if number % 3 else 1_600_000_000_000 + number)
         for number in range(size)
@@ -117,7 +117,7 @@
         self.times_s: list[float] = []
 
     def handle(self, event: Event) -> list[Action]:
-        """Handle one event, and append the seconds that it took to `spent`."""
+        """Handle one event, and append the CPU time that it took to `times_s`."""
         started_at = time.thread_time()
         actions = self.engine.handle(self.now, event)
         self.times_s.append(time.thread_time() - started_at)
@@ -127,7 +127,7 @@
         return actions
 
     def advance_to(self, until: float) -> None:
-        """Fire all timers that are due until then."""
+        """Advance the clock to `until`, and fire all timers that are due."""
         while self.timers and self.timers[0][0] <= until:
             due_at, token = heapq.heappop(self.timers)
             self.now = max(self.now, due_at)
@@ -313,7 +313,7 @@
         self.paused = False
 
     async def run(self, port: int) -> None:
-        """Send PING every 5 ms unless paused."""
+        """Send a PING 5 ms after each answer, unless paused."""
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         while True:
             if self.paused:
--- a/benchmarks/regress.py
+++ b/benchmarks/regress.py
@@ -148,7 +148,7 @@
 
 def format_table(rows: Iterable[tuple[str, RecordedScores, RunResult]]) -> str:
     """Return the table of all runs."""
-    header = f"{'run':33} {'kept':>6} {'noise':>6} {'now':>6} {'change':>7}  {'rules':6} {'gate':6}  verdict"
+    header = f"{'run':33} {'mean':>6} {'noise':>6} {'now':>6} {'change':>7}  {'rules':6} {'gate':6}  verdict"
     return "\n".join([header, *(table_line(*row) for row in rows)])
 
 
--- a/benchmarks/restart_wave.py
+++ b/benchmarks/restart_wave.py
@@ -15,7 +15,7 @@
 
 from dockthread.lab.slow_start.restart_wave import RestartWave, WaveResult, play_waves
 
-HEAD = " size of    lists  old list  discovery      ready in 6 s   ready in 10 s   listed in 10 s   last   calls  first  paused"
+HEAD = "restarts    lists  old list  discovery      ready in 6 s   ready in 10 s   listed in 10 s   last   calls  first  paused"
 # Pairs: size of the fleet, and ingresses that restart at once.
 SIZES = ((200, 200), (200, 140), (200, 20), (30, 30))
 
@@ -38,7 +38,7 @@
     last_listed = median(
         max(ingress.listed_at_ms for ingress in result.ingresses) / 1000.0 for result in results
     )
-    mode = "pushed" if wave.is_list_pushed else "asked"
+    mode = "pushed" if wave.is_list_pushed else "polled"
     ready_in_6 = least_and_median([result.ready_within(6_000.0) for result in results])
     ready_in_10 = least_and_median([result.ready_within(10_000.0) for result in results])
     listed_in_10 = least_and_median([result.listed_within(10_000.0) for result in results])
@@ -76,10 +76,10 @@
     parser.add_argument("--seeds", type=int, default=100)
     options = parser.parse_args()
     print(
-        "ready, listed: minimum and median fraction over the seeds; last: median over the seeds of the s until the last list;"
+        "ready, listed: minimum and median fraction over the seeds; last: time in s until the last ingress has a list, median over the seeds;"
     )
     print(
-        "calls: mean per process; first, paused: median over the processes of the delay of the first call and of all pauses, in s."
+        "calls: mean per process; first: delay of the first call in s, paused: sum of all pauses in s, both as the median over the processes."
     )
     print(HEAD)
     for fleet_size, restarted_count in SIZES:
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -53,7 +53,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Prepare the parser of a new connection."""
-        self.transport: asyncio.Transport = transport  # type: ignore[assignment]  # uvloop's own class
+        self.transport: asyncio.Transport = transport  # type: ignore[assignment]  # uvloop passes a class of its own
         self.reader = hiredis.Reader()
 
     def data_received(self, data: bytes) -> None:
@@ -143,9 +143,10 @@
     settings: dict[str, Any] | None = None,
     cpu_core: int | None = None,
 ) -> AsyncIterator[IngressProcess]:
-    """Run an ingress from the checkout `tree` that uses the pool at the ports `at`.
+    """Run an ingress from a checkout; it uses the pool at `ports`.
 
-    `ini` is the text of its operator's file, if it has one. With `core` it runs on this CPU only.
+    `ini` is the text of its operator's file, if it has one. If `cpu_core` is given, the ingress runs
+    on this core only.
     """
     targets = [
         {
@@ -181,7 +182,7 @@
     line = b""
     while b"listens on" not in line:
         if not (line := await process.stderr.readline()):
-            raise RuntimeError("the daemon ended without listening")
+            raise RuntimeError("the ingress exited before it listened")
     if cpu_core is not None:
         os.sched_setaffinity(process.pid, {cpu_core})
     drain_task = asyncio.create_task(_drain(process.stderr))
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -114,7 +114,7 @@
         )
         quarter = len(ratios) // 4
         print(
-            f"{route_count:>5} routes: CPU per request, us: {spread_text(cpu_us[route_count])}; against none: "
+            f"{route_count:>5} routes: CPU per request, us: {spread_text(cpu_us[route_count])}; against no routes: "
             f"median {statistics.median(ratios):.3f}, "
             f"half {ratios[quarter]:.3f} to {ratios[-quarter]:.3f}; "
             f"{statistics.median(rates[route_count]):.0f}/s; {memory[route_count]:.1f} MB"
@@ -166,7 +166,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Prepare the parser of a new connection."""
-        self.transport: asyncio.Transport = transport  # type: ignore[assignment]  # uvloop's own class
+        self.transport: asyncio.Transport = transport  # type: ignore[assignment]  # uvloop passes a class of its own
         self.reader = hiredis.Reader()
 
     def data_received(self, data: bytes) -> None:
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -3,7 +3,7 @@
     python -m benchmarks.tenants [--spread N ...] [--use SHARE ...] [--seconds S] [--json]
 
 One policy engine runs in simulated time, without sockets, at the mean load of the planned fleet. The
-requests of a customer arrive through `spread` ingresses, so an ingress has TENANTS x spread /
+requests of a customer arrive through `spread` ingresses, so an ingress has CUSTOMERS x spread /
 INGRESSES customers. The units that the other ingresses admit are added to the counter's totals at
 the same mean rate. For each spread and each share of the quota in use, it prints: customers of the
 ingress, calls to the counter per second from the ingress and from the fleet, CPU time in ms per
--- a/dockthread/cli/admin_request.py
+++ b/dockthread/cli/admin_request.py
@@ -61,7 +61,7 @@
 def _rejection_reason(text: str) -> str:
     """Return why an ingress rejected a request, from the text of its response."""
     if text.startswith(UNKNOWN_COMMAND_TEXT):
-        return "this ingress is in no fleet"
+        return "this ingress does not belong to a fleet"
     return text.strip()
 
 
--- a/dockthread/cli/control.py
+++ b/dockthread/cli/control.py
@@ -1,4 +1,4 @@
-"""The commands `dockthread control`, which run a control-plane server or send requests to some.
+"""The commands `dockthread control`, which run a control-plane server or query and change others.
 
 Exit codes: 0 success; 1 the request was rejected, or a server or subscriber lags or cannot be
 reached; 2 invalid arguments.
--- a/dockthread/cli/effective_settings.py
+++ b/dockthread/cli/effective_settings.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformSetting:
-    """One setting of the ingress that the platform gives.
+    """A setting of the ingress that the platform provides.
 
     Attributes:
         key: Name of the setting.
--- a/dockthread/cli/lab.py
+++ b/dockthread/cli/lab.py
@@ -32,7 +32,7 @@
 EXIT_INVALID_RUN = 2
 DEFAULT_CLASSES = "seat-status:3,seat-checkout:1"
 DEFAULT_DEADLINES = "seat-status:4,seat-checkout:12"
-PROGRESS_INTERVAL_S = 0.2
+PROGRESS_INTERVAL_S = 0.2  # Minimum time between two updates of the progress bar.
 
 
 @click.group()
@@ -112,7 +112,7 @@
     default=0.0,
     show_default=True,
     type=click.FloatRange(0, 10),
-    help="Skew of the load over customers; 0 gives all the same load.",
+    help="Skew of the load across customers; at 0 all customers send equally.",
 )
 @click.option(
     "--units",
@@ -126,7 +126,7 @@
     default=1,
     show_default=True,
     type=click.IntRange(1, 1_000),
-    help="Number of ingresses over which each customer spreads its requests.",
+    help="Number of ingresses over which the customers spread their requests.",
 )
 @click.option(
     "--deadline",
@@ -244,7 +244,7 @@
         task = progress.add_task("requests", total=expected_requests)
 
         def show_progress(sent_requests: int) -> None:
-            """Update the progress bar, at most every `PROGRESS_INTERVAL_S`."""
+            """Update the progress bar, at most once every `PROGRESS_INTERVAL_S`."""
             nonlocal updated_at
             if time.monotonic() - updated_at > PROGRESS_INTERVAL_S:
                 updated_at = time.monotonic()
--- a/dockthread/cli/lab_distribution.py
+++ b/dockthread/cli/lab_distribution.py
@@ -35,7 +35,7 @@
     default="drawn",
     show_default=True,
     type=click.Choice(list(SCENARIOS)),
-    help="Scenario, which determines the faults.",
+    help="Scenario to run; it determines the faults.",
 )
 plant_option = click.option(
     "--plant",
@@ -60,7 +60,7 @@
 @plant_option
 @json_option
 def seeds(scenario: str, seeds: range, jobs: int, plant: str, as_json: bool) -> None:
-    """Run many seeds, and print each seed that violates a rule. With --plant, stop at the first."""
+    """Run many seeds, and print each one that violates a rule. With --plant, stop once one does."""
     show_seeds(scenario, play_seeds(play_seed, scenario, seeds, jobs, plant), plant, as_json)
 
 
--- a/dockthread/cli/lab_fleet.py
+++ b/dockthread/cli/lab_fleet.py
@@ -35,7 +35,7 @@
 
 @click.group("fleet")
 def fleet() -> None:
-    """Test several members together, with faults between them."""
+    """Test several members together under injected faults."""
 
 
 @fleet.command()
@@ -76,7 +76,7 @@
 @plant_option
 @json_option
 def seeds(scenario: str, seeds: range, jobs: int, plant: str, as_json: bool) -> None:
-    """Run many seeds, and print each seed that violates a rule. With --plant, stop at the first."""
+    """Run many seeds, and print each one that violates a rule. With --plant, stop once one does."""
     plant = parse_plant_option(plant)
     show_seeds(
         scenario, play_seeds(play_seed, scenario, seeds, jobs, plant, CHUNK_SIZE), plant, as_json
@@ -99,8 +99,8 @@
 )
 @json_option
 def run(scenario: str, ingresses: int | None, seed: int, as_json: bool) -> None:
-    """Run a scenario on real processes on loopback, with faults between them. SCENARIO is the name
-    of a shipped scenario or an INI file.
+    """Run a scenario on real processes on loopback under injected faults. SCENARIO is the name of a
+    shipped scenario or an INI file.
 
     Exit codes: 0 no rule was violated; 1 a rule was violated; 2 the scenario is invalid, or the run
     is void.
--- a/dockthread/cli/metrics.py
+++ b/dockthread/cli/metrics.py
@@ -139,7 +139,7 @@
     only: str,
     as_json: bool,
 ) -> None:
-    """Receive metrics as Graphite and collectd would, and print the total of each counter at the end.
+    """Receive metrics as Graphite and collectd do, and print the total of each counter at the end.
 
     A total covers all restarts of an ingress. The command prints the address of each protocol, one
     per line, and then runs until SIGINT, SIGTERM or the end of --for.
--- a/dockthread/cli/work.py
+++ b/dockthread/cli/work.py
@@ -59,7 +59,7 @@
 
 
 def _propose(command: str, body: JsonObject, endpoint: Address, as_json: bool) -> None:
-    """Send a maintenance command to the fleet's Raft log, and print the request's new state."""
+    """Propose a maintenance command through an ingress, and print the request's new state."""
     response = send_admin_request_or_exit(endpoint, "POST", f"/_work/{command}", body)
     print_result(as_json, response, (_request_line(request) for request in [response]))
 
@@ -96,7 +96,7 @@
     endpoint: Address,
     as_json: bool,
 ) -> None:
-    """Request maintenance of a licence node or an ingress. Asking again adds no second request."""
+    """Request maintenance of a licence node or an ingress. A repeated request adds no second one."""
     body: JsonObject = {
         "target": target,
         "why": comment,
@@ -146,8 +146,8 @@
 )
 @response_json_option
 def plan(file: Path, max_unavailable: int, as_json: bool) -> None:
-    """Show offline in which order the machines of FILE would be taken out, and why each one waits.
-    Each line of FILE reads MACHINE ZONE [URGENCY].
+    """Compute offline in which order the machines of FILE would be taken out, and why each waits.
+    A line of FILE has the form MACHINE ZONE [URGENCY].
     """  # noqa: D205  shown as the help text
     from dockthread.maintenance.plan import plan_rounds, read_plan
 
--- a/tests/benchmarks/test_regress.py
+++ b/tests/benchmarks/test_regress.py
@@ -18,7 +18,7 @@
 
 
 def day(**changed_fields: Any) -> dict[str, Any]:
-    """Return a day of a journal entry on which every rule was kept, with changed fields."""
+    """Return a day of a journal entry without a violated rule; `changed_fields` override it."""
     return {"name": "churn", "rules": KEPT_RULES, "fault": None, **changed_fields}
 
 
@@ -206,7 +206,7 @@
 
 
 def test_the_projects_own_sites_share_no_class_names() -> None:
-    """No two sites share a class name, so that tuning to one deployment shows at the others."""
+    """If sites shared class names, code tuned to the names of one site could pass on the others."""
     sites = sorted((regress.SCORES_FILE.parent.parent / regress.OWN_SITES).glob("*.toml"))
     class_names = [
         [request_class["name"] for request_class in tomllib.loads(site.read_text())["class"]]
--- a/tests/test_byte_compatibility.py
+++ b/tests/test_byte_compatibility.py
@@ -1,8 +1,8 @@
 """Files and messages keep the encoding of commit 3e9c598, whatever the types are called.
 
-`data/bytes-3e9c598.json` holds the bytes that this commit wrote, in hexadecimal by name. During an
-upgrade of a fleet, several releases run at the same time, and a new release reads the files of the
-previous one. So entries may be added there, but none may be changed.
+`data/bytes-3e9c598.json` holds the bytes that this commit wrote, in hexadecimal, by the name of the
+case. During an upgrade of a fleet, two releases run at the same time, and a new release reads the
+files of the previous one. So entries may be added to that file, but none may be changed.
 """
 
 from __future__ import annotations
@@ -465,7 +465,7 @@
     assert set(VALIDATORS) == {"address", "route"}
 
 
-# Completeness
+# Completeness of the cases
 
 
 def structs_within(value: object) -> Iterator[msgspec.Struct]:
