--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -21,17 +21,17 @@
 
 def summary_line(name: str, results: list[SeedResult]) -> str:
     """Return the table line that summarises these seeds."""
-    violating = sum(bool(result.violations) for result in results)
-    overloaded = sum(bool(result.overloads) for result in results)
-    backends = sum(result.cold_count for result in results)
-    overloads = sum(len(result.overloads) for result in results)
+    violating_seeds = sum(bool(result.violations) for result in results)
+    overloaded_seeds = sum(bool(result.overloads) for result in results)
+    cold_backends = sum(result.cold_count for result in results)
+    overload_count = sum(len(result.overloads) for result in results)
     peak_loads = [result.peak_load for result in results]
-    used = [result.used_capacity for result in results]
-    served = [result.in_time / result.achievable for result in results]
+    used_fractions = [result.used_capacity for result in results]
+    served_fractions = [result.in_time / result.achievable for result in results]
     return (
-        f"{name:>5} {len(results):>6} {violating:>6} {overloaded:>6} {backends:>9} {overloads:>6}"
+        f"{name:>5} {len(results):>6} {violating_seeds:>6} {overloaded_seeds:>6} {cold_backends:>9} {overload_count:>6}"
         f" {max(peak_loads):>8.2f} {median(peak_loads):>7.2f}"
-        f" {min(used):>6.2f} {median(used):>7.2f} {min(served):>7.2f} {median(served):>7.2f}"
+        f" {min(used_fractions):>6.2f} {median(used_fractions):>7.2f} {min(served_fractions):>7.2f} {median(served_fractions):>7.2f}"
     )
 
 
--- a/benchmarks/list_size.py
+++ b/benchmarks/list_size.py
@@ -102,13 +102,13 @@
     """A policy engine whose timers fire on a simulated clock."""
 
     def __init__(self, ingress_count: int) -> None:
-        safety = SafetyLimits(0.01, 1.0, 0.3, 10.0, 3.0, 3.0)
+        safety_limits = SafetyLimits(0.01, 1.0, 0.3, 10.0, 3.0, 3.0)
         settings = PolicySettings(
             ingress_number=0,
             ingress_count=ingress_count,
             classes=(REQUEST_CLASS,),
             plans=(Plan(),),
-            safety=safety,
+            safety=safety_limits,
             max_attempts=3,
         )
         self.now = 100.0
@@ -143,10 +143,10 @@
     figures = {"list_kb": len(text) / 1000, "taken": 1.0, "parse_ms": 0.0, "parse_longest_ms": 0.0}
     list(parser.feed(RESPONSE_HEAD))
     for offset in range(0, len(text), READ_BYTES):
-        piece = text[offset : offset + READ_BYTES]
+        chunk = text[offset : offset + READ_BYTES]
         started_at = time.thread_time()
         try:
-            parsed_lists += parser.feed(b"%x\r\n%b\r\n" % (len(piece), piece))
+            parsed_lists += parser.feed(b"%x\r\n%b\r\n" % (len(chunk), chunk))
         except DiscoveryError:
             figures["taken"] = 0.0
             break
--- a/benchmarks/regress.py
+++ b/benchmarks/regress.py
@@ -152,14 +152,22 @@
     return "\n".join([header, *(table_line(*row) for row in rows)])
 
 
-def run_bench(run: BenchRun, kit: Path, why: str, full: bool = False) -> RunResult:
+def run_bench(run: BenchRun, kit: Path, journal_note: str, is_full: bool = False) -> RunResult:
     """Run one bench and return its result.
 
     Raises OSError, subprocess.SubprocessError or ValueError if it cannot be run or has no result.
     """
-    quick = [] if full or run.group == "module" or run.panel else ["--quick"]
+    quick = [] if is_full or run.group == "module" or run.panel else ["--quick"]
     site = (ROOT if run.site.startswith(OWN_SITES) else kit) / run.site
-    command = [str(kit / run.program), "score", str(site), *quick, *run.panel, "--why", why]
+    command = [
+        str(kit / run.program),
+        "score",
+        str(site),
+        *quick,
+        *run.panel,
+        "--why",
+        journal_note,
+    ]
     process = subprocess.run(
         command, cwd=ROOT, capture_output=True, text=True, timeout=RUN_TIMEOUT_S, check=False
     )
--- a/benchmarks/restart_wave.py
+++ b/benchmarks/restart_wave.py
@@ -15,9 +15,9 @@
 
 from dockthread.lab.slow_start.restart_wave import RestartWave, WaveResult, play_waves
 
-HEAD = "restarts    lists  old list  discovery      ready in 6 s   ready in 10 s   listed in 10 s   last   calls  first  paused"
+TABLE_HEADER = "restarts    lists  old list  discovery      ready in 6 s   ready in 10 s   listed in 10 s   last   calls  first  paused"
 # Pairs: size of the fleet, and ingresses that restart at once.
-SIZES = ((200, 200), (200, 140), (200, 20), (30, 30))
+FLEET_AND_RESTART_SIZES = ((200, 200), (200, 140), (200, 20), (30, 30))
 
 
 def least_and_median(fractions: list[float]) -> str:
@@ -81,8 +81,8 @@
     print(
         "calls: mean per process; first: delay of the first call in s, paused: sum of all pauses in s, both as the median over the processes."
     )
-    print(HEAD)
-    for fleet_size, restarted_count in SIZES:
+    print(TABLE_HEADER)
+    for fleet_size, restarted_count in FLEET_AND_RESTART_SIZES:
         for wave in waves_of(fleet_size, restarted_count):
             results = play_waves(range(1, options.seeds + 1), wave)
             print(table_line(wave, results), flush=True)
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -24,7 +24,7 @@
 import uvloop
 
 ROOT = Path(__file__).parent.parent
-ANSWER = b"*3\r\n$5\r\nvalue\r\n$7\r\nused=37\r\n$24\r\ninflight=7,qps=2,queue=1\r\n"
+SERVED_ANSWER = b"*3\r\n$5\r\nvalue\r\n$7\r\nused=37\r\n$24\r\ninflight=7,qps=2,queue=1\r\n"
 
 SETTINGS: dict[str, Any] = {
     "MyNumber": 0,
@@ -63,11 +63,11 @@
             if self.delay:
                 asyncio.get_running_loop().call_later(self.delay, self._answer)
             else:
-                self.transport.write(ANSWER)
+                self.transport.write(SERVED_ANSWER)
 
     def _answer(self) -> None:
         if not self.transport.is_closing():
-            self.transport.write(ANSWER)
+            self.transport.write(SERVED_ANSWER)
 
 
 async def _run_pool(nodes: int, delay: float) -> None:
@@ -150,13 +150,13 @@
     """
     targets = [
         {
-            "uid": f"s-{n}",
+            "uid": f"s-{number}",
             "endpoint": f"127.0.0.1:{port}",
             "az": "hall-a",
             "model": "type-a",
             "state": "active",
         }
-        for n, port in enumerate(ports["nodes"])
+        for number, port in enumerate(ports["nodes"])
     ]
     config = {
         "name": "n0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{ports['discovery']}", "seed": "1",
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -31,7 +31,7 @@
 import hiredis
 
 from benchmarks.rig import (
-    ANSWER,
+    SERVED_ANSWER,
     IngressProcess,
     LoadResult,
     closed_loop,
@@ -71,11 +71,11 @@
 
     The last route matches the benchmark's requests; the others match customers that send none.
     """
-    named = [
+    other_routes = [
         f"[route firm-{number}]\nfirm = {number + 100_000:x}\nattempts = 2\n"
         for number in range(count - 1)
     ]
-    return "".join(named) + (f"[route status]\n{STATUS_ROUTE}" if count else "")
+    return "".join(other_routes) + (f"[route status]\n{STATUS_ROUTE}" if count else "")
 
 
 async def measure_cpu(rounds: int, requests: int) -> None:
@@ -88,24 +88,24 @@
         os.sched_setaffinity(0, cores[1:])
     rng = random.Random(1)
     async with AsyncExitStack() as stack:
-        running = {}
+        ingresses = {}
         for route_count in counts:
             folder = Path(stack.enter_context(TemporaryDirectory()))
             ports = await stack.enter_async_context(pool())
-            running[route_count] = await stack.enter_async_context(
+            ingresses[route_count] = await stack.enter_async_context(
                 ingress_process(folder, ports, ini=routes_file(route_count), cpu_core=cores[0])
             )
-            await closed_loop(running[route_count].port, 2000)
+            await closed_loop(ingresses[route_count].port, 2000)
         for _ in range(rounds):
             for route_count in rng.sample(counts, len(counts)):
-                cpu_before = running[route_count].cpu_s()
-                result = await closed_loop(running[route_count].port, requests)
+                cpu_before = ingresses[route_count].cpu_s()
+                result = await closed_loop(ingresses[route_count].port, requests)
                 cpu_us[route_count].append(
-                    (running[route_count].cpu_s() - cpu_before) / len(result.latencies_ms) * 1e6
+                    (ingresses[route_count].cpu_s() - cpu_before) / len(result.latencies_ms) * 1e6
                 )
                 rates[route_count].append(len(result.latencies_ms) / result.seconds)
         memory = {
-            route_count: running[route_count].resident_bytes() / 1e6 for route_count in counts
+            route_count: ingresses[route_count].resident_bytes() / 1e6 for route_count in counts
         }
     for route_count in counts:
         ratios = sorted(
@@ -187,7 +187,7 @@
 
 @asynccontextmanager
 async def misbehaving_pool(
-    lags: list[float], answer: bytes = ANSWER
+    lags: list[float], answer: bytes = SERVED_ANSWER
 ) -> AsyncIterator[dict[str, Any]]:
     """Run one node for each lag, with this answer, and a discovery; yield their ports."""
     loop = asyncio.get_running_loop()
--- a/benchmarks/telemetry.py
+++ b/benchmarks/telemetry.py
@@ -53,10 +53,10 @@
     return stand_in
 
 
-async def measure_cpu(before: Path | None, rounds: int, requests: int, interval: str) -> None:
+async def measure_cpu(old_checkout: Path | None, rounds: int, requests: int, interval: str) -> None:
     """Print the CPU time per request and the memory without telemetry and with receivers."""
     names = {"off": (), "one": ("plaintext",), "three": ("plaintext", "pickle", "collectd")}
-    variants = ["off", *(["before"] if before else []), "one", "three"]
+    variants = ["off", *(["before"] if old_checkout else []), "one", "three"]
     stand_in = await start_stand_in(Ledger())
     cpu_us: dict[str, list[float]] = {name: [] for name in variants}
     cores = sorted(os.sched_getaffinity(0))
@@ -65,30 +65,30 @@
         os.sched_setaffinity(0, cores[1:])
     rng = random.Random(1)
     async with AsyncExitStack() as stack:
-        running = {}
+        ingresses = {}
         for variant in variants:
             folder = Path(stack.enter_context(TemporaryDirectory()))
-            checkout = before if variant == "before" and before else ROOT
-            file = (
+            checkout = old_checkout if variant == "before" and old_checkout else ROOT
+            operator_text = (
                 operator_file(stand_in, folder, interval, *names[variant])
                 if names.get(variant)
                 else ""
             )
             ports = await stack.enter_async_context(pool())
-            running[variant] = await stack.enter_async_context(
-                ingress_process(folder, ports, checkout, file, cpu_core=cores[0])
+            ingresses[variant] = await stack.enter_async_context(
+                ingress_process(folder, ports, checkout, operator_text, cpu_core=cores[0])
             )
-            await closed_loop(running[variant].port, 2000)  # Warm-up.
+            await closed_loop(ingresses[variant].port, 2000)  # Warm-up.
         # The machine's speed changes within seconds. Short bursts in turn expose all variants to
         # the same speed.
         for _ in range(rounds):
             for variant in rng.sample(variants, len(variants)):
-                cpu_before = running[variant].cpu_s()
-                result = await closed_loop(running[variant].port, requests)
+                cpu_before = ingresses[variant].cpu_s()
+                result = await closed_loop(ingresses[variant].port, requests)
                 cpu_us[variant].append(
-                    (running[variant].cpu_s() - cpu_before) / len(result.latencies_ms) * 1e6
+                    (ingresses[variant].cpu_s() - cpu_before) / len(result.latencies_ms) * 1e6
                 )
-        memory = {variant: running[variant].resident_bytes() / 1e6 for variant in variants}
+        memory = {variant: ingresses[variant].resident_bytes() / 1e6 for variant in variants}
     for variant in variants:
         ratios = sorted(
             own / without_reports
@@ -109,11 +109,13 @@
         misbehaving = await start_stand_in(Ledger())
         with TemporaryDirectory() as name:
             folder = Path(name)
-            file = operator_file(healthy, folder, "1s", "plaintext")
-            file += operator_file(misbehaving, folder, "1s", "pickle", "collectd").split("\n", 2)[2]
+            operator_text = operator_file(healthy, folder, "1s", "plaintext")
+            operator_text += operator_file(misbehaving, folder, "1s", "pickle", "collectd").split(
+                "\n", 2
+            )[2]
             async with (
                 pool(delay=0.02) as ports,
-                ingress_process(folder, ports, ROOT, file) as ingress,
+                ingress_process(folder, ports, ROOT, operator_text) as ingress,
             ):
                 await asyncio.sleep(1.5)
                 if kind:
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -91,8 +91,8 @@
         # By counter: the amount that this ingress added, and the time since which others add.
         self._totals: dict[int, tuple[float, float]] = {}
         self._events: list[tuple[float, int, Event]] = []
-        entries = tuple(Endpoint(number, BackendState.READY) for number in range(1, BACKENDS + 1))
-        self.handle(EndpointsListed(EndpointListKind.FULL, entries))
+        endpoints = tuple(Endpoint(number, BackendState.READY) for number in range(1, BACKENDS + 1))
+        self.handle(EndpointsListed(EndpointListKind.FULL, endpoints))
 
     def schedule(self, at: float, event: Event) -> None:
         """Schedule an event."""
@@ -124,10 +124,10 @@
 
     def _add_to_counter(self, name: int, amount: float) -> float:
         """Add an amount to a counter; return its total, including the share of other ingresses."""
-        own_amount, since = self._totals.get(name, (0.0, self.now))
-        self._totals[name] = (own_amount + amount, since)
-        others = self.rate * (self.spread - 1) / self.spread
-        return own_amount + amount + others * (self.now - since)
+        own_amount, others_since = self._totals.get(name, (0.0, self.now))
+        self._totals[name] = (own_amount + amount, others_since)
+        others_rate = self.rate * (self.spread - 1) / self.spread
+        return own_amount + amount + others_rate * (self.now - others_since)
 
     def run(self, until: float, rng: random.Random) -> None:
         """Send requests at an ingress's mean load, at random times and from random customers."""
@@ -151,14 +151,14 @@
 def measure(spread: int, use: float, seconds: float) -> IngressCost:
     """Measure one spread and share of the quota in use, after 20 s of warm-up."""
     tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
+    memory_at_start = tracemalloc.get_traced_memory()[0]
     ingress = Ingress(spread, use)
     rng = random.Random(1)
-    listed = tracemalloc.get_traced_memory()[0]
+    memory_after_list = tracemalloc.get_traced_memory()[0]
     ingress.run(20.0, rng)  # Warm-up: each customer has sent a request, and its total is known.
-    memory = tracemalloc.get_traced_memory()[0] - listed
+    memory_of_customers = tracemalloc.get_traced_memory()[0] - memory_after_list
     tracemalloc.stop()
-    assert listed >= before
+    assert memory_after_list >= memory_at_start
     calls = ingress.calls
     requests = ingress.requests
     refused = ingress.refused
@@ -174,7 +174,7 @@
         fleet_calls=calls_per_s * INGRESSES,
         request_ms=ingress.cpu_s / request_count * 1000.0,
         refused=(ingress.refused - refused) / request_count,
-        memory_mb=memory / 1e6,
+        memory_mb=memory_of_customers / 1e6,
     )
 
 
--- a/dockthread/cli/options.py
+++ b/dockthread/cli/options.py
@@ -53,7 +53,7 @@
     Raises:
         ValueError: The text is not an address.
     """
-    found = host_port(text)
-    if found is None:
+    host_and_port = host_port(text)
+    if host_and_port is None:
         raise ValueError(f"{text!r} is no address: write {expected}")
-    return Address(*found)
+    return Address(*host_and_port)
--- a/dockthread/cli/work.py
+++ b/dockthread/cli/work.py
@@ -155,7 +155,10 @@
         rounds = plan_rounds(read_plan(file.read_text(), str(file)), max_unavailable)
     except (ValueError, OSError) as error:
         exit_with_error(str(error))
-    content = [{"goes": one.granted, "waits": dict(one.waiting)} for one in rounds]
+    content = [
+        {"goes": planned_round.granted, "waits": dict(planned_round.waiting)}
+        for planned_round in rounds
+    ]
     print_result(as_json, content, _plan_lines(rounds))
 
 
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -19,7 +19,9 @@
     """A licence node that grants every request after some work."""
 
     def __init__(self, number: int, work_ms: float) -> None:
-        self.uid, self.work_ms, self.inflight = f"toy-{number}", work_ms, 0
+        self.uid = f"toy-{number}"
+        self.work_ms = work_ms
+        self.inflight = 0
 
     async def start(self) -> str:
         """Listen on a free port, and return the address."""
@@ -44,29 +46,36 @@
         self.inflight += 1
         await asyncio.sleep(self.work_ms / 1000)
         self.inflight -= 1
-        value = b"%b says yes to %b" % (self.uid.encode(), args[2])
-        load = b"inflight=%d,qps=1,queue=0" % self.inflight
-        return b"*3\r\n$%d\r\n%b\r\n$-1\r\n$%d\r\n%b\r\n" % (len(value), value, len(load), load)
+        answer_value = b"%b says yes to %b" % (self.uid.encode(), args[2])
+        load_report = b"inflight=%d,qps=1,queue=0" % self.inflight
+        return b"*3\r\n$%d\r\n%b\r\n$-1\r\n$%d\r\n%b\r\n" % (
+            len(answer_value),
+            answer_value,
+            len(load_report),
+            load_report,
+        )
 
 
-async def discovery(targets: list[dict[str, object]], address: str) -> None:
+async def serve_discovery(targets: list[dict[str, object]], address: str) -> None:
     """Serve the list of nodes at an address until cancelled."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Send the list once, or keep a watch open with a heartbeat every 2 s."""
-        head = await reader.readuntil(b"\r\n\r\n")
-        line = json.dumps({"rev": 1, "all": True, "targets": targets}).encode() + b"\n"
-        if b"watch=1" not in head.split(b"\r\n")[0]:
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(line), line))
+        request_head = await reader.readuntil(b"\r\n\r\n")
+        message = json.dumps({"rev": 1, "all": True, "targets": targets}).encode() + b"\n"
+        if b"watch=1" not in request_head.split(b"\r\n")[0]:
+            writer.write(
+                b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(message), message)
+            )
             writer.close()
             return
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         try:
             while True:
-                writer.write(b"%x\r\n%b\r\n" % (len(line), line))
+                writer.write(b"%x\r\n%b\r\n" % (len(message), message))
                 await writer.drain()
                 await asyncio.sleep(2)
-                line = b"\n"  # Heartbeat: the list has not changed.
+                message = b"\n"  # Heartbeat: the list has not changed.
         except ConnectionError:
             writer.close()
 
@@ -99,7 +108,7 @@
         }
         for node in nodes
     ]
-    await discovery(targets, options.discovery)
+    await serve_discovery(targets, options.discovery)
 
 
 if __name__ == "__main__":
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -107,17 +107,19 @@
 
 def command(*args: bytes) -> bytes:
     """Return a command as clients encode it."""
-    parts = [b"$%d\r\n%b\r\n" % (len(arg), arg) for arg in args]
-    return b"*%d\r\n%b" % (len(args), b"".join(parts))
+    encoded_args = [b"$%d\r\n%b\r\n" % (len(arg), arg) for arg in args]
+    return b"*%d\r\n%b" % (len(args), b"".join(encoded_args))
 
 
 def request(
     number: int, kind: str = "status", d: int = 4000, body: bytes | None = None, key: bytes = KEY
 ) -> bytes:
     """Return a request as clients encode it; `d` is its deadline in milliseconds."""
-    terms = b"c=%b,t=gross,d=%d,units=2,spread=3,first=1" % (kind.encode(), d)
+    request_terms = b"c=%b,t=gross,d=%d,units=2,spread=3,first=1" % (kind.encode(), d)
     verb = b"API.READ" if kind == "status" else b"API.WRITE"
-    return command(verb, key, b"%016x" % number, terms, *([body] if body is not None else []))
+    return command(
+        verb, key, b"%016x" % number, request_terms, *([body] if body is not None else [])
+    )
 
 
 async def serves(args: list[bytes]) -> bytes | None:
