--- a/tests/benchmarks/test_regress.py
+++ b/tests/benchmarks/test_regress.py
@@ -117,11 +117,11 @@
     """Write a stand-in for the kit and return its folder.
 
     Each bench appends its command line to the file `calls`. It fails if its command line contains
-    the text in the file `fails`, or does not contain the text in the file `plays`. Otherwise it
+    the text in the file `failing_text`, or lacks the text in the file `required_text`. Otherwise it
     writes a journal entry and prints its snapshot.
     """
     entry = json.dumps({"score": score, "days": [day()]})
-    for name in ("fails", "plays", "calls"):
+    for name in ("failing_text", "required_text", "calls"):
         (folder / name).parent.mkdir(parents=True, exist_ok=True)
         (folder / name).write_text("")
     for run in regress.RUNS:
@@ -129,8 +129,8 @@
         program.parent.mkdir(parents=True, exist_ok=True)
         program.write_text(f"""#!/bin/sh
 echo "{run.program} $*" >> {folder}/calls
-fails=$(cat {folder}/fails); plays=$(cat {folder}/plays)
-case "$*" in *"${{fails:-no such word}}"*) exit 1;; *"$plays"*) ;; *) exit 1;; esac
+failing=$(cat {folder}/failing_text); required=$(cat {folder}/required_text)
+case "$*" in *"${{failing:-no such text}}"*) exit 1;; *"$required"*) ;; *) exit 1;; esac
 echo '{entry}' > journal/1-0000abcd.json
 echo snapshot 0000abcd
 """)
@@ -169,10 +169,10 @@
     folder = write_kit(tmp_path / "kit", 0.9)
     last_run = regress.RUNS[-1]
     last_arguments = f"{last_run.site} {' '.join(last_run.panel)}"
-    (folder / "fails").write_text(last_arguments)
+    (folder / "failing_text").write_text(last_arguments)
     assert regress.main([str(folder), "--full"]) == 2
-    (folder / "fails").write_text("")
-    (folder / "plays").write_text(last_arguments)  # Every other bench would fail if it ran again.
+    (folder / "failing_text").write_text("")
+    (folder / "required_text").write_text(last_arguments)  # Every other bench would fail if it ran again.
     assert regress.main([str(folder), "--full", "--keep"]) == 0
     assert len(recorded_scores.load(tmp_path / "kept.json")["full"]) == len(regress.RUNS)
     assert regress.main([str(folder), "--full"]) == 2, (
