--- a/tests/benchmarks/test_regress.py
+++ b/tests/benchmarks/test_regress.py
@@ -172,9 +172,8 @@
     (folder / "failing_text").write_text(last_arguments)
     assert regress.main([str(folder), "--full"]) == 2
     (folder / "failing_text").write_text("")
-    (folder / "required_text").write_text(
-        last_arguments
-    )  # Every other bench would fail if it ran again.
+    # Every other bench would fail if it ran again.
+    (folder / "required_text").write_text(last_arguments)
     assert regress.main([str(folder), "--full", "--keep"]) == 0
     assert len(recorded_scores.load(tmp_path / "kept.json")["full"]) == len(regress.RUNS)
     assert regress.main([str(folder), "--full"]) == 2, (
