--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -1,4 +1,6 @@
-"""Cold backends under the sum of a fleet of deciding cores, over many seeds. No test runs this.
+"""Simulates whether a fleet of policy engines together overloads cold backends, over many seeds.
+
+No test runs this benchmark.
 
 python -m benchmarks.cold_ramp --ingresses 30 --seeds 200 --jobs 4
 python -m benchmarks.cold_ramp --ingresses 200 --seeds 20 --cold 1.0 --plant unbounded
@@ -14,27 +16,27 @@
 from dockthread.lab.slow_start.seeded_defects import DEFECTIVE_ENGINES
 from dockthread.lab.slow_start.seeds import SeedResult, play_seeds
 
-MAX_SHOWN = 10  # seeds with an overload that are printed one by one
+MAX_SHOWN = 10  # Maximum number of seeds with an overload that are printed individually.
 
 
 def summary_line(name: str, results: list[SeedResult]) -> str:
-    """One line of the table: these seeds together."""
-    violating = sum(bool(result.violations) for result in results)
-    overloaded = sum(bool(result.overloads) for result in results)
-    backends = sum(result.cold_count for result in results)
-    overloads = sum(len(result.overloads) for result in results)
+    """Return the table line that summarises these seeds."""
+    violating_seeds = sum(bool(result.violations) for result in results)
+    overloaded_seeds = sum(bool(result.overloads) for result in results)
+    cold_backends = sum(result.cold_count for result in results)
+    overload_count = sum(len(result.overloads) for result in results)
     peak_loads = [result.peak_load for result in results]
-    used = [result.used_capacity for result in results]
-    served = [result.in_time / result.achievable for result in results]
+    used_fractions = [result.used_capacity for result in results]
+    served_fractions = [result.in_time / result.achievable for result in results]
     return (
-        f"{name:>5} {len(results):>6} {violating:>6} {overloaded:>6} {backends:>9} {overloads:>6}"
+        f"{name:>5} {len(results):>6} {violating_seeds:>6} {overloaded_seeds:>6} {cold_backends:>9} {overload_count:>6}"
         f" {max(peak_loads):>8.2f} {median(peak_loads):>7.2f}"
-        f" {min(used):>6.2f} {median(used):>7.2f} {min(served):>7.2f} {median(served):>7.2f}"
+        f" {min(used_fractions):>6.2f} {median(used_fractions):>7.2f} {min(served_fractions):>7.2f} {median(served_fractions):>7.2f}"
     )
 
 
 def scenario_text(scenario: Scenario) -> str:
-    """A scenario in the printed form, whose names are older than those of the code."""
+    """Return a scenario as text. The field names in the text are older than those in the code."""
     kinds = [f"Kind(cores={kind.cores}, speed={kind.speed})" for kind in scenario.kinds]
     kinds_text = f"({', '.join(kinds)}{',' if len(kinds) == 1 else ''})"
     return (
@@ -48,17 +50,17 @@
 
 
 def overload_line(result: SeedResult) -> str:
-    """One line on a seed that has an overload."""
+    """Return a line that describes the first overload of a seed."""
     overload = result.overloads[0]
     return (
-        f"seed {result.seed}: {len(result.violations)} of {result.cold_count} fell,"
-        f" one got {overload.work:.1f} where {overload.allowed_work:.1f} are allowed,"
-        f" {overload.notified_share:.0%} from those told; {scenario_text(result.scenario)}"
+        f"seed {result.seed}: {len(result.violations)} of {result.cold_count} overloaded,"
+        f" one got {overload.work:.1f} units of work where {overload.allowed_work:.1f} are allowed,"
+        f" {overload.notified_share:.0%} from notified ingresses; {scenario_text(result.scenario)}"
     )
 
 
 def parse_options() -> argparse.Namespace:
-    """Read the command line."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -66,13 +68,15 @@
     parser.add_argument("--seeds", type=int, default=100)
     parser.add_argument("--from-seed", type=int, default=1)
     parser.add_argument(
-        "--cold", type=float, help="part of the backends that starts cold; drawn by default"
+        "--cold",
+        type=float,
+        help="fraction of the backends that start cold; drawn at random by default",
     )
     parser.add_argument(
         "--plant",
         choices=sorted(["", *DEFECTIVE_ENGINES]),
         default="",
-        help="a fault in the deciding core",
+        help="defect to plant in the policy engine",
     )
     parser.add_argument("--jobs", type=int, default=2)
     return parser.parse_args()
@@ -83,11 +87,9 @@
     options = parse_options()
     seeds = range(options.from_seed, options.from_seed + options.seeds)
     results = play_seeds(seeds, options.ingresses, options.cold, options.plant, options.jobs)
+    print("              seeds with        cold  over-    peak load       cold used        in time")
     print(
-        "                 broke           cold          fullest of N     cold used       in time of could"
-    )
-    print(
-        " cold  seeds   rule   fell  backends  falls     most  median  least  median   least  median"
+        " cold  seeds breach overl.  backends  loads      max  median    min  median     min  median"
     )
     for fraction in COLD_FRACTIONS:
         if matching := [result for result in results if result.scenario.cold_fraction == fraction]:
--- a/benchmarks/fleet_idle.py
+++ b/benchmarks/fleet_idle.py
@@ -1,11 +1,10 @@
-"""What `[fleet]` costs an ingress while nothing is asked for: processor time with the section and
-without it, under a load.
+"""Measures the CPU time that section `[fleet]` costs an ingress without any maintenance request.
 
     python -m benchmarks.fleet_idle [--members N] [--seconds S] [--load RATE]
 
-Two runs, one behind the other, on real processes with stand-ins of licence nodes. Prints ms of
-processor time a second, the mean over the ingresses, and a request's. Ends each process that it
-started. No part of CI.
+Runs real ingress processes with stand-in licence nodes under load, first without the section, then
+with it. Prints the CPU time in ms per second, as the mean over the ingresses, and the requests
+served. Stops every process that it started. CI does not run it.
 """
 
 from __future__ import annotations
@@ -22,77 +21,83 @@
 from dockthread.lab.maintenance.rehearsal import SETTINGS
 from dockthread.lab.maintenance.stand_in import StandInBackend
 
-UP = 20.0  # s until all serve
-TICKS = os.sysconf("SC_CLK_TCK")
+READY_TIMEOUT_S = 20.0  # Timeout in s until all ingresses are ready.
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")  # Clock ticks per second in /proc.
 
 
-def used(pid: int) -> float:
-    """Seconds of processor time of a process."""
+def cpu_time_s(pid: int) -> float:
+    """Return the CPU time in s that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 async def measure(
-    folder: Path, members: int, seconds: float, rate: int, fleet: bool
+    folder: Path, members: int, seconds: float, rate: int, has_fleet_section: bool
 ) -> tuple[float, int]:
-    """ms a second of the mean ingress, and requests served."""
-    nodes = [StandInBackend(f"m{i}", "hall-a") for i in range(4)]
+    """Return the mean CPU time of an ingress in ms per second, and the requests served."""
+    nodes = [StandInBackend(f"m{number}", "hall-a") for number in range(4)]
     for node in nodes:
         await node.open()
-    rig = ProcessCluster(
+    cluster = ProcessCluster(
         folder, members, {**SETTINGS, "Azs": ["hall-a"]}, [node.listed() for node in nodes]
     )
     try:
-        for link in rig.links.values():
+        for link in cluster.links.values():
             await link.open()
-        for name in rig.names:
-            rig.start(name, "" if fleet else "[log]\nlevel = INFO\n")
-        async with asyncio.timeout(UP):
-            for name in rig.names:
-                while (await rig.call(name, "GET", "/_ready", time_limit_s=0.5))[0] != 200:
+        for name in cluster.names:
+            cluster.start(name, "" if has_fleet_section else "[log]\nlevel = INFO\n")
+        async with asyncio.timeout(READY_TIMEOUT_S):
+            for name in cluster.names:
+                while (await cluster.call(name, "GET", "/_ready", time_limit_s=0.5))[0] != 200:
                     await asyncio.sleep(0.05)
-            while fleet and not await rig.leader():
+            while has_fleet_section and not await cluster.leader():
                 await asyncio.sleep(0.05)
         await asyncio.sleep(1.0)
-        before = {name: used(rig.processes[name].pid) for name in rig.names}
+        cpu_before = {name: cpu_time_s(cluster.processes[name].pid) for name in cluster.names}
         arrivals = [
-            Arrival(i / rate, "status", "gross", 1 + i % 7, 1, 1, 0)
-            for i in range(int(seconds * rate))
+            Arrival(number / rate, "status", "gross", 1 + number % 7, 1, 1, 0)
+            for number in range(int(seconds * rate))
         ]
-        loads = [
+        senders = [
             LoadGenerator(
-                LoadTarget(HOST, rig.client[name].port, {"status": 4.0}, frozenset()), 1 + (n << 40)
+                LoadTarget(HOST, cluster.client[name].port, {"status": 4.0}, frozenset()),
+                1 + (number << 40),
             ).run(arrivals)
-            for n, name in enumerate(rig.names)
+            for number, name in enumerate(cluster.names)
         ]
-        outcomes = await asyncio.gather(*loads, asyncio.sleep(seconds))
-        spent = sum(used(rig.processes[name].pid) - before[name] for name in rig.names)
-        served = sum(one.total("served") for one in outcomes if one is not None)
-        return spent / members / seconds * 1000.0, served
+        results = await asyncio.gather(*senders, asyncio.sleep(seconds))
+        cpu_time = sum(
+            cpu_time_s(cluster.processes[name].pid) - cpu_before[name] for name in cluster.names
+        )
+        served = sum(result.total("served") for result in results if result is not None)
+        return cpu_time / members / seconds * 1000.0, served
     finally:
-        await rig.close()
+        await cluster.close()
         for node in nodes:
             node.close()
 
 
 def main() -> None:
+    """Measure without the section and with it, and print both results."""
     parser = argparse.ArgumentParser(
-        description="what the fleet's section costs while nothing is asked for"
+        description="Measure the CPU cost of section [fleet] without maintenance requests."
     )
     parser.add_argument("--members", type=int, default=3, choices=(1, 3, 5, 7))
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument(
-        "--load", type=int, default=100, help="requests a second to each ingress; 0 for none"
+        "--load", type=int, default=100, help="requests per second to each ingress; 0 for none"
     )
     options = parser.parse_args()
-    for fleet in (False, True):
+    for has_fleet_section in (False, True):
         with TemporaryDirectory() as folder:
-            spent, served = asyncio.run(
-                measure(Path(folder), options.members, options.seconds, options.load, fleet)
+            cpu_time, served = asyncio.run(
+                measure(
+                    Path(folder), options.members, options.seconds, options.load, has_fleet_section
+                )
             )
-        words = "with [fleet]" if fleet else "without"
-        print(f"{options.members} ingresses, {options.load} requests a second each, {words}: "
-              f"{spent:.1f} ms of processor time a second, {served} served")  # fmt: skip
+        variant = "with [fleet]" if has_fleet_section else "without"
+        print(f"{options.members} ingresses, {options.load} requests per second each, {variant}: "
+              f"{cpu_time:.1f} ms of CPU time per second, {served} served")  # fmt: skip
 
 
 if __name__ == "__main__":
--- a/benchmarks/followers.py
+++ b/benchmarks/followers.py
@@ -1,12 +1,11 @@
-"""What the leader of the agreed log spends when every ingress follows it: the way without a tier of
-distributors.
+"""Measures the cost of a Raft leader if every ingress follows its log without distributors.
 
     python -m benchmarks.followers [--followers N ...] [--seconds S] [--changes RATE] [--json]
 
-One leader, four other voters and N members without a vote, all in one process and in simulated
-time, without sockets: messages are packed and read as on the wire. Prints messages and bytes that
-the leader sends a second of simulated time, and the processor time that its deciding, packing and
-reading take as a share of that time. No part of CI.
+One leader, four other voters and N non-voting members run in one process and in simulated time.
+There are no sockets, but messages are encoded and decoded as on the wire. Prints the messages and
+bytes that the leader sends per second of simulated time, and the CPU time that its core and its
+encoding take as a fraction of that time. CI does not run it.
 """
 
 from __future__ import annotations
@@ -22,13 +21,14 @@
 from dockthread.raft.core import RaftCore
 
 VOTERS = tuple(f"voter{i}" for i in range(5))
-SIZES = (0, 100, 400, 1600)
-BODY = bytes(300)  # of one change: a route's section
-KEPT = 512  # applied entries before a state takes their place, as in fleet/member.py
+FOLLOWER_COUNTS = (0, 100, 400, 1600)
+CHANGE_BODY = bytes(300)  # Body of one change, as large as the section of a route.
+# Applied entries after which the log is compacted, like ENTRIES_BEFORE_SNAPSHOT in raft/runner.py.
+COMPACTION_INTERVAL = 512
 
 
-def read(frame: bytes) -> messages.Message:
-    """A frame's message; a state here is far too small to travel in parts."""
+def decode_frame(frame: bytes) -> messages.Message:
+    """Decode a frame. Snapshots are too small here to be sent in chunks."""
     message = messages.unpack(
         frame[: messages.FRAME_HEADER.size], frame[messages.FRAME_HEADER.size :]
     )
@@ -37,8 +37,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spent:
-    """Of one size: what the leader sends a second, and the share of a core that it takes."""
+class LeaderCost:
+    """Cost of the leader at one number of followers: rates per second, and share of a CPU core."""
 
     followers: int
     changes: float
@@ -48,7 +48,7 @@
 
 
 class Leader:
-    """The leader's core with its packing and reading; only its own processor time is counted."""
+    """The leader's Raft core with its encoding and decoding, whose CPU time is counted."""
 
     def __init__(self, followers: int) -> None:
         self.core = RaftCore(
@@ -59,79 +59,100 @@
         self.cpu = 0.0
 
     def carry_out(self, actions: list[Action]) -> list[tuple[str, bytes]]:
-        began = time.process_time()
-        frames = [(a.to, messages.pack(a.message)) for a in actions if isinstance(a, SendMessage)]
+        """Carry out actions of the core, and return the recipient and frame of each message."""
+        started_at = time.process_time()
+        frames = [
+            (action.to, messages.pack(action.message))
+            for action in actions
+            if isinstance(action, SendMessage)
+        ]
         for action in actions:
             if (
                 isinstance(action, ApplyEntry)
-                and action.index - self.core.log.snapshot_index >= KEPT
+                and action.index - self.core.log.snapshot_index >= COMPACTION_INTERVAL
             ):
                 self.core.compact(action.index, b"")
-        self.cpu += time.process_time() - began
+        self.cpu += time.process_time() - started_at
         self.messages += len(frames)
         self.bytes += sum(len(frame) for _, frame in frames)
         return frames
 
-    def hear(self, now: float, frame: bytes) -> list[tuple[str, bytes]]:
-        began = time.process_time()
-        actions = self.core.step(now, read(frame))
-        self.cpu += time.process_time() - began
+    def receive(self, now: float, frame: bytes) -> list[tuple[str, bytes]]:
+        """Process a frame that another member sent."""
+        started_at = time.process_time()
+        actions = self.core.step(now, decode_frame(frame))
+        self.cpu += time.process_time() - started_at
         return self.carry_out(actions)
 
     def tick(self, now: float) -> list[tuple[str, bytes]]:
-        began = time.process_time()
+        """Process the timers that are due."""
+        started_at = time.process_time()
         actions = self.core.tick(now)
-        self.cpu += time.process_time() - began
+        self.cpu += time.process_time() - started_at
         return self.carry_out(actions)
 
     def propose(self, now: float) -> list[tuple[str, bytes]]:
-        began = time.process_time()
-        actions = self.core.propose(now, BODY)[1]
-        self.cpu += time.process_time() - began
+        """Propose one change."""
+        started_at = time.process_time()
+        actions = self.core.propose(now, CHANGE_BODY)[1]
+        self.cpu += time.process_time() - started_at
         return self.carry_out(actions)
 
 
-def measure(followers: int, seconds: float, changes: float) -> Spent:
+def measure(followers: int, seconds: float, changes: float) -> LeaderCost:
+    """Measure a leader over `seconds` of simulated time at `changes` proposals per second."""
     leader = Leader(followers)
     names = [*VOTERS[1:], *leader.core.learners]
-    others = {
-        n: RaftCore(n, VOTERS, PersistentState(), RaftTiming(), random.Random(i), 0.0)
-        for i, n in enumerate(names)
+    members = {
+        name: RaftCore(name, VOTERS, PersistentState(), RaftTiming(), random.Random(number), 0.0)
+        for number, name in enumerate(names)
     }
 
-    def exchange(now: float, frames: list[tuple[str, bytes]]) -> None:
+    def deliver_all(now: float, frames: list[tuple[str, bytes]]) -> None:
+        """Deliver frames and the responses to them until there are no more."""
         while frames:
-            answers = list[bytes]()
-            for to, frame in frames:
-                for action in others[to].step(now, read(frame)):
+            responses = list[bytes]()
+            for recipient, frame in frames:
+                for action in members[recipient].step(now, decode_frame(frame)):
                     if isinstance(action, SendMessage) and action.to == VOTERS[0]:
-                        answers.append(messages.pack(action.message))
-            frames = [frame for answer in answers for frame in leader.hear(now, answer)]
+                        responses.append(messages.pack(action.message))
+            frames = [frame for response in responses for frame in leader.receive(now, response)]
 
     now = 0.0
     while leader.core.role.value != "leader":
         now = leader.core.next_deadline()
-        exchange(now, leader.tick(now))
+        deliver_all(now, leader.tick(now))
     leader.messages = leader.bytes = 0
-    leader.cpu, proposed, began = 0.0, 0, now
-    while now < began + seconds * 1000.0:
+    leader.cpu = 0.0
+    proposed_count = 0
+    started_at = now
+    while now < started_at + seconds * 1000.0:
         now = leader.core.next_deadline()
-        exchange(now, leader.tick(now))
-        while proposed < (now - began) / 1000.0 * changes:
-            proposed += 1
-            exchange(now, leader.propose(now))
-    took = (now - began) / 1000.0
-    return Spent(followers, changes, leader.messages / took, leader.bytes / took, leader.cpu / took)
+        deliver_all(now, leader.tick(now))
+        while proposed_count < (now - started_at) / 1000.0 * changes:
+            proposed_count += 1
+            deliver_all(now, leader.propose(now))
+    elapsed_s = (now - started_at) / 1000.0
+    return LeaderCost(
+        followers,
+        changes,
+        leader.messages / elapsed_s,
+        leader.bytes / elapsed_s,
+        leader.cpu / elapsed_s,
+    )
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description="what a leader spends on members that only follow")
-    parser.add_argument("--followers", type=int, nargs="+", default=list(SIZES))
+    """Measure each number of followers and print the results."""
+    parser = argparse.ArgumentParser(
+        description="Measure the cost of non-voting members for a Raft leader."
+    )
+    parser.add_argument("--followers", type=int, nargs="+", default=list(FOLLOWER_COUNTS))
     parser.add_argument("--seconds", type=float, default=10.0)
-    parser.add_argument("--changes", type=float, default=0.0, help="a second")
+    parser.add_argument("--changes", type=float, default=0.0, help="proposed changes per second")
     parser.add_argument("--json", action="store_true")
     options = parser.parse_args()
-    rows = [measure(n, options.seconds, options.changes) for n in options.followers]
+    rows = [measure(count, options.seconds, options.changes) for count in options.followers]
     if options.json:
         print(json.dumps([asdict(row) for row in rows]))
         return
--- a/dockthread/cli/metrics.py
+++ b/dockthread/cli/metrics.py
@@ -1,4 +1,4 @@
-"""`dockthread metrics`: the list of them, and the stand-in that receives them."""
+"""The commands `dockthread metrics`: the list of all metrics, and a stand-in receiver for them."""
 
 from __future__ import annotations
 
@@ -28,24 +28,25 @@
 
 @click.group()
 def metrics() -> None:
-    """What an ingress counts, and a receiver to try it with."""
+    """List the metrics of an ingress, or receive them with a stand-in receiver."""
 
 
 @metrics.command("list")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a line.")
-def list_(as_json: bool) -> None:
-    """Every metric: path behind PREFIX.INGRESS, kind, unit, meaning."""
-    width = max(len(m.path) for m in METRICS)
-    for m in METRICS:
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per line.")
+def list_metrics(as_json: bool) -> None:
+    """List all metrics with path, kind, unit and meaning. PREFIX.INGRESS precedes each path."""
+    path_width = max(len(metric.path) for metric in METRICS)
+    for metric in METRICS:
+        path, kind, unit, meaning = metric.path, metric.kind, metric.unit, metric.meaning
         if as_json:
-            click.echo(
-                json.dumps({"path": m.path, "kind": m.kind, "unit": m.unit, "meaning": m.meaning})
-            )
+            click.echo(json.dumps({"path": path, "kind": kind, "unit": unit, "meaning": meaning}))
         else:
-            click.echo(f"{m.path:<{width}}  {m.kind:<6}  {m.unit:<11}  {m.meaning}")
+            click.echo(f"{path:<{path_width}}  {kind:<6}  {unit:<11}  {meaning}")
 
 
 class SpanType(click.ParamType[Span]):
+    """A period of misbehaviour, written as KIND@START+LENGTH."""
+
     name = "span"
 
     def convert(self, value: Any, param: Any, ctx: Any) -> Span:
@@ -56,6 +57,8 @@
 
 
 class DurationType(click.ParamType[Duration]):
+    """A duration with its unit, such as 60s."""
+
     name = "duration"
 
     def convert(self, value: Any, param: Any, ctx: Any) -> Duration:
@@ -67,37 +70,61 @@
 
 @metrics.command()
 @click.option(
-    "--plaintext", default="127.0.0.1:0", show_default=True, help="Graphite's lines; '' for none."
+    "--plaintext",
+    default="127.0.0.1:0",
+    show_default=True,
+    help="Address for Graphite's plaintext protocol; '' for none.",
+)
+@click.option(
+    "--pickle",
+    default="127.0.0.1:0",
+    show_default=True,
+    help="Address for Graphite's pickle protocol; '' for none.",
 )
 @click.option(
-    "--pickle", default="127.0.0.1:0", show_default=True, help="Graphite's pickles; '' for none."
+    "--collectd",
+    default="127.0.0.1:0",
+    show_default=True,
+    help="Address for collectd's packets; '' for none.",
 )
+@click.option("--unix", default="", help="Path of a Unix socket that accepts PUTVAL commands.")
 @click.option(
-    "--collectd", default="127.0.0.1:0", show_default=True, help="Collectd's packets; '' for none."
+    "--security",
+    type=click.Choice(["none", "sign", "encrypt"]),
+    default="none",
+    show_default=True,
+    help="Security that collectd's packets must have.",
 )
-@click.option("--unix", default="", help="Path of a socket that takes PUTVAL.")
+@click.option("--user", default="", help="User name of signed and encrypted packets.")
 @click.option(
-    "--security", type=click.Choice(["none", "sign", "encrypt"]), default="none", show_default=True
+    "--password-file",
+    type=click.Path(exists=True, dir_okay=False),
+    help="File whose first line is the user's password.",
 )
-@click.option("--user", default="", help="For signed and encrypted packets.")
-@click.option("--password-file", type=click.Path(exists=True, dir_okay=False))
 @click.option(
-    "--store", default=":memory:", show_default=True, help="An SQLite file that keeps what comes."
+    "--store",
+    default=":memory:",
+    show_default=True,
+    help="SQLite file for the received points.",
 )
 @click.option(
-    "--for", "span", type=DurationType(), default=None, help="End after so long, such as 60s."
+    "--for",
+    "duration",
+    type=DurationType(),
+    default=None,
+    help="Exit after this time, such as 60s.",
 )
 @click.option(
     "--misbehave",
     type=SpanType(),
     multiple=True,
     metavar="KIND@START+LENGTH",
-    help=f"Such as vanish@10s+60s. Kinds: {', '.join(KINDS)}.",
+    help=f"Misbehave for a while, such as vanish@10s+60s. Kinds: {', '.join(KINDS)}.",
 )
 @click.option(
-    "--only", default="", help="Print only totals of series with this text in their name."
+    "--only", default="", help="Print only totals of series whose name contains this text."
 )
-@click.option("--json", "as_json", is_flag=True, help="Totals as one JSON object.")
+@click.option("--json", "as_json", is_flag=True, help="Print the totals as one JSON object.")
 def receive(
     plaintext: str,
     pickle: str,
@@ -107,15 +134,15 @@
     user: str,
     password_file: str | None,
     store: str,
-    span: Duration | None,
+    duration: Duration | None,
     misbehave: tuple[Span, ...],
     only: str,
     as_json: bool,
 ) -> None:
-    """Play Graphite and collectd, and print the totals of all counts over all lives at the end.
+    """Receive metrics as Graphite and collectd do, and print the total of each counter at the end.
 
-    Prints where it listens, one line a protocol, then waits for SIGINT, SIGTERM or the end of
-    --for.
+    A total covers all restarts of an ingress. The command prints the address of each protocol, one
+    per line, and then runs until SIGINT, SIGTERM or the end of --for.
     """
     passwords = {}
     if password_file:
@@ -123,46 +150,53 @@
             passwords[user] = file.read().split(b"\n")[0]
     ledger = Ledger(store)
     stand_in = StandIn(ledger, Opener(security, passwords))
-    wanted = {PLAINTEXT: plaintext, PICKLE: pickle, COLLECTD: collectd, UNIX: unix}
+    options = {PLAINTEXT: plaintext, PICKLE: pickle, COLLECTD: collectd, UNIX: unix}
+    addresses = {protocol: address for protocol, address in options.items() if address}
     try:
-        asyncio.run(
-            _receive(stand_in, {name: at for name, at in wanted.items() if at}, misbehave, span)
-        )
+        asyncio.run(_receive(stand_in, addresses, misbehave, duration))
     except OSError as error:
         raise click.ClickException(f"cannot listen: {error}") from error
-    report(ledger, only, as_json)
+    print_totals(ledger, only, as_json)
     ledger.close()
 
 
 async def _receive(
-    stand_in: StandIn, wanted: dict[str, str], spans: tuple[Span, ...], length: Duration | None
+    stand_in: StandIn,
+    addresses: dict[str, str],
+    misbehaviour: tuple[Span, ...],
+    duration: Duration | None,
 ) -> None:
-    end, loop = asyncio.Event(), asyncio.get_running_loop()
-    for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, end.set)
-    await stand_in.start(**wanted)
+    """Receive metrics until a signal or the end of the time, and misbehave in the given periods."""
+    stop_requested = asyncio.Event()
+    loop = asyncio.get_running_loop()
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    await stand_in.start(**addresses)
     for protocol, address in stand_in.addresses.items():
         click.echo(f"{protocol} at {address}")
     sys.stdout.flush()
-    playing = loop.create_task(stand_in.play(spans))
+    misbehaving = loop.create_task(stand_in.play(misbehaviour))
     with suppress(TimeoutError):
-        await asyncio.wait_for(end.wait(), length / 1000.0 if length else None)
-    playing.cancel()
-    await asyncio.sleep(0.05)  # for what is in the sockets to be read
+        await asyncio.wait_for(stop_requested.wait(), duration / 1000.0 if duration else None)
+    misbehaving.cancel()
+    await asyncio.sleep(0.05)  # Leaves time to read the data that is still in the sockets.
     stand_in.stop()
 
 
-def report(ledger: Ledger, only: str, as_json: bool) -> None:
+def print_totals(ledger: Ledger, only: str, as_json: bool) -> None:
+    """Print the totals, the faults and the number of points of a ledger."""
     totals = ledger.totals(only)
     if as_json:
-        found: dict[str, dict[str, float]] = {}
+        totals_by_source: dict[str, dict[str, float]] = {}
         for total in totals:
-            found.setdefault(total.source, {})[total.series] = total.value
-        faults = {f"{source}: {kind}": many for (source, kind), many in ledger.faults().items()}
-        click.echo(json.dumps({"totals": found, "faults": faults, "points": dict(ledger.seen)}))
+            totals_by_source.setdefault(total.source, {})[total.series] = total.value
+        faults = {f"{source}: {kind}": count for (source, kind), count in ledger.faults().items()}
+        content = {"totals": totals_by_source, "faults": faults, "points": dict(ledger.seen)}
+        click.echo(json.dumps(content))
         return
     for total in totals:
-        click.echo(f"{total.source:<9}  {total.value:>14.10g}  {total.lives} lives  {total.series}")
-    for (source, kind), many in ledger.faults().items():
-        click.echo(f"{source:<9}  {many:>14}  faults: {kind}")
-    click.echo(f"{sum(ledger.seen.values())} points in all")
+        value = f"{total.value:>14.10g}"
+        click.echo(f"{total.source:<9}  {value}  {total.lives} process runs  {total.series}")
+    for (source, kind), count in ledger.faults().items():
+        click.echo(f"{source:<9}  {count:>14}  faults: {kind}")
+    click.echo(f"{sum(ledger.seen.values())} points in total")
