--- a/dockthread/cli/metrics.py
+++ b/dockthread/cli/metrics.py
@@ -162,7 +162,9 @@
         click.echo(json.dumps({"totals": found, "faults": faults, "points": dict(ledger.seen)}))
         return
     for total in totals:
-        click.echo(f"{total.source:<9}  {total.value:>14.10g}  {total.lives} lives  {total.series}")
+        click.echo(
+            f"{total.source:<9}  {total.value:>14.10g}  {total.incarnations} lives  {total.series}"
+        )
     for (source, kind), many in ledger.faults().items():
         click.echo(f"{source:<9}  {many:>14}  faults: {kind}")
     click.echo(f"{sum(ledger.seen.values())} points in all")
--- a/dockthread/telemetry/catalogue.py
+++ b/dockthread/telemetry/catalogue.py
@@ -1,12 +1,12 @@
 """The catalogue of all metrics that are sent: the path, kind, unit and meaning of each.
 
 A path is a tuple of parts; placeholders such as `{class}` stand for names. A `derive` is a counter
-that never decreases within a telemetry session. A `gauge` is a current value that may rise and
+that never decreases within a telemetry incarnation. A `gauge` is a current value that may rise and
 fall. Both kinds are defined in collectd's standard types.db.
 
-A telemetry session begins when counting starts, and all counters start at zero. Counting starts
-with the ingress or with the reload that adds the first receiver, and ends with the ingress or with
-the reload that removes the last receiver. The metric `life` is the start time of the session.
+A telemetry incarnation is a period in which an ingress counts; all counters start at zero in it. It
+begins when the ingress starts or a reload adds the first receiver, and ends when the ingress stops
+or a reload removes the last receiver. The metric `life` is the start time of the incarnation.
 
 Paths and meanings are shown by `dockthread metrics list` and used by dashboards, so they keep some
 terms that the code no longer uses.
@@ -31,7 +31,7 @@
 SAFE_PART = re.compile(r"[A-Za-z0-9_-]{1,64}")
 UNSAFE_CHARACTERS = re.compile(r"[^A-Za-z0-9_-]+")
 
-# The path of the metric with the start time of the session, the first point of each report.
+# The path of the metric with the start time of the incarnation, the first point of each report.
 LIFE_PATH = ("life",)
 # Upper bounds of the latency buckets, in milliseconds.
 BUCKET_BOUNDS_MS = (5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000)
--- a/dockthread/telemetry/exporter.py
+++ b/dockthread/telemetry/exporter.py
@@ -1,7 +1,7 @@
 """Run telemetry for an ingress: one report per interval, and a final report at shutdown.
 
-Events are counted only while a receiver is configured. A telemetry session begins when the first
-receiver is configured, at the start of the ingress or by a reload. Its first report contains
+Events are counted only while a receiver is configured. A telemetry incarnation begins when the
+first receiver is configured, at the start of the ingress or by a reload. Its first report contains
 explicit zeros. The final report is made after the last response; the setting `farewell` in the
 operator's file bounds the time for its delivery.
 """
@@ -62,7 +62,7 @@
 
     @property
     def tally(self) -> Tally | None:
-        """The counts of the current session, or None while no receiver is configured."""
+        """The counts of the current incarnation, or None while no receiver is configured."""
         return self._tally
 
     def apply(self, operator_config: OperatorConfig) -> None:
@@ -91,9 +91,9 @@
         for receiver in changed.values():
             receiver.start()
         if not self.receivers:
-            self._end_session()
+            self._end_incarnation()
         elif self._tally is None:
-            self._begin_session()
+            self._begin_incarnation()
         elif changed:
             self._timer_id += 1
             self._report()
@@ -123,7 +123,7 @@
             changed[name] = Receiver(settings)
         return changed
 
-    def _begin_session(self) -> None:
+    def _begin_incarnation(self) -> None:
         ingress = self._ingress
         options = self._options
         classes = ingress.config.policy_settings.classes
@@ -141,11 +141,11 @@
                 f"{name} at {receiver.options.address}" for name, receiver in self.receivers.items()
             ),
         )
-        self._report()  # reports the explicit zeros of this session
+        self._report()  # reports the explicit zeros of this incarnation
         self._schedule_report()
         self._sample(time.monotonic() + SAMPLE_SECONDS)
 
-    def _end_session(self) -> None:
+    def _end_incarnation(self) -> None:
         self._timer_id += 1
         self._tally = None
         if self._sample_timer is not None:
@@ -255,4 +255,4 @@
         except TimeoutError:
             pass
         await self._drain(list(self.receivers.values()))
-        self._end_session()
+        self._end_incarnation()
--- a/dockthread/telemetry/metrics_reader.py
+++ b/dockthread/telemetry/metrics_reader.py
@@ -44,26 +44,27 @@
 
 
 class MetricsReader:
-    """Reads the points of one telemetry session of an ingress.
+    """Reads the points of one telemetry incarnation of an ingress.
 
     Attributes:
-        session_start_ms: The start time of the session in Unix milliseconds, reported as the metric `life`.
+        incarnation_start_ms: The start time of the incarnation in Unix milliseconds, reported as
+            the metric `life`.
     """
 
     def __init__(
         self,
         ingress: Ingress,
         tally: Tally,
-        session_start_ms: float,
+        incarnation_start_ms: float,
         reported_backends: int,
         reported_customers: int,
     ) -> None:
-        self.session_start_ms = int(session_start_ms)
+        self.incarnation_start_ms = int(incarnation_start_ms)
         self._ingress = ingress
         self._tally = tally
         self._reported_backends = reported_backends
         self._reported_customers = reported_customers
-        # The ingress counts these since its start, but a session may begin later.
+        # The ingress counts attempts and hedges since its start, but an incarnation may begin later.
         self._initial_attempts = ingress.traffic.attempts_started
         self._initial_hedges = ingress.traffic.hedges_started
         names = ingress.config.names
@@ -73,7 +74,7 @@
     def points(self, elapsed_ms: float, senders: Iterable[tuple[str, Sender]] = ()) -> list[Point]:
         """Return all points of a report.
 
-        The point `life` comes first, and tells a receiver to which session the counts belong.
+        The point `life` comes first, and tells a receiver to which incarnation the counts belong.
 
         Args:
             elapsed_ms: The length of the interval that ends now, used for the customers' rates.
@@ -81,7 +82,7 @@
         """
         self._tally.flush()
         return [
-            Point(LIFE_PATH, GAUGE, self.session_start_ms),
+            Point(LIFE_PATH, GAUGE, self.incarnation_start_ms),
             Point(("phase",), GAUGE, PHASE_NUMBERS[self._ingress.lifecycle.phase.value]),
             *self._response_points(),
             *self._latency_points(),
--- a/dockthread/telemetry/receiver/ledger.py
+++ b/dockthread/telemetry/receiver/ledger.py
@@ -1,9 +1,9 @@
-"""Stores received points in SQLite, and adds up counts over telemetry sessions.
+"""Stores received points in SQLite, and adds up counts over telemetry incarnations.
 
-A counter starts at zero in each session of its ingress, but its series continues over all sessions.
-The point `life` tells to which session a value belongs. For Graphite it is the last one received
-from the ingress; for collectd it is the one with the same timestamp. The total of a counter is the
-sum of the last values, by timestamp, of all sessions.
+A counter starts at zero in each incarnation, but its series continues over all incarnations of its
+ingress. The point `life` identifies the incarnation to which a value belongs. For Graphite this is
+the last `life` received from the ingress; for collectd it is the `life` with the same timestamp. The
+total of a counter is the sum of the last values, by timestamp, of all incarnations.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from dockthread.telemetry.collectd import CollectdItem
 from dockthread.telemetry.receiver.decode import ReceivedPoint
 
-# Tables of the file; `life` identifies a session by its start time in Unix milliseconds.
+# Tables of the file; `life` identifies an incarnation by its start time in Unix milliseconds.
 SCHEMA = """
 create table if not exists points
   (id integer primary key, source text, series text, life integer, seconds real, value real);
@@ -25,14 +25,14 @@
 create table if not exists notes (seconds real, host text, severity integer, message text);
 create table if not exists faults (source text, kind text, many integer, primary key (source, kind));
 """
-# The value with the latest timestamp of each source, series and session.
+# The value with the latest timestamp of each source, series and incarnation.
 LAST_VALUES_QUERY = """
 select source, series, life, value from (
   select source, series, life, value,
     row_number() over (partition by source, series, life order by seconds desc, id desc) as place
   from points) where place = 1
 """
-# How often a value of a series is lower than the previous one in the same session.
+# How often a value of a series is lower than the previous one in the same incarnation.
 DECREASES_QUERY = """
 select count(*) from (
   select value - lag(value) over (partition by source, series, life order by seconds, id) as step
@@ -43,27 +43,27 @@
 # The prefix of the tag that names the ingress, and the last part of the path of the point `life`.
 INGRESS_TAG = "ingress="
 LIFE_METRIC = "life"
-# Milliseconds by which rounding may put a collectd timestamp before the start of its session.
-SESSION_START_TOLERANCE_MS = 1.0
-# The session of a point that was received before any point `life`.
-UNKNOWN_SESSION = 0
+# Milliseconds by which rounding may put a collectd timestamp before the start of its incarnation.
+INCARNATION_START_TOLERANCE_MS = 1.0
+# The incarnation of a point that was received before any point `life`.
+UNKNOWN_INCARNATION = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Total:
-    """The total of a series over all telemetry sessions.
+    """The total of a series over all telemetry incarnations.
 
     Attributes:
         source: The protocol by which the series was received.
         series: The name of the series.
-        value: The sum of the last values of all sessions.
-        lives: The number of sessions.
+        value: The sum of the last values of all incarnations.
+        incarnations: The number of incarnations.
     """
 
     source: str
     series: str
     value: float
-    lives: int
+    incarnations: int
 
 
 class _Row(NamedTuple):
@@ -71,7 +71,7 @@
 
     source: str
     series: str
-    session: int
+    incarnation: int
     unix_seconds: float
     value: float
 
@@ -97,11 +97,11 @@
         self._db = sqlite3.connect(path, isolation_level=None)
         self._db.execute("pragma synchronous = off")
         self._db.executescript(SCHEMA)
-        # For Graphite: the current session for each source and tag or path prefix of an ingress.
-        self._current_sessions: dict[tuple[str, str], int] = {}
-        # For collectd: the session for each host and timestamp, and all sessions of each host.
-        self._sessions_by_time: dict[tuple[str, float], int] = {}
-        self._sessions_by_host: dict[str, list[int]] = {}
+        # For Graphite: the current incarnation by source and by tag or path prefix of the ingress.
+        self._current_incarnations: dict[tuple[str, str], int] = {}
+        # For collectd: the incarnation by host and timestamp, and all incarnations by host.
+        self._incarnations_by_time: dict[tuple[str, float], int] = {}
+        self._incarnations_by_host: dict[str, list[int]] = {}
 
     def close(self) -> None:
         """Close the database."""
@@ -114,22 +114,22 @@
             path = point.series.split(";")[0]
             if path.endswith(f".{LIFE_METRIC}"):
                 ingress = _ingress_tag(point.series) or path.removesuffix(LIFE_METRIC)
-                self._current_sessions[source, ingress] = int(point.value)
-            session = self._graphite_session(source, point.series)
-            rows.append(_Row(source, point.series, session, point.unix_seconds, point.value))
+                self._current_incarnations[source, ingress] = int(point.value)
+            incarnation = self._graphite_incarnation(source, point.series)
+            rows.append(_Row(source, point.series, incarnation, point.unix_seconds, point.value))
         self._add_rows(source, rows)
 
-    def _graphite_session(self, source: str, series: str) -> int:
+    def _graphite_incarnation(self, source: str, series: str) -> int:
         if ingress := _ingress_tag(series):
-            return self._current_sessions.get((source, ingress), UNKNOWN_SESSION)
+            return self._current_incarnations.get((source, ingress), UNKNOWN_INCARNATION)
         # Without tags, the path begins with the prefix of the ingress, whose length is not known.
         end = series.rfind(".")
         while end > 0:
-            session = self._current_sessions.get((source, series[: end + 1]))
-            if session is not None:
-                return session
+            incarnation = self._current_incarnations.get((source, series[: end + 1]))
+            if incarnation is not None:
+                return incarnation
             end = series.rfind(".", 0, end)
-        return UNKNOWN_SESSION
+        return UNKNOWN_INCARNATION
 
     def add_collectd_items(self, source: str, items: Iterable[CollectdItem]) -> None:
         """Store values and notifications."""
@@ -140,30 +140,33 @@
                 self._db.execute("insert into notes values (?, ?, ?, ?)", notification)
                 continue
             if item.type_instance == LIFE_METRIC and not item.plugin_instance:
-                session = int(item.value)
-                self._sessions_by_time[item.host, item.unix_seconds] = session
-                self._sessions_by_host.setdefault(item.host, []).append(session)
+                incarnation = int(item.value)
+                self._incarnations_by_time[item.host, item.unix_seconds] = incarnation
+                self._incarnations_by_host.setdefault(item.host, []).append(incarnation)
             series = f"{item.host}/{item.name}"
             rows.append(
-                _Row(source, series, self._collectd_session(item), item.unix_seconds, item.value)
+                _Row(
+                    source, series, self._collectd_incarnation(item), item.unix_seconds, item.value
+                )
             )
         self._add_rows(source, rows)
 
-    def _collectd_session(self, item: CollectdItem) -> int:
-        """Return the session that was reported with the item's timestamp.
+    def _collectd_incarnation(self, item: CollectdItem) -> int:
+        """Return the incarnation that was reported with the item's timestamp.
 
-        If the packet with that report was lost, return the latest session that had begun by then.
+        If the packet with that report was lost, return the latest incarnation that had begun by
+        that time.
         """
-        session = self._sessions_by_time.get((item.host, item.unix_seconds))
-        if session is not None:
-            return session
-        latest_start_ms = item.unix_seconds * 1000.0 + SESSION_START_TOLERANCE_MS
-        earlier_sessions = [
-            session
-            for session in self._sessions_by_host.get(item.host, ())
-            if session <= latest_start_ms
+        incarnation = self._incarnations_by_time.get((item.host, item.unix_seconds))
+        if incarnation is not None:
+            return incarnation
+        latest_start_ms = item.unix_seconds * 1000.0 + INCARNATION_START_TOLERANCE_MS
+        earlier_incarnations = [
+            incarnation
+            for incarnation in self._incarnations_by_host.get(item.host, ())
+            if incarnation <= latest_start_ms
         ]
-        return max(earlier_sessions, default=UNKNOWN_SESSION)
+        return max(earlier_incarnations, default=UNKNOWN_INCARNATION)
 
     def _add_rows(self, source: str, rows: list[_Row]) -> None:
         self.seen[source] += len(rows)
@@ -201,11 +204,11 @@
         ]
 
     def count_decreases(self, source: str, series: str) -> int:
-        """Return how often a value decreased within a session, which a counter never does."""
+        """Return how often a value decreased within an incarnation, which a counter never does."""
         return int(self._db.execute(DECREASES_QUERY, (source, series)).fetchone()[0])
 
     def points(self, source: str, series: str) -> list[tuple[int, float, float]]:
-        """Return the session, Unix time and value of each point, in the order of arrival."""
+        """Return the incarnation, Unix time and value of each point, in the order of arrival."""
         query = (
             "select life, seconds, value from points where source = ? and series = ? order by id"
         )
--- a/dockthread/telemetry/tally.py
+++ b/dockthread/telemetry/tally.py
@@ -1,4 +1,4 @@
-"""The counts of one telemetry session of an ingress.
+"""The counts of one telemetry incarnation of an ingress.
 
 While a request is handled, telemetry only updates these counts; `metrics_reader` turns them into
 points.
@@ -44,7 +44,7 @@
 
 
 class Tally(Observer):
-    """All counts of one telemetry session.
+    """All counts of one telemetry incarnation.
 
     Lists by class or by plan use the policy engine's indexes.
 
--- a/dockthread/telemetry/timestamps.py
+++ b/dockthread/telemetry/timestamps.py
@@ -1,11 +1,11 @@
-"""Timestamps of reports, which follow the system clock and never decrease within a session.
+"""Timestamps of reports, which follow the system clock and never decrease within an incarnation.
 
-A telemetry session lasts from the start of counting to its end. Graphite stores whole seconds. The
-first report of a session is stamped with the next full second, and later reports with the current
-second. The initial zeros of a session therefore never overwrite the last values of the previous
-session, which ended before that second. Collectd stores times in units of 2^-30 s and rejects a
-value that is not newer than the last value of its series, so timestamps for collectd strictly
-increase.
+A telemetry incarnation lasts from the start of counting to its end. Graphite stores whole seconds.
+The first report of an incarnation is stamped with the next full second, and later reports with the
+current second. The initial zeros of an incarnation therefore never overwrite the last values of the
+previous incarnation, which ended before that second. Collectd stores times in units of 2^-30 s and
+rejects a value that is not newer than the last value of its series, so timestamps for collectd
+strictly increase.
 
 When the system clock is set forward, the timestamps jump with it. When it is set back, the
 timestamps advance at half speed until the clock has caught up.
@@ -37,10 +37,10 @@
 
 
 class TimestampSource:
-    """Generates the timestamps of one session."""
+    """Generates the timestamps of one incarnation."""
 
     def __init__(self, unix_now: float, monotonic_now: float) -> None:
-        """Start a session at the current values of both clocks, in seconds."""
+        """Start an incarnation at the current values of both clocks, in seconds."""
         self._last_unix_seconds = unix_now
         self._last_monotonic = monotonic_now
         self._whole_second = ceil(unix_now)
--- a/tests/telemetry/test_daemon_reports.py
+++ b/tests/telemetry/test_daemon_reports.py
@@ -55,18 +55,24 @@
                     Counter({key: int(value) for key, value in totals.items() if value})
                     == responses
                 ), protocol
-                session_counts = {
-                    total.lives for total in ledger.totals("answers") if total.source == protocol
+                incarnation_counts = {
+                    total.incarnations
+                    for total in ledger.totals("answers")
+                    if total.source == protocol
                 }
-                assert session_counts == {3}, protocol
+                assert incarnation_counts == {3}, protocol
                 assert not any(ledger.count_decreases(protocol, name) for name in ledger.series(protocol)
                                if "answers" in name or "attempts" in name)  # fmt: skip
                 points = ledger.points(
                     protocol, response_series_name(protocol, "status", "gross", "served")
                 )
                 first_values = [
-                    next(value for point_session, _, value in points if point_session == session)
-                    for session in {point_session for point_session, _, _ in points}
+                    next(
+                        value
+                        for point_incarnation, _, value in points
+                        if point_incarnation == incarnation
+                    )
+                    for incarnation in {point_incarnation for point_incarnation, _, _ in points}
                 ]
                 assert first_values == [0.0] * 3
             assert not ledger.faults()
--- a/tests/telemetry/test_exporter.py
+++ b/tests/telemetry/test_exporter.py
@@ -63,7 +63,7 @@
             assert exporter.tally is None and not ingress.observer.active
             points_before = second_ledger.seen["plaintext"]
             await client.call()
-            # Adding a receiver begins a new session, whose counts start at zero.
+            # Adding a receiver begins a new incarnation, whose counts start at zero.
             exporter.apply(parse_operator_file(operator_file(first_stand_in, tmp_path), "test"))
             await client.call()
             await until(
--- a/tests/telemetry/test_ledger.py
+++ b/tests/telemetry/test_ledger.py
@@ -1,4 +1,4 @@
-"""Totals over several telemetry sessions."""
+"""Totals over several telemetry incarnations."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from dockthread.telemetry.receiver.ledger import Ledger
 
 
-def test_totals_add_up_sessions_and_count_a_repeated_point_once() -> None:
+def test_totals_add_up_incarnations_and_count_a_repeated_point_once() -> None:
     ledger = Ledger()
     series = "p.n0.answers.c.p.served"
 
-    def add_report(session: int, unix_seconds: float, value: float) -> None:
+    def add_report(incarnation: int, unix_seconds: float, value: float) -> None:
         ledger.add_graphite_points(
             "plaintext",
             [
-                ReceivedPoint("p.n0.life", unix_seconds, session),
+                ReceivedPoint("p.n0.life", unix_seconds, incarnation),
                 ReceivedPoint(series, unix_seconds, value),
             ],
         )
@@ -29,7 +29,9 @@
         "plaintext",
         [ReceivedPoint("p.n1.life", 5, 7), ReceivedPoint("p.n1.answers.c.p.served", 5, 3)],
     )
-    assert {total.series: (total.value, total.lives) for total in ledger.totals("answers")} == {
+    assert {
+        total.series: (total.value, total.incarnations) for total in ledger.totals("answers")
+    } == {
         series: (11.0, 2),
         "p.n1.answers.c.p.served": (3.0, 1),
     }
--- a/tests/telemetry/test_timestamps.py
+++ b/tests/telemetry/test_timestamps.py
@@ -9,14 +9,16 @@
 from dockthread.telemetry.timestamps import Timestamp, TimestampSource
 
 
-def test_first_report_of_a_session_is_on_a_later_second_than_the_previous_session() -> None:
-    first_session = TimestampSource(100.2, 0.0)
-    first_session.next(100.2, 0.0)
-    last_unix_seconds, second = first_session.next(107.9, 7.7)
+def test_first_report_of_an_incarnation_is_on_a_later_second_than_the_previous_incarnation() -> (
+    None
+):
+    first_incarnation = TimestampSource(100.2, 0.0)
+    first_incarnation.next(100.2, 0.0)
+    last_unix_seconds, second = first_incarnation.next(107.9, 7.7)
     assert (last_unix_seconds, second) == (107.9, 107)
     assert TimestampSource(108.1, 0.0).next(108.1, 0.0).whole_second == 109
     assert TimestampSource(107.92, 0.0).next(107.92, 0.0).whole_second > second
-    assert first_session.next(109.98, 9.78).whole_second == 110, (
+    assert first_incarnation.next(109.98, 9.78).whole_second == 110, (
         "a report slightly before a full second must be stamped with that second"
     )
 
