--- a/dockthread/telemetry/options.py
+++ b/dockthread/telemetry/options.py
@@ -55,19 +55,25 @@
             yield KeyProblem(
                 "interval",
                 f"{self.interval} is out of range",
-                f"{MIN_INTERVAL} to {MAX_INTERVAL} would do",
+                f"write {MIN_INTERVAL} to {MAX_INTERVAL}",
             )
         if self.farewell > MAX_FAREWELL:
             yield KeyProblem(
-                "farewell", f"{self.farewell} would hold up the exit", f"{MAX_FAREWELL} is the most"
+                "farewell",
+                f"{self.farewell} would delay the shutdown too long",
+                f"write {MAX_FAREWELL} or less",
             )
         for key, count in (("firms", self.firms), ("nodes", self.nodes)):
             if not 0 <= count <= MAX_REPORTED_ENTRIES:
                 yield KeyProblem(
-                    key, f"{count} is out of range", f"0 to {MAX_REPORTED_ENTRIES} would do"
+                    key, f"{count} is out of range", f"write 0 to {MAX_REPORTED_ENTRIES}"
                 )
         if self.queue is not None and self.queue < MIN_QUEUE:
-            yield KeyProblem("queue", f"{self.queue} holds no report", f"{MIN_QUEUE} is the least")
+            yield KeyProblem(
+                "queue",
+                f"{self.queue} is too small for one report",
+                f"write {MIN_QUEUE} or more",
+            )
 
 
 class GraphiteOptions(Section, frozen=True, kw_only=True):
@@ -93,8 +99,8 @@
         if not is_valid or len(self.prefix) > MAX_PREFIX_LENGTH:
             yield KeyProblem(
                 "prefix",
-                f"{self.prefix[:40]!r} is no path",
-                "letters, digits, - and _ between single dots",
+                f"{self.prefix[:40]!r} is not a valid path",
+                "write letters, digits, - and _, separated by single dots",
             )
 
 
@@ -134,18 +140,22 @@
         if not is_valid or len(self.plugin) > MAX_PLUGIN_LENGTH:
             yield KeyProblem(
                 "plugin",
-                f"{self.plugin[:40]!r} is no plugin's name",
-                f"letters, digits and _, {MAX_PLUGIN_LENGTH} at most",
+                f"{self.plugin[:40]!r} is not a valid plugin name",
+                f"write at most {MAX_PLUGIN_LENGTH} letters, digits and _",
             )
 
     def _security_problems(self) -> Iterable[KeyProblem]:
         if self.path:
-            yield KeyProblem("security", "a unix socket knows none", "write none, or leave it out")
+            yield KeyProblem(
+                "security",
+                "a unix socket supports neither signing nor encryption",
+                "write security = none, or omit the key",
+            )
         reason = f"is needed for security = {self.security}"
         if not self.user or len(self.user.encode()) > MAX_USER_BYTES:
-            yield KeyProblem("user", reason, f"a name of {MAX_USER_BYTES} bytes at most")
+            yield KeyProblem("user", reason, f"write a name of at most {MAX_USER_BYTES} bytes")
         if not self.password_file:
-            yield KeyProblem("password_file", reason, "name a file")
+            yield KeyProblem("password_file", reason, "write the path of a file")
 
     def password(self) -> bytes:
         """Return the first line of the password file; empty if no password is needed.
@@ -169,12 +179,14 @@
         if not path.startswith("/") or len(path.encode()) > MAX_SOCKET_PATH_BYTES:
             yield KeyProblem(
                 "address",
-                f"{address[:120]!r} names no socket",
-                f"unix:/PATH, {MAX_SOCKET_PATH_BYTES} bytes at most",
+                f"{address[:120]!r} is not the address of a unix socket",
+                f"write unix:/PATH with a path of at most {MAX_SOCKET_PATH_BYTES} bytes",
             )
     elif host_port(address) is None:
         expected_format = "HOST:PORT" + (" or unix:/PATH" if allow_unix else "")
-        yield KeyProblem("address", f"{address[:80]!r} is no address", f"write {expected_format}")
+        yield KeyProblem(
+            "address", f"{address[:80]!r} is not an address", f"write {expected_format}"
+        )
 
 
 def shared_names(graphite: Mapping[str, Any], collectd: Mapping[str, Any]) -> list[str]:
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -77,7 +77,7 @@
     assert done.returncode == 2
     assert (
         done.stderr
-        == f"dockthread: {path}: [graphite x] address: 'nowhere' is no address; write HOST:PORT\n"
+        == f"dockthread: {path}: [graphite x] address: 'nowhere' is not an address; write HOST:PORT\n"
     )
 
 
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -24,15 +24,18 @@
     ("[telemetry]\ninterval = 10", "[telemetry] interval: '10' is not a duration"),
     (
         "[telemetry]\ninterval = 10ms",
-        "[telemetry] interval: 10ms is out of range; 100ms to 1h would do",
+        "[telemetry] interval: 10ms is out of range; write 100ms to 1h",
     ),
     (
         "[telemetry]\nfarewell = 1min",
-        "[telemetry] farewell: 1min would hold up the exit; 5s is the most",
+        "[telemetry] farewell: 1min would delay the shutdown too long; write 5s or less",
     ),
     ("[telemetry]\nfirms = many", "[telemetry] firms: 'many' is not valid: expected `int`"),
-    ("[telemetry]\nfirms = 5000", "[telemetry] firms: 5000 is out of range; 0 to 500 would do"),
-    ("[telemetry]\nqueue = 1KiB", "[telemetry] queue: 1KiB holds no report; 16KiB is the least"),
+    ("[telemetry]\nfirms = 5000", "[telemetry] firms: 5000 is out of range; write 0 to 500"),
+    (
+        "[telemetry]\nqueue = 1KiB",
+        "[telemetry] queue: 1KiB is too small for one report; write 16KiB or more",
+    ),
     ("[telemetry main]", "[telemetry main] takes no name; write [telemetry]"),
     ("[telemetri]", "[telemetri] is no section; did you mean telemetry?"),
     ("[nonsense]", "[nonsense] is no section; known: "),
@@ -40,14 +43,14 @@
     ("[graphite main]", "[graphite main] address: is missing; write address = ..."),
     (
         "[graphite main]\naddress = here",
-        "[graphite main] address: 'here' is no address; write HOST:PORT",
+        "[graphite main] address: 'here' is not an address; write HOST:PORT",
     ),
-    ("[graphite main]\naddress = h:0", "is no address"),
+    ("[graphite main]\naddress = h:0", "is not an address"),
     (
         GRAPHITE + "protocol = pikle",
         "protocol: 'pikle' is not one of plaintext, pickle: did you mean pickle?",
     ),
-    (GRAPHITE + "prefix = a..b", "[graphite main] prefix: 'a..b' is no path"),
+    (GRAPHITE + "prefix = a..b", "[graphite main] prefix: 'a..b' is not a valid path"),
     (GRAPHITE + "tags = perhaps", "[graphite main] tags: 'perhaps' is neither yes nor no"),
     (GRAPHITE + GRAPHITE, "[graphite main] is defined twice (line 3)"),
     (GRAPHITE + "address = h:1", "[graphite main] address: is set twice (line 3)"),
@@ -61,7 +64,7 @@
     ),
     (
         "[collectd c]\naddress = unix:here",
-        "[collectd c] address: 'unix:here' names no socket; unix:/PATH",
+        "[collectd c] address: 'unix:here' is not the address of a unix socket; write unix:/PATH",
     ),
     (
         "[collectd c]\naddress = h:1\nsecurity = sign",
@@ -69,9 +72,12 @@
     ),
     (
         "[collectd c]\naddress = unix:/x\nsecurity = sign\nuser = u\npassword_file = f",
-        "a unix socket knows none",
+        "a unix socket supports neither signing nor encryption",
+    ),
+    (
+        "[collectd c]\naddress = h:1\nplugin = a/b",
+        "[collectd c] plugin: 'a/b' is not a valid plugin name",
     ),
-    ("[collectd c]\naddress = h:1\nplugin = a/b", "[collectd c] plugin: 'a/b' is no plugin's name"),
     ("[log]\nlevel = LOUD", "[log] level: 'LOUD' is not one of DEBUG, INFO, WARNING, ERROR"),
     ("[log]\nform = xml", "[log] form: 'xml' is not one of text, json"),
     ("interval = 1s", "line 1 is outside any section; begin with a heading"),
@@ -139,7 +145,5 @@
     assert error.section == "telemetry"
     assert error.key == "interval"
     assert error.reason == "10ms is out of range"
-    assert error.remedy == "100ms to 1h would do"
-    assert str(error) == (
-        f"{path}: [telemetry] interval: 10ms is out of range; 100ms to 1h would do"
-    )
+    assert error.remedy == "write 100ms to 1h"
+    assert str(error) == (f"{path}: [telemetry] interval: 10ms is out of range; write 100ms to 1h")
