--- a/dockthread/cli/lab_scale.py
+++ b/dockthread/cli/lab_scale.py
@@ -1,4 +1,4 @@
-"""The command `dockthread lab scale`: measures what the control plane costs many ingresses.
+"""The command `dockthread lab scale`: measures the control plane's cost for many ingresses.
 
 Exit codes: 0 all requested bounds hold; 1 a bound is broken, or the checker found a fault; 2 the
 run is void, or the arguments are invalid.
--- a/dockthread/lab/scale/backends.py
+++ b/dockthread/lab/scale/backends.py
@@ -51,7 +51,7 @@
         return {"port": self._port}
 
     async def state(self, arguments: JsonObject) -> JsonObject:
-        """Return the readings that the run takes at both ends of a window."""
+        """Return this process's current counts and measurements."""
         return {
             "messages_in": BackendConnection.answered_requests,
             "traffic": traffic([self._port], local=True),
--- a/dockthread/lab/scale/checker.py
+++ b/dockthread/lab/scale/checker.py
@@ -13,7 +13,7 @@
 
 
 def final_list(changes: list[Any]) -> list[list[Any]]:
-    """Return the list after all changes: uid, endpoint, whether it is active, and its weight."""
+    """Return the backends after all changes: uid, endpoint, whether active, and weight of each."""
     rows_by_uid: dict[str, list[Any]] = {}
     for _, _, entries in changes:
         for entry in entries:
@@ -68,7 +68,7 @@
                     f"ingress {number} let an older version replace a newer one {len(older_versions)} times"
                 )
     if reported != expected_ingresses:
-        violations.append(f"{reported} of {expected_ingresses} ingresses said what they hold")
+        violations.append(f"{reported} of {expected_ingresses} ingresses reported their data")
     return violations
 
 
@@ -81,7 +81,7 @@
         if held_by_name.get(name) != expected_by_name.get(name)
     )
     listed = "; ".join(
-        f"{name}: holds {held_by_name.get(name)}, wanted {expected_by_name.get(name)}"
+        f"{name}: holds {held_by_name.get(name)}, expected {expected_by_name.get(name)}"
         for name in differing[:MAX_LISTED_ROWS]
     )
-    return f"ends with {len(differing)} of {len(expected_by_name)} wrong: {listed}"
+    return f"ends with {len(differing)} of {len(expected_by_name)} rows wrong: {listed}"
--- a/dockthread/lab/scale/control.py
+++ b/dockthread/lab/scale/control.py
@@ -50,11 +50,11 @@
     # Methods that the client calls on its applier
 
     def apply(self, changes: Sequence[Resource]) -> Sequence[Rejection]:
-        """Pass on the changes, altered by a planted bug, and record those older than applied ones."""
+        """Apply the changes, altered by a planted bug if any; record those older than applied ones."""
         applied = changes if self._alter is None else self._alter(changes)
         rejections = self._applier.apply(applied)
         # A refused resource is delivered again at the end of its batch, so an older version of it
-        # is no error.
+        # is not an error.
         for resource in applied:
             if (
                 resource.body is not None
@@ -75,6 +75,6 @@
         return self._applier.applied_resource(kind, name)
 
     def on_batch_applied(self) -> None:
-        """Record the revision reached once a batch has been applied."""
+        """Pass on the call, and record the revision that the applied batch reached."""
         self._applier.on_batch_applied()
         self.record_revision(max(self._highest_revision, self._revision))
--- a/dockthread/lab/scale/discovery.py
+++ b/dockthread/lab/scale/discovery.py
@@ -29,7 +29,7 @@
 # Weight added to a backend with each version, exact as a float.
 WEIGHT_STEP: Final = 1.0 / (1 << 20)
 MAX_KEPT_CHANGES: Final = 100_000  # Number of past changes from which a watch can resume.
-DRAW_ATTEMPTS: Final = 20  # Random draws to find a backend that is in the list.
+DRAW_ATTEMPTS: Final = 20  # Random draws in search of a listed backend.
 # Backends have the addresses 127.1.0.1 and up, and one listener on all addresses serves them.
 FIRST_SUBNET: Final = 1
 
@@ -320,7 +320,7 @@
         return {"revision": self.published_list.revision, "at": time.monotonic()}
 
     async def state(self, arguments: JsonObject) -> JsonObject:
-        """Return the readings that the run takes at both ends of a window."""
+        """Return this process's current counts and measurements."""
         assert self.published_list is not None
         return {
             "watches": len(self.watches),
--- a/dockthread/lab/scale/host.py
+++ b/dockthread/lab/scale/host.py
@@ -112,7 +112,7 @@
         return {"at": time.monotonic()}
 
     async def state(self, arguments: JsonObject) -> JsonObject:
-        """Return the readings that the run takes at both ends of a window."""
+        """Return this process's current counts and measurements."""
         recorders: list[ChangeRecorder] = [
             *self._list_recorders.values(),
             *self._configuration_recorders.values(),
--- a/dockthread/lab/scale/planted_bugs.py
+++ b/dockthread/lab/scale/planted_bugs.py
@@ -1,4 +1,4 @@
-"""Planted bugs that the checker must find. One hollow ingress of the first host process has it."""
+"""Planted bugs that the checker must find; a run has one, in one hollow ingress."""
 
 from __future__ import annotations
 
--- a/dockthread/lab/scale/real.py
+++ b/dockthread/lab/scale/real.py
@@ -87,7 +87,7 @@
         return {"port": ingress.address.port}
 
     async def state(self, arguments: JsonObject) -> JsonObject:
-        """Return the readings that the run takes at both ends of a window."""
+        """Return this process's current counts and measurements."""
         recorder = self._configuration_recorder
         return {
             "lowest": self._list_recorder.reached,
--- a/dockthread/lab/scale/recorder.py
+++ b/dockthread/lab/scale/recorder.py
@@ -1,4 +1,4 @@
-"""Records when each change was in force in one process's ingresses, and any regressions.
+"""Records when each change came into force in the ingresses of a process, and regressions.
 
 The list recorder reads the policy engine's own state after the engine received a list, and takes
 nothing from the code that delivered the list.
@@ -22,7 +22,7 @@
 
 
 class InForceCounts:
-    """For each revision, the number of ingresses that have it in force, and the time of the last."""
+    """For each revision, how many ingresses have reached it, and when the latest of them did."""
 
     def __init__(self) -> None:
         self.counts: dict[int, int] = {}
@@ -36,7 +36,7 @@
             self.last_times[reached_revision] = now
 
     def to_json(self) -> list[list[float]]:
-        """Return rows of revision, ingress count and time at the last ingress, for the report."""
+        """Return a row for each revision: the revision, the ingress count and the latest time."""
         return [
             [revision, ingress_count, self.last_times[revision]]
             for revision, ingress_count in sorted(self.counts.items())
@@ -97,7 +97,7 @@
     ) -> None:
         """Record that the policy engine received a list or changes up to this revision.
 
-        `event` holds the entries if the caller has them.
+        `event` is the event that the engine received, or None if the caller does not have it.
         """
         if (
             event is not None
--- a/dockthread/lab/scale/report.py
+++ b/dockthread/lab/scale/report.py
@@ -69,9 +69,9 @@
 ) -> dict[str, Any]:
     """Measure for each change how many ms passed until all `expected` ingresses had it in force.
 
-    Changes published during a fault are listed apart. `changes` holds the revision, the publication
-    time and more. `fault` holds when the fault began and ended and the last revision published by
-    its end, or is empty.
+    Changes published during a fault are summarized separately. Each of `changes` begins with its
+    revision and publication time. `fault` is empty or holds the start and end of the fault and the
+    last revision published by its end.
     """
     ingress_counts: dict[int, int] = {}
     last_times: dict[int, float] = {}
@@ -113,7 +113,7 @@
 
 
 def measure_list_lags(run: ScaleRun) -> dict[str, Any]:
-    """Measure how long changes of the list took to be in force."""
+    """Measure how long changes of the list took to come into force."""
     changes = [change for change in run.list_log["changes"] if change[0] != run.list_revision]
     fault = (
         {name: run.fault_record[name] for name in ("begun", "ended", "revision")}
@@ -160,7 +160,7 @@
 
 
 def cpu_percents(window: MeasurementWindow, role: str) -> list[float]:
-    """Return the CPU of each process of a role, in percent of a core."""
+    """Return the CPU usage of each process of a role, in percent of a core."""
     return [cpu_percent(before, after) for before, after in window.usage.get(role, [])]
 
 
@@ -204,8 +204,8 @@
 ) -> dict[str, dict[str, float]]:
     """Return the figures of one ingress.
 
-    The baseline is subtracted from hollow ingresses. Figures of real ones include the cost of the
-    load.
+    The CPU and memory of an empty host process (the baseline) are subtracted for hollow ingresses.
+    The figures of real ingresses include the cost of serving the load.
     """
     per_ingress: dict[str, dict[str, float]] = {}
     baseline = figures["baseline"]
@@ -289,7 +289,7 @@
         reasons += _latency_void_reasons(report["latency"])
         reasons += [
             f"the machine itself was late: an idle process ran one timer in a hundred {lateness_ms:g} ms late in the"
-            f" {window.name} window, over the {bounds.added_ms:g} ms of added latency that were to be seen"
+            f" {window.name} window, over the bound of {bounds.added_ms:g} ms on added latency"
             for window in (run.quiet_window, run.busy_window)
             for _, after in window.states["baseline"]
             if (lateness_ms := after["late"]["p99"]) > bounds.added_ms
--- a/dockthread/lab/scale/run.py
+++ b/dockthread/lab/scale/run.py
@@ -40,7 +40,7 @@
         self._readings_before: dict[ChildProcess, tuple[Usage, JsonObject]] = {}
 
     async def begin(self, processes: list[ChildProcess]) -> None:
-        """Read every process at the start of the window."""
+        """Take the readings of every process at the start of the window."""
         states = await asyncio.gather(*(process.call("state") for process in processes))
         self._readings_before = {
             process: (read_usage(process.pid), state)
@@ -48,7 +48,7 @@
         }
 
     async def end(self) -> None:
-        """Read every process at the end of the window, except those that the fault has stopped."""
+        """Take the readings at the end of the window, except of processes that the fault stopped."""
         usage_after = {
             process: read_usage(process.pid) for process in self._readings_before if process.running
         }
--- a/dockthread/lab/scale/server.py
+++ b/dockthread/lab/scale/server.py
@@ -43,7 +43,7 @@
         return {"port": self._port}
 
     async def state(self, arguments: JsonObject) -> JsonObject:
-        """Return the run's readings: traffic on the server's own port, and messages with all peers."""
+        """Return the traffic on the server's own port, the messages with all peers and the lateness."""
         messages = self._server.messages
         return {
             "messages_in": messages.received,
--- a/dockthread/lab/scale/text.py
+++ b/dockthread/lab/scale/text.py
@@ -22,8 +22,8 @@
     size = report["size"]
     output = [
         f"{size['ingresses']} ingresses ({size['real']} real, {size['hollow']} hollow), {size['backends']} backends"
-        f" in {size['services']} services, {size['list_changes_s']:g} changes of the list and"
-        f" {size['configuration_changes_s']:g} of the configuration a second for {report['seconds']:g} s,"
+        f" in {size['services']} services, {size['list_changes_s']:g} list changes and"
+        f" {size['configuration_changes_s']:g} configuration changes per second for {report['seconds']:g} s,"
         f" fault {report['fault']}, seed {report['seed']}",
         f"load average {report['machine']['load_average'][0]:g} on {report['machine']['cores']} cores",
     ]
--- a/tests/lab/test_lab_scale.py
+++ b/tests/lab/test_lab_scale.py
@@ -1,4 +1,4 @@
-"""Tests of the scale run: small runs with faults, broken bounds and planted bugs, and its parts."""
+"""Tests of scale runs with faults, broken bounds and planted bugs, and of their parts."""
 
 from __future__ import annotations
 
@@ -155,7 +155,7 @@
     }
     expected_rows = final_list(changes)
     assert find_violations(expected_rows, [correct], 2) == []
-    assert find_violations(expected_rows, [correct], 3) == ["2 of 3 ingresses said what they hold"]
+    assert find_violations(expected_rows, [correct], 3) == ["2 of 3 ingresses reported their data"]
     regressed = {**correct, "went_back": [[1, [3, 2], []]]}
     assert find_violations(expected_rows, [regressed], 2) == [
         "ingress 1 went back from revision 3 to 2"
