--- a/dockthread/lab/load.py
+++ b/dockthread/lab/load.py
@@ -1,4 +1,4 @@
-"""An open-loop load generator: sends each request when it is due, whether or not others have ended.
+"""An open-loop load generator: sends each request when it is due, even if earlier ones are open.
 
 It uses RESP2 as clients do. A request is sent on an idle connection or, up to a maximum number of
 connections, on a new one; otherwise it waits for a connection, and the waiting time counts in its
--- a/dockthread/lab/load_result.py
+++ b/dockthread/lab/load_result.py
@@ -101,7 +101,7 @@
         _record(self.start_lateness, lateness)
 
     def _latency_histogram(self, request_class: str) -> Any:
-        # setdefault would create a histogram for each request, which is too large for that.
+        # A histogram is large, and setdefault would create one for each request.
         if request_class not in self.latencies:
             self.latencies[request_class] = new_histogram()
         return self.latencies[request_class]
--- a/dockthread/lab/maintenance/environment.py
+++ b/dockthread/lab/maintenance/environment.py
@@ -15,7 +15,7 @@
 
 
 class MemberIncarnation(Protocol):
-    """A member between one start of its process and the next."""
+    """One incarnation of a member: the period from a start of its process to the next start."""
 
     @property
     def participant(self) -> MaintenanceParticipant:
--- a/dockthread/lab/maintenance/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -1,4 +1,4 @@
-"""Plays a scenario on real processes, with faulty links and staff who switch backends off.
+"""Runs a scenario on real processes, with faulty links and staff who switch backends off.
 
 Simulated staff request maintenance at one member and poll any member that responds for the state of
 their request, which they identify by their comment. They switch a backend off when it is
@@ -10,8 +10,8 @@
 - `used`: if every running member has confirmed that it drained a backend, the backend receives no
   request while it is switched off;
 - `ingresses`: at most one ingress at a time is down for its own restart;
-- `lost`: no request to an ingress that was never killed or stopped fails, is lost or exceeds its
-  deadline;
+- `lost`: at an ingress that the scenario has never killed or signalled, no request fails, is lost
+  or exceeds its deadline; none is unsent either, unless the ingress has exited by itself;
 - `alike`: at the end all members report the same maintenance requests;
 - `progress`: at the end every maintenance request is finished.
 """
@@ -95,7 +95,7 @@
 
     Args:
         folder: Directory in which each process has its own subdirectory.
-        scenario: The scenario to play.
+        scenario: The scenario to run.
     """
 
     def __init__(self, folder: Path, scenario: PlannedScenario) -> None:
@@ -121,7 +121,7 @@
         self._restarting: set[str] = set()
 
     async def play(self) -> RehearsalResult:
-        """Play the scenario to its end.
+        """Run the scenario to its end.
 
         Raises:
             VoidRunError: The cluster elected no leader.
--- a/dockthread/lab/maintenance/simulation.py
+++ b/dockthread/lab/maintenance/simulation.py
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True)
 class Incarnation:
-    """The state of a member between one start of its process and the next, except for its log.
+    """The state of a member in one incarnation of its process, except for its log.
 
     Attributes:
         participant: The member's maintenance participant.
--- a/dockthread/lab/maintenance/stand_in.py
+++ b/dockthread/lab/maintenance/stand_in.py
@@ -31,7 +31,7 @@
         is_switched_off: Whether the backend aborts and counts all connections and requests.
         is_failing: Whether the backend answers every request with an error.
         served_count: Number of answered requests.
-        used_while_off_count: Number of connections and requests while it was switched off.
+        used_while_off_count: Number of connections and requests that arrived while it was off.
         address: Address at which the backend listens, set by `open`.
     """
 
@@ -59,7 +59,7 @@
         self._break_connections()
 
     def switch_off(self) -> None:
-        """Abort all connections, and count further connections and requests instead of serving."""
+        """Abort all connections, and count further connections and requests without serving them."""
         self.is_switched_off = True
         self._break_connections()
 
--- a/dockthread/lab/seeds.py
+++ b/dockthread/lab/seeds.py
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SeedChunk:
-    """The number of seeds in a chunk that one process ran, and its violating seeds."""
+    """The result of a chunk of seeds, which one process ran."""
 
     seed_count: int
     violating_seeds: tuple[ViolatingSeed, ...]
--- a/dockthread/telemetry/collectd/packet_encoder.py
+++ b/dockthread/telemetry/collectd/packet_encoder.py
@@ -24,7 +24,7 @@
 NAME_HASH_BYTES = 4
 # Characters of the appended hash, including the dash before it.
 NAME_SUFFIX_LENGTH = 1 + 2 * NAME_HASH_BYTES
-# Maximum number of bytes in a string without its NUL; with it, collectd's limit of 128 is reached.
+# Maximum number of bytes in a string; collectd's limit of 128 includes the NUL.
 MAX_STRING_BYTES = 127
 # The fields that precede a single value: part type, length, number of values and kind of value.
 SINGLE_VALUE_HEADER = struct.Struct("!HHHB")
--- a/dockthread/telemetry/sender.py
+++ b/dockthread/telemetry/sender.py
@@ -37,7 +37,9 @@
     IDLE = "idle"  # connected, and no report is queued
     SENDING = "sending"
     BACKING_OFF = "backing off"  # waiting before the next connection attempt
-    CLOSING = "closing"  # all is written; waiting for the receiver to see the end of the stream
+    CLOSING = (
+        "closing"  # all reports are written; waiting for the receiver to see the end of the stream
+    )
     ENDED = "ended"
 
 
@@ -112,7 +114,7 @@
     (SenderState.BACKING_OFF, Event.BACKOFF_ELAPSED): CONNECT,
     (SenderState.BACKING_OFF, Event.DRAIN_REQUESTED): CONNECT,
     (SenderState.CLOSING, Event.CLOSED): END,
-    # The connection broke before the receiver saw its end, so the last reports are sent again.
+    # The connection broke before the receiver saw the end of the stream, so reports are resent.
     (SenderState.CLOSING, Event.FAILED): BACK_OFF,
 }
 
--- a/tests/lab/test_restart_wave.py
+++ b/tests/lab/test_restart_wave.py
@@ -64,8 +64,8 @@
 ):
     """Guards against ingresses that poll an overloaded discovery service too often.
 
-    Discovery serves one poll in 0.13 s, so at most 77 of 200 ingresses can be ready within 10 s. The
-    nine in ten that smaller clusters reach are impossible here.
+    Discovery serves one poll in 0.13 s, so at most 77 of 200 ingresses can be ready within 10 s.
+    Nine in ten, as with 30 ingresses, are impossible here.
     """
     for result in play_waves(SEEDS, RestartWave(has_known_list=False)):
         assert result.ready_within(10_000.0) <= 77 / 200
