--- a/dockthread/logs/options.py
+++ b/dockthread/logs/options.py
@@ -25,4 +25,6 @@
     def problems(self) -> Iterable[KeyProblem]:
         """Yield a problem if the target is empty or has a null character."""
         if not self.target or "\0" in self.target:
-            yield KeyProblem("target", "is not a target", "write stderr, stdout or a path")
+            yield KeyProblem(
+                "target", "is empty or has a null character", "write stderr, stdout or a path"
+            )
--- a/dockthread/telemetry/delivery_queue.py
+++ b/dockthread/telemetry/delivery_queue.py
@@ -11,7 +11,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-# Delivered reports that are kept to be sent again, because a broken connection may have lost them.
+# Number of delivered reports kept for resending, because a broken connection may have lost them.
 MAX_REDELIVERED_REPORTS = 2
 
 
--- a/dockthread/telemetry/exporter.py
+++ b/dockthread/telemetry/exporter.py
@@ -224,7 +224,7 @@
         The lag is the time by which this call is late.
 
         Args:
-            due: The time at which this call was scheduled, in seconds of the monotonic clock.
+            due: The time at which the sample is due, in seconds of the monotonic clock.
         """
         tally = self._tally
         if tally is None:
--- a/dockthread/telemetry/receiver/ledger.py
+++ b/dockthread/telemetry/receiver/ledger.py
@@ -57,7 +57,7 @@
         source: The protocol by which the series was received.
         series: The name of the series.
         value: The sum of the last values of all incarnations.
-        incarnations: The number of incarnations.
+        incarnations: The number of incarnations in which the series was reported.
     """
 
     source: str
--- a/dockthread/telemetry/receiver/stand_in.py
+++ b/dockthread/telemetry/receiver/stand_in.py
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """A fault and the time for which it lasts.
+    """A fault with its start and duration.
 
     Attributes:
         kind: The kind of the fault, one of `KINDS`.
