--- a/dockthread/cli/lab_scale.py
+++ b/dockthread/cli/lab_scale.py
@@ -167,7 +167,7 @@
         "command": " ".join(["dockthread", *sys.argv[1:]]),
         "started": time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime()),
     }
-    load_before = os.getloadavg()
+    load_average_before = os.getloadavg()
     try:
         with TemporaryDirectory() as folder:
             run = ScaleRun(plan, Path(folder))
@@ -180,7 +180,7 @@
         "machine": {
             "cores": os.cpu_count(),
             "load_average": os.getloadavg(),
-            "load_average_before": load_before,
+            "load_average_before": load_average_before,
         },
         **report,
     }
--- a/dockthread/lab/maintenance/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -138,7 +138,7 @@
         )
         try:
             await self._cluster.open()
-            await self._play_steps()
+            await self._run_steps()
             return self._result
         finally:
             for task in self._tasks:
@@ -148,7 +148,7 @@
             for backend in self._backends.values():
                 backend.close()
 
-    async def _play_steps(self) -> None:
+    async def _run_steps(self) -> None:
         try:
             await asyncio.wait_for(self._wait_for_leader(), ELECTION_TIMEOUT_S)
         except TimeoutError as error:
@@ -160,7 +160,7 @@
         names = self._cluster.names if self._settings.load else []
         loads = [asyncio.create_task(self._send_load(name)) for name in names]
         supervisor = asyncio.create_task(self._supervise())
-        steps = [asyncio.create_task(self._play_step(step)) for step in self._scenario.steps]
+        steps = [asyncio.create_task(self._run_step(step)) for step in self._scenario.steps]
         self._tasks = [supervisor, *loads, *steps]
         await asyncio.gather(*steps)
         await asyncio.gather(*loads)
@@ -186,7 +186,7 @@
 
     # Steps
 
-    async def _play_step(self, step: Step) -> None:  # noqa: C901  one branch for each verb
+    async def _run_step(self, step: Step) -> None:  # noqa: C901  one branch for each verb
         await asyncio.sleep(max(0.0, step.at_ms - self._now_ms) / MS_PER_S)
         names = [name for operand in step.operands for name in await self._resolve_operand(operand)]
         self._record_event(" ".join((step.verb, *names)))
--- a/dockthread/lab/scale/distribution.py
+++ b/dockthread/lab/scale/distribution.py
@@ -17,7 +17,7 @@
 from dockthread.raft.storage import RaftStorage
 
 MAX_CONNECTIONS: Final = 10_000
-FILL_TIMEOUT_S: Final = 120.0  # Timeout in seconds for publishing all routes.
+PUBLISH_ROUTES_TIMEOUT_S: Final = 120.0  # Timeout in seconds for publishing all routes.
 
 
 class Distribution:
@@ -81,7 +81,9 @@
 
     async def publish_all_routes(self) -> int:
         """Publish all routes and return the revision of the last."""
-        return int((await self.publisher.call("fill", timeout_s=FILL_TIMEOUT_S))["revision"])
+        return int(
+            (await self.publisher.call("fill", timeout_s=PUBLISH_ROUTES_TIMEOUT_S))["revision"]
+        )
 
     async def stop(self) -> None:
         """Stop all processes, starting with those that depend on others."""
--- a/dockthread/lab/seeds.py
+++ b/dockthread/lab/seeds.py
@@ -45,19 +45,19 @@
 
 # Function that runs one seed; its arguments are the scenario's name, the seed, and the name of a
 # seeded defect or "".
-PlaySeed: TypeAlias = Callable[[str, int, str], PlayedSeed]
+SeedRunner: TypeAlias = Callable[[str, int, str], PlayedSeed]
 
 
-def _play_chunk(play_seed: PlaySeed, scenario: str, seeds: range, seeded_defect: str) -> SeedChunk:
-    played = [(seed, play_seed(scenario, seed, seeded_defect)) for seed in seeds]
+def _run_chunk(play_seed: SeedRunner, scenario: str, seeds: range, seeded_defect: str) -> SeedChunk:
+    results = [(seed, play_seed(scenario, seed, seeded_defect)) for seed in seeds]
     violating_seeds = tuple(
-        ViolatingSeed(seed, result.violations[0]) for seed, result in played if result.violations
+        ViolatingSeed(seed, result.violations[0]) for seed, result in results if result.violations
     )
     return SeedChunk(len(seeds), violating_seeds)
 
 
 def play_seeds(  # noqa: PLR0913  the last two have defaults
-    play_seed: PlaySeed,
+    play_seed: SeedRunner,
     scenario: str,
     seeds: range,
     jobs: int,
@@ -78,10 +78,10 @@
     chunks = [seeds[start : start + chunk_size] for start in range(0, len(seeds), chunk_size)]
     if jobs == 1:
         for chunk in chunks:
-            yield _play_chunk(play_seed, scenario, chunk, seeded_defect)
+            yield _run_chunk(play_seed, scenario, chunk, seeded_defect)
         return
     count = len(chunks)
     with ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
         yield from pool.map(
-            _play_chunk, [play_seed] * count, [scenario] * count, chunks, [seeded_defect] * count
+            _run_chunk, [play_seed] * count, [scenario] * count, chunks, [seeded_defect] * count
         )
--- a/dockthread/lab/slow_start/restart_wave.py
+++ b/dockthread/lab/slow_start/restart_wave.py
@@ -144,7 +144,7 @@
             ingresses.append(RestartedIngress(backoff))
         return ingresses
 
-    def play(self) -> WaveResult:
+    def run(self) -> WaveResult:
         """Run to the end and return the result."""
         for ingress in self._ingresses:
             self._start(ingress)
@@ -226,4 +226,4 @@
 
 def play_waves(seeds: range, wave: RestartWave) -> list[WaveResult]:
     """Run a restart wave with each seed."""
-    return [RestartWaveSimulation(seed, wave).play() for seed in seeds]
+    return [RestartWaveSimulation(seed, wave).run() for seed in seeds]
--- a/dockthread/lab/slow_start/seeds.py
+++ b/dockthread/lab/slow_start/seeds.py
@@ -52,7 +52,7 @@
     """
     engine_class = DEFECTIVE_ENGINES[seeded_defect] if seeded_defect else PolicyEngine
     simulation = SlowStartSimulation(seed, scenario, engine_class=engine_class)
-    checker = simulation.play()
+    checker = simulation.run()
     mean_capacity = (checker.min_capacity(0.0) + checker.min_capacity(OBSERVATION_TIME)) / 2
     full_capacity_seconds = mean_capacity * OBSERVATION_TIME
     cold_capacity = sum(backend.kind.capacity for backend in simulation.cold_backends)
@@ -71,7 +71,7 @@
     )
 
 
-def _draw_and_play(
+def _draw_and_run(
     seed: int, ingress_count: int, cold_fraction: float | None, seeded_defect: str
 ) -> SeedResult:
     return play_seed(seed, draw_scenario(seed, ingress_count, cold_fraction), seeded_defect)
@@ -84,7 +84,7 @@
     count = len(seeds)
     with ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
         results = pool.map(
-            _draw_and_play,
+            _draw_and_run,
             seeds,
             [ingress_count] * count,
             [cold_fraction] * count,
--- a/dockthread/lab/slow_start/simulation.py
+++ b/dockthread/lab/slow_start/simulation.py
@@ -187,7 +187,7 @@
             has_load_reports=scenario.has_load_reports,
         )
 
-    def play(self) -> SlowStartChecker:
+    def run(self) -> SlowStartChecker:
         """Run to the end and return the checker."""
         cold_numbers = {backend.number for backend in self.cold_backends}
         listed = tuple(
--- a/tests/lab/test_rehearsal.py
+++ b/tests/lab/test_rehearsal.py
@@ -73,7 +73,7 @@
         assert name.startswith("work-") and parse_scenario(text, name).settings.about
 
 
-def test_command_plays_a_short_scenario_on_processes(tmp_path: Path) -> None:
+def test_command_runs_a_short_scenario_on_processes(tmp_path: Path) -> None:
     (tmp_path / "short.ini").write_text(SHORT_SCENARIO)
     run = CliRunner().invoke(lab, ["fleet", "run", str(tmp_path / "short.ini"), "--json"])
     assert run.exit_code == 0, run.output
--- a/tests/lab/test_restart_wave.py
+++ b/tests/lab/test_restart_wave.py
@@ -96,7 +96,7 @@
 
 def test_fixed_short_backoff_increases_the_number_of_polls() -> None:
     wave = RestartWave(has_known_list=False)
-    result = RestartWaveSimulation(1, wave, FixedShortBackoff).play()
+    result = RestartWaveSimulation(1, wave, FixedShortBackoff).run()
     assert result.poll_count > 40 * 200
 
 
@@ -132,11 +132,11 @@
     return StartedWatch(watch, timers)
 
 
-def play_one_ingress(is_list_pushed: bool, has_known_list: bool) -> RestartedIngress:
+def run_one_ingress(is_list_pushed: bool, has_known_list: bool) -> RestartedIngress:
     wave = RestartWave(
         1, 1, is_list_pushed=is_list_pushed, has_known_list=has_known_list, outage_ms=9_000.0
     )
-    (ingress,) = RestartWaveSimulation(1, wave).play().ingresses
+    (ingress,) = RestartWaveSimulation(1, wave).run().ingresses
     return ingress
 
 
@@ -146,16 +146,16 @@
 ) -> None:
     started = start_watch(is_list_pushed, [TARGET])
     assert started.watch.has_list
-    ingress = play_one_ingress(is_list_pushed, has_known_list=True)
+    ingress = run_one_ingress(is_list_pushed, has_known_list=True)
     assert ingress.ready_at_ms == (started.timers[0] if is_list_pushed else 0.0)
     assert not start_watch(is_list_pushed, []).watch.has_list
-    ingress = play_one_ingress(is_list_pushed, has_known_list=False)
+    ingress = run_one_ingress(is_list_pushed, has_known_list=False)
     assert ingress.ready_at_ms > 9_000.0
 
 
 def test_same_seed_gives_the_same_backoffs() -> None:
     wave = RestartWave(has_known_list=False)
-    first, second = (RestartWaveSimulation(3, wave).play() for _ in range(2))
+    first, second = (RestartWaveSimulation(3, wave).run() for _ in range(2))
     assert [ingress.ready_at_ms for ingress in first.ingresses] == [
         ingress.ready_at_ms for ingress in second.ingresses
     ]
