--- a/dockthread/cli/lab_scale.py
+++ b/dockthread/cli/lab_scale.py
@@ -21,7 +21,7 @@
 
 from dockthread.config.quantities import Duration, Share, Size
 from dockthread.lab.scale.channel import ProcessError
-from dockthread.lab.scale.plan import FAULTS, PlanError, RunPlan, parse_changes
+from dockthread.lab.scale.plan import FAULTS, PlanError, RunPlan, parse_change_rates
 from dockthread.lab.scale.planted_bugs import BUG_NAMES
 from dockthread.lab.scale.usage import ProcessEndedError
 
@@ -64,8 +64,14 @@
 )
 @click.option("--backends", default=240, show_default=True, type=click.IntRange(1, 60_000))
 @click.option("--services", default=15, show_default=True, type=click.IntRange(1, 10_000))
-@click.option("--changes", default="5", show_default=True, callback=parsing_callback(parse_changes), metavar="RATE",
-              help="Changes per second, for both kinds or as list=RATE,config=RATE.")  # fmt: skip
+@click.option(
+    "--changes",
+    default="5",
+    show_default=True,
+    callback=parsing_callback(parse_change_rates),
+    metavar="RATE",
+    help="Changes per second, for both kinds or as list=RATE,config=RATE.",
+)
 @click.option(
     "--seconds", default=10.0, show_default=True, type=click.FloatRange(1.0, MAX_WINDOW_S)
 )
@@ -241,7 +247,7 @@
     Exit codes: 0 all lines fit; 1 a line does not fit; 2 no line can be fitted.
     """
     from dockthread.lab.scale.fit import FitError, fit_lines_to_reports, parse_terms
-    from dockthread.lab.scale.text import fit_lines
+    from dockthread.lab.scale.text import fit_result_lines
 
     try:
         loaded_reports = [json.loads(path.read_bytes()) for path in reports]
@@ -249,5 +255,5 @@
     except (FitError, ValueError, KeyError) as error:
         click.echo(f"cannot fit a line: {error}", err=True)
         sys.exit(VOID_EXIT_CODE)
-    click.echo(json.dumps(result) if as_json else "\n".join(fit_lines(result)))
+    click.echo(json.dumps(result) if as_json else "\n".join(fit_result_lines(result)))
     sys.exit(0 if all(line["fits"] for line in result["lines"]) else 1)
--- a/dockthread/lab/scale/plan.py
+++ b/dockthread/lab/scale/plan.py
@@ -30,14 +30,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changes:
+class ChangeRates:
     """Changes per second of the backend list and of the configuration."""
 
     list_rate: float
     configuration_rate: float
 
 
-def parse_changes(text: str) -> Changes:
+def parse_change_rates(text: str) -> ChangeRates:
     """Parse `5` for both rates, or `list=5,config=0.5`. Raises PlanError."""
     rates = {"list": 0.0, "config": 0.0}
     try:
@@ -55,7 +55,7 @@
         raise PlanError(
             f"{text!r} is not a rate of changes: write 5, or list=5,config=0.5, up to 10000"
         ) from error
-    return Changes(rates["list"], rates["config"])
+    return ChangeRates(rates["list"], rates["config"])
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,7 +70,7 @@
     hollow: int
     backends: int
     services: int
-    changes: Changes
+    changes: ChangeRates
     seconds: float
     seed: int = 1
     fault: str = "none"
@@ -136,7 +136,7 @@
 
 def plan_from_json(data: dict[str, Any]) -> RunPlan:
     """Restore a plan from the plain data sent by another process."""
-    return RunPlan(**{**data, "changes": Changes(**data["changes"])})
+    return RunPlan(**{**data, "changes": ChangeRates(**data["changes"])})
 
 
 def zone_name(number: int) -> str:
--- a/dockthread/lab/scale/text.py
+++ b/dockthread/lab/scale/text.py
@@ -69,7 +69,7 @@
     return line
 
 
-def fit_lines(result: dict[str, Any]) -> list[str]:
+def fit_result_lines(result: dict[str, Any]) -> list[str]:
     """Format the result of `dockthread lab scale fit`."""
     output = [
         f"{len(result['sizes'])} runs, {result['void']} of them void, {result['not_used']} others not used"
--- a/tests/lab/test_lab_scale.py
+++ b/tests/lab/test_lab_scale.py
@@ -12,17 +12,23 @@
 from dockthread.lab.scale.checker import final_list, find_violations
 from dockthread.lab.scale.discovery import PublishedList, backend_address
 from dockthread.lab.scale.fit import FitError, fit_lines_to_reports
-from dockthread.lab.scale.plan import Changes, PlanError, RunPlan, parse_changes, plan_from_json
+from dockthread.lab.scale.plan import (
+    ChangeRates,
+    PlanError,
+    RunPlan,
+    parse_change_rates,
+    plan_from_json,
+)
 from dockthread.lab.scale.planted_bugs import BUG_NAMES, LIST_BUG_NAMES, ROUTE_BUG_NAMES
 from tests.cli.test_cli import dockthread
 
 # A test machine may be busy, so these bounds are too wide to judge the measurements. The runs are
 # checked only for the data in force at the end.
 WIDE_BOUNDS = ("--most-late", "30s", "--most-lag", "60s")
-SMALL_PLAN = RunPlan(0, 4, 30, 3, Changes(5.0, 0.0), 2.0)
+SMALL_PLAN = RunPlan(0, 4, 30, 3, ChangeRates(5.0, 0.0), 2.0)
 
 
-def scale(*options: str) -> tuple[int, dict[str, Any]]:
+def run_scale(*options: str) -> tuple[int, dict[str, Any]]:
     process = dockthread("lab", "scale", *WIDE_BOUNDS, "--json", *options)
     assert process.stdout, process.stderr
     return process.returncode, json.loads(process.stdout)
@@ -55,7 +61,9 @@
         ]
         result_by_name = dict(
             zip(
-                RUN_OPTIONS, pool.map(lambda run_options: scale(*run_options), options), strict=True
+                RUN_OPTIONS,
+                pool.map(lambda run_options: run_scale(*run_options), options),
+                strict=True,
             )
         )
     for name, (_, report) in result_by_name.items():
@@ -122,8 +130,8 @@
     assert dockthread("lab", "scale", "--hollow", "1600", "--backends", "24000").returncode == 2
     for text in ("x", "list=-1", "lists=1", "1e9"):
         with pytest.raises(PlanError):
-            parse_changes(text)
-    assert parse_changes("list=3") == Changes(3.0, 0.0)
+            parse_change_rates(text)
+    assert parse_change_rates("list=3") == ChangeRates(3.0, 0.0)
     assert plan_from_json(json.loads(json.dumps(SMALL_PLAN.to_json()))) == SMALL_PLAN
 
 
@@ -136,8 +144,8 @@
     removed = len(list(backends.remove_zone()))
     assert removed > 0 and len(backends.changes_since(first_revision) or []) == 40 + removed
     assert backends.changes_since(-5) is None
-    whole = json.loads(backends.whole_list().split(b"\r\n")[1])
-    assert len(whole["targets"]) == 30 - removed == len(final_list(backends.changes))
+    whole_list = json.loads(backends.whole_list().split(b"\r\n")[1])
+    assert len(whole_list["targets"]) == 30 - removed == len(final_list(backends.changes))
     list(backends.restore_zone())
     assert len(final_list(backends.changes)) == 30
     assert len({backend_address(number) for number in range(70_000)}) == 70_000
