--- a/dockthread/lab/scale/discovery.py
+++ b/dockthread/lab/scale/discovery.py
@@ -1,6 +1,6 @@
 """A discovery service for large lists, which encodes each list and change once for all watches.
 
-One process plays the discovery agents of all machines, so its own cost is the cost of many agents.
+One process replaces the discovery agents of all machines, so its cost is that of many agents.
 It serves two ports, and the ingresses affected by a cut watch the second one. During the cut, data
 for that port is held back, and it is sent when the cut heals, as TCP would do. Every change is kept
 for the checker.
--- a/dockthread/lab/scale/plan.py
+++ b/dockthread/lab/scale/plan.py
@@ -15,7 +15,7 @@
 REGIONS: Final = 4
 INGRESSES_PER_HOST: Final = 200  # Default number of hollow ingresses per process.
 MAX_HOSTS: Final = 8
-# Maximum number of list entries held by all ingresses together: some 11 GB at 2.5 KB each.
+# Maximum number of list entries held by all ingresses together: about 11 GB at 2.5 KB each.
 MAX_ENTRIES: Final = 4_500_000
 MAX_ROUTES: Final = 1_000_000  # Maximum number of routes held by all ingresses together.
 RESTARTED_SHARE: Final = 0.1  # Share of the ingresses that a restart wave restarts.
@@ -82,7 +82,7 @@
     voters: int = 3
 
     def check(self) -> None:
-        """Raise PlanError if the parameters are inconsistent or the machine could not hold the run."""
+        """Raise PlanError if the parameters are invalid or the run is too large for a machine."""
         if self.fault not in FAULTS:
             raise PlanError(f"unknown fault {self.fault!r}: choose one of {', '.join(FAULTS)}")
         if self.real + self.hollow < 1:
--- a/dockthread/lab/scale/recorder.py
+++ b/dockthread/lab/scale/recorder.py
@@ -1,7 +1,7 @@
 """Records when each change came into force in the ingresses of a process, and regressions.
 
-The list recorder reads the policy engine's own state after the engine received a list, and takes
-nothing from the code that delivered the list.
+The list recorder reads the policy engine's own state after the engine received a list, and does not
+rely on the code that delivered the list.
 """
 
 from __future__ import annotations
