--- a/dockthread/cli/metrics.py
+++ b/dockthread/cli/metrics.py
@@ -196,7 +196,7 @@
         return
     for total in totals:
         value = f"{total.value:>14.10g}"
-        click.echo(f"{total.source:<9}  {value}  {total.lives} process runs  {total.series}")
+        click.echo(f"{total.source:<9}  {value}  {total.incarnations} incarnations  {total.series}")
     for (source, kind), count in ledger.faults().items():
         click.echo(f"{source:<9}  {count:>14}  faults: {kind}")
     click.echo(f"{sum(ledger.seen.values())} points in total")
--- a/dockthread/lab/maintenance/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -1,4 +1,4 @@
-"""Plays a scenario on real processes, with faulty links and staff who switch backends off.
+"""Runs a scenario on real processes, with faulty links and staff who switch backends off.
 
 Simulated staff request maintenance at one member and poll any member that responds for the state of
 their request, which they identify by their comment. They switch a backend off when it is
@@ -10,8 +10,8 @@
 - `used`: if every running member has confirmed that it drained a backend, the backend receives no
   request while it is switched off;
 - `ingresses`: at most one ingress at a time is down for its own restart;
-- `lost`: no request to an ingress that was never killed or stopped fails, is lost or exceeds its
-  deadline;
+- `lost`: at an ingress that the scenario has never killed or signalled, no request fails, is lost
+  or exceeds its deadline; none is unsent either, unless the ingress has exited by itself;
 - `alike`: at the end all members report the same maintenance requests;
 - `progress`: at the end every maintenance request is finished.
 """
@@ -95,7 +95,7 @@
 
     Args:
         folder: Directory in which each process has its own subdirectory.
-        scenario: The scenario to play.
+        scenario: The scenario to run.
     """
 
     def __init__(self, folder: Path, scenario: PlannedScenario) -> None:
@@ -121,7 +121,7 @@
         self._restarting: set[str] = set()
 
     async def play(self) -> RehearsalResult:
-        """Play the scenario to its end.
+        """Run the scenario to its end.
 
         Raises:
             VoidRunError: The cluster elected no leader.
@@ -138,7 +138,7 @@
         )
         try:
             await self._cluster.open()
-            await self._play_steps()
+            await self._run_steps()
             return self._result
         finally:
             for task in self._tasks:
@@ -148,7 +148,7 @@
             for backend in self._backends.values():
                 backend.close()
 
-    async def _play_steps(self) -> None:
+    async def _run_steps(self) -> None:
         try:
             await asyncio.wait_for(self._wait_for_leader(), ELECTION_TIMEOUT_S)
         except TimeoutError as error:
@@ -160,7 +160,7 @@
         names = self._cluster.names if self._settings.load else []
         loads = [asyncio.create_task(self._send_load(name)) for name in names]
         supervisor = asyncio.create_task(self._supervise())
-        steps = [asyncio.create_task(self._play_step(step)) for step in self._scenario.steps]
+        steps = [asyncio.create_task(self._run_step(step)) for step in self._scenario.steps]
         self._tasks = [supervisor, *loads, *steps]
         await asyncio.gather(*steps)
         await asyncio.gather(*loads)
@@ -186,7 +186,7 @@
 
     # Steps
 
-    async def _play_step(self, step: Step) -> None:  # noqa: C901  one branch for each verb
+    async def _run_step(self, step: Step) -> None:  # noqa: C901  one branch for each verb
         await asyncio.sleep(max(0.0, step.at_ms - self._now_ms) / MS_PER_S)
         names = [name for operand in step.operands for name in await self._resolve_operand(operand)]
         self._record_event(" ".join((step.verb, *names)))
--- a/dockthread/lab/scale/plan.py
+++ b/dockthread/lab/scale/plan.py
@@ -15,7 +15,7 @@
 REGIONS: Final = 4
 INGRESSES_PER_HOST: Final = 200  # Default number of hollow ingresses per process.
 MAX_HOSTS: Final = 8
-# Maximum number of list entries held by all ingresses together: some 11 GB at 2.5 KB each.
+# Maximum number of list entries held by all ingresses together: about 11 GB at 2.5 KB each.
 MAX_ENTRIES: Final = 4_500_000
 MAX_ROUTES: Final = 1_000_000  # Maximum number of routes held by all ingresses together.
 RESTARTED_SHARE: Final = 0.1  # Share of the ingresses that a restart wave restarts.
@@ -30,14 +30,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changes:
+class ChangeRates:
     """Changes per second of the backend list and of the configuration."""
 
     list_rate: float
     configuration_rate: float
 
 
-def parse_changes(text: str) -> Changes:
+def parse_change_rates(text: str) -> ChangeRates:
     """Parse `5` for both rates, or `list=5,config=0.5`. Raises PlanError."""
     rates = {"list": 0.0, "config": 0.0}
     try:
@@ -55,7 +55,7 @@
         raise PlanError(
             f"{text!r} is not a rate of changes: write 5, or list=5,config=0.5, up to 10000"
         ) from error
-    return Changes(rates["list"], rates["config"])
+    return ChangeRates(rates["list"], rates["config"])
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,7 +70,7 @@
     hollow: int
     backends: int
     services: int
-    changes: Changes
+    changes: ChangeRates
     seconds: float
     seed: int = 1
     fault: str = "none"
@@ -82,7 +82,7 @@
     voters: int = 3
 
     def check(self) -> None:
-        """Raise PlanError if the parameters are inconsistent or the machine could not hold the run."""
+        """Raise PlanError if the parameters are invalid or the run is too large for a machine."""
         if self.fault not in FAULTS:
             raise PlanError(f"unknown fault {self.fault!r}: choose one of {', '.join(FAULTS)}")
         if self.real + self.hollow < 1:
@@ -136,7 +136,7 @@
 
 def plan_from_json(data: dict[str, Any]) -> RunPlan:
     """Restore a plan from the plain data sent by another process."""
-    return RunPlan(**{**data, "changes": Changes(**data["changes"])})
+    return RunPlan(**{**data, "changes": ChangeRates(**data["changes"])})
 
 
 def zone_name(number: int) -> str:
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -83,7 +83,7 @@
     assert result.returncode == 2
     assert (
         result.stderr
-        == f"dockthread: {path}: [graphite x] address: 'nowhere' is no address; write HOST:PORT\n"
+        == f"dockthread: {path}: [graphite x] address: 'nowhere' is not an address; write HOST:PORT\n"
     )
 
 
