--- a/dockthread/config/__init__.py
+++ b/dockthread/config/__init__.py
@@ -7,7 +7,7 @@
 | `platform_settings.py` | the reader of the platform's JSON |
 | `ini_reader.py` | the reader of INI text for any set of section types |
 | `quantities.py` | durations, sizes and shares with their units |
-| `section_registry.py` | the sections of the operator's file, and the reader of the file |
 
-Each subsystem defines the types of the sections that configure it.
+Each subsystem defines the types of the sections that configure it. `dockthread/section_registry.py`
+lists all sections of the operator's file and reads the file.
 """
--- a/dockthread/config/ini_reader.py
+++ b/dockthread/config/ini_reader.py
@@ -229,7 +229,7 @@
     for key, text in raw_values.items():
         if key not in fields:
             remedy = _suggestion(key, fields) or _known_names(fields)
-            report(key, "is no key of this section", remedy)
+            report(key, "is not a key of this section", remedy)
             continue
         try:
             values[fields[key].name] = parse_value(text, fields[key].type)
--- a/dockthread/control_plane/admin_client.py
+++ b/dockthread/control_plane/admin_client.py
@@ -61,7 +61,7 @@
             return codec.unpack(header, await reader.readexactly(codec.length(header)), key)
     except asyncio.IncompleteReadError as error:
         raise NoResponseError(
-            "it closed the connection: another key, or no server of control"
+            "it closed the connection: it has another key, or is not a control-plane server"
         ) from error
     except TimeoutError as error:
         raise NoResponseError(f"no answer within {timeout:g} s") from error
@@ -90,7 +90,7 @@
     The servers are tried in turn with the same token, so the change is applied only once. After
     `timeout` seconds the last response is returned, although it has no outcome.
     """
-    last_response = PublishResponse(request.token, OUTCOME_UNKNOWN, "no server was asked")
+    last_response = PublishResponse(request.token, OUTCOME_UNKNOWN, "no server was tried")
     loop = asyncio.get_running_loop()
     deadline = loop.time() + timeout
     while True:
@@ -116,7 +116,7 @@
     except NoResponseError as error:
         return PublishResponse(request.token, OUTCOME_UNKNOWN, f"{server}: {error}")
     if not isinstance(response, PublishResponse):
-        reason = f"it says {type(response).__name__}"
+        reason = f"it sent an unexpected {type(response).__name__}"
     elif response.revision >= 0:
         return response
     else:
@@ -146,7 +146,7 @@
         after = resources[-1].name if resources else ""
         response = await send_request(server, LookupRequest(kind, name, after), key)
         if not isinstance(response, LookupResponse):
-            raise NoResponseError(f"it says {type(response).__name__}")
+            raise NoResponseError(f"it sent an unexpected {type(response).__name__}")
         resources += response.resources
         if not response.more or not response.resources:
             return resources
@@ -222,7 +222,7 @@
 async def _fetch_status(server: Address, key: bytes) -> StatusResponse:
     response = await send_request(server, StatusRequest(), key)
     if not isinstance(response, StatusResponse):
-        raise NoResponseError(f"it says {type(response).__name__}")
+        raise NoResponseError(f"it sent an unexpected {type(response).__name__}")
     return response
 
 
--- a/dockthread/control_plane/client.py
+++ b/dockthread/control_plane/client.py
@@ -284,7 +284,7 @@
             self._carry_out(self.subscriber.on_malformed(self._clock.now(), number, reason))
 
     def on_closed(self, number: int) -> None:
-        """Handle that either side has closed a connection."""
+        """Handle the end of a connection, which either side may have closed."""
         if self._connection is not None and self._connection.number == number:
             self._connection = None
             if not self._is_closed:
--- a/dockthread/control_plane/distributor.py
+++ b/dockthread/control_plane/distributor.py
@@ -45,7 +45,7 @@
         """Start listening and receiving, and return the listening address.
 
         Raises:
-            OSError: The address cannot be listened on.
+            OSError: The server cannot listen on the address.
         """
         assert self._server is not None
         address = await self._server.open(listen)
--- a/dockthread/control_plane/lag.py
+++ b/dockthread/control_plane/lag.py
@@ -38,7 +38,7 @@
             del self._arrival_times[: MAX_REVISIONS // 2]
 
     def lag(self, now: float, revision: int) -> float:
-        """Return for how many ms a holder of `revision` has been missing a change; 0 if none."""
+        """Return the time in ms for which a holder of `revision` has lacked a change; 0 if none."""
         first_missing = bisect_right(self._revisions, revision)
         if first_missing == len(self._arrival_times):
             return 0.0
--- a/dockthread/control_plane/server.py
+++ b/dockthread/control_plane/server.py
@@ -72,7 +72,7 @@
 
     Attributes:
         table: The table.
-        age: Returns for how many ms the table may have been missing a change, or `AGE_UNKNOWN`.
+        age: Returns the time in ms for which the table may have lacked a change, or `AGE_UNKNOWN`.
     """
 
     table: ResourceTable
@@ -176,7 +176,7 @@
         """Start listening, and return the address with the assigned port.
 
         Raises:
-            OSError: The address cannot be listened on.
+            OSError: The server cannot listen on the address.
         """
         self._loop = asyncio.get_running_loop()
         self._server = await self._loop.create_server(
--- a/dockthread/control_plane/stream.py
+++ b/dockthread/control_plane/stream.py
@@ -29,7 +29,7 @@
         self.is_writable = True
 
     def on_open(self) -> None:
-        """Handle that the connection has opened."""
+        """Called when the connection has opened."""
 
     def on_message(self, message: Message) -> None:
         """Handle a complete message."""
@@ -41,10 +41,10 @@
         """Handle an invalid or too large frame; the connection is closed afterwards."""
 
     def on_closed(self, reason: str) -> None:
-        """Handle that either side has closed the connection."""
+        """Called when either side has closed the connection."""
 
     def on_writable(self) -> None:
-        """Handle that the write buffer has dropped below its limit again."""
+        """Called when the write buffer has dropped below its limit again."""
 
     def send(self, message: Message) -> None:
         """Write a message, authenticated with the key."""
--- a/dockthread/control_plane/subscriber.py
+++ b/dockthread/control_plane/subscriber.py
@@ -83,7 +83,7 @@
         return self._connections.next_timer_at()
 
     def age(self, now: float) -> float:
-        """Return for how many ms the table may have been missing a change, or `AGE_UNKNOWN`."""
+        """Return the time in ms for which the table may have lacked a change, or `AGE_UNKNOWN`."""
         return self._receiver.age(now)
 
     def on_timer(self, now: float) -> list[Action]:
--- a/dockthread/control_plane/table_receiver.py
+++ b/dockthread/control_plane/table_receiver.py
@@ -70,7 +70,7 @@
         self._assembler.begin()
 
     def age(self, now: float) -> float:
-        """Return for how many ms the table may have been missing a change, or `AGE_UNKNOWN`."""
+        """Return the time in ms for which the table may have lacked a change, or `AGE_UNKNOWN`."""
         return AGE_UNKNOWN if self._complete_at is None else max(0.0, now - self._complete_at)
 
     def subscription(self, settings: SubscriberSettings) -> Subscribe:
--- a/dockthread/control_plane/voter.py
+++ b/dockthread/control_plane/voter.py
@@ -66,7 +66,7 @@
         """Start serving, join the replicated log, and return the listening address.
 
         Raises:
-            OSError: The address cannot be listened on.
+            OSError: The server cannot listen on the address.
             ValueError: The log does not belong to a control plane.
         """
         address = await self.server.open(listen)
@@ -85,7 +85,7 @@
         await self.server.close()
 
     def age(self) -> float:
-        """Return for how many ms the table may have been missing a change; -1 if unknown."""
+        """Return the time in ms for which the table may have lacked a change; -1 if unknown."""
         return self.raft_server.staleness_ms()
 
     @property
--- a/dockthread/maintenance/admin_commands.py
+++ b/dockthread/maintenance/admin_commands.py
@@ -78,8 +78,8 @@
 
     Args:
         ingress: The ingress; its endpoint list and settings are used to check a request.
-        options: The cluster's settings.
-        member: The ingress's member of the cluster, which proposes the commands.
+        options: The fleet's settings.
+        member: The ingress's member of the fleet, which proposes the commands.
         scheduler: The replicated state machine.
     """
 
--- a/dockthread/maintenance/model.py
+++ b/dockthread/maintenance/model.py
@@ -1,4 +1,4 @@
-"""Inputs of a participant: the operator's settings and the state of the cluster."""
+"""Inputs of a participant: the operator's settings and the state of the fleet."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterView:
-    """Current state of the cluster as this ingress knows it.
+    """Current state of the fleet as this ingress knows it.
 
     Attributes:
         leader: Name of the leader; empty if none is known.
--- a/dockthread/maintenance/participant.py
+++ b/dockthread/maintenance/participant.py
@@ -67,7 +67,7 @@
     Attributes:
         drain: Backends that receive no new requests from now on.
         release: Backends that receive requests again and warm up.
-        propose: Commands to propose to the cluster.
+        propose: Commands to propose to the fleet.
         report: Report that this leader proposes; None if none is due.
         send_observation: Whether to send this ingress's observation to the leader.
         transfer_leadership: Whether to transfer leadership to another member.
@@ -176,7 +176,7 @@
             self._reporter.on_report_applied(now)
 
     def on_log_advanced(self, index: int, term: int) -> None:
-        """Handle that the log is committed and applied up to an index.
+        """Record that the log is committed and applied up to an index.
 
         Once this reaches the end of the log that was on disk at startup, or an entry of a later
         leader, the scheduler's state alone determines which backends are drained.
--- a/dockthread/maintenance/scheduler.py
+++ b/dockthread/maintenance/scheduler.py
@@ -66,7 +66,7 @@
 # Unreachable time of a member that a report lists as unreachable for the first time. The member may
 # have been reachable until just before the report, so this is almost 0; 0 means reachable.
 FIRST_UNREACHABLE_MS = 0.001
-# One, because a customer's ring may use only two ingresses.
+# One, because a customer may be served by only two ingresses.
 MAX_INGRESSES_UNAVAILABLE = 1
 
 
--- a/dockthread/maintenance/service.py
+++ b/dockthread/maintenance/service.py
@@ -38,20 +38,20 @@
 
 
 class MaintenanceService:
-    """Planned maintenance in one ingress; owns the ingress's member of the cluster.
+    """Planned maintenance in one ingress; owns the ingress's member of the fleet.
 
     A granted backend is drained in the same way as a backend that an operator detaches.
 
     Args:
         ingress: The ingress whose backends are drained.
-        options: The cluster's settings.
+        options: The fleet's settings.
         stop: Called to shut the ingress down gracefully when its own request is granted.
 
     Raises OSError, ValueError or RaftStorageError if the log's directory or the key cannot be used.
 
     Attributes:
         participant: Decides the actions of this ingress.
-        member: The ingress's member of the cluster.
+        member: The ingress's member of the fleet.
     """
 
     def __init__(self, ingress: Ingress, options: FleetOptions, stop: Callable[[], None]) -> None:
@@ -86,7 +86,7 @@
         return self.participant.scheduler
 
     async def open(self) -> None:
-        """Drain backends that are unavailable according to the log on disk, then join the cluster.
+        """Drain backends that are unavailable according to the log on disk, then join the fleet.
 
         This happens before the ingress accepts its first request.
         """
@@ -97,7 +97,7 @@
         self._spawn(self._run())
 
     async def close(self) -> None:
-        """Leave the cluster and cancel all tasks."""
+        """Leave the fleet and cancel all tasks."""
         for task in list(self._tasks):
             task.cancel()
         await self.member.close()
@@ -127,7 +127,7 @@
         return self.scheduler.snapshot()
 
     def on_applied(self, index: int, term: int) -> None:
-        """Handle that the log is committed and applied up to an index."""
+        """Record that the log is committed and applied up to an index."""
         self.participant.on_log_advanced(index, term)
         self._wake.set()
 
--- a/dockthread/maintenance/transitions.py
+++ b/dockthread/maintenance/transitions.py
@@ -1,4 +1,4 @@
-"""The life cycle of a maintenance request: every transition between its states, in one table."""
+"""The lifecycle of a maintenance request: every transition between its states, in one table."""
 
 from __future__ import annotations
 
--- a/dockthread/net/event_loop_lag.py
+++ b/dockthread/net/event_loop_lag.py
@@ -5,7 +5,7 @@
 TCP. However, input that is read in one iteration of the loop arrived after the iteration before
 last, or it would have been read earlier. The loop therefore records a heartbeat every
 `HEARTBEAT_INTERVAL_MS`, and input that is read now arrived after the second latest heartbeat. The
-latest heartbeat is no valid bound: it may have been late itself, in the iteration that reads now
+latest heartbeat is not a valid bound: it may have been late itself, in the iteration that reads now
 (timers run before sockets are polled). If the loop was blocked, by a burst of commands, a reload or
 another process on the core, the bound goes back to the start of the stall, whatever its cause.
 
@@ -14,10 +14,11 @@
 time that the ingress deducts from every request. A connection accepted from a backlog may hold a
 request that arrived at any time since the backlog was last empty; `AcceptBacklog` tracks that time.
 
-Rejected alternatives: always deducting the bound, 20 to 40 ms, cost 0.04 of G on the churn day of
-taichung-replay, seed 940965316920 (four runs at 0.81, four without at 0.85). Timing the work of
-each iteration misses delays caused outside the process. `TCP_INFO`'s time since the last data is
-exact, but exists only on Linux and takes one more system call per request.
+Rejected alternatives: always deducting the bound, 20 to 40 ms, lowered the score G by 0.04 on the
+churn day of the scenario taichung-replay, seed 940965316920 (0.81 in four runs, and 0.85 in four
+runs without it). Timing the work of each iteration misses delays caused outside the process.
+`TCP_INFO`'s time since the last data is exact, but exists only on Linux and takes one more system
+call per request.
 """
 
 from __future__ import annotations
--- a/dockthread/policy/attempts.py
+++ b/dockthread/policy/attempts.py
@@ -310,7 +310,7 @@
             if not attempt.is_in_flight:
                 continue
             if attempt.is_overdue:
-                # When the attempt ends, its request is unknown, so the attempt is subtracted again.
+                # The end of the attempt subtracts it again, because its request is then unknown.
                 self._delay.in_flight += 1
             if may_cancel and request not in self._requests.streaming:
                 self._context.actions.append(CancelAttempt(request, number))
--- a/dockthread/policy/backend_pool.py
+++ b/dockthread/policy/backend_pool.py
@@ -66,7 +66,7 @@
         ...
 
     def sample(self, rng: random.Random) -> Iterable[Backend]:
-        """Return all backends if they are few, and some drawn evenly if they are many."""
+        """Return all backends if they are few, otherwise a uniform sample of them."""
         ...
 
 
--- a/dockthread/policy/backoff.py
+++ b/dockthread/policy/backoff.py
@@ -12,11 +12,10 @@
 row. If all calls fail, all ingresses together make about 1000 / `FIRST_CAP_PER_INGRESS_MS` calls
 per second, then half as many, then a quarter, whatever the number of ingresses.
 
-After a start, or after the loss of an established watch, an ingress must not wait that long. A
-change counts as received even if the ingress has not fetched it yet, and only for a limited time
-after that may requests still be sent to a draining backend. So the delay before the first call is
-at most `max_initial_delay`, and the calls that the service then rejects are retried with the longer
-delays.
+After a start, or after the loss of an established watch, an ingress must not wait that long: a
+change counts as received even if the ingress has not fetched it yet, and requests may be sent to a
+draining backend only for a limited time after that. So the delay before the first call is at most
+`max_initial_delay`, and the calls that the service then rejects are retried with the longer delays.
 
 No delay is longer than `max_delay`, because changes count as received some time after the service
 is reachable again, even if the service could not answer. If the caps of many ingresses would exceed
--- a/dockthread/policy/model.py
+++ b/dockthread/policy/model.py
@@ -82,10 +82,10 @@
     """Priority, latency requirements and retry rules of the requests of one class.
 
     Attributes:
-        latency_objective: time within which an answer has its full worth, s.
+        latency_objective: time within which an answer has its full value, s.
         deadline: time from its arrival within which a request must have its final answer, s.
-        priority_weight: worth of an answer, relative to other classes.
-        late_weight: worth of an answer after the objective; read from the settings but not used.
+        priority_weight: value of an answer, relative to other classes.
+        late_weight: value of an answer after the objective; read from the settings but not used.
         effect: how a request of the class may be retried.
         deduplication_scope: which backends drop duplicates of a keyed request.
         deduplication_window: time for which these backends remember an idempotency key, s.
@@ -111,7 +111,7 @@
         burst: size of the token bucket, units.
         max_in_flight: maximum number of a customer's attempts in flight.
         priority_multiplier: factor on the priority weight of the customer's requests.
-        over_quota_weight: worth of an answer beyond the quota; read from the settings but not used.
+        over_quota_weight: value of an answer beyond the quota; read from the settings but not used.
         over_quota_cost: cost of an answer beyond the quota; read from the settings but not used.
         ceiling_rate: refill rate of a second token bucket, which is never exceeded, units/s.
         ceiling_burst: size of the second token bucket, units.
@@ -161,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CostWeights:
-    """Costs, each as a fraction of the worth of the request concerned.
+    """Costs, each as a fraction of the value of the request concerned.
 
     Attributes:
         cross_zone: cost of an attempt in another zone.
--- a/dockthread/policy/rejection.py
+++ b/dockthread/policy/rejection.py
@@ -9,7 +9,7 @@
 from dockthread.policy.model import RequestClass
 
 # Advised wait before the client retries, as a fraction of the class's latency objective. A retry
-# that comes later than the objective has lost its worth, and takes units from requests that can
+# that comes later than the objective has lost its value, and takes units from requests that can
 # still be answered in time.
 RETRY_AFTER_FRACTION = 0.25
 
--- a/dockthread/raft/options.py
+++ b/dockthread/raft/options.py
@@ -18,7 +18,7 @@
 
 MIN_KEY_BYTES: Final = 16
 MAX_KEY_BYTES: Final = 64  # maximum key length of BLAKE2
-# Odd sizes only: one more member than an odd number does not tolerate more failures.
+# Only odd sizes: adding one member to an odd number does not tolerate more failures.
 CLUSTER_SIZES: Final = (1, 3, 5, 7)
 # The loss of one heartbeat must not trigger an election.
 MIN_HEARTBEATS_PER_ELECTION: Final = 3
--- a/dockthread/raft/server.py
+++ b/dockthread/raft/server.py
@@ -247,7 +247,7 @@
         return self._runner.core.responded_within(self._options.election_timeout)
 
     def staleness_ms(self) -> float:
-        """Return for how many ms the state machine may have lacked committed commands.
+        """Return the time in ms for which the state machine may have lacked committed commands.
 
         A leader counts from the last response of a majority, rounded up to whole heartbeat
         intervals; any other member counts from the last message of its leader. -1 if the state
--- a/dockthread/raft/storage.py
+++ b/dockthread/raft/storage.py
@@ -242,7 +242,7 @@
             body = data[start : start + size]
             is_damaged = len(body) == size and _checksum(body) != checksum
             if size > MAX_RECORD_BYTES or is_damaged:
-                raise RaftStorageError(f"{path} is spoilt at byte {position}; {ADVICE_AFTER_LOSS}")
+                raise RaftStorageError(f"{path} is corrupt at byte {position}; {ADVICE_AFTER_LOSS}")
             if len(body) < size:
                 break
             bodies.append(body)
--- a/dockthread/routes/bounds.py
+++ b/dockthread/routes/bounds.py
@@ -18,7 +18,7 @@
 from dockthread.routes.rules import RequestAttributes, Rules, stricter
 from dockthread.routes.usage import RouteUsage
 
-MAX_BACKOFF_DOUBLINGS = 30  # with more, any backoff exceeds every permitted maximum
+MAX_BACKOFF_DOUBLINGS = 30  # more doublings exceed every permitted maximum backoff
 
 
 class RuleSource(Protocol):
--- a/dockthread/routes/model_checker.py
+++ b/dockthread/routes/model_checker.py
@@ -306,9 +306,9 @@
 
     def _send(self) -> None:
         if self.has_ended:
-            raise InvariantError("a send after the end", self._path)
+            raise InvariantError("an attempt sent after the end", self._path)
         if self._now > START + DEADLINE:
-            raise InvariantError("a send past the deadline", self._path)
+            raise InvariantError("an attempt sent after the deadline", self._path)
         if self._is_unsafe and self._may_have_run():
             raise InvariantError("a second effect", self._path)
         self._attempts.append(SentAttempt())
--- a/tests/config/test_any_deployment.py
+++ b/tests/config/test_any_deployment.py
@@ -185,8 +185,8 @@
 def test_a_silent_backend_counts_as_failed_after_a_share_of_the_latency_objective() -> None:
     """The failure is detected between 1.05 and 1.15 times the latency objective.
 
-    Before its first answer, the policy engine can derive a backend's expected answer time only from
-    the latency objective: it is 0.2 of it, give or take 0.1.
+    Before the first response, the policy engine assumes a response time of 0.2 times the latency
+    objective with a mean deviation of 0.1 times the objective, and nine deviations count as silent.
     """
     for latency_objective in (0.6, 1.5, 3.0):
         classes = (RequestClass(latency_objective, 4 * latency_objective, effect=Effect.UNSAFE),)
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -19,7 +19,7 @@
 PROBLEMS = [
     (
         "[telemetry]\nintervall = 1s",
-        "[telemetry] intervall: is no key of this section; did you mean interval?",
+        "[telemetry] intervall: is not a key of this section; did you mean interval?",
     ),
     ("[telemetry]\ninterval = 10", "[telemetry] interval: '10' is not a duration"),
     (
--- a/tests/control_plane/test_control_options.py
+++ b/tests/control_plane/test_control_options.py
@@ -56,7 +56,7 @@
         VOTER.replace("v1", "v9") + FLEET,
         "name: 'v9' is not among the members of [fleet]; one of v1",
     ),
-    (DISTRIBUTOR + "lisen = a:1", "lisen: is no key of this section; did you mean listen?"),
+    (DISTRIBUTOR + "lisen = a:1", "lisen: is not a key of this section; did you mean listen?"),
 ]
 
 
--- a/tests/maintenance/test_process_faults.py
+++ b/tests/maintenance/test_process_faults.py
@@ -153,7 +153,7 @@
     return str(answer) if status == 503 else ""
 
 
-def test_an_ingress_with_a_corrupt_log_serves_but_does_not_join_the_cluster(tmp_path: Path) -> None:
+def test_an_ingress_with_a_corrupt_log_serves_but_does_not_join_the_fleet(tmp_path: Path) -> None:
     async def scenario(cluster: ProcessCluster) -> None:
         await wait_until(lambda: every_member_knows_a_leader(cluster))
         leader = await cluster.leader()
@@ -165,7 +165,7 @@
         path.write_bytes(data)
         cluster.start(corrupt_member)
         answer = await wait_until(lambda: rejection_text(cluster, corrupt_member))
-        assert "is spoilt at byte 0" in answer
+        assert "is corrupt at byte 0" in answer
         assert (await cluster.call(corrupt_member, "GET", "/_ready"))[0] == 200, (
             "an ingress without a log still serves requests"
         )
--- a/tests/maintenance/test_scheduler_life_cycle.py
+++ b/tests/maintenance/test_scheduler_life_cycle.py
@@ -1,4 +1,4 @@
-"""The life cycle of a request: grant, drain, timeouts, return, and the restart of an ingress."""
+"""The lifecycle of a request: grant, drain, timeouts, return, and the restart of an ingress."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_many_ingresses.py
+++ b/tests/policy/test_many_ingresses.py
@@ -206,7 +206,7 @@
         fleet.requests_by_backend[backend] for backend in fleet.failing_backends
     ) / sum(fleet.requests_by_backend.values())
     assert failing_share < 0.1, (
-        "with the failure weight and half-life for three ingresses it is 0.19"
+        "with the failure weight and half-life for three ingresses the share is 0.19"
     )
 
 
@@ -237,7 +237,7 @@
     # overload them, because that takes three times as much.
     assert 0.2 < new_share < 0.46, (
         "if new backends were drawn by the square of the slow-start weight, "
-        "and counted as loaded as the others, it would be 0.03"
+        "and counted as loaded as the others, the share would be 0.03"
     )
 
 
@@ -271,7 +271,7 @@
                 total += action.amount
                 waiting += engine.handle(now, CounterReplied(action.name, Outcome.OK, total))
     assert total < 130, (
-        "66 are within the quota; with one free request per window at each ingress it was 223"
+        "66 units are within the quota; 223 were used with one free request at each ingress per window"
     )
 
 
--- a/tests/policy/test_quota_of_many_ingresses.py
+++ b/tests/policy/test_quota_of_many_ingresses.py
@@ -240,7 +240,7 @@
     fleet.run_simulation()
     units = fleet.units
     assert units["beyond quota"] < 0.05 * units["admitted"], (
-        "it was 0.07 to 0.27 with totals from which no token bucket level could be derived"
+        "the ratio was 0.07 to 0.27 when no token bucket level could be derived from a total"
     )
     assert units["refused within quota"] < 0.15 * (units["admitted"] + units["refused"])
     assert fleet.calls < 1.8 * len(fleet.client_requests)
@@ -361,7 +361,7 @@
     customer = InFlightCapFleet(ingresses=25, cap=5, seed=seed)
     customer.run_simulation(demand=3.0, response_time=0.1, units=1.0)
     assert customer.admitted_beyond_cap < 0.3 * customer.admitted, (
-        "with one free attempt at each ingress it was 0.71"
+        "with one free attempt at each ingress the ratio was 0.71"
     )
     assert customer.admitted > 0.25 * 60.0 * customer.cap / 0.1
     assert not customer.calls, "the counter has no total for a plan without a quota"
--- a/tests/raft/test_log_storage.py
+++ b/tests/raft/test_log_storage.py
@@ -131,5 +131,5 @@
     data = bytearray((tmp_path / "n" / "log").read_bytes())
     data[-1] ^= 1
     (tmp_path / "n" / "log").write_bytes(data)
-    with pytest.raises(RaftStorageError, match="spoilt at byte 0"):
+    with pytest.raises(RaftStorageError, match="corrupt at byte 0"):
         RaftStorage(tmp_path / "n", "n0")
--- a/tests/routes/test_model_checker.py
+++ b/tests/routes/test_model_checker.py
@@ -139,7 +139,7 @@
 def test_model_checker_finds_a_finished_request_that_is_not_deleted() -> None:
     with pytest.raises(
         InvariantError,
-        match="a second answer|a send after the end|counts a finished request as open",
+        match="a second answer|an attempt sent after the end|counts a finished request as open",
     ):
         explore(
             Effect.SAFE,
--- a/tests/routes/test_refused_keys.py
+++ b/tests/routes/test_refused_keys.py
@@ -154,7 +154,7 @@
     ("firm = fffffffff", "'fffffffff' is not a firm's number"),
     ("units = 3..1", "units: '3..1' is not a number of units; write 2, or 1..3"),
     ("units = few", "'few' is not a number of units"),
-    ("clas = seat-status", "clas: is no key of this section; did you mean class?"),
+    ("clas = seat-status", "clas: is not a key of this section; did you mean class?"),
     # keyed classes
     (
         KEYED + "attempts = 3\nattempt_timeout = 1s",
