--- a/dockthread/control_plane/subscriber_actions.py
+++ b/dockthread/control_plane/subscriber_actions.py
@@ -65,7 +65,7 @@
         stale: Servers left because their table was stale.
         malformed: Messages that were malformed, unexpected or out of order.
         mismatches: Complete updates after which the digest differed.
-        snapshots: Updates that belonged to snapshots.
+        snapshots: Complete snapshots that were put into the table.
         deltas: Deltas that were put into the table.
         retries_later: `RetryLater` messages from servers at capacity.
         outdated_snapshots: Complete snapshots that stayed staged because they were older than the
--- a/dockthread/maintenance/aggregation.py
+++ b/dockthread/maintenance/aggregation.py
@@ -69,9 +69,9 @@
     """Return the zones and the listed backends that a majority of the members has observed.
 
     A backend counts as ready if more than half of the members report so, and as failing if a third
-    of them do; a zone counts as overloaded if a third of them report so. In a fleet of more than
-    three members, a single member, which may itself be faulty, cannot make a backend count as
-    failing.
+    of them do, rounded to a whole number; a zone counts as overloaded if as many report so. In a
+    fleet of more than three members, a single member, which may itself be faulty, cannot make a
+    backend count as failing.
 
     Args:
         observations: Recent observations, by member.
--- a/dockthread/net/discovery_watch.py
+++ b/dockthread/net/discovery_watch.py
@@ -243,7 +243,7 @@
         await ended.wait()
 
     def _retry_delay(self, max_delay_ms: float) -> float:
-        """Draw the delay after a failed attempt, without a maximum if discovery is overloaded."""
+        """Draw the delay after a failed attempt; `max_delay_ms` does not apply during overload."""
         is_overloaded = (
             self._attempt.state is not AttemptState.CONNECTING
             and self._clock.now() - self._failing_since_ms > OVERLOAD_AFTER_MS
--- a/dockthread/net/listener.py
+++ b/dockthread/net/listener.py
@@ -126,8 +126,8 @@
 
         Connections that are ending come first, then those that have sent at most one command, then
         all others; within each group the longest idle comes first. Connections that were just
-        accepted or read from and connections with unread input are kept, because a request may be
-        on its way or already waiting.
+        accepted or read from are kept, and so are connections with unread input that are not
+        ending, because a request may be on its way or already waiting.
         """
         now = self._host.clock.now()
         candidates = [
--- a/dockthread/net/requests_in_flight.py
+++ b/dockthread/net/requests_in_flight.py
@@ -279,7 +279,7 @@
     def _on_deadline(self, request: Request) -> None:
         """End a request at its deadline, when its client has timed out.
 
-        Normally the policy engine has already answered the request, unless the engine failed.
+        The request is unanswered at this time only if the policy engine failed.
         """
         for attempt in request.attempts:
             self._pool.end(attempt, Outcome.TIMEOUT)
--- a/dockthread/policy/attempt_outcomes.py
+++ b/dockthread/policy/attempt_outcomes.py
@@ -105,7 +105,7 @@
         self._latencies.record(request_class, event.duration)
 
     def record_silence(self, backend: Backend) -> None:
-        """Count a response that has been missing for very long as two failures."""
+        """Count a response that has been missing for very long with twice `FAILURE_WEIGHT`."""
         backend.failure_fraction += 2 * FAILURE_WEIGHT * (1 - backend.failure_fraction)
 
     def _record_success(self, event: AttemptEnded, backend: Backend) -> None:
--- a/dockthread/policy/backend.py
+++ b/dockthread/policy/backend.py
@@ -186,7 +186,8 @@
         """Estimate the number of requests at the backend.
 
         It is the sum of this ingress's attempts in flight and the requests of other ingresses
-        according to the load reports. The older the last report, the less it counts.
+        according to the load reports. The older the last report, the more the smoothed mean of the
+        reports replaces it.
         """
         if self.report_at == NEVER:
             # Use the kind's mean: if backends without a report counted as idle, they would attract
--- a/dockthread/policy/gossip.py
+++ b/dockthread/policy/gossip.py
@@ -260,7 +260,7 @@
         for code, failure_fraction in message.suspects:
             self._apply_suspect(code, failure_fraction)
         if self._peer_incarnations.get(peer) != message.incarnation:
-            # The peer restarted, and needs to know which customers have used up their quotas.
+            # The peer is new or has restarted, and needs to know which quotas are used up.
             self._peer_incarnations[peer] = message.incarnation
             self._report_all_to(peer)
         for report in message.reports:
--- a/dockthread/policy/latency_estimates.py
+++ b/dockthread/policy/latency_estimates.py
@@ -4,9 +4,9 @@
 forty ingresses, a hundred with three. A value that is smoothed with a small step would hardly
 change from its initial value. So the estimate of one backend is pulled towards the mean of its kind
 by a fixed number of prior samples (shrinkage, as in empirical Bayes estimation), whose influence
-vanishes once the backend has many samples. The load of a report decays to the kind's mean and not
-to zero: a backend without a recent report counts as being as loaded as the others, because one that
-counted as idle would attract every request.
+vanishes once the backend has many samples. The load of a report decays to the smoothed mean of the
+backend's reports and not to zero, and a backend that has not sent a report counts as being as
+loaded as the mean of its kind, because one that counted as idle would attract every request.
 
 Latencies are relative to the usual latency of the request's class; 1.0 is the usual latency.
 """
--- a/dockthread/policy/quota_counter_sync.py
+++ b/dockthread/policy/quota_counter_sync.py
@@ -84,8 +84,11 @@
     def must_wait(self, event: RequestArrived, customer: Customer, sketch: RateSketch) -> bool:
         """Return whether a request must wait until the counter reports the others' usage.
 
-        It need not wait if the arrival rate is within an even split of the quota, if the token
-        bucket is full enough, or if the bucket is too empty for the request in any case.
+        It need not wait if the bucket is too empty for it in any case, or if the last reply is at
+        most a clock tick old. At an arrival rate within an even split of the quota, it waits only
+        if it would leave less than `MIN_LEVEL_FRACTION` of the burst in the bucket. At a higher
+        rate the expected usage of the other ingresses since the last reply is subtracted from this
+        level, and the request also waits if the reply is older than the sketch's window.
         """
         context = self._context
         if context.now < self.circuit_open_until or not self._is_needed(customer):
@@ -96,7 +99,7 @@
         if level_after < 0 or age <= context.settings.clock_tick:
             return False
         min_level = MIN_LEVEL_FRACTION * plan.burst
-        # If each ingress admitted one request without a call, the burst would be used up.
+        # One request at each ingress without a call would use up more than twice the burst.
         is_crowded = customer.spread * event.units > 2 * plan.burst
         even_rate = max(plan.rate / customer.spread, event.units / sketch.window)
         if not is_crowded and customer.arrival_rate <= even_rate:
--- a/dockthread/policy/route_constraints.py
+++ b/dockthread/policy/route_constraints.py
@@ -159,7 +159,7 @@
         return min(remaining, route.attempt_timeout or remaining)
 
     def may_hedge(self, pending: PendingRequest) -> bool:
-        """Return whether the route allows a hedge now; a hedge uses the route's retry budget."""
+        """Return whether the route allows a hedge now; if so, use the route's retry budget."""
         route = pending.event.route
         return route is None or route.try_hedge(len(pending.attempts), self._context.now)
 
--- a/dockthread/policy/token_bucket.py
+++ b/dockthread/policy/token_bucket.py
@@ -8,9 +8,9 @@
 * Gossip messages of the other ingresses carry sums by sender, so that a later message makes up for
   a lost one.
 * The shared counter holds the units used since the start of an epoch plus the units that overflowed
-  the full bucket. The refill of the epoch minus that total is therefore the level, whichever
-  ingress reads it and however long ago it last did. Usage beyond the quota takes nothing from the
-  bucket, so it is subtracted from the total again.
+  the full bucket. The refill since the start of the epoch minus that total therefore gives the
+  level, whichever ingress reads the total and however long ago it last did. Usage beyond the quota
+  takes nothing from the bucket, so it is subtracted from the total again.
 
 If both were subtracted, a customer would be charged twice for its usage. So both are applied by
 this class. A level from the counter can only lower the copy. `counter_lead` is the number of units
