--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -291,7 +291,7 @@
         self.lifecycle.enter(Phase.DRAINING)
         self.peers.close()  # during an upgrade the next process binds this address
         self.listener.end_all()
-        # Every request is answered by the longest deadline. Connections that are still open after
+        # Every request is answered within the longest deadline. Connections that are still open after
         # that belong to clients that do not read.
         longest_deadline_ms = (
             max(one_class.deadline for one_class in self.config.policy_settings.classes) * 1000.0
--- a/dockthread/policy/customer_registry.py
+++ b/dockthread/policy/customer_registry.py
@@ -63,6 +63,9 @@
     def expire(self) -> bool:
         """Drop customers whose state is equivalent to that of a new customer.
 
+        With gossip, only customers without recent requests are dropped, and only if there are more
+        than `GOSSIP_CUSTOMERS_KEPT` customers.
+
         Returns:
             Whether unsent gossip may refer to dropped customers.
         """
