--- a/dockthread/control_plane/fanout.py
+++ b/dockthread/control_plane/fanout.py
@@ -43,7 +43,7 @@
     codec,
 )
 from dockthread.control_plane.resource_table import ResourceTable
-from dockthread.control_plane.subscriber_records import DepartedSubscribers, SubscriberRecord
+from dockthread.control_plane.subscriber_records import DisconnectedSubscribers, SubscriberRecord
 from dockthread.errors import DockthreadError
 
 NEVER_SENT: Final = -1e18
@@ -146,7 +146,7 @@
         self._key = key
         self._cursors: dict[int, _Cursor] = {}  # by connection number
         self._connection_by_name: dict[str, int] = {}  # by subscriber name
-        self._departed = DepartedSubscribers()
+        self._disconnected = DisconnectedSubscribers()
         self._frames = EncodedFrameCache(table, limits.chunk_bytes, key)
         self._snapshot_used_at = now
         self._budget = SnapshotBudget(
@@ -183,14 +183,14 @@
             return RetryLater(retry_delay, "no room for one more subscriber")
         cursor = _Cursor(SubscriberRecord(message, now), now, message.epoch, message.revision)
         if self._needs_snapshot(cursor, message.digest):
-            if not self._budget.admit(now, self.table.bytes):
-                retry_delay = self._budget.retry_after(now, self.table.bytes)
+            if not self._budget.admit(now, self.table.size_bytes):
+                retry_delay = self._budget.retry_after(now, self.table.size_bytes)
                 return RetryLater(retry_delay, "no budget for one more snapshot")
             cursor.needs_snapshot = True
-            cursor.pending_bytes = float(self.table.bytes)
-        self._supersede_connection(message.name, connection)
+            cursor.pending_bytes = float(self.table.size_bytes)
+        self._replace_connection(message.name, connection)
         self._cursors[connection] = cursor
-        self._departed.discard(message.name)
+        self._disconnected.discard(message.name)
         return None
 
     def on_message(self, now: float, connection: int, message: Acknowledge | Heartbeat) -> None:
@@ -240,7 +240,7 @@
         if self._connection_by_name.get(name) == connection:
             del self._connection_by_name[name]
             cursor.record.updated_at = now
-            self._departed.add(cursor.record)
+            self._disconnected.add(cursor.record)
 
     def set_table_age(self, now: float, age: float) -> None:
         """Record the age of the table: for how long it may have been missing a change.
@@ -262,7 +262,7 @@
             self._next_heartbeat_at = now + self._limits.heartbeat_interval
         if now - self._snapshot_used_at > SNAPSHOT_RETENTION:
             self._frames.drop_snapshot()
-        self._departed.forget_before(now, self._limits.status_retention)
+        self._disconnected.forget_before(now, self._limits.status_retention)
         overdue = [
             OverdueConnection(number, "replaced by a newer connection")
             for number, cursor in self._cursors.items()
@@ -292,7 +292,7 @@
             for cursor in self._cursors.values()
             if not cursor.is_replaced
         }
-        records = {**self._departed.by_name(), **connected}
+        records = {**self._disconnected.by_name(), **connected}
         return tuple(
             records[name].status(now, self.table.epoch, self._lag, name in connected)
             for name in sorted(records)
@@ -303,7 +303,7 @@
         is_full = len(self._connection_by_name) >= self._limits.max_subscribers
         return is_full and name not in self._connection_by_name
 
-    def _supersede_connection(self, name: str, connection: int) -> None:
+    def _replace_connection(self, name: str, connection: int) -> None:
         """Serve only the newest connection of a subscriber; `on_timer` closes the older one."""
         previous = self._connection_by_name.get(name)
         if previous is not None:
--- a/dockthread/control_plane/frozen_table.py
+++ b/dockthread/control_plane/frozen_table.py
@@ -27,7 +27,7 @@
         self.revision = revision
         self.horizon = horizon
         self.digest = digest
-        self.bytes = size
+        self.size_bytes = size
         self._keys = list(packed)
         self._values = list(packed.values())
         self._next_index = 0
--- a/dockthread/control_plane/resource_table.py
+++ b/dockthread/control_plane/resource_table.py
@@ -50,7 +50,7 @@
         horizon: Revision of the newest tombstone that was dropped.
         is_complete: Whether the table holds the latest version of each resource at `revision`.
             False between the chunks of an update.
-        bytes: Approximate size of all entries in messages, in bytes.
+        size_bytes: Approximate size of all entries in messages, in bytes.
     """
 
     def __init__(self, epoch: str = "", max_tombstones: int = MAX_TOMBSTONES) -> None:
@@ -58,7 +58,7 @@
         self.revision = 0
         self.horizon = 0
         self.is_complete = True
-        self.bytes = 0
+        self.size_bytes = 0
         self._max_tombstones = max_tombstones
         self._packed: dict[str, bytes] = {}  # by key, newest last
         # Oldest first. A later entry with the same key may have replaced some of them.
@@ -107,7 +107,7 @@
         self._remove(key)
         packed = pack(resource)
         self._packed[key] = packed
-        self.bytes += packed_size(key, packed)
+        self.size_bytes += packed_size(key, packed)
         if resource.body is None:
             self._tombstones.append(_Tombstone(resource.revision, key))
         else:
@@ -136,7 +136,7 @@
         self.revision = 0
         self.horizon = horizon
         self.is_complete = True
-        self.bytes = 0
+        self.size_bytes = 0
         self._packed = {}
         self._live_digest = LiveSetDigest()
         self._tombstones.clear()
@@ -154,7 +154,7 @@
         self.revision = other.revision
         self.horizon = other.horizon
         self.is_complete = other.is_complete
-        self.bytes = other.bytes
+        self.size_bytes = other.size_bytes
         self._packed = other._packed
         self._tombstones = other._tombstones
         self._live_digest = other._live_digest
@@ -190,7 +190,7 @@
     def freeze(self) -> FrozenTable:
         """Return the current content, which can be sent in chunks while the table changes."""
         return FrozenTable(
-            self.epoch, self.revision, self.horizon, self.digest, self.bytes, self._packed
+            self.epoch, self.revision, self.horizon, self.digest, self.size_bytes, self._packed
         )
 
     def can_resume_from(self, revision: int) -> bool:
@@ -229,7 +229,7 @@
         packed = self._packed.pop(key, None)
         if packed is None:
             return
-        self.bytes -= packed_size(key, packed)
+        self.size_bytes -= packed_size(key, packed)
         if is_live(packed):
             self._live_digest.remove(key, packed)
 
--- a/dockthread/control_plane/server_connection.py
+++ b/dockthread/control_plane/server_connection.py
@@ -182,13 +182,13 @@
         """
         connection.complete_at = complete_at
         if not self._staleness.is_stale(now, complete_at):
-            self._staleness.on_current_server(len(self.servers))
+            self._staleness.on_fresh_server(len(self.servers))
             return True
         if now >= self._leave_stale_at(connection):
             self._leave_stale(now, connection)
         return False
 
-    def is_known_current(self, now: float, connection: ServerConnection) -> bool:
+    def is_known_fresh(self, now: float, connection: ServerConnection) -> bool:
         """Return whether the server has reported that its table is not stale."""
         complete_at = connection.complete_at
         return complete_at is not None and not self._staleness.is_stale(now, complete_at)
@@ -229,7 +229,7 @@
     def set_servers(self, now: float, servers: Sequence[CandidateServer]) -> None:
         """Replace the list of servers; the connection is kept if its server is still listed."""
         self.servers.set_servers(servers)
-        self._staleness.on_current_server(len(self.servers))
+        self._staleness.on_fresh_server(len(self.servers))
         if self.current is not None and self.current.server not in self.servers:
             self.disconnect(self.current, "its server is no longer listed")
             self._backoff.wait_until = now
--- a/dockthread/control_plane/snapshot_cache.py
+++ b/dockthread/control_plane/snapshot_cache.py
@@ -127,7 +127,7 @@
         else:
             self._queue.clear()
             self._queue += (CacheHeader(VERSION, self._name), table.freeze())
-            self._queued_bytes = table.bytes
+            self._queued_bytes = table.size_bytes
             self._appended_bytes = 0
             self._can_append = True
         commit = CacheCommit(table.epoch, table.revision, table.horizon, table.digest, last_good)
--- a/dockthread/control_plane/staleness.py
+++ b/dockthread/control_plane/staleness.py
@@ -46,6 +46,6 @@
         self._immediate_moves = max(0, self._immediate_moves - 1)
         self._next_move_at = now + self._times.stale_penalty * self._rng.uniform(0.5, 1.5)
 
-    def on_current_server(self, server_count: int) -> None:
+    def on_fresh_server(self, server_count: int) -> None:
         """Allow immediate moves to all other servers again, as a server was not stale."""
         self._immediate_moves = server_count - 1
--- a/dockthread/control_plane/subscriber.py
+++ b/dockthread/control_plane/subscriber.py
@@ -166,11 +166,11 @@
     def _on_heartbeat(self, now: float, connection: ServerConnection, message: Heartbeat) -> None:
         complete_at = now - message.age if message.age >= 0.0 else float("-inf")
         if self._connections.on_server_age(now, connection, complete_at):
-            self._receiver.on_current_server(message, complete_at)
+            self._receiver.on_fresh_server(message, complete_at)
 
     def _on_update(self, now: float, connection: ServerConnection, update: Update) -> None:
-        is_current = self._connections.is_known_current(now, connection)
-        if not self._receiver.accepts_epoch(update, is_current):
+        is_fresh = self._connections.is_known_fresh(now, connection)
+        if not self._receiver.accepts_epoch(update, is_fresh):
             reason = "another epoch, which was replaced before or comes from a server not known to be fresh"
             self._connections.fail(now, connection, reason)
             return
--- a/dockthread/control_plane/subscriber_records.py
+++ b/dockthread/control_plane/subscriber_records.py
@@ -15,7 +15,7 @@
     SubscriberStatus,
 )
 
-MAX_DEPARTED: Final = 20_000
+MAX_DISCONNECTED: Final = 20_000
 """Maximum number of disconnected subscribers that are kept."""
 
 
@@ -65,7 +65,7 @@
         )
 
 
-class DepartedSubscribers:
+class DisconnectedSubscribers:
     """Records of disconnected subscribers, oldest first."""
 
     def __init__(self) -> None:
@@ -76,9 +76,9 @@
         return self._records
 
     def add(self, record: SubscriberRecord) -> None:
-        """Add a subscriber; beyond `MAX_DEPARTED`, remove the oldest."""
+        """Add a subscriber; beyond `MAX_DISCONNECTED`, remove the oldest."""
         self._records[record.subscription.name] = record
-        while len(self._records) > MAX_DEPARTED:
+        while len(self._records) > MAX_DISCONNECTED:
             self._records.popitem(last=False)
 
     def discard(self, name: str) -> None:
--- a/dockthread/control_plane/table_receiver.py
+++ b/dockthread/control_plane/table_receiver.py
@@ -85,7 +85,7 @@
             settings.name, table.epoch, table.revision, digest, settings.region, settings.zone
         )
 
-    def on_current_server(self, message: Heartbeat, complete_at: float) -> None:
+    def on_fresh_server(self, message: Heartbeat, complete_at: float) -> None:
         """Record that the server's table was complete at `complete_at`.
 
         If this table includes all changes of the server's table, it was complete then as well.
--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -294,7 +294,8 @@
         # Every request is answered within the longest deadline. Connections that are still open after
         # that belong to clients that do not read.
         longest_deadline_ms = (
-            max(one_class.deadline for one_class in self.config.policy_settings.classes) * 1000.0
+            max(request_class.deadline for request_class in self.config.policy_settings.classes)
+            * 1000.0
         )
         close_at_ms = self.clock.now() + longest_deadline_ms + LINGER_MS
         self.call_at(close_at_ms, self.listener.close_all)
--- a/dockthread/policy/engine.py
+++ b/dockthread/policy/engine.py
@@ -100,8 +100,8 @@
         # before the sketches draw their hash functions.
         incarnation = self.context.rng.randrange(INCARNATIONS)
         self._build_state(settings)
-        self._build_protocols(incarnation)
-        self._build_decisions()
+        self._build_usage_exchange(incarnation)
+        self._build_decision_parts()
         self._is_started = False
         self._expired_at = now
         self._failure_half_life = FAILURE_HALF_LIFE * failure_scaling_factor(settings.ingress_count)
@@ -120,14 +120,14 @@
         pool = BackendPool(self._weights.weight, self.slow_start.weight)
         self.backends = BackendRegistry(context, pool)
 
-    def _build_protocols(self, incarnation: int) -> None:
+    def _build_usage_exchange(self, incarnation: int) -> None:
         """Create the parts that exchange usage with the other ingresses."""
         self.gossip = GossipProtocol(
             self.context, self.timers, self.customers, self.backends, incarnation
         )
         self.counter = QuotaCounterSync(self.context, self.customers, self.gossip)
 
-    def _build_decisions(self) -> None:
+    def _build_decision_parts(self) -> None:
         """Create the parts that decide on requests."""
         context, pool = self.context, self.backends.pool
         self.routes = self.routes_class(context, self.timers, self.requests, pool)
--- a/dockthread/policy/quota_counter_sync.py
+++ b/dockthread/policy/quota_counter_sync.py
@@ -154,7 +154,7 @@
         self._customers.get_known(number)
         if event.outcome is Outcome.OK:
             self._apply_total(event.total, call, customer)
-        elif self._is_call_repeated(event.outcome, call, number, customer):
+        elif self._record_failed_call(event.outcome, call, number, customer):
             return None
         waiting = customer.waiting_requests
         customer.waiting_requests = []
@@ -203,10 +203,10 @@
         self.failures = 0.0
         # A smaller correction results from usage by other ingresses, and not from another ingress
         # that made the same correction.
-        is_own = abs(customer.counter_correction) > abs(call.correction) / 2
-        customer.counter_correction *= is_own
+        is_duplicate = abs(customer.counter_correction) > abs(call.correction) / 2
+        customer.counter_correction *= is_duplicate
 
-    def _is_call_repeated(
+    def _record_failed_call(
         self, outcome: Outcome, call: CounterCall, number: int, customer: Customer
     ) -> bool:
         """Record a failed call; return whether it is repeated at once for waiting requests."""
--- a/dockthread/raft/options.py
+++ b/dockthread/raft/options.py
@@ -19,7 +19,7 @@
 MIN_KEY_BYTES: Final = 16
 MAX_KEY_BYTES: Final = 64  # maximum key length of BLAKE2
 # Only odd sizes: adding one member to an odd number does not tolerate more failures.
-CLUSTER_SIZES: Final = (1, 3, 5, 7)
+FLEET_SIZES: Final = (1, 3, 5, 7)
 # The loss of one heartbeat must not trigger an election.
 MIN_HEARTBEATS_PER_ELECTION: Final = 3
 # A member must not count as failed while a leader is being elected.
@@ -99,7 +99,7 @@
         if host_port(self.listen) is None:
             yield KeyProblem("listen", f"{self.listen!r} is not an address", "write HOST:PORT")
         names = [name for name, _ in _named_addresses(self.members)]
-        if len(names) not in CLUSTER_SIZES:
+        if len(names) not in FLEET_SIZES:
             yield KeyProblem(
                 "members",
                 f"lists {len(names)} members",
--- a/dockthread/routes/matcher.py
+++ b/dockthread/routes/matcher.py
@@ -54,7 +54,7 @@
 
     def mismatched_keys(self, request: RequestAttributes) -> list[str]:
         """Return the keys in the operator's file whose conditions the request does not match."""
-        fits_by_key = {
+        matches_by_key = {
             "class": not self.classes or request.request_class in self.classes,
             "plan": not self.plans or request.plan in self.plans,
             "verb": not self.writes or request.is_write in self.writes,
@@ -62,7 +62,7 @@
             "firm": self.matches_customer(request),
             "units": self.units is None or request.units in self.units,
         }
-        return [key for key, fits in fits_by_key.items() if not fits]
+        return [key for key, is_match in matches_by_key.items() if not is_match]
 
     def covers(self, other: Matcher) -> bool:
         """Return whether this matches every request that `other` matches, ignoring zones."""
--- a/dockthread/routes/table.py
+++ b/dockthread/routes/table.py
@@ -40,7 +40,7 @@
 
 # Customer look-ups, over all cached results, that one changed route may cause. If it would cause
 # more, the cached results are dropped instead.
-MAX_REPAIRS = 20_000
+MAX_CUSTOMER_LOOKUPS = 20_000
 # Combinations in the index. It is bounded because a site whose units are unbounded would otherwise
 # fill the memory.
 MAX_COMBINATIONS = 4096
@@ -128,7 +128,7 @@
             return
         self._remove_matcher(name)
         self._ordered.put(matcher)
-        self._repair_index(matcher)
+        self._update_index(matcher)
         self._configure_usage(name, options, now)
         self.draining.discard(name)
         self.generation += 1
@@ -204,13 +204,13 @@
         matcher = self._ordered.remove(name)
         if matcher is None:
             return False
-        self._repair_index(matcher)
+        self._update_index(matcher)
         return True
 
-    def _repair_index(self, changed: Matcher) -> None:
+    def _update_index(self, changed: Matcher) -> None:
         """Update or drop the cached results that the added or removed route `changed` affects."""
-        repairs = len(changed.customers) * len(self._index)
-        must_drop = not changed.customers or repairs > MAX_REPAIRS
+        customer_lookups = len(changed.customers) * len(self._index)
+        must_drop = not changed.customers or customer_lookups > MAX_CUSTOMER_LOOKUPS
         for key, matches in list(self._index.items()):
             request_class, plan, is_write, is_retry, units = key
             request = RequestAttributes(request_class, plan, is_write, 0, units, is_retry)
@@ -220,9 +220,9 @@
                 del self._index[key]
                 continue
             for customer in changed.customers:
-                self._repair_customer(matches, request, customer)
+                self._update_first_match(matches, request, customer)
 
-    def _repair_customer(
+    def _update_first_match(
         self, matches: _CachedMatches, request: RequestAttributes, customer: int
     ) -> None:
         routes_of_customer = self._ordered.by_customer.get(customer, ())
--- a/tests/control_plane/test_fanout.py
+++ b/tests/control_plane/test_fanout.py
@@ -80,7 +80,7 @@
     None
 ):
     table = make_table(100)
-    size = table.bytes
+    size = table.size_bytes
     fan_out = make_fan_out(
         table, FanOutLimits(chunk_bytes=400, snapshot_rate=float(size), snapshot_burst=float(size))
     )
