--- a/dockthread/clock.py
+++ b/dockthread/clock.py
@@ -4,7 +4,7 @@
 
 import time
 
-MILLISECONDS = 1000.0  # Milliseconds per second.
+MS_PER_S = 1000.0  # Milliseconds per second.
 
 
 class Clock:
@@ -17,11 +17,11 @@
     __slots__ = ("_unix_offset",)
 
     def __init__(self) -> None:
-        self._unix_offset = time.time() * MILLISECONDS - self.now()
+        self._unix_offset = time.time() * MS_PER_S - self.now()
 
     def now(self) -> float:
         """Return the current time in milliseconds."""
-        return time.monotonic() * MILLISECONDS
+        return time.monotonic() * MS_PER_S
 
     @property
     def unix_offset(self) -> float:
@@ -33,7 +33,7 @@
 
     def unix(self) -> float:
         """Return the system's Unix time in ms, for display; it follows clock adjustments."""
-        return time.time() * MILLISECONDS
+        return time.time() * MS_PER_S
 
     def from_unix(self, unix_ms: float) -> float:
         """Convert a Unix time to a time on this clock; 0, an unknown time, stays 0."""
--- a/dockthread/control_plane/admission.py
+++ b/dockthread/control_plane/admission.py
@@ -18,7 +18,7 @@
 """Maximum time in ms to send all pending bytes if another snapshot is admitted."""
 SLOT_JITTER: Final = 0.2
 """Random jitter of a retry delay, as a fraction of the delay in either direction."""
-MS_PER_SECOND: Final = 1_000.0
+MS_PER_S: Final = 1_000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
     """The budget of one server. Times are in ms."""
 
     def __init__(self, limits: SnapshotBudgetLimits, rng: random.Random) -> None:
-        self._rate = limits.rate / MS_PER_SECOND  # bytes per ms
+        self._rate = limits.rate / MS_PER_S  # bytes per ms
         self._burst = limits.burst
         self._retry_after_min = limits.retry_after_min
         self._retry_after_max = limits.retry_after_max
--- a/dockthread/control_plane/client.py
+++ b/dockthread/control_plane/client.py
@@ -50,7 +50,7 @@
 """Resources applied per iteration of the event loop."""
 MIN_TIMER_DELAY: Final = 0.01
 """Minimum time in s until the timer runs."""
-MS_PER_SECOND: Final = 1_000.0
+MS_PER_S: Final = 1_000.0
 NEAR_DISTANCE: Final = 0
 """Distance of the servers in `servers`."""
 FAR_DISTANCE: Final = 1
@@ -297,7 +297,7 @@
 
         A timer that runs too early does nothing but set itself again.
         """
-        delay = (self.subscriber.next_timer_at() - self._clock.now()) / MS_PER_SECOND
+        delay = (self.subscriber.next_timer_at() - self._clock.now()) / MS_PER_S
         due_at = self._loop.time() + max(MIN_TIMER_DELAY, delay)
         if self._timer is not None:
             if self._timer.when() <= due_at:
--- a/dockthread/control_plane/ingress.py
+++ b/dockthread/control_plane/ingress.py
@@ -34,7 +34,7 @@
 if TYPE_CHECKING:
     from dockthread.net.ingress import Ingress
 
-MS_PER_SECOND: Final = 1_000.0
+MS_PER_S: Final = 1_000.0
 SEED_BITS: Final = 64
 """Size in bits of the random seed of the client."""
 NO_COUNTER_REASON: Final = "this ingress was started without a counter: it asks none"
@@ -150,7 +150,7 @@
         return "" if resource.body is None else f"this release knows no kind {resource.kind}"
 
     def _apply_route(self, resource: Resource) -> str:
-        now = self._ingress.clock.now() / MS_PER_SECOND
+        now = self._ingress.clock.now() / MS_PER_S
         if resource.body is None:
             self._layers.remove(resource.name, now)
             return ""
--- a/dockthread/control_plane/server.py
+++ b/dockthread/control_plane/server.py
@@ -56,7 +56,7 @@
 """Minimum time in s between two runs of the timer."""
 MALFORMED_LOG_INTERVAL: Final = 60_000.0
 """Minimum time in ms between two log lines about malformed bytes."""
-MS_PER_SECOND: Final = 1_000.0
+MS_PER_S: Final = 1_000.0
 
 
 class Publisher(Protocol):
@@ -354,7 +354,7 @@
     def _schedule_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        delay = (self.fan_out.next_timer_at() - self.clock.now()) / MS_PER_SECOND
+        delay = (self.fan_out.next_timer_at() - self.clock.now()) / MS_PER_S
         self._timer = self._loop.call_later(max(MIN_TIMER_DELAY, delay), self._on_timer)
 
     def _on_timer(self) -> None:
--- a/dockthread/control_plane/snapshot_cache.py
+++ b/dockthread/control_plane/snapshot_cache.py
@@ -49,7 +49,7 @@
 """Size of the appended data at which a file is rewritten, as a multiple of its initial size."""
 FILE_MODE: Final = 0o600
 """Mode of a cache file: only its owner may read the configuration."""
-MS_PER_SECOND: Final = 1_000.0
+MS_PER_S: Final = 1_000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,7 +79,7 @@
     def __init__(self, directory: Path, name: str, interval: float) -> None:
         self.path = directory / f"{quote(name, safe='')}.cache"
         self._name = name
-        self._interval = interval / MS_PER_SECOND  # in s
+        self._interval = interval / MS_PER_S  # in s
         self._queue: deque[CacheHeader | Resource | FrozenTable | CacheCommit] = deque()
         self._queued_bytes = 0
         self._epoch = ""  # of the last queued commit
--- a/dockthread/lab/arrivals.py
+++ b/dockthread/lab/arrivals.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Final, NamedTuple, TypeAlias
 
-from dockthread.clock import MILLISECONDS
+from dockthread.clock import MS_PER_S
 from dockthread.config.quantities import Duration
 
 # Maximum rate of a rate shape, in requests per second.
@@ -115,7 +115,7 @@
     try:
         start_rate = float(start_text)
         end_rate = float(end_text if arrow else start_text)
-        length = Duration.parse(length_text) / MILLISECONDS
+        length = Duration.parse(length_text) / MS_PER_S
     except ValueError as error:
         raise RateShapeError(
             f"{text!r} is not a segment of a rate shape: write 140@60s or 100>300@30s"
--- a/dockthread/lab/control_plane/checker.py
+++ b/dockthread/lab/control_plane/checker.py
@@ -32,7 +32,7 @@
 from dockthread.lab.control_plane.settings import INVALID_PREFIX
 from dockthread.lab.raft.checker import RuleViolation
 
-MS_PER_SECOND: Final = 1_000.0
+MS_PER_S: Final = 1_000.0
 MAX_LISTED_ITEMS: Final = 5
 """Maximum number of list items that the detail of a violation names."""
 MAX_LISTED_UNKNOWN: Final = 3
@@ -191,7 +191,7 @@
             max_chunk_bytes: Maximum size of one snapshot chunk, in bytes.
         """
         self._burst_bytes = burst_bytes
-        self._bytes_per_ms = bytes_per_second / MS_PER_SECOND
+        self._bytes_per_ms = bytes_per_second / MS_PER_S
         self._max_chunk_bytes = max_chunk_bytes
         self.violations: list[RuleViolation] = []
         self.requested_changes: dict[str, RequestedChange] = {}
--- a/dockthread/lab/load.py
+++ b/dockthread/lab/load.py
@@ -16,7 +16,7 @@
 
 import hiredis
 
-from dockthread.clock import MILLISECONDS
+from dockthread.clock import MS_PER_S
 from dockthread.lab.arrivals import Arrival
 from dockthread.lab.load_result import LoadResult, RequestOutcome
 
@@ -120,7 +120,7 @@
 def encode_request(arrival: Arrival, target: LoadTarget, request_id: int) -> bytes:
     """Encode a request in RESP2 as clients do."""
     verb = b"API.WRITE" if arrival.request_class in target.write_classes else b"API.READ"
-    deadline_ms = target.deadlines[arrival.request_class] * MILLISECONDS
+    deadline_ms = target.deadlines[arrival.request_class] * MS_PER_S
     parameters = (
         f"c={arrival.request_class},t={arrival.plan},d={deadline_ms:.0f},units={arrival.units}"
         f",spread={arrival.spread},first={arrival.first_ingress}"
