--- a/dockthread/control_plane/client.py
+++ b/dockthread/control_plane/client.py
@@ -131,7 +131,7 @@
 
     Attributes:
         subscriber: Subscriber that processes the messages.
-        batches: Applies changed resources.
+        batch_applier: Applies changed resources.
         messages: Counts of messages received and sent.
     """
 
@@ -154,12 +154,12 @@
         self._is_closed = False
         cached = cache.load() if cache is not None else None
         table = ResourceTable() if cached is None else cached.table
-        self.batches = BatchApplier(
+        self.batch_applier = BatchApplier(
             applier, table, cache, settings.slice_resources, self._on_batch_applied
         )
         rejections: Sequence[Rejection] = ()
         if cached is not None:
-            rejections = self.batches.restore(cached)
+            rejections = self.batch_applier.restore(cached)
             logger.info(
                 "control: loaded {} resources of revision {} from the cache",
                 len(table),
@@ -177,7 +177,7 @@
     async def close(self) -> None:
         """Close the connection and write unsaved changes to the cache."""
         self._is_closed = True
-        self.batches.close()
+        self.batch_applier.close()
         if self._timer is not None:
             self._timer.cancel()
         if self._opening_connection is not None:
@@ -249,13 +249,13 @@
         logger.debug("control: closing connection {}: {}", action.connection, action.reason)
 
     def _apply(self, batch: ResourcesChanged) -> None:
-        self.batches.enqueue(batch)
-        if self.batches.is_full and self._connection is not None:
+        self.batch_applier.enqueue(batch)
+        if self.batch_applier.is_full and self._connection is not None:
             self._connection.pause_reading()
-        self.batches.start()
+        self.batch_applier.start()
 
     def _on_batch_applied(self, number: int, rejections: Sequence[Rejection]) -> None:
-        if self.batches.is_idle and self._connection is not None:
+        if self.batch_applier.is_idle and self._connection is not None:
             self._connection.resume_reading()
         self._carry_out(self.subscriber.on_applied(self._clock.now(), number, rejections))
 
--- a/dockthread/lab/scale/control.py
+++ b/dockthread/lab/scale/control.py
@@ -45,7 +45,7 @@
         self._alter = alter
         self._highest_revision = 0
         self._refused_names = set[str]()
-        applier.client.batches.applier = self
+        applier.client.batch_applier.applier = self
 
     # Methods that the client calls on its applier
 
