--- a/dockthread/control_plane/publish_state_machine.py
+++ b/dockthread/control_plane/publish_state_machine.py
@@ -55,7 +55,7 @@
 class Proposal(msgspec.Struct, frozen=True, array_like=True):
     """One entry of the log: a request, and a nonce from which the epoch may be derived."""
 
-    publish: PublishRequest
+    request: PublishRequest
     nonce: bytes
 
 
@@ -140,7 +140,7 @@
         except msgspec.MsgspecError:
             self.undecodable += 1
             return
-        request = proposal.publish
+        request = proposal.request
         if request.token in self._outcomes:
             return
         reason = _exceeded_bound(request) or self._conflict(request)
--- a/tests/byte_cases.py
+++ b/tests/byte_cases.py
@@ -530,7 +530,7 @@
     ),
     Case(
         "distribution.log.proposal",
-        publish_state_machine.Proposal(publish=PUBLISH, nonce=b"\x01\x02\x03\x04\x05\x06\x07\x08"),
+        publish_state_machine.Proposal(request=PUBLISH, nonce=b"\x01\x02\x03\x04\x05\x06\x07\x08"),
         _msgpack_codec(publish_state_machine.Proposal),
     ),
     Case(
