--- a/dockthread/maintenance/observation.py
+++ b/dockthread/maintenance/observation.py
@@ -50,7 +50,7 @@
         latest_request_index: Log index of the latest request that this ingress knows.
     """
     endpoints = ingress.endpoints
-    is_overloaded = ingress.engine.delay.is_pressed
+    is_overloaded = ingress.engine.delay.is_overloaded
     by_zone: dict[str, list[ObservedBackend]] = {}
     for backend in _active_backends(ingress):
         by_zone.setdefault(endpoints.zone_of(backend.uid) or "", []).append(backend)
--- a/dockthread/policy/queueing_delay.py
+++ b/dockthread/policy/queueing_delay.py
@@ -60,7 +60,7 @@
         self.tightest_objective = min(request_class.latency_objective for request_class in classes)
 
     @property
-    def is_pressed(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Whether recent responses took so long that requests are rejected."""
         return self.smoothed_latency > MAX_DELAY_FRACTION * self.tightest_objective
 
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -101,7 +101,7 @@
     is_overloaded = (
         delay.smoothed_latency > queueing_delay.MAX_DELAY_FRACTION * delay.tightest_objective
     )
-    assert delay.is_pressed is is_overloaded
+    assert delay.is_overloaded is is_overloaded
     assert is_overloaded is all_failing, (
         "slow responses indicate overload only if all backends are failing"
     )
