--- a/dockthread/config/platform_settings.py
+++ b/dockthread/config/platform_settings.py
@@ -208,7 +208,7 @@
         max_retry_after=_seconds(limits.get("MaxRetryAfter", 0)),
         gossip_intake_rate=domain.get("PeerInPerS", 0.0),
         max_request_units=domain.get("Largest", 1),
-        settles_units=domain.get("TruedUp", False),
+        charges_actual_units=domain.get("TruedUp", False),
         usage_report_period=_seconds(domain.get("Metering", 0)),
         may_use_counter=domain.get("MayCount", False),
         conn_idle=_seconds(limits.get("ConnIdle", 15 * SECOND)),
--- a/dockthread/policy/attempts.py
+++ b/dockthread/policy/attempts.py
@@ -249,7 +249,7 @@
         self, event: AttemptEnded, pending: PendingRequest, number: int, customer: Customer
     ) -> None:
         """Replace the charge for the expected units with one for the actual units."""
-        if self._context.settings.settles_units and event.actual_units:
+        if self._context.settings.charges_actual_units and event.actual_units:
             difference = event.actual_units - pending.event.units
             customer.quota.take(difference, may_go_negative=True)
             customer.admitted_units += difference
--- a/dockthread/policy/model.py
+++ b/dockthread/policy/model.py
@@ -201,7 +201,7 @@
         max_retry_after: longest wait that a rejected client is advised before a retry, s.
         gossip_intake_rate: rate at which an ingress can receive gossip messages, messages/s.
         max_request_units: units of the largest request.
-        settles_units: whether a request is charged its actual units when it ends.
+        charges_actual_units: whether a request is charged its actual units when it ends.
         usage_report_period: period over which reported usage is measured, s; 0 if usage is not
             reported.
         may_use_counter: whether there is a counter that all ingresses share.
@@ -228,7 +228,7 @@
     max_retry_after: float = 0.0
     gossip_intake_rate: float = 60.0
     max_request_units: float = 1.0
-    settles_units: bool = False
+    charges_actual_units: bool = False
     usage_report_period: float = 0.0
     may_use_counter: bool = False
     clock_offset: float = 0.0
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -54,7 +54,7 @@
 
 
 def test_actual_units_are_taken_from_the_token_bucket() -> None:
-    ingress = IngressHarness(replace(SETTINGS, settles_units=True))
+    ingress = IngressHarness(replace(SETTINGS, charges_actual_units=True))
     request = ingress.send_request(UNSAFE, RATE_PLAN, units=1.0)
     ingress.end_attempt(request, 0, Outcome.OK, actual_units=5.0)
     assert ingress.engine.customers.by_number[7].quota.level == pytest.approx(3.0)
