--- a/dockthread/config/platform_settings.py
+++ b/dockthread/config/platform_settings.py
@@ -211,7 +211,7 @@
         charges_actual_units=domain.get("TruedUp", False),
         usage_report_period=_seconds(domain.get("Metering", 0)),
         may_use_counter=domain.get("MayCount", False),
-        conn_idle=_seconds(limits.get("ConnIdle", 15 * SECOND)),
+        connection_idle_time=_seconds(limits.get("ConnIdle", 15 * SECOND)),
         load_report_fields=tuple(load_reports.get("Names", ())),
         has_load_reports=load_reports.get("Source") == "inline",
         must_poll_endpoints=raw.get("Discovery") == "subscribe",
--- a/dockthread/policy/load_balancer.py
+++ b/dockthread/policy/load_balancer.py
@@ -55,7 +55,7 @@
         self._weights = weights
         self._slow_start = slow_start
         self._routes = routes
-        self._idle_connection_time = context.settings.conn_idle * IDLE_CLOSE_FRACTION
+        self._idle_connection_time = context.settings.connection_idle_time * IDLE_CLOSE_FRACTION
 
     def choose(self, pending: PendingRequest) -> Backend | None:
         """Return the backend for a request's next attempt, or None if none is available now.
--- a/dockthread/policy/model.py
+++ b/dockthread/policy/model.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# An ingress closes an idle connection after this fraction of `PolicySettings.conn_idle`, the time
-# after which the backend closes it. Otherwise a request could be sent on a connection that the
-# backend is closing.
+# An ingress closes an idle connection after this fraction of `PolicySettings.connection_idle_time`,
+# the time after which the backend closes it. Otherwise a request could be sent on a connection that
+# the backend is closing.
 IDLE_CLOSE_FRACTION = 0.5
 
 
@@ -206,7 +206,7 @@
             reported.
         may_use_counter: whether there is a counter that all ingresses share.
         clock_offset: offset of the clock that all ingresses share from this ingress's clock, s.
-        conn_idle: time after which a backend closes an idle connection, s.
+        connection_idle_time: time after which a backend closes an idle connection, s.
         load_report_fields: names of the numbers in a load report, in order.
         has_load_reports: whether answers carry load reports.
         must_poll_endpoints: whether the engine must request the endpoint list.
@@ -232,7 +232,7 @@
     usage_report_period: float = 0.0
     may_use_counter: bool = False
     clock_offset: float = 0.0
-    conn_idle: float = 15.0
+    connection_idle_time: float = 15.0
     load_report_fields: tuple[str, ...] = ()
     has_load_reports: bool = False
     must_poll_endpoints: bool = False
