--- a/dockthread/net/request.py
+++ b/dockthread/net/request.py
@@ -83,9 +83,9 @@
 
 
 class RouteLookup(Protocol):
-    """Finds the route of a request. `spent` holds the usage of each route, for telemetry."""
+    """Finds a request's route. `usage_by_route` holds the usage of each route, for telemetry."""
 
-    spent: dict[str, Any]
+    usage_by_route: dict[str, Any]
 
     def bounds(self, command: resp.RequestCommand) -> RequestRoute | None:
         """Return the route of a request; None if no route applies."""
--- a/dockthread/routes/model_checker.py
+++ b/dockthread/routes/model_checker.py
@@ -230,7 +230,7 @@
                     self._end_attempt(number, Outcome.TIMEOUT)
         if not self.has_ended:
             raise InvariantError("no answer", self._path)
-        has_open = any(usage.open for usage in self.table.spent.values())
+        has_open = any(usage.open for usage in self.table.usage_by_route.values())
         if self._bounds is not None and has_open:
             raise InvariantError("a route that counts a finished request as open", self._path)
 
@@ -249,7 +249,9 @@
         matcher = self.table.find(request)
         if matcher is None:
             return None
-        return Bounds(self.table, request, matcher.rules, self.table.spent[matcher.rules.name])
+        return Bounds(
+            self.table, request, matcher.rules, self.table.usage_by_route[matcher.rules.name]
+        )
 
     def _allowed_attempts(self) -> int:
         return self.table.rules_for(self._request_attributes()).attempts or MAX_ATTEMPTS
@@ -327,7 +329,7 @@
         return any(attempt.may_have_run for attempt in self._attempts)
 
     def _check_budgets(self) -> None:
-        for usage in self.table.spent.values():
+        for usage in self.table.usage_by_route.values():
             if usage.budget is not None and usage.budget.left < 0:
                 raise InvariantError("a budget below zero", self._path)
 
--- a/dockthread/routes/table.py
+++ b/dockthread/routes/table.py
@@ -69,7 +69,7 @@
 
     Attributes:
         generation: A number that grows with each change.
-        spent: The usage of each route, by the route's name.
+        usage_by_route: The usage of each route, by the route's name.
         draining: Names of removed routes that still have open requests.
     """
 
@@ -81,7 +81,7 @@
         self._ordered = OrderedRoutes()
         self._index: dict[Combination, _CachedMatches] = {}
         self._default = Rules(DEFAULT_ROUTE)
-        self.spent: dict[str, RouteUsage] = {}
+        self.usage_by_route: dict[str, RouteUsage] = {}
         self.draining: set[str] = set()
 
     def __bool__(self) -> bool:
@@ -117,7 +117,7 @@
         for matcher in ordered.matchers:
             name = matcher.rules.name
             self._configure_usage(name, routes[name], now)
-        self.draining = self.spent.keys() - ordered.by_name.keys() - {DEFAULT_ROUTE}
+        self.draining = self.usage_by_route.keys() - ordered.by_name.keys() - {DEFAULT_ROUTE}
         self.delete_idle_usage()
 
     def put(self, matcher: Matcher, options: RouteOptions, now: float) -> None:
@@ -144,8 +144,8 @@
         """Delete the usage of removed routes that have no open requests."""
         if not self.draining:
             return
-        for name in [name for name in self.draining if not self.spent[name].open]:
-            del self.spent[name]
+        for name in [name for name in self.draining if not self.usage_by_route[name].open]:
+            del self.usage_by_route[name]
             self.draining.discard(name)
 
     def find(self, request: RequestAttributes) -> Matcher | None:
@@ -182,7 +182,7 @@
         matcher = self.find(request)
         if matcher is None:
             return None
-        return Bounds(self, request, matcher.rules, self.spent[matcher.rules.name])
+        return Bounds(self, request, matcher.rules, self.usage_by_route[matcher.rules.name])
 
     def matchers_before(self, matcher: Matcher) -> list[Matcher]:
         """Return the routes that are matched before this one."""
@@ -248,13 +248,13 @@
         )
         maximum = options.limit_max or max(DEFAULT_MAX_LIMIT, options.limit_min or 0)
         queue_length = options.queue or 0
-        usage = self.spent.get(name)
+        usage = self.usage_by_route.get(name)
         if usage is None:
             budget = RetryBudget(ratio, floor, now)
             limit = ConcurrencyLimit(fixed_limit, minimum, maximum, adaptive)
             usage = RouteUsage(budget, limit, queue_length, now, self._rng)
             usage.hedge_budget.reconfigure(hedge_share, 0.0)
-            self.spent[name] = usage
+            self.usage_by_route[name] = usage
             return
         usage.hedge_budget.reconfigure(hedge_share, 0.0)
         usage.limit.reconfigure(fixed_limit, minimum, maximum, adaptive)
--- a/dockthread/telemetry/metrics_reader.py
+++ b/dockthread/telemetry/metrics_reader.py
@@ -166,7 +166,7 @@
     def _route_points(self) -> Iterator[Point]:
         if (routes := self._ingress.routes) is None:
             return
-        for name, usage in list(routes.spent.items())[:MAX_REPORTED_ROUTES]:
+        for name, usage in list(routes.usage_by_route.items())[:MAX_REPORTED_ROUTES]:
             path = ("routes", path_part(name))
             yield Point((*path, "requests"), DERIVE, usage.requests)
             yield Point((*path, "attempts"), DERIVE, usage.attempts)
--- a/tests/net/test_disconnected_clients.py
+++ b/tests/net/test_disconnected_clients.py
@@ -125,7 +125,7 @@
                 )
                 table.replace({"r": retry_after_backoff}, ingress.clock.now() / 1000.0)
                 ingress.routes = table
-                monkeypatch.setattr(table.spent["r"].rng, "uniform", lambda a, b: b)
+                monkeypatch.setattr(table.usage_by_route["r"].rng, "uniform", lambda a, b: b)
             with pinged_socket(ingress) as sock:
                 sock.sendall(request(1))
                 await until(
--- a/tests/routes/routed_ingress.py
+++ b/tests/routes/routed_ingress.py
@@ -62,7 +62,7 @@
 def usage_of(ingress: Ingress, name: str) -> RouteUsage:
     """Return the usage of a route of the ingress."""
     assert isinstance(ingress.routes, Table)
-    return ingress.routes.spent[name]
+    return ingress.routes.usage_by_route[name]
 
 
 @asynccontextmanager
--- a/tests/routes/tables.py
+++ b/tests/routes/tables.py
@@ -29,7 +29,7 @@
 
 def bounds_of(table: Table, name: str) -> Bounds:
     """Return the bounds of an arriving read, which must match the route of the given name."""
-    return Bounds(table, READ, table.rules_for(READ), table.spent[name])
+    return Bounds(table, READ, table.rules_for(READ), table.usage_by_route[name])
 
 
 @st.composite
--- a/tests/routes/test_bounds.py
+++ b/tests/routes/test_bounds.py
@@ -43,7 +43,7 @@
 
 def bounds_with_rules(rules: Rules) -> Bounds:
     table = table_of({"r": RouteOptions()})
-    return Bounds(table, READ, rules, table.spent["r"])
+    return Bounds(table, READ, rules, table.usage_by_route["r"])
 
 
 @given(RULES, RULES, st.integers(1, 4), st.sampled_from(list(Outcome)))
--- a/tests/routes/test_reloads_in_service.py
+++ b/tests/routes/test_reloads_in_service.py
@@ -161,7 +161,9 @@
                 await asyncio.sleep(0.005)
             is_finished.set()
             assert min(await asyncio.gather(*sending)) > 10
-            assert set(table.spent) == {"s", "x99"}, "the usage of removed routes is deleted"
+            assert set(table.usage_by_route) == {"s", "x99"}, (
+                "the usage of removed routes is deleted"
+            )
 
     run(scenario())
 
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -35,15 +35,15 @@
     table = table_of({"x": RouteOptions(limit="5"), "y": RouteOptions()})
     bounds = bounds_of(table, "x")
     assert bounds.enter(1, 1.0, 0.0) == (True, None)
-    usage = table.spent["x"]
+    usage = table.usage_by_route["x"]
     table.replace({"x": RouteOptions(limit="9")}, 1.0)
-    assert table.spent["x"] is usage
+    assert table.usage_by_route["x"] is usage
     assert usage.limit.limit == 9
     assert usage.limit.inside == 1
-    assert "y" not in table.spent, (
+    assert "y" not in table.usage_by_route, (
         "the usage of a route without open requests is deleted immediately"
     )
     table.replace({}, 2.0)
-    assert "x" in table.spent, "the usage of a route with an open request is kept"
+    assert "x" in table.usage_by_route, "the usage of a route with an open request is kept"
     bounds.release(1)
-    assert "x" not in table.spent
+    assert "x" not in table.usage_by_route
