--- a/dockthread/lab/scale/real.py
+++ b/dockthread/lab/scale/real.py
@@ -24,9 +24,9 @@
         self._daemon = daemon
         self._list_recorder = list_recorder
 
-    def event(self, what: str, **figures: object) -> None:
+    def event(self, event_name: str, **fields: object) -> None:
         """Record the list's revision when the ingress reports the event `list`."""
-        if what == "list":
+        if event_name == "list":
             ingress = self._daemon.ingress
             self._list_recorder.record_list(ingress.endpoints.revision, ingress.engine)
 
--- a/dockthread/logs/trace.py
+++ b/dockthread/logs/trace.py
@@ -17,10 +17,11 @@
 
     active = tracing = True
 
-    def event(self, what: str, **figures: object) -> None:
+    def event(self, event_name: str, **fields: object) -> None:
         """Log an event with its keys and values."""
         logger.trace(
-            "trace {}", " ".join([what, *(f"{key}={figure}" for key, figure in figures.items())])
+            "trace {}",
+            " ".join([event_name, *(f"{key}={figure}" for key, figure in fields.items())]),
         )
 
     def request_completed(  # noqa: PLR0913  the observer's interface
--- a/dockthread/observer.py
+++ b/dockthread/observer.py
@@ -115,5 +115,5 @@
     def phase(self, name: str) -> None:
         """The ingress entered a phase of its lifecycle."""
 
-    def event(self, what: str, **figures: object) -> None:
+    def event(self, event_name: str, **fields: object) -> None:
         """An individual event occurred; called only while `tracing` is set."""
