--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -170,7 +170,7 @@
         return self.lifecycle.draining
 
     @property
-    def client_connections(self) -> int:
+    def client_connection_count(self) -> int:
         """The number of open client connections."""
         return len(self.listener.connections)
 
--- a/dockthread/telemetry/metrics_reader.py
+++ b/dockthread/telemetry/metrics_reader.py
@@ -212,7 +212,7 @@
 
     def _connection_points(self) -> Iterator[Point]:
         traffic = self._ingress.traffic
-        yield Point(("connections", "clients"), GAUGE, self._ingress.client_connections)
+        yield Point(("connections", "clients"), GAUGE, self._ingress.client_connection_count)
         yield Point(("connections", "nodes"), GAUGE, len(self._ingress.connection_pool))
         yield Point(("opened", "clients"), DERIVE, traffic.client_connections_opened)
         yield Point(("opened", "nodes"), DERIVE, traffic.backend_connections_opened)
--- a/tests/net/test_closing_client_connections.py
+++ b/tests/net/test_closing_client_connections.py
@@ -58,7 +58,7 @@
             with pinged_socket(ingress) as sock:
                 await until(lambda: any(c.commands_read for c in ingress.listener.connections))
                 other_client.writer.close()
-                await until(lambda: ingress.client_connections == 1)
+                await until(lambda: ingress.client_connection_count == 1)
                 clock.advance(5_000)
                 first, second = request(1), request(2)
                 if unread == b"half":  # one half is read before the connection ends, one after
@@ -73,12 +73,12 @@
                 sock.sendall(request(3))
                 assert await asyncio.to_thread(sock.recv, 100) == b"+PONG\r\n"
                 assert await asyncio.to_thread(sock.recv, 100) == b""  # end of stream, not a reset
-                assert not ingress.requests and ingress.client_connections == 1
+                assert not ingress.requests and ingress.client_connection_count == 1
                 clock.advance(client_connection.CLOSE_TIMEOUT_MS + 1)
                 for connection in list(ingress.listener.connections):
                     connection.enforce_timeouts(clock.now())
                 # The ingress closes the connection if the client does not.
-                assert ingress.client_connections == 0
+                assert ingress.client_connection_count == 0
             assert not backend.seen
 
     run(scenario())
--- a/tests/net/test_late_backend_connections.py
+++ b/tests/net/test_late_backend_connections.py
@@ -85,7 +85,7 @@
             client.writer.write(request(1))
             await until(lambda: len(ingress.connection_pool))
             client.writer.close()
-            await until(lambda: ingress.client_connections == 0)
+            await until(lambda: ingress.client_connection_count == 0)
             await backend.become_reachable()
             await until(lambda: backend.seen or not len(ingress.connection_pool))
             assert not backend.seen and not ingress.requests
--- a/tests/net/test_requests_in_flight.py
+++ b/tests/net/test_requests_in_flight.py
@@ -139,7 +139,7 @@
 
         async def close() -> None:
             client.writer.close()
-            await until(lambda: ingress.client_connections == 0)
+            await until(lambda: ingress.client_connection_count == 0)
 
         async def signal() -> None:
             ingress.stop()
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -233,7 +233,7 @@
             with pytest.raises(ConnectionRefusedError):
                 await Client.open(ingress.address.port)
             late_client.writer.close()
-            await until(lambda: ingress.client_connections == 1)
+            await until(lambda: ingress.client_connection_count == 1)
             assert ingress.draining
             clock.advance(1_300)  # past the close timeout for clients that stay connected
             ingress.timers.run_due()
