--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -137,7 +137,7 @@
         requests in flight may take long.
         """
         if self._maintenance is not None:
-            self._maintenance.leave()
+            self._maintenance.transfer_leadership()
         self.ingress.stop()
 
     def reload(self) -> None:
--- a/dockthread/maintenance/service.py
+++ b/dockthread/maintenance/service.py
@@ -102,7 +102,7 @@
             task.cancel()
         await self.member.close()
 
-    def leave(self) -> None:
+    def transfer_leadership(self) -> None:
         """Transfer leadership while this ingress still answers its last requests."""
         self.member.transfer_leadership()
 
