--- a/dockthread/control_plane/admin_client.py
+++ b/dockthread/control_plane/admin_client.py
@@ -58,7 +58,7 @@
             reader, writer = await asyncio.open_connection(server.host, server.port)
             writer.write(codec.pack(message, key))
             header = await reader.readexactly(FRAME_HEADER.size)
-            return codec.unpack(header, await reader.readexactly(codec.length(header)), key)
+            return codec.unpack(header, await reader.readexactly(codec.message_size(header)), key)
     except asyncio.IncompleteReadError as error:
         raise NoResponseError(
             "it closed the connection: it has another key, or is not a control-plane server"
--- a/dockthread/control_plane/stream.py
+++ b/dockthread/control_plane/stream.py
@@ -126,7 +126,7 @@
         while len(buffer) - position >= FRAME_HEADER.size:
             body_start = position + FRAME_HEADER.size
             header = bytes(buffer[position:body_start])
-            size = codec.length(header)
+            size = codec.message_size(header)
             if size > self._max_message_bytes:
                 raise MalformedFrameError(
                     f"a message of {size} bytes exceeds the limit of {self._max_message_bytes}"
--- a/dockthread/framing.py
+++ b/dockthread/framing.py
@@ -68,7 +68,7 @@
         body = self._encoder.encode(message)
         return FRAME_HEADER.pack(len(body), self.version, _tag(key, body)) + body
 
-    def length(self, header: bytes) -> int:
+    def message_size(self, header: bytes) -> int:
         """Return the size in bytes of the message that follows a frame's header.
 
         Raises:
--- a/dockthread/lab/control_plane/nodes.py
+++ b/dockthread/lab/control_plane/nodes.py
@@ -150,7 +150,7 @@
     """
     header = data[: FRAME_HEADER.size]
     body = data[FRAME_HEADER.size :]
-    if codec.length(header) != len(body):
+    if codec.message_size(header) != len(body):
         raise MalformedFrameError("wrong length")
     return codec.unpack(header, body)
 
--- a/dockthread/raft/messages.py
+++ b/dockthread/raft/messages.py
@@ -207,7 +207,7 @@
 
 _codec: Codec[Frame] = Codec(Frame, VERSION, MAX_MESSAGE_BYTES)
 pack = _codec.pack
-length = _codec.length
+message_size = _codec.message_size
 unpack = _codec.unpack
 
 
--- a/dockthread/raft/receiver.py
+++ b/dockthread/raft/receiver.py
@@ -43,7 +43,7 @@
         assembler = messages.SnapshotAssembler()
         while True:
             header = await reader.readexactly(messages.FRAME_HEADER.size)
-            body = await reader.readexactly(messages.length(header))
+            body = await reader.readexactly(messages.message_size(header))
             self._counts.received += 1
             try:
                 message = messages.unpack(header, body, self._key)
--- a/tests/byte_cases.py
+++ b/tests/byte_cases.py
@@ -61,7 +61,7 @@
 def _raft_stream_codec(key: bytes) -> ByteCodec:
     def decode(data: bytes) -> raft_messages.Frame:
         header, body = data[: FRAME_HEADER.size], data[FRAME_HEADER.size :]
-        assert raft_messages.length(header) == len(body)
+        assert raft_messages.message_size(header) == len(body)
         return raft_messages.unpack(header, body, key)
 
     return ByteCodec(lambda message: raft_messages.pack(message, key), decode)
@@ -70,7 +70,7 @@
 def _distribution_stream_codec(key: bytes) -> ByteCodec:
     def decode(data: bytes) -> messages.Message:
         header, body = data[: FRAME_HEADER.size], data[FRAME_HEADER.size :]
-        assert messages.codec.length(header) == len(body)
+        assert messages.codec.message_size(header) == len(body)
         return messages.codec.unpack(header, body, key)
 
     return ByteCodec(lambda message: messages.codec.pack(message, key), decode)
--- a/tests/control_plane/test_server.py
+++ b/tests/control_plane/test_server.py
@@ -36,7 +36,7 @@
         received_revision = 0
         while received_revision < server.table.revision:
             header = await reader.readexactly(FRAME_HEADER.size)
-            message = codec.unpack(header, await reader.readexactly(codec.length(header)))
+            message = codec.unpack(header, await reader.readexactly(codec.message_size(header)))
             received_revision = (
                 message.revision if isinstance(message, Update) else received_revision
             )
--- a/tests/raft/test_messages.py
+++ b/tests/raft/test_messages.py
@@ -19,16 +19,16 @@
     frame = messages.pack(message, b"key")
     size = messages.FRAME_HEADER.size
     header, body = frame[:size], frame[size:]
-    assert messages.length(header) == len(body)
+    assert messages.message_size(header) == len(body)
     assert messages.unpack(header, body, b"key") == message
     for key, changed_body in ((b"other", body), (b"key", body[:-1] + b"\x00"), (b"", body)):
         with pytest.raises(MalformedFrameError, match="tag"):
             messages.unpack(header, changed_body, key)
     with pytest.raises(MalformedFrameError, match="version 9"):
-        messages.length(messages.FRAME_HEADER.pack(3, 9, bytes(16)))
+        messages.message_size(messages.FRAME_HEADER.pack(3, 9, bytes(16)))
     too_large = messages.FRAME_HEADER.pack(messages.MAX_MESSAGE_BYTES + 1, 1, bytes(16))
     with pytest.raises(MalformedFrameError, match="exceed the maximum"):
-        messages.length(too_large)
+        messages.message_size(too_large)
     for garbage in (b"", b"\xc1", b"\x93\xa1a\x01\x02", b"\xff" * 40):
         with pytest.raises(MalformedFrameError, match="unknown message"):
             messages.unpack(messages.FRAME_HEADER.pack(len(garbage), 1, bytes(16)), garbage)
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -24,7 +24,7 @@
         async def read_frames(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 header = await reader.readexactly(messages.FRAME_HEADER.size)
-                body = await reader.readexactly(messages.length(header))
+                body = await reader.readexactly(messages.message_size(header))
                 received.append(messages.unpack(header, body))
 
         def received_chunk_count() -> int:
