--- a/dockthread/routes/model_checker.py
+++ b/dockthread/routes/model_checker.py
@@ -330,7 +330,7 @@
 
     def _check_budgets(self) -> None:
         for usage in self.table.usage_by_route.values():
-            if usage.budget is not None and usage.budget.left < 0:
+            if usage.budget is not None and usage.budget.tokens < 0:
                 raise InvariantError("a budget below zero", self._path)
 
 
--- a/dockthread/routes/retry_budget.py
+++ b/dockthread/routes/retry_budget.py
@@ -23,7 +23,7 @@
     Attributes:
         ratio: Tokens that each first attempt adds.
         floor: Tokens that are added each second.
-        left: Tokens in the bucket.
+        tokens: Tokens in the bucket.
         tokens_taken: The number of tokens that were taken.
         refused: The number of retries and hedges that were refused for lack of a token.
     """
@@ -32,9 +32,9 @@
         "_first_attempt_rate",
         "_updated_at",
         "floor",
-        "left",
         "ratio",
         "refused",
+        "tokens",
         "tokens_taken",
     )
 
@@ -43,7 +43,7 @@
         self.floor = floor
         self._updated_at = now
         self._first_attempt_rate = 0.0  # per second, decays over CAPACITY_PERIOD
-        self.left = self.capacity()
+        self.tokens = self.capacity()
         self.tokens_taken = 0
         self.refused = 0
 
@@ -61,15 +61,15 @@
         """Add the tokens for one first attempt."""
         self._advance_to(now)
         self._first_attempt_rate += 1.0 / CAPACITY_PERIOD
-        self.left = min(self.capacity(), self.left + self.ratio)
+        self.tokens = min(self.capacity(), self.tokens + self.ratio)
 
     def try_take_token(self, now: float) -> bool:
         """Take a token for a retry or a hedge; return whether there was one."""
         self._advance_to(now)
-        if self.left < 1.0:
+        if self.tokens < 1.0:
             self.refused += 1
             return False
-        self.left -= 1.0
+        self.tokens -= 1.0
         self.tokens_taken += 1
         return True
 
@@ -77,4 +77,4 @@
         elapsed = max(0.0, now - self._updated_at)
         self._updated_at = max(now, self._updated_at)
         self._first_attempt_rate *= max(0.0, 1.0 - elapsed / CAPACITY_PERIOD)
-        self.left = min(self.capacity(), self.left + self.floor * elapsed)
+        self.tokens = min(self.capacity(), self.tokens + self.floor * elapsed)
--- a/dockthread/telemetry/metrics_reader.py
+++ b/dockthread/telemetry/metrics_reader.py
@@ -182,7 +182,7 @@
             if isfinite(usage.limit.limit):
                 yield Point((*path, "limit"), GAUGE, usage.limit.limit)
             if usage.budget is not None:
-                yield Point((*path, "budget"), GAUGE, usage.budget.left)
+                yield Point((*path, "budget"), GAUGE, usage.budget.tokens)
 
     def _backend_points(self) -> Iterator[Point]:
         """Yield the points of the backends with the most attempts in flight.
--- a/tests/routes/test_model_checker.py
+++ b/tests/routes/test_model_checker.py
@@ -127,7 +127,7 @@
 
 def test_model_checker_finds_an_overdrawn_budget(monkeypatch: pytest.MonkeyPatch) -> None:
     def overdraw(self: RetryBudget, now: float) -> bool:
-        self.left -= 1.0
+        self.tokens -= 1.0
         return True
 
     monkeypatch.setattr(RetryBudget, "try_take_token", overdraw)
--- a/tests/routes/test_retry_budget.py
+++ b/tests/routes/test_retry_budget.py
@@ -27,7 +27,7 @@
         budget.on_first_attempt(now)
         for _ in range(draws):
             budget.try_take_token(now)
-        assert budget.left >= 0
+        assert budget.tokens >= 0
         assert (
             budget.tokens_taken <= ratio * first_attempts + floor * now + initial_tokens + TOLERANCE
         )
