--- a/dockthread/routes/bounds.py
+++ b/dockthread/routes/bounds.py
@@ -120,7 +120,7 @@
         """
         usage = self._usage
         if usage.limit.has_capacity:
-            usage.limit.inside += 1
+            usage.limit.admitted += 1
             self._is_admitted = True
             return True, None
         self._queued_at = now
@@ -160,13 +160,13 @@
         if not self._is_admitted:
             usage.queue.remove(request)
             return []
-        usage.limit.inside -= 1
+        usage.limit.admitted -= 1
         admitted: list[int] = []
         while usage.queue and usage.limit.has_capacity:
             next_request = usage.queue.pop()
             if next_request is None:
                 break
-            usage.limit.inside += 1
+            usage.limit.admitted += 1
             admitted.append(next_request)
         return admitted
 
--- a/dockthread/routes/concurrency_limit.py
+++ b/dockthread/routes/concurrency_limit.py
@@ -43,7 +43,7 @@
         minimum: The lower bound of an adaptive limit.
         maximum: The upper bound of an adaptive limit.
         limit: The current limit; infinite if the route has none.
-        inside: The number of admitted requests that have not finished.
+        admitted: The number of admitted requests that have not finished.
     """
 
     __slots__ = (
@@ -52,7 +52,7 @@
         "_recent_answer_time",
         "_reduced_at",
         "_updated_at",
-        "inside",
+        "admitted",
         "is_adaptive",
         "limit",
         "maximum",
@@ -73,7 +73,7 @@
         self.limit: float = math.inf if fixed_limit is None else fixed_limit
         if adaptive:
             self.limit = min(max(INITIAL_LIMIT, minimum), maximum)
-        self.inside = 0
+        self.admitted = 0
         self._recent_answer_time = 0.0
         self._best_answer_time = 0.0
         self._best_updated_at = 0.0
@@ -96,7 +96,7 @@
     @property
     def has_capacity(self) -> bool:
         """Whether one more request can be admitted."""
-        return self.limit == math.inf or self.inside < int(self.limit)
+        return self.limit == math.inf or self.admitted < int(self.limit)
 
     def on_answer(self, duration: float, now: float) -> None:
         """Update an adaptive limit with the duration of a successful attempt."""
@@ -108,7 +108,7 @@
         self._updated_at = now
         ratio = TOLERANCE * self._best_answer_time / max(self._recent_answer_time, MIN_ANSWER_TIME)
         gradient = min(1.0, max(MIN_GRADIENT, ratio))
-        if gradient >= 1.0 and self.inside < self.limit / 2:
+        if gradient >= 1.0 and self.admitted < self.limit / 2:
             return
         target = self.limit * gradient + math.sqrt(self.limit)
         self._set_limit((1 - SMOOTHING) * self.limit + SMOOTHING * target)
--- a/dockthread/telemetry/metrics_reader.py
+++ b/dockthread/telemetry/metrics_reader.py
@@ -177,7 +177,7 @@
             yield Point((*path, "refused_budget"), DERIVE, usage.refused_budget)
             yield Point((*path, "queue_wait"), DERIVE, round(usage.queue_wait * 1000.0))
             yield Point((*path, "open"), GAUGE, usage.open)
-            yield Point((*path, "inside"), GAUGE, usage.limit.inside)
+            yield Point((*path, "inside"), GAUGE, usage.limit.admitted)
             yield Point((*path, "queue"), GAUGE, len(usage.queue))
             if isfinite(usage.limit.limit):
                 yield Point((*path, "limit"), GAUGE, usage.limit.limit)
--- a/tests/routes/test_concurrency_limit.py
+++ b/tests/routes/test_concurrency_limit.py
@@ -19,7 +19,7 @@
     while now < end:
         in_flight = int(limit.limit)
         duration = ANSWER_TIME * max(1.0, in_flight / capacity)
-        limit.inside = in_flight
+        limit.admitted = in_flight
         for _ in range(in_flight):
             limit.on_answer(duration, now)
         now += duration
@@ -45,7 +45,7 @@
     now = 0.0
     for succeeded, duration in attempts:
         now += duration
-        limit.inside = 50
+        limit.admitted = 50
         if succeeded:
             limit.on_answer(duration, now)
         else:
@@ -57,6 +57,6 @@
     limit = ConcurrencyLimit(None, 4, 400, adaptive=True)
     initial_limit = limit.limit
     for number in range(1000):
-        limit.inside = 1
+        limit.admitted = 1
         limit.on_answer(0.1, number / 10)
     assert limit.limit == initial_limit
--- a/tests/routes/test_keys_in_service.py
+++ b/tests/routes/test_keys_in_service.py
@@ -177,7 +177,7 @@
             assert attempts_at(backends) == attempts
             assert isinstance(ingress.routes, Table)
             usages = ingress.routes.usage_by_route.values()
-            assert sum(usage.open + usage.limit.inside for usage in usages) == 0
+            assert sum(usage.open + usage.limit.admitted for usage in usages) == 0
 
     run(scenario())
 
--- a/tests/routes/test_limits_in_service.py
+++ b/tests/routes/test_limits_in_service.py
@@ -80,7 +80,7 @@
                 client.ask()
             assert [await client.answer() for _ in range(15)] == [b"value"] * 15
             usage = usage_of(ingress, "all")
-            assert (usage.queued, usage.limit.inside, len(usage.queue)) == (14, 0, 0)
+            assert (usage.queued, usage.limit.admitted, len(usage.queue)) == (14, 0, 0)
 
     run(scenario())
 
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -39,7 +39,7 @@
     table.replace({"x": RouteOptions(limit="9")}, 1.0)
     assert table.usage_by_route["x"] is usage
     assert usage.limit.limit == 9
-    assert usage.limit.inside == 1
+    assert usage.limit.admitted == 1
     assert "y" not in table.usage_by_route, (
         "the usage of a route without open requests is deleted immediately"
     )
