--- a/dockthread/routes/bounds.py
+++ b/dockthread/routes/bounds.py
@@ -203,7 +203,7 @@
         if not self._try_take_token(now):
             return False
         self._hedge_numbers = (*self._hedge_numbers, sent)
-        usage.copies += 1
+        usage.hedges += 1
         return True
 
     def retry_delay(self, sent: int, outcome: Outcome, now: float) -> float | None:
@@ -244,7 +244,7 @@
             if self._rules.hedge_percentile:
                 usage.record_answer_time(duration)
             usage.limit.on_answer(duration, now)
-            usage.copies_won += number in self._hedge_numbers
+            usage.successful_hedges += number in self._hedge_numbers
         elif outcome in (Outcome.AT_CAPACITY, Outcome.TIMEOUT):
             usage.limit.on_overload(now)
 
--- a/dockthread/routes/usage.py
+++ b/dockthread/routes/usage.py
@@ -33,8 +33,8 @@
         open: The number of requests that have no final answer yet.
         requests: The number of requests that took the route.
         attempts: The number of attempts that were sent, including hedges.
-        copies: The number of hedges that were sent.
-        copies_won: The number of hedges that succeeded.
+        hedges: The number of hedges that were sent.
+        successful_hedges: The number of hedges that succeeded.
         queued: The number of requests that were queued.
         refused_limit: The number of requests rejected because of the limit or the queue.
         refused_budget: The number of retries and hedges that a budget refused.
@@ -46,9 +46,8 @@
         "_sketches",
         "attempts",
         "budget",
-        "copies",
-        "copies_won",
         "hedge_budget",
+        "hedges",
         "limit",
         "open",
         "queue",
@@ -58,6 +57,7 @@
         "refused_limit",
         "requests",
         "rng",
+        "successful_hedges",
     )
 
     def __init__(
@@ -76,8 +76,8 @@
         self.open = 0
         self.requests = 0
         self.attempts = 0
-        self.copies = 0
-        self.copies_won = 0
+        self.hedges = 0
+        self.successful_hedges = 0
         self.queued = 0
         self.refused_limit = 0
         self.refused_budget = 0
