--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -227,7 +227,7 @@
         if routes:
             self._installed_routes()
         if self.routes is not None and routes != self._file_routes:
-            self.routes.set_file(routes, self.ingress.clock.now() / 1000.0)
+            self.routes.set_file_routes(routes, self.ingress.clock.now() / 1000.0)
             logger.info("routes: {}", ", ".join(routes) or "none")
         self._file_routes = routes
 
--- a/dockthread/routes/layers.py
+++ b/dockthread/routes/layers.py
@@ -47,7 +47,7 @@
         table = Table(config.names, config.policy_settings.zone, config.seed)
         return cls(table, config.policy_settings, config.names)
 
-    def set_file(self, routes: Mapping[str, RouteOptions], now: float) -> None:
+    def set_file_routes(self, routes: Mapping[str, RouteOptions], now: float) -> None:
         """Replace the file's routes by `routes`, which have already been validated.
 
         The published routes still take precedence over them.
--- a/tests/routes/test_layers.py
+++ b/tests/routes/test_layers.py
@@ -55,7 +55,7 @@
     shadowed = dict(shadowing_pairs(file_routes))
     file_routes = {name: route for name, route in file_routes.items() if name not in shadowed}
     layers = Layers(Table(NAMES, 0, 1), SETTINGS, NAMES)
-    layers.set_file(file_routes, 0.0)
+    layers.set_file_routes(file_routes, 0.0)
     for _ in range(data.draw(st.integers(1, 6))):
         name = data.draw(st.sampled_from(["f0", "f1", "a", "b", "c"]))
         if data.draw(st.integers(0, 3)) == 0:
@@ -74,7 +74,7 @@
         assert rules_of_all_requests(layers.table) == rules_of_all_requests(one_file_table)
     routes_before = merged_layers(file_routes, layers.published)
     longer_file_routes = {"f9": RouteOptions(), **file_routes}
-    layers.set_file(longer_file_routes, 0.0)
+    layers.set_file_routes(longer_file_routes, 0.0)
     one_file_table.replace(merged_layers(longer_file_routes, layers.published), 0.0)
     assert rules_of_all_requests(layers.table) == rules_of_all_requests(one_file_table), (
         routes_before
