--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -46,7 +46,7 @@
 from dockthread.control_plane.resource_schemas import parse_route
 from dockthread.policy import Effect, Plan, PolicySettings, RequestClass
 from dockthread.routes.check import check
-from dockthread.routes.layers import Layers
+from dockthread.routes.layers import RouteLayers
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.rules import RequestAttributes
 from dockthread.routes.table import Table
@@ -297,7 +297,7 @@
         replaced_at = time.perf_counter()
         print(f"{count:>5} routes, all: read {(parsed_at - started_at) * 1e3:.0f} ms, checked {(checked_at - parsed_at) * 1e3:.0f} ms, "
               f"replaced {(replaced_at - replacing_at) * 1e3:.0f} ms")  # fmt: skip
-        layers = Layers(Table(NAMES, 0, 1), SETTINGS, NAMES)
+        layers = RouteLayers(Table(NAMES, 0, 1), SETTINGS, NAMES)
         for name, route in routes.items():
             layers.put(name, route, 0.0)
         for units in range(64):  # Fills the table's cache with combinations that requests had.
--- a/dockthread/control_plane/ingress.py
+++ b/dockthread/control_plane/ingress.py
@@ -29,7 +29,7 @@
     parse_address,
     parse_route,
 )
-from dockthread.routes.layers import Layers
+from dockthread.routes.layers import RouteLayers
 
 if TYPE_CHECKING:
     from dockthread.net.ingress import Ingress
@@ -47,7 +47,7 @@
         client: Receives the resources.
     """
 
-    def __init__(self, ingress: Ingress, layers: Layers, options: ControlOptions) -> None:
+    def __init__(self, ingress: Ingress, layers: RouteLayers, options: ControlOptions) -> None:
         """Apply the resources in the cache.
 
         Raises:
--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -34,7 +34,7 @@
     from dockthread.control_plane.options import ControlOptions
     from dockthread.maintenance.service import MaintenanceService
     from dockthread.raft.options import FleetOptions
-    from dockthread.routes.layers import Layers
+    from dockthread.routes.layers import RouteLayers
     from dockthread.routes.options import RouteOptions
     from dockthread.telemetry.exporter import Exporter
 
@@ -89,7 +89,7 @@
         self.resource_applier: IngressResourceApplier | None = None
         self._fleet_options: FleetOptions | None = None
         self._control_options: ControlOptions | None = None
-        self.routes: Layers | None = None
+        self.routes: RouteLayers | None = None
         self._file_routes: dict[str, RouteOptions] = {}
         self._reload_task: asyncio.Task[None] | None = None
         self._reload_requested = False
@@ -231,11 +231,11 @@
             logger.info("routes: {}", ", ".join(routes) or "none")
         self._file_routes = routes
 
-    def _installed_routes(self) -> Layers:
+    def _installed_routes(self) -> RouteLayers:
         if self.routes is None:
-            from dockthread.routes.layers import Layers
+            from dockthread.routes.layers import RouteLayers
 
-            self.routes = Layers.for_config(self.ingress.config)
+            self.routes = RouteLayers.for_config(self.ingress.config)
             self.ingress.routes = self.routes.table
         return self.routes
 
--- a/dockthread/lab/scale/hollow.py
+++ b/dockthread/lab/scale/hollow.py
@@ -35,7 +35,7 @@
     SetTimer,
     TimerFired,
 )
-from dockthread.routes.layers import Layers
+from dockthread.routes.layers import RouteLayers
 from dockthread.routes.table import Table
 
 EMPTY_LIST: Final[dict[str, Any]] = {"rev": 0, "all": True, "targets": []}
@@ -136,7 +136,9 @@
             self._timers.call_at,
             timeout=COUNTER_TIMEOUT_MS,
         )
-        self.layers = Layers(Table(shared.names, settings.zone, number + 1), settings, shared.names)
+        self.layers = RouteLayers(
+            Table(shared.names, settings.zone, number + 1), settings, shared.names
+        )
         self._applier: IngressResourceApplier | None = None
         if configuration_recorder is not None:
             options = control_options(number, shared.servers[affected_by_cut], shared.key_file)
--- a/dockthread/lab/scale/routes.py
+++ b/dockthread/lab/scale/routes.py
@@ -7,7 +7,7 @@
 
 from dockthread.control_plane.resource_schemas import ROUTE
 from dockthread.lab.scale.recorder import Row
-from dockthread.routes.layers import Layers
+from dockthread.routes.layers import RouteLayers
 
 KIND: Final = ROUTE
 FIRST_TIMEOUT_MS: Final = 100  # Timeout of version 0 in ms. Each version adds 1 ms.
@@ -26,7 +26,7 @@
     return json.dumps({"firm": f"{number + 1:x}", "timeout": f"{timeout}ms"}).encode()
 
 
-def route_rows(layers: Layers) -> list[Row]:
+def route_rows(layers: RouteLayers) -> list[Row]:
     """Return the published routes in force and their versions, ordered by name."""
     return [
         [name, round((route.timeout or 0.0) - FIRST_TIMEOUT_MS)]
--- a/dockthread/routes/layers.py
+++ b/dockthread/routes/layers.py
@@ -22,7 +22,7 @@
 from dockthread.routes.table import Table
 
 
-class Layers:
+class RouteLayers:
     """Merges the routes of the file and the published routes into one table.
 
     Attributes:
@@ -42,7 +42,7 @@
         self._all_zone_routes: OrderedRoutes | None = None
 
     @classmethod
-    def for_config(cls, config: IngressConfig) -> Layers:
+    def for_config(cls, config: IngressConfig) -> RouteLayers:
         """Return layers over a new, empty table for the ingress that `config` configures."""
         table = Table(config.names, config.policy_settings.zone, config.seed)
         return cls(table, config.policy_settings, config.names)
--- a/tests/routes/test_layers.py
+++ b/tests/routes/test_layers.py
@@ -7,7 +7,7 @@
 
 from dockthread.policy import Effect, Plan, PolicySettings, RequestClass
 from dockthread.routes.check import check_route
-from dockthread.routes.layers import Layers
+from dockthread.routes.layers import RouteLayers
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.rules import RequestAttributes, Rules
 from dockthread.routes.table import Table
@@ -54,7 +54,7 @@
     }
     shadowed = dict(shadowing_pairs(file_routes))
     file_routes = {name: route for name, route in file_routes.items() if name not in shadowed}
-    layers = Layers(Table(NAMES, 0, 1), SETTINGS, NAMES)
+    layers = RouteLayers(Table(NAMES, 0, 1), SETTINGS, NAMES)
     layers.set_file_routes(file_routes, 0.0)
     for _ in range(data.draw(st.integers(1, 6))):
         name = data.draw(st.sampled_from(["f0", "f1", "a", "b", "c"]))
