--- a/dockthread/routes/model_checker.py
+++ b/dockthread/routes/model_checker.py
@@ -81,7 +81,7 @@
 MAX_PATHS = 1_000_000
 
 EngineFactory = Callable[[PolicySettings], PolicyEngine]
-RouteTable = Mapping[str, RouteOptions]
+RoutesByName = Mapping[str, RouteOptions]
 
 
 class StepKind(Enum):
@@ -151,7 +151,7 @@
     """
 
     def __init__(
-        self, effect: Effect, tables: Sequence[RouteTable], make_engine: EngineFactory
+        self, effect: Effect, tables: Sequence[RoutesByName], make_engine: EngineFactory
     ) -> None:
         self._tables = tables
         self._now = START
@@ -336,7 +336,7 @@
 
 def explore(
     effect: Effect,
-    tables: Sequence[RouteTable],
+    tables: Sequence[RoutesByName],
     depth: int,
     make_engine: EngineFactory = lambda settings: PolicyEngine(settings, 1, START),
     max_paths: int = MAX_PATHS,
