--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -49,7 +49,7 @@
 from dockthread.routes.layers import RouteLayers
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.rules import RequestAttributes
-from dockthread.routes.table import Table
+from dockthread.routes.table import RouteTable
 
 STATUS_ROUTE = "class = seat-status\nattempts = 3\nbackoff = 20ms\n"
 NAMES = Names(("seat-status", "seat-checkout"), ("klein", "mittel", "gross"), (), ())
@@ -136,7 +136,7 @@
                         classes=("seat-checkout",), firm=(f"{number + 1:x}",)
                     )
             routes["last"] = RouteOptions(classes=("seat-status",))
-            table = Table(NAMES, 0, 1)
+            table = RouteTable(NAMES, 0, 1)
             started_at = time.perf_counter()
             table.replace(routes, 0.0)
             build_s = time.perf_counter() - started_at
@@ -290,14 +290,14 @@
         parsed_at = time.perf_counter()
         assert not check(routes, SETTINGS, NAMES)
         checked_at = time.perf_counter()
-        table = Table(NAMES, 0, 1)
+        table = RouteTable(NAMES, 0, 1)
         table.replace(routes, 0.0)
         replacing_at = time.perf_counter()
         table.replace(routes, 0.0)
         replaced_at = time.perf_counter()
         print(f"{count:>5} routes, all: read {(parsed_at - started_at) * 1e3:.0f} ms, checked {(checked_at - parsed_at) * 1e3:.0f} ms, "
               f"replaced {(replaced_at - replacing_at) * 1e3:.0f} ms")  # fmt: skip
-        layers = RouteLayers(Table(NAMES, 0, 1), SETTINGS, NAMES)
+        layers = RouteLayers(RouteTable(NAMES, 0, 1), SETTINGS, NAMES)
         for name, route in routes.items():
             layers.put(name, route, 0.0)
         for units in range(64):  # Fills the table's cache with combinations that requests had.
--- a/dockthread/lab/scale/hollow.py
+++ b/dockthread/lab/scale/hollow.py
@@ -36,7 +36,7 @@
     TimerFired,
 )
 from dockthread.routes.layers import RouteLayers
-from dockthread.routes.table import Table
+from dockthread.routes.table import RouteTable
 
 EMPTY_LIST: Final[dict[str, Any]] = {"rev": 0, "all": True, "targets": []}
 NO_LISTENER: Final = Address("127.0.0.1", 0)  # A hollow ingress does not listen for clients.
@@ -137,7 +137,7 @@
             timeout=COUNTER_TIMEOUT_MS,
         )
         self.layers = RouteLayers(
-            Table(shared.names, settings.zone, number + 1), settings, shared.names
+            RouteTable(shared.names, settings.zone, number + 1), settings, shared.names
         )
         self._applier: IngressResourceApplier | None = None
         if configuration_recorder is not None:
--- a/dockthread/routes/bounds.py
+++ b/dockthread/routes/bounds.py
@@ -2,10 +2,10 @@
 
 The engine makes the decisions. Before it admits, retries or hedges a request it asks the request's
 bounds, which can only forbid or delay the action. A request keeps the bounds that it got on arrival
-until its final answer. If the table has changed since then (`Table.replace`), the next call notices
-it, matches the request again, and applies the stricter of the old and the new rules from then on.
-So a reload need not visit the requests in flight, and it never allows such a request more than
-before.
+until its final answer. If the table has changed since then (`RouteTable.replace`), the next call
+notices it, matches the request again, and applies the stricter of the old and the new rules from
+then on. So a reload need not visit the requests in flight, and it never allows such a request more
+than before.
 
 Times are in seconds, as in the engine.
 """
--- a/dockthread/routes/explain.py
+++ b/dockthread/routes/explain.py
@@ -16,7 +16,7 @@
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.retry_budget import DEFAULT_RATIO
 from dockthread.routes.rules import RequestAttributes, Rules
-from dockthread.routes.table import DEFAULT_ROUTE, Table
+from dockthread.routes.table import DEFAULT_ROUTE, RouteTable
 from dockthread.routes.worst_case import WorstCase, amplification, worst_case
 
 
@@ -51,7 +51,7 @@
     request: RequestAttributes,
 ) -> Iterator[str]:
     """Yield the lines that explain the route of a request."""
-    table = Table(names, settings.zone, 1)
+    table = RouteTable(names, settings.zone, 1)
     table.replace(routes, 0.0)
     matcher = table.find(request)
     yield from _route_lines(table, matcher, request)
@@ -80,7 +80,7 @@
 
 
 def _route_lines(
-    table: Table, matcher: Matcher | None, request: RequestAttributes
+    table: RouteTable, matcher: Matcher | None, request: RequestAttributes
 ) -> Iterator[str]:
     """Yield the route, and the mismatched keys of each route before it."""
     if matcher is None:
--- a/dockthread/routes/layers.py
+++ b/dockthread/routes/layers.py
@@ -19,7 +19,7 @@
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.ordered import OrderedRoutes
 from dockthread.routes.position import Position, file_positions, published_position
-from dockthread.routes.table import Table
+from dockthread.routes.table import RouteTable
 
 
 class RouteLayers:
@@ -30,7 +30,7 @@
         published: The published routes, by name.
     """
 
-    def __init__(self, table: Table, settings: PolicySettings, names: Names) -> None:
+    def __init__(self, table: RouteTable, settings: PolicySettings, names: Names) -> None:
         self.table = table
         self.published: dict[str, RouteOptions] = {}
         self._settings = settings
@@ -44,7 +44,7 @@
     @classmethod
     def for_config(cls, config: IngressConfig) -> RouteLayers:
         """Return layers over a new, empty table for the ingress that `config` configures."""
-        table = Table(config.names, config.policy_settings.zone, config.seed)
+        table = RouteTable(config.names, config.policy_settings.zone, config.seed)
         return cls(table, config.policy_settings, config.names)
 
     def set_file_routes(self, routes: Mapping[str, RouteOptions], now: float) -> None:
--- a/dockthread/routes/model_checker.py
+++ b/dockthread/routes/model_checker.py
@@ -57,7 +57,7 @@
 from dockthread.routes.bounds import Bounds
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.rules import RequestAttributes
-from dockthread.routes.table import Table
+from dockthread.routes.table import RouteTable
 
 OUTCOMES = (
     Outcome.OK,
@@ -162,7 +162,7 @@
         self._is_disconnected = False
         self._table_number = 0
         self._is_unsafe = effect is Effect.UNSAFE
-        self.table = Table(NAMES, 0, TABLE_SEED)
+        self.table = RouteTable(NAMES, 0, TABLE_SEED)
         self.table.replace(tables[0], self._now)
         self.engine = make_engine(_settings(effect))
         endpoints = tuple(
--- a/dockthread/routes/table.py
+++ b/dockthread/routes/table.py
@@ -64,7 +64,7 @@
     for_any_customer: Matcher | None = None
 
 
-class Table:
+class RouteTable:
     """The routes of one ingress and the usage of each route.
 
     Attributes:
--- a/tests/net/test_disconnected_clients.py
+++ b/tests/net/test_disconnected_clients.py
@@ -14,7 +14,7 @@
 from dockthread.config.quantities import Duration
 from dockthread.net import resp
 from dockthread.routes.options import RouteOptions
-from dockthread.routes.table import Table
+from dockthread.routes.table import RouteTable
 from tests.loopback import SETTINGS, Backend, command, message, request, run, serving, target, until
 from tests.net.support import (
     never_replies,
@@ -119,7 +119,7 @@
                 discovery.push(message(2, target("s-0", port, "leaving")))
                 await until(lambda: ingress.endpoints.revision == 2)
             if awaited == "a backoff":
-                table = Table(ingress.config.names, ingress.config.policy_settings.zone, 1)
+                table = RouteTable(ingress.config.names, ingress.config.policy_settings.zone, 1)
                 retry_after_backoff = RouteOptions(
                     backoff=Duration(300), backoff_max=Duration(300), retry_floor=100.0
                 )
--- a/tests/routes/routed_ingress.py
+++ b/tests/routes/routed_ingress.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from dockthread.net.ingress import Ingress
-from dockthread.routes.table import Table
+from dockthread.routes.table import RouteTable
 from dockthread.routes.usage import RouteUsage
 from dockthread.section_registry import parse_operator_file
 from tests.loopback import Backend, Client, serving
@@ -47,13 +47,13 @@
     return sum(backend.attempts for backend in backends)
 
 
-def replace_routes(ingress: Ingress, text: str) -> Table:
+def replace_routes(ingress: Ingress, text: str) -> RouteTable:
     """Replace the routes of an ingress by those in the text of an operator's file."""
     read = parse_operator_file(text, "test", ingress.config.policy_settings, ingress.config.names)
     assert not read.errors, read.errors
     table = ingress.routes
-    if not isinstance(table, Table):
-        table = Table(ingress.config.names, 0, 1)
+    if not isinstance(table, RouteTable):
+        table = RouteTable(ingress.config.names, 0, 1)
         ingress.routes = table
     table.replace(read.named_sections("route"), ingress.clock.now() / 1000.0)
     return table
@@ -61,7 +61,7 @@
 
 def usage_of(ingress: Ingress, name: str) -> RouteUsage:
     """Return the usage of a route of the ingress."""
-    assert isinstance(ingress.routes, Table)
+    assert isinstance(ingress.routes, RouteTable)
     return ingress.routes.usage_by_route[name]
 
 
--- a/tests/routes/tables.py
+++ b/tests/routes/tables.py
@@ -12,7 +12,7 @@
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.position import file_positions
 from dockthread.routes.rules import RequestAttributes
-from dockthread.routes.table import Table
+from dockthread.routes.table import RouteTable
 
 NAMES = Names(("a", "b"), ("k", "g"), ("hall-a",), ("type-a",))
 READ = RequestAttributes(
@@ -20,14 +20,14 @@
 )
 
 
-def table_of(routes: dict[str, RouteOptions], seed: int = 1) -> Table:
+def table_of(routes: dict[str, RouteOptions], seed: int = 1) -> RouteTable:
     """Return a table with the given routes, created at time 0."""
-    table = Table(NAMES, 0, seed)
+    table = RouteTable(NAMES, 0, seed)
     table.replace(routes, 0.0)
     return table
 
 
-def bounds_of(table: Table, name: str) -> Bounds:
+def bounds_of(table: RouteTable, name: str) -> Bounds:
     """Return the bounds of an arriving read, which must match the route of the given name."""
     return Bounds(table, READ, table.rules_for(READ), table.usage_by_route[name])
 
--- a/tests/routes/test_keys_in_service.py
+++ b/tests/routes/test_keys_in_service.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dockthread.routes.table import Table
+from dockthread.routes.table import RouteTable
 from tests.loopback import KEY, message, run, target, until
 from tests.routes.routed_ingress import (
     BUSY,
@@ -175,7 +175,7 @@
             assert shown.startswith(expected)
             await until(lambda: not ingress.requests)
             assert attempts_at(backends) == attempts
-            assert isinstance(ingress.routes, Table)
+            assert isinstance(ingress.routes, RouteTable)
             usages = ingress.routes.usage_by_route.values()
             assert sum(usage.open + usage.limit.admitted for usage in usages) == 0
 
--- a/tests/routes/test_layers.py
+++ b/tests/routes/test_layers.py
@@ -10,7 +10,7 @@
 from dockthread.routes.layers import RouteLayers
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.rules import RequestAttributes, Rules
-from dockthread.routes.table import Table
+from dockthread.routes.table import RouteTable
 from tests.routes.tables import NAMES, merged_layers, route_options, shadowing_pairs, table_of
 
 SETTINGS = PolicySettings(0, 1, (RequestClass(1.0, 4.0, effect=Effect.SAFE),) * 2, (Plan(),) * 2)
@@ -30,7 +30,7 @@
 ]
 
 
-def rules_of_all_requests(table: Table) -> list[Rules]:
+def rules_of_all_requests(table: RouteTable) -> list[Rules]:
     return [table.rules_for(request) for request in REQUESTS]
 
 
@@ -54,7 +54,7 @@
     }
     shadowed = dict(shadowing_pairs(file_routes))
     file_routes = {name: route for name, route in file_routes.items() if name not in shadowed}
-    layers = RouteLayers(Table(NAMES, 0, 1), SETTINGS, NAMES)
+    layers = RouteLayers(RouteTable(NAMES, 0, 1), SETTINGS, NAMES)
     layers.set_file_routes(file_routes, 0.0)
     for _ in range(data.draw(st.integers(1, 6))):
         name = data.draw(st.sampled_from(["f0", "f1", "a", "b", "c"]))
