--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -285,7 +285,7 @@
         text = routes_file(count)
         started_at = time.perf_counter()
         routes = read_sections(
-            text, "f", {"route": SectionKind(RouteOptions, named=True)}
+            text, "f", {"route": SectionKind(RouteOptions, has_name=True)}
         ).named_sections("route")
         parsed_at = time.perf_counter()
         assert not check(routes, SETTINGS, NAMES)
--- a/dockthread/config/ini_reader.py
+++ b/dockthread/config/ini_reader.py
@@ -92,11 +92,11 @@
 
     Attributes:
         struct: The type of the sections.
-        named: Whether the headings have a name; only then can a file have several such sections.
+        has_name: Whether the headings have a name; only then can a file have several such sections.
     """
 
     struct: type[Section]
-    named: bool = False
+    has_name: bool = False
 
 
 @dataclass(slots=True)
@@ -145,7 +145,7 @@
     for heading in parser.sections():
         _read_section(config, kinds, heading, dict(parser.items(heading)))
     for kind, section_kind in kinds.items():
-        if not section_kind.named and kind not in config.sections:
+        if not section_kind.has_name and kind not in config.sections:
             config.sections[kind] = {"": section_kind.struct()}
     return config
 
@@ -204,9 +204,9 @@
     if kind not in kinds:
         remedy = _suggestion(kind, kinds) or _known_names(kinds)
         return ConfigProblem(config.file, heading, "", "is no section", remedy)
-    if kinds[kind].named and not name:
+    if kinds[kind].has_name and not name:
         return ConfigProblem(config.file, heading, "", "needs a name", f"such as [{kind} main]")
-    if name and not kinds[kind].named:
+    if name and not kinds[kind].has_name:
         return ConfigProblem(config.file, heading, "", "takes no name", f"write [{kind}]")
     if name in config.sections.get(kind, {}):
         remedy = "give one of them another name"
--- a/dockthread/section_registry.py
+++ b/dockthread/section_registry.py
@@ -33,9 +33,9 @@
 SECTION_KINDS = {
     "log": SectionKind(LogOptions),
     "telemetry": SectionKind(TelemetryOptions),
-    "graphite": SectionKind(GraphiteOptions, named=True),
-    "collectd": SectionKind(CollectdOptions, named=True),
-    "route": SectionKind(RouteOptions, named=True),
+    "graphite": SectionKind(GraphiteOptions, has_name=True),
+    "collectd": SectionKind(CollectdOptions, has_name=True),
+    "route": SectionKind(RouteOptions, has_name=True),
     "fleet": SectionKind(FleetOptions),
     "control": SectionKind(ControlOptions),
 }
