--- a/dockthread/policy/route.py
+++ b/dockthread/policy/route.py
@@ -41,7 +41,9 @@
         """Return whether this backend may be sent the request."""
         ...
 
-    def enter(self, request: int, priority_weight: float, now: float) -> tuple[bool, int | None]:
+    def admit_or_queue(
+        self, request: int, priority_weight: float, now: float
+    ) -> tuple[bool, int | None]:
         """Let the request pass the concurrency limit, or queue it.
 
         Returns:
--- a/dockthread/policy/route_constraints.py
+++ b/dockthread/policy/route_constraints.py
@@ -98,7 +98,7 @@
             return True
         plan = self._context.settings.plans[event.plan]
         priority = pending.request_class.priority_weight * plan.priority_multiplier * event.units
-        is_within_limit, rejected = route.enter(event.request, priority, self._context.now)
+        is_within_limit, rejected = route.admit_or_queue(event.request, priority, self._context.now)
         if is_within_limit:
             return True
         self._requests.by_number[event.request] = pending
--- a/dockthread/routes/bounds.py
+++ b/dockthread/routes/bounds.py
@@ -111,7 +111,9 @@
             not rules.kinds or endpoint.kind in rules.kinds
         )
 
-    def enter(self, request: int, priority_weight: float, now: float) -> tuple[bool, int | None]:
+    def admit_or_queue(
+        self, request: int, priority_weight: float, now: float
+    ) -> tuple[bool, int | None]:
         """Admit the request under the concurrency limit, or queue it.
 
         Returns:
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -34,7 +34,7 @@
 def test_usage_is_kept_by_route_name_until_the_last_request_ends() -> None:
     table = table_of({"x": RouteOptions(limit="5"), "y": RouteOptions()})
     bounds = bounds_of(table, "x")
-    assert bounds.enter(1, 1.0, 0.0) == (True, None)
+    assert bounds.admit_or_queue(1, 1.0, 0.0) == (True, None)
     usage = table.usage_by_route["x"]
     table.replace({"x": RouteOptions(limit="9")}, 1.0)
     assert table.usage_by_route["x"] is usage
