--- a/dockthread/routes/check.py
+++ b/dockthread/routes/check.py
@@ -1,7 +1,7 @@
 """Validates routes against the settings and against each other.
 
-`options` checks what a single section shows by itself, and `class_proof` checks one route against
-the settings.
+`options` checks what a single section shows by itself, and `route_validator` checks one route
+against the settings.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 from dockthread.config.ingress_config import Names
 from dockthread.policy import PolicySettings
-from dockthread.routes.class_proof import RouteValidator
 from dockthread.routes.findings import Finding, ValidationRule, shadowed_finding
 from dockthread.routes.matcher import NameNumbering
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.ordered import shadowed_routes
 from dockthread.routes.position import file_positions
+from dockthread.routes.route_validator import RouteValidator
 
 MIN_SIMILARITY = 0.6  # least similarity at which a known name is proposed for an unknown one
 
