--- a/dockthread/cli/metrics.py
+++ b/dockthread/cli/metrics.py
@@ -13,7 +13,7 @@
 
 from dockthread.config.quantities import Duration
 from dockthread.telemetry.catalogue import METRICS
-from dockthread.telemetry.collectd import Opener
+from dockthread.telemetry.collectd import PacketDecoder
 from dockthread.telemetry.receiver.ledger import Ledger
 from dockthread.telemetry.receiver.stand_in import (
     COLLECTD,
@@ -149,7 +149,7 @@
         with open(password_file, "rb") as file:
             passwords[user] = file.read().split(b"\n")[0]
     ledger = Ledger(store)
-    stand_in = StandIn(ledger, Opener(security, passwords))
+    stand_in = StandIn(ledger, PacketDecoder(security, passwords))
     options = {PLAINTEXT: plaintext, PICKLE: pickle, COLLECTD: collectd, UNIX: unix}
     addresses = {protocol: address for protocol, address in options.items() if address}
     try:
--- a/dockthread/telemetry/collectd/__init__.py
+++ b/dockthread/telemetry/collectd/__init__.py
@@ -7,7 +7,7 @@
 host and the time.
 """
 
-from dockthread.telemetry.collectd.packet_decoder import CollectdItem, Opener
+from dockthread.telemetry.collectd.packet_decoder import CollectdItem, PacketDecoder
 from dockthread.telemetry.collectd.packet_encoder import PacketEncoder, SeriesName, series_name
 from dockthread.telemetry.collectd.parts import MAX_PACKET_BYTES, PacketError, Severity
 from dockthread.telemetry.collectd.security import PacketSealer, packet_sealer
@@ -15,7 +15,7 @@
 __all__ = [
     "MAX_PACKET_BYTES",
     "CollectdItem",
-    "Opener",
+    "PacketDecoder",
     "PacketEncoder",
     "PacketError",
     "PacketSealer",
--- a/dockthread/telemetry/collectd/packet_decoder.py
+++ b/dockthread/telemetry/collectd/packet_decoder.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True)
-class Opener:
+class PacketDecoder:
     """Decodes packets, and rejects those below the required security level.
 
     Attributes:
--- a/dockthread/telemetry/receiver/stand_in.py
+++ b/dockthread/telemetry/receiver/stand_in.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from dockthread.telemetry.collectd import Opener, PacketError
+from dockthread.telemetry.collectd import PacketDecoder, PacketError
 from dockthread.telemetry.receiver.command_server import CommandServer
 from dockthread.telemetry.receiver.decode import (
     DecodeError,
@@ -106,11 +106,11 @@
         fault_kind: The kind of the current fault, one of `KINDS`, or empty.
     """
 
-    def __init__(self, ledger: Ledger, opener: Opener | None = None) -> None:
+    def __init__(self, ledger: Ledger, opener: PacketDecoder | None = None) -> None:
         self.ledger = ledger
         self.addresses: dict[str, str] = {}
         self.fault_kind = ""
-        self._opener = opener or Opener()
+        self._opener = opener or PacketDecoder()
         self._listeners: dict[str, socket.socket] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._connections: dict[socket.socket, asyncio.Task[None]] = {}
--- a/tests/telemetry/support.py
+++ b/tests/telemetry/support.py
@@ -16,7 +16,7 @@
 
 from dockthread.clock import Clock
 from dockthread.section_registry import parse_operator_file
-from dockthread.telemetry.collectd import Opener
+from dockthread.telemetry.collectd import PacketDecoder
 from dockthread.telemetry.exporter import Exporter
 from dockthread.telemetry.receiver.ledger import Ledger
 from dockthread.telemetry.receiver.stand_in import StandIn
@@ -72,7 +72,7 @@
 async def running_stand_in(folder: Path, *protocols: str) -> AsyncIterator[tuple[StandIn, Ledger]]:
     """Run a stand-in receiver for the protocols, on the loopback interface."""
     ledger = Ledger()
-    stand_in = StandIn(ledger, Opener("encrypt", {"ops": PASSWORD}))
+    stand_in = StandIn(ledger, PacketDecoder("encrypt", {"ops": PASSWORD}))
     addresses = {name: "127.0.0.1:0" for name in protocols if name != "putval"}
     if "putval" in protocols:
         addresses["putval"] = str(folder / "s")
--- a/tests/telemetry/test_collectd.py
+++ b/tests/telemetry/test_collectd.py
@@ -10,7 +10,7 @@
 
 from dockthread.telemetry import collectd
 from dockthread.telemetry.catalogue import DERIVE, Point
-from dockthread.telemetry.collectd import Opener, PacketEncoder, PacketError, packet_sealer
+from dockthread.telemetry.collectd import PacketDecoder, PacketEncoder, PacketError, packet_sealer
 from tests.telemetry.samples import POINTS
 
 SECURITY_LEVELS = ["none", "sign", "encrypt"]
@@ -41,7 +41,7 @@
     items = [
         item
         for packet in sent
-        for item in Opener(security, {"ops": b"secret"}).decode_packet(packet)
+        for item in PacketDecoder(security, {"ops": b"secret"}).decode_packet(packet)
     ]
     assert [(item.kind, item.value) for item in items] == [
         (point.kind, point.value) for point in points
@@ -80,9 +80,9 @@
     sent: str, required: str, password: bytes, error: str
 ) -> None:
     with pytest.raises(PacketError, match=error):
-        Opener(required, {"ops": password}).decode_packet(encode_packets(sent, POINTS)[0])
+        PacketDecoder(required, {"ops": password}).decode_packet(encode_packets(sent, POINTS)[0])
     with pytest.raises(PacketError):
-        Opener(required, {"else": b"secret"}).decode_packet(
+        PacketDecoder(required, {"else": b"secret"}).decode_packet(
             encode_packets(required if sent == "none" else sent, POINTS)[0]
         )
 
@@ -90,21 +90,21 @@
 @pytest.mark.parametrize("security", SECURITY_LEVELS)
 def test_truncated_protected_packets_are_rejected(security: str) -> None:
     (packet,) = encode_packets(security, POINTS)
-    opener = Opener(security, {"ops": b"secret"})
+    opener = PacketDecoder(security, {"ops": b"secret"})
     for size in range(1, len(packet)):
         try:
             items = opener.decode_packet(packet[:size])
         except PacketError:
             continue
         # Without protection, a packet that is truncated between two parts is valid.
-        assert security == "none" and items == Opener().decode_packet(packet)[: len(items)]
+        assert security == "none" and items == PacketDecoder().decode_packet(packet)[: len(items)]
 
 
 @given(st.binary(max_size=200))
 def test_random_bytes_raise_no_error_other_than_packet_error(data: bytes) -> None:
     for security in SECURITY_LEVELS:
         with suppress(PacketError):
-            Opener(security, {"ops": b"secret"}).decode_packet(data)
+            PacketDecoder(security, {"ops": b"secret"}).decode_packet(data)
 
 
 def test_long_type_instances_are_shortened_and_stay_distinct() -> None:
