--- a/dockthread/cli/metrics.py
+++ b/dockthread/cli/metrics.py
@@ -21,7 +21,7 @@
     PICKLE,
     PLAINTEXT,
     UNIX,
-    Span,
+    FaultWindow,
     StandIn,
 )
 
@@ -44,14 +44,14 @@
             click.echo(f"{path:<{path_width}}  {kind:<6}  {unit:<11}  {meaning}")
 
 
-class SpanType(click.ParamType[Span]):
+class SpanType(click.ParamType[FaultWindow]):
     """A period of misbehaviour, written as KIND@START+LENGTH."""
 
     name = "span"
 
-    def convert(self, value: Any, param: Any, ctx: Any) -> Span:
+    def convert(self, value: Any, param: Any, ctx: Any) -> FaultWindow:
         try:
-            return Span.parse(value)
+            return FaultWindow.parse(value)
         except ValueError as error:
             self.fail(str(error), param, ctx)
 
@@ -135,7 +135,7 @@
     password_file: str | None,
     store: str,
     duration: Duration | None,
-    misbehave: tuple[Span, ...],
+    misbehave: tuple[FaultWindow, ...],
     only: str,
     as_json: bool,
 ) -> None:
@@ -163,7 +163,7 @@
 async def _receive(
     stand_in: StandIn,
     addresses: dict[str, str],
-    misbehaviour: tuple[Span, ...],
+    misbehaviour: tuple[FaultWindow, ...],
     duration: Duration | None,
 ) -> None:
     """Receive metrics until a signal or the end of the time, and misbehave in the given periods."""
--- a/dockthread/telemetry/receiver/stand_in.py
+++ b/dockthread/telemetry/receiver/stand_in.py
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Span:
+class FaultWindow:
     """A fault with its start and duration.
 
     Attributes:
@@ -79,7 +79,7 @@
     duration: float
 
     @classmethod
-    def parse(cls, text: str) -> Span:
+    def parse(cls, text: str) -> FaultWindow:
         """Parse a text such as `vanish@10s+60s`.
 
         Raises:
@@ -136,7 +136,7 @@
         self._listeners[protocol] = listener
         self._tasks[protocol] = asyncio.get_running_loop().create_task(coroutine)
 
-    async def play(self, spans: Iterable[Span]) -> None:
+    async def play(self, spans: Iterable[FaultWindow]) -> None:
         """Simulate the faults one after another, in the order of their start."""
         now = 0.0
         for span in sorted(spans, key=lambda span: span.start):
--- a/tests/telemetry/test_stand_in.py
+++ b/tests/telemetry/test_stand_in.py
@@ -9,7 +9,7 @@
 
 from dockthread.telemetry.catalogue import Point
 from dockthread.telemetry.collectd import PacketEncoder, packet_sealer
-from dockthread.telemetry.receiver.stand_in import Span
+from dockthread.telemetry.receiver.stand_in import FaultWindow
 from tests.loopback import run, until
 from tests.telemetry.support import PASSWORD, running_stand_in
 
@@ -17,7 +17,7 @@
 @pytest.mark.parametrize("text", ["", "vanish", "vanish@1s", "sulk@1s+1s", "vanish@1+1s"])
 def test_invalid_fault_text_is_rejected(text: str) -> None:
     with pytest.raises(ValueError):
-        Span.parse(text)
+        FaultWindow.parse(text)
 
 
 def test_wrongly_protected_or_truncated_packets_are_counted_and_change_no_total(
