--- a/dockthread/cli/metrics.py
+++ b/dockthread/cli/metrics.py
@@ -17,7 +17,7 @@
 from dockthread.telemetry.receiver.ledger import Ledger
 from dockthread.telemetry.receiver.stand_in import (
     COLLECTD,
-    KINDS,
+    FAULT_KINDS,
     PICKLE,
     PLAINTEXT,
     UNIX,
@@ -119,7 +119,7 @@
     type=SpanType(),
     multiple=True,
     metavar="KIND@START+LENGTH",
-    help=f"Misbehave for a while, such as vanish@10s+60s. Kinds: {', '.join(KINDS)}.",
+    help=f"Misbehave for a while, such as vanish@10s+60s. Kinds: {', '.join(FAULT_KINDS)}.",
 )
 @click.option(
     "--only", default="", help="Print only totals of series whose name contains this text."
--- a/dockthread/telemetry/receiver/stand_in.py
+++ b/dockthread/telemetry/receiver/stand_in.py
@@ -34,7 +34,7 @@
 UNREAD = "unread"
 SLOW = "slow"
 RESET = "reset"
-KINDS = (REFUSE, VANISH, UNREAD, SLOW, RESET)
+FAULT_KINDS = (REFUSE, VANISH, UNREAD, SLOW, RESET)
 
 # Names of the protocols, used for the listeners and as sources in the ledger.
 PLAINTEXT = "plaintext"
@@ -69,7 +69,7 @@
     """A fault with its start and duration.
 
     Attributes:
-        kind: The kind of the fault, one of `KINDS`.
+        kind: The kind of the fault, one of `FAULT_KINDS`.
         start: Start of the fault, in seconds after `StandIn.play` is called.
         duration: Duration of the fault in seconds.
     """
@@ -89,9 +89,9 @@
 
         kind, at_sign, start_and_duration = text.partition("@")
         start, plus_sign, duration = start_and_duration.partition("+")
-        if kind not in KINDS or not at_sign or not plus_sign:
+        if kind not in FAULT_KINDS or not at_sign or not plus_sign:
             raise ValueError(
-                f"{text!r} is not KIND@START+LENGTH, with KIND one of {', '.join(KINDS)}"
+                f"{text!r} is not KIND@START+LENGTH, with KIND one of {', '.join(FAULT_KINDS)}"
             )
         return cls(kind, Duration.parse(start) / 1000.0, Duration.parse(duration) / 1000.0)
 
@@ -103,7 +103,7 @@
         ledger: Stores the received points, notifications and faults.
         addresses: The address for each protocol, in the format of the operator's file; for `putval`
             the path of the socket alone.
-        fault_kind: The kind of the current fault, one of `KINDS`, or empty.
+        fault_kind: The kind of the current fault, one of `FAULT_KINDS`, or empty.
     """
 
     def __init__(self, ledger: Ledger, opener: PacketDecoder | None = None) -> None:
@@ -147,7 +147,7 @@
             now = span.start + span.duration
 
     def misbehave(self, kind: str) -> None:
-        """Begin to simulate a fault, one of `KINDS`."""
+        """Begin to simulate a fault, one of `FAULT_KINDS`."""
         self.fault_kind = kind
         if kind != REFUSE:
             return
