--- a/dockthread/cli/metrics.py
+++ b/dockthread/cli/metrics.py
@@ -20,7 +20,7 @@
     FAULT_KINDS,
     PICKLE,
     PLAINTEXT,
-    UNIX,
+    PUTVAL,
     FaultWindow,
     StandIn,
 )
@@ -150,7 +150,7 @@
             passwords[user] = file.read().split(b"\n")[0]
     ledger = Ledger(store)
     stand_in = StandIn(ledger, PacketDecoder(security, passwords))
-    options = {PLAINTEXT: plaintext, PICKLE: pickle, COLLECTD: collectd, UNIX: unix}
+    options = {PLAINTEXT: plaintext, PICKLE: pickle, COLLECTD: collectd, PUTVAL: unix}
     addresses = {protocol: address for protocol, address in options.items() if address}
     try:
         asyncio.run(_receive(stand_in, addresses, misbehave, duration))
--- a/dockthread/telemetry/receiver/stand_in.py
+++ b/dockthread/telemetry/receiver/stand_in.py
@@ -40,7 +40,7 @@
 PLAINTEXT = "plaintext"
 PICKLE = "pickle"
 COLLECTD = "collectd"
-UNIX = "putval"
+PUTVAL = "putval"
 
 # Maximum number of bytes in one read.
 READ_BYTES = 64 * 1024
@@ -121,7 +121,7 @@
             self._listen(protocol, address)
 
     def _listen(self, protocol: str, address: str) -> None:
-        if protocol == UNIX:
+        if protocol == PUTVAL:
             listener = _unix_listener(address)
             self.addresses[protocol] = address
         else:
@@ -154,8 +154,8 @@
         for protocol in list(self._listeners):
             self._tasks.pop(protocol).cancel()
             self._listeners.pop(protocol).close()
-            if protocol == UNIX:
-                Path(self.addresses[UNIX]).unlink(missing_ok=True)
+            if protocol == PUTVAL:
+                Path(self.addresses[PUTVAL]).unlink(missing_ok=True)
         self._reset_all()
 
     def behave(self) -> None:
@@ -246,8 +246,8 @@
                 await asyncio.sleep(SLOW_PAUSE_SECONDS)
 
     def _stream_decoder(self, protocol: str) -> StreamDecoder:
-        if protocol == UNIX:
-            return CommandServer(self.ledger, UNIX)
+        if protocol == PUTVAL:
+            return CommandServer(self.ledger, PUTVAL)
         return PlaintextDecoder() if protocol == PLAINTEXT else PickleDecoder()
 
     def _decode(
