--- a/benchmarks/telemetry.py
+++ b/benchmarks/telemetry.py
@@ -119,10 +119,10 @@
             ):
                 await asyncio.sleep(1.5)
                 if kind:
-                    misbehaving.misbehave(kind)
+                    misbehaving.start_fault(kind)
                 result = await open_loop(ingress.port, 140.0, seconds)
                 if kind:
-                    misbehaving.behave()
+                    misbehaving.end_fault()
                 await asyncio.sleep(2.0)
         p50, p99, maxima = (
             [value for _, _, value in ledger.points("plaintext", f"dockthread.n0.loop.{name}")]
--- a/dockthread/telemetry/receiver/stand_in.py
+++ b/dockthread/telemetry/receiver/stand_in.py
@@ -141,12 +141,12 @@
         now = 0.0
         for span in sorted(spans, key=lambda span: span.start):
             await asyncio.sleep(max(0.0, span.start - now))
-            self.misbehave(span.kind)
+            self.start_fault(span.kind)
             await asyncio.sleep(span.duration)
-            self.behave()
+            self.end_fault()
             now = span.start + span.duration
 
-    def misbehave(self, kind: str) -> None:
+    def start_fault(self, kind: str) -> None:
         """Begin to simulate a fault, one of `FAULT_KINDS`."""
         self.fault_kind = kind
         if kind != REFUSE:
@@ -158,7 +158,7 @@
                 Path(self.addresses[PUTVAL]).unlink(missing_ok=True)
         self._reset_all()
 
-    def behave(self) -> None:
+    def end_fault(self) -> None:
         """End the current fault."""
         kind = self.fault_kind
         self.fault_kind = ""
--- a/tests/telemetry/test_daemon_reports.py
+++ b/tests/telemetry/test_daemon_reports.py
@@ -137,10 +137,10 @@
             load = LoadGenerator(port)
             clients = [asyncio.create_task(load.run_client(number)) for number in range(4)]
             await asyncio.sleep(0.4)
-            stand_in.misbehave(fault)
+            stand_in.start_fault(fault)
             await asyncio.sleep(1.2)
             max_latency_during_fault = load.max_latency
-            stand_in.behave()
+            stand_in.end_fault()
             await asyncio.sleep(0.3)
             process.send_signal(signal.SIGTERM)
             await asyncio.wait(clients, timeout=20)
--- a/tests/telemetry/test_exporter.py
+++ b/tests/telemetry/test_exporter.py
@@ -107,7 +107,7 @@
             sender = exporter.receivers["plaintext"].sender
             sender.delivery_queue.max_size = 200_000
             await until(lambda: sender.reports_sent)
-            stand_in.misbehave("refuse")
+            stand_in.start_fault("refuse")
             for _ in range(60):
                 await client.call()
                 clock.advance(1000)
@@ -115,7 +115,7 @@
                 await until(lambda: exporter._report_task.done())
                 assert sender.delivery_queue.size <= sender.delivery_queue.max_size
             assert sender.delivery_queue.dropped and len(sender.delivery_queue) > 5
-            stand_in.behave()
+            stand_in.end_fault()
             clock.advance(1000)
             ingress.timers.run_due()
             totals_key = ("status", "gross", "served")
