--- a/dockthread/cli/metrics.py
+++ b/dockthread/cli/metrics.py
@@ -175,7 +175,7 @@
     for protocol, address in stand_in.addresses.items():
         click.echo(f"{protocol} at {address}")
     sys.stdout.flush()
-    misbehaving = loop.create_task(stand_in.play(misbehaviour))
+    misbehaving = loop.create_task(stand_in.run_faults(misbehaviour))
     with suppress(TimeoutError):
         await asyncio.wait_for(stop_requested.wait(), duration / 1000.0 if duration else None)
     misbehaving.cancel()
--- a/dockthread/telemetry/receiver/stand_in.py
+++ b/dockthread/telemetry/receiver/stand_in.py
@@ -70,7 +70,7 @@
 
     Attributes:
         kind: The kind of the fault, one of `FAULT_KINDS`.
-        start: Start of the fault, in seconds after `StandIn.play` is called.
+        start: Start of the fault, in seconds after `StandIn.run_faults` is called.
         duration: Duration of the fault in seconds.
     """
 
@@ -136,7 +136,7 @@
         self._listeners[protocol] = listener
         self._tasks[protocol] = asyncio.get_running_loop().create_task(coroutine)
 
-    async def play(self, spans: Iterable[FaultWindow]) -> None:
+    async def run_faults(self, spans: Iterable[FaultWindow]) -> None:
         """Simulate the faults one after another, in the order of their start."""
         now = 0.0
         for span in sorted(spans, key=lambda span: span.start):
