--- a/dockthread/cli/metrics.py
+++ b/dockthread/cli/metrics.py
@@ -191,7 +191,11 @@
         for total in totals:
             totals_by_source.setdefault(total.source, {})[total.series] = total.value
         faults = {f"{source}: {kind}": count for (source, kind), count in ledger.faults().items()}
-        content = {"totals": totals_by_source, "faults": faults, "points": dict(ledger.seen)}
+        content = {
+            "totals": totals_by_source,
+            "faults": faults,
+            "points": dict(ledger.points_received),
+        }
         click.echo(json.dumps(content))
         return
     for total in totals:
@@ -199,4 +203,4 @@
         click.echo(f"{total.source:<9}  {value}  {total.incarnations} incarnations  {total.series}")
     for (source, kind), count in ledger.faults().items():
         click.echo(f"{source:<9}  {count:>14}  faults: {kind}")
-    click.echo(f"{sum(ledger.seen.values())} points in total")
+    click.echo(f"{sum(ledger.points_received.values())} points in total")
--- a/dockthread/telemetry/receiver/ledger.py
+++ b/dockthread/telemetry/receiver/ledger.py
@@ -88,12 +88,12 @@
     """The points, notifications and faults that a stand-in recorded.
 
     Attributes:
-        seen: The number of points received, by source.
+        points_received: The number of points received, by source.
     """
 
     def __init__(self, path: str = ":memory:") -> None:
         """Open an SQLite database, by default in memory."""
-        self.seen: Counter[str] = Counter()
+        self.points_received: Counter[str] = Counter()
         self._db = sqlite3.connect(path, isolation_level=None)
         self._db.execute("pragma synchronous = off")
         self._db.executescript(SCHEMA)
@@ -169,7 +169,7 @@
         return max(earlier_incarnations, default=UNKNOWN_INCARNATION)
 
     def _add_rows(self, source: str, rows: list[_Row]) -> None:
-        self.seen[source] += len(rows)
+        self.points_received[source] += len(rows)
         self._db.execute("begin")
         self._db.executemany(
             "insert into points (source, series, life, seconds, value) values (?, ?, ?, ?, ?)", rows
--- a/tests/telemetry/test_exporter.py
+++ b/tests/telemetry/test_exporter.py
@@ -61,7 +61,7 @@
             exporter.apply(parse_operator_file("", "test"))
             await until(lambda: not exporter._drain_tasks)
             assert exporter.tally is None and not ingress.observer.active
-            points_before = second_ledger.seen["plaintext"]
+            points_before = second_ledger.points_received["plaintext"]
             await client.call()
             # Adding a receiver begins a new incarnation, whose counts start at zero.
             exporter.apply(parse_operator_file(operator_file(first_stand_in, tmp_path), "test"))
@@ -74,7 +74,7 @@
                     == 1
                 )
             )
-            assert second_ledger.seen["plaintext"] == points_before
+            assert second_ledger.points_received["plaintext"] == points_before
 
     run(scenario())
 
