--- a/dockthread/daemon.py
+++ b/dockthread/daemon.py
@@ -128,7 +128,7 @@
             if self._management_server is not None:
                 self._management_server.close()
             if self._exporter is not None:
-                await self._exporter.farewell()
+                await self._exporter.shutdown()
 
     def stop(self) -> None:
         """Start the graceful shutdown.
--- a/dockthread/telemetry/exporter.py
+++ b/dockthread/telemetry/exporter.py
@@ -238,7 +238,7 @@
             due = now + SAMPLE_SECONDS
         self._sample_timer = self._loop.call_later(max(0.0, due - now), self._sample, due)
 
-    async def farewell(self) -> None:
+    async def shutdown(self) -> None:
         """Make the final report after the last response, and drain the receivers.
 
         Encoding the report and draining the receivers may each take up to the time `farewell`.
--- a/tests/telemetry/support.py
+++ b/tests/telemetry/support.py
@@ -210,4 +210,4 @@
             try:
                 yield ingress, exporter, client, stand_in, ledger
             finally:
-                await exporter.farewell()
+                await exporter.shutdown()
--- a/tests/telemetry/test_exporter.py
+++ b/tests/telemetry/test_exporter.py
@@ -210,6 +210,6 @@
                 [4.0],
                 [2.0],
             )
-            await exporter.farewell()
+            await exporter.shutdown()
 
     run(scenario())
