--- a/benchmarks/telemetry.py
+++ b/benchmarks/telemetry.py
@@ -146,7 +146,7 @@
     """
     from dockthread.telemetry.catalogue import DERIVE, GAUGE, Point
     from dockthread.telemetry.options import CollectdOptions, GraphiteOptions
-    from dockthread.telemetry.report_encoders import report_encoder
+    from dockthread.telemetry.report_encoders import create_report_encoder
     from dockthread.telemetry.timestamps import Timestamp
 
     report = [
@@ -164,7 +164,7 @@
         "putval": CollectdOptions(address="unix:/x"),
     }
     for name, options in receivers.items():
-        encoder = report_encoder(options, "n0", 10_000.0)
+        encoder = create_report_encoder(options, "n0", 10_000.0)
         timestamp = Timestamp(1_700_000_000.0, 1_700_000_000)
         started_at = time.process_time()
         size = 0
--- a/dockthread/telemetry/report_delivery.py
+++ b/dockthread/telemetry/report_delivery.py
@@ -17,7 +17,7 @@
 from dockthread.telemetry.collectd import Severity
 from dockthread.telemetry.connections import create_connection
 from dockthread.telemetry.delivery_queue import DeliveryQueue, Report
-from dockthread.telemetry.report_encoders import ReceiverOptions, report_encoder
+from dockthread.telemetry.report_encoders import ReceiverOptions, create_report_encoder
 from dockthread.telemetry.sender import Action, ActionKind, Event, Sender, SenderState
 from dockthread.telemetry.timestamps import Timestamp
 
@@ -67,7 +67,9 @@
         """
         self.name = settings.name
         self.options = settings.options
-        self._encoder = report_encoder(settings.options, settings.ingress, settings.interval_ms)
+        self._encoder = create_report_encoder(
+            settings.options, settings.ingress, settings.interval_ms
+        )
         self._connection = create_connection(settings.options)
         queue = DeliveryQueue(settings.queue_bytes)
         self.sender = Sender(queue, random.Random(settings.seed))
--- a/dockthread/telemetry/report_encoders.py
+++ b/dockthread/telemetry/report_encoders.py
@@ -119,7 +119,9 @@
         return putval.encode_putnotif(self._host, self._plugin, text, severity, unix_seconds)
 
 
-def report_encoder(options: ReceiverOptions, ingress: str, interval_ms: float) -> ReportEncoder:
+def create_report_encoder(
+    options: ReceiverOptions, ingress: str, interval_ms: float
+) -> ReportEncoder:
     """Return the encoder for a receiver.
 
     Raises:
