--- a/dockthread/lab/maintenance/process_cluster.py
+++ b/dockthread/lab/maintenance/process_cluster.py
@@ -60,7 +60,7 @@
         settings: The platform's settings for all ingresses.
         targets: The configured endpoint list, as entries in discovery's format.
         max_unavailable: Maximum number of unavailable backends in a zone.
-        more: Additional lines of the section `[fleet]`.
+        extra_ini_lines: Additional lines of the section `[fleet]`.
 
     Attributes:
         folder: Directory in which each process has its own subdirectory.
@@ -78,14 +78,14 @@
         settings: Mapping[str, Any],
         targets: Sequence[Mapping[str, Any]],
         max_unavailable: int = 1,
-        more: str = "",
+        extra_ini_lines: str = "",
     ) -> None:
         self.folder = folder
         self.names = [f"n{number}" for number in range(size)]
         self._settings = settings
         self._targets = targets
         self._max_unavailable = max_unavailable
-        self._more = more
+        self._extra_ini_lines = extra_ini_lines
         self._reservations: list[socket.socket] = []
         self._peer_addresses = {name: self._reserve_address() for name in self.names}
         self.client = {name: self._reserve_address() for name in self.names}
@@ -155,7 +155,7 @@
         return (
             f"[fleet]\nlisten = {self._peer_addresses[name]}\nmembers = {members}\n"
             f"directory = {self.folder / name / 'log'}\n"
-            f"most_out = {self._max_unavailable}\n{self._more}"
+            f"most_out = {self._max_unavailable}\n{self._extra_ini_lines}"
         )
 
     def _config(self, name: str) -> dict[str, object]:
--- a/tests/maintenance/cluster_scenarios.py
+++ b/tests/maintenance/cluster_scenarios.py
@@ -38,7 +38,7 @@
     """
 
     async def run() -> None:
-        cluster = ProcessCluster(folder, size, SETTINGS, BACKENDS, more=TIMEOUTS_INI)
+        cluster = ProcessCluster(folder, size, SETTINGS, BACKENDS, extra_ini_lines=TIMEOUTS_INI)
         await cluster.open()
         watcher = asyncio.create_task(
             watch_grants(cluster) if watches_grants else asyncio.sleep(1_000)
