--- a/benchmarks/fleet_idle.py
+++ b/benchmarks/fleet_idle.py
@@ -60,7 +60,7 @@
         ]
         senders = [
             LoadGenerator(
-                LoadTarget(HOST, cluster.client[name].port, {"status": 4.0}, frozenset()),
+                LoadTarget(HOST, cluster.client_addresses[name].port, {"status": 4.0}, frozenset()),
                 1 + (number << 40),
             ).run(arrivals)
             for number, name in enumerate(cluster.names)
--- a/dockthread/lab/maintenance/process_cluster.py
+++ b/dockthread/lab/maintenance/process_cluster.py
@@ -65,8 +65,8 @@
     Attributes:
         folder: Directory in which each process has its own subdirectory.
         names: Names of the ingresses.
-        client: Address of each ingress for requests.
-        admin: Address of each ingress's admin endpoint.
+        client_addresses: Address of each ingress for requests.
+        admin_addresses: Address of each ingress's admin endpoint.
         links: The relay of each link.
         processes: Processes that were started and not killed, by name.
     """
@@ -88,8 +88,8 @@
         self._extra_ini_lines = extra_ini_lines
         self._reservations: list[socket.socket] = []
         self._peer_addresses = {name: self._reserve_address() for name in self.names}
-        self.client = {name: self._reserve_address() for name in self.names}
-        self.admin = {name: self._reserve_address() for name in self.names}
+        self.client_addresses = {name: self._reserve_address() for name in self.names}
+        self.admin_addresses = {name: self._reserve_address() for name in self.names}
         self.links = {
             Link(sender, receiver): Relay(self._peer_addresses[receiver])
             for sender in self.names
@@ -162,9 +162,9 @@
         number = self.names.index(name)
         return {
             "name": name,
-            "listen": str(self.client[name]),
+            "listen": str(self.client_addresses[name]),
             "discovery": f"{HOST}:9",
-            "management": str(self.admin[name]),
+            "management": str(self.admin_addresses[name]),
             "seed": f"{number + 1:x}",
             "limits": {"sockets": MAX_SOCKETS},
             "known": {"rev": 1, "all": True, "targets": self._targets},
@@ -224,7 +224,7 @@
         """
         data = json.dumps(body).encode() if body is not None else b""
         request_head = f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(data)}\r\n\r\n"
-        address = self.admin[name]
+        address = self.admin_addresses[name]
         try:
             async with asyncio.timeout(time_limit_s):
                 reader, writer = await asyncio.open_connection(address.host, address.port)
--- a/dockthread/lab/maintenance/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -341,7 +341,7 @@
             Arrival(number / rate, "status", "gross", 1 + number % CUSTOMER_COUNT, 1, 1, 0)
             for number in range(count)
         )
-        port = self._cluster.client[name].port
+        port = self._cluster.client_addresses[name].port
         target = LoadTarget(HOST, port, {"status": REQUEST_TIMEOUT_S}, frozenset())
         request_id_base = 1 + (self._cluster.names.index(name) << REQUEST_ID_BITS)
         self._check_load(name, await LoadGenerator(target, request_id_base).run(arrivals))
--- a/tests/maintenance/test_process_maintenance.py
+++ b/tests/maintenance/test_process_maintenance.py
@@ -78,7 +78,7 @@
                 "dockthread",
                 *arguments.split(),
                 "--at",
-                str(cluster.admin["n1"]),
+                str(cluster.admin_addresses["n1"]),
             ]
             completed = await asyncio.to_thread(
                 subprocess.run, command, capture_output=True, text=True, timeout=30
