--- a/benchmarks/fleet_idle.py
+++ b/benchmarks/fleet_idle.py
@@ -42,7 +42,7 @@
         folder, members, {**SETTINGS, "Azs": ["hall-a"]}, [node.listed() for node in nodes]
     )
     try:
-        for link in cluster.links.values():
+        for link in cluster.relays.values():
             await link.open()
         for name in cluster.names:
             cluster.start(name, "" if has_fleet_section else "[log]\nlevel = INFO\n")
--- a/dockthread/lab/maintenance/process_cluster.py
+++ b/dockthread/lab/maintenance/process_cluster.py
@@ -67,7 +67,7 @@
         names: Names of the ingresses.
         client_addresses: Address of each ingress for requests.
         admin_addresses: Address of each ingress's admin endpoint.
-        links: The relay of each link.
+        relays: The relay of each link.
         processes: Processes that were started and not killed, by name.
     """
 
@@ -90,7 +90,7 @@
         self._peer_addresses = {name: self._reserve_address() for name in self.names}
         self.client_addresses = {name: self._reserve_address() for name in self.names}
         self.admin_addresses = {name: self._reserve_address() for name in self.names}
-        self.links = {
+        self.relays = {
             Link(sender, receiver): Relay(self._peer_addresses[receiver])
             for sender in self.names
             for receiver in self.names
@@ -104,7 +104,7 @@
 
     async def open(self) -> None:
         """Open all links and start all ingresses."""
-        for relay in self.links.values():
+        for relay in self.relays.values():
             await relay.open()
         for name in self.names:
             self.start(name)
@@ -113,7 +113,7 @@
         """Kill all ingresses and close all links."""
         for name in list(self.processes):
             self.kill(name)
-        for relay in self.links.values():
+        for relay in self.relays.values():
             relay.close()
         for reservation in self._reservations:
             reservation.close()
@@ -147,7 +147,7 @@
     def _ini_text(self, name: str) -> str:
         addresses = {
             link.receiver: f"{HOST}:{relay.port}"
-            for link, relay in self.links.items()
+            for link, relay in self.relays.items()
             if link.sender == name
         }
         addresses[name] = str(self._peer_addresses[name])
@@ -192,20 +192,20 @@
             side: Names of ingresses.
             both: Whether the links in the opposite direction are cut, too.
         """
-        for link, relay in self.links.items():
+        for link, relay in self.relays.items():
             is_outward = link.sender in side and link.receiver not in side
             is_inward = link.receiver in side and link.sender not in side
             relay.is_cut = is_outward or (both and is_inward)
 
     def heal(self) -> None:
         """Remove all cuts and delays."""
-        for relay in self.links.values():
+        for relay in self.relays.values():
             relay.is_cut = False
             relay.delay_ms = 0.0
 
     def delay(self, delay_ms: float) -> None:
         """Delay data on every link."""
-        for relay in self.links.values():
+        for relay in self.relays.values():
             relay.delay_ms = delay_ms
 
     async def call(
