--- a/dockthread/cli/lab_fleet.py
+++ b/dockthread/cli/lab_fleet.py
@@ -129,7 +129,7 @@
         sys.exit(EXIT_VOID)
     violations = [
         {"rule": violation.rule, "at": round(violation.at_ms), "detail": violation.detail}
-        for violation in result.broken
+        for violation in result.violations
     ]
     if as_json:
         content = {
--- a/dockthread/lab/maintenance/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -78,13 +78,13 @@
     """The result of a run.
 
     Attributes:
-        broken: The rule violations.
+        violations: The rule violations.
         record: The events, one per line, each with its time in milliseconds.
         served: Number of served requests of the load.
         sent: Number of sent requests of the load.
     """
 
-    broken: list[RuleViolation] = field(default_factory=list)
+    violations: list[RuleViolation] = field(default_factory=list)
     record: list[str] = field(default_factory=list)
     served: int = 0
     sent: int = 0
@@ -182,7 +182,7 @@
 
     def _report_violation(self, rule: str, detail: str) -> None:
         self._record_event(f"BROKEN {rule}: {detail}")
-        self._result.broken.append(RuleViolation(rule, self._now_ms, detail))
+        self._result.violations.append(RuleViolation(rule, self._now_ms, detail))
 
     # Steps
 
--- a/tests/lab/test_rehearsal.py
+++ b/tests/lab/test_rehearsal.py
@@ -102,7 +102,10 @@
         # n1 has not confirmed that it drained m1, so requests to m1 would not violate `used`.
         await rehearsal._work_at_backend("m1", ["n0"])
         await first
-        assert sorted(violation.rule for violation in rehearsal._result.broken) == ["used", "zone"]
+        assert sorted(violation.rule for violation in rehearsal._result.violations) == [
+            "used",
+            "zone",
+        ]
         assert not any(backend.is_switched_off for backend in rehearsal._backends.values())
         for backend in rehearsal._backends.values():
             backend.close()
