--- a/benchmarks/fleet_idle.py
+++ b/benchmarks/fleet_idle.py
@@ -39,7 +39,7 @@
     for node in nodes:
         await node.open()
     cluster = ProcessCluster(
-        folder, members, {**SETTINGS, "Azs": ["hall-a"]}, [node.listed() for node in nodes]
+        folder, members, {**SETTINGS, "Azs": ["hall-a"]}, [node.endpoint_entry() for node in nodes]
     )
     try:
         for link in cluster.relays.values():
--- a/dockthread/lab/maintenance/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -132,7 +132,7 @@
             self._folder,
             self._scenario.ingresses,
             {**SETTINGS, "Azs": self._zones},
-            [backend.listed() for backend in self._backends.values()],
+            [backend.endpoint_entry() for backend in self._backends.values()],
             self._settings.most_out,
             TIMEOUTS_INI,
         )
--- a/dockthread/lab/maintenance/stand_in.py
+++ b/dockthread/lab/maintenance/stand_in.py
@@ -67,7 +67,7 @@
         """Serve requests again."""
         self.is_switched_off = False
 
-    def listed(self) -> dict[str, object]:
+    def endpoint_entry(self) -> dict[str, object]:
         """Return the backend's entry in the endpoint list, in discovery's format."""
         return {
             "uid": self.uid,
