--- a/dockthread/cli/lab_seeds.py
+++ b/dockthread/cli/lab_seeds.py
@@ -9,7 +9,7 @@
 import click
 
 from dockthread.lab.raft.checker import RuleViolation
-from dockthread.lab.seeds import PlayedSeed, SeedChunk, ViolatingSeed
+from dockthread.lab.seeds import SeedChunk, SeedRun, ViolatingSeed
 
 # Exit code if a rule was violated; with --plant this means that the seeded defect was found.
 EXIT_VIOLATION = 1
@@ -89,7 +89,7 @@
     sys.exit(EXIT_VIOLATION if violating_seeds else 0)
 
 
-def show_replay(played: PlayedSeed, as_json: bool) -> None:
+def show_replay(played: SeedRun, as_json: bool) -> None:
     """Print the events of one seed and its rule violations, and exit."""
     if as_json:
         violations = [violation_json(violation) for violation in played.violations]
--- a/dockthread/lab/control_plane/seeds.py
+++ b/dockthread/lab/control_plane/seeds.py
@@ -7,7 +7,7 @@
 
 from dockthread.lab.control_plane.seeded_defects import SEEDED_DEFECTS, SeededDefect
 from dockthread.lab.control_plane.simulation import RunOptions, Simulation
-from dockthread.lab.seeds import PlayedSeed
+from dockthread.lab.seeds import SeedRun
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,10 +40,10 @@
 """Scenarios by their names on the command line."""
 
 
-def play_seed(name: str, seed: int, seeded_defect: str = "") -> PlayedSeed:
+def play_seed(name: str, seed: int, seeded_defect: str = "") -> SeedRun:
     """Run one seed of a scenario, with the named seeded defect unless the name is empty."""
     defect = SEEDED_DEFECTS[seeded_defect] if seeded_defect else SeededDefect()
     simulation = Simulation(seed, defect, SCENARIOS[name].options)
     violations = simulation.run()
     faults = ", ".join(simulation.faults) or "none"
-    return PlayedSeed(tuple(violations), (f"seed {seed}, faults: {faults}", *simulation.record))
+    return SeedRun(tuple(violations), (f"seed {seed}, faults: {faults}", *simulation.record))
--- a/dockthread/lab/raft/seeds.py
+++ b/dockthread/lab/raft/seeds.py
@@ -8,7 +8,7 @@
 from dockthread.lab.maintenance.simulation import MaintenanceSimulation
 from dockthread.lab.raft.faults import NETWORK_FAULTS, Fault
 from dockthread.lab.raft.simulation import RaftSimulation
-from dockthread.lab.seeds import PlayedSeed
+from dockthread.lab.seeds import SeedRun
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
 }
 
 
-def play_seed(name: str, seed: int, seeded_defect: str = "") -> PlayedSeed:
+def play_seed(name: str, seed: int, seeded_defect: str = "") -> SeedRun:
     """Run one seed of a scenario, with the named seeded defect unless the name is empty.
 
     Raises:
@@ -93,4 +93,4 @@
     simulation = scenario.simulation(seed, scenario.size, seeded_defect, scenario.faults)
     violations = simulation.play()
     summary = f"seed {seed}, faults: {', '.join(simulation.faults) or 'none'}"
-    return PlayedSeed(tuple(violations), (summary, *simulation.record))
+    return SeedRun(tuple(violations), (summary, *simulation.record))
--- a/dockthread/lab/seeds.py
+++ b/dockthread/lab/seeds.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlayedSeed:
+class SeedRun:
     """The result of one seed, which is the same in each run.
 
     Attributes:
@@ -45,7 +45,7 @@
 
 # Function that runs one seed; its arguments are the scenario's name, the seed, and the name of a
 # seeded defect or "".
-SeedRunner: TypeAlias = Callable[[str, int, str], PlayedSeed]
+SeedRunner: TypeAlias = Callable[[str, int, str], SeedRun]
 
 
 def _run_chunk(play_seed: SeedRunner, scenario: str, seeds: range, seeded_defect: str) -> SeedChunk:
