--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -27,7 +27,7 @@
     overload_count = sum(len(result.overloads) for result in results)
     peak_loads = [result.peak_load for result in results]
     used_fractions = [result.used_capacity for result in results]
-    served_fractions = [result.in_time / result.achievable for result in results]
+    served_fractions = [result.in_time / result.achievable_in_time for result in results]
     return (
         f"{name:>5} {len(results):>6} {violating_seeds:>6} {overloaded_seeds:>6} {cold_backends:>9} {overload_count:>6}"
         f" {max(peak_loads):>8.2f} {median(peak_loads):>7.2f}"
--- a/dockthread/lab/slow_start/seeds.py
+++ b/dockthread/lab/slow_start/seeds.py
@@ -26,7 +26,7 @@
             divided by the allowed work N.
         used_capacity: work that the cold backends served, divided by the work they could serve.
         in_time: the fraction of requests that were answered within the latency objective.
-        achievable: the maximum of `in_time` that the capacity of all backends allows.
+        achievable_in_time: the maximum of `in_time` that the capacity of all backends allows.
     """
 
     seed: int
@@ -36,7 +36,7 @@
     peak_load: float
     used_capacity: float
     in_time: float
-    achievable: float
+    achievable_in_time: float
 
     @property
     def violations(self) -> list[Overload]:
--- a/tests/lab/test_slow_start_simulation.py
+++ b/tests/lab/test_slow_start_simulation.py
@@ -82,7 +82,7 @@
     for result in play_seeds(HALF_COLD, size):
         assert not result.overloads
         assert result.used_capacity > 0.2
-        assert result.in_time > 0.5 * result.achievable
+        assert result.in_time > 0.5 * result.achievable_in_time
 
 
 @pytest.mark.parametrize("size", SIZES)
