--- a/dockthread/cli/lab_distribution.py
+++ b/dockthread/cli/lab_distribution.py
@@ -9,7 +9,7 @@
 import click
 
 from dockthread.cli.lab_seeds import jobs_option, json_option, seeds_option, show_replay, show_seeds
-from dockthread.lab.control_plane.seeded_defects import NAMES, SEEDED_DEFECTS
+from dockthread.lab.control_plane.seeded_defects import DEFECT_NAMES, SEEDED_DEFECTS
 from dockthread.lab.control_plane.seeds import SCENARIOS, play_seed
 from dockthread.lab.seeds import play_seeds
 
@@ -22,11 +22,11 @@
 def parse_plant_option(ctx: click.Context, param: click.Parameter, value: str) -> str:
     """Return the value of `--plant`; for `list`, print the names of all seeded defects and exit."""
     if value == "list":
-        for name in NAMES:
+        for name in DEFECT_NAMES:
             click.echo(f"{name}  a seeded defect, for scenario {SEEDED_DEFECTS[name].scenario}")
         ctx.exit(0)
-    if value and value not in NAMES:
-        raise click.BadParameter(f"{value!r} is not one of: {', '.join(NAMES)}")
+    if value and value not in DEFECT_NAMES:
+        raise click.BadParameter(f"{value!r} is not one of: {', '.join(DEFECT_NAMES)}")
     return value
 
 
--- a/dockthread/cli/lab_fleet.py
+++ b/dockthread/cli/lab_fleet.py
@@ -24,13 +24,13 @@
 )
 from dockthread.lab.maintenance import seeded_defects
 from dockthread.lab.maintenance.scenario import ScenarioError, parse_scenario, shipped_scenarios
-from dockthread.lab.raft.seeded_defects import NAMES as RAFT_DEFECT_NAMES
+from dockthread.lab.raft.seeded_defects import DEFECT_NAMES as RAFT_DEFECT_NAMES
 from dockthread.lab.raft.seeds import SCENARIOS, play_seed
 from dockthread.lab.seeds import play_seeds
 
 EXIT_VOID = 2  # Exit code of a run that is void.
 CHUNK_SIZE = 25  # Number of seeds that a worker process runs before it reports its results.
-DEFECT_NAMES = (*RAFT_DEFECT_NAMES, *seeded_defects.NAMES)
+DEFECT_NAMES = (*RAFT_DEFECT_NAMES, *seeded_defects.DEFECT_NAMES)
 
 
 @click.group("fleet")
--- a/dockthread/lab/control_plane/seeded_defects.py
+++ b/dockthread/lab/control_plane/seeded_defects.py
@@ -337,5 +337,5 @@
     "rejections-untold": SeededDefect(subscriber=OmitsRejections),
 }
 """Seeded defects by their names on the command line."""
-NAMES: Final = tuple(SEEDED_DEFECTS)
+DEFECT_NAMES: Final = tuple(SEEDED_DEFECTS)
 """Names of all seeded defects."""
--- a/dockthread/lab/maintenance/seeded_defects.py
+++ b/dockthread/lab/maintenance/seeded_defects.py
@@ -143,4 +143,4 @@
     "frees-what-is-overdue": SendsToOverdueBackends,
     "back-in-the-same-life": ReportsRestartBeforeStop,
 }
-NAMES = (*SCHEDULERS, *PARTICIPANTS)
+DEFECT_NAMES = (*SCHEDULERS, *PARTICIPANTS)
--- a/dockthread/lab/raft/seeded_defects.py
+++ b/dockthread/lab/raft/seeded_defects.py
@@ -140,4 +140,4 @@
 }
 # Defects of the simulation, which executes the actions of a correct core wrongly.
 SIMULATION_DEFECTS: Final = ("fsync-left-out", "sent-before-kept", "same-name-without-memory")
-NAMES: Final = (*DEFECTIVE_CORES, *SIMULATION_DEFECTS)
+DEFECT_NAMES: Final = (*DEFECTIVE_CORES, *SIMULATION_DEFECTS)
--- a/tests/lab/test_maintenance_simulation.py
+++ b/tests/lab/test_maintenance_simulation.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dockthread.lab.maintenance.seeded_defects import NAMES
+from dockthread.lab.maintenance.seeded_defects import DEFECT_NAMES
 from dockthread.lab.raft.seeds import play_seed
 
 # The scenario and the seed in which the checker finds each defect.
@@ -22,7 +22,7 @@
 }
 
 
-@pytest.mark.parametrize("defect", NAMES)
+@pytest.mark.parametrize("defect", DEFECT_NAMES)
 def test_checker_finds_each_seeded_defect_and_no_violation_without_it(defect: str) -> None:
     scenario, seed = VIOLATING_SEEDS[defect]
     assert play_seed(scenario, seed, defect).violations
--- a/tests/raft/test_simulation.py
+++ b/tests/raft/test_simulation.py
@@ -8,7 +8,7 @@
 from click.testing import CliRunner, Result
 
 from dockthread.cli.lab import lab
-from dockthread.lab.raft.seeded_defects import NAMES
+from dockthread.lab.raft.seeded_defects import DEFECT_NAMES
 from dockthread.lab.raft.seeds import SCENARIOS, play_seed
 from dockthread.lab.seeds import play_seeds
 
@@ -32,7 +32,7 @@
         assert not chunk.violating_seeds
 
 
-@pytest.mark.parametrize("defect", NAMES)
+@pytest.mark.parametrize("defect", DEFECT_NAMES)
 def test_seeded_defect_is_found(defect: str) -> None:
     runs = RARE_DEFECTS.get(defect, DEFAULT_RUNS)
     assert any(play_seed(name, seed, defect).violations for name, seed in runs)
@@ -56,7 +56,8 @@
 def test_commands_list_scenarios_and_defects_and_reject_wrong_arguments() -> None:
     assert run_fleet_command("scenarios").output.startswith("work-agreement")
     assert (
-        run_fleet_command("seeds", "work-agreement", "--plant", "list").output.split()[0] in NAMES
+        run_fleet_command("seeds", "work-agreement", "--plant", "list").output.split()[0]
+        in DEFECT_NAMES
     )
     assert run_fleet_command("seeds", "work-agreement", "--seeds", "9..3").exit_code == 2
     assert run_fleet_command("seeds", "work-agreement", "--plant", "no-such").exit_code == 2
