--- a/benchmarks/restart_wave.py
+++ b/benchmarks/restart_wave.py
@@ -27,7 +27,7 @@
 
 def discovery_text(wave: RestartWave) -> str:
     """Return how discovery behaves during the wave."""
-    if wave.is_silent:
+    if wave.drops_timed_out_polls:
         return "silent"
     return f"down {wave.outage_ms / 1000.0:.0f} s" if wave.outage_ms else "refuses"
 
@@ -55,8 +55,8 @@
 def waves_of(fleet_size: int, restarted_count: int) -> Iterator[RestartWave]:
     """Yield the waves of one size, in the order of the table."""
     for is_list_pushed, has_known_list in product((True, False), repeat=2):
-        for outage_ms, is_silent in ((0.0, False), (0.0, True), (4_000.0, False)):
-            if is_list_pushed and is_silent:
+        for outage_ms, drops_timed_out_polls in ((0.0, False), (0.0, True), (4_000.0, False)):
+            if is_list_pushed and drops_timed_out_polls:
                 continue  # An agent that pushes lists is silent only while discovery is down.
             yield RestartWave(
                 fleet_size,
@@ -64,7 +64,7 @@
                 is_list_pushed,
                 has_known_list,
                 outage_ms,
-                is_silent=is_silent,
+                drops_timed_out_polls=drops_timed_out_polls,
             )
 
 
--- a/dockthread/lab/slow_start/restart_wave.py
+++ b/dockthread/lab/slow_start/restart_wave.py
@@ -10,9 +10,9 @@
 
 Discovery processes polls one after another, each for `service_time_ms`, even if the caller has
 abandoned its poll. It rejects a poll immediately if `queue_limit` other polls are waiting. A poll
-that has waited for `queue_timeout_ms` fails, or gets no response if discovery `is_silent`. If lists
-are pushed, each ingress polls its own agent instead, which responds immediately, or after the outage
-if there is one.
+that has waited for `queue_timeout_ms` fails, or gets no response if discovery
+`drops_timed_out_polls`. If lists are pushed, each ingress polls its own agent instead, which
+responds immediately, or after the outage if there is one.
 
 Times are in milliseconds since the restart.
 """
@@ -55,7 +55,7 @@
         service_time_ms: time that discovery needs for a poll.
         queue_timeout_ms: maximum time that a poll waits in discovery's queue.
         queue_limit: maximum number of waiting polls; discovery rejects further polls.
-        is_silent: whether polls that exceed `queue_timeout_ms` get no response.
+        drops_timed_out_polls: whether polls that exceed `queue_timeout_ms` get no response.
         drain_grace_ms: the ingresses' drain grace setting.
     """
 
@@ -67,7 +67,7 @@
     service_time_ms: float = 130.0
     queue_timeout_ms: float = 2_000.0
     queue_limit: int = 24
-    is_silent: bool = False
+    drops_timed_out_polls: bool = False
     drain_grace_ms: float = 1_000.0
 
 
@@ -188,7 +188,7 @@
             self._events.schedule_at(
                 served_at + ROUND_TRIP_MS, self._on_list_received, ingress, poll
             )
-        elif not wave.is_silent:
+        elif not wave.drops_timed_out_polls:
             fails_at = arrives_at + wave.queue_timeout_ms
             self._events.schedule_at(fails_at, self._on_poll_failed, ingress, poll)
 
--- a/tests/lab/test_restart_wave.py
+++ b/tests/lab/test_restart_wave.py
@@ -51,11 +51,14 @@
         assert result.ready_within(6_000.0) == 1.0
 
 
-@pytest.mark.parametrize("is_silent", [True, False])
+@pytest.mark.parametrize("drops_timed_out_polls", [True, False])
 def test_most_of_thirty_ingresses_without_a_list_are_ready_within_ten_seconds(
-    is_silent: bool,
+    drops_timed_out_polls: bool,
 ) -> None:
-    results = play_waves(SEEDS, RestartWave(30, 30, has_known_list=False, is_silent=is_silent))
+    results = play_waves(
+        SEEDS,
+        RestartWave(30, 30, has_known_list=False, drops_timed_out_polls=drops_timed_out_polls),
+    )
     assert median_ready_within(10_000.0, results) >= 0.9
 
 
