--- a/dockthread/lab/maintenance/simulation.py
+++ b/dockthread/lab/maintenance/simulation.py
@@ -224,7 +224,7 @@
         participant = self.incarnations[member.name].participant
         participant.on_state_restored(snapshot)
         participant.on_log_advanced(index, 0)
-        self.checker.restarted(member.name, member.incarnation, index)
+        self.checker.snapshot_restored_unchecked(member.name, member.incarnation, index)
 
     def snapshot_of(self, member: SimulatedMember) -> bytes:
         """Return a snapshot of a member's state."""
--- a/dockthread/lab/raft/checker.py
+++ b/dockthread/lab/raft/checker.py
@@ -129,7 +129,7 @@
             self._add_violation(Rule.LOG_MATCHING, at_ms, detail)
         self._last_applied[member, incarnation] = index
 
-    def restarted(self, member: str, incarnation: int, index: int) -> None:
+    def snapshot_restored_unchecked(self, member: str, incarnation: int, index: int) -> None:
         """Record that a member restored a snapshot, without checking its content."""
         self._last_applied[member, incarnation] = index
 
