--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -122,7 +122,7 @@
     )
 
 
-async def serves(args: list[bytes]) -> bytes | None:
+async def reply_served(args: list[bytes]) -> bytes | None:
     """Reply to any command as a backend that serves it.
 
     It is the default of `Backend.answer`, which may also return None to close the connection.
@@ -133,7 +133,9 @@
 class Backend:
     """A backend that replies with the result of `answer`, and stores received commands in `seen`."""
 
-    def __init__(self, answer: Callable[[list[bytes]], Awaitable[bytes | None]] = serves) -> None:
+    def __init__(
+        self, answer: Callable[[list[bytes]], Awaitable[bytes | None]] = reply_served
+    ) -> None:
         self.answer = answer
         self.seen: list[list[bytes]] = []
         self.opened = 0  # Number of connections that were opened.
--- a/tests/net/test_backend_connections.py
+++ b/tests/net/test_backend_connections.py
@@ -10,7 +10,17 @@
 from dockthread.clock import Clock, ManualClock
 from dockthread.net import connection_pool
 from dockthread.policy import IDLE_CLOSE_FRACTION, Outcome
-from tests.loopback import FIRST_ID, KEY, Backend, message, run, serves, serving, target, until
+from tests.loopback import (
+    FIRST_ID,
+    KEY,
+    Backend,
+    message,
+    reply_served,
+    run,
+    serving,
+    target,
+    until,
+)
 from tests.net.support import (
     UNREACHED_DEADLINE_MS,
     VALUE_REPLY,
@@ -126,7 +136,7 @@
                 await asyncio.sleep(0.005)
             assert await client.answer() == "ERR failed"
             assert len(backend.seen) == 1
-            backend.answer = serves
+            backend.answer = reply_served
             assert await client.call("checkout") == b"value"
 
     run(scenario())
@@ -149,7 +159,7 @@
 def test_a_duplicate_reply_closes_the_connection() -> None:
     async def scenario() -> None:
         async def replies_twice(args: list[bytes]) -> bytes | None:
-            return (await serves(args) or b"") * 2
+            return (await reply_served(args) or b"") * 2
 
         backend = Backend(replies_twice)
         async with serving(backend) as (_, client, _):
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -11,7 +11,7 @@
 from dockthread.net import resp
 from dockthread.net.backend_connection import BackendConnection
 from dockthread.net.client_connection import ClientConnection
-from tests.loopback import FIRST_ID, SETTINGS, Backend, Client, run, serves, serving, until
+from tests.loopback import FIRST_ID, SETTINGS, Backend, Client, reply_served, run, serving, until
 from tests.net.support import UNREACHED_DEADLINE_MS, never_replies
 
 
@@ -111,7 +111,7 @@
 
         async def reply_once_opened(args: list[bytes]) -> bytes | None:
             await gate.wait()
-            return await serves(args)
+            return await reply_served(args)
 
         backend = Backend(reply_once_opened)
         async with serving(backend) as (ingress, client, _):
