--- a/tests/admin/test_management_endpoint.py
+++ b/tests/admin/test_management_endpoint.py
@@ -13,7 +13,7 @@
 from dockthread.config.address import Address
 from dockthread.daemon import Daemon
 from dockthread.policy import BackendState
-from tests.loopback import Backend, config, message, run, serving, target
+from tests.loopback import Backend, config, message, run, running_ingress, target
 
 
 @pytest.mark.parametrize(
@@ -68,7 +68,7 @@
 
 def test_each_request_is_answered_while_60_silent_clients_are_connected() -> None:
     async def scenario() -> None:
-        async with serving(Backend()) as (ingress, client, _):
+        async with running_ingress(Backend()) as (ingress, client, _):
             admin = IngressAdmin(ingress, Path("/nonexistent/held.json"))
             server = ManagementServer(admin, Address("127.0.0.1", 0))
             server.open()
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -245,7 +245,7 @@
 
 
 @asynccontextmanager
-async def serving(
+async def running_ingress(
     *backends: Backend,
     clock: Clock | None = None,
     refuses: int = 0,
--- a/tests/net/test_backend_connections.py
+++ b/tests/net/test_backend_connections.py
@@ -17,7 +17,7 @@
     message,
     reply_served,
     run,
-    serving,
+    running_ingress,
     target,
     until,
 )
@@ -33,7 +33,7 @@
 def test_forwarded_commands_change_only_the_deadline_and_connections_are_reused() -> None:
     async def scenario() -> None:
         backend, clock = Backend(), ManualClock()
-        async with serving(backend, clock=clock) as (_, client, _):
+        async with running_ingress(backend, clock=clock) as (_, client, _):
             for _ in range(5):
                 assert await client.call(d=3000, body=b"BO\r\nDY") == b"value"
                 clock.advance(connection_pool.REUSE_DELAY_MS)
@@ -65,7 +65,7 @@
 def test_an_idle_connection_that_its_backend_closed_is_not_reused() -> None:
     async def scenario() -> None:
         backend = Backend()
-        async with serving(backend) as (_, client, _):
+        async with running_ingress(backend) as (_, client, _):
             assert await client.call("checkout") == b"value"
             backend.writers[0].close()
             await backend.writers[0].wait_closed()
@@ -79,7 +79,7 @@
 def test_idle_connections_are_closed_before_the_backend_closes_them() -> None:
     async def scenario() -> None:
         backend, clock = Backend(), ManualClock()
-        async with serving(backend, clock=clock) as (ingress, client, _):
+        async with running_ingress(backend, clock=clock) as (ingress, client, _):
             assert await client.call() == b"value"
             clock.advance(15_000 * IDLE_CLOSE_FRACTION - 1)
             ingress.connection_pool.close_expired()
@@ -94,7 +94,7 @@
 def test_nothing_is_sent_to_a_backend_that_starts_draining_while_connecting() -> None:
     async def scenario() -> None:
         drained, other = Backend(), Backend()
-        async with serving(drained, other) as (ingress, client, discovery):
+        async with running_ingress(drained, other) as (ingress, client, discovery):
             outcomes = collect_outcomes(ingress)
             ingress.connection_pool.start(new_attempt(ingress))
             ingress.endpoints.apply(message(2, target("s-0", 1, "leaving")))
@@ -123,7 +123,7 @@
             return malformed
 
         backend, clock = Backend(replies), ManualClock()
-        async with serving(backend, clock=clock) as (ingress, client, _):
+        async with running_ingress(backend, clock=clock) as (ingress, client, _):
             client.ask("checkout", d=UNREACHED_DEADLINE_MS)
             await until(lambda: backend.seen)
             # One of these replies is shorter than its header says, so it ends with a timeout. The
@@ -149,7 +149,7 @@
             return VALUE_REPLY + extra
 
         backend = Backend(replies)
-        async with serving(backend) as (_, client, _):
+        async with running_ingress(backend) as (_, client, _):
             assert [await client.call() for _ in range(3)] == [b"value"] * 3
             assert backend.opened == 3
 
@@ -162,7 +162,7 @@
             return (await reply_served(args) or b"") * 2
 
         backend = Backend(replies_twice)
-        async with serving(backend) as (_, client, _):
+        async with running_ingress(backend) as (_, client, _):
             assert [await client.call() for _ in range(2)] == [b"value", b"value"]
             assert backend.opened == 2
 
@@ -179,7 +179,7 @@
             return VALUE_REPLY.replace(b"value", b"val-%d" % len(backend.seen))
 
         backend, clock = Backend(replies), ManualClock()
-        async with serving(backend, clock=clock) as (_, client, _):
+        async with running_ingress(backend, clock=clock) as (_, client, _):
             assert await client.call() == b"val-1"
             clock.advance(connection_pool.REUSE_DELAY_MS - 1)
             assert await client.call() == b"val-2"
@@ -192,7 +192,7 @@
 
 def test_a_connect_timeout_ends_the_attempt_as_unreachable() -> None:
     async def scenario() -> None:
-        async with serving(Backend()) as (ingress, _, _):
+        async with running_ingress(Backend()) as (ingress, _, _):
             with socket.socket() as full_listener:
                 full_listener.bind(("127.0.0.1", 0))
                 full_listener.listen(0)
@@ -217,7 +217,7 @@
 def test_ending_an_attempt_closes_only_its_own_connection() -> None:
     async def scenario() -> None:
         backend = Backend(never_replies)
-        async with serving(backend) as (ingress, _, _):
+        async with running_ingress(backend) as (ingress, _, _):
             outcomes = collect_outcomes(ingress)
             attempts = [new_attempt(ingress) for _ in range(2)]
             for attempt in attempts:
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -11,7 +11,16 @@
 from dockthread.net import resp
 from dockthread.net.backend_connection import BackendConnection
 from dockthread.net.client_connection import ClientConnection
-from tests.loopback import FIRST_ID, SETTINGS, Backend, Client, reply_served, run, serving, until
+from tests.loopback import (
+    FIRST_ID,
+    SETTINGS,
+    Backend,
+    Client,
+    reply_served,
+    run,
+    running_ingress,
+    until,
+)
 from tests.net.support import UNREACHED_DEADLINE_MS, never_replies
 
 
@@ -25,7 +34,7 @@
             return b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(args[4]), args[4])
 
         backend = Backend(slow_first)
-        async with serving(backend) as (ingress, client, _):
+        async with running_ingress(backend) as (ingress, client, _):
             for body in (b"first", b"second"):
                 client.ask(body=body)
             client.send(b"PING")
@@ -61,7 +70,7 @@
     commands: bytes, expected_responses: list[str | None]
 ) -> None:
     async def scenario() -> None:
-        async with serving(Backend()) as (ingress, client, _):
+        async with running_ingress(Backend()) as (ingress, client, _):
             client.writer.write(commands)
             for expected in expected_responses:
                 response = await client.answer()
@@ -77,7 +86,7 @@
 ):
     async def scenario() -> None:
         clock = ManualClock()
-        async with serving(Backend(), clock=clock) as (ingress, active, _):
+        async with running_ingress(Backend(), clock=clock) as (ingress, active, _):
             active.send(b"PING")
             assert await active.answer() == b"PONG"
             silent, slow = [await Client.open(ingress.address.port) for _ in range(2)]
@@ -114,7 +123,7 @@
             return await reply_served(args)
 
         backend = Backend(reply_once_opened)
-        async with serving(backend) as (ingress, client, _):
+        async with running_ingress(backend) as (ingress, client, _):
             client.ask(d=UNREACHED_DEADLINE_MS)
             await until(lambda: backend.seen)
             other_client = await Client.open(ingress.address.port)
@@ -131,7 +140,7 @@
 
 def test_a_request_beyond_the_in_flight_limit_is_rejected_as_busy() -> None:
     async def scenario() -> None:
-        async with serving(Backend(), settings=SETTINGS | {"Limits": {"MaxOpen": 0}}) as (
+        async with running_ingress(Backend(), settings=SETTINGS | {"Limits": {"MaxOpen": 0}}) as (
             _,
             client,
             _,
@@ -150,7 +159,7 @@
             )
 
         clock = ManualClock()
-        async with serving(Backend(never_replies), clock=clock) as (ingress, client, _):
+        async with running_ingress(Backend(never_replies), clock=clock) as (ingress, client, _):
             client.send(b"PING")
             assert await client.answer() == b"PONG"
             gc.collect()
--- a/tests/net/test_closing_client_connections.py
+++ b/tests/net/test_closing_client_connections.py
@@ -12,7 +12,7 @@
 from dockthread.net import client_connection
 from dockthread.net.ingress import Ingress
 from dockthread.net.lifecycle import Phase
-from tests.loopback import Backend, command, request, run, serving, until
+from tests.loopback import Backend, command, request, run, running_ingress, until
 from tests.net.support import VALUE_REPLY, never_replies, pinged_socket
 
 
@@ -54,7 +54,7 @@
 
     async def scenario() -> None:
         clock, backend = ManualClock(), Backend()
-        async with serving(backend, clock=clock) as (ingress, other_client, _):
+        async with running_ingress(backend, clock=clock) as (ingress, other_client, _):
             with pinged_socket(ingress) as sock:
                 await until(lambda: any(c.commands_read for c in ingress.listener.connections))
                 other_client.writer.close()
@@ -94,7 +94,7 @@
             return VALUE_REPLY
 
         backend = Backend(replies)
-        async with serving(backend) as (ingress, client, _):
+        async with running_ingress(backend) as (ingress, client, _):
             client.writer.write(request(1, kind))
             await until(lambda: backend.seen)
             ingress.lifecycle.enter(Phase.LINGERING)
@@ -117,7 +117,7 @@
     """
 
     async def scenario() -> None:
-        async with serving(wait=False, clock=ManualClock()) as (ingress, client, _):
+        async with running_ingress(wait=False, clock=ManualClock()) as (ingress, client, _):
             client.writer.write(request(1) + command(b"QUIT") + b"x" * 1_000_000)
             await until(lambda: ingress.requests)
             await client.writer.drain()
@@ -133,7 +133,11 @@
 
 def test_the_disconnection_of_a_client_that_reads_nothing_is_noticed_immediately() -> None:
     async def scenario() -> None:
-        async with serving(Backend(never_replies), clock=ManualClock()) as (ingress, client, _):
+        async with running_ingress(Backend(never_replies), clock=ManualClock()) as (
+            ingress,
+            client,
+            _,
+        ):
             commands_sent = 0
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             await until(lambda: ingress.listener.connections)
--- a/tests/net/test_descriptor_budget.py
+++ b/tests/net/test_descriptor_budget.py
@@ -7,14 +7,18 @@
 
 from dockthread.clock import ManualClock
 from dockthread.policy import Outcome
-from tests.loopback import Backend, Client, run, serving, until
+from tests.loopback import Backend, Client, run, running_ingress, until
 from tests.net.support import UNREACHED_DEADLINE_MS, collect_outcomes, never_replies, new_attempt
 
 
 def test_connections_stay_within_the_descriptor_budget() -> None:
     async def scenario() -> None:
         busy, other, clock = Backend(never_replies), Backend(), ManualClock()
-        async with serving(busy, other, clock=clock, limits={"sockets": 80}) as (ingress, _, _):
+        async with running_ingress(busy, other, clock=clock, limits={"sockets": 80}) as (
+            ingress,
+            _,
+            _,
+        ):
             outcomes = collect_outcomes(ingress)
             max_connections = ingress.connection_pool._max_connections
             ingress.connection_pool.start(new_attempt(ingress, backend=2))
@@ -45,7 +49,11 @@
 
 def test_new_clients_are_rejected_as_busy_while_all_connections_await_a_response() -> None:
     async def scenario() -> None:
-        async with serving(Backend(never_replies), limits={"sockets": 80}) as (ingress, client, _):
+        async with running_ingress(Backend(never_replies), limits={"sockets": 80}) as (
+            ingress,
+            client,
+            _,
+        ):
             ingress.connection_pool._max_connections = 1_000
             max_connections, surplus = ingress.budget.client, ingress.budget.surplus
             clients = [
@@ -72,7 +80,11 @@
 def test_clients_without_requests_are_closed_first_to_free_descriptors() -> None:
     async def scenario() -> None:
         clock = ManualClock()
-        async with serving(Backend(), clock=clock, limits={"sockets": 80}) as (ingress, active, _):
+        async with running_ingress(Backend(), clock=clock, limits={"sockets": 80}) as (
+            ingress,
+            active,
+            _,
+        ):
             assert [await active.call() for _ in range(2)] == [b"value"] * 2
             others = [await Client.open(ingress.address.port)]
             others[0].writer.write(b"*1\r\n")
@@ -105,7 +117,11 @@
 ):
     async def scenario() -> None:
         clock = ManualClock()
-        async with serving(Backend(), clock=clock, limits={"sockets": 80}) as (ingress, _, _):
+        async with running_ingress(Backend(), clock=clock, limits={"sockets": 80}) as (
+            ingress,
+            _,
+            _,
+        ):
             idle_clients = [
                 await Client.open(ingress.address.port) for _ in range(ingress.budget.client - 1)
             ]
--- a/tests/net/test_disconnected_clients.py
+++ b/tests/net/test_disconnected_clients.py
@@ -15,7 +15,17 @@
 from dockthread.net import resp
 from dockthread.routes.options import RouteOptions
 from dockthread.routes.table import RouteTable
-from tests.loopback import SETTINGS, Backend, command, message, request, run, serving, target, until
+from tests.loopback import (
+    SETTINGS,
+    Backend,
+    command,
+    message,
+    request,
+    run,
+    running_ingress,
+    target,
+    until,
+)
 from tests.net.support import (
     never_replies,
     pinged_socket,
@@ -78,7 +88,11 @@
         disconnected_at.append(time.monotonic())
 
     async def scenario() -> None:
-        async with serving(*(Backend(replies_busy_late) for _ in range(4))) as (ingress, _, _):
+        async with running_ingress(*(Backend(replies_busy_late) for _ in range(4))) as (
+            ingress,
+            _,
+            _,
+        ):
             with slow_event_loop(extra_iteration_s):
                 await asyncio.to_thread(client, ingress.address.port)
                 await asyncio.sleep(0.5)
@@ -113,7 +127,7 @@
             },
         }
         backends = (backend, other) if awaited == "a backoff" else (backend,)
-        async with serving(*backends, **changes) as (ingress, _, discovery):
+        async with running_ingress(*backends, **changes) as (ingress, _, discovery):
             port = backend.server.sockets[0].getsockname()[1]
             if awaited == "a backend":
                 discovery.push(message(2, target("s-0", port, "leaving")))
--- a/tests/net/test_discovery_watch.py
+++ b/tests/net/test_discovery_watch.py
@@ -12,7 +12,16 @@
 from dockthread.clock import ManualClock
 from dockthread.config.address import Address
 from dockthread.net.ingress import Ingress
-from tests.loopback import SETTINGS, Backend, Discovery, message, run, serving, target, until
+from tests.loopback import (
+    SETTINGS,
+    Backend,
+    Discovery,
+    message,
+    run,
+    running_ingress,
+    target,
+    until,
+)
 
 DRAIN_GRACE_MS = 1_000.0  # Time for which a draining backend may still be sent requests.
 
@@ -47,7 +56,9 @@
 
     async def scenario() -> None:
         clock, draining, ready = ManualClock(), Backend(), Backend()
-        async with serving(draining, ready, clock=clock, wait=False, **watch_settings()) as (
+        async with running_ingress(
+            draining, ready, clock=clock, wait=False, **watch_settings()
+        ) as (
             ingress,
             client,
             discovery,
@@ -83,7 +94,7 @@
 
     async def scenario() -> None:
         changes = watch_settings(ReplicasOfMe=200, Safety={"StopSendingWithin": 400_000})
-        async with serving(
+        async with running_ingress(
             Backend(), refuses=0 if agent_sends_lists else 12, wait=False, **changes
         ) as (
             ingress,
@@ -104,7 +115,7 @@
     async def scenario() -> None:
         clock = ManualClock()
         changes = watch_settings(ReplicasOfMe=200)
-        async with serving(Backend(), clock=clock, wait=False, **changes) as (
+        async with running_ingress(Backend(), clock=clock, wait=False, **changes) as (
             ingress,
             _,
             discovery,
@@ -123,7 +134,7 @@
 def test_a_watch_with_an_incomplete_object_is_replaced_despite_heartbeats() -> None:
     async def scenario() -> None:
         clock = ManualClock()
-        async with serving(Backend(), clock=clock) as (ingress, _, discovery):
+        async with running_ingress(Backend(), clock=clock) as (ingress, _, discovery):
             discovery.push(message(2, target("s-1", 1)))
             discovery.writers[-1].write(b'9\r\n{"rev":3,\r\n')
             for second in range(5):
@@ -149,7 +160,7 @@
 
     async def scenario() -> None:
         clock = ManualClock()
-        async with serving(Backend(), clock=clock) as (ingress, _, discovery):
+        async with running_ingress(Backend(), clock=clock) as (ingress, _, discovery):
             await until(lambda: discovery.writers)
             entries = [
                 json.dumps(target(f"s-{number}", 1 + number)).encode() for number in range(12)
@@ -179,7 +190,7 @@
     async def scenario() -> None:
         clock, new_discovery = ManualClock(), Discovery()
         polling = watch_settings(ReplicasOfMe=200, Discovery="subscribe")  # a delay of up to 25 s
-        async with serving(
+        async with running_ingress(
             Backend(), clock=clock, refuses=rejected_attempts, wait=False, **polling
         ) as (
             ingress,
--- a/tests/net/test_discovery_watch_silence.py
+++ b/tests/net/test_discovery_watch_silence.py
@@ -7,13 +7,13 @@
 import pytest
 
 from dockthread.clock import ManualClock
-from tests.loopback import Backend, message, run, serving, target, until
+from tests.loopback import Backend, message, run, running_ingress, target, until
 
 
 def test_a_silent_watch_is_replaced_and_continues_after_the_last_revision() -> None:
     async def scenario() -> None:
         clock = ManualClock()
-        async with serving(Backend(), clock=clock) as (ingress, _, discovery):
+        async with running_ingress(Backend(), clock=clock) as (ingress, _, discovery):
             discovery.push(message(41, target("s-1", 1)))
             await until(lambda: ingress.endpoints.revision == 41)
             clock.advance(3_000)
@@ -37,7 +37,7 @@
 
     async def scenario() -> None:
         clock = ManualClock()
-        async with serving(Backend(), clock=clock) as (ingress, _, discovery):
+        async with running_ingress(Backend(), clock=clock) as (ingress, _, discovery):
             # The watch is overdue. The backoff is up to 500 ms for four ingresses.
             clock.advance(3_600)
             ingress.watch.enforce_timeouts()
--- a/tests/net/test_event_loop_lag.py
+++ b/tests/net/test_event_loop_lag.py
@@ -9,7 +9,7 @@
 import pytest
 
 from dockthread.net.event_loop_lag import AcceptBacklog, EventLoopLagMonitor
-from tests.loopback import KEY, Backend, command, run, serving
+from tests.loopback import KEY, Backend, command, run, running_ingress
 
 # In seconds: how long the loop is blocked, the client's timeout, and the tolerance for a slow
 # machine.
@@ -34,7 +34,11 @@
     is_accepted: bool,
 ) -> None:
     async def scenario() -> None:
-        async with serving(Backend(never_replies), Backend(never_replies)) as (ingress, _, _):
+        async with running_ingress(Backend(never_replies), Backend(never_replies)) as (
+            ingress,
+            _,
+            _,
+        ):
             loop = asyncio.get_running_loop()
             with socket.socket() as sock:
                 sock.connect(("127.0.0.1", ingress.address.port))
@@ -56,7 +60,7 @@
 
 def test_a_request_that_arrived_too_long_ago_is_rejected_without_an_attempt() -> None:
     async def scenario() -> None:
-        async with serving(Backend(never_replies)) as (ingress, _, _):
+        async with running_ingress(Backend(never_replies)) as (ingress, _, _):
             with socket.socket() as sock:
                 sock.connect(("127.0.0.1", ingress.address.port))
                 await asyncio.sleep(0.1)
--- a/tests/net/test_gossip_transport.py
+++ b/tests/net/test_gossip_transport.py
@@ -16,7 +16,7 @@
 from dockthread.net.ingress import Ingress
 from dockthread.observer import Traffic
 from dockthread.policy import GossipReceived, SendGossip, gossip_codec
-from tests.loopback import SETTINGS, Backend, Client, config, run, serving, until
+from tests.loopback import SETTINGS, Backend, Client, config, run, running_ingress, until
 
 
 def free_addresses(count: int) -> tuple[Address, ...]:
@@ -130,7 +130,7 @@
         async with AsyncExitStack() as stack:
             served_ingresses = [
                 await stack.enter_async_context(
-                    serving(Backend(), **quota_sharing_config(number, peer_addresses))
+                    running_ingress(Backend(), **quota_sharing_config(number, peer_addresses))
                 )
                 for number in range(3)
             ]
--- a/tests/net/test_late_backend_connections.py
+++ b/tests/net/test_late_backend_connections.py
@@ -11,7 +11,7 @@
 
 from dockthread.clock import ManualClock
 from dockthread.policy import Outcome
-from tests.loopback import Backend, message, request, run, serving, target, until
+from tests.loopback import Backend, message, request, run, running_ingress, target, until
 from tests.net.support import collect_outcomes, new_attempt, with_limits
 
 
@@ -56,7 +56,7 @@
 ) -> None:
     async def scenario() -> None:
         backend, clock = LateBackend(), ManualClock()
-        async with serving(backend, clock=clock) as (ingress, _, discovery):
+        async with running_ingress(backend, clock=clock) as (ingress, _, discovery):
             outcomes = collect_outcomes(ingress)
             attempt = new_attempt(ingress)
             if change is None:  # a retry of an attempt that may have run, now past its deadline
@@ -79,7 +79,7 @@
 ) -> None:
     async def scenario() -> None:
         backend = LateBackend()
-        async with serving(
+        async with running_ingress(
             backend, clock=ManualClock(), settings=with_limits(Cancelling=cancels_attempts)
         ) as (ingress, client, _):
             client.writer.write(request(1))
--- a/tests/net/test_requests_in_flight.py
+++ b/tests/net/test_requests_in_flight.py
@@ -21,7 +21,7 @@
     SendAttempt,
     TimerFired,
 )
-from tests.loopback import SETTINGS, Backend, message, request, run, serving, target, until
+from tests.loopback import SETTINGS, Backend, message, request, run, running_ingress, target, until
 from tests.net.support import (
     UNREACHED_DEADLINE_MS,
     VALUE_REPLY,
@@ -46,7 +46,7 @@
 ) -> None:
     async def scenario() -> None:
         backends = [Backend(answer) for _ in range(4)]
-        async with serving(*backends) as (_, client, _):
+        async with running_ingress(*backends) as (_, client, _):
             assert await client.call(kind) == expected
             assert sum(len(backend.seen) for backend in backends) == expected_attempts
 
@@ -56,7 +56,7 @@
 def test_the_attempts_of_a_client_that_disconnects_are_cancelled() -> None:
     async def scenario() -> None:
         backend = Backend(never_replies)
-        async with serving(backend) as (ingress, client, _):
+        async with running_ingress(backend) as (ingress, client, _):
             client.ask(d=UNREACHED_DEADLINE_MS)
             await until(lambda: backend.seen)
             client.writer.close()
@@ -68,7 +68,7 @@
 def test_a_request_without_a_reply_fails_by_its_deadline() -> None:
     async def scenario() -> None:
         backend, clock = Backend(never_replies), ManualClock()
-        async with serving(backend, clock=clock) as (ingress, client, _):
+        async with running_ingress(backend, clock=clock) as (ingress, client, _):
             client.ask("checkout", d=2000)
             await until(lambda: backend.seen)
             # The request ends 13 ms before its deadline: 8 ms for the policy engine's two clock
@@ -85,7 +85,11 @@
     async def scenario() -> None:
         plan = {"Name": "gross", "Refill": 0.001, "PeakUnits": 1.0}
         backend = Backend()
-        async with serving(backend, settings=SETTINGS | {"Packages": [plan]}) as (_, client, _):
+        async with running_ingress(backend, settings=SETTINGS | {"Packages": [plan]}) as (
+            _,
+            client,
+            _,
+        ):
             responses = {
                 kind: {await client.call(kind) for _ in range(3)} for kind in ("status", "checkout")
             }
@@ -99,7 +103,7 @@
 def test_a_fault_in_the_policy_engine_fails_only_one_request(kind: str, sent: bool) -> None:
     async def scenario() -> None:
         backend = Backend()
-        async with serving(backend) as (ingress, client, _):
+        async with running_ingress(backend) as (ingress, client, _):
             handle = ingress.engine.handle
 
             def fail_at_a_request(now: float, event: Event) -> list[Action]:
@@ -158,7 +162,7 @@
 
         steps = {"answer": answer, "close": close, "signal": signal, "list": changes}
         backend = Backend(waits)
-        async with serving(backend, clock=clock) as (ingress, client, discovery):
+        async with running_ingress(backend, clock=clock) as (ingress, client, discovery):
             client.writer.write(request(1, "checkout"))
             await until(lambda: backend.seen)
             for step in order:
@@ -185,7 +189,7 @@
             "settings": settings,
             "wait": False,
         }
-        async with serving(Backend(never_replies), **changes) as (ingress, _, _):
+        async with running_ingress(Backend(never_replies), **changes) as (ingress, _, _):
             with pinged_socket(ingress) as sock:
                 reset_on_close(sock)
                 sock.sendall(request(1) + request(2))
--- a/tests/policy/test_list_size.py
+++ b/tests/policy/test_list_size.py
@@ -35,7 +35,7 @@
     MAX_WEIGHT_UPDATES_PER_ROUND,
     SLOTS_PER_SUMMATION,
 )
-from tests.loopback import Backend, message, run, serving, target, until
+from tests.loopback import Backend, message, run, running_ingress, target, until
 from tests.net.discovery_responses import RESPONSE_HEAD, chunked
 from tests.net.test_endpoint_list import new_endpoint_list
 from tests.policy.harness import KEYED, SAFE, SETTINGS, IngressHarness
@@ -345,7 +345,7 @@
 def test_a_long_list_from_discovery_is_used_and_idle_connections_are_closed() -> None:
     async def scenario() -> None:
         backend, clock = Backend(), ManualClock()
-        async with serving(backend, clock=clock) as (ingress, client, discovery):
+        async with running_ingress(backend, clock=clock) as (ingress, client, discovery):
             port = int(backend.server.sockets[0].getsockname()[1])
             targets = [target(f"s-{n:021x}", port) for n in range(3 * ENTRIES_PER_PART)]
             discovery.push(message(2, *targets, full=True))
--- a/tests/routes/routed_ingress.py
+++ b/tests/routes/routed_ingress.py
@@ -12,7 +12,7 @@
 from dockthread.routes.table import RouteTable
 from dockthread.routes.usage import RouteUsage
 from dockthread.section_registry import parse_operator_file
-from tests.loopback import Backend, Client, serving
+from tests.loopback import Backend, Client, running_ingress
 
 OK = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$24\r\ninflight=7,qps=2,queue=1\r\n"
 BUSY = b"-BUSY\r\n"
@@ -71,7 +71,7 @@
 ) -> AsyncIterator[tuple[Ingress, Client, list[CountingBackend]]]:
     """Run an ingress with the routes of a file and one backend for each answer function."""
     backends = [CountingBackend(answer) for answer in answers]
-    async with serving(*backends, **changes) as (ingress, client, _):
+    async with running_ingress(*backends, **changes) as (ingress, client, _):
         replace_routes(ingress, text)
         yield ingress, client, backends
 
--- a/tests/telemetry/support.py
+++ b/tests/telemetry/support.py
@@ -27,7 +27,7 @@
     Discovery,
     message,
     raw_config,
-    serving,
+    running_ingress,
     target,
 )
 
@@ -198,7 +198,7 @@
     """Run an ingress with an exporter in this process, and a stand-in receiver."""
     async with running_stand_in(folder, *protocols) as (stand_in, ledger):
         settings = {**SETTINGS, "Packages": PLANS}
-        async with serving(
+        async with running_ingress(
             Backend(fail_some_checkouts), clock=clock, settings=settings, **changes
         ) as (
             ingress,
--- a/tests/telemetry/test_exporter.py
+++ b/tests/telemetry/test_exporter.py
@@ -15,7 +15,7 @@
     Client,
     message,
     run,
-    serving,
+    running_ingress,
     target,
     until,
 )
@@ -175,7 +175,7 @@
             await gate.wait()
             return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
-        async with serving(Backend(respond_when_gate_opens)) as (ingress, client, _):
+        async with running_ingress(Backend(respond_when_gate_opens)) as (ingress, client, _):
             exporter = Exporter(ingress)
             exporter.apply(parse_operator_file("[graphite g]\naddress = 127.0.0.1:9\n", "test"))
             tally = exporter.tally
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -27,7 +27,7 @@
     raw_config,
     reply_served,
     run,
-    serving,
+    running_ingress,
     target,
     until,
 )
@@ -215,7 +215,7 @@
 def test_a_lingering_ingress_accepts_connections_and_then_closes_idle_ones() -> None:
     async def scenario() -> None:
         backend, clock = Backend(reply_served), ManualClock()
-        async with serving(backend, clock=clock) as (ingress, client, _):
+        async with running_ingress(backend, clock=clock) as (ingress, client, _):
             ingress.stop()
             await until(lambda: ingress.lifecycle.phase is Phase.LINGERING)
             late_client = await Client.open(ingress.address.port)
