--- a/tests/control_plane/control_rig.py
+++ b/tests/control_plane/control_rig.py
@@ -25,7 +25,7 @@
 )
 from dockthread.lab.maintenance.process_cluster import reserve_port
 from dockthread.raft.storage import RaftStorage
-from tests.loopback import LIST, raw_config
+from tests.loopback import EMPTY_ENDPOINT_LIST, raw_config
 
 KEY = b"a key of 16 bytes or more"
 VOTERS = ("v0", "v1", "v2")
@@ -64,7 +64,9 @@
             environ = {**os.environ, "TMPDIR": str(directory)}
             arguments = ["control", "serve", "--config", str(directory / "control.ini")]
             if name in INGRESSES:
-                (directory / "config.json").write_text(json.dumps(raw_config(LIST, 9, name=name)))
+                (directory / "config.json").write_text(
+                    json.dumps(raw_config(EMPTY_ENDPOINT_LIST, 9, name=name))
+                )
                 environ["NODE_CONFIG"] = str(directory / "config.json")
                 arguments = ["serve", "--config", str(directory / "control.ini")]
             with (directory / "out").open("ab") as output:
--- a/tests/control_plane/test_ingress_reload.py
+++ b/tests/control_plane/test_ingress_reload.py
@@ -16,14 +16,14 @@
 from dockthread.routes.rules import RequestAttributes
 from dockthread.section_registry import load_operator_file
 from tests.control_plane.local_server import run_server
-from tests.loopback import LIST, SETTINGS, raw_config, run, until
+from tests.loopback import EMPTY_ENDPOINT_LIST, SETTINGS, raw_config, run, until
 
 
 def test_one_reload_adds_a_class_and_a_route_that_uses_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path, file = tmp_path / "config.json", tmp_path / "my.ini"
-    path.write_text(json.dumps(raw_config(LIST, 9)))
+    path.write_text(json.dumps(raw_config(EMPTY_ENDPOINT_LIST, 9)))
     file.write_text("[route a]\nclass = status\n")
     monkeypatch.setenv("NODE_CONFIG", str(path))
     monkeypatch.setenv("TMPDIR", str(tmp_path))
@@ -37,7 +37,9 @@
         path.write_text(
             json.dumps(
                 raw_config(
-                    LIST, 9, settings={**SETTINGS, "Classes": [renew_class, *SETTINGS["Classes"]]}
+                    EMPTY_ENDPOINT_LIST,
+                    9,
+                    settings={**SETTINGS, "Classes": [renew_class, *SETTINGS["Classes"]]},
                 )
             )
         )
@@ -66,7 +68,11 @@
     renew = {**status, "Name": "renew"}
 
     def configure(*classes: dict[str, Any]) -> None:
-        path.write_text(json.dumps(raw_config(LIST, 9, settings={**SETTINGS, "Classes": classes})))
+        path.write_text(
+            json.dumps(
+                raw_config(EMPTY_ENDPOINT_LIST, 9, settings={**SETTINGS, "Classes": classes})
+            )
+        )
 
     async def scenario(server: ControlPlaneServer, address: Address) -> None:
         configure(status, checkout)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -51,7 +51,7 @@
 SCENARIO_TIMEOUT_S = 30
 POLL_INTERVAL_S = 0.005
 READ_BYTES = 65536
-LIST: dict[str, Any] = {"rev": 1, "all": True, "targets": []}
+EMPTY_ENDPOINT_LIST: dict[str, Any] = {"rev": 1, "all": True, "targets": []}
 
 
 def run(scenario: Coroutine[Any, Any, None]) -> None:
--- a/tests/net/test_discovery_processes.py
+++ b/tests/net/test_discovery_processes.py
@@ -14,7 +14,7 @@
 import pytest
 
 from tests.loopback import (
-    LIST,
+    EMPTY_ENDPOINT_LIST,
     SETTINGS,
     Backend,
     Client,
@@ -159,7 +159,9 @@
                 path = tmp_path / f"{number}.json"
                 path.write_text(
                     json.dumps(
-                        raw_config(LIST, port, settings=process_settings, seed=f"{number:x}")
+                        raw_config(
+                            EMPTY_ENDPOINT_LIST, port, settings=process_settings, seed=f"{number:x}"
+                        )
                     )
                 )
                 program = start_program(
