--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -46,7 +46,7 @@
     },
     "Stats": {"Names": ["rif", "rate", "q"], "Source": "inline"},
 }
-KEY = b"00000000b4d65521"  # The customer of a client's requests, as clients encode it.
+CUSTOMER_KEY = b"00000000b4d65521"  # The customer of a client's requests, as clients encode it.
 FIRST_ID = 0x9B1F03AA5C7E2D41  # The id of a client's first request; ids increase by one.
 SCENARIO_TIMEOUT_S = 30
 POLL_INTERVAL_S = 0.005
@@ -112,7 +112,11 @@
 
 
 def request(
-    number: int, kind: str = "status", d: int = 4000, body: bytes | None = None, key: bytes = KEY
+    number: int,
+    kind: str = "status",
+    d: int = 4000,
+    body: bytes | None = None,
+    key: bytes = CUSTOMER_KEY,
 ) -> bytes:
     """Return a request as clients encode it; `d` is its deadline in milliseconds."""
     request_terms = b"c=%b,t=gross,d=%d,units=2,spread=3,first=1" % (kind.encode(), d)
@@ -232,7 +236,11 @@
         return str(response) if isinstance(response, hiredis.ReplyError) else response
 
     def ask(
-        self, kind: str = "status", d: int = 4000, body: bytes | None = None, key: bytes = KEY
+        self,
+        kind: str = "status",
+        d: int = 4000,
+        body: bytes | None = None,
+        key: bytes = CUSTOMER_KEY,
     ) -> None:
         """Send a request; `d` is its deadline in milliseconds."""
         self.writer.write(request(self.asked, kind, d, body, key))
--- a/tests/net/test_backend_connections.py
+++ b/tests/net/test_backend_connections.py
@@ -11,8 +11,8 @@
 from dockthread.net import connection_pool
 from dockthread.policy import IDLE_CLOSE_FRACTION, Outcome
 from tests.loopback import (
+    CUSTOMER_KEY,
     FIRST_ID,
-    KEY,
     Backend,
     message,
     reply_served,
@@ -41,7 +41,7 @@
         verb, customer, wire_id, terms, body = backend.seen[0]
         assert (verb, customer, wire_id, body) == (
             b"API.READ",
-            KEY,
+            CUSTOMER_KEY,
             b"%016x" % FIRST_ID,
             b"BO\r\nDY",
         )
--- a/tests/net/test_event_loop_lag.py
+++ b/tests/net/test_event_loop_lag.py
@@ -9,7 +9,7 @@
 import pytest
 
 from dockthread.net.event_loop_lag import AcceptBacklog, EventLoopLagMonitor
-from tests.loopback import KEY, Backend, command, run, running_ingress
+from tests.loopback import CUSTOMER_KEY, Backend, command, run, running_ingress
 
 # In seconds: how long the loop is blocked, the client's timeout, and the tolerance for a slow
 # machine.
@@ -18,7 +18,10 @@
 
 def read_command(ms: int) -> bytes:
     return command(
-        b"API.READ", KEY, b"%016x" % 1, b"c=status,t=gross,d=%d,units=1,spread=3,first=1" % ms
+        b"API.READ",
+        CUSTOMER_KEY,
+        b"%016x" % 1,
+        b"c=status,t=gross,d=%d,units=1,spread=3,first=1" % ms,
     )
 
 
--- a/tests/net/test_resp.py
+++ b/tests/net/test_resp.py
@@ -9,7 +9,7 @@
 
 from dockthread.net import resp
 from dockthread.policy import Outcome
-from tests.loopback import FIRST_ID, KEY, config, message
+from tests.loopback import CUSTOMER_KEY, FIRST_ID, config, message
 
 CONFIG = config(message(1, full=True))
 REQUEST_PARSER = resp.RequestParser(
@@ -32,9 +32,11 @@
     terms: bytes, forwarded_terms: bytes
 ) -> None:
     for body in ([], [b"BO\r\nDY"], [b""]):
-        request = REQUEST_PARSER.parse([b"API.READ", KEY, REQUEST_ID, terms, *body])
+        request = REQUEST_PARSER.parse([b"API.READ", CUSTOMER_KEY, REQUEST_ID, terms, *body])
         sent = request.encode_for_backend(77.9)
-        assert sent == resp.encode_command(b"API.READ", KEY, REQUEST_ID, forwarded_terms, *body)
+        assert sent == resp.encode_command(
+            b"API.READ", CUSTOMER_KEY, REQUEST_ID, forwarded_terms, *body
+        )
     assert (request.customer, request.time_left_ms, request.request_class) == (0xB4D65521, 480.0, 0)
 
 
@@ -42,15 +44,17 @@
     "arguments",
     [
         [b"API.READ"],
-        [b"API.READ", KEY, REQUEST_ID, TERMS, b"a", b"b"],
-        [b"API.WRITE", KEY, REQUEST_ID, TERMS],
+        [b"API.READ", CUSTOMER_KEY, REQUEST_ID, TERMS, b"a", b"b"],
+        [b"API.WRITE", CUSTOMER_KEY, REQUEST_ID, TERMS],
         *([b"API.READ", key, REQUEST_ID, TERMS] for key in (
             b"1", b"xyz", b"-1", b"0x000000b4d65521", b"00000000b4d6_521", b"+0000000b4d65521",
             b"0000000200000000",
         )),
-        *([b"API.READ", KEY, wire_id, TERMS] for wire_id in (b"", b"id", REQUEST_ID + b"0", b"+" + REQUEST_ID[1:])),
-        [b"API.READ", KEY, REQUEST_ID, b""],
-        *([b"API.READ", KEY, REQUEST_ID, TERMS.replace(*replacement)] for replacement in [
+        *([b"API.READ", CUSTOMER_KEY, wire_id, TERMS] for wire_id in (
+            b"", b"id", REQUEST_ID + b"0", b"+" + REQUEST_ID[1:],
+        )),
+        [b"API.READ", CUSTOMER_KEY, REQUEST_ID, b""],
+        *([b"API.READ", CUSTOMER_KEY, REQUEST_ID, TERMS.replace(*replacement)] for replacement in [
             (b"status", b"nothing"), (b"gross", b"nothing"), (b"d=480", b"e=480"), (b"d=480", b"d="),
             (b"d=480", b"d=nan"), (b"d=480", b"d=0"), (b"d=480", b"d=inf"), (b"d=480", b"d=1e3"),
             (b"d=480", b"d=999999999"), (b"units=2", b"units=0"), (b"units=2", b"units=2.5"),
--- a/tests/routes/test_keys_in_service.py
+++ b/tests/routes/test_keys_in_service.py
@@ -7,7 +7,7 @@
 import pytest
 
 from dockthread.routes.table import RouteTable
-from tests.loopback import KEY, message, run, target, until
+from tests.loopback import CUSTOMER_KEY, message, run, target, until
 from tests.routes.routed_ingress import (
     BUSY,
     CHECKOUT,
@@ -205,9 +205,9 @@
         retries = "[route again]\nretry = yes\nattempts = 1\n"
         text = retries + STATUS + "attempts = 3\n" + RETRY_FLOOR
         async with routed_ingress(text, *[answers_with(ERROR)] * 4) as (_, client, backends):
-            client.send(b"API.READ", KEY, b"%016x" % 77, b"c=status,t=gross,d=4000,r=1")
+            client.send(b"API.READ", CUSTOMER_KEY, b"%016x" % 77, b"c=status,t=gross,d=4000,r=1")
             await client.answer()
-            client.send(b"API.READ", KEY, b"%016x" % 78, b"c=status,t=gross,d=4000")
+            client.send(b"API.READ", CUSTOMER_KEY, b"%016x" % 78, b"c=status,t=gross,d=4000")
             await client.answer()
             attempts = [
                 sum(backend.arrivals[b"%016x" % number] for backend in backends)
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -18,8 +18,8 @@
 from dockthread.clock import ManualClock
 from dockthread.net.lifecycle import Lifecycle, Phase
 from tests.loopback import (
+    CUSTOMER_KEY,
     FIRST_ID,
-    KEY,
     Backend,
     Client,
     Discovery,
@@ -110,7 +110,7 @@
         async def scenario() -> None:
             client = await Client.open(int(address.rsplit(":")[-1]))
             terms = b"c=seat-checkout,t=klein,d=9000"
-            client.send(b"API.WRITE", KEY, b"%016x" % FIRST_ID, terms)
+            client.send(b"API.WRITE", CUSTOMER_KEY, b"%016x" % FIRST_ID, terms)
             client.send(b"PING")  # answered after the request
             process.send_signal(signal_number)
             assert (await client.answer()).endswith(b"says yes to %016x" % FIRST_ID)
