--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -47,7 +47,7 @@
     "Stats": {"Names": ["rif", "rate", "q"], "Source": "inline"},
 }
 CUSTOMER_KEY = b"00000000b4d65521"  # The customer of a client's requests, as clients encode it.
-FIRST_ID = 0x9B1F03AA5C7E2D41  # The id of a client's first request; ids increase by one.
+FIRST_REQUEST_ID = 0x9B1F03AA5C7E2D41  # The id of a client's first request; ids increase by one.
 SCENARIO_TIMEOUT_S = 30
 POLL_INTERVAL_S = 0.005
 READ_BYTES = 65536
@@ -215,7 +215,7 @@
         self.reader = reader
         self.writer = writer
         self.parser = hiredis.Reader()
-        self.asked = FIRST_ID
+        self.asked = FIRST_REQUEST_ID
 
     @classmethod
     async def open(cls, port: int) -> Client:
--- a/tests/net/support.py
+++ b/tests/net/support.py
@@ -13,7 +13,7 @@
 from dockthread.net.backend_connection import Attempt
 from dockthread.net.ingress import Ingress
 from dockthread.policy import Outcome
-from tests.loopback import CUSTOMER_KEY, FIRST_ID, SETTINGS
+from tests.loopback import CUSTOMER_KEY, FIRST_REQUEST_ID, SETTINGS
 from tests.loopback import command as encode_command
 
 # A deadline in ms that no test reaches, so that it cannot interfere with the rule under test.
@@ -40,7 +40,9 @@
 def new_attempt(ingress: Ingress, backend: int = 1, timeout_ms: float = 4000.0) -> Attempt:
     """Return an attempt at the backend with number `backend`, for a test to start."""
     terms = b"c=status,t=gross,d=4000"
-    command = ingress.request_parser.parse([b"API.READ", CUSTOMER_KEY, b"%016x" % FIRST_ID, terms])
+    command = ingress.request_parser.parse(
+        [b"API.READ", CUSTOMER_KEY, b"%016x" % FIRST_REQUEST_ID, terms]
+    )
     now = ingress.clock.now()
     return Attempt(0, 0, backend, command, now, now + timeout_ms)
 
--- a/tests/net/test_backend_connections.py
+++ b/tests/net/test_backend_connections.py
@@ -12,7 +12,7 @@
 from dockthread.policy import IDLE_CLOSE_FRACTION, Outcome
 from tests.loopback import (
     CUSTOMER_KEY,
-    FIRST_ID,
+    FIRST_REQUEST_ID,
     Backend,
     message,
     reply_served,
@@ -42,7 +42,7 @@
         assert (verb, customer, wire_id, body) == (
             b"API.READ",
             CUSTOMER_KEY,
-            b"%016x" % FIRST_ID,
+            b"%016x" % FIRST_REQUEST_ID,
             b"BO\r\nDY",
         )
         first_terms, time_left, last_terms = (
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -12,7 +12,7 @@
 from dockthread.net.backend_connection import BackendConnection
 from dockthread.net.client_connection import ClientConnection
 from tests.loopback import (
-    FIRST_ID,
+    FIRST_REQUEST_ID,
     SETTINGS,
     Backend,
     Client,
@@ -131,7 +131,7 @@
             gate.set()
             assert await client.answer() == b"value"
             assert len(backend.seen) == 1
-            other_client.asked = FIRST_ID
+            other_client.asked = FIRST_REQUEST_ID
             # The id is no longer in flight, so it may be used again.
             assert await other_client.call() == b"value"
 
--- a/tests/net/test_resp.py
+++ b/tests/net/test_resp.py
@@ -9,13 +9,13 @@
 
 from dockthread.net import resp
 from dockthread.policy import Outcome
-from tests.loopback import CUSTOMER_KEY, FIRST_ID, config, message
+from tests.loopback import CUSTOMER_KEY, FIRST_REQUEST_ID, config, message
 
 CONFIG = config(message(1, full=True))
 REQUEST_PARSER = resp.RequestParser(
     CONFIG.names, CONFIG.policy_settings.classes, ingress_count=4, max_units=4
 )
-REQUEST_ID = b"%016x" % FIRST_ID
+REQUEST_ID = b"%016x" % FIRST_REQUEST_ID
 TERMS = b"c=status,t=gross,d=480,units=2,spread=3,first=1"
 
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -19,7 +19,7 @@
 from dockthread.net.lifecycle import Lifecycle, Phase
 from tests.loopback import (
     CUSTOMER_KEY,
-    FIRST_ID,
+    FIRST_REQUEST_ID,
     Backend,
     Client,
     Discovery,
@@ -110,10 +110,10 @@
         async def scenario() -> None:
             client = await Client.open(int(address.rsplit(":")[-1]))
             terms = b"c=seat-checkout,t=klein,d=9000"
-            client.send(b"API.WRITE", CUSTOMER_KEY, b"%016x" % FIRST_ID, terms)
+            client.send(b"API.WRITE", CUSTOMER_KEY, b"%016x" % FIRST_REQUEST_ID, terms)
             client.send(b"PING")  # answered after the request
             process.send_signal(signal_number)
-            assert (await client.answer()).endswith(b"says yes to %016x" % FIRST_ID)
+            assert (await client.answer()).endswith(b"says yes to %016x" % FIRST_REQUEST_ID)
             assert await client.answer() == b"PONG"
             assert await client.answer() is None
 
