--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -209,13 +209,13 @@
 
 
 class Client:
-    """A client on one connection; `asked` is the id of its next request."""
+    """A client on one connection; `next_request_id` is the id of its next request."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
         self.parser = hiredis.Reader()
-        self.asked = FIRST_REQUEST_ID
+        self.next_request_id = FIRST_REQUEST_ID
 
     @classmethod
     async def open(cls, port: int) -> Client:
@@ -235,7 +235,7 @@
             self.parser.feed(data)
         return str(response) if isinstance(response, hiredis.ReplyError) else response
 
-    def ask(
+    def send_request(
         self,
         kind: str = "status",
         d: int = 4000,
@@ -243,12 +243,12 @@
         key: bytes = CUSTOMER_KEY,
     ) -> None:
         """Send a request; `d` is its deadline in milliseconds."""
-        self.writer.write(request(self.asked, kind, d, body, key))
-        self.asked += 1
+        self.writer.write(request(self.next_request_id, kind, d, body, key))
+        self.next_request_id += 1
 
     async def call(self, kind: str = "status", **more: Any) -> Any:
         """Send a request and return its response."""
-        self.ask(kind, **more)
+        self.send_request(kind, **more)
         return await self.answer()
 
 
--- a/tests/net/test_backend_connections.py
+++ b/tests/net/test_backend_connections.py
@@ -124,7 +124,7 @@
 
         backend, clock = Backend(replies), ManualClock()
         async with running_ingress(backend, clock=clock) as (ingress, client, _):
-            client.ask("checkout", d=UNREACHED_DEADLINE_MS)
+            client.send_request("checkout", d=UNREACHED_DEADLINE_MS)
             await until(lambda: backend.seen)
             # One of these replies is shorter than its header says, so it ends with a timeout. The
             # clock advances in steps, so that it passes this timeout whenever its timer is set.
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -36,7 +36,7 @@
         backend = Backend(slow_first)
         async with running_ingress(backend) as (ingress, client, _):
             for body in (b"first", b"second"):
-                client.ask(body=body)
+                client.send_request(body=body)
             client.send(b"PING")
             await until(lambda: len(backend.seen) == 2 and len(ingress.requests) == 1)
             gate.set()
@@ -124,14 +124,14 @@
 
         backend = Backend(reply_once_opened)
         async with running_ingress(backend) as (ingress, client, _):
-            client.ask(d=UNREACHED_DEADLINE_MS)
+            client.send_request(d=UNREACHED_DEADLINE_MS)
             await until(lambda: backend.seen)
             other_client = await Client.open(ingress.address.port)
             assert await other_client.call() == "ERR this id is open already"
             gate.set()
             assert await client.answer() == b"value"
             assert len(backend.seen) == 1
-            other_client.asked = FIRST_REQUEST_ID
+            other_client.next_request_id = FIRST_REQUEST_ID
             # The id is no longer in flight, so it may be used again.
             assert await other_client.call() == b"value"
 
@@ -168,8 +168,8 @@
                 before = open_connections()
                 for number in range(10):
                     leaving_client = await Client.open(ingress.address.port)
-                    leaving_client.asked += number
-                    leaving_client.ask(d=UNREACHED_DEADLINE_MS)
+                    leaving_client.next_request_id += number
+                    leaving_client.send_request(d=UNREACHED_DEADLINE_MS)
                     await until(lambda: ingress.requests)
                     leaving_client.writer.close()
                     await until(lambda: not ingress.requests)
--- a/tests/net/test_descriptor_budget.py
+++ b/tests/net/test_descriptor_budget.py
@@ -61,11 +61,11 @@
                 *[await Client.open(ingress.address.port) for _ in range(max_connections - 1)],
             ]
             for number, each_client in enumerate(clients):
-                each_client.asked += number
-                each_client.ask(d=UNREACHED_DEADLINE_MS, key=b"%016x" % number)
+                each_client.next_request_id += number
+                each_client.send_request(d=UNREACHED_DEADLINE_MS, key=b"%016x" % number)
             await until(lambda: len(ingress.requests) == max_connections)
             late_clients = [await Client.open(ingress.address.port) for _ in range(surplus + 3)]
-            late_clients[-1].asked += max_connections
+            late_clients[-1].next_request_id += max_connections
             assert await late_clients[-1].call() == "BUSY"
             assert len(ingress.listener.connections) <= max_connections + surplus
             clients[0].writer.close()
@@ -132,8 +132,8 @@
             # Accepting the last of these must not close the first one, whose request is unread.
             new_clients = [await Client.open(ingress.address.port) for _ in range(5)]
             for number, each_client in enumerate(new_clients):
-                each_client.asked += number
-                each_client.ask()
+                each_client.next_request_id += number
+                each_client.send_request()
             assert [await each_client.answer() for each_client in new_clients] == [b"value"] * 5
             clock.advance(200)
             silent = next(iter(ingress.listener.connections))
--- a/tests/net/test_discovery_watch.py
+++ b/tests/net/test_discovery_watch.py
@@ -66,7 +66,7 @@
             await until(lambda: discovery.writers)
             assert not ingress.ready
             for _ in range(20):
-                client.ask()
+                client.send_request()
             await until(lambda: len(ingress.requests) == 20)
             assert (draining.seen, ready.seen) == ([], [])
             if agent_answers:
--- a/tests/net/test_requests_in_flight.py
+++ b/tests/net/test_requests_in_flight.py
@@ -57,7 +57,7 @@
     async def scenario() -> None:
         backend = Backend(never_replies)
         async with running_ingress(backend) as (ingress, client, _):
-            client.ask(d=UNREACHED_DEADLINE_MS)
+            client.send_request(d=UNREACHED_DEADLINE_MS)
             await until(lambda: backend.seen)
             client.writer.close()
             await until(lambda: backend.closed == 1 and not ingress.requests)
@@ -69,7 +69,7 @@
     async def scenario() -> None:
         backend, clock = Backend(never_replies), ManualClock()
         async with running_ingress(backend, clock=clock) as (ingress, client, _):
-            client.ask("checkout", d=2000)
+            client.send_request("checkout", d=2000)
             await until(lambda: backend.seen)
             # The request ends 13 ms before its deadline: 8 ms for the policy engine's two clock
             # ticks, and 5 ms for the transit.
--- a/tests/routes/test_attempts_in_service.py
+++ b/tests/routes/test_attempts_in_service.py
@@ -44,7 +44,7 @@
 
             for _ in range(20):
                 may_answer.clear()
-                client.ask()
+                client.send_request()
                 await until(lambda: attempts_at(backends) % 2 == 0 and ingress.requests)
                 await until(lambda: sent_attempts() == 2)
                 may_answer.set()
@@ -121,7 +121,7 @@
                 durations: list[float] = []
 
                 async def send_requests(client: Client, number: int) -> None:
-                    client.asked += number << 20
+                    client.next_request_id += number << 20
                     for _ in range(60):
                         started_at = asyncio.get_running_loop().time()
                         assert await client.call() == b"value"
--- a/tests/routes/test_limits_in_service.py
+++ b/tests/routes/test_limits_in_service.py
@@ -46,12 +46,12 @@
         ):
             usage = usage_of(ingress, "all")
             for _ in range(4):
-                client.ask()  # two requests are admitted and two are queued
+                client.send_request()  # two requests are admitted and two are queued
             await until(lambda: len(usage.queue) == 2)
             priority_client = await Client.open(ingress.address.port)
-            priority_client.asked += 1000
+            priority_client.next_request_id += 1000
             # This request displaces a queued one of lower weight, which is rejected immediately.
-            priority_client.ask("checkout")
+            priority_client.send_request("checkout")
             await until(lambda: usage.refused_limit == 1)
             assert len(usage.queue) == 2
             clock.advance(1001)  # both queued requests have now waited for longer than queue_wait
@@ -77,7 +77,7 @@
             _,
         ):
             for _ in range(15):
-                client.ask()
+                client.send_request()
             assert [await client.answer() for _ in range(15)] == [b"value"] * 15
             usage = usage_of(ingress, "all")
             assert (usage.queued, usage.limit.admitted, len(usage.queue)) == (14, 0, 0)
--- a/tests/routes/test_reloads_in_service.py
+++ b/tests/routes/test_reloads_in_service.py
@@ -50,9 +50,9 @@
     """Return four clients, each of which has sent 50 requests."""
     clients = [await Client.open(port) for _ in range(4)]
     for number, client in enumerate(clients):
-        client.asked += (number + 1) * 1000
+        client.next_request_id += (number + 1) * 1000
         for _ in range(50):
-            client.ask(d=6000)
+            client.send_request(d=6000)
     return clients
 
 
@@ -123,8 +123,8 @@
             )
             # The class now consists of writes, which need the other command.
             new_client = await Client.open(port)
-            new_client.asked += 9000
-            new_client.ask()
+            new_client.next_request_id += 9000
+            new_client.send_request()
             assert "other command" in await new_client.answer()
             for client in (new_client, *clients):
                 client.send(b"PING")
@@ -147,7 +147,7 @@
 
             async def send_requests(number: int) -> int:
                 client = await Client.open(ingress.address.port)
-                client.asked += number << 20
+                client.next_request_id += number << 20
                 served = 0
                 while not is_finished.is_set():
                     assert await client.call() == b"value"
--- a/tests/telemetry/test_exporter.py
+++ b/tests/telemetry/test_exporter.py
@@ -180,14 +180,14 @@
             exporter.apply(parse_operator_file("[graphite g]\naddress = 127.0.0.1:9\n", "test"))
             tally = exporter.tally
             assert tally is not None
-            client.ask()
-            client.asked -= 1
-            client.ask()  # a duplicate ID while the first request is still open
+            client.send_request()
+            client.next_request_id -= 1
+            client.send_request()  # a duplicate ID while the first request is still open
             ingress.requests.limits.max_body_bytes = 1000
-            client.ask(body=b"x" * 2000)
+            client.send_request(body=b"x" * 2000)
             disconnecting_client = await Client.open(ingress.address.port)
-            disconnecting_client.asked += 100
-            disconnecting_client.ask()
+            disconnecting_client.next_request_id += 100
+            disconnecting_client.send_request()
             await until(lambda: len(ingress.requests) == 2)
             disconnecting_client.writer.close()
             await until(lambda: tally.disconnected[0, 0])
