--- a/tests/lab/test_lab_load.py
+++ b/tests/lab/test_lab_load.py
@@ -265,7 +265,7 @@
         assert process.returncode in (0, 2)  # 2: the run is void because this machine was too busy
         arrival_count = len(list(read_trace(trace)))
         assert summary["outcomes"]["served"] == summary["asked"] == arrival_count
-        request_ids = [args[2] for args in backend.seen]
+        request_ids = [args[2] for args in backend.received_commands]
         assert len(set(request_ids)) == len(request_ids), "two requests have the same id"
 
     run(scenario())
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -135,13 +135,13 @@
 
 
 class Backend:
-    """A backend that replies with the result of `answer`, and stores received commands in `seen`."""
+    """A backend that replies with the result of `answer`, and stores received commands in `received_commands`."""
 
     def __init__(
         self, answer: Callable[[list[bytes]], Awaitable[bytes | None]] = reply_served
     ) -> None:
         self.answer = answer
-        self.seen: list[list[bytes]] = []
+        self.received_commands: list[list[bytes]] = []
         self.opened = 0  # Number of connections that were opened.
         self.closed = 0  # Number of connections that were closed.
         self.writers: list[asyncio.StreamWriter] = []
@@ -160,7 +160,7 @@
             while data := await reader.read(READ_BYTES):
                 parser.feed(data)
                 while args := parser.gets():
-                    self.seen.append(args)
+                    self.received_commands.append(args)
                     answer_task = asyncio.create_task(self._answer(args, writer))
         except ConnectionError:
             pass
--- a/tests/net/test_backend_connections.py
+++ b/tests/net/test_backend_connections.py
@@ -38,7 +38,7 @@
                 assert await client.call(d=3000, body=b"BO\r\nDY") == b"value"
                 clock.advance(connection_pool.REUSE_DELAY_MS)
             assert await client.call("checkout") == b"value"
-        verb, customer, wire_id, terms, body = backend.seen[0]
+        verb, customer, wire_id, terms, body = backend.received_commands[0]
         assert (verb, customer, wire_id, body) == (
             b"API.READ",
             CUSTOMER_KEY,
@@ -71,7 +71,7 @@
             await backend.writers[0].wait_closed()
             # Reusing the closed connection would end in a reset and fail a checkout that never ran.
             assert await client.call("checkout") == b"value"
-            assert (backend.opened, len(backend.seen)) == (2, 2)
+            assert (backend.opened, len(backend.received_commands)) == (2, 2)
 
     run(scenario())
 
@@ -105,7 +105,7 @@
             await until(lambda: ingress.endpoints.revision == 3)
             for _ in range(10):
                 assert await client.call() == b"value"
-            assert (len(drained.seen), len(other.seen)) == (0, 10)
+            assert (len(drained.received_commands), len(other.received_commands)) == (0, 10)
 
     run(scenario())
 
@@ -125,7 +125,7 @@
         backend, clock = Backend(replies), ManualClock()
         async with running_ingress(backend, clock=clock) as (ingress, client, _):
             client.send_request("checkout", d=UNREACHED_DEADLINE_MS)
-            await until(lambda: backend.seen)
+            await until(lambda: backend.received_commands)
             # One of these replies is shorter than its header says, so it ends with a timeout. The
             # clock advances in steps, so that it passes this timeout whenever its timer is set.
             for _ in range(400):
@@ -135,7 +135,7 @@
                 ingress.timers.run_due()
                 await asyncio.sleep(0.005)
             assert await client.answer() == "ERR failed"
-            assert len(backend.seen) == 1
+            assert len(backend.received_commands) == 1
             backend.answer = reply_served
             assert await client.call("checkout") == b"value"
 
@@ -173,10 +173,10 @@
     async def scenario() -> None:
         async def replies(args: list[bytes]) -> bytes | None:
             # The first connection sends a second reply while the second attempt is in flight.
-            if len(backend.seen) == 2:
+            if len(backend.received_commands) == 2:
                 backend.writers[0].write(VALUE_REPLY)
                 await asyncio.sleep(0.02)
-            return VALUE_REPLY.replace(b"value", b"val-%d" % len(backend.seen))
+            return VALUE_REPLY.replace(b"value", b"val-%d" % len(backend.received_commands))
 
         backend, clock = Backend(replies), ManualClock()
         async with running_ingress(backend, clock=clock) as (_, client, _):
@@ -222,7 +222,7 @@
             attempts = [new_attempt(ingress) for _ in range(2)]
             for attempt in attempts:
                 ingress.connection_pool.start(attempt)
-            await until(lambda: len(backend.seen) == 2)
+            await until(lambda: len(backend.received_commands) == 2)
             ingress.connection_pool.end(attempts[0], Outcome.TIMEOUT)
             await until(lambda: backend.closed == 1)
             assert outcomes == [(attempts[0], Outcome.TIMEOUT)]
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -38,7 +38,7 @@
             for body in (b"first", b"second"):
                 client.send_request(body=body)
             client.send(b"PING")
-            await until(lambda: len(backend.seen) == 2 and len(ingress.requests) == 1)
+            await until(lambda: len(backend.received_commands) == 2 and len(ingress.requests) == 1)
             gate.set()
             assert [await client.answer() for _ in range(3)] == [b"first", b"second", b"PONG"]
             assert not ingress.requests
@@ -125,12 +125,12 @@
         backend = Backend(reply_once_opened)
         async with running_ingress(backend) as (ingress, client, _):
             client.send_request(d=UNREACHED_DEADLINE_MS)
-            await until(lambda: backend.seen)
+            await until(lambda: backend.received_commands)
             other_client = await Client.open(ingress.address.port)
             assert await other_client.call() == "ERR this id is open already"
             gate.set()
             assert await client.answer() == b"value"
-            assert len(backend.seen) == 1
+            assert len(backend.received_commands) == 1
             other_client.next_request_id = FIRST_REQUEST_ID
             # The id is no longer in flight, so it may be used again.
             assert await other_client.call() == b"value"
--- a/tests/net/test_closing_client_connections.py
+++ b/tests/net/test_closing_client_connections.py
@@ -79,7 +79,7 @@
                     connection.enforce_timeouts(clock.now())
                 # The ingress closes the connection if the client does not.
                 assert ingress.client_connection_count == 0
-            assert not backend.seen
+            assert not backend.received_commands
 
     run(scenario())
 
@@ -96,7 +96,7 @@
         backend = Backend(replies)
         async with running_ingress(backend) as (ingress, client, _):
             client.writer.write(request(1, kind))
-            await until(lambda: backend.seen)
+            await until(lambda: backend.received_commands)
             ingress.lifecycle.enter(Phase.LINGERING)
             ingress.lifecycle.enter(Phase.DRAINING)
             # This request arrives during draining, so it is rejected after the pending response.
@@ -105,7 +105,7 @@
             assert [await client.answer(), str(await client.answer())[:4]] == [b"value", "BUSY"]
             client.writer.write(request(3))
             assert await client.answer() is None
-            assert len(backend.seen) == 1
+            assert len(backend.received_commands) == 1
 
     run(scenario())
 
--- a/tests/net/test_disconnected_clients.py
+++ b/tests/net/test_disconnected_clients.py
@@ -144,10 +144,15 @@
                 sock.sendall(request(1))
                 await until(
                     lambda: (
-                        ingress.requests and (awaited != "a backoff" or backend.seen or other.seen)
+                        ingress.requests
+                        and (
+                            awaited != "a backoff"
+                            or backend.received_commands
+                            or other.received_commands
+                        )
                     )
                 )
-                await until(lambda: awaited != "the counter" or counter.seen)
+                await until(lambda: awaited != "the counter" or counter.received_commands)
                 if is_reset:
                     reset_on_close(sock)
             before = ingress.traffic.attempts_started
--- a/tests/net/test_discovery_processes.py
+++ b/tests/net/test_discovery_processes.py
@@ -119,10 +119,10 @@
             await until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) > MAX_SOCKETS // 2)
             client = await Client.open(port)
             assert await asyncio.wait_for(client.call(), 4) == b"value"
-            await until(lambda: counter_server.seen)
-            assert [command[0] for command in counter_server.seen] == [b"CNT.ADD"] * len(
-                counter_server.seen
-            )
+            await until(lambda: counter_server.received_commands)
+            assert [command[0] for command in counter_server.received_commands] == [
+                b"CNT.ADD"
+            ] * len(counter_server.received_commands)
             for sock in idle_clients:
                 sock.close()
 
--- a/tests/net/test_discovery_watch.py
+++ b/tests/net/test_discovery_watch.py
@@ -68,7 +68,7 @@
             for _ in range(20):
                 client.send_request()
             await until(lambda: len(ingress.requests) == 20)
-            assert (draining.seen, ready.seen) == ([], [])
+            assert (draining.received_commands, ready.received_commands) == ([], [])
             if agent_answers:
                 discovery.push(message(2, target("s-0", port_of(draining), "leaving")))
                 await until(lambda: ingress.ready)
@@ -77,7 +77,7 @@
                 ingress.timers.run_due()
                 assert ingress.ready
             assert [await client.answer() for _ in range(20)] == [b"value"] * 20
-            assert bool(draining.seen) is not agent_answers
+            assert bool(draining.received_commands) is not agent_answers
 
     run(scenario())
 
--- a/tests/net/test_late_backend_connections.py
+++ b/tests/net/test_late_backend_connections.py
@@ -67,8 +67,10 @@
                 discovery.push(message(2, change(backend)))
                 await until(lambda: ingress.endpoints.revision == 2)
             await backend.become_reachable()
-            await until(lambda: outcomes or backend.seen)
-            assert [outcome for _, outcome in outcomes] == [Outcome.NOT_SENT] and not backend.seen
+            await until(lambda: outcomes or backend.received_commands)
+            assert [outcome for _, outcome in outcomes] == [
+                Outcome.NOT_SENT
+            ] and not backend.received_commands
 
     run(scenario())
 
@@ -87,7 +89,7 @@
             client.writer.close()
             await until(lambda: ingress.client_connection_count == 0)
             await backend.become_reachable()
-            await until(lambda: backend.seen or not len(ingress.connection_pool))
-            assert not backend.seen and not ingress.requests
+            await until(lambda: backend.received_commands or not len(ingress.connection_pool))
+            assert not backend.received_commands and not ingress.requests
 
     run(scenario())
--- a/tests/net/test_quota_counter.py
+++ b/tests/net/test_quota_counter.py
@@ -39,7 +39,7 @@
             client.add(name, 2.5, 60_000.0)
         await until(lambda: len(replies) == 3)
         assert replies == [CounterReplied(name, Outcome.OK, 12.5) for name in (1, 2, 3)]
-        assert (counter_server.opened, counter_server.seen[0]) == (
+        assert (counter_server.opened, counter_server.received_commands[0]) == (
             1,
             [b"CNT.ADD", b"1", b"2.5", b"60000"],
         )
@@ -111,7 +111,7 @@
         client.change_address(Address("127.0.0.1", await new_server.start()))
         client.add(2, 1.0, 60_000.0)
         await until(lambda: len(replies) == 2)
-        assert (len(old_server.seen), len(new_server.seen)) == (1, 1)
+        assert (len(old_server.received_commands), len(new_server.received_commands)) == (1, 1)
         client.enforce_timeouts()  # closes the old connection, which has nothing in flight
         assert len(client._connections) == 1
         client.change_address(None)
--- a/tests/net/test_requests_in_flight.py
+++ b/tests/net/test_requests_in_flight.py
@@ -48,7 +48,7 @@
         backends = [Backend(answer) for _ in range(4)]
         async with running_ingress(*backends) as (_, client, _):
             assert await client.call(kind) == expected
-            assert sum(len(backend.seen) for backend in backends) == expected_attempts
+            assert sum(len(backend.received_commands) for backend in backends) == expected_attempts
 
     run(scenario())
 
@@ -58,7 +58,7 @@
         backend = Backend(never_replies)
         async with running_ingress(backend) as (ingress, client, _):
             client.send_request(d=UNREACHED_DEADLINE_MS)
-            await until(lambda: backend.seen)
+            await until(lambda: backend.received_commands)
             client.writer.close()
             await until(lambda: backend.closed == 1 and not ingress.requests)
 
@@ -70,7 +70,7 @@
         backend, clock = Backend(never_replies), ManualClock()
         async with running_ingress(backend, clock=clock) as (ingress, client, _):
             client.send_request("checkout", d=2000)
-            await until(lambda: backend.seen)
+            await until(lambda: backend.received_commands)
             # The request ends 13 ms before its deadline: 8 ms for the policy engine's two clock
             # ticks, and 5 ms for the transit.
             clock.advance(1988)
@@ -164,12 +164,12 @@
         backend = Backend(waits)
         async with running_ingress(backend, clock=clock) as (ingress, client, discovery):
             client.writer.write(request(1, "checkout"))
-            await until(lambda: backend.seen)
+            await until(lambda: backend.received_commands)
             for step in order:
                 await steps[step]()
             await until(lambda: ingress.lifecycle.phase is Phase.STOPPED and not ingress.requests)
             assert responses == [b"value"] * (order.index("answer") < order.index("close"))
-            assert len(backend.seen) == 1
+            assert len(backend.received_commands) == 1
             await until(lambda: backend.closed == 1)  # an attempt without a client is cancelled
 
     run(scenario())
