--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -180,11 +180,11 @@
 class Discovery:
     """A discovery that keeps each watch open and sends the events that a test pushes.
 
-    It closes the first `refuses` calls without a response.
+    It closes the first `refused_watches` calls without a response.
     """
 
-    def __init__(self, refuses: int = 0) -> None:
-        self.refuses = refuses
+    def __init__(self, refused_watches: int = 0) -> None:
+        self.refused_watches = refused_watches
         self.paths: list[bytes] = []
         self.writers: list[asyncio.StreamWriter] = []
 
@@ -196,7 +196,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         request_head = await reader.readuntil(b"\r\n\r\n")
         self.paths.append(request_head.split(b" ")[1])
-        if len(self.paths) <= self.refuses:
+        if len(self.paths) <= self.refused_watches:
             writer.close()
             return
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -256,7 +256,7 @@
 async def running_ingress(
     *backends: Backend,
     clock: Clock | None = None,
-    refuses: int = 0,
+    refused_watches: int = 0,
     wait: bool = True,
     **changes: Any,
 ) -> AsyncIterator[tuple[Ingress, Client, Discovery]]:
@@ -264,7 +264,7 @@
 
     With `wait=False` the ingress listens, but may not have an endpoint list yet.
     """
-    discovery = Discovery(refuses)
+    discovery = Discovery(refused_watches)
     targets = [target(f"s-{n}", await backend.start()) for n, backend in enumerate(backends)]
     known = message(1, *targets, full=True)
     ingress = Ingress(config(known, await discovery.start(), **changes), clock or Clock())
--- a/tests/net/test_discovery_watch.py
+++ b/tests/net/test_discovery_watch.py
@@ -95,7 +95,7 @@
     async def scenario() -> None:
         changes = watch_settings(ReplicasOfMe=200, Safety={"StopSendingWithin": 400_000})
         async with running_ingress(
-            Backend(), refuses=0 if agent_sends_lists else 12, wait=False, **changes
+            Backend(), refused_watches=0 if agent_sends_lists else 12, wait=False, **changes
         ) as (
             ingress,
             _,
@@ -191,7 +191,7 @@
         clock, new_discovery = ManualClock(), Discovery()
         polling = watch_settings(ReplicasOfMe=200, Discovery="subscribe")  # a delay of up to 25 s
         async with running_ingress(
-            Backend(), clock=clock, refuses=rejected_attempts, wait=False, **polling
+            Backend(), clock=clock, refused_watches=rejected_attempts, wait=False, **polling
         ) as (
             ingress,
             _,
