--- a/benchmarks/fleet_count.py
+++ b/benchmarks/fleet_count.py
@@ -87,7 +87,7 @@
     return None
 
 
-def by_step(events: list[Event], step: float) -> dict[float, Counter[str]]:
+def count_by_step(events: list[Event], step: float) -> dict[float, Counter[str]]:
     """Count the events by label for each step of `step` seconds."""
     steps: dict[float, Counter[str]] = defaultdict(Counter)
     for event in events:
@@ -96,7 +96,7 @@
     return steps
 
 
-def by_node(events: list[Event]) -> dict[str, Counter[str]]:
+def count_by_node(events: list[Event]) -> dict[str, Counter[str]]:
     """Count the calls and their outcomes by node."""
     nodes: dict[str, Counter[str]] = defaultdict(Counter)
     for event in events:
@@ -175,10 +175,10 @@
             file=sys.stderr,
         )
         return 2
-    for started_at, counts in sorted(by_step(events, options.step).items()):
+    for started_at, counts in sorted(count_by_step(events, options.step).items()):
         counts_text = "  ".join(f"{name} {count}" for name, count in sorted(counts.items()))
         print(f"{started_at:7.2f}  {counts_text}")
-    nodes = by_node(events)
+    nodes = count_by_node(events)
     by_failures = sorted(nodes, key=lambda node: nodes[node]["ok"] - nodes[node]["calls"])
     for node in by_failures[: options.nodes]:
         print(node, "  ".join(f"{name} {count}" for name, count in nodes[node].most_common()))
--- a/tests/policy/test_many_ingresses.py
+++ b/tests/policy/test_many_ingresses.py
@@ -312,10 +312,10 @@
         + "3.3 2026-12-01T00:00:00.000 TRACE trace ended node=s-1 outcome=error took=1.0 load=-\n"
     )  # fmt: skip
     found = fleet_count.read(tmp_path)
-    steps = fleet_count.by_step(found, 1.0)
+    steps = fleet_count.count_by_step(found, 1.0)
     assert steps[1.0] == {"served": 3, "again new": 1}
     assert steps[3.0] == {"refused ceiling": 1}
-    assert fleet_count.by_node(found) == {"s-1": {"calls": 1, "error": 1}}
+    assert fleet_count.count_by_node(found) == {"s-1": {"calls": 1, "error": 1}}
     (customer_usage,) = fleet_count.stores(found)
     assert (customer_usage.sent, customer_usage.beyond) == (3.0, 1.0), (
         "the third request finds 0.1 units in a token bucket that two requests emptied"
