--- a/benchmarks/fleet_count.py
+++ b/benchmarks/fleet_count.py
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """The token bucket of one customer, in units, as an ingress that saw all requests keeps it."""
+    """One customer's token bucket in units, computed from the requests at all ingresses."""
 
     level: float
     updated_at: float
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class Plan:
-    """A plan and its units: sent on, sent on beyond the token buckets, and refused."""
+    """A plan and its units: forwarded, forwarded beyond the token buckets, and refused."""
 
     name: str
     rate: float
@@ -158,7 +158,7 @@
 
 
 def main() -> int:
-    """Print the counts of a folder of logs; return 2 if it holds no trace line."""
+    """Print the counts of a folder of logs; return 2 if it has no trace line."""
     parser = argparse.ArgumentParser(
         description="Count the events of a bench day across its fleet."
     )
--- a/benchmarks/regress.py
+++ b/benchmarks/regress.py
@@ -50,7 +50,7 @@
     program: str  # Path below the kit's folder.
     site: str  # Path below the kit's folder, or below the root for a site of this project.
     group: str  # Group in which `benchmarks.kept.GROUPS_BY_PATH` lists the bench.
-    panel: tuple[str, ...] = ()  # Options that choose days which exist in one size only.
+    panel: tuple[str, ...] = ()  # Options that select days that exist in one size only.
 
 
 def short_day_runs(site: str, *seeds: int) -> tuple[BenchRun, ...]:
--- a/dockthread/cli/lab_fleet.py
+++ b/dockthread/cli/lab_fleet.py
@@ -76,7 +76,7 @@
 @plant_option
 @json_option
 def seeds(scenario: str, seeds: range, jobs: int, plant: str, as_json: bool) -> None:
-    """Run many seeds, and print each one that violates a rule. With --plant, stop once one does."""
+    """Run many seeds, and print each that violates a rule. With --plant, stop at the first one."""
     plant = parse_plant_option(plant)
     show_seeds(
         scenario, play_seeds(play_seed, scenario, seeds, jobs, plant, CHUNK_SIZE), plant, as_json
--- a/dockthread/control_plane/admission.py
+++ b/dockthread/control_plane/admission.py
@@ -4,7 +4,7 @@
 burst + rate * T bytes and one chunk are sent. A subscriber is admitted if all admitted bytes that
 are not yet sent, including its own snapshot, can be sent within `MAX_QUEUE_TIME`; if no bytes are
 pending, it is always admitted. Each refused subscriber gets a time slot after the slots already
-assigned, with random jitter. When many subscribers restart at once, they are thus served no faster
+assigned, with random jitter. When many subscribers restart at once, they are served no faster
 than the rate.
 """
 
--- a/dockthread/control_plane/batch_applier.py
+++ b/dockthread/control_plane/batch_applier.py
@@ -2,8 +2,8 @@
 
 Theory of operation. Batches are applied in order, in slices. One slice is applied per iteration of
 the event loop, so that requests are answered between slices. Rejected resources are tried once more
-at the end of their batch, as one change may depend on another change of the same batch. Then the
-batch is written to the snapshot cache.
+at the end of their batch, because one change may depend on another change of the same batch. Then
+the batch is written to the snapshot cache.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from dockthread.control_plane.subscriber_actions import ResourcesChanged
 
 RESTORE_SLICE_RESOURCES: Final = 1024
-"""Resources of the cache applied per call; large, as no requests are served during the restore."""
+"""Cached resources applied per call; large because no requests are served during the restore."""
 MAX_BATCHES: Final = 4
 """Number of queued batches at which reading from the server pauses."""
 MAX_LOCAL_REASON_CHARACTERS: Final = 500
--- a/dockthread/control_plane/client.py
+++ b/dockthread/control_plane/client.py
@@ -189,7 +189,7 @@
         await asyncio.sleep(0)
 
     def reapply(self) -> None:
-        """Apply all live resources again, as new settings may accept or reject others."""
+        """Apply all live resources again; new settings may accept or reject different ones."""
         self._carry_out(self.subscriber.reapply())
 
     # Carry out the subscriber's actions
--- a/dockthread/control_plane/distributor.py
+++ b/dockthread/control_plane/distributor.py
@@ -20,7 +20,7 @@
 from dockthread.framing import MessageCounts
 
 SLICE_RESOURCES: Final = 4096
-"""Resources passed on per iteration of the event loop; large, as a distributor validates none."""
+"""Resources passed on per iteration of the event loop; large because they are not validated."""
 
 
 class Distributor:
--- a/dockthread/control_plane/fanout.py
+++ b/dockthread/control_plane/fanout.py
@@ -217,7 +217,7 @@
         if cursor is None or cursor.is_replaced:
             return None
         self._lag.observe(now, self.table)
-        # The first heartbeat is sent before any update, as it reports the age of the table.
+        # The first heartbeat is sent before any update because it reports the table's age.
         since_heartbeat = now - cursor.heartbeat_at
         if since_heartbeat >= 2 * self._limits.heartbeat_interval:
             return self._heartbeat(now, cursor)
--- a/dockthread/control_plane/resource_table.py
+++ b/dockthread/control_plane/resource_table.py
@@ -118,8 +118,8 @@
     def advance(self, revision: int) -> None:
         """Record that the table includes all changes up to `revision`.
 
-        `revision` may be greater than that of the newest entry, as a sender omits superseded
-        versions of resources.
+        `revision` may be greater than that of the newest entry, because a sender omits
+        superseded versions of resources.
         """
         self.revision = max(self.revision, revision)
 
--- a/dockthread/control_plane/server.py
+++ b/dockthread/control_plane/server.py
@@ -227,7 +227,7 @@
             self.fan_out.on_closed(self.clock.now(), connection.number)
 
     def on_malformed(self, connection: ServerStream, reason: str) -> None:
-        """Count malformed bytes and log them at a limited rate, as the key may be wrong."""
+        """Count malformed bytes and log them at a limited rate; the key may be wrong."""
         self.counts.malformed += 1
         now = self.clock.now()
         if now < self._next_malformed_log_at:
--- a/dockthread/control_plane/server_connection.py
+++ b/dockthread/control_plane/server_connection.py
@@ -220,7 +220,7 @@
         self._backoff.on_failure(now)
 
     def retry_later(self, now: float, connection: ServerConnection, after: float) -> None:
-        """Close the connection, and retry after `after` ms, as the server is at capacity."""
+        """Close the connection, and retry after `after` ms; the server is at capacity."""
         self._counts.retries_later += 1
         self.disconnect(connection, "the server is at capacity")
         self.servers.penalize(connection.server, now + self._times.failure_penalty)
--- a/dockthread/control_plane/server_selection.py
+++ b/dockthread/control_plane/server_selection.py
@@ -1,7 +1,7 @@
 """Selects the server that a subscriber connects to.
 
 Servers are ordered by distance, and servers at the same distance by a hash of their name and the
-subscriber's name (rendezvous hashing). Each server is thus preferred by an equal share of the
+subscriber's name (rendezvous hashing). Each server is therefore preferred by an equal share of the
 subscribers, and when it fails, its subscribers spread over the other servers. A server that failed
 or was stale is penalized for some time. If all servers are penalized, the one whose penalty ends
 first is selected. Times are in ms.
--- a/dockthread/control_plane/staleness.py
+++ b/dockthread/control_plane/staleness.py
@@ -42,10 +42,10 @@
         return max(stale_at, self._next_move_at)
 
     def on_left(self, now: float) -> None:
-        """Record that a stale server was left."""
+        """Record that the subscriber has left a stale server."""
         self._immediate_moves = max(0, self._immediate_moves - 1)
         self._next_move_at = now + self._times.stale_penalty * self._rng.uniform(0.5, 1.5)
 
     def on_fresh_server(self, server_count: int) -> None:
-        """Allow immediate moves to all other servers again, as a server was not stale."""
+        """Allow immediate moves to all other servers again, because a server was not stale."""
         self._immediate_moves = server_count - 1
--- a/dockthread/control_plane/subscriber.py
+++ b/dockthread/control_plane/subscriber.py
@@ -153,7 +153,7 @@
         return self._take_actions()
 
     def reapply(self) -> list[Action]:
-        """Apply all live resources again, as new settings may accept or reject others."""
+        """Apply all live resources again; new settings may accept or reject different ones."""
         if live := tuple(self.table.live()):
             self._receiver.apply(live, complete=False)
         return self._take_actions()
--- a/dockthread/lab/control_plane/distributor.py
+++ b/dockthread/lab/control_plane/distributor.py
@@ -12,7 +12,7 @@
     """A distributor; it stores nothing on disk.
 
     Attributes:
-        subscriber_adapter: I/O adapter of its subscriber.
+        subscriber_adapter: The adapter that does the I/O of its subscriber.
     """
 
     subscriber_adapter: SubscriberAdapter
@@ -68,7 +68,7 @@
         self.fan_out_adapter.fan_out.set_table_age(now, self.subscriber_adapter.subscriber.age(now))
 
     def _acknowledge_batches(self, batches: list[ResourcesChanged]) -> None:
-        """Acknowledge batches immediately, as a distributor only forwards resources."""
+        """Acknowledge batches immediately; a distributor only forwards resources."""
         now = self.environment.clock.now
         for batch in batches:
             self.environment.checker.on_table_received(now, self.name, batch.epoch, batch.revision)
--- a/dockthread/lab/control_plane/faults.py
+++ b/dockthread/lab/control_plane/faults.py
@@ -84,7 +84,7 @@
 class FaultInjector:
     """Injects faults into a cluster; most of them end by themselves.
 
-    It has more than twenty methods because each kind of fault has a short method of its own.
+    It has more than twenty methods because each kind of fault has its own short method.
 
     Attributes:
         unaffected_since: Time at which the last fault of a process itself ends, by process name.
--- a/dockthread/lab/scale/hollow.py
+++ b/dockthread/lab/scale/hollow.py
@@ -40,7 +40,7 @@
 
 EMPTY_LIST: Final[dict[str, Any]] = {"rev": 0, "all": True, "targets": []}
 NO_LISTENER: Final = Address("127.0.0.1", 0)  # A hollow ingress does not listen for clients.
-# Timeout of the quota counter in ms. It has no effect, as there is no counter to call.
+# Timeout of the quota counter in ms. It has no effect because there is no counter to call.
 COUNTER_TIMEOUT_MS: Final = 50.0
 # How a planted bug changes a message before it is applied; it returns None to drop the message.
 MessageAlteration = Callable[[Any], Any]
--- a/dockthread/net/client_commands.py
+++ b/dockthread/net/client_commands.py
@@ -1,4 +1,4 @@
-"""Dispatches the commands of a client connection: requests to the ingress, others answered here."""
+"""Dispatches client commands: passes requests to the ingress and answers all other commands."""
 
 from __future__ import annotations
 
--- a/dockthread/net/connection_pool.py
+++ b/dockthread/net/connection_pool.py
@@ -205,7 +205,7 @@
                 uid = connection.backend.uid
                 self.observer.event("connect", node=uid, end=type(error).__name__)
             # If the connection broke before the last byte was sent, the backend cannot have started
-            # the request. After the last byte, it may have.
+            # the request. Otherwise it may have started it.
             if attempt is not None:
                 outcome = Outcome.RESET if attempt.is_written else Outcome.UNREACHABLE
                 self._finish(attempt, resp.BackendReply(outcome))
--- a/dockthread/net/discovery_watch.py
+++ b/dockthread/net/discovery_watch.py
@@ -237,7 +237,7 @@
         log("discovery watch ended: {!r}; list at revision {}", failure, self._endpoints.revision)
 
     async def _delay(self, delay_ms: float) -> None:
-        """Wait for `delay_ms`, or until the address changes, as the delay is for the old one."""
+        """Wait for `delay_ms`; stop if the address changes, as the delay applies to the old one."""
         ended = self._delay_ended = asyncio.Event()
         self._call_at(self._clock.now() + delay_ms, ended.set)
         await ended.wait()
--- a/dockthread/net/endpoint_list.py
+++ b/dockthread/net/endpoint_list.py
@@ -90,8 +90,9 @@
     def set_excluded(self, uid: str, is_excluded: bool, now_ms: float) -> EndpointsListed | None:
         """Exclude a backend by an operator's command, or include it again.
 
-        A backend that is included again is assumed to have been restarted, so the policy engine is
-        told that it starts now and warms it up. Returns None if the uid is not known.
+        A backend that is included again is assumed to have been restarted, so the event for
+        the policy engine says that it starts now, and the engine warms it up. Returns None
+        if the uid is not known.
         """
         record = self._by_uid.get(uid)
         if record is None and not (uid in self.excluded_uids and not is_excluded):
--- a/dockthread/policy/engine.py
+++ b/dockthread/policy/engine.py
@@ -91,7 +91,7 @@
         """Create an engine that knows no backend.
 
         Args:
-            settings: everything that the engine is told before its first event.
+            settings: everything that the engine knows before its first event.
             seed: seed of the random source; the same seed and events give the same actions.
             now: the current time in seconds on the engine's clock.
         """
--- a/dockthread/policy/latency_estimates.py
+++ b/dockthread/policy/latency_estimates.py
@@ -148,7 +148,7 @@
         self.usual_concurrency = BASE_CONCURRENCY
 
     def relative_concurrency(self, load: float) -> float:
-        """Count a request sent to a backend with `load` others; return its relative concurrency.
+        """Count a request sent to a backend with this load; return its relative concurrency.
 
         1.0 is the usual concurrency.
         """
--- a/dockthread/policy/load_balancer.py
+++ b/dockthread/policy/load_balancer.py
@@ -81,7 +81,7 @@
         return self._draw_with_capacity(pending, possible_run, candidates, used_backends)
 
     def idle_connection_cutoff(self) -> float:
-        """Return a time in seconds; connections that became idle before it have been closed."""
+        """Return the cutoff in seconds: connections idle since before it have been closed."""
         return self._context.now - self._idle_connection_time
 
     def _deduplicating_backends(
--- a/dockthread/policy/token_bucket.py
+++ b/dockthread/policy/token_bucket.py
@@ -10,13 +10,13 @@
 * The shared counter holds the units used since the start of an epoch plus the units that overflowed
   the full bucket. The refill since the start of the epoch minus that total therefore gives the
   level, whichever ingress reads the total and however long ago it last did. Usage beyond the quota
-  takes nothing from the bucket, so it is subtracted from the total again.
+  takes nothing from the bucket, so a negative correction removes it from the total.
 
 If both were subtracted, a customer would be charged twice for its usage. So both are applied by
 this class. A level from the counter can only lower the copy. `counter_lead` is the number of units
-by which the counter lowered the copy and that gossip has not reported yet. Usage reported by gossip
-reduces the lead before it is subtracted from the copy. The lead is limited to the burst, because
-older usage no longer affects the level of the bucket.
+that the counter has already subtracted from the copy and gossip has not reported yet. Usage
+reported by gossip reduces the lead before it is subtracted from the copy. The lead is limited to
+the burst, because older usage no longer affects the level of the bucket.
 
 If the copy is full while the other ingresses take units, it discards refill that the shared bucket
 would have kept. So the discarded refill is subtracted from the usage that gossip reports, up to the
--- a/dockthread/simulator_wire.py
+++ b/dockthread/simulator_wire.py
@@ -80,7 +80,7 @@
 # The peer number in SEND_GOSSIP that means all peers.
 ALL_PEERS = 0xFFFFFFFF
 
-# Codes of the records that the adapter handles itself, as they are not events of the policy engine.
+# Codes of the records that the adapter handles itself; they are not events of the policy engine.
 CODE_INGRESS_STARTED = 7
 CODE_INGRESS_KILLED = 11
 
--- a/tests/control_plane/test_control_processes.py
+++ b/tests/control_plane/test_control_processes.py
@@ -183,7 +183,7 @@
     with suppress(BlockingIOError):  # drop connections of the previous process
         accept_connections(discovery, 1000)
     discovery.settimeout(TIMEOUT)
-    accept_connections(discovery, 1)  # the cached address, as its own configuration has another one
+    accept_connections(discovery, 1)  # at the cached address; its configuration has another one
     rig.kill("n0")
     cache = rig.folder / "n0" / "n0.cache"
     data = bytearray(cache.read_bytes())
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -66,7 +66,7 @@
     ("first_update", "second_update", "state"),
     [
         # (revision, state, boot_ms) of the first list and of the second list, and the resulting
-        # state. Most second lists have an older revision.
+        # state. In most cases the second list has an older revision.
         ((5, "leaving", 0), (4, "active", 0), DRAINING),  # an older list cannot undo draining
         ((5, "left", 0), (4, "active", 0), REMOVED),
         ((5, "active", 0), (4, "leaving", 0), DRAINING),  # an older list may start draining
--- a/tests/policy/test_many_ingresses.py
+++ b/tests/policy/test_many_ingresses.py
@@ -1,4 +1,4 @@
-"""Many ingresses on a simulated clock: behaviour that is harmless for one may harm with forty."""
+"""Tests behaviour that is harmless with one ingress but not with forty, on a simulated clock."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_rate_sketch.py
+++ b/tests/policy/test_rate_sketch.py
@@ -17,7 +17,7 @@
     assert sketch.add(5, 4.0, 11.0) == pytest.approx(1.0, abs=1e-6)  # 0 * 3/4 + 4/4
     assert sketch.add(5, 2.0, 11.0) == pytest.approx(1.5, abs=1e-6)  # no division by a gap of 0
     assert sketch.add(5, 2.0, 13.0) == pytest.approx(1.25, abs=1e-6)  # 1.5 * 2/4 + 2/4
-    assert sketch.add(5, 2.0, 18.0) == pytest.approx(0.4)  # 2/5, as the gap exceeds the window
+    assert sketch.add(5, 2.0, 18.0) == pytest.approx(0.4)  # 2/5: the gap exceeds the window
 
 
 def test_rate_is_the_minimum_over_the_rows() -> None:
