--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -92,8 +92,10 @@
         " cold  seeds breach overl.  backends  loads      max  median    min  median     min  median"
     )
     for fraction in COLD_FRACTIONS:
-        if matching := [result for result in results if result.scenario.cold_fraction == fraction]:
-            print(summary_line(f"{fraction:.1f}", matching))
+        if results_at_fraction := [
+            result for result in results if result.scenario.cold_fraction == fraction
+        ]:
+            print(summary_line(f"{fraction:.1f}", results_at_fraction))
     print(summary_line("all", results))
     for result in [result for result in results if result.overloads][:MAX_SHOWN]:
         print(overload_line(result))
--- a/benchmarks/fleet_count.py
+++ b/benchmarks/fleet_count.py
@@ -61,7 +61,7 @@
             continue
         try:
             at = float(parts[0])
-            fields = dict(part.split("=", 1) for part in parts[5:])
+            fields = dict(pair.split("=", 1) for pair in parts[5:])
         except ValueError:
             continue
         yield Event(at, parts[4], fields)
@@ -107,7 +107,7 @@
     return nodes
 
 
-def stores(events: list[Event]) -> list[Plan]:
+def replay_token_buckets(events: list[Event]) -> list[Plan]:
     """Replay the token buckets of all customers, and return the units of each plan.
 
     Refused units are counted by reason and by the fill of the bucket: `half` or more, `some` (enough
@@ -182,7 +182,7 @@
     by_failures = sorted(nodes, key=lambda node: nodes[node]["ok"] - nodes[node]["calls"])
     for node in by_failures[: options.nodes]:
         print(node, "  ".join(f"{name} {count}" for name, count in nodes[node].most_common()))
-    for plan in stores(events):
+    for plan in replay_token_buckets(events):
         print(
             f"{plan.name}: {plan.sent:.0f} units sent on, {plan.beyond:.0f} beyond the quota; refused (reason, bucket fill):"
         )
--- a/benchmarks/regress.py
+++ b/benchmarks/regress.py
@@ -128,7 +128,7 @@
     )
 
 
-def holds(result: RunResult, recorded: RecordedScores) -> bool:
+def has_passed(result: RunResult, recorded: RecordedScores) -> bool:
     """Return whether no rule was violated and the score fell by no more than the noise.
 
     Without a recorded score only the rules count.
@@ -142,7 +142,7 @@
     recorded_mean = "-" if recorded.mean is None else f"{recorded.mean:.3f}"
     noise = "?" if recorded.noise is None else f"{recorded.noise:.3f}"
     rules = "broken" if result.broken else "kept"
-    verdict = "holds" if holds(result, recorded) else "; ".join(result.broken) or "REGRESSED"
+    verdict = "holds" if has_passed(result, recorded) else "; ".join(result.broken) or "REGRESSED"
     return f"{name:33} {recorded_mean:>6} {noise:>6} {result.score:6.3f} {change:>7}  {rules:6} {result.gate:6}  {verdict}"
 
 
@@ -288,13 +288,13 @@
         print(f"{number}/{len(selected)} {size} {table_line(*rows[-1])} ({duration})", flush=True)
     stored_results.complete()
     print("\n" + format_table(rows))
-    all_hold = all(holds(result, recorded) for _, recorded, result in rows)
-    if all_hold and options.keep:
+    all_passed = all(has_passed(result, recorded) for _, recorded, result in rows)
+    if all_passed and options.keep:
         for name, recorded, result in rows:
             recorded_by_run[name] = recorded
             recorded.add(tree_hash, result.score)
         recorded_scores.save(SCORES_FILE, recorded_table)
-    return 0 if all_hold else 1
+    return 0 if all_passed else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -109,8 +109,8 @@
         }
     for route_count in counts:
         ratios = sorted(
-            own / without_routes
-            for own, without_routes in zip(cpu_us[route_count], cpu_us[0], strict=True)
+            with_routes / without_routes
+            for with_routes, without_routes in zip(cpu_us[route_count], cpu_us[0], strict=True)
         )
         quarter = len(ratios) // 4
         print(
@@ -263,7 +263,7 @@
         with TemporaryDirectory() as name:
             folder = Path(name)
             async with ingress_process(folder, ports, ini=routes_file(10)) as ingress:
-                loading = asyncio.create_task(_send_load(ingress, seconds))
+                load_task = asyncio.create_task(_send_load(ingress, seconds))
                 count = 0
                 ends_at = time.monotonic() + seconds
                 while time.monotonic() < ends_at:
@@ -274,7 +274,7 @@
                     os.kill(ingress.pid, signal.SIGHUP)
                     count += 1
                     await asyncio.sleep(0.02)
-                result = await loading
+                result = await load_task
     print(f"{count / seconds:.0f} reloads per second for {seconds:g} s; {result.outcomes}; "
           f"ms p50 {result.quantile(0.5):.2f}, p99 {result.quantile(0.99):.2f}, max {max(result.latencies_ms):.2f}")  # fmt: skip
 
--- a/benchmarks/telemetry.py
+++ b/benchmarks/telemetry.py
@@ -91,8 +91,8 @@
         memory = {variant: ingresses[variant].resident_bytes() / 1e6 for variant in variants}
     for variant in variants:
         ratios = sorted(
-            own / without_reports
-            for own, without_reports in zip(cpu_us[variant], cpu_us["off"], strict=True)
+            with_reports / without_reports
+            for with_reports, without_reports in zip(cpu_us[variant], cpu_us["off"], strict=True)
         )
         quarter = len(ratios) // 4
         print(f"{variant:<7} CPU per request, us: {spread_text(cpu_us[variant])}; against off: median "
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -55,8 +55,8 @@
         while True:
             _, listing = await cluster.call(name, "GET", "/_work", time_limit_s=0.5)
             requests = [*listing["over"], *listing["work"]] if listing else []
-            matching = [request for request in requests if request["target"] == "s-0"]
-            if matching and matching[-1]["state"] in states:
+            target_requests = [request for request in requests if request["target"] == "s-0"]
+            if target_requests and target_requests[-1]["state"] in states:
                 return time.monotonic() * 1000.0
             await asyncio.sleep(0.002)
 
--- a/dockthread/cli/lab_seeds.py
+++ b/dockthread/cli/lab_seeds.py
@@ -72,8 +72,8 @@
             break
     if as_json:
         violations = [
-            {"seed": violating.seed, **violation_json(violating.violation)}
-            for violating in violating_seeds
+            {"seed": violating_seed.seed, **violation_json(violating_seed.violation)}
+            for violating_seed in violating_seeds
         ]
         content = {
             "scenario": scenario,
@@ -83,8 +83,8 @@
         }
         click.echo(json.dumps(content))
     else:
-        for violating in violating_seeds:
-            click.echo(f"seed {violating.seed}: {violation_line(violating.violation)}")
+        for violating_seed in violating_seeds:
+            click.echo(f"seed {violating_seed.seed}: {violation_line(violating_seed.violation)}")
         click.echo(f"{seed_count} seeds of {scenario}, {len(violating_seeds)} violated a rule")
     sys.exit(EXIT_VIOLATION if violating_seeds else 0)
 
--- a/dockthread/cli/metrics.py
+++ b/dockthread/cli/metrics.py
@@ -175,10 +175,10 @@
     for protocol, address in stand_in.addresses.items():
         click.echo(f"{protocol} at {address}")
     sys.stdout.flush()
-    misbehaving = loop.create_task(stand_in.run_faults(misbehaviour))
+    fault_task = loop.create_task(stand_in.run_faults(misbehaviour))
     with suppress(TimeoutError):
         await asyncio.wait_for(stop_requested.wait(), duration / 1000.0 if duration else None)
-    misbehaving.cancel()
+    fault_task.cancel()
     await asyncio.sleep(0.05)  # Leaves time to read the data that is still in the sockets.
     stand_in.stop()
 
--- a/dockthread/control_plane/resource_table.py
+++ b/dockthread/control_plane/resource_table.py
@@ -203,13 +203,15 @@
         The delta contains only the latest version of each resource. It contains at least one
         resource if the receiver lacks any, and is complete only if the table is complete.
         """
-        missing = self._entries_after(revision)
+        missing_entries = self._entries_after(revision)
         chunk: list[Resource] = []
         remaining_bytes = max_bytes
-        while missing and (not chunk or remaining_bytes >= resource_size(missing[-1])):
-            remaining_bytes -= resource_size(missing[-1])
-            chunk.append(missing.pop())
-        if missing:
+        while missing_entries and (
+            not chunk or remaining_bytes >= resource_size(missing_entries[-1])
+        ):
+            remaining_bytes -= resource_size(missing_entries[-1])
+            chunk.append(missing_entries.pop())
+        if missing_entries:
             return Update(self.epoch, chunk[-1].revision, tuple(chunk), complete=False)
         if not self.is_complete:
             return Update(self.epoch, self.revision, tuple(chunk), complete=False)
--- a/dockthread/lab/load_result.py
+++ b/dockthread/lab/load_result.py
@@ -119,7 +119,11 @@
 
     def total(self, outcome: str) -> int:
         """Return the number of requests of all classes that had this outcome."""
-        return sum(count for (_, counted), count in self.counts.items() if counted == outcome)
+        return sum(
+            count
+            for (_, counted_outcome), count in self.counts.items()
+            if counted_outcome == outcome
+        )
 
     def to_json(self) -> JsonObject:
         """Return a JSON object that another process can merge into its own result."""
--- a/dockthread/lab/maintenance/process_cluster.py
+++ b/dockthread/lab/maintenance/process_cluster.py
@@ -139,9 +139,9 @@
             "TMPDIR": str(process_folder / "tmp"),
         }
         command = [sys.executable, "-m", "dockthread", "--config", str(ini_path), "serve"]
-        with (process_folder / "out").open("ab") as out:
+        with (process_folder / "out").open("ab") as output:
             self.processes[name] = subprocess.Popen(
-                command, env=environment, stdout=out, stderr=out
+                command, env=environment, stdout=output, stderr=output
             )
 
     def _ini_text(self, name: str) -> str:
--- a/dockthread/lab/maintenance/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -284,7 +284,7 @@
         """Act as staff who request maintenance of a target, until their request is finished."""
         comment = f"{target}/{len(self._result.record)}"
         called_at: float | None = None
-        has_worked = False
+        has_started_work = False
         while True:
             request = await self._find_request(comment)
             state = request["state"] if request is not None else ""
@@ -296,11 +296,11 @@
             if request is None and may_call:
                 called_at = time.monotonic()
                 await self._call("ask", target, comment)
-            elif request is not None and is_unavailable and not has_worked:
+            elif request is not None and is_unavailable and not has_started_work:
                 if target in self._backends:
-                    has_worked = True
+                    has_started_work = True
                     await self._work_at_backend(target, request["held"])
-            elif is_unavailable and has_worked and may_call:
+            elif is_unavailable and has_started_work and may_call:
                 called_at = time.monotonic()
                 await self._call("done", target, comment)
             await asyncio.sleep(POLL_INTERVAL_S)
--- a/dockthread/lab/maintenance/scenario.py
+++ b/dockthread/lab/maintenance/scenario.py
@@ -145,9 +145,9 @@
         if self.ingresses not in CLUSTER_SIZES:
             yield KeyProblem("ingresses", f"is {self.ingresses}", "write 1, 3, 5 or 7")
         if not 1 <= self.zones <= self.machines <= MAX_BACKENDS:
-            found = f"is {self.machines} in {self.zones} zones"
+            reason = f"is {self.machines} in {self.zones} zones"
             yield KeyProblem(
-                "machines", found, "write 1 to 32 machines, and no more zones than machines"
+                "machines", reason, "write 1 to 32 machines, and no more zones than machines"
             )
         if not MIN_DURATION_MS <= self.lasts <= MAX_DURATION_MS:
             yield KeyProblem(
@@ -276,10 +276,10 @@
             f"{name}: {size} is not a valid number of ingresses; write 1, 3, 5 or 7"
         )
     steps = [_parse_step(line) for line in _nonempty_lines(settings.steps)]
-    drawn = _draw_fault_steps(
+    fault_steps = _draw_fault_steps(
         sections.section("faults"), random.Random(seed), size, settings.machines
     )
-    ordered_steps = sorted([*steps, *drawn], key=lambda step: step.at_ms)
+    ordered_steps = sorted([*steps, *fault_steps], key=lambda step: step.at_ms)
     return PlannedScenario(name, settings, size, tuple(ordered_steps))
 
 
--- a/dockthread/lab/scale/checker.py
+++ b/dockthread/lab/scale/checker.py
@@ -49,10 +49,10 @@
     `expected_ingresses` is the number of ingresses that must have reported.
     """
     violations = []
-    reported = 0
+    reported_count = 0
     for finding in findings:
         for group in finding["tables"]:
-            reported += len(group["ingresses"])
+            reported_count += len(group["ingresses"])
             if group["rows"] != expected_rows:
                 violations += [
                     f"ingress {number} {_difference(group['rows'], expected_rows)}"
@@ -67,21 +67,21 @@
                 violations.append(
                     f"ingress {number} let an older version replace a newer one {len(older_versions)} times"
                 )
-    if reported != expected_ingresses:
-        violations.append(f"{reported} of {expected_ingresses} ingresses reported their data")
+    if reported_count != expected_ingresses:
+        violations.append(f"{reported_count} of {expected_ingresses} ingresses reported their data")
     return violations
 
 
 def _difference(rows: list[Any], expected_rows: list[Any]) -> str:
     held_by_name = {row[0]: row for row in rows}
     expected_by_name = {row[0]: row for row in expected_rows}
-    differing = sorted(
+    differing_names = sorted(
         name
         for name in held_by_name.keys() | expected_by_name.keys()
         if held_by_name.get(name) != expected_by_name.get(name)
     )
     listed = "; ".join(
         f"{name}: holds {held_by_name.get(name)}, expected {expected_by_name.get(name)}"
-        for name in differing[:MAX_LISTED_ROWS]
+        for name in differing_names[:MAX_LISTED_ROWS]
     )
-    return f"ends with {len(differing)} of {len(expected_by_name)} rows wrong: {listed}"
+    return f"ends with {len(differing_names)} of {len(expected_by_name)} rows wrong: {listed}"
--- a/dockthread/lab/scale/discovery.py
+++ b/dockthread/lab/scale/discovery.py
@@ -108,9 +108,11 @@
     def changes_since(self, revision: int) -> list[bytes] | None:
         """Return the changes after a revision in order, or None if some are no longer kept."""
         missing_revisions = range(revision + 1, self.revision + 1)
-        if not all(missed in self._chunk_by_revision for missed in missing_revisions):
+        if not all(
+            revision_number in self._chunk_by_revision for revision_number in missing_revisions
+        ):
             return None
-        return [self._chunk_by_revision[missed] for missed in missing_revisions]
+        return [self._chunk_by_revision[revision_number] for revision_number in missing_revisions]
 
     def publish_change(self, number: int, **fields: Any) -> bytes:
         """Publish a new version of one backend."""
--- a/dockthread/lab/scale/distribution.py
+++ b/dockthread/lab/scale/distribution.py
@@ -29,7 +29,10 @@
         self._reserved_sockets = [
             reserve_port() for _ in range(2 * plan.voters + plan.distributors)
         ]
-        addresses = [Address(*reserved.getsockname()[:2]) for reserved in self._reserved_sockets]
+        addresses = [
+            Address(*reserved_socket.getsockname()[:2])
+            for reserved_socket in self._reserved_sockets
+        ]
         self._raft_addresses = addresses[: plan.voters]
         addresses = addresses[plan.voters :]
         self._voter_addresses = addresses[: plan.voters]
@@ -89,8 +92,8 @@
         """Stop all processes, starting with those that depend on others."""
         processes = [self.publisher, self.relay, *self.distributors, *self.voters]
         await asyncio.gather(*(child.stop() for child in processes))
-        for reserved in self._reserved_sockets:
-            reserved.close()
+        for reserved_socket in self._reserved_sockets:
+            reserved_socket.close()
 
     async def _start(self, child: ChildProcess, path: Path) -> None:
         await child.start(
--- a/dockthread/lab/scale/report.py
+++ b/dockthread/lab/scale/report.py
@@ -262,9 +262,10 @@
                 f" {lateness_ms:g} ms late or more"
             )
     reasons += [
-        f"the tool fell behind: a process of {role} used {highest:.0f}% of a core"
+        f"the tool fell behind: a process of {role} used {max_percent:.0f}% of a core"
         for role in ("host", "discovery", "backends", "distributor", "voter")
-        if (highest := max(cpu_percents(run.busy_window, role), default=0.0)) > MAX_TOOL_CPU_PERCENT
+        if (max_percent := max(cpu_percents(run.busy_window, role), default=0.0))
+        > MAX_TOOL_CPU_PERCENT
     ]
     for log in (run.list_log, run.routes_log):
         if (lateness_ms := quantile(log["late_starts"], 0.99)) > bounds.late_ms:
@@ -376,8 +377,8 @@
     report["checker"] = {"broken": len(violations), "first": violations[:MAX_LISTED_VIOLATIONS]}
     report["bounds"] = check_bounds(report, bounds)
     report["void"] = void_reasons(run, report, bounds)
-    holds = not violations and all(bound["holds"] for bound in report["bounds"])
+    is_passed = not violations and all(bound["holds"] for bound in report["bounds"])
     report["verdict"] = (
-        BROKEN if violations else VOID if report["void"] else HOLDS if holds else BROKEN
+        BROKEN if violations else VOID if report["void"] else HOLDS if is_passed else BROKEN
     )
     return report
--- a/dockthread/lab/slow_start/simulated_backend.py
+++ b/dockthread/lab/slow_start/simulated_backend.py
@@ -63,5 +63,5 @@
 
     def load_report(self) -> tuple[float, float, float]:
         """Return requests in flight, capacity in requests per second, and waiting requests."""
-        waiting = max(0, self.in_flight - self.kind.cores)
-        return float(self.in_flight), self.kind.capacity, float(waiting)
+        waiting_count = max(0, self.in_flight - self.kind.cores)
+        return float(self.in_flight), self.kind.capacity, float(waiting_count)
--- a/dockthread/lab/slow_start/simulation.py
+++ b/dockthread/lab/slow_start/simulation.py
@@ -140,12 +140,12 @@
         return backends
 
     def _draw_cold_backends(self) -> list[SimulatedBackend]:
-        drawn = [
+        cold_backends = [
             backend
             for backend in self.backends.values()
             if self._rng.random() < self.scenario.cold_fraction
         ]
-        return drawn or [self.backends[1]]
+        return cold_backends or [self.backends[1]]
 
     def _draw_traffic_weights(self) -> list[float]:
         """Draw the relative traffic of each ingress from a gamma distribution with mean 1."""
--- a/dockthread/maintenance/service.py
+++ b/dockthread/maintenance/service.py
@@ -206,12 +206,12 @@
         logger.info("maintenance: {} is drained, its request is granted", backend)
 
     def _send_observation(self) -> None:
-        observed = observation.observe(
+        new_observation = observation.observe(
             self._ingress,
             self.participant.zone_by_requested_backend(),
             self.participant.latest_request_index(),
         )
-        self.member.report_status(msgspec.msgpack.encode(observed))
+        self.member.report_status(msgspec.msgpack.encode(new_observation))
 
     async def _propose(self, command: MaintenanceCommand) -> None:
         if not await self.member.propose(msgspec.msgpack.encode(command)):
--- a/dockthread/net/discovery_watch.py
+++ b/dockthread/net/discovery_watch.py
@@ -238,9 +238,9 @@
 
     async def _delay(self, delay_ms: float) -> None:
         """Wait for `delay_ms`; stop if the address changes, as the delay applies to the old one."""
-        ended = self._delay_ended = asyncio.Event()
-        self._call_at(self._clock.now() + delay_ms, ended.set)
-        await ended.wait()
+        delay_ended = self._delay_ended = asyncio.Event()
+        self._call_at(self._clock.now() + delay_ms, delay_ended.set)
+        await delay_ended.wait()
 
     def _retry_delay(self, max_delay_ms: float) -> float:
         """Draw the delay after a failed attempt; `max_delay_ms` does not apply during overload."""
--- a/dockthread/net/ingress.py
+++ b/dockthread/net/ingress.py
@@ -220,24 +220,24 @@
         maximum number of attempts. A request in flight keeps the class with which it arrived.
         """
         names = self.config.names
-        merged = settings_reload.merge_settings(
+        merged_settings = settings_reload.merge_settings(
             self.engine.settings, names, config.policy_settings, config.names
         )
-        self.engine.apply_settings(merged.settings)
+        self.engine.apply_settings(merged_settings.settings)
         settings = replace(
             self.config.policy_settings,
-            classes=merged.settings.classes,
-            max_attempts=merged.settings.max_attempts,
+            classes=merged_settings.settings.classes,
+            max_attempts=merged_settings.settings.max_attempts,
         )
         self.config = replace(
             self.config,
             discovery=config.discovery,
             counter=config.counter,
             policy_settings=settings,
-            names=merged.names,
+            names=merged_settings.names,
         )
-        self.request_parser = _request_parser(self.config, merged.offered_classes)
-        self.traffic.ensure_classes(len(merged.names.classes))
+        self.request_parser = _request_parser(self.config, merged_settings.offered_classes)
+        self.traffic.ensure_classes(len(merged_settings.names.classes))
         self.watch.change_address(config.discovery)
         self.counter.change_address(config.counter)
 
--- a/dockthread/net/timers.py
+++ b/dockthread/net/timers.py
@@ -55,9 +55,9 @@
 
     async def sleep(self, duration_ms: float) -> None:
         """Sleep for `duration_ms` on the ingress's clock."""
-        woken = self._loop.create_future()
-        self.call_at(self._clock.now() + duration_ms, woken.set_result, None)
-        await woken
+        wake_up = self._loop.create_future()
+        self.call_at(self._clock.now() + duration_ms, wake_up.set_result, None)
+        await wake_up
 
     def run_due(self) -> None:
         """Call every callback that is due; log any exception that a callback raises."""
--- a/dockthread/policy/admission_probability.py
+++ b/dockthread/policy/admission_probability.py
@@ -99,9 +99,9 @@
         proportional_share = rate * customer.arrival_rate / (customer.arrival_rate + peer_rate)
         share = max(proportional_share, rate / customer.spread)
         probability = min(1.0, share / customer.arrival_rate)
-        taken = customer.peer_admission_rate * min(gap, self._gossip.full_round_time)
+        unreported_units = customer.peer_admission_rate * min(gap, self._gossip.full_round_time)
         return self._adjust_by_bucket_level(
-            units, priority_weight, customer, probability, taken, is_peer_usage_known
+            units, priority_weight, customer, probability, unreported_units, is_peer_usage_known
         )
 
     def _by_counter(  # noqa: PLR0913  a parameter object would cost an allocation per request
@@ -126,9 +126,9 @@
             share = max(share, plan.rate * local_rate / (local_rate + remote_rate))
         probability = min(1.0, share / customer.arrival_rate)
         if is_counter_fresh:
-            taken = customer.remote_rate * gap
+            unreported_units = customer.remote_rate * gap
             return self._adjust_by_bucket_level(
-                units, priority_weight, customer, probability, taken, False
+                units, priority_weight, customer, probability, unreported_units, False
             )
         return probability if customer.quota.level >= units else 0.0
 
@@ -142,7 +142,7 @@
         priority_weight: float,
         customer: Customer,
         probability: float,
-        taken: float,
+        unreported_units: float,
         is_peer_usage_known: bool,
     ) -> float:
         """Adjust a probability by the level of the customer's token bucket.
@@ -156,8 +156,8 @@
             priority_weight: priority weight of the request's class.
             customer: the request's customer.
             probability: the probability to adjust.
-            taken: units that the other ingresses are expected to have taken since their last
-                report.
+            unreported_units: units that the other ingresses are expected to have taken since their
+                last report.
             is_peer_usage_known: whether the usage of all other ingresses is known by gossip.
         """
         plan = self._context.settings.plans[customer.plan_number]
@@ -168,7 +168,7 @@
             reserve = GOSSIP_RESERVE + GOSSIP_LOW_PRIORITY_RESERVE * priority_deficit
         else:
             reserve = RESERVE + LOW_PRIORITY_RESERVE * priority_deficit
-        relative_level = (customer.quota.level - taken - units) / plan.burst / reserve
+        relative_level = (customer.quota.level - unreported_units - units) / plan.burst / reserve
         if relative_level < 1:
             return probability * max(0.0, relative_level)
         return probability + (1 - probability) * min(1.0, relative_level - 1)
--- a/dockthread/policy/attempt_outcomes.py
+++ b/dockthread/policy/attempt_outcomes.py
@@ -99,8 +99,8 @@
     ) -> None:
         """Update the class's usual latency and the backend's relative latency with a response."""
         request_class = pending.event.request_class
-        usual, _ = self._latencies.by_class[request_class]
-        relative_latency = event.duration / usual / attempt.concurrency
+        usual_latency, _ = self._latencies.by_class[request_class]
+        relative_latency = event.duration / usual_latency / attempt.concurrency
         backend.record_latency(min(MAX_RELATIVE_LATENCY, relative_latency))
         self._latencies.record(request_class, event.duration)
 
--- a/dockthread/policy/attempts.py
+++ b/dockthread/policy/attempts.py
@@ -99,8 +99,8 @@
         self._context.actions.append(
             SendAttempt(request, backend.endpoint.backend, timeout, start_deadline)
         )
-        usual, deviation = self._latencies.by_class[pending.event.request_class]
-        overdue_at = self._context.now + usual + OVERDUE_DEVIATIONS * deviation
+        usual_latency, deviation = self._latencies.by_class[pending.event.request_class]
+        overdue_at = self._context.now + usual_latency + OVERDUE_DEVIATIONS * deviation
         self._timers.set(overdue_at, self._on_overdue, request, number)
         return True
 
@@ -147,8 +147,8 @@
         # The attempt is probably lost, so it no longer counts for the queueing delay. It remains
         # in flight at its backend.
         self._delay.in_flight -= 1
-        usual, deviation = self._latencies.by_class[pending.event.request_class]
-        silent_at = attempt.sent_at + usual + SILENT_DEVIATIONS * deviation
+        usual_latency, deviation = self._latencies.by_class[pending.event.request_class]
+        silent_at = attempt.sent_at + usual_latency + SILENT_DEVIATIONS * deviation
         self._timers.set(silent_at, self._on_backend_silent, request, number)
         self._hedge_if_suspect(request, pending, number)
 
--- a/dockthread/policy/backend_pool.py
+++ b/dockthread/policy/backend_pool.py
@@ -116,13 +116,13 @@
     def draw(self, rng: random.Random, count: int) -> list[Backend]:
         """Draw `count` backends and return the matching ones; repeat a few times if none match."""
         for _ in range(MAX_FILTERED_DRAWS):
-            drawn = [
+            drawn_backends = [
                 backend
                 for backend in self._pool.draw(rng, count)
                 if self._matches(backend.endpoint)
             ]
-            if drawn:
-                return drawn
+            if drawn_backends:
+                return drawn_backends
         return []
 
     def sample(self, rng: random.Random) -> Iterable[Backend]:
@@ -211,8 +211,8 @@
         """Return all ready backends of a short list, or a uniform sample of a long list."""
         if self._ready_count <= MAX_SHORT_LIST:
             return iter(self)
-        drawn = rng.choices(self._slots, k=SAMPLE_SIZE)
-        return (backend for backend in drawn if backend.is_ready)
+        drawn_backends = rng.choices(self._slots, k=SAMPLE_SIZE)
+        return (backend for backend in drawn_backends if backend.is_ready)
 
     def in_scope(self, home: Endpoint, scope: DeduplicationScope) -> DrawableBackends:
         """Return the backends that share a deduplication scope with the endpoint `home`."""
@@ -232,8 +232,8 @@
             matches: a filter that depends only on an endpoint's zone and kind.
         """
         if self._ready_count <= MAX_SHORT_LIST:
-            matching = [backend for backend in self if matches(backend.endpoint)]
-            return BackendSubset(matching, self._weight) if matching else None
+            matching_backends = [backend for backend in self if matches(backend.endpoint)]
+            return BackendSubset(matching_backends, self._weight) if matching_backends else None
         examples = (
             Endpoint(0, BackendState.READY, *zone_and_kind)
             for zone_and_kind, count in self._ready_by_zone_and_kind.items()
@@ -307,24 +307,26 @@
         if self._weight_changes:
             self._weight_changes = 0
             self._cumulative_weights = _cumulative(self._weights)
-        failed = sum(
+        failure_fraction_sum = sum(
             backend.failure_fraction for backend in self.failing.values() if backend.is_ready
         )
-        self.success_fraction = (self._ready_count - failed) / max(1, self._ready_count)
+        self.success_fraction = (self._ready_count - failure_fraction_sum) / max(
+            1, self._ready_count
+        )
         self.has_warm_backend = self._ready_count > len(self.warming_up)
 
     def _next_to_weigh(self) -> list[Backend]:
         """Return the backends whose weights change over time, or the next ones if too many."""
-        changing = list(self.failing.values())
-        changing += [
+        changing_backends = list(self.failing.values())
+        changing_backends += [
             backend for number, backend in self.warming_up.items() if number not in self.failing
         ]
-        if len(changing) <= MAX_WEIGHT_UPDATES_PER_ROUND:
-            return changing
-        start = self._next_weighed_index % len(changing)
+        if len(changing_backends) <= MAX_WEIGHT_UPDATES_PER_ROUND:
+            return changing_backends
+        start = self._next_weighed_index % len(changing_backends)
         self._next_weighed_index = start + MAX_WEIGHT_UPDATES_PER_ROUND
-        rotated = changing + changing[:MAX_WEIGHT_UPDATES_PER_ROUND]
-        return rotated[start : start + MAX_WEIGHT_UPDATES_PER_ROUND]
+        rotated_backends = changing_backends + changing_backends[:MAX_WEIGHT_UPDATES_PER_ROUND]
+        return rotated_backends[start : start + MAX_WEIGHT_UPDATES_PER_ROUND]
 
     def _update_weight(self, backend: Backend) -> None:
         """Recompute a backend's weight, and whether it has to be weighed again each round."""
--- a/dockthread/policy/gossip.py
+++ b/dockthread/policy/gossip.py
@@ -128,9 +128,10 @@
             return False
         if self.full_round_time > FRESH_WINDOW_FRACTION * sketch.window:
             return False
-        since = self._context.now - SILENT_HEARTBEATS * self._heartbeat_interval
+        silence_cutoff = self._context.now - SILENT_HEARTBEATS * self._heartbeat_interval
         return all(
-            self.last_received_at.get(peer, NEVER) > since for peer in self._peers_of(customer)
+            self.last_received_at.get(peer, NEVER) > silence_cutoff
+            for peer in self._peers_of(customer)
         )
 
     def has_recent_message(self) -> bool:
@@ -223,8 +224,10 @@
             if backend.failure_fraction > SUSPECT_FAILURE_FRACTION
         ]
         failing.sort(key=lambda backend: backend.slot)
-        drawn = self._context.rng.sample(failing, min(MAX_SUSPECTS_PER_MESSAGE, len(failing)))
-        return [(backend.code, backend.failure_fraction) for backend in drawn]
+        drawn_suspects = self._context.rng.sample(
+            failing, min(MAX_SUSPECTS_PER_MESSAGE, len(failing))
+        )
+        return [(backend.code, backend.failure_fraction) for backend in drawn_suspects]
 
     def _send_to(self, peer: int, suspects: list[tuple[bytes, float]]) -> None:
         """Send a peer as many of its unsent reports as fit into one message."""
--- a/dockthread/policy/latency_estimates.py
+++ b/dockthread/policy/latency_estimates.py
@@ -158,7 +158,7 @@
 
 
 def smooth_latency(
-    usual: float, deviation: float, duration: float, step: float
+    usual_latency: float, deviation: float, duration: float, step: float
 ) -> tuple[float, float]:
     """Return the usual latency and its mean deviation (s) after one more response.
 
@@ -167,11 +167,13 @@
     slow responses look normal.
 
     Args:
-        usual: usual latency before this response, s.
+        usual_latency: usual latency before this response, s.
         deviation: mean absolute deviation before this response, s.
         duration: duration of the response, s.
         step: weight of the new sample, from 0 to 1.
     """
-    clipped = min(duration, usual + MAX_DEVIATIONS * max(deviation, usual / 4))
-    deviation += step * (abs(clipped - usual) - deviation)
-    return usual + step * (clipped - usual), deviation
+    clipped_duration = min(
+        duration, usual_latency + MAX_DEVIATIONS * max(deviation, usual_latency / 4)
+    )
+    deviation += step * (abs(clipped_duration - usual_latency) - deviation)
+    return usual_latency + step * (clipped_duration - usual_latency), deviation
--- a/dockthread/policy/load_balancer.py
+++ b/dockthread/policy/load_balancer.py
@@ -107,11 +107,11 @@
         """Return the drawn candidate with the lowest cost; None if no candidate is usable."""
         settings = self._context.settings
         share = CANDIDATES_PER_BACKEND * len(candidates) // settings.ingress_count
-        drawn = candidates.draw(self._context.rng, max(MIN_CANDIDATES, share))
+        drawn_candidates = candidates.draw(self._context.rng, max(MIN_CANDIDATES, share))
         max_warming_up = 0 if pending.attempts else warming_multiple(settings.safety)
         usable = [
             backend
-            for position, backend in enumerate(drawn)
+            for position, backend in enumerate(drawn_candidates)
             if self._is_usable(backend, pending, position < max_warming_up)
         ]
         unused = [backend for backend in usable if backend.endpoint.backend not in used_backends]
@@ -149,12 +149,12 @@
         From a long list it returns those in a sample, unless none in the sample has capacity.
         """
         may_warm_up = not self._pool.has_warm_backend
-        sampled = [
+        usable_backends = [
             backend
             for backend in candidates.sample(self._context.rng)
             if self._is_usable(backend, pending, may_warm_up)
         ]
-        return sampled or [
+        return usable_backends or [
             backend for backend in candidates if self._is_usable(backend, pending, may_warm_up)
         ]
 
--- a/dockthread/policy/slow_start.py
+++ b/dockthread/policy/slow_start.py
@@ -118,8 +118,11 @@
         safety = self._context.settings.safety
         started_at = backend.endpoint.started_at
         age = max(0.0, self._context.now - started_at) if started_at else math.inf
-        cold = safety.cold_capacity
-        return min(1.0, cold + (1 - cold) * age / max(safety.warm_up_time, MIN_WARM_UP_TIME))
+        cold_capacity = safety.cold_capacity
+        return min(
+            1.0,
+            cold_capacity + (1 - cold_capacity) * age / max(safety.warm_up_time, MIN_WARM_UP_TIME),
+        )
 
     def on_response(self, total_weight: float) -> None:
         """Count a response; `total_weight` is the sum of the weights of all ready backends."""
--- a/dockthread/policy/usual_latency.py
+++ b/dockthread/policy/usual_latency.py
@@ -34,9 +34,11 @@
 
     def mean(self) -> float:
         """Return the mean of the classes' usual response times, in seconds."""
-        return sum(usual for usual, _ in self.by_class) / len(self.by_class)
+        return sum(usual_latency for usual_latency, _ in self.by_class) / len(self.by_class)
 
     def record(self, request_class: int, duration: float) -> None:
         """Update the estimates of a class with a response that took `duration` seconds."""
-        usual, deviation = self.by_class[request_class]
-        self.by_class[request_class] = smooth_latency(usual, deviation, duration, SMOOTHING_FACTOR)
+        usual_latency, deviation = self.by_class[request_class]
+        self.by_class[request_class] = smooth_latency(
+            usual_latency, deviation, duration, SMOOTHING_FACTOR
+        )
--- a/dockthread/raft/core.py
+++ b/dockthread/raft/core.py
@@ -397,8 +397,8 @@
         Without this, a leader in a minority partition would continue after the majority has elected
         another one.
         """
-        responded = self.responded_within(self._timing.election_timeout_ms)
-        if self.has_quorum(responded | {self.member_id}):
+        responding_members = self.responded_within(self._timing.election_timeout_ms)
+        if self.has_quorum(responding_members | {self.member_id}):
             self._send_heartbeats()
         else:
             self._become_follower(self.term, "")
@@ -623,8 +623,8 @@
         """Complete, in order, the reads whose heartbeat round a majority has acknowledged."""
         while self._pending_reads:
             read = self._pending_reads[0]
-            confirmed = self._progress.members_acknowledging(read.heartbeat_round)
-            if not self.has_quorum(confirmed | {self.member_id}):
+            confirming_members = self._progress.members_acknowledging(read.heartbeat_round)
+            if not self.has_quorum(confirming_members | {self.member_id}):
                 return
             self._pending_reads.popleft()
             self._actions.append(ReadIndexReady(read.token, read.index))
--- a/dockthread/routes/matcher.py
+++ b/dockthread/routes/matcher.py
@@ -122,8 +122,8 @@
         )
 
     def _shared_set(self, key: str, members: Iterable[Any]) -> frozenset[Any]:
-        found = frozenset(members)
-        return self._shared_sets.setdefault((key, found), found)
+        member_set = frozenset(members)
+        return self._shared_sets.setdefault((key, member_set), member_set)
 
 
 def _number_names(names: Iterable[str]) -> dict[str, int]:
--- a/dockthread/routes/ordered.py
+++ b/dockthread/routes/ordered.py
@@ -67,8 +67,8 @@
         routes_of_customer: list[Matcher] = []
         if matcher.customers:
             routes_of_customer = self.by_customer.get(min(matcher.customers), [])
-        others = chain(self.for_any_customer, routes_of_customer)
-        earlier = (other for other in others if other.position < matcher.position)
+        candidates = chain(self.for_any_customer, routes_of_customer)
+        earlier = (other for other in candidates if other.position < matcher.position)
         covering = (other for other in earlier if _covers_everywhere(other, matcher))
         return min(covering, key=_position, default=None)
 
@@ -77,12 +77,12 @@
 
         If `matcher` names no customer, it is compared with all later matchers.
         """
-        others: Iterable[Matcher] = self.by_name.values()
+        candidates: Iterable[Matcher] = self.by_name.values()
         if matcher.customers:
-            others = chain.from_iterable(
+            candidates = chain.from_iterable(
                 self.by_customer.get(customer, ()) for customer in matcher.customers
             )
-        later = (other for other in others if other.position > matcher.position)
+        later = (other for other in candidates if other.position > matcher.position)
         covered = (other for other in later if _covers_everywhere(matcher, other))
         return min(covered, key=_position, default=None)
 
--- a/dockthread/routes/usage.py
+++ b/dockthread/routes/usage.py
@@ -42,7 +42,7 @@
     """
 
     __slots__ = (
-        "_answers",
+        "_answer_count",
         "_sketches",
         "attempts",
         "budget",
@@ -85,20 +85,20 @@
         # The current and the previous sketch. They are created with the first answer, because most
         # of many routes are idle.
         self._sketches: list[LogCollapsingLowestDenseDDSketch] = []
-        self._answers = 0
+        self._answer_count = 0
 
     def record_answer_time(self, duration: float) -> None:
         """Record the duration of a successful attempt for the percentiles."""
         if not self._sketches:
             self._sketches = [_new_sketch(), _new_sketch()]
         self._sketches[0].add(duration)
-        self._answers += 1
-        if self._answers % SKETCH_PERIOD == 0:
+        self._answer_count += 1
+        if self._answer_count % SKETCH_PERIOD == 0:
             self._sketches = [_new_sketch(), self._sketches[0]]
 
     def percentile(self, quantile: float) -> float | None:
         """Return a quantile (0 to 1) of the answer times (s), or None while too few are known."""
-        if self._answers < MIN_ANSWERS:
+        if self._answer_count < MIN_ANSWERS:
             return None
         # At the start of a period the previous sketch is used, because it has more data.
         current, previous = self._sketches
--- a/dockthread/section_registry.py
+++ b/dockthread/section_registry.py
@@ -126,15 +126,17 @@
     config = read_operator_file(path, settings, names)
     if errors := config.errors:
         first = errors[0]
-        others = len(errors) - 1
-        more = f" (and {others} more: dockthread check {path})" if others else ""
+        other_count = len(errors) - 1
+        other_errors_text = (
+            f" (and {other_count} more: dockthread check {path})" if other_count else ""
+        )
         raise SettingsError(
             first.reason,
             file=first.file,
             section=first.section,
             key=first.key,
             remedy=first.remedy,
-            text=f"{first}{more}",
+            text=f"{first}{other_errors_text}",
         )
     return config
 
--- a/tests/benchmarks/test_regress.py
+++ b/tests/benchmarks/test_regress.py
@@ -83,7 +83,7 @@
 def test_a_run_fails_if_its_score_falls_beyond_the_noise_or_a_rule_is_violated(
     result: RunResult, recorded: RecordedScores, is_expected_to_hold: bool
 ) -> None:
-    assert regress.holds(result, recorded) is is_expected_to_hold
+    assert regress.has_passed(result, recorded) is is_expected_to_hold
     assert ("holds" in regress.format_table([("run", recorded, result)])) is is_expected_to_hold
 
 
@@ -190,12 +190,12 @@
     folder = write_kit(tmp_path / "kit", 0.9)
     assert regress.main([str(folder)]) == 0
     calls = (folder / "calls").read_text().splitlines()
-    own = f"score {tmp_path}/deploy/sites/reede-lotsen.toml"
-    assert [call for call in calls if own in call][0].startswith(
-        f"{regress.FLEET_BENCH} {own} --quick --why"
+    own_site_arguments = f"score {tmp_path}/deploy/sites/reede-lotsen.toml"
+    assert [call for call in calls if own_site_arguments in call][0].startswith(
+        f"{regress.FLEET_BENCH} {own_site_arguments} --quick --why"
     )
-    assert [call for call in calls if own in call][1].startswith(
-        f"{regress.FLEET_BENCH} {own} --panel brink --seed 1 --why"
+    assert [call for call in calls if own_site_arguments in call][1].startswith(
+        f"{regress.FLEET_BENCH} {own_site_arguments} --panel brink --seed 1 --why"
     )
     assert (
         len([call for call in calls if f"score {folder}/{regress.TUNIS} --panel brink" in call])
--- a/tests/config/ingress_cluster.py
+++ b/tests/config/ingress_cluster.py
@@ -126,14 +126,14 @@
         self.answers[key] = []
         self._units[key] = units
         deadline = 4 * self.engines[ingress].settings.classes[request_class].latency_objective
-        arrived = RequestArrived(
+        arrival_event = RequestArrived(
             key.request, request_class, 0, CUSTOMER_NUMBER, deadline, units, spread, 0
         )
-        self.handle(ingress, arrived)
+        self.handle(ingress, arrival_event)
 
     def admitted_units(self) -> float:
         """Return the total units of all admitted requests."""
-        return sum(first.units for first in self.first_attempts.values())
+        return sum(attempt.units for attempt in self.first_attempts.values())
 
     def _schedule(self, due_at: float, callback: Callable[[], None]) -> None:
         self._last_sequence_number += 1
@@ -150,13 +150,13 @@
             case SendGossip(data, peer) if (
                 peer is not None and self.random.random() >= self._gossip_loss
             ):
-                received = GossipReceived(ingress, data)
+                gossip_event = GossipReceived(ingress, data)
                 arrival = self.now + self.random.uniform(*GOSSIP_DELAYS)
-                self._schedule(arrival, lambda: self.handle(peer, received))
+                self._schedule(arrival, lambda: self.handle(peer, gossip_event))
             case AddToCounter(name, amount, _):
                 self._counter_totals[name] += amount
-                replied = CounterReplied(name, Outcome.OK, self._counter_totals[name])
-                self._schedule(self.now + COUNTER_DELAY, lambda: self.handle(ingress, replied))
+                reply_event = CounterReplied(name, Outcome.OK, self._counter_totals[name])
+                self._schedule(self.now + COUNTER_DELAY, lambda: self.handle(ingress, reply_event))
 
     def _send_attempt(self, key: RequestKey, backend: int) -> None:
         self.attempted_backends.append(backend)
@@ -171,7 +171,7 @@
             answers.append("served")
         settings = self.engines[key.ingress].settings
         load = (REPORTED_LOAD,) * len(settings.load_report_fields)
-        ended = AttemptEnded(
+        end_event = AttemptEnded(
             key.request,
             0,
             backend,
@@ -181,18 +181,18 @@
             reported_usage=self._reported_usage(settings),
             load_report=load if settings.has_load_reports else (),
         )
-        self.handle(key.ingress, ended)
+        self.handle(key.ingress, end_event)
 
     def _reported_usage(self, settings: PolicySettings) -> float | None:
         if not settings.usage_report_period:
             return None
         until = self.now - USAGE_REPORT_AGE
-        used = sum(
-            first.units
-            for first in self.first_attempts.values()
-            if until - USAGE_WINDOW < first.sent_at <= until
+        used_units = sum(
+            attempt.units
+            for attempt in self.first_attempts.values()
+            if until - USAGE_WINDOW < attempt.sent_at <= until
         )
-        return used / max(settings.plans[0].rate, 1e-9)
+        return used_units / max(settings.plans[0].rate, 1e-9)
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/config/test_any_deployment.py
+++ b/tests/config/test_any_deployment.py
@@ -106,8 +106,10 @@
     cluster = IngressCluster(policy_settings, seed)
     plan = policy_settings.plans[0]
     spread = policy_settings.ingress_count
-    for planned in random_requests(cluster, spread, 3.0, DURATION):
-        cluster.request(planned.ingress, planned.units, planned.request_class, spread)
+    for planned_request in random_requests(cluster, spread, 3.0, DURATION):
+        cluster.request(
+            planned_request.ingress, planned_request.units, planned_request.request_class, spread
+        )
     admitted = cluster.admitted_units()
     quota = plan.burst + plan.rate * DURATION
     is_usage_shared = spread == 1 or policy_settings.may_gossip or policy_settings.may_use_counter
@@ -137,8 +139,10 @@
     )
     cluster = IngressCluster(replace(policy_settings, plans=(plan,)), seed, gossip_loss=0.2)
     spread = policy_settings.ingress_count
-    for planned in random_requests(cluster, spread, 0.4, DURATION):
-        cluster.request(planned.ingress, planned.units, planned.request_class, spread)
+    for planned_request in random_requests(cluster, spread, 0.4, DURATION):
+        cluster.request(
+            planned_request.ingress, planned_request.units, planned_request.request_class, spread
+        )
     token_balance = ceiling_burst
     refilled_at = START
     for first in cluster.first_attempts.values():
@@ -165,8 +169,10 @@
     )
     cluster = IngressCluster(policy_settings, 4)
     in_flight: list[int] = []
-    for planned in random_requests(cluster, 3, 3.0, DURATION):
-        cluster.request(planned.ingress, planned.units, planned.request_class, 3)
+    for planned_request in random_requests(cluster, 3, 3.0, DURATION):
+        cluster.request(
+            planned_request.ingress, planned_request.units, planned_request.request_class, 3
+        )
         in_flight.append(
             sum(
                 customer.in_flight
@@ -218,9 +224,9 @@
         cluster.run_until(START + reset_after)
         (key,) = cluster.answers
         backend = cluster.attempted_backends[0]
-        reset = AttemptEnded(key.request, 0, backend, Outcome.RESET, False, reset_after)
-        cluster.handle(0, reset)
+        reset_event = AttemptEnded(key.request, 0, backend, Outcome.RESET, False, reset_after)
+        cluster.handle(0, reset_event)
         assert len(cluster.attempted_backends) == 1 + is_retried
-        zones = {attempted % 2 for attempted in cluster.attempted_backends}
+        zones = {backend_number % 2 for backend_number in cluster.attempted_backends}
         assert len(zones) == 1, "the backends of the other zone do not know the key"
         assert cluster.answers[RequestKey(0, key.request)] == ([] if is_retried else ["no"])
--- a/tests/config/test_example_configurations.py
+++ b/tests/config/test_example_configurations.py
@@ -29,9 +29,9 @@
     raw_settings = raw["settings"]
     config = read_config({"NODE_CONFIG": str(path)})
     settings = config.policy_settings
-    assert config.names.classes == tuple(each["Name"] for each in raw_settings["Classes"])
+    assert config.names.classes == tuple(raw_plan["Name"] for raw_plan in raw_settings["Classes"])
     assert [plan.max_in_flight for plan in settings.plans] == [
-        each.get("MaxOut", 0) for each in raw_settings["Packages"]
+        raw_plan.get("MaxOut", 0) for raw_plan in raw_settings["Packages"]
     ]
     assert settings.may_gossip == bool(config.peers) == ("peers" in raw)
     assert settings.load_report_fields == tuple(raw_settings["Stats"]["Names"])
--- a/tests/config/test_ingress_config.py
+++ b/tests/config/test_ingress_config.py
@@ -32,9 +32,9 @@
 ) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**raw_config(message(1, full=True), 9), **changes}))
-    with pytest.raises(SettingsError, match=expected_text) as caught:
+    with pytest.raises(SettingsError, match=expected_text) as raised_error:
         read_config({"NODE_CONFIG": str(path)})
-    assert len(str(caught.value).splitlines()) == 1
+    assert len(str(raised_error.value).splitlines()) == 1
 
 
 def test_environment_variables_override_the_file(tmp_path: Path) -> None:
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -138,9 +138,9 @@
 def test_a_load_error_has_file_section_key_reason_and_remedy_as_fields(tmp_path: Path) -> None:
     path = tmp_path / "my.ini"
     path.write_text("[telemetry]\ninterval = 10ms\n")
-    with pytest.raises(SettingsError) as caught:
+    with pytest.raises(SettingsError) as raised_error:
         load_operator_file(str(path))
-    error = caught.value
+    error = raised_error.value
     assert error.file == str(path)
     assert error.section == "telemetry"
     assert error.key == "interval"
--- a/tests/config/test_platform_settings.py
+++ b/tests/config/test_platform_settings.py
@@ -15,9 +15,9 @@
 
 
 def read_error(path: Path) -> SettingsError:
-    with pytest.raises(SettingsError) as caught:
+    with pytest.raises(SettingsError) as raised_error:
         read_config({"NODE_CONFIG": str(path)})
-    return caught.value
+    return raised_error.value
 
 
 def test_an_error_in_the_settings_has_the_path_of_its_key_and_a_remedy(tmp_path: Path) -> None:
@@ -59,7 +59,7 @@
 
 
 def test_an_unset_configuration_variable_is_the_key_of_the_error() -> None:
-    with pytest.raises(SettingsError) as caught:
+    with pytest.raises(SettingsError) as raised_error:
         read_config({})
-    assert caught.value.key == "NODE_CONFIG"
-    assert str(caught.value) == "NODE_CONFIG is not set; it must name the configuration file"
+    assert raised_error.value.key == "NODE_CONFIG"
+    assert str(raised_error.value) == "NODE_CONFIG is not set; it must name the configuration file"
--- a/tests/control_plane/test_client.py
+++ b/tests/control_plane/test_client.py
@@ -22,12 +22,13 @@
         self.applied: dict[str, Resource] = {}
 
     def apply(self, changes: Sequence[Resource]) -> Sequence[Rejection]:
-        bad = [resource for resource in changes if resource.body == b"bad"]
+        bad_resources = [resource for resource in changes if resource.body == b"bad"]
         self.applied.update(
-            (resource.name, resource) for resource in changes if resource not in bad
+            (resource.name, resource) for resource in changes if resource not in bad_resources
         )
         return [
-            Rejection(resource.kind, resource.name, resource.revision, "is bad") for resource in bad
+            Rejection(resource.kind, resource.name, resource.revision, "is bad")
+            for resource in bad_resources
         ]
 
     def applied_resource(self, kind: str, name: str) -> Resource | None:
@@ -39,12 +40,12 @@
 def test_resource_rejected_before_a_restart_is_rejected_again_and_its_last_good_version_applies(
     tmp_path: Path,
 ) -> None:
-    good = Resource("route", "bad", 1, b"good")
-    write_cache(tmp_path, ["a", "bad"], (good,))
+    good_version = Resource("route", "bad", 1, b"good")
+    write_cache(tmp_path, ["a", "bad"], (good_version,))
     applier = RecordingApplier()
     cache = SnapshotCache(tmp_path, "n0", 0.0)
     settings = ClientSettings(SubscriberSettings("n0"), [])
     client = ControlPlaneClient(settings, applier, Clock(), random.Random(1), cache)
-    assert applier.applied["bad"] == good and applier.applied["a"].body == b"a"
+    assert applier.applied["bad"] == good_version and applier.applied["a"].body == b"a"
     assert client.subscriber.rejections == (Rejection("route", "bad", 2, "is bad"),)
     asyncio.run(cache.close())
--- a/tests/control_plane/test_fanout.py
+++ b/tests/control_plane/test_fanout.py
@@ -64,12 +64,12 @@
 
 
 def test_new_digest_is_sent_when_the_table_is_replaced_at_the_same_revision() -> None:
-    table, repaired = make_table(10), make_table(10)
+    table, repaired_table = make_table(10), make_table(10)
     table._remove("route\x00r4")
     fan_out = make_fan_out(table)
     fan_out.subscribe(10.0, 1, Subscribe("s", "e1", 10, table.digest))
     assert [entry.digest for entry in sent_updates(fan_out)] == [table.digest]
-    table.replace_with(repaired)
+    table.replace_with(repaired_table)
     assert [(entry.resources, entry.digest) for entry in sent_updates(fan_out)] == [
         ((), make_table(10).digest)
     ]
--- a/tests/lab/test_lab_load.py
+++ b/tests/lab/test_lab_load.py
@@ -87,10 +87,11 @@
     arrivals = list(draw_arrivals(parse_rate_shape("50@2s"), MIX, 3))
     assert write_trace(path, arrivals) == len(arrivals)
     assert path.read_text().startswith("at,request_class,plan,firm,units,spread,first\n")
-    found = list(read_trace(path))
-    assert [arrival[1:] for arrival in found] == [arrival[1:] for arrival in arrivals]
+    read_arrivals = list(read_trace(path))
+    assert [arrival[1:] for arrival in read_arrivals] == [arrival[1:] for arrival in arrivals]
     assert all(
-        abs(read.at - written.at) < 1e-6 for read, written in zip(found, arrivals, strict=True)
+        abs(read.at - written.at) < 1e-6
+        for read, written in zip(read_arrivals, arrivals, strict=True)
     )
 
 
@@ -203,13 +204,13 @@
 
 
 def test_run_is_void_if_more_than_one_percent_of_starts_are_late() -> None:
-    punctual = LoadResult()
-    late = LoadResult()
+    punctual_result = LoadResult()
+    late_result = LoadResult()
     for number in range(1000):
-        punctual.record_start(0.0002)
-        late.record_start(0.05 if number % 20 == 0 else 0.0002)
-    assert not punctual.void_reason
-    assert "the tool itself fell behind" in late.void_reason
+        punctual_result.record_start(0.0002)
+        late_result.record_start(0.05 if number % 20 == 0 else 0.0002)
+    assert not punctual_result.void_reason
+    assert "the tool itself fell behind" in late_result.void_reason
 
 
 def test_results_of_processes_are_merged() -> None:
--- a/tests/lab/test_lab_scale.py
+++ b/tests/lab/test_lab_scale.py
@@ -116,9 +116,9 @@
     results: RunResults,
 ) -> None:
     code, report = results["bytes"]
-    broken = [bound for bound in report["bounds"] if not bound["holds"]]
-    assert (code, [bound["name"] for bound in broken]) == (1, ["bytes_s"])
-    assert broken[0]["measured"] > broken[0]["most"] == 1
+    exceeded_bounds = [bound for bound in report["bounds"] if not bound["holds"]]
+    assert (code, [bound["name"] for bound in exceeded_bounds]) == (1, ["bytes_s"])
+    assert exceeded_bounds[0]["measured"] > exceeded_bounds[0]["most"] == 1
 
 
 def test_too_few_changes_make_a_run_void(results: RunResults) -> None:
@@ -157,19 +157,21 @@
         [2, 0.0, [entry, {**entry, "uid": "b"}]],
         [3, 0.0, [{**entry, "uid": "b", "state": "left"}]],
     ]
-    correct: dict[str, Any] = {
+    correct_findings: dict[str, Any] = {
         "tables": [{"rows": [["a", "h:1", True, 1.0]], "ingresses": [0, 1]}],
         "went_back": [],
     }
     expected_rows = final_list(changes)
-    assert find_violations(expected_rows, [correct], 2) == []
-    assert find_violations(expected_rows, [correct], 3) == ["2 of 3 ingresses reported their data"]
-    regressed = {**correct, "went_back": [[1, [3, 2], []]]}
-    assert find_violations(expected_rows, [regressed], 2) == [
+    assert find_violations(expected_rows, [correct_findings], 2) == []
+    assert find_violations(expected_rows, [correct_findings], 3) == [
+        "2 of 3 ingresses reported their data"
+    ]
+    regressed_findings = {**correct_findings, "went_back": [[1, [3, 2], []]]}
+    assert find_violations(expected_rows, [regressed_findings], 2) == [
         "ingress 1 went back from revision 3 to 2"
     ]
-    empty = {**correct, "tables": [{"rows": [], "ingresses": [0, 1]}]}
-    assert len(find_violations(expected_rows, [empty], 2)) == 2
+    empty_findings = {**correct_findings, "tables": [{"rows": [], "ingresses": [0, 1]}]}
+    assert len(find_violations(expected_rows, [empty_findings], 2)) == 2
 
 
 def make_reports(*figures: tuple[int, int, float]) -> list[dict[str, Any]]:
--- a/tests/maintenance/cluster_scenarios.py
+++ b/tests/maintenance/cluster_scenarios.py
@@ -81,7 +81,9 @@
     return all([await cluster.drained_targets(name) == {backend} for name in names])
 
 
-async def none_drained(cluster: ProcessCluster, names: list[str], except_backend: str = "") -> bool:
+async def no_backend_drained(
+    cluster: ProcessCluster, names: list[str], except_backend: str = ""
+) -> bool:
     """Return whether the named members have drained no backend, except possibly `except_backend`.
 
     That backend was requested in a minority partition and may have been granted since.
--- a/tests/maintenance/test_process_faults.py
+++ b/tests/maintenance/test_process_faults.py
@@ -13,7 +13,7 @@
     every_member_knows_a_leader,
     is_granted,
     is_unavailable_at,
-    none_drained,
+    no_backend_drained,
     run_scenario,
     wait_until,
 )
@@ -81,9 +81,9 @@
         cluster.cut(minority)
         new_leader = await wait_until(lambda: cluster.leader(majority))
         assert (await call_maintenance(cluster, new_leader, "s-0", "done"))[0] == 200
-        await wait_until(lambda: none_drained(cluster, majority, except_backend="s-1"))
+        await wait_until(lambda: no_backend_drained(cluster, majority, except_backend="s-1"))
         cluster.heal()
-        await wait_until(lambda: none_drained(cluster, cluster.names, except_backend="s-1"))
+        await wait_until(lambda: no_backend_drained(cluster, cluster.names, except_backend="s-1"))
 
     run_scenario(tmp_path, scenario, size=5)
 
@@ -126,7 +126,7 @@
                 )
             )
             assert (await call_maintenance(cluster, other_members[1], backend, "done"))[0] == 200
-        await wait_until(lambda: none_drained(cluster, cluster.names))
+        await wait_until(lambda: no_backend_drained(cluster, cluster.names))
 
     run_scenario(tmp_path, scenario)
 
@@ -190,6 +190,6 @@
         cluster.signal(other_members[0], signal.SIGCONT)
         await wait_until(lambda: all_have_drained(cluster, "s-0", cluster.names))
         assert (await call_maintenance(cluster, other_members[1], "s-0", "done"))[0] == 200
-        await wait_until(lambda: none_drained(cluster, cluster.names))
+        await wait_until(lambda: no_backend_drained(cluster, cluster.names))
 
     run_scenario(tmp_path, scenario)
--- a/tests/net/test_descriptor_budget.py
+++ b/tests/net/test_descriptor_budget.py
@@ -13,8 +13,10 @@
 
 def test_connections_stay_within_the_descriptor_budget() -> None:
     async def scenario() -> None:
-        busy, other, clock = Backend(never_replies), Backend(), ManualClock()
-        async with running_ingress(busy, other, clock=clock, limits={"sockets": 80}) as (
+        hanging_backend, idle_backend, clock = Backend(never_replies), Backend(), ManualClock()
+        async with running_ingress(
+            hanging_backend, idle_backend, clock=clock, limits={"sockets": 80}
+        ) as (
             ingress,
             _,
             _,
@@ -86,28 +88,28 @@
             _,
         ):
             assert [await active.call() for _ in range(2)] == [b"value"] * 2
-            others = [await Client.open(ingress.address.port)]
-            others[0].writer.write(b"*1\r\n")
+            other_clients = [await Client.open(ingress.address.port)]
+            other_clients[0].writer.write(b"*1\r\n")
             await until(lambda: any(c.is_mid_command for c in ingress.listener.connections))
             clock.advance(1)
-            others += [
+            other_clients += [
                 await Client.open(ingress.address.port) for _ in range(ingress.budget.client - 2)
             ]
             await until(lambda: len(ingress.listener.connections) == ingress.budget.client)
             clock.advance(200)
-            others.append(await Client.open(ingress.address.port))
+            other_clients.append(await Client.open(ingress.address.port))
             # A connection with an incomplete command counts as idle and is closed. The active one
             # has been idle for longer, but it has sent requests.
-            assert await others[0].answer() is None
+            assert await other_clients[0].answer() is None
             assert await active.call() == b"value"
-            for each_client in others[1:]:
+            for each_client in other_clients[1:]:
                 each_client.send(b"PING")
                 assert await each_client.answer() == b"PONG"
             clock.advance(2_001)  # past the idle timeout, with over half of the budget in use
             ingress._run_periodic_maintenance()
-            assert [await each_client.answer() for each_client in others[1:]] == [None] * len(
-                others[1:]
-            )
+            assert [await each_client.answer() for each_client in other_clients[1:]] == [
+                None
+            ] * len(other_clients[1:])
 
     run(scenario())
 
--- a/tests/net/test_discovery_notification_bound.py
+++ b/tests/net/test_discovery_notification_bound.py
@@ -160,17 +160,17 @@
     """The address changes at SIGHUP, while attempts at the old address fail in different ways."""
 
     async def scenario() -> None:
-        old, new = failing_discovery(failure), failing_discovery(failure)
+        old_discovery, new_discovery = failing_discovery(failure), failing_discovery(failure)
         async with watching_ingress(
-            await old.start(), ingress_count, is_polling, drain_grace_s=9.0
+            await old_discovery.start(), ingress_count, is_polling, drain_grace_s=9.0
         ) as (
             ingress,
             clock,
         ):
-            while old.attempts < 3:
-                await advance_clock(ingress, clock, old)
-            ingress.watch.change_address(Address("127.0.0.1", await new.start()))
-            await fail_attempts(ingress, clock, new, 2)
-            assert await time_until_new_list(ingress, clock, new) <= BOUND_MS
+            while old_discovery.attempts < 3:
+                await advance_clock(ingress, clock, old_discovery)
+            ingress.watch.change_address(Address("127.0.0.1", await new_discovery.start()))
+            await fail_attempts(ingress, clock, new_discovery, 2)
+            assert await time_until_new_list(ingress, clock, new_discovery) <= BOUND_MS
 
     run(scenario())
--- a/tests/net/test_discovery_processes.py
+++ b/tests/net/test_discovery_processes.py
@@ -45,8 +45,12 @@
     """
 
     async def scenario() -> None:
-        old, new, path = failing_discovery("closes"), FailingDiscovery(), tmp_path / "config.json"
-        ports = [await old.start(), await new.start()]
+        old_discovery, new_discovery, path = (
+            failing_discovery("closes"),
+            FailingDiscovery(),
+            tmp_path / "config.json",
+        )
+        ports = [await old_discovery.start(), await new_discovery.start()]
         settings = SETTINGS | ({"Discovery": "subscribe"} if is_polling else {})
         limits, endpoint_list = {"sockets": MAX_SOCKETS}, message(1, target("s-0", 9), full=True)
         texts = [
@@ -66,12 +70,12 @@
                 socket.create_connection(client_address) for _ in range(2 * MAX_SOCKETS)
             ]
             await until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) > MAX_SOCKETS // 2)
-            await until(lambda: old.attempts > 3)
-            old.failure = None
-            await asyncio.wait_for(until(lambda: old.writers), BOUND_S)
+            await until(lambda: old_discovery.attempts > 3)
+            old_discovery.failure = None
+            await asyncio.wait_for(until(lambda: old_discovery.writers), BOUND_S)
             path.write_text(texts[1])
             process.send_signal(signal.SIGHUP)
-            await asyncio.wait_for(until(lambda: new.writers), BOUND_S)
+            await asyncio.wait_for(until(lambda: new_discovery.writers), BOUND_S)
             for sock in idle_clients:
                 sock.close()
 
--- a/tests/net/test_late_backend_connections.py
+++ b/tests/net/test_late_backend_connections.py
@@ -42,15 +42,15 @@
     return target("s-0", 9)
 
 
-def drained(backend: LateBackend) -> dict[str, Any]:
+def draining_target(backend: LateBackend) -> dict[str, Any]:
     return target("s-0", backend.socket.getsockname()[1], "leaving")
 
 
-def restarted(backend: LateBackend) -> dict[str, Any]:
+def restarted_target(backend: LateBackend) -> dict[str, Any]:
     return target("s-0", backend.socket.getsockname()[1], boot_ms=5_000)
 
 
-@pytest.mark.parametrize("change", [moved, drained, restarted, None])
+@pytest.mark.parametrize("change", [moved, draining_target, restarted_target, None])
 def test_a_connection_established_late_sends_nothing_to_a_backend_that_changed(
     change: Callable[[LateBackend], dict[str, Any]] | None,
 ) -> None:
--- a/tests/net/test_quota_counter.py
+++ b/tests/net/test_quota_counter.py
@@ -61,10 +61,10 @@
     reply: bytes | None, outcome: Outcome, expected_connections: int
 ) -> None:
     async def scenario() -> None:
-        async def answers(args: list[bytes]) -> bytes | None:
+        async def answer_call(args: list[bytes]) -> bytes | None:
             return reply
 
-        counter_server = Backend(answers)
+        counter_server = Backend(answer_call)
         client, replies = new_client(await counter_server.start())
         client.add(1, 1.0, 60_000.0)
         await until(lambda: replies)
--- a/tests/net/test_requests_in_flight.py
+++ b/tests/net/test_requests_in_flight.py
@@ -132,7 +132,7 @@
     async def scenario() -> None:
         may_reply, clock, responses = asyncio.Event(), ManualClock(), list[Any]()
 
-        async def waits(args: list[bytes]) -> bytes | None:
+        async def reply_later(args: list[bytes]) -> bytes | None:
             await may_reply.wait()
             return VALUE_REPLY
 
@@ -154,14 +154,14 @@
                 await asyncio.sleep(0.001)
 
         async def changes() -> None:
-            leaving = target("s-0", backend.server.sockets[0].getsockname()[1], "leaving")
-            discovery.push(message(2, leaving))
+            leaving_target = target("s-0", backend.server.sockets[0].getsockname()[1], "leaving")
+            discovery.push(message(2, leaving_target))
             await until(
                 lambda: ingress.endpoints.revision == 2 or ingress.lifecycle.phase is Phase.STOPPED
             )
 
         steps = {"answer": answer, "close": close, "signal": signal, "list": changes}
-        backend = Backend(waits)
+        backend = Backend(reply_later)
         async with running_ingress(backend, clock=clock) as (ingress, client, discovery):
             client.writer.write(request(1, "checkout"))
             await until(lambda: backend.received_commands)
--- a/tests/net/test_watch_response_parser.py
+++ b/tests/net/test_watch_response_parser.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    ("pieces", "found"),
+    ("pieces", "expected"),
     [
         ([RESPONSE_HEAD + b'8\r\n{"a":1}\n\r\n'], [{"a": 1}]),
         ([RESPONSE_HEAD, b"4\r\n", b'{"a"', b"\r\n4\r\n:1}\n\r\n1\r\n\n\r\n"], [{"a": 1}]),
@@ -27,14 +27,14 @@
     ],
 )
 def test_objects_are_parsed_when_complete_and_other_responses_raise(
-    pieces: list[bytes], found: Any
+    pieces: list[bytes], expected: Any
 ) -> None:
     parser = WatchResponseParser()
-    if found is DiscoveryError:
+    if expected is DiscoveryError:
         with pytest.raises(DiscoveryError):
             [parsed for piece in pieces for parsed in parser.feed(piece)]
     else:
-        assert [parsed for piece in pieces for parsed in parser.feed(piece)] == found
+        assert [parsed for piece in pieces for parsed in parser.feed(piece)] == expected
 
 
 @pytest.mark.parametrize("indent", [None, 1, 4])
@@ -44,30 +44,30 @@
         json.dumps(update, indent=indent, ensure_ascii=False).encode() for update in messages
     )
     for split_at in range(1, len(text)):
-        parser, found = WatchResponseParser(), list[Any]()
+        parser, parsed_objects = WatchResponseParser(), list[Any]()
         for piece in (RESPONSE_HEAD, *chunked(text[:split_at], text[split_at:])):
-            found += parser.feed(piece)
-        assert found == messages
+            parsed_objects += parser.feed(piece)
+        assert parsed_objects == messages
         assert not parser.is_inside_object
-    parser, found = WatchResponseParser(), []
+    parser, parsed_objects = WatchResponseParser(), []
     for piece in (
         RESPONSE_HEAD,
         *chunked(*(text[offset : offset + 1] for offset in range(len(text)))),
     ):
-        before = len(found)
-        found += parser.feed(piece)
+        before = len(parsed_objects)
+        parsed_objects += parser.feed(piece)
         # An object is yielded with its own last byte, not with the first byte of the next one.
-        assert len(found) == before or piece[3:4] == b"}"
-    assert found == messages
+        assert len(parsed_objects) == before or piece[3:4] == b"}"
+    assert parsed_objects == messages
 
 
 def test_complete_objects_are_yielded_before_an_error_and_the_object_size_is_limited() -> None:
-    parser, found = WatchResponseParser(), list[Any]()
+    parser, parsed_objects = WatchResponseParser(), list[Any]()
     with pytest.raises(DiscoveryError, match="not JSON"):
         for piece in (RESPONSE_HEAD, *chunked(b'{"rev": 1}\n}')):
             for parsed in parser.feed(piece):
-                found.append(parsed)
-    assert found == [{"rev": 1}]
+                parsed_objects.append(parsed)
+    assert parsed_objects == [{"rev": 1}]
     parser = WatchResponseParser()
     with pytest.raises(DiscoveryError, match="an object is too large"):
         for piece in (RESPONSE_HEAD, *chunked(b'{"a": [', *[b"1, " * 10_000] * 200)):
@@ -79,7 +79,7 @@
     text = json.dumps(message(1, *targets, full=True), indent=2).encode()
     parser, started_at = WatchResponseParser(), time.monotonic()
     pieces = (RESPONSE_HEAD, *chunked(*(text[offset : offset + 1] for offset in range(len(text)))))
-    found = [parsed for piece in pieces for parsed in parser.feed(piece)]
-    assert len(found[0]["targets"]) == 3_000
+    parsed_objects = [parsed for piece in pieces for parsed in parser.feed(piece)]
+    assert len(parsed_objects[0]["targets"]) == 3_000
     # This takes half a second. Parsing the whole input again for each byte would take minutes.
     assert time.monotonic() - started_at < 20
--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -273,25 +273,25 @@
 
 
 def counter_reply(
-    ingress: IngressHarness, call: AddToCounter, others: float = 0.0
+    ingress: IngressHarness, call: AddToCounter, other_units: float = 0.0
 ) -> CounterReplied:
-    """Add `others` units of other ingresses and then a call to the counter; return its reply."""
+    """Add units of other ingresses and then a call to the counter; return its reply."""
     ingress.counter_totals[call.name] = (
-        ingress.counter_totals.get(call.name, 0.0) + call.amount + others
+        ingress.counter_totals.get(call.name, 0.0) + call.amount + other_units
     )
     return CounterReplied(call.name, Outcome.OK, ingress.counter_totals[call.name])
 
 
 def answer_counter_calls(
-    ingress: IngressHarness, called: list[AddToCounter], others: float = 0.0
+    ingress: IngressHarness, calls: list[AddToCounter], other_units: float = 0.0
 ) -> None:
     """Answer these counter calls and all that result from the replies.
 
-    `others` units of other ingresses are added before the first call.
+    `other_units` of other ingresses are added before the first call.
     """
-    while called:
-        called += counter_calls(ingress.handle(counter_reply(ingress, called.pop(0), others)))
-        others = 0.0
+    while calls:
+        calls += counter_calls(ingress.handle(counter_reply(ingress, calls.pop(0), other_units)))
+        other_units = 0.0
 
 
 def request_beyond_even_split(
@@ -307,11 +307,11 @@
     """
     for _ in range(max_requests):
         ingress.last_request, ingress.now = ingress.last_request + 1, ingress.now + 0.01
-        arrived = RequestArrived(ingress.last_request, SAFE, RATE_PLAN, 7, 4.0, 1.0, 2, 0)
-        called = counter_calls(ingress.handle(arrived))
-        if called and not ingress.attempts.get(ingress.last_request):
-            return ingress.last_request, called[0]
-        answer_counter_calls(ingress, called)
+        arrival_event = RequestArrived(ingress.last_request, SAFE, RATE_PLAN, 7, 4.0, 1.0, 2, 0)
+        calls = counter_calls(ingress.handle(arrival_event))
+        if calls and not ingress.attempts.get(ingress.last_request):
+            return ingress.last_request, calls[0]
+        answer_counter_calls(ingress, calls)
     raise AssertionError("no request waited for the counter")
 
 
@@ -325,8 +325,8 @@
 ) -> None:
     """End a request's first attempt successfully, with a load report."""
     send = ingress.attempts[request][0]
-    ended = AttemptEnded(request, 0, send.backend, Outcome.OK, True, duration, 0.0, None, load)
-    ingress.handle(ended)
+    end_event = AttemptEnded(request, 0, send.backend, Outcome.OK, True, duration, 0.0, None, load)
+    ingress.handle(end_event)
 
 
 def requests_by_backend(
--- a/tests/policy/test_engine.py
+++ b/tests/policy/test_engine.py
@@ -67,10 +67,10 @@
     ingress.handle(EndpointsListed(EndpointListKind.FAILED, ()))
     is_polled = False
     while ingress.timers and not is_polled and ingress.now < 110:
-        due = min(ingress.timers)
-        ingress.timers.remove(due)
-        ingress.now = due[0]
-        is_polled = PollEndpoints() in ingress.handle(TimerFired(due[1]))
+        due_timer = min(ingress.timers)
+        ingress.timers.remove(due_timer)
+        ingress.now = due_timer[0]
+        is_polled = PollEndpoints() in ingress.handle(TimerFired(due_timer[1]))
     assert is_polled
     assert ingress.is_admitted(ingress.send_request())
 
--- a/tests/policy/test_many_ingresses.py
+++ b/tests/policy/test_many_ingresses.py
@@ -165,7 +165,7 @@
             has_failed = send.backend in self.failing_backends
             duration = self.response_times.get(send.backend, 0.3)
             outcome = Outcome.ERROR if has_failed else Outcome.OK
-            ended = AttemptEnded(
+            end_event = AttemptEnded(
                 send.request,
                 number,
                 send.backend,
@@ -174,7 +174,7 @@
                 duration,
                 load_report=() if has_failed else (2.0, 5.0, 0.0),
             )
-            actions = engine.handle(self.now, ended)
+            actions = engine.handle(self.now, end_event)
             number += 1
 
     def run_rounds(self, rounds: int) -> None:
@@ -264,12 +264,14 @@
     for request in range(300):  # 5 requests/s for a minute, distributed over thirty ingresses
         now += 0.2
         engine = fleet[request * 7 % 30]
-        waiting = engine.handle(now, RequestArrived(request, 0, 0, 7, 4.0, 1.0, 30, 0))
-        while waiting:
-            action = waiting.pop(0)
+        pending_actions = engine.handle(now, RequestArrived(request, 0, 0, 7, 4.0, 1.0, 30, 0))
+        while pending_actions:
+            action = pending_actions.pop(0)
             if isinstance(action, AddToCounter):
                 total += action.amount
-                waiting += engine.handle(now, CounterReplied(action.name, Outcome.OK, total))
+                pending_actions += engine.handle(
+                    now, CounterReplied(action.name, Outcome.OK, total)
+                )
     assert total < 130, (
         "66 units are within the quota; 223 were used with one free request at each ingress per window"
     )
@@ -311,12 +313,12 @@
         plan + answer_line(1.1, "served", "-", 1) + answer_line(3.3, "refused", "ceiling", 0)
         + "3.3 2026-12-01T00:00:00.000 TRACE trace ended node=s-1 outcome=error took=1.0 load=-\n"
     )  # fmt: skip
-    found = fleet_count.read(tmp_path)
-    steps = fleet_count.count_by_step(found, 1.0)
+    events = fleet_count.read(tmp_path)
+    steps = fleet_count.count_by_step(events, 1.0)
     assert steps[1.0] == {"served": 3, "again new": 1}
     assert steps[3.0] == {"refused ceiling": 1}
-    assert fleet_count.count_by_node(found) == {"s-1": {"calls": 1, "error": 1}}
-    (customer_usage,) = fleet_count.stores(found)
+    assert fleet_count.count_by_node(events) == {"s-1": {"calls": 1, "error": 1}}
+    (customer_usage,) = fleet_count.replay_token_buckets(events)
     assert (customer_usage.sent, customer_usage.beyond) == (3.0, 1.0), (
         "the third request finds 0.1 units in a token bucket that two requests emptied"
     )
--- a/tests/policy/test_quota_counter_sync.py
+++ b/tests/policy/test_quota_counter_sync.py
@@ -23,14 +23,14 @@
 )
 
 
-@pytest.mark.parametrize(("others", "is_admitted"), [(0.0, True), (50.0, False)])
+@pytest.mark.parametrize(("other_units", "is_admitted"), [(0.0, True), (50.0, False)])
 def test_counter_total_decides_on_a_request_beyond_an_even_split(
-    others: float, is_admitted: bool
+    other_units: float, is_admitted: bool
 ) -> None:
     ingress = IngressHarness(COUNTER_SETTINGS)
     request, call = request_beyond_even_split(ingress)
     assert not ingress.answers.get(request)  # the request waits for the counter's reply
-    ingress.handle(counter_reply(ingress, call, others))
+    ingress.handle(counter_reply(ingress, call, other_units))
     assert ingress.is_admitted(request) is is_admitted
     assert ingress.answers.get(request) == (None if is_admitted else ["refused"])
 
@@ -91,10 +91,10 @@
     _, call = request_beyond_even_split(ingress)
     answer_counter_calls(ingress, [call], 3.0)
     customer = ingress.engine.customers.by_number[7]
-    for others, expected_level in ((8.0, 8.0), (40.0, 0.0)):
+    for other_units, expected_level in ((8.0, 8.0), (40.0, 0.0)):
         ingress.run_until(ingress.now + 8)  # 16 units are refilled, and the bucket holds 8
         ingress.engine.customers.get(7, RATE_PLAN)
         ingress.engine.context.actions = []
         ingress.engine.counter.send(7, customer)
-        answer_counter_calls(ingress, counter_calls(ingress.engine.actions), others)
+        answer_counter_calls(ingress, counter_calls(ingress.engine.actions), other_units)
         assert customer.quota.level == pytest.approx(expected_level, abs=1.5)
--- a/tests/raft/test_proposals.py
+++ b/tests/raft/test_proposals.py
@@ -10,11 +10,11 @@
 def test_proposal_is_committed_only_if_its_own_entry_is_at_the_index() -> None:
     async def scenario() -> None:
         proposals = PendingProposals()
-        own = proposals.await_commit(index=4, term=2)
-        replaced = proposals.await_commit(index=5, term=2)
+        own_commit = proposals.await_commit(index=4, term=2)
+        replaced_commit = proposals.await_commit(index=5, term=2)
         proposals.on_committed(index=4, term=2)
         proposals.on_committed(index=5, term=3)
-        assert (await own, await replaced) == (4, UNKNOWN_INDEX)
+        assert (await own_commit, await replaced_commit) == (4, UNKNOWN_INDEX)
 
     asyncio.run(scenario())
 
@@ -38,10 +38,10 @@
 def test_caller_waits_until_the_index_is_applied_locally() -> None:
     async def scenario() -> None:
         proposals = PendingProposals()
-        early, late = proposals.await_applied(3), proposals.await_applied(5)
+        index_3_applied, index_5_applied = proposals.await_applied(3), proposals.await_applied(5)
         proposals.on_applied(4)
-        assert early.done() and not late.done()
+        assert index_3_applied.done() and not index_5_applied.done()
         proposals.on_applied(6)
-        assert late.done()
+        assert index_5_applied.done()
 
     asyncio.run(scenario())
--- a/tests/raft/test_simulation.py
+++ b/tests/raft/test_simulation.py
@@ -34,8 +34,8 @@
 
 @pytest.mark.parametrize("defect", DEFECT_NAMES)
 def test_seeded_defect_is_found(defect: str) -> None:
-    runs = RARE_DEFECTS.get(defect, DEFAULT_RUNS)
-    assert any(play_seed(name, seed, defect).violations for name, seed in runs)
+    seeds_to_play = RARE_DEFECTS.get(defect, DEFAULT_RUNS)
+    assert any(play_seed(name, seed, defect).violations for name, seed in seeds_to_play)
 
 
 def test_replay_of_a_seed_prints_the_same_record_each_time() -> None:
--- a/tests/routes/test_bounds.py
+++ b/tests/routes/test_bounds.py
@@ -50,11 +50,11 @@
 def test_the_stricter_of_two_rules_allows_only_what_both_allow(
     first: Rules, second: Rules, sent: int, outcome: Outcome
 ) -> None:
-    both = bounds_with_rules(stricter(first, second))
-    if both.may_still_retry(sent, outcome):
+    combined = bounds_with_rules(stricter(first, second))
+    if combined.may_still_retry(sent, outcome):
         assert bounds_with_rules(first).may_still_retry(sent, outcome)
         assert bounds_with_rules(second).may_still_retry(sent, outcome)
-    if both.try_hedge(sent, 0.0):
+    if combined.try_hedge(sent, 0.0):
         assert bounds_with_rules(first).try_hedge(sent, 0.0)
         assert bounds_with_rules(second).try_hedge(sent, 0.0)
 
@@ -80,11 +80,11 @@
     bounds = bounds_of(table_of({"r": route}), "r")
     for sent, max_delay in ((1, 0.1), (2, 0.2), (3, 0.3)):
         delays = [bounds.retry_delay(sent, Outcome.ERROR, number * 10.0) for number in range(200)]
-        waits = [wait for wait in delays if wait is not None]
-        assert len(waits) == 200
-        assert max(waits) <= max_delay
-        assert max(waits) > 0.9 * max_delay
-        assert min(waits) < 0.1 * max_delay
+        known_delays = [wait for wait in delays if wait is not None]
+        assert len(known_delays) == 200
+        assert max(known_delays) <= max_delay
+        assert max(known_delays) > 0.9 * max_delay
+        assert min(known_delays) < 0.1 * max_delay
 
 
 def test_a_backoff_beyond_the_deadline_does_not_delay_the_final_answer() -> None:
@@ -105,20 +105,20 @@
         arrival = number * 100.0
         bounds = bounds_of(table, "r")
         engine.handle(arrival, RequestArrived(number, 0, 0, 1, 4.0, route=bounds))
-        ended = AttemptEnded(number, 0, 1, Outcome.ERROR, False, 0.1)
-        actions = engine.handle(arrival + 0.1, ended)
+        end_event = AttemptEnded(number, 0, 1, Outcome.ERROR, False, 0.1)
+        actions = engine.handle(arrival + 0.1, end_event)
         if any(isinstance(action, Reject) for action in actions):
             rejected_at_once += 1
     assert rejected_at_once > 40  # backoffs are 0 to 60 s, so 56 of 60 end after the deadline
 
 
 def test_backoffs_depend_only_on_the_seed_of_the_table() -> None:
-    def waits() -> list[float | None]:
+    def draw_retry_delays() -> list[float | None]:
         table = table_of({"r": RouteOptions(backoff=Duration(100), retry_floor=100.0)}, seed=5)
         bounds = bounds_of(table, "r")
         return [bounds.retry_delay(1, Outcome.ERROR, float(number)) for number in range(5)]
 
     random.seed(1)
-    first = waits()
+    first = draw_retry_delays()
     random.seed(2)
-    assert waits() == first
+    assert draw_retry_delays() == first
--- a/tests/test_import_direction.py
+++ b/tests/test_import_direction.py
@@ -68,14 +68,14 @@
 def cycle_through(start: str, imports: dict[str, set[str]]) -> list[str]:
     """Return the modules of an import cycle that begins at `start`; empty if there is none."""
     paths = [[start]]
-    seen: set[str] = set()
+    visited: set[str] = set()
     while paths:
         path = paths.pop()
         for module in sorted(imports[path[-1]]):
             if module == start:
                 return [*path, start]
-            if module not in seen:
-                seen.add(module)
+            if module not in visited:
+                visited.add(module)
                 paths.append([*path, module])
     return []
 
