--- a/benchmarks/fleet_count.py
+++ b/benchmarks/fleet_count.py
@@ -7,7 +7,7 @@
 ...`, where SECONDS counts from the start of the day.
 
 Prints the events of the fleet by step of the day, and the calls by node. For each plan it then
-prints the units that were sent on, those sent on although the customer's token bucket held too few,
+prints the units that were forwarded, those forwarded although the customer's token bucket held too few,
 and those refused, by the fill of the bucket. The buckets are replayed from the answers of all
 ingresses in the order in which the requests arrived, so they are as exact as the log's milliseconds.
 """
--- a/benchmarks/regress.py
+++ b/benchmarks/regress.py
@@ -5,11 +5,11 @@
 KIT is the kit's folder. Each of `RUNS` is started from the repository's root and writes a snapshot
 to journal/, which is to be committed unchanged. The result is read from that snapshot and compared
 with benchmarks/regress.json, which holds quick and full scores separately, each with its noise (see
-`benchmarks/kept.py`). `--keep` adds the new scores if every run holds. An interrupted test resumes
-with the runs that are missing for this source tree and size; `--again` repeats all. `--since REV`
-prints which benches have to run after the changes since REV, and runs none.
+`benchmarks/kept.py`). `--keep` adds the new scores if every run passes. An interrupted test resumes
+with the runs that are missing for this source tree and size; `--again` repeats all runs.
+`--since REV` prints which benches have to run after the changes since REV, and runs none.
 
-Exit codes: 0 every run holds; 1 a score fell by more than its noise, a rule was violated, a gate
+Exit codes: 0 every run passed; 1 a score fell by more than its noise, a rule was violated, a gate
 failed or an ingress crashed; 2 a bench could not be run, or the arguments are invalid. The benches
 run one at a time, because each needs the whole machine. CI does not run them.
 """
@@ -245,7 +245,7 @@
         "--again", action="store_true", help="repeat runs that an interrupted test has completed"
     )
     parser.add_argument(
-        "--keep", action="store_true", help="record the new scores if every run holds"
+        "--keep", action="store_true", help="record the new scores if every run passes"
     )
     parser.add_argument(
         "--why", default="The regression test over both deployments", help="note for the journal"
--- a/dockthread/framing.py
+++ b/dockthread/framing.py
@@ -1,8 +1,8 @@
 """Frames of a TCP stream: a length, a version, an authentication tag and a message.
 
 A frame consists of a 4-byte little-endian length, a 1-byte version, a 16-byte keyed BLAKE2 tag
-(zeros without a key) and a message in msgpack. Other bytes raise `MalformedFrameError`. The
-connection can't be used after that, except after the subclass `UnknownMessageError`.
+(zeros without a key) and a message in msgpack. Other bytes raise `MalformedFrameError`. After
+that the connection can't be used; only the subclass `UnknownMessageError` leaves it usable.
 """
 
 from __future__ import annotations
--- a/tests/net/test_descriptor_budget.py
+++ b/tests/net/test_descriptor_budget.py
@@ -98,8 +98,8 @@
             await until(lambda: len(ingress.listener.connections) == ingress.budget.client)
             clock.advance(200)
             other_clients.append(await Client.open(ingress.address.port))
-            # A connection with an incomplete command counts as idle and is closed. The active one
-            # has been idle for longer, but it has sent requests.
+            # A connection with an incomplete command counts as idle and is closed. The active
+            # client has been idle for longer, but it has sent requests.
             assert await other_clients[0].answer() is None
             assert await active.call() == b"value"
             for each_client in other_clients[1:]:
