--- a/benchmarks/fleet_count.py
+++ b/benchmarks/fleet_count.py
@@ -7,7 +7,7 @@
 ...`, where SECONDS counts from the start of the day.
 
 Prints the events of the fleet by step of the day, and the calls by node. For each plan it then
-prints the units that were sent on, those sent on although the customer's token bucket held too few,
+prints the units that were forwarded, those forwarded although the customer's token bucket held too few,
 and those refused, by the fill of the bucket. The buckets are replayed from the answers of all
 ingresses in the order in which the requests arrived, so they are as exact as the log's milliseconds.
 """
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """The token bucket of one customer, in units, as an ingress that saw all requests keeps it."""
+    """One customer's token bucket in units, computed from the requests at all ingresses."""
 
     level: float
     updated_at: float
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class Plan:
-    """A plan and its units: sent on, sent on beyond the token buckets, and refused."""
+    """A plan and its units: forwarded, forwarded beyond the token buckets, and refused."""
 
     name: str
     rate: float
@@ -61,7 +61,7 @@
             continue
         try:
             at = float(parts[0])
-            fields = dict(part.split("=", 1) for part in parts[5:])
+            fields = dict(pair.split("=", 1) for pair in parts[5:])
         except ValueError:
             continue
         yield Event(at, parts[4], fields)
@@ -107,7 +107,7 @@
     return nodes
 
 
-def stores(events: list[Event]) -> list[Plan]:
+def replay_token_buckets(events: list[Event]) -> list[Plan]:
     """Replay the token buckets of all customers, and return the units of each plan.
 
     Refused units are counted by reason and by the fill of the bucket: `half` or more, `some` (enough
@@ -158,7 +158,7 @@
 
 
 def main() -> int:
-    """Print the counts of a folder of logs; return 2 if it holds no trace line."""
+    """Print the counts of a folder of logs; return 2 if it has no trace line."""
     parser = argparse.ArgumentParser(
         description="Count the events of a bench day across its fleet."
     )
@@ -182,7 +182,7 @@
     by_failures = sorted(nodes, key=lambda node: nodes[node]["ok"] - nodes[node]["calls"])
     for node in by_failures[: options.nodes]:
         print(node, "  ".join(f"{name} {count}" for name, count in nodes[node].most_common()))
-    for plan in stores(events):
+    for plan in replay_token_buckets(events):
         print(
             f"{plan.name}: {plan.sent:.0f} units sent on, {plan.beyond:.0f} beyond the quota; refused (reason, bucket fill):"
         )
--- a/benchmarks/regress.py
+++ b/benchmarks/regress.py
@@ -5,11 +5,11 @@
 KIT is the kit's folder. Each of `RUNS` is started from the repository's root and writes a snapshot
 to journal/, which is to be committed unchanged. The result is read from that snapshot and compared
 with benchmarks/regress.json, which holds quick and full scores separately, each with its noise (see
-`benchmarks/kept.py`). `--keep` adds the new scores if every run holds. An interrupted test resumes
-with the runs that are missing for this source tree and size; `--again` repeats all. `--since REV`
-prints which benches have to run after the changes since REV, and runs none.
+`benchmarks/kept.py`). `--keep` adds the new scores if every run passes. An interrupted test resumes
+with the runs that are missing for this source tree and size; `--again` repeats all runs.
+`--since REV` prints which benches have to run after the changes since REV, and runs none.
 
-Exit codes: 0 every run holds; 1 a score fell by more than its noise, a rule was violated, a gate
+Exit codes: 0 every run passed; 1 a score fell by more than its noise, a rule was violated, a gate
 failed or an ingress crashed; 2 a bench could not be run, or the arguments are invalid. The benches
 run one at a time, because each needs the whole machine. CI does not run them.
 """
@@ -50,7 +50,7 @@
     program: str  # Path below the kit's folder.
     site: str  # Path below the kit's folder, or below the root for a site of this project.
     group: str  # Group in which `benchmarks.kept.GROUPS_BY_PATH` lists the bench.
-    panel: tuple[str, ...] = ()  # Options that choose days which exist in one size only.
+    panel: tuple[str, ...] = ()  # Options that select days that exist in one size only.
 
 
 def short_day_runs(site: str, *seeds: int) -> tuple[BenchRun, ...]:
@@ -128,7 +128,7 @@
     )
 
 
-def holds(result: RunResult, recorded: RecordedScores) -> bool:
+def has_passed(result: RunResult, recorded: RecordedScores) -> bool:
     """Return whether no rule was violated and the score fell by no more than the noise.
 
     Without a recorded score only the rules count.
@@ -142,7 +142,7 @@
     recorded_mean = "-" if recorded.mean is None else f"{recorded.mean:.3f}"
     noise = "?" if recorded.noise is None else f"{recorded.noise:.3f}"
     rules = "broken" if result.broken else "kept"
-    verdict = "holds" if holds(result, recorded) else "; ".join(result.broken) or "REGRESSED"
+    verdict = "holds" if has_passed(result, recorded) else "; ".join(result.broken) or "REGRESSED"
     return f"{name:33} {recorded_mean:>6} {noise:>6} {result.score:6.3f} {change:>7}  {rules:6} {result.gate:6}  {verdict}"
 
 
@@ -245,7 +245,7 @@
         "--again", action="store_true", help="repeat runs that an interrupted test has completed"
     )
     parser.add_argument(
-        "--keep", action="store_true", help="record the new scores if every run holds"
+        "--keep", action="store_true", help="record the new scores if every run passes"
     )
     parser.add_argument(
         "--why", default="The regression test over both deployments", help="note for the journal"
@@ -288,13 +288,13 @@
         print(f"{number}/{len(selected)} {size} {table_line(*rows[-1])} ({duration})", flush=True)
     stored_results.complete()
     print("\n" + format_table(rows))
-    all_hold = all(holds(result, recorded) for _, recorded, result in rows)
-    if all_hold and options.keep:
+    all_passed = all(has_passed(result, recorded) for _, recorded, result in rows)
+    if all_passed and options.keep:
         for name, recorded, result in rows:
             recorded_by_run[name] = recorded
             recorded.add(tree_hash, result.score)
         recorded_scores.save(SCORES_FILE, recorded_table)
-    return 0 if all_hold else 1
+    return 0 if all_passed else 1
 
 
 if __name__ == "__main__":
--- a/dockthread/policy/load_balancer.py
+++ b/dockthread/policy/load_balancer.py
@@ -81,7 +81,7 @@
         return self._draw_with_capacity(pending, possible_run, candidates, used_backends)
 
     def idle_connection_cutoff(self) -> float:
-        """Return a time in seconds; connections that became idle before it have been closed."""
+        """Return the cutoff in seconds: connections idle since before it have been closed."""
         return self._context.now - self._idle_connection_time
 
     def _deduplicating_backends(
@@ -107,11 +107,11 @@
         """Return the drawn candidate with the lowest cost; None if no candidate is usable."""
         settings = self._context.settings
         share = CANDIDATES_PER_BACKEND * len(candidates) // settings.ingress_count
-        drawn = candidates.draw(self._context.rng, max(MIN_CANDIDATES, share))
+        drawn_candidates = candidates.draw(self._context.rng, max(MIN_CANDIDATES, share))
         max_warming_up = 0 if pending.attempts else warming_multiple(settings.safety)
         usable = [
             backend
-            for position, backend in enumerate(drawn)
+            for position, backend in enumerate(drawn_candidates)
             if self._is_usable(backend, pending, position < max_warming_up)
         ]
         unused = [backend for backend in usable if backend.endpoint.backend not in used_backends]
@@ -149,12 +149,12 @@
         From a long list it returns those in a sample, unless none in the sample has capacity.
         """
         may_warm_up = not self._pool.has_warm_backend
-        sampled = [
+        usable_backends = [
             backend
             for backend in candidates.sample(self._context.rng)
             if self._is_usable(backend, pending, may_warm_up)
         ]
-        return sampled or [
+        return usable_backends or [
             backend for backend in candidates if self._is_usable(backend, pending, may_warm_up)
         ]
 
