--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -14,7 +14,7 @@
 
 from dockthread.lab.slow_start.scenario import COLD_FRACTIONS, Scenario
 from dockthread.lab.slow_start.seeded_defects import DEFECTIVE_ENGINES
-from dockthread.lab.slow_start.seeds import SeedResult, play_seeds
+from dockthread.lab.slow_start.seeds import SeedResult, run_seeds
 
 MAX_SHOWN = 10  # Maximum number of seeds with an overload that are printed individually.
 
@@ -86,7 +86,7 @@
     """Run the seeds, print the table, and return 1 if a seed violates the rule."""
     options = parse_options()
     seeds = range(options.from_seed, options.from_seed + options.seeds)
-    results = play_seeds(seeds, options.ingresses, options.cold, options.plant, options.jobs)
+    results = run_seeds(seeds, options.ingresses, options.cold, options.plant, options.jobs)
     print("              seeds with        cold  over-    peak load       cold used        in time")
     print(
         " cold  seeds breach overl.  backends  loads      max  median    min  median     min  median"
--- a/benchmarks/restart_wave.py
+++ b/benchmarks/restart_wave.py
@@ -13,7 +13,7 @@
 from itertools import product
 from statistics import median
 
-from dockthread.lab.slow_start.restart_wave import RestartWave, WaveResult, play_waves
+from dockthread.lab.slow_start.restart_wave import RestartWave, WaveResult, run_waves
 
 TABLE_HEADER = "restarts    lists  old list  discovery      ready in 6 s   ready in 10 s   listed in 10 s   last   calls  first  paused"
 # Pairs: size of the fleet, and ingresses that restart at once.
@@ -84,7 +84,7 @@
     print(TABLE_HEADER)
     for fleet_size, restarted_count in FLEET_AND_RESTART_SIZES:
         for wave in waves_of(fleet_size, restarted_count):
-            results = play_waves(range(1, options.seeds + 1), wave)
+            results = run_waves(range(1, options.seeds + 1), wave)
             print(table_line(wave, results), flush=True)
     return 0
 
--- a/dockthread/cli/lab_distribution.py
+++ b/dockthread/cli/lab_distribution.py
@@ -10,8 +10,8 @@
 
 from dockthread.cli.lab_seeds import jobs_option, json_option, seeds_option, show_replay, show_seeds
 from dockthread.lab.control_plane.seeded_defects import DEFECT_NAMES, SEEDED_DEFECTS
-from dockthread.lab.control_plane.seeds import SCENARIOS, play_seed
-from dockthread.lab.seeds import play_seeds
+from dockthread.lab.control_plane.seeds import SCENARIOS, run_seed
+from dockthread.lab.seeds import run_seeds
 
 
 @click.group("distribution")
@@ -61,7 +61,7 @@
 @json_option
 def seeds(scenario: str, seeds: range, jobs: int, plant: str, as_json: bool) -> None:
     """Run many seeds, and print each one that violates a rule. With --plant, stop once one does."""
-    show_seeds(scenario, play_seeds(play_seed, scenario, seeds, jobs, plant), plant, as_json)
+    show_seeds(scenario, run_seeds(run_seed, scenario, seeds, jobs, plant), plant, as_json)
 
 
 @distribution.command()
@@ -71,4 +71,4 @@
 @json_option
 def replay(seed: int, scenario: str, plant: str, as_json: bool) -> None:
     """Print the events of one seed line by line. Every replay of a seed is the same."""
-    show_replay(play_seed(scenario, seed, plant), as_json)
+    show_replay(run_seed(scenario, seed, plant), as_json)
--- a/dockthread/cli/lab_fleet.py
+++ b/dockthread/cli/lab_fleet.py
@@ -25,8 +25,8 @@
 from dockthread.lab.maintenance import seeded_defects
 from dockthread.lab.maintenance.scenario import ScenarioError, parse_scenario, shipped_scenarios
 from dockthread.lab.raft.seeded_defects import DEFECT_NAMES as RAFT_DEFECT_NAMES
-from dockthread.lab.raft.seeds import SCENARIOS, play_seed
-from dockthread.lab.seeds import play_seeds
+from dockthread.lab.raft.seeds import SCENARIOS, run_seed
+from dockthread.lab.seeds import run_seeds
 
 EXIT_VOID = 2  # Exit code of a run that is void.
 CHUNK_SIZE = 25  # Number of seeds that a worker process runs before it reports its results.
@@ -79,7 +79,7 @@
     """Run many seeds, and print each one that violates a rule. With --plant, stop once one does."""
     plant = parse_plant_option(plant)
     show_seeds(
-        scenario, play_seeds(play_seed, scenario, seeds, jobs, plant, CHUNK_SIZE), plant, as_json
+        scenario, run_seeds(run_seed, scenario, seeds, jobs, plant, CHUNK_SIZE), plant, as_json
     )
 
 
@@ -119,7 +119,7 @@
         raise click.BadParameter(str(error)) from error
 
     async def rehearse(folder: str) -> RehearsalResult:
-        return await Rehearsal(Path(folder), parsed_scenario).play()
+        return await Rehearsal(Path(folder), parsed_scenario).run()
 
     try:
         with TemporaryDirectory() as folder:
@@ -158,4 +158,4 @@
 @json_option
 def replay(scenario: str, seed: int, plant: str, as_json: bool) -> None:
     """Print the events of one seed line by line. Every replay of a seed is the same."""
-    show_replay(play_seed(scenario, seed, parse_plant_option(plant)), as_json)
+    show_replay(run_seed(scenario, seed, parse_plant_option(plant)), as_json)
--- a/dockthread/cli/lab_seeds.py
+++ b/dockthread/cli/lab_seeds.py
@@ -89,14 +89,14 @@
     sys.exit(EXIT_VIOLATION if violating_seeds else 0)
 
 
-def show_replay(played: SeedRun, as_json: bool) -> None:
+def show_replay(seed_run: SeedRun, as_json: bool) -> None:
     """Print the events of one seed and its rule violations, and exit."""
     if as_json:
-        violations = [violation_json(violation) for violation in played.violations]
-        click.echo(json.dumps({"record": played.record, "broken": violations}))
+        violations = [violation_json(violation) for violation in seed_run.violations]
+        click.echo(json.dumps({"record": seed_run.record, "broken": violations}))
     else:
         violation_lines = [
-            f"VIOLATED {violation_line(violation)}" for violation in played.violations
+            f"VIOLATED {violation_line(violation)}" for violation in seed_run.violations
         ]
-        click.echo("\n".join([*played.record, *violation_lines]))
-    sys.exit(EXIT_VIOLATION if played.violations else 0)
+        click.echo("\n".join([*seed_run.record, *violation_lines]))
+    sys.exit(EXIT_VIOLATION if seed_run.violations else 0)
--- a/dockthread/lab/control_plane/seeds.py
+++ b/dockthread/lab/control_plane/seeds.py
@@ -40,7 +40,7 @@
 """Scenarios by their names on the command line."""
 
 
-def play_seed(name: str, seed: int, seeded_defect: str = "") -> SeedRun:
+def run_seed(name: str, seed: int, seeded_defect: str = "") -> SeedRun:
     """Run one seed of a scenario, with the named seeded defect unless the name is empty."""
     defect = SEEDED_DEFECTS[seeded_defect] if seeded_defect else SeededDefect()
     simulation = Simulation(seed, defect, SCENARIOS[name].options)
--- a/dockthread/lab/maintenance/rehearsal.py
+++ b/dockthread/lab/maintenance/rehearsal.py
@@ -120,7 +120,7 @@
         # Ingresses that exited by themselves and are not yet ready again.
         self._restarting: set[str] = set()
 
-    async def play(self) -> RehearsalResult:
+    async def run(self) -> RehearsalResult:
         """Run the scenario to its end.
 
         Raises:
--- a/dockthread/lab/raft/seeds.py
+++ b/dockthread/lab/raft/seeds.py
@@ -83,7 +83,7 @@
 }
 
 
-def play_seed(name: str, seed: int, seeded_defect: str = "") -> SeedRun:
+def run_seed(name: str, seed: int, seeded_defect: str = "") -> SeedRun:
     """Run one seed of a scenario, with the named seeded defect unless the name is empty.
 
     Raises:
@@ -91,6 +91,6 @@
     """
     scenario = SCENARIOS[name]
     simulation = scenario.simulation(seed, scenario.size, seeded_defect, scenario.faults)
-    violations = simulation.play()
+    violations = simulation.run_recording_crashes()
     summary = f"seed {seed}, faults: {', '.join(simulation.faults) or 'none'}"
     return SeedRun(tuple(violations), (summary, *simulation.record))
--- a/dockthread/lab/raft/simulation.py
+++ b/dockthread/lab/raft/simulation.py
@@ -88,7 +88,7 @@
         self.client = SimulatedClient(self, self.checker)
         self.record: list[str] = []
 
-    def play(self) -> list[RuleViolation]:
+    def run_recording_crashes(self) -> list[RuleViolation]:
         """Run until the end or the first violation; an exception of a core is a violation too."""
         try:
             return self.run()
--- a/dockthread/lab/seeds.py
+++ b/dockthread/lab/seeds.py
@@ -48,16 +48,16 @@
 SeedRunner: TypeAlias = Callable[[str, int, str], SeedRun]
 
 
-def _run_chunk(play_seed: SeedRunner, scenario: str, seeds: range, seeded_defect: str) -> SeedChunk:
-    results = [(seed, play_seed(scenario, seed, seeded_defect)) for seed in seeds]
+def _run_chunk(run_seed: SeedRunner, scenario: str, seeds: range, seeded_defect: str) -> SeedChunk:
+    results = [(seed, run_seed(scenario, seed, seeded_defect)) for seed in seeds]
     violating_seeds = tuple(
         ViolatingSeed(seed, result.violations[0]) for seed, result in results if result.violations
     )
     return SeedChunk(len(seeds), violating_seeds)
 
 
-def play_seeds(  # noqa: PLR0913  the last two have defaults
-    play_seed: SeedRunner,
+def run_seeds(  # noqa: PLR0913  the last two have defaults
+    run_seed: SeedRunner,
     scenario: str,
     seeds: range,
     jobs: int,
@@ -67,7 +67,7 @@
     """Run seeds of a scenario and yield the result of each chunk, in the order of the seeds.
 
     Args:
-        play_seed: runs one seed; must be a module-level function, because it is pickled for the
+        run_seed: runs one seed; must be a module-level function, because it is pickled for the
             processes.
         scenario: the scenario's name.
         seeds: the seeds to run.
@@ -78,10 +78,10 @@
     chunks = [seeds[start : start + chunk_size] for start in range(0, len(seeds), chunk_size)]
     if jobs == 1:
         for chunk in chunks:
-            yield _run_chunk(play_seed, scenario, chunk, seeded_defect)
+            yield _run_chunk(run_seed, scenario, chunk, seeded_defect)
         return
     count = len(chunks)
     with ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
         yield from pool.map(
-            _run_chunk, [play_seed] * count, [scenario] * count, chunks, [seeded_defect] * count
+            _run_chunk, [run_seed] * count, [scenario] * count, chunks, [seeded_defect] * count
         )
--- a/dockthread/lab/slow_start/restart_wave.py
+++ b/dockthread/lab/slow_start/restart_wave.py
@@ -224,6 +224,6 @@
             self._poll(ingress)
 
 
-def play_waves(seeds: range, wave: RestartWave) -> list[WaveResult]:
+def run_waves(seeds: range, wave: RestartWave) -> list[WaveResult]:
     """Run a restart wave with each seed."""
     return [RestartWaveSimulation(seed, wave).run() for seed in seeds]
--- a/dockthread/lab/slow_start/seeds.py
+++ b/dockthread/lab/slow_start/seeds.py
@@ -44,7 +44,7 @@
         return [overload for overload in self.overloads if overload.violates_rule]
 
 
-def play_seed(seed: int, scenario: Scenario, seeded_defect: str = "") -> SeedResult:
+def run_seed(seed: int, scenario: Scenario, seeded_defect: str = "") -> SeedResult:
     """Run a scenario with one seed, and with a seeded defect unless its name is "".
 
     Raises:
@@ -74,10 +74,10 @@
 def _draw_and_run(
     seed: int, ingress_count: int, cold_fraction: float | None, seeded_defect: str
 ) -> SeedResult:
-    return play_seed(seed, draw_scenario(seed, ingress_count, cold_fraction), seeded_defect)
+    return run_seed(seed, draw_scenario(seed, ingress_count, cold_fraction), seeded_defect)
 
 
-def play_seeds(
+def run_seeds(
     seeds: range, ingress_count: int, cold_fraction: float | None, seeded_defect: str, jobs: int
 ) -> list[SeedResult]:
     """Draw and run a scenario for each seed in `jobs` processes; results are ordered by seed."""
--- a/tests/lab/test_control_plane_simulation.py
+++ b/tests/lab/test_control_plane_simulation.py
@@ -10,15 +10,15 @@
 from dockthread.cli.lab import lab
 from dockthread.lab.control_plane.checker import ControlPlaneChecker, RequestedChange
 from dockthread.lab.control_plane.seeded_defects import SEEDED_DEFECTS
-from dockthread.lab.control_plane.seeds import play_seed
-from dockthread.lab.seeds import play_seeds
+from dockthread.lab.control_plane.seeds import run_seed
+from dockthread.lab.seeds import run_seeds
 
 SEEDS_PER_DEFECT = range(0, 4)
 
 
 @pytest.mark.parametrize(("scenario", "seeds"), [("drawn", range(0, 8)), ("single", range(0, 2))])
 def test_no_seed_violates_a_rule(scenario: str, seeds: range) -> None:
-    chunks = list(play_seeds(play_seed, scenario, seeds, 1))
+    chunks = list(run_seeds(run_seed, scenario, seeds, 1))
     assert sum(chunk.seed_count for chunk in chunks) == len(seeds)
     assert [violating_seed for chunk in chunks for violating_seed in chunk.violating_seeds] == []
 
@@ -26,7 +26,7 @@
 @pytest.mark.parametrize("defect", SEEDED_DEFECTS)
 def test_seeded_defect_is_found(defect: str) -> None:
     assert any(
-        play_seed(SEEDED_DEFECTS[defect].scenario, seed, defect).violations
+        run_seed(SEEDED_DEFECTS[defect].scenario, seed, defect).violations
         for seed in SEEDS_PER_DEFECT
     )
 
@@ -34,7 +34,7 @@
 def test_commands_replay_a_seed_find_a_seeded_defect_and_reject_an_unknown_one() -> None:
     replayed = CliRunner().invoke(lab, ["distribution", "replay", "3", "--json"])
     assert replayed.exit_code == 0
-    assert tuple(json.loads(replayed.output)["record"]) == play_seed("drawn", 3).record
+    assert tuple(json.loads(replayed.output)["record"]) == run_seed("drawn", 3).record
     with_defect = CliRunner().invoke(
         lab, ["distribution", "seeds", "--seeds", "3..3", "--plant", "older-applied", "--json"]
     )
--- a/tests/lab/test_maintenance_simulation.py
+++ b/tests/lab/test_maintenance_simulation.py
@@ -5,7 +5,7 @@
 import pytest
 
 from dockthread.lab.maintenance.seeded_defects import DEFECT_NAMES
-from dockthread.lab.raft.seeds import play_seed
+from dockthread.lab.raft.seeds import run_seed
 
 # The scenario and the seed in which the checker finds each defect.
 VIOLATING_SEEDS = {
@@ -25,11 +25,11 @@
 @pytest.mark.parametrize("defect", DEFECT_NAMES)
 def test_checker_finds_each_seeded_defect_and_no_violation_without_it(defect: str) -> None:
     scenario, seed = VIOLATING_SEEDS[defect]
-    assert play_seed(scenario, seed, defect).violations
-    assert not play_seed(scenario, seed).violations
+    assert run_seed(scenario, seed, defect).violations
+    assert not run_seed(scenario, seed).violations
 
 
 def test_same_seed_gives_the_same_record() -> None:
-    first, second = (play_seed("work-turns", 3) for _ in range(2))
+    first, second = (run_seed("work-turns", 3) for _ in range(2))
     assert first == second
     assert any("is switched off" in line for line in first.record)
--- a/tests/lab/test_restart_wave.py
+++ b/tests/lab/test_restart_wave.py
@@ -16,7 +16,7 @@
     RestartWave,
     RestartWaveSimulation,
     WaveResult,
-    play_waves,
+    run_waves,
 )
 from dockthread.net.discovery_watch import DiscoveryWatch
 from dockthread.net.endpoint_list import EndpointList
@@ -41,13 +41,13 @@
     is_list_pushed: bool, outage_ms: float
 ) -> None:
     wave = RestartWave(is_list_pushed=is_list_pushed, outage_ms=outage_ms)
-    for result in play_waves(SEEDS, wave):
+    for result in run_waves(SEEDS, wave):
         assert result.ready_within(1_000.0) == 1.0
 
 
 def test_ingresses_without_a_list_are_ready_once_their_agents_respond() -> None:
     wave = RestartWave(is_list_pushed=True, has_known_list=False, outage_ms=4_000.0)
-    for result in play_waves(SEEDS, wave):
+    for result in run_waves(SEEDS, wave):
         assert result.ready_within(6_000.0) == 1.0
 
 
@@ -55,7 +55,7 @@
 def test_most_of_thirty_ingresses_without_a_list_are_ready_within_ten_seconds(
     drops_timed_out_polls: bool,
 ) -> None:
-    results = play_waves(
+    results = run_waves(
         SEEDS,
         RestartWave(30, 30, has_known_list=False, drops_timed_out_polls=drops_timed_out_polls),
     )
@@ -70,7 +70,7 @@
     Discovery serves one poll in 0.13 s, so at most 77 of 200 ingresses can be ready within 10 s.
     Nine in ten, as with 30 ingresses, are impossible here.
     """
-    for result in play_waves(SEEDS, RestartWave(has_known_list=False)):
+    for result in run_waves(SEEDS, RestartWave(has_known_list=False)):
         assert result.ready_within(10_000.0) <= 77 / 200
         assert result.poll_count <= 10 * 200, "more than ten polls per ingress in a minute"
 
@@ -83,7 +83,7 @@
 
     If all ingresses polled again within 6 s, discovery would process only abandoned polls.
     """
-    results = play_waves(SEEDS, RestartWave(restarted_count=140, outage_ms=outage_ms))
+    results = run_waves(SEEDS, RestartWave(restarted_count=140, outage_ms=outage_ms))
     assert median_listed_within(20_000.0, results) < 0.2
     assert median_listed_within(59_000.0, results) > 0.1, (
         "the fraction is 0.0 or 0.07 if all ingresses poll again within 6 s"
--- a/tests/lab/test_slow_start_simulation.py
+++ b/tests/lab/test_slow_start_simulation.py
@@ -9,7 +9,7 @@
 
 from dockthread.lab.slow_start.checker import Overload, SlowStartChecker, WarmUpLimits
 from dockthread.lab.slow_start.scenario import SLOW_KIND, TWO_KINDS, Scenario
-from dockthread.lab.slow_start.seeds import SeedResult, play_seed
+from dockthread.lab.slow_start.seeds import SeedResult, run_seed
 from dockthread.policy import SafetyLimits
 from dockthread.policy.slow_start import RecoveryRamp
 from tests.policy.harness import OPEN_PLAN, RATE_PLAN, SETTINGS, IngressHarness, endpoint
@@ -52,10 +52,10 @@
 )
 
 
-def play_seeds(scenario: Scenario, size: ClusterSize, seeded_defect: str = "") -> list[SeedResult]:
+def run_seeds(scenario: Scenario, size: ClusterSize, seeded_defect: str = "") -> list[SeedResult]:
     scenario = replace(scenario, ingress_count=size.ingress_count, backend_count=size.backend_count)
     seeds = range(1, size.seed_count + 1)
-    return [play_seed(seed, scenario, seeded_defect) for seed in seeds]
+    return [run_seed(seed, scenario, seeded_defect) for seed in seeds]
 
 
 @pytest.mark.parametrize("plan", [OPEN_PLAN, RATE_PLAN])
@@ -72,14 +72,14 @@
 
 @pytest.mark.parametrize("size", SIZES)
 def test_backends_that_all_restart_cold_are_neither_overloaded_nor_idle(size: ClusterSize) -> None:
-    for result in play_seeds(ALL_COLD, size):
+    for result in run_seeds(ALL_COLD, size):
         assert not result.overloads
         assert result.used_capacity > 0.3, "the cold backends are mostly idle"
 
 
 @pytest.mark.parametrize("size", SIZES)
 def test_cold_backends_beside_warm_ones_are_neither_overloaded_nor_idle(size: ClusterSize) -> None:
-    for result in play_seeds(HALF_COLD, size):
+    for result in run_seeds(HALF_COLD, size):
         assert not result.overloads
         assert result.used_capacity > 0.2
         assert result.in_time > 0.5 * result.achievable_in_time
@@ -88,11 +88,11 @@
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("seeded_defect", ["warmth-ignored", "unbounded"])
 def test_checker_finds_an_engine_without_slow_start(size: ClusterSize, seeded_defect: str) -> None:
-    assert any(result.violations for result in play_seeds(ALL_COLD, size, seeded_defect))
+    assert any(result.violations for result in run_seeds(ALL_COLD, size, seeded_defect))
 
 
 def test_checker_finds_an_engine_that_uses_the_ramp_of_all_ingresses_alone() -> None:
-    results = play_seeds(ALL_COLD, LARGEST_SIZE, "each-as-if-alone")
+    results = run_seeds(ALL_COLD, LARGEST_SIZE, "each-as-if-alone")
     assert any(result.violations for result in results)
 
 
--- a/tests/raft/test_simulation.py
+++ b/tests/raft/test_simulation.py
@@ -9,8 +9,8 @@
 
 from dockthread.cli.lab import lab
 from dockthread.lab.raft.seeded_defects import DEFECT_NAMES
-from dockthread.lab.raft.seeds import SCENARIOS, play_seed
-from dockthread.lab.seeds import play_seeds
+from dockthread.lab.raft.seeds import SCENARIOS, run_seed
+from dockthread.lab.seeds import run_seeds
 
 # Defects that only a few seeds find, each with a scenario and a seed that finds it.
 RARE_DEFECTS = {
@@ -28,14 +28,14 @@
 
 @pytest.mark.parametrize("name", list(SCENARIOS))
 def test_no_rule_is_violated_in_the_first_seeds_of_each_scenario(name: str) -> None:
-    for chunk in play_seeds(play_seed, name, range(20 if "turns" in name else 60), jobs=1):
+    for chunk in run_seeds(run_seed, name, range(20 if "turns" in name else 60), jobs=1):
         assert not chunk.violating_seeds
 
 
 @pytest.mark.parametrize("defect", DEFECT_NAMES)
 def test_seeded_defect_is_found(defect: str) -> None:
     runs = RARE_DEFECTS.get(defect, DEFAULT_RUNS)
-    assert any(play_seed(name, seed, defect).violations for name, seed in runs)
+    assert any(run_seed(name, seed, defect).violations for name, seed in runs)
 
 
 def test_replay_of_a_seed_prints_the_same_record_each_time() -> None:
