--- a/dockthread/control_plane/table_receiver.py
+++ b/dockthread/control_plane/table_receiver.py
@@ -97,7 +97,7 @@
             previous = complete_at if self._complete_at is None else self._complete_at
             self._complete_at = max(complete_at, previous)
 
-    def accepts_epoch(self, update: Update, is_server_current: bool) -> bool:
+    def accepts_epoch(self, update: Update, is_server_fresh: bool) -> bool:
         """Return whether an update has the current epoch, or may replace it with another.
 
         Only a server known not to be stale may introduce another epoch, and a replaced epoch is
@@ -105,7 +105,7 @@
         """
         if not self.table.epoch or update.epoch == self.table.epoch:
             return True
-        return update.epoch not in self._replaced_epochs and is_server_current
+        return update.epoch not in self._replaced_epochs and is_server_fresh
 
     def add(self, update: Update) -> bool:
         """Put an update into the table.
--- a/dockthread/lab/control_plane/seeded_defects.py
+++ b/dockthread/lab/control_plane/seeded_defects.py
@@ -226,7 +226,7 @@
 class AnyEpochReceiver(TableReceiver):
     """Accepts updates of any epoch, even of a history that it has left."""
 
-    def accepts_epoch(self, update: Update, is_server_current: bool) -> bool:  # noqa: ARG002  the defect ignores it
+    def accepts_epoch(self, update: Update, is_server_fresh: bool) -> bool:  # noqa: ARG002  the defect ignores it
         """Return True for every update."""
         return True
 
--- a/dockthread/lab/maintenance/seeded_defects.py
+++ b/dockthread/lab/maintenance/seeded_defects.py
@@ -19,7 +19,7 @@
     RequestState,
     TargetKind,
 )
-from dockthread.maintenance.model import ClusterView
+from dockthread.maintenance.model import FleetView
 from dockthread.maintenance.participant import MaintenanceParticipant, ParticipantActions
 from dockthread.maintenance.scheduler import MaintenanceScheduler
 
@@ -70,8 +70,8 @@
 class ReportsTimeSinceStart(MaintenanceParticipant):
     """Reports the time since the leader started as elapsed, not the time since its last report."""
 
-    def _report(self, now: float, cluster: ClusterView, actions: ParticipantActions) -> None:
-        super()._report(now, cluster, actions)
+    def _report(self, now: float, fleet: FleetView, actions: ParticipantActions) -> None:
+        super()._report(now, fleet, actions)
         if actions.report is not None:
             report = msgspec.structs.replace(actions.report.report, elapsed_ms=now)
             actions.report = msgspec.structs.replace(actions.report, report=report)
@@ -94,18 +94,18 @@
 class ConfirmsWhileBusy(MaintenanceParticipant):
     """Confirms that it has drained a backend while it still has requests in flight there."""
 
-    def update(self, now: float, cluster: ClusterView) -> ParticipantActions:
+    def update(self, now: float, fleet: FleetView) -> ParticipantActions:
         """Treat every draining backend as idle."""
         drained = self.drained | set(self.scheduler.drained_backends())
-        return super().update(now, replace(cluster, idle_backends=drained))
+        return super().update(now, replace(fleet, idle_backends=drained))
 
 
 class SendsToOverdueBackends(MaintenanceParticipant):
     """Sends requests to a backend whose maintenance takes longer than staff announced."""
 
-    def update(self, now: float, cluster: ClusterView) -> ParticipantActions:
+    def update(self, now: float, fleet: FleetView) -> ParticipantActions:
         """Remove the overdue backends from the drained backends."""
-        actions = super().update(now, cluster)
+        actions = super().update(now, fleet)
         self.drained -= {
             request.target
             for request in self.scheduler.requests.values()
@@ -121,10 +121,10 @@
         self,
         now: float,
         request: MaintenanceRequest,
-        cluster: ClusterView,
+        fleet: FleetView,
         actions: ParticipantActions,
     ) -> None:
-        super()._handle_own_request(now, request, cluster, actions)
+        super()._handle_own_request(now, request, fleet, actions)
         if actions.stop:
             self._propose(now, actions, CommandAction.RESTARTED, request)
 
--- a/dockthread/lab/maintenance/simulation.py
+++ b/dockthread/lab/maintenance/simulation.py
@@ -25,7 +25,7 @@
 from dockthread.lab.raft.simulation import RaftSimulation
 from dockthread.maintenance.aggregation import MemberObservation, ZoneObservation
 from dockthread.maintenance.commands import MaintenanceCommand, MaintenanceRequest, RequestState
-from dockthread.maintenance.model import ClusterView, MaintenanceOptions
+from dockthread.maintenance.model import FleetView, MaintenanceOptions
 from dockthread.maintenance.participant import MaintenanceParticipant
 from dockthread.maintenance.reasons import GRANT_TIMEOUT_PREFIX
 from dockthread.maintenance.scheduler import MaintenanceScheduler
@@ -240,7 +240,7 @@
             return
         incarnation = self.incarnations[member.name]
         core = member.core
-        cluster = ClusterView(
+        fleet = FleetView(
             leader=core.leader_id,
             members=self.voters,
             reachable=core.responded_within(RaftTiming().election_timeout_ms),
@@ -250,7 +250,7 @@
                 if not incarnation.in_flight[backend]
             },
         )
-        actions = incarnation.participant.update(self.now, cluster)
+        actions = incarnation.participant.update(self.now, fleet)
         if actions.send_observation:
             self._send_observation(member, core.leader_id)
         for command in actions.propose:
--- a/dockthread/maintenance/leader.py
+++ b/dockthread/maintenance/leader.py
@@ -9,7 +9,7 @@
     MaintenanceCommand,
     ZoneStatus,
 )
-from dockthread.maintenance.model import ClusterView, MaintenanceOptions
+from dockthread.maintenance.model import FleetView, MaintenanceOptions
 from dockthread.maintenance.scheduler import MaintenanceScheduler
 from dockthread.maintenance.transitions import UNAVAILABLE_STATES
 
@@ -82,13 +82,13 @@
         self._observations[member] = (now, observation)
 
     def next_report(
-        self, now: float, cluster: ClusterView, scheduler: MaintenanceScheduler
+        self, now: float, fleet: FleetView, scheduler: MaintenanceScheduler
     ) -> MaintenanceCommand | None:
         """Return the report to propose now; None if none is due."""
         observations = self._recent_observations(now)
         has_unevaluated = has_unevaluated_requests(scheduler)
         interval_ms = report_interval_ms(scheduler)
-        self._track_observation_majority(now, cluster, scheduler, observations)
+        self._track_observation_majority(now, fleet, scheduler, observations)
         is_awaiting_observations = (
             self._no_majority_since is not None
             and now - self._no_majority_since < FIRST_REPORT_MAX_WAIT_MS
@@ -102,14 +102,14 @@
         self._last_proposal_at = now
         zones: tuple[ZoneStatus, ...] = ()
         listed: tuple[str, ...] = ()
-        if 2 * len(observations) > len(cluster.members):
+        if 2 * len(observations) > len(fleet.members):
             capacity = self._options.backend_capacity
-            zones, listed = combine_observations(observations, len(cluster.members), capacity)
+            zones, listed = combine_observations(observations, len(fleet.members), capacity)
         report = LeaderReport(
             number=scheduler.report_count + 1,
             elapsed_ms=min(now - self._last_report_at, MAX_INTERVALS_PER_REPORT * interval_ms),
-            members=tuple(sorted(cluster.members)),
-            reachable=tuple(sorted({*cluster.reachable, self._name})),
+            members=tuple(sorted(fleet.members)),
+            reachable=tuple(sorted({*fleet.reachable, self._name})),
             zones=zones,
             listed_targets=listed,
             grant_timeout_ms=self._options.grant_timeout_ms,
@@ -128,7 +128,7 @@
     def _track_observation_majority(
         self,
         now: float,
-        cluster: ClusterView,
+        fleet: FleetView,
         scheduler: MaintenanceScheduler,
         observations: dict[str, MemberObservation],
     ) -> None:
@@ -136,7 +136,7 @@
         current_count = sum(
             observation.latest_request_index >= latest for observation in observations.values()
         )
-        is_observed_by_majority = 2 * current_count > len(cluster.members)
+        is_observed_by_majority = 2 * current_count > len(fleet.members)
         if is_observed_by_majority or not has_unevaluated_requests(scheduler):
             self._no_majority_since = None
         elif self._no_majority_since is None:
--- a/dockthread/maintenance/model.py
+++ b/dockthread/maintenance/model.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClusterView:
+class FleetView:
     """Current state of the fleet as this ingress knows it.
 
     Attributes:
--- a/dockthread/maintenance/participant.py
+++ b/dockthread/maintenance/participant.py
@@ -47,7 +47,7 @@
     latest_request_index,
     report_interval_ms,
 )
-from dockthread.maintenance.model import ClusterView, MaintenanceOptions
+from dockthread.maintenance.model import FleetView, MaintenanceOptions
 from dockthread.maintenance.scheduler import MaintenanceScheduler
 from dockthread.maintenance.transitions import (
     DRAINED_STATES,
@@ -222,7 +222,7 @@
 
     # Actions
 
-    def update(self, now: float, cluster: ClusterView) -> ParticipantActions:
+    def update(self, now: float, fleet: FleetView) -> ParticipantActions:
         """Return the actions to carry out now; later updates assume that they were carried out."""
         actions = ParticipantActions()
         required = set(self.scheduler.drained_backends()) | self._drained_until_committed
@@ -231,30 +231,30 @@
         self.drained = required
         for request in self.scheduler.requests.values():
             if request.kind is not TargetKind.INGRESS:
-                self._confirm_backend(now, request, cluster, actions)
+                self._confirm_backend(now, request, fleet, actions)
             elif request.target == self.name:
-                self._handle_own_request(now, request, cluster, actions)
-        is_leader = cluster.leader == self.name
+                self._handle_own_request(now, request, fleet, actions)
+        is_leader = fleet.leader == self.name
         if is_leader and not self._is_leader:
             self._reporter.on_leadership_gained(now)
         self._is_leader = is_leader
-        if self.scheduler.requests and cluster.leader:
+        if self.scheduler.requests and fleet.leader:
             if self._is_observation_due(now):
                 actions.send_observation = True
                 self._last_observation_at = now
             if is_leader:
-                self._report(now, cluster, actions)
+                self._report(now, fleet, actions)
         return actions
 
     def _confirm_backend(
         self,
         now: float,
         request: MaintenanceRequest,
-        cluster: ClusterView,
+        fleet: FleetView,
         actions: ParticipantActions,
     ) -> None:
         if request.state in DRAINED_STATES and self.name not in request.drained_by:
-            is_idle = request.target in cluster.idle_backends
+            is_idle = request.target in fleet.idle_backends
             if is_idle and request.target not in actions.drain:
                 self._propose(now, actions, CommandAction.DRAINED, request)
         elif request.state is RequestState.RETURNING and self.name not in request.released_by:
@@ -264,11 +264,11 @@
         self,
         now: float,
         request: MaintenanceRequest,
-        cluster: ClusterView,
+        fleet: FleetView,
         actions: ParticipantActions,
     ) -> None:
         if request.state in REVOCABLE_STATES:
-            if cluster.leader != self.name or len(cluster.members) <= 1:
+            if fleet.leader != self.name or len(fleet.members) <= 1:
                 self._propose(now, actions, CommandAction.DRAINED, request)
             elif now - self._last_transfer_at >= REPORT_INTERVAL_MS:
                 actions.transfer_leadership = True
@@ -276,7 +276,7 @@
         elif request.state in UNAVAILABLE_STATES:
             if request.incarnation == self.incarnation:
                 actions.stop = True
-            elif cluster.is_serving:
+            elif fleet.is_serving:
                 self._propose(now, actions, CommandAction.RESTARTED, request)
 
     def _propose(
@@ -312,5 +312,5 @@
             return True
         return age_ms >= report_interval_ms(self.scheduler)
 
-    def _report(self, now: float, cluster: ClusterView, actions: ParticipantActions) -> None:
-        actions.report = self._reporter.next_report(now, cluster, self.scheduler)
+    def _report(self, now: float, fleet: FleetView, actions: ParticipantActions) -> None:
+        actions.report = self._reporter.next_report(now, fleet, self.scheduler)
--- a/dockthread/maintenance/service.py
+++ b/dockthread/maintenance/service.py
@@ -17,7 +17,7 @@
 
 from dockthread.maintenance import observation
 from dockthread.maintenance.admin_commands import MaintenanceAdmin
-from dockthread.maintenance.model import ClusterView, MaintenanceOptions
+from dockthread.maintenance.model import FleetView, MaintenanceOptions
 from dockthread.maintenance.participant import MaintenanceParticipant, ParticipantActions
 from dockthread.raft.server import RaftServer
 
@@ -171,14 +171,14 @@
         Updating after each replayed entry would drain and then release a backend whose maintenance
         ended long before this start, and it would have to warm up again.
         """
-        cluster = ClusterView(
+        fleet = FleetView(
             leader=self.member.leader_id,
             members=self.member.members,
             reachable=self.member.responsive_members(),
             idle_backends=observation.idle_backends(self._ingress, self.participant.drained),
             is_serving=self._ingress.ready,
         )
-        self._execute(self.participant.update(self._ingress.clock.now(), cluster))
+        self._execute(self.participant.update(self._ingress.clock.now(), fleet))
 
     def _execute(self, actions: ParticipantActions) -> None:
         for backend in actions.drain:
--- a/dockthread/policy/gossip.py
+++ b/dockthread/policy/gossip.py
@@ -297,7 +297,7 @@
         # A new process counts its sums from 0.
         last_requested = previous.requested if previous is not None and is_same_process else 0
         last_admitted = previous.admitted if previous is not None and is_same_process else 0
-        requested = gossip_codec.units_between(report.arrived_sum, last_requested)
+        requested = gossip_codec.units_between(report.requested_sum, last_requested)
         admitted = gossip_codec.units_between(report.admitted_sum, last_admitted)
         if previous is None:
             # This is the peer's first report of the customer, and the time its sums count from is
@@ -307,7 +307,7 @@
             requested = min(requested, max_units)
             admitted = min(admitted, max_units)
             customer.quota.lower_to_level(report.bucket_level + admitted)
-        customer.peer_sums[peer] = PeerSums(incarnation, report.arrived_sum, report.admitted_sum)
+        customer.peer_sums[peer] = PeerSums(incarnation, report.requested_sum, report.admitted_sum)
         self._update_peer_rates(customer, requested, admitted)
         customer.peer_in_flight.pop(peer, None)
         if report.in_flight:
--- a/dockthread/policy/gossip_codec.py
+++ b/dockthread/policy/gossip_codec.py
@@ -55,7 +55,7 @@
         customer: the customer's number.
         plan: the position of the customer's plan in the settings.
         in_flight: number of the customer's attempts in flight at the sender.
-        arrived_sum: units requested from the sender since its start, encoded by `encode_units`.
+        requested_sum: units requested from the sender since its start, encoded by `encode_units`.
         admitted_sum: units that the sender admitted since its start, encoded by `encode_units`.
         bucket_level: units left in the sender's copy of the customer's token bucket.
     """
@@ -63,7 +63,7 @@
     customer: int
     plan: int
     in_flight: int
-    arrived_sum: int
+    requested_sum: int
     admitted_sum: int
     bucket_level: float
 
@@ -133,7 +133,7 @@
             report.customer,
             report.plan,
             min(report.in_flight, MAX_IN_FLIGHT),
-            report.arrived_sum,
+            report.requested_sum,
             report.admitted_sum,
             max(-MAX_BUCKET_LEVEL, min(report.bucket_level, MAX_BUCKET_LEVEL)),
         )
--- a/tests/byte_cases.py
+++ b/tests/byte_cases.py
@@ -577,7 +577,7 @@
     customer=2**32 - 1,
     plan=2,
     in_flight=7,
-    arrived_sum=65_535,
+    requested_sum=65_535,
     admitted_sum=320,
     bucket_level=-12.5,
 )
--- a/tests/maintenance/test_participant.py
+++ b/tests/maintenance/test_participant.py
@@ -14,7 +14,7 @@
     TargetKind,
     ZoneStatus,
 )
-from dockthread.maintenance.model import ClusterView, MaintenanceOptions
+from dockthread.maintenance.model import FleetView, MaintenanceOptions
 from dockthread.maintenance.participant import MaintenanceParticipant, ParticipantActions
 
 MEMBERS = ("n0", "n1", "n2")
@@ -31,8 +31,8 @@
     return command(CommandAction.REPORT, report=leader_report)
 
 
-def cluster(leader: str = "n0", idle: tuple[str, ...] = (), is_serving: bool = True) -> ClusterView:
-    return ClusterView(leader, MEMBERS, MEMBERS, idle, is_serving)
+def fleet(leader: str = "n0", idle: tuple[str, ...] = (), is_serving: bool = True) -> FleetView:
+    return FleetView(leader, MEMBERS, MEMBERS, idle, is_serving)
 
 
 def new_participant(name: str, incarnation: str = "life") -> MaintenanceParticipant:
@@ -55,10 +55,10 @@
     participant = new_participant("n1")
     for index, data in enumerate(drained_log(("n0",)), 1):
         participant.on_entry_applied(0.0, index, data)
-    assert participant.update(0.0, cluster()).drain == ["x"]
+    assert participant.update(0.0, fleet()).drain == ["x"]
     assert participant.drained == {"x"}
-    assert proposals(participant.update(10.0, cluster())) == [], "a request is still in flight"
-    idle = cluster(idle=("x",))
+    assert proposals(participant.update(10.0, fleet())) == [], "a request is still in flight"
+    idle = fleet(idle=("x",))
     assert proposals(participant.update(20.0, idle)) == [("held", "x")]
     assert proposals(participant.update(30.0, idle)) == []
     assert proposals(participant.update(1_600.0, idle)) == [("held", "x")], (
@@ -73,14 +73,14 @@
     entries = list(enumerate(log, 1))
     participant = new_participant("n1", "again")
     participant.recover(b"", entries, 5, 7, 1)
-    assert participant.update(0.0, cluster("")).drain == ["x"]
+    assert participant.update(0.0, fleet("")).drain == ["x"]
     for index, data in entries:
         participant.on_entry_applied(1.0, index, data)
         participant.on_log_advanced(index, 1)
-    assert participant.update(2.0, cluster()).release == ["x"]
+    assert participant.update(2.0, fleet()).release == ["x"]
     participant_with_committed_log = new_participant("n1", "again")
     participant_with_committed_log.recover(b"", entries, 7, 7, 1)
-    assert participant_with_committed_log.update(0.0, cluster("")).drain == [], (
+    assert participant_with_committed_log.update(0.0, fleet("")).drain == [], (
         "the complete log is known to be committed"
     )
 
@@ -104,7 +104,7 @@
         log.append(drained)
     for index, data in enumerate(log, 1):
         participant.on_entry_applied(0.0, index, data)
-    actions = participant.update(10.0, cluster(leader))
+    actions = participant.update(10.0, fleet(leader))
     actions_by_name = {
         "transfer": actions.transfer_leadership,
         "stop": actions.stop,
