--- a/dockthread/cli/lab_scale.py
+++ b/dockthread/cli/lab_scale.py
@@ -22,7 +22,7 @@
 from dockthread.config.quantities import Duration, Share, Size
 from dockthread.lab.scale.channel import ProcessError
 from dockthread.lab.scale.plan import FAULTS, PlanError, RunPlan, parse_change_rates
-from dockthread.lab.scale.planted_bugs import BUG_NAMES
+from dockthread.lab.scale.seeded_defects import DEFECT_NAMES
 from dockthread.lab.scale.usage import ProcessEndedError
 
 EXIT_CODES = {"holds": 0, "broken": 1, "void": 2}
@@ -129,8 +129,8 @@
 @click.option(
     "--plant",
     default="",
-    type=click.Choice(["", *BUG_NAMES]),
-    help="Plant this bug, which the checker must find.",
+    type=click.Choice(["", *DEFECT_NAMES]),
+    help="Plant this seeded defect, which the checker must find.",
 )
 @click.option("--label", default="", help="Label kept in the report, such as the measured commit.")
 @click.option("--json", "as_json", is_flag=True, help="Print the report as one JSON object.")
--- a/dockthread/lab/scale/control.py
+++ b/dockthread/lab/scale/control.py
@@ -10,7 +10,7 @@
 from dockthread.lab.scale.plan import REGIONS, zone_name
 from dockthread.lab.scale.recorder import ChangeRecorder
 
-# How a planted bug changes the resources before they are applied.
+# A seeded defect: returns the altered resources, which are then applied.
 ResourceAlteration = Callable[[Sequence[Resource]], Sequence[Resource]]
 
 
@@ -50,7 +50,7 @@
     # Methods that the client calls on its applier
 
     def apply(self, changes: Sequence[Resource]) -> Sequence[Rejection]:
-        """Apply the changes, altered by a planted bug if any; record those older than applied ones."""
+        """Apply the changes, altered by any seeded defect; record those older than applied ones."""
         applied = changes if self._alter is None else self._alter(changes)
         rejections = self._applier.apply(applied)
         # A refused resource is delivered again at the end of its batch, so an older version of it
--- a/dockthread/lab/scale/hollow.py
+++ b/dockthread/lab/scale/hollow.py
@@ -17,8 +17,8 @@
 from dockthread.config.ingress_config import IngressConfig, Names
 from dockthread.control_plane.ingress import IngressResourceApplier
 from dockthread.lab.scale.control import ConfigurationRecorder, control_options
-from dockthread.lab.scale.planted_bugs import list_alteration, route_alteration
 from dockthread.lab.scale.recorder import ListRecorder, Row, backend_rows
+from dockthread.lab.scale.seeded_defects import list_alteration, route_alteration
 from dockthread.net.context import MAINTENANCE_INTERVAL_MS
 from dockthread.net.discovery_watch import DiscoveryWatch
 from dockthread.net.endpoint_list import EndpointList
@@ -42,12 +42,12 @@
 NO_LISTENER: Final = Address("127.0.0.1", 0)  # A hollow ingress does not listen for clients.
 # Timeout of the quota counter in ms. It has no effect, as there is no counter to call.
 COUNTER_TIMEOUT_MS: Final = 50.0
-# How a planted bug changes a message before it is applied; it returns None to drop the message.
+# A seeded defect: returns the altered message, which is then applied, or None to drop the message.
 MessageAlteration = Callable[[Any], Any]
 
 
 class AlteredEndpointList(EndpointList):
-    """An endpoint list whose messages pass through a planted bug first."""
+    """An endpoint list whose messages a seeded defect can alter before they are applied."""
 
     alter: MessageAlteration | None = None
 
@@ -82,8 +82,8 @@
 class HollowIngress:
     """A hollow ingress, created anew for each restart.
 
-    `configuration_recorder` is given if the ingress also receives configuration. `plant` names its
-    planted bug.
+    `configuration_recorder` is given if the ingress also receives configuration. `seeded_defect` is
+    the name of its seeded defect, or "".
     """
 
     def __init__(
@@ -92,13 +92,13 @@
         configuration_recorder: ConfigurationRecorder | None,
         shared: SharedParameters,
         affected_by_cut: bool,
-        plant: str = "",
+        seeded_defect: str = "",
     ) -> None:
         self.list_recorder = list_recorder
         self._configuration_recorder = configuration_recorder
         number = list_recorder.number
         self.clock = Clock()
-        self._plant = plant
+        self._seeded_defect = seeded_defect
         settings = replace(
             shared.settings, ingress_number=number, zone=number % len(shared.names.zones)
         )
@@ -106,7 +106,7 @@
         self._policy_host = PolicyHost(self.engine, self.clock, lambda request: None)
         self._timers = Timers(self.clock, settings.clock_tick * 1000.0)
         self.endpoints = EndpointList(shared.names, self.clock)
-        if (alter := list_alteration(plant)) is not None:
+        if (alter := list_alteration(seeded_defect)) is not None:
             self.endpoints = AlteredEndpointList(shared.names, self.clock)
             self.endpoints.alter = alter
         discovery = shared.discovery[affected_by_cut]
@@ -148,7 +148,9 @@
         """Start the parts in the order in which a real ingress starts them."""
         if self._applier is not None and self._configuration_recorder is not None:
             self._applier.open()
-            self._configuration_recorder.attach(self._applier, route_alteration(self._plant))
+            self._configuration_recorder.attach(
+                self._applier, route_alteration(self._seeded_defect)
+            )
         self.watch.start(EMPTY_LIST, self._timers.call_at)
         self._run_maintenance()
         self._watch_task = asyncio.get_running_loop().create_task(self.watch.run())
--- a/dockthread/lab/scale/host.py
+++ b/dockthread/lab/scale/host.py
@@ -63,7 +63,7 @@
             (servers[0], servers[1]),
             control["key_file"] if control else "",
         )
-        self._planted_number = (
+        self._defective_ingress_number = (
             min(arguments["numbers"]) if arguments["numbers"] and arguments["plants"] else -1
         )
         for number in arguments["numbers"]:
@@ -80,7 +80,7 @@
         for number in numbers:
             list_recorder = self._list_recorders[number]
             configuration_recorder = self._configuration_recorders.get(number)
-            plant = self._plan.plant if number == self._planted_number else ""
+            seeded_defect = self._plan.plant if number == self._defective_ingress_number else ""
             list_recorder.reset(is_first_start)
             if configuration_recorder is not None:
                 configuration_recorder.reset(is_first_start)
@@ -89,7 +89,7 @@
                 configuration_recorder,
                 self._shared_parameters,
                 self._plan.is_affected_by_cut(number),
-                plant,
+                seeded_defect,
             )
             self._ingresses[number] = ingress
             ingress.start()
--- a/dockthread/lab/scale/plan.py
+++ b/dockthread/lab/scale/plan.py
@@ -76,7 +76,7 @@
     fault: str = "none"
     rate: float = 100.0  # Requests per second to each real ingress.
     hosts: int = 0
-    plant: str = ""
+    plant: str = ""  # Name of the seeded defect; empty for none.
     routes: int = 100  # Routes published before the first window if the configuration changes.
     distributors: int = 2
     voters: int = 3
--- a/dockthread/lab/scale/planted_bugs.py
+++ b/dockthread/lab/scale/seeded_defects.py
@@ -1,4 +1,4 @@
-"""Planted bugs that the checker must find; a run has one, in one hollow ingress."""
+"""Seeded defects that the checker has to find; a run has at most one, in one hollow ingress."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 from dockthread.control_plane.messages import Resource
 
-LIST_BUG_NAMES: Final = ("lost", "older", "stale-list")
-ROUTE_BUG_NAMES: Final = ("route-lost", "route-older")
-BUG_NAMES: Final = LIST_BUG_NAMES + ROUTE_BUG_NAMES
-CHANGES_BEFORE_BUG: Final = 3  # Number of changes before a bug takes effect.
+LIST_DEFECT_NAMES: Final = ("lost", "older", "stale-list")
+ROUTE_DEFECT_NAMES: Final = ("route-lost", "route-older")
+DEFECT_NAMES: Final = LIST_DEFECT_NAMES + ROUTE_DEFECT_NAMES
+CHANGES_BEFORE_DEFECT: Final = 3  # Number of changes before a defect takes effect.
 
 
 def list_alteration(name: str) -> Callable[[Any], Any] | None:
-    """Return the function that alters each list message before it is applied, or None for no bug."""
-    if name not in LIST_BUG_NAMES:
+    """Return the function that alters list messages before they are applied; None for no defect."""
+    if name not in LIST_DEFECT_NAMES:
         return None
     return {
         "lost": _drop_backend_changes,
@@ -35,7 +35,7 @@
             return message
         change_count += 1
         changed_uid = message["targets"][0]["uid"]
-        if change_count == CHANGES_BEFORE_BUG:
+        if change_count == CHANGES_BEFORE_DEFECT:
             dropped_uid = changed_uid
         return None if changed_uid == dropped_uid else message
 
@@ -50,7 +50,7 @@
         if message["all"]:
             return message
         changes.append(message)
-        if len(changes) <= CHANGES_BEFORE_BUG:
+        if len(changes) <= CHANGES_BEFORE_DEFECT:
             return message
         older = {**changes[0]["targets"][0], "capacity_hint": 0.5}
         return {**message, "targets": [*message["targets"], older]}
@@ -70,14 +70,14 @@
                 whole_lists[:] = [message]
             return message
         change_count += 1
-        return whole_lists[0] if change_count == CHANGES_BEFORE_BUG and whole_lists else message
+        return whole_lists[0] if change_count == CHANGES_BEFORE_DEFECT and whole_lists else message
 
     return alter
 
 
 def route_alteration(name: str) -> Callable[[Sequence[Resource]], Sequence[Resource]] | None:
-    """Return the function that alters resources before they are applied, or None for no bug."""
-    if name not in ROUTE_BUG_NAMES:
+    """Return the function that alters resources before they are applied, or None for no defect."""
+    if name not in ROUTE_DEFECT_NAMES:
         return None
     return _drop_route_changes() if name == "route-lost" else _repeat_first_version()
 
--- a/tests/lab/test_lab_scale.py
+++ b/tests/lab/test_lab_scale.py
@@ -1,4 +1,4 @@
-"""Tests of scale runs with faults, broken bounds and planted bugs, and of their parts."""
+"""Tests of scale runs with faults, broken bounds and seeded defects, and of their parts."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     parse_change_rates,
     plan_from_json,
 )
-from dockthread.lab.scale.planted_bugs import BUG_NAMES, LIST_BUG_NAMES, ROUTE_BUG_NAMES
+from dockthread.lab.scale.seeded_defects import DEFECT_NAMES, LIST_DEFECT_NAMES, ROUTE_DEFECT_NAMES
 from tests.cli.test_cli import dockthread
 
 # A test machine may be busy, so these bounds are too wide to judge the measurements. The runs are
@@ -41,8 +41,9 @@
              "--fault", "restart-wave"),
     "bytes": (*SHORT_RUN, "--changes", "list=12", "--most-bytes", "1B"),
     "few": (*SHORT_RUN, "--changes", "list=2"),
-    **{plant: (*SHORT_RUN, "--changes", "list=12", "--plant", plant) for plant in LIST_BUG_NAMES},
-    **{plant: (*SHORT_RUN, "--changes", "config=12", "--routes", "5", "--plant", plant) for plant in ROUTE_BUG_NAMES},
+    **{defect: (*SHORT_RUN, "--changes", "list=12", "--plant", defect) for defect in LIST_DEFECT_NAMES},
+    **{defect: (*SHORT_RUN, "--changes", "config=12", "--routes", "5", "--plant", defect)
+       for defect in ROUTE_DEFECT_NAMES},
     "cut": ("--real", "1", "--hollow", "40", "--seconds", "4", "--changes", "10", "--routes", "20", "--fault", "cut"),
 }  # fmt: skip
 
@@ -103,9 +104,9 @@
     )
 
 
-@pytest.mark.parametrize("plant", BUG_NAMES)
-def test_the_checker_finds_a_planted_bug(plant: str, results: RunResults) -> None:
-    code, report = results[plant]
+@pytest.mark.parametrize("defect", DEFECT_NAMES)
+def test_the_checker_finds_a_seeded_defect(defect: str, results: RunResults) -> None:
+    code, report = results[defect]
     assert (code, report["verdict"]) == (1, "broken")
     assert report["checker"]["first"] and all(
         "ingress 0 " in violation for violation in report["checker"]["first"]
