--- a/dockthread/cli/control_status.py
+++ b/dockthread/cli/control_status.py
@@ -69,7 +69,7 @@
     yield f"revision {overview.revision} of {overview.epoch or 'no history'}"
     yield from _server_lines(overview)
     for address, reason in sorted(overview.unreachable.items()):
-        yield f"not reached: {address}: {reason}"
+        yield f"unreachable: {address}: {reason}"
     yield from _zone_lines(overview)
     lagging = overview.lagging()
     for subscriber in lagging[:MAX_SUBSCRIBERS_SHOWN]:
@@ -99,7 +99,7 @@
         up_to_date[zone_key] += not overview.lags(subscriber)
     for (region, zone), count in sorted(subscribers.items()):
         place = f"{region or 'no region'} {zone or 'no zone'}"
-        yield f"{place}: in force at {up_to_date[region, zone]} of {count}"
+        yield f"{place}: applied by {up_to_date[region, zone]} of {count} subscribers"
 
 
 def _lagging_subscriber_lines(
@@ -113,7 +113,7 @@
     elif overview.lags(subscriber):
         yield f"{name}: lags at revision {revision} for {subscriber.behind / MS_PER_S:.1f} s"
     if subscriber.rejections:
-        yield f"{name}: refuses {subscriber.rejections}"
+        yield f"{name}: rejected resources: {subscriber.rejections}"
         for rejection in subscriber.rejected:
             place = f"{rejection.kind} {rejection.name} of revision {rejection.revision}"
             yield f"  {place}: {rejection.reason}"
--- a/dockthread/cli/lab.py
+++ b/dockthread/cli/lab.py
@@ -61,7 +61,7 @@
     """Return the address that a text names; raise ValueError if it is not one."""
     host_and_port = host_port(text)
     if host_and_port is None:
-        raise ValueError(f"{text!r} is no address: write HOST:PORT")
+        raise ValueError(f"{text!r} is not an address: write HOST:PORT")
     return Address(*host_and_port)
 
 
--- a/dockthread/cli/options.py
+++ b/dockthread/cli/options.py
@@ -55,5 +55,5 @@
     """
     host_and_port = host_port(text)
     if host_and_port is None:
-        raise ValueError(f"{text!r} is no address: write {expected}")
+        raise ValueError(f"{text!r} is not an address: write {expected}")
     return Address(*host_and_port)
--- a/dockthread/config/ini_reader.py
+++ b/dockthread/config/ini_reader.py
@@ -203,7 +203,7 @@
 ) -> ConfigProblem | None:
     if kind not in kinds:
         remedy = _suggestion(kind, kinds) or _known_names(kinds)
-        return ConfigProblem(config.file, heading, "", "is no section", remedy)
+        return ConfigProblem(config.file, heading, "", "is not a section", remedy)
     if kinds[kind].has_name and not name:
         return ConfigProblem(config.file, heading, "", "needs a name", f"such as [{kind} main]")
     if name and not kinds[kind].has_name:
--- a/dockthread/routes/options.py
+++ b/dockthread/routes/options.py
@@ -129,7 +129,7 @@
 
     def _attempt_problems(self) -> Iterable[KeyProblem]:
         if self.attempts is not None and self.attempts < 1:
-            reason = f"{self.attempts} would never send a request on"
+            reason = f"{self.attempts} would never forward a request"
             yield KeyProblem("attempts", reason, "at least 1")
         if self.backoff_max is not None and self.backoff is None:
             reason = "needs backoff, which is not set"
--- a/dockthread/routes/route_validator.py
+++ b/dockthread/routes/route_validator.py
@@ -183,7 +183,7 @@
                 return self._finding(
                     key,
                     ValidationRule.WITHIN_DEADLINE,
-                    f"{value} outlasts the client's deadline for {class_name}, {deadline}",
+                    f"{value} is longer than the client's deadline for {class_name}, {deadline}",
                     f"at most {deadline}",
                 )
         return None
