--- a/benchmarks/kept.py
+++ b/benchmarks/kept.py
@@ -1,9 +1,9 @@
-"""Recorded scores of the benches and their noise, and the benches that a change has to run again.
+"""Recorded scores and noise of the benches, and the choice of the benches to run after a change.
 
-The scores of up to `MAX_RUNS` runs of one source tree are recorded for each bench. A new run is
-compared with their mean, and it regresses if it falls below the mean by more than the noise. The
-noise is the spread of the recorded runs if there are at least `MIN_RUNS_FOR_NOISE`; otherwise it is
-the noise of an earlier tree, or `DEFAULT_NOISE` if none is known.
+The scores of up to `MAX_RUNS` runs of one source tree are recorded for each bench. A new run is a
+regression if its score is below their mean by more than the noise. The noise is the spread of the
+recorded runs if there are at least `MIN_RUNS_FOR_NOISE`; otherwise it is the noise of an earlier
+tree, or `DEFAULT_NOISE` if none is known.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-DEFAULT_NOISE = 0.03  # Noise of a bench whose noise is unknown, from the bench's documentation.
+DEFAULT_NOISE = 0.03  # Noise of a bench without recorded noise, from the bench's documentation.
 MAX_RUNS = 5  # Maximum number of runs recorded for a tree.
 MIN_RUNS_FOR_NOISE = 3  # Number of runs of a tree from which the noise is computed.
 SIZES = ("quick", "full")
-# Groups of benches to run after a change, by the start of the changed path; the first match counts.
-# No bench runs documents, tests or the lab.
+# Groups of benches to run after a change, by prefix of the changed path; the first match applies.
+# No bench depends on documents, tests or the lab, so a change to them requires no run.
 GROUPS_BY_PATH: tuple[tuple[str, tuple[str, ...]], ...] = (
     ("dockthread/lab/", ()),
     ("dockthread/cli/", ()),
@@ -42,8 +42,8 @@
 class RecordedScores:
     """Recorded scores of one bench at one size.
 
-    `tree` is the hash of the source tree that reached the scores. `noise` is the spread of the
-    scores of the latest tree that ran at least `MIN_RUNS_FOR_NOISE` times.
+    `tree` is the hash of the source tree with which the scores were measured. `noise` is the spread
+    of the scores of the latest tree that ran at least `MIN_RUNS_FOR_NOISE` times.
     """
 
     tree: str = ""
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -46,7 +46,7 @@
 INGRESSES = 1600
 CUSTOMERS = 81_000
 PEAK_REQUESTS_PER_S = 280_000.0
-BACKENDS = 240  # Number of backends.
+BACKENDS = 240
 BACKEND_LATENCY_S = 0.020  # Response time of a backend in s.
 COUNTER_LATENCY_S = 0.002  # Response time of the counter in s.
 BURST_S = 10.0  # Burst of a quota, in s of its rate.
@@ -56,7 +56,11 @@
 
 @dataclass(frozen=True, slots=True)
 class IngressCost:
-    """Costs of one ingress, with rates per second; `fleet_calls` is the rate of the whole fleet."""
+    """Costs of one ingress; rates are per second.
+
+    `use` is the share of the quota in use, `tenants` the number of customers of the ingress, and
+    `fleet_calls` the rate of counter calls of the whole fleet.
+    """
 
     spread: int
     use: float
@@ -73,7 +77,7 @@
 
     def __init__(self, spread: int, use: float) -> None:
         self.spread = spread
-        self.tenants = max(1, round(CUSTOMERS * spread / INGRESSES))
+        self.customer_count = max(1, round(CUSTOMERS * spread / INGRESSES))
         # Requests per second of a customer, over the whole fleet.
         self.rate = PEAK_REQUESTS_PER_S / CUSTOMERS
         plan = Plan(rate=self.rate / use, burst=BURST_S * self.rate / use)
@@ -88,7 +92,8 @@
         self.requests = 0
         self.refused = 0
         self._event_count = 0
-        # By counter: the amount that this ingress added, and the time since which others add.
+        # By counter name: the amount that this ingress has added, and the time of its first call. The
+        # other ingresses add to the counter from that time on.
         self._totals: dict[int, tuple[float, float]] = {}
         self._events: list[tuple[float, int, Event]] = []
         endpoints = tuple(Endpoint(number, BackendState.READY) for number in range(1, BACKENDS + 1))
@@ -143,19 +148,19 @@
             self.requests += 1
             self.handle(
                 RequestArrived(
-                    self.requests, 0, 0, rng.randrange(self.tenants), 4.0, 1.0, self.spread
+                    self.requests, 0, 0, rng.randrange(self.customer_count), 4.0, 1.0, self.spread
                 )
             )
 
 
 def measure(spread: int, use: float, seconds: float) -> IngressCost:
-    """Measure one spread and share of the quota in use, after 20 s of warm-up."""
+    """Measure the costs at one spread and one share of the quota in use, after 20 s of warm-up."""
     tracemalloc.start()
     memory_at_start = tracemalloc.get_traced_memory()[0]
     ingress = Ingress(spread, use)
     rng = random.Random(1)
     memory_after_list = tracemalloc.get_traced_memory()[0]
-    ingress.run(20.0, rng)  # Warm-up: each customer has sent a request, and its total is known.
+    ingress.run(20.0, rng)  # Warm-up, in which each customer's total becomes known.
     memory_of_customers = tracemalloc.get_traced_memory()[0] - memory_after_list
     tracemalloc.stop()
     assert memory_after_list >= memory_at_start
@@ -169,7 +174,7 @@
     return IngressCost(
         spread=spread,
         use=use,
-        tenants=ingress.tenants,
+        tenants=ingress.customer_count,
         calls=calls_per_s,
         fleet_calls=calls_per_s * INGRESSES,
         request_ms=ingress.cpu_s / request_count * 1000.0,
--- a/dockthread/cli/metrics.py
+++ b/dockthread/cli/metrics.py
@@ -44,8 +44,8 @@
             click.echo(f"{path:<{path_width}}  {kind:<6}  {unit:<11}  {meaning}")
 
 
-class SpanType(click.ParamType[FaultWindow]):
-    """A period of misbehaviour, written as KIND@START+LENGTH."""
+class FaultWindowType(click.ParamType[FaultWindow]):
+    """A fault with its start and duration, written as KIND@START+LENGTH."""
 
     name = "span"
 
@@ -116,7 +116,7 @@
 )
 @click.option(
     "--misbehave",
-    type=SpanType(),
+    type=FaultWindowType(),
     multiple=True,
     metavar="KIND@START+LENGTH",
     help=f"Misbehave for a while, such as vanish@10s+60s. Kinds: {', '.join(FAULT_KINDS)}.",
@@ -163,10 +163,10 @@
 async def _receive(
     stand_in: StandIn,
     addresses: dict[str, str],
-    misbehaviour: tuple[FaultWindow, ...],
+    fault_windows: tuple[FaultWindow, ...],
     duration: Duration | None,
 ) -> None:
-    """Receive metrics until a signal or the end of the time, and misbehave in the given periods."""
+    """Receive metrics until a signal or the end of the time, and simulate the given faults."""
     stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGINT, signal.SIGTERM):
@@ -175,10 +175,10 @@
     for protocol, address in stand_in.addresses.items():
         click.echo(f"{protocol} at {address}")
     sys.stdout.flush()
-    misbehaving = loop.create_task(stand_in.run_faults(misbehaviour))
+    fault_task = loop.create_task(stand_in.run_faults(fault_windows))
     with suppress(TimeoutError):
         await asyncio.wait_for(stop_requested.wait(), duration / 1000.0 if duration else None)
-    misbehaving.cancel()
+    fault_task.cancel()
     await asyncio.sleep(0.05)  # Leaves time to read the data that is still in the sockets.
     stand_in.stop()
 
--- a/dockthread/clock.py
+++ b/dockthread/clock.py
@@ -4,7 +4,7 @@
 
 import time
 
-MS_PER_S = 1000.0  # Milliseconds per second.
+MS_PER_S = 1000.0
 
 
 class Clock:
--- a/dockthread/logs/trace.py
+++ b/dockthread/logs/trace.py
@@ -21,7 +21,7 @@
         """Log an event with its keys and values."""
         logger.trace(
             "trace {}",
-            " ".join([event_name, *(f"{key}={figure}" for key, figure in fields.items())]),
+            " ".join([event_name, *(f"{key}={field}" for key, field in fields.items())]),
         )
 
     def request_completed(  # noqa: PLR0913  the observer's interface
--- a/dockthread/telemetry/receiver/stand_in.py
+++ b/dockthread/telemetry/receiver/stand_in.py
@@ -106,11 +106,11 @@
         fault_kind: The kind of the current fault, one of `FAULT_KINDS`, or empty.
     """
 
-    def __init__(self, ledger: Ledger, opener: PacketDecoder | None = None) -> None:
+    def __init__(self, ledger: Ledger, packet_decoder: PacketDecoder | None = None) -> None:
         self.ledger = ledger
         self.addresses: dict[str, str] = {}
         self.fault_kind = ""
-        self._opener = opener or PacketDecoder()
+        self._packet_decoder = packet_decoder or PacketDecoder()
         self._listeners: dict[str, socket.socket] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._connections: dict[socket.socket, asyncio.Task[None]] = {}
@@ -136,15 +136,15 @@
         self._listeners[protocol] = listener
         self._tasks[protocol] = asyncio.get_running_loop().create_task(coroutine)
 
-    async def run_faults(self, spans: Iterable[FaultWindow]) -> None:
+    async def run_faults(self, fault_windows: Iterable[FaultWindow]) -> None:
         """Simulate the faults one after another, in the order of their start."""
         now = 0.0
-        for span in sorted(spans, key=lambda span: span.start):
-            await asyncio.sleep(max(0.0, span.start - now))
-            self.start_fault(span.kind)
-            await asyncio.sleep(span.duration)
+        for window in sorted(fault_windows, key=lambda window: window.start):
+            await asyncio.sleep(max(0.0, window.start - now))
+            self.start_fault(window.kind)
+            await asyncio.sleep(window.duration)
             self.end_fault()
-            now = span.start + span.duration
+            now = window.start + window.duration
 
     def start_fault(self, kind: str) -> None:
         """Begin to simulate a fault, one of `FAULT_KINDS`."""
@@ -269,7 +269,7 @@
             if not self._reading_allowed:
                 continue
             try:
-                self.ledger.add_collectd_items(COLLECTD, self._opener.decode_packet(packet))
+                self.ledger.add_collectd_items(COLLECTD, self._packet_decoder.decode_packet(packet))
             except PacketError as error:
                 self.ledger.add_fault(COLLECTD, str(error))
             if self.fault_kind == SLOW:
--- a/tests/policy/test_quota_of_many_ingresses.py
+++ b/tests/policy/test_quota_of_many_ingresses.py
@@ -1,4 +1,4 @@
-"""A customer's quota over many ingresses that share only the counter: admitted units and calls."""
+"""Tests of a customer's quota over many ingresses that share only the counter."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request of a client; `number` is the number of earlier attempts."""
+    """One request of a client; `earlier_attempts` counts the times that it was sent before."""
 
     customer: int
     units: float
-    number: int = 0
+    earlier_attempts: int = 0
 
 
 @dataclass(slots=True)
@@ -177,14 +177,16 @@
                 client_request = self.client_requests[action.request]
                 self.record_decision(client_request, admitted=False)
                 if (
-                    client_request.number < CLIENT_ATTEMPTS - 1
+                    client_request.earlier_attempts < CLIENT_ATTEMPTS - 1
                     and self.rng.random() < CLIENT_RETRY_CHANCE
                 ):
                     self.schedule(
                         self.rng.uniform(0.03, 0.25),
                         self.send_request,
                         ClientRequest(
-                            client_request.customer, client_request.units, client_request.number + 1
+                            client_request.customer,
+                            client_request.units,
+                            client_request.earlier_attempts + 1,
                         ),
                     )
 
@@ -358,19 +360,19 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_in_flight_cap_is_split_evenly_without_gossip(seed: int) -> None:
-    customer = InFlightCapFleet(ingresses=25, cap=5, seed=seed)
-    customer.run_simulation(demand=3.0, response_time=0.1, units=1.0)
-    assert customer.admitted_beyond_cap < 0.3 * customer.admitted, (
+    fleet = InFlightCapFleet(ingresses=25, cap=5, seed=seed)
+    fleet.run_simulation(demand=3.0, response_time=0.1, units=1.0)
+    assert fleet.admitted_beyond_cap < 0.3 * fleet.admitted, (
         "with one free attempt at each ingress the ratio was 0.71"
     )
-    assert customer.admitted > 0.25 * 60.0 * customer.cap / 0.1
-    assert not customer.calls, "the counter has no total for a plan without a quota"
+    assert fleet.admitted > 0.25 * 60.0 * fleet.cap / 0.1
+    assert not fleet.calls, "the counter has no total for a plan without a quota"
 
 
 def test_in_flight_cap_counts_attempts_whatever_their_units() -> None:
     def admitted(units: float) -> int:
-        customer = InFlightCapFleet(ingresses=3, cap=8, seed=1)
-        customer.run_simulation(demand=1.0, response_time=0.1, units=units)
-        return customer.admitted
+        fleet = InFlightCapFleet(ingresses=3, cap=8, seed=1)
+        fleet.run_simulation(demand=1.0, response_time=0.1, units=units)
+        return fleet.admitted
 
     assert admitted(4.0) == pytest.approx(admitted(1.0), rel=0.05)
--- a/tests/telemetry/test_collectd.py
+++ b/tests/telemetry/test_collectd.py
@@ -90,10 +90,10 @@
 @pytest.mark.parametrize("security", SECURITY_LEVELS)
 def test_truncated_protected_packets_are_rejected(security: str) -> None:
     (packet,) = encode_packets(security, POINTS)
-    opener = PacketDecoder(security, {"ops": b"secret"})
+    decoder = PacketDecoder(security, {"ops": b"secret"})
     for size in range(1, len(packet)):
         try:
-            items = opener.decode_packet(packet[:size])
+            items = decoder.decode_packet(packet[:size])
         except PacketError:
             continue
         # Without protection, a packet that is truncated between two parts is valid.
