--- a/dockthread/cli/lab_seeds.py
+++ b/dockthread/cli/lab_seeds.py
@@ -11,9 +11,8 @@
 from dockthread.lab.raft.checker import RuleViolation
 from dockthread.lab.seeds import PlayedSeed, SeedChunk, ViolatingSeed
 
-EXIT_VIOLATION = (
-    1  # Exit code if a rule was violated, or with --plant if the seeded defect was found.
-)
+# Exit code if a rule was violated; with --plant this means that the seeded defect was found.
+EXIT_VIOLATION = 1
 MAX_SEEDS = 1_000_000  # Maximum number of seeds in one run.
 
 json_option = click.option("--json", "as_json", is_flag=True, help="Print one line of JSON.")
